--- a/gatherer/program_test.go
+++ b/gatherer/program_test.go
@@ -244,10 +244,11 @@
 	for len(b.Got) == 0 { // asked again with growing pauses
 		p.ask("lookup", 0)
 	}
+	// Its connection ends once the gatherer knows that it drains: nothing more goes to it from then on.
+	p.line("event=server_conn_end", "server=s-a", "reason=draining")
 	for len(a.Got) > 0 {
 		<-a.Got
 	}
-	// The change is told by now: nothing more goes to the draining server.
 	for range 20 {
 		if status, _, _ := p.ask("lookup", 0); status != 200 {
 			t.Errorf("got %d", status)
@@ -256,7 +257,6 @@
 	if len(a.Got) > 0 {
 		t.Error("a draining server was sent a part")
 	}
-	p.line("event=server_conn_end", "server=s-a", "reason=draining")
 	drained.Health = discovery.Removed
 	l.Change(drained)
 	if status, _, _ := p.ask("lookup", 0); status != 200 {
--- a/internal/cli/fleet_test.go
+++ b/internal/cli/fleet_test.go
@@ -324,18 +324,20 @@
 	})
 }
 
-func (s *site) leader() *node {
+// leader waits until the status names the steward that leads: between two terms there is none.
+func (s *site) leader() (leader *node) {
 	s.t.Helper()
-	out, err := s.fleet("status")
-	_, name, ok := strings.Cut(out, "leader ")
-	name, _, _ = strings.Cut(name, ",")
-	for _, x := range s.nodes {
-		if ok && x.name == name {
-			return x
+	s.until("a steward leads", 30*time.Second, func() bool {
+		_, name, found := strings.Cut(s.status(), "leader ")
+		name, _, _ = strings.Cut(name, ",")
+		for _, x := range s.nodes {
+			if found && x.name == name {
+				leader = x
+			}
 		}
-	}
-	s.t.Fatalf("no leader: %s %v", out, err)
-	return nil
+		return leader != nil
+	})
+	return leader
 }
 
 func (s *site) check(most int) {
--- a/internal/entrance/commands_test.go
+++ b/internal/entrance/commands_test.go
@@ -9,6 +9,7 @@
 	"os"
 	"os/exec"
 	"path/filepath"
+	"slices"
 	"strings"
 	"syscall"
 	"testing"
@@ -71,16 +72,58 @@
 	return text
 }
 
-// eventually runs a command until it prints a word.
-func (b *built) eventually(word string, args ...string) {
+// convergence bounds the wait for state that reaches the programs by itself: heartbeats, reports and elections, beside other load.
+const convergence = 20 * time.Second
+
+// poll runs a command until its output and exit code pass, and returns that output. Past the bound the test fails with the last output.
+func (b *built) poll(want string, pass func(text string, code int) bool, args ...string) string {
+	b.t.Helper()
+	for end := time.Now().Add(convergence); ; time.Sleep(200 * time.Millisecond) {
+		text, code := b.run(args...)
+		if pass(text, code) {
+			return text
+		}
+		if time.Now().After(end) {
+			b.t.Errorf("hive %s: not %s within %s; last exit %d\n%s", strings.Join(args, " "), want, convergence, code, text)
+			return text
+		}
+	}
+}
+
+// eventually runs a command until it ends with the exit code and prints the word. It is for what converges: a command that makes
+// a change is checked once, by wants.
+func (b *built) eventually(code int, word string, args ...string) string {
+	b.t.Helper()
+	return b.poll(fmt.Sprintf("exit %d with %q", code, word), func(text string, got int) bool {
+		return got == code && strings.Contains(text, word)
+	}, args...)
+}
+
+// allServers waits until the list holds every server, ready and heard, and returns it.
+func (b *built) allServers(count int, args ...string) (servers []hive.Server) {
 	b.t.Helper()
-	text := ""
-	for until := time.Now().Add(20 * time.Second); time.Now().Before(until); time.Sleep(200 * time.Millisecond) {
-		if text, _ = b.run(args...); strings.Contains(text, word) {
-			return
+	b.poll(fmt.Sprintf("%d ready servers", count), func(text string, code int) bool {
+		servers = nil
+		if code != 0 || json.Unmarshal([]byte(text), &servers) != nil || len(servers) != count {
+			return false
+		}
+		return !slices.ContainsFunc(servers, func(s hive.Server) bool { return s.State != "ready" || s.Silent })
+	}, args...)
+	if b.t.Failed() {
+		b.t.FailNow()
+	}
+	return servers
+}
+
+// asks sends a gatherer a request until it is answered by a server. Only 503 is asked again: the gatherer may not have heard of the
+// servers yet; any other status is the outcome.
+func (b *built) asks(path, id string) colony.Answer {
+	for end := time.Now().Add(convergence); ; time.Sleep(200 * time.Millisecond) {
+		a := b.c.Ask(b.c.Gather[0], "GET", "h.example", path, id, time.Second)
+		if a.Status != http.StatusServiceUnavailable || time.Now().After(end) {
+			return a
 		}
 	}
-	b.t.Errorf("hive %s never says %q; last:\n%s", strings.Join(args, " "), word, text)
 }
 
 // An operator's day on built programs: a configuration, tenants and pins are set, looked at and refused where they are wrong; a core machine is
@@ -127,28 +170,25 @@
 	b.wants(2, "USAGE", at("config")...)
 	b.wants(2, "USAGE", at("tenant", "set")...)
 	b.wants(1, "does not answer", "config", "get", "--control", "127.0.0.1:1")
-	b.eventually("none yet", at("config", "get")...)
+	b.eventually(1, "none yet", at("config", "get")...)
 	first := file("first.json", string(colony.Example(1, colony.FirstCut)))
 	second := file("second.json", string(colony.Example(5, colony.SecondCut)))
 	b.wants(0, "is valid", "check", "config", first)
-	b.eventually("version 1 is agreed", at("config", "put", first)...)
+	b.eventually(0, "version 1 is agreed", at("config", "put", first)...)
 	b.wants(0, "1 changes", at("config", "diff", second)...) // the route that is cut anew
 	b.wants(1, "version 1 is in place", at("config", "put", "--based-on", "7", second)...)
 	b.wants(0, "version 5 is agreed, on top of 1", at("config", "put", second)...)
 	b.wants(1, "every gatherer", at("config", "put", file("bad.json", `{"version":9,"routes":[{"name":"x","hostname":"h","path_prefix":"nope","route_kind":"never","service":"every gatherer"}]}`))...)
 	b.wants(0, "VERSION", at("config", "history")...)
-	b.eventually("in force on 2 gatherers", at("config", "explain", "h.example/all/x")...)
-	b.wants(0, "404", at("config", "explain", "nowhere.example/x")...)
+	b.eventually(0, "in force on 2 gatherers", at("config", "explain", "h.example/all/x")...)
+	b.eventually(0, "404", at("config", "explain", "nowhere.example/x")...)
 	b.wants(1, "named by its host and path", at("config", "explain", "x")...)
 	b.wants(0, `"version":5`, at("config", "get")...)
 
-	b.eventually("i-", at("servers", "once")...)
-	var servers []hive.Server
-	if text, _ := b.run(at("servers", "--json")...); json.Unmarshal([]byte(text), &servers) != nil || len(servers) != 2*len(colony.ExampleServices) {
-		t.Errorf("servers: %s", text)
-	}
-	b.eventually("yes", at("nodes")...)
-	b.wants(0, "disks that may be lost now: 1", at("members")...)
+	b.eventually(0, "i-", at("servers", "once")...)
+	servers := b.allServers(2*len(colony.ExampleServices), at("servers", "--json")...)
+	b.eventually(0, "yes", at("nodes")...)
+	b.eventually(0, "disks that may be lost now: 1", at("members")...)
 
 	b.wants(0, "no document of tenants", at("tenant", "list")...)
 	tenants := file("tenants.json", `{"tenants":[{"name":"desk","weight":3,"routes":[{"hostname":"h.example","path_prefix":"/one/"}]}]}`)
@@ -156,21 +196,21 @@
 	b.wants(1, "no routes", "check", "tenants", file("worse.json", `{"tenants":[{"name":"desk"}]}`))
 	b.wants(0, "desk", at("tenant", "dry-run", tenants)...)
 	b.wants(0, "version 1 of the tenants", at("tenant", "set", tenants)...)
-	b.wants(0, "tenant desk", at("config", "explain", "h.example/one/x")...)
-	if a := b.c.Ask(b.c.Gather[0], "GET", "h.example", "/one/x", "first", time.Second); a.Status != http.StatusOK {
+	b.eventually(0, "tenant desk", at("config", "explain", "h.example/one/x")...)
+	if a := b.asks("/one/x", "first"); a.Status != http.StatusOK {
 		t.Errorf("a request: %d", a.Status)
 	}
-	b.eventually("127.", at("tenant", "explain")...)
+	b.eventually(0, "127.", at("tenant", "explain")...)
 	b.wants(0, "desk", at("tenant", "list")...)
 
-	b.wants(0, "every server is in", at("judgement", "list")...)
+	b.eventually(0, "every server is in", at("judgement", "list")...)
 	b.wants(1, "neither in, avoided nor out", at("judgement", "pin", servers[0].Instance, "sideways")...)
 	b.wants(0, "version 1 of the pins", at("judgement", "pin", servers[0].Instance, "out", "--for", "1m", "--why", "a test")...)
-	b.eventually("pinned", at("judgement", "list")...)
-	b.wants(0, "pinned by an operator", at("judgement", "explain", servers[0].Instance)...)
+	b.eventually(0, "pinned", at("judgement", "list")...)
+	b.eventually(0, "pinned by an operator", at("judgement", "explain", servers[0].Instance)...)
 	b.wants(0, "version 2 of the pins", at("judgement", "unpin", servers[0].Instance)...)
 	b.wants(1, "is not pinned", at("judgement", "unpin", servers[0].Instance)...)
-	b.eventually("every server is in", at("judgement", "list")...)
+	b.eventually(0, "every server is in", at("judgement", "list")...)
 
 	// A core machine is lost with its disk and comes back without.
 	b.hives[2].Process.Signal(syscall.SIGKILL)
@@ -178,22 +218,21 @@
 	if err := os.RemoveAll(filepath.Join(b.c.Dir, b.c.Hives[2].IP)); err != nil {
 		t.Fatal(err)
 	}
-	b.eventually("is not heard any more", at("events")...)
-	b.wants(0, "no answer from", at("members")...)
+	b.eventually(0, "is not heard any more", at("events")...)
+	b.eventually(0, "no answer from", at("members")...)
 	text, err := os.ReadFile(hives[2])
 	if err != nil {
 		t.Fatal(err)
 	}
 	b.start("hive", file("again.toml", strings.Replace(string(text), "first_start = true", "first_start = false", 1)))
-	b.eventually("the acceptors are at", at("events")...)
-	for until := time.Now().Add(20 * time.Second); ; time.Sleep(200 * time.Millisecond) {
-		if text, _ := b.run(at("members")...); strings.Count(text, "disks that may be lost now: 1") == 3 {
-			break
-		} else if time.Now().After(until) {
-			t.Fatalf("it is not whole again:\n%s", text)
-		}
+	b.eventually(0, "the acceptors are at", at("events")...)
+	b.poll("whole again at three hives", func(text string, code int) bool {
+		return code == 0 && strings.Count(text, "disks that may be lost now: 1") == 3
+	}, at("members")...)
+	if t.Failed() {
+		t.FailNow()
 	}
-	b.wants(0, "version 5 is agreed", at("events")...)
+	b.eventually(0, "version 5 is agreed", at("events")...)
 
 	// A majority is lost for good: a copy of the disk that is left, and a core begun anew that takes it.
 	copied := filepath.Join(b.c.Dir, "copy.json")
@@ -208,7 +247,7 @@
 	for _, path := range hives {
 		b.start("hive", path)
 	}
-	b.eventually("none yet", at("config", "get")...)
+	b.eventually(1, "none yet", at("config", "get")...)
 	b.wants(1, "gone for good", at("state", "restore", copied)...)
 	b.wants(0, "the tenants are agreed", at("state", "restore", copied, "--lose-the-rest")...)
 	b.wants(1, "only one that was begun anew", at("state", "restore", copied)...)
