--- a/swarm/restart_test.go
+++ b/consensus/recovery_test.go
@@ -1,4 +1,4 @@
-package swarm
+package consensus
 
 import (
 	"fmt"
@@ -9,38 +9,38 @@
 // from must not hide the value that was decided before both. Five acceptors: turn 3 is decided by all; turn 4 reaches the
 // first alone; a round that finds it proposes turn 5, which reaches the second alone; the second restarts, and its round
 // is answered by the other three first.
-func TestARestartFromAnUndecidedVoteFindsWhatWasDecided(t *testing.T) {
+func TestRecoveryFromUndecidedAcceptFindsDecidedValue(t *testing.T) {
 	var members []Member
-	states := map[AcceptorID]State{}
+	states := map[AcceptorID]AcceptorState{}
 	for id := AcceptorID(1); id <= 5; id++ {
 		members = append(members, Member{id, fmt.Sprint("m", id)})
-		states[id] = State{ID: id}
+		states[id] = AcceptorState{ID: id}
 	}
 	number := uint64(0)
 	// play runs a round that reaches some acceptors with its Prepare and some with its Accept.
-	play := func(known *Value, change Change, promise, vote []AcceptorID) (*Value, bool) {
+	play := func(known *Value, change ChangeFunc, promise, vote []AcceptorID) (*Value, bool) {
 		number++
-		r := NewRound(Ballot{number, ProposerID(number)}, known, change)
-		r.Ask()
+		r := NewProposal(Ballot{number, ProposerID(number)}, known, change)
+		r.NextPrepares()
 		var to []Member
 		for _, id := range promise {
-			next, answer := states[id].Prepare(Prepare{id, r.Ballot()})
+			next, answer := states[id].HandlePrepare(Prepare{id, r.Ballot()})
 			states[id] = next
-			to = append(to, r.Promised(answer)...)
+			to = append(to, r.HandlePrepareReply(answer)...)
 		}
 		if len(to) == 0 {
 			t.Fatalf("round %d found no majority", number)
 		}
 		decided := false
 		for _, id := range vote {
-			next, answer := states[id].Accept(Accept{id, r.Ballot(), r.Proposal()})
+			next, answer := states[id].HandleAccept(Accept{id, r.Ballot(), r.Value()})
 			states[id] = next
-			decided = r.Accepted(answer)
+			decided = r.HandleAcceptReply(answer)
 		}
-		return r.Proposal(), decided
+		return r.Value(), decided
 	}
-	add := func(version Version) Change {
-		return func(v *Value) *Value { return v.WithConfig(version, v.Version, fmt.Sprint("d", version), nil) }
+	add := func(version Version) ChangeFunc {
+		return func(v *Value) *Value { return v.WithConfiguration(version, v.Version, fmt.Sprint("d", version), nil) }
 	}
 	all := []AcceptorID{1, 2, 3, 4, 5}
 	known, decided := Genesis(members), false
@@ -51,17 +51,17 @@
 	}
 	play(known, add(4), []AcceptorID{1, 2, 3}, []AcceptorID{1})
 	last, _ := play(known, add(5), []AcceptorID{1, 2, 3}, []AcceptorID{2})
-	if last.Turn != 5 {
-		t.Fatalf("the last vote is of turn %d", last.Turn)
+	if last.Slot != 5 {
+		t.Fatalf("the last vote is of turn %d", last.Slot)
 	}
 	vote, rest := states[2].Value, []AcceptorID{3, 4, 5}
 	keep := func(v *Value) *Value { return v }
-	found, decided := play(Restarted(vote), keep, rest, rest)
+	found, decided := play(RecoveryBase(vote), keep, rest, rest)
 	if !decided || found.Version != 3 || found.Digest != "d3" {
-		t.Errorf("LOST: version 3 was decided; after the restart a round decides turn %d with version %d", found.Turn, found.Version)
+		t.Errorf("LOST: version 3 was decided; after the restart a round decides turn %d with version %d", found.Slot, found.Version)
 	}
 	// The planted mistake: the turn before the vote is taken for a decided one.
-	found, _ = play(&Value{Turn: vote.Turn - 1, Members: vote.Prior, Prior: vote.Prior}, keep, rest, rest)
+	found, _ = play(&Value{Slot: vote.Slot - 1, Members: vote.PriorMembers, PriorMembers: vote.PriorMembers}, keep, rest, rest)
 	if found.Version == 3 {
 		t.Error("a start from the turn before the vote loses nothing here: the test shows nothing")
 	}
--- a/swarm/replication_test.go
+++ b/consensus/replication_test.go
@@ -1,4 +1,4 @@
-package swarm
+package consensus
 
 import (
 	"testing"
@@ -15,14 +15,14 @@
 // One member of five was exchanged, which is decided and not yet confirmed. The one that left is gone, and two of the others
 // are lost: of the set before only two answer, of the new one three. Who knows the change to be decided confirms it with
 // these three; who does not know it can't.
-func TestAChangeKnownToBeDecidedIsConfirmedByItsOwnSet(t *testing.T) {
-	before := &Value{Turn: 4, Members: membersOf(1, 2, 3, 4, 5), Prior: membersOf(1, 2, 3, 4, 5)}
+func TestDecidedMemberChangeIsConfirmedByNewMembers(t *testing.T) {
+	before := &Value{Slot: 4, Members: membersOf(1, 2, 3, 4, 5), PriorMembers: membersOf(1, 2, 3, 4, 5)}
 	change := before.WithMembers(membersOf(9, 2, 3, 4, 5))
 	for _, known := range []*Value{change, before} {
-		round := NewRound(Ballot{7, 1}, known, func(v *Value) *Value { return v })
+		round := NewProposal(Ballot{7, 1}, known, func(v *Value) *Value { return v })
 		var accepts []Member
 		for _, id := range []AcceptorID{9, 4, 5} {
-			if to := round.Promised(Promise{From: id, OK: true, Promised: Ballot{7, 1}, Accepted: Ballot{5, 1}, Value: change}); to != nil {
+			if to := round.HandlePrepareReply(PrepareReply{From: id, OK: true, Promised: Ballot{7, 1}, Accepted: Ballot{5, 1}, Value: change}); to != nil {
 				accepts = to
 			}
 		}
@@ -36,12 +36,12 @@
 			t.Error("a change known to be decided still waits for the majority of the set before")
 			continue
 		}
-		if p := round.Proposal(); !p.Settled() || p.Turn != 6 {
-			t.Errorf("the proposal is turn %d, settled %v", p.Turn, p.Settled())
+		if p := round.Value(); !p.Confirmed() || p.Slot != 6 {
+			t.Errorf("the proposal is turn %d, settled %v", p.Slot, p.Confirmed())
 		}
 		decided := false
 		for _, id := range []AcceptorID{9, 4, 5} {
-			decided = round.Accepted(Accepted{From: id, OK: true})
+			decided = round.HandleAcceptReply(AcceptReply{From: id, OK: true})
 		}
 		if !decided {
 			t.Error("the confirmation is not decided by the new set")
@@ -49,72 +49,72 @@
 	}
 }
 
-func TestWhatProvesACopy(t *testing.T) {
-	d := Decision{&Value{Turn: 3, Members: membersOf(1, 2, 3), Prior: membersOf(1, 2, 3)}, Ballot{5, 1}, Ballot{8, 1}}
+func TestReplicatedBy(t *testing.T) {
+	d := Decision{&Value{Slot: 3, Members: membersOf(1, 2, 3), PriorMembers: membersOf(1, 2, 3)}, Ballot{5, 1}, Ballot{8, 1}}
 	for what, c := range map[string]struct {
-		copy Copy
+		copy Replica
 		want bool
 	}{
-		"the vote that decided":        {Copy{3, Ballot{5, 1}}, true},
-		"a later vote":                 {Copy{4, Ballot{9, 1}}, true},
-		"a later vote that has lost":   {Copy{4, Ballot{7, 1}}, false},
-		"an older turn":                {Copy{2, Ballot{4, 1}}, false},
-		"the turn at a lower ballot":   {Copy{3, Ballot{4, 7}}, false},
-		"an older turn, higher ballot": {Copy{2, Ballot{9, 1}}, false},
-		"an empty disk":                {Copy{}, false},
+		"the vote that decided":        {Replica{3, Ballot{5, 1}}, true},
+		"a later vote":                 {Replica{4, Ballot{9, 1}}, true},
+		"a later vote that has lost":   {Replica{4, Ballot{7, 1}}, false},
+		"an older turn":                {Replica{2, Ballot{4, 1}}, false},
+		"the turn at a lower ballot":   {Replica{3, Ballot{4, 7}}, false},
+		"an older turn, higher ballot": {Replica{2, Ballot{9, 1}}, false},
+		"an empty disk":                {Replica{}, false},
 	} {
-		if got := d.ProvenBy(c.copy); got != c.want {
+		if got := d.ReplicatedBy(c.copy); got != c.want {
 			t.Errorf("%s: %v", what, got)
 		}
 	}
-	if (Decision{Value: d.Value}).ProvenBy(Copy{3, Ballot{5, 1}}) {
+	if (Decision{Value: d.Value}).ReplicatedBy(Replica{3, Ballot{5, 1}}) {
 		t.Error("a copy is proven though the ballot of the decision is not known")
 	}
-	if lacking := d.Lacking(map[AcceptorID]Copy{1: {3, Ballot{5, 1}}, 2: {3, Ballot{4, 1}}}); len(lacking) != 2 {
+	if lacking := d.Unreplicated(map[AcceptorID]Replica{1: {3, Ballot{5, 1}}, 2: {3, Ballot{4, 1}}}); len(lacking) != 2 {
 		t.Errorf("lacking: %v", lacking)
 	}
 }
 
 // The Accept that decided a value may come late: it is taken by one who promised no more since, and by nobody else.
-func TestALateAcceptCompletesACopy(t *testing.T) {
-	v := &Value{Turn: 3, Members: membersOf(1, 2, 3), Prior: membersOf(1, 2, 3)}
+func TestCatchUpAccept(t *testing.T) {
+	v := &Value{Slot: 3, Members: membersOf(1, 2, 3), PriorMembers: membersOf(1, 2, 3)}
 	d := Decision{Value: v}
-	if _, ok := d.Late(3); ok {
+	if _, ok := d.CatchUpAccept(3); ok {
 		t.Error("there is an Accept though no ballot of the decision is known")
 	}
-	d = d.DecidedAt(Ballot{5, 1}).DecidedAt(Ballot{7, 2})
-	if _, ok := d.Late(9); ok {
+	d = d.WithBallot(Ballot{5, 1}).WithBallot(Ballot{7, 2})
+	if _, ok := d.CatchUpAccept(9); ok {
 		t.Error("there is an Accept for one who is no voter")
 	}
-	a, ok := d.Late(3)
+	a, ok := d.CatchUpAccept(3)
 	for promised, want := range map[Ballot]bool{{6, 9}: true, {7, 2}: true, {8, 1}: false} {
-		next, back := State{ID: 3, Promised: promised}.Accept(a)
-		if !ok || back.OK != want || d.ProvenBy(next.Copy()) != want {
-			t.Errorf("promised %v: taken %v, proven %v", promised, back.OK, d.ProvenBy(next.Copy()))
+		next, back := AcceptorState{ID: 3, Promised: promised}.HandleAccept(a)
+		if !ok || back.OK != want || d.ReplicatedBy(next.Replica()) != want {
+			t.Errorf("promised %v: taken %v, proven %v", promised, back.OK, d.ReplicatedBy(next.Replica()))
 		}
 	}
 }
 
-func TestWhoMayLeave(t *testing.T) {
-	full := Copy{3, Ballot{5, 1}}
-	settled := Decision{&Value{Turn: 3, Members: membersOf(1, 2, 3), Prior: membersOf(1, 2, 3)}, Ballot{5, 1}, Ballot{5, 1}}
-	changed := Decision{&Value{Turn: 3, Members: membersOf(9, 2, 3), Prior: membersOf(1, 2, 3)}, Ballot{5, 1}, Ballot{5, 1}}
-	again := settled.DecidedAt(Ballot{9, 2}) // by a round that did not find the vote of turn 4
+func TestCheckLeave(t *testing.T) {
+	full := Replica{3, Ballot{5, 1}}
+	settled := Decision{&Value{Slot: 3, Members: membersOf(1, 2, 3), PriorMembers: membersOf(1, 2, 3)}, Ballot{5, 1}, Ballot{5, 1}}
+	changed := Decision{&Value{Slot: 3, Members: membersOf(9, 2, 3), PriorMembers: membersOf(1, 2, 3)}, Ballot{5, 1}, Ballot{5, 1}}
+	again := settled.WithBallot(Ballot{9, 2}) // by a round that did not find the vote of turn 4
 	for what, c := range map[string]struct {
 		decision Decision
-		own      Copy
-		others   map[AcceptorID]Copy
-		want     Stay
+		own      Replica
+		others   map[AcceptorID]Replica
+		want     LeaveStatus
 	}{
-		"all hold it":                  {settled, full, map[AcceptorID]Copy{2: full, 3: full}, MayGo},
-		"its own copy need not":        {settled, Copy{}, map[AcceptorID]Copy{2: full, 3: full}, MayGo},
-		"one is away":                  {settled, full, map[AcceptorID]Copy{2: full}, IncompleteCopies},
-		"one is behind":                {settled, full, map[AcceptorID]Copy{2: full, 3: {2, Ballot{3, 1}}}, IncompleteCopies},
-		"a vote is not resolved":       {settled, Copy{4, Ballot{8, 1}}, map[AcceptorID]Copy{2: full, 3: full}, UnresolvedVote},
-		"a vote that has lost":         {again, Copy{4, Ballot{8, 1}}, map[AcceptorID]Copy{2: full, 3: full}, MayGo},
-		"its place is given, not sure": {changed, full, map[AcceptorID]Copy{9: full, 2: full, 3: full}, UnconfirmedSet},
+		"all hold it":                  {settled, full, map[AcceptorID]Replica{2: full, 3: full}, LeaveAllowed},
+		"its own copy need not":        {settled, Replica{}, map[AcceptorID]Replica{2: full, 3: full}, LeaveAllowed},
+		"one is away":                  {settled, full, map[AcceptorID]Replica{2: full}, IncompleteReplicas},
+		"one is behind":                {settled, full, map[AcceptorID]Replica{2: full, 3: {2, Ballot{3, 1}}}, IncompleteReplicas},
+		"a vote is not resolved":       {settled, Replica{4, Ballot{8, 1}}, map[AcceptorID]Replica{2: full, 3: full}, UnresolvedAccept},
+		"a vote that has lost":         {again, Replica{4, Ballot{8, 1}}, map[AcceptorID]Replica{2: full, 3: full}, LeaveAllowed},
+		"its place is given, not sure": {changed, full, map[AcceptorID]Replica{9: full, 2: full, 3: full}, UnconfirmedMembers},
 	} {
-		if got, _ := c.decision.MayLeave(1, c.own, c.others); got != c.want {
+		if got, _ := c.decision.CheckLeave(1, c.own, c.others); got != c.want {
 			t.Errorf("%s: %v, want %v", what, got, c.want)
 		}
 	}
@@ -122,15 +122,15 @@
 
 // A member that is in contact and never stores is tried for again and again, each time later; one that comes anew is tried
 // for soon; a round of another machine counts as a try; where nothing lacks there is none.
-func TestRepairsPauseLongerAndRestWhenNothingLacks(t *testing.T) {
+func TestRepairScheduleBacksOff(t *testing.T) {
 	const wait = 500 * time.Millisecond
-	r := Repair{Wait: wait}
+	r := RepairSchedule{Delay: wait}
 	lacking := membersOf(3)
 	var at []time.Duration
 	for now := time.Duration(0); now < 4*time.Minute; now += 100 * time.Millisecond {
 		if r.Due(now, 7, lacking, Ballot{5, 1}, 0.5) {
 			at = append(at, now)
-			r.Tried(now, 0.5)
+			r.RecordAttempt(now, 0.5)
 		}
 	}
 	if at[0] > 2*wait {
@@ -140,7 +140,7 @@
 		t.Errorf("%d rounds in four minutes: %v", len(at), at)
 	}
 	for i := 2; i < len(at); i++ {
-		if gap := at[i] - at[i-1]; gap < at[i-1]-at[i-2] && gap < RepairPauseMax {
+		if gap := at[i] - at[i-1]; gap < at[i-1]-at[i-2] && gap < MaxRepairBackoff {
 			t.Errorf("the pause before round %d is %v, shorter than the one before", i, gap)
 		}
 	}
--- a/dance/fuzz_test.go
+++ b/dance/fuzz_test.go
@@ -7,7 +7,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"oxbowspan/swarm"
+	"oxbowspan/consensus"
 )
 
 // FuzzFrames: a stranger's bytes are no frame or one that is bounded; values survive the way to the wire and back.
@@ -28,11 +28,11 @@
 			}
 			if a := m.GetAccept(); a != nil {
 				v := ToValue(a.Value, nil)
-				if v != nil && !v.Same(ToValue(FromValue(v, ""), nil)) {
+				if v != nil && !v.Equal(ToValue(FromValue(v, ""), nil)) {
 					t.Fatal("a value is another after the way to the wire and back")
 				}
 			}
-			_ = ToBallot(m.GetPrepare().GetBallot()).Compare(swarm.Ballot{})
+			_ = ToBallot(m.GetPrepare().GetBallot()).Compare(consensus.Ballot{})
 		}
 	})
 }
--- a/dance/values.go
+++ b/dance/values.go
@@ -3,21 +3,21 @@
 import (
 	"slices"
 
-	"oxbowspan/swarm"
+	"oxbowspan/consensus"
 )
 
 // FromValue and the others below turn what is agreed on into messages and back. Bodies whose digests the reader has are left
 // out.
-func FromValue(v *swarm.Value, has ...string) *Value {
+func FromValue(v *consensus.Value, has ...string) *Value {
 	if v == nil {
 		return nil
 	}
-	m := &Value{Turn: uint64(v.Turn), Members: fromMembers(v.Members), Prior: fromMembers(v.Prior),
-		Version: uint64(v.Version), BasedOn: uint64(v.BasedOn), Digest: []byte(v.Digest), Body: v.Body, Past: fromPast(v.Past)}
+	m := &Value{Turn: uint64(v.Slot), Members: fromMembers(v.Members), Prior: fromMembers(v.PriorMembers),
+		Version: uint64(v.Version), BasedOn: uint64(v.BasedOn), Digest: []byte(v.Digest), Body: v.Body, Past: fromPast(v.PriorRevisions)}
 	if leaveOut(v.Digest, has) {
 		m.Body, m.BodyLeftOut = nil, true
 	}
-	for _, n := range v.Notes {
+	for _, n := range v.Documents {
 		note := FromNote(n)
 		if leaveOut(n.Digest, has) {
 			note.Body, note.BodyLeftOut = nil, true
@@ -31,13 +31,13 @@
 
 // ToValue returns the value, with bodies that were left out taken from values that the reader holds. It returns nil where one
 // of them is in none of these: such a value is not to be used.
-func ToValue(m *Value, held ...*swarm.Value) *swarm.Value {
+func ToValue(m *Value, held ...*consensus.Value) *consensus.Value {
 	if m == nil {
 		return nil
 	}
 	bodies := Bodies(held...)
-	v := &swarm.Value{Turn: swarm.Turn(m.Turn), Members: toMembers(m.Members), Prior: toMembers(m.Prior),
-		Version: swarm.Version(m.Version), BasedOn: swarm.Version(m.BasedOn), Digest: string(m.Digest), Body: m.Body, Past: toPast(m.Past)}
+	v := &consensus.Value{Slot: consensus.Slot(m.Turn), Members: toMembers(m.Members), PriorMembers: toMembers(m.Prior),
+		Version: consensus.Version(m.Version), BasedOn: consensus.Version(m.BasedOn), Digest: string(m.Digest), Body: m.Body, PriorRevisions: toPast(m.Past)}
 	if m.BodyLeftOut {
 		body, found := bodies[v.Digest]
 		if !found {
@@ -46,7 +46,7 @@
 		v.Body = body
 	}
 	for _, n := range m.Notes {
-		note := swarm.Note{Name: n.Name, Version: swarm.Version(n.Version), Digest: string(n.Digest), Body: n.Body, Past: toPast(n.Past)}
+		note := consensus.Document{Name: n.Name, Version: consensus.Version(n.Version), Digest: string(n.Digest), Body: n.Body, PriorRevisions: toPast(n.Past)}
 		if n.BodyLeftOut {
 			body, found := bodies[note.Digest]
 			if !found {
@@ -54,13 +54,13 @@
 			}
 			note.Body = body
 		}
-		v.Notes = append(v.Notes, note)
+		v.Documents = append(v.Documents, note)
 	}
 	return v
 }
 
 // Digests are those of the bodies that a value holds.
-func Digests(v *swarm.Value) (out []string) {
+func Digests(v *consensus.Value) (out []string) {
 	for digest := range Bodies(v) {
 		out = append(out, digest)
 	}
@@ -68,7 +68,7 @@
 }
 
 // Bodies are those that values hold, by digest.
-func Bodies(values ...*swarm.Value) map[string][]byte {
+func Bodies(values ...*consensus.Value) map[string][]byte {
 	bodies := map[string][]byte{}
 	for _, v := range values {
 		if v == nil {
@@ -77,7 +77,7 @@
 		if v.Digest != "" {
 			bodies[v.Digest] = v.Body
 		}
-		for _, n := range v.Notes {
+		for _, n := range v.Documents {
 			if n.Digest != "" {
 				bodies[n.Digest] = n.Body
 			}
@@ -103,42 +103,42 @@
 }
 
 // FromNote turns a note into a message.
-func FromNote(n swarm.Note) *Note {
-	return &Note{Name: n.Name, Version: uint64(n.Version), Digest: []byte(n.Digest), Body: n.Body, Past: fromPast(n.Past)}
+func FromNote(n consensus.Document) *Note {
+	return &Note{Name: n.Name, Version: uint64(n.Version), Digest: []byte(n.Digest), Body: n.Body, Past: fromPast(n.PriorRevisions)}
 }
 
-func fromPast(in []swarm.Past) (out []*Past) {
+func fromPast(in []consensus.Revision) (out []*Past) {
 	for _, p := range in {
 		out = append(out, &Past{Version: uint64(p.Version), BasedOn: uint64(p.BasedOn), Digest: []byte(p.Digest)})
 	}
 	return out
 }
 
-func toPast(in []*Past) (out []swarm.Past) {
+func toPast(in []*Past) (out []consensus.Revision) {
 	for _, p := range in {
-		out = append(out, swarm.Past{Version: swarm.Version(p.Version), BasedOn: swarm.Version(p.BasedOn), Digest: string(p.Digest)})
+		out = append(out, consensus.Revision{Version: consensus.Version(p.Version), BasedOn: consensus.Version(p.BasedOn), Digest: string(p.Digest)})
 	}
 	return out
 }
 
-func fromMembers(in []swarm.Member) (out []*Member) {
+func fromMembers(in []consensus.Member) (out []*Member) {
 	for _, m := range in {
 		out = append(out, &Member{Id: uint64(m.ID), Address: m.Address})
 	}
 	return out
 }
 
-func toMembers(in []*Member) (out []swarm.Member) {
+func toMembers(in []*Member) (out []consensus.Member) {
 	for _, m := range in {
-		out = append(out, swarm.Member{ID: swarm.AcceptorID(m.Id), Address: m.Address})
+		out = append(out, consensus.Member{ID: consensus.AcceptorID(m.Id), Address: m.Address})
 	}
 	return out
 }
 
 // FromBallot turns a ballot into a message.
-func FromBallot(b swarm.Ballot) *Ballot { return &Ballot{Number: b.Number, By: uint64(b.By)} }
+func FromBallot(b consensus.Ballot) *Ballot { return &Ballot{Number: b.Number, By: uint64(b.By)} }
 
 // ToBallot is its inverse; nil is the zero ballot.
-func ToBallot(m *Ballot) swarm.Ballot {
-	return swarm.Ballot{Number: m.GetNumber(), By: swarm.ProposerID(m.GetBy())}
+func ToBallot(m *Ballot) consensus.Ballot {
+	return consensus.Ballot{Number: m.GetNumber(), By: consensus.ProposerID(m.GetBy())}
 }
--- a/dance/values_test.go
+++ b/dance/values_test.go
@@ -7,14 +7,14 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"oxbowspan/swarm"
+	"oxbowspan/consensus"
 )
 
-func sample() *swarm.Value {
-	members := []swarm.Member{{ID: 1, Address: "a"}, {ID: 2, Address: "b"}}
-	return &swarm.Value{Turn: 7, Members: members, Prior: members, Version: 5, BasedOn: 3, Digest: "d5", Body: []byte("five"),
-		Past:  []swarm.Past{{Version: 3, BasedOn: 1, Digest: "d3"}},
-		Notes: []swarm.Note{{Name: "x", Version: 2, Digest: "dx", Body: []byte("note"), Past: []swarm.Past{{Version: 1, Digest: "d1"}}}}}
+func sample() *consensus.Value {
+	members := []consensus.Member{{ID: 1, Address: "a"}, {ID: 2, Address: "b"}}
+	return &consensus.Value{Slot: 7, Members: members, PriorMembers: members, Version: 5, BasedOn: 3, Digest: "d5", Body: []byte("five"),
+		PriorRevisions: []consensus.Revision{{Version: 3, BasedOn: 1, Digest: "d3"}},
+		Documents:      []consensus.Document{{Name: "x", Version: 2, Digest: "dx", Body: []byte("note"), PriorRevisions: []consensus.Revision{{Version: 1, Digest: "d1"}}}}}
 }
 
 // Bodies that the reader holds are left out, and put in again by their digests; nothing else is lost.
@@ -24,21 +24,21 @@
 	if proto.Size(bare) >= proto.Size(whole) || bare.Body != nil || bare.Notes[0].Body != nil {
 		t.Fatalf("%v leaves nothing out", bare)
 	}
-	other := &swarm.Value{Digest: "other", Body: []byte("other")}
-	for name, got := range map[string]*swarm.Value{"whole": ToValue(whole), "whole, beside another": ToValue(whole, other),
+	other := &consensus.Value{Digest: "other", Body: []byte("other")}
+	for name, got := range map[string]*consensus.Value{"whole": ToValue(whole), "whole, beside another": ToValue(whole, other),
 		"bare": ToValue(bare, v), "bare, beside others": ToValue(bare, nil, other, v),
 		"one left out": ToValue(FromValue(v, "dx"), v), "an unknown digest": ToValue(FromValue(v, "no such"))} {
 		if !reflect.DeepEqual(got, v) {
 			t.Errorf("%s: %+v", name, got)
 		}
 	}
-	for name, got := range map[string]*swarm.Value{"none": ToValue(bare), "another": ToValue(bare, other), "nothing": ToValue(nil, v),
-		"one of two": ToValue(bare, &swarm.Value{Digest: "d5", Body: v.Body})} {
+	for name, got := range map[string]*consensus.Value{"none": ToValue(bare), "another": ToValue(bare, other), "nothing": ToValue(nil, v),
+		"one of two": ToValue(bare, &consensus.Value{Digest: "d5", Body: v.Body})} {
 		if got != nil {
 			t.Errorf("%s gives %+v", name, got)
 		}
 	}
-	if FromValue(&swarm.Value{}, "").BodyLeftOut {
+	if FromValue(&consensus.Value{}, "").BodyLeftOut {
 		t.Error("a value without a configuration leaves one out")
 	}
 }
@@ -49,16 +49,16 @@
 	for _, size := range []int{2 << 10, 170 << 10, 1700 << 10} {
 		v := sample()
 		v.Body = make([]byte, size)
-		v.Past = nil
-		for i := range swarm.KeptPasts {
-			v.Past = append(v.Past, swarm.Past{Version: swarm.Version(i + 2), BasedOn: swarm.Version(i + 1), Digest: string(make([]byte, 32))})
+		v.PriorRevisions = nil
+		for i := range consensus.RetainedRevisions {
+			v.PriorRevisions = append(v.PriorRevisions, consensus.Revision{Version: consensus.Version(i + 2), BasedOn: consensus.Version(i + 1), Digest: string(make([]byte, 32))})
 		}
 		for name, has := range map[string][]string{"whole": nil, "left out": Digests(v)} {
 			b.Run(fmt.Sprintf("%s/body=%d", name, size), func(b *testing.B) {
 				b.ReportAllocs()
 				length := 0
 				for range b.N {
-					text, err := proto.Marshal(&Accept{To: 1, Ballot: FromBallot(swarm.Ballot{Number: 9, By: 1}), Value: FromValue(v, has...)})
+					text, err := proto.Marshal(&Accept{To: 1, Ballot: FromBallot(consensus.Ballot{Number: 9, By: 1}), Value: FromValue(v, has...)})
 					if err != nil {
 						b.Fatal(err)
 					}
--- a/hive/bodies_test.go
+++ b/hive/bodies_test.go
@@ -5,10 +5,10 @@
 
 	"github.com/rs/zerolog"
 
+	"oxbowspan/consensus"
 	"oxbowspan/dance"
 	"oxbowspan/internal/boot"
 	"oxbowspan/internal/meadow"
-	"oxbowspan/swarm"
 )
 
 // acceptor is a control machine that is asked for promises and votes alone.
@@ -41,9 +41,9 @@
 // An acceptor puts in the bodies that an Accept leaves out, where it holds them, and votes for nothing that lacks one.
 func TestAnAcceptorPutsInTheBodiesThatItHolds(t *testing.T) {
 	h := acceptor(t)
-	members := []swarm.Member{{ID: h.self, Address: h.address}}
-	first := &swarm.Value{Turn: 1, Members: members, Prior: members, Version: 1, Digest: "d1", Body: []byte("one"),
-		Notes: []swarm.Note{{Name: "x", Version: 1, Digest: "dx", Body: []byte("note")}}}
+	members := []consensus.Member{{ID: h.self, Address: h.address}}
+	first := &consensus.Value{Slot: 1, Members: members, PriorMembers: members, Version: 1, Digest: "d1", Body: []byte("one"),
+		Documents: []consensus.Document{{Name: "x", Version: 1, Digest: "dx", Body: []byte("note")}}}
 	if p := h.promiseOf(1); !p.Ok || p.Value != nil || len(p.HaveBodies) != 0 {
 		t.Fatalf("an empty acceptor promises %v", p)
 	}
@@ -55,12 +55,12 @@
 		t.Fatalf("it promises %v", p)
 	}
 	later := *first
-	later.Turn = 2
+	later.Slot = 2
 	if !h.voteOf(2, dance.FromValue(&later, dance.ToDigests(p.HaveBodies)...)).Ok {
 		t.Fatal("a value whose bodies it holds is not voted for")
 	}
 	p = h.promiseOf(3)
-	if got := dance.ToValue(p.Value); got == nil || got.Turn != 2 || string(got.Body) != "one" || string(got.Note("x").Body) != "note" {
+	if got := dance.ToValue(p.Value); got == nil || got.Slot != 2 || string(got.Body) != "one" || string(got.Document("x").Body) != "note" {
 		t.Fatalf("it voted for %v", p.Value)
 	}
 	strange := later
@@ -76,9 +76,9 @@
 // A proposer of the program before names the configuration alone: notes come whole.
 func TestAProposerThatNamesTheConfigurationAlone(t *testing.T) {
 	h := acceptor(t)
-	members := []swarm.Member{{ID: h.self, Address: h.address}}
-	v := &swarm.Value{Turn: 1, Members: members, Prior: members, Version: 1, Digest: "d1", Body: []byte("one"),
-		Notes: []swarm.Note{{Name: "x", Version: 1, Digest: "dx", Body: []byte("note")}}}
+	members := []consensus.Member{{ID: h.self, Address: h.address}}
+	v := &consensus.Value{Slot: 1, Members: members, PriorMembers: members, Version: 1, Digest: "d1", Body: []byte("one"),
+		Documents: []consensus.Document{{Name: "x", Version: 1, Digest: "dx", Body: []byte("note")}}}
 	h.voteOf(1, dance.FromValue(v))
 	told := make(chan *dance.Promise, 1)
 	h.prepare(&dance.Prepare{To: uint64(h.self), Ballot: &dance.Ballot{Number: 2}, Have: []byte("d1")}, func(p *dance.Promise) { told <- p })
@@ -91,8 +91,8 @@
 // program before is told it whole. What lacks a body is not learned.
 func TestAValueIsToldWholeToWhoLacksABody(t *testing.T) {
 	h := acceptor(t)
-	members := []swarm.Member{{ID: h.self, Address: h.address}}
-	v := &swarm.Value{Turn: 3, Members: members, Prior: members, Version: 1, Digest: "d1", Body: []byte("one")}
+	members := []consensus.Member{{ID: h.self, Address: h.address}}
+	v := &consensus.Value{Slot: 3, Members: members, PriorMembers: members, Version: 1, Digest: "d1", Body: []byte("one")}
 	h.known, h.confirmed = v, true
 	able, old := &peer{putsIn: true, kick: make(chan struct{}, 1)}, &peer{}
 	bare := h.tellValue(able)
@@ -115,7 +115,7 @@
 	if voter.takeValue(bare) || voter.known.Version != 1 || string(voter.known.Body) != "one" {
 		t.Error("who has voted for it does not know its body")
 	}
-	if voter.takeValue(dance.FromValue(&swarm.Value{Turn: 2, Digest: "d0"}, "d0")) {
+	if voter.takeValue(dance.FromValue(&consensus.Value{Slot: 2, Digest: "d0"}, "d0")) {
 		t.Error("the body of a value older than its own is asked for")
 	}
 }
--- a/hive/calls.go
+++ b/hive/calls.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"oxbowspan/comb"
-	"oxbowspan/swarm"
+	"oxbowspan/consensus"
 	"oxbowspan/waggle"
 )
 
@@ -164,7 +164,7 @@
 
 // readOrder reads the body of an order and the version that it builds on. A body that was cut off on its way says nothing
 // of the order: another copy of it may have been agreed, so that it is not refused for good.
-func readOrder(w http.ResponseWriter, r *http.Request, limit int64) (body []byte, basedOn swarm.Version, ok bool) {
+func readOrder(w http.ResponseWriter, r *http.Request, limit int64) (body []byte, basedOn consensus.Version, ok bool) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, limit))
 	var tooLong *http.MaxBytesError
 	switch {
@@ -180,7 +180,7 @@
 		refuse(w, http.StatusBadRequest, basedOnField+" is missing or not a version")
 		return nil, 0, false
 	}
-	return body, swarm.Version(version), true
+	return body, consensus.Version(version), true
 }
 
 // orderLimit is how long an order may take: a long one is sent to others, and stored, for longer.
@@ -194,18 +194,18 @@
 }
 
 // recallFate asks the ledger for an order whose fate the newest value does not tell.
-func (h *Hive) recallFate(fate swarm.Fate, held func(l *swarm.Ledger) bool) swarm.Fate {
-	if fate != swarm.Unclear {
+func (h *Hive) recallFate(fate consensus.Outcome, held func(l *consensus.History) bool) consensus.Outcome {
+	if fate != consensus.OutcomeUnknown {
 		return fate
 	}
 	if found, ok := inquire(h, func() bool { return held(&h.ledger) }); ok && found {
-		return swarm.Taken
+		return consensus.OutcomeCommitted
 	}
-	return swarm.Unclear
+	return consensus.OutcomeUnknown
 }
 
 // refuseUnclear leaves an order without a clear answer.
-func refuseUnclear(w http.ResponseWriter, basedOn, inPlace swarm.Version) {
+func refuseUnclear(w http.ResponseWriter, basedOn, inPlace consensus.Version) {
 	if basedOn > inPlace {
 		refuse(w, http.StatusServiceUnavailable, "version "+text(basedOn)+", on which it builds, is not in place yet: "+text(inPlace)+" is")
 		return
@@ -213,9 +213,9 @@
 	refuse(w, http.StatusServiceUnavailable, "its fate is not known any more: version "+text(inPlace)+" is in place")
 }
 
-func text(v swarm.Version) string { return strconv.FormatUint(uint64(v), 10) }
+func text(v consensus.Version) string { return strconv.FormatUint(uint64(v), 10) }
 
-func acknowledge(w http.ResponseWriter, version swarm.Version) {
+func acknowledge(w http.ResponseWriter, version consensus.Version) {
 	w.Header().Set("Content-Type", "application/json")
 	w.Write([]byte(`{"version":` + text(version) + `}`))
 }
@@ -235,16 +235,16 @@
 		refuse(w, http.StatusBadRequest, strings.Join(faults, "; "))
 		return
 	}
-	call := swarm.Call{Version: swarm.Version(conf.Version), BasedOn: basedOn, Digest: digestOf(body), Body: body}
+	call := consensus.ChangeRequest{Version: consensus.Version(conf.Version), BasedOn: basedOn, Digest: digestOf(body), Body: body}
 	ctx, cancel := context.WithTimeout(r.Context(), orderLimit(body))
 	defer cancel()
-	var fate swarm.Fate
-	var inPlace swarm.Version
+	var fate consensus.Outcome
+	var inPlace consensus.Version
 	began := time.Now()
-	v, err := c.h.propose(ctx, func(v *swarm.Value) *swarm.Value {
+	v, err := c.h.propose(ctx, func(v *consensus.Value) *consensus.Value {
 		inPlace = v.Version
-		var next *swarm.Value
-		next, fate = call.Meet(v)
+		var next *consensus.Value
+		next, fate = call.Evaluate(v)
 		return next
 	})
 	if err != nil {
@@ -252,17 +252,17 @@
 		refuse(w, http.StatusServiceUnavailable, "the core could not agree in time: send it again")
 		return
 	}
-	fate = c.h.recallFate(fate, func(l *swarm.Ledger) bool { return l.HoldsCall(call) })
-	if fate != swarm.Taken {
+	fate = c.h.recallFate(fate, func(l *consensus.History) bool { return l.ContainsChange(call) })
+	if fate != consensus.OutcomeCommitted {
 		c.h.log.Info().Uint64("version", conf.Version).Uint64("based_on", uint64(basedOn)).Uint64("in_place", uint64(inPlace)).Stringer("fate", fate).Msg("config: not taken")
 	}
 	switch fate {
-	case swarm.Taken:
-		c.h.log.Info().Uint64("version", conf.Version).Uint64("turn", uint64(v.Turn)).Dur("took", time.Since(began)).Msg("config: acknowledged")
+	case consensus.OutcomeCommitted:
+		c.h.log.Info().Uint64("version", conf.Version).Uint64("turn", uint64(v.Slot)).Dur("took", time.Since(began)).Msg("config: acknowledged")
 		acknowledge(w, call.Version)
-	case swarm.NotAbove:
+	case consensus.OutcomeVersionTooLow:
 		refuse(w, http.StatusBadRequest, "the version is not above "+text(basedOn)+", on which it builds")
-	case swarm.Outrun:
+	case consensus.OutcomeConflict:
 		refuse(w, http.StatusPreconditionFailed, "version "+text(inPlace)+" is in place")
 	default:
 		refuseUnclear(w, basedOn, inPlace)
@@ -273,7 +273,7 @@
 func (c *configurationCalls) read(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), agreeLimit)
 	defer cancel()
-	v, err := c.h.propose(ctx, func(v *swarm.Value) *swarm.Value { return v })
+	v, err := c.h.propose(ctx, func(v *consensus.Value) *consensus.Value { return v })
 	switch {
 	case errors.Is(err, errUndecided):
 		refuse(w, http.StatusServiceUnavailable, "the core could not make sure of the newest version in time")
--- a/hive/contact.go
+++ b/hive/contact.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
+	"oxbowspan/consensus"
 	"oxbowspan/quorum"
-	"oxbowspan/swarm"
 )
 
 // Contact with a majority of the acceptors: docs/design/control-safety.md has the argument.
@@ -22,9 +22,9 @@
 
 // contactSince is the newest time before which nothing was decided that this hive does not know. Its own disk answers at once.
 func (h *Hive) contactSince(now time.Duration) (since time.Duration, ok bool) {
-	own := quorum.Answer{Life: h.life, SentAt: now, Turn: swarm.Turn(h.voteTurn.Load())}
-	h.contact.Answered(h.self, own, h.known.Turn)
-	return h.contact.Since(h.known.Members, h.known.Turn)
+	own := quorum.Answer{Life: h.life, SentAt: now, Turn: consensus.Slot(h.voteTurn.Load())}
+	h.contact.Answered(h.self, own, h.known.Slot)
+	return h.contact.Since(h.known.Members, h.known.Slot)
 }
 
 // watchContact has all gatherers that wait told as soon as contact is lost, and returns when to look again.
--- a/hive/hive.go
+++ b/hive/hive.go
@@ -18,13 +18,13 @@
 	"github.com/rs/zerolog"
 	"google.golang.org/protobuf/proto"
 
+	"oxbowspan/consensus"
 	"oxbowspan/dance"
 	"oxbowspan/internal/boot"
 	"oxbowspan/internal/ground"
 	"oxbowspan/internal/wax"
 	"oxbowspan/kin"
 	"oxbowspan/quorum"
-	"oxbowspan/swarm"
 	"oxbowspan/waggle"
 )
 
@@ -46,8 +46,8 @@
 	net      ground.Network
 	log      zerolog.Logger
 	store    *wax.Store
-	self     swarm.AcceptorID
-	proposer swarm.ProposerID
+	self     consensus.AcceptorID
+	proposer consensus.ProposerID
 	life     uint64
 	address  string
 	start    time.Time
@@ -56,23 +56,23 @@
 	killed   chan struct{}
 	turn     chan struct{} // holds one token: this hive's rounds go one at a time
 	wg       sync.WaitGroup
-	vote     atomic.Pointer[swarm.Value] // on the disk; written before the vote is told; nil = none
-	voteTurn atomic.Uint64               // of the vote on the disk; written before the vote is told
+	vote     atomic.Pointer[consensus.Value] // on the disk; written before the vote is told; nil = none
+	voteTurn atomic.Uint64                   // of the vote on the disk; written before the vote is told
 
 	// The owner's.
-	known     *swarm.Value      // decided, or what a round may start from
-	confirmed bool              // known was decided
-	ledger    swarm.Ledger      // of decided values; bounded by itself
-	ballot    uint64            // the highest number seen
-	notesAt   map[string]noteAt // since when each note's version is known here; as many as there are notes
-	decision  swarm.Decision    // known, and at which ballots it was decided
-	copy      swarm.Copy        // what this machine's disk holds
-	late      swarm.Repair      // when this machine's own copy is to be completed
-	repair    swarm.Repair      // when a round is owed for copies that lack
+	known     *consensus.Value         // decided, or what a round may start from
+	confirmed bool                     // known was decided
+	ledger    consensus.History        // of decided values; bounded by itself
+	ballot    uint64                   // the highest number seen
+	notesAt   map[string]noteAt        // since when each note's version is known here; as many as there are notes
+	decision  consensus.Decision       // known, and at which ballots it was decided
+	copy      consensus.Replica        // what this machine's disk holds
+	late      consensus.RepairSchedule // when this machine's own copy is to be completed
+	repair    consensus.RepairSchedule // when a round is owed for copies that lack
 	contact   *quorum.Contact
 	touching  bool // in contact, when last looked
 	verify    verifications
-	voted     swarm.Turn // the newest turn that this acceptor voted for
+	voted     consensus.Slot // the newest turn that this acceptor voted for
 	votedAt   time.Duration
 	table     *waggle.Table
 	foragers  map[uint64]*forager          // emptied of those not heard for a while
@@ -110,7 +110,7 @@
 }
 
 type noteAt struct {
-	version swarm.Version
+	version consensus.Version
 	at      time.Duration
 }
 
@@ -148,18 +148,18 @@
 		log.Warn().Str("file", aside).Msg("state: damaged file set aside, coming back as a stranger")
 	}
 	state := store.State()
-	h := &Hive{set: set, net: on, log: log, store: store, self: state.ID, proposer: swarm.ProposerID(wax.Draw()), life: uint64(wax.Draw()),
+	h := &Hive{set: set, net: on, log: log, store: store, self: state.ID, proposer: consensus.ProposerID(wax.Draw()), life: uint64(wax.Draw()),
 		address: set.Internal(boot.HivePort), start: time.Now(), cmds: make(chan func(), 1024), stopped: make(chan struct{}), killed: make(chan struct{}),
-		turn: make(chan struct{}, 1), known: swarm.Genesis(genesis), table: waggle.NewTable(set.Beat()),
+		turn: make(chan struct{}, 1), known: consensus.Genesis(genesis), table: waggle.NewTable(set.Beat()),
 		foragers: map[uint64]*forager{}, peers: map[string]*peer{}, waiters: map[*waiter]bool{}, servers: map[string]string{}, events: circularbuffer.New[event](keptEvents), notesAt: map[string]noteAt{}, ballot: state.Promised.Number, contact: quorum.NewContact()}
 	if v := state.Value; v != nil {
 		// Whether it was decided is not known.
-		h.voted, h.known = v.Turn, swarm.Restarted(v)
-		h.voteTurn.Store(uint64(v.Turn))
+		h.voted, h.known = v.Slot, consensus.RecoveryBase(v)
+		h.voteTurn.Store(uint64(v.Slot))
 		h.vote.Store(v)
 	}
-	h.copy, h.decision = state.Copy(), swarm.Decision{Value: h.known}
-	h.late, h.repair = swarm.Repair{Wait: lateWait}, swarm.Repair{Wait: repairWait}
+	h.copy, h.decision = state.Replica(), consensus.Decision{Value: h.known}
+	h.late, h.repair = consensus.RepairSchedule{Delay: lateWait}, consensus.RepairSchedule{Delay: repairWait}
 	h.turn <- struct{}{}
 	h.recall(store.Hints())
 	return h, nil
@@ -167,10 +167,10 @@
 
 // seats are the first acceptors, and this machine's identity among them, 0 = none. At the first start every process is
 // told the same seeds, so that all name the same set.
-func seats(set *boot.Settings) (members []swarm.Member, self swarm.AcceptorID) {
+func seats(set *boot.Settings) (members []consensus.Member, self consensus.AcceptorID) {
 	for i, a := range set.SeedHives() {
 		id := genesisID(set.SeedAddresses[i])
-		members = append(members, swarm.Member{ID: id, Address: a})
+		members = append(members, consensus.Member{ID: id, Address: a})
 		if set.SeedAddresses[i] == set.Listen.Control {
 			self = id
 		}
@@ -258,7 +258,7 @@
 
 // HoldDisk has the disk answer nothing for a time, as one that stalls. For tests and the emulator.
 func (h *Hive) HoldDisk(d time.Duration) {
-	h.store.Update(func(s swarm.State) swarm.State { time.Sleep(d); return s }, func(swarm.State, error) {})
+	h.store.Update(func(s consensus.AcceptorState) consensus.AcceptorState { time.Sleep(d); return s }, func(consensus.AcceptorState, error) {})
 }
 
 // Freeze has the owner stand still for a time, as in a process that is frozen: what comes meanwhile is worked on afterwards.
@@ -276,17 +276,17 @@
 }
 
 // Agreed is the newest turn and version that this hive knows to be agreed.
-func (h *Hive) Agreed() (turn swarm.Turn, version swarm.Version) {
-	known, _ := inquire(h, func() *swarm.Value {
+func (h *Hive) Agreed() (turn consensus.Slot, version consensus.Version) {
+	known, _ := inquire(h, func() *consensus.Value {
 		if !h.confirmed {
-			return &swarm.Value{}
+			return &consensus.Value{}
 		}
 		return h.known
 	})
 	if known == nil {
 		return 0, 0
 	}
-	return known.Turn, known.Version
+	return known.Slot, known.Version
 }
 
 // own is the owner: it works through the queue of commands.
@@ -453,8 +453,8 @@
 		Warm: now > 3*h.set.Beat(), Crowd: h.crowd}
 	if h.hasVersion(a) && now >= h.versionAt(a) {
 		h.gave(a, len(h.known.Body), now)
-		n.Turn, n.Version, n.HasConfig, n.Config = uint64(h.known.Turn), uint64(h.known.Version), h.known.Digest != "", h.known.Body
-		for _, note := range h.known.Notes {
+		n.Turn, n.Version, n.HasConfig, n.Config = uint64(h.known.Slot), uint64(h.known.Version), h.known.Digest != "", h.known.Body
+		for _, note := range h.known.Documents {
 			m := dance.FromNote(note)
 			m.Past, m.AgeMs = nil, uint32((now-h.notesAt[note.Name].at)/time.Millisecond)
 			n.Notes = append(n.Notes, m)
--- a/hive/leave.go
+++ b/hive/leave.go
@@ -5,8 +5,8 @@
 	"slices"
 	"time"
 
+	"oxbowspan/consensus"
 	"oxbowspan/internal/boot"
-	"oxbowspan/swarm"
 )
 
 // How a member that is told to end stays until it is not needed any more.
@@ -19,9 +19,9 @@
 
 // departure is what stands against a member's end.
 type departure struct {
-	stay      swarm.Stay
-	lacking   []swarm.Member // whose copies are not proven
-	successor *swarm.Member  // who may have this hive's seat; nil = nobody, or it has none
+	stay      consensus.LeaveStatus
+	lacking   []consensus.Member // whose copies are not proven
+	successor *consensus.Member  // who may have this hive's seat; nil = nobody, or it has none
 }
 
 // leave keeps this hive going until it may end for good, perhaps with its disk: its seat is handed to a machine that has
@@ -40,7 +40,7 @@
 	}
 	for {
 		d, ok := inquire(h, h.departure)
-		if !ok || d.stay == swarm.MayGo && d.successor == nil {
+		if !ok || d.stay == consensus.LeaveAllowed && d.successor == nil {
 			return
 		}
 		if d.successor != nil {
@@ -65,41 +65,41 @@
 	if !h.confirmed {
 		return h.voted > 0
 	}
-	return swarm.Has(h.known.Voters(), h.self) || !h.decision.Resolves(h.copy)
+	return consensus.Contains(h.known.Acceptors(), h.self) || !h.decision.Resolves(h.copy)
 }
 
 // departure looks at what stands against this hive's end now.
 func (h *Hive) departure() departure {
 	if !h.confirmed {
-		return departure{stay: swarm.UnresolvedVote}
+		return departure{stay: consensus.UnresolvedAccept}
 	}
 	now := h.now()
-	stay, lacking := h.decision.MayLeave(h.self, h.copy, h.copies(now))
+	stay, lacking := h.decision.CheckLeave(h.self, h.copy, h.copies(now))
 	return departure{stay, lacking, h.successor(now)}
 }
 
 // successor is a machine in contact that has no seat, and is not leaving itself; nil = there is none, or this hive has no
 // seat to give.
-func (h *Hive) successor(now time.Duration) *swarm.Member {
-	if !swarm.Has(h.known.Members, h.self) {
+func (h *Hive) successor(now time.Duration) *consensus.Member {
+	if !consensus.Contains(h.known.Members, h.self) {
 		return nil
 	}
 	for _, p := range h.peers {
 		heard := p.heardAt > 0 && now-p.heardAt < settledFor
-		if heard && !p.leaving && p.id != 0 && !swarm.Has(h.known.Members, p.id) && !h.seat(p.address) {
-			return &swarm.Member{ID: p.id, Address: p.address}
+		if heard && !p.leaving && p.id != 0 && !consensus.Contains(h.known.Members, p.id) && !h.seat(p.address) {
+			return &consensus.Member{ID: p.id, Address: p.address}
 		}
 	}
 	return nil
 }
 
 // handOver has this hive's seat given to another, and the change confirmed.
-func (h *Hive) handOver(ctx context.Context, to swarm.Member) {
+func (h *Hive) handOver(ctx context.Context, to consensus.Member) {
 	ctx, cancel := context.WithTimeout(ctx, handOverTry)
 	defer cancel()
-	h.propose(ctx, func(v *swarm.Value) *swarm.Value {
-		i := slices.IndexFunc(v.Members, func(m swarm.Member) bool { return m.ID == h.self })
-		if i < 0 || swarm.Has(v.Members, to.ID) {
+	h.propose(ctx, func(v *consensus.Value) *consensus.Value {
+		i := slices.IndexFunc(v.Members, func(m consensus.Member) bool { return m.ID == h.self })
+		if i < 0 || consensus.Contains(v.Members, to.ID) {
 			return v
 		}
 		members := slices.Clone(v.Members)
--- a/hive/notes.go
+++ b/hive/notes.go
@@ -7,8 +7,8 @@
 	"strings"
 
 	"oxbowspan/comb"
+	"oxbowspan/consensus"
 	"oxbowspan/dance"
-	"oxbowspan/swarm"
 )
 
 // noteBytes is how long a document beside the configuration may be: it goes along in every ballot.
@@ -21,8 +21,8 @@
 type noteCalls struct {
 	h     *Hive
 	name  string
-	check func(body []byte) []string                      // all that is wrong with it by itself, a sentence each
-	unfit func(body []byte, beside *swarm.Value) []string // all that is wrong with it beside a value's configuration
+	check func(body []byte) []string                          // all that is wrong with it by itself, a sentence each
+	unfit func(body []byte, beside *consensus.Value) []string // all that is wrong with it beside a value's configuration
 }
 
 func (c *noteCalls) replace(w http.ResponseWriter, r *http.Request) {
@@ -36,30 +36,30 @@
 		return
 	}
 	var unfit []string
-	call := swarm.NoteCall{Name: c.name, BasedOn: basedOn, Digest: digestOf(body), Body: body, Fits: func(v *swarm.Value) bool {
+	call := consensus.DocumentChangeRequest{Name: c.name, BasedOn: basedOn, Digest: digestOf(body), Body: body, Compatible: func(v *consensus.Value) bool {
 		unfit = c.unfit(body, v)
 		return len(unfit) == 0
 	}}
 	ctx, cancel := context.WithTimeout(r.Context(), orderLimit(body))
 	defer cancel()
-	var fate swarm.Fate
-	var at swarm.Version
-	_, err := c.h.propose(ctx, func(v *swarm.Value) *swarm.Value {
-		var next *swarm.Value
-		next, at, fate = call.Meet(v)
+	var fate consensus.Outcome
+	var at consensus.Version
+	_, err := c.h.propose(ctx, func(v *consensus.Value) *consensus.Value {
+		var next *consensus.Value
+		next, at, fate = call.Evaluate(v)
 		return next
 	})
 	if err != nil {
 		refuse(w, http.StatusServiceUnavailable, "the core could not agree in time: send it again")
 		return
 	}
-	switch c.h.recallFate(fate, func(l *swarm.Ledger) bool { return l.HoldsNote(call) }) {
-	case swarm.Taken:
+	switch c.h.recallFate(fate, func(l *consensus.History) bool { return l.ContainsDocumentChange(call) }) {
+	case consensus.OutcomeCommitted:
 		c.h.log.Info().Str("name", c.name).Uint64("version", uint64(basedOn+1)).Msg("notes: acknowledged")
 		acknowledge(w, basedOn+1)
-	case swarm.Unfit:
+	case consensus.OutcomeIncompatible:
 		refuse(w, http.StatusBadRequest, strings.Join(unfit, "; "))
-	case swarm.Outrun, swarm.NotAbove:
+	case consensus.OutcomeConflict, consensus.OutcomeVersionTooLow:
 		refuse(w, http.StatusPreconditionFailed, "version "+text(at)+" is in place")
 	default:
 		refuseUnclear(w, basedOn, at)
@@ -69,12 +69,12 @@
 func (c *noteCalls) read(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), agreeLimit)
 	defer cancel()
-	v, err := c.h.propose(ctx, func(v *swarm.Value) *swarm.Value { return v })
+	v, err := c.h.propose(ctx, func(v *consensus.Value) *consensus.Value { return v })
 	if err != nil {
 		refuse(w, http.StatusServiceUnavailable, "the core could not make sure of the newest version in time")
 		return
 	}
-	n := v.Note(c.name)
+	n := v.Document(c.name)
 	w.Header().Set(versionField, strconv.FormatUint(uint64(n.Version), 10))
 	if n.Version == 0 {
 		refuse(w, http.StatusNotFound, "there is none yet")
@@ -93,7 +93,7 @@
 }
 
 // unfitTenants holds tenants against the configuration of the value that a round found, not one that this hive remembers.
-func unfitTenants(body []byte, beside *swarm.Value) []string {
+func unfitTenants(body []byte, beside *consensus.Value) []string {
 	if beside.Digest == "" {
 		return nil
 	}
@@ -117,7 +117,7 @@
 }
 
 // fitsAny is for documents that the configuration does not bear on.
-func fitsAny([]byte, *swarm.Value) []string { return nil }
+func fitsAny([]byte, *consensus.Value) []string { return nil }
 
 // figureCalls tell operators what gatherers say of themselves. Each hive tells of those that ask it; whoever wants all asks all.
 type figureCalls struct{ h *Hive }
--- a/hive/pace.go
+++ b/hive/pace.go
@@ -20,7 +20,7 @@
 }
 
 // hasVersion tells whether a newer version than the asker's is known to be agreed.
-func (h *Hive) hasVersion(a *dance.Ask) bool { return h.confirmed && uint64(h.known.Turn) > a.Turn }
+func (h *Hive) hasVersion(a *dance.Ask) bool { return h.confirmed && uint64(h.known.Slot) > a.Turn }
 
 // versionAt is when the asker may be given the next version.
 func (h *Hive) versionAt(a *dance.Ask) time.Duration {
--- a/hive/peers.go
+++ b/hive/peers.go
@@ -5,9 +5,9 @@
 	"slices"
 	"time"
 
+	"oxbowspan/consensus"
 	"oxbowspan/dance"
 	"oxbowspan/quorum"
-	"oxbowspan/swarm"
 	"oxbowspan/waggle"
 )
 
@@ -18,14 +18,14 @@
 	kick    chan struct{}
 	quit    context.CancelFunc
 
-	id        swarm.AcceptorID
+	id        consensus.AcceptorID
 	control   string
 	zone      string
 	life      uint64                   // of its process
 	metAt     time.Duration            // when this hive first tried to reach it
 	heardAt   time.Duration            // 0 = never
 	listed    bool                     // among those that foragers are told of
-	turn      swarm.Turn               // that it knows
+	turn      consensus.Slot           // that it knows
 	has       waggle.Cursor            // up to which it has this hive's reports
 	crowd     uint64                   // up to which number it has the foragers that ask this hive,
 	told      uint64                   // and up to which the pulse on its way names them whole
@@ -35,7 +35,7 @@
 	putsIn    bool                     // the bodies that a told value leaves out
 	lacks     bool                     // a body of the value that it was told: it is told whole
 	asks      bool                     // this hive lacks one of the value that the peer told, and asks for all of it
-	copy      swarm.Copy               // what its disk holds,
+	copy      consensus.Replica        // what its disk holds,
 	tellsCopy bool                     // where it tells that
 	leaving   bool                     // it was told to end
 	silent    map[string]time.Duration // how long it has not heard others, by address, as it last told
@@ -59,7 +59,7 @@
 
 func (h *Hive) me() *dance.Hive {
 	return &dance.Hive{Id: uint64(h.self), Address: h.address, Control: h.set.Listen.Control, Zone: h.set.Zone,
-		Voter: swarm.Has(h.known.Members, h.self), PutsIn: true}
+		Voter: consensus.Contains(h.known.Members, h.self), PutsIn: true}
 }
 
 // meet makes a hive known.
@@ -128,11 +128,11 @@
 
 // pulse makes what one hive is to be told now.
 func (h *Hive) pulse(p *peer, now time.Duration) outgoingPulse {
-	m := &dance.Pulse{From: h.meWithCopy(), Life: h.life, Turn: uint64(h.known.Turn), LacksBody: p.asks}
+	m := &dance.Pulse{From: h.meWithCopy(), Life: h.life, Turn: uint64(h.known.Slot), LacksBody: p.asks}
 	p.asks = false
 	if !h.confirmed {
 		m.Turn = 0
-	} else if p.turn < h.known.Turn && p.heardAt > 0 {
+	} else if p.turn < h.known.Slot && p.heardAt > 0 {
 		m.Value = h.tellValue(p)
 	}
 	upTo := h.table.Cursor()
@@ -195,7 +195,7 @@
 	if p.life != m.Life || now-p.heardAt > settledFor {
 		p.hurry() // it is there again: contact needs a question to it, for which a time would be waited
 	}
-	h.word(p, from, m.Life, swarm.Turn(m.Turn), now)
+	h.word(p, from, m.Life, consensus.Slot(m.Turn), now)
 	for _, o := range m.Hives {
 		if o.SilentMs < uint32(peerLost/time.Millisecond) || h.seat(o.Address) {
 			h.meet(o.Address)
@@ -204,7 +204,7 @@
 	}
 	p.lacks = p.lacks || m.LacksBody
 	back.LacksBody = h.takeValue(m.Value)
-	h.toldCopy(p, from, swarm.Turn(m.Turn))
+	h.toldCopy(p, from, consensus.Slot(m.Turn))
 	urgent, changed := false, h.table.Cursor()
 	for _, r := range m.Reports {
 		in := toReport(r, now)
@@ -233,7 +233,7 @@
 		}
 	}
 	if h.confirmed {
-		if back.Turn = uint64(h.known.Turn); h.known.Turn > p.turn {
+		if back.Turn = uint64(h.known.Slot); h.known.Slot > p.turn {
 			back.Value = h.tellValue(p)
 		}
 	}
@@ -246,7 +246,7 @@
 		return
 	}
 	lived := p.life == m.Life || p.life == 0
-	h.word(p, m.From, m.Life, swarm.Turn(m.Turn), now)
+	h.word(p, m.From, m.Life, consensus.Slot(m.Turn), now)
 	if lived {
 		p.has, p.crowd = max(p.has, sent.upTo), p.told
 	}
@@ -254,8 +254,8 @@
 		p.crowd = 0
 	}
 	h.toldBack(p, m)
-	h.toldCopy(p, m.From, swarm.Turn(m.Turn))
-	h.contact.Answered(p.id, quorum.Answer{Life: m.Life, SentAt: sent.sentAt, Turn: swarm.Turn(max(m.Voted, m.Turn))}, h.known.Turn)
+	h.toldCopy(p, m.From, consensus.Slot(m.Turn))
+	h.contact.Answered(p.id, quorum.Answer{Life: m.Life, SentAt: sent.sentAt, Turn: consensus.Slot(max(m.Voted, m.Turn))}, h.known.Slot)
 	h.verified(now)
 	for _, no := range m.Differ {
 		if no < waggle.Ranges && !slices.Contains(p.differ, int(no)) {
@@ -275,7 +275,7 @@
 
 // borne tells whether a majority of the acceptors' machines hold the reports up to a cursor.
 func (h *Hive) borne(cursor waggle.Cursor) bool {
-	return swarm.Majority(h.known.Members, func(id swarm.AcceptorID) bool {
+	return consensus.HasMajority(h.known.Members, func(id consensus.AcceptorID) bool {
 		if id == h.self {
 			return true
 		}
@@ -289,19 +289,19 @@
 }
 
 // word notes that a hive lives. One that began anew has nothing of this hive's.
-func (h *Hive) word(p *peer, from *dance.Hive, life uint64, turn swarm.Turn, now time.Duration) {
+func (h *Hive) word(p *peer, from *dance.Hive, life uint64, turn consensus.Slot, now time.Duration) {
 	if p.life != life && p.life != 0 {
 		p.has, p.turn, p.crowd = 0, 0, 0
 	}
-	h.contact.Began(swarm.AcceptorID(from.Id), life)
+	h.contact.Began(consensus.AcceptorID(from.Id), life)
 	p.putsIn = from.PutsIn
-	p.life, p.id, p.control, p.zone = life, swarm.AcceptorID(from.Id), from.Control, from.Zone
+	p.life, p.id, p.control, p.zone = life, consensus.AcceptorID(from.Id), from.Control, from.Zone
 	p.heardAt, p.turn = max(now, 1), turn
 }
 
 // seat tells whether an acceptor votes at an address; seed, whether the settings name it.
 func (h *Hive) seat(address string) bool {
-	return slices.ContainsFunc(h.known.Members, func(m swarm.Member) bool { return m.Address == address })
+	return slices.ContainsFunc(h.known.Members, func(m consensus.Member) bool { return m.Address == address })
 }
 
 func (h *Hive) seed(address string) bool { return slices.Contains(h.set.SeedHives(), address) }
--- a/hive/rounds.go
+++ b/hive/rounds.go
@@ -10,25 +10,25 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"oxbowspan/consensus"
 	"oxbowspan/dance"
-	"oxbowspan/swarm"
 )
 
 // errUndecided says that a round came to no end in time: its proposal may be decided yet, or not.
 var errUndecided = errors.New("no majority answered in time")
 
-func genesisID(control string) swarm.AcceptorID {
-	return swarm.AcceptorID(xxhash.Sum64String("genesis "+control) | 1)
+func genesisID(control string) consensus.AcceptorID {
+	return consensus.AcceptorID(xxhash.Sum64String("genesis "+control) | 1)
 }
 
 // prepare and accept are the acceptor's side. An acceptor whose disk is behind says nothing: the round goes on with others.
 func (h *Hive) prepare(m *dance.Prepare, answer func(*dance.Promise)) {
-	var told swarm.Promise
-	h.store.Update(func(s swarm.State) swarm.State {
-		next, p := s.Prepare(swarm.Prepare{To: swarm.AcceptorID(m.To), Ballot: dance.ToBallot(m.Ballot)})
+	var told consensus.PrepareReply
+	h.store.Update(func(s consensus.AcceptorState) consensus.AcceptorState {
+		next, p := s.HandlePrepare(consensus.Prepare{To: consensus.AcceptorID(m.To), Ballot: dance.ToBallot(m.Ballot)})
 		told = p
 		return next
-	}, func(s swarm.State, err error) {
+	}, func(s consensus.AcceptorState, err error) {
 		if err != nil {
 			h.log.Warn().Err(err).Msg("disk: a promise could not be stored")
 			answer(&dance.Promise{From: uint64(h.self)})
@@ -41,15 +41,15 @@
 }
 
 func (h *Hive) accept(m *dance.Accept, answer func(*dance.Accepted)) {
-	var told swarm.Accepted
-	var value *swarm.Value
-	h.store.Update(func(s swarm.State) swarm.State {
+	var told consensus.AcceptReply
+	var value *consensus.Value
+	h.store.Update(func(s consensus.AcceptorState) consensus.AcceptorState {
 		// What was left out lies in the vote that the promise told of: no other was cast since, or this one is refused.
 		value = dance.ToValue(m.Value, s.Value)
-		next, a := s.Accept(swarm.Accept{To: swarm.AcceptorID(m.To), Ballot: dance.ToBallot(m.Ballot), Value: value})
+		next, a := s.HandleAccept(consensus.Accept{To: consensus.AcceptorID(m.To), Ballot: dance.ToBallot(m.Ballot), Value: value})
 		told = a
 		return next
-	}, func(s swarm.State, err error) {
+	}, func(s consensus.AcceptorState, err error) {
 		if err != nil {
 			h.log.Warn().Err(err).Msg("disk: a vote could not be stored")
 			answer(&dance.Accepted{From: uint64(h.self)})
@@ -57,18 +57,18 @@
 		}
 		if told.OK {
 			h.vote.Store(value)
-			h.voteTurn.Store(uint64(value.Turn)) // before anybody is told
-			go h.do(func() { h.hasVoted(value.Turn, dance.ToBallot(m.Ballot)) })
+			h.voteTurn.Store(uint64(value.Slot)) // before anybody is told
+			go h.do(func() { h.hasVoted(value.Slot, dance.ToBallot(m.Ballot)) })
 		}
 		answer(&dance.Accepted{From: uint64(told.From), Ok: told.OK, Promised: dance.FromBallot(told.Promised)})
 	})
 }
 
 // hasVoted notes a vote: if its fate is not heard of soon, this hive finds it out.
-func (h *Hive) hasVoted(turn swarm.Turn, b swarm.Ballot) {
+func (h *Hive) hasVoted(turn consensus.Slot, b consensus.Ballot) {
 	h.ballot = max(h.ballot, b.Number)
 	if b.Compare(h.copy.Ballot) > 0 {
-		h.copy = swarm.Copy{Turn: turn, Ballot: b}
+		h.copy = consensus.Replica{Slot: turn, Ballot: b}
 	}
 	if turn > h.voted {
 		h.voted, h.votedAt = turn, h.now()
@@ -76,28 +76,28 @@
 }
 
 // learn takes a value that is decided.
-func (h *Hive) learn(v *swarm.Value) {
-	if v == nil || h.confirmed && v.Turn <= h.known.Turn || v.Turn < h.known.Turn {
+func (h *Hive) learn(v *consensus.Value) {
+	if v == nil || h.confirmed && v.Slot <= h.known.Slot || v.Slot < h.known.Slot {
 		return
 	}
 	old := h.known
-	h.known, h.confirmed, h.decision = v, true, swarm.Decision{Value: v}
+	h.known, h.confirmed, h.decision = v, true, consensus.Decision{Value: v}
 	h.ledger.Learn(v)
-	for _, m := range v.Voters() {
+	for _, m := range v.Acceptors() {
 		h.meet(m.Address)
 	}
-	for _, n := range v.Notes {
+	for _, n := range v.Documents {
 		if h.notesAt[n.Name].version != n.Version {
 			h.notesAt[n.Name] = noteAt{n.Version, h.now()}
 			h.note("config", "version "+strconv.FormatUint(uint64(n.Version), 10)+" of the "+n.Name+" is agreed")
 		}
 	}
 	if v.Version != old.Version {
-		h.log.Info().Uint64("turn", uint64(v.Turn)).Uint64("version", uint64(v.Version)).Msg("config: a version is agreed")
+		h.log.Info().Uint64("turn", uint64(v.Slot)).Uint64("version", uint64(v.Version)).Msg("config: a version is agreed")
 		h.note("config", "version "+strconv.FormatUint(uint64(v.Version), 10)+" is agreed, on top of "+strconv.FormatUint(uint64(v.BasedOn), 10))
 	}
-	if len(v.Members) != len(old.Members) || !v.Settled() {
-		h.log.Info().Uint64("turn", uint64(v.Turn)).Interface("members", v.Members).Msg("swarm: the acceptors are agreed")
+	if len(v.Members) != len(old.Members) || !v.Confirmed() {
+		h.log.Info().Uint64("turn", uint64(v.Slot)).Interface("members", v.Members).Msg("swarm: the acceptors are agreed")
 		addresses := []string{}
 		for _, m := range v.Members {
 			addresses = append(addresses, m.Address)
@@ -110,19 +110,19 @@
 
 // roundStart is what a round begins with.
 type roundStart struct {
-	ballot swarm.Ballot
-	known  *swarm.Value
+	ballot consensus.Ballot
+	known  *consensus.Value
 }
 
 // nextBallot numbers a new round, above all that were seen.
 func (h *Hive) nextBallot() roundStart {
 	h.ballot++
-	return roundStart{swarm.Ballot{Number: h.ballot, By: h.proposer}, h.known}
+	return roundStart{consensus.Ballot{Number: h.ballot, By: h.proposer}, h.known}
 }
 
 // propose runs rounds until change has nothing more to say of the newest value, which is then decided. Its own rounds go
 // one at a time.
-func (h *Hive) propose(ctx context.Context, change swarm.Change) (*swarm.Value, error) {
+func (h *Hive) propose(ctx context.Context, change consensus.ChangeFunc) (*consensus.Value, error) {
 	select {
 	case <-h.turn:
 		defer func() { h.turn <- struct{}{} }()
@@ -136,10 +136,10 @@
 		if !ok {
 			return nil, errUndecided
 		}
-		v, changed, err := h.round(ctx, swarm.NewRound(start.ballot, start.known, change))
+		v, changed, err := h.round(ctx, consensus.NewProposal(start.ballot, start.known, change))
 		if err == nil {
-			h.ask(func() { h.learn(v); h.decidedAt(v.Turn, start.ballot) })
-			if v.Settled() && changed {
+			h.ask(func() { h.learn(v); h.decidedAt(v.Slot, start.ballot) })
+			if v.Confirmed() && changed {
 				return v, nil
 			}
 			continue // the acceptors changed: that is confirmed first
@@ -157,13 +157,13 @@
 }
 
 // round carries one round's messages. Changed tells whether the change was asked and has had its way.
-func (h *Hive) round(ctx context.Context, r *swarm.Round) (v *swarm.Value, changed bool, err error) {
+func (h *Hive) round(ctx context.Context, r *consensus.Proposal) (v *consensus.Value, changed bool, err error) {
 	ctx, cancel := context.WithTimeout(ctx, callLimit)
 	defer cancel()
 	answers := make(chan any, 32)
-	known := r.Known()
-	held := map[swarm.AcceptorID][]string{} // the bodies that each acceptor said that it has
-	ask := func(m swarm.Member, f *dance.Frame) {
+	known := r.Base()
+	held := map[consensus.AcceptorID][]string{} // the bodies that each acceptor said that it has
+	ask := func(m consensus.Member, f *dance.Frame) {
 		if m.ID == h.self {
 			switch b := f.Body.(type) {
 			case *dance.Frame_Prepare:
@@ -196,7 +196,7 @@
 		}()
 	}
 	prepare := func() {
-		for _, m := range r.Ask() {
+		for _, m := range r.NextPrepares() {
 			ask(m, &dance.Frame{Body: &dance.Frame_Prepare{Prepare: &dance.Prepare{To: uint64(m.ID),
 				Ballot: dance.FromBallot(r.Ballot()), Have: []byte(known.Digest), HaveBodies: dance.FromDigests(dance.Digests(known))}}})
 		}
@@ -211,22 +211,22 @@
 				if a.Value != nil && value == nil {
 					continue // a vote that can't be read is not the same as none
 				}
-				held[swarm.AcceptorID(a.From)] = dance.ToDigests(a.HaveBodies)
-				to := r.Promised(swarm.Promise{From: swarm.AcceptorID(a.From), OK: a.Ok, Promised: dance.ToBallot(a.Promised),
+				held[consensus.AcceptorID(a.From)] = dance.ToDigests(a.HaveBodies)
+				to := r.HandlePrepareReply(consensus.PrepareReply{From: consensus.AcceptorID(a.From), OK: a.Ok, Promised: dance.ToBallot(a.Promised),
 					Accepted: dance.ToBallot(a.Accepted), Value: value})
 				if to == nil {
 					prepare()
 				}
 				for _, m := range to {
 					ask(m, &dance.Frame{Body: &dance.Frame_Accept{Accept: &dance.Accept{To: uint64(m.ID),
-						Ballot: dance.FromBallot(r.Ballot()), Value: dance.FromValue(r.Proposal(), held[m.ID]...)}}})
+						Ballot: dance.FromBallot(r.Ballot()), Value: dance.FromValue(r.Value(), held[m.ID]...)}}})
 				}
 			case *dance.Accepted:
-				if r.Accepted(swarm.Accepted{From: swarm.AcceptorID(a.From), OK: a.Ok, Promised: dance.ToBallot(a.Promised)}) {
-					return r.Proposal(), r.Asked(), nil
+				if r.HandleAcceptReply(consensus.AcceptReply{From: consensus.AcceptorID(a.From), OK: a.Ok, Promised: dance.ToBallot(a.Promised)}) {
+					return r.Value(), r.IncludesChange(), nil
 				}
 			}
-			if by, lost := r.Lost(); lost {
+			if by, lost := r.Preempted(); lost {
 				h.do(func() { h.ballot = max(h.ballot, by.Number) })
 				return nil, false, errUndecided
 			}
@@ -246,12 +246,12 @@
 	}
 	unresolved := !h.confirmed && (h.voted > 0 || !h.set.FirstStart) || h.confirmed && !h.decision.Resolves(h.copy) && now-h.votedAt > resolveWait
 	seatless := !h.leaving && h.wantsSeat(now)
-	unsettled := h.confirmed && !h.known.Settled() && now-h.votedAt > resolveWait
+	unsettled := h.confirmed && !h.known.Confirmed() && now-h.votedAt > resolveWait
 	if !unresolved && !seatless && !unsettled && !incomplete {
 		return
 	}
 	h.trying = true
-	change := swarm.Change(func(v *swarm.Value) *swarm.Value { return v })
+	change := consensus.ChangeFunc(func(v *consensus.Value) *consensus.Value { return v })
 	if seatless {
 		change = h.claim(now).change // made here: it reads the owner's tables
 	}
@@ -262,7 +262,7 @@
 		h.do(func() {
 			h.trying = false
 			if incomplete {
-				h.repair.Tried(h.now(), rand.Float64())
+				h.repair.RecordAttempt(h.now(), rand.Float64())
 			}
 			h.tryAt = h.now() + time.Duration(rand.Int64N(int64(resolveWait)))
 			if err != nil {
--- a/hive/seats.go
+++ b/hive/seats.go
@@ -4,7 +4,7 @@
 	"slices"
 	"time"
 
-	"oxbowspan/swarm"
+	"oxbowspan/consensus"
 )
 
 // seatLost is how long a machine that votes must be unheard, by all that speak, before its seat may go to another.
@@ -12,19 +12,19 @@
 
 // claim is what a hive without a seat knows when it asks for one.
 type claim struct {
-	self   swarm.Member
+	self   consensus.Member
 	target int                                // seats that there should be
 	silent func(address string) time.Duration // the shortest that anybody who speaks has not heard a machine
 }
 
 // change gives the claimant a seat, where there is one to have: that of the disk that was at its address before it, an
 // empty one, or the one longest lost. Nobody else loses a seat, however slow or cut off: that would lower what is borne.
-func (c claim) change(v *swarm.Value) *swarm.Value {
-	if swarm.Has(v.Members, c.self.ID) || len(v.Members) == 0 {
+func (c claim) change(v *consensus.Value) *consensus.Value {
+	if consensus.Contains(v.Members, c.self.ID) || len(v.Members) == 0 {
 		return v
 	}
 	members := slices.Clone(v.Members)
-	if i := slices.IndexFunc(members, func(m swarm.Member) bool { return m.Address == c.self.Address }); i >= 0 {
+	if i := slices.IndexFunc(members, func(m consensus.Member) bool { return m.Address == c.self.Address }); i >= 0 {
 		members[i] = c.self
 		return v.WithMembers(members)
 	}
@@ -76,13 +76,13 @@
 			silences[m.Address] = 0 // nobody else speaks: it may be this machine that is cut off
 		}
 	}
-	return claim{swarm.Member{ID: h.self, Address: h.address}, 2*h.set.Tolerated.Machines + 1,
+	return claim{consensus.Member{ID: h.self, Address: h.address}, 2*h.set.Tolerated.Machines + 1,
 		func(a string) time.Duration { return silences[a] }}
 }
 
 // wantsSeat tells whether this hive should ask for a seat now.
 func (h *Hive) wantsSeat(now time.Duration) bool {
-	if !h.confirmed || swarm.Has(h.known.Members, h.self) || !h.known.Settled() || !h.inContact(now) {
+	if !h.confirmed || consensus.Contains(h.known.Members, h.self) || !h.known.Confirmed() || !h.inContact(now) {
 		return false
 	}
 	return h.claim(now).change(h.known) != h.known
--- a/hive/telling.go
+++ b/hive/telling.go
@@ -14,7 +14,7 @@
 
 // takeValue learns a value that a peer told. It tells whether a body was left out that this hive does not hold.
 func (h *Hive) takeValue(m *dance.Value) (lacks bool) {
-	if m == nil || h.confirmed && m.Turn <= uint64(h.known.Turn) {
+	if m == nil || h.confirmed && m.Turn <= uint64(h.known.Slot) {
 		return false
 	}
 	v := dance.ToValue(m, h.known, h.vote.Load())
--- a/hive/views.go
+++ b/hive/views.go
@@ -8,7 +8,7 @@
 	"strconv"
 	"time"
 
-	"oxbowspan/swarm"
+	"oxbowspan/consensus"
 	"oxbowspan/waggle"
 )
 
@@ -78,13 +78,13 @@
 func (c *viewCalls) history(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), agreeLimit)
 	defer cancel()
-	v, err := c.h.propose(ctx, func(v *swarm.Value) *swarm.Value { return v })
+	v, err := c.h.propose(ctx, func(v *consensus.Value) *consensus.Value { return v })
 	if err != nil {
 		refuse(w, http.StatusServiceUnavailable, "the core could not make sure of the newest version in time")
 		return
 	}
 	out := []History{}
-	for _, p := range append(append([]swarm.Past{}, v.Past...), swarm.Past{Version: v.Version, BasedOn: v.BasedOn, Digest: v.Digest}) {
+	for _, p := range append(append([]consensus.Revision{}, v.PriorRevisions...), consensus.Revision{Version: v.Version, BasedOn: v.BasedOn, Digest: v.Digest}) {
 		if p.Digest != "" {
 			out = append(out, History{uint64(p.Version), uint64(p.BasedOn), hex.EncodeToString([]byte(p.Digest))})
 		}
@@ -115,9 +115,9 @@
 	tellAsked(c.h, w, func() Members {
 		h := c.h
 		now := h.now()
-		out := Members{Hive: h.address, Turn: uint64(h.known.Turn), Version: uint64(h.known.Version), Settled: h.confirmed && h.inContact(now), Whole: h.known.Settled()}
+		out := Members{Hive: h.address, Turn: uint64(h.known.Slot), Version: uint64(h.known.Version), Settled: h.confirmed && h.inContact(now), Whole: h.known.Confirmed()}
 		proven := 0
-		lacking := h.decision.Lacking(h.copies(now))
+		lacking := h.decision.Unreplicated(h.copies(now))
 		for _, m := range h.known.Members {
 			silent := time.Duration(0)
 			if m.ID != h.self {
@@ -126,7 +126,7 @@
 					silent = now - p.heardAt
 				}
 			}
-			complete := h.confirmed && !swarm.Has(lacking, m.ID)
+			complete := h.confirmed && !consensus.Contains(lacking, m.ID)
 			if complete && silent < settledFor {
 				proven++
 			}
@@ -155,7 +155,7 @@
 		out := []Node{}
 		now := c.h.now()
 		for _, f := range c.h.foragers {
-			out = append(out, Node{f.address, f.zone, strconv.FormatUint(f.life, 16), (now - f.heardAt).Seconds(), f.here(now), f.turn, f.here(now) && f.turn >= uint64(c.h.known.Turn)})
+			out = append(out, Node{f.address, f.zone, strconv.FormatUint(f.life, 16), (now - f.heardAt).Seconds(), f.here(now), f.turn, f.here(now) && f.turn >= uint64(c.h.known.Slot)})
 		}
 		return out
 	})
--- a/internal/colony/repair_test.go
+++ b/internal/colony/repair_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
+	"oxbowspan/consensus"
 	"oxbowspan/hive"
-	"oxbowspan/swarm"
 )
 
 // granted is what the platform grants a machine that is back, or new, before others may be lost (catch_up_s).
@@ -38,10 +38,10 @@
 }
 
 // voters are the acceptors of the newest value that any running machine of the core knows, and the turn.
-func voters(c *Colony) (members []swarm.Member, turn swarm.Turn) {
+func voters(c *Colony) (members []consensus.Member, turn consensus.Slot) {
 	for _, m := range c.running() {
-		if v := m.Now.Known(); v != nil && v.Turn >= turn {
-			members, turn = v.Members, v.Turn
+		if v := m.Now.Known(); v != nil && v.Slot >= turn {
+			members, turn = v.Members, v.Slot
 		}
 	}
 	return members, turn
@@ -55,7 +55,7 @@
 		held := false
 		for _, h := range c.running() {
 			s, ok := h.Now.Stored()
-			held = held || ok && s.ID == m.ID && s.Value != nil && s.Value.Turn >= turn && uint64(s.Value.Version) == version
+			held = held || ok && s.ID == m.ID && s.Value != nil && s.Value.Slot >= turn && uint64(s.Value.Version) == version
 		}
 		if !held {
 			lacking += " " + m.Address
@@ -169,7 +169,7 @@
 			t.Errorf("%d disks may be lost, says a view, though a member holds no copy", got)
 		}
 		room()
-		t.Logf("all copies are complete %v after there is room", complete(t, c, 1, 2*swarm.RepairPauseMax))
+		t.Logf("all copies are complete %v after there is room", complete(t, c, 1, 2*consensus.MaxRepairBackoff))
 		time.Sleep(granted)
 		if got := bears(t, c, c.Hives[1]); got != 1 {
 			t.Errorf("%d disks may be lost, says a view, with all copies complete", got)
@@ -193,7 +193,7 @@
 }
 
 // at tells whether a member is this machine.
-func (m *HiveMachine) at(o swarm.Member) bool { return o.Address == m.settings().Internal(0) }
+func (m *HiveMachine) at(o consensus.Member) bool { return o.Address == m.settings().Internal(0) }
 
 // (c, d) A planned replacement: the new machine comes and is granted its time, then the old one is told to end and is gone
 // with its disk. As many others as are borne are lost at that moment: what is left agrees, and holds what was acknowledged.
@@ -515,13 +515,13 @@
 		time.Sleep(granted)
 		complete(t, c, 1, granted)
 		time.Sleep(2 * time.Second)
-		before := map[string]swarm.State{}
+		before := map[string]consensus.AcceptorState{}
 		for _, m := range c.Hives {
 			before[m.IP], _ = m.Now.Stored()
 		}
 		time.Sleep(2 * time.Minute)
 		for _, m := range c.Hives {
-			if s, ok := m.Now.Stored(); !ok || s.Changed(before[m.IP]) {
+			if s, ok := m.Now.Stored(); !ok || s.DiffersFrom(before[m.IP]) {
 				t.Errorf("REST: %s wrote: promised %v, was %v", m.IP, s.Promised, before[m.IP].Promised)
 			}
 		}
--- a/internal/lab/vote_bench_test.go
+++ b/internal/lab/vote_bench_test.go
@@ -7,8 +7,8 @@
 
 	"google.golang.org/protobuf/proto"
 
+	"oxbowspan/consensus"
 	"oxbowspan/dance"
-	"oxbowspan/swarm"
 )
 
 // BenchmarkVote tells the bytes and the processor's time of the request for a vote that carries a configuration, by versions
@@ -19,10 +19,10 @@
 	for _, routes := range []int{10, 1000, 10_000} {
 		body := hollowConfig(1, routes)
 		for _, versions := range []int{1, 100, 1000, 10_000} {
-			v := swarm.Genesis([]swarm.Member{{ID: 1, Address: "10.0.0.1:7100"}, {ID: 2, Address: "10.0.0.2:7100"}, {ID: 3, Address: "10.0.0.3:7100"}})
+			v := consensus.Genesis([]consensus.Member{{ID: 1, Address: "10.0.0.1:7100"}, {ID: 2, Address: "10.0.0.2:7100"}, {ID: 3, Address: "10.0.0.3:7100"}})
 			for i := range versions {
 				sum := sha256.Sum256(fmt.Append(nil, i))
-				v, _ = swarm.Call{Version: swarm.Version(i + 1), BasedOn: swarm.Version(i), Digest: string(sum[:]), Body: body}.Meet(v)
+				v, _ = consensus.ChangeRequest{Version: consensus.Version(i + 1), BasedOn: consensus.Version(i), Digest: string(sum[:]), Body: body}.Evaluate(v)
 			}
 			b.Run(fmt.Sprintf("routes=%d/versions=%d", routes, versions), func(b *testing.B) {
 				b.ReportAllocs()
--- a/internal/wax/form_test.go
+++ b/internal/wax/form_test.go
@@ -16,8 +16,8 @@
 	"go.etcd.io/bbolt"
 	"google.golang.org/protobuf/proto"
 
+	"oxbowspan/consensus"
 	"oxbowspan/dance"
-	"oxbowspan/swarm"
 )
 
 // earlier puts a file of form 1, written by the program that made them, into a folder: a vote at turn 11 and ballot 12, a
@@ -59,7 +59,7 @@
 		}
 		got := s.State()
 		if got.ID != 77 || got.Promised.Number != 13 || got.Accepted.Number != 12 || got.Value.Version != 9 || string(got.Value.Body) != `{"version":9}` ||
-			string(got.Value.Note("tenants").Body) != `{"tenants":[]}` || got.Value.Past[0].Version != 8 || len(got.Value.Members) != 3 {
+			string(got.Value.Document("tenants").Body) != `{"tenants":[]}` || got.Value.PriorRevisions[0].Version != 8 || len(got.Value.Members) != 3 {
 			t.Fatalf("form %d comes back as %+v", form, got)
 		}
 		hints := &dance.Pulse{}
@@ -110,22 +110,22 @@
 }
 
 // longVote votes at a ballot for a version whose body has so many bytes.
-func longVote(ballot uint64, version swarm.Version, size int) func(swarm.State) swarm.State {
+func longVote(ballot uint64, version consensus.Version, size int) func(consensus.AcceptorState) consensus.AcceptorState {
 	body := bytes.Repeat([]byte(strconv.FormatUint(uint64(version)%10, 10)), size)
 	copy(body, fmt.Sprint(version, " "))
 	sum := sha256.Sum256(body)
-	return func(s swarm.State) swarm.State {
-		members := []swarm.Member{{ID: s.ID, Address: "a"}}
-		v := &swarm.Value{Turn: swarm.Turn(ballot), Members: members, Prior: members, Version: version, BasedOn: version - 1, Digest: string(sum[:]), Body: body}
-		next, _ := s.Accept(swarm.Accept{To: s.ID, Ballot: swarm.Ballot{Number: ballot, By: 1}, Value: v})
+	return func(s consensus.AcceptorState) consensus.AcceptorState {
+		members := []consensus.Member{{ID: s.ID, Address: "a"}}
+		v := &consensus.Value{Slot: consensus.Slot(ballot), Members: members, PriorMembers: members, Version: version, BasedOn: version - 1, Digest: string(sum[:]), Body: body}
+		next, _ := s.HandleAccept(consensus.Accept{To: s.ID, Ballot: consensus.Ballot{Number: ballot, By: 1}, Value: v})
 		return next
 	}
 }
 
 // promise promises a ballot.
-func promise(ballot uint64) func(swarm.State) swarm.State {
-	return func(s swarm.State) swarm.State {
-		next, _ := s.Prepare(swarm.Prepare{To: s.ID, Ballot: swarm.Ballot{Number: ballot, By: 1}})
+func promise(ballot uint64) func(consensus.AcceptorState) consensus.AcceptorState {
+	return func(s consensus.AcceptorState) consensus.AcceptorState {
+		next, _ := s.HandlePrepare(consensus.Prepare{To: s.ID, Ballot: consensus.Ballot{Number: ballot, By: 1}})
 		return next
 	}
 }
@@ -138,7 +138,7 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	wrote := func(step func(swarm.State) swarm.State) int64 {
+	wrote := func(step func(consensus.AcceptorState) consensus.AcceptorState) int64 {
 		before := s.db.Stats()
 		if err := update(t, s, step); err != nil {
 			t.Fatal(err)
@@ -170,7 +170,7 @@
 	const size = 64 << 10
 	half := int64(0)
 	for n := uint64(1); n <= 1000; n++ {
-		if err := errors.Join(update(t, s, promise(2*n)), update(t, s, longVote(2*n+1, swarm.Version(n), size))); err != nil {
+		if err := errors.Join(update(t, s, promise(2*n)), update(t, s, longVote(2*n+1, consensus.Version(n), size))); err != nil {
 			t.Fatal(err)
 		}
 		if n == 500 {
--- a/internal/wax/inspect.go
+++ b/internal/wax/inspect.go
@@ -12,28 +12,28 @@
 	"go.etcd.io/bbolt"
 	"google.golang.org/protobuf/proto"
 
+	"oxbowspan/consensus"
 	"oxbowspan/dance"
-	"oxbowspan/swarm"
 )
 
 // Contents is what a stopped machine's file holds, for people.
 type Contents struct {
-	Format   uint64           `json:"format"`
-	Identity swarm.AcceptorID `json:"identity"`
-	Promised swarm.Ballot     `json:"promised"`
-	Accepted swarm.Ballot     `json:"accepted"`
-	Turn     swarm.Turn       `json:"turn"`    // of the vote, which may not have been decided
-	Version  swarm.Version    `json:"version"` // of its configuration
-	BasedOn  swarm.Version    `json:"based_on"`
-	Digest   string           `json:"digest"` // SHA-256, in hexadecimal
-	Members  []swarm.Member   `json:"members"`
-	Prior    []swarm.Member   `json:"prior"`
-	Past     []swarm.Version  `json:"past"`
-	Servers  int              `json:"servers"` // kept as hints
-	Bytes    int64            `json:"bytes"`   // of the file
+	Format   uint64               `json:"format"`
+	Identity consensus.AcceptorID `json:"identity"`
+	Promised consensus.Ballot     `json:"promised"`
+	Accepted consensus.Ballot     `json:"accepted"`
+	Turn     consensus.Slot       `json:"turn"`    // of the vote, which may not have been decided
+	Version  consensus.Version    `json:"version"` // of its configuration
+	BasedOn  consensus.Version    `json:"based_on"`
+	Digest   string               `json:"digest"` // SHA-256, in hexadecimal
+	Members  []consensus.Member   `json:"members"`
+	Prior    []consensus.Member   `json:"prior"`
+	Past     []consensus.Version  `json:"past"`
+	Servers  int                  `json:"servers"` // kept as hints
+	Bytes    int64                `json:"bytes"`   // of the file
 
-	Body  []byte       `json:"-"` // the configuration
-	Notes []swarm.Note `json:"-"`
+	Body  []byte               `json:"-"` // the configuration
+	Notes []consensus.Document `json:"-"`
 }
 
 // Inspect reads the file in a directory of a machine that does not run. It changes nothing.
@@ -67,7 +67,7 @@
 			return eris.Errorf("the state file has form %d, this program reads %d and %d", c.Format, formatWhole, Format)
 		}
 		if id := b.Get(keyID); len(id) == 8 {
-			c.Identity = swarm.AcceptorID(binary.BigEndian.Uint64(id))
+			c.Identity = consensus.AcceptorID(binary.BigEndian.Uint64(id))
 		}
 		s := &Store{}
 		if err := s.read(tx, b); err != nil {
@@ -75,9 +75,9 @@
 		}
 		c.Promised, c.Accepted = s.state.Promised, s.state.Accepted
 		if v := s.state.Value; v != nil {
-			c.Turn, c.Version, c.BasedOn, c.Digest = v.Turn, v.Version, v.BasedOn, hex.EncodeToString([]byte(v.Digest))
-			c.Members, c.Prior, c.Body, c.Notes = v.Members, v.Prior, v.Body, v.Notes
-			for _, p := range v.Past {
+			c.Turn, c.Version, c.BasedOn, c.Digest = v.Slot, v.Version, v.BasedOn, hex.EncodeToString([]byte(v.Digest))
+			c.Members, c.Prior, c.Body, c.Notes = v.Members, v.PriorMembers, v.Body, v.Documents
+			for _, p := range v.PriorRevisions {
 				c.Past = append(c.Past, p.Version)
 			}
 		}
--- a/internal/wax/vote_bench_test.go
+++ b/internal/wax/vote_bench_test.go
@@ -5,17 +5,19 @@
 	"os"
 	"testing"
 
-	"oxbowspan/swarm"
+	"oxbowspan/consensus"
 )
 
 // BenchmarkStore tells what a promise, a vote for the same version and one for a new version write, by the body's size. The
 // disk is memory, so that times are the processor's.
 func BenchmarkStore(b *testing.B) {
 	for _, size := range []int{2 << 10, 170 << 10, 1700 << 10} {
-		for name, step := range map[string]func(n uint64) func(swarm.State) swarm.State{
-			"promise":          func(n uint64) func(swarm.State) swarm.State { return promise(n) },
-			"vote again":       func(n uint64) func(swarm.State) swarm.State { return longVote(n, 1, size) },
-			"vote for another": func(n uint64) func(swarm.State) swarm.State { return longVote(n, swarm.Version(n), size) },
+		for name, step := range map[string]func(n uint64) func(consensus.AcceptorState) consensus.AcceptorState{
+			"promise":    func(n uint64) func(consensus.AcceptorState) consensus.AcceptorState { return promise(n) },
+			"vote again": func(n uint64) func(consensus.AcceptorState) consensus.AcceptorState { return longVote(n, 1, size) },
+			"vote for another": func(n uint64) func(consensus.AcceptorState) consensus.AcceptorState {
+				return longVote(n, consensus.Version(n), size)
+			},
 		} {
 			b.Run(fmt.Sprintf("%s/body=%d", name, size), func(b *testing.B) {
 				dir, err := os.MkdirTemp("/dev/shm", "wax")
@@ -30,12 +32,12 @@
 				defer s.Close()
 				act := func(n uint64) {
 					done := make(chan error, 1)
-					if s.Update(step(n), func(_ swarm.State, err error) { done <- err }) != nil || <-done != nil {
+					if s.Update(step(n), func(_ consensus.AcceptorState, err error) { done <- err }) != nil || <-done != nil {
 						b.Fatal("not stored")
 					}
 				}
 				first := make(chan error, 1)
-				s.Update(longVote(1, 1, size), func(_ swarm.State, err error) { first <- err })
+				s.Update(longVote(1, 1, size), func(_ consensus.AcceptorState, err error) { first <- err })
 				if err := <-first; err != nil {
 					b.Fatal(err)
 				}
--- a/internal/wax/wax.go
+++ b/internal/wax/wax.go
@@ -16,8 +16,8 @@
 	"go.etcd.io/bbolt"
 	"google.golang.org/protobuf/proto"
 
+	"oxbowspan/consensus"
 	"oxbowspan/dance"
-	"oxbowspan/swarm"
 )
 
 // Format is the number of the file's form. Files of the form before it are read, and turned into this one as they are opened;
@@ -55,16 +55,16 @@
 	work  chan func()
 	quit  chan struct{}
 	done  chan struct{}
-	state swarm.State // the last that is known to be on the disk; the disk's goroutine's
-	torn  bool        // a write failed: what the file holds beyond state is not known; the disk's goroutine's
-	hints []byte      // as found at the start
+	state consensus.AcceptorState // the last that is known to be on the disk; the disk's goroutine's
+	torn  bool                    // a write failed: what the file holds beyond state is not known; the disk's goroutine's
+	hints []byte                  // as found at the start
 
 	commit func(func(*bbolt.Tx) error) error // db.Update, or a test's
 }
 
 // Open opens or makes the file in a directory. Genesis is the identity for a disk that is empty; 0 draws one. A file that
 // can't be read is set aside, named in aside, and the machine comes back as a stranger with an identity of its own.
-func Open(dir string, genesis swarm.AcceptorID) (s *Store, aside string, err error) {
+func Open(dir string, genesis consensus.AcceptorID) (s *Store, aside string, err error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, "", eris.Wrap(err, "the data directory can't be made")
 	}
@@ -89,7 +89,7 @@
 	return s, aside, err
 }
 
-func openFile(path string, genesis swarm.AcceptorID) (s *Store, err error) {
+func openFile(path string, genesis consensus.AcceptorID) (s *Store, err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true)) // a page that is not in the file any more
 	defer func() {
 		if r := recover(); r != nil { // the library panics on pages that are not as they should be
@@ -126,7 +126,7 @@
 	})
 }
 
-func (s *Store) load(tx *bbolt.Tx, genesis swarm.AcceptorID) error {
+func (s *Store) load(tx *bbolt.Tx, genesis consensus.AcceptorID) error {
 	b, err := tx.CreateBucketIfNotExists(bucket)
 	if err != nil {
 		return err
@@ -139,7 +139,7 @@
 		return err
 	}
 	if id := b.Get(keyID); len(id) == 8 {
-		s.state.ID = swarm.AcceptorID(binary.BigEndian.Uint64(id))
+		s.state.ID = consensus.AcceptorID(binary.BigEndian.Uint64(id))
 		if err := s.read(tx, b); err != nil || form == Format {
 			return err
 		}
@@ -202,25 +202,25 @@
 }
 
 // storedBodies is a value that holds all bodies of the file, and nothing else.
-func storedBodies(tx *bbolt.Tx) *swarm.Value {
-	v := &swarm.Value{}
+func storedBodies(tx *bbolt.Tx) *consensus.Value {
+	v := &consensus.Value{}
 	all := tx.Bucket(bodies)
 	if all == nil {
 		return v
 	}
 	all.ForEachBucket(func(digest []byte) error {
 		body := bytes.Clone(all.Bucket(digest).Get(keyBody))
-		v.Notes = append(v.Notes, swarm.Note{Digest: string(digest), Body: body})
+		v.Documents = append(v.Documents, consensus.Document{Digest: string(digest), Body: body})
 		return nil
 	})
 	return v
 }
 
 // Draw draws an identity.
-func Draw() swarm.AcceptorID {
+func Draw() consensus.AcceptorID {
 	var b [8]byte
 	rand.Read(b[:])
-	return swarm.AcceptorID(binary.BigEndian.Uint64(b[:]) | 1)
+	return consensus.AcceptorID(binary.BigEndian.Uint64(b[:]) | 1)
 }
 
 func (s *Store) run() {
@@ -241,7 +241,7 @@
 // Update hands the state to step, in the order of the calls; what step returns is stored and then told through after,
 // with an error where it could not be stored. Both run on the disk's goroutine: they must not wait. ErrBusy is returned
 // at once where too much waits already.
-func (s *Store) Update(step func(swarm.State) swarm.State, after func(swarm.State, error)) error {
+func (s *Store) Update(step func(consensus.AcceptorState) consensus.AcceptorState, after func(consensus.AcceptorState, error)) error {
 	select {
 	case <-s.quit:
 		return ErrBusy // a round that is still on its way at the end
@@ -250,7 +250,7 @@
 	select {
 	case s.work <- func() {
 		next := step(s.state)
-		if !next.Changed(s.state) {
+		if !next.DiffersFrom(s.state) {
 			after(s.state, nil)
 			return
 		}
@@ -268,7 +268,7 @@
 
 // write stores a state. One whose write failed may be in the file all the same, in whole: the value is then written again
 // with the next state, or a ballot would stand there beside another's value.
-func (s *Store) write(next swarm.State) (err error) {
+func (s *Store) write(next consensus.AcceptorState) (err error) {
 	defer func() {
 		if r := recover(); r != nil {
 			err = eris.Errorf("the state file is damaged: %v", r)
@@ -278,7 +278,7 @@
 }
 
 // put puts a state into the file, and its value where that is another.
-func (s *Store) put(tx *bbolt.Tx, next swarm.State, value bool) error {
+func (s *Store) put(tx *bbolt.Tx, next consensus.AcceptorState, value bool) error {
 	b := tx.Bucket(bucket)
 	text, err := proto.Marshal(&dance.Promise{Promised: dance.FromBallot(next.Promised), Accepted: dance.FromBallot(next.Accepted)})
 	if err != nil {
@@ -304,7 +304,7 @@
 
 // putBodies has the file hold the bodies of a value and no others. What it holds already is not written again: the file is
 // asked, as after a write that failed nobody else knows.
-func putBodies(tx *bbolt.Tx, v *swarm.Value) error {
+func putBodies(tx *bbolt.Tx, v *consensus.Value) error {
 	all, err := tx.CreateBucketIfNotExists(bodies)
 	if err != nil {
 		return err
@@ -357,7 +357,7 @@
 }
 
 // State is the state as found at the start. It may be called before the first Update only.
-func (s *Store) State() swarm.State { return s.state }
+func (s *Store) State() consensus.AcceptorState { return s.state }
 
 // Close ends the goroutine and closes the file. It must be called once. Updates that come later are refused.
 func (s *Store) Close() error {
--- a/internal/wax/wax_test.go
+++ b/internal/wax/wax_test.go
@@ -12,23 +12,23 @@
 
 	"go.etcd.io/bbolt"
 
-	"oxbowspan/swarm"
+	"oxbowspan/consensus"
 )
 
-func update(t *testing.T, s *Store, step func(swarm.State) swarm.State) error {
+func update(t *testing.T, s *Store, step func(consensus.AcceptorState) consensus.AcceptorState) error {
 	t.Helper()
 	done := make(chan error, 1)
-	if err := s.Update(step, func(_ swarm.State, err error) { done <- err }); err != nil {
+	if err := s.Update(step, func(_ consensus.AcceptorState, err error) { done <- err }); err != nil {
 		t.Fatal(err)
 	}
 	return <-done
 }
 
-func vote(n uint64) func(swarm.State) swarm.State {
-	return func(s swarm.State) swarm.State {
-		next, _ := s.Accept(swarm.Accept{To: s.ID, Ballot: swarm.Ballot{Number: n, By: 1}, Value: &swarm.Value{Turn: swarm.Turn(n),
-			Members: []swarm.Member{{ID: s.ID, Address: "a"}}, Prior: []swarm.Member{{ID: s.ID, Address: "a"}}, Version: swarm.Version(n),
-			Digest: "d", Body: []byte("{}"), Past: []swarm.Past{{Version: 1, Digest: "x"}}}})
+func vote(n uint64) func(consensus.AcceptorState) consensus.AcceptorState {
+	return func(s consensus.AcceptorState) consensus.AcceptorState {
+		next, _ := s.HandleAccept(consensus.Accept{To: s.ID, Ballot: consensus.Ballot{Number: n, By: 1}, Value: &consensus.Value{Slot: consensus.Slot(n),
+			Members: []consensus.Member{{ID: s.ID, Address: "a"}}, PriorMembers: []consensus.Member{{ID: s.ID, Address: "a"}}, Version: consensus.Version(n),
+			Digest: "d", Body: []byte("{}"), PriorRevisions: []consensus.Revision{{Version: 1, Digest: "x"}}}})
 		return next
 	}
 }
@@ -56,7 +56,7 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	if got := s.State(); got.ID != 77 || got.Accepted.Number != 5 || got.Value.Turn != 5 || got.Value.Past[0].Version != 1 {
+	if got := s.State(); got.ID != 77 || got.Accepted.Number != 5 || got.Value.Slot != 5 || got.Value.PriorRevisions[0].Version != 1 {
 		t.Fatalf("came back as %+v", got)
 	}
 }
@@ -106,10 +106,10 @@
 		t.Fatal(err)
 	}
 	held := make(chan struct{})
-	s.Update(func(st swarm.State) swarm.State { <-held; return st }, func(swarm.State, error) {})
+	s.Update(func(st consensus.AcceptorState) consensus.AcceptorState { <-held; return st }, func(consensus.AcceptorState, error) {})
 	refused := false
 	for range 200 {
-		if err := s.Update(func(st swarm.State) swarm.State { return st }, func(swarm.State, error) {}); errors.Is(err, ErrBusy) {
+		if err := s.Update(func(st consensus.AcceptorState) consensus.AcceptorState { return st }, func(consensus.AcceptorState, error) {}); errors.Is(err, ErrBusy) {
 			refused = true
 		}
 	}
@@ -142,10 +142,10 @@
 		t.Fatal("a vote whose sync failed is told as stored")
 	}
 	s.commit = s.db.Update
-	must(update(t, s, func(st swarm.State) swarm.State {
-		next, p := st.Prepare(swarm.Prepare{To: st.ID, Ballot: swarm.Ballot{Number: 9, By: 2}})
-		if !p.OK || p.Value.Turn != 5 {
-			t.Errorf("after the failure it promises beside turn %d", p.Value.Turn)
+	must(update(t, s, func(st consensus.AcceptorState) consensus.AcceptorState {
+		next, p := st.HandlePrepare(consensus.Prepare{To: st.ID, Ballot: consensus.Ballot{Number: 9, By: 2}})
+		if !p.OK || p.Value.Slot != 5 {
+			t.Errorf("after the failure it promises beside turn %d", p.Value.Slot)
 		}
 		return next
 	}))
@@ -153,8 +153,8 @@
 	s, _, err = Open(dir, 0)
 	must(err)
 	defer s.Close()
-	if got := s.State(); got.Accepted.Number != 5 || got.Value.Turn != 5 || got.Promised.Number != 9 {
-		t.Fatalf("ballot %d stands beside the value of turn %d", got.Accepted.Number, got.Value.Turn)
+	if got := s.State(); got.Accepted.Number != 5 || got.Value.Slot != 5 || got.Promised.Number != 9 {
+		t.Fatalf("ballot %d stands beside the value of turn %d", got.Accepted.Number, got.Value.Slot)
 	}
 }
 
@@ -162,16 +162,18 @@
 // the one after comes back, never a stranger and never a mixture.
 func TestPowerFailsInTheMiddleOfAWrite(t *testing.T) {
 	t.Run("one body", func(t *testing.T) {
-		powerFails(t, 60, vote, func(v *swarm.Value) bool { return string(v.Body) == "{}" })
+		powerFails(t, 60, vote, func(v *consensus.Value) bool { return string(v.Body) == "{}" })
 	})
 	t.Run("a body of its own for each", func(t *testing.T) {
-		powerFails(t, 24, func(n uint64) func(swarm.State) swarm.State { return longVote(n, swarm.Version(n), 10000) }, func(v *swarm.Value) bool {
+		powerFails(t, 24, func(n uint64) func(consensus.AcceptorState) consensus.AcceptorState {
+			return longVote(n, consensus.Version(n), 10000)
+		}, func(v *consensus.Value) bool {
 			return len(v.Body) == 10000 && strings.HasPrefix(string(v.Body), fmt.Sprint(v.Version, " "))
 		})
 	})
 }
 
-func powerFails(t *testing.T, votes uint64, vote func(n uint64) func(swarm.State) swarm.State, whole func(v *swarm.Value) bool) {
+func powerFails(t *testing.T, votes uint64, vote func(n uint64) func(consensus.AcceptorState) consensus.AcceptorState, whole func(v *consensus.Value) bool) {
 	const page = 4096
 	dir := t.TempDir()
 	path := filepath.Join(dir, fileName)
@@ -224,9 +226,9 @@
 			t.Fatalf("vote %d cut off: version %d comes back with a body of %d bytes", n, got.Value.Version, len(got.Value.Body))
 		case got.ID != 77:
 			t.Fatalf("vote %d cut off: comes back as %d", n, got.ID)
-		case got.Accepted.Number == n && got.Value.Turn == swarm.Turn(n):
+		case got.Accepted.Number == n && got.Value.Slot == consensus.Slot(n):
 			news++
-		case n == 1 && got.Value == nil, got.Accepted.Number == n-1 && got.Value.Turn == swarm.Turn(n-1):
+		case n == 1 && got.Value == nil, got.Accepted.Number == n-1 && got.Value.Slot == consensus.Slot(n-1):
 			olds++
 		default:
 			t.Fatalf("vote %d cut off: ballot %d", n, got.Accepted.Number)
@@ -249,7 +251,7 @@
 		for range 4 {
 			late.Go(func() {
 				for range 200 {
-					s.Update(func(st swarm.State) swarm.State { return st }, func(swarm.State, error) {})
+					s.Update(func(st consensus.AcceptorState) consensus.AcceptorState { return st }, func(consensus.AcceptorState, error) {})
 				}
 			})
 		}
@@ -257,7 +259,7 @@
 			t.Fatal(err)
 		}
 		late.Wait()
-		if err := s.Update(vote(1), func(swarm.State, error) {}); !errors.Is(err, ErrBusy) {
+		if err := s.Update(vote(1), func(consensus.AcceptorState, error) {}); !errors.Is(err, ErrBusy) {
 			t.Fatalf("an update after the end gives %v", err)
 		}
 	}
--- a/quorum/model_test.go
+++ b/quorum/model_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"oxbowspan/swarm"
+	"oxbowspan/consensus"
 )
 
 // The model: one machine asks the acceptors, among whom it may be, while they decide on turns and exchange members with or
@@ -33,14 +33,14 @@
 const bound = 2 * time.Second
 
 type acceptor struct {
-	id          swarm.AcceptorID
+	id          consensus.AcceptorID
 	life        uint64
-	voted, last swarm.Turn // of the vote, and of the one before it
+	voted, last consensus.Slot // of the vote, and of the one before it
 }
 
 type decision struct {
-	turn    swarm.Turn
-	members []swarm.Member
+	turn    consensus.Slot
+	members []consensus.Member
 	at      time.Duration
 }
 
@@ -49,7 +49,7 @@
 	question, answer bool
 	of               *acceptor
 	life             uint64
-	turn             swarm.Turn
+	turn             consensus.Slot
 	sentAt           time.Duration // of the question
 }
 
@@ -64,20 +64,20 @@
 	came      []message // and were not read
 	wakes     time.Duration
 	contact   *Contact
-	lastHeard map[swarm.AcceptorID]uint64
-	answered  map[swarm.AcceptorID]map[uint64]time.Duration // when the newest question was sent that a life answered
+	lastHeard map[consensus.AcceptorID]uint64
+	answered  map[consensus.AcceptorID]map[uint64]time.Duration // when the newest question was sent that a life answered
 	touched   int
 }
 
 func newModel(seed uint64, planted mistake) *model {
-	m := &model{r: rand.New(rand.NewPCG(seed, 3)), planted: planted, contact: NewContact(), lastHeard: map[swarm.AcceptorID]uint64{},
-		answered: map[swarm.AcceptorID]map[uint64]time.Duration{}}
-	var first []swarm.Member
+	m := &model{r: rand.New(rand.NewPCG(seed, 3)), planted: planted, contact: NewContact(), lastHeard: map[consensus.AcceptorID]uint64{},
+		answered: map[consensus.AcceptorID]map[uint64]time.Duration{}}
+	var first []consensus.Member
 	for i := range 5 {
-		a := &acceptor{id: swarm.AcceptorID(i + 1), life: 1}
+		a := &acceptor{id: consensus.AcceptorID(i + 1), life: 1}
 		m.acceptors, m.answered[a.id] = append(m.acceptors, a), map[uint64]time.Duration{}
 		if i < 3 {
-			first = append(first, swarm.Member{ID: a.id})
+			first = append(first, consensus.Member{ID: a.id})
 		}
 	}
 	m.decided = []decision{{members: first}}
@@ -113,14 +113,14 @@
 	}
 }
 
-func (m *model) told(a *acceptor) swarm.Turn {
+func (m *model) told(a *acceptor) consensus.Slot {
 	if m.planted == voteToldLate {
 		return a.last
 	}
 	return a.voted
 }
 
-func (m *model) vote(a *acceptor, turn swarm.Turn) {
+func (m *model) vote(a *acceptor, turn consensus.Slot) {
 	if turn != a.voted {
 		a.last, a.voted = a.voted, turn
 	}
@@ -167,10 +167,10 @@
 func (m *model) decide() {
 	old := m.decided[len(m.decided)-1]
 	next := decision{old.turn + 1, slices.Clone(old.members), m.now}
-	if stranger := m.acceptors[m.r.IntN(5)]; m.r.IntN(3) == 0 && !swarm.Has(next.members, stranger.id) {
-		next.members[m.r.IntN(len(next.members))] = swarm.Member{ID: stranger.id}
+	if stranger := m.acceptors[m.r.IntN(5)]; m.r.IntN(3) == 0 && !consensus.Contains(next.members, stranger.id) {
+		next.members[m.r.IntN(len(next.members))] = consensus.Member{ID: stranger.id}
 	}
-	for _, set := range [][]swarm.Member{old.members, next.members} {
+	for _, set := range [][]consensus.Member{old.members, next.members} {
 		for _, i := range m.r.Perm(len(set))[:len(set)/2+1] {
 			m.vote(m.acceptors[set[i].ID-1], next.turn)
 		}
@@ -205,7 +205,7 @@
 			return fmt.Sprintf("at %v contact since %v at turn %d; turn %d was decided at %v", m.now, since, known.turn, d.turn, d.at)
 		}
 	}
-	if !swarm.Majority(known.members, func(id swarm.AcceptorID) bool {
+	if !consensus.HasMajority(known.members, func(id consensus.AcceptorID) bool {
 		return id == self.id || m.answered[id][m.lastHeard[id]] >= since && m.lastHeard[id] > 0
 	}) {
 		return fmt.Sprintf("at %v contact since %v, of which a majority as it runs now answered nothing", m.now, since)
@@ -258,7 +258,7 @@
 
 // An answer that is older than one that was taken changes nothing, whoever's it is; what is forgotten is gone.
 func TestOldAnswersChangeNothing(t *testing.T) {
-	c, members := NewContact(), []swarm.Member{{ID: 1}}
+	c, members := NewContact(), []consensus.Member{{ID: 1}}
 	since := func(want time.Duration, ok bool) {
 		t.Helper()
 		if got, is := c.Since(members, 5); got != want || is != ok {
--- a/quorum/quorum.go
+++ b/quorum/quorum.go
@@ -8,19 +8,19 @@
 	"slices"
 	"time"
 
-	"oxbowspan/swarm"
+	"oxbowspan/consensus"
 )
 
 // Answer is what an acceptor told when it was asked.
 type Answer struct {
-	Life   uint64        // of the process that answered
-	SentAt time.Duration // when it was asked
-	Turn   swarm.Turn    // the newest that it had voted for or knew to be decided
+	Life   uint64         // of the process that answered
+	SentAt time.Duration  // when it was asked
+	Turn   consensus.Slot // the newest that it had voted for or knew to be decided
 }
 
 // Contact holds the newest answers of each acceptor. What empties it: Began and Forget.
 type Contact struct {
-	acceptors map[swarm.AcceptorID]*record
+	acceptors map[consensus.AcceptorID]*record
 }
 
 type record struct {
@@ -30,11 +30,11 @@
 }
 
 // NewContact makes a contact with nobody.
-func NewContact() *Contact { return &Contact{acceptors: map[swarm.AcceptorID]*record{}} }
+func NewContact() *Contact { return &Contact{acceptors: map[consensus.AcceptorID]*record{}} }
 
 // Answered takes an acceptor's answer. Known is the turn that the asker knows to be decided. An answer that is older than one
 // that was taken, as of a process that has ended since, says nothing.
-func (c *Contact) Answered(id swarm.AcceptorID, a Answer, known swarm.Turn) {
+func (c *Contact) Answered(id consensus.AcceptorID, a Answer, known consensus.Slot) {
 	r := c.acceptors[id]
 	switch {
 	case r != nil && a.SentAt < r.newest.SentAt:
@@ -51,7 +51,7 @@
 
 // Began notes that an acceptor's process was heard under a life: what another one answered does not count any more. It is no
 // contact: that the acceptor reaches this machine does not say that this machine reaches it.
-func (c *Contact) Began(id swarm.AcceptorID, life uint64) {
+func (c *Contact) Began(id consensus.AcceptorID, life uint64) {
 	if r := c.acceptors[id]; r != nil && r.newest.Life != life {
 		delete(c.acceptors, id)
 	}
@@ -70,7 +70,7 @@
 // of no turn beyond the known one. Members are those of the value that is known to be decided at that turn, the asker among
 // them where it votes. Then no later turn was decided before that time: a majority of these members would have voted for it
 // first, and one of them is among those that answered. False = there is no such time.
-func (c *Contact) Since(members []swarm.Member, known swarm.Turn) (since time.Duration, ok bool) {
+func (c *Contact) Since(members []consensus.Member, known consensus.Slot) (since time.Duration, ok bool) {
 	var times []time.Duration
 	for _, m := range members {
 		if at, vouches := c.vouched(m.ID, known); vouches {
@@ -86,7 +86,7 @@
 }
 
 // vouched is when an acceptor was asked that told of no turn beyond the known one.
-func (c *Contact) vouched(id swarm.AcceptorID, known swarm.Turn) (time.Duration, bool) {
+func (c *Contact) vouched(id consensus.AcceptorID, known consensus.Slot) (time.Duration, bool) {
 	r := c.acceptors[id]
 	switch {
 	case r == nil:
