--- a/forager/answers_test.go
+++ b/forager/answers_test.go
@@ -27,7 +27,7 @@
 	"oxbowspan/internal/boot"
 	"oxbowspan/internal/ground"
 	"oxbowspan/internal/meadow"
-	"oxbowspan/waggle"
+	"oxbowspan/registry"
 )
 
 // The whole data plane of one gatherer between clients and servers that keep to no protocol: what servers, connections and
@@ -231,7 +231,7 @@
 			}
 			listeners = append(listeners, l)
 			go w.serveAll(l, services[i])
-			reports = append(reports, &dance.Report{Instance: "i-" + ip, Service: services[i], Address: ip + ":80", Zone: "z", State: uint32(waggle.Ready), Sequence: 1})
+			reports = append(reports, &dance.Report{Instance: "i-" + ip, Service: services[i], Address: ip + ":80", Zone: "z", State: uint32(registry.Ready), Sequence: 1})
 		}
 	}
 	quit := w.start(t, reports)
--- a/forager/bench_test.go
+++ b/forager/bench_test.go
@@ -14,7 +14,7 @@
 	"oxbowspan/dance"
 	"oxbowspan/internal/boot"
 	"oxbowspan/internal/ground"
-	"oxbowspan/waggle"
+	"oxbowspan/registry"
 )
 
 // BenchmarkRequest takes one request after the other from a client to a server over loopback.
@@ -44,7 +44,7 @@
 		f.putInForce(&comb.Configuration{Version: 1, Services: []comb.Service{{Name: "s"}}, Routes: []comb.Route{
 			{Hostname: "h", PathPrefix: "/", RouteKind: comb.Retryable, TimeoutMS: 900, TargetMS: 90, Service: "s", Attempts: 2}}}, 1)
 		f.takeReports(&dance.News{Whole: true, Settled: true, Warm: true, Reports: []*dance.Report{
-			{Instance: "i", Service: "s", Address: server.Addr().String(), Zone: "z", State: uint32(waggle.Ready), Sequence: 1}}})
+			{Instance: "i", Service: "s", Address: server.Addr().String(), Zone: "z", State: uint32(registry.Ready), Sequence: 1}}})
 	})
 	c, err := net.Dial("tcp", front.Addr().String())
 	if err != nil {
--- a/forager/duties.go
+++ b/forager/duties.go
@@ -9,7 +9,7 @@
 	"oxbowspan/brain"
 	"oxbowspan/dance"
 	"oxbowspan/kin"
-	"oxbowspan/waggle"
+	"oxbowspan/registry"
 )
 
 // Looking after a server that the core does not hear. Its calls may not come through while it serves as before: one gatherer,
@@ -32,7 +32,7 @@
 			s.probePause = 0
 			continue
 		}
-		if s.state != waggle.Ready || s.replaced || now < s.probeAt || !f.duties.May(kin.Name(s.instance), span(now)) {
+		if s.state != registry.Ready || s.replaced || now < s.probeAt || !f.duties.May(kin.Name(s.instance), span(now)) {
 			continue
 		}
 		if s.probePause == 0 {
--- a/forager/links.go
+++ b/forager/links.go
@@ -11,7 +11,7 @@
 	"github.com/valyala/fasthttp"
 
 	"oxbowspan/brain"
-	"oxbowspan/waggle"
+	"oxbowspan/registry"
 )
 
 // Bounds on what passes between this gatherer and servers.
@@ -172,7 +172,7 @@
 	l := &link{c: nc, f: s, r: bufio.NewReaderSize(nc, 4096), keep: idleLimit, usedAt: time.Now()}
 	f.wg.Go(func() { f.read(l) })
 	switch {
-	case !s.listed || s.state != waggle.Ready:
+	case !s.listed || s.state != registry.Ready:
 		// It left while the connection was made: nothing may reach it any more.
 		if !c.over {
 			f.callEnded(c, brain.ConnectFailed, nil)
@@ -367,7 +367,7 @@
 
 // gone forgets a server that has left once nothing is out there.
 func (f *Forager) gone(s *flower) {
-	if s.state == waggle.Gone && s.out == 0 && s.links == 0 && f.flowers[s.instance] == s {
+	if s.state == registry.Deregistered && s.out == 0 && s.links == 0 && f.flowers[s.instance] == s {
 		delete(f.flowers, s.instance)
 		delete(f.servers, s.id)
 		f.left(s)
--- a/forager/owner.go
+++ b/forager/owner.go
@@ -15,8 +15,8 @@
 	"oxbowspan/internal/boot"
 	"oxbowspan/kin"
 	"oxbowspan/pollen"
+	"oxbowspan/registry"
 	"oxbowspan/scout"
-	"oxbowspan/waggle"
 )
 
 // follows is what one version of the configuration means here. It is read by many and never changed.
@@ -98,7 +98,7 @@
 	address          string
 	service          string
 	zone             string
-	state            waggle.State
+	state            registry.State
 	silent           bool
 	unheard          bool       // the core does not hear it itself
 	claim            kin.Claim  // of the newest holder of its duty that was heard of
@@ -472,14 +472,14 @@
 		}
 		for i, s := range f.flowers {
 			if !named[i] {
-				s.state = waggle.Gone
+				s.state = registry.Deregistered
 			}
 		}
 	}
 	for _, r := range n.Reports {
 		s := f.flowers[r.Instance]
 		if s == nil {
-			if r.Service == "" || r.State == uint32(waggle.Gone) {
+			if r.Service == "" || r.State == uint32(registry.Deregistered) {
 				continue
 			}
 			f.lastID++
@@ -495,7 +495,7 @@
 		if claim := (kin.Claim{Fence: r.Fence, Holder: r.Holder}); claim.Compare(s.claim) > 0 {
 			s.claim = claim
 		}
-		s.state = max(s.state, waggle.State(r.State))
+		s.state = max(s.state, registry.State(r.State))
 	}
 	if len(n.Reports) > 0 || n.Whole {
 		f.relist()
@@ -514,9 +514,9 @@
 		entry := brain.Server{ID: s.id, Zone: f.zone(s.zone), Cell: brain.CellNo(f.shard(s.service)), Most: f.most(s.service)}
 		if own, few := seated[s.service]; !s.silent && !s.replaced && (!few || own[s.instance]) {
 			switch s.state {
-			case waggle.Ready:
+			case registry.Ready:
 				entry.State = brain.Ready
-			case waggle.Draining:
+			case registry.Draining:
 				entry.State = brain.Draining
 			}
 		}
@@ -529,7 +529,7 @@
 		}
 		f.tenancy.serve(s, entry.Most, kin.Seats(f.limits[s.service]))
 		ev.Servers = append(ev.Servers, entry)
-		if s.state == waggle.Gone && s.out == 0 && s.links == 0 {
+		if s.state == registry.Deregistered && s.out == 0 && s.links == 0 {
 			delete(f.flowers, i)
 			delete(f.servers, s.id)
 			f.left(s)
@@ -562,7 +562,7 @@
 		}
 		var servers []kin.Name
 		for _, s := range f.flowers {
-			if s.service == service && s.state == waggle.Ready && !s.silent && !s.replaced {
+			if s.service == service && s.state == registry.Ready && !s.silent && !s.replaced {
 				servers = append(servers, kin.Name(s.instance))
 			}
 		}
--- a/hive/calls.go
+++ b/hive/calls.go
@@ -13,7 +13,7 @@
 
 	"oxbowspan/comb"
 	"oxbowspan/consensus"
-	"oxbowspan/waggle"
+	"oxbowspan/registry"
 )
 
 // How long the calls may take, and how long their bodies may be.
@@ -72,26 +72,26 @@
 		refuse(w, http.StatusBadRequest, "the heartbeat is not as it should be")
 		return
 	}
-	id := waggle.InstanceID(r.PathValue("id"))
+	id := registry.InstanceID(r.PathValue("id"))
 	if id == "" || b.Service == "" || b.Address == "" {
 		refuse(w, http.StatusBadRequest, "a heartbeat names its instance, service and address")
 		return
 	}
-	state := waggle.Ready
+	state := registry.Ready
 	if b.State == comb.StateDraining {
-		state = waggle.Draining
+		state = registry.Draining
 	}
 	c.take(w, r, func(now time.Duration) {
-		c.h.table.Take(waggle.Report{Instance: id, Service: waggle.ServiceID(b.Service), Address: b.Address, Zone: b.Zone,
-			Version: b.Version, Slots: b.CapacitySlots, State: state, Sequence: waggle.Sequence(b.CallSequence), HeardAt: now,
-			WarmAt: now + time.Duration(b.ColdRemainingMS*float64(time.Millisecond))}, "")
+		c.h.table.Merge(registry.Record{Instance: id, Service: registry.ServiceID(b.Service), Address: b.Address, Zone: b.Zone,
+			Version: b.Version, Slots: b.CapacitySlots, State: state, Sequence: registry.Sequence(b.CallSequence), HeartbeatAt: now,
+			SlowStartEndsAt: now + time.Duration(b.ColdRemainingMS*float64(time.Millisecond))}, "")
 	})
 }
 
 func (c *instanceCalls) signOff(w http.ResponseWriter, r *http.Request) {
 	io.Copy(io.Discard, http.MaxBytesReader(w, r.Body, beatBytes))
-	id := waggle.InstanceID(r.PathValue("id"))
-	c.take(w, r, func(now time.Duration) { c.h.table.SignOff(id, now) })
+	id := registry.InstanceID(r.PathValue("id"))
+	c.take(w, r, func(now time.Duration) { c.h.table.Deregister(id, now) })
 }
 
 // takenReport is what became of a report.
@@ -103,7 +103,7 @@
 // take hands a report to the owner. What takes a server out is acknowledged only when a majority of the core holds it, so
 // that it is not lost with this machine.
 func (c *instanceCalls) take(w http.ResponseWriter, r *http.Request, report func(now time.Duration)) {
-	h, id := c.h, waggle.InstanceID(r.PathValue("id"))
+	h, id := c.h, registry.InstanceID(r.PathValue("id"))
 	taken, written := inquire(h, func() takenReport { return h.takeReport(id, report) })
 	if !written {
 		refuse(w, http.StatusServiceUnavailable, "this machine is leaving")
@@ -129,20 +129,20 @@
 }
 
 // takeReport takes what a server says of itself.
-func (h *Hive) takeReport(id waggle.InstanceID, report func(now time.Duration)) (t takenReport) {
+func (h *Hive) takeReport(id registry.InstanceID, report func(now time.Duration)) (t takenReport) {
 	now, before := h.now(), h.table.Cursor()
 	t.alone = now > settledFor && !h.inContact(now)
 	report(now)
-	changed := h.table.Changed(before)
+	changed := h.table.ChangesAfter(before)
 	for _, o := range changed {
-		if o.State != waggle.Ready {
+		if o.State != registry.Ready {
 			t.wait = &spread{cursor: h.table.Cursor(), done: make(chan struct{}), until: now + spreadLimit}
 		}
 	}
 	if t.wait == nil {
 		// A call sent again: the first one may not have been borne yet.
-		if o := h.table.Get(id); o != nil && o.State != waggle.Ready {
-			t.wait = &spread{cursor: h.table.ChangedAt(id), done: make(chan struct{}), until: now + spreadLimit}
+		if o := h.table.Get(id); o != nil && o.State != registry.Ready {
+			t.wait = &spread{cursor: h.table.LastChange(id), done: make(chan struct{}), until: now + spreadLimit}
 		}
 	}
 	if len(changed) > 0 {
--- a/hive/hive.go
+++ b/hive/hive.go
@@ -25,7 +25,7 @@
 	"oxbowspan/internal/wax"
 	"oxbowspan/kin"
 	"oxbowspan/quorum"
-	"oxbowspan/waggle"
+	"oxbowspan/registry"
 )
 
 // Rhythm of the hive's own talk.
@@ -74,7 +74,7 @@
 	verify    verifications
 	voted     consensus.Slot // the newest turn that this acceptor voted for
 	votedAt   time.Duration
-	table     *waggle.Table
+	table     *registry.Table
 	foragers  map[uint64]*forager          // emptied of those not heard for a while
 	crowd     uint64                       // number of the list of foragers
 	names     uint64                       // of the last forager that there was something to tell the other hives of
@@ -83,7 +83,7 @@
 	spreads   []*spread                    // emptied by acks and time
 	events    *circularbuffer.Queue[event] // the newest keptEvents
 	eventNo   uint64
-	noted     waggle.Cursor     // up to which servers' changes were noted as events,
+	noted     registry.Cursor   // up to which servers' changes were noted as events,
 	servers   map[string]string // with what each was then; kept to those of the table
 	newsAt    time.Duration     // when waiters are to be told; 0 = nothing to tell
 	tidyAt    time.Duration
@@ -91,7 +91,7 @@
 	tryAt     time.Duration
 	leaving   bool
 	hintedAt  time.Duration
-	hinted    waggle.Cursor // up to which the reports are on the disk, as hints
+	hinted    registry.Cursor // up to which the reports are on the disk, as hints
 	hinting   bool
 }
 
@@ -119,7 +119,7 @@
 
 // spread waits until a report is held by enough of the core.
 type spread struct {
-	cursor waggle.Cursor
+	cursor registry.Cursor
 	done   chan struct{}
 	until  time.Duration
 }
@@ -150,7 +150,7 @@
 	state := store.State()
 	h := &Hive{set: set, net: on, log: log, store: store, self: state.ID, proposer: consensus.ProposerID(wax.Draw()), life: uint64(wax.Draw()),
 		address: set.Internal(boot.HivePort), start: time.Now(), cmds: make(chan func(), 1024), stopped: make(chan struct{}), killed: make(chan struct{}),
-		turn: make(chan struct{}, 1), known: consensus.Genesis(genesis), table: waggle.NewTable(set.Beat()),
+		turn: make(chan struct{}, 1), known: consensus.Genesis(genesis), table: registry.NewTable(set.Beat()),
 		foragers: map[uint64]*forager{}, peers: map[string]*peer{}, waiters: map[*waiter]bool{}, servers: map[string]string{}, events: circularbuffer.New[event](keptEvents), notesAt: map[string]noteAt{}, ballot: state.Promised.Number, contact: quorum.NewContact()}
 	if v := state.Value; v != nil {
 		// Whether it was decided is not known.
@@ -339,7 +339,7 @@
 
 // tidy forgets what is over and starts the rounds that this hive owes.
 func (h *Hive) tidy(now time.Duration) {
-	if h.table.Tidy(now) {
+	if h.table.Expire(now) {
 		h.news(false)
 	}
 	h.noteReports(now)
@@ -385,11 +385,11 @@
 // they have called again. What is there may be old: a server that does not call is soon silent again.
 func (h *Hive) keepHints(now time.Duration) {
 	upTo := h.table.Cursor()
-	if h.hinting || now-h.hintedAt < hintsEvery || len(h.table.Changed(h.hinted)) == 0 {
+	if h.hinting || now-h.hintedAt < hintsEvery || len(h.table.ChangesAfter(h.hinted)) == 0 {
 		return
 	}
 	m := &dance.Pulse{}
-	for _, r := range h.table.Changed(0) {
+	for _, r := range h.table.ChangesAfter(0) {
 		m.Reports = append(m.Reports, fromReport(r, now))
 	}
 	text, err := proto.Marshal(m)
@@ -413,7 +413,7 @@
 	}
 	for _, r := range m.Reports {
 		r.AgeMs = 0 // how long ago that was nobody knows
-		h.table.Take(toReport(r, h.now()), "disk")
+		h.table.Merge(toReport(r, h.now()), "disk")
 	}
 }
 
@@ -443,7 +443,7 @@
 
 func (h *Hive) hasNews(a *dance.Ask, now time.Duration) bool {
 	return h.hasVersion(a) && now >= h.versionAt(a) || a.HiveLife != h.life || a.Crowd != h.crowd ||
-		len(h.table.Changed(waggle.Cursor(a.Cursor))) > 0
+		len(h.table.ChangesAfter(registry.Cursor(a.Cursor))) > 0
 }
 
 func (h *Hive) answer(w *waiter, now time.Duration) {
@@ -460,11 +460,11 @@
 			n.Notes = append(n.Notes, m)
 		}
 	}
-	after := waggle.Cursor(a.Cursor)
+	after := registry.Cursor(a.Cursor)
 	if a.HiveLife != h.life {
 		n.Whole, after = true, 0
 	}
-	for _, r := range h.table.Changed(after) {
+	for _, r := range h.table.ChangesAfter(after) {
 		n.Reports = append(n.Reports, fromReport(r, now))
 	}
 	if a.Crowd != h.crowd || n.Whole {
@@ -519,7 +519,7 @@
 	}
 	for _, r := range a.Known {
 		in := toReport(r, now)
-		if h.table.Witness(in.Instance, in.Claim, in.SeenAt) {
+		if h.table.ConfirmHealthy(in.Instance, in.Lease, in.HealthyAt) {
 			h.news(false)
 		}
 	}
@@ -580,17 +580,17 @@
 	h.news(false)
 }
 
-func fromReport(r *waggle.Report, now time.Duration) *dance.Report {
+func fromReport(r *registry.Record, now time.Duration) *dance.Report {
 	return &dance.Report{Instance: string(r.Instance), Service: string(r.Service), Address: r.Address, Zone: r.Zone, Version: r.Version,
-		Slots: uint32(r.Slots), State: uint32(r.State), ColdMs: uint32(max(r.WarmAt-now, 0) / time.Millisecond),
-		Sequence: uint64(r.Sequence), AgeMs: uint32(max(now-r.HeardAt, 0) / time.Millisecond), Silent: r.Silent, Unheard: r.Unheard,
-		WitnessAgeMs: uint32(max(now-r.SeenAt, 0) / time.Millisecond), Fence: r.Claim.Fence, Holder: r.Claim.Holder}
+		Slots: uint32(r.Slots), State: uint32(r.State), ColdMs: uint32(max(r.SlowStartEndsAt-now, 0) / time.Millisecond),
+		Sequence: uint64(r.Sequence), AgeMs: uint32(max(now-r.HeartbeatAt, 0) / time.Millisecond), Silent: r.Unresponsive, Unheard: r.HeartbeatMissed,
+		WitnessAgeMs: uint32(max(now-r.HealthyAt, 0) / time.Millisecond), Fence: r.Lease.Fence, Holder: r.Lease.Holder}
 }
 
-func toReport(r *dance.Report, now time.Duration) waggle.Report {
-	return waggle.Report{Instance: waggle.InstanceID(r.Instance), Service: waggle.ServiceID(r.Service), Address: r.Address, Zone: r.Zone,
-		Version: r.Version, Slots: int(r.Slots), State: waggle.State(min(r.State, uint32(waggle.Gone))),
-		Refresh: r.Refresh, Silent: r.Silent, Unheard: r.Unheard, WarmAt: now + time.Duration(r.ColdMs)*time.Millisecond, Sequence: waggle.Sequence(r.Sequence),
-		HeardAt: now - time.Duration(r.AgeMs)*time.Millisecond, SeenAt: now - time.Duration(r.WitnessAgeMs)*time.Millisecond,
-		Claim: kin.Claim{Fence: r.Fence, Holder: r.Holder}}
+func toReport(r *dance.Report, now time.Duration) registry.Record {
+	return registry.Record{Instance: registry.InstanceID(r.Instance), Service: registry.ServiceID(r.Service), Address: r.Address, Zone: r.Zone,
+		Version: r.Version, Slots: int(r.Slots), State: registry.State(min(r.State, uint32(registry.Deregistered))),
+		HeartbeatOnly: r.Refresh, Unresponsive: r.Silent, HeartbeatMissed: r.Unheard, SlowStartEndsAt: now + time.Duration(r.ColdMs)*time.Millisecond, Sequence: registry.Sequence(r.Sequence),
+		HeartbeatAt: now - time.Duration(r.AgeMs)*time.Millisecond, HealthyAt: now - time.Duration(r.WitnessAgeMs)*time.Millisecond,
+		Lease: kin.Claim{Fence: r.Fence, Holder: r.Holder}}
 }
--- a/hive/peers.go
+++ b/hive/peers.go
@@ -8,7 +8,7 @@
 	"oxbowspan/consensus"
 	"oxbowspan/dance"
 	"oxbowspan/quorum"
-	"oxbowspan/waggle"
+	"oxbowspan/registry"
 )
 
 // peer is another hive. Its fields are the owner's, save those that are set when it is made.
@@ -26,7 +26,7 @@
 	heardAt   time.Duration            // 0 = never
 	listed    bool                     // among those that foragers are told of
 	turn      consensus.Slot           // that it knows
-	has       waggle.Cursor            // up to which it has this hive's reports
+	has       registry.Cursor          // up to which it has this hive's reports
 	crowd     uint64                   // up to which number it has the foragers that ask this hive,
 	told      uint64                   // and up to which the pulse on its way names them whole
 	crowdAt   time.Duration            // when all of them were last named
@@ -123,7 +123,7 @@
 type outgoingPulse struct {
 	message *dance.Pulse
 	sentAt  time.Duration
-	upTo    waggle.Cursor
+	upTo    registry.Cursor
 }
 
 // pulse makes what one hive is to be told now.
@@ -136,16 +136,16 @@
 		m.Value = h.tellValue(p)
 	}
 	upTo := h.table.Cursor()
-	sent := map[waggle.InstanceID]bool{}
+	sent := map[registry.InstanceID]bool{}
 	deaf := func(from string) bool { return p.silent[from] > 2*pulseEvery }
-	for _, r := range h.table.Heard(p.has, p.address, deaf) {
+	for _, r := range h.table.UpdatesFor(p.has, p.address, deaf) {
 		sent[r.Instance] = true
 		if r.ChangedAfter(p.has) {
 			m.Reports = append(m.Reports, fromReport(r, now))
 		} else {
 			m.Reports = append(m.Reports, &dance.Report{Instance: string(r.Instance), Sequence: uint64(r.Sequence),
-				AgeMs: uint32(max(now-r.HeardAt, 0) / time.Millisecond), Refresh: true,
-				WitnessAgeMs: uint32(max(now-r.SeenAt, 0) / time.Millisecond), Fence: r.Claim.Fence, Holder: r.Claim.Holder})
+				AgeMs: uint32(max(now-r.HeartbeatAt, 0) / time.Millisecond), Refresh: true,
+				WitnessAgeMs: uint32(max(now-r.HealthyAt, 0) / time.Millisecond), Fence: r.Lease.Fence, Holder: r.Lease.Holder})
 		}
 	}
 	for _, no := range p.differ { // mended from the newer: it takes what is newer than its own
@@ -209,22 +209,22 @@
 	for _, r := range m.Reports {
 		in := toReport(r, now)
 		was := h.table.Get(in.Instance)
-		before := waggle.Ready
+		before := registry.Ready
 		if was != nil {
 			before = was.State
 		}
-		if h.table.Take(in, p.address) && in.State > before {
+		if h.table.Merge(in, p.address) && in.State > before {
 			urgent = true
 		}
 	}
-	if len(h.table.Changed(changed)) > 0 {
+	if len(h.table.ChangesAfter(changed)) > 0 {
 		h.news(urgent)
 	}
 	for _, f := range m.Foragers {
 		back.Unknown = back.Unknown || f.Address == "" && !f.Left && h.foragers[f.Life] == nil
 		h.foragerHeard(f, now-time.Duration(f.AgeMs)*time.Millisecond, false)
 	}
-	if len(m.Digests) == waggle.Ranges {
+	if len(m.Digests) == registry.RangeCount {
 		for no, sum := range h.table.Digests() {
 			if sum != m.Digests[no] {
 				back.Differ = append(back.Differ, uint32(no))
@@ -258,7 +258,7 @@
 	h.contact.Answered(p.id, quorum.Answer{Life: m.Life, SentAt: sent.sentAt, Turn: consensus.Slot(max(m.Voted, m.Turn))}, h.known.Slot)
 	h.verified(now)
 	for _, no := range m.Differ {
-		if no < waggle.Ranges && !slices.Contains(p.differ, int(no)) {
+		if no < registry.RangeCount && !slices.Contains(p.differ, int(no)) {
 			p.differ = append(p.differ, int(no))
 		}
 	}
@@ -274,7 +274,7 @@
 }
 
 // borne tells whether a majority of the acceptors' machines hold the reports up to a cursor.
-func (h *Hive) borne(cursor waggle.Cursor) bool {
+func (h *Hive) borne(cursor registry.Cursor) bool {
 	return consensus.HasMajority(h.known.Members, func(id consensus.AcceptorID) bool {
 		if id == h.self {
 			return true
--- a/hive/views.go
+++ b/hive/views.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"oxbowspan/consensus"
-	"oxbowspan/waggle"
+	"oxbowspan/registry"
 )
 
 // What operators may look at. Each hive tells what it knows; whoever wants all asks all hives. Lists of gatherers and servers
@@ -42,9 +42,9 @@
 
 // noteReports remembers what servers did that changes who is asked.
 func (h *Hive) noteReports(now time.Duration) {
-	for _, r := range h.table.Changed(h.noted) {
+	for _, r := range h.table.ChangesAfter(h.noted) {
 		is := r.State.String()
-		if r.State == waggle.Ready && r.Silent {
+		if r.State == registry.Ready && r.Unresponsive {
 			is = "silent"
 		}
 		id := string(r.Instance)
@@ -54,7 +54,7 @@
 		if h.servers[id] = is; now > settledFor { // not all that it learns as it begins
 			h.note("server", id+" of "+string(r.Service)+" at "+r.Address+" is "+is)
 		}
-		if r.State == waggle.Gone {
+		if r.State == registry.Deregistered {
 			delete(h.servers, id)
 		}
 	}
@@ -180,9 +180,9 @@
 	tellCurrent(c.h, w, func() []Server {
 		out := []Server{}
 		now := c.h.now()
-		for _, r := range c.h.table.Changed(0) {
-			out = append(out, Server{string(r.Instance), string(r.Service), r.Address, r.Zone, r.Version, r.Slots, r.State.String(), r.Silent, r.Unheard,
-				(now - r.HeardAt).Seconds(), max(r.WarmAt-now, 0).Seconds()})
+		for _, r := range c.h.table.ChangesAfter(0) {
+			out = append(out, Server{string(r.Instance), string(r.Service), r.Address, r.Zone, r.Version, r.Slots, r.State.String(), r.Unresponsive, r.HeartbeatMissed,
+				(now - r.HeartbeatAt).Seconds(), max(r.SlowStartEndsAt-now, 0).Seconds()})
 		}
 		return out
 	})
