--- a/comb/comb_test.go
+++ b/config/config_test.go
@@ -1,14 +1,14 @@
-package comb
+package config
 
 import (
 	"strings"
 	"testing"
 )
 
-func TestFindTakesTheLongestPrefix(t *testing.T) {
+func TestRouteTableFindsLongestPrefix(t *testing.T) {
 	c := &Configuration{Routes: []Route{{Name: "root", Hostname: "A.example", PathPrefix: "/"}, {Name: "x", Hostname: "a.example", PathPrefix: "/x/"},
 		{Name: "xy", Hostname: "a.example", PathPrefix: "/x/y/"}, {Name: "b", Hostname: "b.example", PathPrefix: "/x/"}}}
-	table := NewTable(c)
+	table := NewRouteTable(c)
 	for _, k := range []struct{ host, path, want string }{
 		{"a.example", "/x/y/z", "xy"}, {"a.example", "/x/y/", "xy"}, {"a.example", "/x/y", "x"}, {"a.example", "/x", "root"},
 		{"A.EXAMPLE:8080", "/x/yy/", "x"}, {"a.example", "/", "root"}, {"b.example", "/", ""}, {"b.example", "/x", ""},
@@ -24,13 +24,13 @@
 	}
 }
 
-func TestCheckNamesAllFaults(t *testing.T) {
+func TestValidateReportsAllProblems(t *testing.T) {
 	c := &Configuration{Version: 0, Services: []Service{{Name: "s"}, {Name: "s"}}, Routes: []Route{
 		{Name: "one", Hostname: "h", PathPrefix: "/a", RouteKind: Retryable, TimeoutMS: 1, Service: "s"},
 		{Name: "two", Hostname: "h", PathPrefix: "/b/", RouteKind: "sometimes", TimeoutMS: 0, Service: "t"},
-		{Name: "three", Hostname: "H", PathPrefix: "/b/", RouteKind: Retryable, TimeoutMS: 1, WeightedServices: []Weighted{{"s", 0}}},
+		{Name: "three", Hostname: "H", PathPrefix: "/b/", RouteKind: Retryable, TimeoutMS: 1, WeightedServices: []WeightedService{{"s", 0}}},
 		{Name: "four", Hostname: "h", PathPrefix: "/c/", RouteKind: Retryable, TimeoutMS: 1}}}
-	all := strings.Join(c.Check(), "\n")
+	all := strings.Join(c.Validate(), "\n")
 	for _, want := range []string{"version is 0", "stands twice", "begin and end with a slash", "neither", "time-out", "unknown",
 		"share host and prefix", "add up to 0", "names no service"} {
 		if !strings.Contains(all, want) {
@@ -39,23 +39,23 @@
 	}
 }
 
-func TestReadWantsItWhole(t *testing.T) {
+func TestParseRejectsIncompleteJSON(t *testing.T) {
 	for _, text := range []string{"", "{", `{"version":1`, `{"version":1}{}`, `{"version":"x"}`, `[]x`} {
-		if _, err := Read([]byte(text)); err == nil {
+		if _, err := Parse([]byte(text)); err == nil {
 			t.Errorf("%q was read", text)
 		}
 	}
-	if c, err := Read([]byte(`{"version":5,"later":{"a":[1]},"routes":[{"name":"r","unknown":true}]}`)); err != nil || c.Version != 5 || len(c.Routes) != 1 {
+	if c, err := Parse([]byte(`{"version":5,"later":{"a":[1]},"routes":[{"name":"r","unknown":true}]}`)); err != nil || c.Version != 5 || len(c.Routes) != 1 {
 		t.Errorf("unknown fields are not ignored: %v", err)
 	}
 }
 
-func FuzzRead(f *testing.F) {
+func FuzzParse(f *testing.F) {
 	f.Add([]byte(`{"version":1,"routes":[{"name":"r","weighted_services":[{"service":"s","weight":1e308}]}]}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		if c, err := Read(text); err == nil {
-			c.Check()
-			NewTable(c).Find("h", "/x/")
+		if c, err := Parse(text); err == nil {
+			c.Validate()
+			NewRouteTable(c).Find("h", "/x/")
 		}
 	})
 }
--- a/comb/fuzz_test.go
+++ b/config/fuzz_test.go
@@ -1,4 +1,4 @@
-package comb
+package config
 
 import (
 	"strings"
@@ -12,9 +12,9 @@
 	f.Add(`{"pins":[{"instance":"i","stance":"out","for_s":1}]}`, "[::1]", "//")
 	f.Add(`{"version":1e400}`, "h", "/")
 	f.Fuzz(func(t *testing.T, text, host, path string) {
-		c, err := Read([]byte(text))
-		if err == nil && len(c.Check()) == 0 {
-			table := NewTable(c)
+		c, err := Parse([]byte(text))
+		if err == nil && len(c.Validate()) == 0 {
+			table := NewRouteTable(c)
 			if r := table.Find(host, path); r != nil && !strings.HasPrefix(path, r.PathPrefix) {
 				t.Fatalf("path %q takes the route of %q", path, r.PathPrefix)
 			}
@@ -24,17 +24,17 @@
 				}
 			}
 		}
-		if d, err := ReadTenants([]byte(text)); err == nil && len(d.Check()) == 0 {
-			of := d.Table()
-			if at, named := of.Of(&Route{Hostname: host, PathPrefix: path}); named && (at < 0 || at >= len(d.Tenants)) {
+		if d, err := ParseTenants([]byte(text)); err == nil && len(d.Validate()) == 0 {
+			of := d.NewTenantTable()
+			if at, named := of.Lookup(&Route{Hostname: host, PathPrefix: path}); named && (at < 0 || at >= len(d.Tenants)) {
 				t.Fatalf("tenant %d of %d", at, len(d.Tenants))
 			}
 			if c != nil {
-				d.Against(c)
+				d.Conflicts(c)
 			}
 		}
-		if p, err := ReadPins([]byte(text)); err == nil {
-			p.Check()
+		if p, err := ParsePins([]byte(text)); err == nil {
+			p.Validate()
 		}
 	})
 }
--- a/comb/table.go
+++ b/config/route_table.go
@@ -1,16 +1,16 @@
-package comb
+package config
 
 import "strings"
 
-// Table finds routes. It is read by many at once and never changed.
-type Table struct {
+// RouteTable finds routes. It is read by many at once and never changed.
+type RouteTable struct {
 	Limits Limits
 	hosts  map[string]map[string]*Route // by host and prefix
 }
 
-// NewTable makes the table of a valid configuration.
-func NewTable(c *Configuration) *Table {
-	t := &Table{Limits: c.Limits, hosts: map[string]map[string]*Route{}}
+// NewRouteTable makes the table of a valid configuration.
+func NewRouteTable(c *Configuration) *RouteTable {
+	t := &RouteTable{Limits: c.Limits, hosts: map[string]map[string]*Route{}}
 	for i := range c.Routes {
 		r := &c.Routes[i]
 		host := strings.ToLower(r.Hostname)
@@ -24,7 +24,7 @@
 
 // Find is the route of a host, with or without a port, that has the longest prefix of a path; nil = none. The path has
 // no query.
-func (t *Table) Find(host, path string) *Route {
+func (t *RouteTable) Find(host, path string) *Route {
 	prefixes := t.hosts[host]
 	if prefixes == nil {
 		host = strings.ToLower(host)
--- a/comb/table_bench_test.go
+++ b/config/route_table_bench_test.go
@@ -1,4 +1,4 @@
-package comb
+package config
 
 import (
 	"encoding/json"
@@ -38,10 +38,10 @@
 				}
 			})
 		}
-		run("read", func() { Read(text) })
-		run("check", func() { c.Check() })
-		run("table", func() { NewTable(c) })
-		t := NewTable(c)
+		run("read", func() { Parse(text) })
+		run("check", func() { c.Validate() })
+		run("table", func() { NewRouteTable(c) })
+		t := NewRouteTable(c)
 		run("find", func() { t.Find("h1.example", "/p-1/x") })
 	}
 }
--- a/comb/types.go
+++ b/config/types.go
@@ -1,6 +1,6 @@
-// Package comb is the operator's configuration, as the hive stores it and as foragers follow it: its form, what makes it
+// Package config is the operator's configuration, as the hive stores it and as foragers follow it: its form, what makes it
 // invalid, and which route a request takes. It has no I/O, no clock and no goroutine.
-package comb
+package config
 
 //go:generate easyjson -all types.go
 
@@ -14,23 +14,23 @@
 
 // Route says where the requests of one host and prefix go.
 type Route struct {
-	Name             string     `json:"name"`
-	Hostname         string     `json:"hostname"`
-	PathPrefix       string     `json:"path_prefix"` // begins and ends with a slash
-	RouteKind        string     `json:"route_kind"`  // retryable, non_retryable
-	TimeoutMS        float64    `json:"timeout_ms"`
-	TargetMS         float64    `json:"target_ms"`
-	Priority         int        `json:"priority"`
-	Service          string     `json:"service,omitempty"`
-	WeightedServices []Weighted `json:"weighted_services,omitempty"`
-	GatheredServices []string   `json:"gathered_services,omitempty"`
-	Attempts         int        `json:"attempts"`
-	TopRecords       int        `json:"top_records,omitempty"`
-	MinimumShare     float64    `json:"minimum_share,omitempty"`
+	Name             string            `json:"name"`
+	Hostname         string            `json:"hostname"`
+	PathPrefix       string            `json:"path_prefix"` // begins and ends with a slash
+	RouteKind        string            `json:"route_kind"`  // retryable, non_retryable
+	TimeoutMS        float64           `json:"timeout_ms"`
+	TargetMS         float64           `json:"target_ms"`
+	Priority         int               `json:"priority"`
+	Service          string            `json:"service,omitempty"`
+	WeightedServices []WeightedService `json:"weighted_services,omitempty"`
+	GatheredServices []string          `json:"gathered_services,omitempty"`
+	Attempts         int               `json:"attempts"`
+	TopRecords       int               `json:"top_records,omitempty"`
+	MinimumShare     float64           `json:"minimum_share,omitempty"`
 }
 
-// Weighted is a service and its weight among those of its route.
-type Weighted struct {
+// WeightedService is a service and its weight among those of its route.
+type WeightedService struct {
 	Service string  `json:"service"`
 	Weight  float64 `json:"weight"`
 }
--- a/comb/check.go
+++ b/config/validate.go
@@ -1,4 +1,4 @@
-package comb
+package config
 
 import (
 	"cmp"
@@ -15,8 +15,8 @@
 	NonRetryable = "non_retryable"
 )
 
-// Read reads a configuration that must be whole. It does not check what it says: see Check.
-func Read(body []byte) (*Configuration, error) {
+// Parse reads a configuration that must be whole. It does not check what it says: see Check.
+func Parse(body []byte) (*Configuration, error) {
 	if !json.Valid(body) {
 		return nil, eris.New("the configuration is not one whole JSON value")
 	}
@@ -27,19 +27,19 @@
 	return c, nil
 }
 
-// Check returns all that is wrong with a configuration, a sentence each; none = it is valid.
-func (c *Configuration) Check() (faults []string) {
-	say := func(format string, args ...any) { faults = append(faults, fmt.Sprintf(format, args...)) }
+// Validate returns all that is wrong with a configuration, a sentence each; none = it is valid.
+func (c *Configuration) Validate() (problems []string) {
+	report := func(format string, args ...any) { problems = append(problems, fmt.Sprintf(format, args...)) }
 	if c.Version == 0 {
-		say("the version is 0 or missing")
+		report("the version is 0 or missing")
 	}
 	known := map[string]bool{}
 	for _, s := range c.Services {
 		if s.Name == "" {
-			say("a service has no name")
+			report("a service has no name")
 		}
 		if known[s.Name] {
-			say("service %q stands twice", s.Name)
+			report("service %q stands twice", s.Name)
 		}
 		known[s.Name] = true
 	}
@@ -47,39 +47,39 @@
 	for i, r := range c.Routes {
 		name := cmp.Or(r.Name, fmt.Sprintf("number %d", i+1))
 		if !strings.HasPrefix(r.PathPrefix, "/") || !strings.HasSuffix(r.PathPrefix, "/") {
-			say("route %s: prefix %q does not begin and end with a slash", name, r.PathPrefix)
+			report("route %s: prefix %q does not begin and end with a slash", name, r.PathPrefix)
 		}
 		key := strings.ToLower(r.Hostname) + r.PathPrefix
 		if other, ok := taken[key]; ok {
-			say("routes %s and %s share host and prefix", other, name)
+			report("routes %s and %s share host and prefix", other, name)
 		}
 		taken[key] = name
 		if r.RouteKind != Retryable && r.RouteKind != NonRetryable {
-			say("route %s: kind %q is neither %s nor %s", name, r.RouteKind, Retryable, NonRetryable)
+			report("route %s: kind %q is neither %s nor %s", name, r.RouteKind, Retryable, NonRetryable)
 		}
 		if !(r.TimeoutMS > 0) {
-			say("route %s: the time-out is not above 0", name)
+			report("route %s: the time-out is not above 0", name)
 		}
 		if r.Service == "" && len(r.WeightedServices) == 0 && len(r.GatheredServices) == 0 {
-			say("route %s names no service", name)
+			report("route %s names no service", name)
 		}
 		for _, s := range r.Services() {
 			if !known[s] {
-				say("route %s names service %q, which is unknown", name, s)
+				report("route %s names service %q, which is unknown", name, s)
 			}
 		}
 		sum := 0.0
 		for _, w := range r.WeightedServices {
 			if w.Weight < 0 {
-				say("route %s: the weight of service %q is below 0", name, w.Service)
+				report("route %s: the weight of service %q is below 0", name, w.Service)
 			}
 			sum += w.Weight
 		}
 		if len(r.WeightedServices) > 0 && !(sum > 0) {
-			say("route %s: the weights add up to 0", name)
+			report("route %s: the weights add up to 0", name)
 		}
 	}
-	return faults
+	return problems
 }
 
 // Services are all that a route names, each once.
--- a/forager/answers_test.go
+++ b/forager/answers_test.go
@@ -22,7 +22,7 @@
 	"github.com/rs/zerolog"
 	"pgregory.net/rapid"
 
-	"oxbowspan/comb"
+	"oxbowspan/config"
 	"oxbowspan/dance"
 	"oxbowspan/internal/boot"
 	"oxbowspan/internal/ground"
@@ -274,12 +274,12 @@
 	set.Listen.Front = frontAddress
 	f := New(set, &faultyNetwork{w.net.Host(gathererHost), w}, zerolog.Nop())
 	f.wg.Go(f.own)
-	c := &comb.Configuration{Version: 1, Routes: []comb.Route{
-		{Hostname: "h", PathPrefix: "/once/", RouteKind: comb.NonRetryable, TimeoutMS: 900, TargetMS: 90, Service: "once", Attempts: 3},
-		{Hostname: "h", PathPrefix: "/one/", RouteKind: comb.Retryable, TimeoutMS: 900, TargetMS: 90, Service: "one", Attempts: 3},
-		{Hostname: "h", PathPrefix: "/all/", RouteKind: comb.Retryable, TimeoutMS: 900, TargetMS: 90, GatheredServices: []string{"a0", "a1"}, Attempts: 3, TopRecords: 6, MinimumShare: 0.5}}}
+	c := &config.Configuration{Version: 1, Routes: []config.Route{
+		{Hostname: "h", PathPrefix: "/once/", RouteKind: config.NonRetryable, TimeoutMS: 900, TargetMS: 90, Service: "once", Attempts: 3},
+		{Hostname: "h", PathPrefix: "/one/", RouteKind: config.Retryable, TimeoutMS: 900, TargetMS: 90, Service: "one", Attempts: 3},
+		{Hostname: "h", PathPrefix: "/all/", RouteKind: config.Retryable, TimeoutMS: 900, TargetMS: 90, GatheredServices: []string{"a0", "a1"}, Attempts: 3, TopRecords: 6, MinimumShare: 0.5}}}
 	for _, s := range services {
-		c.Services = append(c.Services, comb.Service{Name: s, ConnectionLimit: 40})
+		c.Services = append(c.Services, config.Service{Name: s, ConnectionLimit: 40})
 	}
 	f.do(func() {
 		f.putInForce(c, 1)
--- a/forager/bench_test.go
+++ b/forager/bench_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/rs/zerolog"
 
-	"oxbowspan/comb"
+	"oxbowspan/config"
 	"oxbowspan/dance"
 	"oxbowspan/internal/boot"
 	"oxbowspan/internal/ground"
@@ -41,8 +41,8 @@
 	f.wg.Go(f.own)
 	f.wg.Go(func() { f.serve(front) })
 	f.do(func() {
-		f.putInForce(&comb.Configuration{Version: 1, Services: []comb.Service{{Name: "s"}}, Routes: []comb.Route{
-			{Hostname: "h", PathPrefix: "/", RouteKind: comb.Retryable, TimeoutMS: 900, TargetMS: 90, Service: "s", Attempts: 2}}}, 1)
+		f.putInForce(&config.Configuration{Version: 1, Services: []config.Service{{Name: "s"}}, Routes: []config.Route{
+			{Hostname: "h", PathPrefix: "/", RouteKind: config.Retryable, TimeoutMS: 900, TargetMS: 90, Service: "s", Attempts: 2}}}, 1)
 		f.takeReports(&dance.News{Whole: true, Settled: true, Warm: true, Reports: []*dance.Report{
 			{Instance: "i", Service: "s", Address: server.Addr().String(), Zone: "z", State: uint32(registry.Ready), Sequence: 1}}})
 	})
--- a/forager/bounds_test.go
+++ b/forager/bounds_test.go
@@ -14,7 +14,7 @@
 
 	"pgregory.net/rapid"
 
-	"oxbowspan/comb"
+	"oxbowspan/config"
 )
 
 // What stands on a client's connection is read as requests with the bounds that a strict reader finds, or refused. So no other
@@ -128,7 +128,7 @@
 		c.r = &pieces{c.r, piece}
 	}
 	k := &client{c: c, r: bufio.NewReaderSize(c, 4096)}
-	limits := comb.Limits{BodyBytes: 1 << 16, HeaderTimeoutMS: 1000}
+	limits := config.Limits{BodyBytes: 1 << 16, HeaderTimeoutMS: 1000}
 	for k.readHead(&k.req, limits) && k.readBody(&k.req, limits) {
 		along, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(append(append([]byte("GET / HTTP/1.1\r\n"), passOn(&k.req)...), "\r\n"...))))
 		if err != nil {
--- a/forager/forager_test.go
+++ b/forager/forager_test.go
@@ -9,14 +9,14 @@
 	"github.com/valyala/fasthttp"
 
 	"oxbowspan/brain"
-	"oxbowspan/comb"
+	"oxbowspan/config"
 )
 
 const seal = "X-Server-Seal: s\r\n"
 
 // What servers send, and what it says of a sub-request. A wrong verdict is a rule broken: MIXED, TWICE or REFUSED.
 func TestAnswersOfServers(t *testing.T) {
-	single, gathered := &route{Route: &comb.Route{Service: "s"}}, &route{Route: &comb.Route{GatheredServices: []string{"s"}}}
+	single, gathered := &route{Route: &config.Route{Service: "s"}}, &route{Route: &config.Route{GatheredServices: []string{"s"}}}
 	for what, k := range map[string]struct {
 		text    string
 		to      *route
@@ -132,7 +132,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		resp := fasthttp.AcquireResponse()
 		defer fasthttp.ReleaseResponse(resp)
-		s := &search{method: "GET", attempt: "q", route: &route{Route: &comb.Route{Service: "s"}}}
+		s := &search{method: "GET", attempt: "q", route: &route{Route: &config.Route{Service: "s"}}}
 		outcome, _, err := readAnswer(bufio.NewReader(strings.NewReader(text)), s, false, resp)
 		if err == nil && outcome == brain.Answered && string(resp.Header.Peek("X-Attempt-Id")) != "q" {
 			t.Fatalf("%q was taken for the answer to q", text)
@@ -144,7 +144,7 @@
 // first answer of a connection can be nobody's late copy.
 func TestAPartWithoutAnIdCountsFirstOnItsConnectionOnly(t *testing.T) {
 	text := "HTTP/1.1 200 OK\r\n" + seal + "Content-Length: 2\r\n\r\nab"
-	single, gathered := &route{Route: &comb.Route{Service: "s"}}, &route{Route: &comb.Route{GatheredServices: []string{"s"}}}
+	single, gathered := &route{Route: &config.Route{Service: "s"}}, &route{Route: &config.Route{GatheredServices: []string{"s"}}}
 	for _, k := range []struct {
 		to      *route
 		first   bool
--- a/forager/front.go
+++ b/forager/front.go
@@ -14,7 +14,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"oxbowspan/comb"
+	"oxbowspan/config"
 	"oxbowspan/nectar"
 )
 
@@ -132,8 +132,8 @@
 }
 
 // limits are those in force for clients.
-func (f *Forager) clientLimits() comb.Limits {
-	l := comb.Limits{}
+func (f *Forager) clientLimits() config.Limits {
+	l := config.Limits{}
 	if now := f.follows.Load(); now != nil {
 		l = now.table.Limits
 	}
@@ -186,7 +186,7 @@
 }
 
 // request reads one request and answers it. It tells whether the connection may go on.
-func (f *Forager) request(k *client, limits comb.Limits) bool {
+func (f *Forager) request(k *client, limits config.Limits) bool {
 	q := &k.req
 	if !k.readHead(q, limits) {
 		return false
@@ -233,7 +233,7 @@
 }
 
 // readHead reads the head of a request. Where it tells false, the connection is over; what can be said has been.
-func (k *client) readHead(q *fasthttp.Request, limits comb.Limits) bool {
+func (k *client) readHead(q *fasthttp.Request, limits config.Limits) bool {
 	q.Reset()
 	q.Header.DisableNormalizing()
 	if !k.startsWell() {
@@ -276,7 +276,7 @@
 
 // readBody reads what follows a head whose bounds are sure. Where it tells false, the connection is over; what can be said has
 // been.
-func (k *client) readBody(q *fasthttp.Request, limits comb.Limits) bool {
+func (k *client) readBody(q *fasthttp.Request, limits config.Limits) bool {
 	if sentence := doubtful(q); sentence != "" {
 		k.refuse(fasthttp.StatusBadRequest, sentence, 0, false)
 		return false
@@ -441,7 +441,7 @@
 }
 
 // answer writes a request's final answer.
-func (k *client) answer(f *Forager, s *search, r reply, keep bool, limits comb.Limits) bool {
+func (k *client) answer(f *Forager, s *search, r reply, keep bool, limits config.Limits) bool {
 	idle := max(millis(limits.IdleTimeoutMS)-keepSpare, 0)
 	switch r.kind {
 	case replyShed:
--- a/forager/fuzz_test.go
+++ b/forager/fuzz_test.go
@@ -8,7 +8,7 @@
 	"github.com/valyala/fasthttp"
 
 	"oxbowspan/brain"
-	"oxbowspan/comb"
+	"oxbowspan/config"
 )
 
 // FuzzServersAnswers: no bytes of a server have this gatherer break off, and what it takes for an answer is whole, stamped and the request's own.
@@ -18,7 +18,7 @@
 	f.Add([]byte("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 503 No\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\nKeep-Alive: timeout=99999999999999999999\r\n\r\n"), true)
 	f.Add([]byte("HTTP/1.1 204\r\nContent-Length: -1\r\n\r\n"), false)
 	f.Fuzz(func(t *testing.T, text []byte, gathered bool) {
-		r := &route{Route: &comb.Route{}}
+		r := &route{Route: &config.Route{}}
 		if gathered {
 			r.GatheredServices = []string{"a"}
 		}
--- a/forager/judgement.go
+++ b/forager/judgement.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"oxbowspan/brain"
-	"oxbowspan/comb"
+	"oxbowspan/config"
 	"oxbowspan/dance"
 	"oxbowspan/kin"
 	"oxbowspan/scout"
@@ -37,7 +37,7 @@
 // takePins takes a document of pins. Each holds from now for as long as it says.
 func (f *Forager) takePins(n *dance.Note) {
 	j := &f.judgement
-	doc, err := comb.ReadPins(n.Body)
+	doc, err := config.ParsePins(n.Body)
 	if err != nil {
 		f.log.Error().Err(err).Uint64("version", n.Version).Msg("judgement: an agreed document of pins can't be read, the last one stays")
 		return
@@ -47,8 +47,8 @@
 	ends := j.pinEnds
 	j.pinned, j.pinEnds = map[string]scout.State{}, map[string]brain.Time{}
 	for _, p := range doc.Pins {
-		state := map[string]scout.State{"in": scout.In, "avoided": scout.Avoided, "out": scout.Out}[p.Stance]
-		j.pinned[p.Instance], j.pinEnds[p.Instance] = state, f.now()+ticks(time.Duration(p.ForS)*time.Second-time.Duration(n.AgeMs)*time.Millisecond)
+		state := map[string]scout.State{"in": scout.In, "avoided": scout.Avoided, "out": scout.Out}[p.State]
+		j.pinned[p.Instance], j.pinEnds[p.Instance] = state, f.now()+ticks(time.Duration(p.DurationSeconds)*time.Second-time.Duration(n.AgeMs)*time.Millisecond)
 		if was, stood := before[p.Instance]; stood && was == state && ends[p.Instance] > 0 {
 			j.pinEnds[p.Instance] = min(ends[p.Instance], j.pinEnds[p.Instance]) // sent again it lasts no longer
 		}
--- a/forager/news.go
+++ b/forager/news.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"oxbowspan/comb"
+	"oxbowspan/config"
 	"oxbowspan/dance"
 	"oxbowspan/internal/boot"
 	"oxbowspan/kin"
@@ -231,7 +231,7 @@
 	if !n.HasConfig {
 		return
 	}
-	c, err := comb.Read(n.Config)
+	c, err := config.Parse(n.Config)
 	if err != nil {
 		f.log.Error().Err(err).Uint64("version", n.Version).Msg("config: an agreed version can't be read, the last one stays")
 		return
--- a/forager/owner.go
+++ b/forager/owner.go
@@ -9,7 +9,7 @@
 	"github.com/valyala/fasthttp"
 
 	"oxbowspan/brain"
-	"oxbowspan/comb"
+	"oxbowspan/config"
 	"oxbowspan/dance"
 	"oxbowspan/internal/alarm"
 	"oxbowspan/internal/boot"
@@ -23,13 +23,13 @@
 type follows struct {
 	turn    uint64
 	version uint64
-	table   *comb.Table
-	routes  map[*comb.Route]*route
+	table   *config.RouteTable
+	routes  map[*config.Route]*route
 }
 
 // route is a route of one version, in brain's terms.
 type route struct {
-	*comb.Route
+	*config.Route
 	typ    brain.QueryType
 	shards []brain.ShardNo // a gathered route's
 	among  []brain.Weighted
@@ -128,7 +128,7 @@
 	free      []brain.QueryType
 	zones     map[string]brain.ZoneNo // as many as servers named
 	limits    map[string]int          // connection limits, by service
-	config    *comb.Configuration
+	config    *config.Configuration
 	text      []byte // its text, for gatherers that hear no hive
 	turnNow   uint64
 	timers    alarm.Heap[due] // emptied as they fire
@@ -377,7 +377,7 @@
 }
 
 // putInForce follows a version of the configuration from now on.
-func (f *Forager) putInForce(c *comb.Configuration, turn uint64) {
+func (f *Forager) putInForce(c *config.Configuration, turn uint64) {
 	if turn <= f.turnNow {
 		return
 	}
@@ -389,7 +389,7 @@
 		f.shard(s.Name)
 	}
 	f.handle(brain.FleetChanged{Shards: len(f.shards), Gatherers: len(f.gatherers)})
-	next := &follows{turn: turn, version: c.Version, table: comb.NewTable(c), routes: map[*comb.Route]*route{}}
+	next := &follows{turn: turn, version: c.Version, table: config.NewRouteTable(c), routes: map[*config.Route]*route{}}
 	had := f.types
 	f.types = map[string]brain.QueryType{}
 	for i := range c.Routes {
@@ -422,7 +422,7 @@
 		}
 		next.routes[r] = to
 		effect := brain.NonIdempotent
-		if r.RouteKind == comb.Retryable {
+		if r.RouteKind == config.Retryable {
 			effect = brain.Idempotent
 		}
 		least := 1.0
--- a/forager/tenants.go
+++ b/forager/tenants.go
@@ -7,7 +7,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"oxbowspan/brain"
-	"oxbowspan/comb"
+	"oxbowspan/config"
 	"oxbowspan/dance"
 	"oxbowspan/internal/boot"
 	"oxbowspan/kin"
@@ -27,8 +27,8 @@
 
 // tenancy is what the owner keeps of tenants.
 type tenancy struct {
-	document *comb.Tenants // nil = none is in force
-	text     []byte        // of the document, as agreed
+	document *config.TenantDocument // nil = none is in force
+	text     []byte                 // of the document, as agreed
 	version  uint64
 	node     *pollen.Node
 	numbers  map[brain.QueryType]pollen.Tenant
@@ -80,13 +80,13 @@
 // takeNotes takes what is agreed beside the configuration.
 func (f *Forager) takeNotes(notes []*dance.Note) {
 	for _, n := range notes {
-		if n.Name == comb.PinsNote && n.Version > f.judgement.pins {
+		if n.Name == config.PinsDocumentName && n.Version > f.judgement.pins {
 			f.takePins(n)
 		}
-		if n.Name != comb.TenantsNote || n.Version <= f.tenancy.version {
+		if n.Name != config.TenantsDocumentName || n.Version <= f.tenancy.version {
 			continue
 		}
-		doc, err := comb.ReadTenants(n.Body)
+		doc, err := config.ParseTenants(n.Body)
 		if err != nil {
 			f.log.Error().Err(err).Uint64("version", n.Version).Msg("tenants: an agreed document can't be read, the last one stays")
 			continue
@@ -103,7 +103,7 @@
 	if f.tenancy.document == nil {
 		return nil // pins end by themselves, and are not worth a way of their own
 	}
-	return []*dance.Note{{Name: comb.TenantsNote, Version: f.tenancy.version, Body: f.tenancy.text}}
+	return []*dance.Note{{Name: config.TenantsDocumentName, Version: f.tenancy.version, Body: f.tenancy.text}}
 }
 
 // retenant finds the tenants of the routes in force.
@@ -116,21 +116,21 @@
 		t.node, t.names = pollen.NewNode(f.life), map[pollen.Tenant]*tenant{}
 		t.needs, t.granted, t.keepers, t.holders = map[string]*pollen.Needs{}, map[string]grant{}, map[string]*pollen.Keeper{}, map[kin.Name]*dance.Caller{}
 	}
-	of := t.document.Table()
+	of := t.document.NewTenantTable()
 	var all []pollen.Terms
 	for _, n := range t.document.Tenants {
-		terms := pollen.Terms{Name: n.Name, Weight: n.Weight, Floor: float64(n.Floor), Most: float64(n.Most), Borrow: -1}
+		terms := pollen.Terms{Name: n.Name, Weight: n.Weight, Floor: float64(n.ReservedConnections), Most: float64(n.MaxConnections), Borrow: -1}
 		if terms.Weight == 0 {
 			terms.Weight = 1
 		}
-		if n.Borrow != nil {
-			terms.Borrow = float64(*n.Borrow)
+		if n.MaxBorrowed != nil {
+			terms.Borrow = float64(*n.MaxBorrowed)
 		}
 		all = append(all, terms)
 	}
 	places := map[*route]int{}
 	for _, r := range now.routes {
-		at, named := of.Of(r.Route)
+		at, named := of.Lookup(r.Route)
 		if !named {
 			at = len(all)
 			all = append(all, pollen.Terms{Name: r.Hostname + r.PathPrefix, Weight: 1, Borrow: -1})
--- a/hive/calls.go
+++ b/hive/calls.go
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"oxbowspan/comb"
+	"oxbowspan/config"
 	"oxbowspan/consensus"
 	"oxbowspan/registry"
 )
@@ -33,7 +33,7 @@
 	mux.HandleFunc("POST /-/instances/{id}/sign-off", instances.signOff)
 	mux.HandleFunc("POST /-/configuration/replace", configuration.replace)
 	mux.HandleFunc("GET /-/configuration/read", configuration.read)
-	tenants := &noteCalls{h, comb.TenantsNote, checkTenants, unfitTenants}
+	tenants := &noteCalls{h, config.TenantsDocumentName, checkTenants, unfitTenants}
 	mux.HandleFunc("POST /-/tenants/replace", tenants.replace)
 	mux.HandleFunc("GET /-/tenants/read", tenants.read)
 	views := &viewCalls{h}
@@ -44,7 +44,7 @@
 	mux.HandleFunc("GET /-/events/read", views.events)
 	figures := &figureCalls{h}
 	mux.HandleFunc("GET /-/tenants/explain", figures.tenants)
-	pins := &noteCalls{h, comb.PinsNote, checkPins, fitsAny}
+	pins := &noteCalls{h, config.PinsDocumentName, checkPins, fitsAny}
 	mux.HandleFunc("POST /-/pins/replace", pins.replace)
 	mux.HandleFunc("GET /-/pins/read", pins.read)
 	mux.HandleFunc("GET /-/judgement/explain", figures.judgement)
@@ -67,7 +67,7 @@
 		refuse(w, http.StatusBadRequest, "the heartbeat's body can't be read")
 		return
 	}
-	var b comb.Heartbeat
+	var b config.Heartbeat
 	if err := b.UnmarshalJSON(body); err != nil || !json.Valid(body) {
 		refuse(w, http.StatusBadRequest, "the heartbeat is not as it should be")
 		return
@@ -78,13 +78,13 @@
 		return
 	}
 	state := registry.Ready
-	if b.State == comb.StateDraining {
+	if b.State == config.StateDraining {
 		state = registry.Draining
 	}
 	c.take(w, r, func(now time.Duration) {
 		c.h.table.Merge(registry.Record{Instance: id, Service: registry.ServiceID(b.Service), Address: b.Address, Zone: b.Zone,
-			Version: b.Version, Slots: b.CapacitySlots, State: state, Sequence: registry.Sequence(b.CallSequence), HeartbeatAt: now,
-			SlowStartEndsAt: now + time.Duration(b.ColdRemainingMS*float64(time.Millisecond))}, "")
+			Version: b.Version, Slots: b.CapacitySlots, State: state, Sequence: registry.Sequence(b.Sequence), HeartbeatAt: now,
+			SlowStartEndsAt: now + time.Duration(b.SlowStartRemainingMS*float64(time.Millisecond))}, "")
 	})
 }
 
@@ -225,13 +225,13 @@
 	if !ok {
 		return
 	}
-	conf, err := comb.Read(body)
+	conf, err := config.Parse(body)
 	if err != nil {
 		refuse(w, http.StatusBadRequest, err.Error())
 		return
 	}
 	// What is wrong with it by itself was wrong whenever it was sent: it was never taken.
-	if faults := conf.Check(); len(faults) > 0 {
+	if faults := conf.Validate(); len(faults) > 0 {
 		refuse(w, http.StatusBadRequest, strings.Join(faults, "; "))
 		return
 	}
--- a/hive/changes_bench_test.go
+++ b/hive/changes_bench_test.go
@@ -20,7 +20,7 @@
 
 	"github.com/rs/zerolog"
 
-	"oxbowspan/comb"
+	"oxbowspan/config"
 	"oxbowspan/internal/boot"
 	"oxbowspan/internal/ground"
 )
@@ -152,11 +152,11 @@
 
 // routes makes configurations with so many routes.
 func routes(n int) func(version uint64) []byte {
-	c := comb.Configuration{Limits: comb.Limits{HeaderBytes: 16384, BodyBytes: 1 << 18, HeaderTimeoutMS: 3000, IdleTimeoutMS: 15000},
-		Services: []comb.Service{{Name: "one", HealthPath: "/health", ConnectionLimit: 60, Protocol: "h1"}}}
+	c := config.Configuration{Limits: config.Limits{HeaderBytes: 16384, BodyBytes: 1 << 18, HeaderTimeoutMS: 3000, IdleTimeoutMS: 15000},
+		Services: []config.Service{{Name: "one", HealthPath: "/health", ConnectionLimit: 60, Protocol: "h1"}}}
 	for i := range n {
-		c.Routes = append(c.Routes, comb.Route{Name: fmt.Sprint("r", i), Hostname: "h.example", PathPrefix: fmt.Sprintf("/one-%d/", i),
-			RouteKind: comb.Retryable, TimeoutMS: 3000, TargetMS: 300, Service: "one", Attempts: 2})
+		c.Routes = append(c.Routes, config.Route{Name: fmt.Sprint("r", i), Hostname: "h.example", PathPrefix: fmt.Sprintf("/one-%d/", i),
+			RouteKind: config.Retryable, TimeoutMS: 3000, TargetMS: 300, Service: "one", Attempts: 2})
 	}
 	text, _ := json.Marshal(c)
 	return func(version uint64) []byte {
--- a/hive/notes.go
+++ b/hive/notes.go
@@ -6,7 +6,7 @@
 	"strconv"
 	"strings"
 
-	"oxbowspan/comb"
+	"oxbowspan/config"
 	"oxbowspan/consensus"
 	"oxbowspan/dance"
 )
@@ -85,11 +85,11 @@
 }
 
 func checkTenants(body []byte) []string {
-	t, err := comb.ReadTenants(body)
+	t, err := config.ParseTenants(body)
 	if err != nil {
 		return []string{err.Error()}
 	}
-	return t.Check()
+	return t.Validate()
 }
 
 // unfitTenants holds tenants against the configuration of the value that a round found, not one that this hive remembers.
@@ -97,23 +97,23 @@
 	if beside.Digest == "" {
 		return nil
 	}
-	t, err := comb.ReadTenants(body)
+	t, err := config.ParseTenants(body)
 	if err != nil {
 		return []string{err.Error()}
 	}
-	c, err := comb.Read(beside.Body)
+	c, err := config.Parse(beside.Body)
 	if err != nil {
 		return nil
 	}
-	return t.Against(c)
+	return t.Conflicts(c)
 }
 
 func checkPins(body []byte) []string {
-	p, err := comb.ReadPins(body)
+	p, err := config.ParsePins(body)
 	if err != nil {
 		return []string{err.Error()}
 	}
-	return p.Check()
+	return p.Validate()
 }
 
 // fitsAny is for documents that the configuration does not bear on.
--- a/internal/beekeeper/beekeeper.go
+++ b/internal/beekeeper/beekeeper.go
@@ -15,7 +15,7 @@
 
 	"github.com/rotisserie/eris"
 
-	"oxbowspan/comb"
+	"oxbowspan/config"
 	"oxbowspan/hive"
 )
 
@@ -141,12 +141,12 @@
 }
 
 // Configuration is the newest one.
-func (k *Keeper) Configuration(ctx context.Context) (*comb.Configuration, []byte, error) {
+func (k *Keeper) Configuration(ctx context.Context) (*config.Configuration, []byte, error) {
 	text, _, err := k.Read(ctx, "configuration")
 	if err != nil {
 		return nil, nil, err
 	}
-	c, err := comb.Read(text)
+	c, err := config.Parse(text)
 	return c, text, err
 }
 
--- a/internal/colony/colony_test.go
+++ b/internal/colony/colony_test.go
@@ -15,7 +15,7 @@
 
 	"github.com/rs/zerolog"
 
-	"oxbowspan/comb"
+	"oxbowspan/config"
 )
 
 // more multiplies the seeded runs, for a longer run than CI has time for.
@@ -157,8 +157,8 @@
 		if got := agree(c, 3, second, 5); got != http.StatusOK {
 			t.Fatal(got)
 		}
-		bad := func(change func(c *comb.Configuration)) []byte {
-			var conf comb.Configuration
+		bad := func(change func(c *config.Configuration)) []byte {
+			var conf config.Configuration
 			json.Unmarshal(Example(9, FirstCut), &conf)
 			change(&conf)
 			text, _ := json.Marshal(conf)
@@ -174,11 +174,11 @@
 			"another on the same base":    {3, Example(8, SecondCut), http.StatusPreconditionFailed},
 			"a version that is not above": {7, Example(7, SecondCut), http.StatusBadRequest},
 			"cut off":                     {7, Example(9, FirstCut)[:200], http.StatusBadRequest},
-			"an unknown service":          {7, bad(func(c *comb.Configuration) { c.Routes[1].Service = "nowhere" }), http.StatusBadRequest},
-			"host and prefix twice":       {7, bad(func(c *comb.Configuration) { c.Routes[1].PathPrefix = "/all/" }), http.StatusBadRequest},
-			"a time-out of 0":             {7, bad(func(c *comb.Configuration) { c.Routes[0].TimeoutMS = 0 }), http.StatusBadRequest},
-			"weights of 0": {7, bad(func(c *comb.Configuration) {
-				c.Routes[1].Service, c.Routes[1].WeightedServices = "", []comb.Weighted{{Service: "one"}, {Service: "once"}}
+			"an unknown service":          {7, bad(func(c *config.Configuration) { c.Routes[1].Service = "nowhere" }), http.StatusBadRequest},
+			"host and prefix twice":       {7, bad(func(c *config.Configuration) { c.Routes[1].PathPrefix = "/all/" }), http.StatusBadRequest},
+			"a time-out of 0":             {7, bad(func(c *config.Configuration) { c.Routes[0].TimeoutMS = 0 }), http.StatusBadRequest},
+			"weights of 0": {7, bad(func(c *config.Configuration) {
+				c.Routes[1].Service, c.Routes[1].WeightedServices = "", []config.WeightedService{{Service: "one"}, {Service: "once"}}
 			}), http.StatusBadRequest},
 		} {
 			for _, h := range c.Hives {
@@ -342,7 +342,7 @@
 	for range 10 {
 		for _, m := range c.Hives {
 			if text := c.ReadConfig(m); text != nil {
-				conf, err := comb.Read(text)
+				conf, err := config.Parse(text)
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/internal/colony/contact_test.go
+++ b/internal/colony/contact_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"oxbowspan/comb"
+	"oxbowspan/config"
 	"oxbowspan/dance"
 	"oxbowspan/internal/boot"
 )
@@ -168,7 +168,7 @@
 	if text == nil {
 		return 0
 	}
-	conf, err := comb.Read(text)
+	conf, err := config.Parse(text)
 	if err != nil {
 		o.fault("what is read can't be: %v", err)
 		return 0
--- a/internal/colony/core_test.go
+++ b/internal/colony/core_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"oxbowspan/comb"
+	"oxbowspan/config"
 )
 
 // settle has the first version agreed and everywhere.
@@ -231,7 +231,7 @@
 func TestLongAndManyVersions(t *testing.T) {
 	play(t, 19, 3, 2, func(c *Colony) {
 		settle(t, c)
-		var conf comb.Configuration
+		var conf config.Configuration
 		must(t, json.Unmarshal(Example(2, FirstCut), &conf))
 		for i := 0; len(conf.Routes) < 1700; i++ {
 			r := conf.Routes[1]
@@ -271,7 +271,7 @@
 		client := c.client("10.0.9.7")
 		defer client.CloseIdleConnections()
 		say := func(to *HiveMachine) int {
-			text, _ := json.Marshal(comb.Heartbeat{Service: leaving.Service, Address: leaving.Address(), Zone: "zone-0", State: comb.StateDraining, CallSequence: 1 << 20})
+			text, _ := json.Marshal(config.Heartbeat{Service: leaving.Service, Address: leaving.Address(), Zone: "zone-0", State: config.StateDraining, Sequence: 1 << 20})
 			return c.post(context.Background(), client, to.Control(), "/-/instances/"+leaving.Instance+"/heartbeat", string(text))
 		}
 		c.Meadow.Cut(c.Hives[0].IP, c.Hives[1].IP, true)
--- a/internal/colony/example.go
+++ b/internal/colony/example.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"oxbowspan/comb"
+	"oxbowspan/config"
 )
 
 // What the example configuration asks for, and what its servers give.
@@ -26,14 +26,14 @@
 
 // Example is a configuration with a gathered, a single and a non-retryable route.
 func Example(version uint64, cut []string) []byte {
-	c := comb.Configuration{Version: version, Limits: comb.Limits{HeaderBytes: 16384, BodyBytes: 1 << 18, HeaderTimeoutMS: 3000, IdleTimeoutMS: 15000}}
+	c := config.Configuration{Version: version, Limits: config.Limits{HeaderBytes: 16384, BodyBytes: 1 << 18, HeaderTimeoutMS: 3000, IdleTimeoutMS: 15000}}
 	for _, s := range ExampleServices {
-		c.Services = append(c.Services, comb.Service{Name: s, HealthPath: "/health", ConnectionLimit: 60, Protocol: "h1"})
+		c.Services = append(c.Services, config.Service{Name: s, HealthPath: "/health", ConnectionLimit: 60, Protocol: "h1"})
 	}
-	c.Routes = []comb.Route{
-		{Name: "all", Hostname: "h.example", PathPrefix: "/all/", RouteKind: comb.Retryable, TimeoutMS: 1200, TargetMS: 120, GatheredServices: cut, Attempts: 2, TopRecords: exampleTop, MinimumShare: exampleLeast},
-		{Name: "one", Hostname: "h.example", PathPrefix: "/one/", RouteKind: comb.Retryable, TimeoutMS: 3000, TargetMS: 300, Service: "one", Attempts: 2},
-		{Name: "once", Hostname: "h.example", PathPrefix: "/once/", RouteKind: comb.NonRetryable, TimeoutMS: 3000, TargetMS: 300, Service: "once", Attempts: 3},
+	c.Routes = []config.Route{
+		{Name: "all", Hostname: "h.example", PathPrefix: "/all/", RouteKind: config.Retryable, TimeoutMS: 1200, TargetMS: 120, GatheredServices: cut, Attempts: 2, TopRecords: exampleTop, MinimumShare: exampleLeast},
+		{Name: "one", Hostname: "h.example", PathPrefix: "/one/", RouteKind: config.Retryable, TimeoutMS: 3000, TargetMS: 300, Service: "one", Attempts: 2},
+		{Name: "once", Hostname: "h.example", PathPrefix: "/once/", RouteKind: config.NonRetryable, TimeoutMS: 3000, TargetMS: 300, Service: "once", Attempts: 3},
 	}
 	text, _ := json.Marshal(c)
 	return text
--- a/internal/colony/limit_test.go
+++ b/internal/colony/limit_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"oxbowspan/comb"
+	"oxbowspan/config"
 )
 
 // Servers take fewer connections together than there are gatherers, and end those beyond. Each gatherer uses a few servers only,
@@ -28,7 +28,7 @@
 			must(t, s.Start())
 			servers = append(servers, s)
 		}
-		var conf comb.Configuration
+		var conf config.Configuration
 		must(t, json.Unmarshal(Example(1, FirstCut), &conf))
 		for i := range conf.Services {
 			if conf.Services[i].Name == "one" {
--- a/internal/colony/orders_test.go
+++ b/internal/colony/orders_test.go
@@ -12,7 +12,7 @@
 	"testing/synctest"
 	"time"
 
-	"oxbowspan/comb"
+	"oxbowspan/config"
 	"oxbowspan/hive"
 )
 
@@ -61,7 +61,7 @@
 	o := &order{document: document, version: version, basedOn: basedOn}
 	switch document {
 	case "configuration":
-		var conf comb.Configuration
+		var conf config.Configuration
 		json.Unmarshal(Example(version, FirstCut), &conf)
 		conf.Routes[0].TargetMS = float64(100 + mark)
 		o.body, _ = json.Marshal(conf)
@@ -360,7 +360,7 @@
 		follow(t, c, b, "tenants", 40, 1)
 		follow(t, c, b, "pins", 40, 1)
 		follow(t, c, b, "configuration", 300, 1)
-		var narrow comb.Configuration // servers with fewer connections than the tenants' floor
+		var narrow config.Configuration // servers with fewer connections than the tenants' floor
 		must(t, json.Unmarshal(newOrder("configuration", 302, 301, 0).body, &narrow))
 		for i := range narrow.Services {
 			narrow.Services[i].ConnectionLimit = 30
--- a/internal/colony/pace_test.go
+++ b/internal/colony/pace_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"oxbowspan/comb"
+	"oxbowspan/config"
 )
 
 // A storm of long versions: each gatherer is given far fewer than were agreed, has the newest within the bound after each
@@ -16,7 +16,7 @@
 	play(t, 95, 3, 3, func(c *Colony) {
 		settle(t, c)
 		long := func(version uint64) []byte {
-			var conf comb.Configuration
+			var conf config.Configuration
 			must(t, json.Unmarshal(Example(version, FirstCut), &conf))
 			for i := range 1000 {
 				r := conf.Routes[1]
--- a/internal/colony/server.go
+++ b/internal/colony/server.go
@@ -15,7 +15,7 @@
 	"sync/atomic"
 	"time"
 
-	"oxbowspan/comb"
+	"oxbowspan/config"
 )
 
 // Records is what any server of a service answers to a request: it depends on nothing else.
@@ -205,11 +205,11 @@
 		s.mu.Lock()
 		state := "ready"
 		if s.draining {
-			state = comb.StateDraining
+			state = config.StateDraining
 		}
 		s.mu.Unlock()
-		text, _ := json.Marshal(comb.Heartbeat{Service: s.Service, Address: s.Address(), Zone: zoneOf(s.IP), Version: "v1", CapacitySlots: 3,
-			State: state, CallSequence: uint64(seq)})
+		text, _ := json.Marshal(config.Heartbeat{Service: s.Service, Address: s.Address(), Zone: zoneOf(s.IP), Version: "v1", CapacitySlots: 3,
+			State: state, Sequence: uint64(seq)})
 		for range 4 {
 			if s.c.post(ctx, client, s.anyHive(), "/-/instances/"+s.Instance+"/heartbeat", string(text)) == http.StatusOK {
 				break
@@ -246,8 +246,8 @@
 	s.mu.Unlock()
 	client := s.c.client(s.IP)
 	defer client.CloseIdleConnections()
-	text, _ := json.Marshal(comb.Heartbeat{Service: s.Service, Address: s.Address(), Zone: zoneOf(s.IP), Version: "v1", CapacitySlots: 3,
-		State: comb.StateDraining, CallSequence: 1 << 30})
+	text, _ := json.Marshal(config.Heartbeat{Service: s.Service, Address: s.Address(), Zone: zoneOf(s.IP), Version: "v1", CapacitySlots: 3,
+		State: config.StateDraining, Sequence: 1 << 30})
 	for range 4 {
 		if s.c.post(context.Background(), client, s.anyHive(), "/-/instances/"+s.Instance+"/heartbeat", string(text)) == http.StatusOK {
 			return time.Now()
--- a/internal/colony/tenants_hard_test.go
+++ b/internal/colony/tenants_hard_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"oxbowspan/comb"
+	"oxbowspan/config"
 	"oxbowspan/hive"
 )
 
@@ -141,10 +141,10 @@
 func TestAThousandRoutesWeighNoMoreThanOne(t *testing.T) {
 	play(t, 32, 3, 3, func(c *Colony) {
 		narrow(t, c, 30, 60*time.Millisecond)
-		var conf comb.Configuration
+		var conf config.Configuration
 		must(t, json.Unmarshal(letterConfig(1, 30), &conf))
 		for i := range 1000 {
-			conf.Routes = append(conf.Routes, comb.Route{Name: fmt.Sprint("m", i), Hostname: "many.example", PathPrefix: fmt.Sprintf("/m%d/", i), RouteKind: comb.Retryable,
+			conf.Routes = append(conf.Routes, config.Route{Name: fmt.Sprint("m", i), Hostname: "many.example", PathPrefix: fmt.Sprintf("/m%d/", i), RouteKind: config.Retryable,
 				TimeoutMS: 4000, TargetMS: 2000, GatheredServices: FirstCut, Attempts: 1, TopRecords: exampleTop, MinimumShare: 1})
 		}
 		text, _ := json.Marshal(conf)
@@ -200,7 +200,7 @@
 				must(t, s.Start())
 			}
 		}
-		var conf comb.Configuration
+		var conf config.Configuration
 		must(t, json.Unmarshal(letterConfig(1, 24), &conf))
 		for i := range conf.Services {
 			if conf.Services[i].Name == "one" {
--- a/internal/colony/tenants_test.go
+++ b/internal/colony/tenants_test.go
@@ -11,21 +11,21 @@
 	"testing"
 	"time"
 
-	"oxbowspan/comb"
+	"oxbowspan/config"
 	"oxbowspan/hive"
 )
 
 // letterConfig has a gathered letter run, counter look-ups and posts that must not run twice, all over the same servers.
 func letterConfig(version uint64, limit int) []byte {
-	var c comb.Configuration
+	var c config.Configuration
 	json.Unmarshal(Example(version, FirstCut), &c)
 	for i := range c.Services {
 		c.Services[i].ConnectionLimit = limit
 	}
 	c.Routes = append(c.Routes,
-		comb.Route{Name: "letters", Hostname: "h.example", PathPrefix: "/letters/", RouteKind: comb.Retryable, TimeoutMS: 4000, TargetMS: 2000, GatheredServices: FirstCut, Attempts: 1, TopRecords: exampleTop, MinimumShare: 1},
-		comb.Route{Name: "counter", Hostname: "h.example", PathPrefix: "/counter/", RouteKind: comb.Retryable, TimeoutMS: 2000, TargetMS: 200, Service: "a0", Attempts: 2},
-		comb.Route{Name: "post", Hostname: "h.example", PathPrefix: "/post/", RouteKind: comb.NonRetryable, TimeoutMS: 3000, TargetMS: 500, Service: "a1", Attempts: 2})
+		config.Route{Name: "letters", Hostname: "h.example", PathPrefix: "/letters/", RouteKind: config.Retryable, TimeoutMS: 4000, TargetMS: 2000, GatheredServices: FirstCut, Attempts: 1, TopRecords: exampleTop, MinimumShare: 1},
+		config.Route{Name: "counter", Hostname: "h.example", PathPrefix: "/counter/", RouteKind: config.Retryable, TimeoutMS: 2000, TargetMS: 200, Service: "a0", Attempts: 2},
+		config.Route{Name: "post", Hostname: "h.example", PathPrefix: "/post/", RouteKind: config.NonRetryable, TimeoutMS: 3000, TargetMS: 500, Service: "a1", Attempts: 2})
 	text, _ := json.Marshal(c)
 	return text
 }
--- a/internal/colony/wire_test.go
+++ b/internal/colony/wire_test.go
@@ -15,7 +15,7 @@
 	"testing/synctest"
 	"time"
 
-	"oxbowspan/comb"
+	"oxbowspan/config"
 )
 
 // What callers grant an acknowledgement, and what they read of it.
@@ -26,8 +26,8 @@
 
 // beat is one heartbeat of a server, said by the test itself.
 func beat(s *Server, instance, state string, sequence uint64) []byte {
-	text, _ := json.Marshal(comb.Heartbeat{Service: s.Service, Address: s.Address(), Zone: zoneOf(s.IP), Version: "v1", CapacitySlots: 3,
-		State: state, CallSequence: sequence})
+	text, _ := json.Marshal(config.Heartbeat{Service: s.Service, Address: s.Address(), Zone: zoneOf(s.IP), Version: "v1", CapacitySlots: 3,
+		State: state, Sequence: sequence})
 	return text
 }
 
@@ -59,7 +59,7 @@
 		alone := c.Hives[0]
 		sequence := uint64(1 << 20)
 		round := func(when string, alive bool) {
-			for _, call := range []struct{ path, state string }{{"heartbeat", "ready"}, {"heartbeat", comb.StateDraining}, {"sign-off", ""}} {
+			for _, call := range []struct{ path, state string }{{"heartbeat", "ready"}, {"heartbeat", config.StateDraining}, {"sign-off", ""}} {
 				sequence++
 				instance := fmt.Sprint("i-", sequence)
 				status, length, took := timedPost(c, alone.Control(), "/-/instances/"+instance+"/"+call.path, beat(c.Servers[15], instance, call.state, sequence))
@@ -71,7 +71,7 @@
 					t.Errorf("%s is answered %d", what, status)
 				}
 				// A sign-off of an instance that was never heard of takes nobody out.
-				if !alive && call.state == comb.StateDraining && status == http.StatusOK {
+				if !alive && call.state == config.StateDraining && status == http.StatusOK {
 					t.Errorf("DRAIN: %s is acknowledged by a machine that cannot tell the others", what)
 				}
 			}
@@ -249,9 +249,9 @@
 // taken up so is never closed under a request.
 func TestClientsInsideTheLimits(t *testing.T) {
 	play(t, 78, 3, 1, func(c *Colony) {
-		var conf comb.Configuration
+		var conf config.Configuration
 		must(t, json.Unmarshal(Example(1, FirstCut), &conf))
-		conf.Limits = comb.Limits{HeaderBytes: 8192, BodyBytes: 1 << 16, HeaderTimeoutMS: 2000, IdleTimeoutMS: 4000}
+		conf.Limits = config.Limits{HeaderBytes: 8192, BodyBytes: 1 << 16, HeaderTimeoutMS: 2000, IdleTimeoutMS: 4000}
 		text, _ := json.Marshal(conf)
 		if got := agree(c, 0, text, 30); got != http.StatusOK {
 			t.Fatal(got)
--- a/internal/entrance/entrance.go
+++ b/internal/entrance/entrance.go
@@ -18,7 +18,7 @@
 	"github.com/peterbourgon/ff/v3/ffcli"
 	"github.com/rs/zerolog"
 
-	"oxbowspan/comb"
+	"oxbowspan/config"
 	"oxbowspan/forager"
 	"oxbowspan/hive"
 	"oxbowspan/internal/boot"
@@ -186,11 +186,11 @@
 	if err != nil {
 		return fmt.Errorf("the configuration can't be read: %w", err)
 	}
-	c, err := comb.Read(text)
+	c, err := config.Parse(text)
 	if err != nil {
 		return err
 	}
-	return tell(c.Check(), "the configuration is valid", out)
+	return tell(c.Validate(), "the configuration is valid", out)
 }
 
 func tell(faults []string, fine string, out io.Writer) error {
--- a/internal/entrance/judgement.go
+++ b/internal/entrance/judgement.go
@@ -14,7 +14,7 @@
 	"github.com/peterbourgon/ff/v3/ffcli"
 	"github.com/rotisserie/eris"
 
-	"oxbowspan/comb"
+	"oxbowspan/config"
 	"oxbowspan/hive"
 	"oxbowspan/internal/beekeeper"
 )
@@ -26,7 +26,7 @@
 	var why string
 	pin := o.command("hive judgement", "pin", "INSTANCE in|avoided|out", "hold a server at a stance for a time, whatever is seen of it", 2, 2,
 		func(ctx context.Context, k *beekeeper.Keeper, args []string) error {
-			return o.repin(ctx, k, args[0], &comb.Pin{Instance: args[0], Stance: args[1], ForS: int(last / time.Second), Why: why})
+			return o.repin(ctx, k, args[0], &config.Pin{Instance: args[0], State: args[1], DurationSeconds: int(last / time.Second), Reason: why})
 		})
 	pin.FlagSet.DurationVar(&last, "for", 10*time.Minute, "how long")
 	pin.FlagSet.StringVar(&why, "why", "", "the `reason`, for those who come after")
@@ -134,30 +134,30 @@
 }
 
 // repin has the pins agreed on with one instance's pin set, or ended. Of two operators at once one is told to begin again.
-func (o *operator) repin(ctx context.Context, k *beekeeper.Keeper, instance string, pin *comb.Pin) error {
-	doc := &comb.Pins{}
-	text, version, err := k.Read(ctx, comb.PinsNote)
+func (o *operator) repin(ctx context.Context, k *beekeeper.Keeper, instance string, pin *config.Pin) error {
+	doc := &config.PinDocument{}
+	text, version, err := k.Read(ctx, config.PinsDocumentName)
 	if err == nil {
-		if doc, err = comb.ReadPins(text); err != nil {
+		if doc, err = config.ParsePins(text); err != nil {
 			return err
 		}
 	} else if !eris.Is(err, beekeeper.ErrNone) {
 		return err
 	}
 	had := len(doc.Pins)
-	doc.Pins = slices.DeleteFunc(doc.Pins, func(p comb.Pin) bool { return p.Instance == instance })
+	doc.Pins = slices.DeleteFunc(doc.Pins, func(p config.Pin) bool { return p.Instance == instance })
 	if pin != nil {
 		doc.Pins = append(doc.Pins, *pin)
 	} else if len(doc.Pins) == had {
 		return eris.Errorf("%s is not pinned", instance)
 	}
-	if faults := doc.Check(); len(faults) > 0 {
+	if faults := doc.Validate(); len(faults) > 0 {
 		return eris.New(strings.Join(faults, "; "))
 	}
 	if text, err = json.Marshal(doc); err != nil {
 		return err
 	}
-	if version, err = k.Replace(ctx, comb.PinsNote, version, text); err != nil {
+	if version, err = k.Replace(ctx, config.PinsDocumentName, version, text); err != nil {
 		return err
 	}
 	fmt.Fprintf(o.out, "version %d of the pins is agreed\n", version)
--- a/internal/entrance/rescue.go
+++ b/internal/entrance/rescue.go
@@ -10,7 +10,7 @@
 	"github.com/peterbourgon/ff/v3/ffcli"
 	"github.com/rotisserie/eris"
 
-	"oxbowspan/comb"
+	"oxbowspan/config"
 	"oxbowspan/internal/beekeeper"
 	"oxbowspan/internal/wax"
 )
@@ -72,7 +72,7 @@
 	if err := json.Unmarshal(text, &r); err != nil || r.Format != rescueFormat {
 		return eris.New("the file is no copy of a state that this program reads")
 	}
-	conf, err := comb.Read([]byte(r.Configuration))
+	conf, err := config.Parse([]byte(r.Configuration))
 	if err != nil {
 		return err
 	}
--- a/internal/entrance/tenant.go
+++ b/internal/entrance/tenant.go
@@ -12,7 +12,7 @@
 	"github.com/peterbourgon/ff/v3/ffcli"
 	"github.com/rotisserie/eris"
 
-	"oxbowspan/comb"
+	"oxbowspan/config"
 	"oxbowspan/hive"
 	"oxbowspan/internal/beekeeper"
 	"oxbowspan/kin"
@@ -59,7 +59,7 @@
 	if err != nil {
 		return err
 	}
-	text, version, err := k.Read(ctx, comb.TenantsNote)
+	text, version, err := k.Read(ctx, config.TenantsDocumentName)
 	if eris.Is(err, beekeeper.ErrNone) {
 		fmt.Fprintln(o.out, "no document of tenants is in force: connections go to whoever comes first")
 		return nil
@@ -67,7 +67,7 @@
 	if err != nil {
 		return err
 	}
-	doc, err := comb.ReadTenants(text)
+	doc, err := config.ParseTenants(text)
 	if err != nil {
 		return err
 	}
@@ -90,7 +90,7 @@
 }
 
 // sumTenants lists the document's tenants, then those that routes in none make by themselves.
-func sumTenants(conf *comb.Configuration, doc *comb.Tenants, nodes []hive.NodeTenants) []*tenantSum {
+func sumTenants(conf *config.Configuration, doc *config.TenantDocument, nodes []hive.NodeTenants) []*tenantSum {
 	var sums []*tenantSum
 	by := map[string]*tenantSum{}
 	add := func(s *tenantSum) {
@@ -102,13 +102,13 @@
 		if weight == 0 {
 			weight = 1
 		}
-		add(&tenantSum{Name: t.Name, Weight: weight, Floor: t.Floor, Most: t.Most})
+		add(&tenantSum{Name: t.Name, Weight: weight, Floor: t.ReservedConnections, Most: t.MaxConnections})
 	}
-	of := doc.Table()
+	of := doc.NewTenantTable()
 	for i := range conf.Routes {
 		r := &conf.Routes[i]
 		key := r.Hostname + r.PathPrefix
-		if at, named := of.Of(r); named {
+		if at, named := of.Lookup(r); named {
 			sums[at].Routes = append(sums[at].Routes, key)
 		} else {
 			add(&tenantSum{Name: key, Weight: 1, Routes: []string{key}})
@@ -162,16 +162,16 @@
 	return nil
 }
 
-func readTenantsFile(name string) (*comb.Tenants, []byte, error) {
+func readTenantsFile(name string) (*config.TenantDocument, []byte, error) {
 	text, err := os.ReadFile(name)
 	if err != nil {
 		return nil, nil, fmt.Errorf("the document of tenants can't be read: %w", err)
 	}
-	doc, err := comb.ReadTenants(text)
+	doc, err := config.ParseTenants(text)
 	if err != nil {
 		return nil, nil, err
 	}
-	if faults := doc.Check(); len(faults) > 0 {
+	if faults := doc.Validate(); len(faults) > 0 {
 		return nil, nil, fmt.Errorf("%s", strings.Join(faults, "\n"))
 	}
 	return doc, text, nil
@@ -183,13 +183,13 @@
 		return err
 	}
 	if basedOn < 0 {
-		_, newest, err := k.Read(ctx, comb.TenantsNote)
+		_, newest, err := k.Read(ctx, config.TenantsDocumentName)
 		if err != nil && !eris.Is(err, beekeeper.ErrNone) {
 			return err
 		}
 		basedOn = int64(newest)
 	}
-	version, err := k.Replace(ctx, comb.TenantsNote, uint64(basedOn), text)
+	version, err := k.Replace(ctx, config.TenantsDocumentName, uint64(basedOn), text)
 	if err != nil {
 		return err
 	}
@@ -220,7 +220,7 @@
 	if err != nil {
 		return err
 	}
-	if faults := doc.Against(conf); len(faults) > 0 {
+	if faults := doc.Conflicts(conf); len(faults) > 0 {
 		return fmt.Errorf("%s", strings.Join(faults, "\n"))
 	}
 	plans := planTenants(conf, doc)
@@ -234,8 +234,8 @@
 	})
 }
 
-func planTenants(conf *comb.Configuration, doc *comb.Tenants) (plans []servicePlan) {
-	of := doc.Table()
+func planTenants(conf *config.Configuration, doc *config.TenantDocument) (plans []servicePlan) {
+	of := doc.NewTenantTable()
 	for _, s := range conf.Services {
 		var terms []pollen.Terms
 		seen := map[string]bool{}
@@ -245,9 +245,9 @@
 				continue
 			}
 			t := pollen.Terms{Name: r.Hostname + r.PathPrefix, Weight: 1, Borrow: -1}
-			if at, named := of.Of(r); named {
+			if at, named := of.Lookup(r); named {
 				d := doc.Tenants[at]
-				t = pollen.Terms{Name: d.Name, Weight: d.Weight, Floor: float64(d.Floor), Most: float64(d.Most), Borrow: -1}
+				t = pollen.Terms{Name: d.Name, Weight: d.Weight, Floor: float64(d.ReservedConnections), Most: float64(d.MaxConnections), Borrow: -1}
 				if t.Weight == 0 {
 					t.Weight = 1
 				}
--- a/internal/entrance/views.go
+++ b/internal/entrance/views.go
@@ -15,7 +15,7 @@
 	"github.com/peterbourgon/ff/v3/ffcli"
 	"github.com/rotisserie/eris"
 
-	"oxbowspan/comb"
+	"oxbowspan/config"
 	"oxbowspan/hive"
 	"oxbowspan/internal/beekeeper"
 )
@@ -164,16 +164,16 @@
 		}, Exec: func(context.Context, []string) error { return flag.ErrHelp }}
 }
 
-func readConfigurationFile(name string) (*comb.Configuration, []byte, error) {
+func readConfigurationFile(name string) (*config.Configuration, []byte, error) {
 	text, err := os.ReadFile(name)
 	if err != nil {
 		return nil, nil, fmt.Errorf("the configuration can't be read: %w", err)
 	}
-	c, err := comb.Read(text)
+	c, err := config.Parse(text)
 	if err != nil {
 		return nil, nil, err
 	}
-	if faults := c.Check(); len(faults) > 0 {
+	if faults := c.Validate(); len(faults) > 0 {
 		return nil, nil, fmt.Errorf("%s", strings.Join(faults, "\n"))
 	}
 	return c, text, nil
@@ -217,7 +217,7 @@
 	}
 	now, _, err := k.Configuration(ctx)
 	if eris.Is(err, beekeeper.ErrNone) {
-		now, err = &comb.Configuration{}, nil
+		now, err = &config.Configuration{}, nil
 	}
 	if err != nil {
 		return err
@@ -237,7 +237,7 @@
 	})
 }
 
-func differ(a, b *comb.Configuration) []change {
+func differ(a, b *config.Configuration) []change {
 	out := []change{}
 	compare := func(what string, from, to map[string]string) {
 		names := map[string]bool{}
@@ -268,14 +268,14 @@
 		b, _ := json.Marshal(v)
 		return string(b)
 	}
-	routes := func(c *comb.Configuration) map[string]string {
+	routes := func(c *config.Configuration) map[string]string {
 		m := map[string]string{}
 		for _, r := range c.Routes {
 			m[strings.ToLower(r.Hostname)+r.PathPrefix] = text(r)
 		}
 		return m
 	}
-	services := func(c *comb.Configuration) map[string]string {
+	services := func(c *config.Configuration) map[string]string {
 		m := map[string]string{}
 		for _, s := range c.Services {
 			m[s.Name] = text(s)
@@ -308,13 +308,13 @@
 
 // explained is the way of a request.
 type explained struct {
-	Route    *comb.Route `json:"route"` // null = none: 404
-	Version  uint64      `json:"version"`
-	Tenant   string      `json:"tenant,omitempty"`
-	Servers  int         `json:"servers"` // ready, over the route's services
-	InForce  int         `json:"gatherers_with_it"`
-	Others   []string    `json:"gatherers_without,omitempty"`
-	Services []string    `json:"services"`
+	Route    *config.Route `json:"route"` // null = none: 404
+	Version  uint64        `json:"version"`
+	Tenant   string        `json:"tenant,omitempty"`
+	Servers  int           `json:"servers"` // ready, over the route's services
+	InForce  int           `json:"gatherers_with_it"`
+	Others   []string      `json:"gatherers_without,omitempty"`
+	Services []string      `json:"services"`
 }
 
 func (o *operator) configExplain(ctx context.Context, k *beekeeper.Keeper, args []string) error {
@@ -327,12 +327,12 @@
 		return err
 	}
 	path, _, _ = strings.Cut("/"+path, "?")
-	e := explained{Route: comb.NewTable(c).Find(host, path), Version: c.Version, Services: []string{}}
+	e := explained{Route: config.NewRouteTable(c).Find(host, path), Version: c.Version, Services: []string{}}
 	if e.Route != nil {
 		e.Services = e.Route.Services()
-		if text, _, err := k.Read(ctx, comb.TenantsNote); err == nil {
-			if doc, err := comb.ReadTenants(text); err == nil {
-				if at, named := doc.Table().Of(e.Route); named {
+		if text, _, err := k.Read(ctx, config.TenantsDocumentName); err == nil {
+			if doc, err := config.ParseTenants(text); err == nil {
+				if at, named := doc.NewTenantTable().Lookup(e.Route); named {
 					e.Tenant = doc.Tenants[at].Name
 				}
 			}
--- a/internal/lab/fairshares.go
+++ b/internal/lab/fairshares.go
@@ -11,7 +11,7 @@
 	"sync/atomic"
 	"time"
 
-	"oxbowspan/comb"
+	"oxbowspan/config"
 	"oxbowspan/internal/colony"
 )
 
@@ -31,33 +31,33 @@
 )
 
 func tellerConfig() []byte {
-	var c comb.Configuration
+	var c config.Configuration
 	json.Unmarshal(colony.Example(1, colony.FirstCut), &c)
 	for i := range c.Services {
 		c.Services[i].ConnectionLimit = tellerLimit
 	}
-	c.Routes = []comb.Route{
-		{Name: "letters", Hostname: "h.example", PathPrefix: "/letters/", RouteKind: comb.Retryable, TimeoutMS: 6000, TargetMS: 3000, GatheredServices: colony.FirstCut, Attempts: 1, TopRecords: 30, MinimumShare: 1},
-		{Name: "counter", Hostname: "h.example", PathPrefix: "/counter/", RouteKind: comb.Retryable, TimeoutMS: 3000, TargetMS: 300, Service: "a0", Attempts: 2},
-		{Name: "finder", Hostname: "h.example", PathPrefix: "/finder/", RouteKind: comb.Retryable, TimeoutMS: 3000, TargetMS: 300, Service: "a1", Attempts: 2},
-		{Name: "post", Hostname: "h.example", PathPrefix: "/post/", RouteKind: comb.NonRetryable, TimeoutMS: 3000, TargetMS: 600, Service: "a2", Attempts: 2}}
+	c.Routes = []config.Route{
+		{Name: "letters", Hostname: "h.example", PathPrefix: "/letters/", RouteKind: config.Retryable, TimeoutMS: 6000, TargetMS: 3000, GatheredServices: colony.FirstCut, Attempts: 1, TopRecords: 30, MinimumShare: 1},
+		{Name: "counter", Hostname: "h.example", PathPrefix: "/counter/", RouteKind: config.Retryable, TimeoutMS: 3000, TargetMS: 300, Service: "a0", Attempts: 2},
+		{Name: "finder", Hostname: "h.example", PathPrefix: "/finder/", RouteKind: config.Retryable, TimeoutMS: 3000, TargetMS: 300, Service: "a1", Attempts: 2},
+		{Name: "post", Hostname: "h.example", PathPrefix: "/post/", RouteKind: config.NonRetryable, TimeoutMS: 3000, TargetMS: 600, Service: "a2", Attempts: 2}}
 	text, _ := json.Marshal(c)
 	return text
 }
 
 func tellerTenants(strict bool) []byte {
-	route := func(paths ...string) (out []comb.TenantRoute) {
+	route := func(paths ...string) (out []config.TenantRoute) {
 		for _, p := range paths {
-			out = append(out, comb.TenantRoute{Hostname: "h.example", PathPrefix: p})
+			out = append(out, config.TenantRoute{Hostname: "h.example", PathPrefix: p})
 		}
 		return out
 	}
-	doc := comb.Tenants{Tenants: []comb.Tenant{{Name: "letters", Weight: 1, Routes: route("/letters/")},
+	doc := config.TenantDocument{Tenants: []config.Tenant{{Name: "letters", Weight: 1, Routes: route("/letters/")},
 		{Name: "counter", Weight: 2, Routes: route("/counter/", "/post/")}, {Name: "finder", Weight: 2, Routes: route("/finder/")}}}
 	if strict {
 		none := 0
 		for i := range doc.Tenants {
-			doc.Tenants[i].Weight, doc.Tenants[i].Most, doc.Tenants[i].Borrow = 1, tellerLimit/2, &none
+			doc.Tenants[i].Weight, doc.Tenants[i].MaxConnections, doc.Tenants[i].MaxBorrowed = 1, tellerLimit/2, &none
 		}
 	}
 	text, _ := json.Marshal(doc)
@@ -172,7 +172,7 @@
 	here := func(int) bool { return false }
 	version := uint64(0)
 	set := func(strict bool) error {
-		if got := s.c.ReplaceNote(s.c.Hives[1], comb.TenantsNote, version, tellerTenants(strict)); got != http.StatusOK {
+		if got := s.c.ReplaceNote(s.c.Hives[1], config.TenantsDocumentName, version, tellerTenants(strict)); got != http.StatusOK {
 			return fmt.Errorf("a document of tenants is not agreed on: %d", got)
 		}
 		version++
--- a/internal/lab/hollow.go
+++ b/internal/lab/hollow.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"oxbowspan/comb"
+	"oxbowspan/config"
 	"oxbowspan/dance"
 	"oxbowspan/internal/boot"
 	"oxbowspan/internal/colony"
@@ -421,7 +421,7 @@
 
 // hollowConfig is the example's configuration with more routes.
 func hollowConfig(version uint64, routes int) []byte {
-	var c comb.Configuration
+	var c config.Configuration
 	if err := json.Unmarshal(colony.Example(version, colony.FirstCut), &c); err != nil {
 		panic(err)
 	}
--- a/internal/lab/hollow_nodes.go
+++ b/internal/lab/hollow_nodes.go
@@ -19,7 +19,7 @@
 
 	"google.golang.org/protobuf/proto"
 
-	"oxbowspan/comb"
+	"oxbowspan/config"
 	"oxbowspan/dance"
 	"oxbowspan/internal/ground"
 )
@@ -387,9 +387,9 @@
 		return at, false
 	}
 	s.sequence++
-	b := comb.Heartbeat{Service: s.service, Address: s.address, Zone: s.zone, Version: "v1", CapacitySlots: 3, State: stateReady, CallSequence: s.sequence}
+	b := config.Heartbeat{Service: s.service, Address: s.address, Zone: s.zone, Version: "v1", CapacitySlots: 3, State: stateReady, Sequence: s.sequence}
 	if s.draining {
-		b.State = comb.StateDraining
+		b.State = config.StateDraining
 	}
 	text, err := json.Marshal(b)
 	if err != nil {
--- a/internal/lab/judgement.go
+++ b/internal/lab/judgement.go
@@ -10,7 +10,7 @@
 	"sync/atomic"
 	"time"
 
-	"oxbowspan/comb"
+	"oxbowspan/config"
 	"oxbowspan/internal/colony"
 )
 
@@ -29,11 +29,11 @@
 )
 
 func judgeConfig() []byte {
-	var c comb.Configuration
+	var c config.Configuration
 	json.Unmarshal(colony.Example(1, colony.FirstCut), &c)
 	c.Routes = append(c.Routes,
-		comb.Route{Name: "counter", Hostname: "h.example", PathPrefix: "/counter/", RouteKind: comb.Retryable, TimeoutMS: 3000, TargetMS: 100, Service: "a0", Attempts: 2},
-		comb.Route{Name: "post", Hostname: "h.example", PathPrefix: "/post/", RouteKind: comb.NonRetryable, TimeoutMS: 3000, TargetMS: 400, Service: "a1", Attempts: 2})
+		config.Route{Name: "counter", Hostname: "h.example", PathPrefix: "/counter/", RouteKind: config.Retryable, TimeoutMS: 3000, TargetMS: 100, Service: "a0", Attempts: 2},
+		config.Route{Name: "post", Hostname: "h.example", PathPrefix: "/post/", RouteKind: config.NonRetryable, TimeoutMS: 3000, TargetMS: 400, Service: "a1", Attempts: 2})
 	text, _ := json.Marshal(c)
 	return text
 }
