--- a/forager/duties.go
+++ b/forager/duties.go
@@ -8,8 +8,8 @@
 
 	"oxbowspan/brain"
 	"oxbowspan/dance"
-	"oxbowspan/kin"
 	"oxbowspan/registry"
+	"oxbowspan/rendezvous"
 )
 
 // Looking after a server that the core does not hear. Its calls may not come through while it serves as before: one gatherer,
@@ -32,7 +32,7 @@
 			s.probePause = 0
 			continue
 		}
-		if s.state != registry.Ready || s.replaced || now < s.probeAt || !f.duties.May(kin.Name(s.instance), span(now)) {
+		if s.state != registry.Ready || s.replaced || now < s.probeAt || !f.duties.Holds(rendezvous.Name(s.instance), span(now)) {
 			continue
 		}
 		if s.probePause == 0 {
@@ -52,11 +52,11 @@
 func (f *Forager) looked(instance string, well bool) {
 	s := f.flowers[instance]
 	now := f.now()
-	if s == nil || !well || !f.duties.May(kin.Name(instance), span(now)) {
+	if s == nil || !well || !f.duties.Holds(rendezvous.Name(instance), span(now)) {
 		return
 	}
-	if s.claim = s.claim.Take(f.life); s.seenAt == 0 || s.silent {
-		f.log.Info().Str("instance", instance).Uint64("fence", s.claim.Fence).Msg("duties: the core does not hear a server that is well")
+	if s.claim = s.claim.Acquire(f.life); s.seenAt == 0 || s.silent {
+		f.log.Info().Str("instance", instance).Uint64("fence", s.claim.FencingToken).Msg("duties: the core does not hear a server that is well")
 	}
 	s.seenAt, s.probeAt, s.probePause = now, now+ticks(firstProbe), ticks(firstProbe)
 }
@@ -87,7 +87,7 @@
 	for _, s := range f.flowers {
 		if s.seenAt > 0 && now-s.seenAt < ticks(witnessFor) && s.claim.Holder == f.life && s.unheard {
 			o.known = append(o.known, &dance.Report{Instance: s.instance, WitnessAgeMs: uint32(span(now-s.seenAt) / time.Millisecond),
-				Fence: s.claim.Fence, Holder: s.claim.Holder})
+				Fence: s.claim.FencingToken, Holder: s.claim.Holder})
 		}
 	}
 	return o
--- a/forager/judgement.go
+++ b/forager/judgement.go
@@ -8,7 +8,7 @@
 	"oxbowspan/brain"
 	"oxbowspan/config"
 	"oxbowspan/dance"
-	"oxbowspan/kin"
+	"oxbowspan/rendezvous"
 	"oxbowspan/scout"
 )
 
@@ -26,7 +26,7 @@
 type judgement struct {
 	board  *scout.Board
 	told   map[brain.ServerID]brain.Judgement // what brain was told; emptied of servers that are in as they are
-	near   map[string][]kin.Name              // gatherers by zone, as last told
+	near   map[string][]rendezvous.Name       // gatherers by zone, as last told
 	saidAt brain.Time
 
 	pins    uint64                 // the version of the document of pins that is in force
@@ -203,7 +203,7 @@
 	if len(near) == 0 {
 		near = f.gatherers
 	}
-	return f.duties.MayAmong(kin.Name("judgement "+s.instance), near, span(now))
+	return f.duties.HoldsAmong(rendezvous.Name("judgement "+s.instance), near, span(now))
 }
 
 // listJudged tells the board which servers there are.
--- a/forager/kinfolk.go
+++ b/forager/kinfolk.go
@@ -7,7 +7,7 @@
 	"oxbowspan/brain"
 	"oxbowspan/dance"
 	"oxbowspan/internal/boot"
-	"oxbowspan/kin"
+	"oxbowspan/rendezvous"
 )
 
 // loadsEvery is how often a gatherer tells those that watch it what it has unfinished, and takes what it was told.
@@ -63,14 +63,14 @@
 	if !n.HasForagers {
 		return
 	}
-	self := kin.Name(f.set.Internal(boot.ForagerPort))
+	self := rendezvous.Name(f.set.Internal(boot.ForagerPort))
 	// Those of this zone are watched, where there are any: they ask the servers that this gatherer asks, and news of them
 	// passes between no zones.
-	all, zone, far := []kin.Name{self}, []kin.Name{self}, []kin.Name(nil)
-	near := map[string][]kin.Name{f.set.Zone: {self}}
+	all, zone, far := []rendezvous.Name{self}, []rendezvous.Name{self}, []rendezvous.Name(nil)
+	near := map[string][]rendezvous.Name{f.set.Zone: {self}}
 	f.judgement.near = near
 	for _, o := range n.Foragers {
-		if name := kin.Name(o.Address); name != self {
+		if name := rendezvous.Name(o.Address); name != self {
 			near[o.Zone] = append(near[o.Zone], name)
 			if all = append(all, name); o.Zone == f.set.Zone {
 				zone = append(zone, name)
@@ -80,21 +80,21 @@
 		}
 	}
 	f.gatherers = all
-	f.duties.Told(all, span(f.now()))
+	f.duties.SetMembers(all, span(f.now()))
 	f.company = len(zone) - 1
 	if len(zone) == 1 {
 		zone, far, f.company = all, nil, len(all)-1
 	}
 	f.handle(brain.FleetChanged{Shards: len(f.shards), Gatherers: len(all)})
 	f.relist()
-	few := map[kin.Name]bool{}
-	for _, name := range kin.Watched(self, zone, kin.Few) {
+	few := map[rendezvous.Name]bool{}
+	for _, name := range rendezvous.Peers(self, zone, rendezvous.PeerCount) {
 		if few[name] = true; f.watching[name] == nil {
 			f.watch(name, false)
 		}
 	}
 	// And one elsewhere, for words of servers alone: they come where there is trouble.
-	for _, name := range kin.Watched(self, far, 1) {
+	for _, name := range rendezvous.Peers(self, far, 1) {
 		if few[name] = true; f.watching[name] == nil {
 			f.watch(name, true)
 		}
@@ -108,7 +108,7 @@
 	}
 }
 
-func (f *Forager) watch(name kin.Name, wordsOnly bool) {
+func (f *Forager) watch(name rendezvous.Name, wordsOnly bool) {
 	ctx, quit := context.WithCancel(context.Background())
 	w := &watched{quit: quit}
 	w.call = &dance.Caller{Address: string(name), Net: f.net}
--- a/forager/news.go
+++ b/forager/news.go
@@ -10,7 +10,7 @@
 	"oxbowspan/config"
 	"oxbowspan/dance"
 	"oxbowspan/internal/boot"
-	"oxbowspan/kin"
+	"oxbowspan/rendezvous"
 )
 
 // Rhythm of the questions to the hives.
@@ -52,10 +52,10 @@
 			order = append(order, p)
 		}
 		// The nearest first; among equals each gatherer has its own order, so that they spread.
-		self := kin.Name(f.set.Internal(boot.ForagerPort))
+		self := rendezvous.Name(f.set.Internal(boot.ForagerPort))
 		slices.SortFunc(order, func(a, b place) int {
 			return cmp.Or(cmp.Compare(f.far(a.zone), f.far(b.zone)),
-				cmp.Compare(kin.Weight(kin.Name(a.address), self), kin.Weight(kin.Name(b.address), self)))
+				cmp.Compare(rendezvous.Weight(rendezvous.Name(a.address), self), rendezvous.Weight(rendezvous.Name(b.address), self)))
 		})
 		at = 0
 	}
@@ -119,7 +119,7 @@
 			f.takeReports(n)
 			f.takeCrowd(n)
 			if now := span(f.now()); n.Settled {
-				f.duties.Heard(askedAt, now)
+				f.duties.Renew(askedAt, now)
 			}
 		})
 		if len(n.Hives) > 0 {
--- a/forager/owner.go
+++ b/forager/owner.go
@@ -13,9 +13,9 @@
 	"oxbowspan/dance"
 	"oxbowspan/internal/alarm"
 	"oxbowspan/internal/boot"
-	"oxbowspan/kin"
 	"oxbowspan/pollen"
 	"oxbowspan/registry"
+	"oxbowspan/rendezvous"
 	"oxbowspan/scout"
 )
 
@@ -100,10 +100,10 @@
 	zone             string
 	state            registry.State
 	silent           bool
-	unheard          bool       // the core does not hear it itself
-	claim            kin.Claim  // of the newest holder of its duty that was heard of
-	seenAt           brain.Time // when this gatherer saw it well, as that holder; 0 = not
-	probeAt          brain.Time // when it may be looked after again
+	unheard          bool             // the core does not hear it itself
+	claim            rendezvous.Lease // of the newest holder of its duty that was heard of
+	seenAt           brain.Time       // when this gatherer saw it well, as that holder; 0 = not
+	probeAt          brain.Time       // when it may be looked after again
 	probePause       brain.Time
 	sequence         uint64
 	replaced         bool // another server answered at its address
@@ -134,9 +134,9 @@
 	timers    alarm.Heap[due] // emptied as they fire
 	pending   []brain.Event
 	watchers  map[*dance.Conn]bool
-	watching  map[kin.Name]*watched
-	duties    *kin.Duties
-	gatherers []kin.Name        // all, as last told, this one too
+	watching  map[rendezvous.Name]*watched
+	duties    *rendezvous.Tracker
+	gatherers []rendezvous.Name // all, as last told, this one too
 	seats     map[string]*seats // by service, as many as the configuration names
 	company   int               // others that those watched stand for
 	shareAt   brain.Time
@@ -176,9 +176,9 @@
 	o.searches, o.partsOf = map[brain.SearchID]*search{}, map[brain.PartID]*part{}
 	o.flowers, o.servers = map[string]*flower{}, map[brain.ServerID]*flower{}
 	o.shards, o.types, o.zones = map[string]brain.ShardNo{}, map[string]brain.QueryType{}, map[string]brain.ZoneNo{}
-	o.limits, o.watchers, o.watching = map[string]int{}, map[*dance.Conn]bool{}, map[kin.Name]*watched{}
-	o.duties = kin.NewDuties(kin.Name(f.set.Internal(boot.ForagerPort)))
-	o.gatherers, o.seats = []kin.Name{kin.Name(f.set.Internal(boot.ForagerPort))}, map[string]*seats{}
+	o.limits, o.watchers, o.watching = map[string]int{}, map[*dance.Conn]bool{}, map[rendezvous.Name]*watched{}
+	o.duties = rendezvous.NewTracker(rendezvous.Name(f.set.Internal(boot.ForagerPort)))
+	o.gatherers, o.seats = []rendezvous.Name{rendezvous.Name(f.set.Internal(boot.ForagerPort))}, map[string]*seats{}
 	o.zones[f.set.Zone] = 0
 	o.judgement = judgement{board: scout.NewBoard(scout.Observer(f.life)), told: map[brain.ServerID]brain.Judgement{}}
 }
@@ -492,7 +492,7 @@
 			}
 			s.sequence, s.silent, s.unheard = r.Sequence, r.Silent, r.Unheard
 		}
-		if claim := (kin.Claim{Fence: r.Fence, Holder: r.Holder}); claim.Compare(s.claim) > 0 {
+		if claim := (rendezvous.Lease{FencingToken: r.Fence, Holder: r.Holder}); claim.Compare(s.claim) > 0 {
 			s.claim = claim
 		}
 		s.state = max(s.state, registry.State(r.State))
@@ -527,7 +527,7 @@
 			f.drop(s.idle[0])
 			s.idle = s.idle[1:]
 		}
-		f.tenancy.serve(s, entry.Most, kin.Seats(f.limits[s.service]))
+		f.tenancy.serve(s, entry.Most, rendezvous.ConnectionSlots(f.limits[s.service]))
 		ev.Servers = append(ev.Servers, entry)
 		if s.state == registry.Deregistered && s.out == 0 && s.links == 0 {
 			delete(f.flowers, i)
@@ -545,8 +545,8 @@
 
 // seats are the servers of one service that this gatherer may use, and what they were found from.
 type seats struct {
-	from []kin.Name // the servers, in order
-	all  []kin.Name // the gatherers
+	from []rendezvous.Name // the servers, in order
+	all  []rendezvous.Name // the gatherers
 	n    int
 	own  map[string]bool
 }
@@ -555,22 +555,22 @@
 func (f *Forager) seated() map[string]map[string]bool {
 	few := map[string]map[string]bool{}
 	for service, limit := range f.limits {
-		n := kin.Seats(limit)
+		n := rendezvous.ConnectionSlots(limit)
 		if n <= 0 || n >= len(f.gatherers) {
 			delete(f.seats, service)
 			continue
 		}
-		var servers []kin.Name
+		var servers []rendezvous.Name
 		for _, s := range f.flowers {
 			if s.service == service && s.state == registry.Ready && !s.silent && !s.replaced {
-				servers = append(servers, kin.Name(s.instance))
+				servers = append(servers, rendezvous.Name(s.instance))
 			}
 		}
 		slices.Sort(servers)
 		at := f.seats[service]
 		if at == nil || at.n != n || !slices.Equal(at.from, servers) || !slices.Equal(at.all, f.gatherers) {
 			at = &seats{servers, f.gatherers, n, map[string]bool{}}
-			for _, name := range kin.Seated(kin.Name(f.set.Internal(boot.ForagerPort)), f.gatherers, servers, n) {
+			for _, name := range rendezvous.AssignedServers(rendezvous.Name(f.set.Internal(boot.ForagerPort)), f.gatherers, servers, n) {
 				at.own[string(name)] = true
 			}
 			f.seats[service] = at
@@ -583,9 +583,9 @@
 // most is this gatherer's part of the connections that a server of a service takes from all callers together.
 func (f *Forager) most(service string) int {
 	if f.tenancy.node != nil {
-		if base, pool := pollen.Split(kin.Seats(f.limits[service]), len(f.gatherers)); pool > 0 {
+		if base, pool := pollen.Split(rendezvous.ConnectionSlots(f.limits[service]), len(f.gatherers)); pool > 0 {
 			return base + f.tenancy.granted[service].parts
 		}
 	}
-	return kin.Share(f.limits[service], len(f.gatherers))
+	return rendezvous.ConnectionShare(f.limits[service], len(f.gatherers))
 }
--- a/forager/tenants.go
+++ b/forager/tenants.go
@@ -10,8 +10,8 @@
 	"oxbowspan/config"
 	"oxbowspan/dance"
 	"oxbowspan/internal/boot"
-	"oxbowspan/kin"
 	"oxbowspan/pollen"
+	"oxbowspan/rendezvous"
 )
 
 // Connections shared among tenants (package pollen decides), where a document of tenants is in force. Without one nothing here
@@ -34,10 +34,10 @@
 	numbers  map[brain.QueryType]pollen.Tenant
 	services map[brain.ShardNo]pollen.Service
 	names    map[pollen.Tenant]*tenant
-	needs    map[string]*pollen.Needs   // by service; kept to those of the configuration
-	granted  map[string]grant           // by service; kept to those of the configuration
-	keepers  map[string]*pollen.Keeper  // of the services whose duty is held here
-	holders  map[kin.Name]*dance.Caller // emptied of gatherers that are gone
+	needs    map[string]*pollen.Needs          // by service; kept to those of the configuration
+	granted  map[string]grant                  // by service; kept to those of the configuration
+	keepers  map[string]*pollen.Keeper         // of the services whose duty is held here
+	holders  map[rendezvous.Name]*dance.Caller // emptied of gatherers that are gone
 	needAt   brain.Time
 }
 
@@ -114,7 +114,7 @@
 	}
 	if t.node == nil {
 		t.node, t.names = pollen.NewNode(f.life), map[pollen.Tenant]*tenant{}
-		t.needs, t.granted, t.keepers, t.holders = map[string]*pollen.Needs{}, map[string]grant{}, map[string]*pollen.Keeper{}, map[kin.Name]*dance.Caller{}
+		t.needs, t.granted, t.keepers, t.holders = map[string]*pollen.Needs{}, map[string]grant{}, map[string]*pollen.Keeper{}, map[rendezvous.Name]*dance.Caller{}
 	}
 	of := t.document.NewTenantTable()
 	var all []pollen.Terms
@@ -290,7 +290,7 @@
 		}
 	}
 	for service := range t.keepers {
-		if !f.duties.May(connections(service), span(now)) {
+		if !f.duties.Holds(connections(service), span(now)) {
 			delete(t.keepers, service)
 		}
 	}
@@ -323,7 +323,7 @@
 }
 
 // connections is the key of the duty to divide a service's connections.
-func connections(service string) kin.Name { return kin.Name("connections " + service) }
+func connections(service string) rendezvous.Name { return rendezvous.Name("connections " + service) }
 
 // wants are, by service, what tenants would use beyond the base that is had without asking.
 func (f *Forager) wants(now brain.Time) map[string][]pollen.Want {
@@ -347,7 +347,7 @@
 	}
 	out := map[string][]pollen.Want{}
 	for service, limit := range f.limits {
-		base, pool := pollen.Split(kin.Seats(limit), len(f.gatherers))
+		base, pool := pollen.Split(rendezvous.ConnectionSlots(limit), len(f.gatherers))
 		if pool == 0 || servers[service] == 0 {
 			continue
 		}
@@ -373,8 +373,8 @@
 	if g.out {
 		return
 	}
-	self := kin.Name(f.set.Internal(boot.ForagerPort))
-	holder := kin.Holder(connections(service), f.gatherers)
+	self := rendezvous.Name(f.set.Internal(boot.ForagerPort))
+	holder := rendezvous.Owner(connections(service), f.gatherers)
 	if holder == self {
 		if parts, may := f.keep(service, f.life, wants, g.parts, now); may {
 			f.grant(service, parts, now)
@@ -423,7 +423,7 @@
 func (f *Forager) keep(service string, life uint64, wants []pollen.Want, used int, now brain.Time) (parts int, may bool) {
 	t := &f.tenancy
 	limit, known := f.limits[service]
-	if t.node == nil || !known || !f.duties.May(connections(service), span(now)) {
+	if t.node == nil || !known || !f.duties.Holds(connections(service), span(now)) {
 		return 0, false
 	}
 	k := t.keepers[service]
@@ -431,7 +431,7 @@
 		k = pollen.NewKeeper()
 		t.keepers[service] = k
 	}
-	_, pool := pollen.Split(kin.Seats(limit), len(f.gatherers))
+	_, pool := pollen.Split(rendezvous.ConnectionSlots(limit), len(f.gatherers))
 	return k.Ask(life, wants, used, pool, span(now)), true
 }
 
--- a/hive/hive.go
+++ b/hive/hive.go
@@ -23,9 +23,9 @@
 	"oxbowspan/internal/boot"
 	"oxbowspan/internal/ground"
 	"oxbowspan/internal/wax"
-	"oxbowspan/kin"
 	"oxbowspan/quorum"
 	"oxbowspan/registry"
+	"oxbowspan/rendezvous"
 )
 
 // Rhythm of the hive's own talk.
@@ -584,7 +584,7 @@
 	return &dance.Report{Instance: string(r.Instance), Service: string(r.Service), Address: r.Address, Zone: r.Zone, Version: r.Version,
 		Slots: uint32(r.Slots), State: uint32(r.State), ColdMs: uint32(max(r.SlowStartEndsAt-now, 0) / time.Millisecond),
 		Sequence: uint64(r.Sequence), AgeMs: uint32(max(now-r.HeartbeatAt, 0) / time.Millisecond), Silent: r.Unresponsive, Unheard: r.HeartbeatMissed,
-		WitnessAgeMs: uint32(max(now-r.HealthyAt, 0) / time.Millisecond), Fence: r.Lease.Fence, Holder: r.Lease.Holder}
+		WitnessAgeMs: uint32(max(now-r.HealthyAt, 0) / time.Millisecond), Fence: r.Lease.FencingToken, Holder: r.Lease.Holder}
 }
 
 func toReport(r *dance.Report, now time.Duration) registry.Record {
@@ -592,5 +592,5 @@
 		Version: r.Version, Slots: int(r.Slots), State: registry.State(min(r.State, uint32(registry.Deregistered))),
 		HeartbeatOnly: r.Refresh, Unresponsive: r.Silent, HeartbeatMissed: r.Unheard, SlowStartEndsAt: now + time.Duration(r.ColdMs)*time.Millisecond, Sequence: registry.Sequence(r.Sequence),
 		HeartbeatAt: now - time.Duration(r.AgeMs)*time.Millisecond, HealthyAt: now - time.Duration(r.WitnessAgeMs)*time.Millisecond,
-		Lease: kin.Claim{Fence: r.Fence, Holder: r.Holder}}
+		Lease: rendezvous.Lease{FencingToken: r.Fence, Holder: r.Holder}}
 }
--- a/hive/peers.go
+++ b/hive/peers.go
@@ -145,7 +145,7 @@
 		} else {
 			m.Reports = append(m.Reports, &dance.Report{Instance: string(r.Instance), Sequence: uint64(r.Sequence),
 				AgeMs: uint32(max(now-r.HeartbeatAt, 0) / time.Millisecond), Refresh: true,
-				WitnessAgeMs: uint32(max(now-r.HealthyAt, 0) / time.Millisecond), Fence: r.Lease.Fence, Holder: r.Lease.Holder})
+				WitnessAgeMs: uint32(max(now-r.HealthyAt, 0) / time.Millisecond), Fence: r.Lease.FencingToken, Holder: r.Lease.Holder})
 		}
 	}
 	for _, no := range p.differ { // mended from the newer: it takes what is newer than its own
--- a/internal/entrance/tenant.go
+++ b/internal/entrance/tenant.go
@@ -15,8 +15,8 @@
 	"oxbowspan/config"
 	"oxbowspan/hive"
 	"oxbowspan/internal/beekeeper"
-	"oxbowspan/kin"
 	"oxbowspan/pollen"
+	"oxbowspan/rendezvous"
 )
 
 // tenantCommand is what operators do with tenants.
@@ -261,7 +261,7 @@
 			continue
 		}
 		plan := servicePlan{Service: s.Name, Limit: s.ConnectionLimit}
-		for i, part := range pollen.Parts(kin.Seats(s.ConnectionLimit), terms) {
+		for i, part := range pollen.Parts(rendezvous.ConnectionSlots(s.ConnectionLimit), terms) {
 			plan.Tenants = append(plan.Tenants, tenantPlan{terms[i].Name, part, int(terms[i].Floor), int(terms[i].Most)})
 		}
 		plans = append(plans, plan)
--- a/kin/duty_test.go
+++ b/rendezvous/lease_test.go
@@ -1,4 +1,4 @@
-package kin
+package rendezvous
 
 import (
 	"fmt"
@@ -11,50 +11,50 @@
 // The model: gatherers that are told of the fleet by two cores that lag, that freeze, also in the middle of an act, are cut off
 // and killed; a keeper that takes the word of whoever holds a duty, under its claim.
 
-type lapse int
+type fault int
 
 const (
-	noLapse    lapse = iota
-	noLease          // a gatherer acts on the list that it has, however old
-	noRest           // a duty is taken up at once at a change of the list
-	noFence          // the keeper takes anybody's word
-	sameClaim        // who takes a duty goes on under the claim of the one before
-	noRestBack       // one that was out of touch takes its duties up at once where its list is the same
+	noFault             fault = iota
+	leaseIgnored              // a gatherer acts on the list that it has, however old
+	waitIgnored               // a duty is taken up at once at a change of the list
+	fencingIgnored            // the keeper takes anybody's word
+	leaseReused               // who takes a duty goes on under the claim of the one before
+	waitIgnoredAfterGap       // one that was out of touch takes its duties up at once where its list is the same
 )
 
-type worker struct {
-	name   Name
-	life   uint64
-	duties *Duties
-	frozen time.Duration // until then
-	cut    time.Duration
-	known  Claim
-	acting []Claim // words on their way when it froze
-	asks   bool    // a question is out
+type gateway struct {
+	name        Name
+	incarnation uint64
+	tracker     *Tracker
+	frozen      time.Duration // until then
+	cut         time.Duration
+	knownLease  Lease
+	inFlight    []Lease // words on their way when it froze
+	requesting  bool    // a question is out
 }
 
-type keeper struct {
-	claim Claim
-	by    uint64
+type guardedResource struct {
+	lease  Lease
+	holder uint64
 }
 
-func playDuties(seed uint64, slip lapse) string {
+func runModel(seed uint64, slip fault) string {
 	r := rand.New(rand.NewPCG(seed, 5))
-	var all []*worker
+	var all []*gateway
 	lives := uint64(0)
-	begin := func(name Name) *worker {
+	begin := func(name Name) *gateway {
 		lives++
-		return &worker{name: name, life: r.Uint64() | 1, duties: NewDuties(name)}
+		return &gateway{name: name, incarnation: r.Uint64() | 1, tracker: NewTracker(name)}
 	}
 	for i := range 6 {
 		all = append(all, begin(Name(fmt.Sprint("g", i))))
 	}
 	heard := map[Name]time.Duration{}
-	k := keeper{}
+	k := guardedResource{}
 	const key, step, lost = Name("server-7"), 50 * time.Millisecond, 4 * time.Second
 	type answer struct {
 		at, asked time.Duration
-		to        *worker
+		to        *gateway
 		list      []Name
 	}
 	var answers []answer
@@ -81,15 +81,15 @@
 			}
 		}
 		for _, w := range all {
-			if now < w.frozen || now < w.cut || w.asks {
+			if now < w.frozen || now < w.cut || w.requesting {
 				continue
 			}
-			w.asks = true
+			w.requesting = true
 			heard[w.name] = now
 			if !slices.Contains(list, w.name) {
 				list = append(list, w.name)
 			}
-			w.known = k.claim // news of it comes with the core's answers, soon
+			w.knownLease = k.lease // news of it comes with the core's answers, soon
 			answers = append(answers, answer{now + time.Duration(r.IntN(900))*time.Millisecond, now, w, list})
 		}
 		kept := answers[:0]
@@ -98,28 +98,28 @@
 			case now < a.at || now < a.to.frozen:
 				kept = append(kept, a)
 			case slices.Contains(all, a.to):
-				a.to.asks = false
-				a.to.duties.Told(a.list, now)
-				if slip == noRestBack {
-					a.to.duties.heardAt = max(a.to.duties.heardAt, a.asked)
+				a.to.requesting = false
+				a.to.tracker.SetMembers(a.list, now)
+				if slip == waitIgnoredAfterGap {
+					a.to.tracker.renewedAt = max(a.to.tracker.renewedAt, a.asked)
 				}
-				a.to.duties.Heard(a.asked, now)
+				a.to.tracker.Renew(a.asked, now)
 			}
 		}
 		answers = kept
-		word := func(w *worker, c Claim) string {
-			old := c.Compare(k.claim) < 0
-			if old && slip != noFence {
+		word := func(w *gateway, c Lease) string {
+			old := c.Compare(k.lease) < 0
+			if old && slip != fencingIgnored {
 				return ""
 			}
 			if old {
-				return fmt.Sprintf("%v: the word of %s counts under fence %d, after another took the duty under %d", now, w.name, c.Fence, k.claim.Fence)
+				return fmt.Sprintf("%v: the word of %s counts under fence %d, after another took the duty under %d", now, w.name, c.FencingToken, k.lease.FencingToken)
 			}
-			if k.by != w.life && k.by != 0 && c.Compare(k.claim) <= 0 {
-				return fmt.Sprintf("%v: %s took the duty and no fence rose beyond %d", now, w.name, k.claim.Fence)
+			if k.holder != w.incarnation && k.holder != 0 && c.Compare(k.lease) <= 0 {
+				return fmt.Sprintf("%v: %s took the duty and no fence rose beyond %d", now, w.name, k.lease.FencingToken)
 			}
 			acts++
-			k.by, k.claim = w.life, c
+			k.holder, k.lease = w.incarnation, c
 			return ""
 		}
 		holders := 0
@@ -127,29 +127,29 @@
 			if now < w.frozen {
 				continue
 			}
-			for _, c := range w.acting { // it wakes, and what it was about to say goes out
+			for _, c := range w.inFlight { // it wakes, and what it was about to say goes out
 				if broken := word(w, c); broken != "" {
 					return broken
 				}
 			}
-			w.acting = nil
+			w.inFlight = nil
 			switch slip {
-			case noLease:
-				w.duties.heardAt = now
-			case noRest:
-				w.duties.changedAt = -time.Hour
+			case leaseIgnored:
+				w.tracker.renewedAt = now
+			case waitIgnored:
+				w.tracker.changedAt = -time.Hour
 			}
-			if !w.duties.May(key, now) {
+			if !w.tracker.Holds(key, now) {
 				continue
 			}
 			holders++
-			claim := w.known.Take(w.life)
-			if slip == sameClaim {
-				claim = Claim{max(w.known.Fence, 1), 1}
+			claim := w.knownLease.Acquire(w.incarnation)
+			if slip == leaseReused {
+				claim = Lease{max(w.knownLease.FencingToken, 1), 1}
 			}
 			if r.IntN(30) == 0 { // it freezes before its word is out
 				w.frozen = now + time.Duration(r.IntN(12000))*time.Millisecond
-				w.acting = append(w.acting, claim)
+				w.inFlight = append(w.inFlight, claim)
 				continue
 			}
 			if now < w.cut {
@@ -169,20 +169,20 @@
 	return ""
 }
 
-func TestADutyHasOneHolder(t *testing.T) {
+func TestModelKeepsSingleHolder(t *testing.T) {
 	for seed := range uint64(60) {
-		if broken := playDuties(seed, noLapse); broken != "" {
+		if broken := runModel(seed, noFault); broken != "" {
 			t.Fatalf("seed %d: %s", seed, broken)
 		}
 	}
 }
 
-func TestPlantedLapsesAreFound(t *testing.T) {
-	for name, slip := range map[string]lapse{"no lease": noLease, "no rest at a change": noRest, "no fence": noFence,
-		"the claim of the one before": sameClaim, "no rest after a gap": noRestBack} {
+func TestModelDetectsInjectedFaults(t *testing.T) {
+	for name, slip := range map[string]fault{"no lease": leaseIgnored, "no rest at a change": waitIgnored, "no fence": fencingIgnored,
+		"the claim of the one before": leaseReused, "no rest after a gap": waitIgnoredAfterGap} {
 		found := false
 		for seed := uint64(0); seed < 400 && !found; seed++ {
-			if broken := playDuties(seed, slip); broken != "" {
+			if broken := runModel(seed, slip); broken != "" {
 				found = true
 				t.Logf("%s: seed %d: %s", name, seed, broken)
 			}
--- a/kin/kin_bench_test.go
+++ b/rendezvous/rendezvous_bench_test.go
@@ -1,4 +1,4 @@
-package kin
+package rendezvous
 
 import (
 	"fmt"
@@ -17,7 +17,7 @@
 	return out
 }
 
-func BenchmarkKin(b *testing.B) {
+func BenchmarkRendezvous(b *testing.B) {
 	for _, n := range []int{100, 300, 1000, 3300} {
 		all, servers := benchNames("gatherer", n), benchNames("server", 72)
 		run := func(name string, what func()) {
@@ -28,11 +28,11 @@
 				}
 			})
 		}
-		run("watched", func() { Watched(all[0], all, Few) })
-		run("holder", func() { Holder("server-1", all) })
-		run("seats at 72 servers of 280 connections", func() { Seated(all[0], all, servers, Seats(280)) })
-		run("seats at 8 servers of 280 connections", func() { Seated(all[0], all, servers[:8], Seats(280)) })
-		d := NewDuties(all[0])
-		run("told of all", func() { d.Told(all, time.Second) })
+		run("watched", func() { Peers(all[0], all, PeerCount) })
+		run("holder", func() { Owner("server-1", all) })
+		run("seats at 72 servers of 280 connections", func() { AssignedServers(all[0], all, servers, ConnectionSlots(280)) })
+		run("seats at 8 servers of 280 connections", func() { AssignedServers(all[0], all, servers[:8], ConnectionSlots(280)) })
+		d := NewTracker(all[0])
+		run("told of all", func() { d.SetMembers(all, time.Second) })
 	}
 }
--- a/kin/kin_test.go
+++ b/rendezvous/rendezvous_test.go
@@ -1,4 +1,4 @@
-package kin
+package rendezvous
 
 import (
 	"fmt"
@@ -7,10 +7,10 @@
 )
 
 // Shares never add up to more than the whole, while the whole is enough for one each.
-func TestSharesKeepWithinTheWhole(t *testing.T) {
+func TestConnectionShareStaysWithinLimit(t *testing.T) {
 	for _, limit := range []int{0, 68, 72, 280, 400} {
 		for fleet := 1; fleet <= 90; fleet++ {
-			if n := Share(limit, fleet); limit >= fleet && n*fleet > limit || limit > 0 && n < 1 || limit == 0 && n != 0 {
+			if n := ConnectionShare(limit, fleet); limit >= fleet && n*fleet > limit || limit > 0 && n < 1 || limit == 0 && n != 0 {
 				t.Fatalf("%d gatherers get %d of %d each", fleet, n, limit)
 			}
 		}
@@ -18,13 +18,13 @@
 }
 
 // One that goes changes only the few of those that watched it.
-func TestOneThatGoesMovesLittle(t *testing.T) {
+func TestPeersChangeLittleOnRemoval(t *testing.T) {
 	var all []Name
 	for i := range 90 {
 		all = append(all, Name(fmt.Sprint("g", i)))
 	}
 	for _, self := range all[1:] {
-		before, after := Watched(self, all, Few), Watched(self, all[1:], Few)
+		before, after := Peers(self, all, PeerCount), Peers(self, all[1:], PeerCount)
 		kept := 0
 		for _, n := range after {
 			for _, o := range before {
@@ -33,7 +33,7 @@
 				}
 			}
 		}
-		if kept < Few-1 || len(after) != Few {
+		if kept < PeerCount-1 || len(after) != PeerCount {
 			t.Fatalf("%s watches %v, then %v", self, before, after)
 		}
 	}
@@ -41,7 +41,7 @@
 
 // Where a server has fewer seats than there are gatherers, few use it, each gatherer has some server, and one that goes moves
 // little.
-func TestSeatsAreKept(t *testing.T) {
+func TestAssignedServersRespectSlots(t *testing.T) {
 	var all, servers []Name
 	for i := range 90 {
 		all = append(all, Name(fmt.Sprint("g", i)))
@@ -50,17 +50,17 @@
 		servers = append(servers, Name(fmt.Sprint("s", i)))
 	}
 	for _, limit := range []int{2, 10, 30, 60, 99} {
-		seats := Seats(limit)
+		seats := ConnectionSlots(limit)
 		users, moved := map[Name]int{}, 0
 		for _, g := range all[1:] {
-			own := Seated(g, all, servers, seats)
+			own := AssignedServers(g, all, servers, seats)
 			if len(own) == 0 {
 				t.Fatalf("limit %d: %s has no server", limit, g)
 			}
 			for _, s := range own {
 				users[s]++
 			}
-			for _, s := range Seated(g, all[1:], servers, seats) {
+			for _, s := range AssignedServers(g, all[1:], servers, seats) {
 				if !slices.Contains(own, s) {
 					moved++
 				}
--- a/scout/model_test.go
+++ b/scout/model_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"oxbowspan/kin"
+	"oxbowspan/rendezvous"
 )
 
 // The model: gatherers in zones that send parts to the replicas of some shards, see how they end, and tell those that watch them.
@@ -37,7 +37,7 @@
 )
 
 type gatherer struct {
-	name   kin.Name
+	name   rendezvous.Name
 	zone   int
 	board  *Board
 	rates  map[Instance]float64
@@ -74,22 +74,22 @@
 func newHive(seed uint64, gatherers, zones, shards, replicas int) *hive {
 	h := &hive{r: rand.New(rand.NewPCG(seed, 9)), now: time.Second, watchers: map[int][]int{}, shard: map[Instance]Shard{}, moods: map[Instance]mood{}, rate: 45,
 		tried: map[Instance]int{}, met: map[Instance]int{}, was: map[string]State{}}
-	byZone := map[int][]kin.Name{}
-	at := map[kin.Name]int{}
+	byZone := map[int][]rendezvous.Name{}
+	at := map[rendezvous.Name]int{}
 	for i := range gatherers {
-		g := &gatherer{name: kin.Name(fmt.Sprint("g", i)), zone: i % zones, board: NewBoard(Observer(i + 1)), rates: map[Instance]float64{}, out: map[Instance]time.Duration{}, mutes: map[Instance]time.Duration{}}
+		g := &gatherer{name: rendezvous.Name(fmt.Sprint("g", i)), zone: i % zones, board: NewBoard(Observer(i + 1)), rates: map[Instance]float64{}, out: map[Instance]time.Duration{}, mutes: map[Instance]time.Duration{}}
 		h.all = append(h.all, g)
 		byZone[g.zone] = append(byZone[g.zone], g.name)
 		at[g.name] = i
 	}
 	for i, g := range h.all {
-		var far []kin.Name
+		var far []rendezvous.Name
 		for z, names := range byZone {
 			if z != g.zone {
 				far = append(far, names...)
 			}
 		}
-		for _, w := range append(kin.Watched(g.name, byZone[g.zone], kin.Few), kin.Watched(g.name, far, 1)...) {
+		for _, w := range append(rendezvous.Peers(g.name, byZone[g.zone], rendezvous.PeerCount), rendezvous.Peers(g.name, far, 1)...) {
 			h.watchers[at[w]] = append(h.watchers[at[w]], i) // i hears w
 		}
 	}
@@ -118,11 +118,11 @@
 
 // holder is who tries a server that is out.
 func (h *hive) holder(s Instance) *gatherer {
-	var names []kin.Name
+	var names []rendezvous.Name
 	for _, g := range h.all {
 		names = append(names, g.name)
 	}
-	n := kin.Holder(kin.Name(s), names)
+	n := rendezvous.Owner(rendezvous.Name(s), names)
 	return h.all[slices.Index(names, n)]
 }
 
