--- a/hive/hive.go
+++ b/hive/hive.go
@@ -20,9 +20,9 @@
 
 	"oxbowspan/consensus"
 	"oxbowspan/dance"
+	"oxbowspan/internal/acceptorstore"
 	"oxbowspan/internal/boot"
 	"oxbowspan/internal/ground"
-	"oxbowspan/internal/wax"
 	"oxbowspan/quorum"
 	"oxbowspan/registry"
 	"oxbowspan/rendezvous"
@@ -45,7 +45,7 @@
 	set      *boot.Settings
 	net      ground.Network
 	log      zerolog.Logger
-	store    *wax.Store
+	store    *acceptorstore.Store
 	self     consensus.AcceptorID
 	proposer consensus.ProposerID
 	life     uint64
@@ -140,7 +140,7 @@
 	if !set.FirstStart {
 		self = 0
 	}
-	store, aside, err := wax.Open(set.DataDirectory, self)
+	store, aside, err := acceptorstore.Open(set.DataDirectory, self)
 	if err != nil {
 		return nil, err
 	}
@@ -148,7 +148,7 @@
 		log.Warn().Str("file", aside).Msg("state: damaged file set aside, coming back as a stranger")
 	}
 	state := store.State()
-	h := &Hive{set: set, net: on, log: log, store: store, self: state.ID, proposer: consensus.ProposerID(wax.Draw()), life: uint64(wax.Draw()),
+	h := &Hive{set: set, net: on, log: log, store: store, self: state.ID, proposer: consensus.ProposerID(acceptorstore.NewAcceptorID()), life: uint64(acceptorstore.NewAcceptorID()),
 		address: set.Internal(boot.HivePort), start: time.Now(), cmds: make(chan func(), 1024), stopped: make(chan struct{}), killed: make(chan struct{}),
 		turn: make(chan struct{}, 1), known: consensus.Genesis(genesis), table: registry.NewTable(set.Beat()),
 		foragers: map[uint64]*forager{}, peers: map[string]*peer{}, waiters: map[*waiter]bool{}, servers: map[string]string{}, events: circularbuffer.New[event](keptEvents), notesAt: map[string]noteAt{}, ballot: state.Promised.Number, contact: quorum.NewContact()}
@@ -397,7 +397,7 @@
 		return
 	}
 	h.hintedAt = now
-	h.hinting = h.store.KeepHints(text, func(err error) {
+	h.hinting = h.store.SaveHints(text, func(err error) {
 		go h.do(func() {
 			if h.hinting = false; err == nil {
 				h.hinted = upTo
--- a/internal/wax/folder_test.go
+++ b/internal/acceptorstore/directory_test.go
@@ -1,4 +1,4 @@
-package wax
+package acceptorstore
 
 import (
 	"errors"
@@ -9,9 +9,9 @@
 
 // A name lasts through a loss of power only once its folder was synced: no store is handed out before, whether its file was just made,
 // was made by a run that may have ended too soon, or was put in the place of one that is damaged.
-func TestNamesLastBeforeAnythingIsStored(t *testing.T) {
-	real := syncFolder
-	defer func() { syncFolder = real }()
+func TestDirectoryIsSyncedBeforeUse(t *testing.T) {
+	real := syncDirectory
+	defer func() { syncDirectory = real }()
 	dir := t.TempDir()
 	path := filepath.Join(dir, fileName)
 	for _, k := range []struct {
@@ -27,21 +27,21 @@
 		}},
 	} {
 		k.before()
-		aside := func() int {
+		setAsidePath := func() int {
 			names, err := filepath.Glob(path + "*")
 			if err != nil {
 				t.Fatal(err)
 			}
 			return len(names)
 		}
-		syncFolder = func(string) error { return errors.New("no") }
+		syncDirectory = func(string) error { return errors.New("no") }
 		if s, _, err := Open(dir, 0); err == nil {
 			s.Close()
 			t.Errorf("%s: handed out though its folder could not be synced", k.what)
 		}
-		files, synced := aside(), 0
-		syncFolder = func(of string) error {
-			if synced = aside(); of != dir {
+		files, synced := setAsidePath(), 0
+		syncDirectory = func(of string) error {
+			if synced = setAsidePath(); of != dir {
 				t.Errorf("%s: %s was synced", k.what, of)
 			}
 			return real(of)
@@ -50,8 +50,8 @@
 		if err != nil {
 			t.Fatalf("%s: %v", k.what, err)
 		}
-		if synced != files || aside() != files {
-			t.Errorf("%s: the folder was synced with %d files, there are %d", k.what, synced, aside())
+		if synced != files || setAsidePath() != files {
+			t.Errorf("%s: the folder was synced with %d files, there are %d", k.what, synced, setAsidePath())
 		}
 		s.Close()
 	}
--- a/internal/wax/form_test.go
+++ b/internal/acceptorstore/format_test.go
@@ -1,4 +1,4 @@
-package wax
+package acceptorstore
 
 import (
 	"bytes"
@@ -20,9 +20,9 @@
 	"oxbowspan/dance"
 )
 
-// earlier puts a file of form 1, written by the program that made them, into a folder: a vote at turn 11 and ballot 12, a
+// formatOneDirectory puts a file of form 1, written by the program that made them, into a folder: a vote at turn 11 and ballot 12, a
 // promise of ballot 13, hints of one server.
-func earlier(t *testing.T) (dir string) {
+func formatOneDirectory(t *testing.T) (dir string) {
 	t.Helper()
 	packed, err := os.Open("testdata/format-1.db.gz")
 	if err != nil {
@@ -45,17 +45,17 @@
 }
 
 // A file of the form before this one is read, as it was left, and again once it was turned into this form.
-func TestAFileOfTheFormBeforeIsRead(t *testing.T) {
-	dir := earlier(t)
-	for _, form := range []uint64{formatWhole, Format} {
+func TestFormatOneIsUpgraded(t *testing.T) {
+	dir := formatOneDirectory(t)
+	for _, form := range []uint64{formatInlineBodies, FormatVersion} {
 		c, err := Inspect(dir)
-		if err != nil || c.Format != form || c.Identity != 77 || c.Turn != 11 || c.Servers != 1 || string(c.Body) != `{"version":9}` ||
-			len(c.Notes) != 1 || string(c.Notes[0].Body) != `{"tenants":[]}` {
+		if err != nil || c.Format != form || c.Identity != 77 || c.Slot != 11 || c.Servers != 1 || string(c.Body) != `{"version":9}` ||
+			len(c.Documents) != 1 || string(c.Documents[0].Body) != `{"tenants":[]}` {
 			t.Fatalf("inspected %+v, %v", c, err)
 		}
-		s, aside, err := Open(dir, 1)
-		if err != nil || aside != "" {
-			t.Fatal(err, aside)
+		s, setAsidePath, err := Open(dir, 1)
+		if err != nil || setAsidePath != "" {
+			t.Fatal(err, setAsidePath)
 		}
 		got := s.State()
 		if got.ID != 77 || got.Promised.Number != 13 || got.Accepted.Number != 12 || got.Value.Version != 9 || string(got.Value.Body) != `{"version":9}` ||
@@ -71,26 +71,26 @@
 }
 
 // A file whose form is not known is not read.
-func TestAFileOfALaterFormIsSetAside(t *testing.T) {
-	dir := earlier(t)
+func TestUnknownFormatIsSetAside(t *testing.T) {
+	dir := formatOneDirectory(t)
 	db, err := bbolt.Open(filepath.Join(dir, fileName), 0o644, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	db.Update(func(tx *bbolt.Tx) error {
-		return tx.Bucket(bucket).Put(keyForm, []byte{0, 0, 0, 0, 0, 0, 0, Format + 1})
+		return tx.Bucket(stateBucket).Put(formatKey, []byte{0, 0, 0, 0, 0, 0, 0, FormatVersion + 1})
 	})
 	db.Close()
-	s, aside, err := Open(dir, 1)
-	if err != nil || aside == "" || s.State().ID == 77 {
-		t.Fatal(err, aside)
+	s, setAsidePath, err := Open(dir, 1)
+	if err != nil || setAsidePath == "" || s.State().ID == 77 {
+		t.Fatal(err, setAsidePath)
 	}
 	s.Close()
 }
 
 // A file that lacks a body of its value is damaged: the value must not come back without it.
-func TestAMissingBodyIsDamage(t *testing.T) {
-	dir := earlier(t)
+func TestMissingBodyIsCorruption(t *testing.T) {
+	dir := formatOneDirectory(t)
 	s, _, err := Open(dir, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -100,17 +100,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	db.Update(func(tx *bbolt.Tx) error { return tx.DeleteBucket(bodies) })
+	db.Update(func(tx *bbolt.Tx) error { return tx.DeleteBucket(bodiesBucket) })
 	db.Close()
-	s, aside, err := Open(dir, 1)
-	if err != nil || aside == "" || s.State().Value != nil {
-		t.Fatal(err, aside)
+	s, setAsidePath, err := Open(dir, 1)
+	if err != nil || setAsidePath == "" || s.State().Value != nil {
+		t.Fatal(err, setAsidePath)
 	}
 	s.Close()
 }
 
-// longVote votes at a ballot for a version whose body has so many bytes.
-func longVote(ballot uint64, version consensus.Version, size int) func(consensus.AcceptorState) consensus.AcceptorState {
+// acceptBodyStep votes at a ballot for a version whose body has so many bytes.
+func acceptBodyStep(ballot uint64, version consensus.Version, size int) func(consensus.AcceptorState) consensus.AcceptorState {
 	body := bytes.Repeat([]byte(strconv.FormatUint(uint64(version)%10, 10)), size)
 	copy(body, fmt.Sprint(version, " "))
 	sum := sha256.Sum256(body)
@@ -122,8 +122,8 @@
 	}
 }
 
-// promise promises a ballot.
-func promise(ballot uint64) func(consensus.AcceptorState) consensus.AcceptorState {
+// prepareStep promises a ballot.
+func prepareStep(ballot uint64) func(consensus.AcceptorState) consensus.AcceptorState {
 	return func(s consensus.AcceptorState) consensus.AcceptorState {
 		next, _ := s.HandlePrepare(consensus.Prepare{To: s.ID, Ballot: consensus.Ballot{Number: ballot, By: 1}})
 		return next
@@ -131,7 +131,7 @@
 }
 
 // A body is written once: neither promises nor further votes for the same version write it again.
-func TestABodyIsWrittenOnce(t *testing.T) {
+func TestBodyIsWrittenOnce(t *testing.T) {
 	const size = 1 << 20
 	s, _, err := Open(t.TempDir(), 1)
 	if err != nil {
@@ -146,21 +146,21 @@
 		after := s.db.Stats()
 		return after.TxStats.GetPageAlloc() - before.TxStats.GetPageAlloc()
 	}
-	if n := wrote(longVote(1, 1, size)); n < size || n > size+size/8 {
+	if n := wrote(acceptBodyStep(1, 1, size)); n < size || n > size+size/8 {
 		t.Errorf("a vote for a new version writes %d bytes", n)
 	}
 	for ballot := uint64(2); ballot < 20; ballot += 2 {
-		if n := wrote(promise(ballot)); n > 64<<10 {
+		if n := wrote(prepareStep(ballot)); n > 64<<10 {
 			t.Errorf("a promise writes %d bytes", n)
 		}
-		if n := wrote(longVote(ballot+1, 1, size)); n > 64<<10 {
+		if n := wrote(acceptBodyStep(ballot+1, 1, size)); n > 64<<10 {
 			t.Errorf("a vote for the same version writes %d bytes", n)
 		}
 	}
 }
 
 // The file does not grow with the number of changes.
-func TestTheFileIsBounded(t *testing.T) {
+func TestFileSizeIsBounded(t *testing.T) {
 	dir := t.TempDir()
 	s, _, err := Open(dir, 1)
 	if err != nil {
@@ -170,7 +170,7 @@
 	const size = 64 << 10
 	half := int64(0)
 	for n := uint64(1); n <= 1000; n++ {
-		if err := errors.Join(update(t, s, promise(2*n)), update(t, s, longVote(2*n+1, consensus.Version(n), size))); err != nil {
+		if err := errors.Join(update(t, s, prepareStep(2*n)), update(t, s, acceptBodyStep(2*n+1, consensus.Version(n), size))); err != nil {
 			t.Fatal(err)
 		}
 		if n == 500 {
@@ -199,13 +199,13 @@
 }
 
 // A write with a new body fails in its sync, and lies in the file all the same; the vote after it is for the version before.
-func TestABodyWhoseWriteFailedIsNoMixture(t *testing.T) {
+func TestFailedBodyWriteLeavesConsistentState(t *testing.T) {
 	dir := t.TempDir()
 	s, _, err := Open(dir, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := update(t, s, longVote(1, 1, 100)); err != nil {
+	if err := update(t, s, acceptBodyStep(1, 1, 100)); err != nil {
 		t.Fatal(err)
 	}
 	s.commit = func(f func(*bbolt.Tx) error) error {
@@ -214,17 +214,17 @@
 		}
 		return errors.New("input/output error")
 	}
-	if update(t, s, longVote(2, 2, 100)) == nil {
+	if update(t, s, acceptBodyStep(2, 2, 100)) == nil {
 		t.Fatal("a vote whose sync failed is told as stored")
 	}
 	s.commit = s.db.Update
-	if err := update(t, s, promise(3)); err != nil {
+	if err := update(t, s, prepareStep(3)); err != nil {
 		t.Fatal(err)
 	}
 	s.Close()
-	s, aside, err := Open(dir, 1)
-	if err != nil || aside != "" {
-		t.Fatal(err, aside)
+	s, setAsidePath, err := Open(dir, 1)
+	if err != nil || setAsidePath != "" {
+		t.Fatal(err, setAsidePath)
 	}
 	defer s.Close()
 	if got := s.State(); got.Accepted.Number != 1 || got.Value.Version != 1 || !strings.HasPrefix(string(got.Value.Body), "1 ") {
--- a/internal/wax/inspect.go
+++ b/internal/acceptorstore/inspect.go
@@ -1,4 +1,4 @@
-package wax
+package acceptorstore
 
 import (
 	"encoding/binary"
@@ -22,18 +22,18 @@
 	Identity consensus.AcceptorID `json:"identity"`
 	Promised consensus.Ballot     `json:"promised"`
 	Accepted consensus.Ballot     `json:"accepted"`
-	Turn     consensus.Slot       `json:"turn"`    // of the vote, which may not have been decided
+	Slot     consensus.Slot       `json:"turn"`    // of the vote, which may not have been decided
 	Version  consensus.Version    `json:"version"` // of its configuration
 	BasedOn  consensus.Version    `json:"based_on"`
 	Digest   string               `json:"digest"` // SHA-256, in hexadecimal
 	Members  []consensus.Member   `json:"members"`
 	Prior    []consensus.Member   `json:"prior"`
-	Past     []consensus.Version  `json:"past"`
+	History  []consensus.Version  `json:"past"`
 	Servers  int                  `json:"servers"` // kept as hints
 	Bytes    int64                `json:"bytes"`   // of the file
 
-	Body  []byte               `json:"-"` // the configuration
-	Notes []consensus.Document `json:"-"`
+	Body      []byte               `json:"-"` // the configuration
+	Documents []consensus.Document `json:"-"`
 }
 
 // Inspect reads the file in a directory of a machine that does not run. It changes nothing.
@@ -55,36 +55,36 @@
 	}
 	defer db.Close()
 	c = &Contents{Bytes: info.Size()}
-	if err := whole(db, path); err != nil {
+	if err := checkIntegrity(db, path); err != nil {
 		return nil, err
 	}
 	err = db.View(func(tx *bbolt.Tx) error {
-		b := tx.Bucket(bucket)
+		b := tx.Bucket(stateBucket)
 		if b == nil {
 			return eris.New("the state file was never used")
 		}
-		if c.Format = formOf(b); c.Format != Format && c.Format != formatWhole {
-			return eris.Errorf("the state file has form %d, this program reads %d and %d", c.Format, formatWhole, Format)
+		if c.Format = readFormat(b); c.Format != FormatVersion && c.Format != formatInlineBodies {
+			return eris.Errorf("the state file has form %d, this program reads %d and %d", c.Format, formatInlineBodies, FormatVersion)
 		}
-		if id := b.Get(keyID); len(id) == 8 {
+		if id := b.Get(identityKey); len(id) == 8 {
 			c.Identity = consensus.AcceptorID(binary.BigEndian.Uint64(id))
 		}
 		s := &Store{}
-		if err := s.read(tx, b); err != nil {
+		if err := s.readState(tx, b); err != nil {
 			return err
 		}
 		c.Promised, c.Accepted = s.state.Promised, s.state.Accepted
 		if v := s.state.Value; v != nil {
-			c.Turn, c.Version, c.BasedOn, c.Digest = v.Slot, v.Version, v.BasedOn, hex.EncodeToString([]byte(v.Digest))
-			c.Members, c.Prior, c.Body, c.Notes = v.Members, v.PriorMembers, v.Body, v.Documents
+			c.Slot, c.Version, c.BasedOn, c.Digest = v.Slot, v.Version, v.BasedOn, hex.EncodeToString([]byte(v.Digest))
+			c.Members, c.Prior, c.Body, c.Documents = v.Members, v.PriorMembers, v.Body, v.Documents
 			for _, p := range v.PriorRevisions {
-				c.Past = append(c.Past, p.Version)
+				c.History = append(c.History, p.Version)
 			}
 		}
 		hints := &dance.Pulse{}
-		kept := b.Get(keyHints)
-		if o := tx.Bucket(others); o != nil {
-			kept = o.Get(keyHints)
+		kept := b.Get(hintsKey)
+		if o := tx.Bucket(hintsBucket); o != nil {
+			kept = o.Get(hintsKey)
 		}
 		if proto.Unmarshal(kept, hints) == nil {
 			c.Servers = len(hints.Reports)
--- a/internal/wax/wax.go
+++ b/internal/acceptorstore/store.go
@@ -1,6 +1,6 @@
-// Package wax keeps an acceptor's state on its disk. One goroutine waits for the disk; nobody else does: what can't be
+// Package acceptorstore keeps an acceptor's state on its disk. One goroutine waits for the disk; nobody else does: what can't be
 // stored in time is refused, and the rest of the program goes on.
-package wax
+package acceptorstore
 
 import (
 	"bytes"
@@ -26,24 +26,24 @@
 // In form 1 the value held its bodies, in the leaf that each promise writes anew. In form 2 each body lies in a bucket of its
 // own, under its digest: it is written once, however many votes are cast for it.
 const (
-	Format      = 2
-	formatWhole = 1 // values with their bodies
+	FormatVersion      = 2
+	formatInlineBodies = 1 // values with their bodies
 )
 
 const fileName = "hive.db"
 
 var (
-	bucket   = []byte("hive")
-	keyForm  = []byte("format")
-	keyID    = []byte("identity")
-	keyState = []byte("state")
-	keyValue = []byte("value")
+	stateBucket = []byte("hive")
+	formatKey   = []byte("format")
+	identityKey = []byte("identity")
+	stateKey    = []byte("state")
+	valueKey    = []byte("value")
 
-	bodies  = []byte("bodies") // a bucket for each body, by digest
-	keyBody = []byte("body")
+	bodiesBucket = []byte("bodies") // a bucket for each body, by digest
+	bodyKey      = []byte("body")
 
-	others   = []byte("others") // what nothing depends on
-	keyHints = []byte("hints")  // in form 1 in the first bucket
+	hintsBucket = []byte("others") // what nothing depends on
+	hintsKey    = []byte("hints")  // in form 1 in the first bucket
 )
 
 // ErrBusy says that the disk is behind.
@@ -51,27 +51,27 @@
 
 // Store is one acceptor's file.
 type Store struct {
-	db    *bbolt.DB
-	work  chan func()
-	quit  chan struct{}
-	done  chan struct{}
-	state consensus.AcceptorState // the last that is known to be on the disk; the disk's goroutine's
-	torn  bool                    // a write failed: what the file holds beyond state is not known; the disk's goroutine's
-	hints []byte                  // as found at the start
+	db             *bbolt.DB
+	queue          chan func()
+	closing        chan struct{}
+	done           chan struct{}
+	state          consensus.AcceptorState // the last that is known to be on the disk; the disk's goroutine's
+	writeUncertain bool                    // a write failed: what the file holds beyond state is not known; the disk's goroutine's
+	hints          []byte                  // as found at the start
 
 	commit func(func(*bbolt.Tx) error) error // db.Update, or a test's
 }
 
 // Open opens or makes the file in a directory. Genesis is the identity for a disk that is empty; 0 draws one. A file that
 // can't be read is set aside, named in aside, and the machine comes back as a stranger with an identity of its own.
-func Open(dir string, genesis consensus.AcceptorID) (s *Store, aside string, err error) {
+func Open(dir string, genesis consensus.AcceptorID) (s *Store, setAsidePath string, err error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, "", eris.Wrap(err, "the data directory can't be made")
 	}
 	path := filepath.Join(dir, fileName)
 	defer func() {
 		if err == nil {
-			s, err = named(s, dir)
+			s, err = syncName(s, dir)
 		}
 	}()
 	if _, err := os.Stat(path); err == nil {
@@ -79,14 +79,14 @@
 		if s, err = openFile(path, genesis); err == nil {
 			return s, "", nil
 		}
-		aside = path + ".damaged-" + time.Now().UTC().Format("20060102T150405")
-		if renamed := os.Rename(path, aside); renamed != nil {
+		setAsidePath = path + ".damaged-" + time.Now().UTC().Format("20060102T150405")
+		if renamed := os.Rename(path, setAsidePath); renamed != nil {
 			return nil, "", eris.Wrapf(err, "the state file can't be read, nor set aside (%v)", renamed)
 		}
 		genesis = 0
 	}
 	s, err = openFile(path, genesis)
-	return s, aside, err
+	return s, setAsidePath, err
 }
 
 func openFile(path string, genesis consensus.AcceptorID) (s *Store, err error) {
@@ -100,12 +100,12 @@
 	if err != nil {
 		return nil, err
 	}
-	if err = whole(db, path); err != nil {
+	if err = checkIntegrity(db, path); err != nil {
 		db.Close()
 		return nil, err
 	}
-	s = &Store{db: db, commit: db.Update, work: make(chan func(), 64), quit: make(chan struct{}), done: make(chan struct{})}
-	if err = db.Update(func(tx *bbolt.Tx) error { return s.load(tx, genesis) }); err != nil {
+	s = &Store{db: db, commit: db.Update, queue: make(chan func(), 64), closing: make(chan struct{}), done: make(chan struct{})}
+	if err = db.Update(func(tx *bbolt.Tx) error { return s.loadOrInitialize(tx, genesis) }); err != nil {
 		db.Close()
 		return nil, err
 	}
@@ -113,8 +113,8 @@
 	return s, nil
 }
 
-// whole tells what is wrong with a file's pages.
-func whole(db *bbolt.DB, path string) error {
+// checkIntegrity tells what is wrong with a file's pages.
+func checkIntegrity(db *bbolt.DB, path string) error {
 	return db.View(func(tx *bbolt.Tx) error {
 		if info, err := os.Stat(path); err != nil || info.Size() < tx.Size() {
 			return eris.New("the state file is shorter than it says")
@@ -126,98 +126,98 @@
 	})
 }
 
-func (s *Store) load(tx *bbolt.Tx, genesis consensus.AcceptorID) error {
-	b, err := tx.CreateBucketIfNotExists(bucket)
+func (s *Store) loadOrInitialize(tx *bbolt.Tx, genesis consensus.AcceptorID) error {
+	b, err := tx.CreateBucketIfNotExists(stateBucket)
 	if err != nil {
 		return err
 	}
-	form := formOf(b)
-	if form != 0 && form != Format && form != formatWhole {
-		return eris.Errorf("the state file has form %d, this program reads %d and %d", form, formatWhole, Format)
+	form := readFormat(b)
+	if form != 0 && form != FormatVersion && form != formatInlineBodies {
+		return eris.Errorf("the state file has form %d, this program reads %d and %d", form, formatInlineBodies, FormatVersion)
 	}
-	if s.hints, err = takeHints(tx, b); err != nil {
+	if s.hints, err = migrateHints(tx, b); err != nil {
 		return err
 	}
-	if id := b.Get(keyID); len(id) == 8 {
+	if id := b.Get(identityKey); len(id) == 8 {
 		s.state.ID = consensus.AcceptorID(binary.BigEndian.Uint64(id))
-		if err := s.read(tx, b); err != nil || form == Format {
+		if err := s.readState(tx, b); err != nil || form == FormatVersion {
 			return err
 		}
-		return s.put(tx, s.state, true)
+		return s.writeState(tx, s.state, true)
 	}
 	if s.state.ID = genesis; genesis == 0 {
-		s.state.ID = Draw()
+		s.state.ID = NewAcceptorID()
 	}
-	if err := putForm(b); err != nil {
+	if err := writeFormat(b); err != nil {
 		return err
 	}
-	return b.Put(keyID, binary.BigEndian.AppendUint64(nil, uint64(s.state.ID)))
+	return b.Put(identityKey, binary.BigEndian.AppendUint64(nil, uint64(s.state.ID)))
 }
 
-// formOf is the number of a file's form; 0 = it has none yet.
-func formOf(b *bbolt.Bucket) uint64 {
-	if form := b.Get(keyForm); len(form) == 8 {
+// readFormat is the number of a file's form; 0 = it has none yet.
+func readFormat(b *bbolt.Bucket) uint64 {
+	if form := b.Get(formatKey); len(form) == 8 {
 		return binary.BigEndian.Uint64(form)
 	}
 	return 0
 }
 
-func putForm(b *bbolt.Bucket) error {
-	return b.Put(keyForm, binary.BigEndian.AppendUint64(nil, Format))
+func writeFormat(b *bbolt.Bucket) error {
+	return b.Put(formatKey, binary.BigEndian.AppendUint64(nil, FormatVersion))
 }
 
-// takeHints returns the hints, moved to where they belong.
-func takeHints(tx *bbolt.Tx, b *bbolt.Bucket) ([]byte, error) {
-	o, err := tx.CreateBucketIfNotExists(others)
+// migrateHints returns the hints, moved to where they belong.
+func migrateHints(tx *bbolt.Tx, b *bbolt.Bucket) ([]byte, error) {
+	o, err := tx.CreateBucketIfNotExists(hintsBucket)
 	if err != nil {
 		return nil, err
 	}
-	if old := bytes.Clone(b.Get(keyHints)); old != nil {
-		if err := b.Delete(keyHints); err != nil {
+	if old := bytes.Clone(b.Get(hintsKey)); old != nil {
+		if err := b.Delete(hintsKey); err != nil {
 			return nil, err
 		}
-		return old, o.Put(keyHints, old)
+		return old, o.Put(hintsKey, old)
 	}
-	return bytes.Clone(o.Get(keyHints)), nil
+	return bytes.Clone(o.Get(hintsKey)), nil
 }
 
-func (s *Store) read(tx *bbolt.Tx, b *bbolt.Bucket) error {
-	if text := b.Get(keyState); text != nil {
+func (s *Store) readState(tx *bbolt.Tx, b *bbolt.Bucket) error {
+	if text := b.Get(stateKey); text != nil {
 		m := &dance.Promise{}
 		if err := proto.Unmarshal(text, m); err != nil {
 			return eris.Wrap(err, "the state is damaged")
 		}
 		s.state.Promised, s.state.Accepted = dance.ToBallot(m.Promised), dance.ToBallot(m.Accepted)
 	}
-	if text := b.Get(keyValue); text != nil {
+	if text := b.Get(valueKey); text != nil {
 		m := &dance.Value{}
 		if err := proto.Unmarshal(text, m); err != nil {
 			return eris.Wrap(err, "the value is damaged")
 		}
-		if s.state.Value = dance.ToValue(m, storedBodies(tx)); s.state.Value == nil {
+		if s.state.Value = dance.ToValue(m, readBodies(tx)); s.state.Value == nil {
 			return eris.New("a body of the value is missing")
 		}
 	}
 	return nil
 }
 
-// storedBodies is a value that holds all bodies of the file, and nothing else.
-func storedBodies(tx *bbolt.Tx) *consensus.Value {
+// readBodies is a value that holds all bodies of the file, and nothing else.
+func readBodies(tx *bbolt.Tx) *consensus.Value {
 	v := &consensus.Value{}
-	all := tx.Bucket(bodies)
+	all := tx.Bucket(bodiesBucket)
 	if all == nil {
 		return v
 	}
 	all.ForEachBucket(func(digest []byte) error {
-		body := bytes.Clone(all.Bucket(digest).Get(keyBody))
+		body := bytes.Clone(all.Bucket(digest).Get(bodyKey))
 		v.Documents = append(v.Documents, consensus.Document{Digest: string(digest), Body: body})
 		return nil
 	})
 	return v
 }
 
-// Draw draws an identity.
-func Draw() consensus.AcceptorID {
+// NewAcceptorID draws an identity.
+func NewAcceptorID() consensus.AcceptorID {
 	var b [8]byte
 	rand.Read(b[:])
 	return consensus.AcceptorID(binary.BigEndian.Uint64(b[:]) | 1)
@@ -227,11 +227,11 @@
 	defer close(s.done)
 	for {
 		select {
-		case f := <-s.work:
+		case f := <-s.queue:
 			f()
-		case <-s.quit:
-			for range len(s.work) { // what was taken is done
-				(<-s.work)()
+		case <-s.closing:
+			for range len(s.queue) { // what was taken is done
+				(<-s.queue)()
 			}
 			return
 		}
@@ -243,19 +243,19 @@
 // at once where too much waits already.
 func (s *Store) Update(step func(consensus.AcceptorState) consensus.AcceptorState, after func(consensus.AcceptorState, error)) error {
 	select {
-	case <-s.quit:
+	case <-s.closing:
 		return ErrBusy // a round that is still on its way at the end
 	default:
 	}
 	select {
-	case s.work <- func() {
+	case s.queue <- func() {
 		next := step(s.state)
 		if !next.DiffersFrom(s.state) {
 			after(s.state, nil)
 			return
 		}
-		err := s.write(next)
-		if s.torn = err != nil; err == nil {
+		err := s.commitState(next)
+		if s.writeUncertain = err != nil; err == nil {
 			s.state = next
 		}
 		after(s.state, err)
@@ -266,46 +266,48 @@
 	}
 }
 
-// write stores a state. One whose write failed may be in the file all the same, in whole: the value is then written again
+// commitState stores a state. One whose write failed may be in the file all the same, in whole: the value is then written again
 // with the next state, or a ballot would stand there beside another's value.
-func (s *Store) write(next consensus.AcceptorState) (err error) {
+func (s *Store) commitState(next consensus.AcceptorState) (err error) {
 	defer func() {
 		if r := recover(); r != nil {
 			err = eris.Errorf("the state file is damaged: %v", r)
 		}
 	}()
-	return s.commit(func(tx *bbolt.Tx) error { return s.put(tx, next, next.Value != s.state.Value || s.torn) })
+	return s.commit(func(tx *bbolt.Tx) error {
+		return s.writeState(tx, next, next.Value != s.state.Value || s.writeUncertain)
+	})
 }
 
-// put puts a state into the file, and its value where that is another.
-func (s *Store) put(tx *bbolt.Tx, next consensus.AcceptorState, value bool) error {
-	b := tx.Bucket(bucket)
+// writeState puts a state into the file, and its value where that is another.
+func (s *Store) writeState(tx *bbolt.Tx, next consensus.AcceptorState, value bool) error {
+	b := tx.Bucket(stateBucket)
 	text, err := proto.Marshal(&dance.Promise{Promised: dance.FromBallot(next.Promised), Accepted: dance.FromBallot(next.Accepted)})
 	if err != nil {
 		return err
 	}
-	if err := b.Put(keyState, text); err != nil || !value {
+	if err := b.Put(stateKey, text); err != nil || !value {
 		return err
 	}
-	if err := putForm(b); err != nil {
+	if err := writeFormat(b); err != nil {
 		return err
 	}
-	if err := putBodies(tx, next.Value); err != nil {
+	if err := writeBodies(tx, next.Value); err != nil {
 		return err
 	}
 	if next.Value == nil {
-		return b.Delete(keyValue)
+		return b.Delete(valueKey)
 	}
 	if text, err = proto.Marshal(dance.FromValue(next.Value, dance.Digests(next.Value)...)); err != nil {
 		return err
 	}
-	return b.Put(keyValue, text)
+	return b.Put(valueKey, text)
 }
 
-// putBodies has the file hold the bodies of a value and no others. What it holds already is not written again: the file is
+// writeBodies has the file hold the bodies of a value and no others. What it holds already is not written again: the file is
 // asked, as after a write that failed nobody else knows.
-func putBodies(tx *bbolt.Tx, v *consensus.Value) error {
-	all, err := tx.CreateBucketIfNotExists(bodies)
+func writeBodies(tx *bbolt.Tx, v *consensus.Value) error {
+	all, err := tx.CreateBucketIfNotExists(bodiesBucket)
 	if err != nil {
 		return err
 	}
@@ -330,25 +332,25 @@
 		if err != nil {
 			return err
 		}
-		if err := own.Put(keyBody, body); err != nil {
+		if err := own.Put(bodyKey, body); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Hints are what KeepHints last stored, as found at the start; nil = nothing. They help, and nothing depends on them.
+// Hints are what SaveHints last stored, as found at the start; nil = nothing. They help, and nothing depends on them.
 func (s *Store) Hints() []byte { return s.hints }
 
-// KeepHints stores hints where the disk has nothing else to do, else it tells false and nothing happens. After, on the
+// SaveHints stores hints where the disk has nothing else to do, else it tells false and nothing happens. After, on the
 // disk's goroutine, is told how it went.
-func (s *Store) KeepHints(hints []byte, after func(error)) bool {
-	if len(s.work) > 0 {
+func (s *Store) SaveHints(hints []byte, after func(error)) bool {
+	if len(s.queue) > 0 {
 		return false
 	}
 	select {
-	case s.work <- func() {
-		after(s.commit(func(tx *bbolt.Tx) error { return tx.Bucket(others).Put(keyHints, hints) }))
+	case s.queue <- func() {
+		after(s.commit(func(tx *bbolt.Tx) error { return tx.Bucket(hintsBucket).Put(hintsKey, hints) }))
 	}:
 		return true
 	default:
@@ -361,7 +363,7 @@
 
 // Close ends the goroutine and closes the file. It must be called once. Updates that come later are refused.
 func (s *Store) Close() error {
-	close(s.quit)
+	close(s.closing)
 	<-s.done
 	return s.db.Close()
 }
--- a/internal/wax/vote_bench_test.go
+++ b/internal/acceptorstore/store_bench_test.go
@@ -1,4 +1,4 @@
-package wax
+package acceptorstore
 
 import (
 	"fmt"
@@ -13,10 +13,12 @@
 func BenchmarkStore(b *testing.B) {
 	for _, size := range []int{2 << 10, 170 << 10, 1700 << 10} {
 		for name, step := range map[string]func(n uint64) func(consensus.AcceptorState) consensus.AcceptorState{
-			"promise":    func(n uint64) func(consensus.AcceptorState) consensus.AcceptorState { return promise(n) },
-			"vote again": func(n uint64) func(consensus.AcceptorState) consensus.AcceptorState { return longVote(n, 1, size) },
+			"promise": func(n uint64) func(consensus.AcceptorState) consensus.AcceptorState { return prepareStep(n) },
+			"vote again": func(n uint64) func(consensus.AcceptorState) consensus.AcceptorState {
+				return acceptBodyStep(n, 1, size)
+			},
 			"vote for another": func(n uint64) func(consensus.AcceptorState) consensus.AcceptorState {
-				return longVote(n, consensus.Version(n), size)
+				return acceptBodyStep(n, consensus.Version(n), size)
 			},
 		} {
 			b.Run(fmt.Sprintf("%s/body=%d", name, size), func(b *testing.B) {
@@ -37,7 +39,7 @@
 					}
 				}
 				first := make(chan error, 1)
-				s.Update(longVote(1, 1, size), func(_ consensus.AcceptorState, err error) { first <- err })
+				s.Update(acceptBodyStep(1, 1, size), func(_ consensus.AcceptorState, err error) { first <- err })
 				if err := <-first; err != nil {
 					b.Fatal(err)
 				}
--- a/internal/wax/wax_test.go
+++ b/internal/acceptorstore/store_test.go
@@ -1,4 +1,4 @@
-package wax
+package acceptorstore
 
 import (
 	"errors"
@@ -24,7 +24,7 @@
 	return <-done
 }
 
-func vote(n uint64) func(consensus.AcceptorState) consensus.AcceptorState {
+func acceptStep(n uint64) func(consensus.AcceptorState) consensus.AcceptorState {
 	return func(s consensus.AcceptorState) consensus.AcceptorState {
 		next, _ := s.HandleAccept(consensus.Accept{To: s.ID, Ballot: consensus.Ballot{Number: n, By: 1}, Value: &consensus.Value{Slot: consensus.Slot(n),
 			Members: []consensus.Member{{ID: s.ID, Address: "a"}}, PriorMembers: []consensus.Member{{ID: s.ID, Address: "a"}}, Version: consensus.Version(n),
@@ -33,22 +33,22 @@
 	}
 }
 
-func TestWhatIsStoredComesBack(t *testing.T) {
+func TestReopenRestoresState(t *testing.T) {
 	dir := t.TempDir()
-	s, aside, err := Open(dir, 77)
-	if err != nil || aside != "" || s.State().ID != 77 {
-		t.Fatal(err, aside, s.State().ID)
+	s, setAsidePath, err := Open(dir, 77)
+	if err != nil || setAsidePath != "" || s.State().ID != 77 {
+		t.Fatal(err, setAsidePath, s.State().ID)
 	}
-	if err := update(t, s, vote(5)); err != nil {
+	if err := update(t, s, acceptStep(5)); err != nil {
 		t.Fatal(err)
 	}
 	told := make(chan error, 1)
-	if !s.KeepHints([]byte{}, func(err error) { told <- err }) || <-told != nil {
+	if !s.SaveHints([]byte{}, func(err error) { told <- err }) || <-told != nil {
 		t.Fatal("hints are not kept by an idle disk")
 	}
 	s.Close()
 	c, err := Inspect(dir)
-	if err != nil || c.Turn != 5 || c.Identity != 77 || c.Version != 5 || len(c.Past) != 1 || string(c.Body) != "{}" {
+	if err != nil || c.Slot != 5 || c.Identity != 77 || c.Version != 5 || len(c.History) != 1 || string(c.Body) != "{}" {
 		t.Fatalf("inspected %+v, %v", c, err)
 	}
 	s, _, err = Open(dir, 0)
@@ -62,7 +62,7 @@
 }
 
 // A file that is damaged is set aside by name, and the machine is a stranger: it never votes under the old identity.
-func TestADamagedFileMakesAStranger(t *testing.T) {
+func TestCorruptFileIsSetAsideWithNewIdentity(t *testing.T) {
 	for name, damage := range map[string]func(text []byte) []byte{
 		"cut short": func(b []byte) []byte { return b[:3*4096] },
 		"overwritten": func(b []byte) []byte {
@@ -83,16 +83,16 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		update(t, s, vote(5))
+		update(t, s, acceptStep(5))
 		s.Close()
 		path := filepath.Join(dir, fileName)
 		text, _ := os.ReadFile(path)
 		os.WriteFile(path, damage(text), 0o644)
-		s, aside, err := Open(dir, 77)
-		if err != nil || aside == "" || s.State().ID == 77 || s.State().Value != nil {
-			t.Fatalf("%s: %v, set aside as %q, identity %v", name, err, aside, s.State().ID)
+		s, setAsidePath, err := Open(dir, 77)
+		if err != nil || setAsidePath == "" || s.State().ID == 77 || s.State().Value != nil {
+			t.Fatalf("%s: %v, set aside as %q, identity %v", name, err, setAsidePath, s.State().ID)
 		}
-		if _, err := os.Stat(aside); err != nil {
+		if _, err := os.Stat(setAsidePath); err != nil {
 			t.Fatalf("%s: nothing was set aside: %v", name, err)
 		}
 		s.Close()
@@ -100,7 +100,7 @@
 }
 
 // What waits for the disk is bounded: more is refused at once.
-func TestADiskThatIsBehindSaysSo(t *testing.T) {
+func TestFullQueueReturnsErrBusy(t *testing.T) {
 	s, _, err := Open(t.TempDir(), 1)
 	if err != nil {
 		t.Fatal(err)
@@ -113,7 +113,7 @@
 			refused = true
 		}
 	}
-	if !refused || s.KeepHints(nil, func(error) {}) {
+	if !refused || s.SaveHints(nil, func(error) {}) {
 		t.Fatal("a disk that is behind takes everything")
 	}
 	close(held)
@@ -122,7 +122,7 @@
 
 // A vote is written, and the disk fails before it says that it is synced. What was not told may lie there or not; what comes
 // after must not stand beside the value of another ballot.
-func TestAWriteThatFailedLeavesNoMixture(t *testing.T) {
+func TestFailedWriteLeavesConsistentState(t *testing.T) {
 	dir := t.TempDir()
 	s, _, err := Open(dir, 77)
 	if err != nil {
@@ -133,12 +133,12 @@
 			t.Fatal(err)
 		}
 	}
-	must(update(t, s, vote(5)))
+	must(update(t, s, acceptStep(5)))
 	s.commit = func(f func(*bbolt.Tx) error) error {
 		must(s.db.Update(f)) // it is in the file, and only the sync fails
 		return errors.New("input/output error")
 	}
-	if update(t, s, vote(6)) == nil {
+	if update(t, s, acceptStep(6)) == nil {
 		t.Fatal("a vote whose sync failed is told as stored")
 	}
 	s.commit = s.db.Update
@@ -160,20 +160,20 @@
 
 // Power fails while a vote is written: of the pages that were not synced, each is there or not or torn. The state before or
 // the one after comes back, never a stranger and never a mixture.
-func TestPowerFailsInTheMiddleOfAWrite(t *testing.T) {
+func TestPowerLossDuringWrite(t *testing.T) {
 	t.Run("one body", func(t *testing.T) {
-		powerFails(t, 60, vote, func(v *consensus.Value) bool { return string(v.Body) == "{}" })
+		testPowerLoss(t, 60, acceptStep, func(v *consensus.Value) bool { return string(v.Body) == "{}" })
 	})
 	t.Run("a body of its own for each", func(t *testing.T) {
-		powerFails(t, 24, func(n uint64) func(consensus.AcceptorState) consensus.AcceptorState {
-			return longVote(n, consensus.Version(n), 10000)
+		testPowerLoss(t, 24, func(n uint64) func(consensus.AcceptorState) consensus.AcceptorState {
+			return acceptBodyStep(n, consensus.Version(n), 10000)
 		}, func(v *consensus.Value) bool {
 			return len(v.Body) == 10000 && strings.HasPrefix(string(v.Body), fmt.Sprint(v.Version, " "))
 		})
 	})
 }
 
-func powerFails(t *testing.T, votes uint64, vote func(n uint64) func(consensus.AcceptorState) consensus.AcceptorState, whole func(v *consensus.Value) bool) {
+func testPowerLoss(t *testing.T, votes uint64, vote func(n uint64) func(consensus.AcceptorState) consensus.AcceptorState, whole func(v *consensus.Value) bool) {
 	const page = 4096
 	dir := t.TempDir()
 	path := filepath.Join(dir, fileName)
@@ -217,9 +217,9 @@
 		if err := os.WriteFile(lost, text, 0o644); err != nil {
 			t.Fatal(err)
 		}
-		back, aside, err := Open(filepath.Dir(lost), 1)
-		if err != nil || aside != "" {
-			t.Fatalf("vote %d cut off: %v, set aside as %q", n, err, aside)
+		back, setAsidePath, err := Open(filepath.Dir(lost), 1)
+		if err != nil || setAsidePath != "" {
+			t.Fatalf("vote %d cut off: %v, set aside as %q", n, err, setAsidePath)
 		}
 		switch got := back.State(); {
 		case got.Value != nil && !whole(got.Value):
@@ -241,7 +241,7 @@
 }
 
 // A call that is still on its way when the program ends finds the disk closed, and nothing breaks.
-func TestWhatComesAfterTheEndIsRefused(t *testing.T) {
+func TestUpdateAfterCloseReturnsErrBusy(t *testing.T) {
 	for range 20 {
 		s, _, err := Open(t.TempDir(), 1)
 		if err != nil {
@@ -259,7 +259,7 @@
 			t.Fatal(err)
 		}
 		late.Wait()
-		if err := s.Update(vote(1), func(consensus.AcceptorState, error) {}); !errors.Is(err, ErrBusy) {
+		if err := s.Update(acceptStep(1), func(consensus.AcceptorState, error) {}); !errors.Is(err, ErrBusy) {
 			t.Fatalf("an update after the end gives %v", err)
 		}
 	}
--- a/internal/entrance/entrance.go
+++ b/internal/entrance/entrance.go
@@ -21,9 +21,9 @@
 	"oxbowspan/config"
 	"oxbowspan/forager"
 	"oxbowspan/hive"
+	"oxbowspan/internal/acceptorstore"
 	"oxbowspan/internal/boot"
 	"oxbowspan/internal/ground"
-	"oxbowspan/internal/wax"
 )
 
 // Exit codes.
@@ -117,7 +117,7 @@
 // stateCommand reads a stopped machine's file.
 func stateCommand(path *string, out io.Writer) *ffcli.Command {
 	var dir *string
-	with := func(name, help string, words int, do func(c *wax.Contents, args []string) error) *ffcli.Command {
+	with := func(name, help string, words int, do func(c *acceptorstore.Contents, args []string) error) *ffcli.Command {
 		return &ffcli.Command{Name: name, ShortUsage: "hive state [--dir DIR] " + name, ShortHelp: help, Exec: func(_ context.Context, args []string) error {
 			if len(args) != words {
 				return flag.ErrHelp
@@ -130,7 +130,7 @@
 				}
 				at = s.DataDirectory
 			}
-			c, err := wax.Inspect(at)
+			c, err := acceptorstore.Inspect(at)
 			if err != nil {
 				return err
 			}
@@ -141,11 +141,11 @@
 	dir = set.String("dir", "", "the data `directory`; else the settings file names it")
 	return &ffcli.Command{Name: "state", ShortUsage: "hive state [--dir DIR] check|dump|config|export|restore", ShortHelp: "read the state file of a machine that does not run; the way back from a lost majority",
 		FlagSet: set, Subcommands: []*ffcli.Command{
-			with("check", "say whether the file is whole", 0, func(c *wax.Contents, _ []string) error {
-				fmt.Fprintf(out, "the state file is whole: %d bytes, turn %d, version %d\n", c.Bytes, c.Turn, c.Version)
+			with("check", "say whether the file is whole", 0, func(c *acceptorstore.Contents, _ []string) error {
+				fmt.Fprintf(out, "the state file is whole: %d bytes, turn %d, version %d\n", c.Bytes, c.Slot, c.Version)
 				return nil
 			}),
-			with("dump", "print what the file holds as JSON, without the configuration", 0, func(c *wax.Contents, _ []string) error {
+			with("dump", "print what the file holds as JSON, without the configuration", 0, func(c *acceptorstore.Contents, _ []string) error {
 				text, err := json.MarshalIndent(c, "", "  ")
 				if err != nil {
 					return err
@@ -153,14 +153,14 @@
 				fmt.Fprintln(out, string(text))
 				return nil
 			}),
-			with("config", "print the configuration that was voted for", 0, func(c *wax.Contents, _ []string) error {
+			with("config", "print the configuration that was voted for", 0, func(c *acceptorstore.Contents, _ []string) error {
 				if len(c.Body) == 0 {
 					return errors.New("the state file holds no configuration")
 				}
 				_, err := out.Write(c.Body)
 				return err
 			}),
-			with("export", "write what the file holds of what was agreed to FILE", 1, func(c *wax.Contents, args []string) error { return exportState(c, args[0], out) }),
+			with("export", "write what the file holds of what was agreed to FILE", 1, func(c *acceptorstore.Contents, args []string) error { return exportState(c, args[0], out) }),
 			restoreCommand(path, out),
 		}, Exec: func(context.Context, []string) error { return flag.ErrHelp }}
 }
--- a/internal/entrance/rescue.go
+++ b/internal/entrance/rescue.go
@@ -11,8 +11,8 @@
 	"github.com/rotisserie/eris"
 
 	"oxbowspan/config"
+	"oxbowspan/internal/acceptorstore"
 	"oxbowspan/internal/beekeeper"
-	"oxbowspan/internal/wax"
 )
 
 // rescue is what one disk holds of what was agreed: the way back from a majority that is lost for good.
@@ -31,12 +31,12 @@
 
 const rescueFormat = 1
 
-func exportState(c *wax.Contents, file string, out io.Writer) error {
+func exportState(c *acceptorstore.Contents, file string, out io.Writer) error {
 	if len(c.Body) == 0 {
 		return eris.New("the state file holds no configuration")
 	}
-	r := rescue{Format: rescueFormat, Turn: uint64(c.Turn), Version: uint64(c.Version), Configuration: string(c.Body), Notes: []rescueNote{}}
-	for _, n := range c.Notes {
+	r := rescue{Format: rescueFormat, Turn: uint64(c.Slot), Version: uint64(c.Version), Configuration: string(c.Body), Notes: []rescueNote{}}
+	for _, n := range c.Documents {
 		r.Notes = append(r.Notes, rescueNote{n.Name, string(n.Body)})
 	}
 	text, err := json.MarshalIndent(r, "", " ")
@@ -46,7 +46,7 @@
 	if err := os.WriteFile(file, text, 0o600); err != nil {
 		return fmt.Errorf("the copy can't be written: %w", err)
 	}
-	fmt.Fprintf(out, "turn %d, version %d and %d documents are in %s\n", c.Turn, c.Version, len(r.Notes), file)
+	fmt.Fprintf(out, "turn %d, version %d and %d documents are in %s\n", c.Slot, c.Version, len(r.Notes), file)
 	fmt.Fprintln(out, "It is what this disk voted for last: other disks may hold later turns, and a turn beyond the newest may not have been agreed. Export all disks that are left, and keep the highest turn.")
 	return nil
 }
