--- a/hive/calls_test.go
+++ b/controlplane/api_test.go
@@ -1,4 +1,4 @@
-package hive
+package controlplane
 
 import (
 	"net/http"
@@ -13,7 +13,7 @@
 )
 
 // What was not written down is not acknowledged: a hive whose owner has ended says so.
-func TestNothingIsAcknowledgedAfterTheEnd(t *testing.T) {
+func TestStoppedControllerRejectsRequests(t *testing.T) {
 	set := &boot.Settings{IPAddress: "10.0.1.1", InternalPorts: []int{7100, 7109}, SeedAddresses: []string{"10.0.1.1:8700"}, FirstStart: true,
 		DataDirectory: t.TempDir(), BeatIntervalMS: 1000}
 	set.Listen.Control = "10.0.1.1:8700"
@@ -22,14 +22,14 @@
 		t.Fatal(err)
 	}
 	close(h.stopped)
-	calls := h.calls()
+	calls := h.handler()
 	for call, body := range map[string]string{
 		"/-/instances/i-1/heartbeat": `{"service":"s","address":"10.0.3.1:80","state":"draining","call_sequence":4}`,
 		"/-/instances/i-1/sign-off":  "",
 		"/-/configuration/replace":   `{"version":1}`,
 	} {
 		w, r := httptest.NewRecorder(), httptest.NewRequest("POST", call, strings.NewReader(body))
-		r.Header.Set(basedOnField, "0")
+		r.Header.Set(basedOnHeader, "0")
 		if calls.ServeHTTP(w, r); w.Code != http.StatusServiceUnavailable {
 			t.Errorf("%s is answered %d", call, w.Code)
 		}
@@ -41,7 +41,7 @@
 		"/-/configuration/replace":   `{"version":1,"routes":[{}]}`,
 	} {
 		w, r := httptest.NewRecorder(), httptest.NewRequest("POST", call, strings.NewReader(body))
-		r.Header.Set(basedOnField, "0")
+		r.Header.Set(basedOnHeader, "0")
 		if calls.ServeHTTP(w, r); w.Code != http.StatusBadRequest || !strings.Contains(w.Body.String(), "error") {
 			t.Errorf("%s with %s is answered %d %s", call, body, w.Code, w.Body)
 		}
--- a/hive/changes_bench_test.go
+++ b/controlplane/change_bench_test.go
@@ -1,4 +1,4 @@
-package hive
+package controlplane
 
 import (
 	"bytes"
@@ -68,21 +68,21 @@
 	return n, err
 }
 
-// core is three control machines on loopback, for measurements.
-type core struct {
-	network *countingNetwork
-	dir     string
-	hives   []*Hive
-	calls   []http.Handler
-	version uint64
+// benchCluster is three control machines on loopback, for measurements.
+type benchCluster struct {
+	network     *countingNetwork
+	dir         string
+	controllers []*Controller
+	handlers    []http.Handler
+	version     uint64
 }
 
-func startCore(b *testing.B) *core {
+func startBenchCluster(b *testing.B) *benchCluster {
 	dir, err := os.MkdirTemp("/dev/shm", "core") // in memory: the disk's own time is another measurement
 	if err != nil {
 		dir = b.TempDir()
 	}
-	c := &core{network: &countingNetwork{}, dir: dir}
+	c := &benchCluster{network: &countingNetwork{}, dir: dir}
 	ctx, stop := context.WithCancel(context.Background())
 	var seeds []string
 	first := 1 + os.Getpid()%200
@@ -101,7 +101,7 @@
 			b.Fatal(err)
 		}
 		go func() { h.Run(ctx); ended <- struct{}{} }()
-		c.hives, c.calls = append(c.hives, h), append(c.calls, h.calls())
+		c.controllers, c.handlers = append(c.controllers, h), append(c.handlers, h.handler())
 	}
 	b.Cleanup(func() {
 		stop()
@@ -114,12 +114,12 @@
 }
 
 // change has one more version agreed, and waits until all machines know of it.
-func (c *core) change(b *testing.B, body func(version uint64) []byte) {
+func (c *benchCluster) change(b *testing.B, body func(version uint64) []byte) {
 	text := body(c.version + 1)
 	for range 100 {
 		w, r := httptest.NewRecorder(), httptest.NewRequest("POST", "/-/configuration/replace", bytes.NewReader(text))
-		r.Header.Set(basedOnField, strconv.FormatUint(c.version, 10))
-		c.calls[0].ServeHTTP(w, r)
+		r.Header.Set(basedOnHeader, strconv.FormatUint(c.version, 10))
+		c.handlers[0].ServeHTTP(w, r)
 		if w.Code == http.StatusOK {
 			c.version++
 			c.await()
@@ -130,10 +130,10 @@
 	b.Fatalf("version %d is not agreed", c.version+1)
 }
 
-func (c *core) await() {
-	for _, h := range c.hives {
+func (c *benchCluster) await() {
+	for _, h := range c.controllers {
 		for range 1000 {
-			if _, at := h.Agreed(); uint64(at) >= c.version {
+			if _, at := h.Committed(); uint64(at) >= c.version {
 				break
 			}
 			time.Sleep(time.Millisecond)
@@ -142,16 +142,16 @@
 }
 
 // read has one machine make sure of the newest version.
-func (c *core) read(b *testing.B) {
+func (c *benchCluster) read(b *testing.B) {
 	w := httptest.NewRecorder()
-	c.calls[1].ServeHTTP(w, httptest.NewRequest("GET", "/-/configuration/read", nil))
+	c.handlers[1].ServeHTTP(w, httptest.NewRequest("GET", "/-/configuration/read", nil))
 	if w.Code != http.StatusOK {
 		b.Fatalf("a read is answered %d", w.Code)
 	}
 }
 
-// routes makes configurations with so many routes.
-func routes(n int) func(version uint64) []byte {
+// configurationWithRoutes makes configurations with so many routes.
+func configurationWithRoutes(n int) func(version uint64) []byte {
 	c := config.Configuration{Limits: config.Limits{HeaderBytes: 16384, BodyBytes: 1 << 18, HeaderTimeoutMS: 3000, IdleTimeoutMS: 15000},
 		Services: []config.Service{{Name: "one", HealthPath: "/health", ConnectionLimit: 60, Protocol: "h1"}}}
 	for i := range n {
@@ -164,14 +164,14 @@
 	}
 }
 
-func processor() time.Duration {
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// written is what this process has written, to files and connections.
-func written() (n int64) {
+// bytesWritten is what this process has written, to files and connections.
+func bytesWritten() (n int64) {
 	text, _ := os.ReadFile("/proc/self/io")
 	for _, line := range strings.Split(string(text), "\n") {
 		if rest, found := strings.CutPrefix(line, "wchar: "); found {
@@ -181,15 +181,15 @@
 	return n
 }
 
-func (c *core) measure(b *testing.B, act func()) {
-	wire, all, busy := c.network.bytes.Load(), written(), processor()
+func (c *benchCluster) measure(b *testing.B, act func()) {
+	wire, all, busy := c.network.bytes.Load(), bytesWritten(), cpuTime()
 	b.ResetTimer()
 	for range b.N {
 		act()
 	}
 	b.StopTimer()
 	n := float64(b.N)
-	wire, all, busy = c.network.bytes.Load()-wire, written()-all, processor()-busy
+	wire, all, busy = c.network.bytes.Load()-wire, bytesWritten()-all, cpuTime()-busy
 	b.ReportMetric(float64(wire)/n, "wire-B/op")
 	b.ReportMetric(float64(all-wire)/n, "disk-B/op")
 	b.ReportMetric(float64(busy)/n/1e6, "cpu-ms/op")
@@ -212,11 +212,11 @@
 				continue
 			}
 			b.Run(fmt.Sprintf("routes=%d/versions=%d", n, versions), func(b *testing.B) {
-				c := startCore(b)
+				c := startBenchCluster(b)
 				for c.version < versions {
-					c.change(b, routes(10))
+					c.change(b, configurationWithRoutes(10))
 				}
-				body := routes(n)
+				body := configurationWithRoutes(n)
 				c.change(b, body)
 				c.measure(b, func() { c.change(b, body) })
 			})
@@ -228,10 +228,10 @@
 func BenchmarkRead(b *testing.B) {
 	for _, n := range []int{10, 1000, 10000} {
 		b.Run(fmt.Sprintf("routes=%d", n), func(b *testing.B) {
-			c := startCore(b)
-			body := routes(n)
+			c := startBenchCluster(b)
+			body := configurationWithRoutes(n)
 			for c.version < 200 {
-				c.change(b, routes(10))
+				c.change(b, configurationWithRoutes(10))
 			}
 			c.change(b, body)
 			c.measure(b, func() { c.read(b) })
--- a/hive/owner_test.go
+++ b/controlplane/loop_test.go
@@ -1,4 +1,4 @@
-package hive
+package controlplane
 
 import (
 	"context"
@@ -21,8 +21,8 @@
 	"oxbowspan/internal/meadow"
 )
 
-// startHives runs so many hives on a simulated network, and returns what ends each.
-func startHives(t *testing.T, n int) (hives []*Hive, end []func()) {
+// startControllers runs so many hives on a simulated network, and returns what ends each.
+func startControllers(t *testing.T, n int) (hives []*Controller, end []func()) {
 	t.Helper()
 	network := meadow.New(func(string, string) time.Duration { return 50 * time.Microsecond })
 	var seeds []string
@@ -52,15 +52,15 @@
 
 // A hive is stopped while calls of every sort are on their way. Its owner may still work on what a caller asked while the
 // stop has released that caller: under the race detector they must share no variable.
-func TestAStopReleasesCallersThatShareNothingWithTheOwner(t *testing.T) {
+func TestStopDoesNotRaceWithCallers(t *testing.T) {
 	calls := []string{"GET /-/configuration/read", "GET /-/tenants/read", "GET /-/configuration/history", "GET /-/members/read",
 		"GET /-/nodes/read", "GET /-/servers/read", "GET /-/events/read", "GET /-/tenants/explain", "GET /-/judgement/explain",
 		`POST /-/instances/i-1/heartbeat {"service":"s","address":"10.0.3.1:80","call_sequence":1}`, "POST /-/instances/i-2/sign-off",
 		`POST /-/tenants/replace {"tenants":[]}`, `POST /-/configuration/replace {"version":1}`}
 	for range 10 {
-		hives, end := startHives(t, 3)
+		hives, end := startControllers(t, 3)
 		h := hives[0]
-		handler := h.calls()
+		handler := h.handler()
 		var callers sync.WaitGroup
 		called := make(chan struct{}, 1)
 		for _, call := range calls {
@@ -70,7 +70,7 @@
 				for {
 					ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 					r := httptest.NewRequestWithContext(ctx, method, path, strings.NewReader(body))
-					r.Header.Set(basedOnField, "0")
+					r.Header.Set(basedOnHeader, "0")
 					w := httptest.NewRecorder()
 					handler.ServeHTTP(w, r)
 					cancel()
@@ -92,7 +92,7 @@
 		}
 		callers.Go(func() {
 			for {
-				h.Agreed()
+				h.Committed()
 				select {
 				case <-h.stopped:
 					return
@@ -113,7 +113,7 @@
 
 // A closure that is handed to the owner writes no variable of its caller: a caller that the stop releases would read it while
 // the owner writes. Answers travel by inquire.
-func TestNoClosureOfTheOwnersWritesACallersVariable(t *testing.T) {
+func TestLoopClosuresDoNotWriteCapturedVariables(t *testing.T) {
 	closures := 0
 	for _, pattern := range []string{"*.go", "../forager/*.go"} {
 		names, err := filepath.Glob(pattern)
@@ -142,7 +142,7 @@
 }
 
 // The check finds what it is there for.
-func TestACapturedWriteIsFound(t *testing.T) {
+func TestCapturedWriteDetection(t *testing.T) {
 	for body, want := range map[string]int{
 		"var a int; h.ask(func() { a = 1 })":                                     1,
 		"var a int; h.do(func() { a++ })":                                        1,
--- a/hive/rounds.go
+++ b/controlplane/proposer.go
@@ -1,4 +1,4 @@
-package hive
+package controlplane
 
 import (
 	"context"
@@ -14,15 +14,15 @@
 	"oxbowspan/dance"
 )
 
-// errUndecided says that a round came to no end in time: its proposal may be decided yet, or not.
-var errUndecided = errors.New("no majority answered in time")
+// errNoQuorum says that a round came to no end in time: its proposal may be decided yet, or not.
+var errNoQuorum = errors.New("no majority answered in time")
 
 func genesisID(control string) consensus.AcceptorID {
 	return consensus.AcceptorID(xxhash.Sum64String("genesis "+control) | 1)
 }
 
-// prepare and accept are the acceptor's side. An acceptor whose disk is behind says nothing: the round goes on with others.
-func (h *Hive) prepare(m *dance.Prepare, answer func(*dance.Promise)) {
+// handlePrepare and accept are the acceptor's side. An acceptor whose disk is behind says nothing: the round goes on with others.
+func (h *Controller) handlePrepare(m *dance.Prepare, answer func(*dance.Promise)) {
 	var told consensus.PrepareReply
 	h.store.Update(func(s consensus.AcceptorState) consensus.AcceptorState {
 		next, p := s.HandlePrepare(consensus.Prepare{To: consensus.AcceptorID(m.To), Ballot: dance.ToBallot(m.Ballot)})
@@ -40,7 +40,7 @@
 	})
 }
 
-func (h *Hive) accept(m *dance.Accept, answer func(*dance.Accepted)) {
+func (h *Controller) handleAccept(m *dance.Accept, answer func(*dance.Accepted)) {
 	var told consensus.AcceptReply
 	var value *consensus.Value
 	h.store.Update(func(s consensus.AcceptorState) consensus.AcceptorState {
@@ -56,45 +56,45 @@
 			return
 		}
 		if told.OK {
-			h.vote.Store(value)
-			h.voteTurn.Store(uint64(value.Slot)) // before anybody is told
-			go h.do(func() { h.hasVoted(value.Slot, dance.ToBallot(m.Ballot)) })
+			h.acceptedValue.Store(value)
+			h.acceptedSlot.Store(uint64(value.Slot)) // before anybody is told
+			go h.do(func() { h.recordAccepted(value.Slot, dance.ToBallot(m.Ballot)) })
 		}
 		answer(&dance.Accepted{From: uint64(told.From), Ok: told.OK, Promised: dance.FromBallot(told.Promised)})
 	})
 }
 
-// hasVoted notes a vote: if its fate is not heard of soon, this hive finds it out.
-func (h *Hive) hasVoted(turn consensus.Slot, b consensus.Ballot) {
-	h.ballot = max(h.ballot, b.Number)
-	if b.Compare(h.copy.Ballot) > 0 {
-		h.copy = consensus.Replica{Slot: turn, Ballot: b}
+// recordAccepted notes a vote: if its fate is not heard of soon, this hive finds it out.
+func (h *Controller) recordAccepted(turn consensus.Slot, b consensus.Ballot) {
+	h.highestBallot = max(h.highestBallot, b.Number)
+	if b.Compare(h.ownReplica.Ballot) > 0 {
+		h.ownReplica = consensus.Replica{Slot: turn, Ballot: b}
 	}
-	if turn > h.voted {
-		h.voted, h.votedAt = turn, h.now()
+	if turn > h.newestAccepted {
+		h.newestAccepted, h.acceptedAt = turn, h.now()
 	}
 }
 
-// learn takes a value that is decided.
-func (h *Hive) learn(v *consensus.Value) {
+// learnCommitted takes a value that is decided.
+func (h *Controller) learnCommitted(v *consensus.Value) {
 	if v == nil || h.confirmed && v.Slot <= h.known.Slot || v.Slot < h.known.Slot {
 		return
 	}
 	old := h.known
 	h.known, h.confirmed, h.decision = v, true, consensus.Decision{Value: v}
-	h.ledger.Learn(v)
+	h.history.Learn(v)
 	for _, m := range v.Acceptors() {
-		h.meet(m.Address)
+		h.addPeer(m.Address)
 	}
 	for _, n := range v.Documents {
-		if h.notesAt[n.Name].version != n.Version {
-			h.notesAt[n.Name] = noteAt{n.Version, h.now()}
-			h.note("config", "version "+strconv.FormatUint(uint64(n.Version), 10)+" of the "+n.Name+" is agreed")
+		if h.documentTimes[n.Name].version != n.Version {
+			h.documentTimes[n.Name] = documentTime{n.Version, h.now()}
+			h.logEvent("config", "version "+strconv.FormatUint(uint64(n.Version), 10)+" of the "+n.Name+" is agreed")
 		}
 	}
 	if v.Version != old.Version {
 		h.log.Info().Uint64("turn", uint64(v.Slot)).Uint64("version", uint64(v.Version)).Msg("config: a version is agreed")
-		h.note("config", "version "+strconv.FormatUint(uint64(v.Version), 10)+" is agreed, on top of "+strconv.FormatUint(uint64(v.BasedOn), 10))
+		h.logEvent("config", "version "+strconv.FormatUint(uint64(v.Version), 10)+" is agreed, on top of "+strconv.FormatUint(uint64(v.BasedOn), 10))
 	}
 	if len(v.Members) != len(old.Members) || !v.Confirmed() {
 		h.log.Info().Uint64("turn", uint64(v.Slot)).Interface("members", v.Members).Msg("swarm: the acceptors are agreed")
@@ -102,63 +102,63 @@
 		for _, m := range v.Members {
 			addresses = append(addresses, m.Address)
 		}
-		h.note("members", "the acceptors are at "+strings.Join(addresses, ", "))
+		h.logEvent("members", "the acceptors are at "+strings.Join(addresses, ", "))
 	}
-	h.news(true)
-	h.hurry()
+	h.scheduleUpdate(true)
+	h.gossipNow()
 }
 
-// roundStart is what a round begins with.
-type roundStart struct {
+// proposalStart is what a round begins with.
+type proposalStart struct {
 	ballot consensus.Ballot
 	known  *consensus.Value
 }
 
 // nextBallot numbers a new round, above all that were seen.
-func (h *Hive) nextBallot() roundStart {
-	h.ballot++
-	return roundStart{consensus.Ballot{Number: h.ballot, By: h.proposer}, h.known}
+func (h *Controller) nextBallot() proposalStart {
+	h.highestBallot++
+	return proposalStart{consensus.Ballot{Number: h.highestBallot, By: h.proposerID}, h.known}
 }
 
 // propose runs rounds until change has nothing more to say of the newest value, which is then decided. Its own rounds go
 // one at a time.
-func (h *Hive) propose(ctx context.Context, change consensus.ChangeFunc) (*consensus.Value, error) {
+func (h *Controller) propose(ctx context.Context, change consensus.ChangeFunc) (*consensus.Value, error) {
 	select {
-	case <-h.turn:
-		defer func() { h.turn <- struct{}{} }()
+	case <-h.proposalToken:
+		defer func() { h.proposalToken <- struct{}{} }()
 	case <-ctx.Done():
-		return nil, errUndecided
+		return nil, errNoQuorum
 	case <-h.stopped:
-		return nil, errUndecided
+		return nil, errNoQuorum
 	}
 	for try := 0; ; try++ {
 		start, ok := inquire(h, h.nextBallot)
 		if !ok {
-			return nil, errUndecided
+			return nil, errNoQuorum
 		}
-		v, changed, err := h.round(ctx, consensus.NewProposal(start.ballot, start.known, change))
+		v, changed, err := h.runProposal(ctx, consensus.NewProposal(start.ballot, start.known, change))
 		if err == nil {
-			h.ask(func() { h.learn(v); h.decidedAt(v.Slot, start.ballot) })
+			h.ask(func() { h.learnCommitted(v); h.observeDecidedBallot(v.Slot, start.ballot) })
 			if v.Confirmed() && changed {
 				return v, nil
 			}
 			continue // the acceptors changed: that is confirmed first
 		}
 		if ctx.Err() != nil {
-			return nil, errUndecided
+			return nil, errNoQuorum
 		}
 		// Duels end soon: each waits by lot, longer with each try.
 		select {
 		case <-time.After(time.Duration(rand.Int64N(int64(min(try+1, 6)) * int64(25*time.Millisecond)))):
 		case <-ctx.Done():
-			return nil, errUndecided
+			return nil, errNoQuorum
 		}
 	}
 }
 
-// round carries one round's messages. Changed tells whether the change was asked and has had its way.
-func (h *Hive) round(ctx context.Context, r *consensus.Proposal) (v *consensus.Value, changed bool, err error) {
-	ctx, cancel := context.WithTimeout(ctx, callLimit)
+// runProposal carries one round's messages. Changed tells whether the change was asked and has had its way.
+func (h *Controller) runProposal(ctx context.Context, r *consensus.Proposal) (v *consensus.Value, changed bool, err error) {
+	ctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
 	answers := make(chan any, 32)
 	known := r.Base()
@@ -167,23 +167,23 @@
 		if m.ID == h.self {
 			switch b := f.Body.(type) {
 			case *dance.Frame_Prepare:
-				h.prepare(b.Prepare, func(p *dance.Promise) { answers <- p })
+				h.handlePrepare(b.Prepare, func(p *dance.Promise) { answers <- p })
 			case *dance.Frame_Accept:
-				h.accept(b.Accept, func(a *dance.Accepted) { answers <- a })
+				h.handleAccept(b.Accept, func(a *dance.Accepted) { answers <- a })
 			}
 			return
 		}
-		p, _ := inquire(h, func() *peer { return h.meet(m.Address) })
+		p, _ := inquire(h, func() *peer { return h.addPeer(m.Address) })
 		if p == nil {
 			return
 		}
 		limit, end := ctx, func() {}
 		if f.GetAccept() != nil { // it outlives the decision: the slower members' disks are to hold the value, too
-			limit, end = context.WithTimeout(context.Background(), callLimit)
+			limit, end = context.WithTimeout(context.Background(), peerCallTimeout)
 		}
 		go func() {
 			defer end()
-			a, err := p.call.Call(limit, f)
+			a, err := p.caller.Call(limit, f)
 			if err != nil {
 				return
 			}
@@ -227,46 +227,46 @@
 				}
 			}
 			if by, lost := r.Preempted(); lost {
-				h.do(func() { h.ballot = max(h.ballot, by.Number) })
-				return nil, false, errUndecided
+				h.do(func() { h.highestBallot = max(h.highestBallot, by.Number) })
+				return nil, false, errNoQuorum
 			}
 		case <-ctx.Done():
-			return nil, false, errUndecided
+			return nil, false, errNoQuorum
 		case <-h.stopped:
-			return nil, false, errUndecided
+			return nil, false, errNoQuorum
 		}
 	}
 }
 
-// owe starts a round where this hive owes one: to find out the fate of a vote, to get a seat, or to complete copies.
-func (h *Hive) owe(now time.Duration) {
-	incomplete := h.owesCopies(now)
-	if h.trying || now < h.tryAt {
+// startDueProposal starts a round where this hive owes one: to find out the fate of a vote, to get a seat, or to complete copies.
+func (h *Controller) startDueProposal(now time.Duration) {
+	incomplete := h.replicasIncomplete(now)
+	if h.proposing || now < h.proposeAfter {
 		return
 	}
-	unresolved := !h.confirmed && (h.voted > 0 || !h.set.FirstStart) || h.confirmed && !h.decision.Resolves(h.copy) && now-h.votedAt > resolveWait
-	seatless := !h.leaving && h.wantsSeat(now)
-	unsettled := h.confirmed && !h.known.Confirmed() && now-h.votedAt > resolveWait
+	unresolved := !h.confirmed && (h.newestAccepted > 0 || !h.settings.FirstStart) || h.confirmed && !h.decision.Resolves(h.ownReplica) && now-h.acceptedAt > resolveDelay
+	seatless := !h.draining && h.wantsMembership(now)
+	unsettled := h.confirmed && !h.known.Confirmed() && now-h.acceptedAt > resolveDelay
 	if !unresolved && !seatless && !unsettled && !incomplete {
 		return
 	}
-	h.trying = true
+	h.proposing = true
 	change := consensus.ChangeFunc(func(v *consensus.Value) *consensus.Value { return v })
 	if seatless {
-		change = h.claim(now).change // made here: it reads the owner's tables
+		change = h.membershipRequest(now).apply // made here: it reads the owner's tables
 	}
 	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), 2*callLimit)
+		ctx, cancel := context.WithTimeout(context.Background(), 2*peerCallTimeout)
 		defer cancel()
 		_, err := h.propose(ctx, change)
 		h.do(func() {
-			h.trying = false
+			h.proposing = false
 			if incomplete {
 				h.repair.RecordAttempt(h.now(), rand.Float64())
 			}
-			h.tryAt = h.now() + time.Duration(rand.Int64N(int64(resolveWait)))
+			h.proposeAfter = h.now() + time.Duration(rand.Int64N(int64(resolveDelay)))
 			if err != nil {
-				h.tryAt += resolveWait
+				h.proposeAfter += resolveDelay
 			}
 		})
 	}()
--- /dev/null
+++ b/controlplane/replica_repair.go
@@ -0,0 +1,127 @@
+package controlplane
+
+import (
+	"math/rand/v2"
+	"slices"
+	"time"
+
+	"oxbowspan/consensus"
+	"oxbowspan/dance"
+)
+
+// describeSelfWithReplica is what this hive tells other hives of itself: what its disk holds, and since which ballot the value that it
+// knows is decided.
+func (h *Controller) describeSelfWithReplica() *dance.Hive {
+	m := h.describeSelf()
+	m.StoredTurn, m.StoredBallot, m.Leaving = uint64(h.ownReplica.Slot), dance.FromBallot(h.ownReplica.Ballot), h.draining
+	if h.confirmed {
+		m.DecidedBallot = dance.FromBallot(h.decision.First)
+		if h.decision.Last != h.decision.First {
+			m.DecidedLast = dance.FromBallot(h.decision.Last)
+		}
+	}
+	return m
+}
+
+// observeReplica takes what another hive tells of its disk, and since which ballot the turn that it knows is decided.
+func (h *Controller) observeReplica(p *peer, from *dance.Hive, turn consensus.Slot) {
+	p.reportsReplica, p.draining = from.StoredBallot != nil, from.Leaving
+	p.replica = consensus.Replica{Slot: consensus.Slot(from.StoredTurn), Ballot: dance.ToBallot(from.StoredBallot)}
+	h.observeDecidedBallot(turn, dance.ToBallot(from.DecidedBallot))
+	h.observeDecidedBallot(turn, dance.ToBallot(from.DecidedLast))
+}
+
+// observeDecidedBallot notes a ballot at which a turn was decided.
+func (h *Controller) observeDecidedBallot(turn consensus.Slot, at consensus.Ballot) {
+	if h.confirmed && turn == h.known.Slot {
+		h.decision = h.decision.WithBallot(at)
+	}
+}
+
+// replicas are what the acceptors in contact said of their disks, and what this machine's holds.
+func (h *Controller) replicas(now time.Duration) map[consensus.AcceptorID]consensus.Replica {
+	out := map[consensus.AcceptorID]consensus.Replica{h.self: h.ownReplica}
+	for _, p := range h.peers {
+		if p.reportsReplica && p.id != 0 && p.lastSeen > 0 && now-p.lastSeen < peerLivenessTimeout {
+			out[p.id] = p.replica
+		}
+	}
+	return out
+}
+
+// How long a lacking copy is given, and up to as much more by lot. The machine that lacks it is the first to act: it costs the
+// others nothing. A round of all is for what it can't do by itself.
+const (
+	selfRepairDelay = 400 * time.Millisecond // an Accept on its way is not overtaken
+	repairDelay     = 1600 * time.Millisecond
+)
+
+// replicasIncomplete tells whether this hive owes a round that stores the agreed value again, for members in contact whose copies
+// are not proven. It looks each time, so that a copy counts as lacking from when it was first seen.
+func (h *Controller) replicasIncomplete(now time.Duration) bool {
+	if !h.confirmed || !consensus.Contains(h.known.Members, h.self) || !h.inContact(now) {
+		return false
+	}
+	copies := h.replicas(now)
+	lacking := slices.DeleteFunc(h.decision.Unreplicated(copies), func(m consensus.Member) bool {
+		_, told := copies[m.ID]
+		return !told
+	})
+	h.completeOwnReplica(now, lacking)
+	return h.repair.Due(now, h.known.Slot, lacking, h.ownReplica.Ballot, rand.Float64())
+}
+
+// completeOwnReplica has this machine's disk take the Accept that decided the agreed value, where that never reached it. Where it
+// has promised a higher ballot since, it refuses, and a round completes the copy.
+func (h *Controller) completeOwnReplica(now time.Duration, lacking []consensus.Member) {
+	own := slices.DeleteFunc(slices.Clone(lacking), func(m consensus.Member) bool { return m.ID != h.self })
+	if !h.selfRepair.Due(now, h.known.Slot, own, h.ownReplica.Ballot, rand.Float64()) {
+		return
+	}
+	h.selfRepair.RecordAttempt(now, rand.Float64())
+	a, ok := h.decision.CatchUpAccept(h.self)
+	if !ok {
+		return
+	}
+	taken, decision := false, h.decision
+	h.store.Update(func(s consensus.AcceptorState) consensus.AcceptorState {
+		if decision.ReplicatedBy(s.Replica()) {
+			return s // it came after all
+		}
+		next, back := s.HandleAccept(a)
+		taken = back.OK
+		return next
+	}, func(_ consensus.AcceptorState, err error) {
+		if taken && err == nil {
+			h.acceptedSlot.Store(uint64(a.Value.Slot)) // before anybody is told
+			h.acceptedValue.Store(a.Value)
+			go h.do(func() { h.recordAccepted(a.Value.Slot, a.Ballot) })
+		}
+	})
+}
+
+// StoredState is what this machine's disk holds. It waits for the disk. For tests and the emulator.
+func (h *Controller) StoredState() (consensus.AcceptorState, bool) {
+	states := make(chan consensus.AcceptorState, 1)
+	err := h.store.Update(func(s consensus.AcceptorState) consensus.AcceptorState { return s }, func(s consensus.AcceptorState, _ error) { states <- s })
+	if err != nil {
+		return consensus.AcceptorState{}, false
+	}
+	select {
+	case s := <-states:
+		return s, true
+	case <-time.After(time.Second):
+		return consensus.AcceptorState{}, false
+	}
+}
+
+// CommittedValue is the newest value that this hive knows to be agreed; nil = none. For tests and the emulator.
+func (h *Controller) CommittedValue() *consensus.Value {
+	known, _ := inquire(h, func() *consensus.Value {
+		if !h.confirmed {
+			return nil
+		}
+		return h.known
+	})
+	return known
+}
--- a/hive/bodies_test.go
+++ b/controlplane/value_bodies_test.go
@@ -1,4 +1,4 @@
-package hive
+package controlplane
 
 import (
 	"testing"
@@ -11,8 +11,8 @@
 	"oxbowspan/internal/meadow"
 )
 
-// acceptor is a control machine that is asked for promises and votes alone.
-func acceptor(t *testing.T) *Hive {
+// newTestController is a control machine that is asked for promises and votes alone.
+func newTestController(t *testing.T) *Controller {
 	t.Helper()
 	set := &boot.Settings{IPAddress: "10.0.1.1", InternalPorts: []int{7100, 7109}, SeedAddresses: []string{"10.0.1.1:8700"}, FirstStart: true,
 		DataDirectory: t.TempDir(), BeatIntervalMS: 1000}
@@ -25,63 +25,63 @@
 	return h
 }
 
-func (h *Hive) promiseOf(number uint64, has ...string) *dance.Promise {
+func (h *Controller) sendPrepare(number uint64, has ...string) *dance.Promise {
 	told := make(chan *dance.Promise, 1)
-	h.prepare(&dance.Prepare{To: uint64(h.self), Ballot: &dance.Ballot{Number: number}, HaveBodies: dance.FromDigests(has)},
+	h.handlePrepare(&dance.Prepare{To: uint64(h.self), Ballot: &dance.Ballot{Number: number}, HaveBodies: dance.FromDigests(has)},
 		func(p *dance.Promise) { told <- p })
 	return <-told
 }
 
-func (h *Hive) voteOf(number uint64, v *dance.Value) *dance.Accepted {
+func (h *Controller) sendAccept(number uint64, v *dance.Value) *dance.Accepted {
 	told := make(chan *dance.Accepted, 1)
-	h.accept(&dance.Accept{To: uint64(h.self), Ballot: &dance.Ballot{Number: number}, Value: v}, func(a *dance.Accepted) { told <- a })
+	h.handleAccept(&dance.Accept{To: uint64(h.self), Ballot: &dance.Ballot{Number: number}, Value: v}, func(a *dance.Accepted) { told <- a })
 	return <-told
 }
 
 // An acceptor puts in the bodies that an Accept leaves out, where it holds them, and votes for nothing that lacks one.
-func TestAnAcceptorPutsInTheBodiesThatItHolds(t *testing.T) {
-	h := acceptor(t)
+func TestAcceptorFillsOmittedBodies(t *testing.T) {
+	h := newTestController(t)
 	members := []consensus.Member{{ID: h.self, Address: h.address}}
 	first := &consensus.Value{Slot: 1, Members: members, PriorMembers: members, Version: 1, Digest: "d1", Body: []byte("one"),
 		Documents: []consensus.Document{{Name: "x", Version: 1, Digest: "dx", Body: []byte("note")}}}
-	if p := h.promiseOf(1); !p.Ok || p.Value != nil || len(p.HaveBodies) != 0 {
+	if p := h.sendPrepare(1); !p.Ok || p.Value != nil || len(p.HaveBodies) != 0 {
 		t.Fatalf("an empty acceptor promises %v", p)
 	}
-	if !h.voteOf(1, dance.FromValue(first)).Ok {
+	if !h.sendAccept(1, dance.FromValue(first)).Ok {
 		t.Fatal("a whole value is not voted for")
 	}
-	p := h.promiseOf(2, "d1", "dx")
+	p := h.sendPrepare(2, "d1", "dx")
 	if len(p.HaveBodies) != 2 || !p.Value.BodyLeftOut || !p.Value.Notes[0].BodyLeftOut {
 		t.Fatalf("it promises %v", p)
 	}
 	later := *first
 	later.Slot = 2
-	if !h.voteOf(2, dance.FromValue(&later, dance.ToDigests(p.HaveBodies)...)).Ok {
+	if !h.sendAccept(2, dance.FromValue(&later, dance.ToDigests(p.HaveBodies)...)).Ok {
 		t.Fatal("a value whose bodies it holds is not voted for")
 	}
-	p = h.promiseOf(3)
+	p = h.sendPrepare(3)
 	if got := dance.ToValue(p.Value); got == nil || got.Slot != 2 || string(got.Body) != "one" || string(got.Document("x").Body) != "note" {
 		t.Fatalf("it voted for %v", p.Value)
 	}
 	strange := later
 	strange.Digest, strange.Body = "d2", []byte("two")
-	if a := h.voteOf(3, dance.FromValue(&strange, "d2")); a.Ok {
+	if a := h.sendAccept(3, dance.FromValue(&strange, "d2")); a.Ok {
 		t.Error("it voted for a value that lacks its body")
 	}
-	if got := dance.ToValue(h.promiseOf(4).Value); got.Digest != "d1" || string(got.Body) != "one" {
+	if got := dance.ToValue(h.sendPrepare(4).Value); got.Digest != "d1" || string(got.Body) != "one" {
 		t.Errorf("afterwards it holds %v", got)
 	}
 }
 
 // A proposer of the program before names the configuration alone: notes come whole.
-func TestAProposerThatNamesTheConfigurationAlone(t *testing.T) {
-	h := acceptor(t)
+func TestPrepareNamingOnlyConfigurationDigest(t *testing.T) {
+	h := newTestController(t)
 	members := []consensus.Member{{ID: h.self, Address: h.address}}
 	v := &consensus.Value{Slot: 1, Members: members, PriorMembers: members, Version: 1, Digest: "d1", Body: []byte("one"),
 		Documents: []consensus.Document{{Name: "x", Version: 1, Digest: "dx", Body: []byte("note")}}}
-	h.voteOf(1, dance.FromValue(v))
+	h.sendAccept(1, dance.FromValue(v))
 	told := make(chan *dance.Promise, 1)
-	h.prepare(&dance.Prepare{To: uint64(h.self), Ballot: &dance.Ballot{Number: 2}, Have: []byte("d1")}, func(p *dance.Promise) { told <- p })
+	h.handlePrepare(&dance.Prepare{To: uint64(h.self), Ballot: &dance.Ballot{Number: 2}, Have: []byte("d1")}, func(p *dance.Promise) { told <- p })
 	if p := <-told; !p.Value.BodyLeftOut || string(p.Value.Notes[0].Body) != "note" {
 		t.Errorf("it is told %v", p.Value)
 	}
@@ -89,33 +89,33 @@
 
 // A peer that puts bodies in is told the value without them, and whole after it has said that it lacks one; a peer of the
 // program before is told it whole. What lacks a body is not learned.
-func TestAValueIsToldWholeToWhoLacksABody(t *testing.T) {
-	h := acceptor(t)
+func TestCompleteValueSentAfterMissingBody(t *testing.T) {
+	h := newTestController(t)
 	members := []consensus.Member{{ID: h.self, Address: h.address}}
 	v := &consensus.Value{Slot: 3, Members: members, PriorMembers: members, Version: 1, Digest: "d1", Body: []byte("one")}
 	h.known, h.confirmed = v, true
-	able, old := &peer{putsIn: true, kick: make(chan struct{}, 1)}, &peer{}
-	bare := h.tellValue(able)
-	if !bare.BodyLeftOut || h.tellValue(old).BodyLeftOut {
+	able, old := &peer{restoresBodies: true, wake: make(chan struct{}, 1)}, &peer{}
+	bare := h.valueForPeer(able)
+	if !bare.BodyLeftOut || h.valueForPeer(old).BodyLeftOut {
 		t.Fatalf("one that puts bodies in is told %v", bare)
 	}
-	reader := acceptor(t)
-	if !reader.takeValue(bare) || reader.confirmed {
+	reader := newTestController(t)
+	if !reader.receiveValue(bare) || reader.confirmed {
 		t.Fatal("a value that lacks its body is learned")
 	}
-	h.toldBack(able, &dance.PulseBack{LacksBody: true})
-	if len(able.kick) != 1 {
+	h.receiveValueReply(able, &dance.PulseBack{LacksBody: true})
+	if len(able.wake) != 1 {
 		t.Error("the next pulse does not go at once")
 	}
-	if whole := h.tellValue(able); whole.BodyLeftOut || reader.takeValue(whole) || string(reader.known.Body) != "one" {
+	if whole := h.valueForPeer(able); whole.BodyLeftOut || reader.receiveValue(whole) || string(reader.known.Body) != "one" {
 		t.Errorf("it is told %v", whole)
 	}
-	voter := acceptor(t)
-	voter.vote.Store(v)
-	if voter.takeValue(bare) || voter.known.Version != 1 || string(voter.known.Body) != "one" {
+	voter := newTestController(t)
+	voter.acceptedValue.Store(v)
+	if voter.receiveValue(bare) || voter.known.Version != 1 || string(voter.known.Body) != "one" {
 		t.Error("who has voted for it does not know its body")
 	}
-	if voter.takeValue(dance.FromValue(&consensus.Value{Slot: 2, Digest: "d0"}, "d0")) {
+	if voter.receiveValue(dance.FromValue(&consensus.Value{Slot: 2, Digest: "d0"}, "d0")) {
 		t.Error("the body of a value older than its own is asked for")
 	}
 }
--- /dev/null
+++ b/controlplane/value_gossip.go
@@ -0,0 +1,40 @@
+package controlplane
+
+import "oxbowspan/dance"
+
+// valueForPeer is the newest agreed value for a peer that is behind. Most peers have voted for it and lack only the word that it
+// is decided: the bodies are left out, unless the peer has said that it lacks one.
+func (h *Controller) valueForPeer(p *peer) *dance.Value {
+	if p.restoresBodies && !p.missingBody {
+		return dance.FromValue(h.known, dance.Digests(h.known)...)
+	}
+	p.missingBody = false
+	return dance.FromValue(h.known)
+}
+
+// receiveValue learns a value that a peer told. It tells whether a body was left out that this hive does not hold.
+func (h *Controller) receiveValue(m *dance.Value) (lacks bool) {
+	if m == nil || h.confirmed && m.Turn <= uint64(h.known.Slot) {
+		return false
+	}
+	v := dance.ToValue(m, h.known, h.acceptedValue.Load())
+	h.learnCommitted(v)
+	return v == nil
+}
+
+// receiveValueReply takes the value in the answer to a pulse. Where either side lacks a body, the next pulse goes at once.
+func (h *Controller) receiveValueReply(p *peer, m *dance.PulseBack) {
+	p.requestFullValue = h.receiveValue(m.Value)
+	p.missingBody = p.missingBody || m.LacksBody
+	if p.requestFullValue || p.missingBody {
+		p.gossipNow()
+	}
+}
+
+// gossipNow has the peer told what is new now.
+func (p *peer) gossipNow() {
+	select {
+	case p.wake <- struct{}{}:
+	default:
+	}
+}
--- a/internal/beekeeper/beekeeper.go
+++ b/internal/beekeeper/beekeeper.go
@@ -16,7 +16,7 @@
 	"github.com/rotisserie/eris"
 
 	"oxbowspan/config"
-	"oxbowspan/hive"
+	"oxbowspan/controlplane"
 )
 
 // ErrRefused marks an answer that is final: asking another hive would not change it.
@@ -168,8 +168,8 @@
 }
 
 // Tenants is what tenants have at each gatherer, as all hives that answer know it.
-func (k *Keeper) Tenants(ctx context.Context) (nodes []hive.NodeTenants, silent []string, err error) {
-	return List(ctx, k, "/-/tenants/explain", func(n hive.NodeTenants) string { return n.Node }, func(_, _ hive.NodeTenants) bool { return false })
+func (k *Keeper) Tenants(ctx context.Context) (nodes []controlplane.GatewayTenants, silent []string, err error) {
+	return List(ctx, k, "/-/tenants/explain", func(n controlplane.GatewayTenants) string { return n.Gateway }, func(_, _ controlplane.GatewayTenants) bool { return false })
 }
 
 // Each asks all hives for a resource and hands each answer to take, with the address that gave it. Who did not answer is told; it fails where
@@ -202,8 +202,8 @@
 }
 
 // Judgements is what gatherers hold of servers that are not simply in, as all hives that answer know it.
-func (k *Keeper) Judgements(ctx context.Context) (nodes []hive.NodeJudgement, silent []string, err error) {
-	return List(ctx, k, "/-/judgement/explain", func(n hive.NodeJudgement) string { return n.Node }, func(_, _ hive.NodeJudgement) bool { return false })
+func (k *Keeper) Judgements(ctx context.Context) (nodes []controlplane.GatewayOutliers, silent []string, err error) {
+	return List(ctx, k, "/-/judgement/explain", func(n controlplane.GatewayOutliers) string { return n.Gateway }, func(_, _ controlplane.GatewayOutliers) bool { return false })
 }
 
 // Split reads a list of control addresses.
--- a/internal/colony/core_test.go
+++ b/internal/colony/core_test.go
@@ -208,7 +208,7 @@
 	play(t, 18, 3, 1, func(c *Colony) {
 		settle(t, c)
 		for i, m := range c.Hives {
-			m.Now.HoldDisk(3 * time.Second)
+			m.Now.StallDisk(3 * time.Second)
 			began := time.Now()
 			for _, by := range []*HiveMachine{c.Hives[(i+1)%3], m} { // by another, and by itself
 				version := uint64(2 + 2*i)
--- a/internal/colony/judgement_test.go
+++ b/internal/colony/judgement_test.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"oxbowspan/hive"
+	"oxbowspan/controlplane"
 )
 
 // A server that takes requests and answers none is left by all gatherers, tried by one, and taken back by all. A pin holds and ends.
@@ -68,7 +68,7 @@
 		pin(0, fmt.Sprintf(`{"pins":[{"instance":%q,"stance":"out","for_s":4,"why":"a test"}]}`, ill.Instance))
 		time.Sleep(time.Second)
 		before := came.Load()
-		var nodes []hive.NodeJudgement
+		var nodes []controlplane.GatewayOutliers
 		time.Sleep(1500 * time.Millisecond)
 		pinned := came.Load() - before
 		holds := 0
@@ -76,7 +76,7 @@
 			must(t, json.Unmarshal(c.Read(h, "/-/judgement/explain"), &nodes))
 			for _, n := range nodes {
 				for _, s := range n.Servers {
-					if s.Instance == ill.Instance && s.Pinned && s.Stance == "out" {
+					if s.Instance == ill.Instance && s.Pinned && s.State == "out" {
 						holds++
 					}
 				}
--- a/internal/colony/machine.go
+++ b/internal/colony/machine.go
@@ -8,8 +8,8 @@
 	"path/filepath"
 	"strconv"
 
+	"oxbowspan/controlplane"
 	"oxbowspan/forager"
-	"oxbowspan/hive"
 	"oxbowspan/internal/boot"
 )
 
@@ -34,7 +34,7 @@
 type HiveMachine struct {
 	c   *Colony
 	IP  string
-	Now *hive.Hive // nil = it does not run
+	Now *controlplane.Controller // nil = it does not run
 	life
 }
 
@@ -52,7 +52,7 @@
 // Start starts the process.
 func (m *HiveMachine) Start() error {
 	m.c.Meadow.Light(m.IP)
-	h, err := hive.New(m.settings(), m.c.Meadow.Host(m.IP), m.c.Log.With().Str("node", m.IP).Logger())
+	h, err := controlplane.New(m.settings(), m.c.Meadow.Host(m.IP), m.c.Log.With().Str("node", m.IP).Logger())
 	if err != nil {
 		return err
 	}
--- a/internal/colony/orders_test.go
+++ b/internal/colony/orders_test.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"oxbowspan/config"
-	"oxbowspan/hive"
+	"oxbowspan/controlplane"
 )
 
 const operatorAddress = "10.0.9.9" // that Replace and Read call from
@@ -140,7 +140,7 @@
 
 // look notes which versions of the configuration a control machine knows to be agreed.
 func (b *orderBook) look(c *Colony, at *HiveMachine) {
-	var past []hive.History
+	var past []controlplane.HistoryEntry
 	if json.Unmarshal(c.Read(at, "/-/configuration/history"), &past) != nil {
 		return
 	}
--- a/internal/colony/repair_test.go
+++ b/internal/colony/repair_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"oxbowspan/consensus"
-	"oxbowspan/hive"
+	"oxbowspan/controlplane"
 )
 
 // granted is what the platform grants a machine that is back, or new, before others may be lost (catch_up_s).
@@ -40,7 +40,7 @@
 // voters are the acceptors of the newest value that any running machine of the core knows, and the turn.
 func voters(c *Colony) (members []consensus.Member, turn consensus.Slot) {
 	for _, m := range c.running() {
-		if v := m.Now.Known(); v != nil && v.Slot >= turn {
+		if v := m.Now.CommittedValue(); v != nil && v.Slot >= turn {
 			members, turn = v.Members, v.Slot
 		}
 	}
@@ -54,7 +54,7 @@
 	for _, m := range members {
 		held := false
 		for _, h := range c.running() {
-			s, ok := h.Now.Stored()
+			s, ok := h.Now.StoredState()
 			held = held || ok && s.ID == m.ID && s.Value != nil && s.Value.Slot >= turn && uint64(s.Value.Version) == version
 		}
 		if !held {
@@ -187,9 +187,9 @@
 // bears is how many disks may be lost, as a machine of the core tells operators.
 func bears(t *testing.T, c *Colony, m *HiveMachine) int {
 	t.Helper()
-	var view hive.Members
+	var view controlplane.MembershipStatus
 	must(t, json.Unmarshal(c.Read(m, "/-/members/read"), &view))
-	return view.Bears
+	return view.TolerableLosses
 }
 
 // at tells whether a member is this machine.
@@ -257,10 +257,10 @@
 				successor := c.AddHive()
 				must(t, successor.Start())
 				time.Sleep(granted)
-				successor.Now.HoldDisk(3 * time.Second)
+				successor.Now.StallDisk(3 * time.Second)
 				stalled := c.Hives[1 : 1+c.counted]
 				for _, m := range stalled {
-					m.Now.HoldDisk(3 * time.Second)
+					m.Now.StallDisk(3 * time.Second)
 				}
 				began := time.Now()
 				c.Hives[0].Leave()
@@ -335,7 +335,7 @@
 				}
 				c.Hives[0].Wipe()
 				for i, m := range c.Hives[1:] {
-					if s, ok := m.Now.Stored(); !ok || s.Value == nil || s.Value.Version != 2 {
+					if s, ok := m.Now.StoredState(); !ok || s.Value == nil || s.Value.Version != 2 {
 						t.Errorf("COPIES: machine %d stays and does not hold what the one that left held", i+1)
 					}
 				}
@@ -347,7 +347,7 @@
 				powerOff(t, c)
 				time.Sleep(3 * time.Second)
 				for _, m := range away {
-					if s, ok := m.Now.Stored(); !ok || s.Value == nil || s.Value.Version != 2 {
+					if s, ok := m.Now.StoredState(); !ok || s.Value == nil || s.Value.Version != 2 {
 						t.Errorf("LOST: %s does not hold version 2", m.IP)
 					}
 				}
@@ -517,11 +517,11 @@
 		time.Sleep(2 * time.Second)
 		before := map[string]consensus.AcceptorState{}
 		for _, m := range c.Hives {
-			before[m.IP], _ = m.Now.Stored()
+			before[m.IP], _ = m.Now.StoredState()
 		}
 		time.Sleep(2 * time.Minute)
 		for _, m := range c.Hives {
-			if s, ok := m.Now.Stored(); !ok || s.DiffersFrom(before[m.IP]) {
+			if s, ok := m.Now.StoredState(); !ok || s.DiffersFrom(before[m.IP]) {
 				t.Errorf("REST: %s wrote: promised %v, was %v", m.IP, s.Promised, before[m.IP].Promised)
 			}
 		}
--- a/internal/colony/tenants_hard_test.go
+++ b/internal/colony/tenants_hard_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"oxbowspan/config"
-	"oxbowspan/hive"
+	"oxbowspan/controlplane"
 )
 
 // narrow gives the first cut's servers a limit of connections and room for all that comes over them.
@@ -276,11 +276,11 @@
 		}
 		held := 0
 		for _, h := range c.Hives {
-			var nodes []hive.NodeTenants
+			var nodes []controlplane.GatewayTenants
 			must(t, json.Unmarshal(c.Read(h, "/-/tenants/explain"), &nodes))
 			for _, n := range nodes {
-				for _, x := range n.Holdings {
-					held += int(x.Held)
+				for _, x := range n.Connections {
+					held += int(x.InUse)
 				}
 			}
 		}
--- a/internal/colony/tenants_test.go
+++ b/internal/colony/tenants_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"oxbowspan/config"
-	"oxbowspan/hive"
+	"oxbowspan/controlplane"
 )
 
 // letterConfig has a gathered letter run, counter look-ups and posts that must not run twice, all over the same servers.
@@ -197,7 +197,7 @@
 		time.Sleep(1500 * time.Millisecond)
 		versions := map[uint64]int{}
 		for _, h := range c.Hives {
-			var nodes []hive.NodeTenants
+			var nodes []controlplane.GatewayTenants
 			must(t, json.Unmarshal(c.Read(h, "/-/tenants/explain"), &nodes))
 			for _, n := range nodes {
 				versions[n.TenantsVersion]++
--- a/internal/colony/wire_test.go
+++ b/internal/colony/wire_test.go
@@ -78,7 +78,7 @@
 		}
 		round("calm", true)
 		for _, m := range c.Hives {
-			m.Now.HoldDisk(3 * time.Second)
+			m.Now.StallDisk(3 * time.Second)
 		}
 		round("all disks stalled", true)
 		time.Sleep(4 * time.Second)
--- a/internal/entrance/commands_test.go
+++ b/internal/entrance/commands_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"oxbowspan/hive"
+	"oxbowspan/controlplane"
 	"oxbowspan/internal/colony"
 )
 
@@ -100,14 +100,14 @@
 }
 
 // allServers waits until the list holds every server, ready and heard, and returns it.
-func (b *built) allServers(count int, args ...string) (servers []hive.Server) {
+func (b *built) allServers(count int, args ...string) (servers []controlplane.ServerStatus) {
 	b.t.Helper()
 	b.poll(fmt.Sprintf("%d ready servers", count), func(text string, code int) bool {
 		servers = nil
 		if code != 0 || json.Unmarshal([]byte(text), &servers) != nil || len(servers) != count {
 			return false
 		}
-		return !slices.ContainsFunc(servers, func(s hive.Server) bool { return s.State != "ready" || s.Silent })
+		return !slices.ContainsFunc(servers, func(s controlplane.ServerStatus) bool { return s.State != "ready" || s.Unresponsive })
 	}, args...)
 	if b.t.Failed() {
 		b.t.FailNow()
--- a/internal/entrance/entrance.go
+++ b/internal/entrance/entrance.go
@@ -19,8 +19,8 @@
 	"github.com/rs/zerolog"
 
 	"oxbowspan/config"
+	"oxbowspan/controlplane"
 	"oxbowspan/forager"
-	"oxbowspan/hive"
 	"oxbowspan/internal/acceptorstore"
 	"oxbowspan/internal/boot"
 	"oxbowspan/internal/ground"
@@ -47,7 +47,7 @@
 // Hive runs the control plane's command line and returns its exit code.
 func Hive(args []string, out, errs io.Writer) int {
 	return program{"hive", false, true, func(ctx context.Context, set *boot.Settings, log zerolog.Logger) error {
-		h, err := hive.New(set, ground.TCP{}, log)
+		h, err := controlplane.New(set, ground.TCP{}, log)
 		if err != nil {
 			return err
 		}
--- a/internal/entrance/judgement.go
+++ b/internal/entrance/judgement.go
@@ -15,7 +15,7 @@
 	"github.com/rotisserie/eris"
 
 	"oxbowspan/config"
-	"oxbowspan/hive"
+	"oxbowspan/controlplane"
 	"oxbowspan/internal/beekeeper"
 )
 
@@ -81,7 +81,7 @@
 	return nil
 }
 
-func sumJudgements(nodes []hive.NodeJudgement) []*judged {
+func sumJudgements(nodes []controlplane.GatewayOutliers) []*judged {
 	by := map[string]*judged{}
 	all := []*judged{}
 	for _, n := range nodes {
@@ -92,10 +92,10 @@
 				by[s.Instance] = j
 				all = append(all, j)
 			}
-			j.Stances[s.Stance]++
+			j.Stances[s.State]++
 			j.Pinned = j.Pinned || s.Pinned
-			if s.SinceS >= j.SinceS {
-				j.SinceS, j.Why = s.SinceS, s.Why
+			if s.SinceSeconds >= j.SinceS {
+				j.SinceS, j.Why = s.SinceSeconds, s.Reason
 			}
 		}
 	}
@@ -110,20 +110,20 @@
 	if err != nil {
 		return err
 	}
-	slices.SortFunc(nodes, func(a, b hive.NodeJudgement) int { return cmp.Compare(a.Node, b.Node) })
+	slices.SortFunc(nodes, func(a, b controlplane.GatewayOutliers) int { return cmp.Compare(a.Gateway, b.Gateway) })
 	for i := range nodes {
-		nodes[i].Servers = slices.DeleteFunc(nodes[i].Servers, func(j hive.Judgement) bool { return j.Instance != args[0] })
+		nodes[i].Servers = slices.DeleteFunc(nodes[i].Servers, func(j controlplane.OutlierVerdict) bool { return j.Instance != args[0] })
 	}
-	nodes = slices.DeleteFunc(nodes, func(n hive.NodeJudgement) bool { return len(n.Servers) == 0 })
+	nodes = slices.DeleteFunc(nodes, func(n controlplane.GatewayOutliers) bool { return len(n.Servers) == 0 })
 	if err := o.print(nodes, func(w io.Writer) {
 		if len(nodes) == 0 {
 			fmt.Fprintf(w, "no gatherer holds anything against %s\n", args[0])
 		}
 		for _, n := range nodes {
 			j := n.Servers[0]
-			fmt.Fprintf(w, "%s in %s\t%s for %.1f s\tpredicted %.2f times slower\t%s\n", n.Node, n.Zone, j.Stance, j.SinceS, j.Factor, j.Why)
-			for _, v := range j.Words {
-				fmt.Fprintf(w, "  gatherer %s said %s\t%.1f s ago\t\t\n", v.Observer, v.Kind, v.AgeS)
+			fmt.Fprintf(w, "%s in %s\t%s for %.1f s\tpredicted %.2f times slower\t%s\n", n.Gateway, n.Zone, j.State, j.SinceSeconds, j.Factor, j.Reason)
+			for _, v := range j.Observations {
+				fmt.Fprintf(w, "  gatherer %s said %s\t%.1f s ago\t\t\n", v.Observer, v.Kind, v.AgeSeconds)
 			}
 		}
 	}); err != nil {
--- a/internal/entrance/tenant.go
+++ b/internal/entrance/tenant.go
@@ -13,7 +13,7 @@
 	"github.com/rotisserie/eris"
 
 	"oxbowspan/config"
-	"oxbowspan/hive"
+	"oxbowspan/controlplane"
 	"oxbowspan/internal/beekeeper"
 	"oxbowspan/pollen"
 	"oxbowspan/rendezvous"
@@ -90,7 +90,7 @@
 }
 
 // sumTenants lists the document's tenants, then those that routes in none make by themselves.
-func sumTenants(conf *config.Configuration, doc *config.TenantDocument, nodes []hive.NodeTenants) []*tenantSum {
+func sumTenants(conf *config.Configuration, doc *config.TenantDocument, nodes []controlplane.GatewayTenants) []*tenantSum {
 	var sums []*tenantSum
 	by := map[string]*tenantSum{}
 	add := func(s *tenantSum) {
@@ -115,9 +115,9 @@
 		}
 	}
 	for _, n := range nodes {
-		for _, h := range n.Holdings {
+		for _, h := range n.Connections {
 			if s := by[h.Tenant]; s != nil {
-				s.Held, s.Lent = s.Held+h.Held, s.Lent+h.Lent
+				s.Held, s.Lent = s.Held+h.InUse, s.Lent+h.Borrowed
 			}
 		}
 		for _, w := range n.Waits {
@@ -136,23 +136,23 @@
 	}
 	if len(args) == 1 {
 		for i := range nodes {
-			nodes[i].Holdings = slices.DeleteFunc(nodes[i].Holdings, func(h hive.Holding) bool { return h.Tenant != args[0] })
-			nodes[i].Waits = slices.DeleteFunc(nodes[i].Waits, func(w hive.TenantWait) bool { return w.Tenant != args[0] })
+			nodes[i].Connections = slices.DeleteFunc(nodes[i].Connections, func(h controlplane.ConnectionUsage) bool { return h.Tenant != args[0] })
+			nodes[i].Waits = slices.DeleteFunc(nodes[i].Waits, func(w controlplane.WaitStats) bool { return w.Tenant != args[0] })
 		}
 	}
-	slices.SortFunc(nodes, func(a, b hive.NodeTenants) int { return strings.Compare(a.Node, b.Node) })
+	slices.SortFunc(nodes, func(a, b controlplane.GatewayTenants) int { return strings.Compare(a.Gateway, b.Gateway) })
 	if err := o.print(nodes, func(w io.Writer) {
 		for _, n := range nodes {
-			fmt.Fprintf(w, "node %s in %s, tenants of version %d\n", n.Node, n.Zone, n.TenantsVersion)
-			for _, h := range n.Holdings {
+			fmt.Fprintf(w, "node %s in %s, tenants of version %d\n", n.Gateway, n.Zone, n.TenantsVersion)
+			for _, h := range n.Connections {
 				wants := ""
-				if h.Wants {
+				if h.WantsMore {
 					wants = ", wants another"
 				}
-				fmt.Fprintf(w, "  %s\tat %s of %s\tholds %d of %d\town part %.1f, lent %d%s\n", h.Tenant, h.Instance, h.Service, h.Held, h.Part, h.Own, h.Lent, wants)
+				fmt.Fprintf(w, "  %s\tat %s of %s\tholds %d of %d\town part %.1f, lent %d%s\n", h.Tenant, h.Instance, h.Service, h.InUse, h.Limit, h.Share, h.Borrowed, wants)
 			}
 			for _, t := range n.Waits {
-				fmt.Fprintf(w, "  %s\t%d requests in the last minute\t%d waited, %d wait now\tp50 %.1f ms, p99 %.1f ms, longest %.1f ms\n", t.Tenant, t.Requests, t.Waited, t.Waiting, t.P50MS, t.P99MS, t.MostMS)
+				fmt.Fprintf(w, "  %s\t%d requests in the last minute\t%d waited, %d wait now\tp50 %.1f ms, p99 %.1f ms, longest %.1f ms\n", t.Tenant, t.Requests, t.Waited, t.Waiting, t.P50MS, t.P99MS, t.MaxMS)
 			}
 		}
 	}); err != nil {
--- a/internal/entrance/views.go
+++ b/internal/entrance/views.go
@@ -16,7 +16,7 @@
 	"github.com/rotisserie/eris"
 
 	"oxbowspan/config"
-	"oxbowspan/hive"
+	"oxbowspan/controlplane"
 	"oxbowspan/internal/beekeeper"
 )
 
@@ -32,19 +32,21 @@
 }
 
 func (o *operator) nodes(ctx context.Context, k *beekeeper.Keeper, _ []string) error {
-	all, silent, err := beekeeper.List(ctx, k, "/-/nodes/read", func(n hive.Node) string { return n.Address }, func(a, b hive.Node) bool { return a.Here && !b.Here || a.Here == b.Here && a.AgeS < b.AgeS })
+	all, silent, err := beekeeper.List(ctx, k, "/-/nodes/read", func(n controlplane.GatewayStatus) string { return n.Address }, func(a, b controlplane.GatewayStatus) bool {
+		return a.PollsHere && !b.PollsHere || a.PollsHere == b.PollsHere && a.AgeSeconds < b.AgeSeconds
+	})
 	if err != nil {
 		return err
 	}
-	slices.SortFunc(all, func(a, b hive.Node) int { return cmp.Compare(a.Address, b.Address) })
+	slices.SortFunc(all, func(a, b controlplane.GatewayStatus) int { return cmp.Compare(a.Address, b.Address) })
 	if err := o.print(all, func(w io.Writer) {
 		fmt.Fprintln(w, "ADDRESS\tZONE\tHEARD S AGO\tTURN IN FORCE\tNEWEST")
 		for _, n := range all {
 			turn, newest := "not known", ""
-			if n.Here {
-				turn, newest = fmt.Sprint(n.Turn), map[bool]string{true: "yes", false: "no"}[n.Newest]
+			if n.PollsHere {
+				turn, newest = fmt.Sprint(n.Slot), map[bool]string{true: "yes", false: "no"}[n.UpToDate]
 			}
-			fmt.Fprintf(w, "%s\t%s\t%.1f\t%s\t%s\n", n.Address, n.Zone, n.AgeS, turn, newest)
+			fmt.Fprintf(w, "%s\t%s\t%.1f\t%s\t%s\n", n.Address, n.Zone, n.AgeSeconds, turn, newest)
 		}
 	}); err != nil {
 		return err
@@ -54,27 +56,27 @@
 }
 
 func (o *operator) servers(ctx context.Context, k *beekeeper.Keeper, args []string) error {
-	all, silent, err := beekeeper.List(ctx, k, "/-/servers/read", func(s hive.Server) string { return s.Instance }, func(a, b hive.Server) bool { return a.AgeS < b.AgeS })
+	all, silent, err := beekeeper.List(ctx, k, "/-/servers/read", func(s controlplane.ServerStatus) string { return s.Instance }, func(a, b controlplane.ServerStatus) bool { return a.AgeSeconds < b.AgeSeconds })
 	if err != nil {
 		return err
 	}
 	if len(args) == 1 {
-		all = slices.DeleteFunc(all, func(s hive.Server) bool { return s.Service != args[0] })
+		all = slices.DeleteFunc(all, func(s controlplane.ServerStatus) bool { return s.Service != args[0] })
 	}
-	slices.SortFunc(all, func(a, b hive.Server) int {
+	slices.SortFunc(all, func(a, b controlplane.ServerStatus) int {
 		return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Instance, b.Instance))
 	})
 	if err := o.print(all, func(w io.Writer) {
 		fmt.Fprintln(w, "SERVICE\tINSTANCE\tADDRESS\tZONE\tVERSION\tSLOTS\tSTATE\tHEARD S AGO")
 		for _, s := range all {
 			state := s.State
-			if s.Silent {
+			if s.Unresponsive {
 				state += ", silent"
 			}
-			if s.ColdS > 0 {
-				state += fmt.Sprintf(", cold for %.1f s", s.ColdS)
+			if s.SlowStartSeconds > 0 {
+				state += fmt.Sprintf(", cold for %.1f s", s.SlowStartSeconds)
 			}
-			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%s\t%.1f\n", s.Service, s.Instance, s.Address, s.Zone, s.Version, s.Slots, state, s.AgeS)
+			fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%s\t%.1f\n", s.Service, s.Instance, s.Address, s.Zone, s.Version, s.Slots, state, s.AgeSeconds)
 		}
 	}); err != nil {
 		return err
@@ -84,9 +86,9 @@
 }
 
 func (o *operator) members(ctx context.Context, k *beekeeper.Keeper, _ []string) error {
-	all := []hive.Members{}
+	all := []controlplane.MembershipStatus{}
 	silent, err := k.Each(ctx, "/-/members/read", func(_ string, text []byte) error {
-		var m hive.Members
+		var m controlplane.MembershipStatus
 		if err := json.Unmarshal(text, &m); err != nil {
 			return err
 		}
@@ -99,19 +101,19 @@
 	if err := o.print(all, func(w io.Writer) {
 		for _, m := range all {
 			state := "in contact with a majority"
-			if !m.Settled {
+			if !m.HasQuorum {
 				state = "not in contact with a majority"
 			}
-			if !m.Whole {
+			if !m.Stable {
 				state += ", the acceptors are being changed"
 			}
-			fmt.Fprintf(w, "%s: turn %d, version %d, %s; disks that may be lost now: %d\n", m.Hive, m.Turn, m.Version, state, m.Bears)
+			fmt.Fprintf(w, "%s: turn %d, version %d, %s; disks that may be lost now: %d\n", m.Controller, m.Slot, m.Version, state, m.TolerableLosses)
 			for _, v := range m.Members {
 				holds := ""
 				if !v.Complete {
 					holds = ", not known to hold what is agreed"
 				}
-				fmt.Fprintf(w, "  %s\t%s\theard %.1f s ago%s\n", v.Identity, v.Address, v.SilentS, holds)
+				fmt.Fprintf(w, "  %s\t%s\theard %.1f s ago%s\n", v.Identity, v.Address, v.SilentSeconds, holds)
 			}
 		}
 	}); err != nil {
@@ -122,16 +124,16 @@
 }
 
 func (o *operator) events(ctx context.Context, k *beekeeper.Keeper, _ []string) error {
-	all, silent, err := beekeeper.List(ctx, k, "/-/events/read", func(e hive.Event) string { return fmt.Sprint(e.Hive, " ", e.No) }, func(_, _ hive.Event) bool { return false })
+	all, silent, err := beekeeper.List(ctx, k, "/-/events/read", func(e controlplane.Event) string { return fmt.Sprint(e.Controller, " ", e.Sequence) }, func(_, _ controlplane.Event) bool { return false })
 	if err != nil {
 		return err
 	}
-	slices.SortFunc(all, func(a, b hive.Event) int {
-		return cmp.Or(cmp.Compare(b.AgeS, a.AgeS), cmp.Compare(a.Hive, b.Hive), cmp.Compare(a.No, b.No))
+	slices.SortFunc(all, func(a, b controlplane.Event) int {
+		return cmp.Or(cmp.Compare(b.AgeSeconds, a.AgeSeconds), cmp.Compare(a.Controller, b.Controller), cmp.Compare(a.Sequence, b.Sequence))
 	})
 	if err := o.print(all, func(w io.Writer) {
 		for _, e := range all {
-			fmt.Fprintf(w, "%.1f s ago\t%s\t%s\t%s\n", e.AgeS, e.Hive, e.Kind, e.Text)
+			fmt.Fprintf(w, "%.1f s ago\t%s\t%s\t%s\n", e.AgeSeconds, e.Controller, e.Kind, e.Text)
 		}
 	}); err != nil {
 		return err
@@ -289,11 +291,11 @@
 }
 
 func (o *operator) configHistory(ctx context.Context, k *beekeeper.Keeper, _ []string) error {
-	all, silent, err := beekeeper.List(ctx, k, "/-/configuration/history", func(v hive.History) string { return fmt.Sprint(v.Version) }, func(_, _ hive.History) bool { return false })
+	all, silent, err := beekeeper.List(ctx, k, "/-/configuration/history", func(v controlplane.HistoryEntry) string { return fmt.Sprint(v.Version) }, func(_, _ controlplane.HistoryEntry) bool { return false })
 	if err != nil {
 		return err
 	}
-	slices.SortFunc(all, func(a, b hive.History) int { return cmp.Compare(a.Version, b.Version) })
+	slices.SortFunc(all, func(a, b controlplane.HistoryEntry) int { return cmp.Compare(a.Version, b.Version) })
 	if err := o.print(all, func(w io.Writer) {
 		fmt.Fprintln(w, "VERSION\tON TOP OF\tDIGEST")
 		for _, v := range all {
@@ -338,21 +340,21 @@
 			}
 		}
 	}
-	servers, silent, err := beekeeper.List(ctx, k, "/-/servers/read", func(s hive.Server) string { return s.Instance }, func(a, b hive.Server) bool { return a.AgeS < b.AgeS })
+	servers, silent, err := beekeeper.List(ctx, k, "/-/servers/read", func(s controlplane.ServerStatus) string { return s.Instance }, func(a, b controlplane.ServerStatus) bool { return a.AgeSeconds < b.AgeSeconds })
 	if err != nil {
 		return err
 	}
 	for _, s := range servers {
-		if s.State == "ready" && !s.Silent && slices.Contains(e.Services, s.Service) {
+		if s.State == "ready" && !s.Unresponsive && slices.Contains(e.Services, s.Service) {
 			e.Servers++
 		}
 	}
-	nodes, _, err := beekeeper.List(ctx, k, "/-/nodes/read", func(n hive.Node) string { return n.Address }, func(a, b hive.Node) bool { return a.Here && !b.Here })
+	nodes, _, err := beekeeper.List(ctx, k, "/-/nodes/read", func(n controlplane.GatewayStatus) string { return n.Address }, func(a, b controlplane.GatewayStatus) bool { return a.PollsHere && !b.PollsHere })
 	if err != nil {
 		return err
 	}
 	for _, n := range nodes {
-		if n.Newest {
+		if n.UpToDate {
 			e.InForce++
 		} else {
 			e.Others = append(e.Others, n.Address)
