--- a/controlplane/config_pacing.go
+++ b/controlplane/config_pacing.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"oxbowspan/dance"
 	"oxbowspan/internal/boot"
+	"oxbowspan/rpc"
 )
 
 // A version goes whole to each gatherer. One that has just been given a version is given the next one after a pause that grows with
@@ -20,16 +20,16 @@
 }
 
 // hasVersion tells whether a newer version than the asker's is known to be agreed.
-func (h *Controller) hasVersion(a *dance.Ask) bool {
-	return h.confirmed && uint64(h.known.Slot) > a.Turn
+func (h *Controller) hasVersion(a *rpc.Poll) bool {
+	return h.confirmed && uint64(h.known.Slot) > a.Slot
 }
 
 // nextVersionAt is when the asker may be given the next version.
-func (h *Controller) nextVersionAt(a *dance.Ask) time.Duration {
+func (h *Controller) nextVersionAt(a *rpc.Poll) time.Duration {
 	if a.From == nil {
 		return 0
 	}
-	f := h.gateways[a.From.Life]
+	f := h.gateways[a.From.Incarnation]
 	if f == nil || f.sentAt == 0 {
 		return 0
 	}
@@ -37,17 +37,17 @@
 }
 
 // recordVersionSent notes that the asker was given a version.
-func (h *Controller) recordVersionSent(a *dance.Ask, length int, now time.Duration) {
+func (h *Controller) recordVersionSent(a *rpc.Poll, length int, now time.Duration) {
 	if a.From == nil {
 		return
 	}
-	if f := h.gateways[a.From.Life]; f != nil {
+	if f := h.gateways[a.From.Incarnation]; f != nil {
 		f.sentBytes, f.sentAt = length, now
 	}
 }
 
 // scheduleVersion has the waiters looked at again when the first that rests may be given a version.
-func (h *Controller) scheduleVersion(a *dance.Ask) {
+func (h *Controller) scheduleVersion(a *rpc.Poll) {
 	if !h.hasVersion(a) {
 		return
 	}
--- a/controlplane/controller.go
+++ b/controlplane/controller.go
@@ -19,13 +19,13 @@
 	"google.golang.org/protobuf/proto"
 
 	"oxbowspan/consensus"
-	"oxbowspan/dance"
 	"oxbowspan/internal/acceptorstore"
 	"oxbowspan/internal/boot"
 	"oxbowspan/internal/ground"
 	"oxbowspan/quorum"
 	"oxbowspan/registry"
 	"oxbowspan/rendezvous"
+	"oxbowspan/rpc"
 )
 
 // Rhythm of the hive's own talk.
@@ -102,7 +102,7 @@
 	lastSeen    time.Duration
 	direct      bool   // heard by this hive itself
 	sequence    uint64 // in the order in which this hive had something to tell the others of
-	stats       *dance.Figures
+	stats       *rpc.GatewayStats
 	slot        uint64        // that it has in force, of one that asks here
 	polledAt    time.Duration // when it last did
 	sentBytes   int           // bytes of the version that this hive last gave it,
@@ -128,9 +128,9 @@
 
 // pollWaiter is a forager's held question.
 type pollWaiter struct {
-	conn     *dance.Conn
+	conn     *rpc.Conn
 	id       uint64
-	poll     *dance.Ask
+	poll     *rpc.Poll
 	deadline time.Duration
 
 	verifying bool // until a majority has answered what it was asked after the question came
@@ -226,7 +226,7 @@
 		control.Close()
 		return eris.Errorf("the internal address can't be listened on: %v", err)
 	}
-	talk := &dance.Server{Handle: h.handleFrame, Left: func(c *dance.Conn) { h.do(func() { h.dropConnection(c) }) }}
+	talk := &rpc.Server{Handle: h.handleFrame, OnClose: func(c *rpc.Conn) { h.do(func() { h.dropConnection(c) }) }}
 	web := &http.Server{Handler: h.handler(), ReadHeaderTimeout: 3 * time.Second, IdleTimeout: 30 * time.Second}
 	h.wg.Go(func() { talk.Serve(inner) })
 	h.wg.Go(func() { web.Serve(control) })
@@ -390,7 +390,7 @@
 	if h.savingHints || now-h.hintsSavedAt < hintInterval || len(h.table.ChangesAfter(h.hintsCursor)) == 0 {
 		return
 	}
-	m := &dance.Pulse{}
+	m := &rpc.Gossip{}
 	for _, r := range h.table.ChangesAfter(0) {
 		m.Reports = append(m.Reports, encodeReport(r, now))
 	}
@@ -409,7 +409,7 @@
 }
 
 func (h *Controller) restoreHints(hints []byte) {
-	m := &dance.Pulse{}
+	m := &rpc.Gossip{}
 	if len(hints) == 0 || proto.Unmarshal(hints, m) != nil {
 		return
 	}
@@ -443,50 +443,50 @@
 	}
 }
 
-func (h *Controller) hasUpdate(a *dance.Ask, now time.Duration) bool {
-	return h.hasVersion(a) && now >= h.nextVersionAt(a) || a.HiveLife != h.incarnation || a.Crowd != h.membershipEpoch ||
+func (h *Controller) hasUpdate(a *rpc.Poll, now time.Duration) bool {
+	return h.hasVersion(a) && now >= h.nextVersionAt(a) || a.ControllerIncarnation != h.incarnation || a.MembershipEpoch != h.membershipEpoch ||
 		len(h.table.ChangesAfter(registry.Cursor(a.Cursor))) > 0
 }
 
 func (h *Controller) answerPoll(w *pollWaiter, now time.Duration) {
 	delete(h.waiters, w)
 	a := w.poll
-	n := &dance.News{HiveLife: h.incarnation, Cursor: uint64(h.table.Cursor()), Settled: h.confirmed && !w.verifying && h.inContact(now), Turn: a.Turn,
-		Warm: now > 3*h.settings.Beat(), Crowd: h.membershipEpoch}
+	n := &rpc.Update{ControllerIncarnation: h.incarnation, Cursor: uint64(h.table.Cursor()), HasQuorum: h.confirmed && !w.verifying && h.inContact(now), Slot: a.Slot,
+		Warm: now > 3*h.settings.Beat(), MembershipEpoch: h.membershipEpoch}
 	if h.hasVersion(a) && now >= h.nextVersionAt(a) {
 		h.recordVersionSent(a, len(h.known.Body), now)
-		n.Turn, n.Version, n.HasConfig, n.Config = uint64(h.known.Slot), uint64(h.known.Version), h.known.Digest != "", h.known.Body
+		n.Slot, n.Version, n.HasConfig, n.Config = uint64(h.known.Slot), uint64(h.known.Version), h.known.Digest != "", h.known.Body
 		for _, note := range h.known.Documents {
-			m := dance.FromNote(note)
-			m.Past, m.AgeMs = nil, uint32((now-h.documentTimes[note.Name].since)/time.Millisecond)
-			n.Notes = append(n.Notes, m)
+			m := rpc.DocumentToProto(note)
+			m.PriorRevisions, m.AgeMs = nil, uint32((now-h.documentTimes[note.Name].since)/time.Millisecond)
+			n.Documents = append(n.Documents, m)
 		}
 	}
 	after := registry.Cursor(a.Cursor)
-	if a.HiveLife != h.incarnation {
-		n.Whole, after = true, 0
+	if a.ControllerIncarnation != h.incarnation {
+		n.Full, after = true, 0
 	}
 	for _, r := range h.table.ChangesAfter(after) {
 		n.Reports = append(n.Reports, encodeReport(r, now))
 	}
-	if a.Crowd != h.membershipEpoch || n.Whole {
-		n.HasForagers = true
+	if a.MembershipEpoch != h.membershipEpoch || n.Full {
+		n.HasGateways = true
 		for _, f := range h.gateways {
-			n.Foragers = append(n.Foragers, &dance.Forager{Life: f.incarnation, Address: f.address, Zone: f.zone})
+			n.Gateways = append(n.Gateways, &rpc.Gateway{Incarnation: f.incarnation, Address: f.address, Zone: f.zone})
 		}
-		n.Hives = append(n.Hives, h.describeSelf())
+		n.Controllers = append(n.Controllers, h.describeSelf())
 		for _, p := range h.peers {
 			if p.lastSeen > 0 && now-p.lastSeen < peerLivenessTimeout {
-				n.Hives = append(n.Hives, p.describe(now, h.isMemberAddress(p.address)))
+				n.Controllers = append(n.Controllers, p.describe(now, h.isMemberAddress(p.address)))
 			}
 		}
 	}
 	// The owner waits for no peer: one that does not read holds up its own answer only, until its connection is closed.
-	go w.conn.Answer(w.id, &dance.Frame{Body: &dance.Frame_News{News: n}})
+	go w.conn.Respond(w.id, &rpc.Frame{Body: &rpc.Frame_Update{Update: n}})
 }
 
 // dropConnection drops the questions of a connection that has ended.
-func (h *Controller) dropConnection(c *dance.Conn) {
+func (h *Controller) dropConnection(c *rpc.Conn) {
 	for w := range h.waiters {
 		if w.conn == c {
 			delete(h.waiters, w)
@@ -495,40 +495,40 @@
 }
 
 // handleFrame takes a frame of another process, in the goroutine of its connection.
-func (h *Controller) handleFrame(c *dance.Conn, f *dance.Frame) {
+func (h *Controller) handleFrame(c *rpc.Conn, f *rpc.Frame) {
 	switch b := f.Body.(type) {
-	case *dance.Frame_Prepare:
-		h.handlePrepare(b.Prepare, func(p *dance.Promise) { c.Answer(f.Id, &dance.Frame{Body: &dance.Frame_Promise{Promise: p}}) })
-	case *dance.Frame_Accept:
-		h.handleAccept(b.Accept, func(a *dance.Accepted) { c.Answer(f.Id, &dance.Frame{Body: &dance.Frame_Accepted{Accepted: a}}) })
-	case *dance.Frame_Pulse:
-		back, ok := inquire(h, func() *dance.PulseBack { return h.receiveGossip(b.Pulse, h.now()) })
+	case *rpc.Frame_Prepare:
+		h.handlePrepare(b.Prepare, func(p *rpc.PrepareReply) { c.Respond(f.Id, &rpc.Frame{Body: &rpc.Frame_PrepareReply{PrepareReply: p}}) })
+	case *rpc.Frame_Accept:
+		h.handleAccept(b.Accept, func(a *rpc.AcceptReply) { c.Respond(f.Id, &rpc.Frame{Body: &rpc.Frame_AcceptReply{AcceptReply: a}}) })
+	case *rpc.Frame_Gossip:
+		back, ok := inquire(h, func() *rpc.GossipReply { return h.receiveGossip(b.Gossip, h.now()) })
 		if ok {
-			c.Answer(f.Id, &dance.Frame{Body: &dance.Frame_PulseBack{PulseBack: back}})
+			c.Respond(f.Id, &rpc.Frame{Body: &rpc.Frame_GossipReply{GossipReply: back}})
 		}
-	case *dance.Frame_Ask:
-		h.do(func() { h.receivePoll(c, f.Id, b.Ask, h.now()) })
+	case *rpc.Frame_Poll:
+		h.do(func() { h.receivePoll(c, f.Id, b.Poll, h.now()) })
 	}
 }
 
 // receivePoll takes a forager's question.
-func (h *Controller) receivePoll(c *dance.Conn, id uint64, a *dance.Ask, now time.Duration) {
-	if f := a.From; f != nil && f.Life != 0 {
+func (h *Controller) receivePoll(c *rpc.Conn, id uint64, a *rpc.Poll, now time.Duration) {
+	if f := a.From; f != nil && f.Incarnation != 0 {
 		h.observeGateway(f, now, true)
-		if known := h.gateways[f.Life]; known != nil {
-			known.stats, known.slot, known.polledAt = a.Figures, a.Turn, now
+		if known := h.gateways[f.Incarnation]; known != nil {
+			known.stats, known.slot, known.polledAt = a.Stats, a.Slot, now
 		}
 	}
-	for _, r := range a.Known {
+	for _, r := range a.HealthChecks {
 		in := decodeReport(r, now)
 		if h.table.ConfirmHealthy(in.Instance, in.Lease, in.HealthyAt) {
 			h.scheduleUpdate(false)
 		}
 	}
-	w := &pollWaiter{conn: c, id: id, poll: a, deadline: now + time.Duration(a.HoldMs)*time.Millisecond}
+	w := &pollWaiter{conn: c, id: id, poll: a, deadline: now + time.Duration(a.WaitMs)*time.Millisecond}
 	h.waiters[w] = true
 	switch {
-	case a.HiveLife != h.incarnation && h.confirmed && h.inContact(now):
+	case a.ControllerIncarnation != h.incarnation && h.confirmed && h.inContact(now):
 		w.verifying, w.deadline = true, now+2*verifyTimeout
 		h.verifyContact(now, func(verified bool) {
 			if h.waiters[w] {
@@ -536,7 +536,7 @@
 				h.answerPoll(w, h.now())
 			}
 		})
-	case h.hasUpdate(a, now) || a.HoldMs == 0:
+	case h.hasUpdate(a, now) || a.WaitMs == 0:
 		h.answerPoll(w, now)
 	default:
 		h.scheduleVersion(a)
@@ -544,17 +544,17 @@
 }
 
 // observeGateway notes that a forager lives. One life at an address ends those before it.
-func (h *Controller) observeGateway(f *dance.Forager, at time.Duration, told bool) {
+func (h *Controller) observeGateway(f *rpc.Gateway, at time.Duration, told bool) {
 	if f.Left {
-		if h.gateways[f.Life] != nil {
-			h.logEvent("node", "gatherer "+h.gateways[f.Life].address+" leaves")
-			delete(h.gateways, f.Life)
+		if h.gateways[f.Incarnation] != nil {
+			h.logEvent("node", "gatherer "+h.gateways[f.Incarnation].address+" leaves")
+			delete(h.gateways, f.Incarnation)
 			h.membershipEpoch++
 			h.scheduleUpdate(false)
 		}
 		return
 	}
-	if old := h.gateways[f.Life]; old != nil {
+	if old := h.gateways[f.Incarnation]; old != nil {
 		if old.lastSeen = max(old.lastSeen, at); told && !old.direct {
 			h.gatewaySequence++ // from now on this hive tells the others of it, whole at first
 			old.direct, old.sequence = true, h.gatewaySequence
@@ -578,21 +578,21 @@
 	h.logEvent("node", "gatherer "+f.Address+" in "+f.Zone+" comes")
 	h.membershipEpoch++
 	h.gatewaySequence++
-	h.gateways[f.Life] = &gatewayState{incarnation: f.Life, address: f.Address, zone: f.Zone, lastSeen: at, direct: told, sequence: h.gatewaySequence}
+	h.gateways[f.Incarnation] = &gatewayState{incarnation: f.Incarnation, address: f.Address, zone: f.Zone, lastSeen: at, direct: told, sequence: h.gatewaySequence}
 	h.scheduleUpdate(false)
 }
 
-func encodeReport(r *registry.Record, now time.Duration) *dance.Report {
-	return &dance.Report{Instance: string(r.Instance), Service: string(r.Service), Address: r.Address, Zone: r.Zone, Version: r.Version,
-		Slots: uint32(r.Slots), State: uint32(r.State), ColdMs: uint32(max(r.SlowStartEndsAt-now, 0) / time.Millisecond),
-		Sequence: uint64(r.Sequence), AgeMs: uint32(max(now-r.HeartbeatAt, 0) / time.Millisecond), Silent: r.Unresponsive, Unheard: r.HeartbeatMissed,
-		WitnessAgeMs: uint32(max(now-r.HealthyAt, 0) / time.Millisecond), Fence: r.Lease.FencingToken, Holder: r.Lease.Holder}
+func encodeReport(r *registry.Record, now time.Duration) *rpc.ServerReport {
+	return &rpc.ServerReport{Instance: string(r.Instance), Service: string(r.Service), Address: r.Address, Zone: r.Zone, Version: r.Version,
+		Slots: uint32(r.Slots), State: uint32(r.State), WarmUpMs: uint32(max(r.SlowStartEndsAt-now, 0) / time.Millisecond),
+		Sequence: uint64(r.Sequence), AgeMs: uint32(max(now-r.HeartbeatAt, 0) / time.Millisecond), Overdue: r.Unresponsive, NoHeartbeats: r.HeartbeatMissed,
+		HealthCheckAgeMs: uint32(max(now-r.HealthyAt, 0) / time.Millisecond), FencingToken: r.Lease.FencingToken, LeaseHolder: r.Lease.Holder}
 }
 
-func decodeReport(r *dance.Report, now time.Duration) registry.Record {
+func decodeReport(r *rpc.ServerReport, now time.Duration) registry.Record {
 	return registry.Record{Instance: registry.InstanceID(r.Instance), Service: registry.ServiceID(r.Service), Address: r.Address, Zone: r.Zone,
 		Version: r.Version, Slots: int(r.Slots), State: registry.State(min(r.State, uint32(registry.Deregistered))),
-		HeartbeatOnly: r.Refresh, Unresponsive: r.Silent, HeartbeatMissed: r.Unheard, SlowStartEndsAt: now + time.Duration(r.ColdMs)*time.Millisecond, Sequence: registry.Sequence(r.Sequence),
-		HeartbeatAt: now - time.Duration(r.AgeMs)*time.Millisecond, HealthyAt: now - time.Duration(r.WitnessAgeMs)*time.Millisecond,
-		Lease: rendezvous.Lease{FencingToken: r.Fence, Holder: r.Holder}}
+		HeartbeatOnly: r.Refresh, Unresponsive: r.Overdue, HeartbeatMissed: r.NoHeartbeats, SlowStartEndsAt: now + time.Duration(r.WarmUpMs)*time.Millisecond, Sequence: registry.Sequence(r.Sequence),
+		HeartbeatAt: now - time.Duration(r.AgeMs)*time.Millisecond, HealthyAt: now - time.Duration(r.HealthCheckAgeMs)*time.Millisecond,
+		Lease: rendezvous.Lease{FencingToken: r.FencingToken, Holder: r.LeaseHolder}}
 }
--- a/controlplane/documents.go
+++ b/controlplane/documents.go
@@ -8,7 +8,7 @@
 
 	"oxbowspan/config"
 	"oxbowspan/consensus"
-	"oxbowspan/dance"
+	"oxbowspan/rpc"
 )
 
 // maxDocumentBytes is how long a document beside the configuration may be: it goes along in every ballot.
@@ -215,11 +215,11 @@
 	return out
 }
 
-func gatewayOutliers(address, zone string, m *dance.Figures) GatewayOutliers {
+func gatewayOutliers(address, zone string, m *rpc.GatewayStats) GatewayOutliers {
 	n := GatewayOutliers{Gateway: address, Zone: zone, Servers: []OutlierVerdict{}}
-	for _, s := range m.Stances {
-		j := OutlierVerdict{Instance: s.Instance, Service: s.Service, State: s.Stance, Reason: s.Why, SinceSeconds: float64(s.SinceMs) / 1000, Factor: float64(s.FactorMilli) / 1000, Pinned: s.Pinned}
-		for _, v := range s.Words {
+	for _, s := range m.Verdicts {
+		j := OutlierVerdict{Instance: s.Instance, Service: s.Service, State: s.State, Reason: s.Reason, SinceSeconds: float64(s.SinceMs) / 1000, Factor: float64(s.FactorMilli) / 1000, Pinned: s.Pinned}
+		for _, v := range s.Observations {
 			j.Observations = append(j.Observations, Observation{strconv.FormatUint(v.Observer, 16), v.Text, float64(v.RatioMilli) / 1000, float64(v.AgeMs) / 1000})
 		}
 		n.Servers = append(n.Servers, j)
@@ -227,13 +227,13 @@
 	return n
 }
 
-func gatewayTenants(address, zone string, m *dance.Figures) GatewayTenants {
+func gatewayTenants(address, zone string, m *rpc.GatewayStats) GatewayTenants {
 	n := GatewayTenants{Gateway: address, Zone: zone, Version: m.Version, TenantsVersion: m.TenantsVersion, Connections: []ConnectionUsage{}, Waits: []WaitStats{}}
-	for _, h := range m.Figures {
-		n.Connections = append(n.Connections, ConnectionUsage{h.Tenant, h.Service, h.Instance, h.Held, h.Lent, h.Part, float64(h.OwnMilli) / 1000, h.Wants})
+	for _, h := range m.Connections {
+		n.Connections = append(n.Connections, ConnectionUsage{h.Tenant, h.Service, h.Instance, h.InUse, h.Borrowed, h.Limit, float64(h.ShareMilli) / 1000, h.WantsMore})
 	}
 	for _, t := range m.Waits {
-		n.Waits = append(n.Waits, WaitStats{t.Tenant, t.Requests, t.Waited, t.Waiting, float64(t.P50Us) / 1000, float64(t.P99Us) / 1000, float64(t.MostUs) / 1000})
+		n.Waits = append(n.Waits, WaitStats{t.Tenant, t.Requests, t.Waited, t.Waiting, float64(t.P50Us) / 1000, float64(t.P99Us) / 1000, float64(t.MaxUs) / 1000})
 	}
 	return n
 }
--- a/controlplane/gossip.go
+++ b/controlplane/gossip.go
@@ -6,15 +6,15 @@
 	"time"
 
 	"oxbowspan/consensus"
-	"oxbowspan/dance"
 	"oxbowspan/quorum"
 	"oxbowspan/registry"
+	"oxbowspan/rpc"
 )
 
 // peer is another hive. Its fields are the owner's, save those that are set when it is made.
 type peer struct {
 	address string
-	caller  *dance.Caller
+	caller  *rpc.Client
 	wake    chan struct{}
 	cancel  context.CancelFunc
 
@@ -52,14 +52,14 @@
 	p.caller.Close()
 }
 
-func (p *peer) describe(now time.Duration, voter bool) *dance.Hive {
-	return &dance.Hive{Id: uint64(p.id), Address: p.address, Control: p.control, Zone: p.zone, Voter: voter,
-		SilentMs: uint32((now - max(p.lastSeen, p.addedAt)) / time.Millisecond)}
+func (p *peer) describe(now time.Duration, voter bool) *rpc.Controller {
+	return &rpc.Controller{Id: uint64(p.id), Address: p.address, ControlAddress: p.control, Zone: p.zone, Voter: voter,
+		AgeMs: uint32((now - max(p.lastSeen, p.addedAt)) / time.Millisecond)}
 }
 
-func (h *Controller) describeSelf() *dance.Hive {
-	return &dance.Hive{Id: uint64(h.self), Address: h.address, Control: h.settings.Listen.Control, Zone: h.settings.Zone,
-		Voter: consensus.Contains(h.known.Members, h.self), PutsIn: true}
+func (h *Controller) describeSelf() *rpc.Controller {
+	return &rpc.Controller{Id: uint64(h.self), Address: h.address, ControlAddress: h.settings.Listen.Control, Zone: h.settings.Zone,
+		Voter: consensus.Contains(h.known.Members, h.self), RestoresBodies: true}
 }
 
 // addPeer makes a hive known.
@@ -71,7 +71,7 @@
 		return p
 	}
 	ctx, quit := context.WithCancel(context.Background())
-	p := &peer{address: address, caller: &dance.Caller{Address: address, Net: h.network}, wake: make(chan struct{}, 1), cancel: quit, addedAt: h.now(),
+	p := &peer{address: address, caller: &rpc.Client{Address: address, Network: h.network}, wake: make(chan struct{}, 1), cancel: quit, addedAt: h.now(),
 		silences: map[string]time.Duration{}}
 	h.peers[address] = p
 	h.wg.Go(func() { h.gossipLoop(ctx, p) })
@@ -103,15 +103,15 @@
 			return
 		}
 		limit, cancel := context.WithTimeout(ctx, peerCallTimeout)
-		back, err := p.caller.Call(limit, &dance.Frame{Body: &dance.Frame_Pulse{Pulse: next.message}})
+		back, err := p.caller.Call(limit, &rpc.Frame{Body: &rpc.Frame_Gossip{Gossip: next.message}})
 		cancel()
-		if err == dance.ErrSilent {
-			p.caller.Drop()
+		if err == rpc.ErrTimeout {
+			p.caller.Disconnect()
 		}
-		if err == nil && back.GetPulseBack() != nil {
-			h.do(func() { h.receiveGossipReply(p, back.GetPulseBack(), next, h.now()) })
+		if err == nil && back.GetGossipReply() != nil {
+			h.do(func() { h.receiveGossipReply(p, back.GetGossipReply(), next, h.now()) })
 		}
-		if err != nil && err != dance.ErrSilent { // it may just be starting
+		if err != nil && err != rpc.ErrTimeout { // it may just be starting
 			timer.Reset(redialInterval)
 		} else {
 			timer.Reset(gossipInterval)
@@ -121,17 +121,17 @@
 
 // outgoingGossip is a pulse, when it was made, and up to which cursor its receiver will have this hive's reports.
 type outgoingGossip struct {
-	message *dance.Pulse
+	message *rpc.Gossip
 	sentAt  time.Duration
 	cursor  registry.Cursor
 }
 
 // buildGossip makes what one hive is to be told now.
 func (h *Controller) buildGossip(p *peer, now time.Duration) outgoingGossip {
-	m := &dance.Pulse{From: h.describeSelfWithReplica(), Life: h.incarnation, Turn: uint64(h.known.Slot), LacksBody: p.requestFullValue}
+	m := &rpc.Gossip{From: h.describeSelfWithReplica(), Incarnation: h.incarnation, Slot: uint64(h.known.Slot), MissingBody: p.requestFullValue}
 	p.requestFullValue = false
 	if !h.confirmed {
-		m.Turn = 0
+		m.Slot = 0
 	} else if p.slot < h.known.Slot && p.lastSeen > 0 {
 		m.Value = h.valueForPeer(p)
 	}
@@ -143,9 +143,9 @@
 		if r.ChangedAfter(p.ackedCursor) {
 			m.Reports = append(m.Reports, encodeReport(r, now))
 		} else {
-			m.Reports = append(m.Reports, &dance.Report{Instance: string(r.Instance), Sequence: uint64(r.Sequence),
+			m.Reports = append(m.Reports, &rpc.ServerReport{Instance: string(r.Instance), Sequence: uint64(r.Sequence),
 				AgeMs: uint32(max(now-r.HeartbeatAt, 0) / time.Millisecond), Refresh: true,
-				WitnessAgeMs: uint32(max(now-r.HealthyAt, 0) / time.Millisecond), Fence: r.Lease.FencingToken, Holder: r.Lease.Holder})
+				HealthCheckAgeMs: uint32(max(now-r.HealthyAt, 0) / time.Millisecond), FencingToken: r.Lease.FencingToken, LeaseHolder: r.Lease.Holder})
 		}
 	}
 	for _, no := range p.differingRanges { // mended from the newer: it takes what is newer than its own
@@ -161,9 +161,9 @@
 		switch age := uint32((now - f.lastSeen) / time.Millisecond); {
 		case !f.direct:
 		case f.sequence > p.ackedGateways:
-			m.Foragers = append(m.Foragers, &dance.Forager{Life: f.incarnation, Address: f.address, Zone: f.zone, AgeMs: age})
+			m.Gateways = append(m.Gateways, &rpc.Gateway{Incarnation: f.incarnation, Address: f.address, Zone: f.zone, AgeMs: age})
 		case refresh:
-			m.Foragers = append(m.Foragers, &dance.Forager{Life: f.incarnation, AgeMs: age})
+			m.Gateways = append(m.Gateways, &rpc.Gateway{Incarnation: f.incarnation, AgeMs: age})
 		}
 	}
 	if refresh {
@@ -171,19 +171,19 @@
 	}
 	p.sentGateways = h.gatewaySequence
 	for _, o := range h.peers {
-		m.Hives = append(m.Hives, &dance.Hive{Address: o.address, SilentMs: uint32((now - max(o.lastSeen, o.addedAt)) / time.Millisecond)})
+		m.Controllers = append(m.Controllers, &rpc.Controller{Address: o.address, AgeMs: uint32((now - max(o.lastSeen, o.addedAt)) / time.Millisecond)})
 	}
 	if now-p.digestsSentAt > 2*time.Second {
 		p.digestsSentAt = now
 		sums := h.table.Digests()
-		m.Digests = sums[:]
+		m.RangeDigests = sums[:]
 	}
 	return outgoingGossip{m, now, upTo}
 }
 
 // receiveGossip takes what another hive tells and answers it.
-func (h *Controller) receiveGossip(m *dance.Pulse, now time.Duration) *dance.PulseBack {
-	back := &dance.PulseBack{From: h.describeSelfWithReplica(), Life: h.incarnation, Voted: h.acceptedSlot.Load()}
+func (h *Controller) receiveGossip(m *rpc.Gossip, now time.Duration) *rpc.GossipReply {
+	back := &rpc.GossipReply{From: h.describeSelfWithReplica(), Incarnation: h.incarnation, VotedSlot: h.acceptedSlot.Load()}
 	from := m.From
 	if from == nil || from.Address == h.address {
 		return back
@@ -192,19 +192,19 @@
 	if p == nil {
 		return back
 	}
-	if p.incarnation != m.Life || now-p.lastSeen > peerLivenessTimeout {
+	if p.incarnation != m.Incarnation || now-p.lastSeen > peerLivenessTimeout {
 		p.gossipNow() // it is there again: contact needs a question to it, for which a time would be waited
 	}
-	h.observePeer(p, from, m.Life, consensus.Slot(m.Turn), now)
-	for _, o := range m.Hives {
-		if o.SilentMs < uint32(peerForgetTimeout/time.Millisecond) || h.isMemberAddress(o.Address) {
+	h.observePeer(p, from, m.Incarnation, consensus.Slot(m.Slot), now)
+	for _, o := range m.Controllers {
+		if o.AgeMs < uint32(peerForgetTimeout/time.Millisecond) || h.isMemberAddress(o.Address) {
 			h.addPeer(o.Address)
 		}
-		p.silences[o.Address] = time.Duration(o.SilentMs) * time.Millisecond
+		p.silences[o.Address] = time.Duration(o.AgeMs) * time.Millisecond
 	}
-	p.missingBody = p.missingBody || m.LacksBody
-	back.LacksBody = h.receiveValue(m.Value)
-	h.observeReplica(p, from, consensus.Slot(m.Turn))
+	p.missingBody = p.missingBody || m.MissingBody
+	back.MissingBody = h.receiveValue(m.Value)
+	h.observeReplica(p, from, consensus.Slot(m.Slot))
 	urgent, changed := false, h.table.Cursor()
 	for _, r := range m.Reports {
 		in := decodeReport(r, now)
@@ -220,20 +220,20 @@
 	if len(h.table.ChangesAfter(changed)) > 0 {
 		h.scheduleUpdate(urgent)
 	}
-	for _, f := range m.Foragers {
-		back.Unknown = back.Unknown || f.Address == "" && !f.Left && h.gateways[f.Life] == nil
+	for _, f := range m.Gateways {
+		back.UnknownGateway = back.UnknownGateway || f.Address == "" && !f.Left && h.gateways[f.Incarnation] == nil
 		h.observeGateway(f, now-time.Duration(f.AgeMs)*time.Millisecond, false)
 	}
-	if len(m.Digests) == registry.RangeCount {
+	if len(m.RangeDigests) == registry.RangeCount {
 		for no, sum := range h.table.Digests() {
-			if sum != m.Digests[no] {
-				back.Differ = append(back.Differ, uint32(no))
+			if sum != m.RangeDigests[no] {
+				back.DifferingRanges = append(back.DifferingRanges, uint32(no))
 				p.differingRanges = append(p.differingRanges, no)
 			}
 		}
 	}
 	if h.confirmed {
-		if back.Turn = uint64(h.known.Slot); h.known.Slot > p.slot {
+		if back.Slot = uint64(h.known.Slot); h.known.Slot > p.slot {
 			back.Value = h.valueForPeer(p)
 		}
 	}
@@ -241,23 +241,23 @@
 }
 
 // receiveGossipReply takes the answer to a pulse.
-func (h *Controller) receiveGossipReply(p *peer, m *dance.PulseBack, sent outgoingGossip, now time.Duration) {
+func (h *Controller) receiveGossipReply(p *peer, m *rpc.GossipReply, sent outgoingGossip, now time.Duration) {
 	if m.From == nil {
 		return
 	}
-	lived := p.incarnation == m.Life || p.incarnation == 0
-	h.observePeer(p, m.From, m.Life, consensus.Slot(m.Turn), now)
+	lived := p.incarnation == m.Incarnation || p.incarnation == 0
+	h.observePeer(p, m.From, m.Incarnation, consensus.Slot(m.Slot), now)
 	if lived {
 		p.ackedCursor, p.ackedGateways = max(p.ackedCursor, sent.cursor), p.sentGateways
 	}
-	if m.Unknown {
+	if m.UnknownGateway {
 		p.ackedGateways = 0
 	}
 	h.receiveValueReply(p, m)
-	h.observeReplica(p, m.From, consensus.Slot(m.Turn))
-	h.contact.Answered(p.id, quorum.Answer{Life: m.Life, SentAt: sent.sentAt, Turn: consensus.Slot(max(m.Voted, m.Turn))}, h.known.Slot)
+	h.observeReplica(p, m.From, consensus.Slot(m.Slot))
+	h.contact.Answered(p.id, quorum.Answer{Life: m.Incarnation, SentAt: sent.sentAt, Turn: consensus.Slot(max(m.VotedSlot, m.Slot))}, h.known.Slot)
 	h.finishVerifications(now)
-	for _, no := range m.Differ {
+	for _, no := range m.DifferingRanges {
 		if no < registry.RangeCount && !slices.Contains(p.differingRanges, int(no)) {
 			p.differingRanges = append(p.differingRanges, int(no))
 		}
@@ -289,13 +289,13 @@
 }
 
 // observePeer notes that a hive lives. One that began anew has nothing of this hive's.
-func (h *Controller) observePeer(p *peer, from *dance.Hive, life uint64, turn consensus.Slot, now time.Duration) {
+func (h *Controller) observePeer(p *peer, from *rpc.Controller, life uint64, turn consensus.Slot, now time.Duration) {
 	if p.incarnation != life && p.incarnation != 0 {
 		p.ackedCursor, p.slot, p.ackedGateways = 0, 0, 0
 	}
 	h.contact.Began(consensus.AcceptorID(from.Id), life)
-	p.restoresBodies = from.PutsIn
-	p.incarnation, p.id, p.control, p.zone = life, consensus.AcceptorID(from.Id), from.Control, from.Zone
+	p.restoresBodies = from.RestoresBodies
+	p.incarnation, p.id, p.control, p.zone = life, consensus.AcceptorID(from.Id), from.ControlAddress, from.Zone
 	p.lastSeen, p.slot = max(now, 1), turn
 }
 
--- a/controlplane/proposer.go
+++ b/controlplane/proposer.go
@@ -11,7 +11,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"oxbowspan/consensus"
-	"oxbowspan/dance"
+	"oxbowspan/rpc"
 )
 
 // errNoQuorum says that a round came to no end in time: its proposal may be decided yet, or not.
@@ -22,45 +22,45 @@
 }
 
 // handlePrepare and accept are the acceptor's side. An acceptor whose disk is behind says nothing: the round goes on with others.
-func (h *Controller) handlePrepare(m *dance.Prepare, answer func(*dance.Promise)) {
+func (h *Controller) handlePrepare(m *rpc.Prepare, answer func(*rpc.PrepareReply)) {
 	var told consensus.PrepareReply
 	h.store.Update(func(s consensus.AcceptorState) consensus.AcceptorState {
-		next, p := s.HandlePrepare(consensus.Prepare{To: consensus.AcceptorID(m.To), Ballot: dance.ToBallot(m.Ballot)})
+		next, p := s.HandlePrepare(consensus.Prepare{To: consensus.AcceptorID(m.Acceptor), Ballot: rpc.BallotFromProto(m.Ballot)})
 		told = p
 		return next
 	}, func(s consensus.AcceptorState, err error) {
 		if err != nil {
 			h.log.Warn().Err(err).Msg("disk: a promise could not be stored")
-			answer(&dance.Promise{From: uint64(h.self)})
+			answer(&rpc.PrepareReply{Acceptor: uint64(h.self)})
 			return
 		}
-		answer(&dance.Promise{From: uint64(told.From), Ok: told.OK, Promised: dance.FromBallot(told.Promised),
-			Accepted: dance.FromBallot(told.Accepted), Value: dance.FromValue(told.Value, append(dance.ToDigests(m.HaveBodies), string(m.Have))...),
-			HaveBodies: dance.FromDigests(dance.Digests(told.Value))})
+		answer(&rpc.PrepareReply{Acceptor: uint64(told.From), Ok: told.OK, Promised: rpc.BallotToProto(told.Promised),
+			Accepted: rpc.BallotToProto(told.Accepted), Value: rpc.ValueToProto(told.Value, append(rpc.DigestsFromProto(m.KnownBodies), string(m.KnownDigest))...),
+			KnownBodies: rpc.DigestsToProto(rpc.BodyDigests(told.Value))})
 	})
 }
 
-func (h *Controller) handleAccept(m *dance.Accept, answer func(*dance.Accepted)) {
+func (h *Controller) handleAccept(m *rpc.Accept, answer func(*rpc.AcceptReply)) {
 	var told consensus.AcceptReply
 	var value *consensus.Value
 	h.store.Update(func(s consensus.AcceptorState) consensus.AcceptorState {
 		// What was left out lies in the vote that the promise told of: no other was cast since, or this one is refused.
-		value = dance.ToValue(m.Value, s.Value)
-		next, a := s.HandleAccept(consensus.Accept{To: consensus.AcceptorID(m.To), Ballot: dance.ToBallot(m.Ballot), Value: value})
+		value = rpc.ValueFromProto(m.Value, s.Value)
+		next, a := s.HandleAccept(consensus.Accept{To: consensus.AcceptorID(m.Acceptor), Ballot: rpc.BallotFromProto(m.Ballot), Value: value})
 		told = a
 		return next
 	}, func(s consensus.AcceptorState, err error) {
 		if err != nil {
 			h.log.Warn().Err(err).Msg("disk: a vote could not be stored")
-			answer(&dance.Accepted{From: uint64(h.self)})
+			answer(&rpc.AcceptReply{Acceptor: uint64(h.self)})
 			return
 		}
 		if told.OK {
 			h.acceptedValue.Store(value)
 			h.acceptedSlot.Store(uint64(value.Slot)) // before anybody is told
-			go h.do(func() { h.recordAccepted(value.Slot, dance.ToBallot(m.Ballot)) })
+			go h.do(func() { h.recordAccepted(value.Slot, rpc.BallotFromProto(m.Ballot)) })
 		}
-		answer(&dance.Accepted{From: uint64(told.From), Ok: told.OK, Promised: dance.FromBallot(told.Promised)})
+		answer(&rpc.AcceptReply{Acceptor: uint64(told.From), Ok: told.OK, Promised: rpc.BallotToProto(told.Promised)})
 	})
 }
 
@@ -163,13 +163,13 @@
 	answers := make(chan any, 32)
 	known := r.Base()
 	held := map[consensus.AcceptorID][]string{} // the bodies that each acceptor said that it has
-	ask := func(m consensus.Member, f *dance.Frame) {
+	ask := func(m consensus.Member, f *rpc.Frame) {
 		if m.ID == h.self {
 			switch b := f.Body.(type) {
-			case *dance.Frame_Prepare:
-				h.handlePrepare(b.Prepare, func(p *dance.Promise) { answers <- p })
-			case *dance.Frame_Accept:
-				h.handleAccept(b.Accept, func(a *dance.Accepted) { answers <- a })
+			case *rpc.Frame_Prepare:
+				h.handlePrepare(b.Prepare, func(p *rpc.PrepareReply) { answers <- p })
+			case *rpc.Frame_Accept:
+				h.handleAccept(b.Accept, func(a *rpc.AcceptReply) { answers <- a })
 			}
 			return
 		}
@@ -188,17 +188,17 @@
 				return
 			}
 			switch b := a.Body.(type) {
-			case *dance.Frame_Promise:
-				answers <- b.Promise
-			case *dance.Frame_Accepted:
-				answers <- b.Accepted
+			case *rpc.Frame_PrepareReply:
+				answers <- b.PrepareReply
+			case *rpc.Frame_AcceptReply:
+				answers <- b.AcceptReply
 			}
 		}()
 	}
 	prepare := func() {
 		for _, m := range r.NextPrepares() {
-			ask(m, &dance.Frame{Body: &dance.Frame_Prepare{Prepare: &dance.Prepare{To: uint64(m.ID),
-				Ballot: dance.FromBallot(r.Ballot()), Have: []byte(known.Digest), HaveBodies: dance.FromDigests(dance.Digests(known))}}})
+			ask(m, &rpc.Frame{Body: &rpc.Frame_Prepare{Prepare: &rpc.Prepare{Acceptor: uint64(m.ID),
+				Ballot: rpc.BallotToProto(r.Ballot()), KnownDigest: []byte(known.Digest), KnownBodies: rpc.DigestsToProto(rpc.BodyDigests(known))}}})
 		}
 	}
 	prepare()
@@ -206,23 +206,23 @@
 		select {
 		case a := <-answers:
 			switch a := a.(type) {
-			case *dance.Promise:
-				value := dance.ToValue(a.Value, known)
+			case *rpc.PrepareReply:
+				value := rpc.ValueFromProto(a.Value, known)
 				if a.Value != nil && value == nil {
 					continue // a vote that can't be read is not the same as none
 				}
-				held[consensus.AcceptorID(a.From)] = dance.ToDigests(a.HaveBodies)
-				to := r.HandlePrepareReply(consensus.PrepareReply{From: consensus.AcceptorID(a.From), OK: a.Ok, Promised: dance.ToBallot(a.Promised),
-					Accepted: dance.ToBallot(a.Accepted), Value: value})
+				held[consensus.AcceptorID(a.Acceptor)] = rpc.DigestsFromProto(a.KnownBodies)
+				to := r.HandlePrepareReply(consensus.PrepareReply{From: consensus.AcceptorID(a.Acceptor), OK: a.Ok, Promised: rpc.BallotFromProto(a.Promised),
+					Accepted: rpc.BallotFromProto(a.Accepted), Value: value})
 				if to == nil {
 					prepare()
 				}
 				for _, m := range to {
-					ask(m, &dance.Frame{Body: &dance.Frame_Accept{Accept: &dance.Accept{To: uint64(m.ID),
-						Ballot: dance.FromBallot(r.Ballot()), Value: dance.FromValue(r.Value(), held[m.ID]...)}}})
+					ask(m, &rpc.Frame{Body: &rpc.Frame_Accept{Accept: &rpc.Accept{Acceptor: uint64(m.ID),
+						Ballot: rpc.BallotToProto(r.Ballot()), Value: rpc.ValueToProto(r.Value(), held[m.ID]...)}}})
 				}
-			case *dance.Accepted:
-				if r.HandleAcceptReply(consensus.AcceptReply{From: consensus.AcceptorID(a.From), OK: a.Ok, Promised: dance.ToBallot(a.Promised)}) {
+			case *rpc.AcceptReply:
+				if r.HandleAcceptReply(consensus.AcceptReply{From: consensus.AcceptorID(a.Acceptor), OK: a.Ok, Promised: rpc.BallotFromProto(a.Promised)}) {
 					return r.Value(), r.IncludesChange(), nil
 				}
 			}
--- a/controlplane/replica_repair.go
+++ b/controlplane/replica_repair.go
@@ -6,29 +6,29 @@
 	"time"
 
 	"oxbowspan/consensus"
-	"oxbowspan/dance"
+	"oxbowspan/rpc"
 )
 
 // describeSelfWithReplica is what this hive tells other hives of itself: what its disk holds, and since which ballot the value that it
 // knows is decided.
-func (h *Controller) describeSelfWithReplica() *dance.Hive {
+func (h *Controller) describeSelfWithReplica() *rpc.Controller {
 	m := h.describeSelf()
-	m.StoredTurn, m.StoredBallot, m.Leaving = uint64(h.ownReplica.Slot), dance.FromBallot(h.ownReplica.Ballot), h.draining
+	m.StoredSlot, m.StoredBallot, m.Draining = uint64(h.ownReplica.Slot), rpc.BallotToProto(h.ownReplica.Ballot), h.draining
 	if h.confirmed {
-		m.DecidedBallot = dance.FromBallot(h.decision.First)
+		m.LowestDecidedBallot = rpc.BallotToProto(h.decision.First)
 		if h.decision.Last != h.decision.First {
-			m.DecidedLast = dance.FromBallot(h.decision.Last)
+			m.HighestDecidedBallot = rpc.BallotToProto(h.decision.Last)
 		}
 	}
 	return m
 }
 
 // observeReplica takes what another hive tells of its disk, and since which ballot the turn that it knows is decided.
-func (h *Controller) observeReplica(p *peer, from *dance.Hive, turn consensus.Slot) {
-	p.reportsReplica, p.draining = from.StoredBallot != nil, from.Leaving
-	p.replica = consensus.Replica{Slot: consensus.Slot(from.StoredTurn), Ballot: dance.ToBallot(from.StoredBallot)}
-	h.observeDecidedBallot(turn, dance.ToBallot(from.DecidedBallot))
-	h.observeDecidedBallot(turn, dance.ToBallot(from.DecidedLast))
+func (h *Controller) observeReplica(p *peer, from *rpc.Controller, turn consensus.Slot) {
+	p.reportsReplica, p.draining = from.StoredBallot != nil, from.Draining
+	p.replica = consensus.Replica{Slot: consensus.Slot(from.StoredSlot), Ballot: rpc.BallotFromProto(from.StoredBallot)}
+	h.observeDecidedBallot(turn, rpc.BallotFromProto(from.LowestDecidedBallot))
+	h.observeDecidedBallot(turn, rpc.BallotFromProto(from.HighestDecidedBallot))
 }
 
 // observeDecidedBallot notes a ballot at which a turn was decided.
--- a/controlplane/value_bodies_test.go
+++ b/controlplane/value_bodies_test.go
@@ -6,9 +6,9 @@
 	"github.com/rs/zerolog"
 
 	"oxbowspan/consensus"
-	"oxbowspan/dance"
 	"oxbowspan/internal/boot"
 	"oxbowspan/internal/meadow"
+	"oxbowspan/rpc"
 )
 
 // newTestController is a control machine that is asked for promises and votes alone.
@@ -25,16 +25,16 @@
 	return h
 }
 
-func (h *Controller) sendPrepare(number uint64, has ...string) *dance.Promise {
-	told := make(chan *dance.Promise, 1)
-	h.handlePrepare(&dance.Prepare{To: uint64(h.self), Ballot: &dance.Ballot{Number: number}, HaveBodies: dance.FromDigests(has)},
-		func(p *dance.Promise) { told <- p })
+func (h *Controller) sendPrepare(number uint64, has ...string) *rpc.PrepareReply {
+	told := make(chan *rpc.PrepareReply, 1)
+	h.handlePrepare(&rpc.Prepare{Acceptor: uint64(h.self), Ballot: &rpc.Ballot{Number: number}, KnownBodies: rpc.DigestsToProto(has)},
+		func(p *rpc.PrepareReply) { told <- p })
 	return <-told
 }
 
-func (h *Controller) sendAccept(number uint64, v *dance.Value) *dance.Accepted {
-	told := make(chan *dance.Accepted, 1)
-	h.handleAccept(&dance.Accept{To: uint64(h.self), Ballot: &dance.Ballot{Number: number}, Value: v}, func(a *dance.Accepted) { told <- a })
+func (h *Controller) sendAccept(number uint64, v *rpc.Value) *rpc.AcceptReply {
+	told := make(chan *rpc.AcceptReply, 1)
+	h.handleAccept(&rpc.Accept{Acceptor: uint64(h.self), Ballot: &rpc.Ballot{Number: number}, Value: v}, func(a *rpc.AcceptReply) { told <- a })
 	return <-told
 }
 
@@ -44,31 +44,31 @@
 	members := []consensus.Member{{ID: h.self, Address: h.address}}
 	first := &consensus.Value{Slot: 1, Members: members, PriorMembers: members, Version: 1, Digest: "d1", Body: []byte("one"),
 		Documents: []consensus.Document{{Name: "x", Version: 1, Digest: "dx", Body: []byte("note")}}}
-	if p := h.sendPrepare(1); !p.Ok || p.Value != nil || len(p.HaveBodies) != 0 {
+	if p := h.sendPrepare(1); !p.Ok || p.Value != nil || len(p.KnownBodies) != 0 {
 		t.Fatalf("an empty acceptor promises %v", p)
 	}
-	if !h.sendAccept(1, dance.FromValue(first)).Ok {
+	if !h.sendAccept(1, rpc.ValueToProto(first)).Ok {
 		t.Fatal("a whole value is not voted for")
 	}
 	p := h.sendPrepare(2, "d1", "dx")
-	if len(p.HaveBodies) != 2 || !p.Value.BodyLeftOut || !p.Value.Notes[0].BodyLeftOut {
+	if len(p.KnownBodies) != 2 || !p.Value.BodyOmitted || !p.Value.Documents[0].BodyOmitted {
 		t.Fatalf("it promises %v", p)
 	}
 	later := *first
 	later.Slot = 2
-	if !h.sendAccept(2, dance.FromValue(&later, dance.ToDigests(p.HaveBodies)...)).Ok {
+	if !h.sendAccept(2, rpc.ValueToProto(&later, rpc.DigestsFromProto(p.KnownBodies)...)).Ok {
 		t.Fatal("a value whose bodies it holds is not voted for")
 	}
 	p = h.sendPrepare(3)
-	if got := dance.ToValue(p.Value); got == nil || got.Slot != 2 || string(got.Body) != "one" || string(got.Document("x").Body) != "note" {
+	if got := rpc.ValueFromProto(p.Value); got == nil || got.Slot != 2 || string(got.Body) != "one" || string(got.Document("x").Body) != "note" {
 		t.Fatalf("it voted for %v", p.Value)
 	}
 	strange := later
 	strange.Digest, strange.Body = "d2", []byte("two")
-	if a := h.sendAccept(3, dance.FromValue(&strange, "d2")); a.Ok {
+	if a := h.sendAccept(3, rpc.ValueToProto(&strange, "d2")); a.Ok {
 		t.Error("it voted for a value that lacks its body")
 	}
-	if got := dance.ToValue(h.sendPrepare(4).Value); got.Digest != "d1" || string(got.Body) != "one" {
+	if got := rpc.ValueFromProto(h.sendPrepare(4).Value); got.Digest != "d1" || string(got.Body) != "one" {
 		t.Errorf("afterwards it holds %v", got)
 	}
 }
@@ -79,10 +79,10 @@
 	members := []consensus.Member{{ID: h.self, Address: h.address}}
 	v := &consensus.Value{Slot: 1, Members: members, PriorMembers: members, Version: 1, Digest: "d1", Body: []byte("one"),
 		Documents: []consensus.Document{{Name: "x", Version: 1, Digest: "dx", Body: []byte("note")}}}
-	h.sendAccept(1, dance.FromValue(v))
-	told := make(chan *dance.Promise, 1)
-	h.handlePrepare(&dance.Prepare{To: uint64(h.self), Ballot: &dance.Ballot{Number: 2}, Have: []byte("d1")}, func(p *dance.Promise) { told <- p })
-	if p := <-told; !p.Value.BodyLeftOut || string(p.Value.Notes[0].Body) != "note" {
+	h.sendAccept(1, rpc.ValueToProto(v))
+	told := make(chan *rpc.PrepareReply, 1)
+	h.handlePrepare(&rpc.Prepare{Acceptor: uint64(h.self), Ballot: &rpc.Ballot{Number: 2}, KnownDigest: []byte("d1")}, func(p *rpc.PrepareReply) { told <- p })
+	if p := <-told; !p.Value.BodyOmitted || string(p.Value.Documents[0].Body) != "note" {
 		t.Errorf("it is told %v", p.Value)
 	}
 }
@@ -96,18 +96,18 @@
 	h.known, h.confirmed = v, true
 	able, old := &peer{restoresBodies: true, wake: make(chan struct{}, 1)}, &peer{}
 	bare := h.valueForPeer(able)
-	if !bare.BodyLeftOut || h.valueForPeer(old).BodyLeftOut {
+	if !bare.BodyOmitted || h.valueForPeer(old).BodyOmitted {
 		t.Fatalf("one that puts bodies in is told %v", bare)
 	}
 	reader := newTestController(t)
 	if !reader.receiveValue(bare) || reader.confirmed {
 		t.Fatal("a value that lacks its body is learned")
 	}
-	h.receiveValueReply(able, &dance.PulseBack{LacksBody: true})
+	h.receiveValueReply(able, &rpc.GossipReply{MissingBody: true})
 	if len(able.wake) != 1 {
 		t.Error("the next pulse does not go at once")
 	}
-	if whole := h.valueForPeer(able); whole.BodyLeftOut || reader.receiveValue(whole) || string(reader.known.Body) != "one" {
+	if whole := h.valueForPeer(able); whole.BodyOmitted || reader.receiveValue(whole) || string(reader.known.Body) != "one" {
 		t.Errorf("it is told %v", whole)
 	}
 	voter := newTestController(t)
@@ -115,7 +115,7 @@
 	if voter.receiveValue(bare) || voter.known.Version != 1 || string(voter.known.Body) != "one" {
 		t.Error("who has voted for it does not know its body")
 	}
-	if voter.receiveValue(dance.FromValue(&consensus.Value{Slot: 2, Digest: "d0"}, "d0")) {
+	if voter.receiveValue(rpc.ValueToProto(&consensus.Value{Slot: 2, Digest: "d0"}, "d0")) {
 		t.Error("the body of a value older than its own is asked for")
 	}
 }
--- a/forager/answers_test.go
+++ b/forager/answers_test.go
@@ -23,11 +23,11 @@
 	"pgregory.net/rapid"
 
 	"oxbowspan/config"
-	"oxbowspan/dance"
 	"oxbowspan/internal/boot"
 	"oxbowspan/internal/ground"
 	"oxbowspan/internal/meadow"
 	"oxbowspan/registry"
+	"oxbowspan/rpc"
 )
 
 // The whole data plane of one gatherer between clients and servers that keep to no protocol: what servers, connections and
@@ -221,7 +221,7 @@
 func (w *world) run(t *testing.T) {
 	w.net = meadow.New(func(string, string) time.Duration { return 100 * time.Microsecond })
 	var listeners []net.Listener
-	var reports []*dance.Report
+	var reports []*rpc.ServerReport
 	for i := range services {
 		for n := range w.play.Servers {
 			ip := fmt.Sprintf("10.0.%d.%d", i+1, n+1)
@@ -231,7 +231,7 @@
 			}
 			listeners = append(listeners, l)
 			go w.serveAll(l, services[i])
-			reports = append(reports, &dance.Report{Instance: "i-" + ip, Service: services[i], Address: ip + ":80", Zone: "z", State: uint32(registry.Ready), Sequence: 1})
+			reports = append(reports, &rpc.ServerReport{Instance: "i-" + ip, Service: services[i], Address: ip + ":80", Zone: "z", State: uint32(registry.Ready), Sequence: 1})
 		}
 	}
 	quit := w.start(t, reports)
@@ -269,7 +269,7 @@
 }
 
 // start begins a gatherer's life, and returns what ends it as a kill does.
-func (w *world) start(t *testing.T, reports []*dance.Report) (quit func()) {
+func (w *world) start(t *testing.T, reports []*rpc.ServerReport) (quit func()) {
 	set := &boot.Settings{IPAddress: gathererHost, Zone: "z", InternalPorts: []int{7000, 7010}, FirstStart: true}
 	set.Listen.Front = frontAddress
 	f := New(set, &faultyNetwork{w.net.Host(gathererHost), w}, zerolog.Nop())
@@ -283,7 +283,7 @@
 	}
 	f.do(func() {
 		f.putInForce(c, 1)
-		f.takeReports(&dance.News{Whole: true, Settled: true, Warm: true, Reports: reports})
+		f.takeReports(&rpc.Update{Full: true, HasQuorum: true, Warm: true, Reports: reports})
 	})
 	synctest.Wait()
 	l, err := w.net.Host(gathererHost).Listen(frontAddress)
--- a/forager/bench_test.go
+++ b/forager/bench_test.go
@@ -11,10 +11,10 @@
 	"github.com/rs/zerolog"
 
 	"oxbowspan/config"
-	"oxbowspan/dance"
 	"oxbowspan/internal/boot"
 	"oxbowspan/internal/ground"
 	"oxbowspan/registry"
+	"oxbowspan/rpc"
 )
 
 // BenchmarkRequest takes one request after the other from a client to a server over loopback.
@@ -43,7 +43,7 @@
 	f.do(func() {
 		f.putInForce(&config.Configuration{Version: 1, Services: []config.Service{{Name: "s"}}, Routes: []config.Route{
 			{Hostname: "h", PathPrefix: "/", RouteKind: config.Retryable, TimeoutMS: 900, TargetMS: 90, Service: "s", Attempts: 2}}}, 1)
-		f.takeReports(&dance.News{Whole: true, Settled: true, Warm: true, Reports: []*dance.Report{
+		f.takeReports(&rpc.Update{Full: true, HasQuorum: true, Warm: true, Reports: []*rpc.ServerReport{
 			{Instance: "i", Service: "s", Address: server.Addr().String(), Zone: "z", State: uint32(registry.Ready), Sequence: 1}}})
 	})
 	c, err := net.Dial("tcp", front.Addr().String())
--- a/forager/duties.go
+++ b/forager/duties.go
@@ -7,9 +7,9 @@
 	"time"
 
 	"oxbowspan/brain"
-	"oxbowspan/dance"
 	"oxbowspan/registry"
 	"oxbowspan/rendezvous"
+	"oxbowspan/rpc"
 )
 
 // Looking after a server that the core does not hear. Its calls may not come through while it serves as before: one gatherer,
@@ -63,20 +63,20 @@
 
 // owed is what a question to the hives tells the core.
 type owed struct {
-	known   []*dance.Report
-	figures *dance.Figures
+	known   []*rpc.ServerReport
+	figures *rpc.GatewayStats
 }
 
 // fill puts into a question what the core is to be told: servers that it does not hear, and what operators ask for. The
 // owner's answer travels through a channel, so that a caller that the stop releases shares no variable with the owner.
-func (f *Forager) fill(a *dance.Ask) {
+func (f *Forager) fill(a *rpc.Poll) {
 	answers := make(chan owed, 1)
 	if !f.do(func() { answers <- f.owes(f.now()) }) {
 		return
 	}
 	select {
 	case o := <-answers:
-		a.Known, a.Figures = o.known, o.figures
+		a.HealthChecks, a.Stats = o.known, o.figures
 	case <-f.stopped:
 	}
 }
@@ -86,8 +86,8 @@
 	o := owed{figures: f.figures(now)}
 	for _, s := range f.flowers {
 		if s.seenAt > 0 && now-s.seenAt < ticks(witnessFor) && s.claim.Holder == f.life && s.unheard {
-			o.known = append(o.known, &dance.Report{Instance: s.instance, WitnessAgeMs: uint32(span(now-s.seenAt) / time.Millisecond),
-				Fence: s.claim.FencingToken, Holder: s.claim.Holder})
+			o.known = append(o.known, &rpc.ServerReport{Instance: s.instance, HealthCheckAgeMs: uint32(span(now-s.seenAt) / time.Millisecond),
+				FencingToken: s.claim.FencingToken, LeaseHolder: s.claim.Holder})
 		}
 	}
 	return o
--- a/forager/forager.go
+++ b/forager/forager.go
@@ -17,9 +17,9 @@
 	"github.com/rs/zerolog"
 
 	"oxbowspan/brain"
-	"oxbowspan/dance"
 	"oxbowspan/internal/boot"
 	"oxbowspan/internal/ground"
+	"oxbowspan/rpc"
 )
 
 // Forager is one gatherer's process.
@@ -98,7 +98,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /-/readiness", f.readiness)
 	web := &http.Server{Handler: mux, ReadHeaderTimeout: 3 * time.Second, IdleTimeout: 10 * time.Second}
-	talk := &dance.Server{Handle: f.heard, Left: func(c *dance.Conn) { f.do(func() { delete(f.watchers, c) }) }}
+	talk := &rpc.Server{Handle: f.heard, OnClose: func(c *rpc.Conn) { f.do(func() { delete(f.watchers, c) }) }}
 	news, quit := context.WithCancel(context.Background())
 	f.wg.Go(func() { web.Serve(readiness) })
 	f.wg.Go(func() { talk.Serve(inner) })
--- a/forager/judgement.go
+++ b/forager/judgement.go
@@ -7,8 +7,8 @@
 
 	"oxbowspan/brain"
 	"oxbowspan/config"
-	"oxbowspan/dance"
 	"oxbowspan/rendezvous"
+	"oxbowspan/rpc"
 	"oxbowspan/scout"
 )
 
@@ -35,7 +35,7 @@
 }
 
 // takePins takes a document of pins. Each holds from now for as long as it says.
-func (f *Forager) takePins(n *dance.Note) {
+func (f *Forager) takePins(n *rpc.Document) {
 	j := &f.judgement
 	doc, err := config.ParsePins(n.Body)
 	if err != nil {
@@ -79,7 +79,7 @@
 }
 
 // stances are what operators are told of servers that are not simply in.
-func (f *Forager) stances(now brain.Time) (out []*dance.Held) {
+func (f *Forager) stances(now brain.Time) (out []*rpc.OutlierVerdict) {
 	j := &f.judgement
 	for id := range j.told {
 		s := f.servers[id]
@@ -87,11 +87,11 @@
 			continue
 		}
 		st := j.board.Stance(scout.Instance(s.instance))
-		m := &dance.Held{Instance: s.instance, Service: s.service, Stance: st.State.String(), Why: st.Why, SinceMs: uint32((span(now) - st.Since) / time.Millisecond),
+		m := &rpc.OutlierVerdict{Instance: s.instance, Service: s.service, State: st.State.String(), Reason: st.Why, SinceMs: uint32((span(now) - st.Since) / time.Millisecond),
 			FactorMilli: uint32(1000 * st.Factor), Pinned: st.Pinned}
 		for _, w := range j.board.Words(scout.Instance(s.instance)) {
-			if len(m.Words) < mostTold {
-				m.Words = append(m.Words, &dance.Word{Observer: uint64(w.Observer), Text: w.Kind.String(), RatioMilli: uint32(1000 * w.Ratio), AgeMs: uint32((span(now) - w.At) / time.Millisecond)})
+			if len(m.Observations) < mostTold {
+				m.Observations = append(m.Observations, &rpc.Observation{Observer: uint64(w.Observer), Text: w.Kind.String(), RatioMilli: uint32(1000 * w.Ratio), AgeMs: uint32((span(now) - w.At) / time.Millisecond)})
 			}
 		}
 		out = append(out, m)
@@ -218,16 +218,16 @@
 }
 
 // words are what is to be told now.
-func (f *Forager) words(now brain.Time) (out []*dance.Word) {
+func (f *Forager) words(now brain.Time) (out []*rpc.Observation) {
 	for _, w := range f.judgement.board.Tell() {
-		out = append(out, &dance.Word{Instance: string(w.Server), Observer: uint64(w.Observer), No: w.No, Kind: uint32(w.Kind), RatioMilli: uint32(1000 * min(w.Ratio, 1e6)),
-			Answers: uint32(w.Answers), PauseMs: uint32(w.Pause / time.Millisecond), AgeMs: uint32((span(now) - w.At) / time.Millisecond), Hops: uint32(w.Hops)})
+		out = append(out, &rpc.Observation{Instance: string(w.Server), Observer: uint64(w.Observer), Sequence: w.No, Kind: uint32(w.Kind), RatioMilli: uint32(1000 * min(w.Ratio, 1e6)),
+			Responses: uint32(w.Answers), BackoffMs: uint32(w.Pause / time.Millisecond), AgeMs: uint32((span(now) - w.At) / time.Millisecond), Hops: uint32(w.Hops)})
 	}
 	return out
 }
 
 // hear takes the words of another gatherer.
-func (f *Forager) hear(all []*dance.Word) {
+func (f *Forager) hear(all []*rpc.Observation) {
 	if f.set.JudgeAlone {
 		return
 	}
@@ -238,8 +238,8 @@
 		}
 		i := scout.Instance(w.Instance)
 		was := f.judgement.board.Stance(i).State
-		took := f.judgement.board.Take(scout.Word{Server: i, Observer: scout.Observer(w.Observer), No: w.No, Kind: scout.Kind(w.Kind),
-			Ratio: float64(w.RatioMilli) / 1000, Answers: int(w.Answers), Pause: time.Duration(w.PauseMs) * time.Millisecond,
+		took := f.judgement.board.Take(scout.Word{Server: i, Observer: scout.Observer(w.Observer), No: w.Sequence, Kind: scout.Kind(w.Kind),
+			Ratio: float64(w.RatioMilli) / 1000, Answers: int(w.Responses), Pause: time.Duration(w.BackoffMs) * time.Millisecond,
 			At: span(now) - time.Duration(w.AgeMs)*time.Millisecond, Hops: int(w.Hops)}, span(now))
 		news = news || took && f.judgement.board.Stance(i).State != was
 	}
--- a/forager/kinfolk.go
+++ b/forager/kinfolk.go
@@ -5,9 +5,9 @@
 	"time"
 
 	"oxbowspan/brain"
-	"oxbowspan/dance"
 	"oxbowspan/internal/boot"
 	"oxbowspan/rendezvous"
+	"oxbowspan/rpc"
 )
 
 // loadsEvery is how often a gatherer tells those that watch it what it has unfinished, and takes what it was told.
@@ -15,36 +15,36 @@
 
 // watched is a gatherer that this one watches. Its fields are the owner's.
 type watched struct {
-	call  *dance.Caller
+	call  *rpc.Client
 	quit  context.CancelFunc
 	loads map[string]float64 // parts, by instance
 	at    brain.Time
 }
 
 // heard takes a frame of another gatherer.
-func (f *Forager) heard(c *dance.Conn, q *dance.Frame) {
-	if a := q.GetAsk(); a != nil {
+func (f *Forager) heard(c *rpc.Conn, q *rpc.Frame) {
+	if a := q.GetPoll(); a != nil {
 		f.do(func() { f.tellKin(c, q.Id, a) })
 	}
-	if m := q.GetNeed(); m != nil {
+	if m := q.GetQuotaRequest(); m != nil {
 		f.do(func() { f.needed(c, q.Id, m) })
 	}
-	if w := q.GetWatch(); w != nil {
+	if w := q.GetLoadSubscription(); w != nil {
 		f.do(func() {
-			f.watchers[c] = w.WordsOnly
-			go c.Answer(q.Id, &dance.Frame{Body: &dance.Frame_Loads{Loads: &dance.Loads{Life: f.life}}})
+			f.watchers[c] = w.ObservationsOnly
+			go c.Respond(q.Id, &rpc.Frame{Body: &rpc.Frame_LoadReport{LoadReport: &rpc.LoadReport{Incarnation: f.life}}})
 		})
 	}
 }
 
 // loads are the unfinished parts that this gatherer had at each server, in the mean since they were last told: a part takes
 // less time than passes between two tellings, so that what is out at the moment says little.
-func (f *Forager) loads(now brain.Time) *dance.Loads {
-	m := &dance.Loads{Life: f.life}
+func (f *Forager) loads(now brain.Time) *rpc.LoadReport {
+	m := &rpc.LoadReport{Incarnation: f.life}
 	for _, s := range f.flowers {
 		s.count(now, 0)
 		if over := now - s.since; over > 0 && s.area > 0 {
-			m.Loads = append(m.Loads, &dance.Load{Instance: s.instance, Milliparts: uint32(1000 * s.area / float64(over))})
+			m.Loads = append(m.Loads, &rpc.ServerLoad{Instance: s.instance, PendingMilli: uint32(1000 * s.area / float64(over))})
 		}
 		s.area, s.since = 0, now
 	}
@@ -59,8 +59,8 @@
 }
 
 // takeCrowd takes the list of gatherers: whom to watch follows from it.
-func (f *Forager) takeCrowd(n *dance.News) {
-	if !n.HasForagers {
+func (f *Forager) takeCrowd(n *rpc.Update) {
+	if !n.HasGateways {
 		return
 	}
 	self := rendezvous.Name(f.set.Internal(boot.ForagerPort))
@@ -69,7 +69,7 @@
 	all, zone, far := []rendezvous.Name{self}, []rendezvous.Name{self}, []rendezvous.Name(nil)
 	near := map[string][]rendezvous.Name{f.set.Zone: {self}}
 	f.judgement.near = near
-	for _, o := range n.Foragers {
+	for _, o := range n.Gateways {
 		if name := rendezvous.Name(o.Address); name != self {
 			near[o.Zone] = append(near[o.Zone], name)
 			if all = append(all, name); o.Zone == f.set.Zone {
@@ -111,20 +111,20 @@
 func (f *Forager) watch(name rendezvous.Name, wordsOnly bool) {
 	ctx, quit := context.WithCancel(context.Background())
 	w := &watched{quit: quit}
-	w.call = &dance.Caller{Address: string(name), Net: f.net}
-	take := func(m *dance.Loads) {
+	w.call = &rpc.Client{Address: string(name), Network: f.net}
+	take := func(m *rpc.LoadReport) {
 		f.do(func() {
-			if f.hear(m.Words); wordsOnly {
+			if f.hear(m.Observations); wordsOnly {
 				return
 			}
 			w.at, w.loads = f.now(), map[string]float64{}
 			for _, l := range m.Loads {
-				w.loads[l.Instance] = float64(l.Milliparts) / 1000
+				w.loads[l.Instance] = float64(l.PendingMilli) / 1000
 			}
 		})
 	}
-	w.call.Heard = func(q *dance.Frame) {
-		if m := q.GetLoads(); m != nil {
+	w.call.OnMessage = func(q *rpc.Frame) {
+		if m := q.GetLoadReport(); m != nil {
 			take(m)
 		}
 	}
@@ -132,10 +132,10 @@
 	f.wg.Go(func() {
 		for ctx.Err() == nil {
 			limit, cancel := context.WithTimeout(ctx, time.Second)
-			a, err := w.call.Call(limit, &dance.Frame{Body: &dance.Frame_Watch{Watch: &dance.Watch{WordsOnly: wordsOnly}}})
+			a, err := w.call.Call(limit, &rpc.Frame{Body: &rpc.Frame_LoadSubscription{LoadSubscription: &rpc.LoadSubscription{ObservationsOnly: wordsOnly}}})
 			cancel()
-			if err == nil && a.GetLoads() != nil {
-				take(a.GetLoads())
+			if err == nil && a.GetLoadReport() != nil {
+				take(a.GetLoadReport())
 			}
 			for err == nil && w.call.Connected() && ctx.Err() == nil {
 				wait(ctx, time.Second)
@@ -151,9 +151,9 @@
 	words := f.words(now) // those that nobody watches are told to nobody
 	if len(f.watchers) > 0 {
 		m := f.loads(now)
-		all := &dance.Frame{Body: &dance.Frame_Loads{Loads: m}}
-		m.Words = words
-		few := &dance.Frame{Body: &dance.Frame_Loads{Loads: &dance.Loads{Life: f.life, Words: words}}}
+		all := &rpc.Frame{Body: &rpc.Frame_LoadReport{LoadReport: m}}
+		m.Observations = words
+		few := &rpc.Frame{Body: &rpc.Frame_LoadReport{LoadReport: &rpc.LoadReport{Incarnation: f.life, Observations: words}}}
 		n := len(m.Loads)
 		for c, wordsOnly := range f.watchers {
 			switch { // the owner waits for no peer
--- a/forager/news.go
+++ b/forager/news.go
@@ -8,9 +8,9 @@
 	"time"
 
 	"oxbowspan/config"
-	"oxbowspan/dance"
 	"oxbowspan/internal/boot"
 	"oxbowspan/rendezvous"
+	"oxbowspan/rpc"
 )
 
 // Rhythm of the questions to the hives.
@@ -38,9 +38,9 @@
 	var order []place
 	var turn, life, cursor, crowd uint64
 	at, asked, began := 0, 0, time.Now()
-	good, kinAt := began, began         // when the question was sent that a hive in contact with a majority last answered; when a gatherer was last asked
-	var others []string                 // gatherers, as last told
-	calls := map[string]*dance.Caller{} // kept to those in places
+	good, kinAt := began, began       // when the question was sent that a hive in contact with a majority last answered; when a gatherer was last asked
+	var others []string               // gatherers, as last told
+	calls := map[string]*rpc.Client{} // kept to those in places
 	defer func() {
 		for _, c := range calls {
 			c.Close()
@@ -68,11 +68,11 @@
 		p := order[at%len(order)]
 		c := calls[p.address]
 		if c == nil {
-			c = &dance.Caller{Address: p.address, Net: f.net}
+			c = &rpc.Client{Address: p.address, Network: f.net}
 			calls[p.address] = c
 		}
-		ask := &dance.Ask{From: &dance.Forager{Life: f.life, Address: f.set.Internal(boot.ForagerPort), Zone: f.set.Zone, Left: f.draining.Load()},
-			Turn: turn, HiveLife: life, Cursor: cursor, Crowd: crowd, HoldMs: uint32(holdFor / time.Millisecond)}
+		ask := &rpc.Poll{From: &rpc.Gateway{Incarnation: f.life, Address: f.set.Internal(boot.ForagerPort), Zone: f.set.Zone, Left: f.draining.Load()},
+			Slot: turn, ControllerIncarnation: life, Cursor: cursor, MembershipEpoch: crowd, WaitMs: uint32(holdFor / time.Millisecond)}
 		f.fill(ask)
 		sent, askedAt := time.Now(), span(f.now())
 		patience := holdFor + hiveLate
@@ -80,54 +80,54 @@
 			patience = hiveLate
 		}
 		limit, cancel := context.WithTimeout(ctx, patience)
-		answer, err := c.Call(limit, &dance.Frame{Body: &dance.Frame_Ask{Ask: ask}})
+		answer, err := c.Call(limit, &rpc.Frame{Body: &rpc.Frame_Poll{Poll: ask}})
 		cancel()
-		n := answer.GetNews()
+		n := answer.GetUpdate()
 		if err != nil || n == nil || time.Since(sent) > patience { // one that was read late, after a freeze, may be old
-			if errors.Is(err, dance.ErrSilent) {
-				c.Drop()
+			if errors.Is(err, rpc.ErrTimeout) {
+				c.Disconnect()
 			}
 			at, life = at+1, 0
 			wait(ctx, pauseAt(turn))
 			continue
 		}
-		if !n.Settled && time.Since(began) < bareWait && turn == 0 || !n.Settled && turn > n.Turn {
+		if !n.HasQuorum && time.Since(began) < bareWait && turn == 0 || !n.HasQuorum && turn > n.Slot {
 			// Cut off or just started: what it knows may be old.
 			f.do(func() { f.takeReports(n) })
 			at, life = at+1, 0
 			wait(ctx, pauseAt(turn))
 			continue
 		}
-		if n.Settled {
+		if n.HasQuorum {
 			good = sent
 		}
-		life, cursor = n.HiveLife, n.Cursor
-		if n.HasForagers {
-			crowd, others = n.Crowd, others[:0]
-			for _, o := range n.Foragers {
+		life, cursor = n.ControllerIncarnation, n.Cursor
+		if n.HasGateways {
+			crowd, others = n.MembershipEpoch, others[:0]
+			for _, o := range n.Gateways {
 				if o.Address != f.set.Internal(boot.ForagerPort) {
 					others = append(others, o.Address)
 				}
 			}
 		}
-		if n.Turn > turn {
-			turn = n.Turn
+		if n.Slot > turn {
+			turn = n.Slot
 			f.takeConfig(n)
 		}
 		f.do(func() {
-			f.takeNotes(n.Notes)
+			f.takeNotes(n.Documents)
 			f.takeReports(n)
 			f.takeCrowd(n)
-			if now := span(f.now()); n.Settled {
+			if now := span(f.now()); n.HasQuorum {
 				f.duties.Renew(askedAt, now)
 			}
 		})
-		if len(n.Hives) > 0 {
+		if len(n.Controllers) > 0 {
 			fresh := map[string]place{}
 			for _, a := range f.set.SeedHives() {
 				fresh[a] = place{address: a}
 			}
-			for _, h := range n.Hives {
+			for _, h := range n.Controllers {
 				fresh[h.Address] = place{h.Address, h.Zone}
 			}
 			if !samePlaces(fresh, places) {
@@ -148,7 +148,7 @@
 				}
 			}
 		}
-		if !n.Settled {
+		if !n.HasQuorum {
 			at, life = at+1, 0
 			wait(ctx, nextPause)
 		}
@@ -166,37 +166,37 @@
 // askKin asks another gatherer what it knows, while no hive that is in contact with the core answers: this gatherer may be cut
 // off from the core and the other not. What a gatherer has in force was agreed on. It returns the turn that is now had.
 func (f *Forager) askKin(ctx context.Context, address string, turn uint64) uint64 {
-	c := &dance.Caller{Address: address, Net: f.net}
+	c := &rpc.Client{Address: address, Network: f.net}
 	defer c.Close()
 	limit, cancel := context.WithTimeout(ctx, hiveLate)
 	defer cancel()
 	sent := time.Now()
-	answer, err := c.Call(limit, &dance.Frame{Body: &dance.Frame_Ask{Ask: &dance.Ask{Turn: turn}}})
-	n := answer.GetNews()
+	answer, err := c.Call(limit, &rpc.Frame{Body: &rpc.Frame_Poll{Poll: &rpc.Poll{Slot: turn}}})
+	n := answer.GetUpdate()
 	if err != nil || n == nil || time.Since(sent) > hiveLate {
 		return turn
 	}
-	f.do(func() { f.takeNotes(n.Notes); f.takeReports(n) })
-	if n.Turn > turn && n.HasConfig {
+	f.do(func() { f.takeNotes(n.Documents); f.takeReports(n) })
+	if n.Slot > turn && n.HasConfig {
 		f.log.Info().Str("from", address).Uint64("version", n.Version).Msg("news: no hive answers, another gatherer did")
 		f.takeConfig(n)
-		turn = n.Turn
+		turn = n.Slot
 	}
 	return turn
 }
 
 // tellKin answers another gatherer that hears no hive.
-func (f *Forager) tellKin(c *dance.Conn, id uint64, a *dance.Ask) {
-	n := &dance.News{Turn: f.turnNow}
-	if f.config != nil && f.turnNow > a.Turn {
+func (f *Forager) tellKin(c *rpc.Conn, id uint64, a *rpc.Poll) {
+	n := &rpc.Update{Slot: f.turnNow}
+	if f.config != nil && f.turnNow > a.Slot {
 		n.Version, n.HasConfig, n.Config = f.config.Version, true, f.text
-		n.Notes = f.notes()
+		n.Documents = f.notes()
 	}
 	for _, s := range f.flowers {
-		n.Reports = append(n.Reports, &dance.Report{Instance: s.instance, Service: s.service, Address: s.address, Zone: s.zone,
-			State: uint32(s.state), Sequence: s.sequence, Silent: s.silent})
+		n.Reports = append(n.Reports, &rpc.ServerReport{Instance: s.instance, Service: s.service, Address: s.address, Zone: s.zone,
+			State: uint32(s.state), Sequence: s.sequence, Overdue: s.silent})
 	}
-	go c.Answer(id, &dance.Frame{Body: &dance.Frame_News{News: n}})
+	go c.Respond(id, &rpc.Frame{Body: &rpc.Frame_Update{Update: n}})
 }
 
 func samePlaces(a, b map[string]place) bool {
@@ -227,7 +227,7 @@
 }
 
 // takeConfig reads a configuration and has the owner put it in force.
-func (f *Forager) takeConfig(n *dance.News) {
+func (f *Forager) takeConfig(n *rpc.Update) {
 	if !n.HasConfig {
 		return
 	}
@@ -237,9 +237,9 @@
 		return
 	}
 	f.do(func() {
-		if n.Turn > f.turnNow {
+		if n.Slot > f.turnNow {
 			f.text = n.Config
 		}
-		f.putInForce(c, n.Turn)
+		f.putInForce(c, n.Slot)
 	})
 }
--- a/forager/owner.go
+++ b/forager/owner.go
@@ -10,12 +10,12 @@
 
 	"oxbowspan/brain"
 	"oxbowspan/config"
-	"oxbowspan/dance"
 	"oxbowspan/internal/alarm"
 	"oxbowspan/internal/boot"
 	"oxbowspan/pollen"
 	"oxbowspan/registry"
 	"oxbowspan/rendezvous"
+	"oxbowspan/rpc"
 	"oxbowspan/scout"
 )
 
@@ -133,7 +133,7 @@
 	turnNow   uint64
 	timers    alarm.Heap[due] // emptied as they fire
 	pending   []brain.Event
-	watchers  map[*dance.Conn]bool
+	watchers  map[*rpc.Conn]bool
 	watching  map[rendezvous.Name]*watched
 	duties    *rendezvous.Tracker
 	gatherers []rendezvous.Name // all, as last told, this one too
@@ -176,7 +176,7 @@
 	o.searches, o.partsOf = map[brain.SearchID]*search{}, map[brain.PartID]*part{}
 	o.flowers, o.servers = map[string]*flower{}, map[brain.ServerID]*flower{}
 	o.shards, o.types, o.zones = map[string]brain.ShardNo{}, map[string]brain.QueryType{}, map[string]brain.ZoneNo{}
-	o.limits, o.watchers, o.watching = map[string]int{}, map[*dance.Conn]bool{}, map[rendezvous.Name]*watched{}
+	o.limits, o.watchers, o.watching = map[string]int{}, map[*rpc.Conn]bool{}, map[rendezvous.Name]*watched{}
 	o.duties = rendezvous.NewTracker(rendezvous.Name(f.set.Internal(boot.ForagerPort)))
 	o.gatherers, o.seats = []rendezvous.Name{rendezvous.Name(f.set.Internal(boot.ForagerPort))}, map[string]*seats{}
 	o.zones[f.set.Zone] = 0
@@ -464,8 +464,8 @@
 }
 
 // takeReports merges what a hive says of the servers.
-func (f *Forager) takeReports(n *dance.News) {
-	if n.Whole && n.Settled && n.Warm {
+func (f *Forager) takeReports(n *rpc.Update) {
+	if n.Full && n.HasQuorum && n.Warm {
 		named := map[string]bool{}
 		for _, r := range n.Reports {
 			named[r.Instance] = true
@@ -490,14 +490,14 @@
 			if r.Service != "" {
 				s.address, s.service, s.zone = r.Address, r.Service, r.Zone
 			}
-			s.sequence, s.silent, s.unheard = r.Sequence, r.Silent, r.Unheard
+			s.sequence, s.silent, s.unheard = r.Sequence, r.Overdue, r.NoHeartbeats
 		}
-		if claim := (rendezvous.Lease{FencingToken: r.Fence, Holder: r.Holder}); claim.Compare(s.claim) > 0 {
+		if claim := (rendezvous.Lease{FencingToken: r.FencingToken, Holder: r.LeaseHolder}); claim.Compare(s.claim) > 0 {
 			s.claim = claim
 		}
 		s.state = max(s.state, registry.State(r.State))
 	}
-	if len(n.Reports) > 0 || n.Whole {
+	if len(n.Reports) > 0 || n.Full {
 		f.relist()
 	}
 }
--- a/forager/tenants.go
+++ b/forager/tenants.go
@@ -8,10 +8,10 @@
 
 	"oxbowspan/brain"
 	"oxbowspan/config"
-	"oxbowspan/dance"
 	"oxbowspan/internal/boot"
 	"oxbowspan/pollen"
 	"oxbowspan/rendezvous"
+	"oxbowspan/rpc"
 )
 
 // Connections shared among tenants (package pollen decides), where a document of tenants is in force. Without one nothing here
@@ -34,10 +34,10 @@
 	numbers  map[brain.QueryType]pollen.Tenant
 	services map[brain.ShardNo]pollen.Service
 	names    map[pollen.Tenant]*tenant
-	needs    map[string]*pollen.Needs          // by service; kept to those of the configuration
-	granted  map[string]grant                  // by service; kept to those of the configuration
-	keepers  map[string]*pollen.Keeper         // of the services whose duty is held here
-	holders  map[rendezvous.Name]*dance.Caller // emptied of gatherers that are gone
+	needs    map[string]*pollen.Needs        // by service; kept to those of the configuration
+	granted  map[string]grant                // by service; kept to those of the configuration
+	keepers  map[string]*pollen.Keeper       // of the services whose duty is held here
+	holders  map[rendezvous.Name]*rpc.Client // emptied of gatherers that are gone
 	needAt   brain.Time
 }
 
@@ -78,7 +78,7 @@
 }
 
 // takeNotes takes what is agreed beside the configuration.
-func (f *Forager) takeNotes(notes []*dance.Note) {
+func (f *Forager) takeNotes(notes []*rpc.Document) {
 	for _, n := range notes {
 		if n.Name == config.PinsDocumentName && n.Version > f.judgement.pins {
 			f.takePins(n)
@@ -99,11 +99,11 @@
 }
 
 // notes are what is told to a gatherer that hears no hive.
-func (f *Forager) notes() []*dance.Note {
+func (f *Forager) notes() []*rpc.Document {
 	if f.tenancy.document == nil {
 		return nil // pins end by themselves, and are not worth a way of their own
 	}
-	return []*dance.Note{{Name: config.TenantsDocumentName, Version: f.tenancy.version, Body: f.tenancy.text}}
+	return []*rpc.Document{{Name: config.TenantsDocumentName, Version: f.tenancy.version, Body: f.tenancy.text}}
 }
 
 // retenant finds the tenants of the routes in force.
@@ -114,7 +114,7 @@
 	}
 	if t.node == nil {
 		t.node, t.names = pollen.NewNode(f.life), map[pollen.Tenant]*tenant{}
-		t.needs, t.granted, t.keepers, t.holders = map[string]*pollen.Needs{}, map[string]grant{}, map[string]*pollen.Keeper{}, map[rendezvous.Name]*dance.Caller{}
+		t.needs, t.granted, t.keepers, t.holders = map[string]*pollen.Needs{}, map[string]grant{}, map[string]*pollen.Keeper{}, map[rendezvous.Name]*rpc.Client{}
 	}
 	of := t.document.NewTenantTable()
 	var all []pollen.Terms
@@ -383,24 +383,24 @@
 	}
 	c := t.holders[holder]
 	if c == nil {
-		c = &dance.Caller{Address: string(holder), Net: f.net}
+		c = &rpc.Client{Address: string(holder), Network: f.net}
 		t.holders[holder] = c
 	}
-	m := &dance.Need{Service: service, From: string(self), Life: f.life, Held: uint32(g.parts)}
+	m := &rpc.QuotaRequest{Service: service, From: string(self), Incarnation: f.life, InUse: uint32(g.parts)}
 	for _, w := range wants {
-		m.Wants = append(m.Wants, &dance.Want{Tenant: w.Tenant, Milli: uint32(1000 * w.Connections), WeightMilli: uint32(1000 * w.Weight)})
+		m.Demands = append(m.Demands, &rpc.Demand{Tenant: w.Tenant, ConnectionsMilli: uint32(1000 * w.Connections), WeightMilli: uint32(1000 * w.Weight)})
 	}
 	g.out = true
 	t.granted[service] = g
 	go func() {
 		limit, cancel := context.WithTimeout(context.Background(), needWait)
 		defer cancel()
-		a, err := c.Call(limit, &dance.Frame{Body: &dance.Frame_Need{Need: m}})
+		a, err := c.Call(limit, &rpc.Frame{Body: &rpc.Frame_QuotaRequest{QuotaRequest: m}})
 		f.do(func() {
 			g := t.granted[service]
 			g.out = false
 			t.granted[service] = g
-			if p := a.GetPart(); err == nil && p != nil && p.Granted {
+			if p := a.GetQuotaGrant(); err == nil && p != nil && p.Granted {
 				f.grant(service, int(p.Connections), now)
 			}
 		})
@@ -436,41 +436,41 @@
 }
 
 // needed answers another gatherer's asking.
-func (f *Forager) needed(c *dance.Conn, id uint64, m *dance.Need) {
+func (f *Forager) needed(c *rpc.Conn, id uint64, m *rpc.QuotaRequest) {
 	var wants []pollen.Want
-	for _, w := range m.Wants {
-		wants = append(wants, pollen.Want{Tenant: w.Tenant, Connections: float64(w.Milli) / 1000, Weight: float64(w.WeightMilli) / 1000})
+	for _, w := range m.Demands {
+		wants = append(wants, pollen.Want{Tenant: w.Tenant, Connections: float64(w.ConnectionsMilli) / 1000, Weight: float64(w.WeightMilli) / 1000})
 	}
-	parts, may := f.keep(m.Service, m.Life, wants, int(m.Held), f.now())
-	go c.Answer(id, &dance.Frame{Body: &dance.Frame_Part{Part: &dance.Part{Connections: uint32(parts), Granted: may}}})
+	parts, may := f.keep(m.Service, m.Incarnation, wants, int(m.InUse), f.now())
+	go c.Respond(id, &rpc.Frame{Body: &rpc.Frame_QuotaGrant{QuotaGrant: &rpc.QuotaGrant{Connections: uint32(parts), Granted: may}}})
 }
 
 // figures are what operators are told; nil = there is nothing to tell.
-func (f *Forager) figures(now brain.Time) *dance.Figures {
+func (f *Forager) figures(now brain.Time) *rpc.GatewayStats {
 	t := &f.tenancy
-	m := &dance.Figures{TenantsVersion: t.version, Stances: f.stances(now)}
+	m := &rpc.GatewayStats{TenantsVersion: t.version, Verdicts: f.stances(now)}
 	if f.config != nil {
 		m.Version = f.config.Version
 	}
 	if t.node == nil {
-		if len(m.Stances) == 0 { // nothing to tell but the version
+		if len(m.Verdicts) == 0 { // nothing to tell but the version
 			return nil
 		}
 		return m
 	}
 	for _, h := range t.node.Holdings(span(now)) {
 		if s := f.servers[brain.ServerID(h.Server)]; s != nil {
-			m.Figures = append(m.Figures, &dance.Figure{Tenant: h.Tenant, Instance: s.instance, Service: s.service, Held: uint32(h.Held), Lent: uint32(h.Lent),
-				Part: uint32(h.Part), OwnMilli: uint32(1000 * min(h.Own, 1e6)), Wants: h.WantsAnother})
+			m.Connections = append(m.Connections, &rpc.ConnectionUsage{Tenant: h.Tenant, Instance: s.instance, Service: s.service, InUse: uint32(h.Held), Borrowed: uint32(h.Lent),
+				Limit: uint32(h.Part), ShareMilli: uint32(1000 * min(h.Own, 1e6)), WantsMore: h.WantsAnother})
 		}
 	}
 	for _, who := range t.names {
 		if who.requests == 0 && who.waiting == 0 {
 			continue
 		}
-		w := &dance.Waits{Tenant: who.Name, Requests: who.requests, Waited: who.waited, Waiting: uint32(who.waiting)}
+		w := &rpc.WaitStats{Tenant: who.Name, Requests: who.requests, Waited: who.waited, Waiting: uint32(who.waiting)}
 		if who.waits != nil {
-			w.P50Us, w.P99Us, w.MostUs = uint32(who.waits.ValueAtQuantile(50)), uint32(who.waits.ValueAtQuantile(99)), uint32(who.waits.Max())
+			w.P50Us, w.P99Us, w.MaxUs = uint32(who.waits.ValueAtQuantile(50)), uint32(who.waits.ValueAtQuantile(99)), uint32(who.waits.Max())
 		}
 		m.Waits = append(m.Waits, w)
 	}
--- a/internal/acceptorstore/format_test.go
+++ b/internal/acceptorstore/format_test.go
@@ -17,7 +17,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"oxbowspan/consensus"
-	"oxbowspan/dance"
+	"oxbowspan/rpc"
 )
 
 // formatOneDirectory puts a file of form 1, written by the program that made them, into a folder: a vote at turn 11 and ballot 12, a
@@ -62,7 +62,7 @@
 			string(got.Value.Document("tenants").Body) != `{"tenants":[]}` || got.Value.PriorRevisions[0].Version != 8 || len(got.Value.Members) != 3 {
 			t.Fatalf("form %d comes back as %+v", form, got)
 		}
-		hints := &dance.Pulse{}
+		hints := &rpc.Gossip{}
 		if proto.Unmarshal(s.Hints(), hints) != nil || len(hints.Reports) != 1 {
 			t.Fatalf("form %d: hints %q", form, s.Hints())
 		}
--- a/internal/acceptorstore/inspect.go
+++ b/internal/acceptorstore/inspect.go
@@ -13,7 +13,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"oxbowspan/consensus"
-	"oxbowspan/dance"
+	"oxbowspan/rpc"
 )
 
 // Contents is what a stopped machine's file holds, for people.
@@ -81,7 +81,7 @@
 				c.History = append(c.History, p.Version)
 			}
 		}
-		hints := &dance.Pulse{}
+		hints := &rpc.Gossip{}
 		kept := b.Get(hintsKey)
 		if o := tx.Bucket(hintsBucket); o != nil {
 			kept = o.Get(hintsKey)
--- a/internal/acceptorstore/store.go
+++ b/internal/acceptorstore/store.go
@@ -17,7 +17,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"oxbowspan/consensus"
-	"oxbowspan/dance"
+	"oxbowspan/rpc"
 )
 
 // Format is the number of the file's form. Files of the form before it are read, and turned into this one as they are opened;
@@ -183,18 +183,18 @@
 
 func (s *Store) readState(tx *bbolt.Tx, b *bbolt.Bucket) error {
 	if text := b.Get(stateKey); text != nil {
-		m := &dance.Promise{}
+		m := &rpc.PrepareReply{}
 		if err := proto.Unmarshal(text, m); err != nil {
 			return eris.Wrap(err, "the state is damaged")
 		}
-		s.state.Promised, s.state.Accepted = dance.ToBallot(m.Promised), dance.ToBallot(m.Accepted)
+		s.state.Promised, s.state.Accepted = rpc.BallotFromProto(m.Promised), rpc.BallotFromProto(m.Accepted)
 	}
 	if text := b.Get(valueKey); text != nil {
-		m := &dance.Value{}
+		m := &rpc.Value{}
 		if err := proto.Unmarshal(text, m); err != nil {
 			return eris.Wrap(err, "the value is damaged")
 		}
-		if s.state.Value = dance.ToValue(m, readBodies(tx)); s.state.Value == nil {
+		if s.state.Value = rpc.ValueFromProto(m, readBodies(tx)); s.state.Value == nil {
 			return eris.New("a body of the value is missing")
 		}
 	}
@@ -282,7 +282,7 @@
 // writeState puts a state into the file, and its value where that is another.
 func (s *Store) writeState(tx *bbolt.Tx, next consensus.AcceptorState, value bool) error {
 	b := tx.Bucket(stateBucket)
-	text, err := proto.Marshal(&dance.Promise{Promised: dance.FromBallot(next.Promised), Accepted: dance.FromBallot(next.Accepted)})
+	text, err := proto.Marshal(&rpc.PrepareReply{Promised: rpc.BallotToProto(next.Promised), Accepted: rpc.BallotToProto(next.Accepted)})
 	if err != nil {
 		return err
 	}
@@ -298,7 +298,7 @@
 	if next.Value == nil {
 		return b.Delete(valueKey)
 	}
-	if text, err = proto.Marshal(dance.FromValue(next.Value, dance.Digests(next.Value)...)); err != nil {
+	if text, err = proto.Marshal(rpc.ValueToProto(next.Value, rpc.BodyDigests(next.Value)...)); err != nil {
 		return err
 	}
 	return b.Put(valueKey, text)
@@ -311,7 +311,7 @@
 	if err != nil {
 		return err
 	}
-	wanted := dance.Bodies(v)
+	wanted := rpc.BodiesByDigest(v)
 	var unwanted [][]byte
 	all.ForEachBucket(func(digest []byte) error {
 		if _, found := wanted[string(digest)]; !found {
--- a/internal/colony/contact_test.go
+++ b/internal/colony/contact_test.go
@@ -12,8 +12,8 @@
 	"time"
 
 	"oxbowspan/config"
-	"oxbowspan/dance"
 	"oxbowspan/internal/boot"
+	"oxbowspan/rpc"
 )
 
 const (
@@ -200,30 +200,30 @@
 
 // asker asks a machine of the core as gatherers do, from an address that is never cut off.
 type asker struct {
-	call *dance.Caller
+	call *rpc.Client
 	life uint64 // of the hive that it follows
 }
 
 // ask asks at once; first, as one that turns to this machine anew. What comes as settled must not be old.
 func (o *orders) ask(a *asker, first bool) {
-	q := &dance.Ask{HiveLife: a.life, HoldMs: 1}
+	q := &rpc.Poll{ControllerIncarnation: a.life, WaitMs: 1}
 	if first {
-		q.HiveLife = 0
+		q.ControllerIncarnation = 0
 	}
 	sent := time.Now()
 	limit, cancel := context.WithTimeout(context.Background(), 700*time.Millisecond)
 	defer cancel()
-	answer, err := a.call.Call(limit, &dance.Frame{Body: &dance.Frame_Ask{Ask: q}})
-	n := answer.GetNews()
+	answer, err := a.call.Call(limit, &rpc.Frame{Body: &rpc.Frame_Poll{Poll: q}})
+	n := answer.GetUpdate()
 	if err != nil || n == nil {
 		a.life = 0
 		return
 	}
 	first = first || a.life == 0
-	if a.life = n.HiveLife; !n.Settled { // a gatherer leaves this machine, and turns to it anew if it comes back
+	if a.life = n.ControllerIncarnation; !n.HasQuorum { // a gatherer leaves this machine, and turns to it anew if it comes back
 		a.life = 0
 	}
-	if n.Settled {
+	if n.HasQuorum {
 		o.mu.Lock()
 		o.settled++
 		o.mu.Unlock()
@@ -232,7 +232,7 @@
 	if !first {
 		least = o.newest(sent.Add(-contactBound))
 	}
-	if n.Settled && n.Version < least {
+	if n.HasQuorum && n.Version < least {
 		o.fault("STALE: %s hands out version %d as settled, %d was acknowledged before (first question: %v)", a.call.Address, n.Version, least, first)
 	}
 }
@@ -240,8 +240,8 @@
 // watch has the machine asked, again and again, by askers that turn to it and by some that stay, until the end.
 func (o *orders) watch(c *Colony, m *HiveMachine, until time.Time) (wait func()) {
 	var wg sync.WaitGroup
-	caller := func() *dance.Caller {
-		return &dance.Caller{Address: m.settings().Internal(boot.HivePort), Net: c.Meadow.Host("10.0.9.6")}
+	caller := func() *rpc.Client {
+		return &rpc.Client{Address: m.settings().Internal(boot.HivePort), Network: c.Meadow.Host("10.0.9.6")}
 	}
 	for i := range 8 {
 		wg.Go(func() {
@@ -386,7 +386,7 @@
 			began := time.Now()
 			for _, m := range c.Hives {
 				o := &orders{}
-				a := &asker{call: &dance.Caller{Address: m.settings().Internal(boot.HivePort), Net: c.Meadow.Host("10.0.9.6")}}
+				a := &asker{call: &rpc.Client{Address: m.settings().Internal(boot.HivePort), Network: c.Meadow.Host("10.0.9.6")}}
 				for o.settled == 0 && time.Since(began) < time.Second {
 					o.ask(a, true)
 					time.Sleep(10 * time.Millisecond)
--- a/internal/colony/return_test.go
+++ b/internal/colony/return_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"oxbowspan/dance"
+	"oxbowspan/rpc"
 )
 
 // changesWhileAway is how many changes a machine misses. The race detector makes each several times as dear.
@@ -39,16 +39,16 @@
 }
 
 // askNews asks a control machine as a gatherer does that has nothing yet; nil = no answer.
-func askNews(c *Colony, to *HiveMachine) *dance.News {
-	call := &dance.Caller{Address: to.settings().Internal(0), Net: c.Meadow.Host("10.0.9.5")}
+func askNews(c *Colony, to *HiveMachine) *rpc.Update {
+	call := &rpc.Client{Address: to.settings().Internal(0), Network: c.Meadow.Host("10.0.9.5")}
 	defer call.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 	defer cancel()
-	back, err := call.Call(ctx, &dance.Frame{Body: &dance.Frame_Ask{Ask: &dance.Ask{From: &dance.Forager{}}}})
+	back, err := call.Call(ctx, &rpc.Frame{Body: &rpc.Frame_Poll{Poll: &rpc.Poll{From: &rpc.Gateway{}}}})
 	if err != nil {
 		return nil
 	}
-	return back.GetNews()
+	return back.GetUpdate()
 }
 
 // A machine is away while a thousand changes are agreed: dark, its disk kept or emptied, or running and cut off. It comes back,
@@ -89,7 +89,7 @@
 					if read := c.ReadConfig(away); read != nil {
 						t.Errorf("CONFIG: cut off, it reads %.20q", read)
 					}
-					if n := askNews(c, away); n == nil || n.HasConfig && how != runningOn || n.Settled {
+					if n := askNews(c, away); n == nil || n.HasConfig && how != runningOn || n.HasQuorum {
 						t.Errorf("CONFIG: cut off, it hands out %v", n)
 					}
 				}
@@ -112,7 +112,7 @@
 					} else if reads++; !bytes.Equal(read, body) {
 						t.Errorf("CONFIG: after %v it reads %.20q", time.Since(began), read)
 					}
-					if n := askNews(c, away); n != nil && n.HasConfig && n.Version != newest && (n.Settled || how != runningOn) {
+					if n := askNews(c, away); n != nil && n.HasConfig && n.Version != newest && (n.HasQuorum || how != runningOn) {
 						t.Errorf("CONFIG: after %v it hands out version %d", time.Since(began), n.Version)
 					} else if n != nil && n.Version == newest && currentAt == 0 {
 						currentAt = time.Since(began)
--- a/internal/lab/hollow.go
+++ b/internal/lab/hollow.go
@@ -11,10 +11,10 @@
 	"time"
 
 	"oxbowspan/config"
-	"oxbowspan/dance"
 	"oxbowspan/internal/boot"
 	"oxbowspan/internal/colony"
 	"oxbowspan/internal/ground"
+	"oxbowspan/rpc"
 )
 
 func init() {
@@ -307,7 +307,7 @@
 	for i := range hollowChanges {
 		version := uint64(i + 2)
 		m.configIn = max(m.configIn, f.sentFor(func() {
-			a := f.await(func(n *dance.News) bool { return n.Version >= version })
+			a := f.await(func(n *rpc.Update) bool { return n.Version >= version })
 			if !order(version) {
 				m.change.failed++
 				return
@@ -320,7 +320,7 @@
 	for i := range min(hollowChanges, len(f.servers)/2) {
 		s := f.servers[i]
 		m.serverIn = max(m.serverIn, f.sentFor(func() {
-			a := f.await(func(n *dance.News) bool { return tells(n, s.id, func(r *dance.Report) bool { return r.State > 0 }) })
+			a := f.await(func(n *rpc.Update) bool { return tells(n, s.id, func(r *rpc.ServerReport) bool { return r.State > 0 }) })
 			at, ok := s.drain()
 			if !ok {
 				m.drain.failed++
@@ -332,7 +332,7 @@
 	}
 	for i := range min(hollowChanges, len(f.servers)/2) / 2 {
 		s := f.servers[len(f.servers)-1-i]
-		a := f.await(func(n *dance.News) bool { return tells(n, s.id, func(r *dance.Report) bool { return r.Silent }) })
+		a := f.await(func(n *rpc.Update) bool { return tells(n, s.id, func(r *rpc.ServerReport) bool { return r.Overdue }) })
 		at := s.fallSilent()
 		f.reached(a, hollowReach)
 		m.silence.add(a.since(at))
@@ -350,7 +350,7 @@
 	f.awaited.Store(nil)
 }
 
-func tells(n *dance.News, instance string, is func(*dance.Report) bool) bool {
+func tells(n *rpc.Update, instance string, is func(*rpc.ServerReport) bool) bool {
 	for _, r := range n.Reports {
 		if r.Instance == instance && is(r) {
 			return true
--- a/internal/lab/hollow_nodes.go
+++ b/internal/lab/hollow_nodes.go
@@ -20,8 +20,8 @@
 	"google.golang.org/protobuf/proto"
 
 	"oxbowspan/config"
-	"oxbowspan/dance"
 	"oxbowspan/internal/ground"
+	"oxbowspan/rpc"
 )
 
 // Times of the hollow nodes, those of the programs whose place they take.
@@ -72,18 +72,18 @@
 
 // arrival waits until a piece of news has come to every hollow gatherer.
 type arrival struct {
-	is   func(*dance.News) bool
+	is   func(*rpc.Update) bool
 	mu   sync.Mutex
 	seen []time.Time // by gatherer
 	left int
 	done chan struct{}
 }
 
-func newArrival(gatherers int, is func(*dance.News) bool) *arrival {
+func newArrival(gatherers int, is func(*rpc.Update) bool) *arrival {
 	return &arrival{is: is, seen: make([]time.Time, gatherers), left: gatherers, done: make(chan struct{})}
 }
 
-func (a *arrival) take(gatherer int, n *dance.News) {
+func (a *arrival) take(gatherer int, n *rpc.Update) {
 	if !a.is(n) {
 		return
 	}
@@ -163,7 +163,7 @@
 }
 
 // await has the next news watched for what is given.
-func (f *hollowFleet) await(is func(*dance.News) bool) *arrival {
+func (f *hollowFleet) await(is func(*rpc.Update) bool) *arrival {
 	a := newArrival(len(f.gatherers), is)
 	f.awaited.Store(a)
 	return a
@@ -205,7 +205,7 @@
 type hollowGatherer struct {
 	f                         *hollowFleet
 	no                        int
-	self                      *dance.Forager
+	self                      *rpc.Gateway
 	counter                   counter
 	turn, life, cursor, crowd uint64
 	replace                   chan struct{}
@@ -216,15 +216,15 @@
 }
 
 // hollowSelf draws a new life at a gatherer's address.
-func hollowSelf(no int) *dance.Forager {
-	return &dance.Forager{Life: rand.Uint64() | 1, Address: fmt.Sprintf("127.249.%d.%d:7101", no>>8, no&255), Zone: "zone-" + strconv.Itoa(no%3)}
+func hollowSelf(no int) *rpc.Gateway {
+	return &rpc.Gateway{Incarnation: rand.Uint64() | 1, Address: fmt.Sprintf("127.249.%d.%d:7101", no>>8, no&255), Zone: "zone-" + strconv.Itoa(no%3)}
 }
 
 // run asks for news until the fleet ends.
 func (g *hollowGatherer) run() {
 	network := countedNetwork{g.f.net, &g.counter}
 	for at := g.no; g.f.ctx.Err() == nil; at++ {
-		c := &dance.Caller{Address: g.f.inner[at%len(g.f.inner)], Net: network}
+		c := &rpc.Client{Address: g.f.inner[at%len(g.f.inner)], Network: network}
 		g.follow(c)
 		c.Close()
 		g.life = 0
@@ -233,11 +233,11 @@
 }
 
 // follow asks one control machine until it does not answer.
-func (g *hollowGatherer) follow(c *dance.Caller) {
+func (g *hollowGatherer) follow(c *rpc.Client) {
 	for g.f.ctx.Err() == nil {
 		select {
 		case <-g.replace: // the old life leaves, another begins
-			g.poll(c, &dance.Forager{Life: g.self.Life, Address: g.self.Address, Zone: g.self.Zone, Left: true}, 0)
+			g.poll(c, &rpc.Gateway{Incarnation: g.self.Incarnation, Address: g.self.Address, Zone: g.self.Zone, Left: true}, 0)
 			g.self, g.life, g.turn, g.cursor, g.crowd = hollowSelf(g.no), 0, 0, 0, 0
 		default:
 		}
@@ -250,19 +250,19 @@
 	}
 }
 
-func (g *hollowGatherer) poll(c *dance.Caller, from *dance.Forager, hold time.Duration) error {
+func (g *hollowGatherer) poll(c *rpc.Client, from *rpc.Gateway, hold time.Duration) error {
 	patience := hold + pollLate
 	if g.life == 0 {
 		patience = pollLate
 	}
 	limit, cancel := context.WithTimeout(g.f.ctx, patience)
 	defer cancel()
-	answer, err := c.Call(limit, &dance.Frame{Body: &dance.Frame_Ask{Ask: &dance.Ask{From: from, Turn: g.turn, HiveLife: g.life, Cursor: g.cursor,
-		Crowd: g.crowd, HoldMs: uint32(hold / time.Millisecond)}}})
+	answer, err := c.Call(limit, &rpc.Frame{Body: &rpc.Frame_Poll{Poll: &rpc.Poll{From: from, Slot: g.turn, ControllerIncarnation: g.life, Cursor: g.cursor,
+		MembershipEpoch: g.crowd, WaitMs: uint32(hold / time.Millisecond)}}})
 	if err != nil {
 		return err
 	}
-	n := answer.GetNews()
+	n := answer.GetUpdate()
 	if n == nil {
 		return errors.New("the answer is no news")
 	}
@@ -270,24 +270,24 @@
 	return nil
 }
 
-func (g *hollowGatherer) take(n *dance.News) {
+func (g *hollowGatherer) take(n *rpc.Update) {
 	f := g.f
 	if a := f.awaited.Load(); a != nil {
 		a.take(g.no, n)
 	}
-	if n.Whole {
+	if n.Full {
 		if len(n.Reports) > int(f.listLength.Load()) {
 			f.listLength.Store(int64(len(n.Reports)))
-			f.listBytes.Store(int64(proto.Size(&dance.News{Reports: n.Reports})))
+			f.listBytes.Store(int64(proto.Size(&rpc.Update{Reports: n.Reports})))
 		}
 	}
-	if n.HasForagers && len(n.Foragers) >= len(f.gatherers) {
-		f.crowdBytes.Store(int64(proto.Size(&dance.News{Foragers: n.Foragers})))
+	if n.HasGateways && len(n.Gateways) >= len(f.gatherers) {
+		f.crowdBytes.Store(int64(proto.Size(&rpc.Update{Gateways: n.Gateways})))
 	}
-	g.turn = max(g.turn, n.Turn)
-	g.life, g.cursor = n.HiveLife, n.Cursor
-	if n.HasForagers {
-		g.crowd = n.Crowd
+	g.turn = max(g.turn, n.Slot)
+	g.life, g.cursor = n.ControllerIncarnation, n.Cursor
+	if n.HasGateways {
+		g.crowd = n.MembershipEpoch
 	}
 }
 
--- a/internal/lab/hollow_test.go
+++ b/internal/lab/hollow_test.go
@@ -8,8 +8,8 @@
 	"testing/synctest"
 	"time"
 
-	"oxbowspan/dance"
 	"oxbowspan/internal/colony"
+	"oxbowspan/rpc"
 )
 
 // hollowSystem is three control machines on a simulated network, with hollow servers and gatherers round them.
@@ -82,7 +82,7 @@
 	hollowSystem(t, 9, 6, func(c *colony.Colony, f *hollowFleet) {
 		c.Hives[0].Kill(true)
 		time.Sleep(5 * time.Second)
-		a := f.await(func(n *dance.News) bool { return n.Version >= 2 })
+		a := f.await(func(n *rpc.Update) bool { return n.Version >= 2 })
 		if got := c.Replace(c.Hives[1], 1, hollowConfig(2, 5)); got != http.StatusOK {
 			t.Fatalf("the change is answered %d", got)
 		}
--- a/internal/lab/vote_bench_test.go
+++ b/internal/lab/vote_bench_test.go
@@ -8,7 +8,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"oxbowspan/consensus"
-	"oxbowspan/dance"
+	"oxbowspan/rpc"
 )
 
 // BenchmarkVote tells the bytes and the processor's time of the request for a vote that carries a configuration, by versions
@@ -29,7 +29,7 @@
 				var text []byte
 				for b.Loop() {
 					var err error
-					if text, err = proto.Marshal(&dance.Accept{Value: dance.FromValue(v, "")}); err != nil {
+					if text, err = proto.Marshal(&rpc.Accept{Value: rpc.ValueToProto(v, "")}); err != nil {
 						b.Fatal(err)
 					}
 				}
@@ -45,9 +45,9 @@
 //	go test -run xxx -bench Loads -benchmem ./internal/lab
 func BenchmarkLoads(b *testing.B) {
 	for _, servers := range []int{10, 100, 1000, 16_900} {
-		m := &dance.Loads{Life: 1 << 60}
+		m := &rpc.LoadReport{Incarnation: 1 << 60}
 		for i := range servers {
-			m.Loads = append(m.Loads, &dance.Load{Instance: fmt.Sprintf("i-%08x", uint32(i)*2654435761), Milliparts: 700})
+			m.Loads = append(m.Loads, &rpc.ServerLoad{Instance: fmt.Sprintf("i-%08x", uint32(i)*2654435761), PendingMilli: 700})
 		}
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
 			b.ReportAllocs()
--- a/dance/link.go
+++ b/rpc/conn.go
@@ -1,7 +1,7 @@
-// Package dance is how the processes of one system talk: protobuf messages in frames over TCP, questions and their
+// Package rpc is how the processes of one system talk: protobuf messages in frames over TCP, questions and their
 // answers. It owns the frames' form and bounds, the connections and their ends; what is asked and answered is the
 // programs' own.
-package dance
+package rpc
 
 import (
 	"bufio"
@@ -25,23 +25,23 @@
 // A connection begins with Preface, from the side that dialled. A frame is its length in four bytes, big-endian, and so
 // many bytes of a Frame.
 const (
-	Preface    = "hive/1\r\n"
-	MostBytes  = 8 << 20 // of one frame
-	deadAfter  = 2500 * time.Millisecond
-	writeLimit = 2500 * time.Millisecond
-	dialLimit  = 300 * time.Millisecond // the first packet to a machine without power is lost, and sent again only after a second
-	dialPause  = 40 * time.Millisecond  // after a failure, the next caller is told so at once for so long
+	Preface               = "hive/1\r\n"
+	MaxFrameBytes         = 8 << 20 // of one frame
+	unacknowledgedTimeout = 2500 * time.Millisecond
+	writeTimeout          = 2500 * time.Millisecond
+	dialTimeout           = 300 * time.Millisecond // the first packet to a machine without power is lost, and sent again only after a second
+	dialBackoff           = 40 * time.Millisecond  // after a failure, the next caller is told so at once for so long
 )
 
 // Errors of a call.
 var (
-	ErrSilent = errors.New("no answer in time")
-	ErrClosed = errors.New("the connection ended")
+	ErrTimeout = errors.New("no answer in time")
+	ErrClosed  = errors.New("the connection ended")
 )
 
-// Tune makes a dead peer show: what was sent and is not acknowledged for two and a half seconds ends the connection, and
+// ConfigureTCP makes a dead peer show: what was sent and is not acknowledged for two and a half seconds ends the connection, and
 // so does a peer that answers no keep-alive probes. It fails silently where the connection is not TCP.
-func Tune(c net.Conn) {
+func ConfigureTCP(c net.Conn) {
 	t, ok := c.(*net.TCPConn)
 	if !ok {
 		return
@@ -50,7 +50,7 @@
 	t.SetKeepAliveConfig(net.KeepAliveConfig{Enable: true, Idle: 2 * time.Second, Interval: time.Second, Count: 3})
 	if raw, err := t.SyscallConn(); err == nil {
 		raw.Control(func(fd uintptr) {
-			syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(deadAfter/time.Millisecond))
+			syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unacknowledgedTimeout/time.Millisecond))
 		})
 	}
 }
@@ -61,7 +61,7 @@
 		return nil, buf, err
 	}
 	n := int(binary.BigEndian.Uint32(head[:]))
-	if n > MostBytes {
+	if n > MaxFrameBytes {
 		return nil, buf, eris.Errorf("a frame of %d bytes is over the bound", n)
 	}
 	if cap(buf) < n {
@@ -83,33 +83,33 @@
 
 // Conn is one connection, of either side.
 type Conn struct {
-	c    net.Conn
-	mu   sync.Mutex // over writing
-	room []byte
+	c      net.Conn
+	mu     sync.Mutex // over writing
+	buffer []byte
 }
 
 // Send writes a frame. After an error the connection is closed.
 func (c *Conn) Send(f *Frame) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	buf, err := proto.MarshalOptions{}.MarshalAppend(append(c.room[:0], 0, 0, 0, 0), f)
+	buf, err := proto.MarshalOptions{}.MarshalAppend(append(c.buffer[:0], 0, 0, 0, 0), f)
 	if err != nil {
 		return err
 	}
 	binary.BigEndian.PutUint32(buf, uint32(len(buf)-4))
-	if c.room = buf[:0]; cap(buf) > 64<<10 {
-		c.room = nil
+	if c.buffer = buf[:0]; cap(buf) > 64<<10 {
+		c.buffer = nil
 	}
-	c.c.SetWriteDeadline(time.Now().Add(writeLimit))
+	c.c.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err = c.c.Write(buf); err != nil {
 		c.c.Close()
 	}
 	return err
 }
 
-// Answer sends the answer to a question.
-func (c *Conn) Answer(question uint64, f *Frame) error {
-	f.Id, f.Answer = question, true
+// Respond sends the answer to a question.
+func (c *Conn) Respond(requestID uint64, f *Frame) error {
+	f.Id, f.Response = requestID, true
 	return c.Send(f)
 }
 
@@ -118,14 +118,14 @@
 
 // Server answers questions on a listener.
 type Server struct {
-	Handle func(c *Conn, f *Frame) // called in turn for each connection; may answer later
-	Left   func(c *Conn)           // nil, or told when a connection has ended
+	Handle  func(c *Conn, f *Frame) // called in turn for each connection; may answer later
+	OnClose func(c *Conn)           // nil, or told when a connection has ended
 
-	Strangers atomic.Int64 // connections that did not begin as they should
-	mu        sync.Mutex
-	conns     map[*Conn]bool // emptied as they end
-	closed    bool
-	done      sync.WaitGroup
+	HandshakeFailures atomic.Int64 // connections that did not begin as they should
+	mu                sync.Mutex
+	conns             map[*Conn]bool // emptied as they end
+	closed            bool
+	readers           sync.WaitGroup
 }
 
 // Serve accepts until the listener is closed, then ends the connections.
@@ -142,12 +142,12 @@
 			time.Sleep(20 * time.Millisecond) // no descriptors: the listener goes on
 			continue
 		}
-		Tune(nc)
+		ConfigureTCP(nc)
 		c := &Conn{c: nc}
 		s.mu.Lock()
 		s.conns[c] = true
 		s.mu.Unlock()
-		s.done.Add(1)
+		s.readers.Add(1)
 		go s.read(c)
 	}
 	s.mu.Lock()
@@ -155,7 +155,7 @@
 		c.Close()
 	}
 	s.mu.Unlock()
-	s.done.Wait()
+	s.readers.Wait()
 }
 
 func (s *Server) read(c *Conn) {
@@ -164,16 +164,16 @@
 		s.mu.Lock()
 		delete(s.conns, c)
 		s.mu.Unlock()
-		if s.Left != nil {
-			s.Left(c)
+		if s.OnClose != nil {
+			s.OnClose(c)
 		}
-		s.done.Done()
+		s.readers.Done()
 	}()
 	r := bufio.NewReader(c.c)
 	var preface [len(Preface)]byte
 	c.c.SetReadDeadline(time.Now().Add(2 * time.Second))
 	if _, err := io.ReadFull(r, preface[:]); err != nil || string(preface[:]) != Preface {
-		s.Strangers.Add(1)
+		s.HandshakeFailures.Add(1)
 		return
 	}
 	c.c.SetReadDeadline(time.Time{})
@@ -188,23 +188,23 @@
 	}
 }
 
-// Caller asks one peer, over one connection that it makes when needed.
-type Caller struct {
-	Address string
-	Net     ground.Network
-	Heard   func(f *Frame) // nil, or told frames that answer no question
+// Client asks one peer, over one connection that it makes when needed.
+type Client struct {
+	Address   string
+	Network   ground.Network
+	OnMessage func(f *Frame) // nil, or told frames that answer no question
 
-	mu      sync.Mutex
-	conn    *Conn
-	waiting map[uint64]chan *Frame // emptied by answers, time limits and the connection's end
-	lastID  uint64
-	dialing chan struct{}
-	failed  time.Time
-	closed  bool
+	mu       sync.Mutex
+	conn     *Conn
+	pending  map[uint64]chan *Frame // emptied by answers, time limits and the connection's end
+	lastID   uint64
+	dialing  chan struct{}
+	failedAt time.Time
+	closed   bool
 }
 
 // Call asks and waits for the answer, no longer than the context lasts.
-func (c *Caller) Call(ctx context.Context, f *Frame) (*Frame, error) {
+func (c *Client) Call(ctx context.Context, f *Frame) (*Frame, error) {
 	conn, err := c.connect(ctx)
 	if err != nil {
 		return nil, err
@@ -217,11 +217,11 @@
 	}
 	c.lastID++
 	id := c.lastID
-	c.waiting[id] = answer
+	c.pending[id] = answer
 	c.mu.Unlock()
 	defer func() {
 		c.mu.Lock()
-		delete(c.waiting, id)
+		delete(c.pending, id)
 		c.mu.Unlock()
 	}()
 	q := &Frame{Id: id, Body: f.Body}
@@ -235,12 +235,12 @@
 		}
 		return a, nil
 	case <-ctx.Done():
-		return nil, ErrSilent
+		return nil, ErrTimeout
 	}
 }
 
-// Drop ends the connection, so that the next call makes a new one: for a peer that is silent.
-func (c *Caller) Drop() {
+// Disconnect ends the connection, so that the next call makes a new one: for a peer that is silent.
+func (c *Client) Disconnect() {
 	c.mu.Lock()
 	conn := c.conn
 	c.mu.Unlock()
@@ -250,21 +250,21 @@
 }
 
 // Close ends the connection for good.
-func (c *Caller) Close() {
+func (c *Client) Close() {
 	c.mu.Lock()
 	c.closed = true
 	c.mu.Unlock()
-	c.Drop()
+	c.Disconnect()
 }
 
 // Connected tells whether there is a connection.
-func (c *Caller) Connected() bool {
+func (c *Client) Connected() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.conn != nil
 }
 
-func (c *Caller) connect(ctx context.Context) (*Conn, error) {
+func (c *Client) connect(ctx context.Context) (*Conn, error) {
 	for {
 		c.mu.Lock()
 		if c.closed {
@@ -275,7 +275,7 @@
 			defer c.mu.Unlock()
 			return c.conn, nil
 		}
-		if time.Since(c.failed) < dialPause {
+		if time.Since(c.failedAt) < dialBackoff {
 			c.mu.Unlock()
 			return nil, ErrClosed
 		}
@@ -288,37 +288,37 @@
 		select {
 		case <-dialing:
 		case <-ctx.Done():
-			return nil, ErrSilent
+			return nil, ErrTimeout
 		}
 	}
 }
 
-func (c *Caller) dial(done chan struct{}) {
-	nc, err := c.Net.Dial(c.Address, dialLimit)
+func (c *Client) dial(dialed chan struct{}) {
+	nc, err := c.Network.Dial(c.Address, dialTimeout)
 	if err == nil {
-		Tune(nc)
-		nc.SetWriteDeadline(time.Now().Add(writeLimit))
+		ConfigureTCP(nc)
+		nc.SetWriteDeadline(time.Now().Add(writeTimeout))
 		if _, err = nc.Write([]byte(Preface)); err != nil {
 			nc.Close()
 		}
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	defer close(done)
+	defer close(dialed)
 	c.dialing = nil
 	if err != nil {
-		c.failed = time.Now()
+		c.failedAt = time.Now()
 		return
 	}
 	if c.closed {
 		nc.Close()
 		return
 	}
-	c.conn, c.waiting = &Conn{c: nc}, map[uint64]chan *Frame{}
+	c.conn, c.pending = &Conn{c: nc}, map[uint64]chan *Frame{}
 	go c.read(c.conn)
 }
 
-func (c *Caller) read(conn *Conn) {
+func (c *Client) read(conn *Conn) {
 	r := bufio.NewReader(conn.c)
 	var buf []byte
 	for {
@@ -327,16 +327,16 @@
 		if f, buf, err = readFrame(r, buf); err != nil {
 			break
 		}
-		if !f.Answer {
-			if c.Heard != nil {
-				c.Heard(f)
+		if !f.Response {
+			if c.OnMessage != nil {
+				c.OnMessage(f)
 			}
 			continue
 		}
 		c.mu.Lock()
-		if w := c.waiting[f.Id]; w != nil && c.conn == conn {
-			delete(c.waiting, f.Id)
-			w <- f
+		if reply := c.pending[f.Id]; reply != nil && c.conn == conn {
+			delete(c.pending, f.Id)
+			reply <- f
 		}
 		c.mu.Unlock()
 	}
@@ -345,9 +345,9 @@
 	defer c.mu.Unlock()
 	if c.conn == conn {
 		c.conn = nil
-		for _, w := range c.waiting {
-			close(w)
+		for _, reply := range c.pending {
+			close(reply)
 		}
-		c.waiting = nil
+		c.pending = nil
 	}
 }
--- a/dance/fuzz_test.go
+++ b/rpc/fuzz_test.go
@@ -1,4 +1,4 @@
-package dance
+package rpc
 
 import (
 	"bufio"
@@ -12,8 +12,8 @@
 
 // FuzzFrames: a stranger's bytes are no frame or one that is bounded; values survive the way to the wire and back.
 func FuzzFrames(f *testing.F) {
-	for _, m := range []*Frame{{Id: 7, Body: &Frame_Ask{Ask: &Ask{Turn: 1}}}, {Answer: true, Body: &Frame_News{News: &News{Notes: []*Note{{Name: "tenants", Version: 2, Body: []byte("{}")}}}}},
-		{Body: &Frame_Loads{Loads: &Loads{Words: []*Word{{Instance: "i", Kind: 9}}}}}, {Body: &Frame_Accept{Accept: &Accept{Value: &Value{Turn: 3}}}}} {
+	for _, m := range []*Frame{{Id: 7, Body: &Frame_Poll{Poll: &Poll{Slot: 1}}}, {Response: true, Body: &Frame_Update{Update: &Update{Documents: []*Document{{Name: "tenants", Version: 2, Body: []byte("{}")}}}}},
+		{Body: &Frame_LoadReport{LoadReport: &LoadReport{Observations: []*Observation{{Instance: "i", Kind: 9}}}}}, {Body: &Frame_Accept{Accept: &Accept{Value: &Value{Slot: 3}}}}} {
 		text, _ := proto.Marshal(m)
 		f.Add(append([]byte{byte(len(text) >> 24), byte(len(text) >> 16), byte(len(text) >> 8), byte(len(text))}, text...))
 	}
@@ -27,12 +27,12 @@
 				return
 			}
 			if a := m.GetAccept(); a != nil {
-				v := ToValue(a.Value, nil)
-				if v != nil && !v.Equal(ToValue(FromValue(v, ""), nil)) {
+				v := ValueFromProto(a.Value, nil)
+				if v != nil && !v.Equal(ValueFromProto(ValueToProto(v, ""), nil)) {
 					t.Fatal("a value is another after the way to the wire and back")
 				}
 			}
-			_ = ToBallot(m.GetPrepare().GetBallot()).Compare(consensus.Ballot{})
+			_ = BallotFromProto(m.GetPrepare().GetBallot()).Compare(consensus.Ballot{})
 		}
 	})
 }
