--- a/forager/owner.go
+++ b/forager/owner.go
@@ -12,7 +12,7 @@
 	"oxbowspan/config"
 	"oxbowspan/internal/alarm"
 	"oxbowspan/internal/boot"
-	"oxbowspan/pollen"
+	"oxbowspan/quota"
 	"oxbowspan/registry"
 	"oxbowspan/rendezvous"
 	"oxbowspan/rpc"
@@ -33,7 +33,7 @@
 	typ    brain.QueryType
 	shards []brain.ShardNo // a gathered route's
 	among  []brain.Weighted
-	tenant pollen.Tenant // the owner's, where tenants are in force
+	tenant quota.TenantID // the owner's, where tenants are in force
 	shared bool
 }
 
@@ -70,7 +70,7 @@
 	others []*link
 
 	awaits brain.Time // since when it waits for a connection, 0 = it does not
-	tenant pollen.Tenant
+	tenant quota.TenantID
 }
 
 // call is one sub-request.
@@ -84,7 +84,7 @@
 	rested bool
 	over   bool
 	shared bool // its connection counts for a tenant
-	tenant pollen.Tenant
+	tenant quota.TenantID
 }
 
 // mayRun tells whether a sub-request that has not ended may have run. One without a connection is never sent any more once its
@@ -583,7 +583,7 @@
 // most is this gatherer's part of the connections that a server of a service takes from all callers together.
 func (f *Forager) most(service string) int {
 	if f.tenancy.node != nil {
-		if base, pool := pollen.Split(rendezvous.ConnectionSlots(f.limits[service]), len(f.gatherers)); pool > 0 {
+		if base, pool := quota.SplitCapacity(rendezvous.ConnectionSlots(f.limits[service]), len(f.gatherers)); pool > 0 {
 			return base + f.tenancy.granted[service].parts
 		}
 	}
--- a/forager/tenants.go
+++ b/forager/tenants.go
@@ -9,7 +9,7 @@
 	"oxbowspan/brain"
 	"oxbowspan/config"
 	"oxbowspan/internal/boot"
-	"oxbowspan/pollen"
+	"oxbowspan/quota"
 	"oxbowspan/rendezvous"
 	"oxbowspan/rpc"
 )
@@ -30,20 +30,20 @@
 	document *config.TenantDocument // nil = none is in force
 	text     []byte                 // of the document, as agreed
 	version  uint64
-	node     *pollen.Node
-	numbers  map[brain.QueryType]pollen.Tenant
-	services map[brain.ShardNo]pollen.Service
-	names    map[pollen.Tenant]*tenant
-	needs    map[string]*pollen.Needs        // by service; kept to those of the configuration
-	granted  map[string]grant                // by service; kept to those of the configuration
-	keepers  map[string]*pollen.Keeper       // of the services whose duty is held here
-	holders  map[rendezvous.Name]*rpc.Client // emptied of gatherers that are gone
+	node     *quota.Limiter
+	numbers  map[brain.QueryType]quota.TenantID
+	services map[brain.ShardNo]quota.Service
+	names    map[quota.TenantID]*tenant
+	needs    map[string]*quota.DemandEstimator // by service; kept to those of the configuration
+	granted  map[string]grant                  // by service; kept to those of the configuration
+	keepers  map[string]*quota.Allocator       // of the services whose duty is held here
+	holders  map[rendezvous.Name]*rpc.Client   // emptied of gatherers that are gone
 	needAt   brain.Time
 }
 
 // tenant is one as operators are told of it.
 type tenant struct {
-	pollen.Terms
+	quota.TenantPolicy
 	requests, waited uint64
 	waiting          int
 	lastWait         brain.Time              // 0 = it does not wait
@@ -60,21 +60,21 @@
 
 // Room, Press and Wait are what brain asks.
 func (t *tenancy) Room(at brain.ServerID, of brain.QueryType, now brain.Time) bool {
-	return t.node == nil || t.node.Room(pollen.Server(at), t.numbers[of], span(now))
+	return t.node == nil || t.node.CanAcquire(quota.ServerID(at), t.numbers[of], span(now))
 }
 
 func (t *tenancy) Press(of brain.QueryType, now brain.Time) float64 {
 	if t.node == nil {
 		return 1
 	}
-	return t.node.Press(t.numbers[of], span(now))
+	return t.node.InFlightFactor(t.numbers[of], span(now))
 }
 
 func (t *tenancy) Wait(at brain.ShardNo, of brain.QueryType, now brain.Time) brain.Time {
 	if t.node == nil {
 		return brain.Never
 	}
-	return ticks(t.node.Wait(t.services[at], t.numbers[of], span(now)))
+	return ticks(t.node.EstimatedWait(t.services[at], t.numbers[of], span(now)))
 }
 
 // takeNotes takes what is agreed beside the configuration.
@@ -113,18 +113,18 @@
 		return
 	}
 	if t.node == nil {
-		t.node, t.names = pollen.NewNode(f.life), map[pollen.Tenant]*tenant{}
-		t.needs, t.granted, t.keepers, t.holders = map[string]*pollen.Needs{}, map[string]grant{}, map[string]*pollen.Keeper{}, map[rendezvous.Name]*rpc.Client{}
+		t.node, t.names = quota.NewLimiter(f.life), map[quota.TenantID]*tenant{}
+		t.needs, t.granted, t.keepers, t.holders = map[string]*quota.DemandEstimator{}, map[string]grant{}, map[string]*quota.Allocator{}, map[rendezvous.Name]*rpc.Client{}
 	}
 	of := t.document.NewTenantTable()
-	var all []pollen.Terms
+	var all []quota.TenantPolicy
 	for _, n := range t.document.Tenants {
-		terms := pollen.Terms{Name: n.Name, Weight: n.Weight, Floor: float64(n.ReservedConnections), Most: float64(n.MaxConnections), Borrow: -1}
+		terms := quota.TenantPolicy{Name: n.Name, Weight: n.Weight, Floor: float64(n.ReservedConnections), Max: float64(n.MaxConnections), MaxBorrowed: -1}
 		if terms.Weight == 0 {
 			terms.Weight = 1
 		}
 		if n.MaxBorrowed != nil {
-			terms.Borrow = float64(*n.MaxBorrowed)
+			terms.MaxBorrowed = float64(*n.MaxBorrowed)
 		}
 		all = append(all, terms)
 	}
@@ -133,21 +133,21 @@
 		at, named := of.Lookup(r.Route)
 		if !named {
 			at = len(all)
-			all = append(all, pollen.Terms{Name: r.Hostname + r.PathPrefix, Weight: 1, Borrow: -1})
+			all = append(all, quota.TenantPolicy{Name: r.Hostname + r.PathPrefix, Weight: 1, MaxBorrowed: -1})
 		}
 		places[r] = at
 	}
-	numbers := t.node.Put(all)
-	kept := map[pollen.Tenant]*tenant{}
+	numbers := t.node.SetPolicies(all)
+	kept := map[quota.TenantID]*tenant{}
 	for i, no := range numbers {
 		if kept[no] = t.names[no]; kept[no] == nil || kept[no].Name != all[i].Name {
 			kept[no] = &tenant{since: f.now()}
 		}
-		kept[no].Terms = all[i]
+		kept[no].TenantPolicy = all[i]
 	}
 	t.names = kept
-	t.numbers, t.services = map[brain.QueryType]pollen.Tenant{}, map[brain.ShardNo]pollen.Service{}
-	floors := map[pollen.Service][]pollen.Tenant{}
+	t.numbers, t.services = map[brain.QueryType]quota.TenantID{}, map[brain.ShardNo]quota.Service{}
+	floors := map[quota.Service][]quota.TenantID{}
 	for r, at := range places {
 		no := numbers[at]
 		t.numbers[r.typ] = no
@@ -156,12 +156,12 @@
 			continue
 		}
 		for _, s := range r.Services() {
-			floors[pollen.Service(s)] = append(floors[pollen.Service(s)], no)
+			floors[quota.Service(s)] = append(floors[quota.Service(s)], no)
 		}
 	}
 	for service, shard := range f.shards {
-		t.services[shard] = pollen.Service(service)
-		t.node.Floors(pollen.Service(service), distinct(floors[pollen.Service(service)]))
+		t.services[shard] = quota.Service(service)
+		t.node.SetFloors(quota.Service(service), distinct(floors[quota.Service(service)]))
 	}
 	for service := range t.needs {
 		if _, named := f.limits[service]; !named {
@@ -171,8 +171,8 @@
 	}
 }
 
-func distinct(in []pollen.Tenant) (out []pollen.Tenant) {
-	seen := map[pollen.Tenant]bool{}
+func distinct(in []quota.TenantID) (out []quota.TenantID) {
+	seen := map[quota.TenantID]bool{}
 	for _, t := range in {
 		if !seen[t] {
 			seen[t] = true
@@ -185,13 +185,13 @@
 // serve tells the sharing of a server, leave that it is gone.
 func (t *tenancy) serve(s *flower, part, whole int) {
 	if t.node != nil {
-		t.node.Serve(pollen.Server(s.id), pollen.Service(s.service), part, whole)
+		t.node.SetServer(quota.ServerID(s.id), quota.Service(s.service), part, whole)
 	}
 }
 
 func (t *tenancy) leave(s *flower) {
 	if t.node != nil {
-		t.node.Leave(pollen.Server(s.id))
+		t.node.RemoveServer(quota.ServerID(s.id))
 	}
 }
 
@@ -209,14 +209,14 @@
 		return
 	}
 	c.shared, c.tenant = true, no
-	t.node.Took(pollen.Server(c.f.id), no, span(now))
+	t.node.Acquire(quota.ServerID(c.f.id), no, span(now))
 	f.waitsNoMore(c.p, now)
 }
 
 func (f *Forager) gave(c *call, now brain.Time) {
 	if c.shared {
 		c.shared = false
-		f.tenancy.node.Back(pollen.Server(c.f.id), c.tenant, span(now-c.sentAt), span(now))
+		f.tenancy.node.Release(quota.ServerID(c.f.id), c.tenant, span(now-c.sentAt), span(now))
 	}
 }
 
@@ -239,7 +239,7 @@
 		}
 		waits = true
 		p.awaits, p.tenant = now, no
-		t.node.Waits(t.services[p.shard], no, 1)
+		t.node.AddWaiting(t.services[p.shard], no, 1)
 		who.waiting++
 	}
 	if !waits {
@@ -260,7 +260,7 @@
 		return
 	}
 	t := &f.tenancy
-	t.node.Waits(t.services[p.shard], p.tenant, -1)
+	t.node.AddWaiting(t.services[p.shard], p.tenant, -1)
 	if who := t.names[p.tenant]; who != nil {
 		who.waiting = max(who.waiting-1, 0)
 		who.lastWait = now
@@ -326,7 +326,7 @@
 func connections(service string) rendezvous.Name { return rendezvous.Name("connections " + service) }
 
 // wants are, by service, what tenants would use beyond the base that is had without asking.
-func (f *Forager) wants(now brain.Time) map[string][]pollen.Want {
+func (f *Forager) wants(now brain.Time) map[string][]quota.Demand {
 	t := &f.tenancy
 	most := map[string]map[string]float64{} // by service and tenant
 	servers := map[string]float64{}
@@ -335,7 +335,7 @@
 			servers[s.service]++
 		}
 	}
-	for _, h := range t.node.Holdings(span(now)) {
+	for _, h := range t.node.ConnectionUsages(span(now)) {
 		s := f.servers[brain.ServerID(h.Server)]
 		if s == nil || !s.listed {
 			continue
@@ -343,23 +343,23 @@
 		if most[s.service] == nil {
 			most[s.service] = map[string]float64{}
 		}
-		most[s.service][h.Tenant] = max(most[s.service][h.Tenant], float64(h.Held))
+		most[s.service][h.Tenant] = max(most[s.service][h.Tenant], float64(h.InUse))
 	}
-	out := map[string][]pollen.Want{}
+	out := map[string][]quota.Demand{}
 	for service, limit := range f.limits {
-		base, pool := pollen.Split(rendezvous.ConnectionSlots(limit), len(f.gatherers))
+		base, pool := quota.SplitCapacity(rendezvous.ConnectionSlots(limit), len(f.gatherers))
 		if pool == 0 || servers[service] == 0 {
 			continue
 		}
-		var uses []pollen.Use
+		var uses []quota.TenantUse
 		for no, who := range t.names {
-			waiting := float64(t.node.Waiting(pollen.Service(service), no)) / servers[service]
-			uses = append(uses, pollen.Use{Tenant: who.Name, Weight: who.Weight, Held: most[service][who.Name], Waiting: waiting})
+			waiting := float64(t.node.Waiting(quota.Service(service), no)) / servers[service]
+			uses = append(uses, quota.TenantUse{Tenant: who.Name, Weight: who.Weight, InUse: most[service][who.Name], Waiting: waiting})
 		}
 		if t.needs[service] == nil {
-			t.needs[service] = &pollen.Needs{}
+			t.needs[service] = &quota.DemandEstimator{}
 		}
-		if wants := t.needs[service].Wants(base, uses); len(wants) > 0 {
+		if wants := t.needs[service].Demands(base, uses); len(wants) > 0 {
 			out[service] = wants
 		}
 	}
@@ -367,7 +367,7 @@
 }
 
 // need asks the holder of a service's duty for a part.
-func (f *Forager) need(service string, wants []pollen.Want, now brain.Time) {
+func (f *Forager) need(service string, wants []quota.Demand, now brain.Time) {
 	t := &f.tenancy
 	g := t.granted[service]
 	if g.out {
@@ -409,7 +409,7 @@
 
 // grant takes a part that was asked for at a moment.
 func (f *Forager) grant(service string, parts int, asked brain.Time) {
-	g := grant{parts: parts, until: asked + ticks(pollen.LeaseFor)}
+	g := grant{parts: parts, until: asked + ticks(quota.LeaseDuration)}
 	if f.now() >= g.until {
 		return // it was on its way for too long
 	}
@@ -420,7 +420,7 @@
 }
 
 // keep answers for a service whose duty is held here. It tells whether it is.
-func (f *Forager) keep(service string, life uint64, wants []pollen.Want, used int, now brain.Time) (parts int, may bool) {
+func (f *Forager) keep(service string, life uint64, wants []quota.Demand, used int, now brain.Time) (parts int, may bool) {
 	t := &f.tenancy
 	limit, known := f.limits[service]
 	if t.node == nil || !known || !f.duties.Holds(connections(service), span(now)) {
@@ -428,18 +428,18 @@
 	}
 	k := t.keepers[service]
 	if k == nil {
-		k = pollen.NewKeeper()
+		k = quota.NewAllocator()
 		t.keepers[service] = k
 	}
-	_, pool := pollen.Split(rendezvous.ConnectionSlots(limit), len(f.gatherers))
-	return k.Ask(life, wants, used, pool, span(now)), true
+	_, pool := quota.SplitCapacity(rendezvous.ConnectionSlots(limit), len(f.gatherers))
+	return k.Request(life, wants, used, pool, span(now)), true
 }
 
 // needed answers another gatherer's asking.
 func (f *Forager) needed(c *rpc.Conn, id uint64, m *rpc.QuotaRequest) {
-	var wants []pollen.Want
+	var wants []quota.Demand
 	for _, w := range m.Demands {
-		wants = append(wants, pollen.Want{Tenant: w.Tenant, Connections: float64(w.ConnectionsMilli) / 1000, Weight: float64(w.WeightMilli) / 1000})
+		wants = append(wants, quota.Demand{Tenant: w.Tenant, Connections: float64(w.ConnectionsMilli) / 1000, Weight: float64(w.WeightMilli) / 1000})
 	}
 	parts, may := f.keep(m.Service, m.Incarnation, wants, int(m.InUse), f.now())
 	go c.Respond(id, &rpc.Frame{Body: &rpc.Frame_QuotaGrant{QuotaGrant: &rpc.QuotaGrant{Connections: uint32(parts), Granted: may}}})
@@ -458,10 +458,10 @@
 		}
 		return m
 	}
-	for _, h := range t.node.Holdings(span(now)) {
+	for _, h := range t.node.ConnectionUsages(span(now)) {
 		if s := f.servers[brain.ServerID(h.Server)]; s != nil {
-			m.Connections = append(m.Connections, &rpc.ConnectionUsage{Tenant: h.Tenant, Instance: s.instance, Service: s.service, InUse: uint32(h.Held), Borrowed: uint32(h.Lent),
-				Limit: uint32(h.Part), ShareMilli: uint32(1000 * min(h.Own, 1e6)), WantsMore: h.WantsAnother})
+			m.Connections = append(m.Connections, &rpc.ConnectionUsage{Tenant: h.Tenant, Instance: s.instance, Service: s.service, InUse: uint32(h.InUse), Borrowed: uint32(h.Borrowed),
+				Limit: uint32(h.Limit), ShareMilli: uint32(1000 * min(h.Share, 1e6)), WantsMore: h.WantsMore})
 		}
 	}
 	for _, who := range t.names {
--- a/internal/entrance/tenant.go
+++ b/internal/entrance/tenant.go
@@ -15,7 +15,7 @@
 	"oxbowspan/config"
 	"oxbowspan/controlplane"
 	"oxbowspan/internal/beekeeper"
-	"oxbowspan/pollen"
+	"oxbowspan/quota"
 	"oxbowspan/rendezvous"
 )
 
@@ -237,17 +237,17 @@
 func planTenants(conf *config.Configuration, doc *config.TenantDocument) (plans []servicePlan) {
 	of := doc.NewTenantTable()
 	for _, s := range conf.Services {
-		var terms []pollen.Terms
+		var terms []quota.TenantPolicy
 		seen := map[string]bool{}
 		for i := range conf.Routes {
 			r := &conf.Routes[i]
 			if !slices.Contains(r.Services(), s.Name) {
 				continue
 			}
-			t := pollen.Terms{Name: r.Hostname + r.PathPrefix, Weight: 1, Borrow: -1}
+			t := quota.TenantPolicy{Name: r.Hostname + r.PathPrefix, Weight: 1, MaxBorrowed: -1}
 			if at, named := of.Lookup(r); named {
 				d := doc.Tenants[at]
-				t = pollen.Terms{Name: d.Name, Weight: d.Weight, Floor: float64(d.ReservedConnections), Most: float64(d.MaxConnections), Borrow: -1}
+				t = quota.TenantPolicy{Name: d.Name, Weight: d.Weight, Floor: float64(d.ReservedConnections), Max: float64(d.MaxConnections), MaxBorrowed: -1}
 				if t.Weight == 0 {
 					t.Weight = 1
 				}
@@ -261,8 +261,8 @@
 			continue
 		}
 		plan := servicePlan{Service: s.Name, Limit: s.ConnectionLimit}
-		for i, part := range pollen.Parts(rendezvous.ConnectionSlots(s.ConnectionLimit), terms) {
-			plan.Tenants = append(plan.Tenants, tenantPlan{terms[i].Name, part, int(terms[i].Floor), int(terms[i].Most)})
+		for i, part := range quota.Shares(rendezvous.ConnectionSlots(s.ConnectionLimit), terms) {
+			plan.Tenants = append(plan.Tenants, tenantPlan{terms[i].Name, part, int(terms[i].Floor), int(terms[i].Max)})
 		}
 		plans = append(plans, plan)
 	}
