--- a/forager/judgement.go
+++ b/forager/judgement.go
@@ -7,9 +7,9 @@
 
 	"oxbowspan/brain"
 	"oxbowspan/config"
+	"oxbowspan/outlier"
 	"oxbowspan/rendezvous"
 	"oxbowspan/rpc"
-	"oxbowspan/scout"
 )
 
 // One judgement of replicas (package scout decides): what this gatherer saw of servers goes to those that watch it, what they saw
@@ -24,14 +24,14 @@
 
 // judgement is what the owner keeps of it.
 type judgement struct {
-	board  *scout.Board
+	board  *outlier.Detector
 	told   map[brain.ServerID]brain.Judgement // what brain was told; emptied of servers that are in as they are
 	near   map[string][]rendezvous.Name       // gatherers by zone, as last told
 	saidAt brain.Time
 
-	pins    uint64                 // the version of the document of pins that is in force
-	pinned  map[string]scout.State // by instance, as that says
-	pinEnds map[string]brain.Time  // of those that stand
+	pins    uint64                   // the version of the document of pins that is in force
+	pinned  map[string]outlier.State // by instance, as that says
+	pinEnds map[string]brain.Time    // of those that stand
 }
 
 // takePins takes a document of pins. Each holds from now for as long as it says.
@@ -45,9 +45,9 @@
 	j.pins = n.Version
 	before := j.pinned
 	ends := j.pinEnds
-	j.pinned, j.pinEnds = map[string]scout.State{}, map[string]brain.Time{}
+	j.pinned, j.pinEnds = map[string]outlier.State{}, map[string]brain.Time{}
 	for _, p := range doc.Pins {
-		state := map[string]scout.State{"in": scout.In, "avoided": scout.Avoided, "out": scout.Out}[p.State]
+		state := map[string]outlier.State{"in": outlier.Healthy, "avoided": outlier.Avoided, "out": outlier.Ejected}[p.State]
 		j.pinned[p.Instance], j.pinEnds[p.Instance] = state, f.now()+ticks(time.Duration(p.DurationSeconds)*time.Second-time.Duration(n.AgeMs)*time.Millisecond)
 		if was, stood := before[p.Instance]; stood && was == state && ends[p.Instance] > 0 {
 			j.pinEnds[p.Instance] = min(ends[p.Instance], j.pinEnds[p.Instance]) // sent again it lasts no longer
@@ -55,7 +55,7 @@
 	}
 	for i := range before {
 		if _, stands := j.pinned[i]; !stands {
-			j.board.Pin(scout.Instance(i), nil, span(f.now()))
+			j.board.Pin(outlier.Instance(i), nil, span(f.now()))
 		}
 	}
 	f.log.Info().Uint64("version", n.Version).Int("pins", len(doc.Pins)).Msg("judgement: pins in force")
@@ -66,14 +66,14 @@
 func (f *Forager) pin(now brain.Time) {
 	j := &f.judgement
 	for i, state := range j.pinned {
-		switch st := j.board.Stance(scout.Instance(i)); {
+		switch st := j.board.Status(outlier.Instance(i)); {
 		case now >= j.pinEnds[i]:
 			delete(j.pinned, i)
 			delete(j.pinEnds, i)
-			j.board.Pin(scout.Instance(i), nil, span(now))
+			j.board.Pin(outlier.Instance(i), nil, span(now))
 			f.log.Info().Str("instance", i).Msg("judgement: a pin has ended")
 		case !st.Pinned || st.State != state:
-			j.board.Pin(scout.Instance(i), &state, span(now))
+			j.board.Pin(outlier.Instance(i), &state, span(now))
 		}
 	}
 }
@@ -86,12 +86,12 @@
 		if s == nil {
 			continue
 		}
-		st := j.board.Stance(scout.Instance(s.instance))
-		m := &rpc.OutlierVerdict{Instance: s.instance, Service: s.service, State: st.State.String(), Reason: st.Why, SinceMs: uint32((span(now) - st.Since) / time.Millisecond),
+		st := j.board.Status(outlier.Instance(s.instance))
+		m := &rpc.OutlierVerdict{Instance: s.instance, Service: s.service, State: st.State.String(), Reason: st.Reason, SinceMs: uint32((span(now) - st.Since) / time.Millisecond),
 			FactorMilli: uint32(1000 * st.Factor), Pinned: st.Pinned}
-		for _, w := range j.board.Words(scout.Instance(s.instance)) {
+		for _, w := range j.board.Observations(outlier.Instance(s.instance)) {
 			if len(m.Observations) < mostTold {
-				m.Observations = append(m.Observations, &rpc.Observation{Observer: uint64(w.Observer), Text: w.Kind.String(), RatioMilli: uint32(1000 * w.Ratio), AgeMs: uint32((span(now) - w.At) / time.Millisecond)})
+				m.Observations = append(m.Observations, &rpc.Observation{Observer: uint64(w.Observer), Text: w.Kind.String(), RatioMilli: uint32(1000 * w.Ratio), AgeMs: uint32((span(now) - w.ObservedAt) / time.Millisecond)})
 			}
 		}
 		out = append(out, m)
@@ -105,20 +105,20 @@
 		return
 	}
 	now := span(f.now())
-	was := f.judgement.board.Stance(scout.Instance(s.instance)).State
+	was := f.judgement.board.Status(outlier.Instance(s.instance)).State
 	switch outcome {
 	case brain.Answered:
 		unit, fellows := f.brain.Compare(s.id)
-		f.judgement.board.Answered(scout.Instance(s.instance), unit, fellows, now)
+		f.judgement.board.RecordSuccess(outlier.Instance(s.instance), unit, fellows, now)
 	case brain.ConnectFailed:
 		if !errors.Is(err, syscall.ECONNREFUSED) {
 			return
 		}
-		f.judgement.board.Failed(scout.Instance(s.instance), scout.Refused, now)
+		f.judgement.board.RecordFailure(outlier.Instance(s.instance), outlier.ObservedRefused, now)
 	default:
 		return
 	}
-	if is := f.judgement.board.Stance(scout.Instance(s.instance)).State; is != was {
+	if is := f.judgement.board.Status(outlier.Instance(s.instance)).State; is != was {
 		f.hurry(f.now())
 		f.tellBrain(f.now())
 	}
@@ -143,11 +143,11 @@
 			}
 		}
 	}
-	j.board.Troubled(len(mute) > 2 && 2*len(mute) > asked)
+	j.board.SetImpaired(len(mute) > 2 && 2*len(mute) > asked)
 	for _, s := range mute {
-		j.board.Failed(scout.Instance(s.instance), scout.Silent, span(now))
+		j.board.RecordFailure(outlier.Instance(s.instance), outlier.ObservedUnresponsive, span(now))
 	}
-	j.board.Pass(span(now))
+	j.board.Advance(span(now))
 	f.pin(now)
 	f.tellBrain(now)
 }
@@ -156,28 +156,28 @@
 func (f *Forager) tellBrain(now brain.Time) {
 	j := &f.judgement
 	var all []brain.Judgement
-	changed := j.board.Changed()
+	changed := j.board.TakeChanged()
 	for id := range j.told { // who tries one that is out follows from the fleet too
 		if s := f.servers[id]; s != nil {
-			changed = append(changed, scout.Instance(s.instance))
+			changed = append(changed, outlier.Instance(s.instance))
 		}
 	}
 	for _, i := range changed {
 		s := f.flowers[string(i)]
-		st := j.board.Stance(i)
+		st := j.board.Status(i)
 		if s == nil {
 			continue
 		}
 		was, known := j.told[s.id]
-		if st.State == scout.In && st.Factor == 1 && !known {
+		if st.State == outlier.Healthy && st.Factor == 1 && !known {
 			continue
 		}
-		is := brain.Judgement{ID: s.id, Factor: st.Factor, Held: st.State == scout.Out || st.State == scout.Trial && !f.tries(s, now)}
-		is.Back = known && was.Held && st.State == scout.In
+		is := brain.Judgement{ID: s.id, Factor: st.Factor, Held: st.State == outlier.Ejected || st.State == outlier.Probation && !f.tries(s, now)}
+		is.Back = known && was.Held && st.State == outlier.Healthy
 		if is == was {
 			continue
 		}
-		if all = append(all, is); st.State == scout.In && st.Factor == 1 {
+		if all = append(all, is); st.State == outlier.Healthy && st.Factor == 1 {
 			delete(j.told, s.id)
 		} else {
 			is.Back = false
@@ -188,7 +188,7 @@
 			if f.tries(s, now) { // one line in the whole fleet
 				line = f.log.Info()
 			}
-			line.Str("instance", s.instance).Str("service", s.service).Str("stance", stance).Str("why", st.Why).Msg("judgement: a server's stance")
+			line.Str("instance", s.instance).Str("service", s.service).Str("stance", stance).Str("why", st.Reason).Msg("judgement: a server's stance")
 			s.stance = stance
 		}
 	}
@@ -208,20 +208,20 @@
 
 // listJudged tells the board which servers there are.
 func (f *Forager) listJudged() {
-	all := map[scout.Instance]scout.Shard{}
+	all := map[outlier.Instance]outlier.Shard{}
 	for i, s := range f.flowers {
 		if s.listed {
-			all[scout.Instance(i)] = scout.Shard(s.service)
+			all[outlier.Instance(i)] = outlier.Shard(s.service)
 		}
 	}
-	f.judgement.board.List(all, len(f.gatherers)-1)
+	f.judgement.board.SetServers(all, len(f.gatherers)-1)
 }
 
 // words are what is to be told now.
 func (f *Forager) words(now brain.Time) (out []*rpc.Observation) {
-	for _, w := range f.judgement.board.Tell() {
-		out = append(out, &rpc.Observation{Instance: string(w.Server), Observer: uint64(w.Observer), Sequence: w.No, Kind: uint32(w.Kind), RatioMilli: uint32(1000 * min(w.Ratio, 1e6)),
-			Responses: uint32(w.Answers), BackoffMs: uint32(w.Pause / time.Millisecond), AgeMs: uint32((span(now) - w.At) / time.Millisecond), Hops: uint32(w.Hops)})
+	for _, w := range f.judgement.board.DrainOutbox() {
+		out = append(out, &rpc.Observation{Instance: string(w.Server), Observer: uint64(w.Observer), Sequence: w.Sequence, Kind: uint32(w.Kind), RatioMilli: uint32(1000 * min(w.Ratio, 1e6)),
+			Responses: uint32(w.Responses), BackoffMs: uint32(w.Backoff / time.Millisecond), AgeMs: uint32((span(now) - w.ObservedAt) / time.Millisecond), Hops: uint32(w.Hops)})
 	}
 	return out
 }
@@ -233,15 +233,15 @@
 	}
 	now, news := f.now(), false
 	for _, w := range all {
-		if w.Kind > uint32(scout.Refused) {
+		if w.Kind > uint32(outlier.ObservedRefused) {
 			continue // of a version to come
 		}
-		i := scout.Instance(w.Instance)
-		was := f.judgement.board.Stance(i).State
-		took := f.judgement.board.Take(scout.Word{Server: i, Observer: scout.Observer(w.Observer), No: w.Sequence, Kind: scout.Kind(w.Kind),
-			Ratio: float64(w.RatioMilli) / 1000, Answers: int(w.Responses), Pause: time.Duration(w.BackoffMs) * time.Millisecond,
-			At: span(now) - time.Duration(w.AgeMs)*time.Millisecond, Hops: int(w.Hops)}, span(now))
-		news = news || took && f.judgement.board.Stance(i).State != was
+		i := outlier.Instance(w.Instance)
+		was := f.judgement.board.Status(i).State
+		took := f.judgement.board.Receive(outlier.Observation{Server: i, Observer: outlier.Observer(w.Observer), Sequence: w.Sequence, Kind: outlier.Kind(w.Kind),
+			Ratio: float64(w.RatioMilli) / 1000, Responses: int(w.Responses), Backoff: time.Duration(w.BackoffMs) * time.Millisecond,
+			ObservedAt: span(now) - time.Duration(w.AgeMs)*time.Millisecond, Hops: int(w.Hops)}, span(now))
+		news = news || took && f.judgement.board.Status(i).State != was
 	}
 	if news {
 		f.hurry(now)
--- a/forager/owner.go
+++ b/forager/owner.go
@@ -12,11 +12,11 @@
 	"oxbowspan/config"
 	"oxbowspan/internal/alarm"
 	"oxbowspan/internal/boot"
+	"oxbowspan/outlier"
 	"oxbowspan/quota"
 	"oxbowspan/registry"
 	"oxbowspan/rendezvous"
 	"oxbowspan/rpc"
-	"oxbowspan/scout"
 )
 
 // follows is what one version of the configuration means here. It is read by many and never changed.
@@ -180,7 +180,7 @@
 	o.duties = rendezvous.NewTracker(rendezvous.Name(f.set.Internal(boot.ForagerPort)))
 	o.gatherers, o.seats = []rendezvous.Name{rendezvous.Name(f.set.Internal(boot.ForagerPort))}, map[string]*seats{}
 	o.zones[f.set.Zone] = 0
-	o.judgement = judgement{board: scout.NewBoard(scout.Observer(f.life)), told: map[brain.ServerID]brain.Judgement{}}
+	o.judgement = judgement{board: outlier.NewDetector(outlier.Observer(f.life)), told: map[brain.ServerID]brain.Judgement{}}
 }
 
 // own is the owner's goroutine.
--- a/scout/scout_bench_test.go
+++ b/outlier/detector_bench_test.go
@@ -1,4 +1,4 @@
-package scout
+package outlier
 
 import (
 	"fmt"
@@ -18,42 +18,42 @@
 	return all
 }
 
-func BenchmarkBoard(b *testing.B) {
+func BenchmarkDetector(b *testing.B) {
 	for _, servers := range []int{1000, 10_000, 96_000} {
 		all := benchServers(servers)
-		board := NewBoard(1)
-		board.List(all, 3299)
+		detector := NewDetector(1)
+		detector.SetServers(all, 3299)
 		b.Run(fmt.Sprintf("list/servers=%d", servers), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				board.List(all, 3299)
+				detector.SetServers(all, 3299)
 			}
 		})
-		now, no := time.Hour, uint32(0)
+		now, sequence := time.Hour, uint32(0)
 		b.Run(fmt.Sprintf("word taken/servers=%d", servers), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				no++
-				board.Take(Word{Server: Instance(fmt.Sprint("i-", no%10)), Observer: Observer(2 + no%400), No: no, Kind: Slow, Ratio: 4, Answers: 5, At: now}, now)
+				sequence++
+				detector.Receive(Observation{Server: Instance(fmt.Sprint("i-", sequence%10)), Observer: Observer(2 + sequence%400), Sequence: sequence, Kind: ObservedSlow, Ratio: 4, Responses: 5, ObservedAt: now}, now)
 			}
 		})
 		b.Run(fmt.Sprintf("pass over ten of 400 words/servers=%d", servers), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				board.Pass(now)
+				detector.Advance(now)
 			}
 		})
 	}
 }
 
-// BenchmarkBoardMemory tells the bytes that a board holds for its servers.
-func BenchmarkBoardMemory(b *testing.B) {
+// BenchmarkDetectorMemory tells the bytes that a board holds for its servers.
+func BenchmarkDetectorMemory(b *testing.B) {
 	for _, servers := range []int{1000, 10_000, 96_000} {
 		all := benchServers(servers)
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				NewBoard(1).List(all, 3299)
+				NewDetector(1).SetServers(all, 3299)
 			}
 		})
 	}
