--- a/forager/front.go
+++ b/forager/front.go
@@ -15,7 +15,7 @@
 	"github.com/valyala/fasthttp"
 
 	"oxbowspan/config"
-	"oxbowspan/nectar"
+	"oxbowspan/topk"
 )
 
 // What holds for clients while no configuration says otherwise, and where it says nothing.
@@ -83,7 +83,7 @@
 	r       *bufio.Reader
 	req     fasthttp.Request
 	out     []byte
-	top     nectar.Greatest
+	top     topk.Selector
 	busy    atomic.Bool // a request is being read or answered
 	leaving bool        // it was told to make room; under the crowd's lock
 	wait    chan reply
