--- a/offer/offer_test.go
+++ b/admission/admission_test.go
@@ -1,4 +1,4 @@
-package offer
+package admission
 
 import (
 	"testing"
@@ -6,10 +6,10 @@
 )
 
 // A quarter of the target has not passed at the client when it hears, and no request is given up at once.
-func TestHoldLimitLeavesTimeForAnotherTry(t *testing.T) {
+func TestHoldLimit(t *testing.T) {
 	for _, target := range []time.Duration{10 * time.Millisecond, 60 * time.Millisecond, 500 * time.Millisecond, 30 * time.Second} {
 		limit, limited := HoldLimit(target)
-		if !limited || limit < leastHeld || limit > leastHeld && limit+clientTravel > target/4 {
+		if !limited || limit < minHold || limit > minHold && limit+clientRoundTrip > target/4 {
 			t.Errorf("target %v: held for %v", target, limit)
 		}
 	}
@@ -18,17 +18,17 @@
 	}
 }
 
-func TestOnlyWhatNobodyCanBeOfferedIsGivenUp(t *testing.T) {
-	for wait, want := range map[Wait]Verdict{{}: GiveUp, {Pending: true}: LookAgain, {Offered: true}: Served, {Offered: true, Pending: true, Fresh: true}: Served, {Fresh: true}: LookAgain} {
-		if got := wait.Judge(); got != want {
+func TestDecide(t *testing.T) {
+	for wait, want := range map[DispatchState]Decision{{}: Reject, {Pending: true}: Recheck, {Dispatched: true}: AwaitResponse, {Dispatched: true, Pending: true, WarmingUp: true}: AwaitResponse, {WarmingUp: true}: Recheck} {
+		if got := wait.Decide(); got != want {
 			t.Errorf("%+v: %d, want %d", wait, got, want)
 		}
 	}
 }
 
-func TestAGathererIsFreshForTwoHeartbeats(t *testing.T) {
+func TestWarmingUp(t *testing.T) {
 	interval := 1200 * time.Millisecond
-	if !Fresh(0, interval) || !Fresh(2*interval-1, interval) || Fresh(2*interval, interval) {
+	if !WarmingUp(0, interval) || !WarmingUp(2*interval-1, interval) || WarmingUp(2*interval, interval) {
 		t.Error("fresh for another time than two intervals")
 	}
 }
--- a/forager/unoffered.go
+++ b/forager/unoffered.go
@@ -1,14 +1,14 @@
 package forager
 
 import (
+	"oxbowspan/admission"
 	"oxbowspan/brain"
-	"oxbowspan/offer"
 )
 
 // offered is what a search's parts say of it: whether a connection has carried one, or may do so yet.
-func (s *search) offered() (w offer.Wait) {
+func (s *search) offered() (w admission.DispatchState) {
 	for _, p := range s.parts {
-		w.Offered = w.Offered || p.first != nil
+		w.Dispatched = w.Dispatched || p.first != nil
 		w.Pending = w.Pending || p.out > 0 || p.awaits != 0
 	}
 	return w
@@ -16,10 +16,10 @@
 
 // watchUnoffered has a search looked at again when it has waited for its first offer for long enough.
 func (f *Forager) watchUnoffered(s *search, now brain.Time) {
-	if s.over || s.offered().Offered {
+	if s.over || s.offered().Dispatched {
 		return
 	}
-	limit, limited := offer.HoldLimit(millis(s.route.TargetMS))
+	limit, limited := admission.HoldLimit(millis(s.route.TargetMS))
 	if !limited {
 		return
 	}
@@ -32,13 +32,13 @@
 		return
 	}
 	wait := s.offered()
-	wait.Fresh = offer.Fresh(span(now), f.set.Beat())
-	switch wait.Judge() {
-	case offer.LookAgain:
+	wait.WarmingUp = admission.WarmingUp(span(now), f.set.Beat())
+	switch wait.Decide() {
+	case admission.Recheck:
 		f.watchUnoffered(s, now)
-	case offer.GiveUp:
+	case admission.Reject:
 		f.handle(brain.SearchLeft{Search: s.id})
 		f.giveUp(s.id, ticks(mostAdvice))
-	case offer.Served:
+	case admission.AwaitResponse:
 	}
 }
