--- a/forager/bench_test.go
+++ b/dataplane/bench_test.go
@@ -1,4 +1,4 @@
-package forager
+package dataplane
 
 import (
 	"bufio"
@@ -29,7 +29,7 @@
 			if err != nil {
 				return
 			}
-			go answerAll(c)
+			go answerRequests(c)
 		}
 	}()
 	set := &boot.Settings{IPAddress: "127.0.0.1", Zone: "z", InternalPorts: []int{7000, 7010}, FirstStart: true}
@@ -38,12 +38,12 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	f.wg.Go(f.own)
-	f.wg.Go(func() { f.serve(front) })
-	f.do(func() {
-		f.putInForce(&config.Configuration{Version: 1, Services: []config.Service{{Name: "s"}}, Routes: []config.Route{
+	f.wg.Go(f.runLoop)
+	f.wg.Go(func() { f.acceptClients(front) })
+	f.post(func() {
+		f.activateConfig(&config.Configuration{Version: 1, Services: []config.Service{{Name: "s"}}, Routes: []config.Route{
 			{Hostname: "h", PathPrefix: "/", RouteKind: config.Retryable, TimeoutMS: 900, TargetMS: 90, Service: "s", Attempts: 2}}}, 1)
-		f.takeReports(&rpc.Update{Full: true, HasQuorum: true, Warm: true, Reports: []*rpc.ServerReport{
+		f.applyReports(&rpc.Update{Full: true, HasQuorum: true, Warm: true, Reports: []*rpc.ServerReport{
 			{Instance: "i", Service: "s", Address: server.Addr().String(), Zone: "z", State: uint32(registry.Ready), Sequence: 1}}})
 	})
 	c, err := net.Dial("tcp", front.Addr().String())
@@ -55,7 +55,7 @@
 	b.ResetTimer()
 	for i := range b.N {
 		c.Write([]byte("GET /x HTTP/1.1\r\nHost: h\r\nX-Deadline-Remaining: 900\r\nX-Attempt-Id: " + strconv.Itoa(1000000+i) + "\r\n\r\n"))
-		if err := skipAnswer(r); err != nil {
+		if err := skipResponse(r); err != nil {
 			b.Fatal(err)
 		}
 	}
@@ -68,8 +68,8 @@
 	f.wg.Wait()
 }
 
-// answerAll answers requests without a body, each with its id.
-func answerAll(c net.Conn) {
+// answerRequests answers requests without a body, each with its id.
+func answerRequests(c net.Conn) {
 	defer c.Close()
 	r := bufio.NewReader(c)
 	id := ""
@@ -87,8 +87,8 @@
 	}
 }
 
-// skipAnswer reads an answer with a body of two bytes.
-func skipAnswer(r *bufio.Reader) error {
+// skipResponse reads an answer with a body of two bytes.
+func skipResponse(r *bufio.Reader) error {
 	for {
 		line, err := r.ReadSlice('\n')
 		if err != nil {
--- /dev/null
+++ b/dataplane/dispatchwatch.go
@@ -0,0 +1,44 @@
+package dataplane
+
+import (
+	"oxbowspan/admission"
+	"oxbowspan/brain"
+)
+
+// dispatchState is what a search's parts say of it: whether a connection has carried one, or may do so yet.
+func (s *request) dispatchState() (w admission.DispatchState) {
+	for _, p := range s.shardCalls {
+		w.Dispatched = w.Dispatched || p.firstConn != nil
+		w.Pending = w.Pending || p.inFlight > 0 || p.waitingSince != 0
+	}
+	return w
+}
+
+// watchDispatch has a search looked at again when it has waited for its first offer for long enough.
+func (f *Gateway) watchDispatch(s *request, now brain.Time) {
+	if s.finished || s.dispatchState().Dispatched {
+		return
+	}
+	limit, limited := admission.HoldLimit(fromMillis(s.route.TargetMS))
+	if !limited {
+		return
+	}
+	f.timers.Push(int64(now+ticks(limit)), timerEvent{undispatched: s})
+}
+
+// dispatchOverdue gives up a search that nobody could be offered: no server can be asked, and brain waits for one to come back.
+func (f *Gateway) dispatchOverdue(s *request, now brain.Time) {
+	if s.finished {
+		return
+	}
+	wait := s.dispatchState()
+	wait.WarmingUp = admission.WarmingUp(duration(now), f.settings.Beat())
+	switch wait.Decide() {
+	case admission.Recheck:
+		f.watchDispatch(s, now)
+	case admission.Reject:
+		f.handleEvent(brain.SearchLeft{Search: s.id})
+		f.failRequest(s.id, ticks(maxRetryAfter))
+	case admission.AwaitResponse:
+	}
+}
--- a/forager/exchange_test.go
+++ b/dataplane/exchange_test.go
@@ -1,4 +1,4 @@
-package forager
+package dataplane
 
 import (
 	"testing"
@@ -7,30 +7,30 @@
 )
 
 // What the end of a connection says of a request, by how much of it had been handed over.
-func TestWhenARequestHasPerhapsRun(t *testing.T) {
-	c := &call{}
+func TestExchangeConnectionLost(t *testing.T) {
+	c := &attempt{}
 	for what, k := range map[string]struct {
 		do       func(x *exchange)
-		lost     *call
+		lost     *attempt
 		outcome  brain.Outcome
 		reusable bool
 	}{
 		"idle":                       {func(*exchange) {}, nil, brain.Reset, true},
 		"before its first byte":      {func(x *exchange) { x.begin(c) }, c, brain.Reset, false}, // the write may be under way
-		"no byte was taken":          {func(x *exchange) { x.begin(c); x.handedOver(0) }, c, brain.ConnectFailed, false},
-		"one byte was taken":         {func(x *exchange) { x.begin(c); x.handedOver(1) }, c, brain.Reset, false},
-		"answered":                   {func(x *exchange) { x.begin(c); x.handedOver(9); x.answered() }, nil, brain.Reset, true},
-		"answered while it is taken": {func(x *exchange) { x.begin(c); x.answered() }, nil, brain.Reset, false},
-		"the next one":               {func(x *exchange) { x.begin(&call{}); x.handedOver(9); x.answered(); x.begin(c) }, c, brain.Reset, false},
+		"no byte was taken":          {func(x *exchange) { x.begin(c); x.written(0) }, c, brain.ConnectFailed, false},
+		"one byte was taken":         {func(x *exchange) { x.begin(c); x.written(1) }, c, brain.Reset, false},
+		"answered":                   {func(x *exchange) { x.begin(c); x.written(9); x.responseReceived() }, nil, brain.Reset, true},
+		"answered while it is taken": {func(x *exchange) { x.begin(c); x.responseReceived() }, nil, brain.Reset, false},
+		"the next one":               {func(x *exchange) { x.begin(&attempt{}); x.written(9); x.responseReceived(); x.begin(c) }, c, brain.Reset, false},
 	} {
 		x := &exchange{}
 		k.do(x)
 		reusable := x.reusable()
-		lost, outcome := x.broken(brain.Reset)
+		lost, outcome := x.connectionLost(brain.Reset)
 		if lost != k.lost || outcome != k.outcome || reusable != k.reusable {
 			t.Errorf("%s: lost %p, outcome %d, reusable %v", what, lost, outcome, reusable)
 		}
-		if again, _ := x.broken(brain.Reset); again != nil {
+		if again, _ := x.connectionLost(brain.Reset); again != nil {
 			t.Errorf("%s: lost twice", what)
 		}
 	}
--- a/forager/bounds_test.go
+++ b/dataplane/framing_test.go
@@ -1,4 +1,4 @@
-package forager
+package dataplane
 
 import (
 	"bufio"
@@ -20,12 +20,12 @@
 // What stands on a client's connection is read as requests with the bounds that a strict reader finds, or refused. So no other
 // reader of the same bytes can find a request in the midst of what is passed on.
 
-// found is a request that a reader finds.
-type found struct{ method, target, id, body string }
+// parsedRequest is a request that a reader finds.
+type parsedRequest struct{ method, target, id, body string }
 
-// strictly reads requests as the standard's text has them, with none of the liberties that it lets a reader take, up to the first
+// parseStrictly reads requests as the standard's text has them, with none of the liberties that it lets a reader take, up to the first
 // byte that is otherwise.
-func strictly(text string) (all []found) {
+func parseStrictly(text string) (all []parsedRequest) {
 	for {
 		for strings.HasPrefix(text, "\r\n") {
 			text = text[2:]
@@ -36,7 +36,7 @@
 		if !whole || strings.ContainsAny(strings.Join(lines, ""), "\r\n\x00") || len(first) != 3 || first[2] != "HTTP/1.1" || !strings.HasPrefix(first[1], "/") {
 			return all
 		}
-		q, length, chunked, hosts := found{method: first[0], target: first[1]}, "", "", 0
+		q, length, chunked, hosts := parsedRequest{method: first[0], target: first[1]}, "", "", 0
 		for _, line := range lines[1:] {
 			name, value, ok := strings.Cut(line, ":")
 			value = strings.Trim(value, " \t")
@@ -67,7 +67,7 @@
 		case hosts != 1 || length != "" && chunked != "":
 			return all
 		case chunked != "":
-			if q.body, rest, whole = chunks(rest); !whole {
+			if q.body, rest, whole = parseChunks(rest); !whole {
 				return all
 			}
 		case length != "":
@@ -82,8 +82,8 @@
 	}
 }
 
-// chunks reads a body in chunks.
-func chunks(text string) (body, rest string, whole bool) {
+// parseChunks reads a body in chunks.
+func parseChunks(text string) (body, rest string, whole bool) {
 	for {
 		line, after, ok := strings.Cut(text, "\r\n")
 		size, extension, _ := strings.Cut(line, ";")
@@ -110,31 +110,31 @@
 	}
 }
 
-// silentConn is a connection on which a text came.
-type silentConn struct {
+// inputConn is a connection on which a text came.
+type inputConn struct {
 	net.Conn
 	r io.Reader
 }
 
-func (c silentConn) Read(b []byte) (int, error)     { return c.r.Read(b) }
-func (silentConn) Write(b []byte) (int, error)      { return len(b), nil }
-func (silentConn) SetReadDeadline(time.Time) error  { return nil }
-func (silentConn) SetWriteDeadline(time.Time) error { return nil }
+func (c inputConn) Read(b []byte) (int, error)     { return c.r.Read(b) }
+func (inputConn) Write(b []byte) (int, error)      { return len(b), nil }
+func (inputConn) SetReadDeadline(time.Time) error  { return nil }
+func (inputConn) SetWriteDeadline(time.Time) error { return nil }
 
-// asRead are the requests that the gatherer finds.
-func asRead(text string, piece int) (all []found) {
-	c := silentConn{r: strings.NewReader(text)}
+// parseAsGateway are the requests that the gatherer finds.
+func parseAsGateway(text string, piece int) (all []parsedRequest) {
+	c := inputConn{r: strings.NewReader(text)}
 	if piece > 0 {
-		c.r = &pieces{c.r, piece}
+		c.r = &pieceReader{c.r, piece}
 	}
-	k := &client{c: c, r: bufio.NewReaderSize(c, 4096)}
+	k := &clientConn{conn: c, reader: bufio.NewReaderSize(c, 4096)}
 	limits := config.Limits{BodyBytes: 1 << 16, HeaderTimeoutMS: 1000}
-	for k.readHead(&k.req, limits) && k.readBody(&k.req, limits) {
-		along, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(append(append([]byte("GET / HTTP/1.1\r\n"), passOn(&k.req)...), "\r\n"...))))
+	for k.readHeader(&k.req, limits) && k.readBody(&k.req, limits) {
+		along, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(append(append([]byte("GET / HTTP/1.1\r\n"), forwardedHeaders(&k.req)...), "\r\n"...))))
 		if err != nil {
-			return append(all, found{method: fmt.Sprint("what goes along can't be read: ", err)})
+			return append(all, parsedRequest{method: fmt.Sprint("what goes along can't be read: ", err)})
 		}
-		all = append(all, found{string(k.req.Header.Method()), string(k.req.Header.RequestURI()), along.Header.Get("X-Attempt-Id"), string(k.req.Body())})
+		all = append(all, parsedRequest{string(k.req.Header.Method()), string(k.req.Header.RequestURI()), along.Header.Get("X-Attempt-Id"), string(k.req.Body())})
 		if k.req.Header.ConnectionClose() {
 			break
 		}
@@ -142,17 +142,17 @@
 	return all
 }
 
-// pieces reads so many bytes at a time.
-type pieces struct {
+// pieceReader reads so many bytes at a time.
+type pieceReader struct {
 	r io.Reader
 	n int
 }
 
-func (p *pieces) Read(b []byte) (int, error) { return p.r.Read(b[:min(p.n, len(b))]) }
+func (p *pieceReader) Read(b []byte) (int, error) { return p.r.Read(b[:min(p.n, len(b))]) }
 
-const hidden = "POST /hidden HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: hidden\r\n\r\n"
+const smuggledRequest = "POST /hidden HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: hidden\r\n\r\n"
 
-var drawConnection = rapid.Custom(func(t *rapid.T) string {
+var connectionGenerator = rapid.Custom(func(t *rapid.T) string {
 	odd := rapid.Bool().Draw(t, "odd line ends")
 	end := func() string {
 		if !odd {
@@ -165,11 +165,11 @@
 		b.WriteString(rapid.SampledFrom([]string{"GET", "POST", "HEAD", "DELETE"}).Draw(t, "method") + " ")
 		b.WriteString(rapid.SampledFrom([]string{"/x", "/x", "/x", "/x y", "http://h/x", "*", "/x\t"}).Draw(t, "target") + " HTTP/1.1" + end())
 		b.WriteString("Host: h" + end() + "X-Attempt-Id: " + strconv.Itoa(i) + end())
-		body := rapid.SampledFrom([]string{"", "ab", hidden, "0\r\n\r\n" + hidden}).Draw(t, "body")
+		body := rapid.SampledFrom([]string{"", "ab", smuggledRequest, "0\r\n\r\n" + smuggledRequest}).Draw(t, "body")
 		lines := rapid.SampledFrom([]string{"length", "length", "chunks", "chunks", "none", "both", "twice", "odd length", "folded", "spaced", "odd coding", "two ids", "hop"}).Draw(t, "bounds")
 		chunked := fmt.Sprintf("%x%s%s%s%s0%s%s", len(body), rapid.SampledFrom([]string{"", "", ";a=b", ";a\n", " ", ";\"\r\n"}).Draw(t, "extension"), end(), body, end(), end(), end())
 		if body == "" {
-			chunked = "0" + end() + rapid.SampledFrom([]string{"", "X: y\r\n", hidden, "X\r\n"}).Draw(t, "trailer") + end()
+			chunked = "0" + end() + rapid.SampledFrom([]string{"", "X: y\r\n", smuggledRequest, "X\r\n"}).Draw(t, "trailer") + end()
 		}
 		length := "Content-Length: " + strconv.Itoa(len(body))
 		switch lines {
@@ -200,11 +200,11 @@
 	return b.String()
 })
 
-func TestRequestsHaveTheBoundsThatAStrictReaderFinds(t *testing.T) {
+func TestFramingMatchesStrictParser(t *testing.T) {
 	read := 0
 	rapid.Check(t, func(t *rapid.T) {
-		text := drawConnection.Draw(t, "text")
-		got, want := asRead(text, rapid.SampledFrom([]int{0, 0, 1, 7}).Draw(t, "in pieces of")), strictly(text)
+		text := connectionGenerator.Draw(t, "text")
+		got, want := parseAsGateway(text, rapid.SampledFrom([]int{0, 0, 1, 7}).Draw(t, "in pieces of")), parseStrictly(text)
 		for i, q := range got {
 			if i >= len(want) || q != want[i] {
 				t.Fatalf("UNASKED: %q is read as %q, strictly as %q", text, got, want)
--- a/forager/fuzz_test.go
+++ b/dataplane/fuzz_test.go
@@ -1,4 +1,4 @@
-package forager
+package dataplane
 
 import (
 	"bufio"
@@ -11,8 +11,8 @@
 	"oxbowspan/config"
 )
 
-// FuzzServersAnswers: no bytes of a server have this gatherer break off, and what it takes for an answer is whole, stamped and the request's own.
-func FuzzServersAnswers(f *testing.F) {
+// FuzzReadResponse: no bytes of a server have this gatherer break off, and what it takes for an answer is whole, stamped and the request's own.
+func FuzzReadResponse(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 200 OK\r\nX-Attempt-Id: q\r\nX-Server-Seal: s\r\nContent-Length: 3\r\n\r\nabc"), true)
 	f.Add([]byte("HTTP/1.1 200 OK\r\nX-Attempt-Id: q\r\nX-Server-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\nx: y\r\n\r\n"), false)
 	f.Add([]byte("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 503 No\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\nKeep-Alive: timeout=99999999999999999999\r\n\r\n"), true)
@@ -22,11 +22,11 @@
 		if gathered {
 			r.GatheredServices = []string{"a"}
 		}
-		s := &search{route: r, method: "GET", attempt: "q"}
+		s := &request{route: r, method: "GET", attemptID: "q"}
 		resp := fasthttp.AcquireResponse()
 		defer fasthttp.ReleaseResponse(resp)
-		outcome, keep, err := readAnswer(bufio.NewReaderSize(bytes.NewReader(text), 4096), s, false, resp)
-		if keep < 0 || keep > idleLimit {
+		outcome, keep, err := readResponse(bufio.NewReaderSize(bytes.NewReader(text), 4096), s, false, resp)
+		if keep < 0 || keep > maxIdle {
 			t.Fatalf("a connection is kept for %v", keep)
 		}
 		if err != nil || outcome != brain.Answered {
@@ -41,8 +41,8 @@
 	})
 }
 
-// FuzzClientsRequests: what is passed on bears one host, and nothing that concerns one connection only or that this gatherer sets itself.
-func FuzzClientsRequests(f *testing.F) {
+// FuzzForwardedHeaders: what is passed on bears one host, and nothing that concerns one connection only or that this gatherer sets itself.
+func FuzzForwardedHeaders(f *testing.F) {
 	f.Add([]byte("GET /a/b?c HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: q\r\nConnection: x-hop\r\nX-Hop: 1\r\n\r\n"))
 	f.Add([]byte("POST /a/ HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\nabc"))
 	f.Add([]byte("GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n"))
@@ -50,10 +50,10 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		q := &fasthttp.Request{}
 		q.Header.DisableNormalizing()
-		if q.Header.Read(bufio.NewReaderSize(bytes.NewReader(text), 16<<10)) != nil || doubtful(q) != "" {
+		if q.Header.Read(bufio.NewReaderSize(bytes.NewReader(text), 16<<10)) != nil || ambiguousFraming(q) != "" {
 			return
 		}
-		head := passOn(q)
+		head := forwardedHeaders(q)
 		hosts := 0
 		for line := range bytes.SplitSeq(head, []byte("\r\n")) {
 			name, _, ok := bytes.Cut(line, []byte(":"))
@@ -66,7 +66,7 @@
 			switch {
 			case bytes.EqualFold(name, []byte("Host")):
 				hosts++
-			case hopByHop(name), bytes.EqualFold(name, []byte("X-Deadline-Remaining")), bytes.EqualFold(name, []byte("X-Expected-Instance")):
+			case isHopByHop(name), bytes.EqualFold(name, []byte("X-Deadline-Remaining")), bytes.EqualFold(name, []byte("X-Expected-Instance")):
 				t.Fatalf("line %q is passed on", line)
 			}
 		}
--- /dev/null
+++ b/dataplane/healthcheck.go
@@ -0,0 +1,125 @@
+package dataplane
+
+import (
+	"bufio"
+	"net"
+	"net/http"
+	"time"
+
+	"oxbowspan/brain"
+	"oxbowspan/registry"
+	"oxbowspan/rendezvous"
+	"oxbowspan/rpc"
+)
+
+// Looking after a server that the core does not hear. Its calls may not come through while it serves as before: one gatherer,
+// the holder of that server's duty, asks for its health and tells the core under its claim. Servers that are heard are never
+// probed: their calls and the traffic tell more.
+const (
+	healthCheckTimeout     = 400 * time.Millisecond  // for the whole probe
+	healthCheckInterval    = 1000 * time.Millisecond // between two probes of a server that is well,
+	maxHealthCheckInterval = 8000 * time.Millisecond // doubling up to this between those of one that is not
+	healthReportAge        = 2 * time.Second         // what was seen is told so long
+)
+
+// runHealthChecks probes the servers whose duty this gatherer holds.
+func (f *Gateway) runHealthChecks(now brain.Time) {
+	if f.draining.Load() {
+		return // what it begins must end with it
+	}
+	for _, s := range f.endpoints {
+		if !s.noHeartbeats {
+			s.healthCheckPause = 0
+			continue
+		}
+		if s.state != registry.Ready || s.replaced || now < s.nextHealthCheck || !f.roles.Holds(rendezvous.Name(s.instance), duration(now)) {
+			continue
+		}
+		if s.healthCheckPause == 0 {
+			s.healthCheckPause = ticks(healthCheckInterval)
+		}
+		s.nextHealthCheck = now + s.healthCheckPause
+		s.healthCheckPause = min(2*s.healthCheckPause, ticks(maxHealthCheckInterval))
+		path, address, instance := f.healthPath(s.service), s.address, s.instance
+		f.wg.Go(func() {
+			well := f.checkHealth(address, instance, path)
+			f.post(func() { f.healthCheckDone(instance, well) })
+		})
+	}
+}
+
+// healthCheckDone takes the end of a probe. The duty may have changed hands since.
+func (f *Gateway) healthCheckDone(instance string, well bool) {
+	s := f.endpoints[instance]
+	now := f.now()
+	if s == nil || !well || !f.roles.Holds(rendezvous.Name(instance), duration(now)) {
+		return
+	}
+	if s.lease = s.lease.Acquire(f.incarnation); s.seenHealthyAt == 0 || s.overdue {
+		f.log.Info().Str("instance", instance).Uint64("fence", s.lease.FencingToken).Msg("duties: the core does not hear a server that is well")
+	}
+	s.seenHealthyAt, s.nextHealthCheck, s.healthCheckPause = now, now+ticks(healthCheckInterval), ticks(healthCheckInterval)
+}
+
+// pollStatus is what a question to the hives tells the core.
+type pollStatus struct {
+	healthChecks []*rpc.ServerReport
+	stats        *rpc.GatewayStats
+}
+
+// fillPoll puts into a question what the core is to be told: servers that it does not hear, and what operators ask for. The
+// owner's answer travels through a channel, so that a caller that the stop releases shares no variable with the owner.
+func (f *Gateway) fillPoll(a *rpc.Poll) {
+	answers := make(chan pollStatus, 1)
+	if !f.post(func() { answers <- f.pollStatus(f.now()) }) {
+		return
+	}
+	select {
+	case o := <-answers:
+		a.HealthChecks, a.Stats = o.healthChecks, o.stats
+	case <-f.stopped:
+	}
+}
+
+// pollStatus gathers what the core is to be told. It is the owner's.
+func (f *Gateway) pollStatus(now brain.Time) pollStatus {
+	o := pollStatus{stats: f.stats(now)}
+	for _, s := range f.endpoints {
+		if s.seenHealthyAt > 0 && now-s.seenHealthyAt < ticks(healthReportAge) && s.lease.Holder == f.incarnation && s.noHeartbeats {
+			o.healthChecks = append(o.healthChecks, &rpc.ServerReport{Instance: s.instance, HealthCheckAgeMs: uint32(duration(now-s.seenHealthyAt) / time.Millisecond),
+				FencingToken: s.lease.FencingToken, LeaseHolder: s.lease.Holder})
+		}
+	}
+	return o
+}
+
+func (f *Gateway) healthPath(service string) string {
+	if f.config != nil {
+		for _, s := range f.config.Services {
+			if s.Name == service && s.HealthPath != "" {
+				return s.HealthPath
+			}
+		}
+	}
+	return "/health"
+}
+
+// checkHealth asks a server for its health. Another server at its address, or one that is leaving, is not it.
+func (f *Gateway) checkHealth(address, instance, path string) bool {
+	c, err := f.network.Dial(address, healthCheckTimeout)
+	if err != nil {
+		return false
+	}
+	defer c.Close()
+	c.SetDeadline(time.Now().Add(healthCheckTimeout))
+	host, _, _ := net.SplitHostPort(address)
+	if _, err := c.Write([]byte("GET " + path + " HTTP/1.1\r\nHost: " + host + "\r\nConnection: close\r\n\r\n")); err != nil {
+		return false
+	}
+	resp, err := http.ReadResponse(bufio.NewReaderSize(c, 1024), nil)
+	if err != nil {
+		return false
+	}
+	resp.Body.Close()
+	return resp.StatusCode == http.StatusOK && resp.Header.Get("X-Instance-Id") == instance
+}
--- a/forager/answer.go
+++ b/dataplane/response.go
@@ -1,4 +1,4 @@
-package forager
+package dataplane
 
 import (
 	"bufio"
@@ -13,8 +13,8 @@
 	"oxbowspan/brain"
 )
 
-// promises tells whether a status promises that the request has not run and never will.
-func promises(status int) bool {
+// promisesNotExecuted tells whether a status promises that the request has not run and never will.
+func promisesNotExecuted(status int) bool {
 	switch status {
 	case fasthttp.StatusTooManyRequests, fasthttp.StatusServiceUnavailable, fasthttp.StatusRequestTimeout, fasthttp.StatusMisdirectedRequest:
 		return true
@@ -22,11 +22,11 @@
 	return false
 }
 
-// readAnswer reads one whole answer to a request. With an error, the bytes were no whole answer to this request: the
+// readResponse reads one whole answer to a request. With an error, the bytes were no whole answer to this request: the
 // connection is of no more use and the request may have run. First says that the connection brought no answer before. Keep is how
 // long the connection may rest, 0 = not at all.
-func readAnswer(r *bufio.Reader, s *search, first bool, resp *fasthttp.Response) (outcome brain.Outcome, keep time.Duration, err error) {
-	if err := readFinalHead(r, resp); err != nil {
+func readResponse(r *bufio.Reader, s *request, first bool, resp *fasthttp.Response) (outcome brain.Outcome, keep time.Duration, err error) {
+	if err := readFinalHeader(r, resp); err != nil {
 		return brain.Reset, 0, err
 	}
 	status := resp.StatusCode()
@@ -35,7 +35,7 @@
 		if resp.Header.ContentLength() == -2 {
 			return brain.Reset, 0, eris.New("an answer without a length: whether it is whole can't be known")
 		}
-		if err := resp.ReadBody(r, answerBytes); err != nil {
+		if err := resp.ReadBody(r, maxResponseBytes); err != nil {
 			return brain.Reset, 0, err
 		}
 		if resp.Header.ContentLength() == -1 {
@@ -44,29 +44,29 @@
 			}
 		}
 	}
-	if !belongs(resp, s, first) {
+	if !belongsToRequest(resp, s, first) {
 		return brain.Reset, 0, eris.New("an answer to another request, or to nobody knows which")
 	}
-	keep = idleLimit
+	keep = maxIdle
 	if resp.Header.ConnectionClose() || len(resp.Header.Peek("X-Attempt-Id")) == 0 || status == fasthttp.StatusMisdirectedRequest {
 		keep = 0
 	}
 	if text := resp.Header.Peek("Keep-Alive"); len(text) > 0 && keep > 0 {
-		keep = min(keep, keepAlive(string(text)))
+		keep = min(keep, keepAliveTimeout(string(text)))
 	}
-	return judge(status, resp, s), keep, nil
+	return responseOutcome(status, resp, s), keep, nil
 }
 
 // Bounds on the head of an answer.
 const (
-	interimAnswers = 16                  // that may come before the final one
-	leastHead      = len("HTTP/1.1 200") // bytes that every answer begins with
+	maxInterimResponses = 16                  // that may come before the final one
+	statusLinePrefix    = len("HTTP/1.1 200") // bytes that every answer begins with
 )
 
-// readFinalHead reads the head of the final answer, past interim ones, which have no body whatever their lines say.
-func readFinalHead(r *bufio.Reader, resp *fasthttp.Response) error {
-	for range interimAnswers {
-		if err := checkStart(r); err != nil {
+// readFinalHeader reads the head of the final answer, past interim ones, which have no body whatever their lines say.
+func readFinalHeader(r *bufio.Reader, resp *fasthttp.Response) error {
+	for range maxInterimResponses {
+		if err := checkStatusLine(r); err != nil {
 			return err
 		}
 		if err := resp.Header.Read(r); err != nil {
@@ -82,10 +82,10 @@
 	return eris.New("too many interim answers")
 }
 
-// checkStart sees that what comes begins as an answer does, with a status from 100 to 599. The reader of heads skips empty lines
+// checkStatusLine sees that what comes begins as an answer does, with a status from 100 to 599. The reader of heads skips empty lines
 // and takes the status 000 for 200.
-func checkStart(r *bufio.Reader) error {
-	b, err := r.Peek(leastHead)
+func checkStatusLine(r *bufio.Reader) error {
+	b, err := r.Peek(statusLinePrefix)
 	if err != nil {
 		return err
 	}
@@ -96,29 +96,29 @@
 	return nil
 }
 
-// belongs tells whether an answer is this request's own: it bears the request's id and no other (two stand in a head that was torn
+// belongsToRequest tells whether an answer is this request's own: it bears the request's id and no other (two stand in a head that was torn
 // off, with another's behind it). A 421 may bear none, and so may a success as a part of a gathered answer where it is the first
 // that its connection brings; the connection ends with it, so that neither is the late copy of an earlier answer. One of another
 // kind without the id may be late, doubled or unasked for, and what it says of its request would be taken for what became of this
 // one.
-func belongs(resp *fasthttp.Response, s *search, first bool) bool {
+func belongsToRequest(resp *fasthttp.Response, s *request, first bool) bool {
 	switch ids := resp.Header.PeekAll("X-Attempt-Id"); len(ids) {
 	case 0:
 		firstPart := first && s.route.Gathered() && resp.StatusCode()/100 == 2
-		return s.attempt == "" || firstPart || resp.StatusCode() == fasthttp.StatusMisdirectedRequest
+		return s.attemptID == "" || firstPart || resp.StatusCode() == fasthttp.StatusMisdirectedRequest
 	case 1:
-		return string(ids[0]) == s.attempt
+		return string(ids[0]) == s.attemptID
 	}
 	return false
 }
 
-// trailerLines is how many lines may stand behind the last chunk of a body.
-const trailerLines = 32
+// maxTrailerLines is how many lines may stand behind the last chunk of a body.
+const maxTrailerLines = 32
 
 // skipTrailer reads what stands behind the last chunk of a body up to its empty line, which nobody here wants. Left in place it
 // would be taken for the beginning of the next message.
 func skipTrailer(r *bufio.Reader) error {
-	for range trailerLines {
+	for range maxTrailerLines {
 		line, err := r.ReadSlice('\n')
 		if err != nil {
 			return err
@@ -137,15 +137,15 @@
 	return eris.New("too many lines behind the last chunk")
 }
 
-// judge is what an answer says of its sub-request.
-func judge(status int, resp *fasthttp.Response, s *search) brain.Outcome {
+// responseOutcome is what an answer says of its sub-request.
+func responseOutcome(status int, resp *fasthttp.Response, s *request) brain.Outcome {
 	marked := len(resp.Header.Peek("X-Not-Executed")) > 0
 	switch {
 	case status == fasthttp.StatusMisdirectedRequest:
 		return brain.TurnedAway
-	case marked && (promises(status) || status == fasthttp.StatusBadRequest):
+	case marked && (promisesNotExecuted(status) || status == fasthttp.StatusBadRequest):
 		return brain.TurnedAway
-	case status/100 != 2 && (s.route.Gathered() || status >= 500 || promises(status)):
+	case status/100 != 2 && (s.route.Gathered() || status >= 500 || promisesNotExecuted(status)):
 		return brain.Errored // a promise without the mark is the server's own word for something else, and must not go on as one
 	case status/100 == 2 && len(resp.Header.Peek("X-Server-Seal")) == 0:
 		return brain.Errored
@@ -155,8 +155,8 @@
 	return brain.Answered
 }
 
-// keepAlive is the time that a Keep-Alive field names, less a little for the way; what it does not name is no bound.
-func keepAlive(text string) time.Duration {
+// keepAliveTimeout is the time that a Keep-Alive field names, less a little for the way; what it does not name is no bound.
+func keepAliveTimeout(text string) time.Duration {
 	for field := range strings.SplitSeq(text, ",") {
 		name, value, ok := strings.Cut(strings.TrimSpace(field), "=")
 		if ok && strings.EqualFold(strings.TrimSpace(name), "timeout") {
@@ -165,11 +165,11 @@
 			}
 		}
 	}
-	return idleLimit
+	return maxIdle
 }
 
-// hopByHop tells whether a header field concerns one connection only, or is set anew on each.
-func hopByHop(name []byte) bool {
+// isHopByHop tells whether a header field concerns one connection only, or is set anew on each.
+func isHopByHop(name []byte) bool {
 	switch len(name) {
 	case 2:
 		return bytes.EqualFold(name, []byte("TE"))
--- a/forager/forager_test.go
+++ b/dataplane/response_test.go
@@ -1,4 +1,4 @@
-package forager
+package dataplane
 
 import (
 	"bufio"
@@ -15,7 +15,7 @@
 const seal = "X-Server-Seal: s\r\n"
 
 // What servers send, and what it says of a sub-request. A wrong verdict is a rule broken: MIXED, TWICE or REFUSED.
-func TestAnswersOfServers(t *testing.T) {
+func TestReadResponse(t *testing.T) {
 	single, gathered := &route{Route: &config.Route{Service: "s"}}, &route{Route: &config.Route{GatheredServices: []string{"s"}}}
 	for what, k := range map[string]struct {
 		text    string
@@ -47,7 +47,7 @@
 		"moved":                 {"HTTP/1.1 421 No\r\nX-Instance-Id: o\r\nContent-Length: 0\r\n\r\n", single, brain.TurnedAway, false, false},
 		"another has moved":     {"HTTP/1.1 421 No\r\nX-Attempt-Id: p\r\nX-Instance-Id: o\r\nContent-Length: 0\r\n\r\n", single, brain.Reset, true, false},
 		"early hints":           {"HTTP/1.1 103 Hints\r\nContent-Length: 5\r\n\r\nHTTP/1.1 200 OK\r\nX-Attempt-Id: q\r\n" + seal + "Content-Length: 2\r\n\r\nab", single, brain.Answered, false, true},
-		"only interim ones":     {strings.Repeat("HTTP/1.1 102 Wait\r\nX-Attempt-Id: q\r\n\r\n", interimAnswers+1), single, brain.Reset, true, false},
+		"only interim ones":     {strings.Repeat("HTTP/1.1 102 Wait\r\nX-Attempt-Id: q\r\n\r\n", maxInterimResponses+1), single, brain.Reset, true, false},
 		"another protocol":      {"HTTP/1.1 101 Switch\r\nX-Attempt-Id: q\r\n" + seal + "Content-Length: 2\r\n\r\nab", single, brain.Reset, true, false},
 		"no such status":        {"HTTP/1.1 000 OK\r\nX-Attempt-Id: q\r\n" + seal + "Content-Length: 2\r\n\r\nab", single, brain.Reset, true, false},
 		"behind a stray line":   {"\r\nHTTP/1.1 200 OK\r\nX-Attempt-Id: q\r\n" + seal + "Content-Length: 2\r\n\r\nab", single, brain.Reset, true, false},
@@ -56,7 +56,7 @@
 	} {
 		resp := fasthttp.AcquireResponse()
 		from := bufio.NewReader(strings.NewReader(k.text))
-		outcome, keep, err := readAnswer(from, &search{method: "GET", attempt: "q", route: k.to}, false, resp)
+		outcome, keep, err := readResponse(from, &request{method: "GET", attemptID: "q", route: k.to}, false, resp)
 		if (err != nil) != k.broken || outcome != k.outcome || (keep > 0) != k.keep {
 			t.Errorf("%s: outcome %d, kept %v, error %v", what, outcome, keep, err)
 		}
@@ -68,7 +68,7 @@
 }
 
 // Requests in which two readers might find different bounds are refused.
-func TestDoubtfulRequests(t *testing.T) {
+func TestAmbiguousFraming(t *testing.T) {
 	for what, k := range map[string]struct {
 		text string
 		fine bool
@@ -91,13 +91,13 @@
 		var q fasthttp.Request
 		q.Header.DisableNormalizing()
 		err := q.Header.Read(bufio.NewReader(strings.NewReader(k.text)))
-		if fine := err == nil && doubtful(&q) == ""; fine != k.fine {
-			t.Errorf("%s: taken %v (%v, %q)", what, fine, err, doubtful(&q))
+		if fine := err == nil && ambiguousFraming(&q) == ""; fine != k.fine {
+			t.Errorf("%s: taken %v (%v, %q)", what, fine, err, ambiguousFraming(&q))
 		}
 	}
 }
 
-func TestWhatGoesAlong(t *testing.T) {
+func TestForwardedHeaders(t *testing.T) {
 	var q fasthttp.Request
 	q.Header.DisableNormalizing()
 	text := "GET /x HTTP/1.1\r\nHost: h.example:80\r\nX-Attempt-Id: q\r\nx-odd-Name: v\r\nConnection: keep-alive, x-mine\r\nX-Mine: 1\r\nConnection: close, x-yours\r\nX-Yours: 1\r\n" +
@@ -105,7 +105,7 @@
 	if err := q.Header.Read(bufio.NewReader(strings.NewReader(text))); err != nil {
 		t.Fatal(err)
 	}
-	got := string(passOn(&q))
+	got := string(forwardedHeaders(&q))
 	for _, want := range []string{"Host: h.example:80\r\n", "X-Attempt-Id: q\r\n", "x-odd-Name: v\r\n", "Accept: */*\r\n"} {
 		if !strings.Contains(got, want) {
 			t.Errorf("%q is missing in %q", want, got)
@@ -118,22 +118,22 @@
 	}
 }
 
-func TestKeepAliveTimes(t *testing.T) {
+func TestKeepAliveTimeout(t *testing.T) {
 	for text, want := range map[string]time.Duration{"timeout=5": 4800 * time.Millisecond, "timeout=0": 0, "max=3, timeout=2": 1800 * time.Millisecond,
-		"max=3": idleLimit, "timeout=x": idleLimit} {
-		if got := keepAlive(text); got != want {
+		"max=3": maxIdle, "timeout=x": maxIdle} {
+		if got := keepAliveTimeout(text); got != want {
 			t.Errorf("%q: %v, want %v", text, got, want)
 		}
 	}
 }
 
-func FuzzAnswers(f *testing.F) {
+func FuzzReadResponseID(f *testing.F) {
 	f.Add("HTTP/1.1 200 OK\r\nX-Attempt-Id: q\r\n" + seal + "Content-Length: 2\r\n\r\nab")
 	f.Fuzz(func(t *testing.T, text string) {
 		resp := fasthttp.AcquireResponse()
 		defer fasthttp.ReleaseResponse(resp)
-		s := &search{method: "GET", attempt: "q", route: &route{Route: &config.Route{Service: "s"}}}
-		outcome, _, err := readAnswer(bufio.NewReader(strings.NewReader(text)), s, false, resp)
+		s := &request{method: "GET", attemptID: "q", route: &route{Route: &config.Route{Service: "s"}}}
+		outcome, _, err := readResponse(bufio.NewReader(strings.NewReader(text)), s, false, resp)
 		if err == nil && outcome == brain.Answered && string(resp.Header.Peek("X-Attempt-Id")) != "q" {
 			t.Fatalf("%q was taken for the answer to q", text)
 		}
@@ -142,7 +142,7 @@
 
 // A server that leaves the id out of the parts of gathered answers serves all the same, with a connection for each: only the
 // first answer of a connection can be nobody's late copy.
-func TestAPartWithoutAnIdCountsFirstOnItsConnectionOnly(t *testing.T) {
+func TestShardResponseWithoutID(t *testing.T) {
 	text := "HTTP/1.1 200 OK\r\n" + seal + "Content-Length: 2\r\n\r\nab"
 	single, gathered := &route{Route: &config.Route{Service: "s"}}, &route{Route: &config.Route{GatheredServices: []string{"s"}}}
 	for _, k := range []struct {
@@ -151,7 +151,7 @@
 		belongs bool
 	}{{gathered, true, true}, {gathered, false, false}, {single, true, false}, {single, false, false}} {
 		resp := fasthttp.AcquireResponse()
-		outcome, keep, err := readAnswer(bufio.NewReader(strings.NewReader(text)), &search{method: "GET", attempt: "q", route: k.to}, k.first, resp)
+		outcome, keep, err := readResponse(bufio.NewReader(strings.NewReader(text)), &request{method: "GET", attemptID: "q", route: k.to}, k.first, resp)
 		if (err == nil) != k.belongs || (outcome == brain.Answered) != k.belongs || keep != 0 {
 			t.Errorf("gathered %v, first %v: outcome %d, kept for %v, error %v", k.to == gathered, k.first, outcome, keep, err)
 		}
--- a/forager/answers_test.go
+++ b/dataplane/scenario_test.go
@@ -1,4 +1,4 @@
-package forager
+package dataplane
 
 import (
 	"bufio"
@@ -35,27 +35,27 @@
 
 // serverStep is what a server does with one request.
 type serverStep struct {
-	Kind    string
-	Work    time.Duration
-	Before  string // stands in the place of the answer, before it
-	Cut     int    // of 100 parts of the answer's bytes, so many are sent; 100 = all
-	Pause   time.Duration
-	PauseAt int    // of 100 parts
-	After   string // comes behind the answer
-	Keep    string // header lines about the connection
-	Early   bool   // answered before the body is read
-	IdleEnd time.Duration
+	Kind             string
+	Delay            time.Duration
+	Before           string // stands in the place of the answer, before it
+	Cut              int    // of 100 parts of the answer's bytes, so many are sent; 100 = all
+	Pause            time.Duration
+	PauseAt          int    // of 100 parts
+	After            string // comes behind the answer
+	Keep             string // header lines about the connection
+	AnswerBeforeBody bool   // answered before the body is read
+	IdleEnd          time.Duration
 }
 
 // clientStep is one request of a client.
 type clientStep struct {
-	Path      string
-	Body      int
-	Pipelined bool // goes out together with the next
-	GiveUp    time.Duration
-	Torn      int // above 0, the client ends after so many of 100 parts of what goes out together
-	Pause     time.Duration
-	Patience  time.Duration
+	Path       string
+	Body       int
+	Pipelined  bool // goes out together with the next
+	GiveUp     time.Duration
+	TruncateAt int // above 0, the client ends after so many of 100 parts of what goes out together
+	Pause      time.Duration
+	Deadline   time.Duration
 }
 
 // writeStep is what becomes of one write to a server.
@@ -65,18 +65,18 @@
 	Slow  time.Duration
 }
 
-type play struct {
-	Servers int // of each service
-	Script  []serverStep
-	Writes  []writeStep
-	Dials   []time.Duration
-	Clients [][]clientStep
-	Kill    time.Duration // the gatherer's process is killed then and begins again; 0 = never
+type scenario struct {
+	Servers   int // of each service
+	Script    []serverStep
+	Writes    []writeStep
+	Dials     []time.Duration
+	Clients   [][]clientStep
+	KillAfter time.Duration // the gatherer's process is killed then and begins again; 0 = never
 }
 
-var drawServer = rapid.Custom(func(t *rapid.T) serverStep {
+var serverStepGenerator = rapid.Custom(func(t *rapid.T) serverStep {
 	few := func(label string, most int) bool { return rapid.IntRange(0, most).Draw(t, label) == 0 }
-	s := serverStep{Kind: "whole", Cut: 100, Work: time.Duration(rapid.IntRange(0, 30).Draw(t, "work")) * time.Millisecond}
+	s := serverStep{Kind: "whole", Cut: 100, Delay: time.Duration(rapid.IntRange(0, 30).Draw(t, "work")) * time.Millisecond}
 	if !few("calm", 2) {
 		s.Kind = rapid.SampledFrom([]string{"whole", "chunked", "503 marked", "503 marked", "503 marked", "429 marked", "400 marked", "421", "500", "503", "408", "429", "404", "no seal", "other",
 			"no id", "000", "silent", "ends unrun", "ends run"}).Draw(t, "kind")
@@ -97,16 +97,16 @@
 	if few("keep", 6) {
 		s.Keep = rapid.SampledFrom([]string{"Connection: close\r\n", "Keep-Alive: timeout=1\r\n", "Keep-Alive: timeout=0\r\n"}).Draw(t, "kept")
 	}
-	s.Early = few("early", 3)
+	s.AnswerBeforeBody = few("early", 3)
 	if few("idle end", 4) {
 		s.IdleEnd = time.Duration(rapid.IntRange(0, 20).Draw(t, "idle end after")) * time.Millisecond
 	}
 	return s
 })
 
-var drawClient = rapid.Custom(func(t *rapid.T) clientStep {
+var clientStepGenerator = rapid.Custom(func(t *rapid.T) clientStep {
 	c := clientStep{Path: rapid.SampledFrom([]string{"/once/x", "/once/y", "/one/x", "/one/head", "/all/x", "/all/head"}).Draw(t, "path"),
-		Patience: time.Duration(rapid.SampledFrom([]int{50, 300, 900}).Draw(t, "patience")) * time.Millisecond,
+		Deadline: time.Duration(rapid.SampledFrom([]int{50, 300, 900}).Draw(t, "patience")) * time.Millisecond,
 		Pause:    time.Duration(rapid.SampledFrom([]int{0, 0, 3, 20, 150}).Draw(t, "client's pause")) * time.Millisecond}
 	if strings.HasPrefix(c.Path, "/once/") {
 		c.Body = rapid.SampledFrom([]int{0, 10, 9000, 60000}).Draw(t, "body")
@@ -116,12 +116,12 @@
 		c.GiveUp = time.Duration(rapid.IntRange(1, 60).Draw(t, "after")) * time.Millisecond
 	}
 	if rapid.IntRange(0, 11).Draw(t, "torn") == 0 {
-		c.Torn = rapid.IntRange(1, 99).Draw(t, "torn at")
+		c.TruncateAt = rapid.IntRange(1, 99).Draw(t, "torn at")
 	}
 	return c
 })
 
-var drawWrite = rapid.Custom(func(t *rapid.T) writeStep {
+var writeStepGenerator = rapid.Custom(func(t *rapid.T) writeStep {
 	w := writeStep{}
 	if rapid.IntRange(0, 5).Draw(t, "write fails") == 0 {
 		w.Fails, w.At = true, rapid.SampledFrom([]int{0, 1, 40, 300, 9000, 20000, -1, -5}).Draw(t, "fails at")
@@ -132,29 +132,29 @@
 	return w
 })
 
-var drawPlay = rapid.Custom(func(t *rapid.T) play {
-	p := play{Servers: rapid.SampledFrom([]int{1, 1, 2}).Draw(t, "servers"), Script: rapid.SliceOfN(drawServer, 1, 12).Draw(t, "script"),
-		Writes: rapid.SliceOfN(drawWrite, 1, 8).Draw(t, "writes")}
+var scenarioGenerator = rapid.Custom(func(t *rapid.T) scenario {
+	p := scenario{Servers: rapid.SampledFrom([]int{1, 1, 2}).Draw(t, "servers"), Script: rapid.SliceOfN(serverStepGenerator, 1, 12).Draw(t, "script"),
+		Writes: rapid.SliceOfN(writeStepGenerator, 1, 8).Draw(t, "writes")}
 	for range rapid.IntRange(1, 3).Draw(t, "dials") {
 		p.Dials = append(p.Dials, time.Duration(rapid.SampledFrom([]int{0, 0, 0, 20, 120}).Draw(t, "dial takes"))*time.Millisecond)
 	}
 	for range rapid.IntRange(1, 3).Draw(t, "clients") {
-		p.Clients = append(p.Clients, rapid.SliceOfN(drawClient, 1, 8).Draw(t, "requests"))
+		p.Clients = append(p.Clients, rapid.SliceOfN(clientStepGenerator, 1, 8).Draw(t, "requests"))
 	}
 	if rapid.IntRange(0, 4).Draw(t, "killed") == 0 {
-		p.Kill = time.Duration(rapid.IntRange(1, 200).Draw(t, "killed at")) * time.Millisecond
+		p.KillAfter = time.Duration(rapid.IntRange(1, 200).Draw(t, "killed at")) * time.Millisecond
 	}
 	return p
 })
 
-// TestEveryAnswerReachesItsCallerOrNobody plays what is drawn and checks the rules MIXED, UNASKED, TWICE and REFUSED.
-func TestEveryAnswerReachesItsCallerOrNobody(t *testing.T) {
+// TestResponsesReachTheirCallers plays what is drawn and checks the rules MIXED, UNASKED, TWICE and REFUSED.
+func TestResponsesReachTheirCallers(t *testing.T) {
 	served := 0
 	rapid.Check(t, func(rt *rapid.T) {
-		p := drawPlay.Draw(rt, "play")
-		w := perform(t, p)
-		if w.broken != "" {
-			rt.Fatal(w.broken)
+		p := scenarioGenerator.Draw(rt, "play")
+		w := runScenario(t, p)
+		if w.violation != "" {
+			rt.Fatal(w.violation)
 		}
 		served += w.served
 	})
@@ -163,74 +163,74 @@
 	}
 }
 
-// TestARequestThatWasNotHandedOverGoesOverTheNextConnection: of two requests that may not be repeated the second finds its connection
+// TestUnsentRequestIsRetriedOnNextConnection: of two requests that may not be repeated the second finds its connection
 // dead. Where not a byte of it was taken it is served all the same; where one was, it is not sent again, and nothing is promised.
-func TestARequestThatWasNotHandedOverGoesOverTheNextConnection(t *testing.T) {
+func TestUnsentRequestIsRetriedOnNextConnection(t *testing.T) {
 	for bytes, want := range map[int]int{0: http.StatusOK, 1: http.StatusGatewayTimeout} {
-		step := clientStep{Path: "/once/x", Patience: 300 * time.Millisecond, Pause: 10 * time.Millisecond}
-		w := perform(t, play{Servers: 1, Script: []serverStep{{Kind: "whole", Cut: 100}}, Writes: []writeStep{{}, {Fails: true, At: bytes}, {}},
+		step := clientStep{Path: "/once/x", Deadline: 300 * time.Millisecond, Pause: 10 * time.Millisecond}
+		w := runScenario(t, scenario{Servers: 1, Script: []serverStep{{Kind: "whole", Cut: 100}}, Writes: []writeStep{{}, {Fails: true, At: bytes}, {}},
 			Dials: []time.Duration{0}, Clients: [][]clientStep{{step, step}}})
-		if got := w.answers["0-1"]; w.broken != "" || w.answers["0-0"] != http.StatusOK || got != want {
-			t.Errorf("%d bytes taken: answered %d, want %d; %s", bytes, got, want, w.broken)
+		if got := w.answers["0-1"]; w.violation != "" || w.answers["0-0"] != http.StatusOK || got != want {
+			t.Errorf("%d bytes taken: answered %d, want %d; %s", bytes, got, want, w.violation)
 		}
 	}
 }
 
-// world is one play's surroundings and records.
-type world struct {
-	mu      sync.Mutex
-	net     *meadow.Meadow
-	play    play
-	steps   int
-	writes  int
-	dials   int
-	asked   map[string]asked // by id
-	runs    map[string]int   // by service and id
-	answers map[string]int   // statuses, by id
-	over    map[string]time.Time
-	served  int
-	broken  string
+// testbed is one play's surroundings and records.
+type testbed struct {
+	mu         sync.Mutex
+	network    *meadow.Meadow
+	scenario   scenario
+	steps      int
+	writes     int
+	dials      int
+	sent       map[string]sentRequest // by id
+	runs       map[string]int         // by service and id
+	answers    map[string]int         // statuses, by id
+	answeredAt map[string]time.Time
+	served     int
+	violation  string
 }
 
-type asked struct {
+type sentRequest struct {
 	method, path string
 	body         []byte
 }
 
-func (w *world) fault(format string, args ...any) {
+func (w *testbed) fail(format string, args ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.broken == "" {
-		w.broken = fmt.Sprintf(format, args...)
+	if w.violation == "" {
+		w.violation = fmt.Sprintf(format, args...)
 	}
 }
 
-func perform(t *testing.T, p play) *world {
-	w := &world{play: p, asked: map[string]asked{}, runs: map[string]int{}, answers: map[string]int{}, over: map[string]time.Time{}}
+func runScenario(t *testing.T, p scenario) *testbed {
+	w := &testbed{scenario: p, sent: map[string]sentRequest{}, runs: map[string]int{}, answers: map[string]int{}, answeredAt: map[string]time.Time{}}
 	synctest.Test(t, func(t *testing.T) { w.run(t) })
 	return w
 }
 
 const (
-	gathererHost = "10.0.0.1"
-	frontAddress = gathererHost + ":8000"
+	gatewayHost  = "10.0.0.1"
+	frontAddress = gatewayHost + ":8000"
 )
 
 var services = []string{"once", "one", "a0", "a1"}
 
-func (w *world) run(t *testing.T) {
-	w.net = meadow.New(func(string, string) time.Duration { return 100 * time.Microsecond })
+func (w *testbed) run(t *testing.T) {
+	w.network = meadow.New(func(string, string) time.Duration { return 100 * time.Microsecond })
 	var listeners []net.Listener
 	var reports []*rpc.ServerReport
 	for i := range services {
-		for n := range w.play.Servers {
+		for n := range w.scenario.Servers {
 			ip := fmt.Sprintf("10.0.%d.%d", i+1, n+1)
-			l, err := w.net.Host(ip).Listen(ip + ":80")
+			l, err := w.network.Host(ip).Listen(ip + ":80")
 			if err != nil {
 				t.Fatal(err)
 			}
 			listeners = append(listeners, l)
-			go w.serveAll(l, services[i])
+			go w.acceptServer(l, services[i])
 			reports = append(reports, &rpc.ServerReport{Instance: "i-" + ip, Service: services[i], Address: ip + ":80", Zone: "z", State: uint32(registry.Ready), Sequence: 1})
 		}
 	}
@@ -238,13 +238,13 @@
 	killed := make(chan struct{})
 	go func() {
 		defer close(killed)
-		if w.play.Kill > 0 {
-			time.Sleep(w.play.Kill)
+		if w.scenario.KillAfter > 0 {
+			time.Sleep(w.scenario.KillAfter)
 			quit()
 			w.mu.Lock()
-			for id := range w.asked { // what its life before was asked is over
-				if w.over[id].IsZero() {
-					w.over[id] = time.Now()
+			for id := range w.sent { // what its life before was asked is over
+				if w.answeredAt[id].IsZero() {
+					w.answeredAt[id] = time.Now()
 				}
 			}
 			w.mu.Unlock()
@@ -252,8 +252,8 @@
 		}
 	}()
 	var clients sync.WaitGroup
-	for i, steps := range w.play.Clients {
-		clients.Go(func() { w.client(fmt.Sprint(i), steps) })
+	for i, steps := range w.scenario.Clients {
+		clients.Go(func() { w.runClient(fmt.Sprint(i), steps) })
 	}
 	clients.Wait()
 	<-killed
@@ -262,18 +262,18 @@
 	for _, l := range listeners {
 		l.Close()
 		host, _, _ := net.SplitHostPort(l.Addr().String())
-		w.net.Kill(host, false)
+		w.network.Kill(host, false)
 	}
 	time.Sleep(3 * time.Second) // servers that were silent end
-	w.judge()
+	w.checkExecutions()
 }
 
 // start begins a gatherer's life, and returns what ends it as a kill does.
-func (w *world) start(t *testing.T, reports []*rpc.ServerReport) (quit func()) {
-	set := &boot.Settings{IPAddress: gathererHost, Zone: "z", InternalPorts: []int{7000, 7010}, FirstStart: true}
+func (w *testbed) start(t *testing.T, reports []*rpc.ServerReport) (quit func()) {
+	set := &boot.Settings{IPAddress: gatewayHost, Zone: "z", InternalPorts: []int{7000, 7010}, FirstStart: true}
 	set.Listen.Front = frontAddress
-	f := New(set, &faultyNetwork{w.net.Host(gathererHost), w}, zerolog.Nop())
-	f.wg.Go(f.own)
+	f := New(set, &faultyNetwork{w.network.Host(gatewayHost), w}, zerolog.Nop())
+	f.wg.Go(f.runLoop)
 	c := &config.Configuration{Version: 1, Routes: []config.Route{
 		{Hostname: "h", PathPrefix: "/once/", RouteKind: config.NonRetryable, TimeoutMS: 900, TargetMS: 90, Service: "once", Attempts: 3},
 		{Hostname: "h", PathPrefix: "/one/", RouteKind: config.Retryable, TimeoutMS: 900, TargetMS: 90, Service: "one", Attempts: 3},
@@ -281,36 +281,36 @@
 	for _, s := range services {
 		c.Services = append(c.Services, config.Service{Name: s, ConnectionLimit: 40})
 	}
-	f.do(func() {
-		f.putInForce(c, 1)
-		f.takeReports(&rpc.Update{Full: true, HasQuorum: true, Warm: true, Reports: reports})
+	f.post(func() {
+		f.activateConfig(c, 1)
+		f.applyReports(&rpc.Update{Full: true, HasQuorum: true, Warm: true, Reports: reports})
 	})
 	synctest.Wait()
-	l, err := w.net.Host(gathererHost).Listen(frontAddress)
+	l, err := w.network.Host(gatewayHost).Listen(frontAddress)
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.wg.Go(func() { f.serve(l) })
+	f.wg.Go(func() { f.acceptClients(l) })
 	return func() {
 		l.Close()
 		f.clients.closeAll()
 		close(f.stopped)
 		f.wg.Wait()
-		w.net.Kill(gathererHost, false)
+		w.network.Kill(gatewayHost, false)
 	}
 }
 
 // faultyNetwork dials connections whose writes do what is drawn.
 type faultyNetwork struct {
 	meadow.Host
-	w *world
+	w *testbed
 }
 
 var _ ground.Network = &faultyNetwork{}
 
 func (n *faultyNetwork) Dial(to string, limit time.Duration) (net.Conn, error) {
 	n.w.mu.Lock()
-	takes := n.w.play.Dials[n.w.dials%len(n.w.play.Dials)]
+	takes := n.w.scenario.Dials[n.w.dials%len(n.w.scenario.Dials)]
 	n.w.dials++
 	n.w.mu.Unlock()
 	time.Sleep(takes)
@@ -323,22 +323,22 @@
 
 type faultyConn struct {
 	net.Conn
-	w       *world
+	w       *testbed
 	writing atomic.Bool
 }
 
 // Write writes in pieces as a socket whose buffer is full; only what is larger than a small request ever waits.
 func (c *faultyConn) Write(b []byte) (int, error) {
 	c.w.mu.Lock()
-	step := c.w.play.Writes[c.w.writes%len(c.w.play.Writes)]
+	step := c.w.scenario.Writes[c.w.writes%len(c.w.scenario.Writes)]
 	c.w.writes++
 	c.w.mu.Unlock()
 	if c.writing.Swap(true) {
-		c.w.fault("UNASKED: a request is written into the midst of another, or waits for its end")
+		c.w.fail("UNASKED: a request is written into the midst of another, or waits for its end")
 	}
 	defer c.writing.Store(false)
 	half := len(b)
-	if len(b) > smallRequest && step.Slow > 0 {
+	if len(b) > smallRequestBytes && step.Slow > 0 {
 		half = len(b) / 2
 	}
 	at := step.At
@@ -347,7 +347,7 @@
 	}
 	if step.Fails && at < len(b) {
 		n, _ := c.Conn.Write(b[:at])
-		if at > smallRequest {
+		if at > smallRequestBytes {
 			time.Sleep(step.Slow)
 		}
 		c.Conn.Close()
@@ -362,18 +362,18 @@
 	return n + rest, err
 }
 
-// serveAll is one server.
-func (w *world) serveAll(l net.Listener, service string) {
+// acceptServer is one server.
+func (w *testbed) acceptServer(l net.Listener, service string) {
 	for {
 		c, err := l.Accept()
 		if err != nil {
 			return
 		}
-		go w.serveOne(c, service)
+		go w.serveServer(c, service)
 	}
 }
 
-func (w *world) serveOne(c net.Conn, service string) {
+func (w *testbed) serveServer(c net.Conn, service string) {
 	defer c.Close()
 	r := bufio.NewReaderSize(c, 4096)
 	var held [][]byte // what comes in the places of next answers
@@ -386,51 +386,51 @@
 			return
 		}
 		c.SetReadDeadline(time.Time{})
-		if !wholeHead(r) {
+		if !waitForHeader(r) {
 			return
 		}
 		q, err := http.ReadRequest(r)
 		if err != nil {
-			w.fault("UNASKED: %s got what is no request: %v", service, err)
+			w.fail("UNASKED: %s got what is no request: %v", service, err)
 			return
 		}
 		w.mu.Lock()
-		step := w.play.Script[w.steps%len(w.play.Script)]
+		step := w.scenario.Script[w.steps%len(w.scenario.Script)]
 		w.steps++
 		w.mu.Unlock()
 		id := q.Header.Get("X-Attempt-Id")
-		w.late(service, id)
+		w.checkNotLate(service, id)
 		body := []byte(nil)
-		if !step.Early {
+		if !step.AnswerBeforeBody {
 			if body, err = io.ReadAll(q.Body); err != nil {
 				return
 			}
 		}
-		w.check(service, id, q, body, !step.Early)
+		w.checkForwarded(service, id, q, body, !step.AnswerBeforeBody)
 		if len(held) > 0 {
 			late := held[0]
 			if held = held[1:]; len(late) > 0 {
 				c.Write(late)
 			}
 		}
-		time.Sleep(step.Work)
-		if !step.Early {
+		time.Sleep(step.Delay)
+		if !step.AnswerBeforeBody {
 			c.SetReadDeadline(time.Now().Add(time.Microsecond))
 			if _, err := r.Peek(1); err == nil {
-				w.fault("%s got a request behind one that it had not answered", service)
+				w.fail("%s got a request behind one that it had not answered", service)
 			}
 			c.SetReadDeadline(time.Time{})
 		}
-		if step.runs() {
+		if step.executes() {
 			w.mu.Lock()
 			w.runs[service+" "+id]++
 			w.mu.Unlock()
 		}
-		text, goesOn := step.answer(service, id)
+		text, goesOn := step.response(service, id)
 		if q.Method == "HEAD" {
 			text = text[:bytes.Index(text, []byte("\r\n\r\n"))+4]
 		}
-		if before := beforeAnswer[step.Before]; len(before) > 0 {
+		if before := beforeResponse[step.Before]; len(before) > 0 {
 			c.Write([]byte(strings.ReplaceAll(before, "OWN", id)))
 			if strings.HasPrefix(step.Before, "late") {
 				time.Sleep(20 * time.Millisecond)
@@ -465,24 +465,24 @@
 		case "copy next but one":
 			held = append(held, nil, text)
 		case "other next":
-			held = append(held, []byte(beforeAnswer["other"]))
+			held = append(held, []byte(beforeResponse["other"]))
 		case "garbage":
 			c.Write([]byte("\x00\x01\x02"))
 		case "line end":
 			c.Write([]byte("\r\n"))
 		}
 		idle = step.IdleEnd
-		if step.Early {
+		if step.AnswerBeforeBody {
 			if body, err = io.ReadAll(q.Body); err != nil {
 				return
 			}
-			w.check(service, id, q, body, true)
+			w.checkForwarded(service, id, q, body, true)
 		}
 	}
 }
 
-// wholeHead waits for the whole head of a request. It tells whether one came before the connection ended.
-func wholeHead(r *bufio.Reader) bool {
+// waitForHeader waits for the whole head of a request. It tells whether one came before the connection ended.
+func waitForHeader(r *bufio.Reader) bool {
 	for {
 		b, _ := r.Peek(r.Buffered())
 		if bytes.Contains(b, []byte("\r\n\r\n")) {
@@ -494,7 +494,7 @@
 	}
 }
 
-var beforeAnswer = map[string]string{
+var beforeResponse = map[string]string{
 	"100":         "HTTP/1.1 100 Continue\r\n\r\n",
 	"103":         "HTTP/1.1 103 Early Hints\r\nLink: </x>\r\n\r\n",
 	"103 length":  "HTTP/1.1 103 Early Hints\r\nContent-Length: 0\r\n\r\n",
@@ -506,13 +506,13 @@
 	"garbage":     "no answer\r\n\r\n",
 }
 
-// runs tells whether the server begins work on the request.
-func (s serverStep) runs() bool {
+// executes tells whether the server begins work on the request.
+func (s serverStep) executes() bool {
 	return !strings.HasSuffix(s.Kind, "marked") && s.Kind != "421" && s.Kind != "ends unrun"
 }
 
-// answer is what the server answers, and whether its connection goes on.
-func (s serverStep) answer(service, id string) (text []byte, goesOn bool) {
+// response is what the server answers, and whether its connection goes on.
+func (s serverStep) response(service, id string) (text []byte, goesOn bool) {
 	status, lines := "200 OK", "X-Attempt-Id: "+id+"\r\nX-Server-Seal: "+service+"."+id+"\r\n"
 	body := recordsOf(service, id)
 	switch s.Kind {
@@ -545,28 +545,28 @@
 	return slices.Concat(sum[:], sum[8:24])
 }
 
-// check compares what a server got with what a client sent.
-func (w *world) check(service, id string, q *http.Request, body []byte, whole bool) {
+// checkForwarded compares what a server got with what a client sent.
+func (w *testbed) checkForwarded(service, id string, q *http.Request, body []byte, whole bool) {
 	w.mu.Lock()
-	a, known := w.asked[id]
+	a, known := w.sent[id]
 	w.mu.Unlock()
 	if !known || a.method != q.Method || a.path != q.RequestURI || whole && !bytes.Equal(a.body, body) {
-		w.fault("UNASKED: %s got %s %s with id %q and a body of %d bytes", service, q.Method, q.RequestURI, id, len(body))
+		w.fail("UNASKED: %s got %s %s with id %q and a body of %d bytes", service, q.Method, q.RequestURI, id, len(body))
 	}
 }
 
-// late sees that a request is not sent once it has been answered.
-func (w *world) late(service, id string) {
+// checkNotLate sees that a request is not sent once it has been answered.
+func (w *testbed) checkNotLate(service, id string) {
 	w.mu.Lock()
-	over, large := w.over[id], len(w.asked[id].body) > smallRequest // a large one may be on its way for longer
+	over, large := w.answeredAt[id], len(w.sent[id].body) > smallRequestBytes // a large one may be on its way for longer
 	w.mu.Unlock()
 	if !over.IsZero() && time.Since(over) > 5*time.Millisecond && !large {
-		w.fault("%s got %s %v after it was answered", service, id, time.Since(over))
+		w.fail("%s got %s %v after it was answered", service, id, time.Since(over))
 	}
 }
 
-// client sends its requests, as many as are pipelined in one write, and reads their answers in order.
-func (w *world) client(name string, steps []clientStep) {
+// runClient sends its requests, as many as are pipelined in one write, and reads their answers in order.
+func (w *testbed) runClient(name string, steps []clientStep) {
 	var c net.Conn
 	var r *bufio.Reader
 	defer func() {
@@ -579,13 +579,13 @@
 		if c == nil {
 			var err error
 			for range 20 {
-				if c, err = w.net.Host("10.0.9.9").Dial(frontAddress, time.Second); err == nil {
+				if c, err = w.network.Host("10.0.9.9").Dial(frontAddress, time.Second); err == nil {
 					break
 				}
 				time.Sleep(20 * time.Millisecond)
 			}
 			if err != nil {
-				w.fault("the gatherer takes no connection: %v", err)
+				w.fail("the gatherer takes no connection: %v", err)
 				return
 			}
 			r = bufio.NewReader(c)
@@ -596,7 +596,7 @@
 		for {
 			s := steps[i]
 			id := name + "-" + strconv.Itoa(i)
-			a := asked{method: "GET", path: s.Path, body: bytes.Repeat([]byte{'b'}, s.Body)}
+			a := sentRequest{method: "GET", path: s.Path, body: bytes.Repeat([]byte{'b'}, s.Body)}
 			if strings.HasPrefix(s.Path, "/once/") {
 				a.method = "POST"
 			}
@@ -604,12 +604,12 @@
 				a.method = "HEAD"
 			}
 			w.mu.Lock()
-			w.asked[id] = a
+			w.sent[id] = a
 			w.mu.Unlock()
 			text = fmt.Appendf(text, "%s %s HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: %s\r\nX-Deadline-Remaining: %d\r\nContent-Length: %d\r\n\r\n%s",
-				a.method, a.path, id, s.Patience/time.Millisecond, len(a.body), a.body)
+				a.method, a.path, id, s.Deadline/time.Millisecond, len(a.body), a.body)
 			batch = append(batch, id)
-			giveUp, torn = cmp.Or(giveUp, s.GiveUp), cmp.Or(torn, s.Torn)
+			giveUp, torn = cmp.Or(giveUp, s.GiveUp), cmp.Or(torn, s.TruncateAt)
 			if i++; !s.Pipelined || i == len(steps) {
 				break
 			}
@@ -624,33 +624,33 @@
 		c.Write(text)
 		for _, id := range batch {
 			c.SetReadDeadline(time.Now().Add(cmp.Or(giveUp, 3*time.Second)))
-			if !w.readAnswer(r, id) {
+			if !w.readResponse(r, id) {
 				c.Close()
 				c = nil
 				break
 			}
 		}
 		if c != nil && r.Buffered() > 0 {
-			w.fault("MIXED: %d bytes come where no request is waiting", r.Buffered())
+			w.fail("MIXED: %d bytes come where no request is waiting", r.Buffered())
 		}
 	}
 	if c != nil {
 		c.SetReadDeadline(time.Now().Add(time.Second))
 		if _, err := r.Peek(1); err == nil {
-			w.fault("MIXED: something comes where no request is waiting")
+			w.fail("MIXED: something comes where no request is waiting")
 		}
 	}
 }
 
-// readAnswer reads the answer to one request. It tells whether the connection goes on.
-func (w *world) readAnswer(r *bufio.Reader, id string) bool {
+// readResponse reads the answer to one request. It tells whether the connection goes on.
+func (w *testbed) readResponse(r *bufio.Reader, id string) bool {
 	w.mu.Lock()
-	a := w.asked[id]
+	a := w.sent[id]
 	w.mu.Unlock()
 	resp, err := http.ReadResponse(r, &http.Request{Method: a.method})
 	if err != nil {
 		if strings.Contains(err.Error(), "malformed") {
-			w.fault("MIXED: what %s gets is no answer: %v", id, err)
+			w.fail("MIXED: what %s gets is no answer: %v", id, err)
 		}
 		return false
 	}
@@ -659,32 +659,32 @@
 		return false
 	}
 	w.mu.Lock()
-	w.answers[id], w.over[id] = resp.StatusCode, time.Now()
+	w.answers[id], w.answeredAt[id] = resp.StatusCode, time.Now()
 	w.mu.Unlock()
 	if got := resp.Header.Get("X-Attempt-Id"); got != "" && got != id {
-		w.fault("MIXED: %s gets the answer to %s", id, got)
+		w.fail("MIXED: %s gets the answer to %s", id, got)
 	}
 	if resp.StatusCode < 200 || resp.StatusCode > 599 {
-		w.fault("MIXED: %s gets the status %d", id, resp.StatusCode)
+		w.fail("MIXED: %s gets the status %d", id, resp.StatusCode)
 	}
 	if resp.StatusCode/100 == 2 {
 		w.mu.Lock()
 		w.served++
 		w.mu.Unlock()
-		w.success(id, a, resp, body)
+		w.checkSuccess(id, a, resp, body)
 	}
 	return !resp.Close
 }
 
-// success checks the answer to a request that was served.
-func (w *world) success(id string, a asked, resp *http.Response, body []byte) {
+// checkSuccess checks the answer to a request that was served.
+func (w *testbed) checkSuccess(id string, a sentRequest, resp *http.Response, body []byte) {
 	if a.method == "HEAD" {
 		return
 	}
 	service := strings.Split(a.path, "/")[1]
 	if service != "all" {
 		if resp.Header.Get("X-Server-Seal") != service+"."+id || !bytes.Equal(body, recordsOf(service, id)) {
-			w.fault("MIXED: %s gets another body, or none of the servers' stamps: %q", id, resp.Header.Get("X-Server-Seal"))
+			w.fail("MIXED: %s gets another body, or none of the servers' stamps: %q", id, resp.Header.Get("X-Server-Seal"))
 		}
 		return
 	}
@@ -692,28 +692,28 @@
 	for _, seal := range strings.Split(resp.Header.Get("X-Part-Seals"), ", ") {
 		part, of, _ := strings.Cut(seal, ".")
 		if of != id {
-			w.fault("MIXED: %s gets a part stamped %q", id, seal)
+			w.fail("MIXED: %s gets a part stamped %q", id, seal)
 		}
 		all = slices.AppendSeq(all, slices.Chunk(recordsOf(part, id), 16))
 	}
 	slices.SortFunc(all, func(a, b []byte) int { return bytes.Compare(b, a) })
 	if !bytes.Equal(slices.Concat(all...), body) {
-		w.fault("MIXED: %s gets records that are not the greatest of its parts", id)
+		w.fail("MIXED: %s gets records that are not the greatest of its parts", id)
 	}
 }
 
-// judge checks at the end what may not be repeated.
-func (w *world) judge() {
-	for id, a := range w.asked {
+// checkExecutions checks at the end what may not be repeated.
+func (w *testbed) checkExecutions() {
+	for id, a := range w.sent {
 		if !strings.HasPrefix(a.path, "/once/") {
 			continue
 		}
 		runs := w.runs["once "+id]
 		switch status := w.answers[id]; {
 		case runs > 1:
-			w.fault("TWICE: %s ran %d times", id, runs)
-		case runs > 0 && promises(status):
-			w.fault("REFUSED: %s ran and was answered %d", id, status)
+			w.fail("TWICE: %s ran %d times", id, runs)
+		case runs > 0 && promisesNotExecuted(status):
+			w.fail("REFUSED: %s ran and was answered %d", id, status)
 		}
 	}
 }
--- a/internal/colony/colony_test.go
+++ b/internal/colony/colony_test.go
@@ -85,7 +85,7 @@
 	for {
 		behind := ""
 		for _, f := range c.Gather {
-			if f.Now != nil && f.Now.InForce() < version {
+			if f.Now != nil && f.Now.ActiveVersion() < version {
 				behind = f.IP
 			}
 		}
@@ -309,13 +309,13 @@
 		for _, f := range c.Gather {
 			asked++
 			served += request(t, c, f, asked)
-			if v := f.Now.InForce(); lives[f.IP] == any(f.Now) && v < inForce[f.IP] {
+			if v := f.Now.ActiveVersion(); lives[f.IP] == any(f.Now) && v < inForce[f.IP] {
 				t.Fatalf("CONFIG: %s went back from %d to %d", f.IP, inForce[f.IP], v)
 			} else {
 				inForce[f.IP], lives[f.IP] = v, f.Now
 			}
-			if h.denied[f.Now.InForce()] {
-				t.Fatalf("CONFIG: version %d was refused and is in force on %s", f.Now.InForce(), f.IP)
+			if h.denied[f.Now.ActiveVersion()] {
+				t.Fatalf("CONFIG: version %d was refused and is in force on %s", f.Now.ActiveVersion(), f.IP)
 			}
 		}
 		time.Sleep(time.Duration(r.IntN(1500)) * time.Millisecond)
@@ -400,7 +400,7 @@
 			f.Kill(false)
 			f.Start()
 			time.Sleep(900 * time.Millisecond)
-			if f.Now.InForce() != 1 {
+			if f.Now.ActiveVersion() != 1 {
 				t.Errorf("%s has no configuration 0.9 s after its start beside a dark hive", f.IP)
 			}
 			if err := c.Hives[i].Start(); err != nil {
--- a/internal/colony/core_test.go
+++ b/internal/colony/core_test.go
@@ -172,8 +172,8 @@
 				t.Errorf("what lost is answered %d when it is sent again", got)
 			}
 			for _, f := range c.Gather {
-				if f.Now.InForce() != 3 {
-					t.Errorf("CONFIG: %s follows %d", f.IP, f.Now.InForce())
+				if f.Now.ActiveVersion() != 3 {
+					t.Errorf("CONFIG: %s follows %d", f.IP, f.Now.ActiveVersion())
 				}
 			}
 		})
@@ -197,7 +197,7 @@
 		c.Gather[0].Kill(false)
 		c.Gather[0].Start() // beside the hive that lags
 		time.Sleep(2 * time.Second)
-		if v := c.Gather[0].Now.InForce(); v != 2 {
+		if v := c.Gather[0].Now.ActiveVersion(); v != 2 {
 			t.Errorf("CONFIG: a gatherer that started beside a hive that lags follows %d", v)
 		}
 	})
--- a/internal/colony/disk_test.go
+++ b/internal/colony/disk_test.go
@@ -67,7 +67,7 @@
 			t.Fatalf("LOST: with two of three disks full a version is answered %d", got)
 		}
 		for _, f := range c.Gather {
-			if v := f.Now.InForce(); v != 4 {
+			if v := f.Now.ActiveVersion(); v != 4 {
 				t.Errorf("CONFIG: %s follows %d, which nobody could agree on", f.IP, v)
 			}
 		}
--- a/internal/colony/machine.go
+++ b/internal/colony/machine.go
@@ -9,7 +9,7 @@
 	"strconv"
 
 	"oxbowspan/controlplane"
-	"oxbowspan/forager"
+	"oxbowspan/dataplane"
 	"oxbowspan/internal/boot"
 )
 
@@ -85,7 +85,7 @@
 type ForagerMachine struct {
 	c   *Colony
 	IP  string
-	Now *forager.Forager
+	Now *dataplane.Gateway
 	life
 }
 
@@ -101,7 +101,7 @@
 // Start starts the process.
 func (m *ForagerMachine) Start() {
 	m.c.Meadow.Light(m.IP)
-	f := forager.New(m.settings(), m.c.Meadow.Host(m.IP), m.c.Log.With().Str("node", m.IP).Logger())
+	f := dataplane.New(m.settings(), m.c.Meadow.Host(m.IP), m.c.Log.With().Str("node", m.IP).Logger())
 	m.Now = f
 	m.begin(f.Run)
 }
--- a/internal/colony/margin_test.go
+++ b/internal/colony/margin_test.go
@@ -53,7 +53,7 @@
 					f := c.Gather[r.IntN(len(c.Gather))]
 					f.Kill(false)
 					f.Start()
-					for f.Now.InForce() == 0 { // the platform sends nobody to one that is not ready
+					for f.Now.ActiveVersion() == 0 { // the platform sends nobody to one that is not ready
 						time.Sleep(10 * time.Millisecond)
 					}
 				case 2:
--- a/internal/colony/pace_test.go
+++ b/internal/colony/pace_test.go
@@ -39,7 +39,7 @@
 					if given[f.IP] == nil {
 						given[f.IP] = map[uint64]bool{}
 					}
-					given[f.IP][f.Now.InForce()] = true
+					given[f.IP][f.Now.ActiveVersion()] = true
 				}
 			}
 			if v == 30 {
--- a/internal/colony/scale_test.go
+++ b/internal/colony/scale_test.go
@@ -26,7 +26,7 @@
 			for len(took) < len(c.Gather) && time.Since(began) < 3*time.Second {
 				took = took[:0]
 				for _, f := range c.Gather {
-					if f.Now.InForce() >= version {
+					if f.Now.ActiveVersion() >= version {
 						took = append(took, time.Since(began))
 					}
 				}
--- a/internal/entrance/entrance.go
+++ b/internal/entrance/entrance.go
@@ -20,7 +20,7 @@
 
 	"oxbowspan/config"
 	"oxbowspan/controlplane"
-	"oxbowspan/forager"
+	"oxbowspan/dataplane"
 	"oxbowspan/internal/acceptorstore"
 	"oxbowspan/internal/boot"
 	"oxbowspan/internal/ground"
@@ -58,7 +58,7 @@
 // Forager runs the data plane's command line and returns its exit code.
 func Forager(args []string, out, errs io.Writer) int {
 	return program{"forager", true, false, func(ctx context.Context, set *boot.Settings, log zerolog.Logger) error {
-		return forager.New(set, ground.TCP{}, log).Run(ctx)
+		return dataplane.New(set, ground.TCP{}, log).Run(ctx)
 	}, 0.6, 400}.main(args, out, errs)
 }
 
