--- a/controlplane/api_test.go
+++ b/controlplane/api_test.go
@@ -8,14 +8,14 @@
 
 	"github.com/rs/zerolog"
 
-	"oxbowspan/internal/boot"
 	"oxbowspan/internal/meadow"
+	"oxbowspan/internal/settings"
 )
 
 // What was not written down is not acknowledged: a hive whose owner has ended says so.
 func TestStoppedControllerRejectsRequests(t *testing.T) {
-	set := &boot.Settings{IPAddress: "10.0.1.1", InternalPorts: []int{7100, 7109}, SeedAddresses: []string{"10.0.1.1:8700"}, FirstStart: true,
-		DataDirectory: t.TempDir(), BeatIntervalMS: 1000}
+	set := &settings.Settings{IPAddress: "10.0.1.1", InternalPorts: []int{7100, 7109}, SeedAddresses: []string{"10.0.1.1:8700"}, FirstStart: true,
+		DataDirectory: t.TempDir(), HeartbeatIntervalMS: 1000}
 	set.Listen.Control = "10.0.1.1:8700"
 	h, err := New(set, meadow.New(nil).Host("10.0.1.1"), zerolog.Nop())
 	if err != nil {
--- a/controlplane/change_bench_test.go
+++ b/controlplane/change_bench_test.go
@@ -21,8 +21,8 @@
 	"github.com/rs/zerolog"
 
 	"oxbowspan/config"
-	"oxbowspan/internal/boot"
 	"oxbowspan/internal/ground"
+	"oxbowspan/internal/settings"
 )
 
 // countingNetwork is loopback, and counts what is written to connections.
@@ -92,9 +92,9 @@
 	ended := make(chan struct{}, 3)
 	for i, control := range seeds {
 		ip, _, _ := net.SplitHostPort(control)
-		set := &boot.Settings{IPAddress: ip, InternalPorts: []int{7100, 7109}, SeedAddresses: seeds, FirstStart: true,
-			DataDirectory: filepath.Join(dir, fmt.Sprint(i)), BeatIntervalMS: 1000}
-		set.Tolerated.Machines = 1
+		set := &settings.Settings{IPAddress: ip, InternalPorts: []int{7100, 7109}, SeedAddresses: seeds, FirstStart: true,
+			DataDirectory: filepath.Join(dir, fmt.Sprint(i)), HeartbeatIntervalMS: 1000}
+		set.ToleratedLosses.Machines = 1
 		set.Listen.Control = control
 		h, err := New(set, c.network, zerolog.Nop())
 		if err != nil {
--- a/controlplane/config_pacing.go
+++ b/controlplane/config_pacing.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"oxbowspan/internal/boot"
+	"oxbowspan/internal/settings"
 	"oxbowspan/rpc"
 )
 
@@ -33,7 +33,7 @@
 	if f == nil || f.sentAt == 0 {
 		return 0
 	}
-	return f.sentAt + pacingDelay(f.sentBytes, boot.Milliseconds(h.settings.Bounds.ConfigApplyMS))
+	return f.sentAt + pacingDelay(f.sentBytes, settings.Milliseconds(h.settings.Bounds.ConfigApplyMS))
 }
 
 // recordVersionSent notes that the asker was given a version.
--- a/controlplane/controller.go
+++ b/controlplane/controller.go
@@ -20,8 +20,8 @@
 
 	"oxbowspan/consensus"
 	"oxbowspan/internal/acceptorstore"
-	"oxbowspan/internal/boot"
 	"oxbowspan/internal/ground"
+	"oxbowspan/internal/settings"
 	"oxbowspan/quorum"
 	"oxbowspan/registry"
 	"oxbowspan/rendezvous"
@@ -42,7 +42,7 @@
 
 // Controller is one core machine's process.
 type Controller struct {
-	settings      *boot.Settings
+	settings      *settings.Settings
 	network       ground.Network
 	log           zerolog.Logger
 	store         *acceptorstore.Store
@@ -137,7 +137,7 @@
 }
 
 // New opens the state and makes a hive that does nothing yet.
-func New(set *boot.Settings, on ground.Network, log zerolog.Logger) (*Controller, error) {
+func New(set *settings.Settings, on ground.Network, log zerolog.Logger) (*Controller, error) {
 	genesis, self := genesisMembers(set)
 	if !set.FirstStart {
 		self = 0
@@ -151,8 +151,8 @@
 	}
 	state := store.State()
 	h := &Controller{settings: set, network: on, log: log, store: store, self: state.ID, proposerID: consensus.ProposerID(acceptorstore.NewAcceptorID()), incarnation: uint64(acceptorstore.NewAcceptorID()),
-		address: set.Internal(boot.HivePort), startedAt: time.Now(), commands: make(chan func(), 1024), stopped: make(chan struct{}), killed: make(chan struct{}),
-		proposalToken: make(chan struct{}, 1), known: consensus.Genesis(genesis), table: registry.NewTable(set.Beat()),
+		address: set.InternalAddress(settings.ControllerPort), startedAt: time.Now(), commands: make(chan func(), 1024), stopped: make(chan struct{}), killed: make(chan struct{}),
+		proposalToken: make(chan struct{}, 1), known: consensus.Genesis(genesis), table: registry.NewTable(set.HeartbeatInterval()),
 		gateways: map[uint64]*gatewayState{}, peers: map[string]*peer{}, waiters: map[*pollWaiter]bool{}, serverStates: map[string]string{}, events: circularbuffer.New[eventRecord](eventLogCapacity), documentTimes: map[string]documentTime{}, highestBallot: state.Promised.Number, contact: quorum.NewContact()}
 	if v := state.Value; v != nil {
 		// Whether it was decided is not known.
@@ -169,8 +169,8 @@
 
 // genesisMembers are the first acceptors, and this machine's identity among them, 0 = none. At the first start every process is
 // told the same seeds, so that all name the same set.
-func genesisMembers(set *boot.Settings) (members []consensus.Member, self consensus.AcceptorID) {
-	for i, a := range set.SeedHives() {
+func genesisMembers(set *settings.Settings) (members []consensus.Member, self consensus.AcceptorID) {
+	for i, a := range set.SeedControllers() {
 		id := genesisID(set.SeedAddresses[i])
 		members = append(members, consensus.Member{ID: id, Address: a})
 		if set.SeedAddresses[i] == set.Listen.Control {
@@ -232,7 +232,7 @@
 	h.wg.Go(func() { web.Serve(control) })
 	h.wg.Go(h.runLoop)
 	h.do(func() {
-		for _, a := range h.settings.SeedHives() {
+		for _, a := range h.settings.SeedControllers() {
 			h.addPeer(a)
 		}
 		h.housekeepingAt = h.now() + time.Duration(rand.Int64N(int64(60*time.Millisecond))) // who begins is left to chance
@@ -452,7 +452,7 @@
 	delete(h.waiters, w)
 	a := w.poll
 	n := &rpc.Update{ControllerIncarnation: h.incarnation, Cursor: uint64(h.table.Cursor()), HasQuorum: h.confirmed && !w.verifying && h.inContact(now), Slot: a.Slot,
-		Warm: now > 3*h.settings.Beat(), MembershipEpoch: h.membershipEpoch}
+		Warm: now > 3*h.settings.HeartbeatInterval(), MembershipEpoch: h.membershipEpoch}
 	if h.hasVersion(a) && now >= h.nextVersionAt(a) {
 		h.recordVersionSent(a, len(h.known.Body), now)
 		n.Slot, n.Version, n.HasConfig, n.Config = uint64(h.known.Slot), uint64(h.known.Version), h.known.Digest != "", h.known.Body
--- a/controlplane/gossip.go
+++ b/controlplane/gossip.go
@@ -305,5 +305,5 @@
 }
 
 func (h *Controller) isSeed(address string) bool {
-	return slices.Contains(h.settings.SeedHives(), address)
+	return slices.Contains(h.settings.SeedControllers(), address)
 }
--- a/controlplane/loop_test.go
+++ b/controlplane/loop_test.go
@@ -17,8 +17,8 @@
 
 	"github.com/rs/zerolog"
 
-	"oxbowspan/internal/boot"
 	"oxbowspan/internal/meadow"
+	"oxbowspan/internal/settings"
 )
 
 // startControllers runs so many hives on a simulated network, and returns what ends each.
@@ -36,9 +36,9 @@
 			dir = t.TempDir()
 		}
 		t.Cleanup(func() { os.RemoveAll(dir) })
-		set := &boot.Settings{IPAddress: ip, InternalPorts: []int{7100, 7109}, SeedAddresses: seeds, FirstStart: true, DataDirectory: dir, BeatIntervalMS: 1000}
+		set := &settings.Settings{IPAddress: ip, InternalPorts: []int{7100, 7109}, SeedAddresses: seeds, FirstStart: true, DataDirectory: dir, HeartbeatIntervalMS: 1000}
 		set.Listen.Control = seeds[i]
-		set.Tolerated.Machines = (n - 1) / 2
+		set.ToleratedLosses.Machines = (n - 1) / 2
 		h, err := New(set, network.Host(ip), zerolog.Nop())
 		if err != nil {
 			t.Fatal(err)
--- a/controlplane/membership.go
+++ b/controlplane/membership.go
@@ -76,7 +76,7 @@
 			silences[m.Address] = 0 // nobody else speaks: it may be this machine that is cut off
 		}
 	}
-	return membershipRequest{consensus.Member{ID: h.self, Address: h.address}, 2*h.settings.Tolerated.Machines + 1,
+	return membershipRequest{consensus.Member{ID: h.self, Address: h.address}, 2*h.settings.ToleratedLosses.Machines + 1,
 		func(a string) time.Duration { return silences[a] }}
 }
 
--- a/controlplane/shutdown.go
+++ b/controlplane/shutdown.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"oxbowspan/consensus"
-	"oxbowspan/internal/boot"
+	"oxbowspan/internal/settings"
 )
 
 // How a member that is told to end stays until it is not needed any more.
@@ -28,7 +28,7 @@
 // none, the change is confirmed, and all who stay have said that their disks hold what is agreed. It stays no longer than
 // its grace lasts. With all copies complete and nobody to hand the seat to, it returns at once.
 func (h *Controller) drain() {
-	limit := boot.Seconds(h.settings.Bounds.GracePeriodS) - shutdownMargin
+	limit := settings.Seconds(h.settings.Bounds.GracePeriodS) - shutdownMargin
 	if h.settings.Bounds.GracePeriodS <= 0 {
 		limit = defaultShutdownTimeout
 	}
--- a/controlplane/value_bodies_test.go
+++ b/controlplane/value_bodies_test.go
@@ -6,16 +6,16 @@
 	"github.com/rs/zerolog"
 
 	"oxbowspan/consensus"
-	"oxbowspan/internal/boot"
 	"oxbowspan/internal/meadow"
+	"oxbowspan/internal/settings"
 	"oxbowspan/rpc"
 )
 
 // newTestController is a control machine that is asked for promises and votes alone.
 func newTestController(t *testing.T) *Controller {
 	t.Helper()
-	set := &boot.Settings{IPAddress: "10.0.1.1", InternalPorts: []int{7100, 7109}, SeedAddresses: []string{"10.0.1.1:8700"}, FirstStart: true,
-		DataDirectory: t.TempDir(), BeatIntervalMS: 1000}
+	set := &settings.Settings{IPAddress: "10.0.1.1", InternalPorts: []int{7100, 7109}, SeedAddresses: []string{"10.0.1.1:8700"}, FirstStart: true,
+		DataDirectory: t.TempDir(), HeartbeatIntervalMS: 1000}
 	set.Listen.Control = "10.0.1.1:8700"
 	h, err := New(set, meadow.New(nil).Host("10.0.1.1"), zerolog.Nop())
 	if err != nil {
--- a/dataplane/bench_test.go
+++ b/dataplane/bench_test.go
@@ -11,8 +11,8 @@
 	"github.com/rs/zerolog"
 
 	"oxbowspan/config"
-	"oxbowspan/internal/boot"
 	"oxbowspan/internal/ground"
+	"oxbowspan/internal/settings"
 	"oxbowspan/registry"
 	"oxbowspan/rpc"
 )
@@ -32,7 +32,7 @@
 			go answerRequests(c)
 		}
 	}()
-	set := &boot.Settings{IPAddress: "127.0.0.1", Zone: "z", InternalPorts: []int{7000, 7010}, FirstStart: true}
+	set := &settings.Settings{IPAddress: "127.0.0.1", Zone: "z", InternalPorts: []int{7000, 7010}, FirstStart: true}
 	f := New(set, ground.TCP{}, zerolog.Nop())
 	front, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/dataplane/configfollower.go
+++ b/dataplane/configfollower.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"oxbowspan/config"
-	"oxbowspan/internal/boot"
+	"oxbowspan/internal/settings"
 	"oxbowspan/rendezvous"
 	"oxbowspan/rpc"
 )
@@ -32,7 +32,7 @@
 // followConfig asks the hives for news, one at a time, each question with what is had.
 func (f *Gateway) followConfig(ctx context.Context) {
 	controllers := map[string]controllerAddress{}
-	for _, a := range f.settings.SeedHives() {
+	for _, a := range f.settings.SeedControllers() {
 		controllers[a] = controllerAddress{address: a}
 	}
 	var order []controllerAddress
@@ -52,7 +52,7 @@
 			order = append(order, p)
 		}
 		// The nearest first; among equals each gatherer has its own order, so that they spread.
-		self := rendezvous.Name(f.settings.Internal(boot.ForagerPort))
+		self := rendezvous.Name(f.settings.InternalAddress(settings.GatewayPort))
 		slices.SortFunc(order, func(a, b controllerAddress) int {
 			return cmp.Or(cmp.Compare(f.zoneDistance(a.zone), f.zoneDistance(b.zone)),
 				cmp.Compare(rendezvous.Weight(rendezvous.Name(a.address), self), rendezvous.Weight(rendezvous.Name(b.address), self)))
@@ -71,7 +71,7 @@
 			c = &rpc.Client{Address: p.address, Network: f.network}
 			callers[p.address] = c
 		}
-		ask := &rpc.Poll{From: &rpc.Gateway{Incarnation: f.incarnation, Address: f.settings.Internal(boot.ForagerPort), Zone: f.settings.Zone, Left: f.draining.Load()},
+		ask := &rpc.Poll{From: &rpc.Gateway{Incarnation: f.incarnation, Address: f.settings.InternalAddress(settings.GatewayPort), Zone: f.settings.Zone, Left: f.draining.Load()},
 			Slot: slot, ControllerIncarnation: incarnation, Cursor: cursor, MembershipEpoch: membershipEpoch, WaitMs: uint32(pollHold / time.Millisecond)}
 		f.fillPoll(ask)
 		sent, askedAt := time.Now(), duration(f.now())
@@ -105,7 +105,7 @@
 		if n.HasGateways {
 			membershipEpoch, peers = n.MembershipEpoch, peers[:0]
 			for _, o := range n.Gateways {
-				if o.Address != f.settings.Internal(boot.ForagerPort) {
+				if o.Address != f.settings.InternalAddress(settings.GatewayPort) {
 					peers = append(peers, o.Address)
 				}
 			}
@@ -124,7 +124,7 @@
 		})
 		if len(n.Controllers) > 0 {
 			updated := map[string]controllerAddress{}
-			for _, a := range f.settings.SeedHives() {
+			for _, a := range f.settings.SeedControllers() {
 				updated[a] = controllerAddress{address: a}
 			}
 			for _, h := range n.Controllers {
--- a/dataplane/dispatchwatch.go
+++ b/dataplane/dispatchwatch.go
@@ -32,7 +32,7 @@
 		return
 	}
 	wait := s.dispatchState()
-	wait.WarmingUp = admission.WarmingUp(duration(now), f.settings.Beat())
+	wait.WarmingUp = admission.WarmingUp(duration(now), f.settings.HeartbeatInterval())
 	switch wait.Decide() {
 	case admission.Recheck:
 		f.watchDispatch(s, now)
--- a/dataplane/gateway.go
+++ b/dataplane/gateway.go
@@ -17,14 +17,14 @@
 	"github.com/rs/zerolog"
 
 	"oxbowspan/brain"
-	"oxbowspan/internal/boot"
 	"oxbowspan/internal/ground"
+	"oxbowspan/internal/settings"
 	"oxbowspan/rpc"
 )
 
 // Gateway is one gatherer's process.
 type Gateway struct {
-	settings    *boot.Settings
+	settings    *settings.Settings
 	network     ground.Network
 	log         zerolog.Logger
 	incarnation uint64
@@ -44,7 +44,7 @@
 }
 
 // New makes a forager that does nothing yet.
-func New(set *boot.Settings, on ground.Network, log zerolog.Logger) *Gateway {
+func New(set *settings.Settings, on ground.Network, log zerolog.Logger) *Gateway {
 	f := &Gateway{settings: set, network: on, log: log, incarnation: newIncarnation(), startedAt: time.Now(), commands: make(chan func(), 4096), stopped: make(chan struct{}), killed: make(chan struct{})}
 	f.clients.open = map[*clientConn]bool{}
 	f.loopState.init(f)
@@ -93,7 +93,7 @@
 	if err != nil {
 		return eris.Errorf("the readiness address can't be listened on: %v", err)
 	}
-	inner, err := f.network.Listen(f.settings.Internal(boot.ForagerPort))
+	inner, err := f.network.Listen(f.settings.InternalAddress(settings.GatewayPort))
 	if err != nil {
 		return eris.Errorf("the internal address can't be listened on: %v", err)
 	}
@@ -140,7 +140,7 @@
 func (f *Gateway) drain() {
 	f.log.Info().Msg("forager: leaving")
 	f.draining.Store(true)
-	grace := max(boot.Seconds(f.settings.Bounds.GracePeriodS)-shutdownReserve, minDrain)
+	grace := max(settings.Seconds(f.settings.Bounds.GracePeriodS)-shutdownReserve, minDrain)
 	left := time.Now()
 	tick := time.NewTicker(50 * time.Millisecond)
 	for range tick.C {
--- a/dataplane/loadexchange.go
+++ b/dataplane/loadexchange.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"oxbowspan/brain"
-	"oxbowspan/internal/boot"
+	"oxbowspan/internal/settings"
 	"oxbowspan/rendezvous"
 	"oxbowspan/rpc"
 )
@@ -63,7 +63,7 @@
 	if !n.HasGateways {
 		return
 	}
-	self := rendezvous.Name(f.settings.Internal(boot.ForagerPort))
+	self := rendezvous.Name(f.settings.InternalAddress(settings.GatewayPort))
 	// Those of this zone are watched, where there are any: they ask the servers that this gatherer asks, and news of them
 	// passes between no zones.
 	all, zone, far := []rendezvous.Name{self}, []rendezvous.Name{self}, []rendezvous.Name(nil)
--- a/dataplane/loop.go
+++ b/dataplane/loop.go
@@ -11,7 +11,7 @@
 	"oxbowspan/brain"
 	"oxbowspan/config"
 	"oxbowspan/internal/alarm"
-	"oxbowspan/internal/boot"
+	"oxbowspan/internal/settings"
 	"oxbowspan/outlier"
 	"oxbowspan/quota"
 	"oxbowspan/registry"
@@ -177,8 +177,8 @@
 	o.endpoints, o.endpointsByID = map[string]*endpoint{}, map[brain.ServerID]*endpoint{}
 	o.shards, o.queryTypes, o.zones = map[string]brain.ShardNo{}, map[string]brain.QueryType{}, map[string]brain.ZoneNo{}
 	o.connectionLimits, o.subscribers, o.subscriptions = map[string]int{}, map[*rpc.Conn]bool{}, map[rendezvous.Name]*loadSubscription{}
-	o.roles = rendezvous.NewTracker(rendezvous.Name(f.settings.Internal(boot.ForagerPort)))
-	o.gateways, o.slots = []rendezvous.Name{rendezvous.Name(f.settings.Internal(boot.ForagerPort))}, map[string]*slotAssignment{}
+	o.roles = rendezvous.NewTracker(rendezvous.Name(f.settings.InternalAddress(settings.GatewayPort)))
+	o.gateways, o.slots = []rendezvous.Name{rendezvous.Name(f.settings.InternalAddress(settings.GatewayPort))}, map[string]*slotAssignment{}
 	o.zones[f.settings.Zone] = 0
 	o.outliers = outlierClient{detector: outlier.NewDetector(outlier.Observer(f.incarnation)), reported: map[brain.ServerID]brain.Judgement{}}
 }
@@ -570,7 +570,7 @@
 		at := f.slots[service]
 		if at == nil || at.slots != n || !slices.Equal(at.servers, servers) || !slices.Equal(at.gateways, f.gateways) {
 			at = &slotAssignment{servers, f.gateways, n, map[string]bool{}}
-			for _, name := range rendezvous.AssignedServers(rendezvous.Name(f.settings.Internal(boot.ForagerPort)), f.gateways, servers, n) {
+			for _, name := range rendezvous.AssignedServers(rendezvous.Name(f.settings.InternalAddress(settings.GatewayPort)), f.gateways, servers, n) {
 				at.assigned[string(name)] = true
 			}
 			f.slots[service] = at
--- a/dataplane/outlier.go
+++ b/dataplane/outlier.go
@@ -101,7 +101,7 @@
 
 // recordOutcome notes how a sub-request ended.
 func (f *Gateway) recordOutcome(s *endpoint, outcome brain.Outcome, err error) {
-	if f.settings.JudgeAlone {
+	if f.settings.LocalDetectionOnly {
 		return
 	}
 	now := duration(f.now())
@@ -131,7 +131,7 @@
 
 // evaluateOutliers looks at servers that are silent, carries the judgement on and tells brain what changed.
 func (f *Gateway) evaluateOutliers(now brain.Time) {
-	if f.settings.JudgeAlone {
+	if f.settings.LocalDetectionOnly {
 		return
 	}
 	j := &f.outliers
@@ -228,7 +228,7 @@
 
 // receiveObservations takes the words of another gatherer.
 func (f *Gateway) receiveObservations(all []*rpc.Observation) {
-	if f.settings.JudgeAlone {
+	if f.settings.LocalDetectionOnly {
 		return
 	}
 	now, news := f.now(), false
--- a/dataplane/quotaclient.go
+++ b/dataplane/quotaclient.go
@@ -8,7 +8,7 @@
 
 	"oxbowspan/brain"
 	"oxbowspan/config"
-	"oxbowspan/internal/boot"
+	"oxbowspan/internal/settings"
 	"oxbowspan/quota"
 	"oxbowspan/rendezvous"
 	"oxbowspan/rpc"
@@ -373,7 +373,7 @@
 	if g.requested {
 		return
 	}
-	self := rendezvous.Name(f.settings.Internal(boot.ForagerPort))
+	self := rendezvous.Name(f.settings.InternalAddress(settings.GatewayPort))
 	holder := rendezvous.Owner(poolRole(service), f.gateways)
 	if holder == self {
 		if parts, may := f.allocate(service, f.incarnation, wants, g.connections, now); may {
--- a/dataplane/scenario_test.go
+++ b/dataplane/scenario_test.go
@@ -23,9 +23,9 @@
 	"pgregory.net/rapid"
 
 	"oxbowspan/config"
-	"oxbowspan/internal/boot"
 	"oxbowspan/internal/ground"
 	"oxbowspan/internal/meadow"
+	"oxbowspan/internal/settings"
 	"oxbowspan/registry"
 	"oxbowspan/rpc"
 )
@@ -270,7 +270,7 @@
 
 // start begins a gatherer's life, and returns what ends it as a kill does.
 func (w *testbed) start(t *testing.T, reports []*rpc.ServerReport) (quit func()) {
-	set := &boot.Settings{IPAddress: gatewayHost, Zone: "z", InternalPorts: []int{7000, 7010}, FirstStart: true}
+	set := &settings.Settings{IPAddress: gatewayHost, Zone: "z", InternalPorts: []int{7000, 7010}, FirstStart: true}
 	set.Listen.Front = frontAddress
 	f := New(set, &faultyNetwork{w.network.Host(gatewayHost), w}, zerolog.Nop())
 	f.wg.Go(f.runLoop)
--- a/internal/colony/colony.go
+++ b/internal/colony/colony.go
@@ -16,9 +16,9 @@
 	"github.com/BurntSushi/toml"
 	"github.com/rs/zerolog"
 
-	"oxbowspan/internal/boot"
 	"oxbowspan/internal/ground"
 	"oxbowspan/internal/meadow"
+	"oxbowspan/internal/settings"
 )
 
 // Colony is one system and its surroundings.
@@ -94,7 +94,7 @@
 
 // WriteBoot writes the settings files of all machines into the colony's folder and returns their names, hives first.
 func (c *Colony) WriteBoot() (hives, foragers []string, err error) {
-	write := func(name string, s *boot.Settings) (string, error) {
+	write := func(name string, s *settings.Settings) (string, error) {
 		path := filepath.Join(c.Dir, name+".toml")
 		var text bytes.Buffer
 		if err := toml.NewEncoder(&text).Encode(s); err != nil {
@@ -121,15 +121,15 @@
 
 func zoneOf(ip string) string { return "zone-" + strings.Split(ip, ".")[1] }
 
-func (c *Colony) settings(ip string) *boot.Settings {
-	s := &boot.Settings{NodeName: ip, IPAddress: ip, Zone: zoneOf(ip), Region: "r", InternalPorts: []int{innerPort, innerPort + 9},
-		SeedAddresses: c.seeds, FirstStart: c.first, BeatIntervalMS: float64(c.Beat / time.Millisecond),
+func (c *Colony) settings(ip string) *settings.Settings {
+	s := &settings.Settings{NodeName: ip, IPAddress: ip, Zone: zoneOf(ip), Region: "r", InternalPorts: []int{innerPort, innerPort + 9},
+		SeedAddresses: c.seeds, FirstStart: c.first, HeartbeatIntervalMS: float64(c.Beat / time.Millisecond),
 		Zones: map[string]string{}}
 	for i := range 3 {
 		s.Zones[fmt.Sprint("zone-", c.base+i)] = "r"
 	}
-	s.JudgeAlone = c.JudgeAlone
-	s.Tolerated.Machines, s.Limits.FileDescriptors = c.counted, c.descriptors
+	s.LocalDetectionOnly = c.JudgeAlone
+	s.ToleratedLosses.Machines, s.Limits.FileDescriptors = c.counted, c.descriptors
 	s.Bounds.GracePeriodS, s.Bounds.BudgetWindowS, s.Bounds.BudgetExtraTries, s.Bounds.RetryBudgetRatio = 6, 10, 54, 0.2
 	s.Bounds.ConfigApplyMS = 3000
 	s.Bounds.HasRetryBudget = true
--- a/internal/colony/contact_test.go
+++ b/internal/colony/contact_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"oxbowspan/config"
-	"oxbowspan/internal/boot"
+	"oxbowspan/internal/settings"
 	"oxbowspan/rpc"
 )
 
@@ -241,7 +241,7 @@
 func (o *orders) watch(c *Colony, m *HiveMachine, until time.Time) (wait func()) {
 	var wg sync.WaitGroup
 	caller := func() *rpc.Client {
-		return &rpc.Client{Address: m.settings().Internal(boot.HivePort), Network: c.Meadow.Host("10.0.9.6")}
+		return &rpc.Client{Address: m.settings().InternalAddress(settings.ControllerPort), Network: c.Meadow.Host("10.0.9.6")}
 	}
 	for i := range 8 {
 		wg.Go(func() {
@@ -386,7 +386,7 @@
 			began := time.Now()
 			for _, m := range c.Hives {
 				o := &orders{}
-				a := &asker{call: &rpc.Client{Address: m.settings().Internal(boot.HivePort), Network: c.Meadow.Host("10.0.9.6")}}
+				a := &asker{call: &rpc.Client{Address: m.settings().InternalAddress(settings.ControllerPort), Network: c.Meadow.Host("10.0.9.6")}}
 				for o.settled == 0 && time.Since(began) < time.Second {
 					o.ask(a, true)
 					time.Sleep(10 * time.Millisecond)
--- a/internal/colony/machine.go
+++ b/internal/colony/machine.go
@@ -10,7 +10,7 @@
 
 	"oxbowspan/controlplane"
 	"oxbowspan/dataplane"
-	"oxbowspan/internal/boot"
+	"oxbowspan/internal/settings"
 )
 
 // life is one run of a machine's process, if there is one.
@@ -43,7 +43,7 @@
 
 func (m *HiveMachine) disk() string { return filepath.Join(m.c.Dir, m.IP) }
 
-func (m *HiveMachine) settings() *boot.Settings {
+func (m *HiveMachine) settings() *settings.Settings {
 	s := m.c.settings(m.IP)
 	s.Listen.Control, s.DataDirectory = m.Control(), m.disk()
 	return s
@@ -92,7 +92,7 @@
 // Front is where clients reach it.
 func (m *ForagerMachine) Front() string { return net.JoinHostPort(m.IP, strconv.Itoa(frontPort)) }
 
-func (m *ForagerMachine) settings() *boot.Settings {
+func (m *ForagerMachine) settings() *settings.Settings {
 	s := m.c.settings(m.IP)
 	s.Listen.Front, s.Listen.Readiness = m.Front(), net.JoinHostPort(m.IP, strconv.Itoa(readyPort))
 	return s
--- a/internal/colony/repair_test.go
+++ b/internal/colony/repair_test.go
@@ -193,7 +193,9 @@
 }
 
 // at tells whether a member is this machine.
-func (m *HiveMachine) at(o consensus.Member) bool { return o.Address == m.settings().Internal(0) }
+func (m *HiveMachine) at(o consensus.Member) bool {
+	return o.Address == m.settings().InternalAddress(0)
+}
 
 // (c, d) A planned replacement: the new machine comes and is granted its time, then the old one is told to end and is gone
 // with its disk. As many others as are borne are lost at that moment: what is left agrees, and holds what was acknowledged.
--- a/internal/colony/return_test.go
+++ b/internal/colony/return_test.go
@@ -40,7 +40,7 @@
 
 // askNews asks a control machine as a gatherer does that has nothing yet; nil = no answer.
 func askNews(c *Colony, to *HiveMachine) *rpc.Update {
-	call := &rpc.Client{Address: to.settings().Internal(0), Network: c.Meadow.Host("10.0.9.5")}
+	call := &rpc.Client{Address: to.settings().InternalAddress(0), Network: c.Meadow.Host("10.0.9.5")}
 	defer call.Close()
 	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 	defer cancel()
--- a/internal/entrance/entrance.go
+++ b/internal/entrance/entrance.go
@@ -22,8 +22,8 @@
 	"oxbowspan/controlplane"
 	"oxbowspan/dataplane"
 	"oxbowspan/internal/acceptorstore"
-	"oxbowspan/internal/boot"
 	"oxbowspan/internal/ground"
+	"oxbowspan/internal/settings"
 )
 
 // Exit codes.
@@ -39,14 +39,14 @@
 type program struct {
 	name           string
 	front, control bool
-	run            func(ctx context.Context, set *boot.Settings, log zerolog.Logger) error
+	run            func(ctx context.Context, set *settings.Settings, log zerolog.Logger) error
 	memoryShare    float64 // of the limit that the collector works towards
 	collect        int     // growth of the heap between collections, in percent
 }
 
 // Hive runs the control plane's command line and returns its exit code.
 func Hive(args []string, out, errs io.Writer) int {
-	return program{"hive", false, true, func(ctx context.Context, set *boot.Settings, log zerolog.Logger) error {
+	return program{"hive", false, true, func(ctx context.Context, set *settings.Settings, log zerolog.Logger) error {
 		h, err := controlplane.New(set, ground.TCP{}, log)
 		if err != nil {
 			return err
@@ -57,7 +57,7 @@
 
 // Forager runs the data plane's command line and returns its exit code.
 func Forager(args []string, out, errs io.Writer) int {
-	return program{"forager", true, false, func(ctx context.Context, set *boot.Settings, log zerolog.Logger) error {
+	return program{"forager", true, false, func(ctx context.Context, set *settings.Settings, log zerolog.Logger) error {
 		return dataplane.New(set, ground.TCP{}, log).Run(ctx)
 	}, 0.6, 400}.main(args, out, errs)
 }
@@ -65,14 +65,14 @@
 func (p program) main(args []string, out, errs io.Writer) int {
 	set := flag.NewFlagSet(p.name, flag.ContinueOnError)
 	set.SetOutput(errs)
-	path := set.String("boot", "", "the settings `file`; else "+boot.Variable+" names it")
+	path := set.String("boot", "", "the settings `file`; else "+settings.PathVariable+" names it")
 	level := set.String("log-level", "info", "the least `level` that is logged: debug, info, warn, error")
 	options := []ff.Option{ff.WithEnvVarPrefix("OXBOWSPAN")}
 	serve := &ffcli.Command{Name: "serve", ShortUsage: p.name + " serve", ShortHelp: "serve until SIGTERM", Options: options,
 		FlagSet: flag.NewFlagSet("serve", flag.ContinueOnError),
-		Exec:    func(context.Context, []string) error { return p.serve(boot.Path(*path), *level, errs) }}
+		Exec:    func(context.Context, []string) error { return p.serve(settings.ResolvePath(*path), *level, errs) }}
 	checkBoot := &ffcli.Command{Name: "boot", ShortUsage: p.name + " check boot", ShortHelp: "say all that is wrong with the settings file",
-		Exec: func(context.Context, []string) error { return p.check(boot.Path(*path), out) }}
+		Exec: func(context.Context, []string) error { return p.check(settings.ResolvePath(*path), out) }}
 	checkConfig := &ffcli.Command{Name: "config", ShortUsage: p.name + " check config FILE", ShortHelp: "say all that is wrong with a configuration",
 		Exec: func(_ context.Context, args []string) error {
 			if len(args) != 1 {
@@ -124,7 +124,7 @@
 			}
 			at := *dir
 			if at == "" {
-				s, err := boot.Read(boot.Path(*path))
+				s, err := settings.Read(settings.ResolvePath(*path))
 				if err != nil {
 					return err
 				}
@@ -165,8 +165,8 @@
 		}, Exec: func(context.Context, []string) error { return flag.ErrHelp }}
 }
 
-func (p program) read(path string) (*boot.Settings, []string, error) {
-	s, err := boot.Read(path)
+func (p program) read(path string) (*settings.Settings, []string, error) {
+	s, err := settings.Read(path)
 	if err != nil {
 		return nil, nil, err
 	}
--- a/internal/entrance/operator.go
+++ b/internal/entrance/operator.go
@@ -13,7 +13,7 @@
 	"github.com/rotisserie/eris"
 
 	"oxbowspan/internal/beekeeper"
-	"oxbowspan/internal/boot"
+	"oxbowspan/internal/settings"
 )
 
 // operator is what the commands that call hives share.
@@ -35,7 +35,7 @@
 func (o *operator) keeper() (*beekeeper.Keeper, error) {
 	addresses := beekeeper.Split(o.control)
 	if len(addresses) == 0 {
-		s, err := boot.Read(boot.Path(*o.path))
+		s, err := settings.Read(settings.ResolvePath(*o.path))
 		if err != nil {
 			return nil, eris.Errorf("no hive is named by --control, and %v", err)
 		}
--- a/internal/lab/colony.go
+++ b/internal/lab/colony.go
@@ -14,9 +14,9 @@
 
 	"github.com/spf13/cobra"
 
-	"oxbowspan/internal/boot"
 	"oxbowspan/internal/colony"
 	"oxbowspan/internal/command"
+	"oxbowspan/internal/settings"
 )
 
 // newColony is the command that surrounds three hives and two foragers on loopback with servers, an operator and clients.
@@ -52,7 +52,7 @@
 			name = "forager"
 		}
 		if bin == "" {
-			fmt.Fprintf(out, "%s=%s target/%s serve\n", boot.Variable, path, name)
+			fmt.Fprintf(out, "%s=%s target/%s serve\n", settings.PathVariable, path, name)
 			continue
 		}
 		p := exec.Command(filepath.Join(bin, name), "--boot", path, "serve")
--- a/internal/lab/hollow.go
+++ b/internal/lab/hollow.go
@@ -11,9 +11,9 @@
 	"time"
 
 	"oxbowspan/config"
-	"oxbowspan/internal/boot"
 	"oxbowspan/internal/colony"
 	"oxbowspan/internal/ground"
+	"oxbowspan/internal/settings"
 	"oxbowspan/rpc"
 )
 
@@ -163,11 +163,11 @@
 	var control, inner []string
 	var pids []int
 	for _, p := range sys.hives {
-		s, err := boot.Read(sys.boot[p])
+		s, err := settings.Read(sys.boot[p])
 		if err != nil {
 			return nil, err
 		}
-		control, inner = append(control, s.Listen.Control), append(inner, s.Internal(boot.HivePort))
+		control, inner = append(control, s.Listen.Control), append(inner, s.InternalAddress(settings.ControllerPort))
 		pids = append(pids, p.Process.Pid)
 	}
 	bounded, cancel := context.WithTimeout(ctx, hollowLimit)
--- a/internal/boot/fuzz_test.go
+++ b/internal/settings/fuzz_test.go
@@ -1,4 +1,4 @@
-package boot
+package settings
 
 import (
 	"os"
@@ -20,14 +20,14 @@
 		if err != nil {
 			return
 		}
-		for _, front := range []bool{true, false} {
-			if len(s.Check(front, !front)) > 0 {
+		for _, gateway := range []bool{true, false} {
+			if len(s.Check(gateway, !gateway)) > 0 {
 				continue
 			}
-			s.SeedHives()
-			s.Internal(HivePort)
-			s.Internal(ForagerPort)
-			if s.Beat() < 0 {
+			s.SeedControllers()
+			s.InternalAddress(ControllerPort)
+			s.InternalAddress(GatewayPort)
+			if s.HeartbeatInterval() < 0 {
 				t.Fatal("beats of less than no time")
 			}
 		}
--- a/internal/boot/boot.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
-// Package boot reads what the platform tells a process when it starts: the settings file, in TOML, whose path stands in
+// Package settings reads what the platform tells a process when it starts: the settings file, in TOML, whose path stands in
 // the environment. It owns the file's form and what makes it unusable; unknown fields are ignored.
-package boot
+package settings
 
 import (
 	"fmt"
@@ -13,25 +13,25 @@
 	"github.com/rotisserie/eris"
 )
 
-// Variable names the environment variable that holds the file's path.
-const Variable = "OXBOWSPAN_BOOT"
+// PathVariable names the environment variable that holds the file's path.
+const PathVariable = "OXBOWSPAN_BOOT"
 
 // Settings are what a process is told. Fields ending in MS are milliseconds, in S seconds.
 type Settings struct {
-	NodeName       string            `toml:"node_name"`
-	Role           string            `toml:"role"`
-	IPAddress      string            `toml:"ip_address"`
-	Zone           string            `toml:"zone"`
-	Region         string            `toml:"region"`
-	InternalPorts  []int             `toml:"internal_ports"` // the first and the last
-	SeedAddresses  []string          `toml:"seed_addresses"`
-	JudgeAlone     bool              `toml:"judge_alone"` // this gatherer's own records decide alone; not the platform's: for comparing
-	FirstStart     bool              `toml:"first_start"`
-	LossCounted    bool              `toml:"loss_counted"`
-	DataDirectory  string            `toml:"data_directory"`
-	BeatIntervalMS float64           `toml:"beat_interval_ms"`
-	Zones          map[string]string `toml:"zones"`
-	Listen         struct {
+	NodeName            string            `toml:"node_name"`
+	Role                string            `toml:"role"`
+	IPAddress           string            `toml:"ip_address"`
+	Zone                string            `toml:"zone"`
+	Region              string            `toml:"region"`
+	InternalPorts       []int             `toml:"internal_ports"` // the first and the last
+	SeedAddresses       []string          `toml:"seed_addresses"`
+	LocalDetectionOnly  bool              `toml:"judge_alone"` // this gatherer's own records decide alone; not the platform's: for comparing
+	FirstStart          bool              `toml:"first_start"`
+	LossCounted         bool              `toml:"loss_counted"`
+	DataDirectory       string            `toml:"data_directory"`
+	HeartbeatIntervalMS float64           `toml:"beat_interval_ms"`
+	Zones               map[string]string `toml:"zones"`
+	Listen              struct {
 		Front     string `toml:"front_address"`
 		Readiness string `toml:"readiness_address"`
 		Control   string `toml:"control_address"`
@@ -43,7 +43,7 @@
 		FileDescriptors int     `toml:"file_descriptors"`
 		DiskMB          float64 `toml:"disk_mb"`
 	} `toml:"limits"`
-	Tolerated struct {
+	ToleratedLosses struct {
 		Machines int `toml:"machines"`
 	} `toml:"tolerated_losses"`
 	Bounds struct {
@@ -62,18 +62,18 @@
 	} `toml:"bounds"`
 }
 
-// Path is where the settings are: the flag's value, or what the environment says.
-func Path(flag string) string {
+// ResolvePath is where the settings are: the flag's value, or what the environment says.
+func ResolvePath(flag string) string {
 	if flag != "" {
 		return flag
 	}
-	return os.Getenv(Variable)
+	return os.Getenv(PathVariable)
 }
 
 // Read reads a settings file. Its error is one sentence.
 func Read(path string) (*Settings, error) {
 	if path == "" {
-		return nil, eris.Errorf("no settings file: give --boot or set %s", Variable)
+		return nil, eris.Errorf("no settings file: give --boot or set %s", PathVariable)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -89,67 +89,69 @@
 }
 
 // Check returns all that keeps a process of one kind from starting, a sentence each.
-func (s *Settings) Check(front, control bool) (faults []string) {
-	say := func(format string, args ...any) { faults = append(faults, fmt.Sprintf(format, args...)) }
+func (s *Settings) Check(gateway, controller bool) (problems []string) {
+	report := func(format string, args ...any) { problems = append(problems, fmt.Sprintf(format, args...)) }
 	if _, err := netip.ParseAddr(s.IPAddress); err != nil {
-		say("ip_address %q is not an IP address", s.IPAddress)
+		report("ip_address %q is not an IP address", s.IPAddress)
 	}
 	if len(s.InternalPorts) != 2 || s.InternalPorts[0] < 1 || s.InternalPorts[1] < s.InternalPorts[0]+1 || s.InternalPorts[1] > 65535 {
-		say("internal_ports %v are not the first and the last of two ports or more", s.InternalPorts)
+		report("internal_ports %v are not the first and the last of two ports or more", s.InternalPorts)
 	}
 	if len(s.SeedAddresses) == 0 {
-		say("seed_addresses is empty")
+		report("seed_addresses is empty")
 	}
 	address := func(name, a string) {
 		if _, err := netip.ParseAddrPort(a); err != nil {
-			say("%s %q is not an address with a port", name, a)
+			report("%s %q is not an address with a port", name, a)
 		}
 	}
 	for _, a := range s.SeedAddresses {
 		address("a seed address", a)
 	}
-	if front {
+	if gateway {
 		address("front_address", s.Listen.Front)
 		address("readiness_address", s.Listen.Readiness)
 	}
-	if control {
+	if controller {
 		address("control_address", s.Listen.Control)
 		if s.DataDirectory == "" {
-			say("data_directory is missing: the control plane keeps its state on a disk")
+			report("data_directory is missing: the control plane keeps its state on a disk")
 		}
 	}
-	if s.BeatIntervalMS <= 0 {
-		say("beat_interval_ms %v is not above 0", s.BeatIntervalMS)
+	if s.HeartbeatIntervalMS <= 0 {
+		report("beat_interval_ms %v is not above 0", s.HeartbeatIntervalMS)
 	}
-	return faults
+	return problems
 }
 
-// HivePort and ForagerPort are the offsets of the internal ports that the two programs use.
+// ControllerPort and GatewayPort are the offsets of the internal ports that the two programs use.
 const (
-	HivePort = iota
-	ForagerPort
+	ControllerPort = iota
+	GatewayPort
 )
 
-// Internal is this machine's address for one of the internal ports.
-func (s *Settings) Internal(offset int) string { return s.internalAt(s.IPAddress, offset) }
+// InternalAddress is this machine's address for one of the internal ports.
+func (s *Settings) InternalAddress(offset int) string {
+	return s.internalAddressOf(s.IPAddress, offset)
+}
 
-func (s *Settings) internalAt(ip string, offset int) string {
+func (s *Settings) internalAddressOf(ip string, offset int) string {
 	a, _ := netip.ParseAddr(ip)
 	return netip.AddrPortFrom(a, uint16(s.InternalPorts[0]+offset)).String()
 }
 
-// SeedHives are the internal addresses of the seeds' hives.
-func (s *Settings) SeedHives() (out []string) {
+// SeedControllers are the internal addresses of the seeds' hives.
+func (s *Settings) SeedControllers() (out []string) {
 	for _, a := range s.SeedAddresses {
 		if ap, err := netip.ParseAddrPort(a); err == nil {
-			out = append(out, s.internalAt(ap.Addr().String(), HivePort))
+			out = append(out, s.internalAddressOf(ap.Addr().String(), ControllerPort))
 		}
 	}
 	return out
 }
 
-// Beat is how often servers call.
-func (s *Settings) Beat() time.Duration { return Milliseconds(s.BeatIntervalMS) }
+// HeartbeatInterval is how often servers call.
+func (s *Settings) HeartbeatInterval() time.Duration { return Milliseconds(s.HeartbeatIntervalMS) }
 
 // Milliseconds is so many as a duration.
 func Milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/internal/boot/boot_test.go
+++ b/internal/settings/settings_test.go
@@ -1,4 +1,4 @@
-package boot
+package settings
 
 import (
 	"os"
@@ -52,12 +52,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if faults := s.Check(false, true); len(faults) > 0 {
-		t.Fatalf("faults are found: %v", faults)
+	if problems := s.Check(false, true); len(problems) > 0 {
+		t.Fatalf("faults are found: %v", problems)
 	}
 	b := s.Bounds
-	if b.ContactMS != 4000 || b.RecoveryS != 12.5 || b.RetryBudgetRatio != 0.2 || !b.HasRetryBudget || s.Tolerated.Machines != 2 ||
-		s.Limits.FileDescriptors != 4096 || s.FirstStart || !s.LossCounted || len(s.SeedHives()) != 3 {
+	if b.ContactMS != 4000 || b.RecoveryS != 12.5 || b.RetryBudgetRatio != 0.2 || !b.HasRetryBudget || s.ToleratedLosses.Machines != 2 ||
+		s.Limits.FileDescriptors != 4096 || s.FirstStart || !s.LossCounted || len(s.SeedControllers()) != 3 {
 		t.Errorf("read as %+v", s)
 	}
 }
