--- a/cmd/oxbowspan-control/main.go
+++ b/cmd/oxbowspan-control/main.go
@@ -4,7 +4,7 @@
 import (
 	"os"
 
-	"oxbowspan/internal/entrance"
+	"oxbowspan/internal/controlcli"
 )
 
-func main() { os.Exit(entrance.Hive(os.Args[1:], os.Stdout, os.Stderr)) }
+func main() { os.Exit(controlcli.RunController(os.Args[1:], os.Stdout, os.Stderr)) }
--- a/internal/entrance/operator.go
+++ b/internal/controlcli/command.go
@@ -1,4 +1,4 @@
-package entrance
+package controlcli
 
 import (
 	"context"
@@ -16,26 +16,26 @@
 	"oxbowspan/internal/settings"
 )
 
-// operator is what the commands that call hives share.
-type operator struct {
-	path    *string // of the settings file, whose seeds are called where no address is given
-	control string
-	json    bool
-	out     io.Writer
+// commandContext is what the commands that call hives share.
+type commandContext struct {
+	settingsPath *string // of the settings file, whose seeds are called where no address is given
+	addresses    string
+	asJSON       bool
+	out          io.Writer
 }
 
 // flags are those of every such command.
-func (o *operator) flags(name string) *flag.FlagSet {
+func (o *commandContext) flags(name string) *flag.FlagSet {
 	set := flag.NewFlagSet(name, flag.ContinueOnError)
-	set.StringVar(&o.control, "control", "", "control `addresses` of hives, with commas; else the settings file's seeds")
-	set.BoolVar(&o.json, "json", false, "print JSON")
+	set.StringVar(&o.addresses, "control", "", "control `addresses` of hives, with commas; else the settings file's seeds")
+	set.BoolVar(&o.asJSON, "json", false, "print JSON")
 	return set
 }
 
-func (o *operator) keeper() (*beekeeper.Keeper, error) {
-	addresses := beekeeper.Split(o.control)
+func (o *commandContext) client() (*beekeeper.Keeper, error) {
+	addresses := beekeeper.Split(o.addresses)
 	if len(addresses) == 0 {
-		s, err := settings.Read(settings.ResolvePath(*o.path))
+		s, err := settings.Read(settings.ResolvePath(*o.settingsPath))
 		if err != nil {
 			return nil, eris.Errorf("no hive is named by --control, and %v", err)
 		}
@@ -45,8 +45,8 @@
 }
 
 // print writes a value as JSON, or by lines.
-func (o *operator) print(v any, lines func(w io.Writer)) error {
-	if o.json {
+func (o *commandContext) print(v any, lines func(w io.Writer)) error {
+	if o.asJSON {
 		text, err := json.MarshalIndent(v, "", "  ")
 		if err == nil {
 			fmt.Fprintln(o.out, string(text))
@@ -58,14 +58,14 @@
 	return w.Flush()
 }
 
-func (o *operator) silent(addresses []string) {
-	if len(addresses) > 0 && !o.json {
+func (o *commandContext) reportUnreachable(addresses []string) {
+	if len(addresses) > 0 && !o.asJSON {
 		fmt.Fprintf(o.out, "no answer from %s: what its gatherers say is not here\n", strings.Join(addresses, ", "))
 	}
 }
 
 // command is one that calls hives, with so many words after its name.
-func (o *operator) command(parent, name, usage, help string, least, most int, do func(ctx context.Context, k *beekeeper.Keeper, args []string) error) *ffcli.Command {
+func (o *commandContext) command(parent, name, usage, help string, least, most int, do func(ctx context.Context, k *beekeeper.Keeper, args []string) error) *ffcli.Command {
 	set := o.flags(name)
 	return &ffcli.Command{Name: name, ShortUsage: strings.TrimSpace(parent + " " + name + " " + usage), ShortHelp: help, FlagSet: set,
 		Exec: func(ctx context.Context, rest []string) error {
@@ -83,7 +83,7 @@
 			if len(args) < least || len(args) > most {
 				return flag.ErrHelp
 			}
-			k, err := o.keeper()
+			k, err := o.client()
 			if err != nil {
 				return err
 			}
--- a/internal/entrance/commands_test.go
+++ b/internal/controlcli/commands_test.go
@@ -1,4 +1,4 @@
-package entrance
+package controlcli
 
 import (
 	"bytes"
@@ -19,24 +19,24 @@
 	"oxbowspan/internal/colony"
 )
 
-// built is a system of built programs on loopback.
-type built struct {
-	t     *testing.T
-	bin   string
-	c     *colony.Colony
-	hives []*exec.Cmd
+// programs is a system of built programs on loopback.
+type programs struct {
+	t           *testing.T
+	bin         string
+	cluster     *colony.Colony
+	controllers []*exec.Cmd
 }
 
-// stopHives ends every hive that runs.
-func (b *built) stopHives() {
-	for _, p := range b.hives {
+// stopControllers ends every hive that runs.
+func (b *programs) stopControllers() {
+	for _, p := range b.controllers {
 		p.Process.Signal(syscall.SIGKILL)
 		p.Wait()
 	}
-	b.hives = nil
+	b.controllers = nil
 }
 
-func (b *built) start(program, boot string) *exec.Cmd {
+func (b *programs) start(program, boot string) *exec.Cmd {
 	p := exec.Command(filepath.Join(b.bin, program), "--boot", boot, "--log-level", "error", "serve")
 	p.Stderr = os.Stderr
 	if err := p.Start(); err != nil {
@@ -44,13 +44,13 @@
 	}
 	b.t.Cleanup(func() { p.Process.Signal(syscall.SIGKILL); p.Wait() })
 	if program == "hive" {
-		b.hives = append(b.hives, p)
+		b.controllers = append(b.controllers, p)
 	}
 	return p
 }
 
 // run runs one command of the built hive and returns what it printed and its exit code.
-func (b *built) run(args ...string) (string, int) {
+func (b *programs) run(args ...string) (string, int) {
 	b.t.Helper()
 	p := exec.Command(filepath.Join(b.bin, "hive"), args...)
 	var out, errs bytes.Buffer
@@ -63,7 +63,7 @@
 	return out.String() + errs.String(), p.ProcessState.ExitCode()
 }
 
-func (b *built) wants(code int, word string, args ...string) string {
+func (b *programs) expect(code int, word string, args ...string) string {
 	b.t.Helper()
 	text, got := b.run(args...)
 	if got != code || !strings.Contains(text, word) {
@@ -76,7 +76,7 @@
 const convergence = 20 * time.Second
 
 // poll runs a command until its output and exit code pass, and returns that output. Past the bound the test fails with the last output.
-func (b *built) poll(want string, pass func(text string, code int) bool, args ...string) string {
+func (b *programs) poll(want string, pass func(text string, code int) bool, args ...string) string {
 	b.t.Helper()
 	for end := time.Now().Add(convergence); ; time.Sleep(200 * time.Millisecond) {
 		text, code := b.run(args...)
@@ -92,7 +92,7 @@
 
 // eventually runs a command until it ends with the exit code and prints the word. It is for what converges: a command that makes
 // a change is checked once, by wants.
-func (b *built) eventually(code int, word string, args ...string) string {
+func (b *programs) eventually(code int, word string, args ...string) string {
 	b.t.Helper()
 	return b.poll(fmt.Sprintf("exit %d with %q", code, word), func(text string, got int) bool {
 		return got == code && strings.Contains(text, word)
@@ -100,7 +100,7 @@
 }
 
 // allServers waits until the list holds every server, ready and heard, and returns it.
-func (b *built) allServers(count int, args ...string) (servers []controlplane.ServerStatus) {
+func (b *programs) allServers(count int, args ...string) (servers []controlplane.ServerStatus) {
 	b.t.Helper()
 	b.poll(fmt.Sprintf("%d ready servers", count), func(text string, code int) bool {
 		servers = nil
@@ -117,9 +117,9 @@
 
 // asks sends a gatherer a request until it is answered by a server. Only 503 is asked again: the gatherer may not have heard of the
 // servers yet; any other status is the outcome.
-func (b *built) asks(path, id string) colony.Answer {
+func (b *programs) asks(path, id string) colony.Answer {
 	for end := time.Now().Add(convergence); ; time.Sleep(200 * time.Millisecond) {
-		a := b.c.Ask(b.c.Gather[0], "GET", "h.example", path, id, time.Second)
+		a := b.cluster.Ask(b.cluster.Gather[0], "GET", "h.example", path, id, time.Second)
 		if a.Status != http.StatusServiceUnavailable || time.Now().After(end) {
 			return a
 		}
@@ -129,16 +129,16 @@
 // An operator's day on built programs: a configuration, tenants and pins are set, looked at and refused where they are wrong; a core machine is
 // killed and its disk removed, and the events tell it.
 func TestCommandsOnBuiltPrograms(t *testing.T) {
-	b := &built{t: t, bin: t.TempDir(), c: colony.Local(t.TempDir(), 3, 2)}
+	b := &programs{t: t, bin: t.TempDir(), cluster: colony.Local(t.TempDir(), 3, 2)}
 	if out, err := exec.Command("go", "build", "-o", b.bin+"/", "oxbowspan/cmd/hive", "oxbowspan/cmd/forager").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
-	hives, foragers, err := b.c.WriteBoot()
+	controllers, gateways, err := b.cluster.WriteBoot()
 	if err != nil {
 		t.Fatal(err)
 	}
-	for i, boot := range append(hives, foragers...) {
-		if i < len(hives) {
+	for i, boot := range append(controllers, gateways...) {
+		if i < len(controllers) {
 			b.start("hive", boot)
 		} else {
 			b.start("forager", boot)
@@ -146,7 +146,7 @@
 	}
 	for _, service := range colony.ExampleServices {
 		for range 2 {
-			s := b.c.AddServer(service, 5*time.Millisecond)
+			s := b.cluster.AddServer(service, 5*time.Millisecond)
 			if err := s.Start(); err != nil {
 				t.Fatal(err)
 			}
@@ -154,73 +154,73 @@
 		}
 	}
 	file := func(name, text string) string {
-		path := filepath.Join(b.c.Dir, name)
+		path := filepath.Join(b.cluster.Dir, name)
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		return path
 	}
-	boot := "--boot=" + hives[0] // its seeds are called
+	boot := "--boot=" + controllers[0] // its seeds are called
 	at := func(args ...string) []string { return append([]string{boot}, args...) }
 
-	b.wants(0, "as it should be", at("check", "boot")...)
+	b.expect(0, "as it should be", at("check", "boot")...)
 	if out, err := exec.Command("bash", "-c", "source <("+b.bin+"/hive completion); COMP_WORDS=(hive judgement p); COMP_CWORD=2; _hive; echo ${COMPREPLY[*]}").CombinedOutput(); err != nil || strings.TrimSpace(string(out)) != "pin" {
 		t.Errorf("completion of 'hive judgement p': %q, %v", out, err)
 	}
-	b.wants(2, "USAGE", at("config")...)
-	b.wants(2, "USAGE", at("tenant", "set")...)
-	b.wants(1, "does not answer", "config", "get", "--control", "127.0.0.1:1")
+	b.expect(2, "USAGE", at("config")...)
+	b.expect(2, "USAGE", at("tenant", "set")...)
+	b.expect(1, "does not answer", "config", "get", "--control", "127.0.0.1:1")
 	b.eventually(1, "none yet", at("config", "get")...)
 	first := file("first.json", string(colony.Example(1, colony.FirstCut)))
 	second := file("second.json", string(colony.Example(5, colony.SecondCut)))
-	b.wants(0, "is valid", "check", "config", first)
+	b.expect(0, "is valid", "check", "config", first)
 	b.eventually(0, "version 1 is agreed", at("config", "put", first)...)
-	b.wants(0, "1 changes", at("config", "diff", second)...) // the route that is cut anew
-	b.wants(1, "version 1 is in place", at("config", "put", "--based-on", "7", second)...)
-	b.wants(0, "version 5 is agreed, on top of 1", at("config", "put", second)...)
-	b.wants(1, "every gatherer", at("config", "put", file("bad.json", `{"version":9,"routes":[{"name":"x","hostname":"h","path_prefix":"nope","route_kind":"never","service":"every gatherer"}]}`))...)
-	b.wants(0, "VERSION", at("config", "history")...)
+	b.expect(0, "1 changes", at("config", "diff", second)...) // the route that is cut anew
+	b.expect(1, "version 1 is in place", at("config", "put", "--based-on", "7", second)...)
+	b.expect(0, "version 5 is agreed, on top of 1", at("config", "put", second)...)
+	b.expect(1, "every gatherer", at("config", "put", file("bad.json", `{"version":9,"routes":[{"name":"x","hostname":"h","path_prefix":"nope","route_kind":"never","service":"every gatherer"}]}`))...)
+	b.expect(0, "VERSION", at("config", "history")...)
 	b.eventually(0, "in force on 2 gatherers", at("config", "explain", "h.example/all/x")...)
 	b.eventually(0, "404", at("config", "explain", "nowhere.example/x")...)
-	b.wants(1, "named by its host and path", at("config", "explain", "x")...)
-	b.wants(0, `"version":5`, at("config", "get")...)
+	b.expect(1, "named by its host and path", at("config", "explain", "x")...)
+	b.expect(0, `"version":5`, at("config", "get")...)
 
 	b.eventually(0, "i-", at("servers", "once")...)
 	servers := b.allServers(2*len(colony.ExampleServices), at("servers", "--json")...)
 	b.eventually(0, "yes", at("nodes")...)
 	b.eventually(0, "disks that may be lost now: 1", at("members")...)
 
-	b.wants(0, "no document of tenants", at("tenant", "list")...)
+	b.expect(0, "no document of tenants", at("tenant", "list")...)
 	tenants := file("tenants.json", `{"tenants":[{"name":"desk","weight":3,"routes":[{"hostname":"h.example","path_prefix":"/one/"}]}]}`)
-	b.wants(0, "as it should be", "check", "tenants", tenants)
-	b.wants(1, "no routes", "check", "tenants", file("worse.json", `{"tenants":[{"name":"desk"}]}`))
-	b.wants(0, "desk", at("tenant", "dry-run", tenants)...)
-	b.wants(0, "version 1 of the tenants", at("tenant", "set", tenants)...)
+	b.expect(0, "as it should be", "check", "tenants", tenants)
+	b.expect(1, "no routes", "check", "tenants", file("worse.json", `{"tenants":[{"name":"desk"}]}`))
+	b.expect(0, "desk", at("tenant", "dry-run", tenants)...)
+	b.expect(0, "version 1 of the tenants", at("tenant", "set", tenants)...)
 	b.eventually(0, "tenant desk", at("config", "explain", "h.example/one/x")...)
 	if a := b.asks("/one/x", "first"); a.Status != http.StatusOK {
 		t.Errorf("a request: %d", a.Status)
 	}
 	b.eventually(0, "127.", at("tenant", "explain")...)
-	b.wants(0, "desk", at("tenant", "list")...)
+	b.expect(0, "desk", at("tenant", "list")...)
 
 	b.eventually(0, "every server is in", at("judgement", "list")...)
-	b.wants(1, "neither in, avoided nor out", at("judgement", "pin", servers[0].Instance, "sideways")...)
-	b.wants(0, "version 1 of the pins", at("judgement", "pin", servers[0].Instance, "out", "--for", "1m", "--why", "a test")...)
+	b.expect(1, "neither in, avoided nor out", at("judgement", "pin", servers[0].Instance, "sideways")...)
+	b.expect(0, "version 1 of the pins", at("judgement", "pin", servers[0].Instance, "out", "--for", "1m", "--why", "a test")...)
 	b.eventually(0, "pinned", at("judgement", "list")...)
 	b.eventually(0, "pinned by an operator", at("judgement", "explain", servers[0].Instance)...)
-	b.wants(0, "version 2 of the pins", at("judgement", "unpin", servers[0].Instance)...)
-	b.wants(1, "is not pinned", at("judgement", "unpin", servers[0].Instance)...)
+	b.expect(0, "version 2 of the pins", at("judgement", "unpin", servers[0].Instance)...)
+	b.expect(1, "is not pinned", at("judgement", "unpin", servers[0].Instance)...)
 	b.eventually(0, "every server is in", at("judgement", "list")...)
 
 	// A core machine is lost with its disk and comes back without.
-	b.hives[2].Process.Signal(syscall.SIGKILL)
-	b.hives[2].Wait()
-	if err := os.RemoveAll(filepath.Join(b.c.Dir, b.c.Hives[2].IP)); err != nil {
+	b.controllers[2].Process.Signal(syscall.SIGKILL)
+	b.controllers[2].Wait()
+	if err := os.RemoveAll(filepath.Join(b.cluster.Dir, b.cluster.Hives[2].IP)); err != nil {
 		t.Fatal(err)
 	}
 	b.eventually(0, "is not heard any more", at("events")...)
 	b.eventually(0, "no answer from", at("members")...)
-	text, err := os.ReadFile(hives[2])
+	text, err := os.ReadFile(controllers[2])
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -235,22 +235,22 @@
 	b.eventually(0, "version 5 is agreed", at("events")...)
 
 	// A majority is lost for good: a copy of the disk that is left, and a core begun anew that takes it.
-	copied := filepath.Join(b.c.Dir, "copy.json")
-	b.wants(1, "machine runs", "state", "--dir", filepath.Join(b.c.Dir, b.c.Hives[0].IP), "export", copied)
-	b.stopHives()
-	b.wants(0, "version 5 and 2 documents", "state", "--dir", filepath.Join(b.c.Dir, b.c.Hives[0].IP), "export", copied)
-	for _, h := range b.c.Hives {
-		if err := os.RemoveAll(filepath.Join(b.c.Dir, h.IP)); err != nil {
+	copied := filepath.Join(b.cluster.Dir, "copy.json")
+	b.expect(1, "machine runs", "state", "--dir", filepath.Join(b.cluster.Dir, b.cluster.Hives[0].IP), "export", copied)
+	b.stopControllers()
+	b.expect(0, "version 5 and 2 documents", "state", "--dir", filepath.Join(b.cluster.Dir, b.cluster.Hives[0].IP), "export", copied)
+	for _, h := range b.cluster.Hives {
+		if err := os.RemoveAll(filepath.Join(b.cluster.Dir, h.IP)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	for _, path := range hives {
+	for _, path := range controllers {
 		b.start("hive", path)
 	}
 	b.eventually(1, "none yet", at("config", "get")...)
-	b.wants(1, "gone for good", at("state", "restore", copied)...)
-	b.wants(0, "the tenants are agreed", at("state", "restore", copied, "--lose-the-rest")...)
-	b.wants(1, "only one that was begun anew", at("state", "restore", copied)...)
-	b.wants(0, `"version":5`, at("config", "get")...)
-	b.wants(0, "desk", at("tenant", "list")...)
+	b.expect(1, "gone for good", at("state", "restore", copied)...)
+	b.expect(0, "the tenants are agreed", at("state", "restore", copied, "--lose-the-rest")...)
+	b.expect(1, "only one that was begun anew", at("state", "restore", copied)...)
+	b.expect(0, `"version":5`, at("config", "get")...)
+	b.expect(0, "desk", at("tenant", "list")...)
 }
--- a/internal/entrance/completion.go
+++ b/internal/controlcli/completion.go
@@ -1,4 +1,4 @@
-package entrance
+package controlcli
 
 import (
 	"context"
--- a/internal/entrance/judgement.go
+++ b/internal/controlcli/outlier.go
@@ -1,4 +1,4 @@
-package entrance
+package controlcli
 
 import (
 	"cmp"
@@ -19,44 +19,44 @@
 	"oxbowspan/internal/beekeeper"
 )
 
-// judgementCommand is what operators do with the judgement of replicas.
-func judgementCommand(path *string, out io.Writer) *ffcli.Command {
-	o := &operator{path: path, out: out}
-	var last time.Duration
-	var why string
+// outlierCommand is what operators do with the judgement of replicas.
+func outlierCommand(path *string, out io.Writer) *ffcli.Command {
+	o := &commandContext{settingsPath: path, out: out}
+	var duration time.Duration
+	var reason string
 	pin := o.command("hive judgement", "pin", "INSTANCE in|avoided|out", "hold a server at a stance for a time, whatever is seen of it", 2, 2,
 		func(ctx context.Context, k *beekeeper.Keeper, args []string) error {
-			return o.repin(ctx, k, args[0], &config.Pin{Instance: args[0], State: args[1], DurationSeconds: int(last / time.Second), Reason: why})
+			return o.updatePin(ctx, k, args[0], &config.Pin{Instance: args[0], State: args[1], DurationSeconds: int(duration / time.Second), Reason: reason})
 		})
-	pin.FlagSet.DurationVar(&last, "for", 10*time.Minute, "how long")
-	pin.FlagSet.StringVar(&why, "why", "", "the `reason`, for those who come after")
+	pin.FlagSet.DurationVar(&duration, "for", 10*time.Minute, "how long")
+	pin.FlagSet.StringVar(&reason, "why", "", "the `reason`, for those who come after")
 	return &ffcli.Command{Name: "judgement", ShortUsage: "hive judgement list|explain|pin|unpin", ShortHelp: "see what the gatherers hold of servers, and pin it",
 		FlagSet: flag.NewFlagSet("judgement", flag.ContinueOnError), Subcommands: []*ffcli.Command{
-			o.command("hive judgement", "list", "", "list the servers that are not simply in, and by how many gatherers", 0, 0, o.judgementList),
-			o.command("hive judgement", "explain", "INSTANCE", "say which gatherer holds what of a server since when and why, and who saw it", 1, 1, o.judgementExplain),
+			o.command("hive judgement", "list", "", "list the servers that are not simply in, and by how many gatherers", 0, 0, o.outlierList),
+			o.command("hive judgement", "explain", "INSTANCE", "say which gatherer holds what of a server since when and why, and who saw it", 1, 1, o.outlierExplain),
 			pin,
 			o.command("hive judgement", "unpin", "INSTANCE", "end a pin", 1, 1, func(ctx context.Context, k *beekeeper.Keeper, args []string) error {
-				return o.repin(ctx, k, args[0], nil)
+				return o.updatePin(ctx, k, args[0], nil)
 			}),
 		}, Exec: func(context.Context, []string) error { return flag.ErrHelp }}
 }
 
-// judged is a server over all gatherers.
-type judged struct {
+// serverVerdicts is a server over all gatherers.
+type serverVerdicts struct {
 	Instance string         `json:"instance"`
 	Service  string         `json:"service"`
-	Stances  map[string]int `json:"stances"` // gatherers by what they hold
-	Why      string         `json:"why"`
+	States   map[string]int `json:"stances"` // gatherers by what they hold
+	Reason   string         `json:"why"`
 	SinceS   float64        `json:"since_s"` // the longest
 	Pinned   bool           `json:"pinned"`
 }
 
-func (o *operator) judgementList(ctx context.Context, k *beekeeper.Keeper, _ []string) error {
-	nodes, silent, err := k.Judgements(ctx)
+func (o *commandContext) outlierList(ctx context.Context, k *beekeeper.Keeper, _ []string) error {
+	nodes, unreachable, err := k.Judgements(ctx)
 	if err != nil {
 		return err
 	}
-	all := sumJudgements(nodes)
+	all := summarizeVerdicts(nodes)
 	if err := o.print(all, func(w io.Writer) {
 		if len(all) == 0 {
 			fmt.Fprintln(w, "every server is in")
@@ -65,48 +65,48 @@
 		fmt.Fprintln(w, "INSTANCE\tSERVICE\tGATHERERS\tSINCE\tWHY")
 		for _, j := range all {
 			var held []string
-			for stance, n := range j.Stances {
+			for stance, n := range j.States {
 				held = append(held, fmt.Sprintf("%s by %d", stance, n))
 			}
 			slices.Sort(held)
 			if j.Pinned {
 				held = append(held, "pinned")
 			}
-			fmt.Fprintf(w, "%s\t%s\t%s\t%.1f s\t%s\n", j.Instance, j.Service, strings.Join(held, ", "), j.SinceS, j.Why)
+			fmt.Fprintf(w, "%s\t%s\t%s\t%.1f s\t%s\n", j.Instance, j.Service, strings.Join(held, ", "), j.SinceS, j.Reason)
 		}
 	}); err != nil {
 		return err
 	}
-	o.silent(silent)
+	o.reportUnreachable(unreachable)
 	return nil
 }
 
-func sumJudgements(nodes []controlplane.GatewayOutliers) []*judged {
-	by := map[string]*judged{}
-	all := []*judged{}
+func summarizeVerdicts(nodes []controlplane.GatewayOutliers) []*serverVerdicts {
+	by := map[string]*serverVerdicts{}
+	all := []*serverVerdicts{}
 	for _, n := range nodes {
 		for _, s := range n.Servers {
 			j := by[s.Instance]
 			if j == nil {
-				j = &judged{Instance: s.Instance, Service: s.Service, Stances: map[string]int{}}
+				j = &serverVerdicts{Instance: s.Instance, Service: s.Service, States: map[string]int{}}
 				by[s.Instance] = j
 				all = append(all, j)
 			}
-			j.Stances[s.State]++
+			j.States[s.State]++
 			j.Pinned = j.Pinned || s.Pinned
 			if s.SinceSeconds >= j.SinceS {
-				j.SinceS, j.Why = s.SinceSeconds, s.Reason
+				j.SinceS, j.Reason = s.SinceSeconds, s.Reason
 			}
 		}
 	}
-	slices.SortFunc(all, func(a, b *judged) int {
+	slices.SortFunc(all, func(a, b *serverVerdicts) int {
 		return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Instance, b.Instance))
 	})
 	return all
 }
 
-func (o *operator) judgementExplain(ctx context.Context, k *beekeeper.Keeper, args []string) error {
-	nodes, silent, err := k.Judgements(ctx)
+func (o *commandContext) outlierExplain(ctx context.Context, k *beekeeper.Keeper, args []string) error {
+	nodes, unreachable, err := k.Judgements(ctx)
 	if err != nil {
 		return err
 	}
@@ -129,12 +129,12 @@
 	}); err != nil {
 		return err
 	}
-	o.silent(silent)
+	o.reportUnreachable(unreachable)
 	return nil
 }
 
-// repin has the pins agreed on with one instance's pin set, or ended. Of two operators at once one is told to begin again.
-func (o *operator) repin(ctx context.Context, k *beekeeper.Keeper, instance string, pin *config.Pin) error {
+// updatePin has the pins agreed on with one instance's pin set, or ended. Of two operators at once one is told to begin again.
+func (o *commandContext) updatePin(ctx context.Context, k *beekeeper.Keeper, instance string, pin *config.Pin) error {
 	doc := &config.PinDocument{}
 	text, version, err := k.Read(ctx, config.PinsDocumentName)
 	if err == nil {
@@ -151,8 +151,8 @@
 	} else if len(doc.Pins) == had {
 		return eris.Errorf("%s is not pinned", instance)
 	}
-	if faults := doc.Validate(); len(faults) > 0 {
-		return eris.New(strings.Join(faults, "; "))
+	if problems := doc.Validate(); len(problems) > 0 {
+		return eris.New(strings.Join(problems, "; "))
 	}
 	if text, err = json.Marshal(doc); err != nil {
 		return err
--- a/internal/entrance/entrance.go
+++ b/internal/controlcli/program.go
@@ -1,5 +1,5 @@
-// Package entrance is the command line of the system's two programs, hive and forager.
-package entrance
+// Package controlcli is the command line of the system's two programs, hive and forager.
+package controlcli
 
 import (
 	"context"
@@ -37,15 +37,15 @@
 const Version = "0.1.0"
 
 type program struct {
-	name           string
-	front, control bool
-	run            func(ctx context.Context, set *settings.Settings, log zerolog.Logger) error
-	memoryShare    float64 // of the limit that the collector works towards
-	collect        int     // growth of the heap between collections, in percent
+	name                string
+	gateway, controller bool
+	run                 func(ctx context.Context, set *settings.Settings, log zerolog.Logger) error
+	memoryShare         float64 // of the limit that the collector works towards
+	gcPercent           int     // growth of the heap between collections, in percent
 }
 
-// Hive runs the control plane's command line and returns its exit code.
-func Hive(args []string, out, errs io.Writer) int {
+// RunController runs the control plane's command line and returns its exit code.
+func RunController(args []string, out, errs io.Writer) int {
 	return program{"hive", false, true, func(ctx context.Context, set *settings.Settings, log zerolog.Logger) error {
 		h, err := controlplane.New(set, ground.TCP{}, log)
 		if err != nil {
@@ -55,8 +55,8 @@
 	}, 0.6, 200}.main(args, out, errs)
 }
 
-// Forager runs the data plane's command line and returns its exit code.
-func Forager(args []string, out, errs io.Writer) int {
+// RunGateway runs the data plane's command line and returns its exit code.
+func RunGateway(args []string, out, errs io.Writer) int {
 	return program{"forager", true, false, func(ctx context.Context, set *settings.Settings, log zerolog.Logger) error {
 		return dataplane.New(set, ground.TCP{}, log).Run(ctx)
 	}, 0.6, 400}.main(args, out, errs)
@@ -88,13 +88,13 @@
 			if _, _, err := readTenantsFile(args[0]); err != nil {
 				return err
 			}
-			return tell(nil, "the document of tenants is as it should be", out)
+			return reportProblems(nil, "the document of tenants is as it should be", out)
 		}}
 	check := &ffcli.Command{Name: "check", ShortUsage: p.name + " check boot|config FILE|tenants FILE", ShortHelp: "check the settings file, a configuration or a document of tenants",
 		Subcommands: []*ffcli.Command{checkBoot, checkConfig, checkTenants}, Exec: func(context.Context, []string) error { return flag.ErrHelp }}
 	subcommands := []*ffcli.Command{}
-	if p.control {
-		subcommands = append(subcommands, stateCommand(path, out), tenantCommand(path, out), judgementCommand(path, out), configCommand(path, out))
+	if p.controller {
+		subcommands = append(subcommands, stateCommand(path, out), tenantCommand(path, out), outlierCommand(path, out), configCommand(path, out))
 		subcommands = append(subcommands, viewCommands(path, out)...)
 	}
 	version := &ffcli.Command{Name: "version", ShortUsage: p.name + " version", ShortHelp: "say which version this is",
@@ -117,7 +117,7 @@
 // stateCommand reads a stopped machine's file.
 func stateCommand(path *string, out io.Writer) *ffcli.Command {
 	var dir *string
-	with := func(name, help string, words int, do func(c *acceptorstore.Contents, args []string) error) *ffcli.Command {
+	subcommand := func(name, help string, words int, do func(c *acceptorstore.Contents, args []string) error) *ffcli.Command {
 		return &ffcli.Command{Name: name, ShortUsage: "hive state [--dir DIR] " + name, ShortHelp: help, Exec: func(_ context.Context, args []string) error {
 			if len(args) != words {
 				return flag.ErrHelp
@@ -141,11 +141,11 @@
 	dir = set.String("dir", "", "the data `directory`; else the settings file names it")
 	return &ffcli.Command{Name: "state", ShortUsage: "hive state [--dir DIR] check|dump|config|export|restore", ShortHelp: "read the state file of a machine that does not run; the way back from a lost majority",
 		FlagSet: set, Subcommands: []*ffcli.Command{
-			with("check", "say whether the file is whole", 0, func(c *acceptorstore.Contents, _ []string) error {
+			subcommand("check", "say whether the file is whole", 0, func(c *acceptorstore.Contents, _ []string) error {
 				fmt.Fprintf(out, "the state file is whole: %d bytes, turn %d, version %d\n", c.Bytes, c.Slot, c.Version)
 				return nil
 			}),
-			with("dump", "print what the file holds as JSON, without the configuration", 0, func(c *acceptorstore.Contents, _ []string) error {
+			subcommand("dump", "print what the file holds as JSON, without the configuration", 0, func(c *acceptorstore.Contents, _ []string) error {
 				text, err := json.MarshalIndent(c, "", "  ")
 				if err != nil {
 					return err
@@ -153,14 +153,14 @@
 				fmt.Fprintln(out, string(text))
 				return nil
 			}),
-			with("config", "print the configuration that was voted for", 0, func(c *acceptorstore.Contents, _ []string) error {
+			subcommand("config", "print the configuration that was voted for", 0, func(c *acceptorstore.Contents, _ []string) error {
 				if len(c.Body) == 0 {
 					return errors.New("the state file holds no configuration")
 				}
 				_, err := out.Write(c.Body)
 				return err
 			}),
-			with("export", "write what the file holds of what was agreed to FILE", 1, func(c *acceptorstore.Contents, args []string) error { return exportState(c, args[0], out) }),
+			subcommand("export", "write what the file holds of what was agreed to FILE", 1, func(c *acceptorstore.Contents, args []string) error { return exportState(c, args[0], out) }),
 			restoreCommand(path, out),
 		}, Exec: func(context.Context, []string) error { return flag.ErrHelp }}
 }
@@ -170,15 +170,15 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	return s, s.Check(p.front, p.control), nil
+	return s, s.Check(p.gateway, p.controller), nil
 }
 
 func (p program) check(path string, out io.Writer) error {
-	_, faults, err := p.read(path)
+	_, problems, err := p.read(path)
 	if err != nil {
 		return err
 	}
-	return tell(faults, "the settings file is as it should be", out)
+	return reportProblems(problems, "the settings file is as it should be", out)
 }
 
 func checkConfiguration(path string, out io.Writer) error {
@@ -190,27 +190,27 @@
 	if err != nil {
 		return err
 	}
-	return tell(c.Validate(), "the configuration is valid", out)
+	return reportProblems(c.Validate(), "the configuration is valid", out)
 }
 
-func tell(faults []string, fine string, out io.Writer) error {
-	for _, f := range faults {
+func reportProblems(problems []string, success string, out io.Writer) error {
+	for _, f := range problems {
 		fmt.Fprintln(out, f)
 	}
-	if len(faults) > 0 {
-		return fmt.Errorf("%d faults", len(faults))
+	if len(problems) > 0 {
+		return fmt.Errorf("%d faults", len(problems))
 	}
-	fmt.Fprintln(out, fine)
+	fmt.Fprintln(out, success)
 	return nil
 }
 
 func (p program) serve(path, level string, errs io.Writer) error {
-	s, faults, err := p.read(path)
+	s, problems, err := p.read(path)
 	if err != nil {
 		return err
 	}
-	if len(faults) > 0 {
-		return fmt.Errorf("the settings file: %s", faults[0])
+	if len(problems) > 0 {
+		return fmt.Errorf("the settings file: %s", problems[0])
 	}
 	least, err := zerolog.ParseLevel(level)
 	if err != nil {
@@ -222,7 +222,7 @@
 	if s.Limits.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(s.Limits.MemoryMB * p.memoryShare * (1 << 20)))
 	}
-	debug.SetGCPercent(p.collect)
+	debug.SetGCPercent(p.gcPercent)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	// The settings file is read at the start only. A signal that says it changed must not end the process.
--- a/internal/entrance/tenant.go
+++ b/internal/controlcli/tenant.go
@@ -1,4 +1,4 @@
-package entrance
+package controlcli
 
 import (
 	"context"
@@ -21,40 +21,40 @@
 
 // tenantCommand is what operators do with tenants.
 func tenantCommand(path *string, out io.Writer) *ffcli.Command {
-	o := &operator{path: path, out: out}
-	with := func(name, usage, help string, least, most int, do func(ctx context.Context, k *beekeeper.Keeper, args []string) error) *ffcli.Command {
+	o := &commandContext{settingsPath: path, out: out}
+	subcommand := func(name, usage, help string, least, most int, do func(ctx context.Context, k *beekeeper.Keeper, args []string) error) *ffcli.Command {
 		return o.command("hive tenant", name, usage, help, least, most, do)
 	}
 	var basedOn int64
-	set := with("set", "FILE", "have a document of tenants agreed on, in place of the newest", 1, 1, func(ctx context.Context, k *beekeeper.Keeper, args []string) error {
+	set := subcommand("set", "FILE", "have a document of tenants agreed on, in place of the newest", 1, 1, func(ctx context.Context, k *beekeeper.Keeper, args []string) error {
 		return o.tenantSet(ctx, k, args[0], basedOn)
 	})
 	set.FlagSet.Int64Var(&basedOn, "based-on", -1, "the `version` that it replaces; else the newest")
 	return &ffcli.Command{Name: "tenant", ShortUsage: "hive tenant list|explain|set|dry-run", ShortHelp: "see and set who shares the servers' connections",
 		FlagSet: flag.NewFlagSet("tenant", flag.ContinueOnError), Subcommands: []*ffcli.Command{
-			with("list", "", "list the tenants and what each has now", 0, 0, o.tenantList),
-			with("explain", "[TENANT]", "say who has what on which node and server, lent or its own, and who waited how long", 0, 1, o.tenantExplain),
+			subcommand("list", "", "list the tenants and what each has now", 0, 0, o.tenantList),
+			subcommand("explain", "[TENANT]", "say who has what on which node and server, lent or its own, and who waited how long", 0, 1, o.tenantExplain),
 			set,
-			with("dry-run", "FILE", "say what a document of tenants would give to whom, and change nothing", 1, 1, o.tenantDryRun),
+			subcommand("dry-run", "FILE", "say what a document of tenants would give to whom, and change nothing", 1, 1, o.tenantDryRun),
 		}, Exec: func(context.Context, []string) error { return flag.ErrHelp }}
 }
 
-// tenantSum is a tenant over all nodes.
-type tenantSum struct {
+// tenantSummary is a tenant over all nodes.
+type tenantSummary struct {
 	Name     string   `json:"name"`
 	Weight   float64  `json:"weight"`
 	Floor    int      `json:"floor,omitempty"`
-	Most     int      `json:"most,omitempty"`
+	Max      int      `json:"most,omitempty"`
 	Routes   []string `json:"routes"`
-	Held     uint32   `json:"held"`
-	Lent     uint32   `json:"lent"`
+	InUse    uint32   `json:"held"`
+	Borrowed uint32   `json:"lent"`
 	Waiting  uint32   `json:"waiting"`
 	Requests uint64   `json:"requests_last_minute"`
 	Waited   uint64   `json:"waited_last_minute"`
 	P99MS    float64  `json:"most_p99_ms"` // of any node
 }
 
-func (o *operator) tenantList(ctx context.Context, k *beekeeper.Keeper, _ []string) error {
+func (o *commandContext) tenantList(ctx context.Context, k *beekeeper.Keeper, _ []string) error {
 	conf, _, err := k.Configuration(ctx)
 	if err != nil {
 		return err
@@ -71,30 +71,30 @@
 	if err != nil {
 		return err
 	}
-	nodes, silent, err := k.Tenants(ctx)
+	nodes, unreachable, err := k.Tenants(ctx)
 	if err != nil {
 		return err
 	}
-	sums := sumTenants(conf, doc, nodes)
-	if err := o.print(sums, func(w io.Writer) {
+	summaries := summarizeTenants(conf, doc, nodes)
+	if err := o.print(summaries, func(w io.Writer) {
 		fmt.Fprintf(w, "version %d, %d nodes\n", version, len(nodes))
 		fmt.Fprintln(w, "TENANT\tWEIGHT\tFLOOR\tMOST\tROUTES\tHELD\tLENT\tWAITING\tREQUESTS/MIN\tWAITED\tP99 MS")
-		for _, s := range sums {
-			fmt.Fprintf(w, "%s\t%g\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f\n", s.Name, s.Weight, s.Floor, s.Most, len(s.Routes), s.Held, s.Lent, s.Waiting, s.Requests, s.Waited, s.P99MS)
+		for _, s := range summaries {
+			fmt.Fprintf(w, "%s\t%g\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%.1f\n", s.Name, s.Weight, s.Floor, s.Max, len(s.Routes), s.InUse, s.Borrowed, s.Waiting, s.Requests, s.Waited, s.P99MS)
 		}
 	}); err != nil {
 		return err
 	}
-	o.silent(silent)
+	o.reportUnreachable(unreachable)
 	return nil
 }
 
-// sumTenants lists the document's tenants, then those that routes in none make by themselves.
-func sumTenants(conf *config.Configuration, doc *config.TenantDocument, nodes []controlplane.GatewayTenants) []*tenantSum {
-	var sums []*tenantSum
-	by := map[string]*tenantSum{}
-	add := func(s *tenantSum) {
-		sums = append(sums, s)
+// summarizeTenants lists the document's tenants, then those that routes in none make by themselves.
+func summarizeTenants(conf *config.Configuration, doc *config.TenantDocument, nodes []controlplane.GatewayTenants) []*tenantSummary {
+	var summaries []*tenantSummary
+	by := map[string]*tenantSummary{}
+	add := func(s *tenantSummary) {
+		summaries = append(summaries, s)
 		by[s.Name] = s
 	}
 	for _, t := range doc.Tenants {
@@ -102,22 +102,22 @@
 		if weight == 0 {
 			weight = 1
 		}
-		add(&tenantSum{Name: t.Name, Weight: weight, Floor: t.ReservedConnections, Most: t.MaxConnections})
+		add(&tenantSummary{Name: t.Name, Weight: weight, Floor: t.ReservedConnections, Max: t.MaxConnections})
 	}
-	of := doc.NewTenantTable()
+	routeTenants := doc.NewTenantTable()
 	for i := range conf.Routes {
 		r := &conf.Routes[i]
 		key := r.Hostname + r.PathPrefix
-		if at, named := of.Lookup(r); named {
-			sums[at].Routes = append(sums[at].Routes, key)
+		if at, named := routeTenants.Lookup(r); named {
+			summaries[at].Routes = append(summaries[at].Routes, key)
 		} else {
-			add(&tenantSum{Name: key, Weight: 1, Routes: []string{key}})
+			add(&tenantSummary{Name: key, Weight: 1, Routes: []string{key}})
 		}
 	}
 	for _, n := range nodes {
 		for _, h := range n.Connections {
 			if s := by[h.Tenant]; s != nil {
-				s.Held, s.Lent = s.Held+h.InUse, s.Lent+h.Borrowed
+				s.InUse, s.Borrowed = s.InUse+h.InUse, s.Borrowed+h.Borrowed
 			}
 		}
 		for _, w := range n.Waits {
@@ -126,11 +126,11 @@
 			}
 		}
 	}
-	return sums
+	return summaries
 }
 
-func (o *operator) tenantExplain(ctx context.Context, k *beekeeper.Keeper, args []string) error {
-	nodes, silent, err := k.Tenants(ctx)
+func (o *commandContext) tenantExplain(ctx context.Context, k *beekeeper.Keeper, args []string) error {
+	nodes, unreachable, err := k.Tenants(ctx)
 	if err != nil {
 		return err
 	}
@@ -158,7 +158,7 @@
 	}); err != nil {
 		return err
 	}
-	o.silent(silent)
+	o.reportUnreachable(unreachable)
 	return nil
 }
 
@@ -171,13 +171,13 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	if faults := doc.Validate(); len(faults) > 0 {
-		return nil, nil, fmt.Errorf("%s", strings.Join(faults, "\n"))
+	if problems := doc.Validate(); len(problems) > 0 {
+		return nil, nil, fmt.Errorf("%s", strings.Join(problems, "\n"))
 	}
 	return doc, text, nil
 }
 
-func (o *operator) tenantSet(ctx context.Context, k *beekeeper.Keeper, file string, basedOn int64) error {
+func (o *commandContext) tenantSet(ctx context.Context, k *beekeeper.Keeper, file string, basedOn int64) error {
 	_, text, err := readTenantsFile(file)
 	if err != nil {
 		return err
@@ -206,12 +206,12 @@
 
 type tenantPlan struct {
 	Name  string  `json:"name"`
-	Part  float64 `json:"part"` // of the connections at one server, of all gatherers together
+	Share float64 `json:"part"` // of the connections at one server, of all gatherers together
 	Floor int     `json:"floor,omitempty"`
-	Most  int     `json:"most,omitempty"`
+	Max   int     `json:"most,omitempty"`
 }
 
-func (o *operator) tenantDryRun(ctx context.Context, k *beekeeper.Keeper, args []string) error {
+func (o *commandContext) tenantDryRun(ctx context.Context, k *beekeeper.Keeper, args []string) error {
 	doc, _, err := readTenantsFile(args[0])
 	if err != nil {
 		return err
@@ -220,24 +220,24 @@
 	if err != nil {
 		return err
 	}
-	if faults := doc.Conflicts(conf); len(faults) > 0 {
-		return fmt.Errorf("%s", strings.Join(faults, "\n"))
+	if problems := doc.Conflicts(conf); len(problems) > 0 {
+		return fmt.Errorf("%s", strings.Join(problems, "\n"))
 	}
 	plans := planTenants(conf, doc)
 	return o.print(plans, func(w io.Writer) {
 		fmt.Fprintln(w, "SERVICE\tCONNECTIONS A SERVER\tTENANT\tPART WHILE ALL WANT ALL")
 		for _, s := range plans {
 			for _, t := range s.Tenants {
-				fmt.Fprintf(w, "%s\t%d\t%s\t%.1f\n", s.Service, s.Limit, t.Name, t.Part)
+				fmt.Fprintf(w, "%s\t%d\t%s\t%.1f\n", s.Service, s.Limit, t.Name, t.Share)
 			}
 		}
 	})
 }
 
 func planTenants(conf *config.Configuration, doc *config.TenantDocument) (plans []servicePlan) {
-	of := doc.NewTenantTable()
+	routeTenants := doc.NewTenantTable()
 	for _, s := range conf.Services {
-		var terms []quota.TenantPolicy
+		var policies []quota.TenantPolicy
 		seen := map[string]bool{}
 		for i := range conf.Routes {
 			r := &conf.Routes[i]
@@ -245,7 +245,7 @@
 				continue
 			}
 			t := quota.TenantPolicy{Name: r.Hostname + r.PathPrefix, Weight: 1, MaxBorrowed: -1}
-			if at, named := of.Lookup(r); named {
+			if at, named := routeTenants.Lookup(r); named {
 				d := doc.Tenants[at]
 				t = quota.TenantPolicy{Name: d.Name, Weight: d.Weight, Floor: float64(d.ReservedConnections), Max: float64(d.MaxConnections), MaxBorrowed: -1}
 				if t.Weight == 0 {
@@ -254,15 +254,15 @@
 			}
 			if !seen[t.Name] {
 				seen[t.Name] = true
-				terms = append(terms, t)
+				policies = append(policies, t)
 			}
 		}
-		if len(terms) == 0 {
+		if len(policies) == 0 {
 			continue
 		}
 		plan := servicePlan{Service: s.Name, Limit: s.ConnectionLimit}
-		for i, part := range quota.Shares(rendezvous.ConnectionSlots(s.ConnectionLimit), terms) {
-			plan.Tenants = append(plan.Tenants, tenantPlan{terms[i].Name, part, int(terms[i].Floor), int(terms[i].Max)})
+		for i, part := range quota.Shares(rendezvous.ConnectionSlots(s.ConnectionLimit), policies) {
+			plan.Tenants = append(plan.Tenants, tenantPlan{policies[i].Name, part, int(policies[i].Floor), int(policies[i].Max)})
 		}
 		plans = append(plans, plan)
 	}
--- a/internal/entrance/views.go
+++ b/internal/controlcli/views.go
@@ -1,4 +1,4 @@
-package entrance
+package controlcli
 
 import (
 	"bytes"
@@ -22,7 +22,7 @@
 
 // viewCommands are those that show what the hives know.
 func viewCommands(path *string, out io.Writer) []*ffcli.Command {
-	o := &operator{path: path, out: out}
+	o := &commandContext{settingsPath: path, out: out}
 	return []*ffcli.Command{
 		o.command("hive", "nodes", "", "list the gatherers, and which have the newest version in force", 0, 0, o.nodes),
 		o.command("hive", "servers", "[SERVICE]", "list the servers, as their heartbeats tell", 0, 1, o.servers),
@@ -31,8 +31,8 @@
 	}
 }
 
-func (o *operator) nodes(ctx context.Context, k *beekeeper.Keeper, _ []string) error {
-	all, silent, err := beekeeper.List(ctx, k, "/-/nodes/read", func(n controlplane.GatewayStatus) string { return n.Address }, func(a, b controlplane.GatewayStatus) bool {
+func (o *commandContext) nodes(ctx context.Context, k *beekeeper.Keeper, _ []string) error {
+	all, unreachable, err := beekeeper.List(ctx, k, "/-/nodes/read", func(n controlplane.GatewayStatus) string { return n.Address }, func(a, b controlplane.GatewayStatus) bool {
 		return a.PollsHere && !b.PollsHere || a.PollsHere == b.PollsHere && a.AgeSeconds < b.AgeSeconds
 	})
 	if err != nil {
@@ -51,12 +51,12 @@
 	}); err != nil {
 		return err
 	}
-	o.silent(silent)
+	o.reportUnreachable(unreachable)
 	return nil
 }
 
-func (o *operator) servers(ctx context.Context, k *beekeeper.Keeper, args []string) error {
-	all, silent, err := beekeeper.List(ctx, k, "/-/servers/read", func(s controlplane.ServerStatus) string { return s.Instance }, func(a, b controlplane.ServerStatus) bool { return a.AgeSeconds < b.AgeSeconds })
+func (o *commandContext) servers(ctx context.Context, k *beekeeper.Keeper, args []string) error {
+	all, unreachable, err := beekeeper.List(ctx, k, "/-/servers/read", func(s controlplane.ServerStatus) string { return s.Instance }, func(a, b controlplane.ServerStatus) bool { return a.AgeSeconds < b.AgeSeconds })
 	if err != nil {
 		return err
 	}
@@ -81,13 +81,13 @@
 	}); err != nil {
 		return err
 	}
-	o.silent(silent)
+	o.reportUnreachable(unreachable)
 	return nil
 }
 
-func (o *operator) members(ctx context.Context, k *beekeeper.Keeper, _ []string) error {
+func (o *commandContext) members(ctx context.Context, k *beekeeper.Keeper, _ []string) error {
 	all := []controlplane.MembershipStatus{}
-	silent, err := k.Each(ctx, "/-/members/read", func(_ string, text []byte) error {
+	unreachable, err := k.Each(ctx, "/-/members/read", func(_ string, text []byte) error {
 		var m controlplane.MembershipStatus
 		if err := json.Unmarshal(text, &m); err != nil {
 			return err
@@ -119,12 +119,12 @@
 	}); err != nil {
 		return err
 	}
-	o.silent(silent)
+	o.reportUnreachable(unreachable)
 	return nil
 }
 
-func (o *operator) events(ctx context.Context, k *beekeeper.Keeper, _ []string) error {
-	all, silent, err := beekeeper.List(ctx, k, "/-/events/read", func(e controlplane.Event) string { return fmt.Sprint(e.Controller, " ", e.Sequence) }, func(_, _ controlplane.Event) bool { return false })
+func (o *commandContext) events(ctx context.Context, k *beekeeper.Keeper, _ []string) error {
+	all, unreachable, err := beekeeper.List(ctx, k, "/-/events/read", func(e controlplane.Event) string { return fmt.Sprint(e.Controller, " ", e.Sequence) }, func(_, _ controlplane.Event) bool { return false })
 	if err != nil {
 		return err
 	}
@@ -138,13 +138,13 @@
 	}); err != nil {
 		return err
 	}
-	o.silent(silent)
+	o.reportUnreachable(unreachable)
 	return nil
 }
 
 // configCommand is what operators do with the configuration.
 func configCommand(path *string, out io.Writer) *ffcli.Command {
-	o := &operator{path: path, out: out}
+	o := &commandContext{settingsPath: path, out: out}
 	var basedOn int64
 	put := o.command("hive config", "put", "FILE", "have a configuration agreed on, in place of the newest", 1, 1, func(ctx context.Context, k *beekeeper.Keeper, args []string) error {
 		return o.configPut(ctx, k, args[0], basedOn)
@@ -175,13 +175,13 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	if faults := c.Validate(); len(faults) > 0 {
-		return nil, nil, fmt.Errorf("%s", strings.Join(faults, "\n"))
+	if problems := c.Validate(); len(problems) > 0 {
+		return nil, nil, fmt.Errorf("%s", strings.Join(problems, "\n"))
 	}
 	return c, text, nil
 }
 
-func (o *operator) configPut(ctx context.Context, k *beekeeper.Keeper, file string, basedOn int64) error {
+func (o *commandContext) configPut(ctx context.Context, k *beekeeper.Keeper, file string, basedOn int64) error {
 	_, text, err := readConfigurationFile(file)
 	if err != nil {
 		return err
@@ -203,16 +203,16 @@
 	return nil
 }
 
-// change is what a configuration has that another has not, or has otherwise.
-type change struct {
-	What string `json:"what"` // route, service, limits
-	Name string `json:"name"`
-	How  string `json:"how"` // added, removed, changed
-	From string `json:"from,omitempty"`
-	To   string `json:"to,omitempty"`
+// configChange is what a configuration has that another has not, or has otherwise.
+type configChange struct {
+	Kind   string `json:"what"` // route, service, limits
+	Name   string `json:"name"`
+	Change string `json:"how"` // added, removed, changed
+	From   string `json:"from,omitempty"`
+	To     string `json:"to,omitempty"`
 }
 
-func (o *operator) configDiff(ctx context.Context, k *beekeeper.Keeper, args []string) error {
+func (o *commandContext) configDiff(ctx context.Context, k *beekeeper.Keeper, args []string) error {
 	next, _, err := readConfigurationFile(args[0])
 	if err != nil {
 		return err
@@ -224,11 +224,11 @@
 	if err != nil {
 		return err
 	}
-	changes := differ(now, next)
+	changes := diffConfigurations(now, next)
 	return o.print(changes, func(w io.Writer) {
 		fmt.Fprintf(w, "version %d to %d, %d changes\n", now.Version, next.Version, len(changes))
 		for _, c := range changes {
-			fmt.Fprintf(w, "%s %s\t%s\n", c.What, c.Name, c.How)
+			fmt.Fprintf(w, "%s %s\t%s\n", c.Kind, c.Name, c.Change)
 			if c.From != "" {
 				fmt.Fprintf(w, "  from %s\n", c.From)
 			}
@@ -239,8 +239,8 @@
 	})
 }
 
-func differ(a, b *config.Configuration) []change {
-	out := []change{}
+func diffConfigurations(a, b *config.Configuration) []configChange {
+	out := []configChange{}
 	compare := func(what string, from, to map[string]string) {
 		names := map[string]bool{}
 		for n := range from {
@@ -258,11 +258,11 @@
 			switch f, t := from[n], to[n]; {
 			case f == t:
 			case f == "":
-				out = append(out, change{what, n, "added", "", t})
+				out = append(out, configChange{what, n, "added", "", t})
 			case t == "":
-				out = append(out, change{what, n, "removed", f, ""})
+				out = append(out, configChange{what, n, "removed", f, ""})
 			default:
-				out = append(out, change{what, n, "changed", f, t})
+				out = append(out, configChange{what, n, "changed", f, t})
 			}
 		}
 	}
@@ -290,8 +290,8 @@
 	return out
 }
 
-func (o *operator) configHistory(ctx context.Context, k *beekeeper.Keeper, _ []string) error {
-	all, silent, err := beekeeper.List(ctx, k, "/-/configuration/history", func(v controlplane.HistoryEntry) string { return fmt.Sprint(v.Version) }, func(_, _ controlplane.HistoryEntry) bool { return false })
+func (o *commandContext) configHistory(ctx context.Context, k *beekeeper.Keeper, _ []string) error {
+	all, unreachable, err := beekeeper.List(ctx, k, "/-/configuration/history", func(v controlplane.HistoryEntry) string { return fmt.Sprint(v.Version) }, func(_, _ controlplane.HistoryEntry) bool { return false })
 	if err != nil {
 		return err
 	}
@@ -304,22 +304,22 @@
 	}); err != nil {
 		return err
 	}
-	o.silent(silent)
+	o.reportUnreachable(unreachable)
 	return nil
 }
 
-// explained is the way of a request.
-type explained struct {
-	Route    *config.Route `json:"route"` // null = none: 404
-	Version  uint64        `json:"version"`
-	Tenant   string        `json:"tenant,omitempty"`
-	Servers  int           `json:"servers"` // ready, over the route's services
-	InForce  int           `json:"gatherers_with_it"`
-	Others   []string      `json:"gatherers_without,omitempty"`
-	Services []string      `json:"services"`
+// routeExplanation is the way of a request.
+type routeExplanation struct {
+	Route          *config.Route `json:"route"` // null = none: 404
+	Version        uint64        `json:"version"`
+	Tenant         string        `json:"tenant,omitempty"`
+	Servers        int           `json:"servers"` // ready, over the route's services
+	WithVersion    int           `json:"gatherers_with_it"`
+	WithoutVersion []string      `json:"gatherers_without,omitempty"`
+	Services       []string      `json:"services"`
 }
 
-func (o *operator) configExplain(ctx context.Context, k *beekeeper.Keeper, args []string) error {
+func (o *commandContext) configExplain(ctx context.Context, k *beekeeper.Keeper, args []string) error {
 	host, path, found := strings.Cut(args[0], "/")
 	if !found || host == "" {
 		return eris.New("a request is named by its host and path, as in h.example/a/b")
@@ -329,7 +329,7 @@
 		return err
 	}
 	path, _, _ = strings.Cut("/"+path, "?")
-	e := explained{Route: config.NewRouteTable(c).Find(host, path), Version: c.Version, Services: []string{}}
+	e := routeExplanation{Route: config.NewRouteTable(c).Find(host, path), Version: c.Version, Services: []string{}}
 	if e.Route != nil {
 		e.Services = e.Route.Services()
 		if text, _, err := k.Read(ctx, config.TenantsDocumentName); err == nil {
@@ -340,7 +340,7 @@
 			}
 		}
 	}
-	servers, silent, err := beekeeper.List(ctx, k, "/-/servers/read", func(s controlplane.ServerStatus) string { return s.Instance }, func(a, b controlplane.ServerStatus) bool { return a.AgeSeconds < b.AgeSeconds })
+	servers, unreachable, err := beekeeper.List(ctx, k, "/-/servers/read", func(s controlplane.ServerStatus) string { return s.Instance }, func(a, b controlplane.ServerStatus) bool { return a.AgeSeconds < b.AgeSeconds })
 	if err != nil {
 		return err
 	}
@@ -355,9 +355,9 @@
 	}
 	for _, n := range nodes {
 		if n.UpToDate {
-			e.InForce++
+			e.WithVersion++
 		} else {
-			e.Others = append(e.Others, n.Address)
+			e.WithoutVersion = append(e.WithoutVersion, n.Address)
 		}
 	}
 	if err := o.print(e, func(w io.Writer) {
@@ -370,14 +370,14 @@
 		if e.Tenant != "" {
 			fmt.Fprintf(w, "tenant %s\n", e.Tenant)
 		}
-		fmt.Fprintf(w, "in force on %d gatherers", e.InForce)
-		if len(e.Others) > 0 {
-			fmt.Fprintf(w, "; not, or not known, on %s", strings.Join(e.Others, ", "))
+		fmt.Fprintf(w, "in force on %d gatherers", e.WithVersion)
+		if len(e.WithoutVersion) > 0 {
+			fmt.Fprintf(w, "; not, or not known, on %s", strings.Join(e.WithoutVersion, ", "))
 		}
 		fmt.Fprintln(w)
 	}); err != nil {
 		return err
 	}
-	o.silent(silent)
+	o.reportUnreachable(unreachable)
 	return nil
 }
