--- a/internal/controlcli/command.go
+++ b/internal/controlcli/command.go
@@ -12,7 +12,7 @@
 	"github.com/peterbourgon/ff/v3/ffcli"
 	"github.com/rotisserie/eris"
 
-	"oxbowspan/internal/beekeeper"
+	"oxbowspan/internal/controlclient"
 	"oxbowspan/internal/settings"
 )
 
@@ -32,8 +32,8 @@
 	return set
 }
 
-func (o *commandContext) client() (*beekeeper.Keeper, error) {
-	addresses := beekeeper.Split(o.addresses)
+func (o *commandContext) client() (*controlclient.Client, error) {
+	addresses := controlclient.ParseAddresses(o.addresses)
 	if len(addresses) == 0 {
 		s, err := settings.Read(settings.ResolvePath(*o.settingsPath))
 		if err != nil {
@@ -41,7 +41,7 @@
 		}
 		addresses = s.SeedAddresses
 	}
-	return beekeeper.New(addresses), nil
+	return controlclient.New(addresses), nil
 }
 
 // print writes a value as JSON, or by lines.
@@ -65,7 +65,7 @@
 }
 
 // command is one that calls hives, with so many words after its name.
-func (o *commandContext) command(parent, name, usage, help string, least, most int, do func(ctx context.Context, k *beekeeper.Keeper, args []string) error) *ffcli.Command {
+func (o *commandContext) command(parent, name, usage, help string, least, most int, do func(ctx context.Context, k *controlclient.Client, args []string) error) *ffcli.Command {
 	set := o.flags(name)
 	return &ffcli.Command{Name: name, ShortUsage: strings.TrimSpace(parent + " " + name + " " + usage), ShortHelp: help, FlagSet: set,
 		Exec: func(ctx context.Context, rest []string) error {
--- a/internal/controlcli/export.go
+++ b/internal/controlcli/export.go
@@ -12,7 +12,7 @@
 
 	"oxbowspan/config"
 	"oxbowspan/internal/acceptorstore"
-	"oxbowspan/internal/beekeeper"
+	"oxbowspan/internal/controlclient"
 )
 
 // stateExport is what one disk holds of what was agreed: the way back from a majority that is lost for good.
@@ -56,14 +56,14 @@
 	o := &commandContext{settingsPath: path, out: out}
 	var acceptLoss bool
 	c := o.command("hive state", "restore", "FILE", "have a copy agreed on by a core that was begun anew and has nothing yet", 1, 1,
-		func(ctx context.Context, k *beekeeper.Keeper, args []string) error {
+		func(ctx context.Context, k *controlclient.Client, args []string) error {
 			return o.restore(ctx, k, args[0], acceptLoss)
 		})
 	c.FlagSet.BoolVar(&acceptLoss, "lose-the-rest", false, "yes: what was acknowledged after the copy is gone")
 	return c
 }
 
-func (o *commandContext) restore(ctx context.Context, k *beekeeper.Keeper, file string, acceptLoss bool) error {
+func (o *commandContext) restore(ctx context.Context, k *controlclient.Client, file string, acceptLoss bool) error {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return fmt.Errorf("the copy can't be read: %w", err)
@@ -76,7 +76,7 @@
 	if err != nil {
 		return err
 	}
-	if _, _, err := k.Configuration(ctx); !eris.Is(err, beekeeper.ErrNone) {
+	if _, _, err := k.Configuration(ctx); !eris.Is(err, controlclient.ErrNotFound) {
 		if err != nil {
 			return err
 		}
--- a/internal/controlcli/outlier.go
+++ b/internal/controlcli/outlier.go
@@ -16,7 +16,7 @@
 
 	"oxbowspan/config"
 	"oxbowspan/controlplane"
-	"oxbowspan/internal/beekeeper"
+	"oxbowspan/internal/controlclient"
 )
 
 // outlierCommand is what operators do with the judgement of replicas.
@@ -25,7 +25,7 @@
 	var duration time.Duration
 	var reason string
 	pin := o.command("hive judgement", "pin", "INSTANCE in|avoided|out", "hold a server at a stance for a time, whatever is seen of it", 2, 2,
-		func(ctx context.Context, k *beekeeper.Keeper, args []string) error {
+		func(ctx context.Context, k *controlclient.Client, args []string) error {
 			return o.updatePin(ctx, k, args[0], &config.Pin{Instance: args[0], State: args[1], DurationSeconds: int(duration / time.Second), Reason: reason})
 		})
 	pin.FlagSet.DurationVar(&duration, "for", 10*time.Minute, "how long")
@@ -35,7 +35,7 @@
 			o.command("hive judgement", "list", "", "list the servers that are not simply in, and by how many gatherers", 0, 0, o.outlierList),
 			o.command("hive judgement", "explain", "INSTANCE", "say which gatherer holds what of a server since when and why, and who saw it", 1, 1, o.outlierExplain),
 			pin,
-			o.command("hive judgement", "unpin", "INSTANCE", "end a pin", 1, 1, func(ctx context.Context, k *beekeeper.Keeper, args []string) error {
+			o.command("hive judgement", "unpin", "INSTANCE", "end a pin", 1, 1, func(ctx context.Context, k *controlclient.Client, args []string) error {
 				return o.updatePin(ctx, k, args[0], nil)
 			}),
 		}, Exec: func(context.Context, []string) error { return flag.ErrHelp }}
@@ -51,8 +51,8 @@
 	Pinned   bool           `json:"pinned"`
 }
 
-func (o *commandContext) outlierList(ctx context.Context, k *beekeeper.Keeper, _ []string) error {
-	nodes, unreachable, err := k.Judgements(ctx)
+func (o *commandContext) outlierList(ctx context.Context, k *controlclient.Client, _ []string) error {
+	nodes, unreachable, err := k.OutlierVerdicts(ctx)
 	if err != nil {
 		return err
 	}
@@ -105,8 +105,8 @@
 	return all
 }
 
-func (o *commandContext) outlierExplain(ctx context.Context, k *beekeeper.Keeper, args []string) error {
-	nodes, unreachable, err := k.Judgements(ctx)
+func (o *commandContext) outlierExplain(ctx context.Context, k *controlclient.Client, args []string) error {
+	nodes, unreachable, err := k.OutlierVerdicts(ctx)
 	if err != nil {
 		return err
 	}
@@ -134,14 +134,14 @@
 }
 
 // updatePin has the pins agreed on with one instance's pin set, or ended. Of two operators at once one is told to begin again.
-func (o *commandContext) updatePin(ctx context.Context, k *beekeeper.Keeper, instance string, pin *config.Pin) error {
+func (o *commandContext) updatePin(ctx context.Context, k *controlclient.Client, instance string, pin *config.Pin) error {
 	doc := &config.PinDocument{}
 	text, version, err := k.Read(ctx, config.PinsDocumentName)
 	if err == nil {
 		if doc, err = config.ParsePins(text); err != nil {
 			return err
 		}
-	} else if !eris.Is(err, beekeeper.ErrNone) {
+	} else if !eris.Is(err, controlclient.ErrNotFound) {
 		return err
 	}
 	had := len(doc.Pins)
--- a/internal/controlcli/tenant.go
+++ b/internal/controlcli/tenant.go
@@ -14,7 +14,7 @@
 
 	"oxbowspan/config"
 	"oxbowspan/controlplane"
-	"oxbowspan/internal/beekeeper"
+	"oxbowspan/internal/controlclient"
 	"oxbowspan/quota"
 	"oxbowspan/rendezvous"
 )
@@ -22,11 +22,11 @@
 // tenantCommand is what operators do with tenants.
 func tenantCommand(path *string, out io.Writer) *ffcli.Command {
 	o := &commandContext{settingsPath: path, out: out}
-	subcommand := func(name, usage, help string, least, most int, do func(ctx context.Context, k *beekeeper.Keeper, args []string) error) *ffcli.Command {
+	subcommand := func(name, usage, help string, least, most int, do func(ctx context.Context, k *controlclient.Client, args []string) error) *ffcli.Command {
 		return o.command("hive tenant", name, usage, help, least, most, do)
 	}
 	var basedOn int64
-	set := subcommand("set", "FILE", "have a document of tenants agreed on, in place of the newest", 1, 1, func(ctx context.Context, k *beekeeper.Keeper, args []string) error {
+	set := subcommand("set", "FILE", "have a document of tenants agreed on, in place of the newest", 1, 1, func(ctx context.Context, k *controlclient.Client, args []string) error {
 		return o.tenantSet(ctx, k, args[0], basedOn)
 	})
 	set.FlagSet.Int64Var(&basedOn, "based-on", -1, "the `version` that it replaces; else the newest")
@@ -54,13 +54,13 @@
 	P99MS    float64  `json:"most_p99_ms"` // of any node
 }
 
-func (o *commandContext) tenantList(ctx context.Context, k *beekeeper.Keeper, _ []string) error {
+func (o *commandContext) tenantList(ctx context.Context, k *controlclient.Client, _ []string) error {
 	conf, _, err := k.Configuration(ctx)
 	if err != nil {
 		return err
 	}
 	text, version, err := k.Read(ctx, config.TenantsDocumentName)
-	if eris.Is(err, beekeeper.ErrNone) {
+	if eris.Is(err, controlclient.ErrNotFound) {
 		fmt.Fprintln(o.out, "no document of tenants is in force: connections go to whoever comes first")
 		return nil
 	}
@@ -129,7 +129,7 @@
 	return summaries
 }
 
-func (o *commandContext) tenantExplain(ctx context.Context, k *beekeeper.Keeper, args []string) error {
+func (o *commandContext) tenantExplain(ctx context.Context, k *controlclient.Client, args []string) error {
 	nodes, unreachable, err := k.Tenants(ctx)
 	if err != nil {
 		return err
@@ -177,14 +177,14 @@
 	return doc, text, nil
 }
 
-func (o *commandContext) tenantSet(ctx context.Context, k *beekeeper.Keeper, file string, basedOn int64) error {
+func (o *commandContext) tenantSet(ctx context.Context, k *controlclient.Client, file string, basedOn int64) error {
 	_, text, err := readTenantsFile(file)
 	if err != nil {
 		return err
 	}
 	if basedOn < 0 {
 		_, newest, err := k.Read(ctx, config.TenantsDocumentName)
-		if err != nil && !eris.Is(err, beekeeper.ErrNone) {
+		if err != nil && !eris.Is(err, controlclient.ErrNotFound) {
 			return err
 		}
 		basedOn = int64(newest)
@@ -211,7 +211,7 @@
 	Max   int     `json:"most,omitempty"`
 }
 
-func (o *commandContext) tenantDryRun(ctx context.Context, k *beekeeper.Keeper, args []string) error {
+func (o *commandContext) tenantDryRun(ctx context.Context, k *controlclient.Client, args []string) error {
 	doc, _, err := readTenantsFile(args[0])
 	if err != nil {
 		return err
--- a/internal/controlcli/views.go
+++ b/internal/controlcli/views.go
@@ -17,7 +17,7 @@
 
 	"oxbowspan/config"
 	"oxbowspan/controlplane"
-	"oxbowspan/internal/beekeeper"
+	"oxbowspan/internal/controlclient"
 )
 
 // viewCommands are those that show what the hives know.
@@ -31,8 +31,8 @@
 	}
 }
 
-func (o *commandContext) nodes(ctx context.Context, k *beekeeper.Keeper, _ []string) error {
-	all, unreachable, err := beekeeper.List(ctx, k, "/-/nodes/read", func(n controlplane.GatewayStatus) string { return n.Address }, func(a, b controlplane.GatewayStatus) bool {
+func (o *commandContext) nodes(ctx context.Context, k *controlclient.Client, _ []string) error {
+	all, unreachable, err := controlclient.ListAll(ctx, k, "/-/nodes/read", func(n controlplane.GatewayStatus) string { return n.Address }, func(a, b controlplane.GatewayStatus) bool {
 		return a.PollsHere && !b.PollsHere || a.PollsHere == b.PollsHere && a.AgeSeconds < b.AgeSeconds
 	})
 	if err != nil {
@@ -55,8 +55,8 @@
 	return nil
 }
 
-func (o *commandContext) servers(ctx context.Context, k *beekeeper.Keeper, args []string) error {
-	all, unreachable, err := beekeeper.List(ctx, k, "/-/servers/read", func(s controlplane.ServerStatus) string { return s.Instance }, func(a, b controlplane.ServerStatus) bool { return a.AgeSeconds < b.AgeSeconds })
+func (o *commandContext) servers(ctx context.Context, k *controlclient.Client, args []string) error {
+	all, unreachable, err := controlclient.ListAll(ctx, k, "/-/servers/read", func(s controlplane.ServerStatus) string { return s.Instance }, func(a, b controlplane.ServerStatus) bool { return a.AgeSeconds < b.AgeSeconds })
 	if err != nil {
 		return err
 	}
@@ -85,9 +85,9 @@
 	return nil
 }
 
-func (o *commandContext) members(ctx context.Context, k *beekeeper.Keeper, _ []string) error {
+func (o *commandContext) members(ctx context.Context, k *controlclient.Client, _ []string) error {
 	all := []controlplane.MembershipStatus{}
-	unreachable, err := k.Each(ctx, "/-/members/read", func(_ string, text []byte) error {
+	unreachable, err := k.ForEach(ctx, "/-/members/read", func(_ string, text []byte) error {
 		var m controlplane.MembershipStatus
 		if err := json.Unmarshal(text, &m); err != nil {
 			return err
@@ -123,8 +123,8 @@
 	return nil
 }
 
-func (o *commandContext) events(ctx context.Context, k *beekeeper.Keeper, _ []string) error {
-	all, unreachable, err := beekeeper.List(ctx, k, "/-/events/read", func(e controlplane.Event) string { return fmt.Sprint(e.Controller, " ", e.Sequence) }, func(_, _ controlplane.Event) bool { return false })
+func (o *commandContext) events(ctx context.Context, k *controlclient.Client, _ []string) error {
+	all, unreachable, err := controlclient.ListAll(ctx, k, "/-/events/read", func(e controlplane.Event) string { return fmt.Sprint(e.Controller, " ", e.Sequence) }, func(_, _ controlplane.Event) bool { return false })
 	if err != nil {
 		return err
 	}
@@ -146,13 +146,13 @@
 func configCommand(path *string, out io.Writer) *ffcli.Command {
 	o := &commandContext{settingsPath: path, out: out}
 	var basedOn int64
-	put := o.command("hive config", "put", "FILE", "have a configuration agreed on, in place of the newest", 1, 1, func(ctx context.Context, k *beekeeper.Keeper, args []string) error {
+	put := o.command("hive config", "put", "FILE", "have a configuration agreed on, in place of the newest", 1, 1, func(ctx context.Context, k *controlclient.Client, args []string) error {
 		return o.configPut(ctx, k, args[0], basedOn)
 	})
 	put.FlagSet.Int64Var(&basedOn, "based-on", -1, "the `version` that it replaces; else the newest")
 	return &ffcli.Command{Name: "config", ShortUsage: "hive config get|put|diff|history|explain", ShortHelp: "see and set the configuration",
 		FlagSet: flag.NewFlagSet("config", flag.ContinueOnError), Subcommands: []*ffcli.Command{
-			o.command("hive config", "get", "", "print the newest configuration", 0, 0, func(ctx context.Context, k *beekeeper.Keeper, _ []string) error {
+			o.command("hive config", "get", "", "print the newest configuration", 0, 0, func(ctx context.Context, k *controlclient.Client, _ []string) error {
 				_, text, err := k.Configuration(ctx)
 				if err == nil {
 					_, err = o.out.Write(append(bytes.TrimRight(text, "\n"), '\n'))
@@ -181,7 +181,7 @@
 	return c, text, nil
 }
 
-func (o *commandContext) configPut(ctx context.Context, k *beekeeper.Keeper, file string, basedOn int64) error {
+func (o *commandContext) configPut(ctx context.Context, k *controlclient.Client, file string, basedOn int64) error {
 	_, text, err := readConfigurationFile(file)
 	if err != nil {
 		return err
@@ -191,7 +191,7 @@
 		newest, _, err := k.Configuration(ctx)
 		if err == nil {
 			basedOn = int64(newest.Version)
-		} else if !eris.Is(err, beekeeper.ErrNone) {
+		} else if !eris.Is(err, controlclient.ErrNotFound) {
 			return err
 		}
 	}
@@ -212,13 +212,13 @@
 	To     string `json:"to,omitempty"`
 }
 
-func (o *commandContext) configDiff(ctx context.Context, k *beekeeper.Keeper, args []string) error {
+func (o *commandContext) configDiff(ctx context.Context, k *controlclient.Client, args []string) error {
 	next, _, err := readConfigurationFile(args[0])
 	if err != nil {
 		return err
 	}
 	now, _, err := k.Configuration(ctx)
-	if eris.Is(err, beekeeper.ErrNone) {
+	if eris.Is(err, controlclient.ErrNotFound) {
 		now, err = &config.Configuration{}, nil
 	}
 	if err != nil {
@@ -290,8 +290,8 @@
 	return out
 }
 
-func (o *commandContext) configHistory(ctx context.Context, k *beekeeper.Keeper, _ []string) error {
-	all, unreachable, err := beekeeper.List(ctx, k, "/-/configuration/history", func(v controlplane.HistoryEntry) string { return fmt.Sprint(v.Version) }, func(_, _ controlplane.HistoryEntry) bool { return false })
+func (o *commandContext) configHistory(ctx context.Context, k *controlclient.Client, _ []string) error {
+	all, unreachable, err := controlclient.ListAll(ctx, k, "/-/configuration/history", func(v controlplane.HistoryEntry) string { return fmt.Sprint(v.Version) }, func(_, _ controlplane.HistoryEntry) bool { return false })
 	if err != nil {
 		return err
 	}
@@ -319,7 +319,7 @@
 	Services       []string      `json:"services"`
 }
 
-func (o *commandContext) configExplain(ctx context.Context, k *beekeeper.Keeper, args []string) error {
+func (o *commandContext) configExplain(ctx context.Context, k *controlclient.Client, args []string) error {
 	host, path, found := strings.Cut(args[0], "/")
 	if !found || host == "" {
 		return eris.New("a request is named by its host and path, as in h.example/a/b")
@@ -340,7 +340,7 @@
 			}
 		}
 	}
-	servers, unreachable, err := beekeeper.List(ctx, k, "/-/servers/read", func(s controlplane.ServerStatus) string { return s.Instance }, func(a, b controlplane.ServerStatus) bool { return a.AgeSeconds < b.AgeSeconds })
+	servers, unreachable, err := controlclient.ListAll(ctx, k, "/-/servers/read", func(s controlplane.ServerStatus) string { return s.Instance }, func(a, b controlplane.ServerStatus) bool { return a.AgeSeconds < b.AgeSeconds })
 	if err != nil {
 		return err
 	}
@@ -349,7 +349,7 @@
 			e.Servers++
 		}
 	}
-	nodes, _, err := beekeeper.List(ctx, k, "/-/nodes/read", func(n controlplane.GatewayStatus) string { return n.Address }, func(a, b controlplane.GatewayStatus) bool { return a.PollsHere && !b.PollsHere })
+	nodes, _, err := controlclient.ListAll(ctx, k, "/-/nodes/read", func(n controlplane.GatewayStatus) string { return n.Address }, func(a, b controlplane.GatewayStatus) bool { return a.PollsHere && !b.PollsHere })
 	if err != nil {
 		return err
 	}
