--- a/controlplane/change_bench_test.go
+++ b/controlplane/change_bench_test.go
@@ -21,13 +21,13 @@
 	"github.com/rs/zerolog"
 
 	"oxbowspan/config"
-	"oxbowspan/internal/ground"
+	"oxbowspan/internal/network"
 	"oxbowspan/internal/settings"
 )
 
 // countingNetwork is loopback, and counts what is written to connections.
 type countingNetwork struct {
-	ground.TCP
+	network.TCP
 	bytes atomic.Int64
 }
 
--- a/controlplane/controller.go
+++ b/controlplane/controller.go
@@ -20,7 +20,7 @@
 
 	"oxbowspan/consensus"
 	"oxbowspan/internal/acceptorstore"
-	"oxbowspan/internal/ground"
+	"oxbowspan/internal/network"
 	"oxbowspan/internal/settings"
 	"oxbowspan/quorum"
 	"oxbowspan/registry"
@@ -43,7 +43,7 @@
 // Controller is one core machine's process.
 type Controller struct {
 	settings      *settings.Settings
-	network       ground.Network
+	network       network.Network
 	log           zerolog.Logger
 	store         *acceptorstore.Store
 	self          consensus.AcceptorID
@@ -137,7 +137,7 @@
 }
 
 // New opens the state and makes a hive that does nothing yet.
-func New(set *settings.Settings, on ground.Network, log zerolog.Logger) (*Controller, error) {
+func New(set *settings.Settings, on network.Network, log zerolog.Logger) (*Controller, error) {
 	genesis, self := genesisMembers(set)
 	if !set.FirstStart {
 		self = 0
--- a/dataplane/bench_test.go
+++ b/dataplane/bench_test.go
@@ -11,7 +11,7 @@
 	"github.com/rs/zerolog"
 
 	"oxbowspan/config"
-	"oxbowspan/internal/ground"
+	"oxbowspan/internal/network"
 	"oxbowspan/internal/settings"
 	"oxbowspan/registry"
 	"oxbowspan/rpc"
@@ -33,7 +33,7 @@
 		}
 	}()
 	set := &settings.Settings{IPAddress: "127.0.0.1", Zone: "z", InternalPorts: []int{7000, 7010}, FirstStart: true}
-	f := New(set, ground.TCP{}, zerolog.Nop())
+	f := New(set, network.TCP{}, zerolog.Nop())
 	front, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
--- a/dataplane/gateway.go
+++ b/dataplane/gateway.go
@@ -17,7 +17,7 @@
 	"github.com/rs/zerolog"
 
 	"oxbowspan/brain"
-	"oxbowspan/internal/ground"
+	"oxbowspan/internal/network"
 	"oxbowspan/internal/settings"
 	"oxbowspan/rpc"
 )
@@ -25,7 +25,7 @@
 // Gateway is one gatherer's process.
 type Gateway struct {
 	settings    *settings.Settings
-	network     ground.Network
+	network     network.Network
 	log         zerolog.Logger
 	incarnation uint64
 	startedAt   time.Time
@@ -44,7 +44,7 @@
 }
 
 // New makes a forager that does nothing yet.
-func New(set *settings.Settings, on ground.Network, log zerolog.Logger) *Gateway {
+func New(set *settings.Settings, on network.Network, log zerolog.Logger) *Gateway {
 	f := &Gateway{settings: set, network: on, log: log, incarnation: newIncarnation(), startedAt: time.Now(), commands: make(chan func(), 4096), stopped: make(chan struct{}), killed: make(chan struct{})}
 	f.clients.open = map[*clientConn]bool{}
 	f.loopState.init(f)
--- a/dataplane/scenario_test.go
+++ b/dataplane/scenario_test.go
@@ -23,8 +23,8 @@
 	"pgregory.net/rapid"
 
 	"oxbowspan/config"
-	"oxbowspan/internal/ground"
 	"oxbowspan/internal/meadow"
+	"oxbowspan/internal/network"
 	"oxbowspan/internal/settings"
 	"oxbowspan/registry"
 	"oxbowspan/rpc"
@@ -306,7 +306,7 @@
 	w *testbed
 }
 
-var _ ground.Network = &faultyNetwork{}
+var _ network.Network = &faultyNetwork{}
 
 func (n *faultyNetwork) Dial(to string, limit time.Duration) (net.Conn, error) {
 	n.w.mu.Lock()
--- a/internal/colony/colony.go
+++ b/internal/colony/colony.go
@@ -16,8 +16,8 @@
 	"github.com/BurntSushi/toml"
 	"github.com/rs/zerolog"
 
-	"oxbowspan/internal/ground"
 	"oxbowspan/internal/meadow"
+	"oxbowspan/internal/network"
 	"oxbowspan/internal/settings"
 )
 
@@ -85,9 +85,9 @@
 }
 
 // at is the network as a machine sees it.
-func (c *Colony) at(ip string) ground.Network {
+func (c *Colony) at(ip string) network.Network {
 	if c.Meadow == nil {
-		return ground.TCP{}
+		return network.TCP{}
 	}
 	return c.Meadow.Host(ip)
 }
--- a/internal/controlcli/program.go
+++ b/internal/controlcli/program.go
@@ -22,7 +22,7 @@
 	"oxbowspan/controlplane"
 	"oxbowspan/dataplane"
 	"oxbowspan/internal/acceptorstore"
-	"oxbowspan/internal/ground"
+	"oxbowspan/internal/network"
 	"oxbowspan/internal/settings"
 )
 
@@ -47,7 +47,7 @@
 // RunController runs the control plane's command line and returns its exit code.
 func RunController(args []string, out, errs io.Writer) int {
 	return program{"hive", false, true, func(ctx context.Context, set *settings.Settings, log zerolog.Logger) error {
-		h, err := controlplane.New(set, ground.TCP{}, log)
+		h, err := controlplane.New(set, network.TCP{}, log)
 		if err != nil {
 			return err
 		}
@@ -58,7 +58,7 @@
 // RunGateway runs the data plane's command line and returns its exit code.
 func RunGateway(args []string, out, errs io.Writer) int {
 	return program{"forager", true, false, func(ctx context.Context, set *settings.Settings, log zerolog.Logger) error {
-		return dataplane.New(set, ground.TCP{}, log).Run(ctx)
+		return dataplane.New(set, network.TCP{}, log).Run(ctx)
 	}, 0.6, 400}.main(args, out, errs)
 }
 
--- a/internal/lab/hollow.go
+++ b/internal/lab/hollow.go
@@ -12,7 +12,7 @@
 
 	"oxbowspan/config"
 	"oxbowspan/internal/colony"
-	"oxbowspan/internal/ground"
+	"oxbowspan/internal/network"
 	"oxbowspan/internal/settings"
 	"oxbowspan/rpc"
 )
@@ -172,7 +172,7 @@
 	}
 	bounded, cancel := context.WithTimeout(ctx, hollowLimit)
 	defer cancel()
-	f := newHollowFleet(bounded, ground.TCP{}, control, inner, sys.c.Beat)
+	f := newHollowFleet(bounded, network.TCP{}, control, inner, sys.c.Beat)
 	defer f.end()
 	m := &hollowMeasure{configBytes: len(conf)}
 	f.addServers(size.servers, hollowLanes)
--- a/internal/lab/hollow_nodes.go
+++ b/internal/lab/hollow_nodes.go
@@ -20,7 +20,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"oxbowspan/config"
-	"oxbowspan/internal/ground"
+	"oxbowspan/internal/network"
 	"oxbowspan/rpc"
 )
 
@@ -41,7 +41,7 @@
 
 // countedNetwork dials through another network and counts the bytes.
 type countedNetwork struct {
-	ground.Network
+	network.Network
 	counter *counter
 }
 
@@ -113,7 +113,7 @@
 // hollowFleet is many gatherers and servers in one process that do nothing but speak to the control machines: gatherers ask
 // for news as real ones do, servers send heartbeats.
 type hollowFleet struct {
-	net       ground.Network
+	net       network.Network
 	control   []string // where servers call the control machines
 	inner     []string // where gatherers ask them
 	beat      time.Duration
@@ -136,7 +136,7 @@
 	ctx  context.Context
 }
 
-func newHollowFleet(ctx context.Context, on ground.Network, control, inner []string, beat time.Duration) *hollowFleet {
+func newHollowFleet(ctx context.Context, on network.Network, control, inner []string, beat time.Duration) *hollowFleet {
 	f := &hollowFleet{net: on, control: control, inner: inner, beat: beat, acks: NewLatency(),
 		service: func(server int) string { return "service-" + strconv.Itoa(server/8) }}
 	f.ctx, f.stop = context.WithCancel(ctx)
--- a/internal/ground/ground.go
+++ b/internal/network/network.go
@@ -1,5 +1,5 @@
-// Package ground is the network that the system's processes stand on: TCP, or the simulated network of the tests.
-package ground
+// Package network is the network that the system's processes stand on: TCP, or the simulated network of the tests.
+package network
 
 import (
 	"context"
@@ -18,12 +18,12 @@
 
 // Listen listens on an address.
 func (TCP) Listen(address string) (net.Listener, error) {
-	c := net.ListenConfig{KeepAlive: -1}
-	return c.Listen(context.Background(), "tcp", address)
+	config := net.ListenConfig{KeepAlive: -1}
+	return config.Listen(context.Background(), "tcp", address)
 }
 
 // Dial connects to an address, within a limit.
-func (TCP) Dial(address string, limit time.Duration) (net.Conn, error) {
-	d := net.Dialer{Timeout: limit, KeepAlive: -1}
-	return d.Dial("tcp", address)
+func (TCP) Dial(address string, timeout time.Duration) (net.Conn, error) {
+	dialer := net.Dialer{Timeout: timeout, KeepAlive: -1}
+	return dialer.Dial("tcp", address)
 }
--- a/rpc/conn.go
+++ b/rpc/conn.go
@@ -19,7 +19,7 @@
 	"golang.org/x/sys/unix"
 	"google.golang.org/protobuf/proto"
 
-	"oxbowspan/internal/ground"
+	"oxbowspan/internal/network"
 )
 
 // A connection begins with Preface, from the side that dialled. A frame is its length in four bytes, big-endian, and so
@@ -191,7 +191,7 @@
 // Client asks one peer, over one connection that it makes when needed.
 type Client struct {
 	Address   string
-	Network   ground.Network
+	Network   network.Network
 	OnMessage func(f *Frame) // nil, or told frames that answer no question
 
 	mu       sync.Mutex
