--- a/controlplane/api_test.go
+++ b/controlplane/api_test.go
@@ -8,8 +8,8 @@
 
 	"github.com/rs/zerolog"
 
-	"oxbowspan/internal/meadow"
 	"oxbowspan/internal/settings"
+	"oxbowspan/internal/testing/simnet"
 )
 
 // What was not written down is not acknowledged: a hive whose owner has ended says so.
@@ -17,7 +17,7 @@
 	set := &settings.Settings{IPAddress: "10.0.1.1", InternalPorts: []int{7100, 7109}, SeedAddresses: []string{"10.0.1.1:8700"}, FirstStart: true,
 		DataDirectory: t.TempDir(), HeartbeatIntervalMS: 1000}
 	set.Listen.Control = "10.0.1.1:8700"
-	h, err := New(set, meadow.New(nil).Host("10.0.1.1"), zerolog.Nop())
+	h, err := New(set, simnet.New(nil).Host("10.0.1.1"), zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/controlplane/loop_test.go
+++ b/controlplane/loop_test.go
@@ -17,14 +17,14 @@
 
 	"github.com/rs/zerolog"
 
-	"oxbowspan/internal/meadow"
 	"oxbowspan/internal/settings"
+	"oxbowspan/internal/testing/simnet"
 )
 
 // startControllers runs so many hives on a simulated network, and returns what ends each.
 func startControllers(t *testing.T, n int) (hives []*Controller, end []func()) {
 	t.Helper()
-	network := meadow.New(func(string, string) time.Duration { return 50 * time.Microsecond })
+	network := simnet.New(func(string, string) time.Duration { return 50 * time.Microsecond })
 	var seeds []string
 	for i := range n {
 		seeds = append(seeds, fmt.Sprintf("10.0.1.%d:8700", i+1))
--- a/dataplane/scenario_test.go
+++ b/dataplane/scenario_test.go
@@ -23,9 +23,9 @@
 	"pgregory.net/rapid"
 
 	"oxbowspan/config"
-	"oxbowspan/internal/meadow"
 	"oxbowspan/internal/network"
 	"oxbowspan/internal/settings"
+	"oxbowspan/internal/testing/simnet"
 	"oxbowspan/registry"
 	"oxbowspan/rpc"
 )
@@ -179,7 +179,7 @@
 // testbed is one play's surroundings and records.
 type testbed struct {
 	mu         sync.Mutex
-	network    *meadow.Meadow
+	network    *simnet.Network
 	scenario   scenario
 	steps      int
 	writes     int
@@ -219,7 +219,7 @@
 var services = []string{"once", "one", "a0", "a1"}
 
 func (w *testbed) run(t *testing.T) {
-	w.network = meadow.New(func(string, string) time.Duration { return 100 * time.Microsecond })
+	w.network = simnet.New(func(string, string) time.Duration { return 100 * time.Microsecond })
 	var listeners []net.Listener
 	var reports []*rpc.ServerReport
 	for i := range services {
@@ -302,7 +302,7 @@
 
 // faultyNetwork dials connections whose writes do what is drawn.
 type faultyNetwork struct {
-	meadow.Host
+	simnet.Host
 	w *testbed
 }
 
--- a/internal/colony/colony.go
+++ b/internal/colony/colony.go
@@ -16,15 +16,15 @@
 	"github.com/BurntSushi/toml"
 	"github.com/rs/zerolog"
 
-	"oxbowspan/internal/meadow"
 	"oxbowspan/internal/network"
 	"oxbowspan/internal/settings"
+	"oxbowspan/internal/testing/simnet"
 )
 
 // Colony is one system and its surroundings.
 type Colony struct {
-	Meadow      *meadow.Meadow // nil = the machine's own network
-	Dir         string         // holds the hives' disks
+	Meadow      *simnet.Network // nil = the machine's own network
+	Dir         string          // holds the hives' disks
 	Log         zerolog.Logger
 	Beat        time.Duration
 	Hives       []*HiveMachine
@@ -54,7 +54,7 @@
 	c := &Colony{Dir: dir, Log: zerolog.Nop(), Beat: 1200 * time.Millisecond, rand: rand.New(rand.NewPCG(seed, 1)), first: true,
 		Ledger: newLedger(), counted: (hives - 1) / 2}
 	c.net = 10
-	c.Meadow = meadow.New(func(from, to string) time.Duration {
+	c.Meadow = simnet.New(func(from, to string) time.Duration {
 		if zoneOf(from) == zoneOf(to) {
 			return 100 * time.Microsecond
 		}
--- a/internal/colony/colony_test.go
+++ b/internal/colony/colony_test.go
@@ -281,8 +281,8 @@
 		case k == 3 && down < 0:
 			a, b := c.Hives[r.IntN(len(c.Hives))].IP, c.Hives[r.IntN(len(c.Hives))].IP
 			if a != b {
-				c.Meadow.Cut(a, b, true)
-				c.Meadow.Cut(b, a, r.IntN(3) > 0)
+				c.Meadow.SetPartitioned(a, b, true)
+				c.Meadow.SetPartitioned(b, a, r.IntN(3) > 0)
 			}
 		case k == 4:
 			c.Meadow.Heal()
--- a/internal/colony/contact_test.go
+++ b/internal/colony/contact_test.go
@@ -36,8 +36,8 @@
 	return func(c *Colony, alone *HiveMachine) {
 		for _, o := range c.Hives {
 			if o != alone {
-				c.Meadow.Cut(alone.IP, o.IP, out)
-				c.Meadow.Cut(o.IP, alone.IP, in)
+				c.Meadow.SetPartitioned(alone.IP, o.IP, out)
+				c.Meadow.SetPartitioned(o.IP, alone.IP, in)
 			}
 		}
 	}
@@ -70,8 +70,8 @@
 func slowLinks(c *Colony, alone *HiveMachine, by time.Duration) {
 	for _, o := range c.Hives {
 		if o != alone {
-			c.Meadow.Slow(alone.IP, o.IP, by)
-			c.Meadow.Slow(o.IP, alone.IP, by)
+			c.Meadow.SetExtraDelay(alone.IP, o.IP, by)
+			c.Meadow.SetExtraDelay(o.IP, alone.IP, by)
 		}
 	}
 }
@@ -353,9 +353,9 @@
 		o.version, o.acked[1] = 1, time.Now()
 		time.Sleep(4 * time.Second)
 		asked, proposer, voter := c.Hives[0], c.Hives[1], c.Hives[2]
-		c.Meadow.Cut(asked.IP, proposer.IP, true)
-		c.Meadow.Cut(proposer.IP, asked.IP, true)
-		c.Meadow.Slow(proposer.IP, voter.IP, 300*time.Millisecond)
+		c.Meadow.SetPartitioned(asked.IP, proposer.IP, true)
+		c.Meadow.SetPartitioned(proposer.IP, asked.IP, true)
+		c.Meadow.SetExtraDelay(proposer.IP, voter.IP, 300*time.Millisecond)
 		time.Sleep(3 * time.Second)
 		wait := o.watch(c, asked, time.Now().Add(4*time.Second))
 		if got := o.send(c, proposer, 1); got != http.StatusOK {
--- a/internal/colony/core_test.go
+++ b/internal/colony/core_test.go
@@ -143,9 +143,9 @@
 			settle(t, c)
 			alone := c.Hives[0]
 			for _, o := range c.Hives[1:] {
-				c.Meadow.Cut(alone.IP, o.IP, true)
+				c.Meadow.SetPartitioned(alone.IP, o.IP, true)
 				if oneWay == 0 {
-					c.Meadow.Cut(o.IP, alone.IP, true)
+					c.Meadow.SetPartitioned(o.IP, alone.IP, true)
 				}
 			}
 			var wg sync.WaitGroup
@@ -186,8 +186,8 @@
 	play(t, 17, 3, 3, func(c *Colony) {
 		settle(t, c)
 		for _, o := range c.Hives[1:] {
-			c.Meadow.Cut(c.Hives[0].IP, o.IP, true)
-			c.Meadow.Cut(o.IP, c.Hives[0].IP, true)
+			c.Meadow.SetPartitioned(c.Hives[0].IP, o.IP, true)
+			c.Meadow.SetPartitioned(o.IP, c.Hives[0].IP, true)
 		}
 		time.Sleep(3 * time.Second)
 		if got := c.Replace(c.Hives[1], 1, Example(2, SecondCut)); got != http.StatusOK {
@@ -274,8 +274,8 @@
 			text, _ := json.Marshal(config.Heartbeat{Service: leaving.Service, Address: leaving.Address(), Zone: "zone-0", State: config.StateDraining, Sequence: 1 << 20})
 			return c.post(context.Background(), client, to.Control(), "/-/instances/"+leaving.Instance+"/heartbeat", string(text))
 		}
-		c.Meadow.Cut(c.Hives[0].IP, c.Hives[1].IP, true)
-		c.Meadow.Cut(c.Hives[0].IP, c.Hives[2].IP, true)
+		c.Meadow.SetPartitioned(c.Hives[0].IP, c.Hives[1].IP, true)
+		c.Meadow.SetPartitioned(c.Hives[0].IP, c.Hives[2].IP, true)
 		if got := say(c.Hives[0]); got == http.StatusOK {
 			t.Fatal("DRAIN: a hive that nobody hears acknowledged a draining")
 		}
@@ -302,8 +302,8 @@
 		settle(t, c)
 		time.Sleep(2 * time.Second)
 		for _, m := range c.Hives {
-			c.Meadow.Cut(m.IP, c.Gather[0].IP, true)
-			c.Meadow.Cut(c.Gather[0].IP, m.IP, true)
+			c.Meadow.SetPartitioned(m.IP, c.Gather[0].IP, true)
+			c.Meadow.SetPartitioned(c.Gather[0].IP, m.IP, true)
 		}
 		if got := c.Replace(c.Hives[0], 1, Example(2, SecondCut)); got != http.StatusOK {
 			t.Fatal(got)
--- a/internal/colony/duty_test.go
+++ b/internal/colony/duty_test.go
@@ -20,8 +20,8 @@
 			}
 			unheard = append(unheard, s)
 			for _, m := range c.Hives {
-				c.Meadow.Cut(s.IP, m.IP, true)
-				c.Meadow.Cut(m.IP, s.IP, true)
+				c.Meadow.SetPartitioned(s.IP, m.IP, true)
+				c.Meadow.SetPartitioned(m.IP, s.IP, true)
 			}
 		}
 		serve := func(when string, least int) {
--- a/internal/colony/machine.go
+++ b/internal/colony/machine.go
@@ -51,7 +51,7 @@
 
 // Start starts the process.
 func (m *HiveMachine) Start() error {
-	m.c.Meadow.Light(m.IP)
+	m.c.Meadow.PowerOn(m.IP)
 	h, err := controlplane.New(m.settings(), m.c.Meadow.Host(m.IP), m.c.Log.With().Str("node", m.IP).Logger())
 	if err != nil {
 		return err
@@ -100,7 +100,7 @@
 
 // Start starts the process.
 func (m *ForagerMachine) Start() {
-	m.c.Meadow.Light(m.IP)
+	m.c.Meadow.PowerOn(m.IP)
 	f := dataplane.New(m.settings(), m.c.Meadow.Host(m.IP), m.c.Log.With().Str("node", m.IP).Logger())
 	m.Now = f
 	m.begin(f.Run)
--- a/internal/colony/orders_test.go
+++ b/internal/colony/orders_test.go
@@ -200,15 +200,15 @@
 	m := c.Hives[r.IntN(len(c.Hives))]
 	switch r.IntN(4) {
 	case 0: // its answers are lost
-		c.Meadow.Cut(m.IP, operatorAddress, true)
+		c.Meadow.SetPartitioned(m.IP, operatorAddress, true)
 	case 1: // it hears nobody
 		for _, o := range c.Hives {
-			c.Meadow.Cut(o.IP, m.IP, true)
+			c.Meadow.SetPartitioned(o.IP, m.IP, true)
 		}
 	case 2: // it is cut off
 		for _, o := range c.Hives {
-			c.Meadow.Cut(o.IP, m.IP, true)
-			c.Meadow.Cut(m.IP, o.IP, true)
+			c.Meadow.SetPartitioned(o.IP, m.IP, true)
+			c.Meadow.SetPartitioned(m.IP, o.IP, true)
 		}
 	case 3:
 		c.mu.Lock()
--- a/internal/colony/repair_test.go
+++ b/internal/colony/repair_test.go
@@ -21,8 +21,8 @@
 func isolate(c *Colony, m *HiveMachine) {
 	for _, o := range c.Hives {
 		if o != m {
-			c.Meadow.Cut(m.IP, o.IP, true)
-			c.Meadow.Cut(o.IP, m.IP, true)
+			c.Meadow.SetPartitioned(m.IP, o.IP, true)
+			c.Meadow.SetPartitioned(o.IP, m.IP, true)
 		}
 	}
 }
@@ -31,8 +31,8 @@
 func rejoin(c *Colony, m *HiveMachine) {
 	for _, o := range c.Hives {
 		if o != m {
-			c.Meadow.Cut(m.IP, o.IP, false)
-			c.Meadow.Cut(o.IP, m.IP, false)
+			c.Meadow.SetPartitioned(m.IP, o.IP, false)
+			c.Meadow.SetPartitioned(o.IP, m.IP, false)
 		}
 	}
 }
--- a/internal/colony/return_test.go
+++ b/internal/colony/return_test.go
@@ -67,8 +67,8 @@
 				away := c.Hives[2]
 				cutOff := func() {
 					for _, o := range c.Hives[:2] {
-						c.Meadow.Cut(o.IP, away.IP, true)
-						c.Meadow.Cut(away.IP, o.IP, true)
+						c.Meadow.SetPartitioned(o.IP, away.IP, true)
+						c.Meadow.SetPartitioned(away.IP, o.IP, true)
 					}
 				}
 				if how == runningOn {
--- a/internal/colony/server.go
+++ b/internal/colony/server.go
@@ -73,7 +73,7 @@
 	s.slots, s.draining = make(chan struct{}, cmp.Or(s.Slots, 3)), false
 	s.mu.Unlock()
 	if s.c.Meadow != nil {
-		s.c.Meadow.Light(s.IP)
+		s.c.Meadow.PowerOn(s.IP)
 	}
 	l, err := s.c.at(s.IP).Listen(s.Address())
 	if err != nil {
--- a/internal/colony/tenants_hard_test.go
+++ b/internal/colony/tenants_hard_test.go
@@ -107,8 +107,8 @@
 		time.Sleep(time.Second)
 		for _, g := range c.Gather {
 			if g != c.Gather[2] {
-				c.Meadow.Cut(c.Gather[2].IP, g.IP, true)
-				c.Meadow.Cut(g.IP, c.Gather[2].IP, true)
+				c.Meadow.SetPartitioned(c.Gather[2].IP, g.IP, true)
+				c.Meadow.SetPartitioned(g.IP, c.Gather[2].IP, true)
 			}
 		}
 		time.Sleep(2 * time.Second)
--- a/internal/colony/wire_test.go
+++ b/internal/colony/wire_test.go
@@ -83,8 +83,8 @@
 		round("all disks stalled", true)
 		time.Sleep(4 * time.Second)
 		for _, o := range c.Hives[1:] {
-			c.Meadow.Cut(alone.IP, o.IP, true)
-			c.Meadow.Cut(o.IP, alone.IP, true)
+			c.Meadow.SetPartitioned(alone.IP, o.IP, true)
+			c.Meadow.SetPartitioned(o.IP, alone.IP, true)
 		}
 		round("just cut off", false)
 		time.Sleep(3 * time.Second)
@@ -229,8 +229,8 @@
 		c.Hives[3].Kill(true)
 		for i, o := range c.Hives {
 			if i != 4 {
-				c.Meadow.Cut(c.Hives[4].IP, o.IP, true)
-				c.Meadow.Cut(o.IP, c.Hives[4].IP, true)
+				c.Meadow.SetPartitioned(c.Hives[4].IP, o.IP, true)
+				c.Meadow.SetPartitioned(o.IP, c.Hives[4].IP, true)
 			}
 		}
 		c.Seeds(c.Hives[3], c.Hives[4], c.Hives[2])
