--- a/internal/controlcli/commands_test.go
+++ b/internal/controlcli/commands_test.go
@@ -16,14 +16,14 @@
 	"time"
 
 	"oxbowspan/controlplane"
-	"oxbowspan/internal/colony"
+	"oxbowspan/internal/testing/simcluster"
 )
 
 // programs is a system of built programs on loopback.
 type programs struct {
 	t           *testing.T
 	bin         string
-	cluster     *colony.Colony
+	cluster     *simcluster.Cluster
 	controllers []*exec.Cmd
 }
 
@@ -117,9 +117,9 @@
 
 // asks sends a gatherer a request until it is answered by a server. Only 503 is asked again: the gatherer may not have heard of the
 // servers yet; any other status is the outcome.
-func (b *programs) asks(path, id string) colony.Answer {
+func (b *programs) asks(path, id string) simcluster.Response {
 	for end := time.Now().Add(convergence); ; time.Sleep(200 * time.Millisecond) {
-		a := b.cluster.Ask(b.cluster.Gather[0], "GET", "h.example", path, id, time.Second)
+		a := b.cluster.SendRequest(b.cluster.Gateways[0], "GET", "h.example", path, id, time.Second)
 		if a.Status != http.StatusServiceUnavailable || time.Now().After(end) {
 			return a
 		}
@@ -129,11 +129,11 @@
 // An operator's day on built programs: a configuration, tenants and pins are set, looked at and refused where they are wrong; a core machine is
 // killed and its disk removed, and the events tell it.
 func TestCommandsOnBuiltPrograms(t *testing.T) {
-	b := &programs{t: t, bin: t.TempDir(), cluster: colony.Local(t.TempDir(), 3, 2)}
+	b := &programs{t: t, bin: t.TempDir(), cluster: simcluster.NewLocal(t.TempDir(), 3, 2)}
 	if out, err := exec.Command("go", "build", "-o", b.bin+"/", "oxbowspan/cmd/hive", "oxbowspan/cmd/forager").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
-	controllers, gateways, err := b.cluster.WriteBoot()
+	controllers, gateways, err := b.cluster.WriteSettings()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -144,7 +144,7 @@
 			b.start("forager", boot)
 		}
 	}
-	for _, service := range colony.ExampleServices {
+	for _, service := range simcluster.ExampleServices {
 		for range 2 {
 			s := b.cluster.AddServer(service, 5*time.Millisecond)
 			if err := s.Start(); err != nil {
@@ -171,8 +171,8 @@
 	b.expect(2, "USAGE", at("tenant", "set")...)
 	b.expect(1, "does not answer", "config", "get", "--control", "127.0.0.1:1")
 	b.eventually(1, "none yet", at("config", "get")...)
-	first := file("first.json", string(colony.Example(1, colony.FirstCut)))
-	second := file("second.json", string(colony.Example(5, colony.SecondCut)))
+	first := file("first.json", string(simcluster.ExampleConfiguration(1, simcluster.FirstSharding)))
+	second := file("second.json", string(simcluster.ExampleConfiguration(5, simcluster.SecondSharding)))
 	b.expect(0, "is valid", "check", "config", first)
 	b.eventually(0, "version 1 is agreed", at("config", "put", first)...)
 	b.expect(0, "1 changes", at("config", "diff", second)...) // the route that is cut anew
@@ -186,7 +186,7 @@
 	b.expect(0, `"version":5`, at("config", "get")...)
 
 	b.eventually(0, "i-", at("servers", "once")...)
-	servers := b.allServers(2*len(colony.ExampleServices), at("servers", "--json")...)
+	servers := b.allServers(2*len(simcluster.ExampleServices), at("servers", "--json")...)
 	b.eventually(0, "yes", at("nodes")...)
 	b.eventually(0, "disks that may be lost now: 1", at("members")...)
 
@@ -215,7 +215,7 @@
 	// A core machine is lost with its disk and comes back without.
 	b.controllers[2].Process.Signal(syscall.SIGKILL)
 	b.controllers[2].Wait()
-	if err := os.RemoveAll(filepath.Join(b.cluster.Dir, b.cluster.Hives[2].IP)); err != nil {
+	if err := os.RemoveAll(filepath.Join(b.cluster.Dir, b.cluster.Controllers[2].IP)); err != nil {
 		t.Fatal(err)
 	}
 	b.eventually(0, "is not heard any more", at("events")...)
@@ -236,10 +236,10 @@
 
 	// A majority is lost for good: a copy of the disk that is left, and a core begun anew that takes it.
 	copied := filepath.Join(b.cluster.Dir, "copy.json")
-	b.expect(1, "machine runs", "state", "--dir", filepath.Join(b.cluster.Dir, b.cluster.Hives[0].IP), "export", copied)
+	b.expect(1, "machine runs", "state", "--dir", filepath.Join(b.cluster.Dir, b.cluster.Controllers[0].IP), "export", copied)
 	b.stopControllers()
-	b.expect(0, "version 5 and 2 documents", "state", "--dir", filepath.Join(b.cluster.Dir, b.cluster.Hives[0].IP), "export", copied)
-	for _, h := range b.cluster.Hives {
+	b.expect(0, "version 5 and 2 documents", "state", "--dir", filepath.Join(b.cluster.Dir, b.cluster.Controllers[0].IP), "export", copied)
+	for _, h := range b.cluster.Controllers {
 		if err := os.RemoveAll(filepath.Join(b.cluster.Dir, h.IP)); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/lab/colony.go
+++ b/internal/lab/colony.go
@@ -14,9 +14,9 @@
 
 	"github.com/spf13/cobra"
 
-	"oxbowspan/internal/colony"
 	"oxbowspan/internal/command"
 	"oxbowspan/internal/settings"
+	"oxbowspan/internal/testing/simcluster"
 )
 
 // newColony is the command that surrounds three hives and two foragers on loopback with servers, an operator and clients.
@@ -41,8 +41,8 @@
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
-	c := colony.Local(dir, 3, 2)
-	hives, foragers, err := c.WriteBoot()
+	c := simcluster.NewLocal(dir, 3, 2)
+	hives, foragers, err := c.WriteSettings()
 	if err != nil {
 		return err
 	}
@@ -63,7 +63,7 @@
 		defer p.Wait()
 		defer p.Process.Signal(syscall.SIGTERM)
 	}
-	for _, service := range colony.ExampleServices {
+	for _, service := range simcluster.ExampleServices {
 		for range 3 {
 			s := c.AddServer(service, 10*time.Millisecond)
 			if err := s.Start(); err != nil {
@@ -72,19 +72,19 @@
 			defer s.Crash(false)
 		}
 	}
-	version, cuts := uint64(0), [][]string{colony.FirstCut, colony.SecondCut}
+	version, cuts := uint64(0), [][]string{simcluster.FirstSharding, simcluster.SecondSharding}
 	asked, served := 0, 0
 	tell := time.Now()
 	for ctx.Err() == nil {
 		if version == 0 || asked%300 == 299 { // now and then the operator cuts the index anew
-			if c.Replace(c.Hives[asked%len(c.Hives)], version, colony.Example(version+1, cuts[version%2])) == http.StatusOK {
+			if c.ReplaceConfiguration(c.Controllers[asked%len(c.Controllers)], version, simcluster.ExampleConfiguration(version+1, cuts[version%2])) == http.StatusOK {
 				version++
 				fmt.Fprintf(out, "version %d is acknowledged\n", version)
 			}
 		}
 		if version > 0 {
 			asked++
-			ok, fault := c.Try(c.Gather[asked%len(c.Gather)], asked/2, fmt.Sprintf("%x-%d", os.Getpid(), asked))
+			ok, fault := c.SendExample(c.Gateways[asked%len(c.Gateways)], asked/2, fmt.Sprintf("%x-%d", os.Getpid(), asked))
 			if fault != "" {
 				return finding{fmt.Errorf("%s", fault)}
 			}
--- a/internal/lab/fairshares.go
+++ b/internal/lab/fairshares.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"oxbowspan/config"
-	"oxbowspan/internal/colony"
+	"oxbowspan/internal/testing/simcluster"
 )
 
 func init() {
@@ -32,12 +32,12 @@
 
 func tellerConfig() []byte {
 	var c config.Configuration
-	json.Unmarshal(colony.Example(1, colony.FirstCut), &c)
+	json.Unmarshal(simcluster.ExampleConfiguration(1, simcluster.FirstSharding), &c)
 	for i := range c.Services {
 		c.Services[i].ConnectionLimit = tellerLimit
 	}
 	c.Routes = []config.Route{
-		{Name: "letters", Hostname: "h.example", PathPrefix: "/letters/", RouteKind: config.Retryable, TimeoutMS: 6000, TargetMS: 3000, GatheredServices: colony.FirstCut, Attempts: 1, TopRecords: 30, MinimumShare: 1},
+		{Name: "letters", Hostname: "h.example", PathPrefix: "/letters/", RouteKind: config.Retryable, TimeoutMS: 6000, TargetMS: 3000, GatheredServices: simcluster.FirstSharding, Attempts: 1, TopRecords: 30, MinimumShare: 1},
 		{Name: "counter", Hostname: "h.example", PathPrefix: "/counter/", RouteKind: config.Retryable, TimeoutMS: 3000, TargetMS: 300, Service: "a0", Attempts: 2},
 		{Name: "finder", Hostname: "h.example", PathPrefix: "/finder/", RouteKind: config.Retryable, TimeoutMS: 3000, TargetMS: 300, Service: "a1", Attempts: 2},
 		{Name: "post", Hostname: "h.example", PathPrefix: "/post/", RouteKind: config.NonRetryable, TimeoutMS: 3000, TargetMS: 600, Service: "a2", Attempts: 2}}
@@ -96,14 +96,14 @@
 	until := time.Now().Add(last)
 	var all sync.WaitGroup
 	if letters {
-		for i := range 45 * len(s.c.Gather) { // all in one tick
+		for i := range 45 * len(s.c.Gateways) { // all in one tick
 			all.Go(func() {
 				for n := 0; time.Now().Before(until); n++ {
-					at := (i + n) % len(s.c.Gather)
+					at := (i + n) % len(s.c.Gateways)
 					if away(at) {
 						continue
 					}
-					a := s.c.Ask(s.c.Gather[at], "GET", "h.example", "/letters/x", fmt.Sprint(name, "l", i, "-", n), 6*time.Second)
+					a := s.c.SendRequest(s.c.Gateways[at], "GET", "h.example", "/letters/x", fmt.Sprint(name, "l", i, "-", n), 6*time.Second)
 					if a.Status == http.StatusOK {
 						m.letters.Add(1)
 					} else {
@@ -116,26 +116,26 @@
 	for n := 0; short && time.Now().Before(until); n++ {
 		time.Sleep(time.Duration(4+rand.IntN(8)) * time.Millisecond)
 		all.Go(func() {
-			at := n % len(s.c.Gather)
+			at := n % len(s.c.Gateways)
 			for away(at) {
-				at = (at + 1) % len(s.c.Gather)
+				at = (at + 1) % len(s.c.Gateways)
 			}
 			id := fmt.Sprint(name, "s", n)
 			began := time.Now()
-			var a colony.Answer
+			var a simcluster.Response
 			switch n % 5 {
 			case 0:
-				a = s.c.Ask(s.c.Gather[at], "POST", "h.example", "/post/x", id, 3*time.Second)
-				if s.c.Ledger.Runs("a2", id) > 1 {
+				a = s.c.SendRequest(s.c.Gateways[at], "POST", "h.example", "/post/x", id, 3*time.Second)
+				if s.c.RequestLog.Executions("a2", id) > 1 {
 					m.twice.Add(1)
 				}
 				if a.Status == 0 && !away(at) {
 					m.cut.Add(1)
 				}
 			case 1, 2:
-				a = s.c.Ask(s.c.Gather[at], "GET", "h.example", "/finder/x", id, 3*time.Second)
+				a = s.c.SendRequest(s.c.Gateways[at], "GET", "h.example", "/finder/x", id, 3*time.Second)
 			default:
-				a = s.c.Ask(s.c.Gather[at], "GET", "h.example", "/counter/x", id, 3*time.Second)
+				a = s.c.SendRequest(s.c.Gateways[at], "GET", "h.example", "/counter/x", id, 3*time.Second)
 			}
 			took := time.Since(began)
 			if away(at) && a.Status != http.StatusOK {
@@ -155,11 +155,11 @@
 }
 
 func runFairShares(ctx context.Context, e *Env) error {
-	s, err := e.startSystem("fair", 3, 5, false, tellerConfig(), func(c *colony.Colony) {
-		for _, service := range colony.FirstCut {
+	s, err := e.startSystem("fair", 3, 5, false, tellerConfig(), func(c *simcluster.Cluster) {
+		for _, service := range simcluster.FirstSharding {
 			for range 3 {
 				srv := c.AddServer(service, tellerWork)
-				srv.Slots, srv.Limit = 1000, tellerLimit
+				srv.Concurrency, srv.ConnectionLimit = 1000, tellerLimit
 			}
 		}
 	})
@@ -172,7 +172,7 @@
 	here := func(int) bool { return false }
 	version := uint64(0)
 	set := func(strict bool) error {
-		if got := s.c.ReplaceNote(s.c.Hives[1], config.TenantsDocumentName, version, tellerTenants(strict)); got != http.StatusOK {
+		if got := s.c.ReplaceDocument(s.c.Controllers[1], config.TenantsDocumentName, version, tellerTenants(strict)); got != http.StatusOK {
 			return fmt.Errorf("a document of tenants is not agreed on: %d", got)
 		}
 		version++
--- a/internal/lab/hollow.go
+++ b/internal/lab/hollow.go
@@ -11,9 +11,9 @@
 	"time"
 
 	"oxbowspan/config"
-	"oxbowspan/internal/colony"
 	"oxbowspan/internal/network"
 	"oxbowspan/internal/settings"
+	"oxbowspan/internal/testing/simcluster"
 	"oxbowspan/rpc"
 )
 
@@ -155,7 +155,7 @@
 // hollowOf plays one size.
 func (e *Env) hollowOf(ctx context.Context, name string, size hollowSize) (*hollowMeasure, error) {
 	conf := hollowConfig(1, size.routes)
-	sys, err := e.startSystem(name, size.control, 1, false, conf, func(*colony.Colony) {})
+	sys, err := e.startSystem(name, size.control, 1, false, conf, func(*simcluster.Cluster) {})
 	if err != nil {
 		return nil, err
 	}
@@ -172,7 +172,7 @@
 	}
 	bounded, cancel := context.WithTimeout(ctx, hollowLimit)
 	defer cancel()
-	f := newHollowFleet(bounded, network.TCP{}, control, inner, sys.c.Beat)
+	f := newHollowFleet(bounded, network.TCP{}, control, inner, sys.c.HeartbeatInterval)
 	defer f.end()
 	m := &hollowMeasure{configBytes: len(conf)}
 	f.addServers(size.servers, hollowLanes)
@@ -193,7 +193,7 @@
 			if bounded.Err() != nil {
 				return false
 			}
-			if sys.c.Replace(sys.c.Hives[(int(version)+i)%size.control], version-1, body) == 200 {
+			if sys.c.ReplaceConfiguration(sys.c.Controllers[(int(version)+i)%size.control], version-1, body) == 200 {
 				return true
 			}
 			f.pause(100 * time.Millisecond)
@@ -422,7 +422,7 @@
 // hollowConfig is the example's configuration with more routes.
 func hollowConfig(version uint64, routes int) []byte {
 	var c config.Configuration
-	if err := json.Unmarshal(colony.Example(version, colony.FirstCut), &c); err != nil {
+	if err := json.Unmarshal(simcluster.ExampleConfiguration(version, simcluster.FirstSharding), &c); err != nil {
 		panic(err)
 	}
 	pattern := c.Routes[1]
--- a/internal/lab/hollow_test.go
+++ b/internal/lab/hollow_test.go
@@ -8,16 +8,16 @@
 	"testing/synctest"
 	"time"
 
-	"oxbowspan/internal/colony"
+	"oxbowspan/internal/testing/simcluster"
 	"oxbowspan/rpc"
 )
 
 // hollowSystem is three control machines on a simulated network, with hollow servers and gatherers round them.
-func hollowSystem(t *testing.T, servers, gatherers int, play func(c *colony.Colony, f *hollowFleet)) {
+func hollowSystem(t *testing.T, servers, gatherers int, play func(c *simcluster.Cluster, f *hollowFleet)) {
 	t.Helper()
 	dir := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
-		c := colony.New(dir, 7, 3, 0)
+		c := simcluster.New(dir, 7, 3, 0)
 		if err := c.Start(); err != nil {
 			t.Fatal(err)
 		}
@@ -26,18 +26,18 @@
 			time.Sleep(5 * time.Second)
 		}()
 		var control, inner []string
-		for _, m := range c.Hives {
-			control, inner = append(control, m.Control()), append(inner, net.JoinHostPort(m.IP, "7100"))
+		for _, m := range c.Controllers {
+			control, inner = append(control, m.ControlAddress()), append(inner, net.JoinHostPort(m.IP, "7100"))
 		}
-		f := newHollowFleet(context.Background(), c.Meadow.Host("10.0.9.5"), control, inner, c.Beat)
+		f := newHollowFleet(context.Background(), c.Network.Host("10.0.9.5"), control, inner, c.HeartbeatInterval)
 		defer f.end()
-		for c.Replace(c.Hives[0], 0, hollowConfig(1, 5)) != http.StatusOK {
+		for c.ReplaceConfiguration(c.Controllers[0], 0, hollowConfig(1, 5)) != http.StatusOK {
 			time.Sleep(100 * time.Millisecond)
 		}
 		f.addServers(servers, 5)
-		time.Sleep(3 * c.Beat)
+		time.Sleep(3 * c.HeartbeatInterval)
 		f.addGatherers(gatherers, time.Second)
-		time.Sleep(3 * c.Beat)
+		time.Sleep(3 * c.HeartbeatInterval)
 		play(c, f)
 	})
 }
@@ -45,7 +45,7 @@
 // Hollow servers are heard and hollow gatherers are told: all servers, each change, each draining, each silence.
 func TestHollowNodesHearAllNews(t *testing.T) {
 	const servers, gatherers = 12, 7
-	hollowSystem(t, servers, gatherers, func(c *colony.Colony, f *hollowFleet) {
+	hollowSystem(t, servers, gatherers, func(c *simcluster.Cluster, f *hollowFleet) {
 		if n := f.listLength.Load(); n != servers {
 			t.Errorf("the longest list holds %d servers of %d", n, servers)
 		}
@@ -57,7 +57,7 @@
 		}
 		m := &hollowMeasure{}
 		m.changes(f, func(version uint64) bool {
-			return c.Replace(c.Hives[version%3], version-1, hollowConfig(version, 5)) == http.StatusOK
+			return c.ReplaceConfiguration(c.Controllers[version%3], version-1, hollowConfig(version, 5)) == http.StatusOK
 		})
 		for what, r := range map[string]reach{"change": m.change, "draining": m.drain, "silence": m.silence} {
 			if r.missing > 0 || r.failed > 0 {
@@ -67,7 +67,7 @@
 		if m.change.all > 100 || m.drain.all > 100 {
 			t.Errorf("a change takes %v ms and a draining %v ms on a simulated network", m.change.all, m.drain.all)
 		}
-		beat := float64(c.Beat / time.Millisecond)
+		beat := float64(c.HeartbeatInterval / time.Millisecond)
 		if m.silence.all < 3*beat || m.silence.all > 5*beat {
 			t.Errorf("a silence is everywhere after %v ms", m.silence.all)
 		}
@@ -79,11 +79,11 @@
 
 // A control machine that dies costs no hollow node its work.
 func TestHollowNodesGoOnToAnotherControlMachine(t *testing.T) {
-	hollowSystem(t, 9, 6, func(c *colony.Colony, f *hollowFleet) {
-		c.Hives[0].Kill(true)
+	hollowSystem(t, 9, 6, func(c *simcluster.Cluster, f *hollowFleet) {
+		c.Controllers[0].Kill(true)
 		time.Sleep(5 * time.Second)
 		a := f.await(func(n *rpc.Update) bool { return n.Version >= 2 })
-		if got := c.Replace(c.Hives[1], 1, hollowConfig(2, 5)); got != http.StatusOK {
+		if got := c.ReplaceConfiguration(c.Controllers[1], 1, hollowConfig(2, 5)); got != http.StatusOK {
 			t.Fatalf("the change is answered %d", got)
 		}
 		at := time.Now()
@@ -93,7 +93,7 @@
 		}
 		for _, s := range f.servers {
 			s.turn.take()
-			if old := time.Since(s.ackedAt); old > 2*c.Beat {
+			if old := time.Since(s.ackedAt); old > 2*c.HeartbeatInterval {
 				t.Errorf("server %s was last acknowledged %v ago", s.id, old)
 			}
 			s.turn.give()
--- a/internal/lab/judgement.go
+++ b/internal/lab/judgement.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"oxbowspan/config"
-	"oxbowspan/internal/colony"
+	"oxbowspan/internal/testing/simcluster"
 )
 
 func init() {
@@ -30,7 +30,7 @@
 
 func judgeConfig() []byte {
 	var c config.Configuration
-	json.Unmarshal(colony.Example(1, colony.FirstCut), &c)
+	json.Unmarshal(simcluster.ExampleConfiguration(1, simcluster.FirstSharding), &c)
 	c.Routes = append(c.Routes,
 		config.Route{Name: "counter", Hostname: "h.example", PathPrefix: "/counter/", RouteKind: config.Retryable, TimeoutMS: 3000, TargetMS: 100, Service: "a0", Attempts: 2},
 		config.Route{Name: "post", Hostname: "h.example", PathPrefix: "/post/", RouteKind: config.NonRetryable, TimeoutMS: 3000, TargetMS: 400, Service: "a1", Attempts: 2})
@@ -62,12 +62,12 @@
 	if alone {
 		way = "each alone"
 	}
-	var watched []*colony.Server
-	s, err := e.startSystem("judge-"+fmt.Sprint(alone), 3, foragers, alone, judgeConfig(), func(c *colony.Colony) {
-		for _, service := range colony.FirstCut {
+	var watched []*simcluster.Server
+	s, err := e.startSystem("judge-"+fmt.Sprint(alone), 3, foragers, alone, judgeConfig(), func(c *simcluster.Cluster) {
+		for _, service := range simcluster.FirstSharding {
 			for range 4 {
 				srv := c.AddServer(service, judgeWork)
-				srv.Slots = 4
+				srv.Concurrency = 4
 				if service == "a0" {
 					watched = append(watched, srv)
 				}
@@ -112,11 +112,11 @@
 					method = "POST"
 				}
 				p := now.Load()
-				a := s.c.Ask(s.c.Gather[at], method, "h.example", path+"x", id, 3*time.Second)
+				a := s.c.SendRequest(s.c.Gateways[at], method, "h.example", path+"x", id, 3*time.Second)
 				switch {
 				case int64(at) == away.Load() && a.Status != http.StatusOK:
 				case kind == 2:
-					if ran.Add(1); s.c.Ledger.Runs("a1", id) > 1 {
+					if ran.Add(1); s.c.RequestLog.Executions("a1", id) > 1 {
 						twice.Add(1)
 					}
 				case kind == 0 && p != nil:
@@ -139,13 +139,13 @@
 	ill := time.Duration(e.Scale(4, 8)) * time.Second
 	for i, c := range []struct {
 		name       string
-		begin, end func(srv *colony.Server)
-	}{{"slowed tenfold", func(srv *colony.Server) { srv.Take(10 * judgeWork) }, func(srv *colony.Server) { srv.Take(judgeWork) }},
-		{"hung", func(srv *colony.Server) { srv.Hang(true) }, func(srv *colony.Server) { srv.Hang(false) }},
-		{"killed", func(srv *colony.Server) { srv.Crash(false) }, func(srv *colony.Server) { srv.Start() }}} {
+		begin, end func(srv *simcluster.Server)
+	}{{"slowed tenfold", func(srv *simcluster.Server) { srv.SetServiceTime(10 * judgeWork) }, func(srv *simcluster.Server) { srv.SetServiceTime(judgeWork) }},
+		{"hung", func(srv *simcluster.Server) { srv.SetHung(true) }, func(srv *simcluster.Server) { srv.SetHung(false) }},
+		{"killed", func(srv *simcluster.Server) { srv.Crash(false) }, func(srv *simcluster.Server) { srv.Start() }}} {
 		srv, p := watched[i], &phase{name: c.name, illAt: time.Now()}
 		var came atomic.Int64
-		srv.Watch(func(t time.Time) {
+		srv.SetOnRequest(func(t time.Time) {
 			if came.Add(1); p.wellAt.IsZero() && t.Sub(p.illAt) > time.Second {
 				p.met.Add(1)
 			}
@@ -175,7 +175,7 @@
 			}
 		}
 		p.back = time.Since(p.wellAt)
-		srv.Watch(nil)
+		srv.SetOnRequest(nil)
 		sum += p.over.Load()
 		e.Record.Row("a replica in trouble", []string{"replica", "judged", "look-ups", "over " + judgeBound.String(), "lost", "requests that met it after the first second", "back after, s"},
 			p.name, way, fmt.Sprint(p.asked.Load()), fmt.Sprint(p.over.Load()), fmt.Sprint(p.lost.Load()), fmt.Sprint(p.met.Load()), fmt.Sprintf("%.1f", p.back.Seconds()))
--- a/internal/lab/rest.go
+++ b/internal/lab/rest.go
@@ -10,7 +10,7 @@
 	"strings"
 	"time"
 
-	"oxbowspan/internal/colony"
+	"oxbowspan/internal/testing/simcluster"
 )
 
 func init() {
@@ -95,7 +95,7 @@
 
 // restOf plays one number of gatherers and returns what a process of each program spends a second, in the mean.
 func (e *Env) restOf(ctx context.Context, n int, last time.Duration) (map[string]idle, error) {
-	sys, err := e.startSystem(fmt.Sprint("rest-", n), 3, n, false, colony.Example(1, colony.FirstCut), standard(10*time.Millisecond))
+	sys, err := e.startSystem(fmt.Sprint("rest-", n), 3, n, false, simcluster.ExampleConfiguration(1, simcluster.FirstSharding), standard(10*time.Millisecond))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/lab/system.go
+++ b/internal/lab/system.go
@@ -9,12 +9,12 @@
 	"syscall"
 	"time"
 
-	"oxbowspan/internal/colony"
+	"oxbowspan/internal/testing/simcluster"
 )
 
 // system is a built system on loopback: hives and foragers as processes, servers and clients of this one.
 type system struct {
-	c       *colony.Colony
+	c       *simcluster.Cluster
 	hives   []*exec.Cmd
 	gather  []*exec.Cmd
 	boot    map[*exec.Cmd]string
@@ -22,14 +22,14 @@
 }
 
 // startSystem starts the programs beside the gatherer, adds servers by fill, and has a configuration agreed on.
-func (e *Env) startSystem(name string, hives, foragers int, alone bool, conf []byte, fill func(c *colony.Colony)) (*system, error) {
+func (e *Env) startSystem(name string, hives, foragers int, alone bool, conf []byte, fill func(c *simcluster.Cluster)) (*system, error) {
 	dir := filepath.Join(e.Dir, name)
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
 	}
-	s := &system{c: colony.Local(dir, hives, foragers), boot: map[*exec.Cmd]string{}}
-	s.c.JudgeAlone = alone
-	atHive, atForager, err := s.c.WriteBoot()
+	s := &system{c: simcluster.NewLocal(dir, hives, foragers), boot: map[*exec.Cmd]string{}}
+	s.c.LocalOutlierDetection = alone
+	atHive, atForager, err := s.c.WriteSettings()
 	if err != nil {
 		return nil, err
 	}
@@ -65,7 +65,7 @@
 			return nil, err
 		}
 	}
-	for until := time.Now().Add(10 * time.Second); s.c.Replace(s.c.Hives[0], 0, conf) != http.StatusOK; {
+	for until := time.Now().Add(10 * time.Second); s.c.ReplaceConfiguration(s.c.Controllers[0], 0, conf) != http.StatusOK; {
 		if time.Now().After(until) {
 			s.stop()
 			return nil, fmt.Errorf("no configuration is agreed on")
@@ -107,9 +107,9 @@
 }
 
 // standard adds the example's servers.
-func standard(work time.Duration) func(c *colony.Colony) {
-	return func(c *colony.Colony) {
-		for _, service := range colony.ExampleServices {
+func standard(work time.Duration) func(c *simcluster.Cluster) {
+	return func(c *simcluster.Cluster) {
+		for _, service := range simcluster.ExampleServices {
 			for range 3 {
 				c.AddServer(service, work)
 			}
--- a/internal/colony/ack_test.go
+++ b/internal/testing/simcluster/acknowledgement_test.go
@@ -1,4 +1,4 @@
-package colony
+package simcluster
 
 import (
 	"fmt"
@@ -8,39 +8,39 @@
 	"time"
 )
 
-// ackBound is how long an order may take at a control machine that lives while a majority does: two round trips between zones
+// acknowledgementBound is how long an order may take at a control machine that lives while a majority does: two round trips between zones
 // and a retry or two, and nothing that waits for the one that is lost.
-const ackBound = 100 * time.Millisecond
+const acknowledgementBound = 100 * time.Millisecond
 
 // One control machine is lost, by a kill or dark, as a member or while a spare takes its place; orders sent to each other one
 // at once and at any moment of the seconds after are acknowledged as fast as ever. What an operator waits beyond that is spent
 // at the lost machine's address.
-func TestAcknowledgementsRightAfterALoss(t *testing.T) {
+func TestReplaceLatencyAfterControllerLoss(t *testing.T) {
 	delays := []time.Duration{0, 30 * time.Millisecond, 400 * time.Millisecond, 900 * time.Millisecond, 2300 * time.Millisecond, 3 * time.Second}
 	for _, hives := range []int{3, 4} { // of four, one is a spare
-		for _, dark := range []bool{false, true} {
-			t.Run(fmt.Sprintf("%d hives, dark %t", hives, dark), func(t *testing.T) {
-				play(t, 400+uint64(hives), hives, 2, func(c *Colony) {
-					settle(t, c)
+		for _, powerLoss := range []bool{false, true} {
+			t.Run(fmt.Sprintf("%d hives, dark %t", hives, powerLoss), func(t *testing.T) {
+				runCluster(t, 400+uint64(hives), hives, 2, func(cluster *Cluster) {
+					commitFirstVersion(t, cluster)
 					time.Sleep(4 * time.Second)
 					version := uint64(1)
 					var took []time.Duration
 					for i, delay := range delays {
-						lost := c.Hives[i%3]
-						lost.Kill(dark)
+						lost := cluster.Controllers[i%3]
+						lost.Kill(powerLoss)
 						time.Sleep(delay)
-						for _, m := range c.running() {
-							began := time.Now()
-							if got := c.Replace(m, version, Example(version+1, FirstCut)); got != http.StatusOK {
-								t.Fatalf("%v after the loss of %s, %s answers %d after %v", delay, lost.IP, m.IP, got, time.Since(began))
+						for _, controller := range cluster.runningControllers() {
+							start := time.Now()
+							if got := cluster.ReplaceConfiguration(controller, version, ExampleConfiguration(version+1, FirstSharding)); got != http.StatusOK {
+								t.Fatalf("%v after the loss of %s, %s answers %d after %v", delay, lost.IP, controller.IP, got, time.Since(start))
 							}
 							version++
-							if d := time.Since(began); d > ackBound {
-								t.Errorf("%v after the loss of %s, %s takes %v", delay, lost.IP, m.IP, d)
+							if d := time.Since(start); d > acknowledgementBound {
+								t.Errorf("%v after the loss of %s, %s takes %v", delay, lost.IP, controller.IP, d)
 							}
-							took = append(took, time.Since(began))
+							took = append(took, time.Since(start))
 						}
-						must(t, lost.Start())
+						requireNoError(t, lost.Start())
 						time.Sleep(3 * time.Second)
 					}
 					slices.Sort(took)
@@ -53,29 +53,29 @@
 
 // The machine that takes an order dies before it answers, at any moment of its round: the same order again, at another, is
 // acknowledged at once.
-func TestAnOrderWhoseMachineDiesIsTakenByTheNext(t *testing.T) {
-	for _, dark := range []bool{false, true} {
-		play(t, 410, 3, 1, func(c *Colony) {
-			settle(t, c)
+func TestReplaceRetriedAfterControllerCrash(t *testing.T) {
+	for _, powerLoss := range []bool{false, true} {
+		runCluster(t, 410, 3, 1, func(cluster *Cluster) {
+			commitFirstVersion(t, cluster)
 			time.Sleep(3 * time.Second)
 			version := uint64(1)
 			var took []time.Duration
 			for step := range 14 {
-				first, second := c.Hives[step%3], c.Hives[(step+1)%3]
-				body := Example(version+1, FirstCut)
-				go c.Replace(first, version, body)
+				first, second := cluster.Controllers[step%3], cluster.Controllers[(step+1)%3]
+				body := ExampleConfiguration(version+1, FirstSharding)
+				go cluster.ReplaceConfiguration(first, version, body)
 				time.Sleep(time.Duration(step) * 500 * time.Microsecond)
-				first.Kill(dark)
-				began := time.Now()
-				if got := c.Replace(second, version, body); got != http.StatusOK {
+				first.Kill(powerLoss)
+				start := time.Now()
+				if got := cluster.ReplaceConfiguration(second, version, body); got != http.StatusOK {
 					t.Fatalf("step %d: the same order again is answered %d", step, got)
 				}
 				version++
-				took = append(took, time.Since(began))
-				if d := time.Since(began); d > ackBound {
+				took = append(took, time.Since(start))
+				if d := time.Since(start); d > acknowledgementBound {
 					t.Errorf("step %d: the same order again takes %v", step, d)
 				}
-				must(t, first.Start())
+				requireNoError(t, first.Start())
 				time.Sleep(3 * time.Second)
 			}
 			slices.Sort(took)
--- a/internal/colony/limit_test.go
+++ b/internal/testing/simcluster/connection_limit_test.go
@@ -1,4 +1,4 @@
-package colony
+package simcluster
 
 import (
 	"encoding/json"
@@ -14,37 +14,37 @@
 
 // Servers take fewer connections together than there are gatherers, and end those beyond. Each gatherer uses a few servers only,
 // so that hardly any is ended, though gatherers come and go; everything is served.
-func TestFewerConnectionsThanGatherers(t *testing.T) {
-	play(t, 93, 3, 30, func(c *Colony) {
+func TestConnectionLimitBelowGatewayCount(t *testing.T) {
+	runCluster(t, 93, 3, 30, func(cluster *Cluster) {
 		var servers []*Server
-		for _, s := range c.Servers {
+		for _, s := range cluster.Servers {
 			if s.Service == "one" {
 				s.Crash(false)
 			}
 		}
 		for range 6 {
-			s := c.AddServer("one", 10*time.Millisecond)
-			s.Limit = 6
-			must(t, s.Start())
+			s := cluster.AddServer("one", 10*time.Millisecond)
+			s.ConnectionLimit = 6
+			requireNoError(t, s.Start())
 			servers = append(servers, s)
 		}
 		var conf config.Configuration
-		must(t, json.Unmarshal(Example(1, FirstCut), &conf))
+		requireNoError(t, json.Unmarshal(ExampleConfiguration(1, FirstSharding), &conf))
 		for i := range conf.Services {
 			if conf.Services[i].Name == "one" {
 				conf.Services[i].ConnectionLimit = 6
 			}
 		}
 		text, _ := json.Marshal(conf)
-		if got := agree(c, 0, text, 30); got != http.StatusOK {
+		if got := replaceWithRetry(cluster, 0, text, 30); got != http.StatusOK {
 			t.Fatalf("the configuration: %d", got)
 		}
-		await(t, c, 1, 3*time.Second)
+		awaitVersion(t, cluster, 1, 3*time.Second)
 		time.Sleep(6 * time.Second)
 		refused := func() (n int) {
 			for _, s := range servers {
 				s.mu.Lock()
-				n += s.Refused
+				n += s.RejectedConnections
 				s.mu.Unlock()
 			}
 			return n
@@ -55,7 +55,7 @@
 			for n := range seconds * 200 {
 				all.Go(func() {
 					asked.Add(1)
-					if a := c.Ask(c.Gather[n%len(c.Gather)], "GET", "h.example", "/one/x", fmt.Sprint("f", asked.Load(), "-", n), time.Second); a.Status == http.StatusOK {
+					if response := cluster.SendRequest(cluster.Gateways[n%len(cluster.Gateways)], "GET", "h.example", "/one/x", fmt.Sprint("f", asked.Load(), "-", n), time.Second); response.Status == http.StatusOK {
 						served.Add(1)
 					}
 				})
@@ -66,8 +66,8 @@
 		load(10)
 		calm := refused()
 		for i := range 5 { // gatherers that die and begin anew
-			c.Gather[i].Kill(false)
-			c.Gather[i].Start()
+			cluster.Gateways[i].Kill(false)
+			cluster.Gateways[i].Start()
 		}
 		time.Sleep(2 * time.Second)
 		load(10)
--- a/internal/colony/front_test.go
+++ b/internal/testing/simcluster/connection_test.go
@@ -1,4 +1,4 @@
-package colony
+package simcluster
 
 import (
 	"bufio"
@@ -10,12 +10,12 @@
 
 // Requests one behind the other on one connection: without a body, with a body on a GET that looks like a request, in chunks.
 // Each has its own answer, in order, and what only stands in a body is never run.
-func TestRequestsOnOneConnection(t *testing.T) {
-	play(t, 40, 3, 1, func(c *Colony) {
-		settle(t, c)
+func TestPipelinedRequests(t *testing.T) {
+	runCluster(t, 40, 3, 1, func(cluster *Cluster) {
+		commitFirstVersion(t, cluster)
 		time.Sleep(3 * time.Second)
-		conn, err := c.Meadow.Host("10.0.9.6").Dial(c.Gather[0].Front(), time.Second)
-		must(t, err)
+		conn, err := cluster.Network.Host("10.0.9.6").Dial(cluster.Gateways[0].PublicAddress(), time.Second)
+		requireNoError(t, err)
 		defer conn.Close()
 		hidden := "POST /once/x HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: hidden\r\nContent-Length: 0\r\n\r\n"
 		head := func(method, path, id string) string {
@@ -27,7 +27,7 @@
 			head("POST", "/once/c", ids[2]) + "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n" +
 			head("DELETE", "/once/d", ids[3]) + "\r\n" +
 			head("GET", "/one/e", ids[4]) + "\r\n"))
-		must(t, err)
+		requireNoError(t, err)
 		if len(hidden) != 83 {
 			t.Fatalf("the hidden request has %d bytes", len(hidden))
 		}
@@ -38,21 +38,21 @@
 			if err != nil {
 				t.Fatalf("%s: %v", id, err)
 			}
-			seal := resp.Header.Get("X-Server-Seal")
-			if resp.StatusCode != http.StatusOK || !strings.HasSuffix(seal, "."+id) {
-				t.Fatalf("%s is answered %d with stamp %q", id, resp.StatusCode, seal)
+			stamp := resp.Header.Get("X-Server-Seal")
+			if resp.StatusCode != http.StatusOK || !strings.HasSuffix(stamp, "."+id) {
+				t.Fatalf("%s is answered %d with stamp %q", id, resp.StatusCode, stamp)
 			}
 			resp.Write(discard{})
 			resp.Body.Close()
 		}
 		// Behind the last chunk: fields are skipped; a request is none, and ends the connection.
-		again, err := c.Meadow.Host("10.0.9.6").Dial(c.Gather[0].Front(), time.Second)
-		must(t, err)
+		again, err := cluster.Network.Host("10.0.9.6").Dial(cluster.Gateways[0].PublicAddress(), time.Second)
+		requireNoError(t, err)
 		defer again.Close()
 		_, err = again.Write([]byte(head("POST", "/once/f", "t1") + "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\nX-Attempt-Id: other\r\n\r\n" +
 			head("GET", "/one/g", "t2") + "\r\n" +
 			head("POST", "/once/h", "t3") + "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n" + hidden))
-		must(t, err)
+		requireNoError(t, err)
 		r = bufio.NewReader(again)
 		for _, want := range []struct {
 			id     string
@@ -63,8 +63,8 @@
 			if err != nil {
 				t.Fatalf("%s: %v", want.id, err)
 			}
-			if seal := resp.Header.Get("X-Server-Seal"); resp.StatusCode != want.status || want.status == http.StatusOK && !strings.HasSuffix(seal, "."+want.id) {
-				t.Fatalf("%s is answered %d with stamp %q", want.id, resp.StatusCode, seal)
+			if stamp := resp.Header.Get("X-Server-Seal"); resp.StatusCode != want.status || want.status == http.StatusOK && !strings.HasSuffix(stamp, "."+want.id) {
+				t.Fatalf("%s is answered %d with stamp %q", want.id, resp.StatusCode, stamp)
 			}
 			resp.Write(discard{})
 			resp.Body.Close()
@@ -72,7 +72,7 @@
 		if _, err := r.ReadByte(); err == nil {
 			t.Fatal("MIXED: something follows the answer to a request that can't be read")
 		}
-		if c.Ledger.Runs("once", "hidden")+c.Ledger.Runs("one", "hidden") != 0 {
+		if cluster.RequestLog.Executions("once", "hidden")+cluster.RequestLog.Executions("one", "hidden") != 0 {
 			t.Fatal("UNASKED: a request that stood in another's body was run")
 		}
 	})
@@ -83,20 +83,20 @@
 func (discard) Write(b []byte) (int, error) { return len(b), nil }
 
 // Idle connections past half of the descriptors make room for new ones, and requests are served all the while.
-func TestIdleConnectionsMakeRoom(t *testing.T) {
-	play(t, 41, 3, 1, func(c *Colony) {
-		c.Gather[0].Kill(false)
-		c.descriptors = 40
-		c.Gather[0].Start()
-		settle(t, c)
+func TestIdleConnectionsAreEvicted(t *testing.T) {
+	runCluster(t, 41, 3, 1, func(cluster *Cluster) {
+		cluster.Gateways[0].Kill(false)
+		cluster.fileDescriptors = 40
+		cluster.Gateways[0].Start()
+		commitFirstVersion(t, cluster)
 		time.Sleep(3 * time.Second)
 		for i := range 100 {
-			conn, err := c.Meadow.Host("10.0.9.6").Dial(c.Gather[0].Front(), time.Second)
-			must(t, err)
+			conn, err := cluster.Network.Host("10.0.9.6").Dial(cluster.Gateways[0].PublicAddress(), time.Second)
+			requireNoError(t, err)
 			defer conn.Close()
 			if i%10 == 9 {
-				if a := c.Ask(c.Gather[0], "GET", "h.example", "/one/x", "room", time.Second); a.Status != http.StatusOK {
-					t.Fatalf("beside %d idle connections a request is answered %d", i+1, a.Status)
+				if response := cluster.SendRequest(cluster.Gateways[0], "GET", "h.example", "/one/x", "room", time.Second); response.Status != http.StatusOK {
+					t.Fatalf("beside %d idle connections a request is answered %d", i+1, response.Status)
 				}
 			}
 		}
--- a/internal/colony/offer_test.go
+++ b/internal/testing/simcluster/dispatch_test.go
@@ -1,4 +1,4 @@
-package colony
+package simcluster
 
 import (
 	"fmt"
@@ -9,11 +9,11 @@
 
 // Where all servers of a service have just gone dark, with no connection to them left, nothing can be offered: what can't be served is
 // told that it has not run, and once the servers are known to be dark within a quarter of its target.
-func TestWhatWasNeverOfferedIsToldSo(t *testing.T) {
-	play(t, 81, 3, 1, func(c *Colony) {
-		settle(t, c)
+func TestUndispatchedRequestsAreRejected(t *testing.T) {
+	runCluster(t, 81, 3, 1, func(cluster *Cluster) {
+		commitFirstVersion(t, cluster)
 		time.Sleep(3 * time.Second)
-		for _, s := range c.Servers {
+		for _, s := range cluster.Servers {
 			if s.Service == "once" || s.Service == "one" {
 				s.Crash(true)
 			}
@@ -25,15 +25,15 @@
 			method := map[string]string{"once": "POST", "one": "GET"}[service]
 			id := fmt.Sprint("n", i)
 			patience := []time.Duration{250 * time.Millisecond, 350 * time.Millisecond, time.Second, 2500 * time.Millisecond}[i/2%4]
-			a := c.Ask(c.Gather[0], method, "h.example", "/"+service+"/x", id, patience)
-			if a.Status != http.StatusServiceUnavailable {
-				t.Errorf("%s with %v to wait is answered %d after %v, though it was never offered", service, patience, a.Status, a.Elapsed)
+			response := cluster.SendRequest(cluster.Gateways[0], method, "h.example", "/"+service+"/x", id, patience)
+			if response.Status != http.StatusServiceUnavailable {
+				t.Errorf("%s with %v to wait is answered %d after %v, though it was never offered", service, patience, response.Status, response.Elapsed)
 			}
-			if i >= known && a.Elapsed > target/4 {
+			if i >= known && response.Elapsed > target/4 {
 				held++
 			}
-			if a.Elapsed > patience/2 && patience > 2*time.Second {
-				t.Errorf("%s was held for %v of %v without an offer", service, a.Elapsed, patience)
+			if response.Elapsed > patience/2 && patience > 2*time.Second {
+				t.Errorf("%s was held for %v of %v without an offer", service, response.Elapsed, patience)
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
--- a/internal/colony/main_test.go
+++ b/internal/testing/simcluster/main_test.go
@@ -1,4 +1,4 @@
-package colony
+package simcluster
 
 import (
 	"bytes"
@@ -11,15 +11,15 @@
 	"testing"
 )
 
-// alone marks a process that plays one test.
-const alone = "COLONY_ALONE"
+// aloneEnv marks a process that plays one test.
+const aloneEnv = "COLONY_ALONE"
 
-// replays names the variable that holds the path of a file to which each replay adds a line, as go test shows what a package prints
+// replayFileEnv names the variable that holds the path of a file to which each replay adds a line, as go test shows what a package prints
 // only where the package fails. CI prints and counts these lines.
-const replays = "OXBOWSPAN_REPLAYS"
+const replayFileEnv = "OXBOWSPAN_REPLAYS"
 
-// mostRuns is how often a test is played at most, where the race detector broke down each time.
-const mostRuns = 3
+// maxAttempts is how often a test is played at most, where the race detector broke down each time.
+const maxAttempts = 3
 
 // TestMain gives each test a process of its own under the race detector, four at a time, as the detector's own tables break
 // now and then while a bubble's timers run: one run of the package in ten ended with "ThreadSanitizer: CHECK failed" in its
@@ -27,7 +27,7 @@
 // test is played again, three times at most. A race that is found, a failure and a panic are verdicts.
 func TestMain(m *testing.M) {
 	flag.Parse()
-	if !raceDetector || os.Getenv(alone) != "" || flag.Lookup("test.run").Value.String() != "" || flag.Lookup("test.list").Value.String() != "" {
+	if !raceDetector || os.Getenv(aloneEnv) != "" || flag.Lookup("test.run").Value.String() != "" || flag.Lookup("test.list").Value.String() != "" {
 		os.Exit(m.Run())
 	}
 	names, err := exec.Command(os.Args[0], "-test.list", ".").Output()
@@ -38,25 +38,25 @@
 	var all sync.WaitGroup
 	var mu sync.Mutex
 	failed := false
-	room := make(chan struct{}, 4)
+	slots := make(chan struct{}, 4)
 	for _, name := range strings.Fields(string(names)) {
 		if !strings.HasPrefix(name, "Test") {
 			continue
 		}
 		all.Add(1)
-		room <- struct{}{}
+		slots <- struct{}{}
 		go func() {
-			defer func() { <-room; all.Done() }()
+			defer func() { <-slots; all.Done() }()
 			var out []byte
 			var err error
-			for run := 1; run <= mostRuns; run++ {
+			for attempt := 1; attempt <= maxAttempts; attempt++ {
 				c := exec.Command(os.Args[0], append(os.Args[1:], "-test.run", "^"+name+"$")...)
-				c.Env = append(os.Environ(), alone+"=1")
-				if out, err = c.CombinedOutput(); err == nil || !brokeDown(out) || run == mostRuns {
+				c.Env = append(os.Environ(), aloneEnv+"=1")
+				if out, err = c.CombinedOutput(); err == nil || !detectorFailed(out) || attempt == maxAttempts {
 					break
 				}
 				mu.Lock()
-				noteReplay(name, run, out)
+				recordReplay(name, attempt, out)
 				mu.Unlock()
 			}
 			mu.Lock()
@@ -76,11 +76,11 @@
 	fmt.Println("PASS")
 }
 
-// noteReplay prints that a run of a test ended by a fault of the race detector's own, and adds the line to the file that CI reads.
-func noteReplay(name string, run int, out []byte) {
-	line := fmt.Sprintf("replay: internal/colony %s, run %d of %d ended by the race detector's own fault: %s\n", name, run, mostRuns, faultLine(out))
+// recordReplay prints that a run of a test ended by a fault of the race detector's own, and adds the line to the file that CI reads.
+func recordReplay(name string, attempt int, out []byte) {
+	line := fmt.Sprintf("replay: internal/colony %s, run %d of %d ended by the race detector's own fault: %s\n", name, attempt, maxAttempts, faultLine(out))
 	fmt.Print(line)
-	path := os.Getenv(replays)
+	path := os.Getenv(replayFileEnv)
 	if path == "" {
 		return
 	}
@@ -105,8 +105,8 @@
 	return "not named"
 }
 
-// brokeDown tells whether a process ended by a fault of the race detector's own.
-func brokeDown(out []byte) bool {
+// detectorFailed tells whether a process ended by a fault of the race detector's own.
+func detectorFailed(out []byte) bool {
 	if bytes.Contains(out, []byte("WARNING: DATA RACE")) || bytes.Contains(out, []byte("--- FAIL")) {
 		return false
 	}
--- a/internal/colony/judgement_test.go
+++ b/internal/testing/simcluster/outlier_test.go
@@ -1,4 +1,4 @@
-package colony
+package simcluster
 
 import (
 	"encoding/json"
@@ -13,70 +13,70 @@
 )
 
 // A server that takes requests and answers none is left by all gatherers, tried by one, and taken back by all. A pin holds and ends.
-func TestAHungServerIsLeftTogether(t *testing.T) {
-	play(t, 41, 3, 12, func(c *Colony) {
-		if got := agree(c, 0, Example(1, FirstCut), 30); got != http.StatusOK {
+func TestHungServerIsEjected(t *testing.T) {
+	runCluster(t, 41, 3, 12, func(cluster *Cluster) {
+		if got := replaceWithRetry(cluster, 0, ExampleConfiguration(1, FirstSharding), 30); got != http.StatusOK {
 			t.Fatalf("the configuration: %d", got)
 		}
-		await(t, c, 1, 3*time.Second)
-		var ill *Server
-		for _, s := range c.Servers {
+		awaitVersion(t, cluster, 1, 3*time.Second)
+		var hung *Server
+		for _, s := range cluster.Servers {
 			if s.Service == "one" {
-				ill = s
+				hung = s
 			}
 		}
 		var came, asked, served atomic.Int64
-		ill.Watch(func(time.Time) { came.Add(1) })
-		over := make(chan struct{})
+		hung.SetOnRequest(func(time.Time) { came.Add(1) })
+		done := make(chan struct{})
 		var all sync.WaitGroup
 		all.Go(func() {
 			for n := 0; ; n++ {
 				select {
-				case <-over:
+				case <-done:
 					return
 				case <-time.After(10 * time.Millisecond):
 				}
 				all.Go(func() {
 					asked.Add(1)
-					if c.Ask(c.Gather[n%12], "GET", "h.example", "/one/x", fmt.Sprint("j", n), 2*time.Second).Status == http.StatusOK {
+					if cluster.SendRequest(cluster.Gateways[n%12], "GET", "h.example", "/one/x", fmt.Sprint("j", n), 2*time.Second).Status == http.StatusOK {
 						served.Add(1)
 					}
 				})
 			}
 		})
 		time.Sleep(8 * time.Second)
-		ill.Hang(true)
+		hung.SetHung(true)
 		time.Sleep(2500 * time.Millisecond)
 		left := came.Load()
 		time.Sleep(4 * time.Second)
-		met := came.Load() - left
-		ill.Hang(false)
+		received := came.Load() - left
+		hung.SetHung(false)
 		var back time.Duration
-		for began := time.Now(); time.Since(began) < 12*time.Second; {
+		for start := time.Now(); time.Since(start) < 12*time.Second; {
 			before := came.Load()
 			time.Sleep(500 * time.Millisecond)
-			if back = time.Since(began); came.Load()-before > 8 { // of some 17
+			if back = time.Since(start); came.Load()-before > 8 { // of some 17
 				break
 			}
 		}
 		pin := func(version uint64, text string) {
-			if got := c.ReplaceNote(c.Hives[0], "pins", version, []byte(text)); got != http.StatusOK {
+			if got := cluster.ReplaceDocument(cluster.Controllers[0], "pins", version, []byte(text)); got != http.StatusOK {
 				t.Errorf("pins: %d", got)
 			}
 		}
 		time.Sleep(3 * time.Second)
-		pin(0, fmt.Sprintf(`{"pins":[{"instance":%q,"stance":"out","for_s":4,"why":"a test"}]}`, ill.Instance))
+		pin(0, fmt.Sprintf(`{"pins":[{"instance":%q,"stance":"out","for_s":4,"why":"a test"}]}`, hung.Instance))
 		time.Sleep(time.Second)
 		before := came.Load()
 		var nodes []controlplane.GatewayOutliers
 		time.Sleep(1500 * time.Millisecond)
 		pinned := came.Load() - before
 		holds := 0
-		for _, h := range c.Hives {
-			must(t, json.Unmarshal(c.Read(h, "/-/judgement/explain"), &nodes))
+		for _, controller := range cluster.Controllers {
+			requireNoError(t, json.Unmarshal(cluster.ReadResource(controller, "/-/judgement/explain"), &nodes))
 			for _, n := range nodes {
 				for _, s := range n.Servers {
-					if s.Instance == ill.Instance && s.Pinned && s.State == "out" {
+					if s.Instance == hung.Instance && s.Pinned && s.State == "out" {
 						holds++
 					}
 				}
@@ -86,11 +86,11 @@
 		before = came.Load()
 		time.Sleep(time.Second)
 		after := came.Load() - before
-		close(over)
+		close(done)
 		all.Wait()
 		t.Logf("hung: %d requests met it in 4 s after 2.5 s; back after %v; pinned out: %d in 1.5 s, told by %d of 12; after the pin's end %d in 1 s; %d of %d served",
-			met, back, pinned, holds, after, served.Load(), asked.Load())
-		if met > 24 || back > 9*time.Second || pinned > 0 || holds < 10 || after < 15 || 100*served.Load() < 99*asked.Load() {
+			received, back, pinned, holds, after, served.Load(), asked.Load())
+		if received > 24 || back > 9*time.Second || pinned > 0 || holds < 10 || after < 15 || 100*served.Load() < 99*asked.Load() {
 			t.Error("that is not as it should be")
 		}
 	})
--- a/internal/colony/scale_test.go
+++ b/internal/testing/simcluster/scale_test.go
@@ -1,4 +1,4 @@
-package colony
+package simcluster
 
 import (
 	"context"
@@ -13,35 +13,35 @@
 )
 
 // Ninety gatherers and five hives: news reaches all, also after every hive was killed at once, and nobody crowds one hive.
-func TestNewsReachesNinety(t *testing.T) {
-	play(t, 30, 5, 90, func(c *Colony) {
-		settle(t, c)
+func TestConfigurationReachesNinetyGateways(t *testing.T) {
+	runCluster(t, 30, 5, 90, func(cluster *Cluster) {
+		commitFirstVersion(t, cluster)
 		time.Sleep(4 * time.Second)
 		for version := uint64(2); version < 6; version++ {
-			if got := agree(c, version-1, Example(version, FirstCut), 5); got != http.StatusOK {
+			if got := replaceWithRetry(cluster, version-1, ExampleConfiguration(version, FirstSharding), 5); got != http.StatusOK {
 				t.Fatalf("version %d: %d", version, got)
 			}
-			began := time.Now()
+			start := time.Now()
 			var took []time.Duration
-			for len(took) < len(c.Gather) && time.Since(began) < 3*time.Second {
+			for len(took) < len(cluster.Gateways) && time.Since(start) < 3*time.Second {
 				took = took[:0]
-				for _, f := range c.Gather {
-					if f.Now.ActiveVersion() >= version {
-						took = append(took, time.Since(began))
+				for _, gateway := range cluster.Gateways {
+					if gateway.Gateway.ActiveVersion() >= version {
+						took = append(took, time.Since(start))
 					}
 				}
 				time.Sleep(time.Millisecond)
 			}
-			if len(took) < len(c.Gather) {
-				t.Fatalf("CONFIG: %d of %d follow version %d after 3 s", len(took), len(c.Gather), version)
+			if len(took) < len(cluster.Gateways) {
+				t.Fatalf("CONFIG: %d of %d follow version %d after 3 s", len(took), len(cluster.Gateways), version)
 			}
 			t.Logf("version %d is in force on all after %v", version, slices.Max(took))
 			if version == 3 {
-				for _, m := range c.Hives {
-					m.Kill(false)
+				for _, controller := range cluster.Controllers {
+					controller.Kill(false)
 				}
-				for _, m := range c.Hives {
-					must(t, m.Start())
+				for _, controller := range cluster.Controllers {
+					requireNoError(t, controller.Start())
 				}
 				time.Sleep(2 * time.Second)
 			}
@@ -51,22 +51,22 @@
 
 // Ninety gatherers that see few requests each, twelve servers that are two thirds busy, and a thirteenth that begins, free: it
 // must not be taken for the best by all at once. So must one that comes back from being dark.
-func TestNinetyDoNotRushToAFreeServer(t *testing.T) {
-	play(t, 33, 3, 90, func(c *Colony) {
+func TestNoThunderingHerdOnFreeServer(t *testing.T) {
+	runCluster(t, 33, 3, 90, func(cluster *Cluster) {
 		var servers []*Server
 		var mu sync.Mutex
 		came := map[*Server][]time.Time{}
 		add := func() *Server {
-			s := c.AddServer("one", 60*time.Millisecond)
-			s.Arrivals = func(at time.Time) {
+			s := cluster.AddServer("one", 60*time.Millisecond)
+			s.OnRequest = func(at time.Time) {
 				mu.Lock()
 				came[s] = append(came[s], at)
 				mu.Unlock()
 			}
-			must(t, s.Start())
+			requireNoError(t, s.Start())
 			return s
 		}
-		for _, s := range c.Servers { // the three of the example make room for twelve of one kind
+		for _, s := range cluster.Servers { // the three of the example make room for twelve of one kind
 			if s.Service == "one" {
 				s.Crash(false)
 			}
@@ -74,22 +74,22 @@
 		for range 12 {
 			servers = append(servers, add())
 		}
-		settle(t, c)
+		commitFirstVersion(t, cluster)
 		time.Sleep(5 * time.Second)
 		ctx, stop := context.WithCancel(context.Background())
 		var clients sync.WaitGroup
-		const perSecond = 400
+		const requestsPerSecond = 400
 		var served, asked atomic.Int64
 		clients.Go(func() {
 			r := rand.New(rand.NewPCG(5, 6))
 			for n := 0; ctx.Err() == nil; n++ {
 				clients.Go(func() {
 					asked.Add(1)
-					if a := c.Ask(c.Gather[n%len(c.Gather)], "GET", "h.example", "/one/x", fmt.Sprint("h", n), time.Second); a.Status == http.StatusOK {
+					if response := cluster.SendRequest(cluster.Gateways[n%len(cluster.Gateways)], "GET", "h.example", "/one/x", fmt.Sprint("h", n), time.Second); response.Status == http.StatusOK {
 						served.Add(1)
 					}
 				})
-				time.Sleep(time.Duration(r.ExpFloat64() * float64(time.Second) / perSecond))
+				time.Sleep(time.Duration(r.ExpFloat64() * float64(time.Second) / requestsPerSecond))
 			}
 		})
 		// rush is the most that came to a server in any quarter of a second since a moment, over what each server bears then.
@@ -107,20 +107,20 @@
 					most = max(most, n)
 				}
 			}
-			return float64(most) / (perSecond / 4 / float64(alive))
+			return float64(most) / (requestsPerSecond / 4 / float64(alive))
 		}
 		time.Sleep(6 * time.Second)
-		began := time.Now()
-		fresh := add()
+		start := time.Now()
+		added := add()
 		time.Sleep(6 * time.Second)
-		first := rush(fresh, began, 13)
+		first := rush(added, start, 13)
 		servers[0].Crash(true)
 		time.Sleep(6 * time.Second)
-		began = time.Now()
-		must(t, servers[0].Start())
+		start = time.Now()
+		requireNoError(t, servers[0].Start())
 		time.Sleep(6 * time.Second)
-		second := rush(servers[0], began, 13)
-		usual := rush(servers[5], began, 13)
+		second := rush(servers[0], start, 13)
+		usual := rush(servers[5], start, 13)
 		stop()
 		clients.Wait()
 		t.Logf("in the worst quarter of a second a server that begins gets %.1f of its part, one that comes back %.1f, any other %.1f; %d of %d served",
--- a/internal/colony/wire_test.go
+++ b/internal/testing/simcluster/server_call_test.go
@@ -1,4 +1,4 @@
-package colony
+package simcluster
 
 import (
 	"bufio"
@@ -20,51 +20,51 @@
 
 // What callers grant an acknowledgement, and what they read of it.
 const (
-	acknowledgeWithin = time.Second
-	acknowledgeBytes  = 4 << 10
+	acknowledgementTimeout  = time.Second
+	maxAcknowledgementBytes = 4 << 10
 )
 
-// beat is one heartbeat of a server, said by the test itself.
-func beat(s *Server, instance, state string, sequence uint64) []byte {
+// heartbeatBody is one heartbeat of a server, said by the test itself.
+func heartbeatBody(s *Server, instance, state string, sequence uint64) []byte {
 	text, _ := json.Marshal(config.Heartbeat{Service: s.Service, Address: s.Address(), Zone: zoneOf(s.IP), Version: "v1", CapacitySlots: 3,
 		State: state, Sequence: sequence})
 	return text
 }
 
 // timedPost sends one call and returns its status, the bytes of its answer and how long it took. 0 = none within twice the time.
-func timedPost(c *Colony, to, path string, body []byte) (status, length int, took time.Duration) {
-	host := c.at("10.0.9.7")
-	client := &http.Client{Timeout: 2 * acknowledgeWithin, Transport: &http.Transport{DisableKeepAlives: true,
+func timedPost(cluster *Cluster, to, path string, body []byte) (status, length int, took time.Duration) {
+	host := cluster.networkOf("10.0.9.7")
+	client := &http.Client{Timeout: 2 * acknowledgementTimeout, Transport: &http.Transport{DisableKeepAlives: true,
 		DialContext: func(_ context.Context, _, addr string) (net.Conn, error) { return host.Dial(addr, time.Second) }}}
 	defer client.CloseIdleConnections()
-	began := time.Now()
+	start := time.Now()
 	resp, err := client.Post("http://"+to+path, "application/json", bytes.NewReader(body))
 	if err != nil {
-		return 0, 0, time.Since(began)
+		return 0, 0, time.Since(start)
 	}
 	defer resp.Body.Close()
 	text, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return 0, 0, time.Since(began)
+		return 0, 0, time.Since(start)
 	}
-	return resp.StatusCode, len(text), time.Since(began)
+	return resp.StatusCode, len(text), time.Since(start)
 }
 
 // Every answer to a heartbeat or a sign-off comes within a second and is short, also where most of the core is cut off or its
 // disks stall; what takes a server out is not acknowledged by a machine that cannot tell the others.
-func TestAnswersToServersComeInTime(t *testing.T) {
-	play(t, 71, 3, 1, func(c *Colony) {
-		settle(t, c)
+func TestServerCallResponseTime(t *testing.T) {
+	runCluster(t, 71, 3, 1, func(cluster *Cluster) {
+		commitFirstVersion(t, cluster)
 		time.Sleep(3 * time.Second)
-		alone := c.Hives[0]
+		isolated := cluster.Controllers[0]
 		sequence := uint64(1 << 20)
 		round := func(when string, alive bool) {
 			for _, call := range []struct{ path, state string }{{"heartbeat", "ready"}, {"heartbeat", config.StateDraining}, {"sign-off", ""}} {
 				sequence++
 				instance := fmt.Sprint("i-", sequence)
-				status, length, took := timedPost(c, alone.Control(), "/-/instances/"+instance+"/"+call.path, beat(c.Servers[15], instance, call.state, sequence))
+				status, length, took := timedPost(cluster, isolated.ControlAddress(), "/-/instances/"+instance+"/"+call.path, heartbeatBody(cluster.Servers[15], instance, call.state, sequence))
 				what := when + ": " + call.path + " " + call.state
-				if took >= acknowledgeWithin || length > acknowledgeBytes || status == 0 {
+				if took >= acknowledgementTimeout || length > maxAcknowledgementBytes || status == 0 {
 					t.Errorf("%s is answered %d with %d bytes after %v", what, status, length, took)
 				}
 				if alive && status != http.StatusOK {
@@ -77,56 +77,56 @@
 			}
 		}
 		round("calm", true)
-		for _, m := range c.Hives {
-			m.Now.StallDisk(3 * time.Second)
+		for _, controller := range cluster.Controllers {
+			controller.Controller.StallDisk(3 * time.Second)
 		}
 		round("all disks stalled", true)
 		time.Sleep(4 * time.Second)
-		for _, o := range c.Hives[1:] {
-			c.Meadow.SetPartitioned(alone.IP, o.IP, true)
-			c.Meadow.SetPartitioned(o.IP, alone.IP, true)
+		for _, o := range cluster.Controllers[1:] {
+			cluster.Network.SetPartitioned(isolated.IP, o.IP, true)
+			cluster.Network.SetPartitioned(o.IP, isolated.IP, true)
 		}
 		round("just cut off", false)
 		time.Sleep(3 * time.Second)
 		round("long cut off", false)
-		c.Meadow.Heal()
+		cluster.Network.Heal()
 		time.Sleep(3 * time.Second)
 		round("healed", true)
-		c.Hives[1].Kill(true)
-		c.Hives[2].Kill(true)
+		cluster.Controllers[1].Kill(true)
+		cluster.Controllers[2].Kill(true)
 		round("two without power", false)
 	})
 }
 
 // A server that leaves serves on long after its draining was acknowledged, and calls on: nothing reaches it later than the
 // limit, no gatherer takes it in again, and after its sign-off and end neither.
-func TestALeavingServerIsLeftThoughItServesOn(t *testing.T) {
+func TestDrainingServerReceivesNoRequests(t *testing.T) {
 	const drainLimit = 3 * time.Second
-	play(t, 72, 3, 3, func(c *Colony) {
-		settle(t, c)
+	runCluster(t, 72, 3, 3, func(cluster *Cluster) {
+		commitFirstVersion(t, cluster)
 		time.Sleep(3 * time.Second)
-		leaving := c.Servers[15] // of service "one"
-		instance := leaving.Instance
-		acked := leaving.Drain()
+		draining := cluster.Servers[15] // of service "one"
+		instance := draining.Instance
+		acked := draining.Drain()
 		if acked.IsZero() {
 			t.Fatal("a draining has no acknowledgement in a calm time")
 		}
 		late := 0
-		leaving.Watch(func(at time.Time) {
+		draining.SetOnRequest(func(at time.Time) {
 			if at.Sub(acked) > drainLimit {
 				late++
 			}
 		})
 		for i := range 60 {
-			if a := c.Ask(c.Gather[i%3], "GET", "h.example", "/one/x", fmt.Sprintf("l%d", i), time.Second); a.Status != http.StatusOK {
-				t.Errorf("beside a server that leaves a request is answered %d", a.Status)
+			if response := cluster.SendRequest(cluster.Gateways[i%3], "GET", "h.example", "/one/x", fmt.Sprintf("l%d", i), time.Second); response.Status != http.StatusOK {
+				t.Errorf("beside a server that leaves a request is answered %d", response.Status)
 			}
 			time.Sleep(200 * time.Millisecond)
 			if i == 30 { // a late call of before, as one that was held up on its way
-				timedPost(c, c.Hives[1].Control(), "/-/instances/"+instance+"/heartbeat", beat(leaving, instance, "ready", 2))
+				timedPost(cluster, cluster.Controllers[1].ControlAddress(), "/-/instances/"+instance+"/heartbeat", heartbeatBody(draining, instance, "ready", 2))
 			}
 			if i == 40 {
-				if status, _, _ := timedPost(c, c.Hives[2].Control(), "/-/instances/"+instance+"/sign-off", nil); status != http.StatusOK {
+				if status, _, _ := timedPost(cluster, cluster.Controllers[2].ControlAddress(), "/-/instances/"+instance+"/sign-off", nil); status != http.StatusOK {
 					t.Errorf("a sign-off is answered %d", status)
 				}
 			}
@@ -139,10 +139,10 @@
 
 // Eight orders at once on one base, to all machines of the core: one is taken. Each sent again as it was is told the same by every
 // machine, and changes nothing.
-func TestEightOrdersAtOnce(t *testing.T) {
+func TestConcurrentChangesOnOneBase(t *testing.T) {
 	for seed := range uint64(4) {
-		play(t, 73+seed, 3+2*int(seed%2), 2, func(c *Colony) {
-			settle(t, c)
+		runCluster(t, 73+seed, 3+2*int(seed%2), 2, func(cluster *Cluster) {
+			commitFirstVersion(t, cluster)
 			const orders = 8
 			base, taken := uint64(1), 0
 			for round := range 3 {
@@ -150,11 +150,11 @@
 				var statuses [orders]int
 				var wg sync.WaitGroup
 				for i := range orders {
-					bodies[i] = Example(base+uint64(i)+1, [][]string{FirstCut, SecondCut}[i%2])
+					bodies[i] = ExampleConfiguration(base+uint64(i)+1, [][]string{FirstSharding, SecondSharding}[i%2])
 					wg.Go(func() {
-						for try := range 20 { // no clear answer: the same again, to another
-							to := c.Hives[(i+try)%len(c.Hives)]
-							if statuses[i] = c.Replace(to, base, bodies[i]); statuses[i] == http.StatusOK || statuses[i]/100 == 4 {
+						for attempt := range 20 { // no clear answer: the same again, to another
+							to := cluster.Controllers[(i+attempt)%len(cluster.Controllers)]
+							if statuses[i] = cluster.ReplaceConfiguration(to, base, bodies[i]); statuses[i] == http.StatusOK || statuses[i]/100 == 4 {
 								return
 							}
 							time.Sleep(time.Duration(50*(i+1)) * time.Millisecond)
@@ -178,19 +178,19 @@
 				}
 				taken++
 				for i := range orders {
-					for _, m := range c.Hives {
+					for _, controller := range cluster.Controllers {
 						want := http.StatusPreconditionFailed
 						if i == won {
 							want = http.StatusOK
 						}
-						if got := c.Replace(m, base, bodies[i]); got != want {
-							t.Errorf("round %d: order %d sent again to %s is answered %d, want %d", round, i, m.IP, got, want)
+						if got := cluster.ReplaceConfiguration(controller, base, bodies[i]); got != want {
+							t.Errorf("round %d: order %d sent again to %s is answered %d, want %d", round, i, controller.IP, got, want)
 						}
 					}
 				}
 				base += uint64(won) + 1
-				await(t, c, base, 3*time.Second)
-				if got := current(t, c); got != base {
+				awaitVersion(t, cluster, base, 3*time.Second)
+				if got := currentVersion(t, cluster); got != base {
 					t.Fatalf("CONFIG: version %d is read back, %d was acknowledged", got, base)
 				}
 			}
@@ -200,46 +200,46 @@
 
 // The first order is sent from before anybody listens, until it is taken. Machines start in any order, the seeds last; later starts
 // are told other seeds, of which one is down and one cut off.
-func TestSeedsThatListenLater(t *testing.T) {
-	dir := memory(t)
+func TestSeedsStartLast(t *testing.T) {
+	dir := memoryDir(t)
 	synctest.Test(t, func(t *testing.T) {
 		c := New(dir, 77, 5, 3)
 		defer func() {
-			c.Meadow.Heal()
+			c.Network.Heal()
 			c.Stop()
 			time.Sleep(5 * time.Second)
 		}()
 		var first sync.WaitGroup
 		status := 0
-		first.Go(func() { status = agree(c, 0, Example(1, FirstCut), 40) })
-		for _, f := range c.Gather {
-			f.Start()
+		first.Go(func() { status = replaceWithRetry(c, 0, ExampleConfiguration(1, FirstSharding), 40) })
+		for _, gateway := range c.Gateways {
+			gateway.Start()
 		}
-		for i := range c.Hives { // the first three are the seeds
+		for i := range c.Controllers { // the first three are the seeds
 			time.Sleep(60 * time.Millisecond)
-			must(t, c.Hives[len(c.Hives)-1-i].Start())
+			requireNoError(t, c.Controllers[len(c.Controllers)-1-i].Start())
 		}
-		c.first = false
+		c.firstStart = false
 		first.Wait()
 		if status != http.StatusOK {
 			t.Fatalf("the first order, sent until it is taken, ends with %d", status)
 		}
-		await(t, c, 1, 3*time.Second)
+		awaitVersion(t, c, 1, 3*time.Second)
 		time.Sleep(3 * time.Second)
-		c.Hives[3].Kill(true)
-		for i, o := range c.Hives {
+		c.Controllers[3].Kill(true)
+		for i, o := range c.Controllers {
 			if i != 4 {
-				c.Meadow.SetPartitioned(c.Hives[4].IP, o.IP, true)
-				c.Meadow.SetPartitioned(o.IP, c.Hives[4].IP, true)
+				c.Network.SetPartitioned(c.Controllers[4].IP, o.IP, true)
+				c.Network.SetPartitioned(o.IP, c.Controllers[4].IP, true)
 			}
 		}
-		c.Seeds(c.Hives[3], c.Hives[4], c.Hives[2])
-		c.Gather[0].Kill(false)
-		c.Gather[0].Start()
-		must(t, c.AddHive().Start())
-		next(t, c, 2)
-		await(t, c, 2, 4*time.Second)
-		if got := c.ReadConfig(c.Hives[5]); !bytes.Equal(got, Example(2, FirstCut)) {
+		c.SetSeeds(c.Controllers[3], c.Controllers[4], c.Controllers[2])
+		c.Gateways[0].Kill(false)
+		c.Gateways[0].Start()
+		requireNoError(t, c.AddController().Start())
+		commitVersion(t, c, 2)
+		awaitVersion(t, c, 2, 4*time.Second)
+		if got := c.ReadConfiguration(c.Controllers[5]); !bytes.Equal(got, ExampleConfiguration(2, FirstSharding)) {
 			t.Errorf("a machine that was told other seeds reads %.40s", got)
 		}
 	})
@@ -247,20 +247,20 @@
 
 // Clients stay inside the limits, and take connections up that have rested for four fifths of the idle time; a connection that is
 // taken up so is never closed under a request.
-func TestClientsInsideTheLimits(t *testing.T) {
-	play(t, 78, 3, 1, func(c *Colony) {
+func TestRequestsWithinLimits(t *testing.T) {
+	runCluster(t, 78, 3, 1, func(cluster *Cluster) {
 		var conf config.Configuration
-		must(t, json.Unmarshal(Example(1, FirstCut), &conf))
+		requireNoError(t, json.Unmarshal(ExampleConfiguration(1, FirstSharding), &conf))
 		conf.Limits = config.Limits{HeaderBytes: 8192, BodyBytes: 1 << 16, HeaderTimeoutMS: 2000, IdleTimeoutMS: 4000}
 		text, _ := json.Marshal(conf)
-		if got := agree(c, 0, text, 30); got != http.StatusOK {
+		if got := replaceWithRetry(cluster, 0, text, 30); got != http.StatusOK {
 			t.Fatal(got)
 		}
-		await(t, c, 1, 3*time.Second)
+		awaitVersion(t, cluster, 1, 3*time.Second)
 		time.Sleep(3 * time.Second)
 		rest := 4 * 4 * time.Second / 5
-		conn, err := c.Meadow.Host("10.0.9.6").Dial(c.Gather[0].Front(), time.Second)
-		must(t, err)
+		conn, err := cluster.Network.Host("10.0.9.6").Dial(cluster.Gateways[0].PublicAddress(), time.Second)
+		requireNoError(t, err)
 		defer conn.Close()
 		r := bufio.NewReader(conn)
 		ask := func(what, id, head string, body int, slowly time.Duration) {
@@ -269,10 +269,10 @@
 				fmt.Sprintf("Content-Length: %d\r\n\r\n", body)
 			half := len(text) / 2
 			_, err := conn.Write([]byte(text[:half]))
-			must(t, err)
+			requireNoError(t, err)
 			time.Sleep(slowly)
 			_, err = conn.Write([]byte(text[half:] + strings.Repeat("b", body)))
-			must(t, err)
+			requireNoError(t, err)
 			conn.SetReadDeadline(time.Now().Add(4 * time.Second))
 			resp, err := http.ReadResponse(r, nil)
 			if err != nil {
--- a/internal/colony/tenants_test.go
+++ b/internal/testing/simcluster/tenants_test.go
@@ -1,4 +1,4 @@
-package colony
+package simcluster
 
 import (
 	"encoding/json"
@@ -15,39 +15,39 @@
 	"oxbowspan/controlplane"
 )
 
-// letterConfig has a gathered letter run, counter look-ups and posts that must not run twice, all over the same servers.
-func letterConfig(version uint64, limit int) []byte {
+// batchConfiguration has a gathered letter run, counter look-ups and posts that must not run twice, all over the same servers.
+func batchConfiguration(version uint64, limit int) []byte {
 	var c config.Configuration
-	json.Unmarshal(Example(version, FirstCut), &c)
+	json.Unmarshal(ExampleConfiguration(version, FirstSharding), &c)
 	for i := range c.Services {
 		c.Services[i].ConnectionLimit = limit
 	}
 	c.Routes = append(c.Routes,
-		config.Route{Name: "letters", Hostname: "h.example", PathPrefix: "/letters/", RouteKind: config.Retryable, TimeoutMS: 4000, TargetMS: 2000, GatheredServices: FirstCut, Attempts: 1, TopRecords: exampleTop, MinimumShare: 1},
+		config.Route{Name: "letters", Hostname: "h.example", PathPrefix: "/letters/", RouteKind: config.Retryable, TimeoutMS: 4000, TargetMS: 2000, GatheredServices: FirstSharding, Attempts: 1, TopRecords: exampleTopRecords, MinimumShare: 1},
 		config.Route{Name: "counter", Hostname: "h.example", PathPrefix: "/counter/", RouteKind: config.Retryable, TimeoutMS: 2000, TargetMS: 200, Service: "a0", Attempts: 2},
 		config.Route{Name: "post", Hostname: "h.example", PathPrefix: "/post/", RouteKind: config.NonRetryable, TimeoutMS: 3000, TargetMS: 500, Service: "a1", Attempts: 2})
 	text, _ := json.Marshal(c)
 	return text
 }
 
-const letterTenants = `{"tenants":[
+const batchTenants = `{"tenants":[
  {"name":"letters","weight":1,"routes":[{"hostname":"h.example","path_prefix":"/letters/"}]},
  {"name":"counter","weight":2,"routes":[{"hostname":"h.example","path_prefix":"/counter/"},{"hostname":"h.example","path_prefix":"/post/"}]}]}`
 
 // run plays counter look-ups and posts for a time, beside a letter run or not, and returns the look-ups' times, sorted, those that
 // were not served, and the letters served.
-func letterRun(c *Colony, name string, letters bool, last time.Duration) (times []time.Duration, lost, served int64) {
+func runBatchLoad(cluster *Cluster, name string, batch bool, duration time.Duration) (times []time.Duration, failures, served int64) {
 	var all sync.WaitGroup
 	var mu sync.Mutex
-	var letter, failed atomic.Int64
-	until := time.Now().Add(last)
-	if letters {
-		for i := range 36 * len(c.Gather) { // all at once, in one tick
+	var batchServed, failed atomic.Int64
+	deadline := time.Now().Add(duration)
+	if batch {
+		for i := range 36 * len(cluster.Gateways) { // all at once, in one tick
 			all.Go(func() {
-				for n := 0; time.Now().Before(until); n++ {
-					a := c.Ask(c.Gather[i%len(c.Gather)], "GET", "h.example", "/letters/x", fmt.Sprint(name, "l", i, "-", n), 4*time.Second)
-					if a.Status == http.StatusOK {
-						letter.Add(1)
+				for n := 0; time.Now().Before(deadline); n++ {
+					response := cluster.SendRequest(cluster.Gateways[i%len(cluster.Gateways)], "GET", "h.example", "/letters/x", fmt.Sprint(name, "l", i, "-", n), 4*time.Second)
+					if response.Status == http.StatusOK {
+						batchServed.Add(1)
 					} else {
 						time.Sleep(100 * time.Millisecond)
 					}
@@ -55,29 +55,29 @@
 			})
 		}
 	}
-	for n := 0; time.Now().Before(until); n++ {
+	for n := 0; time.Now().Before(deadline); n++ {
 		time.Sleep(time.Duration(5+rand.IntN(10)) * time.Millisecond)
 		all.Go(func() {
-			f, id := c.Gather[n%len(c.Gather)], fmt.Sprint(name, "c", n)
+			gateway, id := cluster.Gateways[n%len(cluster.Gateways)], fmt.Sprint(name, "c", n)
 			if n%5 == 0 {
-				c.Ask(f, "POST", "h.example", "/post/x", id, 3*time.Second)
-				if c.Ledger.Runs("a1", id) > 1 {
+				cluster.SendRequest(gateway, "POST", "h.example", "/post/x", id, 3*time.Second)
+				if cluster.RequestLog.Executions("a1", id) > 1 {
 					failed.Add(1000)
 				}
 				return
 			}
-			a := c.Ask(f, "GET", "h.example", "/counter/x", id, 2*time.Second)
+			response := cluster.SendRequest(gateway, "GET", "h.example", "/counter/x", id, 2*time.Second)
 			mu.Lock()
 			defer mu.Unlock()
-			if a.Status != http.StatusOK {
+			if response.Status != http.StatusOK {
 				failed.Add(1)
 			}
-			times = append(times, a.Elapsed)
+			times = append(times, response.Elapsed)
 		})
 	}
 	all.Wait()
 	slices.Sort(times)
-	return times, failed.Load(), letter.Load()
+	return times, failed.Load(), batchServed.Load()
 }
 
 func quantile(times []time.Duration, q float64) time.Duration {
@@ -86,38 +86,38 @@
 
 // A letter run takes what is idle; the counter's look-ups are served as on a quiet morning, and the run reaches nearly what it
 // reaches alone.
-func TestALetterRunLeavesTheCounterItsConnections(t *testing.T) {
+func TestBatchTenantLeavesConnectionsToOthers(t *testing.T) {
 	const (
 		openFor   = 2 * time.Second
 		sharedFor = 5 * time.Second // of the look-ups of three seconds the second worst alone decided
 	)
-	play(t, 17, 3, 3, func(c *Colony) {
-		for _, s := range c.Servers {
-			if slices.Contains(FirstCut, s.Service) {
+	runCluster(t, 17, 3, 3, func(cluster *Cluster) {
+		for _, s := range cluster.Servers {
+			if slices.Contains(FirstSharding, s.Service) {
 				s.Crash(false)
-				s.Slots, s.Limit, s.Work = 1000, 30, 40*time.Millisecond
-				must(t, s.Start())
+				s.Concurrency, s.ConnectionLimit, s.ServiceTime = 1000, 30, 40*time.Millisecond
+				requireNoError(t, s.Start())
 			}
 		}
-		if got := agree(c, 0, letterConfig(1, 30), 30); got != http.StatusOK {
+		if got := replaceWithRetry(cluster, 0, batchConfiguration(1, 30), 30); got != http.StatusOK {
 			t.Fatalf("the configuration: %d", got)
 		}
-		await(t, c, 1, 3*time.Second)
+		awaitVersion(t, cluster, 1, 3*time.Second)
 		time.Sleep(8 * time.Second)
-		quiet, lost, _ := letterRun(c, "q", false, 4*time.Second)
+		quiet, lost, _ := runBatchLoad(cluster, "q", false, 4*time.Second)
 		if lost > 0 {
 			t.Fatalf("%d lost on a quiet morning", lost)
 		}
-		open, _, openLetters := letterRun(c, "o", true, openFor)
-		if got := c.ReplaceNote(c.Hives[1], "tenants", 0, []byte(letterTenants)); got != http.StatusOK {
+		open, _, openLetters := runBatchLoad(cluster, "o", true, openFor)
+		if got := cluster.ReplaceDocument(cluster.Controllers[1], "tenants", 0, []byte(batchTenants)); got != http.StatusOK {
 			t.Fatalf("the tenants: %d", got)
 		}
 		time.Sleep(6 * time.Second)
-		shared, lost, letters := letterRun(c, "s", true, sharedFor)
+		shared, lost, letters := runBatchLoad(cluster, "s", true, sharedFor)
 		refused := 0
-		for _, s := range c.Servers {
+		for _, s := range cluster.Servers {
 			s.mu.Lock()
-			refused += s.Refused
+			refused += s.RejectedConnections
 			s.mu.Unlock()
 		}
 		t.Logf("p50, p99, most of look-ups: quiet %v %v %v; a run without shares %v %v %v, %d letters; with %v %v %v, %d letters, %d lost; %d connections ended",
@@ -141,14 +141,14 @@
 // Documents of tenants are agreed like configurations: two on the same base, one wins; one sent again finds its fate; an invalid one
 // is refused with all that is wrong; a configuration and a change of the acceptors leave it as it is; all gatherers have it, also
 // one that begins later.
-func TestTenantsAreAgreedOn(t *testing.T) {
-	play(t, 18, 3, 2, func(c *Colony) {
-		if got := agree(c, 0, letterConfig(1, 40), 30); got != http.StatusOK {
+func TestTenantsDocumentIsCommitted(t *testing.T) {
+	runCluster(t, 18, 3, 2, func(cluster *Cluster) {
+		if got := replaceWithRetry(cluster, 0, batchConfiguration(1, 40), 30); got != http.StatusOK {
 			t.Fatalf("the configuration: %d", got)
 		}
-		await(t, c, 1, 3*time.Second)
-		put := func(h int, basedOn uint64, text string) int {
-			return c.ReplaceNote(c.Hives[h], "tenants", basedOn, []byte(text))
+		awaitVersion(t, cluster, 1, 3*time.Second)
+		put := func(controller int, basedOn uint64, text string) int {
+			return cluster.ReplaceDocument(cluster.Controllers[controller], "tenants", basedOn, []byte(text))
 		}
 		if got := put(0, 0, `{"tenants":[{"name":"","weight":-1},{"name":"a/b","routes":[{"hostname":"h","path_prefix":"x"}]}]}`); got != http.StatusBadRequest {
 			t.Errorf("an invalid document: %d", got)
@@ -159,15 +159,15 @@
 		other := `{"tenants":[{"name":"others","routes":[{"hostname":"h.example","path_prefix":"/"}]}]}`
 		var one, two int
 		var both sync.WaitGroup
-		both.Go(func() { one = put(0, 0, letterTenants) })
+		both.Go(func() { one = put(0, 0, batchTenants) })
 		both.Go(func() { two = put(1, 0, other) })
 		both.Wait()
 		if one+two != http.StatusOK+http.StatusPreconditionFailed {
 			t.Fatalf("two on the same base: %d and %d", one, two)
 		}
-		won, lost := letterTenants, other
+		won, lost := batchTenants, other
 		if two == http.StatusOK {
-			won, lost = other, letterTenants
+			won, lost = other, batchTenants
 		}
 		if again, outrun := put(2, 0, won), put(2, 0, lost); again != http.StatusOK || outrun != http.StatusPreconditionFailed {
 			t.Errorf("sent again: %d for the one that won, %d for the other", again, outrun)
@@ -175,30 +175,30 @@
 		if got := put(2, 1, lost); got != http.StatusOK {
 			t.Errorf("on top of the first: %d", got)
 		}
-		if got := agree(c, 1, letterConfig(2, 30), 10); got != http.StatusOK {
+		if got := replaceWithRetry(cluster, 1, batchConfiguration(2, 30), 10); got != http.StatusOK {
 			t.Fatalf("the next configuration: %d", got)
 		}
 		if got := put(1, 0, won); got != http.StatusOK {
 			t.Errorf("the first, sent again behind another: %d", got)
 		}
-		c.Hives[2].Kill(false)
-		c.Hives[2].Wipe()
-		must(t, c.Hives[2].Start())
+		cluster.Controllers[2].Kill(false)
+		cluster.Controllers[2].WipeDisk()
+		requireNoError(t, cluster.Controllers[2].Start())
 		time.Sleep(6 * time.Second) // it takes its seat
-		c.Gather[1].Kill(false)
-		c.Gather[1].Start()
-		await(t, c, 2, 5*time.Second)
-		for i, h := range c.Hives {
-			if got := string(c.Read(h, "/-/tenants/read")); got != lost {
+		cluster.Gateways[1].Kill(false)
+		cluster.Gateways[1].Start()
+		awaitVersion(t, cluster, 2, 5*time.Second)
+		for i, controller := range cluster.Controllers {
+			if got := string(cluster.ReadResource(controller, "/-/tenants/read")); got != lost {
 				t.Errorf("hive %d reads %q", i, got)
 			}
 		}
-		letterRun(c, "x", true, time.Second) // so that there is something to tell
+		runBatchLoad(cluster, "x", true, time.Second) // so that there is something to tell
 		time.Sleep(1500 * time.Millisecond)
 		versions := map[uint64]int{}
-		for _, h := range c.Hives {
+		for _, controller := range cluster.Controllers {
 			var nodes []controlplane.GatewayTenants
-			must(t, json.Unmarshal(c.Read(h, "/-/tenants/explain"), &nodes))
+			requireNoError(t, json.Unmarshal(cluster.ReadResource(controller, "/-/tenants/explain"), &nodes))
 			for _, n := range nodes {
 				versions[n.TenantsVersion]++
 			}
--- a/internal/colony/duty_test.go
+++ b/internal/testing/simcluster/unreported_server_test.go
@@ -1,4 +1,4 @@
-package colony
+package simcluster
 
 import (
 	"fmt"
@@ -9,26 +9,26 @@
 
 // Servers whose calls do not reach the core, while they serve as before, stay in service: one gatherer looks after each and
 // tells the core. It is one gatherer, and another after it has died; what is heard is not probed.
-func TestServersThatTheCoreDoesNotHearServeOn(t *testing.T) {
-	play(t, 71, 3, 6, func(c *Colony) {
-		settle(t, c)
+func TestUnreportedServersStayInService(t *testing.T) {
+	runCluster(t, 71, 3, 6, func(cluster *Cluster) {
+		commitFirstVersion(t, cluster)
 		time.Sleep(4 * time.Second)
-		var unheard []*Server
-		for _, s := range c.Servers {
+		var unreported []*Server
+		for _, s := range cluster.Servers {
 			if s.Service != "one" {
 				continue
 			}
-			unheard = append(unheard, s)
-			for _, m := range c.Hives {
-				c.Meadow.SetPartitioned(s.IP, m.IP, true)
-				c.Meadow.SetPartitioned(m.IP, s.IP, true)
+			unreported = append(unreported, s)
+			for _, controller := range cluster.Controllers {
+				cluster.Network.SetPartitioned(s.IP, controller.IP, true)
+				cluster.Network.SetPartitioned(controller.IP, s.IP, true)
 			}
 		}
 		serve := func(when string, least int) {
 			t.Helper()
 			served := 0
 			for i := range 30 {
-				if a := c.Ask(c.Gather[i%len(c.Gather)], "GET", "h.example", "/one/x", fmt.Sprint(when, i), time.Second); a.Status == http.StatusOK {
+				if response := cluster.SendRequest(cluster.Gateways[i%len(cluster.Gateways)], "GET", "h.example", "/one/x", fmt.Sprint(when, i), time.Second); response.Status == http.StatusOK {
 					served++
 				}
 			}
@@ -41,28 +41,28 @@
 		probes := func(of ...*Server) (n int) {
 			for _, s := range of {
 				s.mu.Lock()
-				n += s.Probed
+				n += s.HealthChecks
 				s.mu.Unlock()
 			}
 			return n
 		}
-		probed := probes(unheard...)
+		probed := probes(unreported...)
 		time.Sleep(20 * time.Second)
 		serve("later", 30)
-		if n := probes(unheard...) - probed; n < 3*10 || n > 3*22 {
+		if n := probes(unreported...) - probed; n < 3*10 || n > 3*22 {
 			t.Errorf("%d probes of 3 servers in 20 s: not those of one holder each", n)
 		}
-		c.Gather[0].Kill(true) // whoever holds what: two of six die
-		c.Gather[1].Kill(true)
-		c.Gather = c.Gather[2:]
+		cluster.Gateways[0].Kill(true) // whoever holds what: two of six die
+		cluster.Gateways[1].Kill(true)
+		cluster.Gateways = cluster.Gateways[2:]
 		for range 12 {
 			time.Sleep(time.Second)
 			serve("while duties change hands", 30)
 		}
-		unheard[0].Crash(false)
+		unreported[0].Crash(false)
 		time.Sleep(12 * time.Second)
 		serve("with one crashed", 28)
-		for _, s := range c.Servers {
+		for _, s := range cluster.Servers {
 			if s.Service != "one" && probes(s) > 0 {
 				t.Errorf("%s of %s is heard and was probed %d times", s.Instance, s.Service, probes(s))
 			}
