--- a/gatherer/levels_test.go
+++ b/gatherer/levels_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"oxbowspan/internal/admin"
-	"oxbowspan/internal/standin"
+	"oxbowspan/internal/testing/standin"
 )
 
 const levelsText = `[levels]
@@ -69,7 +69,7 @@
 // A quarter of the servers goes: posts are shed with advice, look-ups are served; all is logged and seen; and back again, also
 // after a reload of other levels and a pin.
 func TestAQuarterGoneShedsWhatCanWait(t *testing.T) {
-	var shards []*standin.Shard
+	var shards []*standin.ShardServer
 	for _, host := range []string{"s-a", "s-b", "s-c", "s-d"} {
 		shards = append(shards, startShard(t, host, nil))
 	}
@@ -88,8 +88,8 @@
 	client := &http.Client{Timeout: patience}
 	ask := func(id, kind string) (int, string) {
 		t.Helper()
-		s := standin.Search{ID: id, Kind: kind, Customer: "acme", Wait: 1500 * time.Millisecond, Shards: []int{1, 5}, Text: "c41e77d0"}
-		r, err := s.Ask(t.Context(), client, p.addr)
+		s := standin.Request{ID: id, QueryType: kind, Customer: "acme", Timeout: 1500 * time.Millisecond, Shards: []int{1, 5}, Statement: "c41e77d0"}
+		r, err := s.Send(t.Context(), client, p.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -107,7 +107,7 @@
 	want("a2", "post", 200)
 	gone := shards[3].Entry()
 	gone.Health = "removed"
-	l.Change(gone)
+	l.Update(gone)
 	line := p.line("event=level ", "to=trimmed")
 	if !strings.Contains(line, "scope=all") || !strings.Contains(line, "from=full") || !strings.Contains(line, "lost 0.25") {
 		t.Errorf("logged is %q", line)
@@ -132,7 +132,7 @@
 	if err := w.Watch(); err != nil {
 		t.Fatal(err)
 	}
-	l.Change(shards[3].Entry())
+	l.Update(shards[3].Entry())
 	for end := time.Now().Add(patience); ; {
 		s, err := w.Next()
 		if err != nil || time.Now().After(end) {
@@ -158,7 +158,7 @@
 	awaitLevel(t, c, "full")
 	want("d2", "lookup", 200)
 	// A reload changes the levels while one is in force.
-	l.Change(gone)
+	l.Update(gone)
 	awaitLevel(t, c, "trimmed")
 	if err := os.WriteFile(file, []byte(strings.Replace(levelsText, "share = post 0", "share = post 1", 1)), 0o600); err != nil {
 		t.Fatal(err)
@@ -177,7 +177,7 @@
 
 // A segment all of whose replicas are gone is closed for those who ask it, and the others are served.
 func TestASegmentThatIsGoneDoesNotTrimTheOthers(t *testing.T) {
-	var shards []*standin.Shard
+	var shards []*standin.ShardServer
 	for cell, host := range []string{"s-a", "s-b", "s-c", "s-d"} {
 		s := startShard(t, host, nil)
 		s.Cell = cell
@@ -190,8 +190,8 @@
 	}, "--operator", file)
 	client := &http.Client{Timeout: patience}
 	ask := func(id string, segment int) int {
-		s := standin.Search{ID: id, Kind: "lookup", Customer: "acme", Wait: 1500 * time.Millisecond, Shards: []int{segment}, Text: "c41e77d0"}
-		r, err := s.Ask(t.Context(), client, p.addr)
+		s := standin.Request{ID: id, QueryType: "lookup", Customer: "acme", Timeout: 1500 * time.Millisecond, Shards: []int{segment}, Statement: "c41e77d0"}
+		r, err := s.Send(t.Context(), client, p.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -210,7 +210,7 @@
 	}
 	gone := shards[2].Entry()
 	gone.Health = "removed"
-	l.Change(gone)
+	l.Update(gone)
 	p.line("event=level ", "scope=segment-2", "to=gone")
 	began := time.Now()
 	if status := ask("b1", 2); status != 503 || time.Since(began) > time.Second {
--- a/gatherer/merge_test.go
+++ b/gatherer/merge_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"oxbowspan/internal/standin"
+	"oxbowspan/internal/testing/standin"
 	"oxbowspan/merge"
 )
 
@@ -34,7 +34,7 @@
 // mergeFile is an operator's file for the test's query types; edit changes it.
 func mergeFile(edit func(string) string) string {
 	text := "[merging]\nmemory = 4MiB\nrows = 50000\nopen = 200\ncursor_keys = cursor.keys\n" +
-		"[schema arrears/1]\n" + standin.LedgerSchema
+		"[schema arrears/1]\n" + standin.DatasetSchema
 	for _, name := range []string{"report", "loose"} {
 		text += "[merge " + name + "]\nschema = arrears/1\nkinds = ranked paged aggregated\nlimit = 200\noffset = 500\n" +
 			"order = due amount account customer bills\ngroup = customer due\ngroups = 100\n" +
@@ -50,30 +50,30 @@
 type ledgerSite struct {
 	*program
 	t      *testing.T
-	ledger *standin.Ledger
-	shards []*standin.Shard
-	list   *standin.List
+	ledger *standin.Dataset
+	shards []*standin.ShardServer
+	list   *standin.DiscoveryService
 	file   string       // the operator's
 	last   atomic.Int64 // of search ids
 }
 
 // startLedger starts one: four cells, each segment held by two of them. meet may meet a part in its own way, by saying
 // true; else its rows are given.
-func startLedger(t *testing.T, shape standin.Shape, meet func(c *standin.ShardConn, p standin.Part, rows string) bool, edit func(string) string) *ledgerSite {
+func startLedger(t *testing.T, shape standin.DatasetShape, meet func(c *standin.ShardConn, p standin.ShardCall, rows string) bool, edit func(string) string) *ledgerSite {
 	t.Helper()
-	s := &ledgerSite{t: t, ledger: standin.NewLedger(11, shape)}
+	s := &ledgerSite{t: t, ledger: standin.NewDataset(11, shape)}
 	for cell := range 4 {
-		shard := startShard(t, fmt.Sprintf("s-%d", cell), func(c *standin.ShardConn, p standin.Part) {
-			if p.List["m"] == "" { // a search that is not merged
-				c.Answer(p.ID, "served", "value of "+string(p.Text))
+		shard := startShard(t, fmt.Sprintf("s-%d", cell), func(c *standin.ShardConn, p standin.ShardCall) {
+			if p.Attributes["m"] == "" { // a search that is not merged
+				c.Respond(p.ID, "served", "value of "+string(p.Query))
 				return
 			}
-			rows, err := s.ledger.Give(p.Shard, p.List["m"], 0)
+			rows, err := s.ledger.Respond(p.Shard, p.Attributes["m"], 0)
 			if err != nil {
-				t.Errorf("a segment is asked for %q: %v", p.List["m"], err)
+				t.Errorf("a segment is asked for %q: %v", p.Attributes["m"], err)
 			}
 			if meet == nil || !meet(c, p, rows) {
-				c.Answer(p.ID, "served", rows)
+				c.Respond(p.ID, "served", rows)
 			}
 		})
 		shard.Cell = cell
@@ -95,9 +95,9 @@
 	}
 }
 
-func (s *ledgerSite) search(kind string, terms merge.Terms) standin.Search {
-	return standin.Search{ID: fmt.Sprintf("%016x", 1<<40+s.last.Add(1)), Kind: kind, Customer: "acme", Wait: 2900 * time.Millisecond,
-		Shards: []int{0, 1, 2, 3}, Text: "c41e77d0", Merge: wire(terms)}
+func (s *ledgerSite) search(kind string, terms merge.Terms) standin.Request {
+	return standin.Request{ID: fmt.Sprintf("%016x", 1<<40+s.last.Add(1)), QueryType: kind, Customer: "acme", Timeout: 2900 * time.Millisecond,
+		Shards: []int{0, 1, 2, 3}, Statement: "c41e77d0", Merge: wire(terms)}
 }
 
 // wire is what a client writes: what is not said is left out.
@@ -113,54 +113,54 @@
 	return out
 }
 
-func (s *ledgerSite) merged(kind string, terms merge.Terms) standin.Merged {
+func (s *ledgerSite) merged(kind string, terms merge.Terms) standin.MergedResponse {
 	s.t.Helper()
-	r, err := s.search(kind, terms).Ask(context.Background(), http.DefaultClient, s.addr)
+	r, err := s.search(kind, terms).Send(context.Background(), http.DefaultClient, s.addr)
 	if err != nil || r.Status != http.StatusOK {
 		s.t.Fatalf("got %d %s, error %v", r.Status, r.Body, err)
 	}
-	m, err := standin.ParseMerged(r.Body)
+	m, err := standin.ParseMergedResponse(r.Body)
 	if err != nil {
 		s.t.Fatalf("%v: %s", err, r.Body)
 	}
 	return m
 }
 
-func (s *ledgerSite) truth(forbids bool) standin.Truth {
-	return standin.Truth{Ledger: s.ledger, Segments: []int{0, 1, 2, 3}, Forbids: forbids}
+func (s *ledgerSite) truth(forbids bool) standin.Oracle {
+	return standin.Oracle{Dataset: s.ledger, Segments: []int{0, 1, 2, 3}, RequireComplete: forbids}
 }
 
 // walk reads a paged list to its end; before is told the number of each page before it is asked for.
-func (s *ledgerSite) walk(kind string, order []string, limit int, before func(page int)) standin.PageWalk {
+func (s *ledgerSite) walk(kind string, order []string, limit int, before func(page int)) standin.PagedCheck {
 	s.t.Helper()
-	w := standin.PageWalk{Truth: s.truth(kind == "report"), Order: order, Limit: limit}
+	w := standin.PagedCheck{Oracle: s.truth(kind == "report"), Order: order, Limit: limit}
 	// While a segment is missing there is always a next page: as many are asked for as it takes to be back.
 	for cursor, end := "", time.Now().Add(patience); time.Now().Before(end); {
 		if before != nil {
 			before(w.Pages)
 		}
 		m := s.merged(kind, merge.Terms{Kind: "paged", Order: order, Limit: limit, Cursor: cursor})
-		if err := w.Page(m, false); err != nil {
+		if err := w.CheckPage(m, false); err != nil {
 			s.t.Fatalf("page %d: %v", w.Pages, err)
 		}
-		if m.Merged.Last {
+		if m.Result.Last {
 			return w
 		}
-		cursor = m.Merged.Next
+		cursor = m.Result.Next
 	}
 	s.t.Fatalf("the walk does not end: %d pages, %d rows, %d of them late", w.Pages, w.Rows, w.Late)
 	return w
 }
 
 func TestMergedAnswersAreThoseOfTheLedger(t *testing.T) {
-	for name, shape := range map[string]standin.Shape{"ordinary": {Segments: 4, Accounts: 300}, "one segment": {Segments: 4, Accounts: 60, OneOnly: true},
-		"empty": {Segments: 4}, "equal keys": {Segments: 4, Accounts: 80, Equal: true, Shared: true}} {
+	for name, shape := range map[string]standin.DatasetShape{"ordinary": {Segments: 4, Accounts: 300}, "one segment": {Segments: 4, Accounts: 60, SingleSegment: true},
+		"empty": {Segments: 4}, "equal keys": {Segments: 4, Accounts: 80, EqualKeys: true, SharedAccounts: true}} {
 		t.Run(name, func(t *testing.T) {
 			s := startLedger(t, shape, nil, nil)
 			for _, order := range [][]string{{"due"}, {"-amount", "due"}, {"-customer", "-bills"}} {
 				for _, at := range []struct{ offset, limit int }{{0, 1}, {0, 50}, {17, 40}, {290, 30}, {400, 5}} {
 					m := s.merged("report", merge.Terms{Kind: "ranked", Order: order, Offset: at.offset, Limit: at.limit})
-					if err := s.truth(true).Ranked(m, order, at.offset, at.limit, true); err != nil {
+					if err := s.truth(true).CheckRanked(m, order, at.offset, at.limit, true); err != nil {
 						t.Errorf("%v from %d, %d rows: %v", order, at.offset, at.limit, err)
 					}
 				}
@@ -173,7 +173,7 @@
 				{Kind: "aggregated", Limit: 100, Group: []string{"customer"}, Figures: []string{"count", "sum(amount)", "max(due)"}, By: "sum(amount)"},
 				{Kind: "aggregated", Limit: 9, Group: []string{"due", "customer"}, Figures: []string{"sum(bills)", "mean(amount)"}},
 			} {
-				if err := s.truth(true).Aggregated(s.merged("report", terms), terms, terms.Limit != 9); err != nil {
+				if err := s.truth(true).CheckAggregated(s.merged("report", terms), terms, terms.Limit != 9); err != nil {
 					t.Errorf("%v: %v", terms, err)
 				}
 			}
@@ -182,9 +182,9 @@
 }
 
 func TestMergesPastWhatIsAllowedAreRefusedInOneSentence(t *testing.T) {
-	s := startLedger(t, standin.Shape{Segments: 4, Accounts: 40}, nil, nil)
+	s := startLedger(t, standin.DatasetShape{Segments: 4, Accounts: 40}, nil, nil)
 	page := s.merged("report", merge.Terms{Kind: "paged", Order: []string{"due"}, Limit: 5})
-	cursor := page.Merged.Next
+	cursor := page.Result.Next
 	turned := []byte(cursor)
 	turned[len(turned)/2] ^= 3
 	for want, terms := range map[string]merge.Terms{
@@ -200,7 +200,7 @@
 		"cursor is for":         {Kind: "ranked", Order: []string{"due"}, Limit: 5, Cursor: cursor},
 		"goes on by its cursor": {Kind: "paged", Order: []string{"due"}, Limit: 5, Offset: 3},
 	} {
-		r, err := s.search("report", terms).Ask(context.Background(), http.DefaultClient, s.addr)
+		r, err := s.search("report", terms).Send(context.Background(), http.DefaultClient, s.addr)
 		if err != nil || r.Status != http.StatusBadRequest || !strings.Contains(string(r.Body), want) || strings.Count(string(r.Body), "\n") != 1 {
 			t.Errorf("%+v: got %d %q, error %v, want 400 with %q", terms, r.Status, r.Body, err, want)
 		}
@@ -210,8 +210,8 @@
 	post := s.search("post", merge.Terms{Kind: "ranked", Order: []string{"due"}, Limit: 5})
 	unknown := s.search("report", merge.Terms{})
 	unknown.Merge = json.RawMessage(`{"kind":"ranked","limit":5,"order":["due"],"sort":"up"}`)
-	for want, q := range map[string]standin.Search{"for another search": foreign, "not merged": post, "sort": unknown} {
-		r, err := q.Ask(context.Background(), http.DefaultClient, s.addr)
+	for want, q := range map[string]standin.Request{"for another search": foreign, "not merged": post, "sort": unknown} {
+		r, err := q.Send(context.Background(), http.DefaultClient, s.addr)
 		if err != nil || r.Status != http.StatusBadRequest || !strings.Contains(string(r.Body), want) {
 			t.Errorf("got %d %q, error %v, want 400 with %q", r.Status, r.Body, err, want)
 		}
@@ -219,16 +219,16 @@
 }
 
 func TestWithoutAnOperatorsFileAMergeIsNoWord(t *testing.T) {
-	a := startShard(t, "s-a", func(c *standin.ShardConn, p standin.Part) {
-		if len(p.List) > 0 {
-			t.Errorf("a part's line lists %v", p.List)
+	a := startShard(t, "s-a", func(c *standin.ShardConn, p standin.ShardCall) {
+		if len(p.Attributes) > 0 {
+			t.Errorf("a part's line lists %v", p.Attributes)
 		}
-		c.Answer(p.ID, "served", "value of "+string(p.Text))
+		c.Respond(p.ID, "served", "value of "+string(p.Query))
 	})
 	p := start(t, startList(t, a), nil)
-	q := standin.Search{ID: "ab01", Kind: "lookup", Customer: "acme", Wait: time.Second, Shards: []int{0, 1}, Text: "c41e77d0",
+	q := standin.Request{ID: "ab01", QueryType: "lookup", Customer: "acme", Timeout: time.Second, Shards: []int{0, 1}, Statement: "c41e77d0",
 		Merge: map[string]any{"kind": "ranked"}}
-	r, err := q.Ask(context.Background(), http.DefaultClient, p.addr)
+	r, err := q.Send(context.Background(), http.DefaultClient, p.addr)
 	if err != nil || r.Status != 200 || string(r.Body) != wholeAnswer(0, 1) {
 		t.Errorf("got %d %s, error %v", r.Status, r.Body, err)
 	}
@@ -262,16 +262,16 @@
 	} {
 		t.Run(what, func(t *testing.T) {
 			once := &spoiler{left: map[string]int{what: 2}}
-			s := startLedger(t, standin.Shape{Segments: 4, Accounts: 120}, func(c *standin.ShardConn, p standin.Part, rows string) bool {
+			s := startLedger(t, standin.DatasetShape{Segments: 4, Accounts: 120}, func(c *standin.ShardConn, p standin.ShardCall, rows string) bool {
 				if !once.take(what) {
 					return false
 				}
-				c.Answer(p.ID, "served", spoil(rows))
+				c.Respond(p.ID, "served", spoil(rows))
 				return true
 			}, nil)
 			order := []string{"due", "amount"}
 			m := s.merged("report", merge.Terms{Kind: "ranked", Order: order, Limit: 60})
-			if err := s.truth(true).Ranked(m, order, 0, 60, true); err != nil || !m.Full {
+			if err := s.truth(true).CheckRanked(m, order, 0, 60, true); err != nil || !m.Full {
 				t.Errorf("full %t: %v", m.Full, err)
 			}
 			s.line("event=part_unusable", "server=s-")
@@ -281,35 +281,35 @@
 
 // Nothing but spoilt rows of one segment: a type that forbids missing parts is refused, another says what it lacks.
 func TestASegmentThatOnlySpoilsIsNeverMerged(t *testing.T) {
-	s := startLedger(t, standin.Shape{Segments: 4, Accounts: 120}, func(c *standin.ShardConn, p standin.Part, rows string) bool {
+	s := startLedger(t, standin.DatasetShape{Segments: 4, Accounts: 120}, func(c *standin.ShardConn, p standin.ShardCall, rows string) bool {
 		if p.Shard == 2 {
-			c.Answer(p.ID, "served", rows[:len(rows)-9])
+			c.Respond(p.ID, "served", rows[:len(rows)-9])
 		}
 		return p.Shard == 2
 	}, nil)
 	order := []string{"due"}
 	terms := merge.Terms{Kind: "ranked", Order: order, Limit: 60}
 	q := s.search("report", terms)
-	q.Wait = 900 * time.Millisecond
-	r, err := q.Ask(context.Background(), http.DefaultClient, s.addr)
+	q.Timeout = 900 * time.Millisecond
+	r, err := q.Send(context.Background(), http.DefaultClient, s.addr)
 	if err != nil || r.Status != http.StatusServiceUnavailable && r.Status != http.StatusGatewayTimeout {
 		t.Errorf("got %d %.200s, error %v", r.Status, r.Body, err)
 	}
 	m := s.merged("loose", terms)
-	if err := s.truth(false).Ranked(m, order, 0, 60, true); err != nil {
+	if err := s.truth(false).CheckRanked(m, order, 0, 60, true); err != nil {
 		t.Error(err)
 	}
-	if state := m.Merged.Complete.Segments[2].State; state != "unusable" || m.Full || m.Merged.Certain != 0 {
-		t.Errorf("the segment is %s, full %t, certain %d", state, m.Full, m.Merged.Certain)
+	if state := m.Result.Complete.Segments[2].State; state != "unusable" || m.Full || m.Result.Certain != 0 {
+		t.Errorf("the segment is %s, full %t, certain %d", state, m.Full, m.Result.Certain)
 	}
 }
 
 // Both replicas of a segment are silent while the first pages are read, and then come back.
 func TestASegmentMissingOnOnePageAndBackOnTheNext(t *testing.T) {
 	var out atomic.Bool
-	s := startLedger(t, standin.Shape{Segments: 4, Accounts: 90}, func(c *standin.ShardConn, p standin.Part, rows string) bool {
+	s := startLedger(t, standin.DatasetShape{Segments: 4, Accounts: 90}, func(c *standin.ShardConn, p standin.ShardCall, rows string) bool {
 		if p.Shard == 1 && out.Load() {
-			c.Answer(p.ID, "broke", "")
+			c.Respond(p.ID, "broke", "")
 			return true
 		}
 		return false
@@ -322,7 +322,7 @@
 
 // A server dies between two pages, and with it one replica of two segments: the walk goes on at the others.
 func TestAServerThatDiesBetweenTwoPages(t *testing.T) {
-	s := startLedger(t, standin.Shape{Segments: 4, Accounts: 90}, nil, nil)
+	s := startLedger(t, standin.DatasetShape{Segments: 4, Accounts: 90}, nil, nil)
 	w := s.walk("report", []string{"-amount"}, 10, func(page int) {
 		if page == 2 {
 			s.shards[1].Stop()
@@ -334,36 +334,36 @@
 }
 
 func TestDataThatMovesOnBetweenPagesIsSaid(t *testing.T) {
-	s := startLedger(t, standin.Shape{Segments: 4, Accounts: 60}, nil, nil)
+	s := startLedger(t, standin.DatasetShape{Segments: 4, Accounts: 60}, nil, nil)
 	first := s.merged("report", merge.Terms{Kind: "paged", Order: []string{"due"}, Limit: 10})
 	s.ledger.Advance(2)
-	second := s.merged("report", merge.Terms{Kind: "paged", Order: []string{"due"}, Limit: 10, Cursor: first.Merged.Next})
-	if !first.Full || second.Full || !second.Merged.Moved || !second.Merged.Complete.Segments[2].Moved || second.Merged.Complete.Segments[1].Moved {
-		t.Errorf("it says full %t, moved %t of %+v", second.Full, second.Merged.Moved, second.Merged.Complete.Segments)
+	second := s.merged("report", merge.Terms{Kind: "paged", Order: []string{"due"}, Limit: 10, Cursor: first.Result.Next})
+	if !first.Full || second.Full || !second.Result.Moved || !second.Result.Complete.Segments[2].Moved || second.Result.Complete.Segments[1].Moved {
+		t.Errorf("it says full %t, moved %t of %+v", second.Full, second.Result.Moved, second.Result.Complete.Segments)
 	}
-	third := s.merged("report", merge.Terms{Kind: "paged", Order: []string{"due"}, Limit: 10, Cursor: second.Merged.Next})
-	if third.Full || !third.Merged.Moved {
-		t.Errorf("a page later it says full %t, moved %t", third.Full, third.Merged.Moved)
+	third := s.merged("report", merge.Terms{Kind: "paged", Order: []string{"due"}, Limit: 10, Cursor: second.Result.Next})
+	if third.Full || !third.Result.Moved {
+		t.Errorf("a page later it says full %t, moved %t", third.Full, third.Result.Moved)
 	}
 }
 
 // The original is late, a copy of it goes out, and then both answer: the segment counts once.
 func TestACopyAndTheOriginalBothAnswer(t *testing.T) {
 	var held sync.Map
-	s := startLedger(t, standin.Shape{Segments: 4, Accounts: 120}, func(c *standin.ShardConn, p standin.Part, rows string) bool {
-		first, copied := held.LoadOrStore(p.ID, func() { c.Answer(p.ID, "served", rows) })
+	s := startLedger(t, standin.DatasetShape{Segments: 4, Accounts: 120}, func(c *standin.ShardConn, p standin.ShardCall, rows string) bool {
+		first, copied := held.LoadOrStore(p.ID, func() { c.Respond(p.ID, "served", rows) })
 		if p.Shard != 3 {
 			return false
 		}
 		if copied { // the original answers just before the copy does
 			first.(func())()
-			c.Answer(p.ID, "served", rows)
+			c.Respond(p.ID, "served", rows)
 		}
 		return true
 	}, nil)
 	terms := merge.Terms{Kind: "aggregated", Limit: 1, Figures: []string{"count", "sum(amount)"}}
 	m := s.merged("report", terms)
-	if err := s.truth(true).Aggregated(m, terms, true); err != nil || !m.Full {
+	if err := s.truth(true).CheckAggregated(m, terms, true); err != nil || !m.Full {
 		t.Errorf("full %t: %v", m.Full, err)
 	}
 }
@@ -371,11 +371,11 @@
 // One segment answers before, at and after the moment to answer, which for this type is its latency target.
 func TestALateSegmentIsInOrSaidToBeMissing(t *testing.T) {
 	var wait atomic.Int64
-	s := startLedger(t, standin.Shape{Segments: 4, Accounts: 120}, func(c *standin.ShardConn, p standin.Part, rows string) bool {
+	s := startLedger(t, standin.DatasetShape{Segments: 4, Accounts: 120}, func(c *standin.ShardConn, p standin.ShardCall, rows string) bool {
 		if p.Shard != 0 || wait.Load() == 0 {
 			return false
 		}
-		time.AfterFunc(time.Duration(wait.Load())*time.Millisecond, func() { c.Answer(p.ID, "served", rows) })
+		time.AfterFunc(time.Duration(wait.Load())*time.Millisecond, func() { c.Respond(p.ID, "served", rows) })
 		return true
 	}, nil)
 	terms := merge.Terms{Kind: "aggregated", Limit: 100, Group: []string{"customer"}, Figures: []string{"count", "sum(amount)", "min(due)"}}
@@ -383,10 +383,10 @@
 	for _, ms := range []int64{0, 60, 270, 285, 290, 295, 300, 310, 700} {
 		wait.Store(ms)
 		m := s.merged("loose", terms)
-		if err := s.truth(false).Aggregated(m, terms, true); err != nil {
+		if err := s.truth(false).CheckAggregated(m, terms, true); err != nil {
 			t.Errorf("%d ms late: %v", ms, err)
 		}
-		states[m.Merged.Complete.Segments[0].State] = true
+		states[m.Result.Complete.Segments[0].State] = true
 	}
 	if !states["in"] || !states["missing"] {
 		t.Errorf("the late segment was %v", states)
@@ -396,20 +396,20 @@
 // Merges that all wait for one segment reach what they may hold together: what passes it is shed at once.
 func TestOpenMergesStayWithinTheirBytesAndAreShedPastThem(t *testing.T) {
 	release := make(chan struct{})
-	s := startLedger(t, standin.Shape{Segments: 4, Accounts: 2000}, func(c *standin.ShardConn, p standin.Part, rows string) bool {
+	s := startLedger(t, standin.DatasetShape{Segments: 4, Accounts: 2000}, func(c *standin.ShardConn, p standin.ShardCall, rows string) bool {
 		if p.Shard == 3 {
 			go func() {
 				<-release
-				c.Answer(p.ID, "served", rows)
+				c.Respond(p.ID, "served", rows)
 			}()
 		}
 		return p.Shard == 3
 	}, func(f string) string { return strings.Replace(f, "memory = 4MiB", "memory = 400KiB", 1) })
 	const n = 16
-	replies := make(chan standin.Reply, n)
+	replies := make(chan standin.Response, n)
 	for range n {
 		go func() {
-			r, err := s.search("report", merge.Terms{Kind: "ranked", Order: []string{"due"}, Limit: 200}).Ask(context.Background(), http.DefaultClient, s.addr)
+			r, err := s.search("report", merge.Terms{Kind: "ranked", Order: []string{"due"}, Limit: 200}).Send(context.Background(), http.DefaultClient, s.addr)
 			if err != nil {
 				t.Error(err)
 			}
@@ -417,8 +417,8 @@
 		}()
 	}
 	s.line("event=merge_shed")
-	if r := <-replies; r.Status != http.StatusServiceUnavailable || r.RetryAfter == "" || r.Took > 2*time.Second {
-		t.Errorf("what is past the limit got %d after %s, Retry-After %q", r.Status, r.Took, r.RetryAfter)
+	if r := <-replies; r.Status != http.StatusServiceUnavailable || r.RetryAfter == "" || r.Elapsed > 2*time.Second {
+		t.Errorf("what is past the limit got %d after %s, Retry-After %q", r.Status, r.Elapsed, r.RetryAfter)
 	}
 	close(release)
 	good := 0
@@ -432,7 +432,7 @@
 	}
 	// What was held is given back.
 	m := s.merged("report", merge.Terms{Kind: "ranked", Order: []string{"due"}, Limit: 50})
-	if err := s.truth(true).Ranked(m, []string{"due"}, 0, 50, true); err != nil {
+	if err := s.truth(true).CheckRanked(m, []string{"due"}, 0, 50, true); err != nil {
 		t.Error(err)
 	}
 }
@@ -441,7 +441,7 @@
 func TestAClientThatLeavesWhileMergingLeavesNothingHeld(t *testing.T) {
 	var hold atomic.Bool
 	hold.Store(true)
-	s := startLedger(t, standin.Shape{Segments: 4, Accounts: 400}, func(c *standin.ShardConn, p standin.Part, rows string) bool {
+	s := startLedger(t, standin.DatasetShape{Segments: 4, Accounts: 400}, func(c *standin.ShardConn, p standin.ShardCall, rows string) bool {
 		return p.Shard == 3 && hold.Load()
 	}, func(f string) string { return strings.Replace(f, "open = 200", "open = 3", 1) })
 	for range 9 { // three times what may be open
@@ -449,10 +449,10 @@
 		q := s.search("report", merge.Terms{Kind: "ranked", Order: []string{"due"}, Limit: 100})
 		left := make(chan error, 1)
 		go func() {
-			_, err := q.Ask(ctx, http.DefaultClient, s.addr)
+			_, err := q.Send(ctx, http.DefaultClient, s.addr)
 			left <- err
 		}()
-		await(t, s.shards[3].Got, func(part string) bool { return strings.HasPrefix(part, q.ID) || strings.HasPrefix(part, "c "+q.ID) })
+		await(t, s.shards[3].Received, func(part string) bool { return strings.HasPrefix(part, q.ID) || strings.HasPrefix(part, "c "+q.ID) })
 		leave()
 		if err := <-left; err == nil {
 			t.Fatal("a search was answered whose client had left")
@@ -461,7 +461,7 @@
 	}
 	hold.Store(false)
 	m := s.merged("report", merge.Terms{Kind: "ranked", Order: []string{"due"}, Limit: 100})
-	if err := s.truth(true).Ranked(m, []string{"due"}, 0, 100, true); err != nil {
+	if err := s.truth(true).CheckRanked(m, []string{"due"}, 0, 100, true); err != nil {
 		t.Error(err)
 	}
 }
@@ -469,13 +469,13 @@
 // A key changes between two pages, first with and then without an overlap; an operator's file with a fault changes nothing.
 func TestKeysAndFilesChangeInService(t *testing.T) {
 	const newKey = "k2 ff112233445566778899aabbccddeeff00112233445566778899aabbccddeeff\n"
-	s := startLedger(t, standin.Shape{Segments: 4, Accounts: 60}, nil, nil)
-	page := func(cursor string) (standin.Reply, standin.Merged) {
-		r, err := s.search("report", merge.Terms{Kind: "paged", Order: []string{"due"}, Limit: 10, Cursor: cursor}).Ask(context.Background(), http.DefaultClient, s.addr)
+	s := startLedger(t, standin.DatasetShape{Segments: 4, Accounts: 60}, nil, nil)
+	page := func(cursor string) (standin.Response, standin.MergedResponse) {
+		r, err := s.search("report", merge.Terms{Kind: "paged", Order: []string{"due"}, Limit: 10, Cursor: cursor}).Send(context.Background(), http.DefaultClient, s.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		m, _ := standin.ParseMerged(r.Body)
+		m, _ := standin.ParseMergedResponse(r.Body)
 		return r, m
 	}
 	hup := func(event string) {
@@ -486,22 +486,22 @@
 	_, first := page("")
 	s.write("operator.ini", "[merging]\nmemory = much\n")
 	hup("event=reload_failed")
-	if r, _ := page(first.Merged.Next); r.Status != http.StatusOK {
+	if r, _ := page(first.Result.Next); r.Status != http.StatusOK {
 		t.Errorf("after a file with a fault: %d %s", r.Status, r.Body)
 	}
 	s.write("operator.ini", mergeFile(nil))
 	s.write("cursor.keys", newKey+testKey)
 	hup("event=reload ")
-	r, second := page(first.Merged.Next)
+	r, second := page(first.Result.Next)
 	if r.Status != http.StatusOK {
 		t.Fatalf("in the overlap: %d %s", r.Status, r.Body)
 	}
 	s.write("cursor.keys", newKey)
 	hup("event=reload ")
-	if r, _ := page(first.Merged.Next); r.Status != http.StatusBadRequest || !strings.Contains(string(r.Body), "key is no longer") {
+	if r, _ := page(first.Result.Next); r.Status != http.StatusBadRequest || !strings.Contains(string(r.Body), "key is no longer") {
 		t.Errorf("a cursor of the key withdrawn: %d %s", r.Status, r.Body)
 	}
-	if r, _ := page(second.Merged.Next); r.Status != http.StatusOK {
+	if r, _ := page(second.Result.Next); r.Status != http.StatusOK {
 		t.Errorf("a cursor made in the overlap: %d %s", r.Status, r.Body)
 	}
 	s.write("operator.ini", mergeFile(func(f string) string { return strings.Replace(f, "[merge report]", "[merge post]", 1) }))
@@ -509,7 +509,7 @@
 	s.line("event=reload_failed", "not idempotent")
 	s.write("operator.ini", "[merging]\nopen = 1\n")
 	hup("event=reload ")
-	if r, _ := page(second.Merged.Next); r.Status != http.StatusOK || strings.Contains(string(r.Body), "merged") {
+	if r, _ := page(second.Result.Next); r.Status != http.StatusOK || strings.Contains(string(r.Body), "merged") {
 		t.Errorf("once nothing is merged any more: %d %.100s", r.Status, r.Body)
 	}
 }
--- a/gatherer/park_test.go
+++ b/gatherer/park_test.go
@@ -25,7 +25,7 @@
 
 	"oxbowspan/admit"
 	"oxbowspan/internal/park"
-	"oxbowspan/internal/standin"
+	"oxbowspan/internal/testing/standin"
 )
 
 // parkRig is the listener with net/http over it, as front.serve has them, and a handler that says what it was asked.
@@ -482,15 +482,15 @@
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}, Timeout: patience}
 	ask := func(id string) (int, time.Duration) {
 		t.Helper()
-		s := standin.Search{ID: id, Kind: "lookup", Customer: "acme", Wait: 1500 * time.Millisecond, Shards: []int{1}, Text: "c41e77d0"}
-		r, err := s.Ask(t.Context(), client, p.addr)
+		s := standin.Request{ID: id, QueryType: "lookup", Customer: "acme", Timeout: 1500 * time.Millisecond, Shards: []int{1}, Statement: "c41e77d0"}
+		r, err := s.Send(t.Context(), client, p.addr)
 		if err != nil { // its connection made room just then: as the protocol has it, the client asks once more on a new one
-			r, err = s.Ask(t.Context(), client, p.addr)
+			r, err = s.Send(t.Context(), client, p.addr)
 		}
 		if err != nil {
 			t.Fatal(err)
 		}
-		return r.Status, r.Took
+		return r.Status, r.Elapsed
 	}
 	if status, _ := ask("a1"); status != http.StatusOK {
 		t.Fatalf("at the start: %d", status)
@@ -519,7 +519,7 @@
 		crowd = append(crowd, c)
 	}
 	p.line("event=accept_no_descriptor")
-	a.Break() // now the server has to be dialled anew
+	a.ResetConnections() // now the server has to be dialled anew
 	for i := range 4 {
 		status, took := ask(fmt.Sprintf("b%d", i))
 		if status != http.StatusOK && status != http.StatusServiceUnavailable && status != http.StatusGatewayTimeout {
--- a/gatherer/program_test.go
+++ b/gatherer/program_test.go
@@ -24,7 +24,7 @@
 	"oxbowspan/internal/discovery"
 	"oxbowspan/internal/facts"
 	"oxbowspan/internal/frame"
-	"oxbowspan/internal/standin"
+	"oxbowspan/internal/testing/standin"
 )
 
 func TestSearchIsAnsweredOverOneKeptConnection(t *testing.T) {
@@ -55,8 +55,8 @@
 }
 
 func TestServerDiesUnderASearch(t *testing.T) {
-	a := startShard(t, "s-a", func(c *standin.ShardConn, _ standin.Part) { c.Reset() })
-	b := startShard(t, "s-b", func(c *standin.ShardConn, _ standin.Part) { c.Reset() })
+	a := startShard(t, "s-a", func(c *standin.ShardConn, _ standin.ShardCall) { c.Reset() })
+	b := startShard(t, "s-b", func(c *standin.ShardConn, _ standin.ShardCall) { c.Reset() })
 	l := startList(t, a, b)
 	p := start(t, l, nil)
 	// A non-idempotent part may have run on the connection that broke: it is not sent again, nor called harmless.
@@ -65,17 +65,17 @@
 		t.Errorf("a search that may have run ended with %d", status)
 	}
 	first := a
-	if len(b.Got) > 0 {
+	if len(b.Received) > 0 {
 		first = b
 	}
-	if got := <-first.Got; got != id+".0" || len(a.Got)+len(b.Got) > 0 {
-		t.Errorf("sent %s and %d more, want %s.0 alone", got, len(a.Got)+len(b.Got), id)
+	if got := <-first.Received; got != id+".0" || len(a.Received)+len(b.Received) > 0 {
+		t.Errorf("sent %s and %d more, want %s.0 alone", got, len(a.Received)+len(b.Received), id)
 	}
 	p.line("event=server_conn_end", "server="+first.Host, "reason=reset")
 	// An idempotent one goes to the other server.
 	c := startShard(t, "s-c", nil)
-	l.Change(c.Entry())
-	await(t, l.Calls, func(string) bool { return true })
+	l.Update(c.Entry())
+	await(t, l.Requests, func(string) bool { return true })
 	for range 20 {
 		if status, body, _ := p.ask("lookup", 0, 1); status == 200 && body == wholeAnswer(0, 1) {
 			return
@@ -97,7 +97,7 @@
 }
 
 func TestTurnedAwayAndErroredPartsGoElsewhere(t *testing.T) {
-	full := startShard(t, "s-full", func(c *standin.ShardConn, p standin.Part) { c.Answer(p.ID, "skipped", "") })
+	full := startShard(t, "s-full", func(c *standin.ShardConn, p standin.ShardCall) { c.Respond(p.ID, "skipped", "") })
 	b := startShard(t, "s-b", nil)
 	p := start(t, startList(t, full, b), nil)
 	for range 10 {
@@ -105,7 +105,7 @@
 			t.Fatalf("got %d %s", status, body)
 		}
 	}
-	broken := startShard(t, "s-broken", func(c *standin.ShardConn, p standin.Part) { c.Answer(p.ID, "broke", "") })
+	broken := startShard(t, "s-broken", func(c *standin.ShardConn, p standin.ShardCall) { c.Respond(p.ID, "broke", "") })
 	p = start(t, startList(t, broken), nil)
 	if status, _, _ := p.ask("post", 0); status != http.StatusGatewayTimeout {
 		t.Errorf("a part that may have run ended its search with %d", status)
@@ -113,7 +113,7 @@
 }
 
 func TestClientLeavesAndItsPartsAreGivenUp(t *testing.T) {
-	a := startShard(t, "s-a", func(*standin.ShardConn, standin.Part) {})
+	a := startShard(t, "s-a", func(*standin.ShardConn, standin.ShardCall) {})
 	p := start(t, startList(t, a), func(s *Setup) { // so long that no time limit gives the part up
 		s.Settings = json.RawMessage(strings.ReplaceAll(testSettings, `"hardLimit":2000.0`, `"hardLimit":600000`))
 	})
@@ -121,23 +121,23 @@
 	r, id := newSearch(ctx, p.addr, "lookup", 3)
 	r.Header.Set("Req-Deadline-Ms", "600000")
 	go func() {
-		await(t, a.Got, func(s string) bool { return s == id+".3" })
+		await(t, a.Received, func(s string) bool { return s == id+".3" })
 		leave()
 	}()
 	if _, err := http.DefaultClient.Do(r); err == nil {
 		t.Error("a client that left was answered")
 	}
-	await(t, a.Got, func(s string) bool { return s == "c "+id+".3" })
+	await(t, a.Received, func(s string) bool { return s == "c "+id+".3" })
 	p.line("event=client_conn_end", "reason=client_left")
 }
 
 func TestTimeLimitGivesThePartUp(t *testing.T) {
-	a := startShard(t, "s-a", func(*standin.ShardConn, standin.Part) {})
+	a := startShard(t, "s-a", func(*standin.ShardConn, standin.ShardCall) {})
 	p := start(t, startList(t, a), nil)
 	if status, _, _ := p.ask("post", 0); status != http.StatusGatewayTimeout {
 		t.Errorf("got %d", status)
 	}
-	await(t, a.Got, func(s string) bool { return strings.HasPrefix(s, "c ") })
+	await(t, a.Received, func(s string) bool { return strings.HasPrefix(s, "c ") })
 }
 
 func TestServersOfBadFormEndAsReset(t *testing.T) {
@@ -149,7 +149,7 @@
 		"server_closed": "",
 	}
 	for reason, text := range junk {
-		bad := startShard(t, "s-bad", func(c *standin.ShardConn, _ standin.Part) {
+		bad := startShard(t, "s-bad", func(c *standin.ShardConn, _ standin.ShardCall) {
 			io.WriteString(c, text)
 			c.Close()
 		})
@@ -163,9 +163,9 @@
 
 func TestAnswersThatComeTwiceAreUsedOnce(t *testing.T) {
 	a := startShard(t, "s-a", nil)
-	a.Do = func(c *standin.ShardConn, p standin.Part) {
-		c.Answer(p.ID, "served", "value of c41e77d0")
-		c.Answer(p.ID, "served", "again")
+	a.Handle = func(c *standin.ShardConn, p standin.ShardCall) {
+		c.Respond(p.ID, "served", "value of c41e77d0")
+		c.Respond(p.ID, "served", "again")
 	}
 	p := start(t, startList(t, a), nil)
 	for range 20 {
@@ -179,7 +179,7 @@
 func TestReloadMovesToTheFilesDiscovery(t *testing.T) {
 	a, b := startShard(t, "s-a", nil), startShard(t, "s-b", nil)
 	was, is := startList(t, a), startList(t, b)
-	is.SetSeq(1) // it counts its versions in its own way
+	is.SetSequence(1) // it counts its versions in its own way
 	p := start(t, was, nil)
 	hup := func() { p.cmd.Process.Signal(syscall.SIGHUP) }
 	// A file that is missing, cut off or unfit leaves what is in force, and the next signal finds it mended.
@@ -204,19 +204,19 @@
 	}
 	p.line("event=reload ", "moved=true")
 	p.line("event=discovery_conn_end", "addr="+was.Addr(), "reason=moved")
-	if q := await(t, is.Calls, func(string) bool { return true }); q != "/api/targets" {
+	if q := await(t, is.Requests, func(string) bool { return true }); q != "/api/targets" {
 		t.Errorf("the new discovery is asked %s", q)
 	}
-	for end := time.Now().Add(patience); len(b.Got) == 0 && time.Now().Before(end); {
+	for end := time.Now().Add(patience); len(b.Received) == 0 && time.Now().Before(end); {
 		p.ask("lookup", 0)
 	}
-	before := len(a.Got)
-	was.Change(a.Entry()) // nobody listens any more
+	before := len(a.Received)
+	was.Update(a.Entry()) // nobody listens any more
 	for range 5 {
 		p.ask("lookup", 0)
 	}
-	if len(a.Got) != before {
-		t.Errorf("%d more parts went to the server that only the old discovery lists", len(a.Got)-before)
+	if len(a.Received) != before {
+		t.Errorf("%d more parts went to the server that only the old discovery lists", len(a.Received)-before)
 	}
 	hup()
 	p.term()
@@ -229,7 +229,7 @@
 	a, b := startShard(t, "s-a", nil), startShard(t, "s-b", nil)
 	l := startList(t, a)
 	p := start(t, l, nil)
-	await(t, l.Calls, func(string) bool { return true })
+	await(t, l.Requests, func(string) bool { return true })
 	l.SetDown(true)
 	p.line("event=discovery_conn_end", "reason=discovery_closed")
 	p.line("event=discovery_conn_end", "reason=bad_status")
@@ -239,26 +239,26 @@
 	l.SetDown(false)
 	drained := a.Entry()
 	drained.Health = discovery.Draining
-	l.Change(b.Entry())
-	l.Change(drained)
-	for len(b.Got) == 0 { // asked again with growing pauses
+	l.Update(b.Entry())
+	l.Update(drained)
+	for len(b.Received) == 0 { // asked again with growing pauses
 		p.ask("lookup", 0)
 	}
 	// Its connection ends once the gatherer knows that it drains: nothing more goes to it from then on.
 	p.line("event=server_conn_end", "server=s-a", "reason=draining")
-	for len(a.Got) > 0 {
-		<-a.Got
+	for len(a.Received) > 0 {
+		<-a.Received
 	}
 	for range 20 {
 		if status, _, _ := p.ask("lookup", 0); status != 200 {
 			t.Errorf("got %d", status)
 		}
 	}
-	if len(a.Got) > 0 {
+	if len(a.Received) > 0 {
 		t.Error("a draining server was sent a part")
 	}
 	drained.Health = discovery.Removed
-	l.Change(drained)
+	l.Update(drained)
 	if status, _, _ := p.ask("lookup", 0); status != 200 {
 		t.Errorf("got %d", status)
 	}
@@ -268,11 +268,11 @@
 	dead, a := startShard(t, "s-dead", nil), startShard(t, "s-a", nil)
 	dead.Stop()
 	l := startList(t, a)
-	l.Put(discovery.Entry{Host: "s-odd", Dial: "127.0.0.1:1", Cell: 9, Health: discovery.Up})
+	l.Set(discovery.Entry{Host: "s-odd", Dial: "127.0.0.1:1", Cell: 9, Health: discovery.Up})
 	p := start(t, l, func(s *Setup) {
 		s.Known, _ = json.Marshal(discovery.List{Seq: 7, Whole: true, Hosts: []discovery.Entry{dead.Entry()}})
 	})
-	if call := await(t, l.Calls, func(string) bool { return true }); !strings.Contains(call, "after=7") || !strings.Contains(call, "watch=1") {
+	if call := await(t, l.Requests, func(string) bool { return true }); !strings.Contains(call, "after=7") || !strings.Contains(call, "watch=1") {
 		t.Errorf("discovery was asked %s", call)
 	}
 	p.line("event=list_entry_left_out", "block 9")
@@ -285,10 +285,10 @@
 
 func TestTermFinishesWhatIsOpen(t *testing.T) {
 	hold := make(chan struct{})
-	a := startShard(t, "s-a", func(c *standin.ShardConn, p standin.Part) {
+	a := startShard(t, "s-a", func(c *standin.ShardConn, p standin.ShardCall) {
 		go func() {
 			<-hold
-			c.Answer(p.ID, "served", "value of c41e77d0")
+			c.Respond(p.ID, "served", "value of c41e77d0")
 		}()
 	})
 	p := start(t, startList(t, a), nil)
@@ -311,7 +311,7 @@
 		go one()
 	}
 	for range 4 {
-		await(t, a.Got, func(string) bool { return true })
+		await(t, a.Received, func(string) bool { return true })
 	}
 	unused, err := net.Dial("tcp", p.addr)
 	if err != nil {
@@ -327,7 +327,7 @@
 		go one()
 	}
 	for range 4 {
-		await(t, a.Got, func(string) bool { return true })
+		await(t, a.Received, func(string) bool { return true })
 	}
 	close(hold)
 	all.Wait()
@@ -337,11 +337,11 @@
 }
 
 func TestSecondSignalEndsAtOnce(t *testing.T) {
-	a := startShard(t, "s-a", func(*standin.ShardConn, standin.Part) {})
+	a := startShard(t, "s-a", func(*standin.ShardConn, standin.ShardCall) {})
 	p := start(t, startList(t, a), nil)
 	r, _ := newSearch(context.Background(), p.addr, "lookup", 0)
 	go http.DefaultClient.Do(r)
-	await(t, a.Got, func(string) bool { return true })
+	await(t, a.Received, func(string) bool { return true })
 	p.term()
 	p.line("event=drain_begin")
 	p.term()
@@ -383,7 +383,7 @@
 			t.Errorf("%q got %q, %v", bad, b, err)
 		}
 	}
-	if n := len(a.Got); n != 10 {
+	if n := len(a.Received); n != 10 {
 		t.Errorf("%d parts reached the server, want those of the ten good searches", n)
 	}
 }
@@ -391,10 +391,10 @@
 // Answers to the parts of two searches with one id could not be told apart.
 func TestAnOpenSearchsIDIsRefused(t *testing.T) {
 	hold := make(chan struct{})
-	a := startShard(t, "s-a", func(c *standin.ShardConn, p standin.Part) {
+	a := startShard(t, "s-a", func(c *standin.ShardConn, p standin.ShardCall) {
 		go func() {
 			<-hold
-			c.Answer(p.ID, "served", "value of c41e77d0")
+			c.Respond(p.ID, "served", "value of c41e77d0")
 		}()
 	})
 	p := start(t, startList(t, a), nil)
@@ -409,7 +409,7 @@
 		res.Body.Close()
 		first <- res.StatusCode
 	}()
-	await(t, a.Got, func(string) bool { return true })
+	await(t, a.Received, func(string) bool { return true })
 	again := func() int {
 		r, _ := newSearch(context.Background(), p.addr, "lookup", 0)
 		r.Header.Set("Req-Id", id)
@@ -524,7 +524,7 @@
 			t.Errorf("%+.100v: got %d %q", c, res.StatusCode, text)
 		}
 	}
-	if len(a.Got) > 0 {
+	if len(a.Received) > 0 {
 		t.Error("bad input reached a server")
 	}
 	// A request that never comes whole ends by the read limit, and one that is no HTTP at once.
@@ -724,8 +724,8 @@
 // An embedded gatherer, over many searches, beside a server that answers nothing, one that dies and clients that
 // leave: when it has ended, no search, part, timer table or goroutine is left.
 func TestNothingIsLeftBehind(t *testing.T) {
-	silent := startShard(t, "s-silent", func(*standin.ShardConn, standin.Part) {})
-	dying := startShard(t, "s-dying", func(c *standin.ShardConn, _ standin.Part) { c.Reset() })
+	silent := startShard(t, "s-silent", func(*standin.ShardConn, standin.ShardCall) {})
+	dying := startShard(t, "s-dying", func(c *standin.ShardConn, _ standin.ShardCall) { c.Reset() })
 	a := startShard(t, "s-a", nil)
 	l := startList(t)
 	g, err := New(Setup{Listen: "127.0.0.1:0", Discovery: l.Addr(), Settings: json.RawMessage(testSettings),
@@ -739,7 +739,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
 	go func() { ended <- g.Run(ctx) }()
-	await(t, l.Calls, func(string) bool { return true })
+	await(t, l.Requests, func(string) bool { return true })
 	ready := func() int { // without a server there is nothing to be ready for
 		res, err := http.Get(server.URL + "/-/ready")
 		if err != nil {
@@ -751,8 +751,8 @@
 	if got := ready(); got != http.StatusServiceUnavailable {
 		t.Errorf("without a server ready answers %d", got)
 	}
-	for _, s := range []*standin.Shard{silent, dying, a} {
-		l.Change(s.Entry())
+	for _, s := range []*standin.ShardServer{silent, dying, a} {
+		l.Update(s.Entry())
 	}
 	for end := time.Now().Add(patience); ready() != http.StatusOK; {
 		if time.Now().After(end) {
@@ -841,7 +841,7 @@
 }
 
 func TestMostHeldIsKept(t *testing.T) {
-	a := startShard(t, "s-a", func(*standin.ShardConn, standin.Part) {})
+	a := startShard(t, "s-a", func(*standin.ShardConn, standin.ShardCall) {})
 	p := start(t, startList(t, a), func(s *Setup) {
 		s.Settings = json.RawMessage(strings.Replace(testSettings, `"limits":{`, `"limits":{"mostHeld":5,`, 1))
 	})
@@ -852,15 +852,15 @@
 		http.DefaultClient.Do(r)
 		close(left)
 	}()
-	await(t, a.Got, func(string) bool { return true })
-	if status, _, id := p.ask("lookup", 2, 3); status != http.StatusServiceUnavailable || len(a.Got) > 1 {
+	await(t, a.Received, func(string) bool { return true })
+	if status, _, id := p.ask("lookup", 2, 3); status != http.StatusServiceUnavailable || len(a.Received) > 1 {
 		t.Errorf("search %s beyond what may be held got %d", id, status)
 	}
 	leave()
 	<-left
 	p.line("event=client_conn_end", "reason=client_left")
 	p.ask("lookup", 4) // there is room again
-	await(t, a.Got, func(part string) bool { return strings.HasSuffix(part, ".4") && !strings.HasPrefix(part, "c") })
+	await(t, a.Received, func(part string) bool { return strings.HasSuffix(part, ".4") && !strings.HasPrefix(part, "c") })
 }
 
 type pipeListener chan net.Conn
--- a/gatherer/remember_test.go
+++ b/gatherer/remember_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"oxbowspan/internal/standin"
+	"oxbowspan/internal/testing/standin"
 )
 
 // storeFile writes an operator's file with a store beside it.
@@ -58,7 +58,7 @@
 var keyedClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: patience}
 
 func post2(ctx context.Context, addr, id, key, text string) (got, error) {
-	s := standin.Search{ID: id, Kind: "post", Customer: "acme", Shards: []int{2}, Text: text}
+	s := standin.Request{ID: id, QueryType: "post", Customer: "acme", Shards: []int{2}, Statement: text}
 	r, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/post", strings.NewReader(string(s.Body())))
 	for k, v := range map[string]string{"Req-Id": id, "Req-Kind": "post", "Req-Owner": "acme", "Req-Deadline-Ms": "1500", "Idempotency-Key": key} {
 		if v != "" {
@@ -95,10 +95,10 @@
 // A post that was answered, one that was under way at a kill, and their repeats after the restart: by key, and by id.
 func TestARepeatAfterAKillFindsWhatBecameOfItsPost(t *testing.T) {
 	runs := &ran{by: map[string]int{}}
-	a := startShard(t, "s-a", func(c *standin.ShardConn, p standin.Part) {
-		runs.add(string(p.Text))
-		if !strings.HasPrefix(string(p.Text), "dead") { // those run and are never answered
-			c.Answer(p.ID, "served", "paid "+string(p.Text))
+	a := startShard(t, "s-a", func(c *standin.ShardConn, p standin.ShardCall) {
+		runs.add(string(p.Query))
+		if !strings.HasPrefix(string(p.Query), "dead") { // those run and are never answered
+			c.Respond(p.ID, "served", "paid "+string(p.Query))
 		}
 	})
 	l := startList(t, a)
@@ -117,13 +117,13 @@
 	// Under way at the kill, with a key and without.
 	for _, key := range []string{"key-2", ""} {
 		go post2(t.Context(), p.addr, "b"+fmt.Sprint(len(key)), key, "dead"+fmt.Sprint(len(key)))
-		await(t, a.Got, func(id string) bool { return strings.HasPrefix(id, "b"+fmt.Sprint(len(key))) })
+		await(t, a.Received, func(id string) bool { return strings.HasPrefix(id, "b"+fmt.Sprint(len(key))) })
 	}
 	if status, _, _ := keyed(t, p, "c1", "key-2", "dead5"); status != http.StatusConflict {
 		t.Errorf("a repeat of one that is open: %d", status)
 	}
 	p.run.Kill()
-	<-p.run.Gone
+	<-p.run.Exited
 
 	p = start(t, l, nil, "--operator", file)
 	if status, body, _ := keyed(t, p, "d1", "key-1", "c0ffee01"); status != 200 || body != answered {
@@ -164,7 +164,7 @@
 		t.Fatalf("with no server: %d", status)
 	}
 	b := startShard(t, "s-b", nil)
-	l.Change(b.Entry())
+	l.Update(b.Entry())
 	for end := time.Now().Add(patience); ; {
 		status, _, _ := keyed(t, p, "a2", "key-1", "c0ffee01")
 		if status == 200 {
@@ -187,9 +187,9 @@
 // SIGTERM while intents are being written, many at once: each post gets its final answer, and the program ends well.
 func TestTermDuringGroupCommit(t *testing.T) {
 	runs := &ran{by: map[string]int{}}
-	a := startShard(t, "s-a", func(c *standin.ShardConn, p standin.Part) {
-		runs.add(string(p.Text))
-		c.Answer(p.ID, "served", "paid")
+	a := startShard(t, "s-a", func(c *standin.ShardConn, p standin.ShardCall) {
+		runs.add(string(p.Query))
+		c.Respond(p.ID, "served", "paid")
 	})
 	l := startList(t, a)
 	file, _ := storeFile(t, "linger = 50ms\n")
@@ -264,8 +264,8 @@
 		t.Errorf("%d posts were turned away, ten may be held", refused)
 	}
 	client := &http.Client{Timeout: patience}
-	s := standin.Search{ID: "ff", Kind: "lookup", Customer: "acme", Wait: time.Second, Shards: []int{1}, Text: "c41e77d0"}
-	if r, err := s.Ask(t.Context(), client, p.addr); err != nil || r.Status != 200 {
+	s := standin.Request{ID: "ff", QueryType: "lookup", Customer: "acme", Timeout: time.Second, Shards: []int{1}, Statement: "c41e77d0"}
+	if r, err := s.Send(t.Context(), client, p.addr); err != nil || r.Status != 200 {
 		t.Errorf("a look-up: %d, %v", r.Status, err)
 	}
 	// Held answers of the ten are still given.
@@ -325,15 +325,15 @@
 // third time nor called harmless.
 func TestAKillDuringAResend(t *testing.T) {
 	runs := &ran{by: map[string]int{}}
-	a := startShard(t, "s-a", func(c *standin.ShardConn, p standin.Part) { c.Answer(p.ID, "skipped", "") })
-	b := startShard(t, "s-b", func(c *standin.ShardConn, p standin.Part) { runs.add(string(p.Text)) })
+	a := startShard(t, "s-a", func(c *standin.ShardConn, p standin.ShardCall) { c.Respond(p.ID, "skipped", "") })
+	b := startShard(t, "s-b", func(c *standin.ShardConn, p standin.ShardCall) { runs.add(string(p.Query)) })
 	l := startList(t, a, b)
 	file, _ := storeFile(t, "")
 	p := start(t, l, nil, "--operator", file)
 	go post2(t.Context(), p.addr, "a1", "key-1", "c0ffee01")
-	await(t, b.Got, func(id string) bool { return strings.HasPrefix(id, "a1") })
+	await(t, b.Received, func(id string) bool { return strings.HasPrefix(id, "a1") })
 	p.run.Kill()
-	<-p.run.Gone
+	<-p.run.Exited
 	p = start(t, l, nil, "--operator", file)
 	for i := range 3 {
 		if status, _, after := keyed(t, p, fmt.Sprint("b", i), "key-1", "c0ffee01"); status != http.StatusGatewayTimeout || after != "" {
--- a/gatherer/slow_test.go
+++ b/gatherer/slow_test.go
@@ -21,7 +21,7 @@
 
 	"oxbowspan/budget"
 	"oxbowspan/internal/operator"
-	"oxbowspan/internal/standin"
+	"oxbowspan/internal/testing/standin"
 )
 
 // logLines is what the program logs, one line at a time.
@@ -123,7 +123,7 @@
 		}
 		t.Cleanup(func() { nc.Close() })
 		c := &rigClient{nc, t, bufio.NewReader(nc)}
-		body := standin.Search{Shards: []int{0}, Text: strings.Repeat("t", 100)}.Body()
+		body := standin.Request{Shards: []int{0}, Statement: strings.Repeat("t", 100)}.Body()
 		c.send(fmt.Sprintf("POST /lookup HTTP/1.1\r\nHost: x\r\nReq-Id: %x\r\nReq-Kind: lookup\r\nReq-Owner: acme\r\nReq-Deadline-Ms: 1900\r\nContent-Length: %d\r\n\r\n",
 			nc.LocalAddr().(*net.TCPAddr).Port, len(body)))
 		tick := time.NewTicker(pause)
--- a/gatherer/standin_test.go
+++ b/gatherer/standin_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"oxbowspan/internal/standin"
+	"oxbowspan/internal/testing/standin"
 )
 
 // Small stand-ins, written from the protocol, for what a gatherer speaks to: shard servers, discovery, clients.
@@ -50,9 +50,9 @@
 	}())
 }
 
-func startShard(t *testing.T, host string, do func(*standin.ShardConn, standin.Part)) *standin.Shard {
+func startShard(t *testing.T, host string, do func(*standin.ShardConn, standin.ShardCall)) *standin.ShardServer {
 	t.Helper()
-	s, err := standin.StartShard(host, do, func(what string) { t.Error(what) })
+	s, err := standin.StartShardServer(host, do, func(what string) { t.Error(what) })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -60,9 +60,9 @@
 	return s
 }
 
-func startList(t *testing.T, shards ...*standin.Shard) *standin.List {
+func startList(t *testing.T, shards ...*standin.ShardServer) *standin.DiscoveryService {
 	t.Helper()
-	l, err := standin.StartList(shards...)
+	l, err := standin.StartDiscoveryService(shards...)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -83,7 +83,7 @@
 }
 
 // start starts the program for a list of servers; edit changes its configuration first.
-func start(t *testing.T, l *standin.List, edit func(*Setup), args ...string) *program {
+func start(t *testing.T, l *standin.DiscoveryService, edit func(*Setup), args ...string) *program {
 	t.Helper()
 	s := Setup{Name: "n0", Listen: "127.0.0.1:0", Discovery: l.Addr(), Seed: "8c1f30d27a5be964",
 		Limits: Limits{Cores: 1, MemoryMB: 192, Sockets: 1024}, Settings: json.RawMessage(testSettings)}
--- a/internal/cli/fleet_test.go
+++ b/internal/cli/fleet_test.go
@@ -16,7 +16,7 @@
 	"testing"
 	"time"
 
-	"oxbowspan/internal/standin"
+	"oxbowspan/internal/testing/standin"
 )
 
 // site is a fleet of built gatherers as processes of their own, with a stand-in list and shard server, and what is seen of them from
@@ -25,7 +25,7 @@
 	t       *testing.T
 	bin     string
 	dir     string
-	list    *standin.List
+	list    *standin.DiscoveryService
 	ini     string
 	mu      sync.Mutex
 	nodes   []*node
@@ -96,12 +96,12 @@
 	if out, err := build.CombinedOutput(); err != nil {
 		t.Fatalf("build: %v\n%s", err, out)
 	}
-	shard, err := standin.StartShard("s-1", nil, func(what string) { t.Error(what) })
+	shard, err := standin.StartShardServer("s-1", nil, func(what string) { t.Error(what) })
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(shard.Stop)
-	if s.list, err = standin.StartList(shard); err != nil {
+	if s.list, err = standin.StartDiscoveryService(shard); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(s.list.Stop)
@@ -163,7 +163,7 @@
 	x.starts++
 	s.mu.Unlock()
 	s.all.Go(func() {
-		<-p.Gone
+		<-p.Exited
 		s.mu.Lock()
 		x.p, x.out = nil, true
 		s.mu.Unlock()
@@ -256,8 +256,8 @@
 		if away {
 			continue // a front has noticed
 		}
-		q := standin.Search{ID: fmt.Sprintf("%016x", i+1), Kind: "lookup", Wait: 2 * time.Second, Shards: []int{0, 1}, Text: "t"}
-		got, err := q.Ask(context.Background(), client, x.port)
+		q := standin.Request{ID: fmt.Sprintf("%016x", i+1), QueryType: "lookup", Timeout: 2 * time.Second, Shards: []int{0, 1}, Statement: "t"}
+		got, err := q.Send(context.Background(), client, x.port)
 		if s.asked.Add(1); err == nil && got.Status == 200 {
 			s.served.Add(1)
 		}
@@ -456,12 +456,12 @@
 // Where gatherers may not talk, and where the section is wrong, check says so with its line and nothing starts.
 func TestFleetSectionIsChecked(t *testing.T) {
 	s := &site{t: t, dir: t.TempDir()}
-	shard, err := standin.StartShard("s-1", nil, nil)
+	shard, err := standin.StartShardServer("s-1", nil, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer shard.Stop()
-	if s.list, err = standin.StartList(shard); err != nil {
+	if s.list, err = standin.StartDiscoveryService(shard); err != nil {
 		t.Fatal(err)
 	}
 	defer s.list.Stop()
--- a/internal/lab/hold.go
+++ b/internal/lab/hold.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"oxbowspan/internal/command"
-	"oxbowspan/internal/standin"
+	"oxbowspan/internal/testing/standin"
 )
 
 // A holder is a process of its own that holds many connections to a gatherer: one has no more descriptors than a process
@@ -92,8 +92,8 @@
 	var lastID atomic.Uint64
 	lastID.Store(uint64(number+1) << 40)
 	search := func() []byte {
-		s := standin.Search{ID: fmt.Sprintf("%016x", lastID.Add(1)), Kind: "lookup", Customer: "acme", Wait: 1900 * time.Millisecond,
-			Shards: []int{0}, Text: "c41e77d0"}
+		s := standin.Request{ID: fmt.Sprintf("%016x", lastID.Add(1)), QueryType: "lookup", Customer: "acme", Timeout: 1900 * time.Millisecond,
+			Shards: []int{0}, Statement: "c41e77d0"}
 		b := s.Body()
 		return append(fmt.Appendf(nil, "POST /lookup HTTP/1.1\r\nHost: x\r\nReq-Id: %s\r\nReq-Kind: lookup\r\nReq-Owner: acme\r\nReq-Deadline-Ms: 1900\r\nContent-Length: %d\r\n\r\n",
 			s.ID, len(b)), b...)
--- a/internal/lab/idle.go
+++ b/internal/lab/idle.go
@@ -10,7 +10,7 @@
 	"sync/atomic"
 	"time"
 
-	"oxbowspan/internal/standin"
+	"oxbowspan/internal/testing/standin"
 )
 
 func init() {
@@ -144,13 +144,13 @@
 
 func (p *idlePlay) one(l *Latency) int {
 	n := p.next.Add(1)
-	s := standin.Search{ID: fmt.Sprintf("%016x", 1<<60+n), Kind: "lookup", Customer: "acme", Wait: 1900 * time.Millisecond,
-		Shards: []int{int(n) % 4}, Text: "c41e77d0"}
-	r, err := s.Ask(p.ctx, p.client, p.site.Gatherer.Addr)
+	s := standin.Request{ID: fmt.Sprintf("%016x", 1<<60+n), QueryType: "lookup", Customer: "acme", Timeout: 1900 * time.Millisecond,
+		Shards: []int{int(n) % 4}, Statement: "c41e77d0"}
+	r, err := s.Send(p.ctx, p.client, p.site.Gatherer.Addr)
 	if err != nil {
 		return 0
 	}
-	l.Add(r.Took)
+	l.Add(r.Elapsed)
 	return r.Status
 }
 
--- a/internal/lab/levels.go
+++ b/internal/lab/levels.go
@@ -11,7 +11,7 @@
 	"sync/atomic"
 	"time"
 
-	"oxbowspan/internal/standin"
+	"oxbowspan/internal/testing/standin"
 )
 
 func init() {
@@ -30,7 +30,7 @@
 	took time.Duration
 }
 
-func (o *oneAtATime) do(c *standin.ShardConn, p standin.Part) {
+func (o *oneAtATime) do(c *standin.ShardConn, p standin.ShardCall) {
 	if o.hung.Load() {
 		return // no word
 	}
@@ -38,7 +38,7 @@
 		o.mu.Lock()
 		defer o.mu.Unlock()
 		time.Sleep(o.took)
-		c.Answer(p.ID, "served", "x")
+		c.Respond(p.ID, "served", "x")
 	}()
 }
 
@@ -91,7 +91,7 @@
 	var changes []string
 	site, err := e.StartSite(SiteShape{Name: "levels " + way, Cells: servers, Segments: servers, MemoryMB: 128, Operator: operator,
 		Types: []SiteType{{"lookup", "free", 300 * time.Millisecond, 600 * time.Millisecond, 1, 1}, {"report", "free", 300 * time.Millisecond, 600 * time.Millisecond, 1, 1}},
-		Do:    func(c *standin.ShardConn, p standin.Part) { byHost[c.S.Host].do(c, p) },
+		Do:    func(c *standin.ShardConn, p standin.ShardCall) { byHost[c.Server.Host].do(c, p) },
 		Line: func(line string) {
 			if strings.Contains(line, "event=level ") && strings.Contains(line, "scope=all") {
 				mu.Lock()
@@ -109,13 +109,13 @@
 	one := func(r *levelsResult, kind int) {
 		defer open.Done()
 		n := next.Add(1)
-		s := standin.Search{ID: fmt.Sprintf("%016x", n), Kind: []string{"lookup", "report"}[kind], Customer: "acme", Wait: 550 * time.Millisecond,
-			Shards: []int{int(n) % servers}, Text: strconv.FormatInt(n, 16)}
+		s := standin.Request{ID: fmt.Sprintf("%016x", n), QueryType: []string{"lookup", "report"}[kind], Customer: "acme", Timeout: 550 * time.Millisecond,
+			Shards: []int{int(n) % servers}, Statement: strconv.FormatInt(n, 16)}
 		if kind == 1 { // a report asks three segments
 			s.Shards = []int{int(n) % servers, int(n+3) % servers, int(n+5) % servers}
 		}
 		r.asked[kind].Add(1)
-		a, err := s.Ask(ctx, client, site.Gatherer.Addr)
+		a, err := s.Send(ctx, client, site.Gatherer.Addr)
 		switch {
 		case err == nil && a.Status == http.StatusOK:
 			r.good[kind].Add(1)
--- a/internal/lab/memory.go
+++ b/internal/lab/memory.go
@@ -12,7 +12,7 @@
 	"syscall"
 	"time"
 
-	"oxbowspan/internal/standin"
+	"oxbowspan/internal/testing/standin"
 )
 
 func init() {
@@ -51,7 +51,7 @@
 
 // head and body of a search of four parts.
 func (p *memoryPlay) request(text string) (head, body string) {
-	s := standin.Search{ID: fmt.Sprintf("%016x", p.next.Add(1)), Kind: "lookup", Customer: "acme", Shards: []int{0, 1, 2, 3}, Text: text}
+	s := standin.Request{ID: fmt.Sprintf("%016x", p.next.Add(1)), QueryType: "lookup", Customer: "acme", Shards: []int{0, 1, 2, 3}, Statement: text}
 	b := string(s.Body())
 	return fmt.Sprintf("POST /lookup HTTP/1.1\r\nHost: x\r\nReq-Id: %s\r\nReq-Kind: lookup\r\nReq-Owner: acme\r\nReq-Deadline-Ms: 1900\r\nContent-Length: %d\r\n\r\n", s.ID, len(b)), b
 }
@@ -187,12 +187,12 @@
 	var figures runtimeFigures
 	site, err := e.StartSite(SiteShape{Name: "memory " + way, Cells: 4, Segments: 4, MemoryMB: memoryMB, Sockets: 4000, Operator: operator, Line: figures.take,
 		Types: []SiteType{{"lookup", "free", time.Second, 2 * time.Second, 1, 1}},
-		Do: func(c *standin.ShardConn, part standin.Part) {
+		Do: func(c *standin.ShardConn, part standin.ShardCall) {
 			switch {
-			case string(part.Text) == "long":
-				time.AfterFunc(50*time.Millisecond, func() { c.Answer(part.ID, "served", longValue) })
+			case string(part.Query) == "long":
+				time.AfterFunc(50*time.Millisecond, func() { c.Respond(part.ID, "served", longValue) })
 			default:
-				c.Answer(part.ID, "served", "x")
+				c.Respond(part.ID, "served", "x")
 			}
 		}})
 	if err != nil {
--- a/internal/lab/merge.go
+++ b/internal/lab/merge.go
@@ -14,7 +14,7 @@
 	"sync/atomic"
 	"time"
 
-	"oxbowspan/internal/standin"
+	"oxbowspan/internal/testing/standin"
 	"oxbowspan/merge"
 )
 
@@ -43,8 +43,8 @@
 type mergeRun struct {
 	e      *Env
 	site   *Site
-	ledger *standin.Ledger
-	shape  standin.Shape
+	ledger *standin.Dataset
+	shape  standin.DatasetShape
 	now    atomic.Pointer[faults]
 	lastID atomic.Uint64
 	client *http.Client
@@ -57,9 +57,9 @@
 
 func mergeOperator() string {
 	text := "[merging]\nmemory = 24MiB\nrows = 400000\nopen = 400\ncursor_keys = cursor.keys\n" +
-		"[schema " + standin.LedgerName + "]\n" + standin.LedgerSchema
+		"[schema " + standin.DatasetSchemaName + "]\n" + standin.DatasetSchema
 	for _, name := range []string{"report", "loose"} {
-		text += "[merge " + name + "]\nschema = " + standin.LedgerName + "\nkinds = ranked paged aggregated\nlimit = 300\noffset = 300\n" +
+		text += "[merge " + name + "]\nschema = " + standin.DatasetSchemaName + "\nkinds = ranked paged aggregated\nlimit = 300\noffset = 300\n" +
 			"order = due amount account customer bills\ngroup = customer due bills\ngroups = 120\nfigures = " + strings.Join(allFigures, " ") + "\n"
 	}
 	return text
@@ -73,13 +73,13 @@
 	var checked, refused, pages, walks int64
 	for _, s := range []struct {
 		name  string
-		shape standin.Shape
+		shape standin.DatasetShape
 	}{
-		{"ordinary", standin.Shape{Segments: segments, Accounts: e.Scale(600, 3000), Credits: true}},
-		{"equal keys", standin.Shape{Segments: segments, Accounts: e.Scale(240, 800), Equal: true, Shared: true}},
-		{"one segment", standin.Shape{Segments: segments, Accounts: e.Scale(200, 600), OneOnly: true}},
+		{"ordinary", standin.DatasetShape{Segments: segments, Accounts: e.Scale(600, 3000), NegativeAmounts: true}},
+		{"equal keys", standin.DatasetShape{Segments: segments, Accounts: e.Scale(240, 800), EqualKeys: true, SharedAccounts: true}},
+		{"one segment", standin.DatasetShape{Segments: segments, Accounts: e.Scale(200, 600), SingleSegment: true}},
 	} {
-		r := &mergeRun{e: e, shape: s.shape, ledger: standin.NewLedger(e.Seed, s.shape),
+		r := &mergeRun{e: e, shape: s.shape, ledger: standin.NewDataset(e.Seed, s.shape),
 			client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}, Timeout: 20 * time.Second}}
 		err := r.run(ctx, s.name)
 		checked, refused = checked+r.checked.Load(), refused+r.refused.Load()
@@ -179,17 +179,17 @@
 }
 
 // chance draws a fault for a part, by its id: the same part meets the same fault.
-func (r *mergeRun) chance(p standin.Part, host string) int {
+func (r *mergeRun) chance(p standin.ShardCall, host string) int {
 	h := fnv.New64a()
 	fmt.Fprintf(h, "%d %s %s", r.e.Seed, p.ID, host)
 	return int(h.Sum64() >> 11 % 1000)
 }
 
 // meet is how a shard server meets a part.
-func (r *mergeRun) meet(c *standin.ShardConn, p standin.Part) {
+func (r *mergeRun) meet(c *standin.ShardConn, p standin.ShardCall) {
 	f := r.now.Load()
 	less, over := 0, 0
-	at := r.chance(p, c.S.Host)
+	at := r.chance(p, c.Server.Host)
 	hit := func(n int) bool {
 		is := 0 <= at && at < n
 		at -= n
@@ -198,17 +198,17 @@
 	give := func() string {
 		value, err := r.give(p, less, over)
 		if err != nil {
-			r.fail(fmt.Errorf("a segment is asked for %q: %w", p.List["m"], err))
+			r.fail(fmt.Errorf("a segment is asked for %q: %w", p.Attributes["m"], err))
 		}
 		return value
 	}
 	switch {
 	case hit(f.late):
 		wait := time.Duration(20+r.chance(p, "wait")%600) * time.Millisecond
-		time.AfterFunc(wait, func() { c.Answer(p.ID, "served", give()) })
+		time.AfterFunc(wait, func() { c.Respond(p.ID, "served", give()) })
 	case hit(f.stall):
 	case hit(f.die):
-		c.AnswerCut(p.ID, give(), 10+r.chance(p, "cut")/4)
+		c.RespondTruncated(p.ID, give(), 10+r.chance(p, "cut")/4)
 	case hit(f.spoil):
 		value := give()
 		if len(value) > 40 {
@@ -216,7 +216,7 @@
 		} else {
 			value = "?" + value
 		}
-		c.Answer(p.ID, "served", value)
+		c.Respond(p.ID, "served", value)
 	case hit(f.unsorted):
 		lines := strings.Split(strings.TrimSuffix(give(), "\n"), "\n")
 		if len(lines) < 3 {
@@ -225,27 +225,27 @@
 			last := len(lines) - 1
 			lines[last], lines[last-1] = lines[last-1], lines[last]
 		}
-		c.Answer(p.ID, "served", strings.Join(lines, "\n")+"\n")
+		c.Respond(p.ID, "served", strings.Join(lines, "\n")+"\n")
 	case hit(f.schema):
-		c.Answer(p.ID, "served", strings.Replace(give(), standin.LedgerName, "arrears/9", 1))
+		c.Respond(p.ID, "served", strings.Replace(give(), standin.DatasetSchemaName, "arrears/9", 1))
 	case hit(f.twice):
 		value := give()
-		c.Answer(p.ID, "served", value)
-		c.Answer(p.ID, "served", value)
+		c.Respond(p.ID, "served", value)
+		c.Respond(p.ID, "served", value)
 	case hit(f.less):
 		less = 1 + r.chance(p, "less")%9
-		c.Answer(p.ID, "served", give())
+		c.Respond(p.ID, "served", give())
 	case hit(f.more):
 		over = 7
-		c.Answer(p.ID, "served", give())
+		c.Respond(p.ID, "served", give())
 	default:
-		c.Answer(p.ID, "served", give())
+		c.Respond(p.ID, "served", give())
 	}
 }
 
 // give makes what a segment gives: at most less rows, or over rows more than it was asked for.
-func (r *mergeRun) give(p standin.Part, less, over int) (string, error) {
-	item := p.List["m"]
+func (r *mergeRun) give(p standin.ShardCall, less, over int) (string, error) {
+	item := p.Attributes["m"]
 	if over > 0 {
 		ask, err := merge.ParseAsk(item)
 		if err != nil {
@@ -256,16 +256,16 @@
 			item = ask.Item()
 		}
 	}
-	return r.ledger.Give(p.Shard, item, less)
+	return r.ledger.Respond(p.Shard, item, less)
 }
 
-func (r *mergeRun) searchFor(kind string, terms merge.Terms) standin.Search {
+func (r *mergeRun) searchFor(kind string, terms merge.Terms) standin.Request {
 	var shards []int
 	for i := range r.ledger.Segments() {
 		shards = append(shards, i)
 	}
-	return standin.Search{ID: fmt.Sprintf("%016x", 1<<32*(1+r.e.Seed%1000)+r.lastID.Add(1)), Kind: kind, Customer: "acme",
-		Wait: 1900 * time.Millisecond, Shards: shards, Text: "c41e77d0", Merge: wireTerms(terms)}
+	return standin.Request{ID: fmt.Sprintf("%016x", 1<<32*(1+r.e.Seed%1000)+r.lastID.Add(1)), QueryType: kind, Customer: "acme",
+		Timeout: 1900 * time.Millisecond, Shards: shards, Statement: "c41e77d0", Merge: wireTerms(terms)}
 }
 
 // wireTerms is what a client writes: what is not said is left out.
@@ -287,8 +287,8 @@
 	return out
 }
 
-func (r *mergeRun) truth(kind string) standin.Truth {
-	t := standin.Truth{Ledger: r.ledger, Forbids: kind == "report"}
+func (r *mergeRun) truth(kind string) standin.Oracle {
+	t := standin.Oracle{Dataset: r.ledger, RequireComplete: kind == "report"}
 	for i := range r.ledger.Segments() {
 		t.Segments = append(t.Segments, i)
 	}
@@ -297,18 +297,18 @@
 
 // ask sends a search. A refusal is right only under faults, and only with a status that promises no more than is so;
 // nil with no error is one.
-func (r *mergeRun) ask(ctx context.Context, kind string, terms merge.Terms, f faults, l *Latency) (*standin.Merged, []byte, error) {
-	reply, err := r.searchFor(kind, terms).Ask(ctx, r.client, r.site.Gatherer.Addr)
+func (r *mergeRun) ask(ctx context.Context, kind string, terms merge.Terms, f faults, l *Latency) (*standin.MergedResponse, []byte, error) {
+	reply, err := r.searchFor(kind, terms).Send(ctx, r.client, r.site.Gatherer.Addr)
 	if err != nil {
 		if ctx.Err() != nil {
 			return nil, nil, ctx.Err()
 		}
 		return nil, nil, fmt.Errorf("no answer came: %w", err)
 	}
-	l.Add(reply.Took)
+	l.Add(reply.Elapsed)
 	switch {
 	case reply.Status == http.StatusOK:
-		m, err := standin.ParseMerged(reply.Body)
+		m, err := standin.ParseMergedResponse(reply.Body)
 		if err != nil {
 			return nil, nil, fmt.Errorf("%w: %.300s", err, reply.Body)
 		}
@@ -327,7 +327,7 @@
 }
 
 // advice is how long a refused client was told to stay away; a tenth of a second where it was not.
-func (r *mergeRun) advice(reply standin.Reply) time.Duration {
+func (r *mergeRun) advice(reply standin.Response) time.Duration {
 	s, err := strconv.ParseFloat(reply.RetryAfter, 64)
 	if err != nil {
 		return 100 * time.Millisecond
@@ -385,9 +385,9 @@
 			return err
 		}
 		if terms.Kind == merge.Ranked {
-			err = r.truth(kind).Ranked(*m, terms.Order, terms.Offset, terms.Limit, uncut)
+			err = r.truth(kind).CheckRanked(*m, terms.Order, terms.Offset, terms.Limit, uncut)
 		} else {
-			err = r.truth(kind).Aggregated(*m, terms, uncut)
+			err = r.truth(kind).CheckAggregated(*m, terms, uncut)
 		}
 		if err != nil {
 			return fmt.Errorf("%s %+v: %w\n%.2000s", kind, terms, err, body)
@@ -404,7 +404,7 @@
 func (r *mergeRun) walk(f faults, moving bool) func(context.Context, *rand.Rand, *Latency) error {
 	return func(ctx context.Context, rnd *rand.Rand, l *Latency) error {
 		kind := r.kind(rnd)
-		w := standin.PageWalk{Truth: r.truth(kind), Order: drawOrder(rnd), Limit: 20 + rnd.IntN(100)}
+		w := standin.PagedCheck{Oracle: r.truth(kind), Order: drawOrder(rnd), Limit: 20 + rnd.IntN(100)}
 		most := 400
 		for cursor, tries := "", 0; tries < most; tries++ {
 			if moving && rnd.IntN(3) == 0 {
@@ -418,17 +418,17 @@
 			if m == nil {
 				continue
 			}
-			if err := w.Page(*m, f.less == 0); err != nil {
+			if err := w.CheckPage(*m, f.less == 0); err != nil {
 				return fmt.Errorf("%s %v, page %d: %w\n%.2000s", kind, w.Order, w.Pages, err, body)
 			}
 			r.checked.Add(1)
 			r.pages.Add(1)
-			if m.Merged.Last {
+			if m.Result.Last {
 				r.walks.Add(1)
 				r.e.Record.Add("rows that came late", float64(w.Late))
 				return nil
 			}
-			if cursor = m.Merged.Next; cursor == "" {
+			if cursor = m.Result.Next; cursor == "" {
 				return fmt.Errorf("%s %v: the walk is stuck on page %d", kind, w.Order, w.Pages)
 			}
 		}
@@ -450,7 +450,7 @@
 		do(terms)
 		s.Merge = terms
 	}
-	cursor := []byte(m.Merged.Next)
+	cursor := []byte(m.Result.Next)
 	switch rnd.IntN(6) {
 	case 0:
 		at := rnd.IntN(len(cursor) - 1)
@@ -459,7 +459,7 @@
 	case 1:
 		change(func(t map[string]any) { t["cursor"], t["order"] = string(cursor), []string{"due"} })
 	case 2:
-		s.Text = "another statement"
+		s.Statement = "another statement"
 		change(func(t map[string]any) { t["cursor"] = string(cursor) })
 	case 3:
 		change(func(t map[string]any) { t["limit"] = 301 + rnd.IntN(1000) })
@@ -468,7 +468,7 @@
 	case 5:
 		s.Merge = json.RawMessage(`{"kind":"ranked","limit":5,"order":["due"],"sort":1}`)
 	}
-	reply, err := s.Ask(ctx, r.client, r.site.Gatherer.Addr)
+	reply, err := s.Send(ctx, r.client, r.site.Gatherer.Addr)
 	if err != nil {
 		return err
 	}
--- a/internal/lab/ordinary.go
+++ b/internal/lab/ordinary.go
@@ -8,7 +8,7 @@
 	"sync/atomic"
 	"time"
 
-	"oxbowspan/internal/standin"
+	"oxbowspan/internal/testing/standin"
 )
 
 func init() {
@@ -35,9 +35,9 @@
 	var next atomic.Int64
 	one := func(l *Latency) error {
 		n := next.Add(1)
-		s := standin.Search{ID: fmt.Sprintf("%016x", n), Kind: "lookup", Customer: "acme", Wait: 1900 * time.Millisecond,
-			Shards: []int{int(n) % cells, int(n+3) % cells}, Text: "c41e77d0"}
-		r, err := s.Ask(ctx, client, site.Gatherer.Addr)
+		s := standin.Request{ID: fmt.Sprintf("%016x", n), QueryType: "lookup", Customer: "acme", Timeout: 1900 * time.Millisecond,
+			Shards: []int{int(n) % cells, int(n+3) % cells}, Statement: "c41e77d0"}
+		r, err := s.Send(ctx, client, site.Gatherer.Addr)
 		if err != nil {
 			return err
 		}
@@ -45,7 +45,7 @@
 		if r.Status != http.StatusOK || string(r.Body) != want {
 			return fmt.Errorf("a search was answered %d %.200s", r.Status, r.Body)
 		}
-		l.Add(r.Took)
+		l.Add(r.Elapsed)
 		return nil
 	}
 	play := func(name string, times int) error {
--- a/internal/lab/site.go
+++ b/internal/lab/site.go
@@ -5,14 +5,14 @@
 	"fmt"
 	"time"
 
-	"oxbowspan/internal/standin"
+	"oxbowspan/internal/testing/standin"
 )
 
 // Site is one gatherer, as a process of its own, over shard servers in cells and a list service.
 type Site struct {
 	Gatherer *standin.Program
-	Shards   []*standin.Shard
-	List     *standin.List
+	Shards   []*standin.ShardServer
+	List     *standin.DiscoveryService
 	Config   string // its configuration file
 	Operator string // the operator's file; "" = none
 }
@@ -27,7 +27,7 @@
 	Files    map[string]string // what else lies beside it
 	MemoryMB int
 	Sockets  int // descriptors of the gatherer; 0 = 1,024
-	Do       func(c *standin.ShardConn, p standin.Part)
+	Do       func(c *standin.ShardConn, p standin.ShardCall)
 	Fault    func(what string)
 	Line     func(line string) // of the gatherer's log
 }
@@ -46,7 +46,7 @@
 func (e *Env) StartSite(s SiteShape) (*Site, error) {
 	site := &Site{}
 	for cell := range s.Cells {
-		shard, err := standin.StartShard(fmt.Sprintf("s-%d", cell), s.Do, s.Fault)
+		shard, err := standin.StartShardServer(fmt.Sprintf("s-%d", cell), s.Do, s.Fault)
 		if err != nil {
 			site.Stop()
 			return nil, err
@@ -55,7 +55,7 @@
 		site.Shards = append(site.Shards, shard)
 	}
 	var err error
-	if site.List, err = standin.StartList(site.Shards...); err != nil {
+	if site.List, err = standin.StartDiscoveryService(site.Shards...); err != nil {
 		site.Stop()
 		return nil, err
 	}
--- a/internal/lab/store.go
+++ b/internal/lab/store.go
@@ -14,7 +14,7 @@
 	"sync/atomic"
 	"time"
 
-	"oxbowspan/internal/standin"
+	"oxbowspan/internal/testing/standin"
 )
 
 func init() {
@@ -44,7 +44,7 @@
 	return r.by[text]
 }
 
-func storeShape(name, operator string, do func(*standin.ShardConn, standin.Part)) SiteShape {
+func storeShape(name, operator string, do func(*standin.ShardConn, standin.ShardCall)) SiteShape {
 	return SiteShape{Name: name, Cells: 4, Segments: 4, MemoryMB: 256, Operator: operator, Do: do,
 		Types: []SiteType{{"lookup", "free", time.Second, 2 * time.Second, 1, 1}, {"post", "single_shot", time.Second, 2 * time.Second, 1, 1}}}
 }
@@ -76,12 +76,12 @@
 					go func() {
 						defer all.Done()
 						for n := next.Add(1); n <= int64(times) && ctx.Err() == nil; n = next.Add(1) {
-							s := standin.Search{ID: fmt.Sprintf("%x%04x%02x", len(kind), n, clients), Kind: kind, Customer: "acme", Wait: 1900 * time.Millisecond,
-								Shards: []int{int(n) % 4}, Text: fmt.Sprintf("%08x", n)}
-							if r, err := s.Ask(ctx, client, site.Gatherer.Addr); err != nil || r.Status != http.StatusOK {
+							s := standin.Request{ID: fmt.Sprintf("%x%04x%02x", len(kind), n, clients), QueryType: kind, Customer: "acme", Timeout: 1900 * time.Millisecond,
+								Shards: []int{int(n) % 4}, Statement: fmt.Sprintf("%08x", n)}
+							if r, err := s.Send(ctx, client, site.Gatherer.Addr); err != nil || r.Status != http.StatusOK {
 								bad.Add(1)
 							} else {
-								l.Add(r.Took)
+								l.Add(r.Elapsed)
 							}
 						}
 					}()
@@ -128,7 +128,7 @@
 
 // once sends a post and gives its status and text; 0 = none came.
 func (c *crash) once(client *http.Client, key, text string) (int, string) {
-	s := standin.Search{ID: fmt.Sprintf("%016x", c.next.Add(1)), Kind: "post", Customer: "acme", Shards: []int{len(key) % 4}, Text: text}
+	s := standin.Request{ID: fmt.Sprintf("%016x", c.next.Add(1)), QueryType: "post", Customer: "acme", Shards: []int{len(key) % 4}, Statement: text}
 	r, err := http.NewRequestWithContext(c.ctx, http.MethodPost, "http://"+*c.addr.Load()+"/post", strings.NewReader(string(s.Body())))
 	if err != nil {
 		return 0, ""
@@ -206,8 +206,8 @@
 		defer chance.Unlock()
 		return rng.IntN(n)
 	}
-	site, err := e.StartSite(storeShape("crash", "[store]\npath = kept\nkeep = 10m\n", func(sc *standin.ShardConn, p standin.Part) {
-		text := string(p.Text)
+	site, err := e.StartSite(storeShape("crash", "[store]\npath = kept\nkeep = 10m\n", func(sc *standin.ShardConn, p standin.ShardCall) {
+		text := string(p.Query)
 		switch n := pick(1000); {
 		case n < 20: // dies before it runs
 			sc.Reset()
@@ -217,10 +217,10 @@
 		case n < 50: // runs and never answers
 			c.runs.add(text)
 		case n < 80:
-			sc.Answer(p.ID, "skipped", "")
+			sc.Respond(p.ID, "skipped", "")
 		default:
 			c.runs.add(text)
-			time.AfterFunc(time.Duration(pick(8000))*time.Microsecond, func() { sc.Answer(p.ID, "served", "paid "+text) })
+			time.AfterFunc(time.Duration(pick(8000))*time.Microsecond, func() { sc.Respond(p.ID, "served", "paid "+text) })
 		}
 	}))
 	if err != nil {
@@ -253,7 +253,7 @@
 		}
 		time.Sleep(time.Duration(5+pick(100)) * time.Millisecond)
 		site.Gatherer.Kill()
-		<-site.Gatherer.Gone
+		<-site.Gatherer.Exited
 		if pick(4) == 0 {
 			if err := cutOne(dir, pick); err != nil {
 				return err
--- a/internal/standin/ledger.go
+++ b/internal/testing/standin/dataset.go
@@ -25,38 +25,38 @@
 	Bills    *int64
 }
 
-// LedgerSchema is the ledger's schema as an operator's file declares it, without the section's name.
-const LedgerSchema = "columns = account:text customer:text due:date amount:money bills:int+\naccount = account\ndigits = 18\n"
+// DatasetSchema is the ledger's schema as an operator's file declares it, without the section's name.
+const DatasetSchema = "columns = account:text customer:text due:date amount:money bills:int+\naccount = account\ndigits = 18\n"
 
-// LedgerName is the schema's name on the wire.
-const LedgerName = "arrears/1"
+// DatasetSchemaName is the schema's name on the wire.
+const DatasetSchemaName = "arrears/1"
 
-// LedgerColumns are the schema's columns, in order.
-var LedgerColumns = []string{"account", "customer", "due", "amount", "bills"}
+// DatasetColumns are the schema's columns, in order.
+var DatasetColumns = []string{"account", "customer", "due", "amount", "bills"}
 
-// Ledger is known data in segments, fixed by its seed. It may be used from several goroutines.
-type Ledger struct {
+// Dataset is known data in segments, fixed by its seed. It may be used from several goroutines.
+type Dataset struct {
 	mu       sync.RWMutex
 	seed     uint64
 	segments [][]Account
 	versions []uint64
-	past     []map[uint64][]Account // of each segment, its data by version; grows with Advance, which its caller bounds
+	history  []map[uint64][]Account // of each segment, its data by version; grows with Advance, which its caller bounds
 }
 
-// Shape says how a ledger's data lies.
-type Shape struct {
-	Segments int
-	Accounts int  // in all
-	OneOnly  bool // every account lies in segment 0, the others are empty
-	Equal    bool // all order columns are equal everywhere
-	Credits  bool // some amounts are below 0
-	// Shared puts the same account names in several segments, so that ties go on to the segment.
-	Shared bool
+// DatasetShape says how a ledger's data lies.
+type DatasetShape struct {
+	Segments        int
+	Accounts        int  // in all
+	SingleSegment   bool // every account lies in segment 0, the others are empty
+	EqualKeys       bool // all order columns are equal everywhere
+	NegativeAmounts bool // some amounts are below 0
+	// SharedAccounts puts the same account names in several segments, so that ties go on to the segment.
+	SharedAccounts bool
 }
 
-// NewLedger makes a ledger.
-func NewLedger(seed uint64, s Shape) *Ledger {
-	l := &Ledger{seed: seed, segments: make([][]Account, s.Segments), versions: make([]uint64, s.Segments)}
+// NewDataset makes a ledger.
+func NewDataset(seed uint64, s DatasetShape) *Dataset {
+	l := &Dataset{seed: seed, segments: make([][]Account, s.Segments), versions: make([]uint64, s.Segments)}
 	r := rand.New(rand.NewPCG(seed, 7))
 	for i := range l.versions {
 		l.versions[i] = 1000 + uint64(i)
@@ -64,33 +64,33 @@
 	for n := range s.Accounts {
 		at := r.IntN(s.Segments)
 		switch {
-		case s.OneOnly:
+		case s.SingleSegment:
 			at = 0
-		case s.Shared:
+		case s.SharedAccounts:
 			at = n % s.Segments
 		}
 		l.segments[at] = append(l.segments[at], newAccount(r, at, n, s))
 	}
 	for i, rows := range l.segments {
-		l.past = append(l.past, map[uint64][]Account{l.versions[i]: rows})
+		l.history = append(l.history, map[uint64][]Account{l.versions[i]: rows})
 	}
 	return l
 }
 
-// At copies a segment's accounts as of a version; false = there was none such.
-func (l *Ledger) At(segment int, version uint64) ([]Account, bool) {
+// RowsAt copies a segment's accounts as of a version; false = there was none such.
+func (l *Dataset) RowsAt(segment int, version uint64) ([]Account, bool) {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
-	if segment < 0 || segment >= len(l.past) {
+	if segment < 0 || segment >= len(l.history) {
 		return nil, false
 	}
-	rows, ok := l.past[segment][version]
+	rows, ok := l.history[segment][version]
 	return append([]Account(nil), rows...), ok
 }
 
-func newAccount(r *rand.Rand, at, n int, s Shape) Account {
+func newAccount(r *rand.Rand, at, n int, s DatasetShape) Account {
 	a := Account{Segment: at, Account: fmt.Sprintf("a-%06d", n)}
-	if s.Shared {
+	if s.SharedAccounts {
 		a.Account = fmt.Sprintf("a-%06d", n/s.Segments)
 	}
 	customer := fmt.Sprintf("c-%02d", r.IntN(37)*r.IntN(3)) // some have many accounts, most few
@@ -99,15 +99,15 @@
 	if r.IntN(4) == 0 {
 		cents = int64(r.IntN(2_000_000))
 	}
-	if s.Credits && r.IntN(6) == 0 {
+	if s.NegativeAmounts && r.IntN(6) == 0 {
 		cents = -cents
 	}
 	bills := int64(r.IntN(6))
-	if s.Equal {
+	if s.EqualKeys {
 		customer, due, cents, bills = "c-00", "2026-01-01", 100, 1
 	}
 	a.Customer, a.Due, a.Cents, a.Bills = &customer, &due, &cents, &bills
-	if !s.Equal {
+	if !s.EqualKeys {
 		for _, drop := range []func(){func() { a.Customer = nil }, func() { a.Due = nil }, func() { a.Cents = nil }} {
 			if r.IntN(25) == 0 {
 				drop()
@@ -118,33 +118,33 @@
 }
 
 // Segments is how many there are.
-func (l *Ledger) Segments() int { return len(l.segments) }
+func (l *Dataset) Segments() int { return len(l.segments) }
 
 // Rows copies a segment's accounts, with its data's version.
-func (l *Ledger) Rows(segment int) ([]Account, uint64) {
+func (l *Dataset) Rows(segment int) ([]Account, uint64) {
 	l.mu.RLock()
 	defer l.mu.RUnlock()
 	return append([]Account(nil), l.segments[segment]...), l.versions[segment]
 }
 
 // Advance moves a segment's data on: one account is added, one changes, and the version grows.
-func (l *Ledger) Advance(segment int) {
+func (l *Dataset) Advance(segment int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.versions[segment]++
 	r := rand.New(rand.NewPCG(l.seed, l.versions[segment]*1000+uint64(segment)))
-	fresh := newAccount(r, segment, 900_000+int(l.versions[segment])*len(l.segments)+segment, Shape{Segments: len(l.segments)})
+	fresh := newAccount(r, segment, 900_000+int(l.versions[segment])*len(l.segments)+segment, DatasetShape{Segments: len(l.segments)})
 	rows := append([]Account(nil), l.segments[segment]...) // those given out before stay as they were
 	if len(rows) > 0 {
 		cents := int64(r.IntN(1_000_000))
 		rows[r.IntN(len(rows))].Cents = &cents
 	}
 	l.segments[segment] = append(rows, fresh)
-	l.past[segment][l.versions[segment]] = l.segments[segment]
+	l.history[segment][l.versions[segment]] = l.segments[segment]
 }
 
-// Money writes cents as an amount.
-func Money(cents int64) string {
+// FormatCents writes cents as an amount.
+func FormatCents(cents int64) string {
 	sign := ""
 	if cents < 0 {
 		sign, cents = "-", -cents
@@ -172,10 +172,10 @@
 // JSON is an account's row as a shard server gives it.
 func (a Account) JSON() string {
 	var vals []any
-	for _, c := range LedgerColumns {
+	for _, c := range DatasetColumns {
 		v := a.value(c)
 		if cents, ok := v.(int64); ok && c == "amount" {
-			v = Money(cents)
+			v = FormatCents(cents)
 		}
 		vals = append(vals, v)
 	}
@@ -229,31 +229,31 @@
 	return x.Segment - y.Segment
 }
 
-// mostValue is what a shard server puts into one value at most: what the gatherers take, and its line.
-const mostValue = 63 << 10
+// maxValueBytes is what a shard server puts into one value at most: what the gatherers take, and its line.
+const maxValueBytes = 63 << 10
 
-// Give answers what a segment is asked, as the item m of a part's list has it. most bounds its rows; 0 = as asked.
-func (l *Ledger) Give(segment int, item string, most int) (string, error) {
+// Respond answers what a segment is asked, as the item m of a part's list has it. most bounds its rows; 0 = as asked.
+func (l *Dataset) Respond(segment int, item string, most int) (string, error) {
 	ask, err := merge.ParseAsk(item)
 	if err != nil {
 		return "", err
 	}
-	if ask.Schema != LedgerName {
+	if ask.Schema != DatasetSchemaName {
 		return "", fmt.Errorf("schema %q is asked for", ask.Schema)
 	}
 	rows, version := l.Rows(segment)
 	if ask.Kind == merge.Ranked {
-		return giveRows(rows, version, ask, most)
+		return respondRanked(rows, version, ask, most)
 	}
-	return giveGroups(rows, version, ask, most)
+	return respondAggregated(rows, version, ask, most)
 }
 
-func giveRows(rows []Account, version uint64, ask merge.Ask, most int) (string, error) {
+func respondRanked(rows []Account, version uint64, ask merge.Ask, most int) (string, error) {
 	sort.Slice(rows, func(i, j int) bool { return Compare(ask.Order, rows[i], rows[j]) < 0 })
 	if ask.After != nil {
 		start := 0
 		for ; start < len(rows); start++ {
-			d, err := compareToPlace(ask, rows[start])
+			d, err := compareToCursor(ask, rows[start])
 			if err != nil {
 				return "", err
 			}
@@ -271,18 +271,18 @@
 	n := 0
 	for n < min(len(rows), limit) {
 		text := rows[n].JSON()
-		if b.Len()+len(text) > mostValue {
+		if b.Len()+len(text) > maxValueBytes {
 			break
 		}
 		b.WriteString(text)
 		b.WriteByte('\n')
 		n++
 	}
-	return fmt.Sprintf(`{"schema":%q,"as_of":%d,"rows":%d,"more":%t}`, LedgerName, version, n, n < len(rows)) + "\n" + b.String(), nil
+	return fmt.Sprintf(`{"schema":%q,"as_of":%d,"rows":%d,"more":%t}`, DatasetSchemaName, version, n, n < len(rows)) + "\n" + b.String(), nil
 }
 
-// compareToPlace compares a row to the place that a segment is to go on behind, without its segment.
-func compareToPlace(ask merge.Ask, row Account) (int, error) {
+// compareToCursor compares a row to the place that a segment is to go on behind, without its segment.
+func compareToCursor(ask merge.Ask, row Account) (int, error) {
 	if len(ask.After.Keys) != len(ask.Order) {
 		return 0, fmt.Errorf("a place of %d keys for an order of %d", len(ask.After.Keys), len(ask.Order))
 	}
@@ -322,10 +322,10 @@
 	if err := json.Unmarshal(raw, &s); err != nil || column != "amount" {
 		return s, err
 	}
-	return cents(s)
+	return parseCents(s)
 }
 
-func cents(s string) (int64, error) {
+func parseCents(s string) (int64, error) {
 	r, ok := new(big.Rat).SetString(s)
 	if !ok {
 		return 0, fmt.Errorf("%q is no amount", s)
@@ -404,26 +404,26 @@
 	return out
 }
 
-// Size is the figure that groups are chosen by: "count" or "sum:COLUMN".
-func (g Group) Size(by string) *big.Int {
+// SortValue is the figure that groups are chosen by: "count" or "sum:COLUMN".
+func (g Group) SortValue(by string) *big.Int {
 	if column, ok := strings.CutPrefix(by, "sum:"); ok {
 		return g.Sum(column)
 	}
 	return big.NewInt(int64(len(g.Rows)))
 }
 
-// Decimal writes a sum of a column.
-func Decimal(column string, sum *big.Int) string {
+// FormatSum writes a sum of a column.
+func FormatSum(column string, sum *big.Int) string {
 	if column != "amount" {
 		return sum.String()
 	}
 	return new(big.Rat).SetFrac(sum, big.NewInt(100)).FloatString(2)
 }
 
-func giveGroups(rows []Account, version uint64, ask merge.Ask, most int) (string, error) {
+func respondAggregated(rows []Account, version uint64, ask merge.Ask, most int) (string, error) {
 	groups := GroupBy(rows, ask.Group)
 	if ask.By != "" {
-		sort.SliceStable(groups, func(i, j int) bool { return groups[i].Size(ask.By).Cmp(groups[j].Size(ask.By)) > 0 })
+		sort.SliceStable(groups, func(i, j int) bool { return groups[i].SortValue(ask.By).Cmp(groups[j].SortValue(ask.By)) > 0 })
 	}
 	limit := ask.Limit
 	if most > 0 {
@@ -432,9 +432,9 @@
 	cutNote := ""
 	if len(ask.Group) > 0 && len(groups) > limit {
 		rest := groups[limit:]
-		hi, lo := rest[0].Size(ask.By), rest[len(rest)-1].Size(ask.By)
+		hi, lo := rest[0].SortValue(ask.By), rest[len(rest)-1].SortValue(ask.By)
 		column := strings.TrimPrefix(ask.By, "sum:")
-		cutNote = fmt.Sprintf(`,"cut":{"groups":%d,"most":%q,"least":%q}`, len(rest), Decimal(column, hi), Decimal(column, lo))
+		cutNote = fmt.Sprintf(`,"cut":{"groups":%d,"most":%q,"least":%q}`, len(rest), FormatSum(column, hi), FormatSum(column, lo))
 		groups = groups[:limit]
 	}
 	var b strings.Builder
@@ -442,12 +442,12 @@
 		var vals []any
 		for i, v := range g.Key {
 			if c, ok := v.(int64); ok && ask.Group[i] == "amount" {
-				v = Money(c)
+				v = FormatCents(c)
 			}
 			vals = append(vals, v)
 		}
 		for _, f := range ask.Figures {
-			v, err := g.partial(f)
+			v, err := g.partialAggregate(f)
 			if err != nil {
 				return "", err
 			}
@@ -460,11 +460,11 @@
 		b.Write(line)
 		b.WriteByte('\n')
 	}
-	return fmt.Sprintf(`{"schema":%q,"as_of":%d,"rows":%d%s}`, LedgerName, version, len(groups), cutNote) + "\n" + b.String(), nil
+	return fmt.Sprintf(`{"schema":%q,"as_of":%d,"rows":%d%s}`, DatasetSchemaName, version, len(groups), cutNote) + "\n" + b.String(), nil
 }
 
-// partial makes one partial figure of a group.
-func (g Group) partial(figure string) (any, error) {
+// partialAggregate makes one partial figure of a group.
+func (g Group) partialAggregate(figure string) (any, error) {
 	name, column, _ := strings.Cut(figure, ":")
 	values := g.Values(column)
 	switch name {
@@ -473,11 +473,11 @@
 	case "values":
 		return len(values), nil
 	case "sum":
-		return Decimal(column, g.Sum(column)), nil
+		return FormatSum(column, g.Sum(column)), nil
 	case "min", "max":
 		best := Extreme(values, name == "max")
 		if c, ok := best.(int64); ok && column == "amount" {
-			return Money(c), nil
+			return FormatCents(c), nil
 		}
 		return best, nil
 	case "distinct":
@@ -490,7 +490,7 @@
 	case "sketch":
 		s := merge.NewQuantiles()
 		for _, v := range values {
-			if err := s.Add(float(column, v)); err != nil {
+			if err := s.Add(toFloat(column, v)); err != nil {
 				return nil, err
 			}
 		}
@@ -510,7 +510,7 @@
 	return best
 }
 
-func float(column string, v any) float64 {
+func toFloat(column string, v any) float64 {
 	n := float64(v.(int64))
 	if column == "amount" {
 		return n / 100
--- a/internal/standin/truth.go
+++ b/internal/testing/standin/oracle.go
@@ -12,10 +12,10 @@
 	"oxbowspan/merge"
 )
 
-// Merged is a merged answer's body, as a client reads it.
-type Merged struct {
+// MergedResponse is a merged answer's body, as a client reads it.
+type MergedResponse struct {
 	Full   bool `json:"full"`
-	Merged struct {
+	Result struct {
 		Kind    string            `json:"kind"`
 		Columns []string          `json:"columns"`
 		Rows    []json.RawMessage `json:"rows"`
@@ -42,16 +42,16 @@
 		} `json:"groups"`
 		Unseen   string `json:"unseen_at_most"`
 		Complete struct {
-			Asked    int           `json:"asked"`
-			In       int           `json:"in"`
-			Share    float64       `json:"share"`
-			Segments []SegmentSaid `json:"segments"`
+			Asked    int             `json:"asked"`
+			In       int             `json:"in"`
+			Share    float64         `json:"share"`
+			Segments []SegmentStatus `json:"segments"`
 		} `json:"complete"`
 	} `json:"merged"`
 }
 
-// SegmentSaid is what an answer says of one segment.
-type SegmentSaid struct {
+// SegmentStatus is what an answer says of one segment.
+type SegmentStatus struct {
 	Tablet int    `json:"tablet"`
 	State  string `json:"state"`
 	AsOf   uint64 `json:"as_of"`
@@ -60,57 +60,57 @@
 	Moved  bool   `json:"moved"`
 }
 
-// ParseMerged reads a body strictly.
-func ParseMerged(body []byte) (m Merged, err error) {
+// ParseMergedResponse reads a body strictly.
+func ParseMergedResponse(body []byte) (m MergedResponse, err error) {
 	d := json.NewDecoder(strings.NewReader(string(body)))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&m); err != nil {
 		return m, fmt.Errorf("a merged answer does not parse: %w", err)
 	}
-	if len(m.Merged.From) != len(m.Merged.Rows) {
-		return m, fmt.Errorf("%d rows come from %d segments", len(m.Merged.Rows), len(m.Merged.From))
+	if len(m.Result.From) != len(m.Result.Rows) {
+		return m, fmt.Errorf("%d rows come from %d segments", len(m.Result.Rows), len(m.Result.From))
 	}
 	return m, nil
 }
 
-// Truth checks merged answers against the ledger they were made of. It computes what is right apart from the program
+// Oracle checks merged answers against the ledger they were made of. It computes what is right apart from the program
 // and plainly: all rows put together and sorted, all figures added up.
-type Truth struct {
-	Ledger   *Ledger
+type Oracle struct {
+	Dataset  *Dataset
 	Segments []int // that were asked
-	// Forbids says that the query type forbids missing parts.
-	Forbids bool
+	// RequireComplete says that the query type forbids missing parts.
+	RequireComplete bool
 }
 
-// known is what an answer says is in, checked, and the data it can be held against.
-type known struct {
-	in      map[int]uint64 // segments, by their data's version
-	missing []int
-	rows    []Account
-	all     []Account // with what the missing segments hold now
+// coverage is what an answer says is in, checked, and the data it can be held against.
+type coverage struct {
+	included map[int]uint64 // segments, by their data's version
+	missing  []int
+	rows     []Account
+	all      []Account // with what the missing segments hold now
 }
 
-// complete checks the statement of completeness and gathers the rows it stands for.
-func (t Truth) complete(m Merged) (k known, err error) {
-	c := m.Merged.Complete
+// checkCompleteness checks the statement of completeness and gathers the rows it stands for.
+func (t Oracle) checkCompleteness(m MergedResponse) (k coverage, err error) {
+	c := m.Result.Complete
 	if c.Asked != len(t.Segments) || len(c.Segments) != len(t.Segments) {
 		return k, fmt.Errorf("%d segments are stated as asked, %d were", c.Asked, len(t.Segments))
 	}
 	want := slices.Clone(t.Segments)
 	sort.Ints(want)
-	k.in = map[int]uint64{}
+	k.included = map[int]uint64{}
 	for i, s := range c.Segments {
 		if s.Tablet != want[i] {
 			return k, fmt.Errorf("segment %d is stated where %d was asked", s.Tablet, want[i])
 		}
-		now, _ := t.Ledger.Rows(s.Tablet)
+		now, _ := t.Dataset.Rows(s.Tablet)
 		switch s.State {
 		case "in":
-			rows, ok := t.Ledger.At(s.Tablet, s.AsOf)
+			rows, ok := t.Dataset.RowsAt(s.Tablet, s.AsOf)
 			if !ok {
 				return k, fmt.Errorf("segment %d never stood as of %d", s.Tablet, s.AsOf)
 			}
-			k.in[s.Tablet] = s.AsOf
+			k.included[s.Tablet] = s.AsOf
 			k.rows, k.all = append(k.rows, rows...), append(k.all, rows...)
 		case "missing", "unusable":
 			k.missing = append(k.missing, s.Tablet)
@@ -119,14 +119,14 @@
 			return k, fmt.Errorf("segment %d is in state %q", s.Tablet, s.State)
 		}
 	}
-	if c.In != len(k.in) {
-		return k, fmt.Errorf("%d segments are stated as in, %d are", c.In, len(k.in))
+	if c.In != len(k.included) {
+		return k, fmt.Errorf("%d segments are stated as in, %d are", c.In, len(k.included))
 	}
-	if share := float64(len(k.in)) / float64(len(t.Segments)); math.Abs(c.Share-share) > 1e-5 {
+	if share := float64(len(k.included)) / float64(len(t.Segments)); math.Abs(c.Share-share) > 1e-5 {
 		return k, fmt.Errorf("a share of %v is stated, %v is in", c.Share, share)
 	}
 	if len(k.missing) > 0 {
-		if t.Forbids {
+		if t.RequireComplete {
 			return k, fmt.Errorf("an answer came short of segments %v, which its query type forbids", k.missing)
 		}
 		if m.Full {
@@ -136,52 +136,52 @@
 	return k, nil
 }
 
-// text tells a row from all others: its segment and its JSON.
-func (a Account) text() string { return fmt.Sprintf("%d:%s", a.Segment, a.JSON()) }
+// identity tells a row from all others: its segment and its JSON.
+func (a Account) identity() string { return fmt.Sprintf("%d:%s", a.Segment, a.JSON()) }
 
-func texts(rows []Account) []string {
+func identities(rows []Account) []string {
 	out := make([]string, len(rows))
 	for i, r := range rows {
-		out[i] = r.text()
+		out[i] = r.identity()
 	}
 	return out
 }
 
-// texts are the answer's rows in the same form.
-func (m Merged) texts() []string {
-	out := make([]string, len(m.Merged.Rows))
-	for i, r := range m.Merged.Rows {
-		out[i] = fmt.Sprintf("%d:%s", m.Merged.From[i], r)
+// rowIdentities are the answer's rows in the same form.
+func (m MergedResponse) rowIdentities() []string {
+	out := make([]string, len(m.Result.Rows))
+	for i, r := range m.Result.Rows {
+		out[i] = fmt.Sprintf("%d:%s", m.Result.From[i], r)
 	}
 	return out
 }
 
-func sorted(rows []Account, order []string) []Account {
+func sortedRows(rows []Account, order []string) []Account {
 	rows = slices.Clone(rows)
 	sort.Slice(rows, func(i, j int) bool { return Compare(order, rows[i], rows[j]) < 0 })
 	return rows
 }
 
-// Ranked checks a ranked answer. uncut says that segments gave all they were asked for, so that the answer must be
+// CheckRanked checks a ranked answer. uncut says that segments gave all they were asked for, so that the answer must be
 // exactly that of what is in.
-func (t Truth) Ranked(m Merged, order []string, offset, limit int, uncut bool) error {
-	k, err := t.complete(m)
+func (t Oracle) CheckRanked(m MergedResponse, order []string, offset, limit int, untruncated bool) error {
+	k, err := t.checkCompleteness(m)
 	if err != nil {
 		return err
 	}
-	b := m.Merged
-	if b.Kind != "ranked" || !slices.Equal(b.Columns, LedgerColumns) || b.Before != offset {
+	b := m.Result
+	if b.Kind != "ranked" || !slices.Equal(b.Columns, DatasetColumns) || b.Before != offset {
 		return fmt.Errorf("a ranked list after %d came as %s of %v after %d", offset, b.Kind, b.Columns, b.Before)
 	}
-	list := sorted(k.rows, order)
-	right := texts(list[min(offset, len(list)):min(offset+limit, len(list))])
-	got := m.texts()
+	list := sortedRows(k.rows, order)
+	right := identities(list[min(offset, len(list)):min(offset+limit, len(list))])
+	got := m.rowIdentities()
 	if b.Certain < 0 || b.Certain > len(got) || len(k.missing) > 0 && b.Certain > 0 {
 		return fmt.Errorf("%d of %d rows are stated as certain, segments %v are missing", b.Certain, len(got), k.missing)
 	}
-	if uncut {
+	if untruncated {
 		if !slices.Equal(got, right) {
-			return differ("rows", got, right)
+			return firstDifference("rows", got, right)
 		}
 		if len(k.missing) == 0 && b.Certain != len(got) {
 			return fmt.Errorf("%d of %d rows are stated as certain where all are", b.Certain, len(got))
@@ -196,19 +196,19 @@
 	}
 	// Segments may have given less than they were asked for: what is certain must be right, all else at least real.
 	if len(right) < b.Certain || !slices.Equal(got[:b.Certain], right[:b.Certain]) {
-		return differ("certain rows", got[:b.Certain], right)
+		return firstDifference("certain rows", got[:b.Certain], right)
 	}
 	if m.Full && !slices.Equal(got, right) {
-		return differ("rows of a whole answer", got, right)
+		return firstDifference("rows of a whole answer", got, right)
 	}
-	return subset(got, list)
+	return checkSubsequence(got, list)
 }
 
-// subset checks that rows are some of a list's, in its order, none twice.
-func subset(got []string, list []Account) error {
+// checkSubsequence checks that rows are some of a list's, in its order, none twice.
+func checkSubsequence(got []string, list []Account) error {
 	at := 0
 	for _, row := range got {
-		for at < len(list) && list[at].text() != row {
+		for at < len(list) && list[at].identity() != row {
 			at++
 		}
 		if at == len(list) {
@@ -219,7 +219,7 @@
 	return nil
 }
 
-func differ(what string, got, want []string) error {
+func firstDifference(what string, got, want []string) error {
 	for i := range max(len(got), len(want)) {
 		switch {
 		case i >= len(got):
@@ -233,37 +233,37 @@
 	return nil
 }
 
-// PageWalk checks the pages of one walk as they come.
-type PageWalk struct {
-	Truth Truth
-	Order []string
-	Limit int
+// PagedCheck checks the pages of one walk as they come.
+type PagedCheck struct {
+	Oracle Oracle
+	Order  []string
+	Limit  int
 	// Pages, Late and Rows count what came.
 	Pages, Late, Rows int
 
-	seen   map[string]bool // rows given, by text
-	stamps map[int]uint64
-	farRow *Account // the furthest row given
-	moved  bool
-	gaps   bool // a segment was missing on some page
-	pure   []string
+	seen       map[string]bool // rows given, by text
+	versions   map[int]uint64
+	furthest   *Account // the furthest row given
+	moved      bool
+	incomplete bool // a segment was missing on some page
+	prefix     []string
 }
 
-// Page checks the next page. uncut is as for Truth.Ranked.
-func (w *PageWalk) Page(m Merged, uncut bool) error {
-	k, err := w.Truth.complete(m)
+// CheckPage checks the next page. uncut is as for Truth.Ranked.
+func (w *PagedCheck) CheckPage(m MergedResponse, untruncated bool) error {
+	k, err := w.Oracle.checkCompleteness(m)
 	if err != nil {
 		return err
 	}
-	b := m.Merged
+	b := m.Result
 	if w.seen == nil {
-		w.seen, w.stamps = map[string]bool{}, map[int]uint64{}
+		w.seen, w.versions = map[string]bool{}, map[int]uint64{}
 	}
 	if b.Kind != "paged" || b.Before != w.Rows {
 		return fmt.Errorf("a page after %d rows came as %s after %d", w.Rows, b.Kind, b.Before)
 	}
 	for _, s := range b.Complete.Segments {
-		was, known := w.stamps[s.Tablet]
+		was, known := w.versions[s.Tablet]
 		if s.State != "in" {
 			if s.Moved {
 				return fmt.Errorf("segment %d is not in and stated as moved", s.Tablet)
@@ -274,7 +274,7 @@
 			return fmt.Errorf("segment %d: moved is %t, its data was as of %d and is as of %d", s.Tablet, s.Moved, was, s.AsOf)
 		}
 		w.moved = w.moved || s.Moved
-		w.stamps[s.Tablet] = s.AsOf
+		w.versions[s.Tablet] = s.AsOf
 	}
 	if b.Moved != w.moved {
 		return fmt.Errorf("moved is %t where it is %t", b.Moved, w.moved)
@@ -284,11 +284,11 @@
 	}
 	byText := map[string]*Account{}
 	for i := range k.rows {
-		byText[k.rows[i].text()] = &k.rows[i]
+		byText[k.rows[i].identity()] = &k.rows[i]
 	}
 	var last *Account
 	late := 0
-	for i, raw := range m.texts() {
+	for i, raw := range m.rowIdentities() {
 		row := byText[raw]
 		if row == nil {
 			return fmt.Errorf("row %s is none of what is in", raw)
@@ -301,7 +301,7 @@
 			return fmt.Errorf("row %s is out of order", raw)
 		}
 		last = row
-		if w.farRow != nil && Compare(w.Order, *row, *w.farRow) <= 0 {
+		if w.furthest != nil && Compare(w.Order, *row, *w.furthest) <= 0 {
 			if late++; late != i+1 {
 				return fmt.Errorf("row %s is late behind one that is not", raw)
 			}
@@ -310,28 +310,28 @@
 	if late != b.Late {
 		return fmt.Errorf("%d rows are stated as late, %d are", b.Late, late)
 	}
-	if late > 0 && !w.gaps && !w.moved {
+	if late > 0 && !w.incomplete && !w.moved {
 		return fmt.Errorf("%d rows are late where no segment was missing", late)
 	}
-	if last != nil && (w.farRow == nil || Compare(w.Order, *last, *w.farRow) > 0) {
-		w.farRow = last
+	if last != nil && (w.furthest == nil || Compare(w.Order, *last, *w.furthest) > 0) {
+		w.furthest = last
 	}
 	w.Pages, w.Late, w.Rows = w.Pages+1, w.Late+late, w.Rows+len(b.Rows)
 	if len(k.missing) > 0 && b.Certain > 0 || b.Certain > len(b.Rows) {
 		return fmt.Errorf("%d of %d rows are stated as certain, segments %v are missing", b.Certain, len(b.Rows), k.missing)
 	}
-	w.gaps = w.gaps || len(k.missing) > 0
+	w.incomplete = w.incomplete || len(k.missing) > 0
 	if len(k.missing) == 0 && b.Certain != len(b.Rows) {
 		return fmt.Errorf("%d of %d rows are stated as certain where all are", b.Certain, len(b.Rows))
 	}
-	if !w.gaps && !w.moved {
+	if !w.incomplete && !w.moved {
 		// So far the pages, one behind the other, are the beginning of the list.
-		w.pure = append(w.pure, m.texts()...)
-		list := texts(sorted(k.rows, w.Order))
-		if n := len(w.pure); n > len(list) || !slices.Equal(w.pure, list[:n]) {
-			return differ("the pages' rows", w.pure, list)
+		w.prefix = append(w.prefix, m.rowIdentities()...)
+		list := identities(sortedRows(k.rows, w.Order))
+		if n := len(w.prefix); n > len(list) || !slices.Equal(w.prefix, list[:n]) {
+			return firstDifference("the pages' rows", w.prefix, list)
 		}
-		if uncut && len(b.Rows) != w.Limit && len(w.pure) != len(list) {
+		if untruncated && len(b.Rows) != w.Limit && len(w.prefix) != len(list) {
 			return fmt.Errorf("a page has %d rows of %d, and the list goes on", len(b.Rows), w.Limit)
 		}
 	}
@@ -341,8 +341,8 @@
 		}
 		if !w.moved {
 			for _, row := range k.rows {
-				if !w.seen[row.text()] {
-					return fmt.Errorf("the walk is over and row %s never came", row.text())
+				if !w.seen[row.identity()] {
+					return fmt.Errorf("the walk is over and row %s never came", row.identity())
 				}
 			}
 		}
@@ -352,23 +352,23 @@
 	return nil
 }
 
-// Aggregated checks figures. uncut is as for Truth.Ranked.
-func (t Truth) Aggregated(m Merged, terms merge.Terms, uncut bool) error {
-	k, err := t.complete(m)
+// CheckAggregated checks figures. uncut is as for Truth.Ranked.
+func (t Oracle) CheckAggregated(m MergedResponse, terms merge.Terms, untruncated bool) error {
+	k, err := t.checkCompleteness(m)
 	if err != nil {
 		return err
 	}
-	b := m.Merged
+	b := m.Result
 	if b.Kind != "aggregated" || !slices.Equal(b.Figures, terms.Figures) || len(b.Group) != len(terms.Group) {
 		return fmt.Errorf("figures %v by %v came as %s of %v by %v", terms.Figures, terms.Group, b.Kind, b.Figures, b.Group)
 	}
 	groups := map[string]Group{}
 	for _, g := range GroupBy(k.all, terms.Group) {
-		groups[keyText(terms.Group, g.Key)] = g
+		groups[formatGroupKey(terms.Group, g.Key)] = g
 	}
 	given := map[string]Group{}
 	for _, g := range GroupBy(k.rows, terms.Group) {
-		given[keyText(terms.Group, g.Key)] = g
+		given[formatGroupKey(terms.Group, g.Key)] = g
 	}
 	lacking := len(k.missing) > 0
 	whole := !lacking
@@ -378,7 +378,7 @@
 			by = f
 		}
 	}
-	size := func(g Group) *big.Int { return g.Size(strings.NewReplacer("(", ":", ")", "").Replace(by)) }
+	size := func(g Group) *big.Int { return g.SortValue(strings.NewReplacer("(", ":", ")", "").Replace(by)) }
 	column := strings.TrimSuffix(strings.TrimPrefix(by, "sum("), ")")
 	var order []Group
 	for _, g := range GroupBy(k.all, terms.Group) {
@@ -389,18 +389,18 @@
 	}
 	seen := map[string]bool{}
 	for i, got := range b.Groups {
-		key := rawKeyText(got.Key)
+		key := formatKey(got.Key)
 		g, real := groups[key]
 		if !real || seen[key] {
 			return fmt.Errorf("group %s came twice, or there is none such", key)
 		}
 		seen[key] = true
-		if i < b.Certain && keyText(terms.Group, order[i].Key) != key {
-			return fmt.Errorf("group %s stands at the certain place %d, %s is right", key, i, keyText(terms.Group, order[i].Key))
+		if i < b.Certain && formatGroupKey(terms.Group, order[i].Key) != key {
+			return fmt.Errorf("group %s stands at the certain place %d, %s is right", key, i, formatGroupKey(terms.Group, order[i].Key))
 		}
 		for n, f := range terms.Figures {
 			v := got.Values[n]
-			if err := checkFigure(f, string(v.Value), v.Is, string(v.Low), string(v.High), v.Error, g, given[key], lacking, uncut); err != nil {
+			if err := checkAggregate(f, string(v.Value), v.Is, string(v.Low), string(v.High), v.Error, g, given[key], lacking, untruncated); err != nil {
 				return fmt.Errorf("group %s: %w", key, err)
 			}
 			whole = whole && (v.Is == "exact" || v.Is == "approximate")
@@ -409,26 +409,26 @@
 	if !b.More && len(b.Groups) < len(groups) {
 		return fmt.Errorf("%d of %d groups came, and no more are said to be there", len(b.Groups), len(groups))
 	}
-	if uncut && !lacking && b.More != (len(b.Groups) < len(groups)) {
+	if untruncated && !lacking && b.More != (len(b.Groups) < len(groups)) {
 		return fmt.Errorf("more is %t with %d of %d groups", b.More, len(b.Groups), len(groups))
 	}
 	if lacking && b.Certain > 0 || b.Certain > len(b.Groups) {
 		return fmt.Errorf("%d of %d groups are stated as certain, segments %v are missing", b.Certain, len(b.Groups), k.missing)
 	}
 	whole = whole && b.Certain == len(b.Groups)
-	if short := !uncut && !m.Full && len(b.Groups) < terms.Limit && b.More; m.Full != whole && !short {
+	if short := !untruncated && !m.Full && len(b.Groups) < terms.Limit && b.More; m.Full != whole && !short {
 		return fmt.Errorf("full is %t where it is %t", m.Full, whole)
 	}
-	if uncut && !lacking {
+	if untruncated && !lacking {
 		if want := min(terms.Limit, len(order)); len(b.Groups) != want || b.Certain != want {
 			return fmt.Errorf("%d groups came, %d certain, %d are right", len(b.Groups), b.Certain, want)
 		}
 	}
 	// What no segment gave is bounded. Where none cut anything all was given, and a short answer left out what it knew.
-	cut := slices.ContainsFunc(b.Complete.Segments, func(s SegmentSaid) bool { return s.More })
+	cut := slices.ContainsFunc(b.Complete.Segments, func(s SegmentStatus) bool { return s.More })
 	if cut && b.Unseen != "" && !lacking && len(b.Groups) < terms.Limit {
 		for key, g := range groups {
-			if !seen[key] && size(g).Cmp(units(column, b.Unseen)) > 0 {
+			if !seen[key] && size(g).Cmp(parseUnits(column, b.Unseen)) > 0 {
 				return fmt.Errorf("group %s of %s was not seen, and is over the bound of %s", key, size(g), b.Unseen)
 			}
 		}
@@ -436,20 +436,20 @@
 	return nil
 }
 
-func keyText(columns []string, key []any) string {
+func formatGroupKey(columns []string, key []any) string {
 	var out []any
 	for i, v := range key {
 		if c, ok := v.(int64); ok {
 			if v = fmt.Sprint(c); columns[i] == "amount" {
-				v = Money(c)
+				v = FormatCents(c)
 			}
 		}
 		out = append(out, v)
 	}
-	return rawKeyText(out)
+	return formatKey(out)
 }
 
-func rawKeyText(key []any) string {
+func formatKey(key []any) string {
 	var words []string
 	for _, v := range key {
 		if v == nil {
@@ -461,8 +461,8 @@
 	return strings.Join(words, " ")
 }
 
-// units reads a figure in whole units: cents for amounts.
-func units(column, text string) *big.Int {
+// parseUnits reads a figure in whole units: cents for amounts.
+func parseUnits(column, text string) *big.Int {
 	r, ok := new(big.Rat).SetString(strings.Trim(text, `"`))
 	if !ok {
 		return big.NewInt(math.MinInt64)
@@ -473,8 +473,8 @@
 	return new(big.Int).Quo(r.Num(), r.Denom())
 }
 
-// checkFigure holds one figure against the truth: over all segments, and over what is in.
-func checkFigure(f, value, is, low, high string, off float64, all, in Group, lacking, uncut bool) error {
+// checkAggregate holds one figure against the truth: over all segments, and over what is in.
+func checkAggregate(f, value, is, low, high string, off float64, all, in Group, lacking, untruncated bool) error {
 	name, column, _ := strings.Cut(strings.TrimSuffix(f, ")"), "(")
 	wrong := func(right any) error {
 		return fmt.Errorf("%s is stated as %s %s (%s to %s), right is %v", f, is, value, low, high, right)
@@ -482,36 +482,36 @@
 	if is == "exact" && lacking {
 		return fmt.Errorf("%s is stated as exact where segments are missing", f)
 	}
-	if uncut && !lacking && is != "exact" && is != "approximate" {
+	if untruncated && !lacking && is != "exact" && is != "approximate" {
 		return fmt.Errorf("%s is stated as %s where nothing is missing", f, is)
 	}
 	values := all.Values(column)
 	switch name {
 	case "count", "sum":
-		right, part, got := all.Size("count"), in.Size("count"), units(column, value)
+		right, part, got := all.SortValue("count"), in.SortValue("count"), parseUnits(column, value)
 		if name == "sum" {
 			right, part = all.Sum(column), in.Sum(column)
 		}
 		switch {
 		case is == "exact" && got.Cmp(right) != 0,
 			is == "lower_bound" && got.Cmp(right) > 0,
-			is == "between" && (units(column, low).Cmp(right) > 0 || units(column, high).Cmp(right) < 0),
+			is == "between" && (parseUnits(column, low).Cmp(right) > 0 || parseUnits(column, high).Cmp(right) < 0),
 			is != "exact" && is != "lower_bound" && is != "between" && is != "partial":
 			return wrong(right)
-		case uncut && got.Cmp(part) != 0:
+		case untruncated && got.Cmp(part) != 0:
 			return wrong(part)
 		}
 	case "min", "max":
 		best := Extreme(values, name == "max")
 		if is == "exact" {
-			if plainValue(column, best) != value {
-				return wrong(plainValue(column, best))
+			if formatValue(column, best) != value {
+				return wrong(formatValue(column, best))
 			}
 			return nil
 		}
 		if value == "null" {
 			if is != "partial" {
-				return wrong(plainValue(column, best))
+				return wrong(formatValue(column, best))
 			}
 			return nil
 		}
@@ -521,7 +521,7 @@
 		}
 		d := compareValues(v, best)
 		if name == "min" && (is != "upper_bound" || d < 0) || name == "max" && (is != "lower_bound" || d > 0) {
-			return wrong(plainValue(column, best))
+			return wrong(formatValue(column, best))
 		}
 	case "mean":
 		if is == "partial" {
@@ -555,18 +555,18 @@
 		for _, v := range in.Values(column) {
 			distinct[v] = true
 		}
-		got, right := float64(units("", value).Int64()), float64(len(distinct))
-		if off == 0 || uncut && math.Abs(got-right) > 6*off*right+1 {
+		got, right := float64(parseUnits("", value).Int64()), float64(len(distinct))
+		if off == 0 || untruncated && math.Abs(got-right) > 6*off*right+1 {
 			return wrong(right)
 		}
 	default: // a quantile
 		values = in.Values(column)
-		if len(values) == 0 || !uncut {
+		if len(values) == 0 || !untruncated {
 			return nil
 		}
 		var all []float64
 		for _, v := range values {
-			all = append(all, float(column, v))
+			all = append(all, toFloat(column, v))
 		}
 		sort.Float64s(all)
 		var q, got float64
@@ -582,10 +582,10 @@
 	return nil
 }
 
-// plainValue is a value as a row has it.
-func plainValue(column string, v any) string {
+// formatValue is a value as a row has it.
+func formatValue(column string, v any) string {
 	if c, ok := v.(int64); ok && column == "amount" {
-		v = Money(c)
+		v = FormatCents(c)
 	}
 	b, _ := json.Marshal(v)
 	return string(b)
--- a/internal/standin/program.go
+++ b/internal/testing/standin/program.go
@@ -17,19 +17,19 @@
 
 // Program is a built gatherer that runs as a process of its own.
 type Program struct {
-	Addr  string        // where it takes clients
-	Lines chan string   // its log; it holds 100,000 lines, what comes then is not kept
-	Exit  chan error    // how it ended
-	Gone  chan struct{} // closed when it has
-	cmd   *exec.Cmd
+	Addr   string        // where it takes clients
+	Lines  chan string   // its log; it holds 100,000 lines, what comes then is not kept
+	Exit   chan error    // how it ended
+	Exited chan struct{} // closed when it has
+	cmd    *exec.Cmd
 }
 
-// ready is how long a program may take to serve.
-const ready = 20 * time.Second
+// startTimeout is how long a program may take to serve.
+const startTimeout = 20 * time.Second
 
 // StartProgram starts a command that serves, and waits until it is ready. seen is told each line of its log; nil = nobody.
 func StartProgram(cmd *exec.Cmd, seen func(line string)) (*Program, error) {
-	p := &Program{Lines: make(chan string, 100_000), Exit: make(chan error, 1), Gone: make(chan struct{}), cmd: cmd}
+	p := &Program{Lines: make(chan string, 100_000), Exit: make(chan error, 1), Exited: make(chan struct{}), cmd: cmd}
 	stderr, err := cmd.StderrPipe()
 	if err != nil {
 		return nil, err
@@ -38,7 +38,7 @@
 		return nil, err
 	}
 	listening := make(chan string, 1)
-	var last tail
+	var last logTail
 	go func() {
 		for r := bufio.NewScanner(stderr); r.Scan(); {
 			line := r.Text()
@@ -47,7 +47,7 @@
 			}
 			if strings.Contains(line, "event=listening ") {
 				select {
-				case listening <- Field(line, "addr"):
+				case listening <- LogField(line, "addr"):
 				default:
 				}
 			}
@@ -58,12 +58,12 @@
 		}
 		close(p.Lines)
 		p.Exit <- cmd.Wait()
-		close(p.Gone)
+		close(p.Exited)
 	}()
-	limit := time.After(ready)
+	limit := time.After(startTimeout)
 	select {
 	case p.Addr = <-listening:
-	case <-p.Gone:
+	case <-p.Exited:
 		return nil, fmt.Errorf("the program ended before it listened: %s", last.text())
 	case <-limit:
 		p.Kill()
@@ -77,7 +77,7 @@
 			}
 		}
 		select {
-		case <-p.Gone:
+		case <-p.Exited:
 			return nil, fmt.Errorf("the program ended before it was ready: %s", last.text())
 		case <-limit:
 			p.Kill()
@@ -100,7 +100,7 @@
 func (p *Program) Drain(limit time.Duration) error {
 	p.Signal(syscall.SIGTERM)
 	select {
-	case <-p.Gone:
+	case <-p.Exited:
 		return <-p.Exit
 	case <-time.After(limit):
 		p.Kill()
@@ -108,13 +108,13 @@
 	}
 }
 
-// tail is the end of a log.
-type tail struct {
+// logTail is the end of a log.
+type logTail struct {
 	mu    sync.Mutex
 	lines []string
 }
 
-func (t *tail) add(line string) {
+func (t *logTail) add(line string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.lines = append(t.lines, line); len(t.lines) > 5 {
@@ -122,14 +122,14 @@
 	}
 }
 
-func (t *tail) text() string {
+func (t *logTail) text() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return strings.Join(t.lines, " | ")
 }
 
-// Field takes one word of a key=value line.
-func Field(line, name string) string {
+// LogField takes one word of a key=value line.
+func LogField(line, name string) string {
 	for _, w := range strings.Fields(line) {
 		if v, ok := strings.CutPrefix(w, name+"="); ok {
 			return v
@@ -138,20 +138,20 @@
 	return ""
 }
 
-// Search is a search as a client sends it.
-type Search struct {
-	ID       string
-	Kind     string // query type
-	Customer string
-	Wait     time.Duration
-	Shards   []int
-	Weights  []float64 // nil = equal ones
-	Text     string
-	Merge    any // nil = none; else as JSON
+// Request is a search as a client sends it.
+type Request struct {
+	ID        string
+	QueryType string // query type
+	Customer  string
+	Timeout   time.Duration
+	Shards    []int
+	Weights   []float64 // nil = equal ones
+	Statement string
+	Merge     any // nil = none; else as JSON
 }
 
 // Body is the search's body.
-func (s Search) Body() []byte {
+func (s Request) Body() []byte {
 	type tablet struct {
 		Tablet   int     `json:"tablet"`
 		Fraction float64 `json:"fraction"`
@@ -168,7 +168,7 @@
 		}
 		b.Tablets = append(b.Tablets, tablet{n, w})
 	}
-	b.Statement, b.Merge = s.Text, s.Merge
+	b.Statement, b.Merge = s.Statement, s.Merge
 	raw, err := json.Marshal(b)
 	if err != nil {
 		panic(err) // a Merge that is no JSON is the caller's mistake
@@ -176,30 +176,30 @@
 	return raw
 }
 
-// Reply is what a client got.
-type Reply struct {
+// Response is what a client got.
+type Response struct {
 	Status     int
 	Body       []byte
 	RetryAfter string
-	Took       time.Duration
+	Elapsed    time.Duration
 }
 
-// Ask sends a search and reads the answer whole.
-func (s Search) Ask(ctx context.Context, client *http.Client, addr string) (Reply, error) {
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/"+s.Kind, bytes.NewReader(s.Body()))
+// Send sends a search and reads the answer whole.
+func (s Request) Send(ctx context.Context, client *http.Client, addr string) (Response, error) {
+	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/"+s.QueryType, bytes.NewReader(s.Body()))
 	if err != nil {
-		return Reply{}, err
+		return Response{}, err
 	}
 	r.Header.Set("Req-Id", s.ID)
-	r.Header.Set("Req-Kind", s.Kind)
+	r.Header.Set("Req-Kind", s.QueryType)
 	r.Header.Set("Req-Owner", s.Customer)
-	r.Header.Set("Req-Deadline-Ms", fmt.Sprint(s.Wait.Milliseconds()))
+	r.Header.Set("Req-Deadline-Ms", fmt.Sprint(s.Timeout.Milliseconds()))
 	began := time.Now()
 	res, err := client.Do(r)
 	if err != nil {
-		return Reply{}, err
+		return Response{}, err
 	}
 	defer res.Body.Close()
 	b, err := io.ReadAll(res.Body)
-	return Reply{res.StatusCode, b, res.Header.Get("Retry-After"), time.Since(began)}, err
+	return Response{res.StatusCode, b, res.Header.Get("Retry-After"), time.Since(began)}, err
 }
--- a/merge/cursor_test.go
+++ b/merge/cursor_test.go
@@ -5,22 +5,22 @@
 	"strings"
 	"testing"
 
-	"oxbowspan/internal/standin"
+	"oxbowspan/internal/testing/standin"
 	"oxbowspan/merge"
 )
 
 // firstCursor makes a list's first page and gives the cursor of its second.
 func firstCursor(t testing.TB, p merge.Paging) string {
-	l := standin.NewLedger(4, standin.Shape{Segments: 3, Accounts: 40})
+	l := standin.NewDataset(4, standin.DatasetShape{Segments: 3, Accounts: 40})
 	q, err := allowance().Query(pageTerms(""), asked(3), false, p)
 	if err != nil {
 		t.Fatal(err)
 	}
 	got, body := answer(t, give(t, q, l, []int{2, 0}, func(int) int { return 0 }), false)
-	if got.Merged.Next == "" {
+	if got.Result.Next == "" {
 		t.Fatalf("no cursor: %s", body)
 	}
-	return got.Merged.Next
+	return got.Result.Next
 }
 
 func pageTerms(cursor string) merge.Terms {
@@ -129,11 +129,11 @@
 	if err != nil {
 		f.Fatal(err)
 	}
-	l := standin.NewLedger(4, standin.Shape{Segments: 1, Accounts: 20})
+	l := standin.NewDataset(4, standin.DatasetShape{Segments: 1, Accounts: 20})
 	for _, q := range []*merge.Query{q, figures} {
 		item, _ := strings.CutPrefix(q.Ask(0), "m=")
 		for _, most := range []int{0, 3} {
-			value, err := l.Give(0, item, most)
+			value, err := l.Respond(0, item, most)
 			if err != nil {
 				f.Fatal(err)
 			}
@@ -155,7 +155,7 @@
 			if err != nil {
 				continue
 			}
-			if _, err := standin.ParseMerged(a.JSON(nil)); err != nil {
+			if _, err := standin.ParseMergedResponse(a.JSON(nil)); err != nil {
 				t.Errorf("%v: %s of %q", err, a.JSON(nil), value)
 			}
 			for _, r := range a.Rows {
--- a/merge/merge_test.go
+++ b/merge/merge_test.go
@@ -10,12 +10,12 @@
 
 	"pgregory.net/rapid"
 
-	"oxbowspan/internal/standin"
+	"oxbowspan/internal/testing/standin"
 	"oxbowspan/merge"
 )
 
 func schema() *merge.Schema {
-	s := &merge.Schema{Name: standin.LedgerName, Row: -1, Digits: 18}
+	s := &merge.Schema{Name: standin.DatasetSchemaName, Row: -1, Digits: 18}
 	for _, text := range []string{"account:text", "customer:text", "due:date", "amount:money", "bills:int+"} {
 		c, err := merge.ParseColumn(text)
 		if err != nil {
@@ -66,14 +66,14 @@
 }
 
 // give lets segments answer, in an order of arrival, and merges what they gave. most cuts what a segment gives.
-func give(t interface{ Fatalf(string, ...any) }, q *merge.Query, l *standin.Ledger, arrive []int, most func(int) int) *merge.Merge {
+func give(t interface{ Fatalf(string, ...any) }, q *merge.Query, l *standin.Dataset, arrive []int, most func(int) int) *merge.Merge {
 	m, err := merge.New(q, wide())
 	if err != nil {
 		t.Fatalf("%v", err)
 	}
 	for _, at := range arrive {
 		item, _ := strings.CutPrefix(q.Ask(merge.Segment(at)), "m=")
-		value, err := l.Give(at, item, most(at))
+		value, err := l.Respond(at, item, most(at))
 		if err != nil {
 			t.Fatalf("segment %d: %v", at, err)
 		}
@@ -88,27 +88,27 @@
 	return m
 }
 
-func answer(t interface{ Fatalf(string, ...any) }, m *merge.Merge, whole bool) (standin.Merged, string) {
+func answer(t interface{ Fatalf(string, ...any) }, m *merge.Merge, whole bool) (standin.MergedResponse, string) {
 	a, err := m.Answer(whole)
 	if err != nil {
 		t.Fatalf("%v", err)
 	}
 	body := string(a.JSON(nil))
-	got, err := standin.ParseMerged([]byte(body))
+	got, err := standin.ParseMergedResponse([]byte(body))
 	if err != nil {
 		t.Fatalf("%v: %s", err, body)
 	}
 	return got, body
 }
 
-func drawShape(t *rapid.T) (*standin.Ledger, int) {
+func drawShape(t *rapid.T) (*standin.Dataset, int) {
 	n := rapid.IntRange(1, 9).Draw(t, "segments")
-	shape := standin.Shape{Segments: n, Accounts: rapid.IntRange(0, 120).Draw(t, "accounts"), OneOnly: rapid.Bool().Draw(t, "one"),
-		Equal: rapid.Bool().Draw(t, "equal"), Credits: rapid.Bool().Draw(t, "credits"), Shared: rapid.Bool().Draw(t, "shared")}
-	if shape.OneOnly {
-		shape.Shared = false
+	shape := standin.DatasetShape{Segments: n, Accounts: rapid.IntRange(0, 120).Draw(t, "accounts"), SingleSegment: rapid.Bool().Draw(t, "one"),
+		EqualKeys: rapid.Bool().Draw(t, "equal"), NegativeAmounts: rapid.Bool().Draw(t, "credits"), SharedAccounts: rapid.Bool().Draw(t, "shared")}
+	if shape.SingleSegment {
+		shape.SharedAccounts = false
 	}
-	return standin.NewLedger(rapid.Uint64().Draw(t, "seed"), shape), n
+	return standin.NewDataset(rapid.Uint64().Draw(t, "seed"), shape), n
 }
 
 func drawOrder(t *rapid.T) []string {
@@ -152,8 +152,8 @@
 		most := func(int) int { return cut }
 		in := drawIn(t, n)
 		got, body := answer(t, give(t, q, l, in, most), len(in) == n)
-		truth := standin.Truth{Ledger: l, Segments: segments(n)}
-		if err := truth.Ranked(got, order, offset, limit, cut == 0); err != nil {
+		truth := standin.Oracle{Dataset: l, Segments: segments(n)}
+		if err := truth.CheckRanked(got, order, offset, limit, cut == 0); err != nil {
 			t.Fatalf("%v: %s", err, body)
 		}
 		if _, again := answer(t, give(t, q, l, shuffled(in, 5), most), len(in) == n); again != body {
@@ -173,7 +173,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		l, n := drawShape(t)
 		order, limit := drawOrder(t), rapid.IntRange(1, 25).Draw(t, "limit")
-		w := standin.PageWalk{Truth: standin.Truth{Ledger: l, Segments: segments(n)}, Order: order, Limit: limit}
+		w := standin.PagedCheck{Oracle: standin.Oracle{Dataset: l, Segments: segments(n)}, Order: order, Limit: limit}
 		p := merge.Paging{Keys: mustRing(), Life: 1000, Most: 8 << 10, Type: "r"}
 		cuts := rapid.IntRange(0, 12).Draw(t, "cut")
 		moves := rapid.Bool().Draw(t, "moves")
@@ -193,13 +193,13 @@
 				}
 			}
 			got, body := answer(t, give(t, q, l, in, func(int) int { return cuts }), len(in) == n)
-			if err := w.Page(got, cuts == 0); err != nil {
+			if err := w.CheckPage(got, cuts == 0); err != nil {
 				t.Fatalf("page %d: %v: %s", page, err, body)
 			}
-			if got.Merged.Last {
+			if got.Result.Last {
 				return
 			}
-			if cursor = got.Merged.Next; cursor == "" {
+			if cursor = got.Result.Next; cursor == "" {
 				t.Fatalf("page %d has no next one: %s", page, body)
 			}
 		}
@@ -236,8 +236,8 @@
 		}
 		in := drawIn(t, n)
 		got, body := answer(t, give(t, q, l, in, func(int) int { return cut }), len(in) == n)
-		truth := standin.Truth{Ledger: l, Segments: segments(n)}
-		if err := truth.Aggregated(got, terms, cut == 0); err != nil {
+		truth := standin.Oracle{Dataset: l, Segments: segments(n)}
+		if err := truth.CheckAggregated(got, terms, cut == 0); err != nil {
 			t.Fatalf("%v: %s", err, body)
 		}
 		if _, again := answer(t, give(t, q, l, shuffled(in, 3), func(int) int { return cut }), len(in) == n); again != body {
@@ -293,9 +293,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := standin.NewLedger(3, standin.Shape{Segments: 1, Accounts: 50})
+	l := standin.NewDataset(3, standin.DatasetShape{Segments: 1, Accounts: 50})
 	item, _ := strings.CutPrefix(figures.Ask(0), "m=")
-	value, err := l.Give(0, item, 4)
+	value, err := l.Respond(0, item, 4)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -319,7 +319,7 @@
 
 // A node that gives more than it was asked for: the first rows of its run count, and the list goes on behind them.
 func TestMoreRowsThanAskedAreCutToThose(t *testing.T) {
-	l := standin.NewLedger(8, standin.Shape{Segments: 3, Accounts: 90})
+	l := standin.NewDataset(8, standin.DatasetShape{Segments: 3, Accounts: 90})
 	order := []string{"due"}
 	ask := func(limit int) *merge.Query {
 		q, err := allowance().Query(merge.Terms{Kind: "ranked", Order: order, Limit: limit}, asked(3), false, merge.Paging{})
@@ -335,7 +335,7 @@
 	}
 	for at := range 3 {
 		item, _ := strings.CutPrefix(more.Ask(merge.Segment(at)), "m=")
-		value, err := l.Give(at, item, 0)
+		value, err := l.Respond(at, item, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -345,16 +345,16 @@
 		}
 	}
 	got, body := answer(t, m, true)
-	if err := (standin.Truth{Ledger: l, Segments: segments(3)}).Ranked(got, order, 0, 10, true); err != nil || !got.Full {
+	if err := (standin.Oracle{Dataset: l, Segments: segments(3)}).CheckRanked(got, order, 0, 10, true); err != nil || !got.Full {
 		t.Errorf("%v, full %t: %s", err, got.Full, body)
 	}
-	if n := got.Merged.Complete.Segments[0].Rows; n != 10 {
+	if n := got.Result.Complete.Segments[0].Rows; n != 10 {
 		t.Errorf("%d rows of a segment are held, 10 were asked for", n)
 	}
 }
 
 func TestACopyAndALateSegmentCountOnce(t *testing.T) {
-	l := standin.NewLedger(5, standin.Shape{Segments: 2, Accounts: 30})
+	l := standin.NewDataset(5, standin.DatasetShape{Segments: 2, Accounts: 30})
 	terms := merge.Terms{Kind: "aggregated", Limit: 1, Figures: []string{"count", "sum(amount)"}}
 	q, err := allowance().Query(terms, asked(2), false, merge.Paging{})
 	if err != nil {
@@ -363,32 +363,32 @@
 	none := func(int) int { return 0 }
 	m := give(t, q, l, []int{0}, none)
 	before, _ := answer(t, m, false)
-	if before.Full || before.Merged.Groups[0].Values[0].Is != "lower_bound" || before.Merged.Groups[0].Values[1].Is != "partial" {
+	if before.Full || before.Result.Groups[0].Values[0].Is != "lower_bound" || before.Result.Groups[0].Values[1].Is != "partial" {
 		t.Errorf("with one of two segments it says %+v", before)
 	}
 	if got, _ := answer(t, m, true); got.Full {
 		t.Error("an answer short of a segment is called whole, on somebody's word")
 	}
 	m.Spoilt(1)
-	if got, _ := answer(t, m, false); got.Merged.Complete.Segments[1].State != "unusable" {
-		t.Errorf("a segment that gave nothing usable is %s", got.Merged.Complete.Segments[1].State)
+	if got, _ := answer(t, m, false); got.Result.Complete.Segments[1].State != "unusable" {
+		t.Errorf("a segment that gave nothing usable is %s", got.Result.Complete.Segments[1].State)
 	}
 	for _, at := range []int{1, 0, 1} { // the late one, and copies
 		item, _ := strings.CutPrefix(q.Ask(merge.Segment(at)), "m=")
-		value, _ := l.Give(at, item, 0)
+		value, _ := l.Respond(at, item, 0)
 		p, err := q.Read(merge.Segment(at), value)
 		if err != nil || m.Add(p) != nil {
 			t.Fatalf("segment %d: %v", at, err)
 		}
 	}
 	got, body := answer(t, m, true)
-	if err := (standin.Truth{Ledger: l, Segments: segments(2)}).Aggregated(got, terms, true); err != nil || !got.Full {
+	if err := (standin.Oracle{Dataset: l, Segments: segments(2)}).CheckAggregated(got, terms, true); err != nil || !got.Full {
 		t.Errorf("%v, full %t: %s", err, got.Full, body)
 	}
 }
 
 func TestAnAnswerShortOfAPartIsRefusedWhereThatIsForbidden(t *testing.T) {
-	l := standin.NewLedger(5, standin.Shape{Segments: 3, Accounts: 30})
+	l := standin.NewDataset(5, standin.DatasetShape{Segments: 3, Accounts: 30})
 	q, err := allowance().Query(merge.Terms{Kind: "ranked", Order: []string{"due"}, Limit: 5}, asked(3), true, merge.Paging{})
 	if err != nil {
 		t.Fatal(err)
@@ -409,7 +409,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	sum := func(parts ...string) standin.Merged {
+	sum := func(parts ...string) standin.MergedResponse {
 		m, err := merge.New(q, wide())
 		if err != nil {
 			t.Fatal(err)
@@ -425,12 +425,12 @@
 		return got
 	}
 	const most = "9999999999999999.99"
-	got := sum(`"`+most+`",9223372036854775806,1`, `"0.00",1,0`, `"-0.01",0,1`).Merged.Groups[0].Values
+	got := sum(`"`+most+`",9223372036854775806,1`, `"0.00",1,0`, `"-0.01",0,1`).Result.Groups[0].Values
 	if string(got[0].Value) != `"9999999999999999.98"` || got[0].Is != "exact" || string(got[1].Value) != "9223372036854775807" {
 		t.Errorf("at the edge: %s %s, count %s", got[0].Value, got[0].Is, got[1].Value)
 	}
 	over := sum(`"`+most+`",9223372036854775807,1`, `"0.01",1,1`, `"0.00",0,1`)
-	for i, v := range over.Merged.Groups[0].Values[:2] {
+	for i, v := range over.Result.Groups[0].Values[:2] {
 		if string(v.Value) != "null" || v.Is != "overflow" {
 			t.Errorf("figure %d past the edge: %s %s", i, v.Value, v.Is)
 		}
@@ -439,7 +439,7 @@
 		t.Error("an answer with a sum that does not fit is called whole")
 	}
 	// In between it may pass the edge, whatever the order of arrival.
-	back := sum(`"`+most+`",1,1`, `"1.00",1,1`, `"-1.00",1,1`).Merged.Groups[0].Values
+	back := sum(`"`+most+`",1,1`, `"1.00",1,1`, `"-1.00",1,1`).Result.Groups[0].Values
 	if string(back[0].Value) != `"`+most+`"` || back[0].Is != "exact" {
 		t.Errorf("past the edge and back: %s %s", back[0].Value, back[0].Is)
 	}
@@ -465,13 +465,13 @@
 			t.Fatalf("segment %d: %v", at, err)
 		}
 	}
-	if got, body := answer(t, m, true); got.Merged.Certain != 0 || got.Full {
-		t.Errorf("it is certain of %d groups, full %t: %s", got.Merged.Certain, got.Full, body)
+	if got, body := answer(t, m, true); got.Result.Certain != 0 || got.Full {
+		t.Errorf("it is certain of %d groups, full %t: %s", got.Result.Certain, got.Full, body)
 	}
 }
 
 func TestAnAnswersBytesAreBoundedForGroupsToo(t *testing.T) {
-	l := standin.NewLedger(4, standin.Shape{Segments: 2, Accounts: 400})
+	l := standin.NewDataset(4, standin.DatasetShape{Segments: 2, Accounts: 400})
 	a := allowance()
 	a.MostAnswer = 1200
 	terms := merge.Terms{Kind: "aggregated", Group: []string{"due"}, Limit: 300, Figures: []string{"count", "sum(amount)", "mean(amount)"}}
@@ -480,22 +480,22 @@
 		t.Fatal(err)
 	}
 	got, body := answer(t, give(t, q, l, []int{0, 1}, func(int) int { return 0 }), true)
-	if n := len(got.Merged.Groups); n == 0 || n > 20 || !got.Merged.More || got.Full {
-		t.Errorf("%d groups in %d bytes, more %t, full %t", n, len(body), got.Merged.More, got.Full)
+	if n := len(got.Result.Groups); n == 0 || n > 20 || !got.Result.More || got.Full {
+		t.Errorf("%d groups in %d bytes, more %t, full %t", n, len(body), got.Result.More, got.Full)
 	}
-	if err := (standin.Truth{Ledger: l, Segments: segments(2)}).Aggregated(got, terms, false); err != nil {
+	if err := (standin.Oracle{Dataset: l, Segments: segments(2)}).CheckAggregated(got, terms, false); err != nil {
 		t.Error(err)
 	}
 }
 
 func TestAThousandOpenMergesStayWithinTheirBytes(t *testing.T) {
-	l := standin.NewLedger(9, standin.Shape{Segments: 2, Accounts: 200})
+	l := standin.NewDataset(9, standin.DatasetShape{Segments: 2, Accounts: 200})
 	q, err := allowance().Query(merge.Terms{Kind: "ranked", Order: []string{"due"}, Limit: 100}, asked(2), false, merge.Paging{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	item, _ := strings.CutPrefix(q.Ask(0), "m=")
-	value, _ := l.Give(0, item, 0)
+	value, _ := l.Respond(0, item, 0)
 	part, err := q.Read(0, value)
 	if err != nil {
 		t.Fatal(err)
