--- a/cmd/oxbowlab/main.go
+++ b/cmd/oxbowlab/main.go
@@ -4,7 +4,7 @@
 import (
 	"os"
 
-	"oxbowspan/internal/lab"
+	"oxbowspan/internal/testing/experiment"
 )
 
-func main() { os.Exit(lab.Main(os.Args[1:], os.Stdout, os.Stderr)) }
+func main() { os.Exit(experiment.Main(os.Args[1:], os.Stdout, os.Stderr)) }
--- a/internal/lab/archive.go
+++ b/internal/testing/experiment/archive.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"encoding/json"
@@ -15,17 +15,17 @@
 // Archive keeps the records of runs in one file.
 type Archive struct{ db *bbolt.DB }
 
-var runs = []byte("runs") // records as JSON, by id; ids grow with time
+var runsBucket = []byte("runs") // records as JSON, by id; ids grow with time
 
-// openWait is how long another run may hold the archive.
-const openWait = 5 * time.Second
+// lockTimeout is how long another run may hold the archive.
+const lockTimeout = 5 * time.Second
 
 // OpenArchive opens an archive, making it where there is none.
 func OpenArchive(path string) (*Archive, error) {
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 		return nil, err
 	}
-	db, err := bbolt.Open(path, 0o644, &bbolt.Options{Timeout: openWait})
+	db, err := bbolt.Open(path, 0o644, &bbolt.Options{Timeout: lockTimeout})
 	if errors.Is(err, bbolt.ErrTimeout) {
 		return nil, fmt.Errorf("archive %s is held by another run", path)
 	}
@@ -33,7 +33,7 @@
 		return nil, fmt.Errorf("archive %s: %w", path, err)
 	}
 	err = db.Update(func(tx *bbolt.Tx) error {
-		_, err := tx.CreateBucketIfNotExists(runs)
+		_, err := tx.CreateBucketIfNotExists(runsBucket)
 		return err
 	})
 	if err != nil {
@@ -52,13 +52,13 @@
 	if err != nil {
 		return err
 	}
-	return a.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(runs).Put([]byte(r.ID), b) })
+	return a.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(runsBucket).Put([]byte(r.ID), b) })
 }
 
 // All lists the records, oldest first.
 func (a *Archive) All() (out []*Record, err error) {
 	err = a.db.View(func(tx *bbolt.Tx) error {
-		return tx.Bucket(runs).ForEach(func(id, b []byte) error {
+		return tx.Bucket(runsBucket).ForEach(func(id, b []byte) error {
 			r := &Record{}
 			if err := json.Unmarshal(b, r); err != nil {
 				return fmt.Errorf("record %s: %w", id, err)
--- a/internal/lab/bench.go
+++ b/internal/testing/experiment/bench.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"bufio"
@@ -46,10 +46,10 @@
 			unit := words[i+1]
 			head, row = append(head, unit), append(row, strconv.FormatFloat(v, 'f', -1, 64))
 			if label != "" {
-				r.Point(unit, label, unit, strings.Join(line, " "), x, v)
+				r.AddPoint(unit, label, unit, strings.Join(line, " "), x, v)
 			}
 		}
-		r.Row(fmt.Sprintf("Benchmarks (%s)", strings.Join(head[1:], ", ")), head, row...)
+		r.AddRow(fmt.Sprintf("Benchmarks (%s)", strings.Join(head[1:], ", ")), head, row...)
 		n++
 	}
 	if n == 0 {
--- a/internal/lab/chart.go
+++ b/internal/testing/experiment/chart.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"fmt"
@@ -15,8 +15,8 @@
 	"github.com/jedib0t/go-pretty/v6/table"
 )
 
-// Charts lists the charts of a record: its own, and "latency" where latencies were recorded.
-func (r *Record) Charts() (out []string) {
+// ChartNames lists the charts of a record: its own, and "latency" where latencies were recorded.
+func (r *Record) ChartNames() (out []string) {
 	if len(r.Latencies) > 0 {
 		out = append(out, "latency")
 	}
@@ -28,8 +28,8 @@
 	return out
 }
 
-// Chart draws one as SVG.
-func (r *Record) Chart(name string, w io.Writer) error {
+// WriteChart draws one as SVG.
+func (r *Record) WriteChart(name string, w io.Writer) error {
 	lines := []Series{}
 	for _, s := range r.Series {
 		if s.Chart == name {
@@ -52,14 +52,14 @@
 		p.X.Label.Text = "one search in so many took longer"
 	}
 	if len(lines) == 0 {
-		return fmt.Errorf("run %s has no chart %q: %s are there", r.ID, name, strings.Join(r.Charts(), ", "))
+		return fmt.Errorf("run %s has no chart %q: %s are there", r.ID, name, strings.Join(r.ChartNames(), ", "))
 	}
 	if p.X.Label.Text == "" {
 		p.X.Label.Text = lines[0].X
 	}
 	p.Y.Label.Text = lines[0].Y
 	p.Add(plotter.NewGrid())
-	wideX, wideY := spread(lines)
+	wideX, wideY := needLogScale(lines)
 	if wideX {
 		p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
 	}
@@ -91,8 +91,8 @@
 	return err
 }
 
-// spread tells which axes hold figures so far apart that only a logarithm shows them.
-func spread(lines []Series) (x, y bool) {
+// needLogScale tells which axes hold figures so far apart that only a logarithm shows them.
+func needLogScale(lines []Series) (x, y bool) {
 	var least, most [2]float64
 	least = [2]float64{math.Inf(1), math.Inf(1)}
 	for _, s := range lines {
@@ -108,8 +108,8 @@
 	return most[0] > 30*least[0], most[1] > 30*least[1]
 }
 
-// Text writes a record's tables: for a terminal, or as Markdown.
-func (r *Record) Text(w io.Writer, markdown bool) {
+// WriteText writes a record's tables: for a terminal, or as Markdown.
+func (r *Record) WriteText(w io.Writer, markdown bool) {
 	show := func(name string, head []string, rows [][]string) {
 		t := table.NewWriter()
 		t.SetStyle(table.StyleLight)
@@ -140,16 +140,16 @@
 		show("Latency, milliseconds", []string{"what", "count", "p50", "p90", "p99", "p99.9", "most"}, rows)
 	}
 	for _, t := range r.Tables {
-		show(t.Name, t.Head, t.Rows)
+		show(t.Name, t.Header, t.Rows)
 	}
 	rows = nil
 	var names []string
-	for name := range r.Figures {
+	for name := range r.Metrics {
 		names = append(names, name)
 	}
 	slices.Sort(names)
 	for _, name := range names {
-		rows = append(rows, []string{name, fmt.Sprintf("%.6g", r.Figures[name])})
+		rows = append(rows, []string{name, fmt.Sprintf("%.6g", r.Metrics[name])})
 	}
 	if len(rows) > 0 {
 		show("Figures", []string{"figure", "value"}, rows)
--- a/internal/lab/cli.go
+++ b/internal/testing/experiment/cli.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"context"
@@ -22,25 +22,25 @@
 // Exit codes, beside 0 and command.ExitUsage.
 const (
 	exitFinding = 1 // an experiment found the program wrong
-	exitBroken  = 3 // the tool could not do its work
+	exitFailure = 3 // the tool could not do its work
 )
 
-// finding is an experiment's error: something is wrong with the program, not with the tool.
-type finding struct{ error }
+// findingError is an experiment's error: something is wrong with the program, not with the tool.
+type findingError struct{ error }
 
-func (f finding) Error() string { return "found: " + f.error.Error() }
+func (f findingError) Error() string { return "found: " + f.error.Error() }
 
 // Main runs the tool and returns its exit code.
 func Main(args []string, stdout, stderr io.Writer) int {
-	return command.Run(newRoot(stdout, stderr), args, stderr, func(err error) int {
-		if found := (finding{}); errors.As(err, &found) {
+	return command.Run(newRootCommand(stdout, stderr), args, stderr, func(err error) int {
+		if found := (findingError{}); errors.As(err, &found) {
 			return exitFinding
 		}
-		return exitBroken
+		return exitFailure
 	})
 }
 
-func newRoot(stdout, stderr io.Writer) *cobra.Command {
+func newRootCommand(stdout, stderr io.Writer) *cobra.Command {
 	var path string
 	root := command.Root(&cobra.Command{Use: "oxbowlab", Short: "Plays experiments on the built gatherer and keeps their results",
 		Long: "oxbowlab starts built gatherers and stand-ins on loopback, plays an experiment on them, checks what comes back\n" +
@@ -56,10 +56,10 @@
 		defer a.Close()
 		return do(a)
 	}
-	root.AddCommand(newRun(stdout, stderr, with))
-	root.AddCommand(newColony(stdout, stderr))
+	root.AddCommand(newRunCommand(stdout, stderr, with))
+	root.AddCommand(newClusterCommand(stdout, stderr))
 	root.AddCommand(&cobra.Command{Use: "holder ADDR SOURCE NUMBER", Hidden: true, Args: command.Words(3, "ADDR SOURCE NUMBER"),
-		RunE: func(_ *cobra.Command, args []string) error { return holderMain(args, os.Stdin, stdout) }})
+		RunE: func(_ *cobra.Command, args []string) error { return runConnectionHolder(args, os.Stdin, stdout) }})
 	root.AddCommand(&cobra.Command{Use: "bench NAME FILE", Short: "Keep what 'go test -bench' printed as a run, with tables and charts",
 		Args: command.Words(2, "NAME FILE"), Example: "  go test -run xxx -bench Merge -benchmem ./merge > b.txt && oxbowlab bench merge-ways b.txt",
 		RunE: func(_ *cobra.Command, args []string) error {
@@ -86,8 +86,8 @@
 				all, err := a.All()
 				for _, r := range all {
 					end := "good"
-					if r.Failed != "" {
-						end = "found: " + r.Failed
+					if r.Finding != "" {
+						end = "found: " + r.Finding
 					}
 					fmt.Fprintf(stdout, "%s  %-10s seed %d  quick %-5t  %5.1f s  %s\n", r.ID, r.Experiment, r.Seed, r.Quick, r.Seconds, end)
 				}
@@ -102,12 +102,12 @@
 					return err
 				}
 				fmt.Fprintf(stdout, "run %s of %s, began %s, %.1f s, seed %d, quick %t\nprogram %s\nmachine %s\n", r.ID, r.Experiment,
-					r.Began.Format(time.RFC3339), r.Seconds, r.Seed, r.Quick, r.Program, r.Machine)
-				if r.Failed != "" {
-					fmt.Fprintf(stdout, "found: %s\n", r.Failed)
+					r.StartedAt.Format(time.RFC3339), r.Seconds, r.Seed, r.Quick, r.Program, r.Machine)
+				if r.Finding != "" {
+					fmt.Fprintf(stdout, "found: %s\n", r.Finding)
 				}
-				r.Text(stdout, false)
-				if charts := r.Charts(); len(charts) > 0 {
+				r.WriteText(stdout, false)
+				if charts := r.ChartNames(); len(charts) > 0 {
 					fmt.Fprintf(stdout, "\ncharts: %s\n", strings.Join(charts, ", "))
 				}
 				return nil
@@ -119,7 +119,7 @@
 			return with(func(a *Archive) error {
 				r, err := a.Find(args[0])
 				if err == nil {
-					r.Text(stdout, markdown)
+					r.WriteText(stdout, markdown)
 				}
 				return err
 			})
@@ -131,7 +131,7 @@
 			return with(func(a *Archive) error {
 				r, err := a.Find(args[0])
 				if err == nil {
-					err = r.Chart(args[1], stdout)
+					err = r.WriteChart(args[1], stdout)
 				}
 				return err
 			})
@@ -141,11 +141,11 @@
 
 func newRecord(name string) *Record {
 	began := time.Now()
-	return &Record{ID: began.UTC().Format("20060102T150405.000"), Experiment: name, Began: began,
-		Machine: fmt.Sprintf("%s/%s, %d processors", runtime.GOOS, runtime.GOARCH, runtime.NumCPU()), Figures: map[string]float64{}}
+	return &Record{ID: began.UTC().Format("20060102T150405.000"), Experiment: name, StartedAt: began,
+		Machine: fmt.Sprintf("%s/%s, %d processors", runtime.GOOS, runtime.GOARCH, runtime.NumCPU()), Metrics: map[string]float64{}}
 }
 
-func newRun(stdout, stderr io.Writer, with func(func(*Archive) error) error) *cobra.Command {
+func newRunCommand(stdout, stderr io.Writer, with func(func(*Archive) error) error) *cobra.Command {
 	var quick bool
 	var seed uint64
 	var program, sizes string
@@ -180,23 +180,23 @@
 		defer os.RemoveAll(dir)
 		r := newRecord(x.Name)
 		r.Seed, r.Quick, r.Program = seed, quick, strings.TrimSpace(string(version))
-		e := &Env{Seed: seed, Quick: quick, Sizes: sizes, Program: program, Dir: dir, Record: r, Out: stderr}
+		e := &Env{Seed: seed, Quick: quick, Sizes: sizes, GathererPath: program, Dir: dir, Record: r, Out: stderr}
 		ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 		defer stop()
 		found := x.Run(ctx, e)
 		if ctx.Err() != nil {
 			return errors.New("broken off")
 		}
-		if r.Seconds = time.Since(r.Began).Seconds(); found != nil {
-			r.Failed = found.Error()
+		if r.Seconds = time.Since(r.StartedAt).Seconds(); found != nil {
+			r.Finding = found.Error()
 		}
 		if err := with(func(a *Archive) error { return a.Put(r) }); err != nil {
 			return err
 		}
 		if found != nil {
-			return finding{found}
+			return findingError{found}
 		}
-		r.Text(stdout, false)
+		r.WriteText(stdout, false)
 		fmt.Fprintf(stdout, "\nrun %s is kept; 'oxbowlab show %s' shows it again\n", r.ID, r.ID)
 		return nil
 	}
--- a/internal/lab/colony.go
+++ b/internal/testing/experiment/cluster.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"context"
@@ -19,8 +19,8 @@
 	"oxbowspan/internal/testing/simcluster"
 )
 
-// newColony is the command that surrounds three hives and two foragers on loopback with servers, an operator and clients.
-func newColony(out, errs io.Writer) *cobra.Command {
+// newClusterCommand is the command that surrounds three hives and two foragers on loopback with servers, an operator and clients.
+func newClusterCommand(out, errs io.Writer) *cobra.Command {
 	var bin string
 	var last time.Duration
 	cmd := &cobra.Command{Use: "colony DIR", Short: "Surround a local system with servers, an operator and clients, and check what comes back",
@@ -30,14 +30,14 @@
 			defer stop()
 			ctx, cancel := context.WithTimeout(ctx, last)
 			defer cancel()
-			return playColony(ctx, args[0], bin, out, errs)
+			return runCluster(ctx, args[0], bin, out, errs)
 		}}
 	cmd.Flags().StringVar(&bin, "bin", "", "folder of the built hive and forager, which are then started too; else they are started by hand")
 	cmd.Flags().DurationVar(&last, "for", time.Minute, "how long")
 	return cmd
 }
 
-func playColony(ctx context.Context, dir, bin string, out, errs io.Writer) error {
+func runCluster(ctx context.Context, dir, bin string, out, errs io.Writer) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
@@ -86,7 +86,7 @@
 			asked++
 			ok, fault := c.SendExample(c.Gateways[asked%len(c.Gateways)], asked/2, fmt.Sprintf("%x-%d", os.Getpid(), asked))
 			if fault != "" {
-				return finding{fmt.Errorf("%s", fault)}
+				return findingError{fmt.Errorf("%s", fault)}
 			}
 			if ok {
 				served++
@@ -103,7 +103,7 @@
 	}
 	fmt.Fprintf(out, "%d requests, %d served, no rule broken\n", asked, served)
 	if 2*served < asked {
-		return finding{fmt.Errorf("only %d of %d requests were served", served, asked)}
+		return findingError{fmt.Errorf("only %d of %d requests were served", served, asked)}
 	}
 	return nil
 }
--- a/internal/lab/hold.go
+++ b/internal/testing/experiment/connection_holder.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"bufio"
@@ -28,58 +28,58 @@
 //	trickle K B MS  sends a search on K of them at B bytes a second, for MS at most   asked K and by status, 0 = closed
 //	churn MS N   opens one, asks once and closes it, N times a second for MS          asked K and by status
 //	quit         closes all
-type holder struct {
-	cmd *exec.Cmd
-	in  io.WriteCloser
-	out *bufio.Scanner
+type connectionHolder struct {
+	cmd    *exec.Cmd
+	input  io.WriteCloser
+	output *bufio.Scanner
 }
 
-// startHolder starts one. source is the loopback address that its connections come from.
-func (e *Env) startHolder(addr, source string, number int) (*holder, error) {
+// startConnectionHolder starts one. source is the loopback address that its connections come from.
+func (e *Env) startConnectionHolder(addr, source string, number int) (*connectionHolder, error) {
 	own, err := os.Executable()
 	if err != nil {
 		return nil, err
 	}
-	h := &holder{cmd: exec.Command(own, "holder", addr, source, strconv.Itoa(number))}
+	h := &connectionHolder{cmd: exec.Command(own, "holder", addr, source, strconv.Itoa(number))}
 	h.cmd.Stderr = e.Out
-	if h.in, err = h.cmd.StdinPipe(); err != nil {
+	if h.input, err = h.cmd.StdinPipe(); err != nil {
 		return nil, err
 	}
 	out, err := h.cmd.StdoutPipe()
 	if err != nil {
 		return nil, err
 	}
-	h.out = bufio.NewScanner(out)
+	h.output = bufio.NewScanner(out)
 	return h, h.cmd.Start()
 }
 
 // do gives an order and waits for what becomes of it.
-func (h *holder) do(format string, args ...any) (map[string]float64, error) {
-	if _, err := fmt.Fprintf(h.in, format+"\n", args...); err != nil {
+func (h *connectionHolder) do(format string, args ...any) (map[string]float64, error) {
+	if _, err := fmt.Fprintf(h.input, format+"\n", args...); err != nil {
 		return nil, err
 	}
-	if !h.out.Scan() {
+	if !h.output.Scan() {
 		return nil, fmt.Errorf("a holder ended")
 	}
 	got := map[string]float64{}
-	for _, w := range strings.Fields(h.out.Text()) {
+	for _, w := range strings.Fields(h.output.Text()) {
 		name, value, _ := strings.Cut(w, "=")
 		v, err := strconv.ParseFloat(value, 64)
 		if err != nil {
-			return nil, fmt.Errorf("a holder says %q", h.out.Text())
+			return nil, fmt.Errorf("a holder says %q", h.output.Text())
 		}
 		got[name] = v
 	}
 	return got, nil
 }
 
-func (h *holder) stop() {
-	h.in.Close() // it ends at the end of its input
+func (h *connectionHolder) stop() {
+	h.input.Close() // it ends at the end of its input
 	h.cmd.Wait()
 }
 
-// holderMain is the holder's side.
-func holderMain(args []string, in io.Reader, out io.Writer) error {
+// runConnectionHolder is the holder's side.
+func runConnectionHolder(args []string, in io.Reader, out io.Writer) error {
 	if len(args) != 3 {
 		return command.Wrong("a holder is started by the tool alone")
 	}
@@ -88,7 +88,7 @@
 	if err != nil {
 		return command.Wrong("a holder's number: %w", err)
 	}
-	var conns []*heldConn
+	var conns []*clientConn
 	var lastID atomic.Uint64
 	lastID.Store(uint64(number+1) << 40)
 	search := func() []byte {
@@ -119,8 +119,8 @@
 					failed++
 					continue
 				}
-				h := &heldConn{c: c, dial: dial}
-				if status := h.ask(search()); status != http.StatusOK {
+				h := &clientConn{conn: c, dial: dial}
+				if status := h.send(search()); status != http.StatusOK {
 					failed++
 					c.Close()
 					continue
@@ -129,27 +129,27 @@
 			}
 			fmt.Fprintf(out, "held=%d failed=%d\n", len(conns), failed)
 		case "wake":
-			by, l := each(conns[:min(n, len(conns))], time.Duration(within)*time.Millisecond, func(h *heldConn) int { return h.ask(search()) })
-			ms := func(q float64) float64 { return float64(l.h.ValueAtQuantile(q)) / 1000 }
-			fmt.Fprintf(out, "%s p50=%g p99=%g max=%g\n", byStatus(by), ms(50), ms(99), ms(100))
+			by, l := spreadOver(conns[:min(n, len(conns))], time.Duration(within)*time.Millisecond, func(h *clientConn) int { return h.send(search()) })
+			ms := func(q float64) float64 { return float64(l.histogram.ValueAtQuantile(q)) / 1000 }
+			fmt.Fprintf(out, "%s p50=%g p99=%g max=%g\n", formatStatusCounts(by), ms(50), ms(99), ms(100))
 		case "silent":
-			opened, closed := strangers(dial, n, time.Duration(within)*time.Millisecond)
+			opened, closed := openSilentConnections(dial, n, time.Duration(within)*time.Millisecond)
 			fmt.Fprintf(out, "opened=%d closed=%d\n", opened, closed)
 		case "trickle":
 			limit := time.Duration(args[2]) * time.Millisecond
-			by, _ := each(conns[:min(n, len(conns))], 0, func(h *heldConn) int { return h.trickle(search(), within, limit) })
-			fmt.Fprintln(out, byStatus(by))
+			by, _ := spreadOver(conns[:min(n, len(conns))], 0, func(h *clientConn) int { return h.trickle(search(), within, limit) })
+			fmt.Fprintln(out, formatStatusCounts(by))
 		case "churn":
-			var fresh []*heldConn
+			var fresh []*clientConn
 			for range within * n / 1000 {
-				fresh = append(fresh, &heldConn{over: true, dial: dial})
+				fresh = append(fresh, &clientConn{closed: true, dial: dial})
 			}
-			by, _ := each(fresh, time.Duration(n)*time.Millisecond, func(h *heldConn) int {
-				status := h.ask(search())
-				h.drop()
+			by, _ := spreadOver(fresh, time.Duration(n)*time.Millisecond, func(h *clientConn) int {
+				status := h.send(search())
+				h.close()
 				return status
 			})
-			fmt.Fprintln(out, byStatus(by))
+			fmt.Fprintln(out, formatStatusCounts(by))
 		case "quit":
 			return nil
 		}
@@ -157,9 +157,9 @@
 	return nil
 }
 
-// each does something with each of some connections, spread evenly over a time, and waits until all is done.
-func each(conns []*heldConn, within time.Duration, do func(*heldConn) int) (map[int]int, *Latency) {
-	l := NewLatency()
+// spreadOver does something with each of some connections, spread evenly over a time, and waits until all is done.
+func spreadOver(conns []*clientConn, within time.Duration, do func(*clientConn) int) (map[int]int, *LatencyRecorder) {
+	l := NewLatencyRecorder()
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	by := map[int]int{}
@@ -179,7 +179,7 @@
 	return by, l
 }
 
-func byStatus(by map[int]int) string {
+func formatStatusCounts(by map[int]int) string {
 	var b strings.Builder
 	n := 0
 	for status, k := range by {
@@ -189,8 +189,8 @@
 	return fmt.Sprintf("asked=%d%s", n, b.String())
 }
 
-// strangers opens connections that never speak, holds them for a time and tells how many the other side closed.
-func strangers(dial func() (net.Conn, error), n int, hold time.Duration) (opened int, closed int64) {
+// openSilentConnections opens connections that never speak, holds them for a time and tells how many the other side closed.
+func openSilentConnections(dial func() (net.Conn, error), n int, hold time.Duration) (opened int, closed int64) {
 	var gone atomic.Int64
 	var all []net.Conn
 	var readers sync.WaitGroup
@@ -217,81 +217,81 @@
 	return len(all), gone.Load()
 }
 
-// heldConn is one connection of a holder, which is made anew where an answer said that it would be closed.
-type heldConn struct {
-	c    net.Conn
-	dial func() (net.Conn, error)
-	over bool
+// clientConn is one connection of a holder, which is made anew where an answer said that it would be closed.
+type clientConn struct {
+	conn   net.Conn
+	dial   func() (net.Conn, error)
+	closed bool
 }
 
-// answerLimit is how long a holder waits for an answer: longer than any client timeout of the experiment.
-const answerLimit = 6 * time.Second
+// responseTimeout is how long a holder waits for an answer: longer than any client timeout of the experiment.
+const responseTimeout = 6 * time.Second
 
 // open makes sure that there is a connection.
-func (h *heldConn) open() bool {
-	if h.over {
+func (h *clientConn) open() bool {
+	if h.closed {
 		c, err := h.dial()
 		if err != nil {
 			return false
 		}
-		h.c, h.over = c, false
+		h.conn, h.closed = c, false
 	}
 	return true
 }
 
-func (h *heldConn) drop() {
-	if !h.over {
-		h.c.Close()
-		h.over = true
+func (h *clientConn) close() {
+	if !h.closed {
+		h.conn.Close()
+		h.closed = true
 	}
 }
 
 // trickle sends a search at so many bytes a second, and gives the answer's status; 0 = the connection was closed.
-func (h *heldConn) trickle(request []byte, rate int, limit time.Duration) int {
+func (h *clientConn) trickle(request []byte, rate int, limit time.Duration) int {
 	if !h.open() {
 		return 0
 	}
-	h.c.SetDeadline(time.Now().Add(limit))
+	h.conn.SetDeadline(time.Now().Add(limit))
 	tick := time.NewTicker(time.Second / time.Duration(max(rate, 1)))
 	defer tick.Stop()
 	for _, b := range request[:len(request)-1] {
-		if _, err := h.c.Write([]byte{b}); err != nil {
-			h.drop()
+		if _, err := h.conn.Write([]byte{b}); err != nil {
+			h.close()
 			return 0
 		}
 		<-tick.C
 	}
-	return h.ask(request[len(request)-1:])
+	return h.send(request[len(request)-1:])
 }
 
-// ask sends a search and gives the answer's status; 0 = none came.
-func (h *heldConn) ask(request []byte) int {
+// send sends a search and gives the answer's status; 0 = none came.
+func (h *clientConn) send(request []byte) int {
 	if !h.open() {
 		return 0
 	}
-	h.c.SetDeadline(time.Now().Add(answerLimit))
-	defer func() { h.c.SetDeadline(time.Time{}) }()
-	if _, err := h.c.Write(request); err != nil {
-		h.drop()
+	h.conn.SetDeadline(time.Now().Add(responseTimeout))
+	defer func() { h.conn.SetDeadline(time.Time{}) }()
+	if _, err := h.conn.Write(request); err != nil {
+		h.close()
 		return 0
 	}
-	return h.answer()
+	return h.readStatus()
 }
 
-// answer reads an answer and gives its status; 0 = none came.
-func (h *heldConn) answer() int {
-	res, err := http.ReadResponse(bufio.NewReaderSize(h.c, 512), nil)
+// readStatus reads an answer and gives its status; 0 = none came.
+func (h *clientConn) readStatus() int {
+	res, err := http.ReadResponse(bufio.NewReaderSize(h.conn, 512), nil)
 	if err != nil {
-		h.drop()
+		h.close()
 		return 0
 	}
 	defer res.Body.Close()
 	if _, err := io.Copy(io.Discard, res.Body); err != nil {
-		h.drop()
+		h.close()
 		return 0
 	}
 	if res.Close {
-		h.drop()
+		h.close()
 	}
 	return res.StatusCode
 }
--- a/internal/lab/lab.go
+++ b/internal/testing/experiment/experiment.go
@@ -1,10 +1,10 @@
-// Package lab is the load and experiment tool: it starts built gatherers and stand-ins on loopback, plays an experiment
+// Package experiment is the load and experiment tool: it starts built gatherers and stand-ins on loopback, plays an experiment
 // on them, checks what comes back, and keeps the results.
 //
 // An experiment is a Run function in a file of its own, registered in its init; see merge.go. It gets an Env: seed,
 // scale, progress, and a Record to put figures, latencies and series into. What it returns as an error is a finding
 // against the program and ends the tool with a code of its own.
-package lab
+package experiment
 
 import (
 	"context"
@@ -51,13 +51,13 @@
 
 // Env is what an experiment is given.
 type Env struct {
-	Seed    uint64
-	Quick   bool   // a scale that ends within 40 s
-	Sizes   string // sizes of one's own, for experiments that take any; "" = the experiment's
-	Program string // the built gatherer
-	Dir     string // for files; it goes when the run ends
-	Record  *Record
-	Out     io.Writer // for the experiment's own words
+	Seed         uint64
+	Quick        bool   // a scale that ends within 40 s
+	Sizes        string // sizes of one's own, for experiments that take any; "" = the experiment's
+	GathererPath string // the built gatherer
+	Dir          string // for files; it goes when the run ends
+	Record       *Record
+	Out          io.Writer // for the experiment's own words
 
 	mu  sync.Mutex
 	bar *progressbar.ProgressBar
@@ -94,13 +94,13 @@
 
 // Command makes a command that runs the built gatherer. Nothing of the environment reaches it but what it needs to run.
 func (e *Env) Command(args ...string) *exec.Cmd {
-	c := exec.Command(e.Program, args...)
+	c := exec.Command(e.GathererPath, args...)
 	c.Env = []string{"PATH=" + os.Getenv("PATH"), "TMPDIR=" + e.Dir}
 	return c
 }
 
-// File writes a file into the run's directory.
-func (e *Env) File(name, text string) (string, error) {
+// WriteFile writes a file into the run's directory.
+func (e *Env) WriteFile(name, text string) (string, error) {
 	path := filepath.Join(e.Dir, name)
 	if err := os.MkdirAll(filepath.Dir(path), 0o700); err != nil {
 		return "", err
@@ -108,52 +108,52 @@
 	return path, os.WriteFile(path, []byte(text), 0o600)
 }
 
-// Latency is a latency record that several goroutines may add to: microseconds up to a minute, three digits.
-type Latency struct {
-	mu sync.Mutex
-	h  *hdrhistogram.Histogram
+// LatencyRecorder is a latency record that several goroutines may add to: microseconds up to a minute, three digits.
+type LatencyRecorder struct {
+	mu        sync.Mutex
+	histogram *hdrhistogram.Histogram
 }
 
-// NewLatency makes an empty one.
-func NewLatency() *Latency {
-	return &Latency{h: hdrhistogram.New(1, time.Minute.Microseconds(), 3)}
+// NewLatencyRecorder makes an empty one.
+func NewLatencyRecorder() *LatencyRecorder {
+	return &LatencyRecorder{histogram: hdrhistogram.New(1, time.Minute.Microseconds(), 3)}
 }
 
 // Add adds one.
-func (l *Latency) Add(d time.Duration) {
+func (l *LatencyRecorder) Add(d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.h.RecordValue(min(max(d.Microseconds(), 1), time.Minute.Microseconds()))
+	l.histogram.RecordValue(min(max(d.Microseconds(), 1), time.Minute.Microseconds()))
 }
 
 // reset forgets what was added.
-func (l *Latency) reset() {
+func (l *LatencyRecorder) reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.h.Reset()
+	l.histogram.Reset()
 }
 
 // Record is what a run leaves in the archive.
 type Record struct {
 	ID         string             `json:"id"`
 	Experiment string             `json:"experiment"`
-	Began      time.Time          `json:"began"`
+	StartedAt  time.Time          `json:"began"`
 	Seconds    float64            `json:"seconds"`
 	Seed       uint64             `json:"seed"`
 	Quick      bool               `json:"quick"`
 	Program    string             `json:"program"` // its version, as it says
 	Machine    string             `json:"machine"`
-	Failed     string             `json:"failed,omitempty"` // the finding that ended it
-	Figures    map[string]float64 `json:"figures"`
-	Latencies  []LatencyRow       `json:"latencies,omitempty"`
+	Finding    string             `json:"failed,omitempty"` // the finding that ended it
+	Metrics    map[string]float64 `json:"figures"`
+	Latencies  []LatencySummary   `json:"latencies,omitempty"`
 	Tables     []Table            `json:"tables,omitempty"`
 	Series     []Series           `json:"series,omitempty"`
 
 	mu sync.Mutex
 }
 
-// LatencyRow is one latency record of a run, in milliseconds.
-type LatencyRow struct {
+// LatencySummary is one latency record of a run, in milliseconds.
+type LatencySummary struct {
 	Name   string       `json:"name"`
 	Count  int64        `json:"count"`
 	P50    float64      `json:"p50"`
@@ -166,9 +166,9 @@
 
 // Table is rows of text under a head.
 type Table struct {
-	Name string     `json:"name"`
-	Head []string   `json:"head"`
-	Rows [][]string `json:"rows"`
+	Name   string     `json:"name"`
+	Header []string   `json:"head"`
+	Rows   [][]string `json:"rows"`
 }
 
 // Series is points of one line of a chart.
@@ -180,61 +180,61 @@
 	Points [][2]float64 `json:"points"`
 }
 
-// Figure sets a figure of the run.
-func (r *Record) Figure(name string, v float64) {
+// SetMetric sets a figure of the run.
+func (r *Record) SetMetric(name string, v float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.Figures[name] = v
+	r.Metrics[name] = v
 }
 
-// Add adds to a figure of the run.
-func (r *Record) Add(name string, v float64) {
+// AddToMetric adds to a figure of the run.
+func (r *Record) AddToMetric(name string, v float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.Figures[name] += v
+	r.Metrics[name] += v
 }
 
-// Get is a figure of the run; 0 where there is none.
-func (r *Record) Get(name string) float64 {
+// Metric is a figure of the run; 0 where there is none.
+func (r *Record) Metric(name string) float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.Figures[name]
+	return r.Metrics[name]
 }
 
-// Latency keeps a latency record under a name.
-func (r *Record) Latency(name string, l *Latency) {
-	row := l.row(name)
+// AddLatency keeps a latency record under a name.
+func (r *Record) AddLatency(name string, l *LatencyRecorder) {
+	row := l.summary(name)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Latencies = append(r.Latencies, row)
 }
 
-// row sums up what was added.
-func (l *Latency) row(name string) LatencyRow {
+// summary sums up what was added.
+func (l *LatencyRecorder) summary(name string) LatencySummary {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	ms := func(q float64) float64 { return float64(l.h.ValueAtQuantile(q)) / 1000 }
-	row := LatencyRow{Name: name, Count: l.h.TotalCount(), P50: ms(50), P90: ms(90), P99: ms(99), P999: ms(99.9), Max: float64(l.h.Max()) / 1000}
+	ms := func(q float64) float64 { return float64(l.histogram.ValueAtQuantile(q)) / 1000 }
+	row := LatencySummary{Name: name, Count: l.histogram.TotalCount(), P50: ms(50), P90: ms(90), P99: ms(99), P999: ms(99.9), Max: float64(l.histogram.Max()) / 1000}
 	for _, q := range []float64{0, 10, 25, 50, 75, 90, 95, 99, 99.5, 99.9, 99.99} {
 		row.Points = append(row.Points, [2]float64{q, ms(q)})
 	}
 	return row
 }
 
-// Row adds a row to a table, which it makes where there is none yet.
-func (r *Record) Row(table string, head []string, row ...string) {
+// AddRow adds a row to a table, which it makes where there is none yet.
+func (r *Record) AddRow(table string, head []string, row ...string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	at := slices.IndexFunc(r.Tables, func(t Table) bool { return t.Name == table })
 	if at < 0 {
 		at = len(r.Tables)
-		r.Tables = append(r.Tables, Table{Name: table, Head: head})
+		r.Tables = append(r.Tables, Table{Name: table, Header: head})
 	}
 	r.Tables[at].Rows = append(r.Tables[at].Rows, row)
 }
 
-// Point adds a point to a line of a chart.
-func (r *Record) Point(chart, x, y, line string, px, py float64) {
+// AddPoint adds a point to a line of a chart.
+func (r *Record) AddPoint(chart, x, y, line string, px, py float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	at := slices.IndexFunc(r.Series, func(s Series) bool { return s.Chart == chart && s.Name == line })
--- a/internal/lab/fairshares.go
+++ b/internal/testing/experiment/fair_shares.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"context"
@@ -26,15 +26,15 @@
 }
 
 const (
-	tellerLimit = 40                    // connections that each server takes
-	tellerWork  = 80 * time.Millisecond // of any request
+	fairSharesConnectionLimit = 40                    // connections that each server takes
+	fairSharesServiceTime     = 80 * time.Millisecond // of any request
 )
 
-func tellerConfig() []byte {
+func fairSharesConfig() []byte {
 	var c config.Configuration
 	json.Unmarshal(simcluster.ExampleConfiguration(1, simcluster.FirstSharding), &c)
 	for i := range c.Services {
-		c.Services[i].ConnectionLimit = tellerLimit
+		c.Services[i].ConnectionLimit = fairSharesConnectionLimit
 	}
 	c.Routes = []config.Route{
 		{Name: "letters", Hostname: "h.example", PathPrefix: "/letters/", RouteKind: config.Retryable, TimeoutMS: 6000, TargetMS: 3000, GatheredServices: simcluster.FirstSharding, Attempts: 1, TopRecords: 30, MinimumShare: 1},
@@ -45,7 +45,7 @@
 	return text
 }
 
-func tellerTenants(strict bool) []byte {
+func fairSharesTenants(strict bool) []byte {
 	route := func(paths ...string) (out []config.TenantRoute) {
 		for _, p := range paths {
 			out = append(out, config.TenantRoute{Hostname: "h.example", PathPrefix: p})
@@ -57,32 +57,32 @@
 	if strict {
 		none := 0
 		for i := range doc.Tenants {
-			doc.Tenants[i].Weight, doc.Tenants[i].MaxConnections, doc.Tenants[i].MaxBorrowed = 1, tellerLimit/2, &none
+			doc.Tenants[i].Weight, doc.Tenants[i].MaxConnections, doc.Tenants[i].MaxBorrowed = 1, fairSharesConnectionLimit/2, &none
 		}
 	}
 	text, _ := json.Marshal(doc)
 	return text
 }
 
-// morning is what came of one phase.
-type morning struct {
-	letters, lost, cut, twice atomic.Int64
-	short                     *Latency
-	times                     []time.Duration
-	mu                        sync.Mutex
+// phaseResult is what came of one phase.
+type phaseResult struct {
+	batch, failed, interrupted, executedTwice atomic.Int64
+	interactive                               *LatencyRecorder
+	latencies                                 []time.Duration
+	mu                                        sync.Mutex
 }
 
-func (m *morning) quantile(q float64) float64 {
-	slices.Sort(m.times)
-	if len(m.times) == 0 {
+func (m *phaseResult) quantile(q float64) float64 {
+	slices.Sort(m.latencies)
+	if len(m.latencies) == 0 {
 		return 0
 	}
-	return float64(m.times[min(int(q*float64(len(m.times))), len(m.times)-1)]) / float64(time.Millisecond)
+	return float64(m.latencies[min(int(q*float64(len(m.latencies))), len(m.latencies)-1)]) / float64(time.Millisecond)
 }
 
-// over counts what took longer than a bound.
-func (m *morning) over(ms float64) (n int) {
-	for _, t := range m.times {
+// countAbove counts what took longer than a bound.
+func (m *phaseResult) countAbove(ms float64) (n int) {
+	for _, t := range m.latencies {
 		if float64(t)/float64(time.Millisecond) > ms {
 			n++
 		}
@@ -91,21 +91,21 @@
 }
 
 // phase plays a time with or without the letter run and the short requests. Away tells which foragers clients do not go to now.
-func (s *system) phase(name string, letters, short bool, last time.Duration, away func(i int) bool) *morning {
-	m := &morning{short: NewLatency()}
+func (s *localCluster) phase(name string, letters, short bool, last time.Duration, away func(i int) bool) *phaseResult {
+	m := &phaseResult{interactive: NewLatencyRecorder()}
 	until := time.Now().Add(last)
 	var all sync.WaitGroup
 	if letters {
-		for i := range 45 * len(s.c.Gateways) { // all in one tick
+		for i := range 45 * len(s.cluster.Gateways) { // all in one tick
 			all.Go(func() {
 				for n := 0; time.Now().Before(until); n++ {
-					at := (i + n) % len(s.c.Gateways)
+					at := (i + n) % len(s.cluster.Gateways)
 					if away(at) {
 						continue
 					}
-					a := s.c.SendRequest(s.c.Gateways[at], "GET", "h.example", "/letters/x", fmt.Sprint(name, "l", i, "-", n), 6*time.Second)
+					a := s.cluster.SendRequest(s.cluster.Gateways[at], "GET", "h.example", "/letters/x", fmt.Sprint(name, "l", i, "-", n), 6*time.Second)
 					if a.Status == http.StatusOK {
-						m.letters.Add(1)
+						m.batch.Add(1)
 					} else {
 						time.Sleep(50 * time.Millisecond)
 					}
@@ -116,37 +116,37 @@
 	for n := 0; short && time.Now().Before(until); n++ {
 		time.Sleep(time.Duration(4+rand.IntN(8)) * time.Millisecond)
 		all.Go(func() {
-			at := n % len(s.c.Gateways)
+			at := n % len(s.cluster.Gateways)
 			for away(at) {
-				at = (at + 1) % len(s.c.Gateways)
+				at = (at + 1) % len(s.cluster.Gateways)
 			}
 			id := fmt.Sprint(name, "s", n)
 			began := time.Now()
 			var a simcluster.Response
 			switch n % 5 {
 			case 0:
-				a = s.c.SendRequest(s.c.Gateways[at], "POST", "h.example", "/post/x", id, 3*time.Second)
-				if s.c.RequestLog.Executions("a2", id) > 1 {
-					m.twice.Add(1)
+				a = s.cluster.SendRequest(s.cluster.Gateways[at], "POST", "h.example", "/post/x", id, 3*time.Second)
+				if s.cluster.RequestLog.Executions("a2", id) > 1 {
+					m.executedTwice.Add(1)
 				}
 				if a.Status == 0 && !away(at) {
-					m.cut.Add(1)
+					m.interrupted.Add(1)
 				}
 			case 1, 2:
-				a = s.c.SendRequest(s.c.Gateways[at], "GET", "h.example", "/finder/x", id, 3*time.Second)
+				a = s.cluster.SendRequest(s.cluster.Gateways[at], "GET", "h.example", "/finder/x", id, 3*time.Second)
 			default:
-				a = s.c.SendRequest(s.c.Gateways[at], "GET", "h.example", "/counter/x", id, 3*time.Second)
+				a = s.cluster.SendRequest(s.cluster.Gateways[at], "GET", "h.example", "/counter/x", id, 3*time.Second)
 			}
 			took := time.Since(began)
 			if away(at) && a.Status != http.StatusOK {
 				return // it met a gatherer that went away meanwhile: its client goes elsewhere
 			}
 			if a.Status != http.StatusOK {
-				m.lost.Add(1)
+				m.failed.Add(1)
 			}
-			m.short.Add(took)
+			m.interactive.Add(took)
 			m.mu.Lock()
-			m.times = append(m.times, took)
+			m.latencies = append(m.latencies, took)
 			m.mu.Unlock()
 		})
 	}
@@ -155,11 +155,11 @@
 }
 
 func runFairShares(ctx context.Context, e *Env) error {
-	s, err := e.startSystem("fair", 3, 5, false, tellerConfig(), func(c *simcluster.Cluster) {
+	s, err := e.startCluster("fair", 3, 5, false, fairSharesConfig(), func(c *simcluster.Cluster) {
 		for _, service := range simcluster.FirstSharding {
 			for range 3 {
-				srv := c.AddServer(service, tellerWork)
-				srv.Concurrency, srv.ConnectionLimit = 1000, tellerLimit
+				srv := c.AddServer(service, fairSharesServiceTime)
+				srv.Concurrency, srv.ConnectionLimit = 1000, fairSharesConnectionLimit
 			}
 		}
 	})
@@ -172,7 +172,7 @@
 	here := func(int) bool { return false }
 	version := uint64(0)
 	set := func(strict bool) error {
-		if got := s.c.ReplaceDocument(s.c.Controllers[1], config.TenantsDocumentName, version, tellerTenants(strict)); got != http.StatusOK {
+		if got := s.cluster.ReplaceDocument(s.cluster.Controllers[1], config.TenantsDocumentName, version, fairSharesTenants(strict)); got != http.StatusOK {
 			return fmt.Errorf("a document of tenants is not agreed on: %d", got)
 		}
 		version++
@@ -180,11 +180,11 @@
 		return nil
 	}
 	e.Progress("fair shares", 6)
-	all := map[string]*morning{}
+	all := map[string]*phaseResult{}
 	names := []string{"quiet morning", "letters alone", "both, no shares", "both, strict halves", "both, shares", "the same, kill and freezes"}
 	play := func(name string, letters, short bool, last time.Duration, away func(int) bool) {
 		all[name] = s.phase(name, letters, short, last, away)
-		e.Record.Latency(name+": short requests", all[name].short)
+		e.Record.AddLatency(name+": short requests", all[name].interactive)
 		e.Step()
 	}
 	s.phase("warm", true, true, 2*time.Second, here)
@@ -208,14 +208,14 @@
 	go func() {
 		time.Sleep(last / 4)
 		gone.Store(2)
-		s.kill(2)
+		s.killGateway(2)
 		time.Sleep(300 * time.Millisecond)
-		s.begin(2)
+		s.restartGateway(2)
 		time.Sleep(1500 * time.Millisecond)
 		gone.Store(-1)
 		frozen.Store(3)
-		freeze(s.gather[3], 1500*time.Millisecond)
-		freeze(s.hives[0], 2*time.Second)
+		suspend(s.gateways[3], 1500*time.Millisecond)
+		suspend(s.controllers[0], 2*time.Second)
 		time.Sleep(2 * time.Second)
 		frozen.Store(-1)
 	}()
@@ -228,31 +228,31 @@
 		if i == 5 {
 			seconds += 4
 		}
-		e.Record.Row("short requests and letters", []string{"phase", "p50 ms", "p99 ms", "over 1.25 of quiet p99", "of", "lost", "letters a second", "ids twice", "posts cut off"},
-			name, fmt.Sprintf("%.1f", m.quantile(0.5)), fmt.Sprintf("%.1f", m.quantile(0.99)), fmt.Sprint(m.over(bound)), fmt.Sprint(len(m.times)), fmt.Sprint(m.lost.Load()),
-			fmt.Sprintf("%.0f", float64(m.letters.Load())/seconds), fmt.Sprint(m.twice.Load()), fmt.Sprint(m.cut.Load()))
-		e.Record.Point("p99", "phase", "p99 of short requests, ms", "p99", float64(i+1), m.quantile(0.99))
+		e.Record.AddRow("short requests and letters", []string{"phase", "p50 ms", "p99 ms", "over 1.25 of quiet p99", "of", "lost", "letters a second", "ids twice", "posts cut off"},
+			name, fmt.Sprintf("%.1f", m.quantile(0.5)), fmt.Sprintf("%.1f", m.quantile(0.99)), fmt.Sprint(m.countAbove(bound)), fmt.Sprint(len(m.latencies)), fmt.Sprint(m.failed.Load()),
+			fmt.Sprintf("%.0f", float64(m.batch.Load())/seconds), fmt.Sprint(m.executedTwice.Load()), fmt.Sprint(m.interrupted.Load()))
+		e.Record.AddPoint("p99", "phase", "p99 of short requests, ms", "p99", float64(i+1), m.quantile(0.99))
 	}
 	both := all[names[4]]
 	// What the rest takes: each of its requests one connection for as long as a letter's part.
-	rest := float64(len(both.times)) / last.Seconds() * tellerWork.Seconds() / (9 * 0.9 * tellerLimit)
-	want := 0.9 * (1 - rest) * float64(alone.letters.Load())
-	e.Record.Figure("letters beside the rest, of those alone", float64(both.letters.Load())/max(float64(alone.letters.Load()), 1))
-	e.Record.Figure("connections that the rest takes, of all", rest)
+	rest := float64(len(both.latencies)) / last.Seconds() * fairSharesServiceTime.Seconds() / (9 * 0.9 * fairSharesConnectionLimit)
+	want := 0.9 * (1 - rest) * float64(alone.batch.Load())
+	e.Record.SetMetric("letters beside the rest, of those alone", float64(both.batch.Load())/max(float64(alone.batch.Load()), 1))
+	e.Record.SetMetric("connections that the rest takes, of all", rest)
 	for _, m := range all {
-		if m.twice.Load() > 0 {
-			return fmt.Errorf("%d posts ran twice", m.twice.Load())
+		if m.executedTwice.Load() > 0 {
+			return fmt.Errorf("%d posts ran twice", m.executedTwice.Load())
 		}
 	}
-	if n := all[names[5]].cut.Load() + both.cut.Load(); n > 0 {
+	if n := all[names[5]].interrupted.Load() + both.interrupted.Load(); n > 0 {
 		return fmt.Errorf("%d posts were cut off at gatherers that were well", n)
 	}
 	switch {
 	case both.quantile(0.5) > 1.25*quiet.quantile(0.5) || both.quantile(0.99) > bound:
 		return fmt.Errorf("short requests beside the run take %.1f and %.1f ms, on a quiet morning %.1f and %.1f", both.quantile(0.5), both.quantile(0.99),
 			quiet.quantile(0.5), quiet.quantile(0.99))
-	case float64(both.letters.Load()) < want:
-		return fmt.Errorf("the run sends %d letters, at least %.0f are wanted", both.letters.Load(), want)
+	case float64(both.batch.Load()) < want:
+		return fmt.Errorf("the run sends %d letters, at least %.0f are wanted", both.batch.Load(), want)
 	}
 	return nil
 }
--- a/internal/lab/idle.go
+++ b/internal/testing/experiment/idle.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"context"
@@ -23,64 +23,64 @@
 		Run: runIdle})
 }
 
-// idlePromises are what parking is held to.
-type idlePromises struct {
-	ratio      float64 // times less resident memory a connection than kept goroutines
-	own        float64 // bytes a connection by the runtime's figures, beside ownSlack in all
-	holdingCPU float64 // share of a core
-	usual      float64 // share of usual look-ups answered while all wake, trickle or say nothing
-	slower     float64 // times the empty gatherer's p99 while a tenth wakes
+// idleLimits are what parking is held to.
+type idleLimits struct {
+	memoryRatio   float64 // times less resident memory a connection than kept goroutines
+	heapBytes     float64 // bytes a connection by the runtime's figures, beside heapSlackBytes in all
+	holdingCPU    float64 // share of a core
+	answeredShare float64 // share of usual look-ups answered while all wake, trickle or say nothing
+	p99Ratio      float64 // times the empty gatherer's p99 while a tenth wakes
 }
 
-// ownSlack is by how much the runtime's figure moves with the garbage that happens to lie there.
-const ownSlack = 2 << 20
+// heapSlackBytes is by how much the runtime's figure moves with the garbage that happens to lie there.
+const heapSlackBytes = 2 << 20
 
 type idleResult struct {
-	perConn, own, cpu float64
-	rest, held        Usage
+	residentBytes, heapBytes, cpu float64
+	before, during                Usage
 }
 
 func runIdle(ctx context.Context, e *Env) error {
 	sizes := []int{1000, 5000, 10_000, 12_800}
-	promise := idlePromises{ratio: 8, own: 512, holdingCPU: 0.01, usual: 0.95, slower: 2}
+	promise := idleLimits{memoryRatio: 8, heapBytes: 512, holdingCPU: 0.01, answeredShare: 0.95, p99Ratio: 2}
 	if e.Quick {
 		sizes = []int{3000}
 	}
 	for _, n := range sizes {
 		results := map[string]idleResult{}
 		for _, way := range []string{"kept", "parked"} {
-			r, err := e.idle(ctx, way, n, promise)
+			r, err := e.measureIdle(ctx, way, n, promise)
 			if err != nil {
 				return fmt.Errorf("%d connections, %s: %w", n, way, err)
 			}
 			results[way] = r
-			e.Record.Point("bytes a connection", "connections", "bytes of resident memory", way, float64(n), r.perConn)
-			e.Record.Point("bytes a connection", "connections", "bytes of resident memory", way+", the runtime's figure", float64(n), r.own)
-			e.Record.Point("processor time of holding", "connections", "share of a core", way, float64(n), max(r.cpu, 1e-5))
+			e.Record.AddPoint("bytes a connection", "connections", "bytes of resident memory", way, float64(n), r.residentBytes)
+			e.Record.AddPoint("bytes a connection", "connections", "bytes of resident memory", way+", the runtime's figure", float64(n), r.heapBytes)
+			e.Record.AddPoint("processor time of holding", "connections", "share of a core", way, float64(n), max(r.cpu, 1e-5))
 		}
 		kept, parked := results["kept"], results["parked"]
 		if n >= 10_000 {
-			promise.ratio = 40 // with fewer the slack of the runtime is more than what the connections hold
+			promise.memoryRatio = 40 // with fewer the slack of the runtime is more than what the connections hold
 		}
-		if parked.perConn*promise.ratio > kept.perConn {
-			return fmt.Errorf("%d connections: %.0f bytes each parked, %.0f kept: less than %.0f times less", n, parked.perConn, kept.perConn, promise.ratio)
+		if parked.residentBytes*promise.memoryRatio > kept.residentBytes {
+			return fmt.Errorf("%d connections: %.0f bytes each parked, %.0f kept: less than %.0f times less", n, parked.residentBytes, kept.residentBytes, promise.memoryRatio)
 		}
 	}
 	if !e.Quick {
-		return e.idleMany(ctx, 8, 12_500)
+		return e.measureIdleOverGatherers(ctx, 8, 12_500)
 	}
 	return nil
 }
 
-// runtimeFigures are the last that a gatherer logged of itself.
-type runtimeFigures struct {
-	mu   sync.Mutex
-	last map[string]int64
-	n    int // how often it did
+// runtimeMetrics are the last that a gatherer logged of itself.
+type runtimeMetrics struct {
+	mu      sync.Mutex
+	last    map[string]int64
+	reports int // how often it did
 }
 
-// take reads a line of its log.
-func (r *runtimeFigures) take(line string) {
+// observeLine reads a line of its log.
+func (r *runtimeMetrics) observeLine(line string) {
 	if !strings.Contains(line, "event=memory ") {
 		return
 	}
@@ -94,17 +94,17 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.last = got
-	r.n++
+	r.reports++
 }
 
 // next waits for the next two, the second of which was taken wholly after now.
-func (r *runtimeFigures) next(ctx context.Context) map[string]int64 {
+func (r *runtimeMetrics) next(ctx context.Context) map[string]int64 {
 	r.mu.Lock()
-	from := r.n
+	from := r.reports
 	r.mu.Unlock()
 	for tick := time.NewTicker(20 * time.Millisecond); ; {
 		r.mu.Lock()
-		last, n := r.last, r.n
+		last, n := r.last, r.reports
 		r.mu.Unlock()
 		if n >= from+2 || ctx.Err() != nil {
 			tick.Stop()
@@ -114,39 +114,39 @@
 	}
 }
 
-// idlePlay is one gatherer under an idle experiment, with its usual clients.
-type idlePlay struct {
-	e       *Env
-	ctx     context.Context
-	name    string
-	site    *Site
-	figures runtimeFigures
-	client  *http.Client
-	next    atomic.Uint64
-	holders []*holder
+// idleScenario is one gatherer under an idle experiment, with its usual clients.
+type idleScenario struct {
+	env        *Env
+	ctx        context.Context
+	name       string
+	deployment *Deployment
+	metrics    runtimeMetrics
+	client     *http.Client
+	next       atomic.Uint64
+	holders    []*connectionHolder
 }
 
-func (e *Env) idleSite(ctx context.Context, name, doors string) (*idlePlay, error) {
-	p := &idlePlay{e: e, ctx: ctx, name: name}
+func (e *Env) startIdleScenario(ctx context.Context, name, doors string) (*idleScenario, error) {
+	p := &idleScenario{env: e, ctx: ctx, name: name}
 	var err error
-	p.site, err = e.StartSite(SiteShape{Name: strings.ReplaceAll(name, " ", "-"), Cells: 4, Segments: 4, MemoryMB: 2048, Sockets: 20_000,
-		Types: []SiteType{{"lookup", "free", time.Second, 2 * time.Second, 1, 1}}, Operator: doors + "[memory]\nreport = 250ms\n", Line: p.figures.take})
+	p.deployment, err = e.StartDeployment(DeploymentOptions{Name: strings.ReplaceAll(name, " ", "-"), Servers: 4, Segments: 4, MemoryMB: 2048, MaxDescriptors: 20_000,
+		Types: []QueryType{{"lookup", "free", time.Second, 2 * time.Second, 1, 1}}, OperatorConfig: doors + "[memory]\nreport = 250ms\n", OnLogLine: p.metrics.observeLine})
 	p.client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 8}, Timeout: 8 * time.Second}
 	return p, err
 }
 
-func (p *idlePlay) stop() {
+func (p *idleScenario) stop() {
 	for _, h := range p.holders {
 		h.stop()
 	}
-	p.site.Stop()
+	p.deployment.Stop()
 }
 
-func (p *idlePlay) one(l *Latency) int {
+func (p *idleScenario) lookUp(l *LatencyRecorder) int {
 	n := p.next.Add(1)
 	s := standin.Request{ID: fmt.Sprintf("%016x", 1<<60+n), QueryType: "lookup", Customer: "acme", Timeout: 1900 * time.Millisecond,
 		Shards: []int{int(n) % 4}, Statement: "c41e77d0"}
-	r, err := s.Send(p.ctx, p.client, p.site.Gatherer.Addr)
+	r, err := s.Send(p.ctx, p.client, p.deployment.Gatherer.Addr)
 	if err != nil {
 		return 0
 	}
@@ -154,9 +154,9 @@
 	return r.Status
 }
 
-// usual plays look-ups by a few clients until it is told to stop.
-func (p *idlePlay) usual(label string) (stop func() (good, all int, l *Latency)) {
-	l := NewLatency()
+// startBackgroundLoad plays look-ups by a few clients until it is told to stop.
+func (p *idleScenario) startBackgroundLoad(label string) (stop func() (good, all int, l *LatencyRecorder)) {
+	l := NewLatencyRecorder()
 	done := make(chan struct{})
 	var workers sync.WaitGroup
 	var good, all atomic.Int64
@@ -173,41 +173,41 @@
 				case <-pace.C:
 				}
 				all.Add(1)
-				if status := p.one(l); status == http.StatusOK {
+				if status := p.lookUp(l); status == http.StatusOK {
 					good.Add(1)
 				} else {
-					p.e.Record.Add(fmt.Sprintf("%s, %s: usual look-ups answered %d", p.name, label, status), 1)
+					p.env.Record.AddToMetric(fmt.Sprintf("%s, %s: usual look-ups answered %d", p.name, label, status), 1)
 				}
 			}
 		}()
 	}
-	return func() (int, int, *Latency) {
+	return func() (int, int, *LatencyRecorder) {
 		close(done)
 		workers.Wait()
-		p.e.Record.Latency(p.name+", "+label, l)
+		p.env.Record.AddLatency(p.name+", "+label, l)
 		return int(good.Load()), int(all.Load()), l
 	}
 }
 
-func (p *idlePlay) wait(d time.Duration) {
+func (p *idleScenario) sleep(d time.Duration) {
 	select {
 	case <-time.After(d):
 	case <-p.ctx.Done():
 	}
 }
 
-func (p *idlePlay) run(label string, d time.Duration) (good, all int, l *Latency) {
-	stop := p.usual(label)
-	p.wait(d)
+func (p *idleScenario) runBackgroundLoad(label string, d time.Duration) (good, all int, l *LatencyRecorder) {
+	stop := p.startBackgroundLoad(label)
+	p.sleep(d)
 	return stop()
 }
 
-// holding opens connections that ask once and stay, from holders at addresses of their own, all at the same time.
-func (p *idlePlay) holding(n, each, firstSource int) error {
+// openConnections opens connections that ask once and stay, from holders at addresses of their own, all at the same time.
+func (p *idleScenario) openConnections(n, each, firstSource int) error {
 	var opened sync.WaitGroup
 	errs := make(chan error, n/each+1)
 	for left, i := n, 0; left > 0; left, i = left-each, i+1 {
-		h, err := p.e.startHolder(p.site.Gatherer.Addr, fmt.Sprintf("127.0.%d.%d", (firstSource+i)/200, 10+(firstSource+i)%200), firstSource+i)
+		h, err := p.env.startConnectionHolder(p.deployment.Gatherer.Addr, fmt.Sprintf("127.0.%d.%d", (firstSource+i)/200, 10+(firstSource+i)%200), firstSource+i)
 		if err != nil {
 			return err
 		}
@@ -227,9 +227,9 @@
 	return <-errs
 }
 
-// crowd gives all holders an order, plays usual clients meanwhile and for a moment longer, and sums up what came of it.
-func (p *idlePlay) crowd(label string, order func(*holder) (map[string]float64, error)) (by map[string]float64, good, all int, l *Latency, err error) {
-	stop := p.usual(label)
+// runWave gives all holders an order, plays usual clients meanwhile and for a moment longer, and sums up what came of it.
+func (p *idleScenario) runWave(label string, order func(*connectionHolder) (map[string]float64, error)) (by map[string]float64, good, all int, l *LatencyRecorder, err error) {
+	stop := p.startBackgroundLoad(label)
 	by = map[string]float64{}
 	var mu sync.Mutex
 	var both sync.WaitGroup
@@ -253,68 +253,68 @@
 		}()
 	}
 	both.Wait()
-	p.wait(p.e.span(400, 1000)) // what the wave leaves behind is part of it
+	p.sleep(p.env.scaleMillis(400, 1000)) // what the wave leaves behind is part of it
 	good, all, l = stop()
 	return by, good, all, l, err
 }
 
-// idle plays one way and size.
-func (e *Env) idle(ctx context.Context, way string, n int, promise idlePromises) (res idleResult, err error) {
+// measureIdle plays one way and size.
+func (e *Env) measureIdle(ctx context.Context, way string, n int, promise idleLimits) (res idleResult, err error) {
 	park := map[string]string{"kept": "no", "parked": "yes"}[way]
-	p, err := e.idleSite(ctx, fmt.Sprintf("%s %d", way, n), "[connections]\npark = "+park+"\nawake = 16\ncrowd = off\nhead_rate = 200\nbody_rate = 200\nanswer_rate = 200\n")
+	p, err := e.startIdleScenario(ctx, fmt.Sprintf("%s %d", way, n), "[connections]\npark = "+park+"\nawake = 16\ncrowd = off\nhead_rate = 200\nbody_rate = 200\nanswer_rate = 200\n")
 	if err != nil {
 		return res, err
 	}
 	defer p.stop()
-	pid := p.site.Gatherer.PID()
+	pid := p.deployment.Gatherer.PID()
 	e.Progress(p.name, 9)
-	p.run("warming up", time.Second/2)
-	good, all, empty := p.run("empty", e.span(1500, 4000))
+	p.runBackgroundLoad("warming up", time.Second/2)
+	good, all, empty := p.runBackgroundLoad("empty", e.scaleMillis(1500, 4000))
 	if good < all {
 		return res, fmt.Errorf("%d of %d look-ups are answered by a gatherer that holds nothing else", good, all)
 	}
 	e.Step()
-	ownRest := p.figures.next(ctx)
-	if res.rest, err = ReadUsage(pid); err != nil {
+	ownRest := p.metrics.next(ctx)
+	if res.before, err = ReadUsage(pid); err != nil {
 		return res, err
 	}
 	const each = 3200
-	if err := p.holding(n, each, 0); err != nil {
+	if err := p.openConnections(n, each, 0); err != nil {
 		return res, err
 	}
 	e.Step()
 	// Memory and processor time of holding, once what was lent has gone back.
-	p.wait(e.span(2500, 6000))
-	ownHeld := p.figures.next(ctx)
+	p.sleep(e.scaleMillis(2500, 6000))
+	ownHeld := p.metrics.next(ctx)
 	before, err := ReadUsage(pid)
 	if err != nil {
 		return res, err
 	}
-	holding := e.span(2000, 10_000)
-	p.wait(holding)
-	if res.held, err = ReadUsage(pid); err != nil {
+	holding := e.scaleMillis(2000, 10_000)
+	p.sleep(holding)
+	if res.during, err = ReadUsage(pid); err != nil {
 		return res, err
 	}
-	res.perConn = float64(res.held.RSS-res.rest.RSS) / float64(n)
-	res.own = float64(ownHeld["heap"]+ownHeld["stacks"]-ownRest["heap"]-ownRest["stacks"]) / float64(n)
-	res.cpu = (res.held.CPU - before.CPU).Seconds() / holding.Seconds()
+	res.residentBytes = float64(res.during.RSS-res.before.RSS) / float64(n)
+	res.heapBytes = float64(ownHeld["heap"]+ownHeld["stacks"]-ownRest["heap"]-ownRest["stacks"]) / float64(n)
+	res.cpu = (res.during.CPU - before.CPU).Seconds() / holding.Seconds()
 	e.Step()
-	p.run("holding", e.span(1000, 3000))
+	p.runBackgroundLoad("holding", e.scaleMillis(1000, 3000))
 	e.Step()
 	table := func(what string, by map[string]float64, good, all int) {
-		e.Record.Row("Waves", []string{"way", "connections", "wave", "asked", "200", "503", "closed or other", "p99 ms", "most ms", "usual kept"},
+		e.Record.AddRow("Waves", []string{"way", "connections", "wave", "asked", "200", "503", "closed or other", "p99 ms", "most ms", "usual kept"},
 			way, fmt.Sprint(n), what, fmt.Sprintf("%.0f", by["asked"]), fmt.Sprintf("%.0f", by["200"]), fmt.Sprintf("%.0f", by["503"]),
 			fmt.Sprintf("%.0f", by["asked"]-by["200"]-by["503"]), fmt.Sprintf("%.1f", by["p99"]), fmt.Sprintf("%.1f", by["max"]), fmt.Sprintf("%d of %d", good, all))
 	}
 	parked := way == "parked"
 	keeps := func(what string, good, all int) error {
-		if parked && float64(good) < promise.usual*float64(all) {
+		if parked && float64(good) < promise.answeredShare*float64(all) {
 			return fmt.Errorf("%s: %d of %d usual look-ups are answered", what, good, all)
 		}
 		return nil
 	}
-	wave := func(what string, mayClose bool, order string, args ...any) (*Latency, error) {
-		by, good, all, l, err := p.crowd(what, func(h *holder) (map[string]float64, error) { return h.do(order, args...) })
+	wave := func(what string, mayClose bool, order string, args ...any) (*LatencyRecorder, error) {
+		by, good, all, l, err := p.runWave(what, func(h *connectionHolder) (map[string]float64, error) { return h.do(order, args...) })
 		if err != nil {
 			return nil, err
 		}
@@ -338,14 +338,14 @@
 	if _, err := wave("100 each trickle 50 bytes/s", true, "trickle 100 50 3000"); err != nil {
 		return res, err
 	}
-	stop := p.usual("strangers say nothing")
+	stop := p.startBackgroundLoad("strangers say nothing")
 	h := p.holders[0]
 	got, err := h.do("silent %d 2600", min(n/2, 2000))
 	if err != nil {
 		return res, err
 	}
 	good, all, _ = stop()
-	e.Record.Row("Strangers that never speak", []string{"way", "connections", "came", "closed within 2.6 s", "usual kept"},
+	e.Record.AddRow("Strangers that never speak", []string{"way", "connections", "came", "closed within 2.6 s", "usual kept"},
 		way, fmt.Sprint(n), fmt.Sprintf("%.0f", got["opened"]), fmt.Sprintf("%.0f", got["closed"]), fmt.Sprintf("%d of %d", good, all))
 	if err := keeps("strangers", good, all); err != nil {
 		return res, err
@@ -354,30 +354,30 @@
 	if err != nil {
 		return res, err
 	}
-	end := p.figures.next(ctx)
-	e.Record.Row("Holding", []string{"way", "connections", "empty MiB", "holding MiB", "bytes each, resident", "bytes each, heap and stacks", "goroutines more",
+	end := p.metrics.next(ctx)
+	e.Record.AddRow("Holding", []string{"way", "connections", "empty MiB", "holding MiB", "bytes each, resident", "bytes each, heap and stacks", "goroutines more",
 		"descriptors", "core share", "threads", "peak MiB", "accounted peak MiB"},
-		way, fmt.Sprint(n), fmt.Sprintf("%.1f", mib(res.rest.RSS)), fmt.Sprintf("%.1f", mib(res.held.RSS)), fmt.Sprintf("%.0f", res.perConn),
-		fmt.Sprintf("%.0f", res.own), fmt.Sprint(ownHeld["goroutines"]-ownRest["goroutines"]), fmt.Sprint(res.held.Descriptors),
-		fmt.Sprintf("%.4f", res.cpu), fmt.Sprint(res.held.Threads), fmt.Sprintf("%.1f", mib(peak.Peak)), fmt.Sprintf("%.1f", mib(end["peak"])))
-	p99 := func(l *Latency) float64 { return float64(l.h.ValueAtQuantile(99)) / 1000 }
-	e.Record.Figure(p.name+": p99 while a tenth wakes over the empty gatherer's", p99(tenth)/p99(empty))
+		way, fmt.Sprint(n), fmt.Sprintf("%.1f", toMiB(res.before.RSS)), fmt.Sprintf("%.1f", toMiB(res.during.RSS)), fmt.Sprintf("%.0f", res.residentBytes),
+		fmt.Sprintf("%.0f", res.heapBytes), fmt.Sprint(ownHeld["goroutines"]-ownRest["goroutines"]), fmt.Sprint(res.during.Descriptors),
+		fmt.Sprintf("%.4f", res.cpu), fmt.Sprint(res.during.Threads), fmt.Sprintf("%.1f", toMiB(peak.Peak)), fmt.Sprintf("%.1f", toMiB(end["peak"])))
+	p99 := func(l *LatencyRecorder) float64 { return float64(l.histogram.ValueAtQuantile(99)) / 1000 }
+	e.Record.SetMetric(p.name+": p99 while a tenth wakes over the empty gatherer's", p99(tenth)/p99(empty))
 	if parked {
 		switch slower := p99(tenth) / p99(empty); {
 		case res.cpu > promise.holdingCPU:
 			return res, fmt.Errorf("holding costs %.3f of a core, promised is %.3f", res.cpu, promise.holdingCPU)
-		case res.own*float64(n) > promise.own*float64(n)+ownSlack:
-			return res, fmt.Errorf("a connection costs %.0f bytes of heap and stacks, promised are %.0f", res.own, promise.own)
-		case slower > promise.slower:
+		case res.heapBytes*float64(n) > promise.heapBytes*float64(n)+heapSlackBytes:
+			return res, fmt.Errorf("a connection costs %.0f bytes of heap and stacks, promised are %.0f", res.heapBytes, promise.heapBytes)
+		case slower > promise.p99Ratio:
 			return res, fmt.Errorf("look-ups' p99 is %.2f times the empty gatherer's while a tenth wakes", slower)
 		}
 	}
 	return res, nil
 }
 
-// idleMany holds many connections over several gatherers, which all park.
-func (e *Env) idleMany(ctx context.Context, gatherers, each int) error {
-	var plays []*idlePlay
+// measureIdleOverGatherers holds many connections over several gatherers, which all park.
+func (e *Env) measureIdleOverGatherers(ctx context.Context, gatherers, each int) error {
+	var plays []*idleScenario
 	defer func() {
 		for _, p := range plays {
 			p.stop()
@@ -386,27 +386,27 @@
 	total, own := int64(0), int64(0)
 	e.Progress(fmt.Sprintf("%d on %d", gatherers*each, gatherers), gatherers+2)
 	for i := range gatherers {
-		p, err := e.idleSite(ctx, fmt.Sprintf("gatherer %d of %d", i+1, gatherers), "[connections]\nawake = 16\ncrowd = off\n")
+		p, err := e.startIdleScenario(ctx, fmt.Sprintf("gatherer %d of %d", i+1, gatherers), "[connections]\nawake = 16\ncrowd = off\n")
 		if err != nil {
 			return err
 		}
 		plays = append(plays, p)
-		p.run("warming up", time.Second)
-		_, _, _ = p.run("empty", time.Second)
-		rest, err := ReadUsage(p.site.Gatherer.PID())
+		p.runBackgroundLoad("warming up", time.Second)
+		_, _, _ = p.runBackgroundLoad("empty", time.Second)
+		rest, err := ReadUsage(p.deployment.Gatherer.PID())
 		if err != nil {
 			return err
 		}
-		ownRest := p.figures.next(ctx)
-		if err := p.holding(each, 3200, 100+10*i); err != nil {
+		ownRest := p.metrics.next(ctx)
+		if err := p.openConnections(each, 3200, 100+10*i); err != nil {
 			return err
 		}
-		p.wait(3 * time.Second)
-		held, err := ReadUsage(p.site.Gatherer.PID())
+		p.sleep(3 * time.Second)
+		held, err := ReadUsage(p.deployment.Gatherer.PID())
 		if err != nil {
 			return err
 		}
-		ownHeld := p.figures.next(ctx)
+		ownHeld := p.metrics.next(ctx)
 		total += held.RSS - rest.RSS
 		own += ownHeld["heap"] + ownHeld["stacks"] - ownRest["heap"] - ownRest["stacks"]
 		e.Step()
@@ -414,16 +414,16 @@
 	n := float64(gatherers * each)
 	before := make([]time.Duration, gatherers)
 	for i, p := range plays {
-		u, err := ReadUsage(p.site.Gatherer.PID())
+		u, err := ReadUsage(p.deployment.Gatherer.PID())
 		if err != nil {
 			return err
 		}
 		before[i] = u.CPU
 	}
-	plays[0].wait(10 * time.Second)
+	plays[0].sleep(10 * time.Second)
 	cpu := time.Duration(0)
 	for i, p := range plays {
-		u, err := ReadUsage(p.site.Gatherer.PID())
+		u, err := ReadUsage(p.deployment.Gatherer.PID())
 		if err != nil {
 			return err
 		}
@@ -432,12 +432,12 @@
 	e.Step()
 	// A tenth of all wakes, on all gatherers at once; the first one's usual clients are looked at.
 	first := plays[0]
-	good, all, held := first.run("holding", 2*time.Second)
+	good, all, held := first.runBackgroundLoad("holding", 2*time.Second)
 	var others sync.WaitGroup
 	by := map[string]float64{}
 	var mu sync.Mutex
 	var failed error
-	stop := first.usual("a tenth of all wakes")
+	stop := first.startBackgroundLoad("a tenth of all wakes")
 	for _, p := range plays {
 		for _, h := range p.holders {
 			others.Add(1)
@@ -461,8 +461,8 @@
 	if failed != nil {
 		return failed
 	}
-	p99 := func(l *Latency) float64 { return float64(l.h.ValueAtQuantile(99)) / 1000 }
-	e.Record.Row("Many, over several gatherers", []string{"gatherers", "connections", "bytes each, resident", "bytes each, heap and stacks", "cores of holding, in all",
+	p99 := func(l *LatencyRecorder) float64 { return float64(l.histogram.ValueAtQuantile(99)) / 1000 }
+	e.Record.AddRow("Many, over several gatherers", []string{"gatherers", "connections", "bytes each, resident", "bytes each, heap and stacks", "cores of holding, in all",
 		"woken", "200", "503", "other", "usual p99 ms holding", "while a tenth wakes", "usual kept"},
 		fmt.Sprint(gatherers), fmt.Sprint(gatherers*each), fmt.Sprintf("%.0f", float64(total)/n), fmt.Sprintf("%.0f", float64(own)/n), fmt.Sprintf("%.4f", cpu.Seconds()/10),
 		fmt.Sprintf("%.0f", by["asked"]), fmt.Sprintf("%.0f", by["200"]), fmt.Sprintf("%.0f", by["503"]), fmt.Sprintf("%.0f", by["asked"]-by["200"]-by["503"]),
@@ -473,9 +473,9 @@
 	return nil
 }
 
-// span picks a time in milliseconds: short with Quick, else full.
-func (e *Env) span(short, full int) time.Duration {
+// scaleMillis picks a time in milliseconds: short with Quick, else full.
+func (e *Env) scaleMillis(short, full int) time.Duration {
 	return time.Duration(e.Scale(short, full)) * time.Millisecond
 }
 
-func mib(bytes int64) float64 { return float64(bytes) / (1 << 20) }
+func toMiB(bytes int64) float64 { return float64(bytes) / (1 << 20) }
--- a/internal/lab/levels.go
+++ b/internal/testing/experiment/levels.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"context"
@@ -23,27 +23,27 @@
 than promised while a quarter is dead, if there are more changes than stated, or if a search gets no final answer.`, Run: runLevels})
 }
 
-// oneAtATime is a shard server that does one part after another, each in so long, and can be hung.
-type oneAtATime struct {
-	mu   sync.Mutex
-	hung atomic.Bool
-	took time.Duration
+// serialServer is a shard server that does one part after another, each in so long, and can be hung.
+type serialServer struct {
+	mu          sync.Mutex
+	hung        atomic.Bool
+	serviceTime time.Duration
 }
 
-func (o *oneAtATime) do(c *standin.ShardConn, p standin.ShardCall) {
+func (o *serialServer) handle(c *standin.ShardConn, p standin.ShardCall) {
 	if o.hung.Load() {
 		return // no word
 	}
 	go func() {
 		o.mu.Lock()
 		defer o.mu.Unlock()
-		time.Sleep(o.took)
+		time.Sleep(o.serviceTime)
 		c.Respond(p.ID, "served", "x")
 	}()
 }
 
-// levelsFile is the operator's file: the same levels with bands and dwell times, or with plain thresholds.
-func levelsFile(plain bool) string {
+// levelsConfig is the operator's file: the same levels with bands and dwell times, or with plain thresholds.
+func levelsConfig(plain bool) string {
 	times, exits := "smooth = 500ms\nenter_for = 300ms\nexit_for = 1s\nswing = 10s\nramp = 1s\n", [2]string{"lost 0.05 load 0.6 late 0.05", "late 0.1 load 0.7"}
 	if plain {
 		times = "smooth = 0s\nenter_for = 0s\nexit_for = 100ms\nramp = 0s\nups = 60\nlongest = 1\n"
@@ -54,9 +54,9 @@
 		"[level essential]\nenter = late 0.3 load 1.1\nexit = " + exits[1] + "\nshare = report 0\nretry_after = 1s\n"
 }
 
-// levelsResult is what became of the searches of one phase.
-type levelsResult struct {
-	asked, good, shed, other [2]atomic.Int64 // look-ups, reports
+// levelsPhase is what became of the searches of one phase.
+type levelsPhase struct {
+	sent, answered, shed, timedOut [2]atomic.Int64 // look-ups, reports
 }
 
 func runLevels(ctx context.Context, e *Env) error {
@@ -69,7 +69,7 @@
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			if err := e.levels(ctx, way); err != nil {
+			if err := e.measureLevels(ctx, way); err != nil {
 				errs[i] = fmt.Errorf("%s: %w", way, err)
 			}
 		}()
@@ -78,21 +78,21 @@
 	return errors.Join(errs...)
 }
 
-func (e *Env) levels(ctx context.Context, way string) error {
-	operator := map[string]string{"no levels": "", "plain thresholds": levelsFile(true), "levels": levelsFile(false)}[way]
+func (e *Env) measureLevels(ctx context.Context, way string) error {
+	operator := map[string]string{"no levels": "", "plain thresholds": levelsConfig(true), "levels": levelsConfig(false)}[way]
 	const servers = 8
-	work := make([]*oneAtATime, servers)
-	byHost := map[string]*oneAtATime{}
+	work := make([]*serialServer, servers)
+	byHost := map[string]*serialServer{}
 	for i := range work {
-		work[i] = &oneAtATime{took: 8 * time.Millisecond} // 125 parts a second each, 1,000 in all
+		work[i] = &serialServer{serviceTime: 8 * time.Millisecond} // 125 parts a second each, 1,000 in all
 		byHost[fmt.Sprintf("s-%d", i)] = work[i]
 	}
 	var mu sync.Mutex
 	var changes []string
-	site, err := e.StartSite(SiteShape{Name: "levels " + way, Cells: servers, Segments: servers, MemoryMB: 128, Operator: operator,
-		Types: []SiteType{{"lookup", "free", 300 * time.Millisecond, 600 * time.Millisecond, 1, 1}, {"report", "free", 300 * time.Millisecond, 600 * time.Millisecond, 1, 1}},
-		Do:    func(c *standin.ShardConn, p standin.ShardCall) { byHost[c.Server.Host].do(c, p) },
-		Line: func(line string) {
+	site, err := e.StartDeployment(DeploymentOptions{Name: "levels " + way, Servers: servers, Segments: servers, MemoryMB: 128, OperatorConfig: operator,
+		Types:  []QueryType{{"lookup", "free", 300 * time.Millisecond, 600 * time.Millisecond, 1, 1}, {"report", "free", 300 * time.Millisecond, 600 * time.Millisecond, 1, 1}},
+		Handle: func(c *standin.ShardConn, p standin.ShardCall) { byHost[c.Server.Host].handle(c, p) },
+		OnLogLine: func(line string) {
 			if strings.Contains(line, "event=level ") && strings.Contains(line, "scope=all") {
 				mu.Lock()
 				defer mu.Unlock()
@@ -106,7 +106,7 @@
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}, Timeout: 3 * time.Second}
 	var next atomic.Int64
 	var open sync.WaitGroup
-	one := func(r *levelsResult, kind int) {
+	one := func(r *levelsPhase, kind int) {
 		defer open.Done()
 		n := next.Add(1)
 		s := standin.Request{ID: fmt.Sprintf("%016x", n), QueryType: []string{"lookup", "report"}[kind], Customer: "acme", Timeout: 550 * time.Millisecond,
@@ -114,22 +114,22 @@
 		if kind == 1 { // a report asks three segments
 			s.Shards = []int{int(n) % servers, int(n+3) % servers, int(n+5) % servers}
 		}
-		r.asked[kind].Add(1)
+		r.sent[kind].Add(1)
 		a, err := s.Send(ctx, client, site.Gatherer.Addr)
 		switch {
 		case err == nil && a.Status == http.StatusOK:
-			r.good[kind].Add(1)
+			r.answered[kind].Add(1)
 		case err == nil && a.Status == http.StatusServiceUnavailable:
 			r.shed[kind].Add(1)
 		case err == nil && a.Status == http.StatusGatewayTimeout:
-			r.other[kind].Add(1)
+			r.timedOut[kind].Add(1)
 		default:
-			e.Record.Add(way+": searches without a final answer", 1)
+			e.Record.AddToMetric(way+": searches without a final answer", 1)
 		}
 	}
 	// phase plays look-ups and reports a second for some time.
-	phase := func(d time.Duration, lookups, reports func(at time.Duration) float64) *levelsResult {
-		r := &levelsResult{}
+	phase := func(d time.Duration, lookups, reports func(at time.Duration) float64) *levelsPhase {
+		r := &levelsPhase{}
 		tick := time.NewTicker(2 * time.Millisecond)
 		defer tick.Stop()
 		due := [2]float64{}
@@ -155,13 +155,13 @@
 		work[1].hung.Store(on)
 		work[5].hung.Store(on)
 	}
-	span := e.span(2000, 20_000)
+	span := e.scaleMillis(2000, 20_000)
 	began := time.Now()
-	row := func(name string, r *levelsResult) {
+	row := func(name string, r *levelsPhase) {
 		part := func(n, of int64) string { return fmt.Sprintf("%.3f", float64(n)/float64(max(of, 1))) }
-		e.Record.Row("Answered by phase", []string{"way", "phase", "look-ups", "answered", "shed", "errored", "reports", "answered", "shed", "errored"}, way, name,
-			fmt.Sprint(r.asked[0].Load()), part(r.good[0].Load(), r.asked[0].Load()), part(r.shed[0].Load(), r.asked[0].Load()), part(r.other[0].Load(), r.asked[0].Load()),
-			fmt.Sprint(r.asked[1].Load()), part(r.good[1].Load(), r.asked[1].Load()), part(r.shed[1].Load(), r.asked[1].Load()), part(r.other[1].Load(), r.asked[1].Load()))
+		e.Record.AddRow("Answered by phase", []string{"way", "phase", "look-ups", "answered", "shed", "errored", "reports", "answered", "shed", "errored"}, way, name,
+			fmt.Sprint(r.sent[0].Load()), part(r.answered[0].Load(), r.sent[0].Load()), part(r.shed[0].Load(), r.sent[0].Load()), part(r.timedOut[0].Load(), r.sent[0].Load()),
+			fmt.Sprint(r.sent[1].Load()), part(r.answered[1].Load(), r.sent[1].Load()), part(r.shed[1].Load(), r.sent[1].Load()), part(r.timedOut[1].Load(), r.sent[1].Load()))
 		e.Step()
 	}
 	phase(span/2, steady(300), steady(80)) // warms up
@@ -185,12 +185,12 @@
 	n := len(changes)
 	mu.Unlock()
 	minutes := time.Since(began).Minutes()
-	e.Record.Row("Changes of level", []string{"way", "changes", "minutes"}, way, fmt.Sprint(n), fmt.Sprintf("%.1f", minutes))
+	e.Record.AddRow("Changes of level", []string{"way", "changes", "minutes"}, way, fmt.Sprint(n), fmt.Sprintf("%.1f", minutes))
 	if way != "levels" {
 		return nil
 	}
 	mostChanges := 2*4 + 2
-	switch kept := float64(dead.good[0].Load()) / float64(max(dead.asked[0].Load(), 1)); {
+	switch kept := float64(dead.answered[0].Load()) / float64(max(dead.sent[0].Load(), 1)); {
 	case kept < 0.95:
 		return fmt.Errorf("%.3f of the look-ups are answered while a quarter is dead", kept)
 	case float64(n) > float64(mostChanges)*max(minutes, 1):
@@ -198,7 +198,7 @@
 	case n == 0:
 		return fmt.Errorf("no change of level, with a quarter dead")
 	}
-	if lost := e.Record.Get(way + ": searches without a final answer"); lost > 0 {
+	if lost := e.Record.Metric(way + ": searches without a final answer"); lost > 0 {
 		return fmt.Errorf("%.0f searches got no final answer", lost)
 	}
 	return nil
--- a/internal/lab/merge.go
+++ b/internal/testing/experiment/merge.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"context"
@@ -28,44 +28,44 @@
 }
 
 // The ways in which a shard server spoils a part, and how often, in thousandths.
-type faults struct {
-	late, stall, die, spoil, unsorted, schema, twice, less, more int
+type faultRates struct {
+	delayed, stalled, reset, corrupted, unsorted, wrongSchema, duplicated, tooFew, tooMany int
 }
 
 var (
-	calm  = faults{}
-	rough = faults{late: 40, stall: 6, die: 6, spoil: 15, unsorted: 10, schema: 6, twice: 4, more: 30}
-	short = faults{less: 250, late: 20, spoil: 10}
-	dying = faults{stall: 25, die: 15, late: 60}
+	noFaults           = faultRates{}
+	mixedFaults        = faultRates{delayed: 40, stalled: 6, reset: 6, corrupted: 15, unsorted: 10, wrongSchema: 6, duplicated: 4, tooMany: 30}
+	truncatingFaults   = faultRates{tooFew: 250, delayed: 20, corrupted: 10}
+	unresponsiveFaults = faultRates{stalled: 25, reset: 15, delayed: 60}
 )
 
 // mergeRun is one site's share of the experiment.
 type mergeRun struct {
-	e      *Env
-	site   *Site
-	ledger *standin.Dataset
-	shape  standin.DatasetShape
-	now    atomic.Pointer[faults]
-	lastID atomic.Uint64
-	client *http.Client
+	env          *Env
+	deployment   *Deployment
+	dataset      *standin.Dataset
+	shape        standin.DatasetShape
+	activeFaults atomic.Pointer[faultRates]
+	lastID       atomic.Uint64
+	client       *http.Client
 
-	checked, refused, pages, walks atomic.Int64
-	fail                           func(error)
+	verified, rejected, pages, completedWalks atomic.Int64
+	fail                                      func(error)
 }
 
-const labKeys = "k1 00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff\n"
+const mergeCursorKeys = "k1 00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff\n"
 
-func mergeOperator() string {
+func mergeOperatorConfig() string {
 	text := "[merging]\nmemory = 24MiB\nrows = 400000\nopen = 400\ncursor_keys = cursor.keys\n" +
 		"[schema " + standin.DatasetSchemaName + "]\n" + standin.DatasetSchema
 	for _, name := range []string{"report", "loose"} {
 		text += "[merge " + name + "]\nschema = " + standin.DatasetSchemaName + "\nkinds = ranked paged aggregated\nlimit = 300\noffset = 300\n" +
-			"order = due amount account customer bills\ngroup = customer due bills\ngroups = 120\nfigures = " + strings.Join(allFigures, " ") + "\n"
+			"order = due amount account customer bills\ngroup = customer due bills\ngroups = 120\nfigures = " + strings.Join(allAggregates, " ") + "\n"
 	}
 	return text
 }
 
-var allFigures = []string{"sum(amount)", "sum(bills)", "min(due)", "max(due)", "min(amount)", "max(amount)", "mean(amount)",
+var allAggregates = []string{"sum(amount)", "sum(bills)", "min(due)", "max(due)", "min(amount)", "max(amount)", "mean(amount)",
 	"distinct(customer)", "p50(amount)", "p95(amount)"}
 
 func runMerge(ctx context.Context, e *Env) error {
@@ -79,19 +79,19 @@
 		{"equal keys", standin.DatasetShape{Segments: segments, Accounts: e.Scale(240, 800), EqualKeys: true, SharedAccounts: true}},
 		{"one segment", standin.DatasetShape{Segments: segments, Accounts: e.Scale(200, 600), SingleSegment: true}},
 	} {
-		r := &mergeRun{e: e, shape: s.shape, ledger: standin.NewDataset(e.Seed, s.shape),
+		r := &mergeRun{env: e, shape: s.shape, dataset: standin.NewDataset(e.Seed, s.shape),
 			client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 64}, Timeout: 20 * time.Second}}
 		err := r.run(ctx, s.name)
-		checked, refused = checked+r.checked.Load(), refused+r.refused.Load()
-		pages, walks = pages+r.pages.Load(), walks+r.walks.Load()
+		checked, refused = checked+r.verified.Load(), refused+r.rejected.Load()
+		pages, walks = pages+r.pages.Load(), walks+r.completedWalks.Load()
 		if err != nil {
 			return fmt.Errorf("%s: %w", s.name, err)
 		}
 	}
-	e.Record.Figure("answers checked", float64(checked))
-	e.Record.Figure("answers refused rightly", float64(refused))
-	e.Record.Figure("pages", float64(pages))
-	e.Record.Figure("walks to the end", float64(walks))
+	e.Record.SetMetric("answers checked", float64(checked))
+	e.Record.SetMetric("answers refused rightly", float64(refused))
+	e.Record.SetMetric("pages", float64(pages))
+	e.Record.SetMetric("walks to the end", float64(walks))
 	fmt.Fprintf(e.Out, "checked %d answers, 0 wrong, %d refused rightly (%d pages in %d walks)\n", checked, refused, pages, walks)
 	return nil
 }
@@ -101,13 +101,13 @@
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	r.fail = func(err error) { cancel(err) }
-	r.now.Store(&calm)
-	r.site, err = r.e.StartSite(SiteShape{Name: strings.ReplaceAll(name, " ", "-"), Cells: 8, Segments: r.shape.Segments,
-		Types: []SiteType{{"report", "free", 700 * time.Millisecond, 2500 * time.Millisecond, 1, 1},
+	r.activeFaults.Store(&noFaults)
+	r.deployment, err = r.env.StartDeployment(DeploymentOptions{Name: strings.ReplaceAll(name, " ", "-"), Servers: 8, Segments: r.shape.Segments,
+		Types: []QueryType{{"report", "free", 700 * time.Millisecond, 2500 * time.Millisecond, 1, 1},
 			{"loose", "free", 400 * time.Millisecond, 2 * time.Second, 0.5, 1}},
-		Operator: mergeOperator(), Files: map[string]string{"cursor.keys": labKeys}, Do: r.meet,
-		Fault: func(what string) { r.fail(errors.New(what)) },
-		Line: func(line string) {
+		OperatorConfig: mergeOperatorConfig(), Files: map[string]string{"cursor.keys": mergeCursorKeys}, Handle: r.handleCall,
+		OnProtocolError: func(what string) { r.fail(errors.New(what)) },
+		OnLogLine: func(line string) {
 			if strings.Contains(line, "panic") || strings.Contains(line, "DATA RACE") {
 				r.fail(fmt.Errorf("the gatherer says %s", line))
 			}
@@ -116,46 +116,46 @@
 		return err
 	}
 	defer func() {
-		if end := r.site.Stop(); err == nil && end != nil {
+		if end := r.deployment.Stop(); err == nil && end != nil {
 			err = end
 		}
 	}()
-	n := r.e.Scale(160, 2500)
+	n := r.env.Scale(160, 2500)
 	for _, phase := range []struct {
 		name   string
-		faults *faults
+		faults *faultRates
 		times  int
-		one    func(ctx context.Context, rnd *rand.Rand, l *Latency) error
+		one    func(ctx context.Context, rnd *rand.Rand, l *LatencyRecorder) error
 	}{
-		{"calm", &calm, n, r.search(calm)},
-		{"calm walks", &calm, r.e.Scale(12, 60), r.walk(calm, false)},
-		{"faults", &rough, n * 3 / 2, r.search(rough)},
-		{"cut short", &short, n, r.search(short)},
-		{"faulty walks", &dying, r.e.Scale(12, 60), r.walk(dying, false)},
-		{"short walks", &short, r.e.Scale(8, 40), r.walk(short, false)},
-		{"walks over moving data", &rough, r.e.Scale(8, 40), r.walk(rough, true)},
-		{"bad requests", &calm, n / 4, r.bad},
+		{"calm", &noFaults, n, r.checkRequest(noFaults)},
+		{"calm walks", &noFaults, r.env.Scale(12, 60), r.checkPages(noFaults, false)},
+		{"faults", &mixedFaults, n * 3 / 2, r.checkRequest(mixedFaults)},
+		{"cut short", &truncatingFaults, n, r.checkRequest(truncatingFaults)},
+		{"faulty walks", &unresponsiveFaults, r.env.Scale(12, 60), r.checkPages(unresponsiveFaults, false)},
+		{"short walks", &truncatingFaults, r.env.Scale(8, 40), r.checkPages(truncatingFaults, false)},
+		{"walks over moving data", &mixedFaults, r.env.Scale(8, 40), r.checkPages(mixedFaults, true)},
+		{"bad requests", &noFaults, n / 4, r.checkInvalidRequest},
 	} {
-		r.now.Store(phase.faults)
-		l := NewLatency()
-		r.e.Progress(name+", "+phase.name, phase.times)
-		if err := r.many(ctx, phase.name, phase.times, l, phase.one); err != nil {
+		r.activeFaults.Store(phase.faults)
+		l := NewLatencyRecorder()
+		r.env.Progress(name+", "+phase.name, phase.times)
+		if err := r.runConcurrently(ctx, phase.name, phase.times, l, phase.one); err != nil {
 			return fmt.Errorf("%s: %w", phase.name, err)
 		}
-		r.e.Record.Latency(name+", "+phase.name, l)
+		r.env.Record.AddLatency(name+", "+phase.name, l)
 	}
 	return nil
 }
 
-// workers is how many clients ask at once: eight segments each, they stay below what a cold gatherer takes at eight servers.
-const workers = 8
+// concurrentClients is how many clients ask at once: eight segments each, they stay below what a cold gatherer takes at eight servers.
+const concurrentClients = 8
 
-func (r *mergeRun) many(ctx context.Context, name string, times int, l *Latency, one func(context.Context, *rand.Rand, *Latency) error) error {
+func (r *mergeRun) runConcurrently(ctx context.Context, name string, times int, l *LatencyRecorder, one func(context.Context, *rand.Rand, *LatencyRecorder) error) error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	var next atomic.Int64
 	var all sync.WaitGroup
-	for range workers {
+	for range concurrentClients {
 		all.Add(1)
 		go func() {
 			defer all.Done()
@@ -165,12 +165,12 @@
 					return
 				}
 				h := fnv.New64a()
-				fmt.Fprintf(h, "%d %s %d", r.e.Seed, name, n)
+				fmt.Fprintf(h, "%d %s %d", r.env.Seed, name, n)
 				if err := one(ctx, rand.New(rand.NewPCG(h.Sum64(), 1)), l); err != nil {
 					cancel(err)
 					return
 				}
-				r.e.Step()
+				r.env.Step()
 			}
 		}()
 	}
@@ -178,41 +178,41 @@
 	return context.Cause(ctx)
 }
 
-// chance draws a fault for a part, by its id: the same part meets the same fault.
-func (r *mergeRun) chance(p standin.ShardCall, host string) int {
+// drawPerMille draws a fault for a part, by its id: the same part meets the same fault.
+func (r *mergeRun) drawPerMille(p standin.ShardCall, host string) int {
 	h := fnv.New64a()
-	fmt.Fprintf(h, "%d %s %s", r.e.Seed, p.ID, host)
+	fmt.Fprintf(h, "%d %s %s", r.env.Seed, p.ID, host)
 	return int(h.Sum64() >> 11 % 1000)
 }
 
-// meet is how a shard server meets a part.
-func (r *mergeRun) meet(c *standin.ShardConn, p standin.ShardCall) {
-	f := r.now.Load()
+// handleCall is how a shard server meets a part.
+func (r *mergeRun) handleCall(c *standin.ShardConn, p standin.ShardCall) {
+	f := r.activeFaults.Load()
 	less, over := 0, 0
-	at := r.chance(p, c.Server.Host)
+	at := r.drawPerMille(p, c.Server.Host)
 	hit := func(n int) bool {
 		is := 0 <= at && at < n
 		at -= n
 		return is
 	}
 	give := func() string {
-		value, err := r.give(p, less, over)
+		value, err := r.response(p, less, over)
 		if err != nil {
 			r.fail(fmt.Errorf("a segment is asked for %q: %w", p.Attributes["m"], err))
 		}
 		return value
 	}
 	switch {
-	case hit(f.late):
-		wait := time.Duration(20+r.chance(p, "wait")%600) * time.Millisecond
+	case hit(f.delayed):
+		wait := time.Duration(20+r.drawPerMille(p, "wait")%600) * time.Millisecond
 		time.AfterFunc(wait, func() { c.Respond(p.ID, "served", give()) })
-	case hit(f.stall):
-	case hit(f.die):
-		c.RespondTruncated(p.ID, give(), 10+r.chance(p, "cut")/4)
-	case hit(f.spoil):
+	case hit(f.stalled):
+	case hit(f.reset):
+		c.RespondTruncated(p.ID, give(), 10+r.drawPerMille(p, "cut")/4)
+	case hit(f.corrupted):
 		value := give()
 		if len(value) > 40 {
-			value = value[:len(value)-20-r.chance(p, "spoil")%20]
+			value = value[:len(value)-20-r.drawPerMille(p, "spoil")%20]
 		} else {
 			value = "?" + value
 		}
@@ -226,16 +226,16 @@
 			lines[last], lines[last-1] = lines[last-1], lines[last]
 		}
 		c.Respond(p.ID, "served", strings.Join(lines, "\n")+"\n")
-	case hit(f.schema):
+	case hit(f.wrongSchema):
 		c.Respond(p.ID, "served", strings.Replace(give(), standin.DatasetSchemaName, "arrears/9", 1))
-	case hit(f.twice):
+	case hit(f.duplicated):
 		value := give()
 		c.Respond(p.ID, "served", value)
 		c.Respond(p.ID, "served", value)
-	case hit(f.less):
-		less = 1 + r.chance(p, "less")%9
+	case hit(f.tooFew):
+		less = 1 + r.drawPerMille(p, "less")%9
 		c.Respond(p.ID, "served", give())
-	case hit(f.more):
+	case hit(f.tooMany):
 		over = 7
 		c.Respond(p.ID, "served", give())
 	default:
@@ -243,8 +243,8 @@
 	}
 }
 
-// give makes what a segment gives: at most less rows, or over rows more than it was asked for.
-func (r *mergeRun) give(p standin.ShardCall, less, over int) (string, error) {
+// response makes what a segment gives: at most less rows, or over rows more than it was asked for.
+func (r *mergeRun) response(p standin.ShardCall, less, over int) (string, error) {
 	item := p.Attributes["m"]
 	if over > 0 {
 		ask, err := merge.ParseAsk(item)
@@ -256,20 +256,20 @@
 			item = ask.Item()
 		}
 	}
-	return r.ledger.Respond(p.Shard, item, less)
+	return r.dataset.Respond(p.Shard, item, less)
 }
 
-func (r *mergeRun) searchFor(kind string, terms merge.Terms) standin.Request {
+func (r *mergeRun) newRequest(kind string, terms merge.Terms) standin.Request {
 	var shards []int
-	for i := range r.ledger.Segments() {
+	for i := range r.dataset.Segments() {
 		shards = append(shards, i)
 	}
-	return standin.Request{ID: fmt.Sprintf("%016x", 1<<32*(1+r.e.Seed%1000)+r.lastID.Add(1)), QueryType: kind, Customer: "acme",
-		Timeout: 1900 * time.Millisecond, Shards: shards, Statement: "c41e77d0", Merge: wireTerms(terms)}
+	return standin.Request{ID: fmt.Sprintf("%016x", 1<<32*(1+r.env.Seed%1000)+r.lastID.Add(1)), QueryType: kind, Customer: "acme",
+		Timeout: 1900 * time.Millisecond, Shards: shards, Statement: "c41e77d0", Merge: encodeTerms(terms)}
 }
 
-// wireTerms is what a client writes: what is not said is left out.
-func wireTerms(t merge.Terms) map[string]any {
+// encodeTerms is what a client writes: what is not said is left out.
+func encodeTerms(t merge.Terms) map[string]any {
 	out := map[string]any{"kind": t.Kind, "limit": t.Limit}
 	for name, list := range map[string][]string{"order": t.Order, "group": t.Group, "figures": t.Figures} {
 		if len(list) > 0 {
@@ -287,18 +287,18 @@
 	return out
 }
 
-func (r *mergeRun) truth(kind string) standin.Oracle {
-	t := standin.Oracle{Dataset: r.ledger, RequireComplete: kind == "report"}
-	for i := range r.ledger.Segments() {
+func (r *mergeRun) oracle(kind string) standin.Oracle {
+	t := standin.Oracle{Dataset: r.dataset, RequireComplete: kind == "report"}
+	for i := range r.dataset.Segments() {
 		t.Segments = append(t.Segments, i)
 	}
 	return t
 }
 
-// ask sends a search. A refusal is right only under faults, and only with a status that promises no more than is so;
+// send sends a search. A refusal is right only under faults, and only with a status that promises no more than is so;
 // nil with no error is one.
-func (r *mergeRun) ask(ctx context.Context, kind string, terms merge.Terms, f faults, l *Latency) (*standin.MergedResponse, []byte, error) {
-	reply, err := r.searchFor(kind, terms).Send(ctx, r.client, r.site.Gatherer.Addr)
+func (r *mergeRun) send(ctx context.Context, kind string, terms merge.Terms, f faultRates, l *LatencyRecorder) (*standin.MergedResponse, []byte, error) {
+	reply, err := r.newRequest(kind, terms).Send(ctx, r.client, r.deployment.Gatherer.Addr)
 	if err != nil {
 		if ctx.Err() != nil {
 			return nil, nil, ctx.Err()
@@ -313,21 +313,21 @@
 			return nil, nil, fmt.Errorf("%w: %.300s", err, reply.Body)
 		}
 		return &m, reply.Body, nil
-	case f != calm && (reply.Status == http.StatusServiceUnavailable || reply.Status == http.StatusGatewayTimeout):
-		r.refused.Add(1)
-		r.e.Record.Add("refused under faults", 1)
+	case f != noFaults && (reply.Status == http.StatusServiceUnavailable || reply.Status == http.StatusGatewayTimeout):
+		r.rejected.Add(1)
+		r.env.Record.AddToMetric("refused under faults", 1)
 		// It comes back when it was told to, as clients do.
 		select {
 		case <-ctx.Done():
-		case <-time.After(min(r.advice(reply), time.Second)):
+		case <-time.After(min(r.retryDelay(reply), time.Second)):
 		}
 		return nil, nil, nil
 	}
 	return nil, nil, fmt.Errorf("%s %+v was answered %d: %.300s", kind, terms, reply.Status, reply.Body)
 }
 
-// advice is how long a refused client was told to stay away; a tenth of a second where it was not.
-func (r *mergeRun) advice(reply standin.Response) time.Duration {
+// retryDelay is how long a refused client was told to stay away; a tenth of a second where it was not.
+func (r *mergeRun) retryDelay(reply standin.Response) time.Duration {
 	s, err := strconv.ParseFloat(reply.RetryAfter, 64)
 	if err != nil {
 		return 100 * time.Millisecond
@@ -335,7 +335,7 @@
 	return time.Duration(s * float64(time.Second))
 }
 
-func (r *mergeRun) kind(rnd *rand.Rand) string {
+func (r *mergeRun) drawQueryType(rnd *rand.Rand) string {
 	if rnd.IntN(2) == 0 {
 		return "report"
 	}
@@ -356,18 +356,18 @@
 	return order
 }
 
-// search plays one ranked or aggregated search.
-func (r *mergeRun) search(f faults) func(context.Context, *rand.Rand, *Latency) error {
-	return func(ctx context.Context, rnd *rand.Rand, l *Latency) error {
-		kind := r.kind(rnd)
-		uncut := f.less == 0
+// checkRequest plays one ranked or aggregated search.
+func (r *mergeRun) checkRequest(f faultRates) func(context.Context, *rand.Rand, *LatencyRecorder) error {
+	return func(ctx context.Context, rnd *rand.Rand, l *LatencyRecorder) error {
+		kind := r.drawQueryType(rnd)
+		uncut := f.tooFew == 0
 		var terms merge.Terms
 		if rnd.IntN(2) == 0 {
 			terms = merge.Terms{Kind: merge.Ranked, Order: drawOrder(rnd), Limit: 1 + rnd.IntN(80), Offset: rnd.IntN(3) * rnd.IntN(100)}
 		} else {
 			terms = merge.Terms{Kind: merge.Aggregated, Limit: 1 + rnd.IntN(150), Figures: []string{"count"}}
-			for _, i := range rnd.Perm(len(allFigures))[:1+rnd.IntN(4)] {
-				terms.Figures = append(terms.Figures, allFigures[i])
+			for _, i := range rnd.Perm(len(allAggregates))[:1+rnd.IntN(4)] {
+				terms.Figures = append(terms.Figures, allAggregates[i])
 			}
 			switch rnd.IntN(4) {
 			case 0:
@@ -380,52 +380,52 @@
 				terms.Group, uncut = []string{"customer", "due"}, false // more groups than a segment sends
 			}
 		}
-		m, body, err := r.ask(ctx, kind, terms, f, l)
+		m, body, err := r.send(ctx, kind, terms, f, l)
 		if err != nil || m == nil {
 			return err
 		}
 		if terms.Kind == merge.Ranked {
-			err = r.truth(kind).CheckRanked(*m, terms.Order, terms.Offset, terms.Limit, uncut)
+			err = r.oracle(kind).CheckRanked(*m, terms.Order, terms.Offset, terms.Limit, uncut)
 		} else {
-			err = r.truth(kind).CheckAggregated(*m, terms, uncut)
+			err = r.oracle(kind).CheckAggregated(*m, terms, uncut)
 		}
 		if err != nil {
 			return fmt.Errorf("%s %+v: %w\n%.2000s", kind, terms, err, body)
 		}
-		if f == calm && !m.Full && uncut {
+		if f == noFaults && !m.Full && uncut {
 			return fmt.Errorf("%s %+v: an answer of a calm phase is not whole\n%.2000s", kind, terms, body)
 		}
-		r.checked.Add(1)
+		r.verified.Add(1)
 		return nil
 	}
 }
 
-// walk reads a paged list to its end. A refused page is asked for again, with the same cursor.
-func (r *mergeRun) walk(f faults, moving bool) func(context.Context, *rand.Rand, *Latency) error {
-	return func(ctx context.Context, rnd *rand.Rand, l *Latency) error {
-		kind := r.kind(rnd)
-		w := standin.PagedCheck{Oracle: r.truth(kind), Order: drawOrder(rnd), Limit: 20 + rnd.IntN(100)}
+// checkPages reads a paged list to its end. A refused page is asked for again, with the same cursor.
+func (r *mergeRun) checkPages(f faultRates, moving bool) func(context.Context, *rand.Rand, *LatencyRecorder) error {
+	return func(ctx context.Context, rnd *rand.Rand, l *LatencyRecorder) error {
+		kind := r.drawQueryType(rnd)
+		w := standin.PagedCheck{Oracle: r.oracle(kind), Order: drawOrder(rnd), Limit: 20 + rnd.IntN(100)}
 		most := 400
 		for cursor, tries := "", 0; tries < most; tries++ {
 			if moving && rnd.IntN(3) == 0 {
-				r.ledger.Advance(rnd.IntN(r.ledger.Segments()))
+				r.dataset.Advance(rnd.IntN(r.dataset.Segments()))
 			}
 			terms := merge.Terms{Kind: merge.Paged, Order: w.Order, Limit: w.Limit, Cursor: cursor}
-			m, body, err := r.ask(ctx, kind, terms, f, l)
+			m, body, err := r.send(ctx, kind, terms, f, l)
 			if err != nil {
 				return err
 			}
 			if m == nil {
 				continue
 			}
-			if err := w.CheckPage(*m, f.less == 0); err != nil {
+			if err := w.CheckPage(*m, f.tooFew == 0); err != nil {
 				return fmt.Errorf("%s %v, page %d: %w\n%.2000s", kind, w.Order, w.Pages, err, body)
 			}
-			r.checked.Add(1)
+			r.verified.Add(1)
 			r.pages.Add(1)
 			if m.Result.Last {
-				r.walks.Add(1)
-				r.e.Record.Add("rows that came late", float64(w.Late))
+				r.completedWalks.Add(1)
+				r.env.Record.AddToMetric("rows that came late", float64(w.Late))
 				return nil
 			}
 			if cursor = m.Result.Next; cursor == "" {
@@ -436,17 +436,17 @@
 	}
 }
 
-// bad sends what must be refused with 400 and one sentence.
-func (r *mergeRun) bad(ctx context.Context, rnd *rand.Rand, l *Latency) error {
+// checkInvalidRequest sends what must be refused with 400 and one sentence.
+func (r *mergeRun) checkInvalidRequest(ctx context.Context, rnd *rand.Rand, l *LatencyRecorder) error {
 	good := merge.Terms{Kind: merge.Paged, Order: []string{"-amount", "due"}, Limit: 5}
 	// Servers that the phase before has spoilt may still be out: a page that cannot be had now is rightly refused.
-	m, _, err := r.ask(ctx, "report", good, rough, l)
+	m, _, err := r.send(ctx, "report", good, mixedFaults, l)
 	if err != nil || m == nil {
 		return err
 	}
-	s := r.searchFor("report", good)
+	s := r.newRequest("report", good)
 	change := func(do func(map[string]any)) {
-		terms := wireTerms(good)
+		terms := encodeTerms(good)
 		do(terms)
 		s.Merge = terms
 	}
@@ -468,13 +468,13 @@
 	case 5:
 		s.Merge = json.RawMessage(`{"kind":"ranked","limit":5,"order":["due"],"sort":1}`)
 	}
-	reply, err := s.Send(ctx, r.client, r.site.Gatherer.Addr)
+	reply, err := s.Send(ctx, r.client, r.deployment.Gatherer.Addr)
 	if err != nil {
 		return err
 	}
 	if reply.Status != http.StatusBadRequest || strings.Count(string(reply.Body), "\n") != 1 {
 		return fmt.Errorf("%v was answered %d: %.300s", s.Merge, reply.Status, reply.Body)
 	}
-	r.refused.Add(1)
+	r.rejected.Add(1)
 	return nil
 }
--- a/internal/lab/vote_bench_test.go
+++ b/internal/testing/experiment/message_bench_test.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"crypto/sha256"
@@ -11,11 +11,11 @@
 	"oxbowspan/rpc"
 )
 
-// BenchmarkVote tells the bytes and the processor's time of the request for a vote that carries a configuration, by versions
+// BenchmarkAcceptRequest tells the bytes and the processor's time of the request for a vote that carries a configuration, by versions
 // before it and by routes, for docs/CAPACITY.md:
 //
 //	go test -run xxx -bench Vote -benchmem ./internal/lab
-func BenchmarkVote(b *testing.B) {
+func BenchmarkAcceptRequest(b *testing.B) {
 	for _, routes := range []int{10, 1000, 10_000} {
 		body := hollowConfig(1, routes)
 		for _, versions := range []int{1, 100, 1000, 10_000} {
@@ -40,10 +40,10 @@
 	}
 }
 
-// BenchmarkLoads tells the bytes of one telling of unfinished parts from a gatherer to one that watches it, by servers that had any:
+// BenchmarkLoadReport tells the bytes of one telling of unfinished parts from a gatherer to one that watches it, by servers that had any:
 //
 //	go test -run xxx -bench Loads -benchmem ./internal/lab
-func BenchmarkLoads(b *testing.B) {
+func BenchmarkLoadReport(b *testing.B) {
 	for _, servers := range []int{10, 100, 1000, 16_900} {
 		m := &rpc.LoadReport{Incarnation: 1 << 60}
 		for i := range servers {
--- a/internal/lab/ordinary.go
+++ b/internal/testing/experiment/ordinary.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"context"
@@ -20,8 +20,8 @@
 
 func runOrdinary(ctx context.Context, e *Env) error {
 	const cells = 8
-	site, err := e.StartSite(SiteShape{Name: "ordinary", Cells: cells, Segments: cells, MemoryMB: 64,
-		Types: []SiteType{{"lookup", "free", time.Second, 2 * time.Second, 1, 1}}})
+	site, err := e.StartDeployment(DeploymentOptions{Name: "ordinary", Servers: cells, Segments: cells, MemoryMB: 64,
+		Types: []QueryType{{"lookup", "free", time.Second, 2 * time.Second, 1, 1}}})
 	if err != nil {
 		return err
 	}
@@ -31,9 +31,9 @@
 	if err != nil {
 		return err
 	}
-	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: workers}, Timeout: 20 * time.Second}
+	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: concurrentClients}, Timeout: 20 * time.Second}
 	var next atomic.Int64
-	one := func(l *Latency) error {
+	one := func(l *LatencyRecorder) error {
 		n := next.Add(1)
 		s := standin.Request{ID: fmt.Sprintf("%016x", n), QueryType: "lookup", Customer: "acme", Timeout: 1900 * time.Millisecond,
 			Shards: []int{int(n) % cells, int(n+3) % cells}, Statement: "c41e77d0"}
@@ -49,7 +49,7 @@
 		return nil
 	}
 	play := func(name string, times int) error {
-		l := NewLatency()
+		l := NewLatencyRecorder()
 		e.Progress(name, times)
 		before, err := ReadUsage(pid)
 		if err != nil {
@@ -59,8 +59,8 @@
 		var all sync.WaitGroup
 		var left atomic.Int64
 		left.Store(int64(times))
-		failed := make(chan error, workers)
-		for range workers {
+		failed := make(chan error, concurrentClients)
+		for range concurrentClients {
 			all.Add(1)
 			go func() {
 				defer all.Done()
@@ -84,13 +84,13 @@
 			return err
 		}
 		took := time.Since(began)
-		e.Record.Latency(name, l)
-		e.Record.Figure(name+": processor microseconds a search", float64((after.CPU-before.CPU).Microseconds())/float64(times))
-		e.Record.Figure(name+": searches a second", float64(times)/took.Seconds())
-		e.Record.Figure(name+": MiB at most", float64(after.Peak)/(1<<20))
+		e.Record.AddLatency(name, l)
+		e.Record.SetMetric(name+": processor microseconds a search", float64((after.CPU-before.CPU).Microseconds())/float64(times))
+		e.Record.SetMetric(name+": searches a second", float64(times)/took.Seconds())
+		e.Record.SetMetric(name+": MiB at most", float64(after.Peak)/(1<<20))
 		return nil
 	}
-	e.Record.Figure("at rest: MiB", float64(rest.RSS)/(1<<20))
+	e.Record.SetMetric("at rest: MiB", float64(rest.RSS)/(1<<20))
 	if err := play("warming up", e.Scale(2000, 10_000)); err != nil {
 		return err
 	}
--- a/internal/lab/judgement.go
+++ b/internal/testing/experiment/outlier.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"context"
@@ -20,15 +20,15 @@
 twice, over three shards of four servers. One server is slowed tenfold, another takes requests and answers none, another is killed; each
 recovers. In the middle a gatherer is killed and another frozen. It plays that with the judgement and with each gatherer's own records alone,
 and records how many look-ups took longer than a bound after each beginning, how many requests met the server, and how long until it has its part
-again. It ends with a finding if an id ran twice, or look-ups over the bound are more with the judgement than alone.`, Run: runJudgement})
+again. It ends with a finding if an id ran twice, or look-ups over the bound are more with the judgement than alone.`, Run: runOutlierDetection})
 }
 
 const (
-	judgeWork  = 15 * time.Millisecond
-	judgeBound = 50 * time.Millisecond
+	outlierServiceTime  = 15 * time.Millisecond
+	outlierLatencyBound = 50 * time.Millisecond
 )
 
-func judgeConfig() []byte {
+func outlierConfig() []byte {
 	var c config.Configuration
 	json.Unmarshal(simcluster.ExampleConfiguration(1, simcluster.FirstSharding), &c)
 	c.Routes = append(c.Routes,
@@ -38,12 +38,12 @@
 	return text
 }
 
-func runJudgement(ctx context.Context, e *Env) error {
+func runOutlierDetection(ctx context.Context, e *Env) error {
 	foragers := e.Scale(40, 60)
 	e.Progress("judgement", 2)
 	over := map[bool]int64{}
 	for _, alone := range []bool{true, false} {
-		n, err := e.judgement(foragers, alone)
+		n, err := e.measureOutlierDetection(foragers, alone)
 		if err != nil {
 			return err
 		}
@@ -51,22 +51,22 @@
 		e.Step()
 	}
 	if over[false] > over[true]+over[true]/4+5 {
-		return fmt.Errorf("%d look-ups took longer than %v with the judgement, %d with each alone", over[false], judgeBound, over[true])
+		return fmt.Errorf("%d look-ups took longer than %v with the judgement, %d with each alone", over[false], outlierLatencyBound, over[true])
 	}
 	return nil
 }
 
-// judgement plays one way and returns how many look-ups took longer than the bound.
-func (e *Env) judgement(foragers int, alone bool) (int64, error) {
+// measureOutlierDetection plays one way and returns how many look-ups took longer than the bound.
+func (e *Env) measureOutlierDetection(foragers int, alone bool) (int64, error) {
 	way := "together"
 	if alone {
 		way = "each alone"
 	}
 	var watched []*simcluster.Server
-	s, err := e.startSystem("judge-"+fmt.Sprint(alone), 3, foragers, alone, judgeConfig(), func(c *simcluster.Cluster) {
+	s, err := e.startCluster("judge-"+fmt.Sprint(alone), 3, foragers, alone, outlierConfig(), func(c *simcluster.Cluster) {
 		for _, service := range simcluster.FirstSharding {
 			for range 4 {
-				srv := c.AddServer(service, judgeWork)
+				srv := c.AddServer(service, outlierServiceTime)
 				srv.Concurrency = 4
 				if service == "a0" {
 					watched = append(watched, srv)
@@ -112,11 +112,11 @@
 					method = "POST"
 				}
 				p := now.Load()
-				a := s.c.SendRequest(s.c.Gateways[at], method, "h.example", path+"x", id, 3*time.Second)
+				a := s.cluster.SendRequest(s.cluster.Gateways[at], method, "h.example", path+"x", id, 3*time.Second)
 				switch {
 				case int64(at) == away.Load() && a.Status != http.StatusOK:
 				case kind == 2:
-					if ran.Add(1); s.c.RequestLog.Executions("a1", id) > 1 {
+					if ran.Add(1); s.cluster.RequestLog.Executions("a1", id) > 1 {
 						twice.Add(1)
 					}
 				case kind == 0 && p != nil:
@@ -124,7 +124,7 @@
 					if a.Status != http.StatusOK {
 						p.lost.Add(1)
 					}
-					if a.Status != http.StatusOK || a.Elapsed > judgeBound {
+					if a.Status != http.StatusOK || a.Elapsed > outlierLatencyBound {
 						p.over.Add(1)
 					}
 				}
@@ -140,7 +140,7 @@
 	for i, c := range []struct {
 		name       string
 		begin, end func(srv *simcluster.Server)
-	}{{"slowed tenfold", func(srv *simcluster.Server) { srv.SetServiceTime(10 * judgeWork) }, func(srv *simcluster.Server) { srv.SetServiceTime(judgeWork) }},
+	}{{"slowed tenfold", func(srv *simcluster.Server) { srv.SetServiceTime(10 * outlierServiceTime) }, func(srv *simcluster.Server) { srv.SetServiceTime(outlierServiceTime) }},
 		{"hung", func(srv *simcluster.Server) { srv.SetHung(true) }, func(srv *simcluster.Server) { srv.SetHung(false) }},
 		{"killed", func(srv *simcluster.Server) { srv.Crash(false) }, func(srv *simcluster.Server) { srv.Start() }}} {
 		srv, p := watched[i], &phase{name: c.name, illAt: time.Now()}
@@ -154,11 +154,11 @@
 		c.begin(srv)
 		if i == 1 { // a gatherer goes and comes, another freezes
 			away.Store(3)
-			s.kill(3)
-			s.begin(3)
+			s.killGateway(3)
+			s.restartGateway(3)
 			time.Sleep(2 * time.Second)
 			away.Store(5)
-			freeze(s.gather[5], time.Second)
+			suspend(s.gateways[5], time.Second)
 			time.Sleep(1500 * time.Millisecond)
 			away.Store(-1)
 		}
@@ -177,15 +177,15 @@
 		p.back = time.Since(p.wellAt)
 		srv.SetOnRequest(nil)
 		sum += p.over.Load()
-		e.Record.Row("a replica in trouble", []string{"replica", "judged", "look-ups", "over " + judgeBound.String(), "lost", "requests that met it after the first second", "back after, s"},
+		e.Record.AddRow("a replica in trouble", []string{"replica", "judged", "look-ups", "over " + outlierLatencyBound.String(), "lost", "requests that met it after the first second", "back after, s"},
 			p.name, way, fmt.Sprint(p.asked.Load()), fmt.Sprint(p.over.Load()), fmt.Sprint(p.lost.Load()), fmt.Sprint(p.met.Load()), fmt.Sprintf("%.1f", p.back.Seconds()))
-		e.Record.Point("look-ups over the bound", "1 slowed, 2 hung, 3 killed", "look-ups", way, float64(i+1), float64(p.over.Load()))
+		e.Record.AddPoint("look-ups over the bound", "1 slowed, 2 hung, 3 killed", "look-ups", way, float64(i+1), float64(p.over.Load()))
 		time.Sleep(time.Second)
 	}
 	close(quit)
 	all.Wait()
-	e.Record.Figure(way+": posts", float64(ran.Load()))
-	e.Record.Figure(way+": ids that ran twice", float64(twice.Load()))
+	e.Record.SetMetric(way+": posts", float64(ran.Load()))
+	e.Record.SetMetric(way+": ids that ran twice", float64(twice.Load()))
 	if twice.Load() > 0 {
 		return sum, fmt.Errorf("%d posts ran twice", twice.Load())
 	}
--- a/internal/lab/process.go
+++ b/internal/testing/experiment/process.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"fmt"
--- a/internal/lab/rest.go
+++ b/internal/testing/experiment/rest.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"bufio"
@@ -21,14 +21,14 @@
 beside the gatherer.`, Run: runRest})
 }
 
-// idle is what a process has spent, as the system counts it.
-type idle struct{ cpu, wakes, calls, bytes float64 }
+// processCost is what a process has spent, as the system counts it.
+type processCost struct{ cpu, wakeups, calls, bytes float64 }
 
-func (a idle) less(b idle) idle {
-	return idle{a.cpu - b.cpu, a.wakes - b.wakes, a.calls - b.calls, a.bytes - b.bytes}
+func (a processCost) minus(b processCost) processCost {
+	return processCost{a.cpu - b.cpu, a.wakeups - b.wakeups, a.calls - b.calls, a.bytes - b.bytes}
 }
 
-func spentBy(pid int) (out idle, err error) {
+func readProcessCost(pid int) (out processCost, err error) {
 	u, err := ReadUsage(pid)
 	if err != nil {
 		return out, err
@@ -52,7 +52,7 @@
 		return out, err
 	}
 	for _, path := range threads {
-		out.wakes += field(path, "voluntary_ctxt_switches")
+		out.wakeups += field(path, "voluntary_ctxt_switches")
 	}
 	io := fmt.Sprintf("/proc/%d/io", pid)
 	out.calls = field(io, "syscr") + field(io, "syscw")
@@ -69,14 +69,14 @@
 	series := map[string]*Series{}
 	e.Progress("gatherers", len(sizes))
 	for _, n := range sizes {
-		means, err := e.restOf(ctx, n, last)
+		means, err := e.measureAtRest(ctx, n, last)
 		if err != nil {
 			return fmt.Errorf("%d gatherers: %w", n, err)
 		}
 		for program, m := range means {
-			for what, v := range map[string]float64{"processor, thousandths of a core": 1000 * m.cpu, "wake-ups a second": m.wakes,
+			for what, v := range map[string]float64{"processor, thousandths of a core": 1000 * m.cpu, "wake-ups a second": m.wakeups,
 				"reads and writes a second": m.calls, "bytes read and written a second": m.bytes} {
-				e.Record.Figure(fmt.Sprintf("%s, %d gatherers: %s", program, n, what), v)
+				e.Record.SetMetric(fmt.Sprintf("%s, %d gatherers: %s", program, n, what), v)
 				if what == "wake-ups a second" {
 					if series[program] == nil {
 						series[program] = &Series{Chart: "wake-ups", Name: program, X: "gatherers", Y: what}
@@ -93,18 +93,18 @@
 	return nil
 }
 
-// restOf plays one number of gatherers and returns what a process of each program spends a second, in the mean.
-func (e *Env) restOf(ctx context.Context, n int, last time.Duration) (map[string]idle, error) {
-	sys, err := e.startSystem(fmt.Sprint("rest-", n), 3, n, false, simcluster.ExampleConfiguration(1, simcluster.FirstSharding), standard(10*time.Millisecond))
+// measureAtRest plays one number of gatherers and returns what a process of each program spends a second, in the mean.
+func (e *Env) measureAtRest(ctx context.Context, n int, last time.Duration) (map[string]processCost, error) {
+	sys, err := e.startCluster(fmt.Sprint("rest-", n), 3, n, false, simcluster.ExampleConfiguration(1, simcluster.FirstSharding), addExampleServers(10*time.Millisecond))
 	if err != nil {
 		return nil, err
 	}
 	defer sys.stop()
 	pids := map[string][]int{}
-	for _, p := range sys.hives {
+	for _, p := range sys.controllers {
 		pids["hive"] = append(pids["hive"], p.Process.Pid)
 	}
-	for _, p := range sys.gather {
+	for _, p := range sys.gateways {
 		pids["forager"] = append(pids["forager"], p.Process.Pid)
 	}
 	pause := func(d time.Duration) {
@@ -114,30 +114,30 @@
 		}
 	}
 	pause(4 * time.Second) // until all know each other
-	before := map[int]idle{}
+	before := map[int]processCost{}
 	began := time.Now()
 	for _, all := range pids {
 		for _, pid := range all {
-			if before[pid], err = spentBy(pid); err != nil {
+			if before[pid], err = readProcessCost(pid); err != nil {
 				return nil, err
 			}
 		}
 	}
 	pause(last)
 	took := time.Since(began).Seconds()
-	means := map[string]idle{}
+	means := map[string]processCost{}
 	for name, all := range pids {
-		var sum idle
+		var sum processCost
 		for _, pid := range all {
-			now, err := spentBy(pid)
+			now, err := readProcessCost(pid)
 			if err != nil {
 				return nil, err
 			}
-			d := now.less(before[pid])
-			sum = idle{sum.cpu + d.cpu, sum.wakes + d.wakes, sum.calls + d.calls, sum.bytes + d.bytes}
+			d := now.minus(before[pid])
+			sum = processCost{sum.cpu + d.cpu, sum.wakeups + d.wakeups, sum.calls + d.calls, sum.bytes + d.bytes}
 		}
 		k := took * float64(len(all))
-		means[name] = idle{sum.cpu / k, sum.wakes / k, sum.calls / k, sum.bytes / k}
+		means[name] = processCost{sum.cpu / k, sum.wakeups / k, sum.calls / k, sum.bytes / k}
 	}
 	return means, nil
 }
