--- a/store/store_test.go
+++ b/store/store_test.go
@@ -16,8 +16,8 @@
 
 	"pgregory.net/rapid"
 
+	"oxbowspan/internal/testing/faultdisk"
 	"oxbowspan/store"
-	"oxbowspan/store/fault"
 )
 
 var identity = [16]byte{1, 2, 3}
@@ -87,7 +87,7 @@
 // and the store is whole again afterwards.
 func TestAnyOneFileCutAtAnyByte(t *testing.T) {
 	for _, closed := range []bool{true, false} {
-		d := fault.New(1)
+		d := faultdisk.New(1)
 		s, _ := open(t, d)
 		want := fill(t, s, 40)
 		files := d.Files() // as a kill leaves them
@@ -101,7 +101,7 @@
 				if cut[name] = b[:max(at, 0)]; at < 0 {
 					delete(cut, name)
 				}
-				d := fault.From(uint64(at+1), cut)
+				d := faultdisk.NewWithFiles(uint64(at+1), cut)
 				when := fmt.Sprintf("%s cut at %d of %d", name, at, len(b))
 				s, r := open(t, d)
 				want.check(t, s, when)
@@ -128,7 +128,7 @@
 
 // Any one byte changed in any one file.
 func TestAnyOneByteFlipped(t *testing.T) {
-	d := fault.New(1)
+	d := faultdisk.New(1)
 	s, _ := open(t, d)
 	want := fill(t, s, 30)
 	s.Close()
@@ -138,7 +138,7 @@
 			flipped := maps.Clone(files)
 			flipped[name] = bytes.Clone(b)
 			flipped[name][at] ^= 1 << (at % 8)
-			s, r := open(t, fault.From(1, flipped))
+			s, r := open(t, faultdisk.NewWithFiles(1, flipped))
 			when := fmt.Sprintf("%s, byte %d", name, at)
 			if want.check(t, s, when); len(r.Damage) == 0 {
 				t.Fatalf("%s: not said", when)
@@ -151,7 +151,7 @@
 // Both lanes damaged: what is there was committed, in order, and what is not is reported.
 func TestBothLanesCutLoseOnlyWhatNeitherHoldsAndSaySo(t *testing.T) {
 	const n = 30
-	d := fault.New(1)
+	d := faultdisk.New(1)
 	s, _ := open(t, d)
 	for i := range n {
 		if err := s.Commit(set(fmt.Sprintf("k%02d", i), strings.Repeat("v", 30))); err != nil {
@@ -181,7 +181,7 @@
 				}
 			}
 		}
-		d := fault.From(1, cut)
+		d := faultdisk.NewWithFiles(1, cut)
 		s, r, err := store.Open(d, small())
 		var loss *store.LossError
 		if (len(held) < n) != errors.As(err, &loss) {
@@ -222,7 +222,7 @@
 // The machine crashes before any one operation of commits, of a new segment and of a compaction, and again at any one of the
 // recovery from that.
 func TestACrashAtAnyOperation(t *testing.T) {
-	work := func(d *fault.Disk) (acked state, doubtful []state) {
+	work := func(d *faultdisk.Disk) (acked state, doubtful []state) {
 		s, _, err := store.Open(d, small())
 		if err != nil {
 			return state{}, nil
@@ -250,9 +250,9 @@
 		}
 		return acked, nil
 	}
-	whole := fault.New(0)
+	whole := faultdisk.New(0)
 	work(whole)
-	calls := whole.Calls()
+	calls := whole.OperationCount()
 	same := func(got map[string][]byte, w state) bool {
 		if len(got) != len(w) {
 			return false
@@ -266,7 +266,7 @@
 	}
 	for at := 1; at <= calls; at++ {
 		for seed := range uint64(3) {
-			d := fault.New(uint64(at)*10 + seed)
+			d := faultdisk.New(uint64(at)*10 + seed)
 			d.CrashAt = at
 			acked, doubtful := work(d)
 			d = d.Crash()
@@ -301,18 +301,18 @@
 
 // A sync that fails once: the commit is not acknowledged, and nothing is from then on, although the next sync would succeed.
 func TestASyncThatFailsEndsTheStore(t *testing.T) {
-	d := fault.New(1)
+	d := faultdisk.New(1)
 	s, _ := open(t, d)
 	if err := s.Commit(set("a", "1")); err != nil {
 		t.Fatal(err)
 	}
 	failed := false
-	d.Rule = func(c fault.Call) fault.Answer {
+	d.Inject = func(c faultdisk.Operation) faultdisk.Fault {
 		if c.Kind == "sync" && strings.HasPrefix(c.Name, "b/") && !failed {
 			failed = true
-			return fault.Answer{Err: syscall.EIO}
+			return faultdisk.Fault{Err: syscall.EIO}
 		}
-		return fault.Answer{}
+		return faultdisk.Fault{}
 	}
 	for i := range 3 {
 		if err := s.Commit(set("b", "2")); !errors.Is(err, store.ErrBroken) || i == 0 && !errors.Is(err, syscall.EIO) {
@@ -335,9 +335,9 @@
 // One lane's disk lies about syncs: after a crash the other lane has it all.
 func TestALaneWhoseSyncsLie(t *testing.T) {
 	for seed := range uint64(20) {
-		d := fault.New(seed)
-		d.Rule = func(c fault.Call) fault.Answer {
-			return fault.Answer{Lie: strings.HasPrefix(c.Name, "a/") && c.Kind == "sync"}
+		d := faultdisk.New(seed)
+		d.Inject = func(c faultdisk.Operation) faultdisk.Fault {
+			return faultdisk.Fault{FalseSuccess: strings.HasPrefix(c.Name, "a/") && c.Kind == "sync"}
 		}
 		s, _ := open(t, d)
 		want := fill(t, s, 25)
@@ -353,8 +353,8 @@
 // on, and nothing that was acknowledged is gone.
 func TestADiskThatFillsUp(t *testing.T) {
 	for space := 1500; space < 9000; space += 37 {
-		d := fault.New(uint64(space))
-		d.Space = space
+		d := faultdisk.New(uint64(space))
+		d.Capacity = space
 		s, _, err := store.Open(d, small())
 		if err != nil {
 			continue // not even the first files fit
@@ -381,7 +381,7 @@
 		}
 		want.check(t, s, fmt.Sprintf("full at %d bytes", space))
 		broken := s.Stats().Broken != nil
-		d.Space = 0
+		d.Capacity = 0
 		if !broken {
 			if err := s.Commit(set("room", "again")); err != nil {
 				t.Fatalf("with %d bytes and then more: %v", space, err)
@@ -398,15 +398,15 @@
 
 // A record cut short by a full disk in both lanes is taken back in both: what comes after it is read again.
 func TestARecordCutShortInBothLanesIsTakenBack(t *testing.T) {
-	d := fault.New(1)
+	d := faultdisk.New(1)
 	s, _ := open(t, d)
 	short := 0
-	d.Rule = func(c fault.Call) fault.Answer {
+	d.Inject = func(c faultdisk.Operation) faultdisk.Fault {
 		if c.Kind == "write" && short < 2 {
 			short++
-			return fault.Answer{Err: syscall.ENOSPC, Short: 30}
+			return faultdisk.Fault{Err: syscall.ENOSPC, ShortWrite: 30}
 		}
-		return fault.Answer{}
+		return faultdisk.Fault{}
 	}
 	if err := s.Commit(set("a", "1")); !errors.Is(err, store.ErrFull) || short != 2 {
 		t.Fatalf("%v, %d writes cut short", err, short)
@@ -429,7 +429,7 @@
 }
 
 func TestTheSizeLimitIsKept(t *testing.T) {
-	d := fault.New(1)
+	d := faultdisk.New(1)
 	o := small()
 	o.Most, o.Compact = 6000, 2000
 	s, _, err := store.Open(d, o)
@@ -459,7 +459,7 @@
 }
 
 func TestCompactionGoesOnBesideCommits(t *testing.T) {
-	d := fault.New(1)
+	d := faultdisk.New(1)
 	o := small()
 	o.Compact = 3000
 	s, _, err := store.Open(d, o)
@@ -533,7 +533,7 @@
 
 // What a later version has written is not touched.
 func TestANewerVersionIsRefused(t *testing.T) {
-	d := fault.New(1)
+	d := faultdisk.New(1)
 	s, _ := open(t, d)
 	fill(t, s, 5)
 	s.Close()
@@ -543,7 +543,7 @@
 			files[name] = store.Reversioned(b, store.Version+1)
 		}
 	}
-	d = fault.From(1, files)
+	d = faultdisk.NewWithFiles(1, files)
 	if _, _, err := store.Open(d, small()); err == nil || !strings.Contains(err.Error(), "version 2") {
 		t.Errorf("got %v", err)
 	}
@@ -557,14 +557,14 @@
 
 // A file of another time, put back: it does not join on, or contradicts, and is not taken for the present one.
 func TestAnOldSegmentPutBackShows(t *testing.T) {
-	d := fault.New(1)
+	d := faultdisk.New(1)
 	s, _ := open(t, d)
 	if err := s.Commit(set("a", "old")); err != nil {
 		t.Fatal(err)
 	}
 	old := d.Files()
 	s.Close()
-	d2 := fault.New(2)
+	d2 := faultdisk.New(2)
 	s, _ = open(t, d2)
 	if err := s.Commit(set("a", "new")); err != nil {
 		t.Fatal(err)
@@ -572,7 +572,7 @@
 	s.Close()
 	files := d2.Files()
 	files["a/00000001.log"] = old["a/00000001.log"]
-	if _, r, err := store.Open(fault.From(1, files), small()); err == nil {
+	if _, r, err := store.Open(faultdisk.NewWithFiles(1, files), small()); err == nil {
 		t.Errorf("taken for one store: %+v", r)
 	}
 }
@@ -582,7 +582,7 @@
 	if testing.Short() {
 		n = 5000
 	}
-	d := fault.New(1)
+	d := faultdisk.New(1)
 	o := store.Options{Store: identity, Compact: 1 << 40}
 	s, _, err := store.Open(d, o)
 	if err != nil {
@@ -611,7 +611,7 @@
 }
 
 func TestACommitTooLargeIsRefusedAlone(t *testing.T) {
-	d := fault.New(1)
+	d := faultdisk.New(1)
 	s, _ := open(t, d)
 	defer s.Close()
 	if err := s.Commit(set("k", strings.Repeat("x", 2<<20))); err == nil {
