--- /dev/null
+++ b/balancer/serverlist.go
@@ -0,0 +1,53 @@
+package balancer
+
+import (
+	"maps"
+	"slices"
+)
+
+// applyServerList applies what the list says. Where it must be asked for, a failed call is followed by another after a
+// pause that doubles, with some chance in it, so that gatherers do not flood a list service already late.
+func (b *Balancer) applyServerList(e ServerList) {
+	if e.Kind == ListFailed {
+		if b.listOnRequest && !b.listTimerSet {
+			b.listTimerSet = true
+			b.emit(SetTimer{b.now + b.listBackoff/2 + Time(b.rand.intN(int(b.listBackoff))), listTimer})
+			b.listBackoff = min(2*b.listBackoff, b.maxListBackoff)
+		}
+		return
+	}
+	b.listBackoff = firstBackoff
+	if e.Kind == ListCached && b.listOnRequest {
+		b.emit(Subscribe{})
+	}
+	if e.Kind != ListDelta {
+		for _, s := range slices.Clone(b.ready) {
+			b.setState(s, Removed)
+		}
+	}
+	for _, entry := range e.Servers {
+		s := b.servers[entry.ID]
+		if s == nil {
+			s = &server{id: entry.ID, startedAt: -1, sentWork: newWindowCounter(b.overloadWindow)}
+			b.servers[entry.ID] = s
+		}
+		b.setState(s, Removed)
+		s.local = b.preferLocal && entry.Zone == b.localZone
+		s.cell, s.maxInFlight = entry.Cell, entry.MaxInFlight
+		if s.zone = b.zones[entry.Zone]; s.zone == nil {
+			s.zone = &zone{}
+			b.zones[entry.Zone] = s.zone
+		}
+		b.setState(s, entry.State)
+		if entry.StartedAt != s.startedAt {
+			// Started anew: nothing learned of it holds any more.
+			s.startedAt, s.nextEjection = entry.StartedAt, b.baseEjection
+			s.unitLatency, s.reportedAt, s.failureRate, s.ejectedUntil, s.probation = 0, 0, 0, 0, false
+		}
+	}
+	if len(b.servers) > 2*len(b.ready) {
+		maps.DeleteFunc(b.servers, func(_ ServerID, s *server) bool {
+			return s.state == Removed && len(s.inFlight) == 0 && s.sentWork.upper(b.now) == 0
+		})
+	}
+}
--- a/dataplane/dispatchwatch.go
+++ b/dataplane/dispatchwatch.go
@@ -2,7 +2,7 @@
 
 import (
 	"oxbowspan/admission"
-	"oxbowspan/brain"
+	"oxbowspan/balancer"
 )
 
 // dispatchState is what a search's parts say of it: whether a connection has carried one, or may do so yet.
@@ -15,7 +15,7 @@
 }
 
 // watchDispatch has a search looked at again when it has waited for its first offer for long enough.
-func (f *Gateway) watchDispatch(s *request, now brain.Time) {
+func (f *Gateway) watchDispatch(s *request, now balancer.Time) {
 	if s.finished || s.dispatchState().Dispatched {
 		return
 	}
@@ -27,7 +27,7 @@
 }
 
 // dispatchOverdue gives up a search that nobody could be offered: no server can be asked, and brain waits for one to come back.
-func (f *Gateway) dispatchOverdue(s *request, now brain.Time) {
+func (f *Gateway) dispatchOverdue(s *request, now balancer.Time) {
 	if s.finished {
 		return
 	}
@@ -37,7 +37,7 @@
 	case admission.Recheck:
 		f.watchDispatch(s, now)
 	case admission.Reject:
-		f.handleEvent(brain.SearchLeft{Search: s.id})
+		f.handleEvent(balancer.RequestCancelled{Request: s.id})
 		f.failRequest(s.id, ticks(maxRetryAfter))
 	case admission.AwaitResponse:
 	}
--- a/dataplane/exchange.go
+++ b/dataplane/exchange.go
@@ -1,6 +1,6 @@
 package dataplane
 
-import "oxbowspan/brain"
+import "oxbowspan/balancer"
 
 // exchange is the state of one connection to a server: the request whose answer is due, and how much of it has been handed over.
 // It does no I/O and holds no lock; its link does both.
@@ -30,11 +30,11 @@
 func (x *exchange) reusable() bool { return x.pending == nil && !x.writing }
 
 // connectionLost notes the end of the connection. It returns whose answer is lost, nil = nobody's, and what that says of its request.
-func (x *exchange) connectionLost(outcome brain.Outcome) (*attempt, brain.Outcome) {
+func (x *exchange) connectionLost(outcome balancer.Outcome) (*attempt, balancer.Outcome) {
 	c := x.pending
 	x.pending = nil
 	if x.nothingSent {
-		outcome = brain.ConnectFailed
+		outcome = balancer.ConnectFailed
 	}
 	return c, outcome
 }
--- a/dataplane/fuzz_test.go
+++ b/dataplane/fuzz_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"oxbowspan/brain"
+	"oxbowspan/balancer"
 	"oxbowspan/config"
 )
 
@@ -29,7 +29,7 @@
 		if keep < 0 || keep > maxIdle {
 			t.Fatalf("a connection is kept for %v", keep)
 		}
-		if err != nil || outcome != brain.Answered {
+		if err != nil || outcome != balancer.Answered {
 			return
 		}
 		if id := resp.Header.Peek("X-Attempt-Id"); len(id) > 0 && string(id) != "q" {
--- a/dataplane/gateway.go
+++ b/dataplane/gateway.go
@@ -16,7 +16,7 @@
 	"github.com/rotisserie/eris"
 	"github.com/rs/zerolog"
 
-	"oxbowspan/brain"
+	"oxbowspan/balancer"
 	"oxbowspan/internal/network"
 	"oxbowspan/internal/settings"
 	"oxbowspan/rpc"
@@ -58,13 +58,13 @@
 }
 
 // now is the steady clock, as brain counts it.
-func (f *Gateway) now() brain.Time {
-	return brain.Time(time.Since(f.startedAt) / (100 * time.Microsecond))
+func (f *Gateway) now() balancer.Time {
+	return balancer.Time(time.Since(f.startedAt) / (100 * time.Microsecond))
 }
 
-func duration(t brain.Time) time.Duration { return time.Duration(t) * 100 * time.Microsecond }
+func duration(t balancer.Time) time.Duration { return time.Duration(t) * 100 * time.Microsecond }
 
-func ticks(d time.Duration) brain.Time { return brain.Time(d / (100 * time.Microsecond)) }
+func ticks(d time.Duration) balancer.Time { return balancer.Time(d / (100 * time.Microsecond)) }
 
 // post hands the owner a command. It tells whether the owner still works.
 func (f *Gateway) post(c func()) bool {
--- a/dataplane/healthcheck.go
+++ b/dataplane/healthcheck.go
@@ -6,7 +6,7 @@
 	"net/http"
 	"time"
 
-	"oxbowspan/brain"
+	"oxbowspan/balancer"
 	"oxbowspan/registry"
 	"oxbowspan/rendezvous"
 	"oxbowspan/rpc"
@@ -23,7 +23,7 @@
 )
 
 // runHealthChecks probes the servers whose duty this gatherer holds.
-func (f *Gateway) runHealthChecks(now brain.Time) {
+func (f *Gateway) runHealthChecks(now balancer.Time) {
 	if f.draining.Load() {
 		return // what it begins must end with it
 	}
@@ -82,7 +82,7 @@
 }
 
 // pollStatus gathers what the core is to be told. It is the owner's.
-func (f *Gateway) pollStatus(now brain.Time) pollStatus {
+func (f *Gateway) pollStatus(now balancer.Time) pollStatus {
 	o := pollStatus{stats: f.stats(now)}
 	for _, s := range f.endpoints {
 		if s.seenHealthyAt > 0 && now-s.seenHealthyAt < ticks(healthReportAge) && s.lease.Holder == f.incarnation && s.noHeartbeats {
--- a/dataplane/loadexchange.go
+++ b/dataplane/loadexchange.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"oxbowspan/brain"
+	"oxbowspan/balancer"
 	"oxbowspan/internal/settings"
 	"oxbowspan/rendezvous"
 	"oxbowspan/rpc"
@@ -18,7 +18,7 @@
 	caller     *rpc.Client
 	cancel     context.CancelFunc
 	loads      map[string]float64 // parts, by instance
-	receivedAt brain.Time
+	receivedAt balancer.Time
 }
 
 // handleFrame takes a frame of another gatherer.
@@ -39,7 +39,7 @@
 
 // loadReport are the unfinished parts that this gatherer had at each server, in the mean since they were last told: a part takes
 // less time than passes between two tellings, so that what is out at the moment says little.
-func (f *Gateway) loadReport(now brain.Time) *rpc.LoadReport {
+func (f *Gateway) loadReport(now balancer.Time) *rpc.LoadReport {
 	m := &rpc.LoadReport{Incarnation: f.incarnation}
 	for _, s := range f.endpoints {
 		s.addInFlight(now, 0)
@@ -52,7 +52,7 @@
 }
 
 // addInFlight notes that so many parts more are out at a server.
-func (s *endpoint) addInFlight(now brain.Time, more int) {
+func (s *endpoint) addInFlight(now balancer.Time, more int) {
 	s.inFlightIntegral += float64(s.inFlight) * float64(now-s.integratedAt)
 	s.integratedAt = now
 	s.inFlight += more
@@ -85,7 +85,7 @@
 	if len(zone) == 1 {
 		zone, far, f.observedPeers = all, nil, len(all)-1
 	}
-	f.handleEvent(brain.FleetChanged{Shards: len(f.shards), Gatherers: len(all)})
+	f.handleEvent(balancer.ClusterResized{Shards: len(f.shards), Instances: len(all)})
 	f.syncEndpoints()
 	few := map[rendezvous.Name]bool{}
 	for _, name := range rendezvous.Peers(self, zone, rendezvous.PeerCount) {
@@ -146,7 +146,7 @@
 }
 
 // exchangeLoads tells the watchers what is unfinished here, and brain what the watched have, taken for all others.
-func (f *Gateway) exchangeLoads(now brain.Time) {
+func (f *Gateway) exchangeLoads(now balancer.Time) {
 	f.outliers.sentAt = now
 	words := f.outgoingObservations(now) // those that nobody watches are told to nobody
 	if len(f.subscribers) > 0 {
@@ -178,11 +178,11 @@
 		return
 	}
 	scale := float64(max(f.observedPeers, heard)) / float64(heard)
-	told := brain.Told{}
+	told := balancer.PeerUpdate{}
 	for _, s := range f.endpoints {
 		// Of servers elsewhere, silence of this zone's gatherers says nothing: those of their own zones ask them.
 		if s.listed && (s.zone == f.settings.Zone || f.observedPeers == len(f.gateways)-1) {
-			told.Loads = append(told.Loads, brain.Load{Server: s.id, Parts: sums[s.instance] * scale})
+			told.Loads = append(told.Loads, balancer.PeerLoad{Server: s.id, InFlight: sums[s.instance] * scale})
 		}
 	}
 	f.handleEvent(told)
--- a/dataplane/loop.go
+++ b/dataplane/loop.go
@@ -8,7 +8,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"oxbowspan/brain"
+	"oxbowspan/balancer"
 	"oxbowspan/config"
 	"oxbowspan/internal/alarm"
 	"oxbowspan/internal/settings"
@@ -30,9 +30,9 @@
 // route is a route of one version, in brain's terms.
 type route struct {
 	*config.Route
-	queryType    brain.QueryType
-	shards       []brain.ShardNo // a gathered route's
-	alternatives []brain.Weighted
+	queryType    balancer.QueryType
+	shards       []balancer.ShardIndex // a gathered route's
+	alternatives []balancer.WeightedShard
 	tenant       quota.TenantID // the owner's, where tenants are in force
 	hasTenant    bool
 }
@@ -46,11 +46,11 @@
 	header    []byte // the header lines that go along
 	body      []byte
 	attemptID string
-	deadline  brain.Time
+	deadline  balancer.Time
 	results   chan result // takes one without waiting
 
 	// The owner's.
-	id          brain.SearchID
+	id          balancer.RequestID
 	shardCalls  []*shardCall
 	finished    bool
 	mayHaveRun  bool               // something was sent and may have run or run yet
@@ -60,8 +60,8 @@
 
 type shardCall struct {
 	request  *request
-	id       brain.PartID
-	shard    brain.ShardNo
+	id       balancer.ShardCallID
+	shard    balancer.ShardIndex
 	attempts []*attempt // by number of the sub-request; nil = ended
 	inFlight int
 	response *fasthttp.Response
@@ -69,18 +69,18 @@
 	firstConn  *serverConn // the connection that carried it first, then the others
 	otherConns []*serverConn
 
-	waitingSince brain.Time // since when it waits for a connection, 0 = it does not
+	waitingSince balancer.Time // since when it waits for a connection, 0 = it does not
 	tenant       quota.TenantID
 }
 
 // attempt is one sub-request.
 type attempt struct {
 	shardCall       *shardCall
-	number          brain.SendNo
+	number          balancer.AttemptNumber
 	endpoint        *endpoint
 	conn            *serverConn // nil = not connected yet
-	sentAt          brain.Time
-	deadline        brain.Time
+	sentAt          balancer.Time
+	deadline        balancer.Time
 	afterIdle       bool
 	ended           bool
 	countsForTenant bool // its connection counts for a tenant
@@ -93,7 +93,7 @@
 
 // endpoint is a server as this gatherer sees it.
 type endpoint struct {
-	id                          brain.ServerID
+	id                          balancer.ServerID
 	instance                    string
 	address                     string
 	service                     string
@@ -102,9 +102,9 @@
 	overdue                     bool
 	noHeartbeats                bool             // the core does not hear it itself
 	lease                       rendezvous.Lease // of the newest holder of its duty that was heard of
-	seenHealthyAt               brain.Time       // when this gatherer saw it well, as that holder; 0 = not
-	nextHealthCheck             brain.Time       // when it may be looked after again
-	healthCheckPause            brain.Time
+	seenHealthyAt               balancer.Time    // when this gatherer saw it well, as that holder; 0 = not
+	nextHealthCheck             balancer.Time    // when it may be looked after again
+	healthCheckPause            balancer.Time
 	sequence                    uint64
 	replaced                    bool // another server answered at its address
 	listed                      bool
@@ -113,35 +113,35 @@
 	connections                 int           // connections, those being made too
 	inFlight                    int           // sub-requests that have not ended
 	inFlightIntegral            float64       // of out over time, since it was last told
-	integralSince, integratedAt brain.Time
+	integralSince, integratedAt balancer.Time
 }
 
 // loopState is the state of the goroutine that alone calls brain.
 type loopState struct {
-	balancer         *brain.Gatherer
-	requests         map[brain.SearchID]*request  // emptied by the final answer
-	shardCalls       map[brain.PartID]*shardCall  // emptied when the search is over and nothing is out
-	endpoints        map[string]*endpoint         // by instance; emptied of those gone
-	endpointsByID    map[brain.ServerID]*endpoint // the same
-	shards           map[string]brain.ShardNo     // by service: as many as the operator and the servers ever named
-	queryTypes       map[string]brain.QueryType   // by host and prefix; a route that went leaves its number to the next
-	freeQueryTypes   []brain.QueryType
-	zones            map[string]brain.ZoneNo // as many as servers named
-	connectionLimits map[string]int          // connection limits, by service
+	balancer         *balancer.Balancer
+	requests         map[balancer.RequestID]*request     // emptied by the final answer
+	shardCalls       map[balancer.ShardCallID]*shardCall // emptied when the search is over and nothing is out
+	endpoints        map[string]*endpoint                // by instance; emptied of those gone
+	endpointsByID    map[balancer.ServerID]*endpoint     // the same
+	shards           map[string]balancer.ShardIndex      // by service: as many as the operator and the servers ever named
+	queryTypes       map[string]balancer.QueryType       // by host and prefix; a route that went leaves its number to the next
+	freeQueryTypes   []balancer.QueryType
+	zones            map[string]balancer.ZoneIndex // as many as servers named
+	connectionLimits map[string]int                // connection limits, by service
 	config           *config.Configuration
 	configText       []byte // its text, for gatherers that hear no hive
 	configSlot       uint64
 	timers           alarm.Heap[timerEvent] // emptied as they fire
-	pendingEvents    []brain.Event
+	pendingEvents    []balancer.Event
 	subscribers      map[*rpc.Conn]bool
 	subscriptions    map[rendezvous.Name]*loadSubscription
 	roles            *rendezvous.Tracker
 	gateways         []rendezvous.Name          // all, as last told, this one too
 	slots            map[string]*slotAssignment // by service, as many as the configuration names
 	observedPeers    int                        // others that those watched stand for
-	nextExchange     brain.Time
+	nextExchange     balancer.Time
 	lastID           uint64
-	lastNumber       brain.SearchNo
+	lastNumber       balancer.RequestNumber
 	quota            quotaClient
 	outliers         outlierClient
 	writeBuffer      []byte // for the text of a request
@@ -150,7 +150,7 @@
 
 // timerEvent is a timer of brain's, the time limit of a call, or of a search that was not offered.
 type timerEvent struct {
-	timer        brain.TimerID
+	timer        balancer.TimerID
 	attempt      *attempt
 	undispatched *request
 }
@@ -162,25 +162,25 @@
 	defaultAttempts   = 1                      // attempts, where a route states none
 )
 
-func (f *Gateway) balancerFacts() brain.Facts {
+func (f *Gateway) balancerFacts() balancer.Config {
 	b := f.settings.Bounds
-	return brain.Facts{Seed: f.incarnation, Gatherers: 1, Tick: brain.Millisecond, Cells: 1, Reach: 1, MostSubRequests: defaultAttempts,
-		MayCopy: true, AdviseRetry: ticks(maxRetryAfter), HasBudget: b.HasRetryBudget, BudgetEach: true,
-		BudgetFree: b.BudgetExtraTries, BudgetShare: b.RetryBudgetRatio,
-		BudgetSpan:  ticks(time.Duration((b.BudgetWindowS + 1) * float64(time.Second))),
-		BudgetWaits: !f.settings.FirstStart, TimeoutSeen: true, AtClient: true, Nears: true, Zone: 0, OverShareFactor: 1, Shares: &f.quota}
+	return balancer.Config{Seed: f.incarnation, Instances: 1, ClockResolution: balancer.Millisecond, Cells: 1, ReplicationFactor: 1, MaxAttempts: defaultAttempts,
+		AllowHedging: true, MaxRetryAfter: ticks(maxRetryAfter), HasRetryBudget: b.HasRetryBudget, RetryBudgetPerShard: true,
+		RetryBudgetBase: b.BudgetExtraTries, RetryBudgetRatio: b.RetryBudgetRatio,
+		RetryBudgetWindow:  ticks(time.Duration((b.BudgetWindowS + 1) * float64(time.Second))),
+		RetryBudgetDelayed: !f.settings.FirstStart, InferClientTimeout: true, MeasuredAtClient: true, PreferLocalZone: true, LocalZone: 0, OverQuotaValue: 1, Limiter: &f.quota}
 }
 
 func (o *loopState) init(f *Gateway) {
-	o.balancer = brain.New(f.balancerFacts())
-	o.requests, o.shardCalls = map[brain.SearchID]*request{}, map[brain.PartID]*shardCall{}
-	o.endpoints, o.endpointsByID = map[string]*endpoint{}, map[brain.ServerID]*endpoint{}
-	o.shards, o.queryTypes, o.zones = map[string]brain.ShardNo{}, map[string]brain.QueryType{}, map[string]brain.ZoneNo{}
+	o.balancer = balancer.New(f.balancerFacts())
+	o.requests, o.shardCalls = map[balancer.RequestID]*request{}, map[balancer.ShardCallID]*shardCall{}
+	o.endpoints, o.endpointsByID = map[string]*endpoint{}, map[balancer.ServerID]*endpoint{}
+	o.shards, o.queryTypes, o.zones = map[string]balancer.ShardIndex{}, map[string]balancer.QueryType{}, map[string]balancer.ZoneIndex{}
 	o.connectionLimits, o.subscribers, o.subscriptions = map[string]int{}, map[*rpc.Conn]bool{}, map[rendezvous.Name]*loadSubscription{}
 	o.roles = rendezvous.NewTracker(rendezvous.Name(f.settings.InternalAddress(settings.GatewayPort)))
 	o.gateways, o.slots = []rendezvous.Name{rendezvous.Name(f.settings.InternalAddress(settings.GatewayPort))}, map[string]*slotAssignment{}
 	o.zones[f.settings.Zone] = 0
-	o.outliers = outlierClient{detector: outlier.NewDetector(outlier.Observer(f.incarnation)), reported: map[brain.ServerID]brain.Judgement{}}
+	o.outliers = outlierClient{detector: outlier.NewDetector(outlier.Observer(f.incarnation)), reported: map[balancer.ServerID]balancer.OutlierVerdict{}}
 }
 
 // runLoop is the owner's goroutine.
@@ -199,7 +199,7 @@
 		f.fireTimers(now)
 		next := f.nextExchange
 		if at, ok := f.timers.Next(); ok {
-			next = min(next, brain.Time(at))
+			next = min(next, balancer.Time(at))
 		}
 		timer.Reset(max(duration(next-f.now()), 100*time.Microsecond))
 		select {
@@ -238,25 +238,25 @@
 	}
 }
 
-func (f *Gateway) fireTimers(now brain.Time) {
+func (f *Gateway) fireTimers(now balancer.Time) {
 	for {
 		at, ok := f.timers.Next()
-		if !ok || brain.Time(at) > now {
+		if !ok || balancer.Time(at) > now {
 			return
 		}
 		d := f.timers.Pop()
 		if d.undispatched != nil {
 			f.dispatchOverdue(d.undispatched, now)
 		} else if d.attempt == nil {
-			f.handleEvent(brain.TimerFired{Timer: d.timer})
+			f.handleEvent(balancer.TimerFired{Timer: d.timer})
 		} else if !d.attempt.ended {
-			f.attemptEnded(d.attempt, brain.TimedOut, nil)
+			f.attemptEnded(d.attempt, balancer.TimedOut, nil)
 		}
 	}
 }
 
 // handleEvent gives an event to brain and performs its actions, in order.
-func (f *Gateway) handleEvent(ev brain.Event) {
+func (f *Gateway) handleEvent(ev balancer.Event) {
 	f.performActions(f.balancer.Handle(f.now(), ev))
 	for len(f.pendingEvents) > 0 {
 		next := f.pendingEvents[0]
@@ -266,20 +266,20 @@
 	f.pendingEvents = nil
 }
 
-func (f *Gateway) performActions(acts []brain.Action) {
+func (f *Gateway) performActions(acts []balancer.Action) {
 	for _, a := range acts {
 		switch a := a.(type) {
-		case brain.Send:
+		case balancer.Send:
 			f.dispatch(a)
-		case brain.Answer:
+		case balancer.Answer:
 			f.answerRequest(a)
-		case brain.Shed:
-			f.failRequest(a.Search, a.RetryAfter)
-		case brain.Fail:
-			f.failRequest(a.Search, 0)
-		case brain.Wake:
+		case balancer.Shed:
+			f.failRequest(a.Request, a.RetryAfter)
+		case balancer.Fail:
+			f.failRequest(a.Request, 0)
+		case balancer.SetTimer:
 			f.timers.Push(int64(a.At), timerEvent{timer: a.Timer})
-		case brain.CloseIdle:
+		case balancer.CloseIdle:
 			if s := f.endpointsByID[a.Server]; s != nil {
 				f.closeIdleConns(s)
 			}
@@ -290,22 +290,22 @@
 // requestArrived takes a request.
 func (f *Gateway) requestArrived(s *request) {
 	f.lastID++
-	s.id = brain.SearchID(f.lastID)
+	s.id = balancer.RequestID(f.lastID)
 	if f.lastNumber++; f.lastNumber >= math.MaxUint32-1 {
 		f.lastNumber = 1
 	}
 	f.requests[s.id] = s
-	ev := brain.SearchArrived{Search: s.id, Number: f.lastNumber, Type: s.route.queryType, Patience: s.deadline, Among: s.route.alternatives}
+	ev := balancer.RequestArrived{Request: s.id, Number: f.lastNumber, Type: s.route.queryType, Timeout: s.deadline, Candidates: s.route.alternatives}
 	shards := s.route.shards
 	if len(shards) == 0 {
-		shards = []brain.ShardNo{s.route.alternatives[0].Shard}
+		shards = []balancer.ShardIndex{s.route.alternatives[0].Shard}
 	}
 	for _, at := range shards {
 		f.lastID++
-		p := &shardCall{request: s, id: brain.PartID(f.lastID), shard: at}
+		p := &shardCall{request: s, id: balancer.ShardCallID(f.lastID), shard: at}
 		s.shardCalls = append(s.shardCalls, p)
 		f.shardCalls[p.id] = p
-		ev.Parts = append(ev.Parts, brain.Part{ID: p.id, Shard: at, Weight: 1 / float64(len(shards))})
+		ev.Calls = append(ev.Calls, balancer.ShardCall{ID: p.id, Shard: at, Weight: 1 / float64(len(shards))})
 	}
 	f.handleEvent(ev)
 	f.startWaiting(s, f.now())
@@ -313,8 +313,8 @@
 }
 
 // answerRequest gives a search what is in.
-func (f *Gateway) answerRequest(a brain.Answer) {
-	s := f.requests[a.Search]
+func (f *Gateway) answerRequest(a balancer.Answer) {
+	s := f.requests[a.Request]
 	if s == nil {
 		return
 	}
@@ -333,7 +333,7 @@
 }
 
 // failRequest ends a search without an answer. Only where nothing has run nor can yet, it is told that coming back is harmless.
-func (f *Gateway) failRequest(id brain.SearchID, advice brain.Time) {
+func (f *Gateway) failRequest(id balancer.RequestID, advice balancer.Time) {
 	s := f.requests[id]
 	if s == nil {
 		return
@@ -388,16 +388,16 @@
 		f.connectionLimits[s.Name] = s.ConnectionLimit
 		f.shardNumber(s.Name)
 	}
-	f.handleEvent(brain.FleetChanged{Shards: len(f.shards), Gatherers: len(f.gateways)})
+	f.handleEvent(balancer.ClusterResized{Shards: len(f.shards), Instances: len(f.gateways)})
 	next := &activeConfig{slot: turn, version: c.Version, table: config.NewRouteTable(c), routes: map[*config.Route]*route{}}
 	had := f.queryTypes
-	f.queryTypes = map[string]brain.QueryType{}
+	f.queryTypes = map[string]balancer.QueryType{}
 	for i := range c.Routes {
 		r := &c.Routes[i]
 		key := strings.ToLower(r.Hostname) + r.PathPrefix
 		typ, known := had[key]
 		if delete(had, key); !known {
-			typ = brain.QueryType(len(f.queryTypes) + len(had) + len(f.freeQueryTypes))
+			typ = balancer.QueryType(len(f.queryTypes) + len(had) + len(f.freeQueryTypes))
 			if n := len(f.freeQueryTypes); n > 0 {
 				typ, f.freeQueryTypes = f.freeQueryTypes[n-1], f.freeQueryTypes[:n-1]
 			}
@@ -414,24 +414,24 @@
 			if r.Gathered() {
 				to.shards = append(to.shards, at)
 			} else {
-				to.alternatives = append(to.alternatives, brain.Weighted{Shard: at, Weight: weight})
+				to.alternatives = append(to.alternatives, balancer.WeightedShard{Shard: at, Weight: weight})
 			}
 		}
 		if r.Gathered() {
 			to.alternatives = nil
 		}
 		next.routes[r] = to
-		effect := brain.NonIdempotent
+		effect := balancer.NonIdempotent
 		if r.RouteKind == config.Retryable {
-			effect = brain.Idempotent
+			effect = balancer.Idempotent
 		}
 		least := 1.0
 		if r.Gathered() {
 			least = max(r.MinimumShare, 1e-9)
 		}
-		f.handleEvent(brain.TypeChanged{Type: typ, Facts: brain.QueryTypeFacts{Effect: effect, LatencyTarget: ticksFromMillis(r.TargetMS),
-			ClientTimeout: ticksFromMillis(r.TimeoutMS), LateValue: lateResponseValue, LeastShare: least, WholeAt: 1,
-			MostSubRequests: max(r.Attempts, defaultAttempts), Square: r.Gathered()}})
+		f.handleEvent(balancer.QueryTypeChanged{Type: typ, Config: balancer.QueryTypeConfig{Idempotency: effect, LatencyTarget: ticksFromMillis(r.TargetMS),
+			ClientTimeout: ticksFromMillis(r.TimeoutMS), LateValue: lateResponseValue, MinCoverage: least, CompleteCoverage: 1,
+			MaxAttempts: max(r.Attempts, defaultAttempts), QuadraticPartialValue: r.Gathered()}})
 	}
 	for _, typ := range had {
 		f.freeQueryTypes = append(f.freeQueryTypes, typ)
@@ -442,22 +442,24 @@
 	f.log.Info().Uint64("version", c.Version).Uint64("turn", turn).Int("routes", len(c.Routes)).Msg("config: in force")
 }
 
-func ticksFromMillis(ms float64) brain.Time { return brain.Time(ms * float64(brain.Millisecond)) }
+func ticksFromMillis(ms float64) balancer.Time {
+	return balancer.Time(ms * float64(balancer.Millisecond))
+}
 
 // shardNumber is the number of a service.
-func (f *Gateway) shardNumber(service string) brain.ShardNo {
+func (f *Gateway) shardNumber(service string) balancer.ShardIndex {
 	at, known := f.shards[service]
 	if !known {
-		at = brain.ShardNo(len(f.shards))
+		at = balancer.ShardIndex(len(f.shards))
 		f.shards[service] = at
 	}
 	return at
 }
 
-func (f *Gateway) zoneNumber(name string) brain.ZoneNo {
+func (f *Gateway) zoneNumber(name string) balancer.ZoneIndex {
 	no, known := f.zones[name]
 	if !known {
-		no = brain.ZoneNo(len(f.zones))
+		no = balancer.ZoneIndex(len(f.zones))
 		f.zones[name] = no
 	}
 	return no
@@ -483,7 +485,7 @@
 				continue
 			}
 			f.lastID++
-			s = &endpoint{id: brain.ServerID(f.lastID), instance: r.Instance}
+			s = &endpoint{id: balancer.ServerID(f.lastID), instance: r.Instance}
 			f.endpoints[r.Instance], f.endpointsByID[s.id] = s, s
 		}
 		if r.Sequence >= s.sequence {
@@ -507,27 +509,27 @@
 	for _, s := range f.endpoints {
 		f.shardNumber(s.service)
 	}
-	f.handleEvent(brain.FleetChanged{Shards: len(f.shards), Gatherers: len(f.gateways)})
+	f.handleEvent(balancer.ClusterResized{Shards: len(f.shards), Instances: len(f.gateways)})
 	seated := f.assignedEndpoints()
-	ev := brain.ServerList{Kind: brain.ListChanges}
+	ev := balancer.ServerList{Kind: balancer.ListDelta}
 	for i, s := range f.endpoints {
-		entry := brain.Server{ID: s.id, Zone: f.zoneNumber(s.zone), Cell: brain.CellNo(f.shardNumber(s.service)), Most: f.maxConnections(s.service)}
+		entry := balancer.Server{ID: s.id, Zone: f.zoneNumber(s.zone), Cell: balancer.CellIndex(f.shardNumber(s.service)), MaxInFlight: f.maxConnections(s.service)}
 		if own, few := seated[s.service]; !s.overdue && !s.replaced && (!few || own[s.instance]) {
 			switch s.state {
 			case registry.Ready:
-				entry.State = brain.Ready
+				entry.State = balancer.Ready
 			case registry.Draining:
-				entry.State = brain.Draining
+				entry.State = balancer.Draining
 			}
 		}
-		if s.listed = entry.State == brain.Ready; !s.listed {
+		if s.listed = entry.State == balancer.Ready; !s.listed {
 			f.closeIdleConns(s)
 		}
-		for entry.Most > 0 && s.connections > entry.Most && len(s.idle) > 0 { // its part grew smaller
+		for entry.MaxInFlight > 0 && s.connections > entry.MaxInFlight && len(s.idle) > 0 { // its part grew smaller
 			f.closeConn(s.idle[0])
 			s.idle = s.idle[1:]
 		}
-		f.quota.addServer(s, entry.Most, rendezvous.ConnectionSlots(f.connectionLimits[s.service]))
+		f.quota.addServer(s, entry.MaxInFlight, rendezvous.ConnectionSlots(f.connectionLimits[s.service]))
 		ev.Servers = append(ev.Servers, entry)
 		if s.state == registry.Deregistered && s.inFlight == 0 && s.connections == 0 {
 			delete(f.endpoints, i)
--- a/dataplane/outlier.go
+++ b/dataplane/outlier.go
@@ -5,7 +5,7 @@
 	"syscall"
 	"time"
 
-	"oxbowspan/brain"
+	"oxbowspan/balancer"
 	"oxbowspan/config"
 	"oxbowspan/outlier"
 	"oxbowspan/rendezvous"
@@ -25,13 +25,13 @@
 // outlierClient is what the owner keeps of it.
 type outlierClient struct {
 	detector     *outlier.Detector
-	reported     map[brain.ServerID]brain.Judgement // what brain was told; emptied of servers that are in as they are
-	zoneGateways map[string][]rendezvous.Name       // gatherers by zone, as last told
-	sentAt       brain.Time
+	reported     map[balancer.ServerID]balancer.OutlierVerdict // what brain was told; emptied of servers that are in as they are
+	zoneGateways map[string][]rendezvous.Name                  // gatherers by zone, as last told
+	sentAt       balancer.Time
 
 	pinsVersion uint64                   // the version of the document of pins that is in force
 	pins        map[string]outlier.State // by instance, as that says
-	pinEnds     map[string]brain.Time    // of those that stand
+	pinEnds     map[string]balancer.Time // of those that stand
 }
 
 // applyPins takes a document of pins. Each holds from now for as long as it says.
@@ -45,7 +45,7 @@
 	j.pinsVersion = n.Version
 	before := j.pins
 	ends := j.pinEnds
-	j.pins, j.pinEnds = map[string]outlier.State{}, map[string]brain.Time{}
+	j.pins, j.pinEnds = map[string]outlier.State{}, map[string]balancer.Time{}
 	for _, p := range doc.Pins {
 		state := map[string]outlier.State{"in": outlier.Healthy, "avoided": outlier.Avoided, "out": outlier.Ejected}[p.State]
 		j.pins[p.Instance], j.pinEnds[p.Instance] = state, f.now()+ticks(time.Duration(p.DurationSeconds)*time.Second-time.Duration(n.AgeMs)*time.Millisecond)
@@ -63,7 +63,7 @@
 }
 
 // enforcePins holds what is pinned, and ends what is over.
-func (f *Gateway) enforcePins(now brain.Time) {
+func (f *Gateway) enforcePins(now balancer.Time) {
 	j := &f.outliers
 	for i, state := range j.pins {
 		switch st := j.detector.Status(outlier.Instance(i)); {
@@ -79,7 +79,7 @@
 }
 
 // verdicts are what operators are told of servers that are not simply in.
-func (f *Gateway) verdicts(now brain.Time) (out []*rpc.OutlierVerdict) {
+func (f *Gateway) verdicts(now balancer.Time) (out []*rpc.OutlierVerdict) {
 	j := &f.outliers
 	for id := range j.reported {
 		s := f.endpointsByID[id]
@@ -100,17 +100,17 @@
 }
 
 // recordOutcome notes how a sub-request ended.
-func (f *Gateway) recordOutcome(s *endpoint, outcome brain.Outcome, err error) {
+func (f *Gateway) recordOutcome(s *endpoint, outcome balancer.Outcome, err error) {
 	if f.settings.LocalDetectionOnly {
 		return
 	}
 	now := duration(f.now())
 	was := f.outliers.detector.Status(outlier.Instance(s.instance)).State
 	switch outcome {
-	case brain.Answered:
-		unit, fellows := f.balancer.Compare(s.id)
+	case balancer.Answered:
+		unit, fellows := f.balancer.CompareLatency(s.id)
 		f.outliers.detector.RecordSuccess(outlier.Instance(s.instance), unit, fellows, now)
-	case brain.ConnectFailed:
+	case balancer.ConnectFailed:
 		if !errors.Is(err, syscall.ECONNREFUSED) {
 			return
 		}
@@ -125,12 +125,12 @@
 }
 
 // expediteExchange has words told soon.
-func (f *Gateway) expediteExchange(now brain.Time) {
+func (f *Gateway) expediteExchange(now balancer.Time) {
 	f.nextExchange = min(f.nextExchange, max(now+ticks(urgentDelay), f.outliers.sentAt+ticks(minUrgentInterval)))
 }
 
 // evaluateOutliers looks at servers that are silent, carries the judgement on and tells brain what changed.
-func (f *Gateway) evaluateOutliers(now brain.Time) {
+func (f *Gateway) evaluateOutliers(now balancer.Time) {
 	if f.settings.LocalDetectionOnly {
 		return
 	}
@@ -138,7 +138,7 @@
 	asked, mute := 0, []*endpoint(nil)
 	for _, s := range f.endpoints {
 		if s.inFlight > 0 {
-			if asked++; f.balancer.Mute(s.id) {
+			if asked++; f.balancer.Unresponsive(s.id) {
 				mute = append(mute, s)
 			}
 		}
@@ -153,9 +153,9 @@
 }
 
 // updateBalancer tells brain the stances that are other than it was told.
-func (f *Gateway) updateBalancer(now brain.Time) {
+func (f *Gateway) updateBalancer(now balancer.Time) {
 	j := &f.outliers
-	var all []brain.Judgement
+	var all []balancer.OutlierVerdict
 	changed := j.detector.TakeChanged()
 	for id := range j.reported { // who tries one that is out follows from the fleet too
 		if s := f.endpointsByID[id]; s != nil {
@@ -172,15 +172,15 @@
 		if st.State == outlier.Healthy && st.Factor == 1 && !known {
 			continue
 		}
-		is := brain.Judgement{ID: s.id, Factor: st.Factor, Held: st.State == outlier.Ejected || st.State == outlier.Probation && !f.ownsProbation(s, now)}
-		is.Back = known && was.Held && st.State == outlier.Healthy
+		is := balancer.OutlierVerdict{ID: s.id, SlowdownFactor: st.Factor, Ejected: st.State == outlier.Ejected || st.State == outlier.Probation && !f.ownsProbation(s, now)}
+		is.Recovered = known && was.Ejected && st.State == outlier.Healthy
 		if is == was {
 			continue
 		}
 		if all = append(all, is); st.State == outlier.Healthy && st.Factor == 1 {
 			delete(j.reported, s.id)
 		} else {
-			is.Back = false
+			is.Recovered = false
 			j.reported[s.id] = is
 		}
 		if stance := st.State.String(); s.loggedState != stance {
@@ -193,12 +193,12 @@
 		}
 	}
 	if len(all) > 0 {
-		f.handleEvent(brain.Told{Judged: all})
+		f.handleEvent(balancer.PeerUpdate{Verdicts: all})
 	}
 }
 
 // ownsProbation tells whether this gatherer is to try a server that is out: the holder of its duty among the gatherers of its zone.
-func (f *Gateway) ownsProbation(s *endpoint, now brain.Time) bool {
+func (f *Gateway) ownsProbation(s *endpoint, now balancer.Time) bool {
 	near := f.outliers.zoneGateways[s.zone]
 	if len(near) == 0 {
 		near = f.gateways
@@ -218,7 +218,7 @@
 }
 
 // outgoingObservations are what is to be told now.
-func (f *Gateway) outgoingObservations(now brain.Time) (out []*rpc.Observation) {
+func (f *Gateway) outgoingObservations(now balancer.Time) (out []*rpc.Observation) {
 	for _, w := range f.outliers.detector.DrainOutbox() {
 		out = append(out, &rpc.Observation{Instance: string(w.Server), Observer: uint64(w.Observer), Sequence: w.Sequence, Kind: uint32(w.Kind), RatioMilli: uint32(1000 * min(w.Ratio, 1e6)),
 			Responses: uint32(w.Responses), BackoffMs: uint32(w.Backoff / time.Millisecond), AgeMs: uint32((duration(now) - w.ObservedAt) / time.Millisecond), Hops: uint32(w.Hops)})
--- a/dataplane/quotaclient.go
+++ b/dataplane/quotaclient.go
@@ -6,7 +6,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"oxbowspan/brain"
+	"oxbowspan/balancer"
 	"oxbowspan/config"
 	"oxbowspan/internal/settings"
 	"oxbowspan/quota"
@@ -31,14 +31,14 @@
 	text        []byte                 // of the document, as agreed
 	version     uint64
 	limiter     *quota.Limiter
-	tenantOf    map[brain.QueryType]quota.TenantID
-	services    map[brain.ShardNo]quota.Service
+	tenantOf    map[balancer.QueryType]quota.TenantID
+	services    map[balancer.ShardIndex]quota.Service
 	tenants     map[quota.TenantID]*tenantUsage
 	demands     map[string]*quota.DemandEstimator // by service; kept to those of the configuration
 	grants      map[string]quotaGrant             // by service; kept to those of the configuration
 	allocators  map[string]*quota.Allocator       // of the services whose duty is held here
 	callers     map[rendezvous.Name]*rpc.Client   // emptied of gatherers that are gone
-	nextRequest brain.Time
+	nextRequest balancer.Time
 }
 
 // tenantUsage is one as operators are told of it.
@@ -46,33 +46,33 @@
 	quota.TenantPolicy
 	requests, waited uint64
 	waiting          int
-	lastWait         brain.Time              // 0 = it does not wait
+	lastWait         balancer.Time           // 0 = it does not wait
 	waits            *hdrhistogram.Histogram // nil until it first waits
-	since            brain.Time
+	since            balancer.Time
 }
 
 // quotaGrant is a part of a service's connections beyond the base.
 type quotaGrant struct {
 	connections int
-	expiresAt   brain.Time
+	expiresAt   balancer.Time
 	requested   bool // asked for again, not answered yet
 }
 
-// Room, Press and Wait are what brain asks.
-func (t *quotaClient) Room(at brain.ServerID, of brain.QueryType, now brain.Time) bool {
+// CanAcquire, Press and Wait are what brain asks.
+func (t *quotaClient) CanAcquire(at balancer.ServerID, of balancer.QueryType, now balancer.Time) bool {
 	return t.limiter == nil || t.limiter.CanAcquire(quota.ServerID(at), t.tenantOf[of], duration(now))
 }
 
-func (t *quotaClient) Press(of brain.QueryType, now brain.Time) float64 {
+func (t *quotaClient) LimitShare(of balancer.QueryType, now balancer.Time) float64 {
 	if t.limiter == nil {
 		return 1
 	}
 	return t.limiter.InFlightFactor(t.tenantOf[of], duration(now))
 }
 
-func (t *quotaClient) Wait(at brain.ShardNo, of brain.QueryType, now brain.Time) brain.Time {
+func (t *quotaClient) ExpectedWait(at balancer.ShardIndex, of balancer.QueryType, now balancer.Time) balancer.Time {
 	if t.limiter == nil {
-		return brain.Never
+		return balancer.Never
 	}
 	return ticks(t.limiter.EstimatedWait(t.services[at], t.tenantOf[of], duration(now)))
 }
@@ -146,7 +146,7 @@
 		kept[no].TenantPolicy = all[i]
 	}
 	t.tenants = kept
-	t.tenantOf, t.services = map[brain.QueryType]quota.TenantID{}, map[brain.ShardNo]quota.Service{}
+	t.tenantOf, t.services = map[balancer.QueryType]quota.TenantID{}, map[balancer.ShardIndex]quota.Service{}
 	floors := map[quota.Service][]quota.TenantID{}
 	for r, at := range places {
 		no := numbers[at]
@@ -202,7 +202,7 @@
 }
 
 // acquireConnection notes a sub-request's connection for its tenant, gave its end.
-func (f *Gateway) acquireConnection(c *attempt, now brain.Time) {
+func (f *Gateway) acquireConnection(c *attempt, now balancer.Time) {
 	t := &f.quota
 	no := c.shardCall.request.route.tenant
 	if t.limiter == nil || !c.shardCall.request.route.hasTenant {
@@ -213,7 +213,7 @@
 	f.stopWaiting(c.shardCall, now)
 }
 
-func (f *Gateway) releaseConnection(c *attempt, now brain.Time) {
+func (f *Gateway) releaseConnection(c *attempt, now balancer.Time) {
 	if c.countsForTenant {
 		c.countsForTenant = false
 		f.quota.limiter.Release(quota.ServerID(c.endpoint.id), c.tenant, duration(now-c.sentAt), duration(now))
@@ -221,7 +221,7 @@
 }
 
 // startWaiting notes which parts of a search that was just taken wait for a connection.
-func (f *Gateway) startWaiting(s *request, now brain.Time) {
+func (f *Gateway) startWaiting(s *request, now balancer.Time) {
 	t := &f.quota
 	no := s.route.tenant
 	if t.limiter == nil || !s.route.hasTenant {
@@ -255,7 +255,7 @@
 }
 
 // stopWaiting notes that a part was sent, or is over.
-func (f *Gateway) stopWaiting(p *shardCall, now brain.Time) {
+func (f *Gateway) stopWaiting(p *shardCall, now balancer.Time) {
 	if p.waitingSince == 0 {
 		return
 	}
@@ -272,7 +272,7 @@
 }
 
 // maintainQuota asks for parts of the services' connections, tells who waits no longer, and gives up keepers whose duty is another's.
-func (f *Gateway) maintainQuota(now brain.Time) {
+func (f *Gateway) maintainQuota(now balancer.Time) {
 	t := &f.quota
 	if t.limiter == nil {
 		return
@@ -326,7 +326,7 @@
 func poolRole(service string) rendezvous.Name { return rendezvous.Name("connections " + service) }
 
 // quotaDemand are, by service, what tenants would use beyond the base that is had without asking.
-func (f *Gateway) quotaDemand(now brain.Time) map[string][]quota.Demand {
+func (f *Gateway) quotaDemand(now balancer.Time) map[string][]quota.Demand {
 	t := &f.quota
 	most := map[string]map[string]float64{} // by service and tenant
 	servers := map[string]float64{}
@@ -336,7 +336,7 @@
 		}
 	}
 	for _, h := range t.limiter.ConnectionUsages(duration(now)) {
-		s := f.endpointsByID[brain.ServerID(h.Server)]
+		s := f.endpointsByID[balancer.ServerID(h.Server)]
 		if s == nil || !s.listed {
 			continue
 		}
@@ -367,7 +367,7 @@
 }
 
 // requestQuota asks the holder of a service's duty for a part.
-func (f *Gateway) requestQuota(service string, wants []quota.Demand, now brain.Time) {
+func (f *Gateway) requestQuota(service string, wants []quota.Demand, now balancer.Time) {
 	t := &f.quota
 	g := t.grants[service]
 	if g.requested {
@@ -408,7 +408,7 @@
 }
 
 // applyGrant takes a part that was asked for at a moment.
-func (f *Gateway) applyGrant(service string, parts int, asked brain.Time) {
+func (f *Gateway) applyGrant(service string, parts int, asked balancer.Time) {
 	g := quotaGrant{connections: parts, expiresAt: asked + ticks(quota.LeaseDuration)}
 	if f.now() >= g.expiresAt {
 		return // it was on its way for too long
@@ -420,7 +420,7 @@
 }
 
 // allocate answers for a service whose duty is held here. It tells whether it is.
-func (f *Gateway) allocate(service string, life uint64, wants []quota.Demand, used int, now brain.Time) (parts int, may bool) {
+func (f *Gateway) allocate(service string, life uint64, wants []quota.Demand, used int, now balancer.Time) (parts int, may bool) {
 	t := &f.quota
 	limit, known := f.connectionLimits[service]
 	if t.limiter == nil || !known || !f.roles.Holds(poolRole(service), duration(now)) {
@@ -446,7 +446,7 @@
 }
 
 // stats are what operators are told; nil = there is nothing to tell.
-func (f *Gateway) stats(now brain.Time) *rpc.GatewayStats {
+func (f *Gateway) stats(now balancer.Time) *rpc.GatewayStats {
 	t := &f.quota
 	m := &rpc.GatewayStats{TenantsVersion: t.version, Verdicts: f.verdicts(now)}
 	if f.config != nil {
@@ -459,7 +459,7 @@
 		return m
 	}
 	for _, h := range t.limiter.ConnectionUsages(duration(now)) {
-		if s := f.endpointsByID[brain.ServerID(h.Server)]; s != nil {
+		if s := f.endpointsByID[balancer.ServerID(h.Server)]; s != nil {
 			m.Connections = append(m.Connections, &rpc.ConnectionUsage{Tenant: h.Tenant, Instance: s.instance, Service: s.service, InUse: uint32(h.InUse), Borrowed: uint32(h.Borrowed),
 				Limit: uint32(h.Limit), ShareMilli: uint32(1000 * min(h.Share, 1e6)), WantsMore: h.WantsMore})
 		}
--- a/dataplane/response.go
+++ b/dataplane/response.go
@@ -10,7 +10,7 @@
 	"github.com/rotisserie/eris"
 	"github.com/valyala/fasthttp"
 
-	"oxbowspan/brain"
+	"oxbowspan/balancer"
 )
 
 // promisesNotExecuted tells whether a status promises that the request has not run and never will.
@@ -25,27 +25,27 @@
 // readResponse reads one whole answer to a request. With an error, the bytes were no whole answer to this request: the
 // connection is of no more use and the request may have run. First says that the connection brought no answer before. Keep is how
 // long the connection may rest, 0 = not at all.
-func readResponse(r *bufio.Reader, s *request, first bool, resp *fasthttp.Response) (outcome brain.Outcome, keep time.Duration, err error) {
+func readResponse(r *bufio.Reader, s *request, first bool, resp *fasthttp.Response) (outcome balancer.Outcome, keep time.Duration, err error) {
 	if err := readFinalHeader(r, resp); err != nil {
-		return brain.Reset, 0, err
+		return balancer.Reset, 0, err
 	}
 	status := resp.StatusCode()
 	bodyless := s.method == "HEAD" || status == fasthttp.StatusNoContent || status == fasthttp.StatusNotModified
 	if !bodyless {
 		if resp.Header.ContentLength() == -2 {
-			return brain.Reset, 0, eris.New("an answer without a length: whether it is whole can't be known")
+			return balancer.Reset, 0, eris.New("an answer without a length: whether it is whole can't be known")
 		}
 		if err := resp.ReadBody(r, maxResponseBytes); err != nil {
-			return brain.Reset, 0, err
+			return balancer.Reset, 0, err
 		}
 		if resp.Header.ContentLength() == -1 {
 			if err := skipTrailer(r); err != nil {
-				return brain.Reset, 0, err
+				return balancer.Reset, 0, err
 			}
 		}
 	}
 	if !belongsToRequest(resp, s, first) {
-		return brain.Reset, 0, eris.New("an answer to another request, or to nobody knows which")
+		return balancer.Reset, 0, eris.New("an answer to another request, or to nobody knows which")
 	}
 	keep = maxIdle
 	if resp.Header.ConnectionClose() || len(resp.Header.Peek("X-Attempt-Id")) == 0 || status == fasthttp.StatusMisdirectedRequest {
@@ -138,21 +138,21 @@
 }
 
 // responseOutcome is what an answer says of its sub-request.
-func responseOutcome(status int, resp *fasthttp.Response, s *request) brain.Outcome {
+func responseOutcome(status int, resp *fasthttp.Response, s *request) balancer.Outcome {
 	marked := len(resp.Header.Peek("X-Not-Executed")) > 0
 	switch {
 	case status == fasthttp.StatusMisdirectedRequest:
-		return brain.TurnedAway
+		return balancer.Rejected
 	case marked && (promisesNotExecuted(status) || status == fasthttp.StatusBadRequest):
-		return brain.TurnedAway
+		return balancer.Rejected
 	case status/100 != 2 && (s.route.Gathered() || status >= 500 || promisesNotExecuted(status)):
-		return brain.Errored // a promise without the mark is the server's own word for something else, and must not go on as one
+		return balancer.Errored // a promise without the mark is the server's own word for something else, and must not go on as one
 	case status/100 == 2 && len(resp.Header.Peek("X-Server-Seal")) == 0:
-		return brain.Errored
+		return balancer.Errored
 	case len(resp.Header.Peek("Content-Encoding")) > 0:
-		return brain.Errored
+		return balancer.Errored
 	}
-	return brain.Answered
+	return balancer.Answered
 }
 
 // keepAliveTimeout is the time that a Keep-Alive field names, less a little for the way; what it does not name is no bound.
--- a/dataplane/response_test.go
+++ b/dataplane/response_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"oxbowspan/brain"
+	"oxbowspan/balancer"
 	"oxbowspan/config"
 )
 
@@ -20,39 +20,39 @@
 	for what, k := range map[string]struct {
 		text    string
 		to      *route
-		outcome brain.Outcome
+		outcome balancer.Outcome
 		broken  bool
 		keep    bool
 	}{
-		"whole":                 {"HTTP/1.1 200 OK\r\nX-Attempt-Id: q\r\n" + seal + "Content-Length: 2\r\n\r\nab", single, brain.Answered, false, true},
-		"in chunks":             {"HTTP/1.1 200 OK\r\nX-Attempt-Id: q\r\n" + seal + "Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n", single, brain.Answered, false, true},
-		"cut off":               {"HTTP/1.1 200 OK\r\nX-Attempt-Id: q\r\n" + seal + "Content-Length: 9\r\n\r\nab", single, brain.Reset, true, false},
-		"with a trailer":        {"HTTP/1.1 200 OK\r\nX-Attempt-Id: q\r\n" + seal + "Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\nX-Sum: 1\r\n\r\n", single, brain.Answered, false, true},
-		"a trailer cut off":     {"HTTP/1.1 200 OK\r\nX-Attempt-Id: q\r\n" + seal + "Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n", single, brain.Reset, true, false},
-		"chunks cut off":        {"HTTP/1.1 200 OK\r\nX-Attempt-Id: q\r\n" + seal + "Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n", single, brain.Reset, true, false},
-		"without a length":      {"HTTP/1.1 200 OK\r\nX-Attempt-Id: q\r\n" + seal + "\r\nab", single, brain.Reset, true, false},
-		"another's":             {"HTTP/1.1 200 OK\r\nX-Attempt-Id: p\r\n" + seal + "Content-Length: 2\r\n\r\nab", single, brain.Reset, true, false},
-		"torn, then another's":  {"HTTP/1.1 200 OK\r\nX-Attempt-Id: q\r\nA: bHTTP/1.1 200 OK\r\nX-Attempt-Id: p\r\n" + seal + "Content-Length: 2\r\n\r\nab", single, brain.Reset, true, false},
-		"without an id":         {"HTTP/1.1 200 OK\r\n" + seal + "Content-Length: 2\r\n\r\nab", single, brain.Reset, true, false},
-		"a part without an id":  {"HTTP/1.1 200 OK\r\n" + seal + "Content-Length: 2\r\n\r\nab", gathered, brain.Reset, true, false},
-		"without a stamp":       {"HTTP/1.1 200 OK\r\nX-Attempt-Id: q\r\nContent-Length: 2\r\n\r\nab", single, brain.Errored, false, true},
-		"encoded":               {"HTTP/1.1 200 OK\r\nX-Attempt-Id: q\r\n" + seal + "Content-Encoding: gzip\r\nContent-Length: 2\r\n\r\nab", single, brain.Errored, false, true},
-		"no answer at all":      {"\x00\x01garbage\r\n\r\n", single, brain.Reset, true, false},
-		"full":                  {"HTTP/1.1 503 No\r\nX-Attempt-Id: q\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n", single, brain.TurnedAway, false, true},
-		"who is full?":          {"HTTP/1.1 503 No\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n", single, brain.Reset, true, false},
-		"503 that may have run": {"HTTP/1.1 503 No\r\nX-Attempt-Id: q\r\nContent-Length: 0\r\n\r\n", single, brain.Errored, false, true},
-		"408 that may have run": {"HTTP/1.1 408 No\r\nX-Attempt-Id: q\r\nContent-Length: 0\r\n\r\n", single, brain.Errored, false, true},
-		"500":                   {"HTTP/1.1 500 No\r\nX-Attempt-Id: q\r\n" + seal + "Content-Length: 0\r\n\r\n", single, brain.Errored, false, true},
-		"a failure as a part":   {"HTTP/1.1 404 No\r\nX-Attempt-Id: q\r\n" + seal + "Content-Length: 0\r\n\r\n", gathered, brain.Errored, false, true},
-		"moved":                 {"HTTP/1.1 421 No\r\nX-Instance-Id: o\r\nContent-Length: 0\r\n\r\n", single, brain.TurnedAway, false, false},
-		"another has moved":     {"HTTP/1.1 421 No\r\nX-Attempt-Id: p\r\nX-Instance-Id: o\r\nContent-Length: 0\r\n\r\n", single, brain.Reset, true, false},
-		"early hints":           {"HTTP/1.1 103 Hints\r\nContent-Length: 5\r\n\r\nHTTP/1.1 200 OK\r\nX-Attempt-Id: q\r\n" + seal + "Content-Length: 2\r\n\r\nab", single, brain.Answered, false, true},
-		"only interim ones":     {strings.Repeat("HTTP/1.1 102 Wait\r\nX-Attempt-Id: q\r\n\r\n", maxInterimResponses+1), single, brain.Reset, true, false},
-		"another protocol":      {"HTTP/1.1 101 Switch\r\nX-Attempt-Id: q\r\n" + seal + "Content-Length: 2\r\n\r\nab", single, brain.Reset, true, false},
-		"no such status":        {"HTTP/1.1 000 OK\r\nX-Attempt-Id: q\r\n" + seal + "Content-Length: 2\r\n\r\nab", single, brain.Reset, true, false},
-		"behind a stray line":   {"\r\nHTTP/1.1 200 OK\r\nX-Attempt-Id: q\r\n" + seal + "Content-Length: 2\r\n\r\nab", single, brain.Reset, true, false},
-		"leaving":               {"HTTP/1.1 200 OK\r\nConnection: close\r\nX-Attempt-Id: q\r\n" + seal + "Content-Length: 2\r\n\r\nab", single, brain.Answered, false, false},
-		"soon idle":             {"HTTP/1.1 200 OK\r\nKeep-Alive: timeout=0\r\nX-Attempt-Id: q\r\n" + seal + "Content-Length: 2\r\n\r\nab", single, brain.Answered, false, false},
+		"whole":                 {"HTTP/1.1 200 OK\r\nX-Attempt-Id: q\r\n" + seal + "Content-Length: 2\r\n\r\nab", single, balancer.Answered, false, true},
+		"in chunks":             {"HTTP/1.1 200 OK\r\nX-Attempt-Id: q\r\n" + seal + "Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n\r\n", single, balancer.Answered, false, true},
+		"cut off":               {"HTTP/1.1 200 OK\r\nX-Attempt-Id: q\r\n" + seal + "Content-Length: 9\r\n\r\nab", single, balancer.Reset, true, false},
+		"with a trailer":        {"HTTP/1.1 200 OK\r\nX-Attempt-Id: q\r\n" + seal + "Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\nX-Sum: 1\r\n\r\n", single, balancer.Answered, false, true},
+		"a trailer cut off":     {"HTTP/1.1 200 OK\r\nX-Attempt-Id: q\r\n" + seal + "Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n0\r\n", single, balancer.Reset, true, false},
+		"chunks cut off":        {"HTTP/1.1 200 OK\r\nX-Attempt-Id: q\r\n" + seal + "Transfer-Encoding: chunked\r\n\r\n2\r\nab\r\n", single, balancer.Reset, true, false},
+		"without a length":      {"HTTP/1.1 200 OK\r\nX-Attempt-Id: q\r\n" + seal + "\r\nab", single, balancer.Reset, true, false},
+		"another's":             {"HTTP/1.1 200 OK\r\nX-Attempt-Id: p\r\n" + seal + "Content-Length: 2\r\n\r\nab", single, balancer.Reset, true, false},
+		"torn, then another's":  {"HTTP/1.1 200 OK\r\nX-Attempt-Id: q\r\nA: bHTTP/1.1 200 OK\r\nX-Attempt-Id: p\r\n" + seal + "Content-Length: 2\r\n\r\nab", single, balancer.Reset, true, false},
+		"without an id":         {"HTTP/1.1 200 OK\r\n" + seal + "Content-Length: 2\r\n\r\nab", single, balancer.Reset, true, false},
+		"a part without an id":  {"HTTP/1.1 200 OK\r\n" + seal + "Content-Length: 2\r\n\r\nab", gathered, balancer.Reset, true, false},
+		"without a stamp":       {"HTTP/1.1 200 OK\r\nX-Attempt-Id: q\r\nContent-Length: 2\r\n\r\nab", single, balancer.Errored, false, true},
+		"encoded":               {"HTTP/1.1 200 OK\r\nX-Attempt-Id: q\r\n" + seal + "Content-Encoding: gzip\r\nContent-Length: 2\r\n\r\nab", single, balancer.Errored, false, true},
+		"no answer at all":      {"\x00\x01garbage\r\n\r\n", single, balancer.Reset, true, false},
+		"full":                  {"HTTP/1.1 503 No\r\nX-Attempt-Id: q\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n", single, balancer.Rejected, false, true},
+		"who is full?":          {"HTTP/1.1 503 No\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n", single, balancer.Reset, true, false},
+		"503 that may have run": {"HTTP/1.1 503 No\r\nX-Attempt-Id: q\r\nContent-Length: 0\r\n\r\n", single, balancer.Errored, false, true},
+		"408 that may have run": {"HTTP/1.1 408 No\r\nX-Attempt-Id: q\r\nContent-Length: 0\r\n\r\n", single, balancer.Errored, false, true},
+		"500":                   {"HTTP/1.1 500 No\r\nX-Attempt-Id: q\r\n" + seal + "Content-Length: 0\r\n\r\n", single, balancer.Errored, false, true},
+		"a failure as a part":   {"HTTP/1.1 404 No\r\nX-Attempt-Id: q\r\n" + seal + "Content-Length: 0\r\n\r\n", gathered, balancer.Errored, false, true},
+		"moved":                 {"HTTP/1.1 421 No\r\nX-Instance-Id: o\r\nContent-Length: 0\r\n\r\n", single, balancer.Rejected, false, false},
+		"another has moved":     {"HTTP/1.1 421 No\r\nX-Attempt-Id: p\r\nX-Instance-Id: o\r\nContent-Length: 0\r\n\r\n", single, balancer.Reset, true, false},
+		"early hints":           {"HTTP/1.1 103 Hints\r\nContent-Length: 5\r\n\r\nHTTP/1.1 200 OK\r\nX-Attempt-Id: q\r\n" + seal + "Content-Length: 2\r\n\r\nab", single, balancer.Answered, false, true},
+		"only interim ones":     {strings.Repeat("HTTP/1.1 102 Wait\r\nX-Attempt-Id: q\r\n\r\n", maxInterimResponses+1), single, balancer.Reset, true, false},
+		"another protocol":      {"HTTP/1.1 101 Switch\r\nX-Attempt-Id: q\r\n" + seal + "Content-Length: 2\r\n\r\nab", single, balancer.Reset, true, false},
+		"no such status":        {"HTTP/1.1 000 OK\r\nX-Attempt-Id: q\r\n" + seal + "Content-Length: 2\r\n\r\nab", single, balancer.Reset, true, false},
+		"behind a stray line":   {"\r\nHTTP/1.1 200 OK\r\nX-Attempt-Id: q\r\n" + seal + "Content-Length: 2\r\n\r\nab", single, balancer.Reset, true, false},
+		"leaving":               {"HTTP/1.1 200 OK\r\nConnection: close\r\nX-Attempt-Id: q\r\n" + seal + "Content-Length: 2\r\n\r\nab", single, balancer.Answered, false, false},
+		"soon idle":             {"HTTP/1.1 200 OK\r\nKeep-Alive: timeout=0\r\nX-Attempt-Id: q\r\n" + seal + "Content-Length: 2\r\n\r\nab", single, balancer.Answered, false, false},
 	} {
 		resp := fasthttp.AcquireResponse()
 		from := bufio.NewReader(strings.NewReader(k.text))
@@ -134,7 +134,7 @@
 		defer fasthttp.ReleaseResponse(resp)
 		s := &request{method: "GET", attemptID: "q", route: &route{Route: &config.Route{Service: "s"}}}
 		outcome, _, err := readResponse(bufio.NewReader(strings.NewReader(text)), s, false, resp)
-		if err == nil && outcome == brain.Answered && string(resp.Header.Peek("X-Attempt-Id")) != "q" {
+		if err == nil && outcome == balancer.Answered && string(resp.Header.Peek("X-Attempt-Id")) != "q" {
 			t.Fatalf("%q was taken for the answer to q", text)
 		}
 	})
@@ -152,7 +152,7 @@
 	}{{gathered, true, true}, {gathered, false, false}, {single, true, false}, {single, false, false}} {
 		resp := fasthttp.AcquireResponse()
 		outcome, keep, err := readResponse(bufio.NewReader(strings.NewReader(text)), &request{method: "GET", attemptID: "q", route: k.to}, k.first, resp)
-		if (err == nil) != k.belongs || (outcome == brain.Answered) != k.belongs || keep != 0 {
+		if (err == nil) != k.belongs || (outcome == balancer.Answered) != k.belongs || keep != 0 {
 			t.Errorf("gathered %v, first %v: outcome %d, kept for %v, error %v", k.to == gathered, k.first, outcome, keep, err)
 		}
 		fasthttp.ReleaseResponse(resp)
--- a/dataplane/serverconn.go
+++ b/dataplane/serverconn.go
@@ -10,7 +10,7 @@
 
 	"github.com/valyala/fasthttp"
 
-	"oxbowspan/brain"
+	"oxbowspan/balancer"
 	"oxbowspan/registry"
 )
 
@@ -68,27 +68,27 @@
 	return l.exchange.reusable()
 }
 
-func (l *serverConn) connectionLost(outcome brain.Outcome) (*attempt, brain.Outcome) {
+func (l *serverConn) connectionLost(outcome balancer.Outcome) (*attempt, balancer.Outcome) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.exchange.connectionLost(outcome)
 }
 
 // dispatch does what brain.Send says.
-func (f *Gateway) dispatch(a brain.Send) {
-	p, s := f.shardCalls[a.Part], f.endpointsByID[a.Server]
+func (f *Gateway) dispatch(a balancer.Send) {
+	p, s := f.shardCalls[a.Call], f.endpointsByID[a.Server]
 	if p == nil {
 		return
 	}
 	now := f.now()
-	c := &attempt{shardCall: p, number: brain.SendNo(len(p.attempts)), endpoint: s, sentAt: now, deadline: now + a.Limit}
+	c := &attempt{shardCall: p, number: balancer.AttemptNumber(len(p.attempts)), endpoint: s, sentAt: now, deadline: now + a.Timeout}
 	p.attempts = append(p.attempts, c)
 	p.inFlight++
 	if s == nil || p.request.finished || !s.listed {
 		c.ended = true
 		p.inFlight--
 		p.attempts[c.number] = nil
-		f.pendingEvents = append(f.pendingEvents, brain.SubRequestEnded{Part: p.id, Send: c.number, Server: a.Server, Outcome: brain.Moot})
+		f.pendingEvents = append(f.pendingEvents, balancer.AttemptEnded{Call: p.id, Attempt: c.number, Server: a.Server, Outcome: balancer.NotDispatched})
 		f.releaseShardCall(p)
 		return
 	}
@@ -166,8 +166,8 @@
 	if err != nil {
 		s.connections--
 		if !c.ended {
-			f.recordOutcome(s, brain.ConnectFailed, err)
-			f.attemptEnded(c, brain.ConnectFailed, nil)
+			f.recordOutcome(s, balancer.ConnectFailed, err)
+			f.attemptEnded(c, balancer.ConnectFailed, nil)
 		}
 		return
 	}
@@ -177,16 +177,16 @@
 	case !s.listed || s.state != registry.Ready:
 		// It left while the connection was made: nothing may reach it any more.
 		if !c.ended {
-			f.attemptEnded(c, brain.ConnectFailed, nil)
+			f.attemptEnded(c, balancer.ConnectFailed, nil)
 		}
 		f.closeConn(l)
 	case c.ended:
 		s.idle = append(s.idle, l)
 	case c.shardCall.request.finished || c.shardCall.response != nil: // answered meanwhile
 		s.idle = append(s.idle, l)
-		f.attemptEnded(c, brain.Moot, nil)
+		f.attemptEnded(c, balancer.NotDispatched, nil)
 	case !f.write(l, c):
-		f.attemptEnded(c, brain.ConnectFailed, nil)
+		f.attemptEnded(c, balancer.ConnectFailed, nil)
 	}
 }
 
@@ -258,7 +258,7 @@
 		c := l.pending()
 		if err != nil || c == nil {
 			l.conn.Close()
-			f.post(func() { f.connectionLost(l, brain.Reset) })
+			f.post(func() { f.connectionLost(l, balancer.Reset) })
 			return
 		}
 		resp := fasthttp.AcquireResponse()
@@ -285,7 +285,7 @@
 }
 
 // connectionLost takes the end of a connection.
-func (f *Gateway) connectionLost(l *serverConn, outcome brain.Outcome) {
+func (f *Gateway) connectionLost(l *serverConn, outcome balancer.Outcome) {
 	c, outcome := l.connectionLost(outcome)
 	f.closeConn(l)
 	if c != nil && !c.ended {
@@ -294,7 +294,7 @@
 }
 
 // responseReceived takes a whole answer, and puts its connection back.
-func (f *Gateway) responseReceived(l *serverConn, c *attempt, outcome brain.Outcome, resp *fasthttp.Response, keep time.Duration) {
+func (f *Gateway) responseReceived(l *serverConn, c *attempt, outcome balancer.Outcome, resp *fasthttp.Response, keep time.Duration) {
 	s := l.endpoint
 	if resp.StatusCode() == fasthttp.StatusMisdirectedRequest {
 		if other := resp.Header.Peek("X-Instance-Id"); len(other) > 0 && string(other) != s.instance && !s.replaced {
@@ -334,7 +334,7 @@
 
 // attemptEnded tells brain a sub-request's outcome. A connection whose answer is still due is closed: the answer would be
 // nobody's.
-func (f *Gateway) attemptEnded(c *attempt, outcome brain.Outcome, resp *fasthttp.Response) {
+func (f *Gateway) attemptEnded(c *attempt, outcome balancer.Outcome, resp *fasthttp.Response) {
 	p, s := c.shardCall, c.shardCall.request
 	c.ended = true
 	p.attempts[c.number] = nil
@@ -349,9 +349,9 @@
 	}
 	switch {
 	case resp == nil:
-	case outcome == brain.Answered && !s.finished && p.response == nil:
+	case outcome == balancer.Answered && !s.finished && p.response == nil:
 		p.response = resp
-	case !s.finished && !outcome.NeverRan() && outcome != brain.Answered && resp.StatusCode() >= 500 && !promisesNotExecuted(resp.StatusCode()):
+	case !s.finished && !outcome.NeverRan() && outcome != balancer.Answered && resp.StatusCode() >= 500 && !promisesNotExecuted(resp.StatusCode()):
 		if s.lastFailure != nil {
 			fasthttp.ReleaseResponse(s.lastFailure)
 		}
@@ -360,8 +360,8 @@
 		fasthttp.ReleaseResponse(resp)
 	}
 	f.releaseShardCall(p)
-	f.handleEvent(brain.SubRequestEnded{Part: p.id, Send: c.number, Server: c.endpoint.id, Elapsed: f.now() - c.sentAt, Outcome: outcome})
-	if outcome == brain.Answered {
+	f.handleEvent(balancer.AttemptEnded{Call: p.id, Attempt: c.number, Server: c.endpoint.id, Elapsed: f.now() - c.sentAt, Outcome: outcome})
+	if outcome == balancer.Answered {
 		f.recordOutcome(c.endpoint, outcome, nil)
 	}
 	f.removeIfGone(c.endpoint)
--- a/gatherer/conns.go
+++ b/gatherer/conns.go
@@ -16,7 +16,7 @@
 	"time"
 
 	"oxbowspan/admit"
-	"oxbowspan/brain"
+	"oxbowspan/balancer"
 	"oxbowspan/budget"
 	"oxbowspan/internal/operator"
 	"oxbowspan/internal/park"
@@ -137,7 +137,7 @@
 
 // parks lets idle connections wait without a goroutine from now on, where the system can.
 // A parked one is closed after idle, unless that is 0.
-func (l *listener) parks(advice brain.Time, idle time.Duration) {
+func (l *listener) parks(advice balancer.Time, idle time.Duration) {
 	set, err := park.New(l.wakes)
 	if err != nil {
 		slog.Warn("parking_off", "error", err)
--- a/gatherer/front.go
+++ b/gatherer/front.go
@@ -18,7 +18,7 @@
 	"time"
 
 	"oxbowspan/admit"
-	"oxbowspan/brain"
+	"oxbowspan/balancer"
 	"oxbowspan/budget"
 	"oxbowspan/internal/operator"
 )
@@ -39,7 +39,7 @@
 	proxy    *httputil.ReverseProxy
 	known    func(queryType string) bool
 	longest  time.Duration // client timeout
-	advice   brain.Time    // to clients that are shed here; 0 = none
+	advice   balancer.Time // to clients that are shed here; 0 = none
 	held     *budget.Ledger
 	customer func(name string) admit.Customer
 	shares   []float64 // the customers' shares of searches
@@ -52,9 +52,9 @@
 type connKey struct{}
 
 func newFront(t *transport, longest time.Duration, held *budget.Ledger) *front {
-	f := &front{longest: longest, held: held, known: t.known, customer: t.customer, advice: t.d.Facts.AdviseRetry}
+	f := &front{longest: longest, held: held, known: t.known, customer: t.customer, advice: t.d.Facts.MaxRetryAfter}
 	for _, c := range t.d.Facts.Customers {
-		f.shares = append(f.shares, c.SharePerSecond)
+		f.shares = append(f.shares, c.QuotaPerSecond)
 	}
 	f.proxy = &httputil.ReverseProxy{
 		Transport: t,
--- a/gatherer/gatherer.go
+++ b/gatherer/gatherer.go
@@ -20,7 +20,7 @@
 	"strings"
 	"sync"
 
-	"oxbowspan/brain"
+	"oxbowspan/balancer"
 	"oxbowspan/budget"
 	"oxbowspan/internal/admin"
 	"oxbowspan/internal/discovery"
@@ -83,11 +83,11 @@
 	}
 	for i := range d.Facts.QueryTypes {
 		q := &d.Facts.QueryTypes[i]
-		if q.SecondStep > 0 {
+		if q.SecondPhaseCalls > 0 {
 			return d, fmt.Errorf("query type %q has a second step, which the protocol on sockets does not have", d.QueryTypes[i])
 		}
-		if q.Effect == brain.Tokened { // the protocol names no place in a frame for the token, so no server could tell a repeat
-			q.Effect = brain.NonIdempotent
+		if q.Idempotency == balancer.Deduplicated { // the protocol names no place in a frame for the token, so no server could tell a repeat
+			q.Idempotency = balancer.NonIdempotent
 		}
 	}
 	if d.ConnectTimeout <= 0 {
@@ -140,9 +140,9 @@
 		switch at := slices.Index(d.QueryTypes, name); {
 		case at < 0:
 			errs = append(errs, s.Operator.TypeFault(name, "is no query type of the settings"))
-		case d.Facts.QueryTypes[at].Effect != brain.Idempotent:
+		case d.Facts.QueryTypes[at].Idempotency != balancer.Idempotent:
 			errs = append(errs, s.Operator.TypeFault(name, "is not idempotent: a merge past its limits is shed, which says that asking again is harmless"))
-		case slices.Contains(a.Kinds, merge.Paged) && d.Facts.QueryTypes[at].WholeAt < 1:
+		case slices.Contains(a.Kinds, merge.Paged) && d.Facts.QueryTypes[at].CompleteCoverage < 1:
 			errs = append(errs, s.Operator.TypeFault(name, "counts as whole short of a part (domain.wholeAt): pages would never wait for the last segment, and no walk would end"))
 		}
 	}
@@ -233,12 +233,12 @@
 	}
 	_, servers := s.Limits.split()
 	box := mailbox{make(chan any, mailboxSize), make(chan struct{})}
-	g.module = &module{mailbox: box, d: d, clock: newClock(), brain: brain.New(d.Facts), budget: newDescriptors(servers), merges: &merge.Budget{},
+	g.module = &module{mailbox: box, d: d, clock: newClock(), brain: balancer.New(d.Facts), budget: newDescriptors(servers), merges: &merge.Budget{},
 		memory: g.held, expect: budget.NewExpect(len(d.QueryTypes), firstValue),
 		figures: peer.Figures{ConnectTimeout: d.ConnectTimeout, IdleClose: d.IdleClose, Streams: d.Streams,
 			PartsPerCall: d.PartsPerCall, LoadProbes: d.ReportsByProbe, Reports: len(d.Reports) > 0, Memory: accountOf{g.held, budget.Servers}},
-		searches: map[brain.SearchID]*search{}, parts: map[brain.PartID]*part{}, wires: map[string]int{},
-		servers: map[brain.ServerID]*server{}, ids: map[string]brain.ServerID{}, ended: make(chan struct{})}
+		searches: map[balancer.RequestID]*search{}, parts: map[balancer.ShardCallID]*part{}, wires: map[string]int{},
+		servers: map[balancer.ServerID]*server{}, ids: map[string]balancer.ServerID{}, ended: make(chan struct{})}
 	g.module.counts = &g.counts
 	g.module.merges.Under(accountOf{g.held, budget.Merges})
 	g.proxy = newTransport(d, box, g.held)
@@ -302,7 +302,7 @@
 	if mem := g.setup.memory(); mem != nil && mem.Report > 0 {
 		go reportMemory(g.held, mem.Report, stop)
 	}
-	m.takeList(brain.ListCached, g.known)
+	m.takeList(balancer.ListCached, g.known)
 	if m.remembers != nil {
 		m.recall()
 	}
--- a/gatherer/levels.go
+++ b/gatherer/levels.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"oxbowspan/brain"
+	"oxbowspan/balancer"
 	"oxbowspan/internal/admin"
 	"oxbowspan/internal/operator"
 	"oxbowspan/level"
@@ -23,7 +23,7 @@
 	whole    *level.Machine
 	segments []*level.Machine // by shard
 	gate     *level.Gate
-	turnAt   brain.Time
+	turnAt   balancer.Time
 
 	gauge        *level.Gauge
 	served, shed [][]int64 // by query type and customer, since the start
@@ -33,7 +33,7 @@
 
 // Times of the levels' actor's part.
 const (
-	turnEvery   = 100 * brain.Millisecond
+	turnEvery   = 100 * balancer.Millisecond
 	keptChanges = 50
 )
 
@@ -42,7 +42,7 @@
 	if err != nil {
 		return nil, err
 	}
-	l := &levels{m: m, gauge: level.NewGauge(m.d.Facts.Cells, m.d.Facts.Reach, len(m.d.QueryTypes))}
+	l := &levels{m: m, gauge: level.NewGauge(m.d.Facts.Cells, m.d.Facts.ReplicationFactor, len(m.d.QueryTypes))}
 	for range m.d.QueryTypes {
 		l.served = append(l.served, make([]int64, len(m.d.Customers)+1))
 		l.shed = append(l.shed, make([]int64, len(m.d.Customers)+1))
@@ -73,7 +73,7 @@
 	}
 }
 
-func (l *levels) now() level.Time { return level.Time(l.m.clock.now() / brain.Millisecond) }
+func (l *levels) now() level.Time { return level.Time(l.m.clock.now() / balancer.Millisecond) }
 
 // admits says whether the present level serves a search; if not it has been shed, before anything of it was sent.
 func (l *levels) admits(s *search) bool {
@@ -97,9 +97,9 @@
 	}
 	l.shed[s.typ][place]++
 	s.over = true
-	advice := brain.Time(0)
-	if l.m.d.Facts.AdviseRetry > 0 { // clients follow no longer advice than that
-		advice = min(brain.Time(after)*brain.Millisecond, l.m.d.Facts.AdviseRetry)
+	advice := balancer.Time(0)
+	if l.m.d.Facts.MaxRetryAfter > 0 { // clients follow no longer advice than that
+		advice = min(balancer.Time(after)*balancer.Millisecond, l.m.d.Facts.MaxRetryAfter)
 	}
 	s.reply <- reply{kind: replyShed, retryAfter: advice}
 	return false
@@ -108,8 +108,8 @@
 // ended notes how a search that was served ended.
 func (l *levels) ended(s *search, kind replyKind) {
 	if s.cameFor > 0 {
-		l.gauge.Ended(int(s.typ), kind == replyAnswer || kind == replyMerged, level.Time((l.m.clock.now()-s.cameFor)/brain.Millisecond),
-			level.Time(l.m.d.Facts.QueryTypes[s.typ].LatencyTarget/brain.Millisecond))
+		l.gauge.Ended(int(s.typ), kind == replyAnswer || kind == replyMerged, level.Time((l.m.clock.now()-s.cameFor)/balancer.Millisecond),
+			level.Time(l.m.d.Facts.QueryTypes[s.typ].LatencyTarget/balancer.Millisecond))
 	}
 }
 
@@ -136,27 +136,27 @@
 
 // readings gathers what the gauge goes by.
 func (l *levels) readings(now level.Time) level.Readings {
-	out := map[brain.ServerID]brain.Time{}
-	for _, k := range l.m.brain.Learned() {
+	out := map[balancer.ServerID]balancer.Time{}
+	for _, k := range l.m.brain.ServerRecords() {
 		out[k.ID] = k.OutUntil
 	}
 	var seen []level.Seen
 	for _, s := range l.m.servers {
 		if s.listed {
-			seen = append(seen, level.Seen{Cell: s.cell, Ready: !s.draining, Cold: l.cold(s), OutUntil: level.Time(out[s.id] / brain.Millisecond)})
+			seen = append(seen, level.Seen{Cell: s.cell, Ready: !s.draining, Cold: l.cold(s), OutUntil: level.Time(out[s.id] / balancer.Millisecond)})
 		}
 	}
 	store := level.Reading{Known: l.m.remembers != nil}
 	if store.Known && l.m.remembers.refused {
 		store.Value = 1
 	}
-	return l.gauge.Read(now, seen, l.m.brain.Load(), store)
+	return l.gauge.Read(now, seen, l.m.brain.Utilization(), store)
 }
 
 // cold tells whether a server has just started.
 func (l *levels) cold(s *server) bool {
 	f := l.m.d.Facts
-	return f.ColdFor > 0 && s.since > 0 && l.m.clock.now()-s.since < f.ColdFor
+	return f.SlowStartDuration > 0 && s.since > 0 && l.m.clock.now()-s.since < f.SlowStartDuration
 }
 
 // changed logs a change, and puts what it says of merges in force.
@@ -211,8 +211,8 @@
 		}
 		s.Types = append(s.Types, x)
 	}
-	learned := map[brain.ServerID]brain.Learned{}
-	for _, k := range l.m.brain.Learned() {
+	learned := map[balancer.ServerID]balancer.ServerRecord{}
+	for _, k := range l.m.brain.ServerRecords() {
 		learned[k.ID] = k
 	}
 	at := l.m.clock.now()
@@ -223,7 +223,7 @@
 		k := learned[x.id]
 		one := admin.Server{Host: x.host, Zone: x.zone, Cell: x.cell, Out: x.out, Failing: k.Failing, State: "ready"}
 		if k.Size > 0 {
-			one.Millis = k.Took / k.Size / float64(brain.Millisecond)
+			one.Millis = k.Took / k.Size / float64(balancer.Millisecond)
 		}
 		switch {
 		case x.draining:
--- a/gatherer/mailbox.go
+++ b/gatherer/mailbox.go
@@ -1,7 +1,7 @@
 package gatherer
 
 import (
-	"oxbowspan/brain"
+	"oxbowspan/balancer"
 	"oxbowspan/internal/discovery"
 	"oxbowspan/internal/peer"
 	"oxbowspan/level"
@@ -18,7 +18,7 @@
 	listCame   struct{ l discovery.List }
 	listFailed struct{}
 	ended      struct{ e peer.Ended }
-	probed     struct{ p brain.Probed }
+	probed     struct{ p balancer.HealthCheckEnded }
 	// levelsReplaced puts other figures of reduced service in force.
 	levelsReplaced struct{ f level.Figures }
 )
@@ -39,7 +39,7 @@
 	}
 }
 
-func (m mailbox) Ended(e peer.Ended)      { m.put(ended{e}) }
-func (m mailbox) Probed(p brain.Probed)   { m.put(probed{p}) }
-func (m mailbox) Listed(l discovery.List) { m.put(listCame{l}) }
-func (m mailbox) ListFailed()             { m.put(listFailed{}) }
+func (m mailbox) Ended(e peer.Ended)                 { m.put(ended{e}) }
+func (m mailbox) Probed(p balancer.HealthCheckEnded) { m.put(probed{p}) }
+func (m mailbox) Listed(l discovery.List)            { m.put(listCame{l}) }
+func (m mailbox) ListFailed()                        { m.put(listFailed{}) }
--- a/gatherer/module.go
+++ b/gatherer/module.go
@@ -6,7 +6,7 @@
 	"strconv"
 	"time"
 
-	"oxbowspan/brain"
+	"oxbowspan/balancer"
 	"oxbowspan/budget"
 	"oxbowspan/internal/admin"
 	"oxbowspan/internal/discovery"
@@ -21,16 +21,16 @@
 	// Set by the round tripper.
 	wire     string // its id on the wire
 	text     []byte // what each part carries, as it came
-	typ      brain.QueryType
-	customer brain.CustomerNo
-	patience brain.Time
+	typ      balancer.QueryType
+	customer balancer.CustomerIndex
+	patience balancer.Time
 	repeat   bool
 	asked    []asked
 	reply    chan reply   // takes one without waiting
 	query    *merge.Query // nil = its values go on as they come
 
 	// The module's actor's.
-	id    brain.SearchID
+	id    balancer.RequestID
 	parts []*part
 	merge *merge.Merge // with query; closed by whoever makes the answer of it, else by this actor
 	over  bool         // its final answer is given, or its client has left
@@ -44,23 +44,23 @@
 	waiting    bool // for its intent to be on the disk
 	cleared    bool // it is, or sentBefore
 	sentBefore bool // an earlier search of its key may have run
-	cameAt     brain.Time
+	cameAt     balancer.Time
 	late       *time.Timer
 
-	cameFor brain.Time // when it came; 0 = levels do not count it
+	cameFor balancer.Time // when it came; 0 = levels do not count it
 }
 
 // asked is a part as the client names it.
 type asked struct {
-	shard  brain.ShardNo
+	shard  balancer.ShardIndex
 	weight float64
 	size   float64 // milliseconds; 0 = not told
 }
 
 type part struct {
 	s     *search
-	id    brain.PartID
-	shard brain.ShardNo
+	id    balancer.ShardCallID
+	shard balancer.ShardIndex
 	wire  string
 	sends []*server // where each sub-request went; nil = it has ended
 	out   int       // sub-requests that have not ended
@@ -72,7 +72,7 @@
 type reply struct {
 	kind       replyKind
 	whole      bool
-	retryAfter brain.Time
+	retryAfter balancer.Time
 	values     []value
 	merge      *merge.Merge // replyMerged; to be closed
 	text       []byte       // the answer's text, where it is made already
@@ -93,7 +93,7 @@
 )
 
 type value struct {
-	shard brain.ShardNo
+	shard balancer.ShardIndex
 	value string
 }
 
@@ -103,43 +103,43 @@
 	mailbox
 	d       facts.Deployment
 	clock   clock
-	brain   *brain.Gatherer
+	brain   *balancer.Balancer
 	list    *discovery.Actor
 	budget  *descriptors
 	figures peer.Figures
 	listed  func() // told once a list with a server is held
 
-	searches map[brain.SearchID]*search // emptied by the final answer or the client's leaving
-	parts    map[brain.PartID]*part     // emptied when the search is over and nothing is out
-	wires    map[string]int             // parts not forgotten, by their search's id on the wire; emptied with them
-	held     int                        // searches and parts that are not over
-	lastID   uint64                     // of searches and parts
-	lastNo   brain.SearchNo
-	servers  map[brain.ServerID]*server // emptied of the unlisted when they outnumber the listed
-	ids      map[string]brain.ServerID  // the same, by host
-	lastHost brain.ServerID
+	searches map[balancer.RequestID]*search // emptied by the final answer or the client's leaving
+	parts    map[balancer.ShardCallID]*part // emptied when the search is over and nothing is out
+	wires    map[string]int                 // parts not forgotten, by their search's id on the wire; emptied with them
+	held     int                            // searches and parts that are not over
+	lastID   uint64                         // of searches and parts
+	lastNo   balancer.RequestNumber
+	servers  map[balancer.ServerID]*server // emptied of the unlisted when they outnumber the listed
+	ids      map[string]balancer.ServerID  // the same, by host
+	lastHost balancer.ServerID
 	ready    int           // servers listed
 	timers   timerHeap     // emptied as they fire: a search's are over soon after its time
 	merges   *merge.Budget // what open merges hold together
 	memory   *budget.Ledger
 	expect   *budget.Expect
 
-	keptAt      brain.Time          // when what was learned was last written
+	keptAt      balancer.Time       // when what was learned was last written
 	levels      *levels             // nil = service is never reduced
 	limitMerges func(share float64) // puts a share of the limits on merges in force
 	remembers   *remembered         // nil = nothing is kept across restarts
-	pending     []brain.Event       // what became of actions at once
+	pending     []balancer.Event    // what became of actions at once
 	ended       chan struct{}       // closed when the peers have gone too
 	counts      *counts             // of all final answers
 }
 
 // server is what the actor keeps of a shard server.
 type server struct {
-	id     brain.ServerID
+	id     balancer.ServerID
 	host   string
 	peer   *peer.Peer // nil = unlisted
 	addr   string
-	since  brain.Time
+	since  balancer.Time
 	out    int // sub-requests that have not ended
 	listed bool
 
@@ -149,8 +149,8 @@
 }
 
 type wake struct {
-	at    brain.Time
-	timer brain.TimerID
+	at    balancer.Time
+	timer balancer.TimerID
 }
 
 func (m *module) run(stop <-chan struct{}) {
@@ -208,7 +208,7 @@
 	}
 	for len(m.timers) > 0 && m.timers[0].at <= now {
 		w := heap.Pop(&m.timers).(wake)
-		m.handle(brain.TimerFired{Timer: w.timer})
+		m.handle(balancer.TimerFired{Timer: w.timer})
 	}
 }
 
@@ -224,7 +224,7 @@
 		if e.s.left = true; m.searches[e.s.id] == e.s {
 			m.close(e.s)
 			m.abandoned(e.s)
-			m.handle(brain.SearchLeft{Search: e.s.id})
+			m.handle(balancer.RequestCancelled{Request: e.s.id})
 		}
 		if e.s.merge != nil {
 			e.s.merge.Close() // whether or not an answer was on its way to the client that left
@@ -239,9 +239,9 @@
 	case probed:
 		m.handle(e.p)
 	case listCame:
-		kind := brain.ListChanges
+		kind := balancer.ListDelta
 		if e.l.Whole {
-			kind = brain.ListWhole
+			kind = balancer.ListComplete
 		}
 		m.takeList(kind, e.l)
 		if m.remembers != nil {
@@ -260,12 +260,12 @@
 		if m.levels != nil {
 			m.levels.gauge.List(m.levels.now(), false)
 		}
-		m.handle(brain.ServerList{Kind: brain.ListFailed})
+		m.handle(balancer.ServerList{Kind: balancer.ListFailed})
 	}
 }
 
 // handle gives an event to the decision module and performs its actions, in order.
-func (m *module) handle(ev brain.Event) {
+func (m *module) handle(ev balancer.Event) {
 	m.perform(m.brain.Handle(m.clock.now(), ev))
 	for len(m.pending) > 0 {
 		next := m.pending[0]
@@ -275,33 +275,33 @@
 	m.pending = nil
 }
 
-func (m *module) perform(acts []brain.Action) {
+func (m *module) perform(acts []balancer.Action) {
 	var calls []outCall
 	for _, a := range acts {
 		switch a := a.(type) {
-		case brain.Send:
+		case balancer.Send:
 			calls = m.send(calls, a)
-		case brain.Cancel:
+		case balancer.Cancel:
 			m.flush(calls)
 			calls = calls[:0]
 			m.cancel(a)
-		case brain.Answer:
+		case balancer.Answer:
 			m.answer(a)
-		case brain.Shed:
-			m.finish(a.Search, reply{kind: replyShed, retryAfter: a.RetryAfter})
-		case brain.Fail:
-			m.finish(a.Search, reply{kind: replyFail})
-		case brain.Wake:
+		case balancer.Shed:
+			m.finish(a.Request, reply{kind: replyShed, retryAfter: a.RetryAfter})
+		case balancer.Fail:
+			m.finish(a.Request, reply{kind: replyFail})
+		case balancer.SetTimer:
 			heap.Push(&m.timers, wake{a.At, a.Timer})
-		case brain.Subscribe:
+		case balancer.Subscribe:
 			m.list.Subscribe()
-		case brain.CloseIdle:
+		case balancer.CloseIdle:
 			if s := m.servers[a.Server]; s != nil && s.peer != nil {
 				s.peer.Offer(peer.CloseIdle{}) // lost when the mailbox is full: they are tried as they are
 			}
-		case brain.Probe:
+		case balancer.HealthCheck:
 			if s := m.servers[a.Server]; s == nil || s.peer == nil || !s.peer.Offer(peer.Probe{}) {
-				m.pending = append(m.pending, brain.Probed{Server: a.Server, Outcome: brain.Moot})
+				m.pending = append(m.pending, balancer.HealthCheckEnded{Server: a.Server, Outcome: balancer.NotDispatched})
 			}
 		}
 	}
@@ -314,12 +314,12 @@
 	parts []peer.Part
 }
 
-func (m *module) send(calls []outCall, a brain.Send) []outCall {
-	p, s := m.parts[a.Part], m.servers[a.Server]
+func (m *module) send(calls []outCall, a balancer.Send) []outCall {
+	p, s := m.parts[a.Call], m.servers[a.Server]
 	if p == nil {
 		return calls
 	}
-	no := brain.SendNo(len(p.sends))
+	no := balancer.AttemptNumber(len(p.sends))
 	p.sends = append(p.sends, s)
 	p.out++
 	if s == nil || s.peer == nil || p.s.over {
@@ -327,7 +327,7 @@
 		return calls
 	}
 	now := m.clock.now()
-	out := peer.Part{ID: p.id, Send: no, Wire: p.wire, Shard: p.shard, Text: p.s.text, SentAt: now, Until: now + a.Limit}
+	out := peer.Part{ID: p.id, Send: no, Wire: p.wire, Shard: p.shard, Text: p.s.text, SentAt: now, Until: now + a.Timeout}
 	if q := p.s.query; q != nil {
 		at := merge.Segment(p.shard)
 		out.List, out.Read = q.Ask(at), func(value string) (any, error) { return q.Read(at, value) }
@@ -355,13 +355,13 @@
 }
 
 // moot is the outcome of what was never sent.
-func (m *module) moot(p *part, no brain.SendNo, s brain.ServerID) {
+func (m *module) moot(p *part, no balancer.AttemptNumber, s balancer.ServerID) {
 	m.settle(p, no)
-	m.pending = append(m.pending, brain.SubRequestEnded{Part: p.id, Send: no, Server: s, Outcome: brain.Moot})
+	m.pending = append(m.pending, balancer.AttemptEnded{Call: p.id, Attempt: no, Server: s, Outcome: balancer.NotDispatched})
 }
 
 // settle notes that a sub-request has ended.
-func (m *module) settle(p *part, no brain.SendNo) {
+func (m *module) settle(p *part, no balancer.AttemptNumber) {
 	p.sends[no] = nil
 	p.out--
 	m.forget(p)
@@ -377,10 +377,10 @@
 	}
 }
 
-func (m *module) cancel(a brain.Cancel) {
-	if p := m.parts[a.Part]; p != nil && int(a.Send) < len(p.sends) {
-		if s := p.sends[a.Send]; s != nil {
-			s.peer.Offer(peer.Cancel{ID: a.Part, Send: a.Send}) // lost when the mailbox is full: its time limit ends it
+func (m *module) cancel(a balancer.Cancel) {
+	if p := m.parts[a.Call]; p != nil && int(a.Attempt) < len(p.sends) {
+		if s := p.sends[a.Attempt]; s != nil {
+			s.peer.Offer(peer.Cancel{ID: a.Call, Send: a.Attempt}) // lost when the mailbox is full: its time limit ends it
 		}
 	}
 }
@@ -395,7 +395,7 @@
 	if m.d.MostHeld > 0 && m.held+1+len(s.asked) > m.d.MostHeld {
 		s.over = true
 		m.unsent(s)
-		s.reply <- reply{kind: replyShed, retryAfter: m.d.Facts.AdviseRetry}
+		s.reply <- reply{kind: replyShed, retryAfter: m.d.Facts.MaxRetryAfter}
 		return
 	}
 	if m.wires[s.wire] > 0 { // answers to its parts could not be told from those to the other's
@@ -411,7 +411,7 @@
 	if !m.memory.Take(budget.Searches, s.holds) {
 		s.over = true
 		m.unsent(s)
-		s.reply <- reply{kind: replyShed, retryAfter: m.d.Facts.AdviseRetry}
+		s.reply <- reply{kind: replyShed, retryAfter: m.d.Facts.MaxRetryAfter}
 		return
 	}
 	if s.query != nil {
@@ -419,25 +419,25 @@
 		if s.merge, err = merge.New(s.query, m.merges); err != nil {
 			s.over = true
 			m.memory.Give(budget.Searches, s.holds)
-			s.reply <- reply{kind: replyShed, retryAfter: m.d.Facts.AdviseRetry}
+			s.reply <- reply{kind: replyShed, retryAfter: m.d.Facts.MaxRetryAfter}
 			return
 		}
 	}
 	m.wires[s.wire] = len(s.asked)
 	m.held += 1 + len(s.asked)
 	m.lastID++
-	s.id = brain.SearchID(m.lastID)
+	s.id = balancer.RequestID(m.lastID)
 	if m.lastNo++; m.lastNo >= 1<<32-2 {
 		m.lastNo = 1 // the last numbers are not for searches
 	}
 	m.searches[s.id] = s
-	ev := brain.SearchArrived{Search: s.id, Number: m.lastNo, Type: s.typ, Customer: s.customer, Patience: s.patience, Repeat: s.repeat, Sent: s.sentBefore}
+	ev := balancer.RequestArrived{Request: s.id, Number: m.lastNo, Type: s.typ, Customer: s.customer, Timeout: s.patience, Retry: s.repeat, MayHaveRun: s.sentBefore}
 	for _, a := range s.asked {
 		m.lastID++
-		p := &part{s: s, id: brain.PartID(m.lastID), shard: a.shard, wire: s.wire + "." + strconv.Itoa(int(a.shard))}
+		p := &part{s: s, id: balancer.ShardCallID(m.lastID), shard: a.shard, wire: s.wire + "." + strconv.Itoa(int(a.shard))}
 		s.parts = append(s.parts, p)
 		m.parts[p.id] = p
-		ev.Parts = append(ev.Parts, brain.Part{ID: p.id, Shard: a.shard, Weight: a.weight, Size: a.size})
+		ev.Calls = append(ev.Calls, balancer.ShardCall{ID: p.id, Shard: a.shard, Weight: a.weight, Size: a.size})
 	}
 	m.handle(ev)
 }
@@ -450,7 +450,7 @@
 	}
 	s := p.sends[e.Send]
 	s.out--
-	if e.Outcome == brain.Answered && !p.s.over && !p.in {
+	if e.Outcome == balancer.Answered && !p.s.over && !p.in {
 		p.in, p.value = true, e.Value
 		m.holdValue(p.s, budget.Bytes(len(e.Value)))
 		m.merged(p, e.Result)
@@ -459,7 +459,7 @@
 	}
 	m.settle(p, e.Send)
 	m.unlist(s)
-	m.handle(brain.SubRequestEnded{Part: e.ID, Send: e.Send, Server: e.Server, Elapsed: e.Elapsed, Outcome: e.Outcome, Report: e.Report})
+	m.handle(balancer.AttemptEnded{Call: e.ID, Attempt: e.Send, Server: e.Server, Elapsed: e.Elapsed, Outcome: e.Outcome, Report: e.Report})
 }
 
 // holdValue accounts for a value that is in: out of what was set aside, and beyond that whatever is held, as it is here.
@@ -480,15 +480,15 @@
 	}
 	if err := p.s.merge.Add(result.(*merge.Part)); err != nil {
 		slog.Warn("merge_shed", "search", p.s.wire, "error", err)
-		m.finish(p.s.id, reply{kind: replyShed, retryAfter: m.d.Facts.AdviseRetry})
-		m.handle(brain.SearchLeft{Search: p.s.id})
+		m.finish(p.s.id, reply{kind: replyShed, retryAfter: m.d.Facts.MaxRetryAfter})
+		m.handle(balancer.RequestCancelled{Request: p.s.id})
 	}
 }
 
 // answer passes on the values that are in.
-func (m *module) answer(a brain.Answer) {
-	r := reply{kind: replyAnswer, whole: a.Whole}
-	if s := m.searches[a.Search]; s != nil && s.merge != nil {
+func (m *module) answer(a balancer.Answer) {
+	r := reply{kind: replyAnswer, whole: a.Complete}
+	if s := m.searches[a.Request]; s != nil && s.merge != nil {
 		r.kind, r.merge = replyMerged, s.merge
 	} else if s != nil {
 		for _, p := range s.parts {
@@ -499,14 +499,14 @@
 		}
 		m.memory.Force(budget.Answers, r.holds)
 	}
-	m.finish(a.Search, r)
+	m.finish(a.Request, r)
 }
 
 // valueHolds is what an answer's text has around a value.
 const valueHolds = 64
 
 // finish gives a search its one final answer.
-func (m *module) finish(id brain.SearchID, r reply) {
+func (m *module) finish(id balancer.RequestID, r reply) {
 	if s := m.searches[id]; s != nil {
 		m.close(s)
 		m.outcome(s, &r)
@@ -533,9 +533,9 @@
 }
 
 // takeList gives the module a list, with hosts and zones as numbers, and keeps a peer for each server.
-func (m *module) takeList(kind brain.ListKind, l discovery.List) {
-	ev := brain.ServerList{Kind: kind}
-	if kind != brain.ListChanges {
+func (m *module) takeList(kind balancer.ServerListKind, l discovery.List) {
+	ev := balancer.ServerList{Kind: kind}
+	if kind != balancer.ListDelta {
 		for _, s := range m.servers {
 			s.listed = false
 		}
@@ -549,25 +549,25 @@
 			m.servers[id] = &server{id: id, host: e.Host}
 		}
 		s, since := m.servers[id], facts.ToTime(e.Born)
-		entry := brain.Server{ID: id, Zone: m.zone(e.Zone), Cell: brain.CellNo(e.Cell), UpSince: since}
+		entry := balancer.Server{ID: id, Zone: m.zone(e.Zone), Cell: balancer.CellIndex(e.Cell), StartedAt: since}
 		switch e.Health {
 		case discovery.Up:
-			entry.State = brain.Ready
+			entry.State = balancer.Ready
 		case discovery.Draining:
-			entry.State = brain.Draining
+			entry.State = balancer.Draining
 		}
-		s.listed = entry.State != brain.Gone
+		s.listed = entry.State != balancer.Removed
 		if s.listed && s.peer == nil {
 			s.peer = peer.Start(id, e.Host, e.Dial, m.figures, m.clock.now, m.mailbox, m.budget)
 		} else if s.listed && (s.addr != e.Dial || s.since != since) && !s.peer.Offer(peer.Moved{Addr: e.Dial, Since: since}) {
 			s.peer.Stop() // too busy to be told: it finishes what it has, another takes what comes
 			s.peer = peer.Start(id, e.Host, e.Dial, m.figures, m.clock.now, m.mailbox, m.budget)
 		}
-		if entry.State == brain.Draining && s.peer != nil {
+		if entry.State == balancer.Draining && s.peer != nil {
 			s.peer.Offer(peer.Drain{}) // lost when the mailbox is full: its connections then end with the server
 		}
 		s.addr, s.since = e.Dial, since
-		s.draining, s.cell, s.zone = entry.State == brain.Draining, e.Cell, e.Zone
+		s.draining, s.cell, s.zone = entry.State == balancer.Draining, e.Cell, e.Zone
 		ev.Servers = append(ev.Servers, entry)
 	}
 	m.ready = 0
@@ -599,10 +599,10 @@
 	}
 }
 
-func (m *module) zone(name string) brain.ZoneNo {
+func (m *module) zone(name string) balancer.ZoneIndex {
 	for i, z := range m.d.Zones {
 		if z == name {
-			return brain.ZoneNo(i)
+			return balancer.ZoneIndex(i)
 		}
 	}
 	return -1
--- a/gatherer/program_test.go
+++ b/gatherer/program_test.go
@@ -19,7 +19,7 @@
 	"testing"
 	"time"
 
-	"oxbowspan/brain"
+	"oxbowspan/balancer"
 	"oxbowspan/budget"
 	"oxbowspan/internal/discovery"
 	"oxbowspan/internal/facts"
@@ -709,7 +709,7 @@
 	}
 	tokened := good
 	tokened.Settings = json.RawMessage(strings.Replace(testSettings, "free", "guarded", 1))
-	if g, err := New(tokened); err != nil || g.d.Facts.QueryTypes[0].Effect != brain.NonIdempotent {
+	if g, err := New(tokened); err != nil || g.d.Facts.QueryTypes[0].Idempotency != balancer.NonIdempotent {
 		t.Errorf("a tokened type, whose token no frame carries, may be sent again: %v", err)
 	}
 	for cut, says := range map[string]string{`"slo":1000.0,`: "slo is missing", `"positions":1,`: "positions is missing", `"dialTimeout":250.0,`: "dialTimeout is missing"} {
@@ -898,7 +898,7 @@
 		if i >= 4 {
 			l.Hosts = append(l.Hosts, discovery.Entry{Host: fmt.Sprint("s-", i-4), Health: discovery.Removed})
 		}
-		m.takeList(brain.ListChanges, l)
+		m.takeList(balancer.ListDelta, l)
 	}
 	if m.ready != 4 || len(m.servers) > 2*m.ready || len(m.ids) != len(m.servers) {
 		t.Errorf("%d servers are listed, %d held, under %d hosts", m.ready, len(m.servers), len(m.ids))
--- a/gatherer/remember.go
+++ b/gatherer/remember.go
@@ -8,7 +8,7 @@
 	"strconv"
 	"time"
 
-	"oxbowspan/brain"
+	"oxbowspan/balancer"
 	"oxbowspan/internal/discovery"
 	"oxbowspan/internal/operator"
 	"oxbowspan/recovery"
@@ -108,7 +108,7 @@
 		m.refuse(s, errors.New("the disk is slow"))
 		return false
 	}
-	patience := recovery.Time(s.patience / brain.Millisecond)
+	patience := recovery.Time(s.patience / balancer.Millisecond)
 	verdict, answer, changes := r.table.Arrive(now, s.key, s.digest, patience)
 	switch verdict {
 	case recovery.Write:
@@ -133,7 +133,7 @@
 	case recovery.Other:
 		s.reply <- reply{kind: replyOther}
 	default:
-		s.reply <- reply{kind: replyShed, retryAfter: m.d.Facts.AdviseRetry}
+		s.reply <- reply{kind: replyShed, retryAfter: m.d.Facts.MaxRetryAfter}
 	}
 	return false
 }
@@ -145,7 +145,7 @@
 		slog.Warn("store_refuses", "error", why)
 	}
 	s.over = true
-	s.reply <- reply{kind: replyShed, retryAfter: m.d.Facts.AdviseRetry}
+	s.reply <- reply{kind: replyShed, retryAfter: m.d.Facts.MaxRetryAfter}
 }
 
 // written goes on with a search whose intent is on the disk.
@@ -280,14 +280,14 @@
 }
 
 // keepEvery is how often what is learned of servers is written. It counts for ten seconds; a loss of one does no harm.
-const keepEvery = 1000 * brain.Millisecond
+const keepEvery = 1000 * balancer.Millisecond
 
 // keepLearned writes what has been learned of servers since it was last written.
-func (m *module) keepLearned(now brain.Time) {
+func (m *module) keepLearned(now balancer.Time) {
 	since := m.keptAt
 	m.keptAt = now
 	var changes []store.Op
-	for _, l := range m.brain.Learned() {
+	for _, l := range m.brain.ServerRecords() {
 		s := m.servers[l.ID]
 		if s == nil || l.TaughtAt < since {
 			continue
@@ -308,9 +308,9 @@
 
 // recall tells brain what an earlier run had learned of the servers that are listed.
 func (m *module) recall() {
-	var e brain.Recalled
+	var e balancer.RecordsRestored
 	for host, raw := range m.remembers.store.All(TableLearned) {
-		var l brain.Learned
+		var l balancer.ServerRecord
 		if id, known := m.ids[host]; known && json.Unmarshal(raw, &l) == nil {
 			l.ID = id
 			e.Servers = append(e.Servers, l)
--- a/gatherer/roundtrip.go
+++ b/gatherer/roundtrip.go
@@ -19,7 +19,7 @@
 	"github.com/zeebo/blake3"
 
 	"oxbowspan/admit"
-	"oxbowspan/brain"
+	"oxbowspan/balancer"
 	"oxbowspan/budget"
 	"oxbowspan/internal/facts"
 	"oxbowspan/internal/operator"
@@ -31,8 +31,8 @@
 // the response of its final answer.
 type transport struct {
 	d         facts.Deployment
-	types     map[string]brain.QueryType
-	customers map[string]brain.CustomerNo
+	types     map[string]balancer.QueryType
+	customers map[string]balancer.CustomerIndex
 	module    mailbox
 	held      *budget.Ledger
 	keyHeader string                           // where clients name searches that must not run twice; "" = nothing is kept of them
@@ -40,12 +40,12 @@
 }
 
 func newTransport(d facts.Deployment, m mailbox, held *budget.Ledger) *transport {
-	t := &transport{d: d, types: map[string]brain.QueryType{}, customers: map[string]brain.CustomerNo{}, module: m, held: held}
+	t := &transport{d: d, types: map[string]balancer.QueryType{}, customers: map[string]balancer.CustomerIndex{}, module: m, held: held}
 	for i, name := range d.QueryTypes {
-		t.types[name] = brain.QueryType(i)
+		t.types[name] = balancer.QueryType(i)
 	}
 	for i, name := range d.Customers {
-		t.customers[name] = brain.CustomerNo(i)
+		t.customers[name] = balancer.CustomerIndex(i)
 	}
 	return t
 }
@@ -118,7 +118,7 @@
 	if err != nil || wait <= 0 {
 		return nil, fmt.Errorf("Req-Deadline-Ms must be a whole number of milliseconds above 0")
 	}
-	s.patience = brain.Time(wait) * brain.Millisecond
+	s.patience = balancer.Time(wait) * balancer.Millisecond
 	if r.Body == nil {
 		return nil, fmt.Errorf("the body is empty")
 	}
@@ -156,12 +156,12 @@
 		}
 		seen[*p.Shard] = true
 		sum += *p.Weight
-		s.asked = append(s.asked, asked{brain.ShardNo(*p.Shard), *p.Weight, p.Guess / 1000})
+		s.asked = append(s.asked, asked{balancer.ShardIndex(*p.Shard), *p.Weight, p.Guess / 1000})
 	}
 	if math.Abs(sum-1) > sumSlack {
 		return nil, fmt.Errorf("the fractions add up to %.6g, not to 1", sum)
 	}
-	if header := t.keyHeader; header != "" && t.d.Facts.QueryTypes[s.typ].Effect != brain.Idempotent {
+	if header := t.keyHeader; header != "" && t.d.Facts.QueryTypes[s.typ].Idempotency != balancer.Idempotent {
 		s.key, s.digest = searchKey(r, header, kind, s.wire, raw)
 	}
 	if m := t.merging.Load(); m != nil && len(b.Merge) > 0 && string(b.Merge) != "null" {
@@ -201,7 +201,7 @@
 	for _, a := range s.asked {
 		segments = append(segments, merge.Asked{Segment: merge.Segment(a.shard), Weight: a.weight})
 	}
-	return allowed.Query(terms, segments, t.d.Facts.QueryTypes[s.typ].LeastShare >= 1, merge.Paging{Keys: m.Keys,
+	return allowed.Query(terms, segments, t.d.Facts.QueryTypes[s.typ].MinCoverage >= 1, merge.Paging{Keys: m.Keys,
 		Life: m.CursorLife.Milliseconds(), Most: m.MostCursor, Now: time.Now().UnixMilli(), Type: kind,
 		Customer: r.Header.Get("Req-Owner"), Statement: s.text})
 }
@@ -211,7 +211,7 @@
 const sumSlack = 1e-3
 
 // advise tells a client that was shed when to come back, where that is known.
-func advise(h http.Header, after brain.Time) {
+func advise(h http.Header, after balancer.Time) {
 	if after > 0 {
 		h.Set("Retry-After", strconv.FormatFloat(facts.ToMillis(after)/1000, 'f', -1, 64))
 	}
--- a/internal/facts/facts.go
+++ b/internal/facts/facts.go
@@ -10,7 +10,7 @@
 	"strconv"
 	"strings"
 
-	"oxbowspan/brain"
+	"oxbowspan/balancer"
 )
 
 // pairs are the path=value lines of a hello. The first fault met in reading them is kept.
@@ -66,7 +66,7 @@
 	return int(v)
 }
 
-func (p *pairs) span(path string) brain.Time { return ToTime(p.number(path, 0)) }
+func (p *pairs) span(path string) balancer.Time { return ToTime(p.number(path, 0)) }
 
 func (p *pairs) flag(path string) bool {
 	v := p.m[path]
@@ -92,11 +92,11 @@
 
 // Deployment is what the settings say.
 type Deployment struct {
-	Facts                                     brain.Facts
+	Facts                                     balancer.Config
 	Reports                                   []string // names of a load report's figures
 	ReportsByProbe                            bool
 	QueryTypes, Customers, Zones              []string // names on the wire; the place is the module's number
-	ConnectTimeout, IdleClose, LongestTimeout brain.Time
+	ConnectTimeout, IdleClose, LongestTimeout balancer.Time
 	Streams                                   int  // parts that one server connection carries at once
 	PartsPerCall                              int  // parts of one frame
 	Peers                                     bool // gatherers may talk to each other
@@ -155,31 +155,31 @@
 }
 
 func (p *pairs) deployment(seed uint64) (Deployment, error) {
-	f := brain.Facts{
-		Seed:            seed,
-		Gatherers:       max(1, p.count("instances", math.MaxInt32)),
-		Tick:            p.span("tick"),
-		Cells:           p.count("domain.positions", math.MaxUint16+1),
-		Reach:           max(1, p.count("domain.reach", math.MaxUint16)),
-		Shards:          p.count("domain.slices", math.MaxInt32),
-		CallCost:        max(0, p.number("domain.callCost", 0)),
-		MostSubRequests: max(1, p.count("limits.attemptsCap", math.MaxUint16)),
-		MayCancel:       p.flag("limits.cancel"),
-		MayProbe:        p.flag("limits.probes"),
-		MayCopy:         p.flag("limits.secondCopies"),
-		RepeatsMarked:   p.flag("clients.marksRetry"),
-		ListOnRequest:   p.m["membershipMode"] == "on_request",
-		AskWithin:       p.span("guarantees.askWithin"),
-		DrainGrace:      p.span("guarantees.stopSendingWithin"),
-		ColdShare:       p.number("guarantees.startCapacity", 0),
-		ColdFor:         p.span("guarantees.cold"),
-		FallMultiple:    p.number("guarantees.fallMultiple", 0),
-		FallWithin:      p.span("guarantees.tipAfter"),
-		HasBudget:       p.m["guarantees.resendRatio"] != "",
-		BudgetFree:      p.number("guarantees.budgetFree", 0),
-		BudgetShare:     p.number("guarantees.resendRatio", 0),
-		BudgetSpan:      p.span("guarantees.budgetSpan"),
-		OverShareFactor: p.number("overShareWorth", 1),
+	f := balancer.Config{
+		Seed:              seed,
+		Instances:         max(1, p.count("instances", math.MaxInt32)),
+		ClockResolution:   p.span("tick"),
+		Cells:             p.count("domain.positions", math.MaxUint16+1),
+		ReplicationFactor: max(1, p.count("domain.reach", math.MaxUint16)),
+		Shards:            p.count("domain.slices", math.MaxInt32),
+		CallCost:          max(0, p.number("domain.callCost", 0)),
+		MaxAttempts:       max(1, p.count("limits.attemptsCap", math.MaxUint16)),
+		AllowCancel:       p.flag("limits.cancel"),
+		AllowHealthChecks: p.flag("limits.probes"),
+		AllowHedging:      p.flag("limits.secondCopies"),
+		RetriesMarked:     p.flag("clients.marksRetry"),
+		ListOnRequest:     p.m["membershipMode"] == "on_request",
+		MaxListAge:        p.span("guarantees.askWithin"),
+		DrainGrace:        p.span("guarantees.stopSendingWithin"),
+		SlowStartShare:    p.number("guarantees.startCapacity", 0),
+		SlowStartDuration: p.span("guarantees.cold"),
+		OverloadMultiple:  p.number("guarantees.fallMultiple", 0),
+		OverloadWindow:    p.span("guarantees.tipAfter"),
+		HasRetryBudget:    p.m["guarantees.resendRatio"] != "",
+		RetryBudgetBase:   p.number("guarantees.budgetFree", 0),
+		RetryBudgetRatio:  p.number("guarantees.resendRatio", 0),
+		RetryBudgetWindow: p.span("guarantees.budgetSpan"),
+		OverQuotaValue:    p.number("overShareWorth", 1),
 	}
 	p.need("domain.positions")
 	p.need("domain.slices")
@@ -187,36 +187,36 @@
 		p.fault("domain.positions", "or domain.slices is below 1")
 	}
 	if p.flag("limits.retryAfter") {
-		f.AdviseRetry = p.span("limits.maxRetryAfter")
+		f.MaxRetryAfter = p.span("limits.maxRetryAfter")
 	}
 	p.need("classes.count")
 	for i := range p.count("classes.count", mostEntries) {
 		at := fmt.Sprintf("classes.%d.", i)
-		q := brain.QueryTypeFacts{
-			LatencyTarget: ToTime(p.need(at + "slo")),
-			ClientTimeout: ToTime(p.need(at + "hardLimit")),
-			Window:        p.span(at + "memorySpan"),
-			LateValue:     p.number(at+"lateWorth", 0),
-			ShortValue:    p.nth("domain.shortWorth", i, 1),
-			LeastShare:    p.nth("domain.leastShare", i, 1),
-			WholeAt:       p.nth("domain.wholeAt", i, 1),
-			SecondStep:    int(p.nth("domain.secondStep", i, 0)),
+		q := balancer.QueryTypeConfig{
+			LatencyTarget:    ToTime(p.need(at + "slo")),
+			ClientTimeout:    ToTime(p.need(at + "hardLimit")),
+			DedupWindow:      p.span(at + "memorySpan"),
+			LateValue:        p.number(at+"lateWorth", 0),
+			PartialValue:     p.nth("domain.shortWorth", i, 1),
+			MinCoverage:      p.nth("domain.leastShare", i, 1),
+			CompleteCoverage: p.nth("domain.wholeAt", i, 1),
+			SecondPhaseCalls: int(p.nth("domain.secondStep", i, 0)),
 		}
 		switch effect := p.m[at+"effect"]; effect {
 		case "free":
-			q.Effect = brain.Idempotent
+			q.Idempotency = balancer.Idempotent
 		case "guarded":
-			q.Effect = brain.Tokened
+			q.Idempotency = balancer.Deduplicated
 		case "single_shot":
-			q.Effect = brain.NonIdempotent
+			q.Idempotency = balancer.NonIdempotent
 		default:
 			p.fault(at+"effect", fmt.Sprintf("is not known: %.40q", effect))
 		}
 		f.QueryTypes = append(f.QueryTypes, q)
 	}
 	for i := range p.count("tenants.count", mostEntries) {
-		f.Customers = append(f.Customers, brain.CustomerFacts{
-			SharePerSecond: p.number(fmt.Sprintf("tenants.%d.quotaPerS", i), 0),
+		f.Customers = append(f.Customers, balancer.CustomerConfig{
+			QuotaPerSecond: p.number(fmt.Sprintf("tenants.%d.quotaPerS", i), 0),
 		})
 	}
 	d := Deployment{Facts: f, ReportsByProbe: p.m["feedback.how"] == "probe",
@@ -241,12 +241,12 @@
 
 // ToTime turns milliseconds into a Time. It rounds down, so that no limit grows on the way. The small term undoes the binary fraction's
 // loss on whole tenths.
-func ToTime(ms float64) brain.Time {
+func ToTime(ms float64) balancer.Time {
 	if math.IsNaN(ms) {
 		return 0
 	}
-	return brain.Time(math.Floor(max(-1e14, min(1e14, ms))*float64(brain.Millisecond) + 1e-6))
+	return balancer.Time(math.Floor(max(-1e14, min(1e14, ms))*float64(balancer.Millisecond) + 1e-6))
 }
 
 // ToMillis turns a Time into milliseconds.
-func ToMillis(t brain.Time) float64 { return float64(t) / float64(brain.Millisecond) }
+func ToMillis(t balancer.Time) float64 { return float64(t) / float64(balancer.Millisecond) }
--- a/internal/peer/conn.go
+++ b/internal/peer/conn.go
@@ -11,7 +11,7 @@
 	"syscall"
 	"time"
 
-	"oxbowspan/brain"
+	"oxbowspan/balancer"
 	"oxbowspan/internal/frame"
 )
 
@@ -41,14 +41,14 @@
 	p        *Peer
 	c        net.Conn
 	addr     string
-	openedAt brain.Time
+	openedAt balancer.Time
 
 	parts           int // parts out on it
-	usedAt, heardAt brain.Time
+	usedAt, heardAt balancer.Time
 	silent          bool   // a part was given up on it without a word since
 	leaving         string // why it gets no new parts and is closed when done; "" = it stays
 	closed, spoilt  bool
-	halfAt          brain.Time      // since when a frame on it is not whole; 0 = none is
+	halfAt          balancer.Time   // since when a frame on it is not whole; 0 = none is
 	frames          int             // frames that came
 	past            [pastIDs]pastID // the last ids answered or given up on it
 	pasts, owed     int             // how many there have been; those given up and not answered since
@@ -82,7 +82,7 @@
 	// came is all that one read of a connection brought.
 	came struct {
 		c      *conn
-		at     brain.Time
+		at     balancer.Time
 		frames []inFrame
 		more   bool // bytes of a frame that is not whole yet
 		bad    error
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -10,31 +10,31 @@
 	"strconv"
 	"time"
 
-	"oxbowspan/brain"
+	"oxbowspan/balancer"
 	"oxbowspan/internal/frame"
 )
 
 // Part is one sub-request to be sent.
 type Part struct {
-	ID    brain.PartID
-	Send  brain.SendNo
+	ID    balancer.ShardCallID
+	Send  balancer.AttemptNumber
 	Wire  string // its id on the wire
-	Shard brain.ShardNo
+	Shard balancer.ShardIndex
 	Text  []byte
 	List  string // what more than the time limit its line lists; "" = nothing
 	// Read, where it is set, reads the value. Its error says that the value cannot be used: the sub-request has errored
 	// then, so that another replica may be asked. It runs in the peer's actor and must not wait.
 	Read   func(value string) (any, error)
-	SentAt brain.Time
-	Until  brain.Time // its time limit
+	SentAt balancer.Time
+	Until  balancer.Time // its time limit
 }
 
 // The orders that a peer takes.
 type (
 	Call   struct{ Parts []Part }
 	Cancel struct {
-		ID   brain.PartID
-		Send brain.SendNo
+		ID   balancer.ShardCallID
+		Send balancer.AttemptNumber
 	}
 	// Probe asks for a probe on a connection, a new one where none has room. It is told once, within the connect timeout.
 	Probe struct{}
@@ -47,18 +47,18 @@
 	// Moved says where the server now listens and since when it runs.
 	Moved struct {
 		Addr  string
-		Since brain.Time
+		Since balancer.Time
 	}
 )
 
 // Ended is how a sub-request ended. It comes exactly once for each part of a Call.
 type Ended struct {
-	ID      brain.PartID
-	Send    brain.SendNo
-	Server  brain.ServerID
-	Elapsed brain.Time
-	Outcome brain.Outcome
-	Report  *brain.Report
+	ID      balancer.ShardCallID
+	Send    balancer.AttemptNumber
+	Server  balancer.ServerID
+	Elapsed balancer.Time
+	Outcome balancer.Outcome
+	Report  *balancer.LoadReport
 	Value   string
 	Result  any  // what Part.Read made of the value
 	Unfit   bool // Part.Read found that the value cannot be used
@@ -67,7 +67,7 @@
 // Sink takes what a peer has to tell. It may block for a moment.
 type Sink interface {
 	Ended(Ended)
-	Probed(brain.Probed)
+	Probed(balancer.HealthCheckEnded)
 }
 
 // Budget counts descriptors: a connection is opened only for one taken.
@@ -78,7 +78,7 @@
 
 // Figures are the limits of the settings that a peer keeps.
 type Figures struct {
-	ConnectTimeout, IdleClose brain.Time
+	ConnectTimeout, IdleClose balancer.Time
 	Streams, PartsPerCall     int
 	LoadProbes                bool // load is told by probes alone
 	Reports                   bool // servers tell their load
@@ -105,10 +105,10 @@
 
 // Peer is the actor's handle.
 type Peer struct {
-	id      brain.ServerID
+	id      balancer.ServerID
 	host    string
 	f       Figures
-	now     func() brain.Time
+	now     func() balancer.Time
 	sink    Sink
 	budget  Budget
 	mailbox chan any
@@ -124,13 +124,13 @@
 	limits  limitHeap       // the same, by time limit
 	running int             // connections whose goroutines have not ended
 	probes  []*conn         // connections with a probe out, in order; emptied by answers and ends
-	probing brain.Time      // when the probe asked for is given up; 0 = none is
+	probing balancer.Time   // when the probe asked for is given up; 0 = none is
 	unsent  bool            // it waits for a connection
 }
 
 type subKey struct {
-	id   brain.PartID
-	send brain.SendNo
+	id   balancer.ShardCallID
+	send balancer.AttemptNumber
 }
 
 type sub struct {
@@ -147,18 +147,18 @@
 }
 
 // Start starts a peer's actor. It ends after Stop, once all is settled.
-func Start(id brain.ServerID, host, addr string, f Figures, now func() brain.Time, sink Sink, budget Budget) *Peer {
+func Start(id balancer.ServerID, host, addr string, f Figures, now func() balancer.Time, sink Sink, budget Budget) *Peer {
 	return start(id, host, addr, f, now, sink, budget, connect)
 }
 
-func start(id brain.ServerID, host, addr string, f Figures, now func() brain.Time, sink Sink, budget Budget,
+func start(id balancer.ServerID, host, addr string, f Figures, now func() balancer.Time, sink Sink, budget Budget,
 	connect func(string, time.Duration) (net.Conn, error)) *Peer {
 	p := newPeer(id, host, addr, f, now, sink, budget, connect)
 	go p.run()
 	return p
 }
 
-func newPeer(id brain.ServerID, host, addr string, f Figures, now func() brain.Time, sink Sink, budget Budget,
+func newPeer(id balancer.ServerID, host, addr string, f Figures, now func() balancer.Time, sink Sink, budget Budget,
 	connect func(string, time.Duration) (net.Conn, error)) *Peer {
 	p := &Peer{id: id, host: host, f: f, now: now, sink: sink, budget: budget, addr: addr, connect: connect,
 		mailbox: make(chan any, mailboxSize), news: make(chan any, mailboxSize), done: make(chan struct{}), out: map[subKey]*sub{}}
@@ -209,7 +209,7 @@
 				c.close(endUnlisted)
 			}
 			if p.running+p.dialing == 0 {
-				p.probed(brain.Probed{Outcome: brain.Moot})
+				p.probed(balancer.HealthCheckEnded{Outcome: balancer.NotDispatched})
 				return
 			}
 		}
@@ -218,7 +218,7 @@
 
 // untilNext is how long until a time limit or an idle connection's end.
 func (p *Peer) untilNext() time.Duration {
-	next := p.now() + brain.Time(time.Hour/tick)
+	next := p.now() + balancer.Time(time.Hour/tick)
 	if len(p.limits) > 0 {
 		next = p.limits[0].Until
 	}
@@ -241,13 +241,13 @@
 	return max(0, time.Duration(next-p.now())*tick)
 }
 
-const tick = time.Millisecond / time.Duration(brain.Millisecond)
+const tick = time.Millisecond / time.Duration(balancer.Millisecond)
 
 // idleFor is how long a connection may be idle: a quarter less than the server allows, which cannot be told
 // how long our last bytes were on their way.
-func (p *Peer) idleFor() brain.Time {
+func (p *Peer) idleFor() balancer.Time {
 	if p.f.IdleClose <= 0 {
-		return brain.Time(time.Hour / tick)
+		return balancer.Time(time.Hour / tick)
 	}
 	return p.f.IdleClose * 3 / 4
 }
@@ -270,7 +270,7 @@
 		p.place()
 	case Cancel:
 		if s := p.out[subKey{o.ID, o.Send}]; s != nil {
-			p.giveUp(s, brain.Cancelled)
+			p.giveUp(s, balancer.Cancelled)
 		}
 	case Probe:
 		p.probe()
@@ -358,7 +358,7 @@
 	now := p.now()
 	b := frame.Begin(nil, frame.Call)
 	for _, s := range w.subs {
-		millis := max(1, int64((s.Until-now+brain.Millisecond-1)/brain.Millisecond))
+		millis := max(1, int64((s.Until-now+balancer.Millisecond-1)/balancer.Millisecond))
 		b = frame.Part(b, s.Wire, int(s.Shard), millis, s.List, s.Text)
 	}
 	w.conn, w.no = c, c.put(frame.End(b, 0))
@@ -367,7 +367,7 @@
 }
 
 // end tells a sub-request's outcome and forgets it.
-func (p *Peer) end(s *sub, o brain.Outcome, report *brain.Report) {
+func (p *Peer) end(s *sub, o balancer.Outcome, report *balancer.LoadReport) {
 	p.tell(s, Ended{Outcome: o, Report: report})
 }
 
@@ -384,21 +384,21 @@
 
 // giveUp ends a sub-request that is called off or whose time is up. What was never put on a connection cannot
 // have run, nor can what is taken back before its first byte.
-func (p *Peer) giveUp(s *sub, o brain.Outcome) {
+func (p *Peer) giveUp(s *sub, o balancer.Outcome) {
 	c := s.call.conn
 	if c == nil {
 		s.call.drop(s)
 		if len(s.call.subs) == 0 {
 			p.unwait(s.call)
 		}
-		if o = brain.Moot; s.Until <= p.now() {
-			o = brain.ConnectFailed
+		if o = balancer.NotDispatched; s.Until <= p.now() {
+			o = balancer.ConnectFailed
 		}
 		p.end(s, o, nil)
 		return
 	}
 	if len(s.call.subs) == 1 && c.takeBack(s.call.no) {
-		o = brain.ConnectFailed
+		o = balancer.ConnectFailed
 	} else {
 		c.put(frame.Whole(frame.GiveUp, s.Wire))
 		c.over(s.Wire, false)
@@ -446,7 +446,7 @@
 func (p *Peer) failWaiting() {
 	for _, w := range p.waiting {
 		for _, s := range w.subs {
-			p.end(s, brain.ConnectFailed, nil)
+			p.end(s, balancer.ConnectFailed, nil)
 		}
 	}
 	p.waiting = nil
@@ -456,13 +456,13 @@
 func (p *Peer) expire() {
 	now := p.now()
 	for len(p.limits) > 0 && p.limits[0].Until <= now {
-		p.giveUp(p.limits[0], brain.TimedOut)
+		p.giveUp(p.limits[0], balancer.TimedOut)
 	}
 	if p.probing != 0 && now >= p.probing {
 		for _, c := range p.probes {
 			p.silent(c) // what comes next goes on another, which shows whether the machine is there
 		}
-		p.probed(brain.Probed{Outcome: brain.TimedOut})
+		p.probed(balancer.HealthCheckEnded{Outcome: balancer.TimedOut})
 	}
 	for _, c := range p.conns {
 		if c.parts == 0 && now >= c.usedAt+p.idleFor() {
@@ -480,7 +480,7 @@
 	if p.probing == 0 {
 		limit := p.f.ConnectTimeout
 		if limit <= 0 {
-			limit = brain.Time(time.Hour / tick) // none is stated, so the connection tells
+			limit = balancer.Time(time.Hour / tick) // none is stated, so the connection tells
 		}
 		p.probing, p.unsent = p.now()+limit, true
 	}
@@ -494,7 +494,7 @@
 		return
 	}
 	if c == nil { // no descriptor is left
-		p.probed(brain.Probed{Outcome: brain.Moot})
+		p.probed(balancer.HealthCheckEnded{Outcome: balancer.NotDispatched})
 		return
 	}
 	letter := byte(frame.Probe)
@@ -508,7 +508,7 @@
 }
 
 // probed tells how the probe asked for ended; later news of it says nothing.
-func (p *Peer) probed(e brain.Probed) {
+func (p *Peer) probed(e balancer.HealthCheckEnded) {
 	if p.probing != 0 {
 		p.probing, p.unsent = 0, false
 		e.Server = p.id
@@ -525,7 +525,7 @@
 			if p.dialing == 0 {
 				p.failWaiting()
 				if p.unsent {
-					p.probed(brain.Probed{Outcome: brain.ConnectFailed})
+					p.probed(balancer.HealthCheckEnded{Outcome: balancer.ConnectFailed})
 				}
 			}
 			return
@@ -560,9 +560,9 @@
 		case len(p.probes) > 0 && slices.Contains(p.probes, c):
 			at := slices.Index(p.probes, c)
 			p.probes = slices.Delete(p.probes, at, at+1)
-			probed := brain.Probed{Report: p.report(f.report)}
+			probed := balancer.HealthCheckEnded{Report: p.report(f.report)}
 			if f.end == frame.Broke {
-				probed.Outcome = brain.Errored
+				probed.Outcome = balancer.Errored
 			}
 			p.probed(probed)
 		default:
@@ -607,19 +607,19 @@
 	case frame.Served:
 		p.served(s, f)
 	case frame.Broke:
-		p.end(s, brain.Errored, p.report(f.report))
+		p.end(s, balancer.Errored, p.report(f.report))
 	case frame.Skipped:
-		p.end(s, brain.TurnedAway, p.report(f.report))
+		p.end(s, balancer.Rejected, p.report(f.report))
 	}
 }
 
 // served takes a value. One that cannot be used is an error of its server's, and no more: the connection is sound.
 func (p *Peer) served(s *sub, f inFrame) {
-	e := Ended{Outcome: brain.Answered, Report: p.report(f.report), Value: f.value}
+	e := Ended{Outcome: balancer.Answered, Report: p.report(f.report), Value: f.value}
 	if s.Read != nil {
 		var err error
 		if e.Result, err = s.Read(f.value); err != nil {
-			e.Outcome, e.Unfit, e.Result = brain.Errored, true, nil
+			e.Outcome, e.Unfit, e.Result = balancer.Errored, true, nil
 			slog.Warn("part_unusable", "server", p.host, "part", s.Wire, "error", err)
 		}
 		e.Value = ""
@@ -642,7 +642,7 @@
 	}
 	if hit != nil {
 		hit.call.drop(hit)
-		p.end(hit, brain.Errored, nil)
+		p.end(hit, balancer.Errored, nil)
 	}
 	if !c.closed {
 		c.closed, c.spoilt = true, true
@@ -663,18 +663,18 @@
 const mostLoad = 1e6
 
 // report reads a load report; nil where none came, or none that can be read: the older one just ages.
-func (p *Peer) report(text string) *brain.Report {
+func (p *Peer) report(text string) *balancer.LoadReport {
 	if !p.f.Reports || text == "" || text == "-" {
 		return nil
 	}
-	r := &brain.Report{Queue: -1, InFlight: -1}
+	r := &balancer.LoadReport{Queued: -1, InFlight: -1}
 	if v, ok := frame.Figure([]byte(text), "queue"); ok && 0 <= v && v < mostLoad {
-		r.Queue = v
+		r.Queued = v
 	}
 	if v, ok := frame.Figure([]byte(text), "inflight"); ok && 0 <= v && v < mostLoad {
 		r.InFlight = v
 	}
-	if r.Queue < 0 && r.InFlight < 0 {
+	if r.Queued < 0 && r.InFlight < 0 {
 		return nil
 	}
 	return r
@@ -688,10 +688,10 @@
 	written := c.written
 	for _, s := range append([]*sub(nil), p.limits...) {
 		if s.call.conn == c {
-			o := brain.ConnectFailed
+			o := balancer.ConnectFailed
 			if s.call.no <= written {
-				if o = brain.Reset; c.spoilt {
-					o = brain.Cancelled
+				if o = balancer.Reset; c.spoilt {
+					o = balancer.Cancelled
 				}
 			}
 			p.end(s, o, nil)
@@ -706,14 +706,14 @@
 	kept := p.probes[:0]
 	for _, other := range p.probes {
 		if other == c {
-			p.probed(brain.Probed{Outcome: brain.Reset})
+			p.probed(balancer.HealthCheckEnded{Outcome: balancer.Reset})
 		} else {
 			kept = append(kept, other)
 		}
 	}
 	p.probes = kept
 	slog.Info("server_conn_end", "server", p.host, "addr", c.addr, "reason", c.why, "sent", written, "heard", c.frames,
-		"age_ms", int64((p.now()-c.openedAt)/brain.Millisecond), "detail", c.detail)
+		"age_ms", int64((p.now()-c.openedAt)/balancer.Millisecond), "detail", c.detail)
 	p.place()
 }
 
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"oxbowspan/brain"
+	"oxbowspan/balancer"
 	"oxbowspan/internal/frame"
 )
 
@@ -18,7 +18,7 @@
 	p      *Peer
 	at     atomic.Int64
 	ends   chan Ended
-	probes chan brain.Probed
+	probes chan balancer.HealthCheckEnded
 	dials  chan net.Conn // the server's ends
 	refuse atomic.Bool
 	held   atomic.Int64 // descriptors
@@ -26,15 +26,15 @@
 	next   uint64
 }
 
-func (r *rig) Ended(e Ended)         { r.ends <- e }
-func (r *rig) Probed(p brain.Probed) { r.probes <- p }
-func (r *rig) Take() bool            { return r.held.Add(1) <= 4 || r.held.Add(-1) < 0 }
-func (r *rig) Give()                 { r.held.Add(-1) }
-func (r *rig) now() brain.Time       { return brain.Time(r.at.Load()) }
-func (r *rig) pass(d brain.Time)     { r.at.Add(int64(d)) }
+func (r *rig) Ended(e Ended)                      { r.ends <- e }
+func (r *rig) Probed(p balancer.HealthCheckEnded) { r.probes <- p }
+func (r *rig) Take() bool                         { return r.held.Add(1) <= 4 || r.held.Add(-1) < 0 }
+func (r *rig) Give()                              { r.held.Add(-1) }
+func (r *rig) now() balancer.Time                 { return balancer.Time(r.at.Load()) }
+func (r *rig) pass(d balancer.Time)               { r.at.Add(int64(d)) }
 
 func newRig(t *testing.T) *rig {
-	r := &rig{t: t, ends: make(chan Ended, 100), probes: make(chan brain.Probed, 100), dials: make(chan net.Conn, 100)}
+	r := &rig{t: t, ends: make(chan Ended, 100), probes: make(chan balancer.HealthCheckEnded, 100), dials: make(chan net.Conn, 100)}
 	r.at.Store(1e9)
 	r.p = start(1, "s-a", "a:1", Figures{ConnectTimeout: 2500, IdleClose: 300000, Streams: 4, PartsPerCall: 2, Reports: true},
 		r.now, r, r, func(string, time.Duration) (net.Conn, error) {
@@ -67,7 +67,7 @@
 	var parts []Part
 	for _, w := range wires {
 		r.next++
-		parts = append(parts, Part{ID: brain.PartID(r.next), Wire: w, Text: []byte("text"), SentAt: r.now(), Until: r.now() + 10000})
+		parts = append(parts, Part{ID: balancer.ShardCallID(r.next), Wire: w, Text: []byte("text"), SentAt: r.now(), Until: r.now() + 10000})
 	}
 	if !r.p.Offer(Call{parts}) {
 		r.t.Fatal("the mailbox is full")
@@ -88,7 +88,7 @@
 	return string(letter) + string(rest)
 }
 
-func (r *rig) want(id brain.PartID, o brain.Outcome) Ended {
+func (r *rig) want(id balancer.ShardCallID, o balancer.Outcome) Ended {
 	r.t.Helper()
 	e := take(r.t, r.ends)
 	if e.ID != id || e.Outcome != o {
@@ -109,11 +109,11 @@
 	}
 	r.pass(50)
 	c.Write(frame.Whole(frame.Answer, "a.1 served 5 queue=3,util=0.5\nthe value"))
-	if e := r.want(parts[1].ID, brain.Answered); e.Value != "the value" || e.Elapsed != 50 || *e.Report != (brain.Report{Queue: 3, InFlight: -1}) {
+	if e := r.want(parts[1].ID, balancer.Answered); e.Value != "the value" || e.Elapsed != 50 || *e.Report != (balancer.LoadReport{Queued: 3, InFlight: -1}) {
 		t.Errorf("got %+v, %+v", e, e.Report)
 	}
 	c.Write(frame.Whole(frame.Answer, "a.0 skipped 0 -\n"))
-	if e := r.want(parts[0].ID, brain.TurnedAway); e.Report != nil {
+	if e := r.want(parts[0].ID, balancer.Rejected); e.Report != nil {
 		t.Errorf("got the report %+v", e.Report)
 	}
 }
@@ -132,12 +132,12 @@
 	for len(r.p.mailbox) > 0 { // until the last one stands behind the half-written
 	}
 	c.Close()
-	got := map[brain.PartID]brain.Outcome{}
+	got := map[balancer.ShardCallID]balancer.Outcome{}
 	for range 3 {
 		e := take(t, r.ends)
 		got[e.ID] = e.Outcome
 	}
-	if got[whole[0].ID] != brain.Reset || got[cut[0].ID] != brain.ConnectFailed || got[queued[0].ID] != brain.ConnectFailed {
+	if got[whole[0].ID] != balancer.Reset || got[cut[0].ID] != balancer.ConnectFailed || got[queued[0].ID] != balancer.ConnectFailed {
 		t.Errorf("got %v", got)
 	}
 }
@@ -146,8 +146,8 @@
 	r := newRig(t)
 	r.refuse.Store(true)
 	parts := r.call("a.0", "a.1")
-	r.want(parts[0].ID, brain.ConnectFailed)
-	r.want(parts[1].ID, brain.ConnectFailed)
+	r.want(parts[0].ID, balancer.ConnectFailed)
+	r.want(parts[1].ID, balancer.ConnectFailed)
 	if n := r.held.Load(); n != 0 {
 		t.Errorf("%d descriptors are still taken", n)
 	}
@@ -164,12 +164,12 @@
 	behind := r.call("a.1")
 	r.pass(10000)
 	r.cancel(Part{}) // wakes the actor
-	got := map[brain.PartID]brain.Outcome{}
+	got := map[balancer.ShardCallID]balancer.Outcome{}
 	for range 2 {
 		e := take(t, r.ends)
 		got[e.ID] = e.Outcome
 	}
-	if got[stuck[0].ID] != brain.TimedOut || got[behind[0].ID] != brain.ConnectFailed {
+	if got[stuck[0].ID] != balancer.TimedOut || got[behind[0].ID] != balancer.ConnectFailed {
 		t.Errorf("got %v", got)
 	}
 }
@@ -184,7 +184,7 @@
 	if got := r.frame(c); got != "ca.0" {
 		t.Errorf("got %q", got)
 	}
-	r.want(first[0].ID, brain.Cancelled)
+	r.want(first[0].ID, balancer.Cancelled)
 	second := r.call("b.0")
 	d := take(t, r.dials) // a new connection
 	r.frame(d)
@@ -192,14 +192,14 @@
 	r.pass(100)
 	c.Write(frame.Whole(frame.Answer, "a.0 served 5 -\nlate"))
 	c.Write(frame.Whole(frame.Answer, "a.1 served 5 -\nv"))
-	r.want(first[1].ID, brain.Answered)
+	r.want(first[1].ID, balancer.Answered)
 	third := r.call("c.0")
 	r.frame(c)
 	// Of the two one carries all there is. The other would hold a descriptor until it has been idle for long.
 	d.Write(frame.Whole(frame.Answer, "b.0 served 5 -\nv"))
-	r.want(second[0].ID, brain.Answered)
+	r.want(second[0].ID, balancer.Answered)
 	c.Write(frame.Whole(frame.Answer, "c.0 served 5 -\nv"))
-	r.want(third[0].ID, brain.Answered)
+	r.want(third[0].ID, balancer.Answered)
 	r.closed(d)
 	r.call("d.0")
 	r.frame(c)
@@ -224,9 +224,9 @@
 	r.p.Offer(Drain{})
 	r.refuse.Store(true)
 	late := r.call("b.0") // was on its way already: not sent, as it would be sent on a new connection
-	r.want(late[0].ID, brain.ConnectFailed)
+	r.want(late[0].ID, balancer.ConnectFailed)
 	c.Write(frame.Whole(frame.Answer, "a.0 served 5 -\nv"))
-	r.want(parts[0].ID, brain.Answered)
+	r.want(parts[0].ID, balancer.Answered)
 	r.closed(c)
 }
 
@@ -237,7 +237,7 @@
 	r.frame(c)
 	r.pass(299999)
 	c.Write(frame.Whole(frame.Answer, "a.0 served 5 -\nv"))
-	r.want(parts[0].ID, brain.Answered)
+	r.want(parts[0].ID, balancer.Answered)
 	r.pass(225000)
 	r.cancel(Part{}) // wakes the actor
 	r.closed(c)
@@ -250,13 +250,13 @@
 	r.frame(c)
 	r.p.Offer(Moved{Addr: "a:2", Since: r.now() - 10}) // before this connection: it leads to the new process
 	c.Write(frame.Whole(frame.Answer, "a.0 served 5 -\nv"))
-	r.want(parts[0].ID, brain.Answered)
+	r.want(parts[0].ID, balancer.Answered)
 	parts = r.call("b.0")
 	d := take(t, r.dials)
 	r.frame(d)
 	r.pass(100)
 	r.p.Offer(Moved{Addr: "a:2", Since: r.now()})
-	r.want(parts[0].ID, brain.Reset)
+	r.want(parts[0].ID, balancer.Reset)
 }
 
 func TestDescriptorsAreBounded(t *testing.T) {
@@ -265,7 +265,7 @@
 		r.call("a."+string(rune('0'+i)), "b."+string(rune('0'+i)))
 	}
 	for range 4 { // five connections would be needed, four are granted
-		if e := take(t, r.ends); e.Outcome != brain.ConnectFailed {
+		if e := take(t, r.ends); e.Outcome != balancer.ConnectFailed {
 			t.Fatalf("part %d ended with %d", e.ID, e.Outcome)
 		}
 	}
@@ -284,16 +284,16 @@
 		t.Errorf("got %q", got)
 	}
 	c.Write(frame.Whole(frame.Probe, "broke"))
-	if p := take(t, r.probes); p.Outcome != brain.Errored {
+	if p := take(t, r.probes); p.Outcome != balancer.Errored {
 		t.Errorf("got %+v", p)
 	}
 	r.p.Offer(Probe{})
 	r.frame(c)
 	c.Close()
-	if p := take(t, r.probes); p.Outcome != brain.Reset {
+	if p := take(t, r.probes); p.Outcome != balancer.Reset {
 		t.Errorf("got %+v", p)
 	}
-	r.want(parts[0].ID, brain.Reset)
+	r.want(parts[0].ID, balancer.Reset)
 }
 
 // What cannot be an answer fails the part it was for, and says nothing against the server by the parts beside it.
@@ -315,8 +315,8 @@
 			r.frame(c)
 		}
 		c.Write([]byte(text))
-		r.want(parts[hit].ID, brain.Errored)
-		r.want(parts[1-hit].ID, brain.Cancelled)
+		r.want(parts[hit].ID, balancer.Errored)
+		r.want(parts[1-hit].ID, balancer.Cancelled)
 		if _, err := c.Read(make([]byte, 1)); err != io.EOF {
 			t.Errorf("%q leaves a connection that gives %v", text, err)
 		}
@@ -332,7 +332,7 @@
 		c := take(t, r.dials)
 		r.frame(c)
 		c.Write(append(frame.Whole(frame.Answer, answer), more...))
-		if e := r.want(parts[0].ID, brain.Answered); e.Value != "v" || e.Report != nil {
+		if e := r.want(parts[0].ID, balancer.Answered); e.Value != "v" || e.Report != nil {
 			t.Errorf("got %+v", e)
 		}
 		if _, err := c.Read(make([]byte, 1)); err != io.EOF {
@@ -342,7 +342,7 @@
 		d := take(t, r.dials)
 		r.frame(d)
 		d.Write(frame.Whole(frame.Answer, "b.0 served 5 -\nv"))
-		r.want(next[0].ID, brain.Answered)
+		r.want(next[0].ID, balancer.Answered)
 	}
 }
 
@@ -353,14 +353,14 @@
 	c := take(t, r.dials)
 	r.frame(c)
 	c.Write(append(frame.Whole(frame.Answer, "a.0 served 5 -\nv"), "\x00\x00\x10\x00aa.1 served 5 -\nv"...))
-	r.want(parts[0].ID, brain.Answered)
+	r.want(parts[0].ID, balancer.Answered)
 	next := r.call("b.0")
 	r.frame(take(t, r.dials)) // on another connection
 	r.pass(2500)
 	r.cancel(Part{}) // wakes the actor
-	r.want(parts[1].ID, brain.Errored)
+	r.want(parts[1].ID, balancer.Errored)
 	r.cancel(next[0])
-	r.want(next[0].ID, brain.Cancelled)
+	r.want(next[0].ID, balancer.Cancelled)
 }
 
 // stuckConn is a connection whose goroutines do not end yet although it is closed.
@@ -374,8 +374,8 @@
 	ours, theirs := net.Pipe()
 	defer theirs.Close()
 	defer ours.Close()
-	var at brain.Time = 1e9
-	p := newPeer(1, "s-a", "a:1", Figures{ConnectTimeout: 2500, IdleClose: 300000, Streams: 4}, func() brain.Time { return at }, nil, nil, nil)
+	var at balancer.Time = 1e9
+	p := newPeer(1, "s-a", "a:1", Figures{ConnectTimeout: 2500, IdleClose: 300000, Streams: 4}, func() balancer.Time { return at }, nil, nil, nil)
 	p.conns = append(p.conns, newConn(p, dialed{c: stuckConn{ours}, addr: p.addr}))
 	if got, want := p.untilNext(), 22500*time.Millisecond; got != want {
 		t.Errorf("a new connection is due after %v, want %v", got, want)
@@ -400,7 +400,7 @@
 	}
 	r.pass(2500)
 	r.p.Offer(CloseIdle{}) // wakes the actor, and must leave a connection that owes a probe's answer
-	if p := take(t, r.probes); p.Outcome != brain.TimedOut {
+	if p := take(t, r.probes); p.Outcome != balancer.TimedOut {
 		t.Errorf("got %+v", p)
 	}
 	// The next goes on a new connection, as the silent one proves nothing; late words on the old one are no fault.
@@ -409,13 +409,13 @@
 	r.frame(d)
 	go c.Write(frame.Whole(frame.Probe, "served"))
 	d.Write(frame.Whole(frame.Probe, "served"))
-	if p := take(t, r.probes); p.Outcome != brain.Answered {
+	if p := take(t, r.probes); p.Outcome != balancer.Answered {
 		t.Errorf("got %+v", p)
 	}
 	r.refuse.Store(true)
 	r.p.Offer(Quit{})
 	r.p.Offer(Probe{})
-	if p := take(t, r.probes); p.Outcome != brain.ConnectFailed && p.Outcome != brain.Reset {
+	if p := take(t, r.probes); p.Outcome != balancer.ConnectFailed && p.Outcome != balancer.Reset {
 		t.Errorf("got %+v", p)
 	}
 }
@@ -428,7 +428,7 @@
 	r.frame(c)
 	r.p.Offer(CloseIdle{})
 	c.Write(frame.Whole(frame.Answer, "a.0 served 1 -\nv"))
-	r.want(parts[0].ID, brain.Answered)
+	r.want(parts[0].ID, balancer.Answered)
 	r.p.Offer(CloseIdle{})
 	r.call("b.0")
 	d := take(t, r.dials)
--- a/internal/simwire/host.go
+++ b/internal/simwire/host.go
@@ -7,7 +7,7 @@
 	"io"
 	"math"
 
-	"oxbowspan/brain"
+	"oxbowspan/balancer"
 	"oxbowspan/internal/facts"
 )
 
@@ -27,28 +27,28 @@
 // instance is one gatherer's decisions and what the wire needs to name things for it.
 type instance struct {
 	id      uint32
-	g       *brain.Gatherer
+	g       *balancer.Balancer
 	reports []string // names of a load report's figures
 	types   int      // how many query types and shards its settings name
 	shards  int
 	// A search with its parts comes as several records; they are gathered here until the next other record.
-	search *brain.SearchArrived
-	more   *brain.MoreParts
+	search *balancer.RequestArrived
+	more   *balancer.SecondPhaseArrived
 }
 
 // host runs the instances of one process. Nothing is shared among them but the sheets, which the wire
 // makes valid for the whole process.
 type host struct {
 	instances map[uint32]*instance
-	sheets    map[uint32][]brain.Server
+	sheets    map[uint32][]balancer.Server
 	out       reply
-	now       brain.Time
+	now       balancer.Time
 }
 
 // Serve reads batches until the end of input and answers each.
 func Serve(r io.Reader, w io.Writer) error {
 	in, out := bufio.NewReaderSize(r, 1<<16), bufio.NewWriterSize(w, 1<<16)
-	h := &host{instances: map[uint32]*instance{}, sheets: map[uint32][]brain.Server{}}
+	h := &host{instances: map[uint32]*instance{}, sheets: map[uint32][]balancer.Server{}}
 	var buf []byte
 	for batch := 1; ; batch++ {
 		var err error
@@ -127,17 +127,17 @@
 	if in == nil {
 		return nil, fmt.Errorf("an event for an instance that has had no hello")
 	}
-	var ev brain.Event
+	var ev balancer.Event
 	switch code {
 	case evStop:
 		delete(h.instances, id)
 		return nil, nil
 	case evWakeup:
-		ev = brain.TimerFired{Timer: brain.TimerID(f.u32("keyBack"))}
+		ev = balancer.TimerFired{Timer: balancer.TimerID(f.u32("keyBack"))}
 	case evAbandoned:
-		ev = brain.SearchLeft{Search: brain.SearchID(f.u64("handle"))}
+		ev = balancer.RequestCancelled{Request: balancer.RequestID(f.u64("handle"))}
 	case evPingResult:
-		p := brain.Probed{Server: brain.ServerID(f.u32("server"))}
+		p := balancer.HealthCheckEnded{Server: balancer.ServerID(f.u32("server"))}
 		status := f.u8("status")
 		f.f64("elapsed")
 		p.Report = in.report(f)
@@ -147,8 +147,8 @@
 		}
 		ev = p
 	case evReply:
-		s := brain.SubRequestEnded{Part: brain.PartID(f.u64("handle")), Server: brain.ServerID(f.u32("server")),
-			Send: brain.SendNo(f.u16("sendNo")), Elapsed: facts.ToTime(f.f64("elapsed"))}
+		s := balancer.AttemptEnded{Call: balancer.ShardCallID(f.u64("handle")), Server: balancer.ServerID(f.u32("server")),
+			Attempt: balancer.AttemptNumber(f.u16("sendNo")), Elapsed: facts.ToTime(f.f64("elapsed"))}
 		status := f.u8("status")
 		f.u8("closed")
 		s.Report = in.report(f)
@@ -186,7 +186,7 @@
 	if err != nil {
 		return err
 	}
-	h.instances[id] = &instance{id: id, g: brain.New(d.Facts), reports: d.Reports,
+	h.instances[id] = &instance{id: id, g: balancer.New(d.Facts), reports: d.Reports,
 		types: len(d.Facts.QueryTypes), shards: d.Facts.Shards}
 	return nil
 }
@@ -199,46 +199,46 @@
 	if uint64(n)*entrySize > uint64(len(f.b)) {
 		return fmt.Errorf("%d entries of %d bytes do not fit the %d bytes left", n, entrySize, len(f.b))
 	}
-	list := make([]brain.Server, n)
+	list := make([]balancer.Server, n)
 	for i := range list {
 		s := &list[i]
-		s.ID = brain.ServerID(f.u32("server"))
-		s.Zone = brain.ZoneNo(f.u16("regionPart"))
+		s.ID = balancer.ServerID(f.u32("server"))
+		s.Zone = balancer.ZoneIndex(f.u16("regionPart"))
 		f.u8("hw")
-		s.Cell = brain.CellNo(f.u16("position"))
+		s.Cell = balancer.CellIndex(f.u16("position"))
 		switch phase := f.u8("phase"); phase {
 		case 0:
-			s.State = brain.Gone
+			s.State = balancer.Removed
 		case 1:
-			s.State = brain.Ready
+			s.State = balancer.Ready
 		case 2:
-			s.State = brain.Draining
+			s.State = balancer.Draining
 		default:
 			return fmt.Errorf("entry %d at byte %d: unknown phase %d", i, f.at-1, phase)
 		}
 		f.f32("weight")
-		s.UpSince = facts.ToTime(f.f64("upSince"))
+		s.StartedAt = facts.ToTime(f.f64("upSince"))
 	}
 	h.sheets[ref] = list
 	return nil
 }
 
-func (h *host) entries(f *fields) (brain.ServerList, error) {
+func (h *host) entries(f *fields) (balancer.ServerList, error) {
 	f.u64("version")
 	ref, scope := f.u32("ref"), f.u8("scope")
-	l := brain.ServerList{}
+	l := balancer.ServerList{}
 	if f.short != "" {
 		return l, nil
 	}
 	switch scope {
 	case 0:
-		l.Kind = brain.ListWhole
+		l.Kind = balancer.ListComplete
 	case 1:
-		l.Kind = brain.ListChanges
+		l.Kind = balancer.ListDelta
 	case 2:
-		l.Kind = brain.ListCached
+		l.Kind = balancer.ListCached
 	case 3:
-		l.Kind = brain.ListFailed
+		l.Kind = balancer.ListFailed
 		return l, nil
 	default:
 		return l, fmt.Errorf("unknown scope %d", scope)
@@ -257,7 +257,7 @@
 	lane, realm := f.u8("lane"), f.u16("realm")
 	f.u64("nameKey")
 	budget, effort := f.f64("budget"), f.f64("effort")
-	number, shard, heft := brain.SearchNo(f.f32("jobNo")), f.f32("rangeNo"), f.f32("heft")
+	number, shard, heft := balancer.RequestNumber(f.f32("jobNo")), f.f32("rangeNo"), f.f32("heft")
 	flags := f.u8("stateBits")
 	if f.short != "" {
 		return nil
@@ -270,23 +270,23 @@
 	}
 	if shard < 0 {
 		h.flush(in)
-		in.search = &brain.SearchArrived{Search: brain.SearchID(id), Number: number,
-			Type: brain.QueryType(lane), Customer: brain.CustomerNo(realm), Patience: facts.ToTime(budget),
-			Repeat: flags&clientRepeats != 0}
+		in.search = &balancer.RequestArrived{Request: balancer.RequestID(id), Number: number,
+			Type: balancer.QueryType(lane), Customer: balancer.CustomerIndex(realm), Timeout: facts.ToTime(budget),
+			Retry: flags&clientRepeats != 0}
 		return nil
 	}
-	part := brain.Part{ID: brain.PartID(id), Shard: brain.ShardNo(shard), Weight: heft}
+	part := balancer.ShardCall{ID: balancer.ShardCallID(id), Shard: balancer.ShardIndex(shard), Weight: heft}
 	if flags&hintValid != 0 {
 		part.Size = effort
 	}
 	switch {
 	case in.search != nil && in.search.Number == number:
-		in.search.Parts = append(in.search.Parts, part)
+		in.search.Calls = append(in.search.Calls, part)
 	case in.more != nil && in.more.Number == number:
-		in.more.Parts = append(in.more.Parts, part)
+		in.more.Calls = append(in.more.Calls, part)
 	default:
 		h.flush(in)
-		in.more = &brain.MoreParts{Number: number, Parts: []brain.Part{part}}
+		in.more = &balancer.SecondPhaseArrived{Number: number, Calls: []balancer.ShardCall{part}}
 	}
 	return nil
 }
@@ -306,12 +306,12 @@
 }
 
 // report reads a load report; nil where none came.
-func (in *instance) report(f *fields) *brain.Report {
+func (in *instance) report(f *fields) *balancer.LoadReport {
 	n := int(f.u8("pressure count"))
 	if n == 0 {
 		return nil
 	}
-	r := &brain.Report{Queue: -1, InFlight: -1}
+	r := &balancer.LoadReport{Queued: -1, InFlight: -1}
 	for i := range n {
 		v := f.f32("pressure")
 		if i >= len(in.reports) || math.IsNaN(v) || math.IsInf(v, 0) {
@@ -319,7 +319,7 @@
 		}
 		switch in.reports[i] {
 		case "waiting":
-			r.Queue = v
+			r.Queued = v
 		case "active":
 			r.InFlight = v
 		}
@@ -327,73 +327,73 @@
 	return r
 }
 
-func outcome(status uint8) (brain.Outcome, error) {
+func outcome(status uint8) (balancer.Outcome, error) {
 	switch status {
 	case 0:
-		return brain.Answered, nil
+		return balancer.Answered, nil
 	case 255:
-		return brain.Errored, nil
+		return balancer.Errored, nil
 	case 254:
-		return brain.TurnedAway, nil
+		return balancer.Rejected, nil
 	case 253:
-		return brain.TimedOut, nil
+		return balancer.TimedOut, nil
 	case 252:
-		return brain.ConnectFailed, nil
+		return balancer.ConnectFailed, nil
 	case 251:
-		return brain.Reset, nil
+		return balancer.Reset, nil
 	case 250:
-		return brain.Cancelled, nil
+		return balancer.Cancelled, nil
 	case 249:
-		return brain.Moot, nil
+		return balancer.NotDispatched, nil
 	}
 	return 0, fmt.Errorf("unknown outcome %d", status)
 }
 
 // act hands one event to the module and writes its actions.
-func (h *host) act(in *instance, ev brain.Event) {
+func (h *host) act(in *instance, ev balancer.Event) {
 	for _, a := range in.g.Handle(h.now, ev) {
 		h.out.action(in.id, a)
 	}
 }
 
 // action writes one action as a record.
-func (o *reply) action(id uint32, a brain.Action) {
+func (o *reply) action(id uint32, a balancer.Action) {
 	switch a := a.(type) {
-	case brain.Send:
+	case balancer.Send:
 		o.begin(acTry, id)
-		o.u64(uint64(a.Part))
+		o.u64(uint64(a.Call))
 		o.u32(uint32(a.Server))
-		o.f64(facts.ToMillis(a.Limit))
-	case brain.Cancel:
+		o.f64(facts.ToMillis(a.Timeout))
+	case balancer.Cancel:
 		o.begin(acStopAttempt, id)
-		o.u64(uint64(a.Part))
-		o.u16(uint16(a.Send))
-	case brain.Answer:
+		o.u64(uint64(a.Call))
+		o.u16(uint16(a.Attempt))
+	case balancer.Answer:
 		o.begin(acAnswer, id)
-		o.u64(uint64(a.Search))
-		if a.Whole {
+		o.u64(uint64(a.Request))
+		if a.Complete {
 			o.u8(1)
 		} else {
 			o.u8(0)
 		}
-	case brain.Shed:
+	case balancer.Shed:
 		o.begin(acTurnAway, id)
-		o.u64(uint64(a.Search))
+		o.u64(uint64(a.Request))
 		o.f64(facts.ToMillis(a.RetryAfter))
-	case brain.Fail:
+	case balancer.Fail:
 		o.begin(acLose, id)
-		o.u64(uint64(a.Search))
-	case brain.Wake:
+		o.u64(uint64(a.Request))
+	case balancer.SetTimer:
 		o.begin(acWake, id)
 		o.f64(facts.ToMillis(a.At))
 		o.u32(uint32(a.Timer))
-	case brain.Subscribe:
+	case balancer.Subscribe:
 		o.begin(acKeepInformed, id)
 		o.u8(1)
-	case brain.Probe:
+	case balancer.HealthCheck:
 		o.begin(acInspect, id)
 		o.u32(uint32(a.Server))
-	case brain.CloseIdle:
+	case balancer.CloseIdle:
 		o.begin(acCloseIdle, id)
 		o.u32(uint32(a.Server))
 	}
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"oxbowspan/brain"
+	"oxbowspan/balancer"
 	"oxbowspan/internal/facts"
 )
 
@@ -78,15 +78,15 @@
 }
 
 func TestActionsOnTheWire(t *testing.T) {
-	for want, a := range map[string]brain.Action{
-		"0b 00000018 00000003 0006dabb5d3a91c4 03124a07 4054000000000000": brain.Send{Part: 0x6dabb5d3a91c4, Server: 0x3124a07, Limit: 800},
-		"0a 0000000e 00000003 0006dabb5d3a91c4 0001":                      brain.Cancel{Part: 0x6dabb5d3a91c4, Send: 1},
-		"01 00000014 00000003 000917a00e6f2b19 406f400000000000":          brain.Shed{Search: 0x917a00e6f2b19, RetryAfter: 2500},
-		"02 0000000c 00000003 000917a00e6f2b19":                           brain.Fail{Search: 0x917a00e6f2b19},
-		"09 0000000d 00000003 000917a00e6f2b19 00":                        brain.Answer{Search: 0x917a00e6f2b19},
-		"00 00000010 00000003 40c1684000000000 0000004d":                  brain.Wake{At: 89125, Timer: 77},
-		"05 00000005 00000003 01":                                         brain.Subscribe{},
-		"04 00000008 00000003 2c9011f2":                                   brain.Probe{Server: 0x2c9011f2},
+	for want, a := range map[string]balancer.Action{
+		"0b 00000018 00000003 0006dabb5d3a91c4 03124a07 4054000000000000": balancer.Send{Call: 0x6dabb5d3a91c4, Server: 0x3124a07, Timeout: 800},
+		"0a 0000000e 00000003 0006dabb5d3a91c4 0001":                      balancer.Cancel{Call: 0x6dabb5d3a91c4, Attempt: 1},
+		"01 00000014 00000003 000917a00e6f2b19 406f400000000000":          balancer.Shed{Request: 0x917a00e6f2b19, RetryAfter: 2500},
+		"02 0000000c 00000003 000917a00e6f2b19":                           balancer.Fail{Request: 0x917a00e6f2b19},
+		"09 0000000d 00000003 000917a00e6f2b19 00":                        balancer.Answer{Request: 0x917a00e6f2b19},
+		"00 00000010 00000003 40c1684000000000 0000004d":                  balancer.SetTimer{At: 89125, Timer: 77},
+		"05 00000005 00000003 01":                                         balancer.Subscribe{},
+		"04 00000008 00000003 2c9011f2":                                   balancer.HealthCheck{Server: 0x2c9011f2},
 	} {
 		var o reply
 		if o.action(3, a); !bytes.Equal(o.b, unhex(t, want)) {
