--- a/admit/admit.go
+++ b/connadmission/admit.go
@@ -1,4 +1,4 @@
-// Package admit decides which clients' connections a gatherer keeps: who makes room when another comes at the limit, who
+// Package connadmission decides which clients' connections a gatherer keeps: who makes room when another comes at the limit, who
 // may wake from parking and who is turned away, and who is too slow. It owns what it must know of each connection, does no
 // I/O, reads no clock, starts no goroutine, and is one goroutine's at a time.
 //
@@ -7,7 +7,7 @@
 //
 // All questions are answered in O(1), or in O(customers of the settings): connections lie in lists by class, each in the
 // order in which they entered it, so that the longest there is always first.
-package admit
+package connadmission
 
 import "unsafe"
 
--- a/admit/admit_test.go
+++ b/connadmission/admit_test.go
@@ -1,4 +1,4 @@
-package admit
+package connadmission
 
 import (
 	"fmt"
--- a/admit/pace.go
+++ b/connadmission/pace.go
@@ -1,4 +1,4 @@
-package admit
+package connadmission
 
 // Pace is the least rate at which a client must send its request, or read its answer. Without it a client that trickles a
 // byte a second holds a goroutine, buffers and a place for as long as the longest limit allows, and a few hundred such
--- a/gatherer/client.go
+++ b/gatherer/client.go
@@ -10,7 +10,7 @@
 	"sync/atomic"
 	"time"
 
-	"oxbowspan/admit"
+	"oxbowspan/connadmission"
 )
 
 // Why a client's connection ended: the reason codes of its log line.
@@ -35,7 +35,7 @@
 type clientConn struct {
 	net.Conn
 	l     *listener
-	id    admit.ID
+	id    connadmission.ID
 	over  bool // it came past the limit
 	began time.Time
 	begun atomic.Bool // a byte has come
@@ -51,8 +51,8 @@
 	resting  bool // it waits for a request
 	woken    bool // it was parked, and its next request's head is not whole
 	phase    phase
-	due      admit.Time // in a phase: when the client is too slow if nothing moves until then
-	left     admit.Time // of the present answer, between two writes: what was left until then; 0 = nothing of it is written
+	due      connadmission.Time // in a phase: when the client is too slow if nothing moves until then
+	left     connadmission.Time // of the present answer, between two writes: what was left until then; 0 = nothing of it is written
 }
 
 func (c *clientConn) Read(b []byte) (int, error) {
--- a/gatherer/conns.go
+++ b/gatherer/conns.go
@@ -15,9 +15,9 @@
 	"syscall"
 	"time"
 
-	"oxbowspan/admit"
 	"oxbowspan/balancer"
 	"oxbowspan/budget"
+	"oxbowspan/connadmission"
 	"oxbowspan/internal/operator"
 	"oxbowspan/internal/park"
 	"oxbowspan/internal/wheel"
@@ -35,7 +35,7 @@
 
 	mu    sync.Mutex
 	room  sync.Cond
-	who   *admit.Admission
+	who   *connadmission.Admission
 	held  *budget.Ledger
 	conns []held    // by admit.ID, as many as there were at once; a place is empty once its connection has ended
 	set   *park.Set // nil = idle connections keep their goroutines
@@ -47,7 +47,7 @@
 	limits *wheel.Wheel  // idle limits of the parked, least rates of the others; in ticks since began. nil = there are none
 	timer  *time.Timer   // for the first of them
 
-	pace       [phases]admit.Pace
+	pace       [phases]connadmission.Pace
 	keepAlive  time.Duration // a silent peer is asked after so long; 0 = the system's way
 	sendBuffer int           // 0 = the system's way
 }
@@ -97,15 +97,15 @@
 
 func newListener(l net.Listener, t terms) *listener {
 	spare := max(t.share/8, 1)
-	k := &listener{Listener: l, spare: spare, began: time.Now(), held: t.held, who: admit.New(admit.Figures{Limit: max(t.share-spare, 1),
-		IdleLong: admit.Time(idleLong.Milliseconds()), HeadLate: admit.Time(headLate.Milliseconds()), Shares: t.customers, MostOpen: t.awake,
-		Crowded: cmp.Or(t.doors.Crowd, max(t.share/crowdedPart, 1)), Linger: admit.Time(linger.Milliseconds()), MostIdle: max(t.awake, mostIdle)})}
+	k := &listener{Listener: l, spare: spare, began: time.Now(), held: t.held, who: connadmission.New(connadmission.Figures{Limit: max(t.share-spare, 1),
+		IdleLong: connadmission.Time(idleLong.Milliseconds()), HeadLate: connadmission.Time(headLate.Milliseconds()), Shares: t.customers, MostOpen: t.awake,
+		Crowded: cmp.Or(t.doors.Crowd, max(t.share/crowdedPart, 1)), Linger: connadmission.Time(linger.Milliseconds()), MostIdle: max(t.awake, mostIdle)})}
 	k.room.L = &k.mu
 	if k.held == nil {
 		k.held = budget.New(budget.Figures{}, nil)
 	}
-	grace := admit.Time(t.doors.Grace.Milliseconds())
-	k.pace = [phases]admit.Pace{readsHead: {Rate: t.doors.HeadRate, Grace: grace}, readsBody: {Rate: t.doors.BodyRate, Grace: grace},
+	grace := connadmission.Time(t.doors.Grace.Milliseconds())
+	k.pace = [phases]connadmission.Pace{readsHead: {Rate: t.doors.HeadRate, Grace: grace}, readsBody: {Rate: t.doors.BodyRate, Grace: grace},
 		writes: {Rate: t.doors.AnswerRate, Grace: grace}}
 	k.keepAlive, k.sendBuffer = t.doors.KeepAlive, t.doors.SendBuffer
 	if k.paces() {
@@ -185,9 +185,9 @@
 				slow = append(slow, h.c)
 			}
 		case h.requests == 0: // it never spoke, and whoever has not within the read limit is owed a close
-			l.endUnlessAsked(admit.ID(value), endReadLimit)
+			l.endUnlessAsked(connadmission.ID(value), endReadLimit)
 		default:
-			l.endUnlessAsked(admit.ID(value), endIdleLimit)
+			l.endUnlessAsked(connadmission.ID(value), endIdleLimit)
 		}
 	})
 	l.await()
@@ -195,7 +195,7 @@
 }
 
 // endUnlessAsked closes a parked connection, or wakes it if a request waits on it already.
-func (l *listener) endUnlessAsked(id admit.ID, why string) {
+func (l *listener) endUnlessAsked(id connadmission.ID, why string) {
 	if waiting, _ := park.Peek(int(l.conns[id].fd)); waiting {
 		l.wake(id)
 		return
@@ -210,7 +210,9 @@
 	}
 }
 
-func (l *listener) now() admit.Time { return admit.Time(time.Since(l.began).Milliseconds()) }
+func (l *listener) now() connadmission.Time {
+	return connadmission.Time(time.Since(l.began).Milliseconds())
+}
 
 func (l *listener) Accept() (net.Conn, error) {
 	l.mu.Lock()
@@ -243,7 +245,7 @@
 func (l *listener) spareOne() bool {
 	l.mu.Lock()
 	id := l.who.Victim(l.now())
-	if l.over || id == admit.None {
+	if l.over || id == connadmission.None {
 		l.mu.Unlock()
 		return false
 	}
@@ -281,9 +283,9 @@
 	door := l.who.Arrives(granted, l.tight())
 	c.id = l.who.Came(l.now())
 	l.hold(c)
-	waits := door == admit.Wait && !c.over && l.parkLocked(c, readLimit)
-	if door == admit.Wait && !waits {
-		c.over = c.over || l.who.IfNot(granted) == admit.Shed
+	waits := door == connadmission.Wait && !c.over && l.parkLocked(c, readLimit)
+	if door == connadmission.Wait && !waits {
+		c.over = c.over || l.who.IfNot(granted) == connadmission.Shed
 	}
 	l.mu.Unlock()
 	if other != nil {
@@ -309,7 +311,7 @@
 func (l *listener) makeRoom() (other *clientConn, over bool) {
 	for l.who.Full() {
 		id := l.who.Victim(l.now())
-		if id == admit.None {
+		if id == connadmission.None {
 			return nil, true
 		}
 		if c := l.conns[id].c; c != nil {
@@ -382,7 +384,7 @@
 func (l *listener) wakes(value uint32, fd int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	id := admit.ID(value)
+	id := connadmission.ID(value)
 	if int(value) >= len(l.conns) || l.conns[value].fd != int32(fd) {
 		return // it has been ended or woken meanwhile
 	}
@@ -410,14 +412,14 @@
 
 // wake hands a parked connection to net/http again, whatever memory is held: a request waits on it that is not to be closed
 // upon.
-func (l *listener) wake(id admit.ID) {
+func (l *listener) wake(id connadmission.ID) {
 	l.held.Force(budget.Awake, awakeHolds)
 	l.wakeHeld(id)
 }
 
 // wakeHeld does so once its memory is accounted for. Where no descriptor is left for the moment that this takes more, its
 // request is shed at once: a request in hand is never closed upon without an answer.
-func (l *listener) wakeHeld(id admit.ID) {
+func (l *listener) wakeHeld(id connadmission.ID) {
 	h := l.conns[id]
 	raw, err := l.set.Unpark(int(h.fd))
 	if err != nil {
@@ -436,17 +438,17 @@
 }
 
 // endParked closes a parked connection.
-func (l *listener) endParked(id admit.ID, why string) {
+func (l *listener) endParked(id connadmission.ID, why string) {
 	l.lost(id, why, func() { l.set.Close(int(l.conns[id].fd)) })
 }
 
 // refuses answers a parked connection's request 503, and closes it.
-func (l *listener) refuses(id admit.ID) {
+func (l *listener) refuses(id connadmission.ID) {
 	l.lost(id, endOverLimit, func() { l.set.Refuse(int(l.conns[id].fd), l.refuse) })
 }
 
 // lost forgets a parked connection, which end ends.
-func (l *listener) lost(id admit.ID, why string, end func()) {
+func (l *listener) lost(id connadmission.ID, why string, end func()) {
 	h := l.conns[id]
 	client := h.client()
 	end()
@@ -455,7 +457,7 @@
 }
 
 // unlimit takes away a connection's limit.
-func (l *listener) unlimit(id admit.ID) {
+func (l *listener) unlimit(id connadmission.ID) {
 	if h := &l.conns[id]; h.limit != 0 {
 		l.limits.Cancel(h.limit)
 		h.limit = 0
@@ -463,7 +465,7 @@
 }
 
 // forget empties a connection's place.
-func (l *listener) forget(id admit.ID) {
+func (l *listener) forget(id connadmission.ID) {
 	l.unlimit(id)
 	l.who.Gone(id)
 	if l.conns[id].fd != 0 {
@@ -505,7 +507,7 @@
 }
 
 // searches notes that a connection asks a search, and whose.
-func (l *listener) searches(c *clientConn, of admit.Customer) {
+func (l *listener) searches(c *clientConn, of connadmission.Customer) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if int(c.id) < len(l.conns) && l.conns[c.id].c == c {
@@ -547,7 +549,7 @@
 	for i := range l.conns {
 		switch h := l.conns[i]; {
 		case h.fd != 0:
-			l.endUnlessAsked(admit.ID(i), endStopped)
+			l.endUnlessAsked(connadmission.ID(i), endStopped)
 		case h.c != nil:
 			if !h.c.begun.Load() {
 				unused = append(unused, h.c)
--- a/gatherer/front.go
+++ b/gatherer/front.go
@@ -17,9 +17,9 @@
 	"sync/atomic"
 	"time"
 
-	"oxbowspan/admit"
 	"oxbowspan/balancer"
 	"oxbowspan/budget"
+	"oxbowspan/connadmission"
 	"oxbowspan/internal/operator"
 )
 
@@ -41,7 +41,7 @@
 	longest  time.Duration // client timeout
 	advice   balancer.Time // to clients that are shed here; 0 = none
 	held     *budget.Ledger
-	customer func(name string) admit.Customer
+	customer func(name string) connadmission.Customer
 	shares   []float64 // the customers' shares of searches
 	awake    int       // connections that memory lets be awake at once; 0 = no limit
 	doors    operator.Connections
--- a/gatherer/pace.go
+++ b/gatherer/pace.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"oxbowspan/admit"
+	"oxbowspan/connadmission"
 )
 
 // phase is what a client is held to a least rate in.
@@ -57,7 +57,7 @@
 }
 
 // watch sets a connection's entry in the wheel.
-func (l *listener) watch(id admit.ID, after admit.Time) {
+func (l *listener) watch(id connadmission.ID, after connadmission.Time) {
 	l.conns[id].limit = l.limits.Add(l.tick(time.Duration(after)*time.Millisecond), uint32(id))
 	l.await()
 }
--- a/gatherer/park_test.go
+++ b/gatherer/park_test.go
@@ -23,7 +23,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"oxbowspan/admit"
+	"oxbowspan/connadmission"
 	"oxbowspan/internal/park"
 	"oxbowspan/internal/testing/standin"
 )
@@ -648,7 +648,7 @@
 	// What net/http lent goes back to its pools and from there to the collector.
 	r.until("goroutines gone", func() bool { return runtime.NumGoroutine() <= goroutines+2 })
 	cost := float64(int64(memoryHeld())-int64(before)) / n
-	own := float64(cap(r.l.conns)*int(unsafe.Sizeof(held{}))+admit.Size(r.l.who)) / n
+	own := float64(cap(r.l.conns)*int(unsafe.Sizeof(held{}))+connadmission.Size(r.l.who)) / n
 	t.Logf("%.0f bytes a connection by the runtime's figures, %.0f of them in the tables", cost, own)
 	if own > most {
 		t.Errorf("the tables hold %.0f bytes a connection, %d are allowed", own, most)
--- a/gatherer/roundtrip.go
+++ b/gatherer/roundtrip.go
@@ -18,9 +18,9 @@
 
 	"github.com/zeebo/blake3"
 
-	"oxbowspan/admit"
 	"oxbowspan/balancer"
 	"oxbowspan/budget"
+	"oxbowspan/connadmission"
 	"oxbowspan/internal/facts"
 	"oxbowspan/internal/operator"
 	"oxbowspan/merge"
@@ -56,11 +56,11 @@
 }
 
 // customer finds a customer's number by name.
-func (t *transport) customer(name string) admit.Customer {
+func (t *transport) customer(name string) connadmission.Customer {
 	if at, ok := t.customers[name]; ok {
-		return admit.Customer(at)
+		return connadmission.Customer(at)
 	}
-	return admit.Unknown
+	return connadmission.Unknown
 }
 
 // RoundTrip implements http.RoundTripper. The request's body has been read whole before, so that its context
