--- a/level/gate.go
+++ b/degradation/gate.go
@@ -1,4 +1,4 @@
-package level
+package degradation
 
 import "math"
 
--- a/level/level.go
+++ b/degradation/level.go
@@ -1,4 +1,4 @@
-// Package level decides how much of its service a gatherer gives while it cannot give all: named levels, each entered and left
+// Package degradation decides how much of its service a gatherer gives while it cannot give all: named levels, each entered and left
 // by clear conditions over smoothed signals, and at each level which query types are served, at what share, with which
 // limits for merges. It owns that state alone, does no I/O, reads no clock, starts no goroutine, and is one goroutine's at a time.
 //
@@ -9,7 +9,7 @@
 // What it guards against: a quarter of the servers die, everything is tried on the rest, and account look-ups time out beside
 // reports that could have waited; and, the other way, levels that flutter with each second's load, so that clients learn nothing
 // from being turned away.
-package level
+package degradation
 
 import (
 	"fmt"
--- a/gatherer/levels.go
+++ b/gatherer/levels.go
@@ -10,24 +10,24 @@
 	"time"
 
 	"oxbowspan/balancer"
+	"oxbowspan/degradation"
 	"oxbowspan/internal/admin"
 	"oxbowspan/internal/operator"
-	"oxbowspan/level"
 )
 
 // levels is reduced service as the module's actor keeps it: it measures the signals, turns the machines, and asks the gate
 // before brain is told of a search. It is the actor's alone.
 type levels struct {
 	m        *module
-	f        level.Figures
-	whole    *level.Machine
-	segments []*level.Machine // by shard
-	gate     *level.Gate
+	f        degradation.Figures
+	whole    *degradation.Machine
+	segments []*degradation.Machine // by shard
+	gate     *degradation.Gate
 	turnAt   balancer.Time
 
-	gauge        *level.Gauge
+	gauge        *degradation.Gauge
 	served, shed [][]int64 // by query type and customer, since the start
-	changes      []level.Change
+	changes      []degradation.Change
 	watchers     []chan<- []byte // emptied as they leave, or do not read
 }
 
@@ -42,7 +42,7 @@
 	if err != nil {
 		return nil, err
 	}
-	l := &levels{m: m, gauge: level.NewGauge(m.d.Facts.Cells, m.d.Facts.ReplicationFactor, len(m.d.QueryTypes))}
+	l := &levels{m: m, gauge: degradation.NewGauge(m.d.Facts.Cells, m.d.Facts.ReplicationFactor, len(m.d.QueryTypes))}
 	for range m.d.QueryTypes {
 		l.served = append(l.served, make([]int64, len(m.d.Customers)+1))
 		l.shed = append(l.shed, make([]int64, len(m.d.Customers)+1))
@@ -52,14 +52,14 @@
 }
 
 // use puts figures in force, at the start and at a reload.
-func (l *levels) use(f level.Figures) {
+func (l *levels) use(f degradation.Figures) {
 	now := l.now()
 	l.f = f
 	if l.whole == nil {
-		l.whole = level.New(f, now)
-		l.segments = make([]*level.Machine, l.m.d.Facts.Shards)
+		l.whole = degradation.New(f, now)
+		l.segments = make([]*degradation.Machine, l.m.d.Facts.Shards)
 		for i := range l.segments {
-			l.segments[i] = level.New(f, now)
+			l.segments[i] = degradation.New(f, now)
 		}
 	} else {
 		l.whole.Replace(f)
@@ -67,17 +67,19 @@
 			s.Replace(f)
 		}
 	}
-	l.gate = level.NewGate(l.whole, len(l.m.d.QueryTypes), len(l.m.d.Customers))
+	l.gate = degradation.NewGate(l.whole, len(l.m.d.QueryTypes), len(l.m.d.Customers))
 	if l.m.limitMerges != nil {
 		l.m.limitMerges(l.whole.Level().Terms.Merge)
 	}
 }
 
-func (l *levels) now() level.Time { return level.Time(l.m.clock.now() / balancer.Millisecond) }
+func (l *levels) now() degradation.Time {
+	return degradation.Time(l.m.clock.now() / balancer.Millisecond)
+}
 
 // admits says whether the present level serves a search; if not it has been shed, before anything of it was sent.
 func (l *levels) admits(s *search) bool {
-	worst := level.Rank(0)
+	worst := degradation.Rank(0)
 	for _, a := range s.asked {
 		worst = max(worst, l.segments[a.shard].Rank())
 	}
@@ -108,8 +110,8 @@
 // ended notes how a search that was served ended.
 func (l *levels) ended(s *search, kind replyKind) {
 	if s.cameFor > 0 {
-		l.gauge.Ended(int(s.typ), kind == replyAnswer || kind == replyMerged, level.Time((l.m.clock.now()-s.cameFor)/balancer.Millisecond),
-			level.Time(l.m.d.Facts.QueryTypes[s.typ].LatencyTarget/balancer.Millisecond))
+		l.gauge.Ended(int(s.typ), kind == replyAnswer || kind == replyMerged, degradation.Time((l.m.clock.now()-s.cameFor)/balancer.Millisecond),
+			degradation.Time(l.m.d.Facts.QueryTypes[s.typ].LatencyTarget/balancer.Millisecond))
 	}
 }
 
@@ -123,7 +125,7 @@
 		l.changed("all", c)
 	}
 	for shard, machine := range l.segments {
-		if !l.f.GoesBy(level.SegmentLost) {
+		if !l.f.GoesBy(degradation.SegmentLost) {
 			break // at thousands of segments it would cost much for nothing
 		}
 		machine.Feed(now, l.gauge.Segment(shard))
@@ -135,18 +137,18 @@
 }
 
 // readings gathers what the gauge goes by.
-func (l *levels) readings(now level.Time) level.Readings {
+func (l *levels) readings(now degradation.Time) degradation.Readings {
 	out := map[balancer.ServerID]balancer.Time{}
 	for _, k := range l.m.brain.ServerRecords() {
 		out[k.ID] = k.OutUntil
 	}
-	var seen []level.Seen
+	var seen []degradation.Seen
 	for _, s := range l.m.servers {
 		if s.listed {
-			seen = append(seen, level.Seen{Cell: s.cell, Ready: !s.draining, Cold: l.cold(s), OutUntil: level.Time(out[s.id] / balancer.Millisecond)})
+			seen = append(seen, degradation.Seen{Cell: s.cell, Ready: !s.draining, Cold: l.cold(s), OutUntil: degradation.Time(out[s.id] / balancer.Millisecond)})
 		}
 	}
-	store := level.Reading{Known: l.m.remembers != nil}
+	store := degradation.Reading{Known: l.m.remembers != nil}
 	if store.Known && l.m.remembers.refused {
 		store.Value = 1
 	}
@@ -160,9 +162,9 @@
 }
 
 // changed logs a change, and puts what it says of merges in force.
-func (l *levels) changed(scope string, c level.Change) {
+func (l *levels) changed(scope string, c degradation.Change) {
 	words := []any{"scope", scope, "from", l.f.Levels[min(int(c.From), len(l.f.Levels)-1)].Name, "to", l.f.Levels[c.To].Name, "why", c.Why}
-	for s := range level.Signals {
+	for s := range degradation.Signals {
 		if c.Readings[s].Known {
 			words = append(words, s.String(), math.Round(c.Readings[s].Value*1000)/1000)
 		}
@@ -190,7 +192,7 @@
 		s.Pinned = (time.Duration(p.Until-l.now()) * time.Millisecond).Seconds()
 	}
 	r := l.whole.Readings()
-	for sig := range level.Signals {
+	for sig := range degradation.Signals {
 		s.Signals = append(s.Signals, admin.Signal{Name: sig.String(), Value: r[sig].Value, Known: r[sig].Known})
 	}
 	for shard, m := range l.segments {
@@ -275,14 +277,14 @@
 			}
 		}
 	case admin.Pin:
-		at := slices.IndexFunc(l.f.Levels, func(x level.Level) bool { return x.Name == q.Level })
+		at := slices.IndexFunc(l.f.Levels, func(x degradation.Level) bool { return x.Name == q.Level })
 		switch {
 		case at < 0:
 			a.Error = fmt.Sprintf("there is no level %.40q", q.Level)
 		case q.Seconds <= 0 || q.Seconds > admin.LongestPin.Seconds():
 			a.Error = fmt.Sprintf("a pin is for 0 to %s", admin.LongestPin)
 		default:
-			l.whole.PinTo(level.Rank(at), l.now()+level.Time(q.Seconds*1000))
+			l.whole.PinTo(degradation.Rank(at), l.now()+degradation.Time(q.Seconds*1000))
 			slog.Warn("level_pinned", "level", q.Level, "seconds", q.Seconds)
 			a.Lines = []string{fmt.Sprintf("pinned to %s for %g s", q.Level, q.Seconds)}
 		}
--- a/gatherer/mailbox.go
+++ b/gatherer/mailbox.go
@@ -2,9 +2,9 @@
 
 import (
 	"oxbowspan/balancer"
+	"oxbowspan/degradation"
 	"oxbowspan/internal/discovery"
 	"oxbowspan/internal/peer"
-	"oxbowspan/level"
 )
 
 // mailboxSize is how many messages may wait for the module. Whoever sends one more waits: a client's request,
@@ -20,7 +20,7 @@
 	ended      struct{ e peer.Ended }
 	probed     struct{ p balancer.HealthCheckEnded }
 	// levelsReplaced puts other figures of reduced service in force.
-	levelsReplaced struct{ f level.Figures }
+	levelsReplaced struct{ f degradation.Figures }
 )
 
 // mailbox is the module's, seen from outside. It is what peers and the list tell their news to.
--- a/internal/cli/level.go
+++ b/internal/cli/level.go
@@ -17,11 +17,11 @@
 
 	"github.com/spf13/cobra"
 
+	"oxbowspan/degradation"
 	"oxbowspan/gatherer"
 	"oxbowspan/internal/admin"
 	"oxbowspan/internal/command"
 	"oxbowspan/internal/spark"
-	"oxbowspan/level"
 )
 
 // newLevel looks at and pins the level of a running gatherer, and plays levels on recorded signals.
@@ -197,12 +197,12 @@
 }
 
 // replayLevels plays a record through levels.
-func replayLevels(f level.Figures, in io.Reader, out io.Writer) error {
-	var m *level.Machine
-	var began, last level.Time
+func replayLevels(f degradation.Figures, in io.Reader, out io.Writer) error {
+	var m *degradation.Machine
+	var began, last degradation.Time
 	var ranks []int
 	changes := 0
-	turn := func(now level.Time) {
+	turn := func(now degradation.Time) {
 		if c, changed := m.Turn(now); changed {
 			changes++
 			fmt.Fprintf(out, "%8.1f s  %s > %s: %s\n", float64(now-began)/1000, f.Levels[c.From].Name, f.Levels[c.To].Name, c.Why)
@@ -214,20 +214,20 @@
 		if err := json.Unmarshal(lines.Bytes(), &x); err != nil {
 			return fmt.Errorf("line %d is not of a record: %w", n, err)
 		}
-		now := level.Time(x.At.UnixMilli())
+		now := degradation.Time(x.At.UnixMilli())
 		if m == nil {
-			m, began, last = level.New(f, now), now, now
+			m, began, last = degradation.New(f, now), now, now
 		}
 		for ; last+100 < now && now-last < 60_000; last += 100 { // between two lines the last signals stand
 			turn(last)
 		}
-		var r level.Readings
+		var r degradation.Readings
 		for name, v := range x.Signals {
-			s, known := level.ParseSignal(name)
+			s, known := degradation.ParseSignal(name)
 			if !known {
 				return fmt.Errorf("line %d: %s is no signal", n, strconv.Quote(name))
 			}
-			r[s] = level.Reading{Value: v, Known: true}
+			r[s] = degradation.Reading{Value: v, Known: true}
 		}
 		m.Feed(now, r)
 		turn(now)
--- a/internal/operator/levels.go
+++ b/internal/operator/levels.go
@@ -7,12 +7,12 @@
 	"strings"
 	"time"
 
-	"oxbowspan/level"
+	"oxbowspan/degradation"
 )
 
 // Levels is what the sections on reduced service say.
 type Levels struct {
-	Figures level.Figures        // without the shares of query types, whose numbers only the settings tell
+	Figures degradation.Figures  // without the shares of query types, whose numbers only the settings tell
 	Shares  []map[string]float64 // by rank and query type
 	Socket  string               // where operators look and pin; "" = nowhere
 	lines   []int                // of the levels' sections, by rank
@@ -25,7 +25,7 @@
 // levels reads the sections on reduced service. Their order in the file is that of the levels.
 func (r *reading) levels(path string) *Levels {
 	out := &Levels{Shares: []map[string]float64{nil}, lines: []int{0}, path: path}
-	out.Figures.Levels = []level.Level{{Name: fullName, Terms: level.Terms{Merge: 1}}}
+	out.Figures.Levels = []degradation.Level{{Name: fullName, Terms: degradation.Terms{Merge: 1}}}
 	for _, one := range r.ini.Sections() {
 		if name, is := strings.CutPrefix(one.Name(), "level "); is {
 			s := &section{reading: r, s: one}
@@ -42,8 +42,8 @@
 		}
 		return nil
 	}
-	ms := func(key string, absent, least, most time.Duration) level.Time {
-		return level.Time(s.span(key, absent, least, most).Milliseconds())
+	ms := func(key string, absent, least, most time.Duration) degradation.Time {
+		return degradation.Time(s.span(key, absent, least, most).Milliseconds())
 	}
 	f := &out.Figures
 	f.Smooth, f.EnterFor = ms("smooth", time.Second, 0, time.Minute), ms("enter_for", time.Second, 0, time.Minute)
@@ -68,16 +68,16 @@
 }
 
 // level reads one level.
-func (r *reading) level(s *section, name string) (l level.Level, shares map[string]float64) {
+func (r *reading) level(s *section, name string) (l degradation.Level, shares map[string]float64) {
 	l.Name, shares = name, map[string]float64{}
 	enter, exit := s.pairs("enter"), s.pairs("exit")
 	for _, p := range enter {
-		sig, known := level.ParseSignal(p.name)
+		sig, known := degradation.ParseSignal(p.name)
 		if !known {
 			s.wrong("enter", "%.40q is no signal: lost, load, late, list_age, cold, store and segment_lost are", p.name)
 			continue
 		}
-		c := level.Condition{Signal: sig, Enter: p.value, Exit: p.value * 0.7}
+		c := degradation.Condition{Signal: sig, Enter: p.value, Exit: p.value * 0.7}
 		for _, q := range exit {
 			if q.name == p.name {
 				c.Exit = q.value
@@ -108,7 +108,7 @@
 		}
 		l.Terms.Merge = v
 	}
-	l.Terms.RetryAfter = level.Time(s.span("retry_after", time.Second, 10*time.Millisecond, time.Hour).Milliseconds())
+	l.Terms.RetryAfter = degradation.Time(s.span("retry_after", time.Second, 10*time.Millisecond, time.Hour).Milliseconds())
 	s.done()
 	return l, shares
 }
@@ -137,9 +137,9 @@
 }
 
 // For makes figures for the query types of the settings. A type that a level does not name has the share of the level before.
-func (l *Levels) For(types []string) (level.Figures, error) {
+func (l *Levels) For(types []string) (degradation.Figures, error) {
 	f := l.Figures
-	f.Levels = append([]level.Level(nil), l.Figures.Levels...)
+	f.Levels = append([]degradation.Level(nil), l.Figures.Levels...)
 	var errs []error
 	before := make([]float64, len(types))
 	for i := range before {
