--- a/agree/agree.go
+++ b/agree/agree.go
@@ -18,7 +18,7 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"oxbowspan/fleet"
+	"oxbowspan/maintenance"
 )
 
 // ID is a steward's number among the stewards, from 1.
@@ -67,7 +67,7 @@
 type Setup struct {
 	ID       ID
 	Stewards []ID // all of them, this one too
-	Limits   fleet.Limits
+	Limits   maintenance.Limits
 	Disk     Disk
 	Found    bool // the fleet is founded: an empty disk is in order
 	Compact  int  // commands after which the log is cut; 0 = 1000
@@ -81,16 +81,16 @@
 	raw      *raft.RawNode
 	mem      *raft.MemoryStorage
 	disk     Disk
-	state    *fleet.State
+	state    *maintenance.State
 	conf     *pb.ConfState
 	compact  uint64
 	cutAt    uint64
 	began    uint64 // the first command number of this steward's lead that it has applied; 0 = it does not lead, or not yet
 	term     uint64
-	now      fleet.Moment // own clock
-	base     fleet.Moment // the machine's time when this lead began, less the own clock then
+	now      maintenance.Moment // own clock
+	base     maintenance.Moment // the machine's time when this lead began, less the own clock then
 	seq      uint64
-	waiting  map[uint64]func(fleet.Result, error)
+	waiting  map[uint64]func(maintenance.Result, error)
 	ticks    int            // so many since the start
 	patience int            // ticks until a snapshot that was sent is taken for lost
 	snaps    map[uint64]int // when a snapshot was last sent to each steward; emptied when it is taken for lost
@@ -106,8 +106,8 @@
 	if err != nil {
 		return nil, err
 	}
-	n := &Node{id: s.ID, mem: raft.NewMemoryStorage(), disk: s.Disk, state: fleet.New(s.Limits), compact: uint64(s.Compact),
-		waiting: map[uint64]func(fleet.Result, error){}, snaps: map[uint64]int{}, conf: &pb.ConfState{}}
+	n := &Node{id: s.ID, mem: raft.NewMemoryStorage(), disk: s.Disk, state: maintenance.New(s.Limits), compact: uint64(s.Compact),
+		waiting: map[uint64]func(maintenance.Result, error){}, snaps: map[uint64]int{}, conf: &pb.ConfState{}}
 	if n.compact == 0 {
 		n.compact = 1000
 	}
@@ -170,7 +170,7 @@
 		return fmt.Errorf("the kept vote cannot be read: %w", err)
 	}
 	var err error
-	if n.state, err = fleet.Restore(snap.GetData()); err != nil {
+	if n.state, err = maintenance.Restore(snap.GetData()); err != nil {
 		return err
 	}
 	if err := n.mem.ApplySnapshot(snap); err != nil {
@@ -202,7 +202,7 @@
 }
 
 // State is the machine as far as this steward knows it; only to be read.
-func (n *Node) State() *fleet.State { return n.state }
+func (n *Node) State() *maintenance.State { return n.state }
 
 // Leader is who leads as far as this steward knows; 0 = nobody.
 func (n *Node) Leader() ID { return ID(n.raw.BasicStatus().Lead) }
@@ -214,7 +214,7 @@
 func (n *Node) Dead() error { return n.dead }
 
 // Tick lets time pass, by the steward's own monotonic clock.
-func (n *Node) Tick(now fleet.Moment) {
+func (n *Node) Tick(now maintenance.Moment) {
 	if n.dead != nil {
 		return
 	}
@@ -239,24 +239,24 @@
 }
 
 // Propose puts a command into the log, where this steward leads. done is told its result from a later Turn, or ErrUnsure.
-func (n *Node) Propose(c fleet.Command, done func(fleet.Result, error)) {
+func (n *Node) Propose(c maintenance.Command, done func(maintenance.Result, error)) {
 	if n.dead != nil {
-		done(fleet.Result{}, n.dead)
+		done(maintenance.Result{}, n.dead)
 		return
 	}
 	if !n.Leads() {
-		done(fleet.Result{}, ErrNotLeading)
+		done(maintenance.Result{}, ErrNotLeading)
 		return
 	}
 	c.At = n.base + n.now
 	b, err := c.Encode()
 	if err != nil {
-		done(fleet.Result{}, err)
+		done(maintenance.Result{}, err)
 		return
 	}
 	n.seq++
 	if err := n.raw.Propose(seal(uint64(n.id), n.term, n.seq, b)); err != nil {
-		done(fleet.Result{}, fmt.Errorf("%w: %w", ErrNotLeading, err))
+		done(maintenance.Result{}, fmt.Errorf("%w: %w", ErrNotLeading, err))
 		return
 	}
 	n.waiting[n.seq] = done
@@ -302,11 +302,11 @@
 	for _, seq := range sorted(n.waiting) {
 		done := n.waiting[seq]
 		delete(n.waiting, seq)
-		done(fleet.Result{}, ErrUnsure)
+		done(maintenance.Result{}, ErrUnsure)
 	}
 }
 
-func sorted(m map[uint64]func(fleet.Result, error)) []uint64 {
+func sorted(m map[uint64]func(maintenance.Result, error)) []uint64 {
 	var all []uint64
 	for k := range m {
 		all = append(all, k)
@@ -364,7 +364,7 @@
 // take applies a snapshot and what is committed.
 func (n *Node) take(rd raft.Ready) error {
 	if !raft.IsEmptySnap(rd.Snapshot) {
-		s, err := fleet.Restore(rd.Snapshot.GetData())
+		s, err := maintenance.Restore(rd.Snapshot.GetData())
 		if err != nil {
 			return err
 		}
@@ -376,18 +376,18 @@
 	}
 	for _, e := range rd.CommittedEntries {
 		if len(e.GetData()) == 0 { // a new leader's first entry
-			n.state.Apply(fleet.Epoch(e.GetIndex()), fleet.Command{})
+			n.state.Apply(maintenance.Epoch(e.GetIndex()), maintenance.Command{})
 			continue
 		}
 		by, term, seq, b, err := unseal(e.GetData())
 		if err != nil {
 			return err
 		}
-		c, err := fleet.Decode(b)
+		c, err := maintenance.Decode(b)
 		if err != nil {
 			return err // to go on without it would part this steward's state from the others'
 		}
-		r, err := n.state.Apply(fleet.Epoch(e.GetIndex()), c)
+		r, err := n.state.Apply(maintenance.Epoch(e.GetIndex()), c)
 		if done := n.waiting[seq]; done != nil && by == uint64(n.id) && term == n.term {
 			delete(n.waiting, seq)
 			done(r, err)
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -16,10 +16,10 @@
 
 	"github.com/spf13/cobra"
 
-	"oxbowspan/fleet"
 	"oxbowspan/gatherer"
 	"oxbowspan/internal/command"
 	"oxbowspan/internal/steward"
+	"oxbowspan/maintenance"
 )
 
 // joinFleet makes a gatherer a member of the fleet that its operator's file names, and keeps the fleet's log where it is a steward.
@@ -39,9 +39,9 @@
 			return nil, nil, err
 		}
 	}
-	agent := steward.Join(f, node.Ready, func() fleet.Figures {
+	agent := steward.Join(f, node.Ready, func() maintenance.Figures {
 		c := node.Counts()
-		return fleet.Figures{Answered: c.Answered, Shed: c.Shed, Errored: c.Errored}
+		return maintenance.Figures{Answered: c.Answered, Shed: c.Shed, Errored: c.Errored}
 	})
 	go func() {
 		var agreed bool
@@ -88,7 +88,7 @@
 		defer client.Close()
 		return do(ctx, client)
 	}
-	one := func(use, short string, make func(string) fleet.Command, done string) *cobra.Command {
+	one := func(use, short string, make func(string) maintenance.Command, done string) *cobra.Command {
 		return &cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(1), RunE: func(_ *cobra.Command, args []string) error {
 			return with(func(ctx context.Context, c *steward.Client) error {
 				if _, err := c.Do(ctx, make(args[0])); err != nil {
@@ -115,29 +115,29 @@
 	}}
 	status.Flags().BoolVar(&whole, "json", false, "the whole state as JSON")
 	c.AddCommand(status,
-		one("drain NAME", "Let a gatherer or server go out, where the limits allow it", func(n string) fleet.Command {
-			return fleet.Command{Ask: &fleet.Ask{Name: fleet.Name(n), Why: "an operator's word"}}
+		one("drain NAME", "Let a gatherer or server go out, where the limits allow it", func(n string) maintenance.Command {
+			return maintenance.Command{Ask: &maintenance.Ask{Name: maintenance.Name(n), Why: "an operator's word"}}
 		}, "may be out; a gatherer drains at its next word to the stewards"),
-		one("forget NAME", "Say that a member will not come back", func(n string) fleet.Command {
-			return fleet.Command{Forget: &fleet.Forget{Name: fleet.Name(n)}}
+		one("forget NAME", "Say that a member will not come back", func(n string) maintenance.Command {
+			return maintenance.Command{Forget: &maintenance.Forget{Name: maintenance.Name(n)}}
 		}, "is forgotten"),
 		newRelease(stdout, with, one))
 	return c
 }
 
 func newRelease(stdout io.Writer, with func(func(context.Context, *steward.Client) error) error,
-	one func(string, string, func(string) fleet.Command, string) *cobra.Command) *cobra.Command {
+	one func(string, string, func(string) maintenance.Command, string) *cobra.Command) *cobra.Command {
 	c := &cobra.Command{Use: "release", Short: "Change the fleet's version in steps", Args: command.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error { return c.Help() }}
-	var p fleet.Plan
+	var p maintenance.Plan
 	var steps, kind, from, to string
 	var dwell, within time.Duration
 	var dry bool
 	start := &cobra.Command{Use: "start NAME", Short: "Begin a release; --dry-run prints its steps", Args: cobra.ExactArgs(1),
 		Example: "  oxbowspan fleet release start r42 --from v1 --to v2 --steps 0.05,0.25,1 --dwell 5m",
 		RunE: func(_ *cobra.Command, args []string) error {
-			p.ID, p.Kind, p.From, p.To = fleet.ReleaseID(args[0]), fleet.Kind(kind), fleet.Version(from), fleet.Version(to)
-			p.Dwell, p.Within = fleet.Span(dwell.Milliseconds()), fleet.Span(within.Milliseconds())
+			p.ID, p.Kind, p.From, p.To = maintenance.ReleaseID(args[0]), maintenance.Kind(kind), maintenance.Version(from), maintenance.Version(to)
+			p.Dwell, p.Within = maintenance.Span(dwell.Milliseconds()), maintenance.Span(within.Milliseconds())
 			for _, text := range strings.Split(steps, ",") {
 				share, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
 				if err != nil {
@@ -147,7 +147,7 @@
 			}
 			return with(func(ctx context.Context, c *steward.Client) error {
 				if !dry {
-					if _, err := c.Do(ctx, fleet.Command{Start: &p}); err != nil {
+					if _, err := c.Do(ctx, maintenance.Command{Start: &p}); err != nil {
 						return err
 					}
 					fmt.Fprintf(stdout, "release %s begins: it watches the fleet for %s first\n", p.ID, dwell)
@@ -168,7 +168,7 @@
 			})
 		}}
 	f := start.Flags()
-	f.StringVar(&kind, "kind", string(fleet.Gatherer), "gatherer or server")
+	f.StringVar(&kind, "kind", string(maintenance.Gatherer), "gatherer or server")
 	f.StringVar(&from, "from", "", "the version that is changed")
 	f.StringVar(&to, "to", "", "the version it becomes")
 	f.StringVar(&steps, "steps", "0.05,0.25,1", "rising shares, the last is 1")
@@ -178,21 +178,21 @@
 	f.Uint64Var(&p.Least, "least", 1000, "searches of the changed ones that a step is judged by")
 	f.BoolVar(&p.ByZone, "by-zone", false, "zone after zone, else spread over the zones")
 	f.BoolVar(&dry, "dry-run", false, "only print the steps")
-	id := func(n string) fleet.ReleaseID { return fleet.ReleaseID(n) }
+	id := func(n string) maintenance.ReleaseID { return maintenance.ReleaseID(n) }
 	c.AddCommand(start,
-		one("halt NAME", "Stop a release where it is", func(n string) fleet.Command { return fleet.Command{Halt: &fleet.Halt{ID: id(n)}} }, "is halted"),
-		one("resume NAME", "Let a halted release go on", func(n string) fleet.Command { return fleet.Command{Resume: &fleet.Resume{ID: id(n)}} }, "goes on"),
-		one("back NAME", "Bring the changed ones back", func(n string) fleet.Command { return fleet.Command{Back: &fleet.Back{ID: id(n)}} }, "goes back"))
+		one("halt NAME", "Stop a release where it is", func(n string) maintenance.Command { return maintenance.Command{Halt: &maintenance.Halt{ID: id(n)}} }, "is halted"),
+		one("resume NAME", "Let a halted release go on", func(n string) maintenance.Command { return maintenance.Command{Resume: &maintenance.Resume{ID: id(n)}} }, "goes on"),
+		one("back NAME", "Bring the changed ones back", func(n string) maintenance.Command { return maintenance.Command{Back: &maintenance.Back{ID: id(n)}} }, "goes back"))
 	return c
 }
 
-func printFleet(w io.Writer, s *fleet.State, leader string) {
+func printFleet(w io.Writer, s *maintenance.State, leader string) {
 	if leader == "" {
 		fmt.Fprintln(w, "no steward leads: nothing new is granted; this is what one of them knew last")
 	} else {
 		fmt.Fprintf(w, "leader %s, %d commands applied\n", leader, s.Applied)
 	}
-	var names []fleet.Name
+	var names []maintenance.Name
 	for n := range s.Members {
 		names = append(names, n)
 	}
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
-	"oxbowspan/fleet"
 	"oxbowspan/internal/steward"
+	"oxbowspan/maintenance"
 	"oxbowspan/merge"
 )
 
@@ -53,10 +53,10 @@
 		f.Hook = filepath.Join(filepath.Dir(path), f.Hook)
 	}
 	most := func(key string) int { return int(s.count(key, 0, 1, 1<<20)) }
-	f.Limits = fleet.Limits{MostGatherers: most("most_gatherers"), ShareGatherers: s.share("share_gatherers"), MostGatherersZone: most("most_gatherers_zone"),
+	f.Limits = maintenance.Limits{MostGatherers: most("most_gatherers"), ShareGatherers: s.share("share_gatherers"), MostGatherersZone: most("most_gatherers_zone"),
 		MostServers: most("most_servers"), MostServersZone: most("most_servers_zone"), LeastReplicas: most("least_replicas"),
-		SuspectedByMost: s.share("suspected_by"), LeaseSpan: fleet.Span(s.span("lease", 6*time.Second, 3*time.Second, time.Minute).Milliseconds()),
-		ForgetGatherersFor: fleet.Span(s.span("forget", time.Hour, time.Minute, 30*24*time.Hour).Milliseconds())}
+		SuspectedByMost: s.share("suspected_by"), LeaseSpan: maintenance.Span(s.span("lease", 6*time.Second, 3*time.Second, time.Minute).Milliseconds()),
+		ForgetGatherersFor: maintenance.Span(s.span("forget", time.Hour, time.Minute, 30*24*time.Hour).Milliseconds())}
 	if f.Limits.MostGatherers == 0 && f.Limits.ShareGatherers == 0 {
 		s.wrong("most_gatherers", "is missing, and so is share_gatherers: without either all may be out at once")
 	}
--- a/internal/steward/agent.go
+++ b/internal/steward/agent.go
@@ -7,16 +7,16 @@
 	"sync"
 	"time"
 
-	"oxbowspan/fleet"
+	"oxbowspan/maintenance"
 )
 
 // Agent is a gatherer's membership: it keeps the lease, and asks before the gatherer goes out. It is an actor of its own.
 type Agent struct {
 	f       Figures
-	run     fleet.Incarnation
+	run     maintenance.Incarnation
 	client  *Client
 	ready   func() bool
-	counted func() fleet.Figures
+	counted func() maintenance.Figures
 	end     chan struct{}
 	once    sync.Once
 	drain   chan bool // takes one: whether the drain is agreed
@@ -26,8 +26,8 @@
 }
 
 // Join makes a gatherer a member for as long as it runs. ready and counted say how it does; they are called from the actor.
-func Join(f Figures, ready func() bool, counted func() fleet.Figures) *Agent {
-	a := &Agent{f: f, run: fleet.Incarnation(time.Now().UnixNano()), client: NewClient(f.Name, f), ready: ready, counted: counted,
+func Join(f Figures, ready func() bool, counted func() maintenance.Figures) *Agent {
+	a := &Agent{f: f, run: maintenance.Incarnation(time.Now().UnixNano()), client: NewClient(f.Name, f), ready: ready, counted: counted,
 		end: make(chan struct{}), drain: make(chan bool, 1), over: make(chan struct{})}
 	a.ctx, a.stop = context.WithCancel(context.Background())
 	go a.work()
@@ -49,20 +49,20 @@
 	<-a.over
 	ctx, cancel := context.WithTimeout(context.Background(), oneAsk)
 	defer cancel()
-	_, _ = a.client.Do(ctx, fleet.Command{Leave: &fleet.Leave{Name: fleet.Name(a.f.Name), Incarnation: a.run}})
+	_, _ = a.client.Do(ctx, maintenance.Command{Leave: &maintenance.Leave{Name: maintenance.Name(a.f.Name), Incarnation: a.run}})
 	a.client.Close()
 }
 
 func (a *Agent) work() {
 	defer close(a.over)
-	h := fleet.NewHolder(fleet.Span(a.f.Wait.Milliseconds()))
+	h := maintenance.NewHolder(maintenance.Span(a.f.Wait.Milliseconds()))
 	start, joined, heard, told := time.Now(), false, true, false
-	now := func() fleet.Moment { return fleet.Moment(time.Since(start).Milliseconds()) }
+	now := func() maintenance.Moment { return maintenance.Moment(time.Since(start).Milliseconds()) }
 	every := time.Duration(a.f.Limits.LeaseSpan) * time.Millisecond / 3
 	renewAt, lookAt, end := time.Now(), time.Time{}, a.end
-	name := fleet.Name(a.f.Name)
-	var act func(fleet.Holding)
-	act = func(w fleet.Holding) {
+	name := maintenance.Name(a.f.Name)
+	var act func(maintenance.Holding)
+	act = func(w maintenance.Holding) {
 		if lookAt = (time.Time{}); w.At > 0 {
 			lookAt = start.Add(time.Duration(w.At) * time.Millisecond)
 		}
@@ -72,8 +72,8 @@
 			renewAt = time.Now() // what drains says so at once
 		}
 		if w.Ask {
-			p, err := a.client.Do(a.ctx, fleet.Command{Ask: &fleet.Ask{Name: name, Incarnation: a.run, Why: "told to end"}})
-			if err != nil && !errors.Is(err, fleet.ErrRefused) {
+			p, err := a.client.Do(a.ctx, maintenance.Command{Ask: &maintenance.Ask{Name: name, Incarnation: a.run, Why: "told to end"}})
+			if err != nil && !errors.Is(err, maintenance.ErrRefused) {
 				slog.Debug("fleet_ask", "error", err)
 			}
 			act(h.Answered(now(), p))
@@ -118,22 +118,22 @@
 	}
 }
 
-func (a *Agent) renew(name fleet.Name, joined *bool, draining bool) (*fleet.Permit, error) {
+func (a *Agent) renew(name maintenance.Name, joined *bool, draining bool) (*maintenance.Permit, error) {
 	if !*joined {
-		_, err := a.client.Do(a.ctx, fleet.Command{Join: &fleet.Join{Name: name, Zone: fleet.Zone(a.f.Zone), Version: fleet.Version(a.f.Version), Incarnation: a.run}})
+		_, err := a.client.Do(a.ctx, maintenance.Command{Join: &maintenance.Join{Name: name, Zone: maintenance.Zone(a.f.Zone), Version: maintenance.Version(a.f.Version), Incarnation: a.run}})
 		if err != nil {
 			return nil, err
 		}
 		*joined = true
 	}
-	status := fleet.Cold
+	status := maintenance.Cold
 	if draining {
-		status = fleet.Draining
+		status = maintenance.Draining
 	} else if a.ready() {
-		status = fleet.Ready
+		status = maintenance.Ready
 	}
-	p, err := a.client.Do(a.ctx, fleet.Command{Renew: &fleet.Renew{Name: name, Incarnation: a.run, Status: status, Figures: a.counted()}})
-	if err != nil && !errors.Is(err, ErrNobody) && !errors.Is(err, fleet.ErrStale) {
+	p, err := a.client.Do(a.ctx, maintenance.Command{Renew: &maintenance.Renew{Name: name, Incarnation: a.run, Status: status, Figures: a.counted()}})
+	if err != nil && !errors.Is(err, ErrNobody) && !errors.Is(err, maintenance.ErrStale) {
 		*joined = false // forgotten meanwhile: it joins again
 	}
 	return p, err
--- a/internal/steward/client.go
+++ b/internal/steward/client.go
@@ -8,7 +8,7 @@
 	"net/http"
 	"time"
 
-	"oxbowspan/fleet"
+	"oxbowspan/maintenance"
 	"oxbowspan/merge"
 )
 
@@ -84,15 +84,15 @@
 }
 
 // Do has a command carried out. Its error says in a sentence why nothing changed, or that nobody knows.
-func (c *Client) Do(ctx context.Context, command fleet.Command) (*fleet.Permit, error) {
+func (c *Client) Do(ctx context.Context, command maintenance.Command) (*maintenance.Permit, error) {
 	a, err := c.ask(ctx, said{Command: &command})
 	switch {
 	case err != nil:
 		return nil, err
 	case a.Refused:
-		return nil, &told{a.Error, fleet.ErrRefused}
+		return nil, &told{a.Error, maintenance.ErrRefused}
 	case a.Stale:
-		return nil, &told{a.Error, fleet.ErrStale}
+		return nil, &told{a.Error, maintenance.ErrStale}
 	case a.Error != "":
 		return nil, errors.New(a.Error)
 	}
@@ -100,7 +100,7 @@
 }
 
 // State is the fleet's state, and who leads. Without a leader it is what one steward knew last, and leader is "".
-func (c *Client) State(ctx context.Context) (s *fleet.State, leader string, err error) {
+func (c *Client) State(ctx context.Context) (s *maintenance.State, leader string, err error) {
 	a, err := c.ask(ctx, said{State: true})
 	if err == nil && a.State != nil {
 		return a.State, a.Leader, nil
--- a/internal/steward/steward.go
+++ b/internal/steward/steward.go
@@ -23,7 +23,7 @@
 	"google.golang.org/protobuf/proto"
 
 	"oxbowspan/agree"
-	"oxbowspan/fleet"
+	"oxbowspan/maintenance"
 	"oxbowspan/merge"
 )
 
@@ -38,7 +38,7 @@
 	Path     string        // of the log; only of a steward
 	Wait     time.Duration // an end waits so long for a permit
 	Hook     string        // a command that carries out a release's change; "" = there are none
-	Limits   fleet.Limits
+	Limits   maintenance.Limits
 }
 
 // Address is a steward's name and where it listens for the fleet.
@@ -79,14 +79,14 @@
 	done  map[order]bool // orders given to the hook in this lead; emptied of those that are orders no more, and when the lead ends
 
 	mu      sync.Mutex
-	fence   *fleet.Fence
+	fence   *maintenance.Fence
 	strange time.Time // when a stranger was last logged
 }
 
 // order tells one order from another: one command may begin the changes of several members, which bear its epoch alike.
 type order struct {
-	name  fleet.Name
-	epoch fleet.Epoch
+	name  maintenance.Name
+	epoch maintenance.Epoch
 }
 
 type (
@@ -95,7 +95,7 @@
 		reply chan answer
 	}
 	hookOver struct {
-		order fleet.Order
+		order maintenance.Order
 		err   error
 	}
 )
@@ -104,7 +104,7 @@
 func Start(f Figures, found bool) (*Steward, error) {
 	s := &Steward{f: f, id: f.steward(), box: make(chan any, mailbox), peers: map[agree.ID]chan []byte{}, since: time.Now(),
 		done: map[order]bool{}}
-	s.fence = fleet.NewFence(uint64(s.since.UnixNano()), mostSpeakers)
+	s.fence = maintenance.NewFence(uint64(s.since.UnixNano()), mostSpeakers)
 	var err error
 	if s.disk, err = openDisk(f.Path); err != nil {
 		return nil, err
@@ -176,9 +176,9 @@
 			return
 		case <-tick.C:
 			ticks++
-			s.node.Tick(fleet.Moment(time.Since(s.since).Milliseconds()))
+			s.node.Tick(maintenance.Moment(time.Since(s.since).Milliseconds()))
 			if s.node.Leads() && ticks%turnEvery == 0 {
-				s.node.Propose(fleet.Command{Turn: &fleet.Turn{}}, func(fleet.Result, error) {})
+				s.node.Propose(maintenance.Command{Turn: &maintenance.Turn{}}, func(maintenance.Result, error) {})
 			}
 		case m := <-s.box:
 			s.take(m)
@@ -245,7 +245,7 @@
 		if m.err != nil {
 			slog.Error("fleet_hook", "release", m.order.Release, "name", m.order.Name, "version", m.order.Version, "error", m.err)
 			why := fmt.Sprintf("the hook for %s: %v", m.order.Name, m.err)
-			s.node.Propose(fleet.Command{Halt: &fleet.Halt{ID: m.order.Release, Why: why}}, func(fleet.Result, error) {})
+			s.node.Propose(maintenance.Command{Halt: &maintenance.Halt{ID: m.order.Release, Why: why}}, func(maintenance.Result, error) {})
 		}
 	case question:
 		if m.Command == nil {
@@ -256,10 +256,10 @@
 			m.reply <- a
 			return
 		}
-		s.node.Propose(*m.Command, func(r fleet.Result, err error) {
+		s.node.Propose(*m.Command, func(r maintenance.Result, err error) {
 			a := answer{Leader: s.leader(), Permit: r.Permit}
 			if err != nil {
-				a.Error, a.Refused, a.Stale = err.Error(), errors.Is(err, fleet.ErrRefused), errors.Is(err, fleet.ErrStale)
+				a.Error, a.Refused, a.Stale = err.Error(), errors.Is(err, maintenance.ErrRefused), errors.Is(err, maintenance.ErrStale)
 				a.NotMe, a.Unsure = errors.Is(err, agree.ErrNotLeading), errors.Is(err, agree.ErrUnsure)
 			} else if c := m.Command.Renew; c != nil {
 				if member := s.node.State().Members[c.Name]; member != nil {
@@ -272,12 +272,12 @@
 }
 
 // copied is a copy of the state, as the state is the actor's.
-func (s *Steward) copied() *fleet.State {
+func (s *Steward) copied() *maintenance.State {
 	b, err := s.node.State().Snapshot()
 	if err != nil {
 		return nil
 	}
-	c, err := fleet.Restore(b)
+	c, err := maintenance.Restore(b)
 	if err != nil {
 		return nil
 	}
@@ -289,7 +289,7 @@
 func (s *Steward) hooks() {
 	orders := s.node.State().Orders()
 	maps.DeleteFunc(s.done, func(k order, _ bool) bool {
-		return !slices.ContainsFunc(orders, func(o fleet.Order) bool { return k == order{o.Name, o.Epoch} })
+		return !slices.ContainsFunc(orders, func(o maintenance.Order) bool { return k == order{o.Name, o.Epoch} })
 	})
 	for _, o := range orders {
 		if key := (order{o.Name, o.Epoch}); s.done[key] {
--- a/internal/steward/steward_test.go
+++ b/internal/steward/steward_test.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"oxbowspan/agree"
-	"oxbowspan/fleet"
+	"oxbowspan/maintenance"
 	"oxbowspan/merge"
 )
 
@@ -29,7 +29,7 @@
 // three starts a fleet's stewards in this process and waits until one leads.
 func three(t *testing.T) (all []*Steward, f Figures) {
 	dir := t.TempDir()
-	f = Figures{Keys: ring(t, "a"), Limits: fleet.Limits{MostGatherers: 1, LeaseSpan: 6000}}
+	f = Figures{Keys: ring(t, "a"), Limits: maintenance.Limits{MostGatherers: 1, LeaseSpan: 6000}}
 	for i := range 3 {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -85,11 +85,11 @@
 		c := NewClient("late", f)
 		c.next = i
 		c.no.last.Store(uint64(time.Now().Add(-time.Hour).UnixNano()))
-		if _, err := c.Do(context.Background(), fleet.Command{Join: &fleet.Join{Name: fleet.Name(fmt.Sprint("m", i)), Zone: "a", Version: "v", Incarnation: 1}}); err != nil {
+		if _, err := c.Do(context.Background(), maintenance.Command{Join: &maintenance.Join{Name: maintenance.Name(fmt.Sprint("m", i)), Zone: "a", Version: "v", Incarnation: 1}}); err != nil {
 			t.Errorf("asked of steward %d first: %v", i, err)
 		}
 		s, leader, err := c.State(context.Background())
-		if err != nil || leader == "" || s.Members[fleet.Name(fmt.Sprint("m", i))] == nil {
+		if err != nil || leader == "" || s.Members[maintenance.Name(fmt.Sprint("m", i))] == nil {
 			t.Errorf("state asked after it: %v, leader %q", err, leader)
 		}
 		c.Close()
@@ -102,11 +102,11 @@
 	var wg sync.WaitGroup
 	for i := range 300 {
 		wg.Go(func() {
-			n := fleet.Name(fmt.Sprintf("m%03d", i))
+			n := maintenance.Name(fmt.Sprintf("m%03d", i))
 			c := NewClient(string(n), f)
 			defer c.Close()
-			for _, command := range []fleet.Command{{Join: &fleet.Join{Name: n, Zone: "a", Version: "v", Incarnation: 1}},
-				{Renew: &fleet.Renew{Name: n, Incarnation: 1, Status: fleet.Ready}}} {
+			for _, command := range []maintenance.Command{{Join: &maintenance.Join{Name: n, Zone: "a", Version: "v", Incarnation: 1}},
+				{Renew: &maintenance.Renew{Name: n, Incarnation: 1, Status: maintenance.Ready}}} {
 				var err error
 				for range 20 { // as an agent does, which asks again until it is heard
 					if _, err = c.Do(context.Background(), command); err == nil {
@@ -136,8 +136,8 @@
 	c := NewClient("test", f)
 	defer c.Close()
 	ctx := context.Background()
-	do := func(command fleet.Command) (*fleet.Permit, error) {
-		var p *fleet.Permit
+	do := func(command maintenance.Command) (*maintenance.Permit, error) {
+		var p *maintenance.Permit
 		var err error
 		for end := time.Now().Add(20 * time.Second); time.Now().Before(end); {
 			if p, err = c.Do(ctx, command); !errors.Is(err, ErrNobody) && !strings.Contains(fmt.Sprint(err), agree.ErrUnsure.Error()) {
@@ -146,15 +146,15 @@
 		}
 		return p, err
 	}
-	for _, n := range []fleet.Name{"m1", "m2"} {
-		if _, err := do(fleet.Command{Join: &fleet.Join{Name: n, Zone: "a", Version: "v", Incarnation: 1}}); err != nil {
+	for _, n := range []maintenance.Name{"m1", "m2"} {
+		if _, err := do(maintenance.Command{Join: &maintenance.Join{Name: n, Zone: "a", Version: "v", Incarnation: 1}}); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := do(fleet.Command{Renew: &fleet.Renew{Name: n, Incarnation: 1, Status: fleet.Ready}}); err != nil {
+		if _, err := do(maintenance.Command{Renew: &maintenance.Renew{Name: n, Incarnation: 1, Status: maintenance.Ready}}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	first, err := do(fleet.Command{Ask: &fleet.Ask{Name: "m1", Incarnation: 1}})
+	first, err := do(maintenance.Command{Ask: &maintenance.Ask{Name: "m1", Incarnation: 1}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -165,11 +165,11 @@
 			s.stop()
 		}
 	}
-	again, err := do(fleet.Command{Ask: &fleet.Ask{Name: "m1", Incarnation: 1}})
+	again, err := do(maintenance.Command{Ask: &maintenance.Ask{Name: "m1", Incarnation: 1}})
 	if err != nil || again.Epoch != first.Epoch {
 		t.Errorf("asked again: %+v %v, first %+v", again, err, first)
 	}
-	if _, err := do(fleet.Command{Ask: &fleet.Ask{Name: "m2", Incarnation: 1}}); !errors.Is(err, fleet.ErrRefused) {
+	if _, err := do(maintenance.Command{Ask: &maintenance.Ask{Name: "m2", Incarnation: 1}}); !errors.Is(err, maintenance.ErrRefused) {
 		t.Errorf("a second one: %v", err)
 	}
 }
--- a/internal/steward/wire.go
+++ b/internal/steward/wire.go
@@ -12,7 +12,7 @@
 	"sync/atomic"
 	"time"
 
-	"oxbowspan/fleet"
+	"oxbowspan/maintenance"
 	"oxbowspan/merge"
 )
 
@@ -64,19 +64,19 @@
 // said is a question to a steward, and answer what comes back.
 type (
 	said struct {
-		Command *fleet.Command `json:"command,omitempty"`
-		State   bool           `json:"state,omitempty"` // the state is asked for
+		Command *maintenance.Command `json:"command,omitempty"`
+		State   bool                 `json:"state,omitempty"` // the state is asked for
 	}
 	answer struct {
-		Leader  string        `json:"leader,omitempty"` // who leads, as far as is known
-		NotMe   bool          `json:"not_me,omitempty"` // that one is to be asked
-		Error   string        `json:"error,omitempty"`
-		Refused bool          `json:"refused,omitempty"` // a limit holds: asking again later may do
-		Stale   bool          `json:"stale,omitempty"`
-		Unsure  bool          `json:"unsure,omitempty"`
-		Least   uint64        `json:"least,omitempty"`  // the speaker's next number must be above it
-		Permit  *fleet.Permit `json:"permit,omitempty"` // of the member that asked or renewed
-		State   *fleet.State  `json:"state,omitempty"`
+		Leader  string              `json:"leader,omitempty"` // who leads, as far as is known
+		NotMe   bool                `json:"not_me,omitempty"` // that one is to be asked
+		Error   string              `json:"error,omitempty"`
+		Refused bool                `json:"refused,omitempty"` // a limit holds: asking again later may do
+		Stale   bool                `json:"stale,omitempty"`
+		Unsure  bool                `json:"unsure,omitempty"`
+		Least   uint64              `json:"least,omitempty"`  // the speaker's next number must be above it
+		Permit  *maintenance.Permit `json:"permit,omitempty"` // of the member that asked or renewed
+		State   *maintenance.State  `json:"state,omitempty"`
 	}
 )
 
--- a/fleet/command.go
+++ b/maintenance/command.go
@@ -1,4 +1,4 @@
-package fleet
+package maintenance
 
 import (
 	"encoding/json"
--- a/fleet/holder.go
+++ b/maintenance/holder.go
@@ -1,4 +1,4 @@
-package fleet
+package maintenance
 
 // Holder is the side of the one who may be out: it decides when a gatherer that is to end may begin to drain. Time is its own
 // monotonic clock's. It holds one permit at most.
--- a/fleet/types.go
+++ b/maintenance/types.go
@@ -1,4 +1,4 @@
-package fleet
+package maintenance
 
 // Moment is a time in milliseconds by the stewards' clock; Span is a length of time in milliseconds.
 type (
