--- a/internal/steward/disk.go
+++ b/internal/steward/disk.go
@@ -6,7 +6,7 @@
 	"slices"
 	"strconv"
 
-	"oxbowspan/agree"
+	"oxbowspan/raftlog"
 	"oxbowspan/store"
 )
 
@@ -39,8 +39,8 @@
 
 func number(no uint64) string { return fmt.Sprintf("%016x", no) }
 
-func (d *disk) Load() (agree.Kept, error) {
-	var k agree.Kept
+func (d *disk) Load() (raftlog.Kept, error) {
+	var k raftlog.Kept
 	k.Hard, _ = d.s.Get(tableVote, keyHard)
 	k.Snapshot, _ = d.s.Get(tableVote, keySnapshot)
 	all := d.s.All(tableCommands)
@@ -49,7 +49,7 @@
 		if err != nil {
 			return k, fmt.Errorf("the fleet's log has a command under %.40q", key)
 		}
-		k.Entries = append(k.Entries, agree.Numbered{No: no, Bytes: all[key]})
+		k.Entries = append(k.Entries, raftlog.Numbered{No: no, Bytes: all[key]})
 	}
 	if n := len(k.Entries); n > 0 {
 		d.first, d.last = k.Entries[0].No, k.Entries[n-1].No
@@ -57,7 +57,7 @@
 	return k, nil
 }
 
-func (d *disk) Keep(c agree.Change) error {
+func (d *disk) Keep(c raftlog.Change) error {
 	var ops []store.Op
 	put := func(t store.Table, key string, v []byte) { ops = append(ops, store.Op{Table: t, Key: key, Value: v}) }
 	drop := func(no uint64) { ops = append(ops, store.Op{Table: tableCommands, Key: number(no), Delete: true}) }
--- a/internal/steward/steward.go
+++ b/internal/steward/steward.go
@@ -22,9 +22,9 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
-	"oxbowspan/agree"
 	"oxbowspan/maintenance"
 	"oxbowspan/merge"
+	"oxbowspan/raftlog"
 )
 
 // Figures are what the operator's file says of the fleet.
@@ -44,10 +44,10 @@
 // Address is a steward's name and where it listens for the fleet.
 type Address struct{ Name, Addr string }
 
-func (f Figures) steward() agree.ID {
+func (f Figures) steward() raftlog.ID {
 	for i, s := range f.Stewards {
 		if s.Name == f.Name {
-			return agree.ID(i + 1)
+			return raftlog.ID(i + 1)
 		}
 	}
 	return 0
@@ -64,11 +64,11 @@
 // Steward is one that keeps the log.
 type Steward struct {
 	f     Figures
-	id    agree.ID
-	node  *agree.Node // the actor's alone
+	id    raftlog.ID
+	node  *raftlog.Node // the actor's alone
 	disk  *disk
 	box   chan any
-	peers map[agree.ID]chan []byte
+	peers map[raftlog.ID]chan []byte
 	l     net.Listener
 	http  *http.Server
 	no    numbers
@@ -102,20 +102,20 @@
 
 // Start begins to keep the log. found says that the fleet is founded: it begins without one.
 func Start(f Figures, found bool) (*Steward, error) {
-	s := &Steward{f: f, id: f.steward(), box: make(chan any, mailbox), peers: map[agree.ID]chan []byte{}, since: time.Now(),
+	s := &Steward{f: f, id: f.steward(), box: make(chan any, mailbox), peers: map[raftlog.ID]chan []byte{}, since: time.Now(),
 		done: map[order]bool{}}
 	s.fence = maintenance.NewFence(uint64(s.since.UnixNano()), mostSpeakers)
 	var err error
 	if s.disk, err = openDisk(f.Path); err != nil {
 		return nil, err
 	}
-	var ids []agree.ID
+	var ids []raftlog.ID
 	for i := range f.Stewards {
-		ids = append(ids, agree.ID(i+1))
+		ids = append(ids, raftlog.ID(i+1))
 	}
-	if s.node, err = agree.New(agree.Setup{ID: s.id, Stewards: ids, Limits: f.Limits, Disk: s.disk, Found: found}); err != nil {
+	if s.node, err = raftlog.New(raftlog.Setup{ID: s.id, Stewards: ids, Limits: f.Limits, Disk: s.disk, Found: found}); err != nil {
 		s.disk.s.Close()
-		if errors.Is(err, agree.ErrEmpty) {
+		if errors.Is(err, raftlog.ErrEmpty) {
 			return nil, fmt.Errorf("%w: 'serve --found-fleet' on every steward, once, makes it", err)
 		}
 		return nil, err
@@ -130,7 +130,7 @@
 	mux.HandleFunc("POST "+pathSay, s.say)
 	s.http = &http.Server{Handler: mux, ReadTimeout: 5 * time.Second, IdleTimeout: time.Minute}
 	for i, a := range f.Stewards {
-		if id := agree.ID(i + 1); id != s.id {
+		if id := raftlog.ID(i + 1); id != s.id {
 			out := make(chan []byte, outbox)
 			s.peers[id] = out
 			s.all.Go(func() { s.sendTo(a.Addr, out) })
@@ -222,7 +222,7 @@
 
 func (s *Steward) send(m *pb.Message) {
 	b, err := proto.Marshal(m)
-	if out := s.peers[agree.ID(m.GetTo())]; err == nil && out != nil {
+	if out := s.peers[raftlog.ID(m.GetTo())]; err == nil && out != nil {
 		select {
 		case out <- b:
 		default:
@@ -260,7 +260,7 @@
 			a := answer{Leader: s.leader(), Permit: r.Permit}
 			if err != nil {
 				a.Error, a.Refused, a.Stale = err.Error(), errors.Is(err, maintenance.ErrRefused), errors.Is(err, maintenance.ErrStale)
-				a.NotMe, a.Unsure = errors.Is(err, agree.ErrNotLeading), errors.Is(err, agree.ErrUnsure)
+				a.NotMe, a.Unsure = errors.Is(err, raftlog.ErrNotLeading), errors.Is(err, raftlog.ErrUnsure)
 			} else if c := m.Command.Renew; c != nil {
 				if member := s.node.State().Members[c.Name]; member != nil {
 					a.Permit = member.Due()
@@ -352,7 +352,7 @@
 		return
 	}
 	m := &pb.Message{}
-	if err := proto.Unmarshal(body, m); err != nil || agree.ID(m.GetTo()) != s.id {
+	if err := proto.Unmarshal(body, m); err != nil || raftlog.ID(m.GetTo()) != s.id {
 		http.Error(w, "no message for this steward", http.StatusBadRequest)
 		return
 	}
--- a/agree/agree.go
+++ b/raftlog/agree.go
@@ -1,11 +1,11 @@
-// Package agree keeps one log of commands on a few stewards and applies it to the fleet's state on each: Raft, by the core of
+// Package raftlog keeps one log of commands on a few stewards and applies it to the fleet's state on each: Raft, by the core of
 // go.etcd.io/raft, which does no I/O. A Node does none either: time comes by Tick, messages by Step, and what it wants sent or kept
 // comes out of Turn. It starts no goroutine and reads no clock, so that many of them run in one process under simulated time.
 //
 // What it owns: the log and its compaction, who leads, the commands proposed here whose end is not known yet (emptied by their
 // application, and all at once when this steward no longer leads), and the machine's time: the leader's commands bear its own
 // monotonic clock, carried on from the machine's time when it began to lead, so that no wall clock that steps moves a lease.
-package agree
+package raftlog
 
 import (
 	"errors"
--- a/agree/seal.go
+++ b/raftlog/seal.go
@@ -1,4 +1,4 @@
-package agree
+package raftlog
 
 import (
 	"encoding/binary"
