--- a/gatherer/module.go
+++ b/gatherer/module.go
@@ -8,12 +8,12 @@
 
 	"oxbowspan/balancer"
 	"oxbowspan/budget"
+	"oxbowspan/idempotency"
 	"oxbowspan/internal/admin"
 	"oxbowspan/internal/discovery"
 	"oxbowspan/internal/facts"
 	"oxbowspan/internal/peer"
 	"oxbowspan/merge"
-	"oxbowspan/recovery"
 )
 
 // search is one client's search on its way through the program.
@@ -39,8 +39,8 @@
 	inUse budget.Bytes // of that, by values that are in and the search itself
 
 	// Of a search that must not run twice, where there is a store.
-	key        recovery.Key // "" = it may
-	digest     recovery.Digest
+	key        idempotency.Key // "" = it may
+	digest     idempotency.Digest
 	waiting    bool // for its intent to be on the disk
 	cleared    bool // it is, or sentBefore
 	sentBefore bool // an earlier search of its key may have run
--- a/gatherer/remember.go
+++ b/gatherer/remember.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"oxbowspan/balancer"
+	"oxbowspan/idempotency"
 	"oxbowspan/internal/discovery"
 	"oxbowspan/internal/operator"
-	"oxbowspan/recovery"
 	"oxbowspan/store"
 )
 
@@ -28,8 +28,8 @@
 // remembered is what the module's actor keeps across restarts. It is the actor's alone; the store calls back into its mailbox.
 type remembered struct {
 	store   *store.Store
-	table   *recovery.Table
-	disk    recovery.Disk
+	table   *idempotency.Table
+	disk    idempotency.Disk
 	refused bool // the store was unwell the last time: said once
 }
 
@@ -57,11 +57,11 @@
 	if err != nil {
 		return nil, fmt.Errorf("store %s: %w", o.Path, err)
 	}
-	r := &remembered{store: s, disk: recovery.Disk{Slow: recovery.Time(o.Slow.Milliseconds())},
-		table: recovery.New(recovery.Figures{Keep: recovery.Time(o.Keep.Milliseconds()), Most: o.Searches, MostBytes: int(o.Answers)})}
+	r := &remembered{store: s, disk: idempotency.Disk{Slow: idempotency.Time(o.Slow.Milliseconds())},
+		table: idempotency.New(idempotency.Figures{Keep: idempotency.Time(o.Keep.Milliseconds()), Most: o.Searches, MostBytes: int(o.Answers)})}
 	bad := 0
 	for key, value := range s.All(TableSearches) {
-		if r.table.Load(recovery.Key(key), value) != nil {
+		if r.table.Load(idempotency.Key(key), value) != nil {
 			bad++
 		}
 	}
@@ -75,10 +75,10 @@
 	}
 }
 
-func unixNow() recovery.Time { return recovery.Time(time.Now().UnixMilli()) }
+func unixNow() idempotency.Time { return idempotency.Time(time.Now().UnixMilli()) }
 
 // write writes changes that nothing waits for.
-func (r *remembered) write(changes []recovery.Change) {
+func (r *remembered) write(changes []idempotency.Change) {
 	if len(changes) > 0 {
 		r.store.Begin(func(err error) {
 			if err != nil && !errors.Is(err, store.ErrClosed) {
@@ -88,7 +88,7 @@
 	}
 }
 
-func ops(changes []recovery.Change) (out []store.Op) {
+func ops(changes []idempotency.Change) (out []store.Op) {
 	for _, c := range changes {
 		out = append(out, store.Op{Table: TableSearches, Key: string(c.Key), Value: c.Value, Delete: c.Value == nil})
 	}
@@ -108,17 +108,17 @@
 		m.refuse(s, errors.New("the disk is slow"))
 		return false
 	}
-	patience := recovery.Time(s.patience / balancer.Millisecond)
+	patience := idempotency.Time(s.patience / balancer.Millisecond)
 	verdict, answer, changes := r.table.Arrive(now, s.key, s.digest, patience)
 	switch verdict {
-	case recovery.Write:
+	case idempotency.Write:
 		s.waiting, s.cameAt = true, m.clock.now()
 		r.disk.Begins(now)
 		s.late = time.AfterFunc(time.Duration(r.disk.Wait(patience))*time.Millisecond, func() { m.put(intentLate{s}) })
 		// Not in the store's goroutine alone: it must not wait for this actor.
 		r.store.Begin(func(err error) { m.put(intentWritten{s, err}) }, ops(changes)...)
 		return false
-	case recovery.Doubtful:
+	case idempotency.Doubtful:
 		r.write(changes)
 		s.cleared, s.sentBefore = true, true // brain says what becomes of it
 		return true
@@ -126,11 +126,11 @@
 	r.write(changes)
 	s.over = true
 	switch verdict {
-	case recovery.Replay:
+	case idempotency.Replay:
 		s.reply <- reply{kind: replyStored, text: answer}
-	case recovery.Open:
+	case idempotency.Open:
 		s.reply <- reply{kind: replyOpen}
-	case recovery.Other:
+	case idempotency.Other:
 		s.reply <- reply{kind: replyOther}
 	default:
 		s.reply <- reply{kind: replyShed, retryAfter: m.d.Facts.MaxRetryAfter}
--- a/gatherer/roundtrip.go
+++ b/gatherer/roundtrip.go
@@ -21,10 +21,10 @@
 	"oxbowspan/balancer"
 	"oxbowspan/budget"
 	"oxbowspan/connadmission"
+	"oxbowspan/idempotency"
 	"oxbowspan/internal/facts"
 	"oxbowspan/internal/operator"
 	"oxbowspan/merge"
-	"oxbowspan/recovery"
 )
 
 // transport is the reverse proxy's RoundTripper: it hands a request's search to the module's actor and makes
@@ -174,7 +174,7 @@
 
 // searchKey names a search that must not run twice: by the client's own key where it gives one, else by its id, as a client may
 // send a request once more on another connection where the first was closed upon.
-func searchKey(r *http.Request, header, kind, wire string, body []byte) (recovery.Key, recovery.Digest) {
+func searchKey(r *http.Request, header, kind, wire string, body []byte) (idempotency.Key, idempotency.Digest) {
 	own := "id " + wire
 	if given := r.Header.Get(header); given != "" {
 		own = "key " + given
@@ -184,7 +184,7 @@
 		fmt.Fprintf(h, "%d:%s", len(s), s)
 	}
 	d := blake3.Sum256(body)
-	return recovery.Key(hex.EncodeToString(h.Sum(nil)[:16])), recovery.Digest(binary.BigEndian.Uint64(d[:]))
+	return idempotency.Key(hex.EncodeToString(h.Sum(nil)[:16])), idempotency.Digest(binary.BigEndian.Uint64(d[:]))
 }
 
 // query checks what a search wants merged.
--- a/recovery/disk.go
+++ b/idempotency/disk.go
@@ -1,4 +1,4 @@
-package recovery
+package idempotency
 
 // Disk decides whether searches that need the disk are taken at all while it is slow. Without it each of them would wait for a
 // disk that hangs, past its client's timeout, and all of them together would hold memory and descriptors; look-ups, which do not
--- a/recovery/recovery.go
+++ b/idempotency/recovery.go
@@ -1,4 +1,4 @@
-// Package recovery decides what a gatherer may do with searches that must not run twice, across crashes and restarts: whether
+// Package idempotency decides what a gatherer may do with searches that must not run twice, across crashes and restarts: whether
 // one that comes may be sent, must be answered from what is known of an earlier one with the same key, or must be answered that
 // nobody knows. It owns the table of these searches, does no I/O, reads no clock, starts no goroutine, and is one goroutine's at
 // a time. What must be written down first is told to its caller, who writes it.
@@ -13,7 +13,7 @@
 //
 // The one rule behind all: a state is on the disk before what it permits is done. Only an intent permits anything, so only an
 // intent is waited for; a later state that is lost in a crash leaves the search doubtful, which is always honest.
-package recovery
+package idempotency
 
 import (
 	"container/heap"
--- a/recovery/recovery_test.go
+++ b/idempotency/recovery_test.go
@@ -1,4 +1,4 @@
-package recovery
+package idempotency
 
 import (
 	"bytes"
--- a/internal/cli/store.go
+++ b/internal/cli/store.go
@@ -13,8 +13,8 @@
 	"github.com/spf13/cobra"
 
 	"oxbowspan/gatherer"
+	"oxbowspan/idempotency"
 	"oxbowspan/internal/command"
-	"oxbowspan/recovery"
 	"oxbowspan/store"
 )
 
@@ -185,7 +185,7 @@
 
 func describe(t store.Table, v []byte) string {
 	if t == gatherer.TableSearches {
-		if text, err := recovery.Describe(v); err == nil {
+		if text, err := idempotency.Describe(v); err == nil {
 			return text
 		}
 	}
