--- a/gatherer/conns.go
+++ b/gatherer/conns.go
@@ -16,11 +16,11 @@
 	"time"
 
 	"oxbowspan/balancer"
-	"oxbowspan/budget"
 	"oxbowspan/connadmission"
 	"oxbowspan/internal/operator"
 	"oxbowspan/internal/park"
 	"oxbowspan/internal/wheel"
+	"oxbowspan/memorybudget"
 )
 
 // listener keeps the clients' share of the descriptors, and what of them is idle without a goroutine. Who makes room, wakes or
@@ -36,7 +36,7 @@
 	mu    sync.Mutex
 	room  sync.Cond
 	who   *connadmission.Admission
-	held  *budget.Ledger
+	held  *memorybudget.Ledger
 	conns []held    // by admit.ID, as many as there were at once; a place is empty once its connection has ended
 	set   *park.Set // nil = idle connections keep their goroutines
 	over  bool      // closed
@@ -57,7 +57,7 @@
 	share     int       // descriptors for clients
 	customers []float64 // shares of the customers
 	awake     int       // open requests up to which a parked connection may wake; 0 = no limit
-	held      *budget.Ledger
+	held      *memorybudget.Ledger
 	doors     operator.Connections
 }
 
@@ -102,7 +102,7 @@
 		Crowded: cmp.Or(t.doors.Crowd, max(t.share/crowdedPart, 1)), Linger: connadmission.Time(linger.Milliseconds()), MostIdle: max(t.awake, mostIdle)})}
 	k.room.L = &k.mu
 	if k.held == nil {
-		k.held = budget.New(budget.Figures{}, nil)
+		k.held = memorybudget.New(memorybudget.Figures{}, nil)
 	}
 	grace := connadmission.Time(t.doors.Grace.Milliseconds())
 	k.pace = [phases]connadmission.Pace{readsHead: {Rate: t.doors.HeadRate, Grace: grace}, readsBody: {Rate: t.doors.BodyRate, Grace: grace},
@@ -133,7 +133,7 @@
 	return time.Duration(l.who.Linger(l.tight())) * time.Millisecond
 }
 
-func (l *listener) tight() bool { return l.held.Pressure() >= budget.Tight }
+func (l *listener) tight() bool { return l.held.Pressure() >= memorybudget.Tight }
 
 // parks lets idle connections wait without a goroutine from now on, where the system can.
 // A parked one is closed after idle, unless that is 0.
@@ -276,9 +276,9 @@
 	l.mu.Lock()
 	var other *clientConn
 	other, c.over = l.makeRoom()
-	granted := l.held.Take(budget.Awake, awakeHolds)
+	granted := l.held.Take(memorybudget.Awake, awakeHolds)
 	if !granted {
-		l.held.Force(budget.Awake, awakeHolds) // until it is parked or shed
+		l.held.Force(memorybudget.Awake, awakeHolds) // until it is parked or shed
 	}
 	door := l.who.Arrives(granted, l.tight())
 	c.id = l.who.Came(l.now())
@@ -361,8 +361,8 @@
 	}
 	l.conns[c.id] = h
 	l.who.Parks(c.id)
-	l.held.Give(budget.Awake, awakeHolds)
-	l.held.Force(budget.Parked, parkedHolds)
+	l.held.Give(memorybudget.Awake, awakeHolds)
+	l.held.Force(memorybudget.Parked, parkedHolds)
 	return true
 }
 
@@ -395,10 +395,10 @@
 		l.endParked(id, endReset)
 	case waiting:
 		// Turned away here, before it costs a goroutine and buffers: given up, so answered at once.
-		if !l.held.Take(budget.Awake, awakeHolds) {
+		if !l.held.Take(memorybudget.Awake, awakeHolds) {
 			l.refuses(id)
 		} else if !l.who.Wake(id) {
-			l.held.Give(budget.Awake, awakeHolds)
+			l.held.Give(memorybudget.Awake, awakeHolds)
 			l.refuses(id)
 		} else {
 			l.wakeHeld(id)
@@ -413,7 +413,7 @@
 // wake hands a parked connection to net/http again, whatever memory is held: a request waits on it that is not to be closed
 // upon.
 func (l *listener) wake(id connadmission.ID) {
-	l.held.Force(budget.Awake, awakeHolds)
+	l.held.Force(memorybudget.Awake, awakeHolds)
 	l.wakeHeld(id)
 }
 
@@ -424,7 +424,7 @@
 	raw, err := l.set.Unpark(int(h.fd))
 	if err != nil {
 		slog.Warn("client_not_woken", "error", err)
-		l.held.Give(budget.Awake, awakeHolds)
+		l.held.Give(memorybudget.Awake, awakeHolds)
 		l.refuses(id)
 		return
 	}
@@ -432,7 +432,7 @@
 	c := &clientConn{Conn: raw, l: l, id: id, began: time.UnixMilli(h.began), requests: int(h.requests), woken: true}
 	c.begun.Store(true)
 	l.conns[id] = held{c: c}
-	l.held.Give(budget.Parked, parkedHolds)
+	l.held.Give(memorybudget.Parked, parkedHolds)
 	l.who.Asks(id) // a request is on its way: it is not closed to make room
 	l.woken.put(c)
 }
@@ -469,9 +469,9 @@
 	l.unlimit(id)
 	l.who.Gone(id)
 	if l.conns[id].fd != 0 {
-		l.held.Give(budget.Parked, parkedHolds)
+		l.held.Give(memorybudget.Parked, parkedHolds)
 	} else {
-		l.held.Give(budget.Awake, awakeHolds)
+		l.held.Give(memorybudget.Awake, awakeHolds)
 	}
 	l.conns[id] = held{}
 	l.room.Signal()
--- a/gatherer/front.go
+++ b/gatherer/front.go
@@ -18,9 +18,9 @@
 	"time"
 
 	"oxbowspan/balancer"
-	"oxbowspan/budget"
 	"oxbowspan/connadmission"
 	"oxbowspan/internal/operator"
+	"oxbowspan/memorybudget"
 )
 
 // mostBody is the most that a request's body may have, mostHead its head.
@@ -40,7 +40,7 @@
 	known    func(queryType string) bool
 	longest  time.Duration // client timeout
 	advice   balancer.Time // to clients that are shed here; 0 = none
-	held     *budget.Ledger
+	held     *memorybudget.Ledger
 	customer func(name string) connadmission.Customer
 	shares   []float64 // the customers' shares of searches
 	awake    int       // connections that memory lets be awake at once; 0 = no limit
@@ -51,7 +51,7 @@
 
 type connKey struct{}
 
-func newFront(t *transport, longest time.Duration, held *budget.Ledger) *front {
+func newFront(t *transport, longest time.Duration, held *memorybudget.Ledger) *front {
 	f := &front{longest: longest, held: held, known: t.known, customer: t.customer, advice: t.d.Facts.MaxRetryAfter}
 	for _, c := range t.d.Facts.Customers {
 		f.shares = append(f.shares, c.QuotaPerSecond)
@@ -133,13 +133,13 @@
 		advise(w.Header(), f.advice)
 		http.Error(w, "too many connections, asking again is harmless", http.StatusServiceUnavailable)
 		return
-	case !f.held.Take(budget.Bodies, budget.Bytes(bodyTimes*size)):
+	case !f.held.Take(memorybudget.Bodies, memorybudget.Bytes(bodyTimes*size)):
 		end(endOverLimit)
 		advise(w.Header(), f.advice)
 		http.Error(w, "too much is held, asking again is harmless", http.StatusServiceUnavailable)
 		return
 	}
-	defer f.held.Give(budget.Bodies, budget.Bytes(bodyTimes*size))
+	defer f.held.Give(memorybudget.Bodies, memorybudget.Bytes(bodyTimes*size))
 	if c != nil {
 		c.l.searches(c, f.customer(r.Header.Get("Req-Owner")))
 		c.l.enter(c, readsBody)
--- a/gatherer/gatherer.go
+++ b/gatherer/gatherer.go
@@ -21,12 +21,12 @@
 	"sync"
 
 	"oxbowspan/balancer"
-	"oxbowspan/budget"
 	"oxbowspan/internal/admin"
 	"oxbowspan/internal/discovery"
 	"oxbowspan/internal/facts"
 	"oxbowspan/internal/operator"
 	"oxbowspan/internal/peer"
+	"oxbowspan/memorybudget"
 	"oxbowspan/merge"
 )
 
@@ -212,7 +212,7 @@
 	front  *front
 	proxy  *transport
 	module *module
-	held   *budget.Ledger
+	held   *memorybudget.Ledger
 	d      facts.Deployment
 	known  discovery.List
 	counts counts
@@ -224,7 +224,7 @@
 	if err != nil {
 		return nil, err
 	}
-	g := &Gatherer{setup: s, d: d, held: budget.New(budget.Figures{}, memoryTurned)}
+	g := &Gatherer{setup: s, d: d, held: memorybudget.New(memorybudget.Figures{}, memoryTurned)}
 	if len(s.Known) > 0 && string(s.Known) != "null" {
 		var err error
 		if g.known, err = discovery.Parse(s.Known, g.fits); err != nil {
@@ -234,13 +234,13 @@
 	_, servers := s.Limits.split()
 	box := mailbox{make(chan any, mailboxSize), make(chan struct{})}
 	g.module = &module{mailbox: box, d: d, clock: newClock(), brain: balancer.New(d.Facts), budget: newDescriptors(servers), merges: &merge.Budget{},
-		memory: g.held, expect: budget.NewExpect(len(d.QueryTypes), firstValue),
+		memory: g.held, expect: memorybudget.NewExpect(len(d.QueryTypes), firstValue),
 		figures: peer.Figures{ConnectTimeout: d.ConnectTimeout, IdleClose: d.IdleClose, Streams: d.Streams,
-			PartsPerCall: d.PartsPerCall, LoadProbes: d.ReportsByProbe, Reports: len(d.Reports) > 0, Memory: accountOf{g.held, budget.Servers}},
+			PartsPerCall: d.PartsPerCall, LoadProbes: d.ReportsByProbe, Reports: len(d.Reports) > 0, Memory: accountOf{g.held, memorybudget.Servers}},
 		searches: map[balancer.RequestID]*search{}, parts: map[balancer.ShardCallID]*part{}, wires: map[string]int{},
 		servers: map[balancer.ServerID]*server{}, ids: map[string]balancer.ServerID{}, ended: make(chan struct{})}
 	g.module.counts = &g.counts
-	g.module.merges.Under(accountOf{g.held, budget.Merges})
+	g.module.merges.Under(accountOf{g.held, memorybudget.Merges})
 	g.proxy = newTransport(d, box, g.held)
 	if o := s.storing(); o != nil {
 		g.proxy.keyHeader = o.KeyHeader
--- a/gatherer/limits.go
+++ b/gatherer/limits.go
@@ -7,8 +7,8 @@
 	"runtime/debug"
 	"sync/atomic"
 
-	"oxbowspan/budget"
 	"oxbowspan/internal/operator"
+	"oxbowspan/memorybudget"
 )
 
 // Limits are what the machine grants, in whatever form a number takes. Zero means not stated.
@@ -69,12 +69,12 @@
 )
 
 // ledger is what all work together may hold. Without a section [memory] bodies have their own limit, and nothing else has one.
-func (l Limits) ledger(m *operator.Memory) budget.Figures {
-	sum := budget.Bytes(0)
+func (l Limits) ledger(m *operator.Memory) memorybudget.Figures {
+	sum := memorybudget.Bytes(0)
 	if m != nil {
-		sum = cmp.Or(budget.Bytes(m.Limit), budget.SumFor(budget.Bytes(l.MemoryMB*(1<<20))))
+		sum = cmp.Or(memorybudget.Bytes(m.Limit), memorybudget.SumFor(memorybudget.Bytes(l.MemoryMB*(1<<20))))
 	}
-	return budget.For(sum, bodyTimes*budget.Bytes(l.bodies()))
+	return memorybudget.For(sum, bodyTimes*memorybudget.Bytes(l.bodies()))
 }
 
 // Apply sets the Go runtime to the limits; it is for a program, not for an embedder's process.
--- a/gatherer/memory.go
+++ b/gatherer/memory.go
@@ -5,22 +5,22 @@
 	"runtime/metrics"
 	"time"
 
-	"oxbowspan/budget"
+	"oxbowspan/memorybudget"
 )
 
 // memoryTurned logs a change of pressure.
-func memoryTurned(from, to budget.Pressure, s budget.State) {
+func memoryTurned(from, to memorybudget.Pressure, s memorybudget.State) {
 	level := slog.LevelInfo
-	if to == budget.Full {
+	if to == memorybudget.Full {
 		level = slog.LevelWarn
 	}
 	slog.Log(nil, level, "memory_pressure", append([]any{"from", from.String(), "to", to.String()}, heldFields(s)...)...)
 }
 
 // heldFields are a ledger's figures, in bytes.
-func heldFields(s budget.State) []any {
+func heldFields(s memorybudget.State) []any {
 	out := []any{"held", int64(s.Sum), "most", int64(s.Most), "peak", int64(s.Peak)}
-	for a := range budget.Accounts {
+	for a := range memorybudget.Accounts {
 		out = append(out, a.String(), int64(s.Held[a]))
 	}
 	refused := int64(0)
@@ -31,7 +31,7 @@
 }
 
 // reportMemory logs what is held until done, so often.
-func reportMemory(l *budget.Ledger, every time.Duration, done <-chan struct{}) {
+func reportMemory(l *memorybudget.Ledger, every time.Duration, done <-chan struct{}) {
 	tick := time.NewTicker(every)
 	defer tick.Stop()
 	samples := []metrics.Sample{{Name: "/memory/classes/heap/objects:bytes"}, {Name: "/memory/classes/heap/stacks:bytes"},
@@ -57,10 +57,10 @@
 
 // accountOf hands one account of a ledger to what knows no ledger: merges and servers' connections.
 type accountOf struct {
-	l *budget.Ledger
-	a budget.Account
+	l *memorybudget.Ledger
+	a memorybudget.Account
 }
 
-func (x accountOf) Take(n int64) bool { return x.l.Take(x.a, budget.Bytes(n)) }
-func (x accountOf) Force(n int64)     { x.l.Force(x.a, budget.Bytes(n)) }
-func (x accountOf) Give(n int64)      { x.l.Give(x.a, budget.Bytes(n)) }
+func (x accountOf) Take(n int64) bool { return x.l.Take(x.a, memorybudget.Bytes(n)) }
+func (x accountOf) Force(n int64)     { x.l.Force(x.a, memorybudget.Bytes(n)) }
+func (x accountOf) Give(n int64)      { x.l.Give(x.a, memorybudget.Bytes(n)) }
--- a/gatherer/module.go
+++ b/gatherer/module.go
@@ -7,12 +7,12 @@
 	"time"
 
 	"oxbowspan/balancer"
-	"oxbowspan/budget"
 	"oxbowspan/idempotency"
 	"oxbowspan/internal/admin"
 	"oxbowspan/internal/discovery"
 	"oxbowspan/internal/facts"
 	"oxbowspan/internal/peer"
+	"oxbowspan/memorybudget"
 	"oxbowspan/merge"
 )
 
@@ -32,11 +32,11 @@
 	// The module's actor's.
 	id    balancer.RequestID
 	parts []*part
-	merge *merge.Merge // with query; closed by whoever makes the answer of it, else by this actor
-	over  bool         // its final answer is given, or its client has left
-	left  bool         // its client has left
-	holds budget.Bytes // in the account of searches
-	inUse budget.Bytes // of that, by values that are in and the search itself
+	merge *merge.Merge       // with query; closed by whoever makes the answer of it, else by this actor
+	over  bool               // its final answer is given, or its client has left
+	left  bool               // its client has left
+	holds memorybudget.Bytes // in the account of searches
+	inUse memorybudget.Bytes // of that, by values that are in and the search itself
 
 	// Of a search that must not run twice, where there is a store.
 	key        idempotency.Key // "" = it may
@@ -74,9 +74,9 @@
 	whole      bool
 	retryAfter balancer.Time
 	values     []value
-	merge      *merge.Merge // replyMerged; to be closed
-	text       []byte       // the answer's text, where it is made already
-	holds      budget.Bytes // replyAnswer: in the account of answers, until it is written
+	merge      *merge.Merge       // replyMerged; to be closed
+	text       []byte             // the answer's text, where it is made already
+	holds      memorybudget.Bytes // replyAnswer: in the account of answers, until it is written
 }
 
 type replyKind uint8
@@ -121,8 +121,8 @@
 	ready    int           // servers listed
 	timers   timerHeap     // emptied as they fire: a search's are over soon after its time
 	merges   *merge.Budget // what open merges hold together
-	memory   *budget.Ledger
-	expect   *budget.Expect
+	memory   *memorybudget.Ledger
+	expect   *memorybudget.Expect
 
 	keptAt      balancer.Time       // when what was learned was last written
 	levels      *levels             // nil = service is never reduced
@@ -231,7 +231,7 @@
 		}
 		select {
 		case r := <-e.s.reply: // nobody will take it
-			m.memory.Give(budget.Answers, r.holds)
+			m.memory.Give(memorybudget.Answers, r.holds)
 		default:
 		}
 	case ended:
@@ -406,9 +406,9 @@
 	}
 	// Set aside now, while turning it away is harmless: values that come cannot be refused.
 	// Each part's frame holds the text again.
-	s.inUse = searchHolds + budget.Bytes(len(s.asked))*(partHolds+budget.Bytes(len(s.text)))
-	s.holds = s.inUse + budget.Bytes(len(s.asked))*m.expect.Each(int(s.typ))
-	if !m.memory.Take(budget.Searches, s.holds) {
+	s.inUse = searchHolds + memorybudget.Bytes(len(s.asked))*(partHolds+memorybudget.Bytes(len(s.text)))
+	s.holds = s.inUse + memorybudget.Bytes(len(s.asked))*m.expect.Each(int(s.typ))
+	if !m.memory.Take(memorybudget.Searches, s.holds) {
 		s.over = true
 		m.unsent(s)
 		s.reply <- reply{kind: replyShed, retryAfter: m.d.Facts.MaxRetryAfter}
@@ -418,7 +418,7 @@
 		var err error
 		if s.merge, err = merge.New(s.query, m.merges); err != nil {
 			s.over = true
-			m.memory.Give(budget.Searches, s.holds)
+			m.memory.Give(memorybudget.Searches, s.holds)
 			s.reply <- reply{kind: replyShed, retryAfter: m.d.Facts.MaxRetryAfter}
 			return
 		}
@@ -452,7 +452,7 @@
 	s.out--
 	if e.Outcome == balancer.Answered && !p.s.over && !p.in {
 		p.in, p.value = true, e.Value
-		m.holdValue(p.s, budget.Bytes(len(e.Value)))
+		m.holdValue(p.s, memorybudget.Bytes(len(e.Value)))
 		m.merged(p, e.Result)
 	} else if e.Unfit && !p.s.over && !p.in {
 		p.s.merge.Spoilt(merge.Segment(p.shard))
@@ -463,11 +463,11 @@
 }
 
 // holdValue accounts for a value that is in: out of what was set aside, and beyond that whatever is held, as it is here.
-func (m *module) holdValue(s *search, n budget.Bytes) {
+func (m *module) holdValue(s *search, n memorybudget.Bytes) {
 	m.expect.Saw(int(s.typ), n)
 	s.inUse += n
 	if more := s.inUse - s.holds; more > 0 {
-		m.memory.Force(budget.Searches, more)
+		m.memory.Force(memorybudget.Searches, more)
 		s.holds += more
 	}
 }
@@ -494,10 +494,10 @@
 		for _, p := range s.parts {
 			if p.in {
 				r.values = append(r.values, value{p.shard, p.value})
-				r.holds += 2*budget.Bytes(len(p.value)) + valueHolds // as it came, and in the answer's text
+				r.holds += 2*memorybudget.Bytes(len(p.value)) + valueHolds // as it came, and in the answer's text
 			}
 		}
-		m.memory.Force(budget.Answers, r.holds)
+		m.memory.Force(memorybudget.Answers, r.holds)
 	}
 	m.finish(a.Request, r)
 }
@@ -523,7 +523,7 @@
 
 func (m *module) close(s *search) {
 	s.over = true
-	m.memory.Give(budget.Searches, s.holds)
+	m.memory.Give(memorybudget.Searches, s.holds)
 	s.holds = 0
 	m.held -= 1 + len(s.parts)
 	delete(m.searches, s.id)
--- a/gatherer/program_test.go
+++ b/gatherer/program_test.go
@@ -20,11 +20,11 @@
 	"time"
 
 	"oxbowspan/balancer"
-	"oxbowspan/budget"
 	"oxbowspan/internal/discovery"
 	"oxbowspan/internal/facts"
 	"oxbowspan/internal/frame"
 	"oxbowspan/internal/testing/standin"
+	"oxbowspan/memorybudget"
 )
 
 func TestSearchIsAnsweredOverOneKeptConnection(t *testing.T) {
@@ -795,10 +795,10 @@
 }
 
 // ledgerOf is a ledger that lets bodies hold so much; 0 = any.
-func ledgerOf(bodies budget.Bytes) *budget.Ledger {
-	var f budget.Figures
-	f.Shares[budget.Bodies].Most = bodies
-	return budget.New(f, nil)
+func ledgerOf(bodies memorybudget.Bytes) *memorybudget.Ledger {
+	var f memorybudget.Figures
+	f.Shares[memorybudget.Bodies].Most = bodies
+	return memorybudget.New(f, nil)
 }
 
 // What clients hold for requests and a connection to each server of a fleet both fit into the descriptors.
--- a/gatherer/roundtrip.go
+++ b/gatherer/roundtrip.go
@@ -19,11 +19,11 @@
 	"github.com/zeebo/blake3"
 
 	"oxbowspan/balancer"
-	"oxbowspan/budget"
 	"oxbowspan/connadmission"
 	"oxbowspan/idempotency"
 	"oxbowspan/internal/facts"
 	"oxbowspan/internal/operator"
+	"oxbowspan/memorybudget"
 	"oxbowspan/merge"
 )
 
@@ -34,12 +34,12 @@
 	types     map[string]balancer.QueryType
 	customers map[string]balancer.CustomerIndex
 	module    mailbox
-	held      *budget.Ledger
+	held      *memorybudget.Ledger
 	keyHeader string                           // where clients name searches that must not run twice; "" = nothing is kept of them
 	merging   atomic.Pointer[operator.Merging] // nil = nothing is merged
 }
 
-func newTransport(d facts.Deployment, m mailbox, held *budget.Ledger) *transport {
+func newTransport(d facts.Deployment, m mailbox, held *memorybudget.Ledger) *transport {
 	t := &transport{d: d, types: map[string]balancer.QueryType{}, customers: map[string]balancer.CustomerIndex{}, module: m, held: held}
 	for i, name := range d.QueryTypes {
 		t.types[name] = balancer.QueryType(i)
@@ -257,9 +257,9 @@
 			return plain(r, http.StatusGatewayTimeout, "the search could not be answered: "+err.Error())
 		}
 		b := answer.JSON(nil)
-		t.held.Force(budget.Answers, budget.Bytes(len(b)))
+		t.held.Force(memorybudget.Answers, memorybudget.Bytes(len(b)))
 		res := response(r, http.StatusOK, "application/json", b)
-		res.Body = t.holding(res.Body, budget.Bytes(len(b)))
+		res.Body = t.holding(res.Body, memorybudget.Bytes(len(b)))
 		return res
 	}
 	b := a.text
@@ -288,8 +288,8 @@
 }
 
 // holding gives back what an answer holds once it is written, or its client is gone.
-func (t *transport) holding(b io.ReadCloser, n budget.Bytes) io.ReadCloser {
-	return &heldBody{ReadCloser: b, done: sync.OnceFunc(func() { t.held.Give(budget.Answers, n) })}
+func (t *transport) holding(b io.ReadCloser, n memorybudget.Bytes) io.ReadCloser {
+	return &heldBody{ReadCloser: b, done: sync.OnceFunc(func() { t.held.Give(memorybudget.Answers, n) })}
 }
 
 type heldBody struct {
--- a/gatherer/slow_test.go
+++ b/gatherer/slow_test.go
@@ -19,9 +19,9 @@
 
 	"golang.org/x/sys/unix"
 
-	"oxbowspan/budget"
 	"oxbowspan/internal/operator"
 	"oxbowspan/internal/testing/standin"
+	"oxbowspan/memorybudget"
 )
 
 // logLines is what the program logs, one line at a time.
@@ -323,13 +323,13 @@
 }
 
 // memoryRig has a ledger of its own.
-func memoryRig(t *testing.T, f budget.Figures, park bool) (*parkRig, *budget.Ledger) {
+func memoryRig(t *testing.T, f memorybudget.Figures, park bool) (*parkRig, *memorybudget.Ledger) {
 	t.Helper()
 	nl, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	held := budget.New(f, nil)
+	held := memorybudget.New(f, nil)
 	by := terms{share: 400, held: held}
 	if park {
 		return startRigOn(t, nl, by, 0), held
@@ -340,7 +340,7 @@
 // All wake where memory allows a few: those beyond are answered 503 at once, and the sum is never passed.
 func TestWakingKeepsWithinTheMemory(t *testing.T) {
 	const n, room = 60, 10
-	f := budget.Figures{Most: room*awakeHolds + n*parkedHolds}
+	f := memorybudget.Figures{Most: room*awakeHolds + n*parkedHolds}
 	r, held := memoryRig(t, f, true)
 	var all []*rigClient
 	for range n {
@@ -352,7 +352,7 @@
 		}
 	}
 	r.awaitParked(n)
-	if s := held.State(); s.Held[budget.Awake] != 0 || s.Held[budget.Parked] != n*parkedHolds {
+	if s := held.State(); s.Held[memorybudget.Awake] != 0 || s.Held[memorybudget.Parked] != n*parkedHolds {
 		t.Errorf("with all parked: %+v", s)
 	}
 	var mu sync.Mutex
@@ -373,7 +373,7 @@
 		}()
 	}
 	r.until("turned away", func() bool { mu.Lock(); defer mu.Unlock(); return got[503] >= n-room-1 })
-	if s := held.State(); s.Peak > f.Most || s.Forced > 0 || s.Refused[budget.Awake] == 0 {
+	if s := held.State(); s.Peak > f.Most || s.Forced > 0 || s.Refused[memorybudget.Awake] == 0 {
 		t.Errorf("while all wake: %+v", s)
 	}
 	close(r.gate)
@@ -390,7 +390,7 @@
 // Without parking, connections beyond the memory are shed, and idle ones are told to close once it is tight.
 func TestKeptConnectionsKeepWithinTheMemory(t *testing.T) {
 	const room = 10
-	r, held := memoryRig(t, budget.Figures{Most: room * awakeHolds}, false)
+	r, held := memoryRig(t, memorybudget.Figures{Most: room * awakeHolds}, false)
 	var told, over int
 	for i := range room + 3 {
 		c := r.dial()
--- a/budget/budget.go
+++ b/memorybudget/budget.go
@@ -1,4 +1,4 @@
-// Package budget accounts for the memory that a gatherer's work holds, in one sum: connections, requests' bodies, open
+// Package memorybudget accounts for the memory that a gatherer's work holds, in one sum: connections, requests' bodies, open
 // searches, merges, answers and servers' connections. It decides who may hold more. It owns its figures alone, does no I/O,
 // reads no clock, starts no goroutine, and may be used from several goroutines.
 //
@@ -6,7 +6,7 @@
 // first. So merges of wide lists, or desks that all wake, cannot take the last bytes that plain look-ups need.
 //
 // Figures are estimates of what work holds, not of what the runtime has mapped: see Figures.Most.
-package budget
+package memorybudget
 
 import (
 	"fmt"
--- a/budget/budget_test.go
+++ b/memorybudget/budget_test.go
@@ -1,4 +1,4 @@
-package budget
+package memorybudget
 
 import (
 	"slices"
--- a/budget/expect.go
+++ b/memorybudget/expect.go
@@ -1,4 +1,4 @@
-package budget
+package memorybudget
 
 // Expect learns how much a part's value is likely to take, by query type, so that a search can be turned away before its
 // parts are sent rather than when their values, which cannot be refused any more, are there. It is one goroutine's at a
--- a/budget/figures.go
+++ b/memorybudget/figures.go
@@ -1,4 +1,4 @@
-package budget
+package memorybudget
 
 // Base is what a gatherer holds that does no work: text, runtime, tables.
 const Base Bytes = 16 << 20
