--- a/internal/cli/level.go
+++ b/internal/cli/level.go
@@ -21,7 +21,7 @@
 	"oxbowspan/gatherer"
 	"oxbowspan/internal/admin"
 	"oxbowspan/internal/command"
-	"oxbowspan/internal/spark"
+	"oxbowspan/internal/sparkline"
 )
 
 // newLevel looks at and pins the level of a running gatherer, and plays levels on recorded signals.
@@ -249,6 +249,6 @@
 		}
 		chart = append(chart, float64(worst))
 	}
-	fmt.Fprintf(out, "%d changes in %.0f s, %d a minute are possible at the most\n%s\n", changes, float64(last-began)/1000, f.MostChanges(), spark.Line(chart))
+	fmt.Fprintf(out, "%d changes in %.0f s, %d a minute are possible at the most\n%s\n", changes, float64(last-began)/1000, f.MostChanges(), sparkline.Line(chart))
 	return nil
 }
--- a/internal/watch/watch.go
+++ b/internal/watch/watch.go
@@ -11,7 +11,7 @@
 	"github.com/charmbracelet/lipgloss"
 
 	"oxbowspan/internal/admin"
-	"oxbowspan/internal/spark"
+	"oxbowspan/internal/sparkline"
 )
 
 // Run shows a source until the operator quits or it ends.
@@ -135,7 +135,7 @@
 		if x.Known {
 			value = fmt.Sprintf("%9.3f", x.Value)
 		}
-		fmt.Fprintf(&b, "  %-13s %-9s %s\n", x.Name, value, spark.Line(m.history["signal "+x.Name]))
+		fmt.Fprintf(&b, "  %-13s %-9s %s\n", x.Name, value, sparkline.Line(m.history["signal "+x.Name]))
 	}
 	for _, x := range s.Segments {
 		fmt.Fprintf(&b, "  segment %d: %s\n", x.Segment, worse.Render(x.Level))
@@ -167,7 +167,7 @@
 		if x.State != "ready" {
 			state = bad.Render(fmt.Sprintf("%-8s", x.State))
 		}
-		fmt.Fprintf(&b, "    %-16s %s out %3d  %7.1f ms  failing %.2f  %s\n", clip(x.Host, 16), state, x.Out, x.Millis, x.Failing, spark.Line(m.history["server "+x.Host]))
+		fmt.Fprintf(&b, "    %-16s %s out %3d  %7.1f ms  failing %.2f  %s\n", clip(x.Host, 16), state, x.Out, x.Millis, x.Failing, sparkline.Line(m.history["server "+x.Host]))
 	}
 	for i, c := range s.Changes {
 		if i >= len(s.Changes)-5 {
