--- a/gatherer/conns.go
+++ b/gatherer/conns.go
@@ -19,7 +19,7 @@
 	"oxbowspan/connadmission"
 	"oxbowspan/internal/operator"
 	"oxbowspan/internal/park"
-	"oxbowspan/internal/wheel"
+	"oxbowspan/internal/timerwheel"
 	"oxbowspan/memorybudget"
 )
 
@@ -41,11 +41,11 @@
 	set   *park.Set // nil = idle connections keep their goroutines
 	over  bool      // closed
 
-	gaveUp int           // connections parked since memory was last given back
-	back   *time.Timer   // gives it back
-	idle   time.Duration // that a connection may be parked; 0 = any
-	limits *wheel.Wheel  // idle limits of the parked, least rates of the others; in ticks since began. nil = there are none
-	timer  *time.Timer   // for the first of them
+	gaveUp int               // connections parked since memory was last given back
+	back   *time.Timer       // gives it back
+	idle   time.Duration     // that a connection may be parked; 0 = any
+	limits *timerwheel.Wheel // idle limits of the parked, least rates of the others; in ticks since began. nil = there are none
+	timer  *time.Timer       // for the first of them
 
 	pace       [phases]connadmission.Pace
 	keepAlive  time.Duration // a silent peer is asked after so long; 0 = the system's way
@@ -63,13 +63,13 @@
 
 // held is one client's connection: served by net/http, or parked. 40 bytes.
 type held struct {
-	c        *clientConn  // nil = parked, or nobody
-	began    int64        // parked: Unix milliseconds
-	fd       int32        // parked: its descriptor; 0 = it is not
-	requests int32        // parked: none so far = it has never spoken
-	limit    wheel.Handle // parked: its idle limit, else its least rate's; 0 = none
-	ip       [4]byte      // parked: its client's, as a socket that broke does not know it any more
-	port     uint16       // 0 = not of IPv4
+	c        *clientConn       // nil = parked, or nobody
+	began    int64             // parked: Unix milliseconds
+	fd       int32             // parked: its descriptor; 0 = it is not
+	requests int32             // parked: none so far = it has never spoken
+	limit    timerwheel.Handle // parked: its idle limit, else its least rate's; 0 = none
+	ip       [4]byte           // parked: its client's, as a socket that broke does not know it any more
+	port     uint16            // 0 = not of IPv4
 }
 
 // client is a parked connection's other side, for the log.
@@ -121,7 +121,7 @@
 // limit makes the wheel and its timer.
 func (l *listener) limit() {
 	if l.limits == nil {
-		l.limits = wheel.New(0)
+		l.limits = timerwheel.New(0)
 		l.timer = time.AfterFunc(time.Hour, l.turn)
 	}
 }
--- a/internal/wheel/wheel.go
+++ b/internal/timerwheel/wheel.go
@@ -1,10 +1,10 @@
-// Package wheel is a hierarchical timing wheel: many time limits, most of which are cancelled before they come, in a few
+// Package timerwheel is a hierarchical timing wheel: many time limits, most of which are cancelled before they come, in a few
 // bytes each and without a runtime timer. It owns its entries alone, does no I/O, and is told the time by whoever turns
 // it. It is one goroutine's at a time.
 //
 // Moments are whole ticks of the owner's choosing. Four levels of 64 slots reach 16.7 million ticks ahead; what lies further is
 // kept in the last level's furthest slot and placed anew when that comes round.
-package wheel
+package timerwheel
 
 import "math/bits"
 
--- a/internal/wheel/wheel_test.go
+++ b/internal/timerwheel/wheel_test.go
@@ -1,4 +1,4 @@
-package wheel
+package timerwheel
 
 import (
 	"container/heap"
