--- a/gatherer/conns.go
+++ b/gatherer/conns.go
@@ -17,8 +17,8 @@
 
 	"oxbowspan/balancer"
 	"oxbowspan/connadmission"
+	"oxbowspan/internal/idleconn"
 	"oxbowspan/internal/operator"
-	"oxbowspan/internal/park"
 	"oxbowspan/internal/timerwheel"
 	"oxbowspan/memorybudget"
 )
@@ -37,9 +37,9 @@
 	room  sync.Cond
 	who   *connadmission.Admission
 	held  *memorybudget.Ledger
-	conns []held    // by admit.ID, as many as there were at once; a place is empty once its connection has ended
-	set   *park.Set // nil = idle connections keep their goroutines
-	over  bool      // closed
+	conns []held        // by admit.ID, as many as there were at once; a place is empty once its connection has ended
+	set   *idleconn.Set // nil = idle connections keep their goroutines
+	over  bool          // closed
 
 	gaveUp int               // connections parked since memory was last given back
 	back   *time.Timer       // gives it back
@@ -75,7 +75,7 @@
 // client is a parked connection's other side, for the log.
 func (h held) client() string {
 	if h.port == 0 {
-		return park.RemoteAddr(int(h.fd))
+		return idleconn.RemoteAddr(int(h.fd))
 	}
 	return netip.AddrPortFrom(netip.AddrFrom4(h.ip), h.port).String()
 }
@@ -138,7 +138,7 @@
 // parks lets idle connections wait without a goroutine from now on, where the system can.
 // A parked one is closed after idle, unless that is 0.
 func (l *listener) parks(advice balancer.Time, idle time.Duration) {
-	set, err := park.New(l.wakes)
+	set, err := idleconn.New(l.wakes)
 	if err != nil {
 		slog.Warn("parking_off", "error", err)
 		return
@@ -196,7 +196,7 @@
 
 // endUnlessAsked closes a parked connection, or wakes it if a request waits on it already.
 func (l *listener) endUnlessAsked(id connadmission.ID, why string) {
-	if waiting, _ := park.Peek(int(l.conns[id].fd)); waiting {
+	if waiting, _ := idleconn.Peek(int(l.conns[id].fd)); waiting {
 		l.wake(id)
 		return
 	}
@@ -223,7 +223,7 @@
 	for {
 		raw, err := l.Listener.Accept()
 		if err != nil {
-			if noDescriptor(err) && park.Acceptable(l.Listener) && l.spareOne() {
+			if noDescriptor(err) && idleconn.Acceptable(l.Listener) && l.spareOne() {
 				continue
 			}
 			return nil, err
@@ -388,7 +388,7 @@
 	if int(value) >= len(l.conns) || l.conns[value].fd != int32(fd) {
 		return // it has been ended or woken meanwhile
 	}
-	switch waiting, over := park.Peek(fd); {
+	switch waiting, over := idleconn.Peek(fd); {
 	case errors.Is(over, io.EOF):
 		l.endParked(id, endClient)
 	case over != nil:
--- a/gatherer/park_test.go
+++ b/gatherer/park_test.go
@@ -24,7 +24,7 @@
 	"golang.org/x/sys/unix"
 
 	"oxbowspan/connadmission"
-	"oxbowspan/internal/park"
+	"oxbowspan/internal/idleconn"
 	"oxbowspan/internal/testing/standin"
 )
 
@@ -289,7 +289,7 @@
 	r.l.mu.Lock()
 	fd := int(r.l.conns[place].fd)
 	c.send(request)
-	r.until("bytes waiting", func() bool { waiting, _ := park.Peek(fd); return waiting })
+	r.until("bytes waiting", func() bool { waiting, _ := idleconn.Peek(fd); return waiting })
 	done()
 	r.l.mu.Unlock()
 }
--- a/internal/park/park_linux.go
+++ b/internal/idleconn/park_linux.go
@@ -1,9 +1,9 @@
-// Package park keeps idle sockets without a goroutine, a buffer or a runtime timer: each is a descriptor in one epoll set
+// Package idleconn keeps idle sockets without a goroutine, a buffer or a runtime timer: each is a descriptor in one epoll set
 // and whatever its owner keeps of it. It owns the descriptors of what is parked, and one goroutine that waits for all of
 // them. It decides nothing: what wakes is told to its owner.
 //
 // The epoll descriptor itself waits in the runtime's poller, so that not even a thread is held.
-package park
+package idleconn
 
 import (
 	"errors"
