--- a/dataplane/loop.go
+++ b/dataplane/loop.go
@@ -10,7 +10,7 @@
 
 	"oxbowspan/balancer"
 	"oxbowspan/config"
-	"oxbowspan/internal/alarm"
+	"oxbowspan/internal/deadlineheap"
 	"oxbowspan/internal/settings"
 	"oxbowspan/outlier"
 	"oxbowspan/quota"
@@ -131,7 +131,7 @@
 	config           *config.Configuration
 	configText       []byte // its text, for gatherers that hear no hive
 	configSlot       uint64
-	timers           alarm.Heap[timerEvent] // emptied as they fire
+	timers           deadlineheap.Heap[timerEvent] // emptied as they fire
 	pendingEvents    []balancer.Event
 	subscribers      map[*rpc.Conn]bool
 	subscriptions    map[rendezvous.Name]*loadSubscription
