--- a/gatherer/front.go
+++ b/gatherer/front.go
@@ -52,8 +52,8 @@
 type connKey struct{}
 
 func newFront(t *transport, longest time.Duration, held *memorybudget.Ledger) *front {
-	f := &front{longest: longest, held: held, known: t.known, customer: t.customer, advice: t.d.Facts.MaxRetryAfter}
-	for _, c := range t.d.Facts.Customers {
+	f := &front{longest: longest, held: held, known: t.known, customer: t.customer, advice: t.d.Balancer.MaxRetryAfter}
+	for _, c := range t.d.Balancer.Customers {
 		f.shares = append(f.shares, c.QuotaPerSecond)
 	}
 	f.proxy = &httputil.ReverseProxy{
--- a/gatherer/gatherer.go
+++ b/gatherer/gatherer.go
@@ -22,8 +22,8 @@
 
 	"oxbowspan/balancer"
 	"oxbowspan/internal/admin"
+	"oxbowspan/internal/balancerconfig"
 	"oxbowspan/internal/discovery"
-	"oxbowspan/internal/facts"
 	"oxbowspan/internal/operator"
 	"oxbowspan/internal/peer"
 	"oxbowspan/memorybudget"
@@ -62,7 +62,7 @@
 }
 
 // deployment checks a setup and reads its settings.
-func (s Setup) deployment() (d facts.Deployment, err error) {
+func (s Setup) deployment() (d balancerconfig.Deployment, err error) {
 	if s.Listen == "" || s.Discovery == "" {
 		return d, errors.New("an address is missing: listen and discovery are both needed")
 	}
@@ -78,11 +78,11 @@
 	if len(s.Settings) == 0 {
 		return d, errors.New("settings are missing")
 	}
-	if d, err = facts.FromJSON(s.Settings, seed); err != nil {
+	if d, err = balancerconfig.FromJSON(s.Settings, seed); err != nil {
 		return d, err
 	}
-	for i := range d.Facts.QueryTypes {
-		q := &d.Facts.QueryTypes[i]
+	for i := range d.Balancer.QueryTypes {
+		q := &d.Balancer.QueryTypes[i]
 		if q.SecondPhaseCalls > 0 {
 			return d, fmt.Errorf("query type %q has a second step, which the protocol on sockets does not have", d.QueryTypes[i])
 		}
@@ -115,13 +115,13 @@
 }
 
 // joins checks what the operator's file says of the fleet against the configuration.
-func (s Setup) joins(d facts.Deployment) error {
+func (s Setup) joins(d balancerconfig.Deployment) error {
 	f, steward := s.Operator.Fleet, false
 	for _, a := range f.Stewards {
 		steward = steward || a.Name == s.Name
 	}
 	switch {
-	case !d.Peers:
+	case !d.AllowPeers:
 		return s.Operator.FleetFault("gatherers may not talk to each other here (limits.peers of the settings is not true)")
 	case steward && (f.Listen == "" || f.Path == ""):
 		return s.Operator.FleetFault("this gatherer is a steward, and needs listen, its address for the fleet, and path, where its log is kept")
@@ -130,7 +130,7 @@
 }
 
 // merges checks what the operator's file lets be merged against the settings.
-func (s Setup) merges(d facts.Deployment) error {
+func (s Setup) merges(d balancerconfig.Deployment) error {
 	m := s.merging()
 	if m == nil {
 		return nil
@@ -140,9 +140,9 @@
 		switch at := slices.Index(d.QueryTypes, name); {
 		case at < 0:
 			errs = append(errs, s.Operator.TypeFault(name, "is no query type of the settings"))
-		case d.Facts.QueryTypes[at].Idempotency != balancer.Idempotent:
+		case d.Balancer.QueryTypes[at].Idempotency != balancer.Idempotent:
 			errs = append(errs, s.Operator.TypeFault(name, "is not idempotent: a merge past its limits is shed, which says that asking again is harmless"))
-		case slices.Contains(a.Kinds, merge.Paged) && d.Facts.QueryTypes[at].CompleteCoverage < 1:
+		case slices.Contains(a.Kinds, merge.Paged) && d.Balancer.QueryTypes[at].CompleteCoverage < 1:
 			errs = append(errs, s.Operator.TypeFault(name, "counts as whole short of a part (domain.wholeAt): pages would never wait for the last segment, and no walk would end"))
 		}
 	}
@@ -213,7 +213,7 @@
 	proxy  *transport
 	module *module
 	held   *memorybudget.Ledger
-	d      facts.Deployment
+	d      balancerconfig.Deployment
 	known  discovery.List
 	counts counts
 }
@@ -233,10 +233,10 @@
 	}
 	_, servers := s.Limits.split()
 	box := mailbox{make(chan any, mailboxSize), make(chan struct{})}
-	g.module = &module{mailbox: box, d: d, clock: newClock(), brain: balancer.New(d.Facts), budget: newDescriptors(servers), merges: &merge.Budget{},
+	g.module = &module{mailbox: box, d: d, clock: newClock(), brain: balancer.New(d.Balancer), budget: newDescriptors(servers), merges: &merge.Budget{},
 		memory: g.held, expect: memorybudget.NewExpect(len(d.QueryTypes), firstValue),
-		figures: peer.Figures{ConnectTimeout: d.ConnectTimeout, IdleClose: d.IdleClose, Streams: d.Streams,
-			PartsPerCall: d.PartsPerCall, LoadProbes: d.ReportsByProbe, Reports: len(d.Reports) > 0, Memory: accountOf{g.held, memorybudget.Servers}},
+		figures: peer.Figures{ConnectTimeout: d.ConnectTimeout, IdleClose: d.IdleTimeout, Streams: d.StreamsPerConn,
+			PartsPerCall: d.CallsPerFrame, LoadProbes: d.LoadReportsByHealthCheck, Reports: len(d.LoadReportFields) > 0, Memory: accountOf{g.held, memorybudget.Servers}},
 		searches: map[balancer.RequestID]*search{}, parts: map[balancer.ShardCallID]*part{}, wires: map[string]int{},
 		servers: map[balancer.ServerID]*server{}, ids: map[string]balancer.ServerID{}, ended: make(chan struct{})}
 	g.module.counts = &g.counts
@@ -252,7 +252,7 @@
 		g.module.limitMerges = g.limitMerges
 	}
 	g.operate(s)
-	g.front = newFront(g.proxy, duration(d.LongestTimeout), g.held)
+	g.front = newFront(g.proxy, duration(d.MaxClientTimeout), g.held)
 	g.front.doors = s.connections()
 	g.front.awake = cmp.Or(g.front.doors.Awake, s.Limits.awake())
 	g.module.listed = func() { g.front.listed.Store(true) }
@@ -261,8 +261,8 @@
 
 // fits tells what a list entry must keep for the layout of the settings.
 func (g *Gatherer) fits(e discovery.Entry) error {
-	if e.Health != discovery.Removed && (e.Cell < 0 || e.Cell >= g.d.Facts.Cells) {
-		return fmt.Errorf("block %d is out of range, 0 to %d are known", e.Cell, g.d.Facts.Cells-1)
+	if e.Health != discovery.Removed && (e.Cell < 0 || e.Cell >= g.d.Balancer.Cells) {
+		return fmt.Errorf("block %d is out of range, 0 to %d are known", e.Cell, g.d.Balancer.Cells-1)
 	}
 	return nil
 }
@@ -287,7 +287,7 @@
 	}
 	slog.Info("listening", "name", g.setup.Name, "addr", l.Addr().String())
 	g.mu.Lock()
-	m.list = discovery.Start(g.setup.Discovery, g.known.Seq, duration(g.d.ConnectTimeout), g.fits, m.mailbox, !g.d.Facts.ListOnRequest)
+	m.list = discovery.Start(g.setup.Discovery, g.known.Seq, duration(g.d.ConnectTimeout), g.fits, m.mailbox, !g.d.Balancer.ListOnRequest)
 	g.list = m.list
 	g.mu.Unlock()
 	if o := g.setup.reducing(); o != nil && o.Socket != "" {
@@ -308,7 +308,7 @@
 	}
 	go m.run(stop)
 	clients, _ := g.setup.Limits.split()
-	err = g.front.serve(ctx, l, clients, duration(g.d.LongestTimeout))
+	err = g.front.serve(ctx, l, clients, duration(g.d.MaxClientTimeout))
 	close(stop)
 	<-m.ended
 	g.mu.Lock()
--- a/gatherer/levels.go
+++ b/gatherer/levels.go
@@ -42,7 +42,7 @@
 	if err != nil {
 		return nil, err
 	}
-	l := &levels{m: m, gauge: degradation.NewGauge(m.d.Facts.Cells, m.d.Facts.ReplicationFactor, len(m.d.QueryTypes))}
+	l := &levels{m: m, gauge: degradation.NewGauge(m.d.Balancer.Cells, m.d.Balancer.ReplicationFactor, len(m.d.QueryTypes))}
 	for range m.d.QueryTypes {
 		l.served = append(l.served, make([]int64, len(m.d.Customers)+1))
 		l.shed = append(l.shed, make([]int64, len(m.d.Customers)+1))
@@ -57,7 +57,7 @@
 	l.f = f
 	if l.whole == nil {
 		l.whole = degradation.New(f, now)
-		l.segments = make([]*degradation.Machine, l.m.d.Facts.Shards)
+		l.segments = make([]*degradation.Machine, l.m.d.Balancer.Shards)
 		for i := range l.segments {
 			l.segments[i] = degradation.New(f, now)
 		}
@@ -100,8 +100,8 @@
 	l.shed[s.typ][place]++
 	s.over = true
 	advice := balancer.Time(0)
-	if l.m.d.Facts.MaxRetryAfter > 0 { // clients follow no longer advice than that
-		advice = min(balancer.Time(after)*balancer.Millisecond, l.m.d.Facts.MaxRetryAfter)
+	if l.m.d.Balancer.MaxRetryAfter > 0 { // clients follow no longer advice than that
+		advice = min(balancer.Time(after)*balancer.Millisecond, l.m.d.Balancer.MaxRetryAfter)
 	}
 	s.reply <- reply{kind: replyShed, retryAfter: advice}
 	return false
@@ -111,7 +111,7 @@
 func (l *levels) ended(s *search, kind replyKind) {
 	if s.cameFor > 0 {
 		l.gauge.Ended(int(s.typ), kind == replyAnswer || kind == replyMerged, degradation.Time((l.m.clock.now()-s.cameFor)/balancer.Millisecond),
-			degradation.Time(l.m.d.Facts.QueryTypes[s.typ].LatencyTarget/balancer.Millisecond))
+			degradation.Time(l.m.d.Balancer.QueryTypes[s.typ].LatencyTarget/balancer.Millisecond))
 	}
 }
 
@@ -157,7 +157,7 @@
 
 // cold tells whether a server has just started.
 func (l *levels) cold(s *server) bool {
-	f := l.m.d.Facts
+	f := l.m.d.Balancer
 	return f.SlowStartDuration > 0 && s.since > 0 && l.m.clock.now()-s.since < f.SlowStartDuration
 }
 
--- a/gatherer/module.go
+++ b/gatherer/module.go
@@ -9,8 +9,8 @@
 	"oxbowspan/balancer"
 	"oxbowspan/idempotency"
 	"oxbowspan/internal/admin"
+	"oxbowspan/internal/balancerconfig"
 	"oxbowspan/internal/discovery"
-	"oxbowspan/internal/facts"
 	"oxbowspan/internal/peer"
 	"oxbowspan/memorybudget"
 	"oxbowspan/merge"
@@ -101,7 +101,7 @@
 // into events.
 type module struct {
 	mailbox
-	d       facts.Deployment
+	d       balancerconfig.Deployment
 	clock   clock
 	brain   *balancer.Balancer
 	list    *discovery.Actor
@@ -392,10 +392,10 @@
 	if !m.remember(s) {
 		return
 	}
-	if m.d.MostHeld > 0 && m.held+1+len(s.asked) > m.d.MostHeld {
+	if m.d.MaxPending > 0 && m.held+1+len(s.asked) > m.d.MaxPending {
 		s.over = true
 		m.unsent(s)
-		s.reply <- reply{kind: replyShed, retryAfter: m.d.Facts.MaxRetryAfter}
+		s.reply <- reply{kind: replyShed, retryAfter: m.d.Balancer.MaxRetryAfter}
 		return
 	}
 	if m.wires[s.wire] > 0 { // answers to its parts could not be told from those to the other's
@@ -411,7 +411,7 @@
 	if !m.memory.Take(memorybudget.Searches, s.holds) {
 		s.over = true
 		m.unsent(s)
-		s.reply <- reply{kind: replyShed, retryAfter: m.d.Facts.MaxRetryAfter}
+		s.reply <- reply{kind: replyShed, retryAfter: m.d.Balancer.MaxRetryAfter}
 		return
 	}
 	if s.query != nil {
@@ -419,7 +419,7 @@
 		if s.merge, err = merge.New(s.query, m.merges); err != nil {
 			s.over = true
 			m.memory.Give(memorybudget.Searches, s.holds)
-			s.reply <- reply{kind: replyShed, retryAfter: m.d.Facts.MaxRetryAfter}
+			s.reply <- reply{kind: replyShed, retryAfter: m.d.Balancer.MaxRetryAfter}
 			return
 		}
 	}
@@ -480,7 +480,7 @@
 	}
 	if err := p.s.merge.Add(result.(*merge.Part)); err != nil {
 		slog.Warn("merge_shed", "search", p.s.wire, "error", err)
-		m.finish(p.s.id, reply{kind: replyShed, retryAfter: m.d.Facts.MaxRetryAfter})
+		m.finish(p.s.id, reply{kind: replyShed, retryAfter: m.d.Balancer.MaxRetryAfter})
 		m.handle(balancer.RequestCancelled{Request: p.s.id})
 	}
 }
@@ -548,7 +548,7 @@
 			m.ids[e.Host] = id
 			m.servers[id] = &server{id: id, host: e.Host}
 		}
-		s, since := m.servers[id], facts.ToTime(e.Born)
+		s, since := m.servers[id], balancerconfig.TimeFromMillis(e.Born)
 		entry := balancer.Server{ID: id, Zone: m.zone(e.Zone), Cell: balancer.CellIndex(e.Cell), StartedAt: since}
 		switch e.Health {
 		case discovery.Up:
--- a/gatherer/program_test.go
+++ b/gatherer/program_test.go
@@ -20,8 +20,8 @@
 	"time"
 
 	"oxbowspan/balancer"
+	"oxbowspan/internal/balancerconfig"
 	"oxbowspan/internal/discovery"
-	"oxbowspan/internal/facts"
 	"oxbowspan/internal/frame"
 	"oxbowspan/internal/testing/standin"
 	"oxbowspan/memorybudget"
@@ -709,7 +709,7 @@
 	}
 	tokened := good
 	tokened.Settings = json.RawMessage(strings.Replace(testSettings, "free", "guarded", 1))
-	if g, err := New(tokened); err != nil || g.d.Facts.QueryTypes[0].Idempotency != balancer.NonIdempotent {
+	if g, err := New(tokened); err != nil || g.d.Balancer.QueryTypes[0].Idempotency != balancer.NonIdempotent {
 		t.Errorf("a tokened type, whose token no frame carries, may be sent again: %v", err)
 	}
 	for cut, says := range map[string]string{`"slo":1000.0,`: "slo is missing", `"positions":1,`: "positions is missing", `"dialTimeout":250.0,`: "dialTimeout is missing"} {
@@ -818,7 +818,7 @@
 
 // A search that is shed says when to come back, also one that took longer than its request may take to come.
 func TestShedSaysWhenToComeBack(t *testing.T) {
-	d, err := facts.FromJSON([]byte(testSettings), 0)
+	d, err := balancerconfig.FromJSON([]byte(testSettings), 0)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -874,7 +874,7 @@
 	ours, theirs := net.Pipe() // it holds nothing: a write waits for its reader
 	l := make(pipeListener, 1)
 	l <- theirs
-	f := newFront(newTransport(facts.Deployment{}, mailbox{}, ledgerOf(0)), 50*time.Millisecond, ledgerOf(0))
+	f := newFront(newTransport(balancerconfig.Deployment{}, mailbox{}, ledgerOf(0)), 50*time.Millisecond, ledgerOf(0))
 	go f.serve(context.Background(), l, 8, time.Second)
 	if _, err := io.WriteString(ours, "GET /-/healthy HTTP/1.1\r\nHost: x\r\n\r\n"); err != nil {
 		t.Fatal(err)
@@ -912,7 +912,7 @@
 
 // Bodies fit the memory in sum; what does not is shed at once, with advice.
 func TestBodiesBeyondTheirShareAreShed(t *testing.T) {
-	d, err := facts.FromJSON([]byte(testSettings), 0)
+	d, err := balancerconfig.FromJSON([]byte(testSettings), 0)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/gatherer/remember.go
+++ b/gatherer/remember.go
@@ -133,7 +133,7 @@
 	case idempotency.Other:
 		s.reply <- reply{kind: replyOther}
 	default:
-		s.reply <- reply{kind: replyShed, retryAfter: m.d.Facts.MaxRetryAfter}
+		s.reply <- reply{kind: replyShed, retryAfter: m.d.Balancer.MaxRetryAfter}
 	}
 	return false
 }
@@ -145,7 +145,7 @@
 		slog.Warn("store_refuses", "error", why)
 	}
 	s.over = true
-	s.reply <- reply{kind: replyShed, retryAfter: m.d.Facts.MaxRetryAfter}
+	s.reply <- reply{kind: replyShed, retryAfter: m.d.Balancer.MaxRetryAfter}
 }
 
 // written goes on with a search whose intent is on the disk.
--- a/gatherer/roundtrip.go
+++ b/gatherer/roundtrip.go
@@ -21,7 +21,7 @@
 	"oxbowspan/balancer"
 	"oxbowspan/connadmission"
 	"oxbowspan/idempotency"
-	"oxbowspan/internal/facts"
+	"oxbowspan/internal/balancerconfig"
 	"oxbowspan/internal/operator"
 	"oxbowspan/memorybudget"
 	"oxbowspan/merge"
@@ -30,7 +30,7 @@
 // transport is the reverse proxy's RoundTripper: it hands a request's search to the module's actor and makes
 // the response of its final answer.
 type transport struct {
-	d         facts.Deployment
+	d         balancerconfig.Deployment
 	types     map[string]balancer.QueryType
 	customers map[string]balancer.CustomerIndex
 	module    mailbox
@@ -39,7 +39,7 @@
 	merging   atomic.Pointer[operator.Merging] // nil = nothing is merged
 }
 
-func newTransport(d facts.Deployment, m mailbox, held *memorybudget.Ledger) *transport {
+func newTransport(d balancerconfig.Deployment, m mailbox, held *memorybudget.Ledger) *transport {
 	t := &transport{d: d, types: map[string]balancer.QueryType{}, customers: map[string]balancer.CustomerIndex{}, module: m, held: held}
 	for i, name := range d.QueryTypes {
 		t.types[name] = balancer.QueryType(i)
@@ -145,8 +145,8 @@
 	sum, seen := 0.0, map[int64]bool{}
 	for _, p := range b.Parts {
 		switch {
-		case p.Shard == nil || *p.Shard < 0 || *p.Shard >= int64(t.d.Facts.Shards):
-			return nil, fmt.Errorf("a tablet is missing or out of range, 0 to %d are known", t.d.Facts.Shards-1)
+		case p.Shard == nil || *p.Shard < 0 || *p.Shard >= int64(t.d.Balancer.Shards):
+			return nil, fmt.Errorf("a tablet is missing or out of range, 0 to %d are known", t.d.Balancer.Shards-1)
 		case seen[*p.Shard]:
 			return nil, fmt.Errorf("tablet %d is named twice", *p.Shard)
 		case p.Weight == nil || !(0 <= *p.Weight && *p.Weight <= 1+sumSlack):
@@ -161,7 +161,7 @@
 	if math.Abs(sum-1) > sumSlack {
 		return nil, fmt.Errorf("the fractions add up to %.6g, not to 1", sum)
 	}
-	if header := t.keyHeader; header != "" && t.d.Facts.QueryTypes[s.typ].Idempotency != balancer.Idempotent {
+	if header := t.keyHeader; header != "" && t.d.Balancer.QueryTypes[s.typ].Idempotency != balancer.Idempotent {
 		s.key, s.digest = searchKey(r, header, kind, s.wire, raw)
 	}
 	if m := t.merging.Load(); m != nil && len(b.Merge) > 0 && string(b.Merge) != "null" {
@@ -201,7 +201,7 @@
 	for _, a := range s.asked {
 		segments = append(segments, merge.Asked{Segment: merge.Segment(a.shard), Weight: a.weight})
 	}
-	return allowed.Query(terms, segments, t.d.Facts.QueryTypes[s.typ].MinCoverage >= 1, merge.Paging{Keys: m.Keys,
+	return allowed.Query(terms, segments, t.d.Balancer.QueryTypes[s.typ].MinCoverage >= 1, merge.Paging{Keys: m.Keys,
 		Life: m.CursorLife.Milliseconds(), Most: m.MostCursor, Now: time.Now().UnixMilli(), Type: kind,
 		Customer: r.Header.Get("Req-Owner"), Statement: s.text})
 }
@@ -213,7 +213,7 @@
 // advise tells a client that was shed when to come back, where that is known.
 func advise(h http.Header, after balancer.Time) {
 	if after > 0 {
-		h.Set("Retry-After", strconv.FormatFloat(facts.ToMillis(after)/1000, 'f', -1, 64))
+		h.Set("Retry-After", strconv.FormatFloat(balancerconfig.Millis(after)/1000, 'f', -1, 64))
 	}
 }
 
--- a/internal/facts/facts_test.go
+++ b/internal/balancerconfig/config_test.go
@@ -1,4 +1,4 @@
-package facts
+package balancerconfig
 
 import (
 	"reflect"
@@ -44,12 +44,12 @@
 	if !reflect.DeepEqual(a, b) {
 		t.Errorf("JSON gives %+v\npairs give %+v", a, b)
 	}
-	if len(a.QueryTypes) != 3 || a.QueryTypes[2] != "pay" || a.Streams != 32 || a.LongestTimeout != 25000 || a.Facts.QueryTypes[1].MinCoverage != 0.5 {
+	if len(a.QueryTypes) != 3 || a.QueryTypes[2] != "pay" || a.StreamsPerConn != 32 || a.MaxClientTimeout != 25000 || a.Balancer.QueryTypes[1].MinCoverage != 0.5 {
 		t.Errorf("got %+v", a)
 	}
 }
 
-func TestBadSettingsAreOnePlainError(t *testing.T) {
+func TestInvalidSettings(t *testing.T) {
 	for text, says := range map[string]string{
 		"":                     "not a JSON object",
 		"[]":                   "not a JSON object",
--- a/internal/simwire/host.go
+++ b/internal/simwire/host.go
@@ -8,7 +8,7 @@
 	"math"
 
 	"oxbowspan/balancer"
-	"oxbowspan/internal/facts"
+	"oxbowspan/internal/balancerconfig"
 )
 
 // Codes of events and actions on the wire.
@@ -76,7 +76,7 @@
 	if math.IsNaN(clock) || math.IsInf(clock, 0) {
 		return fmt.Errorf("the clock at byte 4 is not a number")
 	}
-	h.now = facts.ToTime(clock)
+	h.now = balancerconfig.TimeFromMillis(clock)
 	var open *instance // the one whose search is being gathered
 	count := f.u32("number of records")
 	for i := uint32(1); i <= count; i++ {
@@ -148,7 +148,7 @@
 		ev = p
 	case evReply:
 		s := balancer.AttemptEnded{Call: balancer.ShardCallID(f.u64("handle")), Server: balancer.ServerID(f.u32("server")),
-			Attempt: balancer.AttemptNumber(f.u16("sendNo")), Elapsed: facts.ToTime(f.f64("elapsed"))}
+			Attempt: balancer.AttemptNumber(f.u16("sendNo")), Elapsed: balancerconfig.TimeFromMillis(f.f64("elapsed"))}
 		status := f.u8("status")
 		f.u8("closed")
 		s.Report = in.report(f)
@@ -182,12 +182,12 @@
 	if f.short != "" {
 		return nil // the caller reports it
 	}
-	d, err := facts.FromPairs(string(text), seed)
+	d, err := balancerconfig.FromPairs(string(text), seed)
 	if err != nil {
 		return err
 	}
-	h.instances[id] = &instance{id: id, g: balancer.New(d.Facts), reports: d.Reports,
-		types: len(d.Facts.QueryTypes), shards: d.Facts.Shards}
+	h.instances[id] = &instance{id: id, g: balancer.New(d.Balancer), reports: d.LoadReportFields,
+		types: len(d.Balancer.QueryTypes), shards: d.Balancer.Shards}
 	return nil
 }
 
@@ -217,7 +217,7 @@
 			return fmt.Errorf("entry %d at byte %d: unknown phase %d", i, f.at-1, phase)
 		}
 		f.f32("weight")
-		s.StartedAt = facts.ToTime(f.f64("upSince"))
+		s.StartedAt = balancerconfig.TimeFromMillis(f.f64("upSince"))
 	}
 	h.sheets[ref] = list
 	return nil
@@ -271,7 +271,7 @@
 	if shard < 0 {
 		h.flush(in)
 		in.search = &balancer.RequestArrived{Request: balancer.RequestID(id), Number: number,
-			Type: balancer.QueryType(lane), Customer: balancer.CustomerIndex(realm), Timeout: facts.ToTime(budget),
+			Type: balancer.QueryType(lane), Customer: balancer.CustomerIndex(realm), Timeout: balancerconfig.TimeFromMillis(budget),
 			Retry: flags&clientRepeats != 0}
 		return nil
 	}
@@ -363,7 +363,7 @@
 		o.begin(acTry, id)
 		o.u64(uint64(a.Call))
 		o.u32(uint32(a.Server))
-		o.f64(facts.ToMillis(a.Timeout))
+		o.f64(balancerconfig.Millis(a.Timeout))
 	case balancer.Cancel:
 		o.begin(acStopAttempt, id)
 		o.u64(uint64(a.Call))
@@ -379,13 +379,13 @@
 	case balancer.Shed:
 		o.begin(acTurnAway, id)
 		o.u64(uint64(a.Request))
-		o.f64(facts.ToMillis(a.RetryAfter))
+		o.f64(balancerconfig.Millis(a.RetryAfter))
 	case balancer.Fail:
 		o.begin(acLose, id)
 		o.u64(uint64(a.Request))
 	case balancer.SetTimer:
 		o.begin(acWake, id)
-		o.f64(facts.ToMillis(a.At))
+		o.f64(balancerconfig.Millis(a.At))
 		o.u32(uint32(a.Timer))
 	case balancer.Subscribe:
 		o.begin(acKeepInformed, id)
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -7,7 +7,7 @@
 	"testing"
 
 	"oxbowspan/balancer"
-	"oxbowspan/internal/facts"
+	"oxbowspan/internal/balancerconfig"
 )
 
 var settings = strings.ReplaceAll(`classes.count=1 classes.0.effect=free classes.0.slo=1000.0 classes.0.hardLimit=2000.0
@@ -142,7 +142,7 @@
 
 func TestTimesNeverGrow(t *testing.T) {
 	for ms, want := range map[float64]int64{0.3: 3, 230: 2300, 17.19: 171, 0.0999: 0, 1e300: 1e15, -2.05: -21} {
-		if got := facts.ToTime(ms); int64(got) != want {
+		if got := balancerconfig.TimeFromMillis(ms); int64(got) != want {
 			t.Errorf("%v ms became %d tenths, want %d", ms, got, want)
 		}
 	}
