--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -18,7 +18,7 @@
 
 	"oxbowspan/gatherer"
 	"oxbowspan/internal/command"
-	"oxbowspan/internal/steward"
+	"oxbowspan/internal/raftnode"
 	"oxbowspan/maintenance"
 )
 
@@ -33,13 +33,13 @@
 	}
 	f := *setup.Operator.Fleet
 	f.Name, f.Version = setup.Name, cmp.Or(os.Getenv("OXBOWSPAN_VERSION"), version())
-	var log *steward.Steward
-	if slices.ContainsFunc(f.Stewards, func(a steward.Address) bool { return a.Name == f.Name }) {
-		if log, err = steward.Start(f, found); err != nil {
+	var log *raftnode.Steward
+	if slices.ContainsFunc(f.Stewards, func(a raftnode.Address) bool { return a.Name == f.Name }) {
+		if log, err = raftnode.Start(f, found); err != nil {
 			return nil, nil, err
 		}
 	}
-	agent := steward.Join(f, node.Ready, func() maintenance.Figures {
+	agent := raftnode.Join(f, node.Ready, func() maintenance.Figures {
 		c := node.Counts()
 		return maintenance.Figures{Answered: c.Answered, Shed: c.Shed, Errored: c.Errored}
 	})
@@ -71,7 +71,7 @@
 	c := &cobra.Command{Use: "fleet", Short: "Look at the fleet, let members go out, and run releases", Args: command.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error { return c.Help() }}
 	c.PersistentFlags().StringVar(&file, "operator", os.Getenv("OXBOWSPAN_OPERATOR"), "the operator's own file, with [fleet] (OXBOWSPAN_OPERATOR)")
-	with := func(do func(context.Context, *steward.Client) error) error {
+	with := func(do func(context.Context, *raftnode.Client) error) error {
 		if file == "" {
 			return errors.New("no operator's file: give --operator or set OXBOWSPAN_OPERATOR")
 		}
@@ -84,13 +84,13 @@
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 		defer cancel()
-		client := steward.NewClient("operator", *o.Fleet)
+		client := raftnode.NewClient("operator", *o.Fleet)
 		defer client.Close()
 		return do(ctx, client)
 	}
 	one := func(use, short string, make func(string) maintenance.Command, done string) *cobra.Command {
 		return &cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(1), RunE: func(_ *cobra.Command, args []string) error {
-			return with(func(ctx context.Context, c *steward.Client) error {
+			return with(func(ctx context.Context, c *raftnode.Client) error {
 				if _, err := c.Do(ctx, make(args[0])); err != nil {
 					return err
 				}
@@ -101,7 +101,7 @@
 	}
 	var whole bool
 	status := &cobra.Command{Use: "status", Short: "Print members, who is out and why, and releases", Args: command.NoArgs, RunE: func(*cobra.Command, []string) error {
-		return with(func(ctx context.Context, c *steward.Client) error {
+		return with(func(ctx context.Context, c *raftnode.Client) error {
 			s, leader, err := c.State(ctx)
 			if err != nil {
 				return err
@@ -125,7 +125,7 @@
 	return c
 }
 
-func newRelease(stdout io.Writer, with func(func(context.Context, *steward.Client) error) error,
+func newRelease(stdout io.Writer, with func(func(context.Context, *raftnode.Client) error) error,
 	one func(string, string, func(string) maintenance.Command, string) *cobra.Command) *cobra.Command {
 	c := &cobra.Command{Use: "release", Short: "Change the fleet's version in steps", Args: command.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error { return c.Help() }}
@@ -145,7 +145,7 @@
 				}
 				p.Steps = append(p.Steps, share)
 			}
-			return with(func(ctx context.Context, c *steward.Client) error {
+			return with(func(ctx context.Context, c *raftnode.Client) error {
 				if !dry {
 					if _, err := c.Do(ctx, maintenance.Command{Start: &p}); err != nil {
 						return err
--- a/internal/operator/fleet.go
+++ b/internal/operator/fleet.go
@@ -7,13 +7,13 @@
 	"strings"
 	"time"
 
-	"oxbowspan/internal/steward"
+	"oxbowspan/internal/raftnode"
 	"oxbowspan/maintenance"
 	"oxbowspan/merge"
 )
 
 // Fleet is what the section on the fleet says. Its name and version are the program's to fill in.
-type Fleet = steward.Figures
+type Fleet = raftnode.Figures
 
 // fleet reads the section; nil = there is none.
 func (r *reading) fleet(path string) *Fleet {
@@ -33,7 +33,7 @@
 			continue
 		}
 		seen[name], seen[addr] = true, true
-		f.Stewards = append(f.Stewards, steward.Address{Name: name, Addr: addr})
+		f.Stewards = append(f.Stewards, raftnode.Address{Name: name, Addr: addr})
 	}
 	if n := len(f.Stewards); n != 1 && n != 3 && n != 5 {
 		s.wrong("stewards", "names %d, and a majority is had best of 3 or 5; 1 is for a trial", n)
--- a/internal/steward/client.go
+++ b/internal/raftnode/client.go
@@ -1,4 +1,4 @@
-package steward
+package raftnode
 
 import (
 	"context"
--- a/internal/steward/steward.go
+++ b/internal/raftnode/steward.go
@@ -1,7 +1,7 @@
-// Package steward joins a gatherer to its fleet: the few that are stewards keep the log (package agree) on their disks and speak to
+// Package raftnode joins a gatherer to its fleet: the few that are stewards keep the log (package agree) on their disks and speak to
 // each other; every gatherer holds a lease there, and asks before it goes out. It owns the fleet's listener, the steward's actor, its
 // store and the goroutines that send for it. It decides nothing about who may be out: package fleet does.
-package steward
+package raftnode
 
 import (
 	"context"
