--- a/gatherer/conns.go
+++ b/gatherer/conns.go
@@ -18,7 +18,7 @@
 	"oxbowspan/balancer"
 	"oxbowspan/connadmission"
 	"oxbowspan/internal/idleconn"
-	"oxbowspan/internal/operator"
+	"oxbowspan/internal/operatorconfig"
 	"oxbowspan/internal/timerwheel"
 	"oxbowspan/memorybudget"
 )
@@ -58,7 +58,7 @@
 	customers []float64 // shares of the customers
 	awake     int       // open requests up to which a parked connection may wake; 0 = no limit
 	held      *memorybudget.Ledger
-	doors     operator.Connections
+	doors     operatorconfig.Connections
 }
 
 // held is one client's connection: served by net/http, or parked. 40 bytes.
--- a/gatherer/front.go
+++ b/gatherer/front.go
@@ -19,7 +19,7 @@
 
 	"oxbowspan/balancer"
 	"oxbowspan/connadmission"
-	"oxbowspan/internal/operator"
+	"oxbowspan/internal/operatorconfig"
 	"oxbowspan/memorybudget"
 )
 
@@ -44,7 +44,7 @@
 	customer func(name string) connadmission.Customer
 	shares   []float64 // the customers' shares of searches
 	awake    int       // connections that memory lets be awake at once; 0 = no limit
-	doors    operator.Connections
+	doors    operatorconfig.Connections
 	listed   atomic.Bool // a list with a server is held
 	draining atomic.Bool
 }
--- a/gatherer/gatherer.go
+++ b/gatherer/gatherer.go
@@ -24,7 +24,7 @@
 	"oxbowspan/internal/admin"
 	"oxbowspan/internal/balancerconfig"
 	"oxbowspan/internal/discovery"
-	"oxbowspan/internal/operator"
+	"oxbowspan/internal/operatorconfig"
 	"oxbowspan/internal/peer"
 	"oxbowspan/memorybudget"
 	"oxbowspan/merge"
@@ -43,10 +43,10 @@
 }
 
 // Operator is what an operator's own file says.
-type Operator = operator.File
+type Operator = operatorconfig.File
 
 // LoadOperator reads and checks an operator's file. Its error names all faults, a line each.
-func LoadOperator(path string) (*Operator, error) { return operator.Load(path) }
+func LoadOperator(path string) (*Operator, error) { return operatorconfig.Load(path) }
 
 // Load reads a configuration file.
 func Load(path string) (Setup, error) {
@@ -107,7 +107,7 @@
 }
 
 // fleet is what the operator's file says of the fleet; nil = nothing.
-func (s Setup) fleet() *operator.Fleet {
+func (s Setup) fleet() *operatorconfig.Fleet {
 	if s.Operator == nil {
 		return nil
 	}
@@ -146,10 +146,10 @@
 			errs = append(errs, s.Operator.TypeFault(name, "counts as whole short of a part (domain.wholeAt): pages would never wait for the last segment, and no walk would end"))
 		}
 	}
-	return operator.Join(errs...)
+	return operatorconfig.Join(errs...)
 }
 
-func (s Setup) merging() *operator.Merging {
+func (s Setup) merging() *operatorconfig.Merging {
 	if s.Operator == nil {
 		return nil
 	}
@@ -157,7 +157,7 @@
 }
 
 // connections is what the operator's file says of clients' connections.
-func (s Setup) connections() (c operator.Connections) {
+func (s Setup) connections() (c operatorconfig.Connections) {
 	if s.Operator != nil && s.Operator.Connections != nil {
 		c = *s.Operator.Connections
 	}
@@ -165,7 +165,7 @@
 }
 
 // storing is what the operator's file says of the store; nil = there is none.
-func (s Setup) storing() *operator.Store {
+func (s Setup) storing() *operatorconfig.Store {
 	if s.Operator == nil {
 		return nil
 	}
@@ -189,7 +189,7 @@
 }
 
 // reducing is what the operator's file says of reduced service; nil = it is never reduced.
-func (s Setup) reducing() *operator.Levels {
+func (s Setup) reducing() *operatorconfig.Levels {
 	if s.Operator == nil {
 		return nil
 	}
@@ -197,7 +197,7 @@
 }
 
 // memory is what the operator's file says of memory in sum; nil = nothing.
-func (s Setup) memory() *operator.Memory {
+func (s Setup) memory() *operatorconfig.Memory {
 	if s.Operator == nil {
 		return nil
 	}
--- a/gatherer/levels.go
+++ b/gatherer/levels.go
@@ -12,7 +12,7 @@
 	"oxbowspan/balancer"
 	"oxbowspan/degradation"
 	"oxbowspan/internal/admin"
-	"oxbowspan/internal/operator"
+	"oxbowspan/internal/operatorconfig"
 )
 
 // levels is reduced service as the module's actor keeps it: it measures the signals, turns the machines, and asks the gate
@@ -37,7 +37,7 @@
 	keptChanges = 50
 )
 
-func newLevels(m *module, o *operator.Levels) (*levels, error) {
+func newLevels(m *module, o *operatorconfig.Levels) (*levels, error) {
 	f, err := o.For(m.d.QueryTypes)
 	if err != nil {
 		return nil, err
--- a/gatherer/limits.go
+++ b/gatherer/limits.go
@@ -7,7 +7,7 @@
 	"runtime/debug"
 	"sync/atomic"
 
-	"oxbowspan/internal/operator"
+	"oxbowspan/internal/operatorconfig"
 	"oxbowspan/memorybudget"
 )
 
@@ -69,7 +69,7 @@
 )
 
 // ledger is what all work together may hold. Without a section [memory] bodies have their own limit, and nothing else has one.
-func (l Limits) ledger(m *operator.Memory) memorybudget.Figures {
+func (l Limits) ledger(m *operatorconfig.Memory) memorybudget.Figures {
 	sum := memorybudget.Bytes(0)
 	if m != nil {
 		sum = cmp.Or(memorybudget.Bytes(m.Limit), memorybudget.SumFor(memorybudget.Bytes(l.MemoryMB*(1<<20))))
--- a/gatherer/remember.go
+++ b/gatherer/remember.go
@@ -11,7 +11,7 @@
 	"oxbowspan/balancer"
 	"oxbowspan/idempotency"
 	"oxbowspan/internal/discovery"
-	"oxbowspan/internal/operator"
+	"oxbowspan/internal/operatorconfig"
 	"oxbowspan/store"
 )
 
@@ -45,7 +45,7 @@
 )
 
 // openStore opens the store that the operator's file names, and says what it found.
-func openStore(o *operator.Store) (*remembered, error) {
+func openStore(o *operatorconfig.Store) (*remembered, error) {
 	disk, err := store.OpenDisk(o.Path)
 	if err != nil {
 		return nil, fmt.Errorf("store %s: %w", o.Path, err)
--- a/gatherer/roundtrip.go
+++ b/gatherer/roundtrip.go
@@ -22,7 +22,7 @@
 	"oxbowspan/connadmission"
 	"oxbowspan/idempotency"
 	"oxbowspan/internal/balancerconfig"
-	"oxbowspan/internal/operator"
+	"oxbowspan/internal/operatorconfig"
 	"oxbowspan/memorybudget"
 	"oxbowspan/merge"
 )
@@ -35,8 +35,8 @@
 	customers map[string]balancer.CustomerIndex
 	module    mailbox
 	held      *memorybudget.Ledger
-	keyHeader string                           // where clients name searches that must not run twice; "" = nothing is kept of them
-	merging   atomic.Pointer[operator.Merging] // nil = nothing is merged
+	keyHeader string                                 // where clients name searches that must not run twice; "" = nothing is kept of them
+	merging   atomic.Pointer[operatorconfig.Merging] // nil = nothing is merged
 }
 
 func newTransport(d balancerconfig.Deployment, m mailbox, held *memorybudget.Ledger) *transport {
@@ -188,7 +188,7 @@
 }
 
 // query checks what a search wants merged.
-func (t *transport) query(m *operator.Merging, r *http.Request, kind string, s *search, raw json.RawMessage) (*merge.Query, error) {
+func (t *transport) query(m *operatorconfig.Merging, r *http.Request, kind string, s *search, raw json.RawMessage) (*merge.Query, error) {
 	allowed := m.Types[kind]
 	if allowed == nil {
 		return nil, fmt.Errorf("searches of query type %s are not merged", kind)
--- a/gatherer/slow_test.go
+++ b/gatherer/slow_test.go
@@ -19,7 +19,7 @@
 
 	"golang.org/x/sys/unix"
 
-	"oxbowspan/internal/operator"
+	"oxbowspan/internal/operatorconfig"
 	"oxbowspan/internal/testing/standin"
 	"oxbowspan/memorybudget"
 )
@@ -43,7 +43,7 @@
 	return lines
 }
 
-func slowRig(t *testing.T, doors operator.Connections) *parkRig {
+func slowRig(t *testing.T, doors operatorconfig.Connections) *parkRig {
 	t.Helper()
 	nl, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -82,7 +82,7 @@
 // woke; others are served meanwhile.
 func TestTricklersAreClosedByTheirLeastRate(t *testing.T) {
 	lines := logged(t)
-	r := slowRig(t, operator.Connections{HeadRate: 200})
+	r := slowRig(t, operatorconfig.Connections{HeadRate: 200})
 	usual := r.dial()
 	fresh, kept := r.dial(), r.dial()
 	kept.send(post("/kept", ""))
@@ -167,7 +167,7 @@
 
 // Who keeps to the rate is served, however small its pieces: the rate is of bytes, not of packets.
 func TestWhoKeepsToTheRateIsServed(t *testing.T) {
-	r := slowRig(t, operator.Connections{HeadRate: 200, AnswerRate: 200})
+	r := slowRig(t, operatorconfig.Connections{HeadRate: 200, AnswerRate: 200})
 	c := r.dial()
 	text := post("/steady", strings.Repeat("b", 200))
 	tick := time.NewTicker(20 * time.Millisecond)
@@ -190,7 +190,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := newListener(nl, terms{share: 200, doors: operator.Connections{AnswerRate: 50_000, Grace: 300 * time.Millisecond, SendBuffer: 8 << 10}})
+	l := newListener(nl, terms{share: 200, doors: operatorconfig.Connections{AnswerRate: 50_000, Grace: 300 * time.Millisecond, SendBuffer: 8 << 10}})
 	answer := bytes.Repeat([]byte("x"), 1<<20)
 	srv := &http.Server{WriteTimeout: patience, ConnState: l.state, Handler: http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		w.Write(answer)
@@ -309,7 +309,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := startRigOn(t, nl, terms{share: 100, doors: operator.Connections{KeepAlive: time.Second}}, time.Hour)
+	r := startRigOn(t, nl, terms{share: 100, doors: operatorconfig.Connections{KeepAlive: time.Second}}, time.Hour)
 	gone, there := r.dial(), r.dial()
 	for _, c := range []*rigClient{gone, there} {
 		c.send(post("/", ""))
--- a/internal/operator/operator.go
+++ b/internal/operatorconfig/operator.go
@@ -1,8 +1,8 @@
-// Package operator reads the operator's own file, in INI: what is allowed and how much of it, beyond what the platform's
+// Package operatorconfig reads the operator's own file, in INI: what is allowed and how much of it, beyond what the platform's
 // configuration says. It decides nothing; it checks the file strictly and names every fault at once, with its line.
 //
 // Without such a file nothing that it could switch on is on.
-package operator
+package operatorconfig
 
 import (
 	"errors"
--- a/internal/operator/operator_test.go
+++ b/internal/operatorconfig/operator_test.go
@@ -1,4 +1,4 @@
-package operator
+package operatorconfig
 
 import (
 	"errors"
