--- a/cmd/oxbowwatch/main.go
+++ b/cmd/oxbowwatch/main.go
@@ -4,7 +4,7 @@
 import (
 	"os"
 
-	"oxbowspan/internal/watch"
+	"oxbowspan/internal/dashboard"
 )
 
-func main() { os.Exit(watch.Main(os.Args[1:], os.Stdout, os.Stderr)) }
+func main() { os.Exit(dashboard.Main(os.Args[1:], os.Stdout, os.Stderr)) }
--- a/internal/watch/main.go
+++ b/internal/dashboard/main.go
@@ -1,4 +1,4 @@
-package watch
+package dashboard
 
 import (
 	"errors"
@@ -11,8 +11,8 @@
 	"oxbowspan/internal/command"
 )
 
-// exitBad is the exit code where the gatherer could not be watched.
-const exitBad = 1
+// exitFailure is the exit code where the gatherer could not be watched.
+const exitFailure = 1
 
 // Main runs the screen as a program and returns its exit code.
 func Main(args []string, stdout, stderr io.Writer) int {
@@ -43,5 +43,5 @@
 		defer f.Close()
 		return Run(admin.Recorder{Source: c, Out: f})
 	}
-	return command.Run(root, args, stderr, func(error) int { return exitBad })
+	return command.Run(root, args, stderr, func(error) int { return exitFailure })
 }
--- a/internal/watch/watch.go
+++ b/internal/dashboard/model.go
@@ -1,6 +1,6 @@
-// Package watch shows operators a running gatherer on a terminal: its level and why, what is shed by query type and customer,
+// Package dashboard shows operators a running gatherer on a terminal: its level and why, what is shed by query type and customer,
 // the servers by zone with their health. It reads a stream of states and shows the last; it asks nothing and decides nothing.
-package watch
+package dashboard
 
 import (
 	"fmt"
@@ -25,16 +25,16 @@
 
 // Model is what is on the screen.
 type Model struct {
-	source        admin.Source
-	state, before admin.State
-	got           int
-	history       map[string][]float64 // of signals and of servers' latency, the last so many
-	width, height int
-	err           error
+	source          admin.Source
+	state, previous admin.State
+	received        int
+	history         map[string][]float64 // of signals and of servers' latency, the last so many
+	width, height   int
+	err             error
 }
 
-// mostHistory is how many points a line of figures has; servers that have left are forgotten with it.
-const mostHistory = 40
+// historyLimit is how many points a line of figures has; servers that have left are forgotten with it.
+const historyLimit = 40
 
 // New makes an empty screen.
 func New(s admin.Source) Model {
@@ -42,8 +42,8 @@
 }
 
 type (
-	came  admin.State
-	ended struct{ err error }
+	stateMsg       admin.State
+	streamEndedMsg struct{ err error }
 )
 
 // Init implements tea.Model.
@@ -52,9 +52,9 @@
 func (m Model) next() tea.Msg {
 	s, err := m.source.Next()
 	if err != nil {
-		return ended{err}
+		return streamEndedMsg{err}
 	}
-	return came(s)
+	return stateMsg(s)
 }
 
 // Update implements tea.Model.
@@ -67,25 +67,25 @@
 		}
 	case tea.WindowSizeMsg:
 		m.width, m.height = msg.Width, msg.Height
-	case ended:
+	case streamEndedMsg:
 		m.err = msg.err
 		return m, tea.Quit
-	case came:
-		m.take(admin.State(msg))
+	case stateMsg:
+		m.observe(admin.State(msg))
 		return m, m.next
 	}
 	return m, nil
 }
 
-// take notes a state.
-func (m *Model) take(s admin.State) {
-	m.before, m.state = m.state, s
-	m.got++
+// observe notes a state.
+func (m *Model) observe(s admin.State) {
+	m.previous, m.state = m.state, s
+	m.received++
 	there := map[string]bool{}
 	add := func(name string, v float64) {
 		there[name] = true
 		h := append(m.history[name], v)
-		m.history[name] = h[max(0, len(h)-mostHistory):]
+		m.history[name] = h[max(0, len(h)-historyLimit):]
 	}
 	for _, x := range s.Signals {
 		if x.Known {
@@ -103,78 +103,78 @@
 }
 
 var (
-	bold  = lipgloss.NewStyle().Bold(true)
-	dim   = lipgloss.NewStyle().Faint(true)
-	good  = lipgloss.NewStyle().Foreground(lipgloss.Color("2"))
-	worse = lipgloss.NewStyle().Foreground(lipgloss.Color("3"))
-	bad   = lipgloss.NewStyle().Foreground(lipgloss.Color("1")).Bold(true)
+	boldStyle    = lipgloss.NewStyle().Bold(true)
+	dimStyle     = lipgloss.NewStyle().Faint(true)
+	okStyle      = lipgloss.NewStyle().Foreground(lipgloss.Color("2"))
+	warningStyle = lipgloss.NewStyle().Foreground(lipgloss.Color("3"))
+	errorStyle   = lipgloss.NewStyle().Foreground(lipgloss.Color("1")).Bold(true)
 )
 
 // View implements tea.Model.
 func (m Model) View() string {
-	if m.got == 0 {
+	if m.received == 0 {
 		return "waiting for the gatherer ...\n"
 	}
 	s := m.state
 	var b strings.Builder
-	colour := good
+	colour := okStyle
 	if s.Rank > 0 {
-		colour = worse
+		colour = warningStyle
 	}
 	if s.Rank > 1 {
-		colour = bad
+		colour = errorStyle
 	}
-	fmt.Fprintf(&b, "%s %s for %s   %d searches open   %s\n", bold.Render("level"), colour.Render(s.Level), seconds(s.For), s.Searches, dim.Render(s.At.Format("15:04:05")))
+	fmt.Fprintf(&b, "%s %s for %s   %d searches open   %s\n", boldStyle.Render("level"), colour.Render(s.Level), formatSeconds(s.For), s.Searches, dimStyle.Render(s.At.Format("15:04:05")))
 	if s.Pinned > 0 {
-		fmt.Fprintf(&b, "%s for %s more\n", bad.Render("pinned"), seconds(s.Pinned))
+		fmt.Fprintf(&b, "%s for %s more\n", errorStyle.Render("pinned"), formatSeconds(s.Pinned))
 	}
-	fmt.Fprintf(&b, "%s\n", dim.Render("levels: "+strings.Join(s.Levels, " > ")))
-	b.WriteString("\n" + bold.Render("signals") + "\n")
+	fmt.Fprintf(&b, "%s\n", dimStyle.Render("levels: "+strings.Join(s.Levels, " > ")))
+	b.WriteString("\n" + boldStyle.Render("signals") + "\n")
 	for _, x := range s.Signals {
-		value := dim.Render("not known")
+		value := dimStyle.Render("not known")
 		if x.Known {
 			value = fmt.Sprintf("%9.3f", x.Value)
 		}
 		fmt.Fprintf(&b, "  %-13s %-9s %s\n", x.Name, value, sparkline.Line(m.history["signal "+x.Name]))
 	}
 	for _, x := range s.Segments {
-		fmt.Fprintf(&b, "  segment %d: %s\n", x.Segment, worse.Render(x.Level))
+		fmt.Fprintf(&b, "  segment %d: %s\n", x.Segment, warningStyle.Render(x.Level))
 	}
-	b.WriteString("\n" + bold.Render("searches a second") + dim.Render("    served   shed by level") + "\n")
+	b.WriteString("\n" + boldStyle.Render("searches a second") + dimStyle.Render("    served   shed by level") + "\n")
 	for _, t := range s.Types {
-		fmt.Fprintf(&b, "  %-20s share %.2f\n", clip(t.Name, 20), t.Share)
+		fmt.Fprintf(&b, "  %-20s share %.2f\n", truncate(t.Name, 20), t.Share)
 		for _, c := range t.Customers {
 			served, shed := m.rates(t.Name, c)
-			line := fmt.Sprintf("    %-18s %8.1f %8.1f", clip(c.Name, 18), served, shed)
+			line := fmt.Sprintf("    %-18s %8.1f %8.1f", truncate(c.Name, 18), served, shed)
 			if shed > 0 {
-				line = worse.Render(line)
+				line = warningStyle.Render(line)
 			}
 			b.WriteString(line + "\n")
 		}
 	}
-	b.WriteString("\n" + bold.Render("servers") + "\n")
+	b.WriteString("\n" + boldStyle.Render("servers") + "\n")
 	zone := ""
 	for i, x := range s.Servers {
 		if x.Zone != zone {
 			zone = x.Zone
-			fmt.Fprintf(&b, "  zone %s: %s\n", zone, zoneLine(s.Servers, zone))
+			fmt.Fprintf(&b, "  zone %s: %s\n", zone, zoneSummary(s.Servers, zone))
 		}
 		if left := m.height - strings.Count(b.String(), "\n") - 3 - min(len(s.Changes), 5); left < 1 {
-			fmt.Fprintf(&b, "    %s\n", dim.Render(fmt.Sprintf("and %d more", len(s.Servers)-i)))
+			fmt.Fprintf(&b, "    %s\n", dimStyle.Render(fmt.Sprintf("and %d more", len(s.Servers)-i)))
 			break
 		}
-		state := good.Render(fmt.Sprintf("%-8s", x.State))
+		state := okStyle.Render(fmt.Sprintf("%-8s", x.State))
 		if x.State != "ready" {
-			state = bad.Render(fmt.Sprintf("%-8s", x.State))
+			state = errorStyle.Render(fmt.Sprintf("%-8s", x.State))
 		}
-		fmt.Fprintf(&b, "    %-16s %s out %3d  %7.1f ms  failing %.2f  %s\n", clip(x.Host, 16), state, x.Out, x.Millis, x.Failing, sparkline.Line(m.history["server "+x.Host]))
+		fmt.Fprintf(&b, "    %-16s %s out %3d  %7.1f ms  failing %.2f  %s\n", truncate(x.Host, 16), state, x.Out, x.Millis, x.Failing, sparkline.Line(m.history["server "+x.Host]))
 	}
 	for i, c := range s.Changes {
 		if i >= len(s.Changes)-5 {
-			fmt.Fprintf(&b, "%s\n", dim.Render(fmt.Sprintf("%s %s > %s: %s", c.At.Format("15:04:05"), c.From, c.To, c.Why)))
+			fmt.Fprintf(&b, "%s\n", dimStyle.Render(fmt.Sprintf("%s %s > %s: %s", c.At.Format("15:04:05"), c.From, c.To, c.Why)))
 		}
 	}
-	b.WriteString(dim.Render("q quits"))
+	b.WriteString(dimStyle.Render("q quits"))
 	lines := strings.Split(b.String(), "\n")
 	for i := range lines {
 		lines[i] = lipgloss.NewStyle().MaxWidth(max(m.width, 20)).Render(lines[i])
@@ -184,12 +184,12 @@
 
 // rates are what came a second between the last two states.
 func (m Model) rates(queryType string, c admin.Customer) (served, shed float64) {
-	took := m.state.At.Sub(m.before.At).Seconds()
-	if took <= 0 || m.got < 2 {
+	took := m.state.At.Sub(m.previous.At).Seconds()
+	if took <= 0 || m.received < 2 {
 		return 0, 0
 	}
 	was := admin.Customer{}
-	for _, t := range m.before.Types {
+	for _, t := range m.previous.Types {
 		for _, x := range t.Customers {
 			if t.Name == queryType && x.Name == c.Name {
 				was = x
@@ -199,7 +199,7 @@
 	return float64(c.Served-was.Served) / took, float64(c.Shed-was.Shed) / took
 }
 
-func zoneLine(all []admin.Server, zone string) string {
+func zoneSummary(all []admin.Server, zone string) string {
 	by := map[string]int{}
 	for _, x := range all {
 		if x.Zone == zone {
@@ -215,9 +215,9 @@
 	return strings.Join(out, ", ")
 }
 
-func seconds(s float64) string { return (time.Duration(s*10) * 100 * time.Millisecond).String() }
+func formatSeconds(s float64) string { return (time.Duration(s*10) * 100 * time.Millisecond).String() }
 
-func clip(s string, n int) string {
+func truncate(s string, n int) string {
 	if r := []rune(s); len(r) > n {
 		return string(r[:n-1]) + "…"
 	}
--- a/internal/watch/watch_test.go
+++ b/internal/dashboard/model_test.go
@@ -1,4 +1,4 @@
-package watch
+package dashboard
 
 import (
 	"errors"
@@ -12,20 +12,20 @@
 	"oxbowspan/internal/admin"
 )
 
-type states struct {
-	all []admin.State
-	at  int
+type stateSource struct {
+	all  []admin.State
+	next int
 }
 
-func (s *states) Next() (admin.State, error) {
-	if s.at == len(s.all) {
+func (s *stateSource) Next() (admin.State, error) {
+	if s.next == len(s.all) {
 		return admin.State{}, errors.New("the gatherer is gone")
 	}
-	s.at++
-	return s.all[s.at-1], nil
+	s.next++
+	return s.all[s.next-1], nil
 }
 
-func state(n int) admin.State {
+func testState(n int) admin.State {
 	s := admin.State{At: time.Unix(int64(n), 0), Level: "trimmed", Rank: 1, For: 3, Levels: []string{"full", "trimmed"}, Pinned: 30,
 		Signals:  []admin.Signal{{Name: "lost", Value: float64(n) / 10, Known: true}, {Name: "cold"}},
 		Types:    []admin.QueryType{{Name: "report", Share: 0.5, Customers: []admin.Customer{{Name: "acme", Served: int64(100 * n), Shed: int64(20 * n)}}}},
@@ -36,8 +36,8 @@
 	return s
 }
 
-func TestTheScreen(t *testing.T) {
-	src := &states{all: []admin.State{state(1), state(2), state(3)}}
+func TestModelShowsStates(t *testing.T) {
+	src := &stateSource{all: []admin.State{testState(1), testState(2), testState(3)}}
 	var m tea.Model = New(src)
 	if !strings.Contains(m.View(), "waiting") {
 		t.Error("nothing has come")
