--- a/gatherer/gatherer.go
+++ b/gatherer/gatherer.go
@@ -25,7 +25,7 @@
 	"oxbowspan/internal/balancerconfig"
 	"oxbowspan/internal/discovery"
 	"oxbowspan/internal/operatorconfig"
-	"oxbowspan/internal/peer"
+	"oxbowspan/internal/shardconn"
 	"oxbowspan/memorybudget"
 	"oxbowspan/merge"
 )
@@ -235,8 +235,8 @@
 	box := mailbox{make(chan any, mailboxSize), make(chan struct{})}
 	g.module = &module{mailbox: box, d: d, clock: newClock(), brain: balancer.New(d.Balancer), budget: newDescriptors(servers), merges: &merge.Budget{},
 		memory: g.held, expect: memorybudget.NewExpect(len(d.QueryTypes), firstValue),
-		figures: peer.Figures{ConnectTimeout: d.ConnectTimeout, IdleClose: d.IdleTimeout, Streams: d.StreamsPerConn,
-			PartsPerCall: d.CallsPerFrame, LoadProbes: d.LoadReportsByHealthCheck, Reports: len(d.LoadReportFields) > 0, Memory: accountOf{g.held, memorybudget.Servers}},
+		figures: shardconn.Config{ConnectTimeout: d.ConnectTimeout, IdleTimeout: d.IdleTimeout, StreamsPerConn: d.StreamsPerConn,
+			CallsPerFrame: d.CallsPerFrame, LoadHealthChecks: d.LoadReportsByHealthCheck, LoadReports: len(d.LoadReportFields) > 0, Memory: accountOf{g.held, memorybudget.Servers}},
 		searches: map[balancer.RequestID]*search{}, parts: map[balancer.ShardCallID]*part{}, wires: map[string]int{},
 		servers: map[balancer.ServerID]*server{}, ids: map[string]balancer.ServerID{}, ended: make(chan struct{})}
 	g.module.counts = &g.counts
--- a/gatherer/limits.go
+++ b/gatherer/limits.go
@@ -99,8 +99,8 @@
 	return d
 }
 
-// Take takes one; false = none is left.
-func (d *descriptors) Take() bool {
+// Acquire takes one; false = none is left.
+func (d *descriptors) Acquire() bool {
 	if d.left.Add(-1) < 0 {
 		d.left.Add(1)
 		return false
@@ -108,5 +108,5 @@
 	return true
 }
 
-// Give gives one back.
-func (d *descriptors) Give() { d.left.Add(1) }
+// Release gives one back.
+func (d *descriptors) Release() { d.left.Add(1) }
--- a/gatherer/mailbox.go
+++ b/gatherer/mailbox.go
@@ -4,7 +4,7 @@
 	"oxbowspan/balancer"
 	"oxbowspan/degradation"
 	"oxbowspan/internal/discovery"
-	"oxbowspan/internal/peer"
+	"oxbowspan/internal/shardconn"
 )
 
 // mailboxSize is how many messages may wait for the module. Whoever sends one more waits: a client's request,
@@ -17,7 +17,7 @@
 	clientLeft struct{ s *search }
 	listCame   struct{ l discovery.List }
 	listFailed struct{}
-	ended      struct{ e peer.Ended }
+	ended      struct{ e shardconn.AttemptEnded }
 	probed     struct{ p balancer.HealthCheckEnded }
 	// levelsReplaced puts other figures of reduced service in force.
 	levelsReplaced struct{ f degradation.Figures }
@@ -39,7 +39,7 @@
 	}
 }
 
-func (m mailbox) Ended(e peer.Ended)                 { m.put(ended{e}) }
-func (m mailbox) Probed(p balancer.HealthCheckEnded) { m.put(probed{p}) }
-func (m mailbox) Listed(l discovery.List)            { m.put(listCame{l}) }
-func (m mailbox) ListFailed()                        { m.put(listFailed{}) }
+func (m mailbox) AttemptEnded(e shardconn.AttemptEnded)        { m.put(ended{e}) }
+func (m mailbox) HealthCheckEnded(p balancer.HealthCheckEnded) { m.put(probed{p}) }
+func (m mailbox) Listed(l discovery.List)                      { m.put(listCame{l}) }
+func (m mailbox) ListFailed()                                  { m.put(listFailed{}) }
--- a/gatherer/memory.go
+++ b/gatherer/memory.go
@@ -61,6 +61,6 @@
 	a memorybudget.Account
 }
 
-func (x accountOf) Take(n int64) bool { return x.l.Take(x.a, memorybudget.Bytes(n)) }
-func (x accountOf) Force(n int64)     { x.l.Force(x.a, memorybudget.Bytes(n)) }
-func (x accountOf) Give(n int64)      { x.l.Give(x.a, memorybudget.Bytes(n)) }
+func (x accountOf) Take(n int64) bool    { return x.l.Take(x.a, memorybudget.Bytes(n)) }
+func (x accountOf) ForceAcquire(n int64) { x.l.Force(x.a, memorybudget.Bytes(n)) }
+func (x accountOf) Release(n int64)      { x.l.Give(x.a, memorybudget.Bytes(n)) }
--- a/gatherer/module.go
+++ b/gatherer/module.go
@@ -11,7 +11,7 @@
 	"oxbowspan/internal/admin"
 	"oxbowspan/internal/balancerconfig"
 	"oxbowspan/internal/discovery"
-	"oxbowspan/internal/peer"
+	"oxbowspan/internal/shardconn"
 	"oxbowspan/memorybudget"
 	"oxbowspan/merge"
 )
@@ -106,7 +106,7 @@
 	brain   *balancer.Balancer
 	list    *discovery.Actor
 	budget  *descriptors
-	figures peer.Figures
+	figures shardconn.Config
 	listed  func() // told once a list with a server is held
 
 	searches map[balancer.RequestID]*search // emptied by the final answer or the client's leaving
@@ -137,7 +137,7 @@
 type server struct {
 	id     balancer.ServerID
 	host   string
-	peer   *peer.Peer // nil = unlisted
+	peer   *shardconn.Client // nil = unlisted
 	addr   string
 	since  balancer.Time
 	out    int // sub-requests that have not ended
@@ -185,7 +185,7 @@
 	}
 	for _, s := range m.servers {
 		if s.peer != nil {
-			s.peer.Offer(peer.Quit{})
+			s.peer.TrySubmit(shardconn.CloseAll{})
 			s.peer.Stop()
 		}
 	}
@@ -297,10 +297,10 @@
 			m.list.Subscribe()
 		case balancer.CloseIdle:
 			if s := m.servers[a.Server]; s != nil && s.peer != nil {
-				s.peer.Offer(peer.CloseIdle{}) // lost when the mailbox is full: they are tried as they are
+				s.peer.TrySubmit(shardconn.CloseIdle{}) // lost when the mailbox is full: they are tried as they are
 			}
 		case balancer.HealthCheck:
-			if s := m.servers[a.Server]; s == nil || s.peer == nil || !s.peer.Offer(peer.Probe{}) {
+			if s := m.servers[a.Server]; s == nil || s.peer == nil || !s.peer.TrySubmit(shardconn.HealthCheck{}) {
 				m.pending = append(m.pending, balancer.HealthCheckEnded{Server: a.Server, Outcome: balancer.NotDispatched})
 			}
 		}
@@ -311,7 +311,7 @@
 // outCall gathers the sends of one reply to one server.
 type outCall struct {
 	s     *server
-	parts []peer.Part
+	parts []shardconn.Attempt
 }
 
 func (m *module) send(calls []outCall, a balancer.Send) []outCall {
@@ -327,10 +327,10 @@
 		return calls
 	}
 	now := m.clock.now()
-	out := peer.Part{ID: p.id, Send: no, Wire: p.wire, Shard: p.shard, Text: p.s.text, SentAt: now, Until: now + a.Timeout}
+	out := shardconn.Attempt{ID: p.id, Number: no, WireID: p.wire, Shard: p.shard, Text: p.s.text, SentAt: now, Deadline: now + a.Timeout}
 	if q := p.s.query; q != nil {
 		at := merge.Segment(p.shard)
-		out.List, out.Read = q.Ask(at), func(value string) (any, error) { return q.Read(at, value) }
+		out.Options, out.Decode = q.Ask(at), func(value string) (any, error) { return q.Read(at, value) }
 	}
 	for i := range calls {
 		if calls[i].s == s {
@@ -338,18 +338,18 @@
 			return calls
 		}
 	}
-	return append(calls, outCall{s, []peer.Part{out}})
+	return append(calls, outCall{s, []shardconn.Attempt{out}})
 }
 
 // flush hands the gathered calls to their servers. A full mailbox makes their parts moot.
 func (m *module) flush(calls []outCall) {
 	for _, c := range calls {
-		if c.s.peer.Offer(peer.Call{Parts: c.parts}) {
+		if c.s.peer.TrySubmit(shardconn.Dispatch{Attempts: c.parts}) {
 			c.s.out += len(c.parts)
 			continue
 		}
 		for _, p := range c.parts {
-			m.moot(m.parts[p.ID], p.Send, c.s.id)
+			m.moot(m.parts[p.ID], p.Number, c.s.id)
 		}
 	}
 }
@@ -380,7 +380,7 @@
 func (m *module) cancel(a balancer.Cancel) {
 	if p := m.parts[a.Call]; p != nil && int(a.Attempt) < len(p.sends) {
 		if s := p.sends[a.Attempt]; s != nil {
-			s.peer.Offer(peer.Cancel{ID: a.Call, Send: a.Attempt}) // lost when the mailbox is full: its time limit ends it
+			s.peer.TrySubmit(shardconn.Cancel{ID: a.Call, Number: a.Attempt}) // lost when the mailbox is full: its time limit ends it
 		}
 	}
 }
@@ -443,23 +443,23 @@
 }
 
 // ended takes a sub-request's outcome from its peer.
-func (m *module) subRequestEnded(e peer.Ended) {
+func (m *module) subRequestEnded(e shardconn.AttemptEnded) {
 	p := m.parts[e.ID]
-	if p == nil || p.sends[e.Send] == nil {
+	if p == nil || p.sends[e.Number] == nil {
 		return
 	}
-	s := p.sends[e.Send]
+	s := p.sends[e.Number]
 	s.out--
 	if e.Outcome == balancer.Answered && !p.s.over && !p.in {
 		p.in, p.value = true, e.Value
 		m.holdValue(p.s, memorybudget.Bytes(len(e.Value)))
 		m.merged(p, e.Result)
-	} else if e.Unfit && !p.s.over && !p.in {
+	} else if e.DecodeFailed && !p.s.over && !p.in {
 		p.s.merge.Spoilt(merge.Segment(p.shard))
 	}
-	m.settle(p, e.Send)
+	m.settle(p, e.Number)
 	m.unlist(s)
-	m.handle(balancer.AttemptEnded{Call: e.ID, Attempt: e.Send, Server: e.Server, Elapsed: e.Elapsed, Outcome: e.Outcome, Report: e.Report})
+	m.handle(balancer.AttemptEnded{Call: e.ID, Attempt: e.Number, Server: e.Server, Elapsed: e.Elapsed, Outcome: e.Outcome, Report: e.Report})
 }
 
 // holdValue accounts for a value that is in: out of what was set aside, and beyond that whatever is held, as it is here.
@@ -558,13 +558,13 @@
 		}
 		s.listed = entry.State != balancer.Removed
 		if s.listed && s.peer == nil {
-			s.peer = peer.Start(id, e.Host, e.Dial, m.figures, m.clock.now, m.mailbox, m.budget)
-		} else if s.listed && (s.addr != e.Dial || s.since != since) && !s.peer.Offer(peer.Moved{Addr: e.Dial, Since: since}) {
+			s.peer = shardconn.Start(id, e.Host, e.Dial, m.figures, m.clock.now, m.mailbox, m.budget)
+		} else if s.listed && (s.addr != e.Dial || s.since != since) && !s.peer.TrySubmit(shardconn.AddressChanged{Addr: e.Dial, StartedAt: since}) {
 			s.peer.Stop() // too busy to be told: it finishes what it has, another takes what comes
-			s.peer = peer.Start(id, e.Host, e.Dial, m.figures, m.clock.now, m.mailbox, m.budget)
+			s.peer = shardconn.Start(id, e.Host, e.Dial, m.figures, m.clock.now, m.mailbox, m.budget)
 		}
 		if entry.State == balancer.Draining && s.peer != nil {
-			s.peer.Offer(peer.Drain{}) // lost when the mailbox is full: its connections then end with the server
+			s.peer.TrySubmit(shardconn.Drain{}) // lost when the mailbox is full: its connections then end with the server
 		}
 		s.addr, s.since = e.Dial, since
 		s.draining, s.cell, s.zone = entry.State == balancer.Draining, e.Cell, e.Zone
--- a/merge/budget.go
+++ b/merge/budget.go
@@ -17,7 +17,7 @@
 // Sum is a wider budget, of which merges are a part. It may be used from several goroutines.
 type Sum interface {
 	Take(bytes int64) bool
-	Give(bytes int64)
+	Release(bytes int64)
 }
 
 // Under puts a budget under a wider one. It is called before the first merge.
@@ -62,6 +62,6 @@
 	b.bytes.Add(-bytes)
 	b.rows.Add(-rows)
 	if b.sum != nil {
-		b.sum.Give(bytes)
+		b.sum.Release(bytes)
 	}
 }
