--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -5,11 +5,11 @@
 	"fmt"
 	"os"
 
-	"oxbowspan/internal/simwire"
+	"oxbowspan/internal/simbridge"
 )
 
 func main() {
-	if err := simwire.Serve(os.Stdin, os.Stdout); err != nil {
+	if err := simbridge.Serve(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "benchlink:", err)
 		os.Exit(1)
 	}
--- a/internal/simwire/host.go
+++ b/internal/simbridge/bridge.go
@@ -1,4 +1,4 @@
-package simwire
+package simbridge
 
 import (
 	"bufio"
@@ -13,42 +13,42 @@
 
 // Codes of events and actions on the wire.
 const (
-	evWakeup, evAbandoned, evPingResult, evReply, evHead    = 0, 1, 2, 3, 4
-	evSheet, evStop, evWorkItem, evHello, evMail, evEntries = 5, 6, 7, 8, 9, 10
+	eventTimer, eventCancelled, eventHealthCheckEnded, eventAttemptEnded, eventStreamHead = 0, 1, 2, 3, 4
+	eventServerList, eventStop, eventWorkItem, eventHello, eventMail, eventListUpdate     = 5, 6, 7, 8, 9, 10
 
-	acWake, acTurnAway, acLose, acLog, acInspect, acKeepInformed = 0, 1, 2, 3, 4, 5
-	acCloseIdle, acAnswer, acStopAttempt, acTry                  = 7, 9, 10, 11
+	actionSetTimer, actionShed, actionFail, actionLog, actionHealthCheck, actionSubscribe = 0, 1, 2, 3, 4, 5
+	actionCloseIdle, actionAnswer, actionCancel, actionSend                               = 7, 9, 10, 11
 )
 
-const entrySize = 22
+const serverEntryBytes = 22
 
-const hintValid, clientRepeats = 1, 2
+const flagSizeKnown, flagClientRetry = 1, 2
 
 // instance is one gatherer's decisions and what the wire needs to name things for it.
 type instance struct {
-	id      uint32
-	g       *balancer.Balancer
-	reports []string // names of a load report's figures
-	types   int      // how many query types and shards its settings name
-	shards  int
+	id           uint32
+	balancer     *balancer.Balancer
+	reportFields []string // names of a load report's figures
+	queryTypes   int      // how many query types and shards its settings name
+	shards       int
 	// A search with its parts comes as several records; they are gathered here until the next other record.
-	search *balancer.RequestArrived
-	more   *balancer.SecondPhaseArrived
+	request     *balancer.RequestArrived
+	secondPhase *balancer.SecondPhaseArrived
 }
 
-// host runs the instances of one process. Nothing is shared among them but the sheets, which the wire
+// bridge runs the instances of one process. Nothing is shared among them but the sheets, which the wire
 // makes valid for the whole process.
-type host struct {
-	instances map[uint32]*instance
-	sheets    map[uint32][]balancer.Server
-	out       reply
-	now       balancer.Time
+type bridge struct {
+	instances   map[uint32]*instance
+	serverLists map[uint32][]balancer.Server
+	reply       replyWriter
+	now         balancer.Time
 }
 
 // Serve reads batches until the end of input and answers each.
 func Serve(r io.Reader, w io.Writer) error {
 	in, out := bufio.NewReaderSize(r, 1<<16), bufio.NewWriterSize(w, 1<<16)
-	h := &host{instances: map[uint32]*instance{}, sheets: map[uint32][]balancer.Server{}}
+	h := &bridge{instances: map[uint32]*instance{}, serverLists: map[uint32][]balancer.Server{}}
 	var buf []byte
 	for batch := 1; ; batch++ {
 		var err error
@@ -57,11 +57,11 @@
 		} else if err != nil {
 			return fmt.Errorf("batch %d: %w", batch, err)
 		}
-		h.out.reset()
-		if err := h.batch(buf); err != nil {
+		h.reply.reset()
+		if err := h.handleBatch(buf); err != nil {
 			return fmt.Errorf("batch %d: %w", batch, err)
 		}
-		if _, err := out.Write(h.out.frame()); err != nil {
+		if _, err := out.Write(h.reply.frame()); err != nil {
 			return err
 		}
 		if err := out.Flush(); err != nil {
@@ -70,8 +70,8 @@
 	}
 }
 
-func (h *host) batch(b []byte) error {
-	f := &fields{b: b, at: 4}
+func (h *bridge) handleBatch(b []byte) error {
+	f := &recordReader{data: b, offset: 4}
 	clock := f.f64("clock")
 	if math.IsNaN(clock) || math.IsInf(clock, 0) {
 		return fmt.Errorf("the clock at byte 4 is not a number")
@@ -80,48 +80,48 @@
 	var open *instance // the one whose search is being gathered
 	count := f.u32("number of records")
 	for i := uint32(1); i <= count; i++ {
-		at := f.at
+		at := f.offset
 		code, size := f.u8("code"), f.u32("record length")
-		if f.short != "" || uint64(size) > uint64(len(f.b)) {
+		if f.truncated != "" || uint64(size) > uint64(len(f.data)) {
 			return fmt.Errorf("record %d of %d at byte %d: its %d bytes do not fit the batch", i, count, at, size)
 		}
-		rec := &fields{b: f.b[:size], at: f.at}
-		f.b, f.at = f.b[size:], f.at+int(size)
-		if code == evSheet {
-			if err := h.sheet(rec); err != nil {
+		rec := &recordReader{data: f.data[:size], offset: f.offset}
+		f.data, f.offset = f.data[size:], f.offset+int(size)
+		if code == eventServerList {
+			if err := h.readServerList(rec); err != nil {
 				return fmt.Errorf("record %d (sheet) at byte %d: %w", i, at, err)
 			}
 			continue
 		}
 		id := rec.u32("gathererId")
-		if open != nil && (code != evWorkItem || open.id != id) {
-			h.flush(open)
+		if open != nil && (code != eventWorkItem || open.id != id) {
+			h.deliverPending(open)
 			open = nil
 		}
-		in, err := h.record(code, id, rec)
-		if err == nil && rec.short != "" {
-			err = errors.New(rec.short)
+		in, err := h.handleRecord(code, id, rec)
+		if err == nil && rec.truncated != "" {
+			err = errors.New(rec.truncated)
 		}
 		if err != nil {
 			return fmt.Errorf("record %d (code %d, instance %d) at byte %d: %w", i, code, id, at, err)
 		}
-		if code == evWorkItem {
+		if code == eventWorkItem {
 			open = in
 		}
 	}
-	if len(f.b) > 0 {
-		return fmt.Errorf("%d bytes stand after the last of %d records", len(f.b), count)
+	if len(f.data) > 0 {
+		return fmt.Errorf("%d bytes stand after the last of %d records", len(f.data), count)
 	}
 	if open != nil {
-		h.flush(open)
+		h.deliverPending(open)
 	}
 	return nil
 }
 
-// record turns one record into an event.
-func (h *host) record(code uint8, id uint32, f *fields) (*instance, error) {
-	if code == evHello {
-		return nil, h.hello(id, f)
+// handleRecord turns one record into an event.
+func (h *bridge) handleRecord(code uint8, id uint32, f *recordReader) (*instance, error) {
+	if code == eventHello {
+		return nil, h.startInstance(id, f)
 	}
 	in := h.instances[id]
 	if in == nil {
@@ -129,75 +129,75 @@
 	}
 	var ev balancer.Event
 	switch code {
-	case evStop:
+	case eventStop:
 		delete(h.instances, id)
 		return nil, nil
-	case evWakeup:
+	case eventTimer:
 		ev = balancer.TimerFired{Timer: balancer.TimerID(f.u32("keyBack"))}
-	case evAbandoned:
+	case eventCancelled:
 		ev = balancer.RequestCancelled{Request: balancer.RequestID(f.u64("handle"))}
-	case evPingResult:
+	case eventHealthCheckEnded:
 		p := balancer.HealthCheckEnded{Server: balancer.ServerID(f.u32("server"))}
 		status := f.u8("status")
 		f.f64("elapsed")
-		p.Report = in.report(f)
+		p.Report = in.readLoadReport(f)
 		var err error
-		if p.Outcome, err = outcome(status); err != nil {
+		if p.Outcome, err = outcomeOf(status); err != nil {
 			return nil, err
 		}
 		ev = p
-	case evReply:
+	case eventAttemptEnded:
 		s := balancer.AttemptEnded{Call: balancer.ShardCallID(f.u64("handle")), Server: balancer.ServerID(f.u32("server")),
 			Attempt: balancer.AttemptNumber(f.u16("sendNo")), Elapsed: balancerconfig.TimeFromMillis(f.f64("elapsed"))}
 		status := f.u8("status")
 		f.u8("closed")
-		s.Report = in.report(f)
+		s.Report = in.readLoadReport(f)
 		var err error
-		if s.Outcome, err = outcome(status); err != nil {
+		if s.Outcome, err = outcomeOf(status); err != nil {
 			return nil, err
 		}
 		ev = s
-	case evWorkItem:
-		return in, h.workItem(in, f)
-	case evEntries:
-		l, err := h.entries(f)
+	case eventWorkItem:
+		return in, h.readWorkItem(in, f)
+	case eventListUpdate:
+		l, err := h.readListUpdate(f)
 		if err != nil {
 			return nil, err
 		}
 		ev = l
-	case evHead, evMail:
+	case eventStreamHead, eventMail:
 		return in, nil // no streams here; gatherers tell each other nothing (docs/standing.md has what it gave)
 	default:
 		return nil, fmt.Errorf("unknown event code")
 	}
-	if f.short == "" {
-		h.act(in, ev)
+	if f.truncated == "" {
+		h.handleEvent(in, ev)
 	}
 	return in, nil
 }
 
-func (h *host) hello(id uint32, f *fields) error {
+func (h *bridge) startInstance(id uint32, f *recordReader) error {
 	seed := f.u64("salt")
 	text := f.take(int(f.u32("settings length")), "settings")
-	if f.short != "" {
+	if f.truncated != "" {
 		return nil // the caller reports it
 	}
 	d, err := balancerconfig.FromPairs(string(text), seed)
 	if err != nil {
 		return err
 	}
-	h.instances[id] = &instance{id: id, g: balancer.New(d.Balancer), reports: d.LoadReportFields,
-		types: len(d.Balancer.QueryTypes), shards: d.Balancer.Shards}
+	h.instances[id] = &instance{id: id, balancer: balancer.New(d.Balancer), reportFields: d.LoadReportFields,
+		queryTypes: len(d.Balancer.QueryTypes), shards: d.Balancer.Shards}
 	return nil
 }
 
-func (h *host) sheet(f *fields) error {
+func (h *bridge) readServerList(f *recordReader) error {
 	ref, n := f.u32("ref"), f.u32("number of entries")
-	if f.short != "" {
-		return errors.New(f.short)
+	if f.truncated != "" {
+		return errors.New(f.truncated)
 	}
-	if uint64(n)*entrySize > uint64(len(f.b)) {
-		return fmt.Errorf("%d entries of %d bytes do not fit the %d bytes left", n, entrySize, len(f.b))
+	if uint64(n)*serverEntryBytes > uint64(len(f.data)) {
+		return fmt.Errorf("%d entries of %d bytes do not fit the %d bytes left", n, serverEntryBytes, len(f.data))
 	}
 	list := make([]balancer.Server, n)
 	for i := range list {
@@ -214,20 +214,20 @@
 		case 2:
 			s.State = balancer.Draining
 		default:
-			return fmt.Errorf("entry %d at byte %d: unknown phase %d", i, f.at-1, phase)
+			return fmt.Errorf("entry %d at byte %d: unknown phase %d", i, f.offset-1, phase)
 		}
 		f.f32("weight")
 		s.StartedAt = balancerconfig.TimeFromMillis(f.f64("upSince"))
 	}
-	h.sheets[ref] = list
+	h.serverLists[ref] = list
 	return nil
 }
 
-func (h *host) entries(f *fields) (balancer.ServerList, error) {
+func (h *bridge) readListUpdate(f *recordReader) (balancer.ServerList, error) {
 	f.u64("version")
 	ref, scope := f.u32("ref"), f.u8("scope")
 	l := balancer.ServerList{}
-	if f.short != "" {
+	if f.truncated != "" {
 		return l, nil
 	}
 	switch scope {
@@ -243,7 +243,7 @@
 	default:
 		return l, fmt.Errorf("unknown scope %d", scope)
 	}
-	list, ok := h.sheets[ref]
+	list, ok := h.serverLists[ref]
 	if !ok {
 		return l, fmt.Errorf("sheet %d was never given", ref)
 	}
@@ -251,62 +251,62 @@
 	return l, nil
 }
 
-// workItem gathers a search with its parts, or the parts of a second step.
-func (h *host) workItem(in *instance, f *fields) error {
+// readWorkItem gathers a search with its parts, or the parts of a second step.
+func (h *bridge) readWorkItem(in *instance, f *recordReader) error {
 	id := f.u64("handle")
 	lane, realm := f.u8("lane"), f.u16("realm")
 	f.u64("nameKey")
 	budget, effort := f.f64("budget"), f.f64("effort")
 	number, shard, heft := balancer.RequestNumber(f.f32("jobNo")), f.f32("rangeNo"), f.f32("heft")
 	flags := f.u8("stateBits")
-	if f.short != "" {
+	if f.truncated != "" {
 		return nil
 	}
-	if int(lane) >= in.types {
-		return fmt.Errorf("type %d is not among the %d of the settings", lane, in.types)
+	if int(lane) >= in.queryTypes {
+		return fmt.Errorf("type %d is not among the %d of the settings", lane, in.queryTypes)
 	}
 	if math.IsNaN(shard) || shard >= float64(in.shards) || math.IsNaN(heft) || math.IsNaN(budget) {
 		return fmt.Errorf("shard %v, weight %v or budget %v is out of range", shard, heft, budget)
 	}
 	if shard < 0 {
-		h.flush(in)
-		in.search = &balancer.RequestArrived{Request: balancer.RequestID(id), Number: number,
+		h.deliverPending(in)
+		in.request = &balancer.RequestArrived{Request: balancer.RequestID(id), Number: number,
 			Type: balancer.QueryType(lane), Customer: balancer.CustomerIndex(realm), Timeout: balancerconfig.TimeFromMillis(budget),
-			Retry: flags&clientRepeats != 0}
+			Retry: flags&flagClientRetry != 0}
 		return nil
 	}
 	part := balancer.ShardCall{ID: balancer.ShardCallID(id), Shard: balancer.ShardIndex(shard), Weight: heft}
-	if flags&hintValid != 0 {
+	if flags&flagSizeKnown != 0 {
 		part.Size = effort
 	}
 	switch {
-	case in.search != nil && in.search.Number == number:
-		in.search.Calls = append(in.search.Calls, part)
-	case in.more != nil && in.more.Number == number:
-		in.more.Calls = append(in.more.Calls, part)
+	case in.request != nil && in.request.Number == number:
+		in.request.Calls = append(in.request.Calls, part)
+	case in.secondPhase != nil && in.secondPhase.Number == number:
+		in.secondPhase.Calls = append(in.secondPhase.Calls, part)
 	default:
-		h.flush(in)
-		in.more = &balancer.SecondPhaseArrived{Number: number, Calls: []balancer.ShardCall{part}}
+		h.deliverPending(in)
+		in.secondPhase = &balancer.SecondPhaseArrived{Number: number, Calls: []balancer.ShardCall{part}}
 	}
 	return nil
 }
 
-// flush hands over the search or parts gathered so far.
-func (h *host) flush(in *instance) {
-	if in.search != nil {
-		ev := *in.search
-		in.search = nil
-		h.act(in, ev)
+// deliverPending hands over the search or parts gathered so far.
+func (h *bridge) deliverPending(in *instance) {
+	if in.request != nil {
+		ev := *in.request
+		in.request = nil
+		h.handleEvent(in, ev)
 	}
-	if in.more != nil {
-		ev := *in.more
-		in.more = nil
-		h.act(in, ev)
+	if in.secondPhase != nil {
+		ev := *in.secondPhase
+		in.secondPhase = nil
+		h.handleEvent(in, ev)
 	}
 }
 
-// report reads a load report; nil where none came.
-func (in *instance) report(f *fields) *balancer.LoadReport {
+// readLoadReport reads a load report; nil where none came.
+func (in *instance) readLoadReport(f *recordReader) *balancer.LoadReport {
 	n := int(f.u8("pressure count"))
 	if n == 0 {
 		return nil
@@ -314,10 +314,10 @@
 	r := &balancer.LoadReport{Queued: -1, InFlight: -1}
 	for i := range n {
 		v := f.f32("pressure")
-		if i >= len(in.reports) || math.IsNaN(v) || math.IsInf(v, 0) {
+		if i >= len(in.reportFields) || math.IsNaN(v) || math.IsInf(v, 0) {
 			continue
 		}
-		switch in.reports[i] {
+		switch in.reportFields[i] {
 		case "waiting":
 			r.Queued = v
 		case "active":
@@ -327,7 +327,7 @@
 	return r
 }
 
-func outcome(status uint8) (balancer.Outcome, error) {
+func outcomeOf(status uint8) (balancer.Outcome, error) {
 	switch status {
 	case 0:
 		return balancer.Answered, nil
@@ -349,27 +349,27 @@
 	return 0, fmt.Errorf("unknown outcome %d", status)
 }
 
-// act hands one event to the module and writes its actions.
-func (h *host) act(in *instance, ev balancer.Event) {
-	for _, a := range in.g.Handle(h.now, ev) {
-		h.out.action(in.id, a)
+// handleEvent hands one event to the module and writes its actions.
+func (h *bridge) handleEvent(in *instance, ev balancer.Event) {
+	for _, a := range in.balancer.Handle(h.now, ev) {
+		h.reply.action(in.id, a)
 	}
 }
 
 // action writes one action as a record.
-func (o *reply) action(id uint32, a balancer.Action) {
+func (o *replyWriter) action(id uint32, a balancer.Action) {
 	switch a := a.(type) {
 	case balancer.Send:
-		o.begin(acTry, id)
+		o.begin(actionSend, id)
 		o.u64(uint64(a.Call))
 		o.u32(uint32(a.Server))
 		o.f64(balancerconfig.Millis(a.Timeout))
 	case balancer.Cancel:
-		o.begin(acStopAttempt, id)
+		o.begin(actionCancel, id)
 		o.u64(uint64(a.Call))
 		o.u16(uint16(a.Attempt))
 	case balancer.Answer:
-		o.begin(acAnswer, id)
+		o.begin(actionAnswer, id)
 		o.u64(uint64(a.Request))
 		if a.Complete {
 			o.u8(1)
@@ -377,24 +377,24 @@
 			o.u8(0)
 		}
 	case balancer.Shed:
-		o.begin(acTurnAway, id)
+		o.begin(actionShed, id)
 		o.u64(uint64(a.Request))
 		o.f64(balancerconfig.Millis(a.RetryAfter))
 	case balancer.Fail:
-		o.begin(acLose, id)
+		o.begin(actionFail, id)
 		o.u64(uint64(a.Request))
 	case balancer.SetTimer:
-		o.begin(acWake, id)
+		o.begin(actionSetTimer, id)
 		o.f64(balancerconfig.Millis(a.At))
 		o.u32(uint32(a.Timer))
 	case balancer.Subscribe:
-		o.begin(acKeepInformed, id)
+		o.begin(actionSubscribe, id)
 		o.u8(1)
 	case balancer.HealthCheck:
-		o.begin(acInspect, id)
+		o.begin(actionHealthCheck, id)
 		o.u32(uint32(a.Server))
 	case balancer.CloseIdle:
-		o.begin(acCloseIdle, id)
+		o.begin(actionCloseIdle, id)
 		o.u32(uint32(a.Server))
 	}
 	o.end()
--- a/internal/simwire/simwire_test.go
+++ b/internal/simbridge/bridge_test.go
@@ -1,4 +1,4 @@
-package simwire
+package simbridge
 
 import (
 	"bytes"
@@ -23,25 +23,25 @@
 }
 
 func batch(records ...[]byte) []byte {
-	var w reply
+	var w replyWriter
 	w.u32(0)
 	w.f64(240)
 	w.u32(uint32(len(records)))
 	for _, r := range records {
-		w.b = append(w.b, r...)
+		w.data = append(w.data, r...)
 	}
-	w.b[2], w.b[3] = byte((len(w.b)-4)>>8), byte(len(w.b)-4)
-	return w.b
+	w.data[2], w.data[3] = byte((len(w.data)-4)>>8), byte(len(w.data)-4)
+	return w.data
 }
 
 func hello(text string) []byte {
-	var w reply
+	var w replyWriter
 	w.begin(8, 3)
 	w.u64(99)
 	w.u32(uint32(len(text)))
-	w.b = append(w.b, text...)
+	w.data = append(w.data, text...)
 	w.end()
-	return w.b
+	return w.data
 }
 
 // One server (id 03124a07, cell 0, ready), then the list for instance 3.
@@ -61,7 +61,7 @@
 	return hex.EncodeToString(out.Bytes()), err
 }
 
-func TestSearchIsSentAndAnswered(t *testing.T) {
+func TestRequestIsSentAndAnswered(t *testing.T) {
 	first := batch(hello(settings), unhex(t, sheet), unhex(t, list), unhex(t, query), unhex(t, part))
 	// The part's answer, with a byte after its known fields, which is skipped.
 	second := batch(unhex(t, `03 00000020 00000003 0000000000000002 03124a07 0000 4032800000000000 00 01 00 ff ff ff`))
@@ -77,7 +77,7 @@
 	}
 }
 
-func TestActionsOnTheWire(t *testing.T) {
+func TestActionEncoding(t *testing.T) {
 	for want, a := range map[string]balancer.Action{
 		"0b 00000018 00000003 0006dabb5d3a91c4 03124a07 4054000000000000": balancer.Send{Call: 0x6dabb5d3a91c4, Server: 0x3124a07, Timeout: 800},
 		"0a 0000000e 00000003 0006dabb5d3a91c4 0001":                      balancer.Cancel{Call: 0x6dabb5d3a91c4, Attempt: 1},
@@ -88,14 +88,14 @@
 		"05 00000005 00000003 01":                                         balancer.Subscribe{},
 		"04 00000008 00000003 2c9011f2":                                   balancer.HealthCheck{Server: 0x2c9011f2},
 	} {
-		var o reply
-		if o.action(3, a); !bytes.Equal(o.b, unhex(t, want)) {
-			t.Errorf("%#v became %x, want %s", a, o.b, want)
+		var o replyWriter
+		if o.action(3, a); !bytes.Equal(o.data, unhex(t, want)) {
+			t.Errorf("%#v became %x, want %s", a, o.data, want)
 		}
 	}
 }
 
-func TestEmptyBatchThenStopAndHelloInOne(t *testing.T) {
+func TestStopAndHelloInOneBatch(t *testing.T) {
 	empty, stop := unhex(t, `0000000c 40c06e2000000000 00000000`), unhex(t, `06 00000004 00000003`)
 	again := batch(hello(settings), unhex(t, sheet), unhex(t, list), stop, hello(settings), unhex(t, list))
 	if got, err := serve(t, append(empty, again...)); err != nil || got != strings.Repeat("0000000400000000", 2) {
@@ -103,7 +103,7 @@
 	}
 }
 
-func TestSheetNumberReusedInOneBatch(t *testing.T) {
+func TestServerListReferenceReusedInBatch(t *testing.T) {
 	other := strings.Replace(sheet, "03124a07", "000000aa", 1)
 	got, err := serve(t, batch(hello(settings), unhex(t, sheet), unhex(t, list), unhex(t, other),
 		unhex(t, strings.TrimSuffix(list, "02")+"00"), unhex(t, query), unhex(t, part)))
@@ -112,7 +112,7 @@
 	}
 }
 
-func TestBadInputIsOnePlainError(t *testing.T) {
+func TestInvalidInput(t *testing.T) {
 	bad := func(from, to string) []byte { return hello(strings.Replace(settings, from, to, 1)) }
 	for want, in := range map[string][]byte{
 		"cut off after 2 of 4":     {0, 0},
@@ -140,7 +140,7 @@
 	}
 }
 
-func TestTimesNeverGrow(t *testing.T) {
+func TestTimesRoundDown(t *testing.T) {
 	for ms, want := range map[float64]int64{0.3: 3, 230: 2300, 17.19: 171, 0.0999: 0, 1e300: 1e15, -2.05: -21} {
 		if got := balancerconfig.TimeFromMillis(ms); int64(got) != want {
 			t.Errorf("%v ms became %d tenths, want %d", ms, got, want)
