--- a/controlplane/contact_monitor.go
+++ b/controlplane/contact_monitor.go
@@ -22,8 +22,8 @@
 
 // contactTime is the newest time before which nothing was decided that this hive does not know. Its own disk answers at once.
 func (h *Controller) contactTime(now time.Duration) (since time.Duration, ok bool) {
-	own := quorum.Answer{Life: h.incarnation, SentAt: now, Turn: consensus.Slot(h.acceptedSlot.Load())}
-	h.contact.Answered(h.self, own, h.known.Slot)
+	own := quorum.Reply{Incarnation: h.incarnation, SentAt: now, Slot: consensus.Slot(h.acceptedSlot.Load())}
+	h.contact.ObserveReply(h.self, own, h.known.Slot)
 	return h.contact.Since(h.known.Members, h.known.Slot)
 }
 
--- a/controlplane/controller.go
+++ b/controlplane/controller.go
@@ -69,7 +69,7 @@
 	ownReplica       consensus.Replica        // what this machine's disk holds
 	selfRepair       consensus.RepairSchedule // when this machine's own copy is to be completed
 	repair           consensus.RepairSchedule // when a round is owed for copies that lack
-	contact          *quorum.Contact
+	contact          *quorum.ContactTracker
 	wasInContact     bool // in contact, when last looked
 	verifier         verifications
 	newestAccepted   consensus.Slot // the newest turn that this acceptor voted for
@@ -153,7 +153,7 @@
 	h := &Controller{settings: set, network: on, log: log, store: store, self: state.ID, proposerID: consensus.ProposerID(acceptorstore.NewAcceptorID()), incarnation: uint64(acceptorstore.NewAcceptorID()),
 		address: set.InternalAddress(settings.ControllerPort), startedAt: time.Now(), commands: make(chan func(), 1024), stopped: make(chan struct{}), killed: make(chan struct{}),
 		proposalToken: make(chan struct{}, 1), known: consensus.Genesis(genesis), table: registry.NewTable(set.HeartbeatInterval()),
-		gateways: map[uint64]*gatewayState{}, peers: map[string]*peer{}, waiters: map[*pollWaiter]bool{}, serverStates: map[string]string{}, events: circularbuffer.New[eventRecord](eventLogCapacity), documentTimes: map[string]documentTime{}, highestBallot: state.Promised.Number, contact: quorum.NewContact()}
+		gateways: map[uint64]*gatewayState{}, peers: map[string]*peer{}, waiters: map[*pollWaiter]bool{}, serverStates: map[string]string{}, events: circularbuffer.New[eventRecord](eventLogCapacity), documentTimes: map[string]documentTime{}, highestBallot: state.Promised.Number, contact: quorum.NewContactTracker()}
 	if v := state.Value; v != nil {
 		// Whether it was decided is not known.
 		h.newestAccepted, h.known = v.Slot, consensus.RecoveryBase(v)
@@ -375,7 +375,7 @@
 		}
 	}
 	h.replicationWaits = kept
-	h.contact.Forget(now - 2*contactLifetime)
+	h.contact.Prune(now - 2*contactLifetime)
 	h.startDueProposal(now)
 	h.saveHints(now)
 }
--- a/controlplane/gossip.go
+++ b/controlplane/gossip.go
@@ -255,7 +255,7 @@
 	}
 	h.receiveValueReply(p, m)
 	h.observeReplica(p, m.From, consensus.Slot(m.Slot))
-	h.contact.Answered(p.id, quorum.Answer{Life: m.Incarnation, SentAt: sent.sentAt, Turn: consensus.Slot(max(m.VotedSlot, m.Slot))}, h.known.Slot)
+	h.contact.ObserveReply(p.id, quorum.Reply{Incarnation: m.Incarnation, SentAt: sent.sentAt, Slot: consensus.Slot(max(m.VotedSlot, m.Slot))}, h.known.Slot)
 	h.finishVerifications(now)
 	for _, no := range m.DifferingRanges {
 		if no < registry.RangeCount && !slices.Contains(p.differingRanges, int(no)) {
@@ -293,7 +293,7 @@
 	if p.incarnation != life && p.incarnation != 0 {
 		p.ackedCursor, p.slot, p.ackedGateways = 0, 0, 0
 	}
-	h.contact.Began(consensus.AcceptorID(from.Id), life)
+	h.contact.ObserveIncarnation(consensus.AcceptorID(from.Id), life)
 	p.restoresBodies = from.RestoresBodies
 	p.incarnation, p.id, p.control, p.zone = life, consensus.AcceptorID(from.Id), from.ControlAddress, from.Zone
 	p.lastSeen, p.slot = max(now, 1), turn
--- a/quorum/model_test.go
+++ b/quorum/model_test.go
@@ -15,67 +15,67 @@
 // frozen for up to 20 s and finds what came meanwhile when it wakes. After each step what Contact tells is held against what
 // was decided, and against what was answered in truth.
 
-// mistake is a fault planted in the use of Contact, to see that the checks find it.
-type mistake int
+// injectedFault is a fault planted in the use of Contact, to see that the checks find it.
+type injectedFault int
 
 const (
-	none          mistake = iota
-	heard                 // a word of an acceptor's own counts as contact
-	readTime              // an answer counts from when it was read
-	livesMixed            // what an acceptor answered before it started anew counts on
-	oldMembers            // the majority is that of the first members
-	turnsIgnored          // an acceptor vouches, whatever it has voted for
-	ownVoteForgot         // the asker vouches for itself, whatever it has voted for
-	voteToldLate          // an acceptor's vote counts before its answers tell of it
+	noFault           injectedFault = iota
+	acceptUnsolicited               // a word of an acceptor's own counts as contact
+	useReceiveTime                  // an answer counts from when it was read
+	mixIncarnations                 // what an acceptor answered before it started anew counts on
+	useFirstMembers                 // the majority is that of the first members
+	ignoreSlots                     // an acceptor vouches, whatever it has voted for
+	ignoreOwnAccept                 // the asker vouches for itself, whatever it has voted for
+	reportAcceptLate                // an acceptor's vote counts before its answers tell of it
 )
 
-// bound is after how long contact is lost.
-const bound = 2 * time.Second
+// contactLifetime is after how long contact is lost.
+const contactLifetime = 2 * time.Second
 
 type acceptor struct {
-	id          consensus.AcceptorID
-	life        uint64
-	voted, last consensus.Slot // of the vote, and of the one before it
+	id                 consensus.AcceptorID
+	incarnation        uint64
+	accepted, previous consensus.Slot // of the vote, and of the one before it
 }
 
 type decision struct {
-	turn    consensus.Slot
+	slot    consensus.Slot
 	members []consensus.Member
 	at      time.Duration
 }
 
 // message is a question, an answer to one, or a word of an acceptor's own.
 type message struct {
-	question, answer bool
-	of               *acceptor
-	life             uint64
-	turn             consensus.Slot
-	sentAt           time.Duration // of the question
+	isRequest, isReply bool
+	acceptor           *acceptor
+	incarnation        uint64
+	slot               consensus.Slot
+	sentAt             time.Duration // of the question
 }
 
 type model struct {
-	r         *rand.Rand
-	planted   mistake
-	now       time.Duration
-	acceptors []*acceptor // the first is the asker
-	decided   []decision
-	known     int // of decided, by the asker
-	flying    []message
-	came      []message // and were not read
-	wakes     time.Duration
-	contact   *Contact
-	lastHeard map[consensus.AcceptorID]uint64
-	answered  map[consensus.AcceptorID]map[uint64]time.Duration // when the newest question was sent that a life answered
-	touched   int
+	random          *rand.Rand
+	fault           injectedFault
+	now             time.Duration
+	acceptors       []*acceptor // the first is the asker
+	decided         []decision
+	known           int // of decided, by the asker
+	inFlight        []message
+	received        []message // and were not read
+	wakesAt         time.Duration
+	tracker         *ContactTracker
+	lastIncarnation map[consensus.AcceptorID]uint64
+	repliedAt       map[consensus.AcceptorID]map[uint64]time.Duration // when the newest question was sent that a life answered
+	inContact       int
 }
 
-func newModel(seed uint64, planted mistake) *model {
-	m := &model{r: rand.New(rand.NewPCG(seed, 3)), planted: planted, contact: NewContact(), lastHeard: map[consensus.AcceptorID]uint64{},
-		answered: map[consensus.AcceptorID]map[uint64]time.Duration{}}
+func newModel(seed uint64, fault injectedFault) *model {
+	m := &model{random: rand.New(rand.NewPCG(seed, 3)), fault: fault, tracker: NewContactTracker(), lastIncarnation: map[consensus.AcceptorID]uint64{},
+		repliedAt: map[consensus.AcceptorID]map[uint64]time.Duration{}}
 	var first []consensus.Member
 	for i := range 5 {
-		a := &acceptor{id: consensus.AcceptorID(i + 1), life: 1}
-		m.acceptors, m.answered[a.id] = append(m.acceptors, a), map[uint64]time.Duration{}
+		a := &acceptor{id: consensus.AcceptorID(i + 1), incarnation: 1}
+		m.acceptors, m.repliedAt[a.id] = append(m.acceptors, a), map[uint64]time.Duration{}
 		if i < 3 {
 			first = append(first, consensus.Member{ID: a.id})
 		}
@@ -85,94 +85,94 @@
 }
 
 func (m *model) step() {
-	m.now += time.Duration(1+m.r.IntN(60)) * time.Millisecond
-	a := m.acceptors[1+m.r.IntN(4)]
-	awake := m.now >= m.wakes
-	switch k := m.r.IntN(100); {
+	m.now += time.Duration(1+m.random.IntN(60)) * time.Millisecond
+	a := m.acceptors[1+m.random.IntN(4)]
+	awake := m.now >= m.wakesAt
+	switch k := m.random.IntN(100); {
 	case k < 18 && awake:
-		m.flying = append(m.flying, message{question: true, of: a, sentAt: m.now})
-	case k < 62 && len(m.flying) > 0:
-		m.arrive()
-	case k < 78 && awake && len(m.came) > 0:
-		m.read()
+		m.inFlight = append(m.inFlight, message{isRequest: true, acceptor: a, sentAt: m.now})
+	case k < 62 && len(m.inFlight) > 0:
+		m.deliver()
+	case k < 78 && awake && len(m.received) > 0:
+		m.process()
 	case k < 83:
-		m.flying = append(m.flying, message{of: a, life: a.life, turn: m.told(a)})
+		m.inFlight = append(m.inFlight, message{acceptor: a, incarnation: a.incarnation, slot: m.reportedSlot(a)})
 	case k < 84:
 		m.decide()
 	case k < 85: // votes that decide nothing
-		m.vote(a, m.decided[len(m.decided)-1].turn+1)
-	case k < 86 && m.r.IntN(3) == 0:
-		a.life++
-	case k < 87 && m.r.IntN(8) == 0:
-		m.wakes = m.now + time.Duration(m.r.IntN(20000))*time.Millisecond
+		m.accept(a, m.decided[len(m.decided)-1].slot+1)
+	case k < 86 && m.random.IntN(3) == 0:
+		a.incarnation++
+	case k < 87 && m.random.IntN(8) == 0:
+		m.wakesAt = m.now + time.Duration(m.random.IntN(20000))*time.Millisecond
 	case k < 95 && awake: // the asker hears of what is decided
-		m.known = max(m.known, len(m.decided)-1-m.r.IntN(2))
-	case len(m.flying) > 0 && m.r.IntN(4) == 0: // a message is lost
-		i := m.r.IntN(len(m.flying))
-		m.flying = slices.Delete(m.flying, i, i+1)
+		m.known = max(m.known, len(m.decided)-1-m.random.IntN(2))
+	case len(m.inFlight) > 0 && m.random.IntN(4) == 0: // a message is lost
+		i := m.random.IntN(len(m.inFlight))
+		m.inFlight = slices.Delete(m.inFlight, i, i+1)
 	}
 }
 
-func (m *model) told(a *acceptor) consensus.Slot {
-	if m.planted == voteToldLate {
-		return a.last
+func (m *model) reportedSlot(a *acceptor) consensus.Slot {
+	if m.fault == reportAcceptLate {
+		return a.previous
 	}
-	return a.voted
+	return a.accepted
 }
 
-func (m *model) vote(a *acceptor, turn consensus.Slot) {
-	if turn != a.voted {
-		a.last, a.voted = a.voted, turn
+func (m *model) accept(a *acceptor, turn consensus.Slot) {
+	if turn != a.accepted {
+		a.previous, a.accepted = a.accepted, turn
 	}
 }
 
-// arrive has a message come, in no order.
-func (m *model) arrive() {
-	i := m.r.IntN(len(m.flying))
-	f := m.flying[i]
-	m.flying = slices.Delete(m.flying, i, i+1)
-	if f.question {
-		m.flying = append(m.flying, message{answer: true, of: f.of, life: f.of.life, turn: m.told(f.of), sentAt: f.sentAt})
+// deliver has a message come, in no order.
+func (m *model) deliver() {
+	i := m.random.IntN(len(m.inFlight))
+	f := m.inFlight[i]
+	m.inFlight = slices.Delete(m.inFlight, i, i+1)
+	if f.isRequest {
+		m.inFlight = append(m.inFlight, message{isReply: true, acceptor: f.acceptor, incarnation: f.acceptor.incarnation, slot: m.reportedSlot(f.acceptor), sentAt: f.sentAt})
 		return
 	}
-	m.came = append(m.came, f)
+	m.received = append(m.received, f)
 }
 
-func (m *model) read() {
-	f := m.came[0]
-	m.came = m.came[1:]
-	known, id := m.decided[m.known].turn, f.of.id
-	a := Answer{Life: f.life, SentAt: f.sentAt, Turn: f.turn}
-	if m.planted == readTime || m.planted == heard && !f.answer {
+func (m *model) process() {
+	f := m.received[0]
+	m.received = m.received[1:]
+	known, id := m.decided[m.known].slot, f.acceptor.id
+	a := Reply{Incarnation: f.incarnation, SentAt: f.sentAt, Slot: f.slot}
+	if m.fault == useReceiveTime || m.fault == acceptUnsolicited && !f.isReply {
 		a.SentAt = m.now
 	}
-	if m.planted == turnsIgnored {
-		a.Turn = 0
+	if m.fault == ignoreSlots {
+		a.Slot = 0
 	}
-	if m.planted == livesMixed {
-		a.Life = 0
+	if m.fault == mixIncarnations {
+		a.Incarnation = 0
 	} else {
-		m.contact.Began(id, f.life)
+		m.tracker.ObserveIncarnation(id, f.incarnation)
 	}
-	if f.answer || m.planted == heard {
-		m.contact.Answered(id, a, known)
+	if f.isReply || m.fault == acceptUnsolicited {
+		m.tracker.ObserveReply(id, a, known)
 	}
-	m.lastHeard[id] = f.life
-	if f.answer {
-		m.answered[id][f.life] = max(m.answered[id][f.life], f.sentAt)
+	m.lastIncarnation[id] = f.incarnation
+	if f.isReply {
+		m.repliedAt[id][f.incarnation] = max(m.repliedAt[id][f.incarnation], f.sentAt)
 	}
 }
 
 // decide has a majority of the members vote for the next turn, which may exchange one of them: then also one of the new set.
 func (m *model) decide() {
 	old := m.decided[len(m.decided)-1]
-	next := decision{old.turn + 1, slices.Clone(old.members), m.now}
-	if stranger := m.acceptors[m.r.IntN(5)]; m.r.IntN(3) == 0 && !consensus.Contains(next.members, stranger.id) {
-		next.members[m.r.IntN(len(next.members))] = consensus.Member{ID: stranger.id}
+	next := decision{old.slot + 1, slices.Clone(old.members), m.now}
+	if stranger := m.acceptors[m.random.IntN(5)]; m.random.IntN(3) == 0 && !consensus.Contains(next.members, stranger.id) {
+		next.members[m.random.IntN(len(next.members))] = consensus.Member{ID: stranger.id}
 	}
 	for _, set := range [][]consensus.Member{old.members, next.members} {
-		for _, i := range m.r.Perm(len(set))[:len(set)/2+1] {
-			m.vote(m.acceptors[set[i].ID-1], next.turn)
+		for _, i := range m.random.Perm(len(set))[:len(set)/2+1] {
+			m.accept(m.acceptors[set[i].ID-1], next.slot)
 		}
 	}
 	m.decided = append(m.decided, next)
@@ -180,74 +180,74 @@
 
 // check returns what is wrong with what Contact tells now.
 func (m *model) check() string {
-	if m.now < m.wakes {
+	if m.now < m.wakesAt {
 		return ""
 	}
 	known, self := m.decided[m.known], m.acceptors[0]
-	own := Answer{Life: self.life, SentAt: m.now, Turn: self.voted}
-	if m.planted == ownVoteForgot {
-		own.Turn = 0
+	own := Reply{Incarnation: self.incarnation, SentAt: m.now, Slot: self.accepted}
+	if m.fault == ignoreOwnAccept {
+		own.Slot = 0
 	}
-	m.contact.Answered(self.id, own, known.turn)
+	m.tracker.ObserveReply(self.id, own, known.slot)
 	members := known.members
-	if m.planted == oldMembers {
+	if m.fault == useFirstMembers {
 		members = m.decided[0].members
 	}
-	since, ok := m.contact.Since(members, known.turn)
+	since, ok := m.tracker.Since(members, known.slot)
 	if !ok {
 		return ""
 	}
-	if m.now-since < bound {
-		m.touched++
+	if m.now-since < contactLifetime {
+		m.inContact++
 	}
 	if m.known+1 < len(m.decided) {
 		if d := m.decided[m.known+1]; d.at < since {
-			return fmt.Sprintf("at %v contact since %v at turn %d; turn %d was decided at %v", m.now, since, known.turn, d.turn, d.at)
+			return fmt.Sprintf("at %v contact since %v at turn %d; turn %d was decided at %v", m.now, since, known.slot, d.slot, d.at)
 		}
 	}
 	if !consensus.HasMajority(known.members, func(id consensus.AcceptorID) bool {
-		return id == self.id || m.answered[id][m.lastHeard[id]] >= since && m.lastHeard[id] > 0
+		return id == self.id || m.repliedAt[id][m.lastIncarnation[id]] >= since && m.lastIncarnation[id] > 0
 	}) {
 		return fmt.Sprintf("at %v contact since %v, of which a majority as it runs now answered nothing", m.now, since)
 	}
 	return ""
 }
 
-func play(seed uint64, steps int, planted mistake) (broken string, touched int) {
-	m := newModel(seed, planted)
+func runModel(seed uint64, steps int, fault injectedFault) (violation string, contactSteps int) {
+	m := newModel(seed, fault)
 	for range steps {
 		m.step()
-		if broken = m.check(); broken != "" {
+		if violation = m.check(); violation != "" {
 			break
 		}
 	}
-	return broken, m.touched
+	return violation, m.inContact
 }
 
-func TestNothingWasDecidedBeforeTheLastContact(t *testing.T) {
-	touched := 0
-	const worlds, steps = 1000, 600
-	for seed := range uint64(worlds) {
-		broken, n := play(seed, steps, none)
-		if broken != "" {
-			t.Fatalf("seed %d: %s", seed, broken)
+func TestNoUnknownDecisionBeforeContact(t *testing.T) {
+	contactSteps := 0
+	const runs, steps = 1000, 600
+	for seed := range uint64(runs) {
+		violation, n := runModel(seed, steps, noFault)
+		if violation != "" {
+			t.Fatalf("seed %d: %s", seed, violation)
 		}
-		touched += n
+		contactSteps += n
 	}
-	if touched < worlds*steps/5 {
-		t.Errorf("in contact after %d of %d steps: too few to tell", touched, worlds*steps)
+	if contactSteps < runs*steps/5 {
+		t.Errorf("in contact after %d of %d steps: too few to tell", contactSteps, runs*steps)
 	}
 }
 
-func TestPlantedMistakesAreFound(t *testing.T) {
-	for name, planted := range map[string]mistake{"words count as contact": heard, "answers count from when they are read": readTime,
-		"answers of an ended process count": livesMixed, "a majority of the first members": oldMembers, "votes are not asked for": turnsIgnored,
-		"its own vote is forgotten": ownVoteForgot, "a vote is told late": voteToldLate} {
+func TestModelDetectsInjectedFaults(t *testing.T) {
+	for name, fault := range map[string]injectedFault{"words count as contact": acceptUnsolicited, "answers count from when they are read": useReceiveTime,
+		"answers of an ended process count": mixIncarnations, "a majority of the first members": useFirstMembers, "votes are not asked for": ignoreSlots,
+		"its own vote is forgotten": ignoreOwnAccept, "a vote is told late": reportAcceptLate} {
 		found := false
 		for seed := uint64(0); seed < 3000 && !found; seed++ {
-			if broken, _ := play(seed, 600, planted); broken != "" {
+			if violation, _ := runModel(seed, 600, fault); violation != "" {
 				found = true
-				t.Logf("%s: seed %d: %s", name, seed, broken)
+				t.Logf("%s: seed %d: %s", name, seed, violation)
 			}
 		}
 		if !found {
@@ -257,8 +257,8 @@
 }
 
 // An answer that is older than one that was taken changes nothing, whoever's it is; what is forgotten is gone.
-func TestOldAnswersChangeNothing(t *testing.T) {
-	c, members := NewContact(), []consensus.Member{{ID: 1}}
+func TestStaleRepliesAreIgnored(t *testing.T) {
+	c, members := NewContactTracker(), []consensus.Member{{ID: 1}}
 	since := func(want time.Duration, ok bool) {
 		t.Helper()
 		if got, is := c.Since(members, 5); got != want || is != ok {
@@ -266,21 +266,21 @@
 		}
 	}
 	since(0, false)
-	c.Answered(1, Answer{1, 10, 5}, 5)
-	c.Answered(1, Answer{1, 5, 4}, 5)
-	c.Answered(1, Answer{2, 5, 4}, 5)
+	c.ObserveReply(1, Reply{1, 10, 5}, 5)
+	c.ObserveReply(1, Reply{1, 5, 4}, 5)
+	c.ObserveReply(1, Reply{2, 5, 4}, 5)
 	since(10, true)
-	c.Answered(1, Answer{1, 20, 6}, 5) // it voted for what is not known here: what it said before holds
-	c.Answered(1, Answer{1, 30, 6}, 5)
+	c.ObserveReply(1, Reply{1, 20, 6}, 5) // it voted for what is not known here: what it said before holds
+	c.ObserveReply(1, Reply{1, 30, 6}, 5)
 	since(10, true)
-	c.Began(1, 1)
+	c.ObserveIncarnation(1, 1)
 	since(10, true)
-	c.Forget(30)
+	c.Prune(30)
 	since(10, true)
-	c.Forget(31)
+	c.Prune(31)
 	since(0, false)
-	c.Answered(1, Answer{1, 40, 5}, 5)
-	c.Began(1, 2)
+	c.ObserveReply(1, Reply{1, 40, 5}, 5)
+	c.ObserveIncarnation(1, 2)
 	since(0, false)
 	if _, ok := c.Since(nil, 5); ok {
 		t.Error("no members are a majority")
