--- a/gatherer/gatherer.go
+++ b/gatherer/gatherer.go
@@ -207,14 +207,14 @@
 // Gatherer is one gatherer.
 type Gatherer struct {
 	mu     sync.Mutex
-	setup  Setup            // in force; discovery may change
-	list   *discovery.Actor // nil = Run has not begun, or is over
+	setup  Setup              // in force; discovery may change
+	list   *discovery.Watcher // nil = Run has not begun, or is over
 	front  *front
 	proxy  *transport
 	module *module
 	held   *memorybudget.Ledger
 	d      balancerconfig.Deployment
-	known  discovery.List
+	known  discovery.ServerList
 	counts counts
 }
 
@@ -260,7 +260,7 @@
 }
 
 // fits tells what a list entry must keep for the layout of the settings.
-func (g *Gatherer) fits(e discovery.Entry) error {
+func (g *Gatherer) fits(e discovery.Server) error {
 	if e.Health != discovery.Removed && (e.Cell < 0 || e.Cell >= g.d.Balancer.Cells) {
 		return fmt.Errorf("block %d is out of range, 0 to %d are known", e.Cell, g.d.Balancer.Cells-1)
 	}
@@ -287,7 +287,7 @@
 	}
 	slog.Info("listening", "name", g.setup.Name, "addr", l.Addr().String())
 	g.mu.Lock()
-	m.list = discovery.Start(g.setup.Discovery, g.known.Seq, duration(g.d.ConnectTimeout), g.fits, m.mailbox, !g.d.Balancer.ListOnRequest)
+	m.list = discovery.Start(g.setup.Discovery, g.known.Version, duration(g.d.ConnectTimeout), g.fits, m.mailbox, !g.d.Balancer.ListOnRequest)
 	g.list = m.list
 	g.mu.Unlock()
 	if o := g.setup.reducing(); o != nil && o.Socket != "" {
--- a/gatherer/mailbox.go
+++ b/gatherer/mailbox.go
@@ -15,7 +15,7 @@
 type (
 	searchCame struct{ s *search }
 	clientLeft struct{ s *search }
-	listCame   struct{ l discovery.List }
+	listCame   struct{ l discovery.ServerList }
 	listFailed struct{}
 	ended      struct{ e shardconn.AttemptEnded }
 	probed     struct{ p balancer.HealthCheckEnded }
@@ -41,5 +41,5 @@
 
 func (m mailbox) AttemptEnded(e shardconn.AttemptEnded)        { m.put(ended{e}) }
 func (m mailbox) HealthCheckEnded(p balancer.HealthCheckEnded) { m.put(probed{p}) }
-func (m mailbox) Listed(l discovery.List)                      { m.put(listCame{l}) }
-func (m mailbox) ListFailed()                                  { m.put(listFailed{}) }
+func (m mailbox) ListReceived(l discovery.ServerList)          { m.put(listCame{l}) }
+func (m mailbox) WatchFailed()                                 { m.put(listFailed{}) }
--- a/gatherer/module.go
+++ b/gatherer/module.go
@@ -104,7 +104,7 @@
 	d       balancerconfig.Deployment
 	clock   clock
 	brain   *balancer.Balancer
-	list    *discovery.Actor
+	list    *discovery.Watcher
 	budget  *descriptors
 	figures shardconn.Config
 	listed  func() // told once a list with a server is held
@@ -240,7 +240,7 @@
 		m.handle(e.p)
 	case listCame:
 		kind := balancer.ListDelta
-		if e.l.Whole {
+		if e.l.Complete {
 			kind = balancer.ListComplete
 		}
 		m.takeList(kind, e.l)
@@ -533,14 +533,14 @@
 }
 
 // takeList gives the module a list, with hosts and zones as numbers, and keeps a peer for each server.
-func (m *module) takeList(kind balancer.ServerListKind, l discovery.List) {
+func (m *module) takeList(kind balancer.ServerListKind, l discovery.ServerList) {
 	ev := balancer.ServerList{Kind: kind}
 	if kind != balancer.ListDelta {
 		for _, s := range m.servers {
 			s.listed = false
 		}
 	}
-	for _, e := range l.Hosts {
+	for _, e := range l.Servers {
 		id, known := m.ids[e.Host]
 		if !known {
 			m.lastHost++
@@ -548,7 +548,7 @@
 			m.ids[e.Host] = id
 			m.servers[id] = &server{id: id, host: e.Host}
 		}
-		s, since := m.servers[id], balancerconfig.TimeFromMillis(e.Born)
+		s, since := m.servers[id], balancerconfig.TimeFromMillis(e.StartedMillis)
 		entry := balancer.Server{ID: id, Zone: m.zone(e.Zone), Cell: balancer.CellIndex(e.Cell), StartedAt: since}
 		switch e.Health {
 		case discovery.Up:
@@ -558,15 +558,15 @@
 		}
 		s.listed = entry.State != balancer.Removed
 		if s.listed && s.peer == nil {
-			s.peer = shardconn.Start(id, e.Host, e.Dial, m.figures, m.clock.now, m.mailbox, m.budget)
-		} else if s.listed && (s.addr != e.Dial || s.since != since) && !s.peer.TrySubmit(shardconn.AddressChanged{Addr: e.Dial, StartedAt: since}) {
+			s.peer = shardconn.Start(id, e.Host, e.Address, m.figures, m.clock.now, m.mailbox, m.budget)
+		} else if s.listed && (s.addr != e.Address || s.since != since) && !s.peer.TrySubmit(shardconn.AddressChanged{Addr: e.Address, StartedAt: since}) {
 			s.peer.Stop() // too busy to be told: it finishes what it has, another takes what comes
-			s.peer = shardconn.Start(id, e.Host, e.Dial, m.figures, m.clock.now, m.mailbox, m.budget)
+			s.peer = shardconn.Start(id, e.Host, e.Address, m.figures, m.clock.now, m.mailbox, m.budget)
 		}
 		if entry.State == balancer.Draining && s.peer != nil {
 			s.peer.TrySubmit(shardconn.Drain{}) // lost when the mailbox is full: its connections then end with the server
 		}
-		s.addr, s.since = e.Dial, since
+		s.addr, s.since = e.Address, since
 		s.draining, s.cell, s.zone = entry.State == balancer.Draining, e.Cell, e.Zone
 		ev.Servers = append(ev.Servers, entry)
 	}
--- a/gatherer/program_test.go
+++ b/gatherer/program_test.go
@@ -268,9 +268,9 @@
 	dead, a := startShard(t, "s-dead", nil), startShard(t, "s-a", nil)
 	dead.Stop()
 	l := startList(t, a)
-	l.Set(discovery.Entry{Host: "s-odd", Dial: "127.0.0.1:1", Cell: 9, Health: discovery.Up})
+	l.Set(discovery.Server{Host: "s-odd", Address: "127.0.0.1:1", Cell: 9, Health: discovery.Up})
 	p := start(t, l, func(s *Setup) {
-		s.Known, _ = json.Marshal(discovery.List{Seq: 7, Whole: true, Hosts: []discovery.Entry{dead.Entry()}})
+		s.Known, _ = json.Marshal(discovery.ServerList{Version: 7, Complete: true, Servers: []discovery.Server{dead.Entry()}})
 	})
 	if call := await(t, l.Requests, func(string) bool { return true }); !strings.Contains(call, "after=7") || !strings.Contains(call, "watch=1") {
 		t.Errorf("discovery was asked %s", call)
@@ -894,9 +894,9 @@
 	m, before := g.module, runtime.NumGoroutine()
 	defer m.end()
 	for i := range 2000 {
-		l := discovery.List{Seq: uint64(i), Hosts: []discovery.Entry{{Host: fmt.Sprint("s-", i), Dial: "127.0.0.1:1", Health: discovery.Up}}}
+		l := discovery.ServerList{Version: uint64(i), Servers: []discovery.Server{{Host: fmt.Sprint("s-", i), Address: "127.0.0.1:1", Health: discovery.Up}}}
 		if i >= 4 {
-			l.Hosts = append(l.Hosts, discovery.Entry{Host: fmt.Sprint("s-", i-4), Health: discovery.Removed})
+			l.Servers = append(l.Servers, discovery.Server{Host: fmt.Sprint("s-", i-4), Health: discovery.Removed})
 		}
 		m.takeList(balancer.ListDelta, l)
 	}
--- a/gatherer/remember.go
+++ b/gatherer/remember.go
@@ -226,11 +226,11 @@
 }
 
 // keepList writes what the list service has told.
-func (r *remembered) keepList(l discovery.List) {
+func (r *remembered) keepList(l discovery.ServerList) {
 	var changes []store.Op
-	if l.Whole {
+	if l.Complete {
 		named := map[string]bool{"": true}
-		for _, e := range l.Hosts {
+		for _, e := range l.Servers {
 			named[e.Host] = true
 		}
 		for host := range r.store.All(TableList) {
@@ -239,26 +239,26 @@
 			}
 		}
 	}
-	for _, e := range l.Hosts {
+	for _, e := range l.Servers {
 		raw, err := json.Marshal(e)
 		if err != nil || e.Host == "" {
 			continue
 		}
 		changes = append(changes, store.Op{Table: TableList, Key: e.Host, Value: raw, Delete: e.Health == discovery.Removed})
 	}
-	changes = append(changes, store.Op{Table: TableList, Key: "", Value: strconv.AppendUint(nil, l.Seq, 10)})
+	changes = append(changes, store.Op{Table: TableList, Key: "", Value: strconv.AppendUint(nil, l.Version, 10)})
 	r.store.Begin(func(error) {}, changes...) // an old list is better than none, and the service will tell anew
 }
 
 // list is the list as last told, if it is not older than the one that the configuration holds. What does not fit is dropped.
-func (r *remembered) list(known discovery.List, fits func(discovery.Entry) error) discovery.List {
+func (r *remembered) list(known discovery.ServerList, fits func(discovery.Server) error) discovery.ServerList {
 	held := r.store.All(TableList)
 	seq, err := strconv.ParseUint(string(held[""]), 10, 64)
 	switch {
 	case len(held) == 0:
 		return known
-	case err != nil || seq < known.Seq:
-		slog.Info("stored_list_dropped", "seq", seq, "known", known.Seq)
+	case err != nil || seq < known.Version:
+		slog.Info("stored_list_dropped", "seq", seq, "known", known.Version)
 		return known
 	}
 	var hosts []json.RawMessage
@@ -269,9 +269,9 @@
 	}
 	raw, err := json.Marshal(map[string]any{"seq": seq, "whole": true, "hosts": hosts})
 	if err == nil {
-		var l discovery.List
-		if l, err = discovery.Parse(raw, fits); err == nil && len(l.Hosts) > 0 {
-			slog.Info("stored_list", "seq", seq, "hosts", len(l.Hosts))
+		var l discovery.ServerList
+		if l, err = discovery.Parse(raw, fits); err == nil && len(l.Servers) > 0 {
+			slog.Info("stored_list", "seq", seq, "hosts", len(l.Servers))
 			return l
 		}
 	}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -10,15 +10,15 @@
 	"time"
 )
 
-type told struct {
-	lists  chan List
+type recorder struct {
+	lists  chan ServerList
 	failed chan struct{}
 }
 
-func (s told) Listed(l List) { s.lists <- l }
-func (s told) ListFailed()   { s.failed <- struct{}{} }
+func (s recorder) ListReceived(l ServerList) { s.lists <- l }
+func (s recorder) WatchFailed()              { s.failed <- struct{}{} }
 
-func take[T any](t *testing.T, c <-chan T) (v T) {
+func receive[T any](t *testing.T, c <-chan T) (v T) {
 	t.Helper()
 	select {
 	case v = <-c:
@@ -28,9 +28,9 @@
 	return v
 }
 
-func watch(t *testing.T, keep bool, h http.HandlerFunc) (*Actor, told) {
+func startWatcher(t *testing.T, keep bool, h http.HandlerFunc) (*Watcher, recorder) {
 	srv := httptest.NewServer(h)
-	sink := told{make(chan List, 10), make(chan struct{}, 10)}
+	sink := recorder{make(chan ServerList, 10), make(chan struct{}, 10)}
 	a := Start(strings.TrimPrefix(srv.URL, "http://"), 7, time.Second, nil, sink, keep)
 	t.Cleanup(func() {
 		a.Stop()
@@ -43,23 +43,23 @@
 const entry = `{"host":"s-1","dial":"127.0.0.1:9","site":"a","class":"m2","block":3,"health":"up","share":1.0,"born_ms":5}`
 
 // A watch that goes silent without a word must not stand for one on which nothing changes.
-func TestSilentWatchIsEnded(t *testing.T) {
-	a, sink := watch(t, false, func(w http.ResponseWriter, r *http.Request) {
+func TestSilentWatchTimesOut(t *testing.T) {
+	a, sink := startWatcher(t, false, func(w http.ResponseWriter, r *http.Request) {
 		fmt.Fprintf(w, `{"seq":8,"whole":true,"hosts":[%s]}`+"\n\n", entry)
 		w.(http.Flusher).Flush()
 		<-r.Context().Done()
 	})
 	a.Subscribe()
-	if l := take(t, sink.lists); l.Seq != 8 || !l.Whole || len(l.Hosts) != 1 || l.Hosts[0] != (Entry{"s-1", "127.0.0.1:9", "a", 3, Up, 5}) {
+	if l := receive(t, sink.lists); l.Version != 8 || !l.Complete || len(l.Servers) != 1 || l.Servers[0] != (Server{"s-1", "127.0.0.1:9", "a", 3, Up, 5}) {
 		t.Errorf("got %+v", l)
 	}
-	take(t, sink.failed)
+	receive(t, sink.failed)
 }
 
-func TestEachBadWatchFailsOnceAndTheNextAsksAfterWhatIsHeld(t *testing.T) {
+func TestFailedWatchResumesAfterLastVersion(t *testing.T) {
 	asked := make(chan string, 10)
 	answers := []string{"503", `{"seq":9,"whole":false,"hosts":[]}` + "\n" + `{"seq":`, "\n[]\n", `{"whole":true}` + "\n", ""}
-	a, sink := watch(t, false, func(w http.ResponseWriter, r *http.Request) {
+	a, sink := startWatcher(t, false, func(w http.ResponseWriter, r *http.Request) {
 		asked <- r.URL.RawQuery
 		text := answers[0]
 		answers = answers[1:]
@@ -71,10 +71,10 @@
 	})
 	for range len(answers) {
 		a.Subscribe()
-		take(t, sink.failed)
+		receive(t, sink.failed)
 	}
 	for _, after := range []string{"7", "7", "9", "9", "9"} {
-		if q := take(t, asked); q != "watch=1&after="+after {
+		if q := receive(t, asked); q != "watch=1&after="+after {
 			t.Errorf("asked %s, want after=%s", q, after)
 		}
 	}
@@ -84,9 +84,9 @@
 }
 
 // Changes alone say nothing to what another service listed: the whole is asked for before they are watched.
-func TestMovedWatchBeginsWithAWholeList(t *testing.T) {
+func TestAddressChangeRequestsCompleteList(t *testing.T) {
 	asked := make(chan string, 10)
-	a, sink := watch(t, false, func(w http.ResponseWriter, r *http.Request) {
+	a, sink := startWatcher(t, false, func(w http.ResponseWriter, r *http.Request) {
 		fmt.Fprintf(w, `{"seq":8,"whole":true,"hosts":[]}`+"\n")
 	})
 	moved := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -95,38 +95,38 @@
 	}))
 	t.Cleanup(moved.Close)
 	a.Move(strings.TrimPrefix(moved.URL, "http://"))
-	if l := take(t, sink.lists); l.Seq != 2 || !l.Whole || len(l.Hosts) != 1 {
+	if l := receive(t, sink.lists); l.Version != 2 || !l.Complete || len(l.Servers) != 1 {
 		t.Errorf("got %+v", l)
 	}
 	for _, want := range []string{"/api/targets", "/api/targets?watch=1&after=2"} {
-		if q := take(t, asked); q != want {
+		if q := receive(t, asked); q != want {
 			t.Errorf("asked %s, want %s", q, want)
 		}
 	}
-	take(t, sink.failed) // the last watch ended
+	receive(t, sink.failed) // the last watch ended
 }
 
 // Where the list comes unasked, the actor keeps a watch by itself.
-func TestKeptWatchIsAskedForAgain(t *testing.T) {
-	_, sink := watch(t, true, func(w http.ResponseWriter, r *http.Request) {
+func TestWatchIsRenewed(t *testing.T) {
+	_, sink := startWatcher(t, true, func(w http.ResponseWriter, r *http.Request) {
 		fmt.Fprintf(w, `{"seq":8,"whole":true,"hosts":[%s]}`+"\n", entry)
 	})
 	for range 2 {
-		take(t, sink.lists)
-		take(t, sink.failed)
+		receive(t, sink.lists)
+		receive(t, sink.failed)
 	}
 }
 
-func TestEntriesThatDoNotFitAreLeftOut(t *testing.T) {
+func TestInvalidEntriesAreSkipped(t *testing.T) {
 	bad := []string{`7`, `{}`, strings.Replace(entry, "s-1", "", 1), strings.Replace(entry, "up", "odd", 1), strings.Replace(entry, "127.0.0.1:9", "nowhere", 1),
 		strings.Replace(entry, `"born_ms":5`, `"born_ms":-5`, 1), strings.Replace(entry, `"block":3`, `"block":"3"`, 1), strings.Replace(entry, `"block":3`, `"block":4`, 1)}
-	l, err := Parse([]byte(`{"seq":1,"whole":true,"hosts":[`+strings.Join(append(bad, entry), ",")+`]}`), func(e Entry) error {
+	l, err := Parse([]byte(`{"seq":1,"whole":true,"hosts":[`+strings.Join(append(bad, entry), ",")+`]}`), func(e Server) error {
 		if e.Cell > 3 {
 			return fmt.Errorf("out of range")
 		}
 		return nil
 	})
-	if err != nil || len(l.Hosts) != 1 || l.Hosts[0].Host != "s-1" {
+	if err != nil || len(l.Servers) != 1 || l.Servers[0].Host != "s-1" {
 		t.Errorf("got %+v, %v", l, err)
 	}
 }
--- a/internal/testing/standin/discovery.go
+++ b/internal/testing/standin/discovery.go
@@ -18,14 +18,14 @@
 
 	mu       sync.Mutex
 	sequence uint64
-	hosts    map[string]discovery.Entry
+	hosts    map[string]discovery.Server
 	changed  chan struct{} // closed at each change
 	down     bool
 }
 
 // StartDiscoveryService starts a list service on loopback that lists some servers.
 func StartDiscoveryService(shards ...*ShardServer) (*DiscoveryService, error) {
-	l := &DiscoveryService{sequence: 40, hosts: map[string]discovery.Entry{}, changed: make(chan struct{}), Requests: make(chan string, 1000)}
+	l := &DiscoveryService{sequence: 40, hosts: map[string]discovery.Server{}, changed: make(chan struct{}), Requests: make(chan string, 1000)}
 	for _, s := range shards {
 		l.hosts[s.Host] = s.Entry()
 	}
@@ -45,12 +45,12 @@
 func (l *DiscoveryService) Stop() { l.srv.Close() }
 
 // Entry is a server's entry, as one that is up.
-func (s *ShardServer) Entry() discovery.Entry {
-	return discovery.Entry{Host: s.Host, Dial: s.Addr(), Zone: s.Zone, Cell: s.Cell, Health: discovery.Up, Born: s.StartedMillis}
+func (s *ShardServer) Entry() discovery.Server {
+	return discovery.Server{Host: s.Host, Address: s.Addr(), Zone: s.Zone, Cell: s.Cell, Health: discovery.Up, StartedMillis: s.StartedMillis}
 }
 
 // Update changes one entry and tells the watchers.
-func (l *DiscoveryService) Update(e discovery.Entry) {
+func (l *DiscoveryService) Update(e discovery.Server) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.sequence++
@@ -59,7 +59,7 @@
 }
 
 // Set changes an entry before anybody watches.
-func (l *DiscoveryService) Set(e discovery.Entry) {
+func (l *DiscoveryService) Set(e discovery.Server) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.hosts[e.Host] = e
@@ -78,10 +78,10 @@
 	l.changed = make(chan struct{})
 }
 
-func (l *DiscoveryService) snapshot() discovery.List {
-	out := discovery.List{Seq: l.sequence, Whole: true}
+func (l *DiscoveryService) snapshot() discovery.ServerList {
+	out := discovery.ServerList{Version: l.sequence, Complete: true}
 	for _, e := range l.hosts {
-		out.Hosts = append(out.Hosts, e)
+		out.Servers = append(out.Servers, e)
 	}
 	return out
 }
