--- a/gatherer/program_test.go
+++ b/gatherer/program_test.go
@@ -144,8 +144,8 @@
 	junk := map[string]string{
 		"bad_form":      "\xff\xff\xff\xffa",
 		"bad_form ":     "\x00\x00\x00\x02zz",
-		"bad_form  ":    string(frame.Whole(frame.Answer, "one two\nx")),
-		"server_fault":  string(frame.Whole(frame.Fault, "not understood")),
+		"bad_form  ":    string(frame.New(frame.AnswerFrame, "one two\nx")),
+		"server_fault":  string(frame.New(frame.ErrorFrame, "not understood")),
 		"server_closed": "",
 	}
 	for reason, text := range junk {
--- a/internal/frame/frame.go
+++ b/internal/frame/frame.go
@@ -14,19 +14,19 @@
 
 // The letters.
 const (
-	Call   = 'q' // parts asked for
-	GiveUp = 'c' // a part's id: it is given up
-	Probe  = 'p'
-	Load   = 'l' // a probe for load
-	Answer = 'a'
-	Fault  = 'e' // the frame before could not be used
+	CallFrame        = 'q' // parts asked for
+	CancelFrame      = 'c' // a part's id: it is given up
+	HealthCheckFrame = 'p'
+	LoadCheckFrame   = 'l' // a probe for load
+	AnswerFrame      = 'a'
+	ErrorFrame       = 'e' // the frame before could not be used
 )
 
-// MostIn is the most that a frame from a server may state: a value as long as a whole answer, and its line.
-const MostIn = 64<<10 + 1<<10
+// MaxFrameSize is the most that a frame from a server may state: a value as long as a whole answer, and its line.
+const MaxFrameSize = 64<<10 + 1<<10
 
-// step is how much is set aside at a time while a frame comes in, so that a stated length alone costs nothing.
-const step = 4 << 10
+// readChunk is how much is set aside at a time while a frame comes in, so that a stated length alone costs nothing.
+const readChunk = 4 << 10
 
 // Begin opens a frame in b; End closes it.
 func Begin(b []byte, letter byte) []byte { return append(b, 0, 0, 0, 0, letter) }
@@ -37,9 +37,9 @@
 	return b
 }
 
-// Part adds one part to an open call: its line and the search's text. What more the line's list holds, beside the time
+// AppendCall adds one part to an open call: its line and the search's text. What more the line's list holds, beside the time
 // limit, is in list; "" = nothing.
-func Part(b []byte, id string, shard int, millis int64, list string, text []byte) []byte {
+func AppendCall(b []byte, id string, shard int, millis int64, list string, text []byte) []byte {
 	b = append(b, id...)
 	b = append(b, ' ')
 	b = strconv.AppendInt(b, int64(shard), 10)
@@ -54,18 +54,18 @@
 	return append(b, text...)
 }
 
-// Whole is a frame made in one go.
-func Whole(letter byte, rest string) []byte { return End(append(Begin(nil, letter), rest...), 0) }
+// New is a frame made in one go.
+func New(letter byte, rest string) []byte { return End(append(Begin(nil, letter), rest...), 0) }
 
-// Buffered tells whether Read would return without waiting for more: a whole frame has come, or what came cannot
+// HasFrame tells whether Read would return without waiting for more: a whole frame has come, or what came cannot
 // be one.
-func Buffered(r *bufio.Reader) bool {
+func HasFrame(r *bufio.Reader) bool {
 	if r.Buffered() < 4 {
 		return false
 	}
 	head, _ := r.Peek(4)
 	left := int64(binary.BigEndian.Uint32(head))
-	return left < 1 || left > MostIn || int64(r.Buffered()-4) >= left
+	return left < 1 || left > MaxFrameSize || int64(r.Buffered()-4) >= left
 }
 
 // Read reads one frame into buf, growing it only as bytes really come. At a clean end it returns io.EOF.
@@ -78,12 +78,12 @@
 		return 0, nil, buf, fmt.Errorf("frame cut off within its length: %w", io.ErrUnexpectedEOF)
 	}
 	left := int64(binary.BigEndian.Uint32(buf))
-	if left < 1 || left > MostIn {
-		return 0, nil, buf, &FormError{fmt.Sprintf("a frame of %d bytes was stated, 1 to %d are allowed", left, MostIn)}
+	if left < 1 || left > MaxFrameSize {
+		return 0, nil, buf, &FormatError{fmt.Sprintf("a frame of %d bytes was stated, 1 to %d are allowed", left, MaxFrameSize)}
 	}
 	buf = buf[:0]
 	for left > 0 {
-		n, start := int(min(left, step)), len(buf)
+		n, start := int(min(left, readChunk)), len(buf)
 		buf = append(buf, make([]byte, n)...)
 		if _, err := io.ReadFull(r, buf[start:]); err != nil {
 			return 0, nil, buf, fmt.Errorf("frame cut off, %d bytes were still stated: %w", left, err)
@@ -93,57 +93,57 @@
 	return buf[0], buf[1:], buf, nil
 }
 
-// FormError says that bytes are not the protocol's form.
-type FormError struct{ What string }
+// FormatError says that bytes are not the protocol's form.
+type FormatError struct{ Reason string }
 
-func (e *FormError) Error() string { return e.What }
+func (e *FormatError) Error() string { return e.Reason }
 
 // End of a part, as the server says it.
-type Ending uint8
+type Status uint8
 
 const (
-	Served  Ending = iota // it ran
-	Broke                 // it may have run
-	Skipped               // it never ran
+	Served   Status = iota // it ran
+	Failed                 // it may have run
+	Rejected               // it never ran
 )
 
 // An Answered is the content of an answer frame. Its slices are those of the frame.
-type Answered struct {
+type AnswerBody struct {
 	ID, Report, Value []byte
-	End               Ending
+	Status            Status
 }
 
 // ParseAnswer reads the rest of an answer frame. With an error it still gives the id, where the line has one: the
 // part that it names has run.
-func ParseAnswer(rest []byte) (a Answered, err error) {
+func ParseAnswer(rest []byte) (a AnswerBody, err error) {
 	line, value, ok := bytes.Cut(rest, []byte{'\n'})
 	words := bytes.SplitN(line, []byte{' '}, 4)
 	a.ID = words[0]
 	if !ok || len(words) != 4 || len(words[0]) == 0 {
-		return a, &FormError{fmt.Sprintf("answer line %.60q is not 'ID END SCORE REPORT'", line)}
+		return a, &FormatError{fmt.Sprintf("answer line %.60q is not 'ID END SCORE REPORT'", line)}
 	}
 	if _, err := strconv.ParseFloat(string(words[2]), 64); err != nil && string(words[2]) != "-" {
-		return a, &FormError{fmt.Sprintf("the score %.40q is no number", words[2])}
+		return a, &FormatError{fmt.Sprintf("the score %.40q is no number", words[2])}
 	}
 	if !utf8.Valid(value) {
-		return a, &FormError{"the value is not text, and could not be passed on as it came"}
+		return a, &FormatError{"the value is not text, and could not be passed on as it came"}
 	}
 	a.Report, a.Value = words[3], value
 	switch string(words[1]) {
 	case "served":
-		a.End = Served
+		a.Status = Served
 	case "broke":
-		a.End = Broke
+		a.Status = Failed
 	case "skipped":
-		a.End = Skipped
+		a.Status = Rejected
 	default:
-		return a, &FormError{fmt.Sprintf("answer ends in unknown %.20q", words[1])}
+		return a, &FormatError{fmt.Sprintf("answer ends in unknown %.20q", words[1])}
 	}
 	return a, nil
 }
 
-// Figure finds one figure of a report such as inflight=7,util=0.61.
-func Figure(report []byte, name string) (float64, bool) {
+// ReportValue finds one figure of a report such as inflight=7,util=0.61.
+func ReportValue(report []byte, name string) (float64, bool) {
 	for pair := range bytes.SplitSeq(report, []byte{','}) {
 		if key, value, ok := bytes.Cut(pair, []byte{'='}); ok && string(key) == name {
 			v, err := strconv.ParseFloat(string(value), 64)
@@ -153,8 +153,8 @@
 	return 0, false
 }
 
-// BadForm tells whether an error says that the form was broken, not the connection.
-func BadForm(err error) bool {
-	var form *FormError
+// IsFormatError tells whether an error says that the form was broken, not the connection.
+func IsFormatError(err error) bool {
+	var form *FormatError
 	return errors.As(err, &form)
 }
--- a/internal/shardconn/client.go
+++ b/internal/shardconn/client.go
@@ -356,10 +356,10 @@
 
 func (p *Client) writeBatch(c *conn, w *batch) {
 	now := p.now()
-	b := frame.Begin(nil, frame.Call)
+	b := frame.Begin(nil, frame.CallFrame)
 	for _, s := range w.attempts {
 		millis := max(1, int64((s.Deadline-now+balancer.Millisecond-1)/balancer.Millisecond))
-		b = frame.Part(b, s.WireID, int(s.Shard), millis, s.Options, s.Text)
+		b = frame.AppendCall(b, s.WireID, int(s.Shard), millis, s.Options, s.Text)
 	}
 	w.conn, w.frameNumber = c, c.enqueue(frame.End(b, 0))
 	c.inFlight += len(w.attempts)
@@ -400,7 +400,7 @@
 	if len(s.batch.attempts) == 1 && c.withdraw(s.batch.frameNumber) {
 		o = balancer.ConnectFailed
 	} else {
-		c.enqueue(frame.Whole(frame.GiveUp, s.WireID))
+		c.enqueue(frame.New(frame.CancelFrame, s.WireID))
 		c.recordFinished(s.WireID, false)
 		if c.receivedAt <= s.SentAt {
 			p.markSilent(c)
@@ -497,11 +497,11 @@
 		p.finishHealthCheck(balancer.HealthCheckEnded{Outcome: balancer.NotDispatched})
 		return
 	}
-	letter := byte(frame.Probe)
+	letter := byte(frame.HealthCheckFrame)
 	if p.config.LoadHealthChecks {
-		letter = frame.Load
+		letter = frame.LoadCheckFrame
 	}
-	c.enqueue(frame.Whole(letter, ""))
+	c.enqueue(frame.New(letter, ""))
 	c.usedAt = p.now()
 	p.healthChecks = append(p.healthChecks, c)
 	p.checkQueued = false
@@ -555,13 +555,13 @@
 			return
 		case n.formatErr != nil && i == len(n.frames)-1:
 			p.handleMalformed(c, f.id, n.formatErr.Error(), i == 0)
-		case f.letter == frame.Answer:
+		case f.letter == frame.AnswerFrame:
 			p.handleAnswer(c, f, i == 0)
 		case len(p.healthChecks) > 0 && slices.Contains(p.healthChecks, c):
 			at := slices.Index(p.healthChecks, c)
 			p.healthChecks = slices.Delete(p.healthChecks, at, at+1)
 			probed := balancer.HealthCheckEnded{Report: p.parseReport(f.report)}
-			if f.status == frame.Broke {
+			if f.status == frame.Failed {
 				probed.Outcome = balancer.Errored
 			}
 			p.finishHealthCheck(probed)
@@ -606,9 +606,9 @@
 	switch f.status {
 	case frame.Served:
 		p.handleServed(s, f)
-	case frame.Broke:
+	case frame.Failed:
 		p.finish(s, balancer.Errored, p.parseReport(f.report))
-	case frame.Skipped:
+	case frame.Rejected:
 		p.finish(s, balancer.Rejected, p.parseReport(f.report))
 	}
 }
@@ -668,10 +668,10 @@
 		return nil
 	}
 	r := &balancer.LoadReport{Queued: -1, InFlight: -1}
-	if v, ok := frame.Figure([]byte(text), "queue"); ok && 0 <= v && v < maxLoadFigure {
+	if v, ok := frame.ReportValue([]byte(text), "queue"); ok && 0 <= v && v < maxLoadFigure {
 		r.Queued = v
 	}
-	if v, ok := frame.Figure([]byte(text), "inflight"); ok && 0 <= v && v < maxLoadFigure {
+	if v, ok := frame.ReportValue([]byte(text), "inflight"); ok && 0 <= v && v < maxLoadFigure {
 		r.InFlight = v
 	}
 	if r.Queued < 0 && r.InFlight < 0 {
--- a/internal/shardconn/client_test.go
+++ b/internal/shardconn/client_test.go
@@ -108,11 +108,11 @@
 		t.Errorf("got %q", got)
 	}
 	r.advance(50)
-	c.Write(frame.Whole(frame.Answer, "a.1 served 5 queue=3,util=0.5\nthe value"))
+	c.Write(frame.New(frame.AnswerFrame, "a.1 served 5 queue=3,util=0.5\nthe value"))
 	if e := r.expectOutcome(parts[1].ID, balancer.Answered); e.Value != "the value" || e.Elapsed != 50 || *e.Report != (balancer.LoadReport{Queued: 3, InFlight: -1}) {
 		t.Errorf("got %+v, %+v", e, e.Report)
 	}
-	c.Write(frame.Whole(frame.Answer, "a.0 skipped 0 -\n"))
+	c.Write(frame.New(frame.AnswerFrame, "a.0 skipped 0 -\n"))
 	if e := r.expectOutcome(parts[0].ID, balancer.Rejected); e.Report != nil {
 		t.Errorf("got the report %+v", e.Report)
 	}
@@ -190,15 +190,15 @@
 	r.frame(d)
 	// A word on the old one, and it is as good as any; the answer to what was given up is dropped.
 	r.advance(100)
-	c.Write(frame.Whole(frame.Answer, "a.0 served 5 -\nlate"))
-	c.Write(frame.Whole(frame.Answer, "a.1 served 5 -\nv"))
+	c.Write(frame.New(frame.AnswerFrame, "a.0 served 5 -\nlate"))
+	c.Write(frame.New(frame.AnswerFrame, "a.1 served 5 -\nv"))
 	r.expectOutcome(first[1].ID, balancer.Answered)
 	third := r.attempts("c.0")
 	r.frame(c)
 	// Of the two one carries all there is. The other would hold a descriptor until it has been idle for long.
-	d.Write(frame.Whole(frame.Answer, "b.0 served 5 -\nv"))
+	d.Write(frame.New(frame.AnswerFrame, "b.0 served 5 -\nv"))
 	r.expectOutcome(second[0].ID, balancer.Answered)
-	c.Write(frame.Whole(frame.Answer, "c.0 served 5 -\nv"))
+	c.Write(frame.New(frame.AnswerFrame, "c.0 served 5 -\nv"))
 	r.expectOutcome(third[0].ID, balancer.Answered)
 	r.expectClosed(d)
 	r.attempts("d.0")
@@ -225,7 +225,7 @@
 	r.refuse.Store(true)
 	late := r.attempts("b.0") // was on its way already: not sent, as it would be sent on a new connection
 	r.expectOutcome(late[0].ID, balancer.ConnectFailed)
-	c.Write(frame.Whole(frame.Answer, "a.0 served 5 -\nv"))
+	c.Write(frame.New(frame.AnswerFrame, "a.0 served 5 -\nv"))
 	r.expectOutcome(parts[0].ID, balancer.Answered)
 	r.expectClosed(c)
 }
@@ -236,7 +236,7 @@
 	c := receive(t, r.dials)
 	r.frame(c)
 	r.advance(299999)
-	c.Write(frame.Whole(frame.Answer, "a.0 served 5 -\nv"))
+	c.Write(frame.New(frame.AnswerFrame, "a.0 served 5 -\nv"))
 	r.expectOutcome(parts[0].ID, balancer.Answered)
 	r.advance(225000)
 	r.cancel(Attempt{}) // wakes the actor
@@ -249,7 +249,7 @@
 	c := receive(t, r.dials)
 	r.frame(c)
 	r.client.TrySubmit(AddressChanged{Addr: "a:2", StartedAt: r.now() - 10}) // before this connection: it leads to the new process
-	c.Write(frame.Whole(frame.Answer, "a.0 served 5 -\nv"))
+	c.Write(frame.New(frame.AnswerFrame, "a.0 served 5 -\nv"))
 	r.expectOutcome(parts[0].ID, balancer.Answered)
 	parts = r.attempts("b.0")
 	d := receive(t, r.dials)
@@ -283,7 +283,7 @@
 	if got := r.frame(c); got != "p" {
 		t.Errorf("got %q", got)
 	}
-	c.Write(frame.Whole(frame.Probe, "broke"))
+	c.Write(frame.New(frame.HealthCheckFrame, "broke"))
 	if p := receive(t, r.probes); p.Outcome != balancer.Errored {
 		t.Errorf("got %+v", p)
 	}
@@ -299,10 +299,10 @@
 // What cannot be an answer fails the part it was for, and says nothing against the server by the parts beside it.
 func TestMalformedAnswerFailsOnlyItsAttempt(t *testing.T) {
 	for text, hit := range map[string]int{
-		string(frame.Whole(frame.Answer, "b.0 served? 5 -\nv")): 1, // names its part
-		string(frame.Whole(frame.Answer, "b.0 served")):         1,
-		string(frame.Whole(frame.Answer, "ff.0 served 5 -\nv")): 0, // asked of nobody: the oldest waits for it
-		string(frame.Whole('z', "b.0 served 5 -\nv")):           0,
+		string(frame.New(frame.AnswerFrame, "b.0 served? 5 -\nv")): 1, // names its part
+		string(frame.New(frame.AnswerFrame, "b.0 served")):         1,
+		string(frame.New(frame.AnswerFrame, "ff.0 served 5 -\nv")): 0, // asked of nobody: the oldest waits for it
+		string(frame.New('z', "b.0 served 5 -\nv")):                0,
 		"\xb2\xd0\x5e\x00a":          0, // 3 GB
 		"\xff\xff\xff\xfca.0 served": 0,
 	} {
@@ -326,12 +326,12 @@
 // A good answer is used whatever follows it at once, and nothing new goes out on its connection.
 func TestTrailingBytesEndOnlyTheConnection(t *testing.T) {
 	answer := "a.0 served 5 queue=zz,inflight=1e300\nv"
-	for _, more := range []string{string(frame.Whole(frame.Answer, answer)), "\xde\xad", "\x00\x00\x00\x05zzzzz"} {
+	for _, more := range []string{string(frame.New(frame.AnswerFrame, answer)), "\xde\xad", "\x00\x00\x00\x05zzzzz"} {
 		r := newHarness(t)
 		parts := r.attempts("a.0")
 		c := receive(t, r.dials)
 		r.frame(c)
-		c.Write(append(frame.Whole(frame.Answer, answer), more...))
+		c.Write(append(frame.New(frame.AnswerFrame, answer), more...))
 		if e := r.expectOutcome(parts[0].ID, balancer.Answered); e.Value != "v" || e.Report != nil {
 			t.Errorf("got %+v", e)
 		}
@@ -341,7 +341,7 @@
 		next := r.attempts("b.0")
 		d := receive(t, r.dials)
 		r.frame(d)
-		d.Write(frame.Whole(frame.Answer, "b.0 served 5 -\nv"))
+		d.Write(frame.New(frame.AnswerFrame, "b.0 served 5 -\nv"))
 		r.expectOutcome(next[0].ID, balancer.Answered)
 	}
 }
@@ -352,7 +352,7 @@
 	parts := r.attempts("a.0", "a.1")
 	c := receive(t, r.dials)
 	r.frame(c)
-	c.Write(append(frame.Whole(frame.Answer, "a.0 served 5 -\nv"), "\x00\x00\x10\x00aa.1 served 5 -\nv"...))
+	c.Write(append(frame.New(frame.AnswerFrame, "a.0 served 5 -\nv"), "\x00\x00\x10\x00aa.1 served 5 -\nv"...))
 	r.expectOutcome(parts[0].ID, balancer.Answered)
 	next := r.attempts("b.0")
 	r.frame(receive(t, r.dials)) // on another connection
@@ -407,8 +407,8 @@
 	r.client.TrySubmit(HealthCheck{})
 	d := receive(t, r.dials)
 	r.frame(d)
-	go c.Write(frame.Whole(frame.Probe, "served"))
-	d.Write(frame.Whole(frame.Probe, "served"))
+	go c.Write(frame.New(frame.HealthCheckFrame, "served"))
+	d.Write(frame.New(frame.HealthCheckFrame, "served"))
 	if p := receive(t, r.probes); p.Outcome != balancer.Answered {
 		t.Errorf("got %+v", p)
 	}
@@ -427,7 +427,7 @@
 	c := receive(t, r.dials)
 	r.frame(c)
 	r.client.TrySubmit(CloseIdle{})
-	c.Write(frame.Whole(frame.Answer, "a.0 served 1 -\nv"))
+	c.Write(frame.New(frame.AnswerFrame, "a.0 served 1 -\nv"))
 	r.expectOutcome(parts[0].ID, balancer.Answered)
 	r.client.TrySubmit(CloseIdle{})
 	r.attempts("b.0")
--- a/internal/shardconn/conn.go
+++ b/internal/shardconn/conn.go
@@ -90,7 +90,7 @@
 	inboundFrame struct {
 		letter            byte
 		id, report, value string
-		status            frame.Ending
+		status            frame.Status
 	}
 	connClosed struct{ c *conn }
 )
@@ -203,7 +203,7 @@
 	defer func() { buf = nil; account() }()
 	n := received{c: c}
 	for {
-		if !frame.Buffered(r) {
+		if !frame.HasFrame(r) {
 			if n.partial = r.Buffered() > 0; n.partial || len(n.frames) > 0 {
 				n.at = c.client.now()
 				c.client.events <- n
@@ -225,10 +225,10 @@
 		letter, rest, grown, err := frame.Read(r, buf)
 		buf = grown
 		account()
-		f, badForm := inboundFrame{letter: letter}, frame.BadForm(err)
+		f, badForm := inboundFrame{letter: letter}, frame.IsFormatError(err)
 		if err == nil {
 			f, err = parseFrame(letter, rest)
-			badForm = frame.BadForm(err)
+			badForm = frame.IsFormatError(err)
 		}
 		switch {
 		case badForm: // the actor ends it, with what the answer was for
@@ -242,7 +242,7 @@
 				c.client.events <- n
 			}
 			why := closeReason(err)
-			if letter == frame.Fault {
+			if letter == frame.ErrorFrame {
 				why = endServerFault
 			}
 			c.stop(why, err.Error())
@@ -256,22 +256,22 @@
 func parseFrame(letter byte, rest []byte) (f inboundFrame, err error) {
 	f.letter = letter
 	switch letter {
-	case frame.Answer:
-		var a frame.Answered
+	case frame.AnswerFrame:
+		var a frame.AnswerBody
 		a, err = frame.ParseAnswer(rest)
-		f.id, f.report, f.value, f.status = string(a.ID), string(a.Report), string(a.Value), a.End
-	case frame.Probe, frame.Load:
+		f.id, f.report, f.value, f.status = string(a.ID), string(a.Report), string(a.Value), a.Status
+	case frame.HealthCheckFrame, frame.LoadCheckFrame:
 		f.report = string(rest)
 		if f.report == "broke" {
-			f.status = frame.Broke
+			f.status = frame.Failed
 		}
-		if letter == frame.Probe {
+		if letter == frame.HealthCheckFrame {
 			f.report = ""
 		}
-	case frame.Fault:
+	case frame.ErrorFrame:
 		err = errors.New(string(rest[:min(len(rest), 100)]))
 	default:
-		err = &frame.FormError{What: "unknown letter " + strconv.QuoteRune(rune(letter))}
+		err = &frame.FormatError{Reason: "unknown letter " + strconv.QuoteRune(rune(letter))}
 	}
 	return f, err
 }
@@ -302,7 +302,7 @@
 
 func closeReason(err error) string {
 	switch {
-	case frame.BadForm(err):
+	case frame.IsFormatError(err):
 		return endMalformed
 	case errors.Is(err, io.EOF):
 		return endServerClosed
--- a/internal/testing/standin/shardserver.go
+++ b/internal/testing/standin/shardserver.go
@@ -150,9 +150,9 @@
 			return
 		}
 		switch rest := buf[1:]; buf[0] {
-		case frame.GiveUp:
+		case frame.CancelFrame:
 			c.Server.record("c " + string(rest))
-		case frame.Call:
+		case frame.CallFrame:
 			c.Server.mu.Lock()
 			c.Server.callFrames++
 			c.Server.mu.Unlock()
@@ -211,13 +211,13 @@
 func (c *ShardConn) Respond(part, end, value string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.Write(frame.Whole(frame.Answer, part+" "+end+" 7 queue=1,inflight=2\n"+value))
+	c.Write(frame.New(frame.AnswerFrame, part+" "+end+" 7 queue=1,inflight=2\n"+value))
 }
 
 // RespondTruncated writes only so many bytes of an answer and then resets the connection.
 func (c *ShardConn) RespondTruncated(part, value string, n int) {
 	c.mu.Lock()
-	b := frame.Whole(frame.Answer, part+" served 7 queue=1,inflight=2\n"+value)
+	b := frame.New(frame.AnswerFrame, part+" served 7 queue=1,inflight=2\n"+value)
 	c.Write(b[:min(n, len(b))])
 	c.mu.Unlock()
 	c.Reset()
