--- a/gatherer/counts.go
+++ b/gatherer/counters.go
@@ -5,24 +5,24 @@
 // Counts is how many searches had which final answer since the start.
 type Counts struct{ Answered, Shed, Errored uint64 }
 
-// counts are written by the module's actor and read by anybody.
-type counts struct{ answered, shed, errored atomic.Uint64 }
+// counters are written by the module's actor and read by anybody.
+type counters struct{ answered, shed, errored atomic.Uint64 }
 
-func (c *counts) count(k replyKind) {
+func (c *counters) add(k resultKind) {
 	switch k {
-	case replyAnswer, replyMerged, replyStored:
+	case resultAnswer, resultMerged, resultStored:
 		c.answered.Add(1)
-	case replyShed:
+	case resultShed:
 		c.shed.Add(1)
-	case replyFail:
+	case resultFailed:
 		c.errored.Add(1)
 	}
 }
 
 // Counts tells how many searches had which final answer so far.
 func (g *Gatherer) Counts() Counts {
-	return Counts{g.counts.answered.Load(), g.counts.shed.Load(), g.counts.errored.Load()}
+	return Counts{g.counters.answered.Load(), g.counters.shed.Load(), g.counters.errored.Load()}
 }
 
 // Ready tells whether the gatherer takes searches: it holds a list with a server.
-func (g *Gatherer) Ready() bool { return g.front.listed.Load() }
+func (g *Gatherer) Ready() bool { return g.frontend.hasServers.Load() }
--- a/gatherer/levels_test.go
+++ b/gatherer/degradation_test.go
@@ -13,7 +13,7 @@
 	"oxbowspan/internal/testing/standin"
 )
 
-const levelsText = `[levels]
+const levelsConfig = `[levels]
 socket = admin.sock
 smooth = 0s
 enter_for = 100ms
@@ -31,7 +31,7 @@
 share = lookup 0
 `
 
-func levelsFile(t *testing.T, text string) (file, socket string) {
+func writeLevelsFile(t *testing.T, text string) (file, socket string) {
 	t.Helper()
 	dir, err := os.MkdirTemp("", "levels") // a socket's path must be short
 	if err != nil {
@@ -45,7 +45,7 @@
 	return file, filepath.Join(dir, "admin.sock")
 }
 
-func askState(t *testing.T, c *admin.Client) admin.State {
+func queryState(t *testing.T, c *admin.Client) admin.State {
 	t.Helper()
 	a, err := c.Ask(admin.Question{Verb: admin.Show})
 	if err != nil || a.State == nil {
@@ -57,8 +57,8 @@
 // awaitLevel asks until a level is in force.
 func awaitLevel(t *testing.T, c *admin.Client, name string) admin.State {
 	t.Helper()
-	for end := time.Now().Add(patience); ; {
-		if s := askState(t, c); s.Level == name {
+	for end := time.Now().Add(testTimeout); ; {
+		if s := queryState(t, c); s.Level == name {
 			return s
 		} else if time.Now().After(end) {
 			t.Fatalf("never at level %s: %+v", name, s)
@@ -68,13 +68,13 @@
 
 // A quarter of the servers goes: posts are shed with advice, look-ups are served; all is logged and seen; and back again, also
 // after a reload of other levels and a pin.
-func TestAQuarterGoneShedsWhatCanWait(t *testing.T) {
+func TestDegradationShedsLowPriorityFirst(t *testing.T) {
 	var shards []*standin.ShardServer
 	for _, host := range []string{"s-a", "s-b", "s-c", "s-d"} {
 		shards = append(shards, startShard(t, host, nil))
 	}
 	l := startList(t, shards...)
-	file, socket := levelsFile(t, levelsText)
+	file, socket := writeLevelsFile(t, levelsConfig)
 	p := start(t, l, nil, "--operator", file)
 	if s, err := os.Stat(socket); err != nil || s.Mode().Perm() != 0o600 {
 		t.Errorf("the socket: %v, %v", s.Mode(), err)
@@ -85,7 +85,7 @@
 	}
 	defer c.Close()
 	awaitLevel(t, c, "full")
-	client := &http.Client{Timeout: patience}
+	client := &http.Client{Timeout: testTimeout}
 	ask := func(id, kind string) (int, string) {
 		t.Helper()
 		s := standin.Request{ID: id, QueryType: kind, Customer: "acme", Timeout: 1500 * time.Millisecond, Shards: []int{1, 5}, Statement: "c41e77d0"}
@@ -133,7 +133,7 @@
 		t.Fatal(err)
 	}
 	l.Update(shards[3].Entry())
-	for end := time.Now().Add(patience); ; {
+	for end := time.Now().Add(testTimeout); ; {
 		s, err := w.Next()
 		if err != nil || time.Now().After(end) {
 			t.Fatalf("watched: %+v, %v", s, err)
@@ -160,14 +160,14 @@
 	// A reload changes the levels while one is in force.
 	l.Update(gone)
 	awaitLevel(t, c, "trimmed")
-	if err := os.WriteFile(file, []byte(strings.Replace(levelsText, "share = post 0", "share = post 1", 1)), 0o600); err != nil {
+	if err := os.WriteFile(file, []byte(strings.Replace(levelsConfig, "share = post 0", "share = post 1", 1)), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	p.cmd.Process.Signal(syscall.SIGHUP)
 	p.line("event=reload ", "needs_restart=none")
 	want("e1", "post", 200)
 	awaitLevel(t, c, "trimmed")
-	if err := p.run.Drain(patience); err != nil {
+	if err := p.run.Drain(testTimeout); err != nil {
 		t.Error(err)
 	}
 	if _, err := os.Stat(socket); err == nil {
@@ -176,7 +176,7 @@
 }
 
 // A segment all of whose replicas are gone is closed for those who ask it, and the others are served.
-func TestASegmentThatIsGoneDoesNotTrimTheOthers(t *testing.T) {
+func TestLostSegmentDoesNotDegradeOthers(t *testing.T) {
 	var shards []*standin.ShardServer
 	for cell, host := range []string{"s-a", "s-b", "s-c", "s-d"} {
 		s := startShard(t, host, nil)
@@ -184,11 +184,11 @@
 		shards = append(shards, s)
 	}
 	l := startList(t, shards...)
-	file, socket := levelsFile(t, "[levels]\nsocket = admin.sock\nsmooth = 0s\nenter_for = 100ms\n[level gone]\nenter = segment_lost 0.9\nshare = lookup 0\n")
-	p := start(t, l, func(s *Setup) {
+	file, socket := writeLevelsFile(t, "[levels]\nsocket = admin.sock\nsmooth = 0s\nenter_for = 100ms\n[level gone]\nenter = segment_lost 0.9\nshare = lookup 0\n")
+	p := start(t, l, func(s *Config) {
 		s.Settings = []byte(strings.Replace(testSettings, `"positions":1,"slices":8`, `"positions":4,"slices":4`, 1))
 	}, "--operator", file)
-	client := &http.Client{Timeout: patience}
+	client := &http.Client{Timeout: testTimeout}
 	ask := func(id string, segment int) int {
 		s := standin.Request{ID: id, QueryType: "lookup", Customer: "acme", Timeout: 1500 * time.Millisecond, Shards: []int{segment}, Statement: "c41e77d0"}
 		r, err := s.Send(t.Context(), client, p.addr)
@@ -203,7 +203,7 @@
 	}
 	defer c.Close()
 	awaitLevel(t, c, "full")
-	for s := askState(t, c); len(s.Servers) < 4; s = askState(t, c) {
+	for s := queryState(t, c); len(s.Servers) < 4; s = queryState(t, c) {
 	}
 	if status := ask("a1", 2); status != 200 {
 		t.Fatalf("with all servers: %d", status)
@@ -221,7 +221,7 @@
 			t.Errorf("segment %d: %d", segment, status)
 		}
 	}
-	if s := askState(t, c); s.Level != "full" || len(s.Segments) != 1 || s.Segments[0].Segment != 2 {
+	if s := queryState(t, c); s.Level != "full" || len(s.Segments) != 1 || s.Segments[0].Segment != 2 {
 		t.Errorf("seen is %+v", s)
 	}
 }
--- a/gatherer/framing.go
+++ b/gatherer/framing.go
@@ -6,24 +6,24 @@
 	"strings"
 )
 
-// framing follows the bytes of a client's connection from request to request, beside net/http, which takes away what
+// requestFramer follows the bytes of a client's connection from request to request, beside net/http, which takes away what
 // contradicts itself: with a Transfer-Encoding it drops the Content-Length before a handler sees the request, and what
 // another server would take for the next request then hides in the body.
-type framing struct {
-	state   framingState
-	line    []byte // of the present line, what came before
-	left    int64  // bytes of the body, or of a chunk
-	lengths int    // Content-Length lines of the present head
-	coded   bool   // it has a Transfer-Encoding
-	old     bool   // its request is not HTTP/1.1
-	heads   int    // heads begun
-	doubt   int    // the first that can be read in two ways: from it on nothing is followed; 0 = none
+type requestFramer struct {
+	state         framerState
+	line          []byte // of the present line, what came before
+	remaining     int64  // bytes of the body, or of a chunk
+	lengths       int    // Content-Length lines of the present head
+	chunked       bool   // it has a Transfer-Encoding
+	legacyVersion bool   // its request is not HTTP/1.1
+	heads         int    // heads begun
+	ambiguousAt   int    // the first that can be read in two ways: from it on nothing is followed; 0 = none
 }
 
-type framingState uint8
+type framerState uint8
 
 const (
-	inRequestLine framingState = iota
+	inRequestLine framerState = iota
 	inHead
 	inBody
 	inChunkSize
@@ -32,23 +32,23 @@
 	inTrailer
 )
 
-// between tells whether all that came is whole requests, and nothing of another.
-func (f *framing) between() bool {
-	return f.state == inRequestLine && len(f.line) == 0 && f.doubt == 0 && f.heads > 0
+// atRequestBoundary tells whether all that came is whole requests, and nothing of another.
+func (f *requestFramer) atRequestBoundary() bool {
+	return f.state == inRequestLine && len(f.line) == 0 && f.ambiguousAt == 0 && f.heads > 0
 }
 
 // inHead tells whether part of a head has come, and not all of it.
-func (f *framing) inHead() bool {
-	return f.doubt == 0 && (f.state == inHead || f.state == inRequestLine && len(f.line) > 0)
+func (f *requestFramer) inHead() bool {
+	return f.ambiguousAt == 0 && (f.state == inHead || f.state == inRequestLine && len(f.line) > 0)
 }
 
-// take follows some more bytes.
-func (f *framing) take(b []byte) {
-	for len(b) > 0 && f.doubt == 0 {
+// feed follows some more bytes.
+func (f *requestFramer) feed(b []byte) {
+	for len(b) > 0 && f.ambiguousAt == 0 {
 		if f.state == inBody || f.state == inChunk {
-			n := min(f.left, int64(len(b)))
-			b, f.left = b[n:], f.left-n
-			if f.left > 0 {
+			n := min(f.remaining, int64(len(b)))
+			b, f.remaining = b[n:], f.remaining-n
+			if f.remaining > 0 {
 				return
 			}
 			if f.state++; f.state == inChunkSize { // a body's end is a request's
@@ -61,8 +61,8 @@
 		}
 		end := bytes.IndexByte(b, '\n')
 		if end < 0 {
-			if f.line = append(f.line, b...); len(f.line) > 2*mostHead {
-				f.doubt = f.heads
+			if f.line = append(f.line, b...); len(f.line) > 2*maxHeaderBytes {
+				f.ambiguousAt = f.heads
 			}
 			return
 		}
@@ -75,19 +75,19 @@
 	}
 }
 
-func (f *framing) endLine(line string) {
+func (f *requestFramer) endLine(line string) {
 	switch f.state {
 	case inRequestLine:
-		f.lengths, f.left, f.coded, f.old = 0, 0, false, !strings.HasSuffix(line, " HTTP/1.1")
+		f.lengths, f.remaining, f.chunked, f.legacyVersion = 0, 0, false, !strings.HasSuffix(line, " HTTP/1.1")
 		f.state = inHead
 	case inHead:
-		f.field(line)
+		f.headerLine(line)
 	case inChunkSize:
 		size, _, _ := strings.Cut(line, ";")
 		n, err := strconv.ParseUint(strings.TrimSpace(size), 16, 62)
-		switch f.left = int64(n); {
+		switch f.remaining = int64(n); {
 		case err != nil:
-			f.doubt = f.heads
+			f.ambiguousAt = f.heads
 		case n == 0:
 			f.state = inTrailer
 		default:
@@ -95,7 +95,7 @@
 		}
 	case inChunkEnd:
 		if f.state = inChunkSize; line != "" {
-			f.doubt = f.heads
+			f.ambiguousAt = f.heads
 		}
 	case inTrailer:
 		if line == "" {
@@ -104,15 +104,15 @@
 	}
 }
 
-// field takes a line of a head; an empty one ends it.
-func (f *framing) field(line string) {
+// headerLine takes a line of a head; an empty one ends it.
+func (f *requestFramer) headerLine(line string) {
 	if line == "" {
 		switch {
-		case f.lengths > 1 || f.coded && (f.lengths > 0 || f.old):
-			f.doubt = f.heads
-		case f.coded:
+		case f.lengths > 1 || f.chunked && (f.lengths > 0 || f.legacyVersion):
+			f.ambiguousAt = f.heads
+		case f.chunked:
 			f.state = inChunkSize
-		case f.left > 0:
+		case f.remaining > 0:
 			f.state = inBody
 		default:
 			f.state = inRequestLine
@@ -123,16 +123,16 @@
 	value = strings.Trim(value, " \t")
 	switch name = strings.ToLower(strings.Trim(name, " \t\r\v\f")); {
 	case line[0] == ' ' || line[0] == '\t': // folded: readers differ on what it belongs to
-		f.doubt = f.heads
+		f.ambiguousAt = f.heads
 	case name == "content-length":
 		n, err := strconv.ParseUint(value, 10, 62)
-		f.left, f.lengths = int64(n), f.lengths+1
+		f.remaining, f.lengths = int64(n), f.lengths+1
 		if err != nil {
-			f.doubt = f.heads
+			f.ambiguousAt = f.heads
 		}
 	case name == "transfer-encoding":
-		if f.coded = true; !strings.EqualFold(value, "chunked") {
-			f.doubt = f.heads
+		if f.chunked = true; !strings.EqualFold(value, "chunked") {
+			f.ambiguousAt = f.heads
 		}
 	}
 }
--- a/gatherer/gatherer.go
+++ b/gatherer/gatherer.go
@@ -30,16 +30,16 @@
 	"oxbowspan/merge"
 )
 
-// Setup is what a gatherer is told, as its configuration file has it.
-type Setup struct {
-	Name      string          `json:"name"`
-	Listen    string          `json:"listen"`    // address for clients
-	Discovery string          `json:"discovery"` // address of the list service
-	Seed      string          `json:"seed"`      // hex, for random numbers
-	Limits    Limits          `json:"limits"`
-	Known     json.RawMessage `json:"known"` // the list as last held; it may be old
-	Settings  json.RawMessage `json:"settings"`
-	Operator  *Operator       `json:"-"` // the operator's own file; nil = none
+// Config is what a gatherer is told, as its configuration file has it.
+type Config struct {
+	Name         string          `json:"name"`
+	Listen       string          `json:"listen"`    // address for clients
+	Discovery    string          `json:"discovery"` // address of the list service
+	Seed         string          `json:"seed"`      // hex, for random numbers
+	Limits       Limits          `json:"limits"`
+	KnownServers json.RawMessage `json:"known"` // the list as last held; it may be old
+	Settings     json.RawMessage `json:"settings"`
+	Operator     *Operator       `json:"-"` // the operator's own file; nil = none
 }
 
 // Operator is what an operator's own file says.
@@ -48,9 +48,9 @@
 // LoadOperator reads and checks an operator's file. Its error names all faults, a line each.
 func LoadOperator(path string) (*Operator, error) { return operatorconfig.Load(path) }
 
-// Load reads a configuration file.
-func Load(path string) (Setup, error) {
-	var s Setup
+// LoadConfig reads a configuration file.
+func LoadConfig(path string) (Config, error) {
+	var s Config
 	b, err := os.ReadFile(path)
 	if err != nil {
 		return s, err
@@ -61,8 +61,8 @@
 	return s, nil
 }
 
-// deployment checks a setup and reads its settings.
-func (s Setup) deployment() (d balancerconfig.Deployment, err error) {
+// validate checks a setup and reads its settings.
+func (s Config) validate() (d balancerconfig.Deployment, err error) {
 	if s.Listen == "" || s.Discovery == "" {
 		return d, errors.New("an address is missing: listen and discovery are both needed")
 	}
@@ -93,29 +93,29 @@
 	if d.ConnectTimeout <= 0 {
 		return d, errors.New("setting limits.dialTimeout is missing")
 	}
-	if o := s.reducing(); o != nil {
+	if o := s.levelsConfig(); o != nil {
 		if _, err := o.For(d.QueryTypes); err != nil {
 			return d, err
 		}
 	}
-	if s.fleet() != nil {
-		if err := s.joins(d); err != nil {
+	if s.fleetConfig() != nil {
+		if err := s.validateFleet(d); err != nil {
 			return d, err
 		}
 	}
-	return d, s.merges(d)
+	return d, s.validateMerging(d)
 }
 
-// fleet is what the operator's file says of the fleet; nil = nothing.
-func (s Setup) fleet() *operatorconfig.Fleet {
+// fleetConfig is what the operator's file says of the fleet; nil = nothing.
+func (s Config) fleetConfig() *operatorconfig.Fleet {
 	if s.Operator == nil {
 		return nil
 	}
 	return s.Operator.Fleet
 }
 
-// joins checks what the operator's file says of the fleet against the configuration.
-func (s Setup) joins(d balancerconfig.Deployment) error {
+// validateFleet checks what the operator's file says of the fleet against the configuration.
+func (s Config) validateFleet(d balancerconfig.Deployment) error {
 	f, steward := s.Operator.Fleet, false
 	for _, a := range f.Stewards {
 		steward = steward || a.Name == s.Name
@@ -129,9 +129,9 @@
 	return nil
 }
 
-// merges checks what the operator's file lets be merged against the settings.
-func (s Setup) merges(d balancerconfig.Deployment) error {
-	m := s.merging()
+// validateMerging checks what the operator's file lets be merged against the settings.
+func (s Config) validateMerging(d balancerconfig.Deployment) error {
+	m := s.mergingConfig()
 	if m == nil {
 		return nil
 	}
@@ -149,55 +149,55 @@
 	return operatorconfig.Join(errs...)
 }
 
-func (s Setup) merging() *operatorconfig.Merging {
+func (s Config) mergingConfig() *operatorconfig.Merging {
 	if s.Operator == nil {
 		return nil
 	}
 	return s.Operator.Merging
 }
 
-// connections is what the operator's file says of clients' connections.
-func (s Setup) connections() (c operatorconfig.Connections) {
+// connectionsConfig is what the operator's file says of clients' connections.
+func (s Config) connectionsConfig() (c operatorconfig.Connections) {
 	if s.Operator != nil && s.Operator.Connections != nil {
 		c = *s.Operator.Connections
 	}
 	return c
 }
 
-// storing is what the operator's file says of the store; nil = there is none.
-func (s Setup) storing() *operatorconfig.Store {
+// storeConfig is what the operator's file says of the store; nil = there is none.
+func (s Config) storeConfig() *operatorconfig.Store {
 	if s.Operator == nil {
 		return nil
 	}
 	return s.Operator.Store
 }
 
-// operate puts what the operator's file says in force.
-func (g *Gatherer) operate(s Setup) {
-	m := s.merging()
-	g.proxy.merging.Store(m)
-	g.limitMerges(1)
-	g.held.Limit(s.Limits.ledger(s.memory()))
+// applyOperatorConfig puts what the operator's file says in force.
+func (g *Gatherer) applyOperatorConfig(s Config) {
+	m := s.mergingConfig()
+	g.transport.merging.Store(m)
+	g.setMergeLimits(1)
+	g.memory.Limit(s.Limits.memoryLimits(s.memoryConfig()))
 }
 
-// limitMerges puts a share of the limits on merges in force.
-func (g *Gatherer) limitMerges(share float64) {
-	if m := g.proxy.merging.Load(); m != nil {
+// setMergeLimits puts a share of the limits on merges in force.
+func (g *Gatherer) setMergeLimits(share float64) {
+	if m := g.transport.merging.Load(); m != nil {
 		part := func(n int64) int64 { return int64(float64(n) * share) }
-		g.module.merges.Limit(part(m.MostBytes), part(m.MostRows), part(m.MostOpen))
+		g.dispatcher.merges.Limit(part(m.MostBytes), part(m.MostRows), part(m.MostOpen))
 	}
 }
 
-// reducing is what the operator's file says of reduced service; nil = it is never reduced.
-func (s Setup) reducing() *operatorconfig.Levels {
+// levelsConfig is what the operator's file says of reduced service; nil = it is never reduced.
+func (s Config) levelsConfig() *operatorconfig.Levels {
 	if s.Operator == nil {
 		return nil
 	}
 	return s.Operator.Levels
 }
 
-// memory is what the operator's file says of memory in sum; nil = nothing.
-func (s Setup) memory() *operatorconfig.Memory {
+// memoryConfig is what the operator's file says of memory in sum; nil = nothing.
+func (s Config) memoryConfig() *operatorconfig.Memory {
 	if s.Operator == nil {
 		return nil
 	}
@@ -206,92 +206,92 @@
 
 // Gatherer is one gatherer.
 type Gatherer struct {
-	mu     sync.Mutex
-	setup  Setup              // in force; discovery may change
-	list   *discovery.Watcher // nil = Run has not begun, or is over
-	front  *front
-	proxy  *transport
-	module *module
-	held   *memorybudget.Ledger
-	d      balancerconfig.Deployment
-	known  discovery.ServerList
-	counts counts
+	mu           sync.Mutex
+	config       Config             // in force; discovery may change
+	watcher      *discovery.Watcher // nil = Run has not begun, or is over
+	frontend     *frontend
+	transport    *transport
+	dispatcher   *dispatcher
+	memory       *memorybudget.Ledger
+	deployment   balancerconfig.Deployment
+	knownServers discovery.ServerList
+	counters     counters
 }
 
 // New checks a setup and makes a gatherer of it. It opens nothing.
-func New(s Setup) (*Gatherer, error) {
-	d, err := s.deployment()
+func New(s Config) (*Gatherer, error) {
+	d, err := s.validate()
 	if err != nil {
 		return nil, err
 	}
-	g := &Gatherer{setup: s, d: d, held: memorybudget.New(memorybudget.Figures{}, memoryTurned)}
-	if len(s.Known) > 0 && string(s.Known) != "null" {
+	g := &Gatherer{config: s, deployment: d, memory: memorybudget.New(memorybudget.Figures{}, logPressure)}
+	if len(s.KnownServers) > 0 && string(s.KnownServers) != "null" {
 		var err error
-		if g.known, err = discovery.Parse(s.Known, g.fits); err != nil {
+		if g.knownServers, err = discovery.Parse(s.KnownServers, g.acceptServer); err != nil {
 			slog.Warn("known_left_out", "error", err) // the list will come from discovery
 		}
 	}
-	_, servers := s.Limits.split()
+	_, servers := s.Limits.splitDescriptors()
 	box := mailbox{make(chan any, mailboxSize), make(chan struct{})}
-	g.module = &module{mailbox: box, d: d, clock: newClock(), brain: balancer.New(d.Balancer), budget: newDescriptors(servers), merges: &merge.Budget{},
-		memory: g.held, expect: memorybudget.NewExpect(len(d.QueryTypes), firstValue),
-		figures: shardconn.Config{ConnectTimeout: d.ConnectTimeout, IdleTimeout: d.IdleTimeout, StreamsPerConn: d.StreamsPerConn,
-			CallsPerFrame: d.CallsPerFrame, LoadHealthChecks: d.LoadReportsByHealthCheck, LoadReports: len(d.LoadReportFields) > 0, Memory: accountOf{g.held, memorybudget.Servers}},
-		searches: map[balancer.RequestID]*search{}, parts: map[balancer.ShardCallID]*part{}, wires: map[string]int{},
-		servers: map[balancer.ServerID]*server{}, ids: map[string]balancer.ServerID{}, ended: make(chan struct{})}
-	g.module.counts = &g.counts
-	g.module.merges.Under(accountOf{g.held, memorybudget.Merges})
-	g.proxy = newTransport(d, box, g.held)
-	if o := s.storing(); o != nil {
-		g.proxy.keyHeader = o.KeyHeader
-	}
-	if o := s.reducing(); o != nil {
-		if g.module.levels, err = newLevels(g.module, o); err != nil {
+	g.dispatcher = &dispatcher{mailbox: box, deployment: d, clock: newClock(), balancer: balancer.New(d.Balancer), descriptors: newDescriptorPool(servers), merges: &merge.Budget{},
+		memory: g.memory, valueSizes: memorybudget.NewExpect(len(d.QueryTypes), initialValueSize),
+		connConfig: shardconn.Config{ConnectTimeout: d.ConnectTimeout, IdleTimeout: d.IdleTimeout, StreamsPerConn: d.StreamsPerConn,
+			CallsPerFrame: d.CallsPerFrame, LoadHealthChecks: d.LoadReportsByHealthCheck, LoadReports: len(d.LoadReportFields) > 0, Memory: memoryAccount{g.memory, memorybudget.Servers}},
+		requests: map[balancer.RequestID]*clientRequest{}, calls: map[balancer.ShardCallID]*shardCall{}, callsByWireID: map[string]int{},
+		servers: map[balancer.ServerID]*server{}, serverIDs: map[string]balancer.ServerID{}, ended: make(chan struct{})}
+	g.dispatcher.counters = &g.counters
+	g.dispatcher.merges.Under(memoryAccount{g.memory, memorybudget.Merges})
+	g.transport = newTransport(d, box, g.memory)
+	if o := s.storeConfig(); o != nil {
+		g.transport.keyHeader = o.KeyHeader
+	}
+	if o := s.levelsConfig(); o != nil {
+		if g.dispatcher.degradation, err = newDegradation(g.dispatcher, o); err != nil {
 			return nil, err
 		}
-		g.module.limitMerges = g.limitMerges
+		g.dispatcher.setMergeLimits = g.setMergeLimits
 	}
-	g.operate(s)
-	g.front = newFront(g.proxy, duration(d.MaxClientTimeout), g.held)
-	g.front.doors = s.connections()
-	g.front.awake = cmp.Or(g.front.doors.Awake, s.Limits.awake())
-	g.module.listed = func() { g.front.listed.Store(true) }
+	g.applyOperatorConfig(s)
+	g.frontend = newFrontend(g.transport, duration(d.MaxClientTimeout), g.memory)
+	g.frontend.connections = s.connectionsConfig()
+	g.frontend.maxActiveConns = cmp.Or(g.frontend.connections.Awake, s.Limits.maxActiveConns())
+	g.dispatcher.onListReady = func() { g.frontend.hasServers.Store(true) }
 	return g, nil
 }
 
-// fits tells what a list entry must keep for the layout of the settings.
-func (g *Gatherer) fits(e discovery.Server) error {
-	if e.Health != discovery.Removed && (e.Cell < 0 || e.Cell >= g.d.Balancer.Cells) {
-		return fmt.Errorf("block %d is out of range, 0 to %d are known", e.Cell, g.d.Balancer.Cells-1)
+// acceptServer tells what a list entry must keep for the layout of the settings.
+func (g *Gatherer) acceptServer(e discovery.Server) error {
+	if e.Health != discovery.Removed && (e.Cell < 0 || e.Cell >= g.deployment.Balancer.Cells) {
+		return fmt.Errorf("block %d is out of range, 0 to %d are known", e.Cell, g.deployment.Balancer.Cells-1)
 	}
 	return nil
 }
 
 // Handler is the HTTP side alone, for a program with a server of its own. It answers searches while Run is on.
-func (g *Gatherer) Handler() http.Handler { return g.front }
+func (g *Gatherer) Handler() http.Handler { return g.frontend }
 
 // Run listens, serves until ctx is done, drains and returns.
 func (g *Gatherer) Run(ctx context.Context) error {
-	l, err := net.Listen("tcp", g.setup.Listen)
+	l, err := net.Listen("tcp", g.config.Listen)
 	if err != nil {
 		return err
 	}
-	m := g.module
-	if o := g.setup.storing(); o != nil {
-		if m.remembers, err = openStore(o); err != nil {
+	m := g.dispatcher
+	if o := g.config.storeConfig(); o != nil {
+		if m.persistence, err = openPersistence(o); err != nil {
 			l.Close()
 			return err
 		}
-		defer m.remembers.close()
-		g.known = m.remembers.list(g.known, g.fits)
+		defer m.persistence.close()
+		g.knownServers = m.persistence.loadServerList(g.knownServers, g.acceptServer)
 	}
-	slog.Info("listening", "name", g.setup.Name, "addr", l.Addr().String())
+	slog.Info("listening", "name", g.config.Name, "addr", l.Addr().String())
 	g.mu.Lock()
-	m.list = discovery.Start(g.setup.Discovery, g.known.Version, duration(g.d.ConnectTimeout), g.fits, m.mailbox, !g.d.Balancer.ListOnRequest)
-	g.list = m.list
+	m.watcher = discovery.Start(g.config.Discovery, g.knownServers.Version, duration(g.deployment.ConnectTimeout), g.acceptServer, m.mailbox, !g.deployment.Balancer.ListOnRequest)
+	g.watcher = m.watcher
 	g.mu.Unlock()
-	if o := g.setup.reducing(); o != nil && o.Socket != "" {
-		socket, err := admin.Listen(o.Socket, func(q admin.Question) bool { return m.put(q) })
+	if o := g.config.levelsConfig(); o != nil && o.Socket != "" {
+		socket, err := admin.Listen(o.Socket, func(q admin.Question) bool { return m.send(q) })
 		if err != nil {
 			l.Close()
 			return err
@@ -299,56 +299,56 @@
 		defer socket.Close()
 	}
 	stop := make(chan struct{})
-	if mem := g.setup.memory(); mem != nil && mem.Report > 0 {
-		go reportMemory(g.held, mem.Report, stop)
+	if mem := g.config.memoryConfig(); mem != nil && mem.Report > 0 {
+		go reportMemory(g.memory, mem.Report, stop)
 	}
-	m.takeList(balancer.ListCached, g.known)
-	if m.remembers != nil {
-		m.recall()
+	m.applyServerList(balancer.ListCached, g.knownServers)
+	if m.persistence != nil {
+		m.restoreServerRecords()
 	}
 	go m.run(stop)
-	clients, _ := g.setup.Limits.split()
-	err = g.front.serve(ctx, l, clients, duration(g.d.MaxClientTimeout))
+	clients, _ := g.config.Limits.splitDescriptors()
+	err = g.frontend.serve(ctx, l, clients, duration(g.deployment.MaxClientTimeout))
 	close(stop)
 	<-m.ended
 	g.mu.Lock()
-	g.list = nil
+	g.watcher = nil
 	g.mu.Unlock()
-	m.list.Stop()
+	m.watcher.Stop()
 	return err
 }
 
 // Reload takes a setup that has been read anew, at any time and as often as one likes, while Run goes on. A changed
 // discovery address is watched at once, and the operator's file is in force for all searches that come from now on. What else differs is named in the log, as it needs a restart; the list and
 // the seed are for a start alone. A setup that New would refuse changes nothing.
-func (g *Gatherer) Reload(s Setup) error {
-	if _, err := s.deployment(); err != nil {
+func (g *Gatherer) Reload(s Config) error {
+	if _, err := s.validate(); err != nil {
 		return err
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	connections := s.connections() == g.setup.connections()
-	was, now, fleet := g.setup.storing(), s.storing(), g.setup.fleet()
+	connections := s.connectionsConfig() == g.config.connectionsConfig()
+	was, now, fleet := g.config.storeConfig(), s.storeConfig(), g.config.fleetConfig()
 	stored := was == now || was != nil && now != nil && *was == *now
-	reduced := s.reducing() != nil == (g.module.levels != nil) && (s.reducing() == nil || g.setup.reducing() == nil || s.reducing().Socket == g.setup.reducing().Socket)
-	g.setup.Operator = s.Operator
-	g.operate(s)
-	if o := s.reducing(); o != nil && g.module.levels != nil {
-		if f, err := o.For(g.d.QueryTypes); err == nil { // deployment has checked it
-			g.module.put(levelsReplaced{f})
+	reduced := s.levelsConfig() != nil == (g.dispatcher.degradation != nil) && (s.levelsConfig() == nil || g.config.levelsConfig() == nil || s.levelsConfig().Socket == g.config.levelsConfig().Socket)
+	g.config.Operator = s.Operator
+	g.applyOperatorConfig(s)
+	if o := s.levelsConfig(); o != nil && g.dispatcher.degradation != nil {
+		if f, err := o.For(g.deployment.QueryTypes); err == nil { // deployment has checked it
+			g.dispatcher.send(levelsReplaced{f})
 		}
 	}
-	moved := s.Discovery != g.setup.Discovery
-	if g.setup.Discovery = s.Discovery; moved && g.list != nil {
-		g.list.Move(s.Discovery)
+	moved := s.Discovery != g.config.Discovery
+	if g.config.Discovery = s.Discovery; moved && g.watcher != nil {
+		g.watcher.Move(s.Discovery)
 	}
 	var restart []string
 	for _, f := range []struct {
 		name string
 		same bool
-	}{{"name", s.Name == g.setup.Name}, {"listen", s.Listen == g.setup.Listen}, {"limits", s.Limits == g.setup.Limits},
-		{"connections", connections}, {"fleet", reflect.DeepEqual(s.fleet(), fleet)}, {"store", stored}, {"levels", reduced},
-		{"settings", sameJSON(s.Settings, g.setup.Settings)}} {
+	}{{"name", s.Name == g.config.Name}, {"listen", s.Listen == g.config.Listen}, {"limits", s.Limits == g.config.Limits},
+		{"connections", connections}, {"fleet", reflect.DeepEqual(s.fleetConfig(), fleet)}, {"store", stored}, {"levels", reduced},
+		{"settings", sameJSON(s.Settings, g.config.Settings)}} {
 		if !f.same {
 			restart = append(restart, f.name)
 		}
--- a/gatherer/park_test.go
+++ b/gatherer/idleconn_test.go
@@ -28,8 +28,8 @@
 	"oxbowspan/internal/testing/standin"
 )
 
-// parkRig is the listener with net/http over it, as front.serve has them, and a handler that says what it was asked.
-type parkRig struct {
+// listenerHarness is the listener with net/http over it, as front.serve has them, and a handler that says what it was asked.
+type listenerHarness struct {
 	t    testing.TB
 	l    *listener
 	srv  *http.Server
@@ -37,38 +37,38 @@
 	gate chan struct{} // a request for /wait is answered once it is closed
 }
 
-func startRig(t testing.TB, share, awake int, idle time.Duration) *parkRig {
+func startHarness(t testing.TB, share, awake int, idle time.Duration) *listenerHarness {
 	nl, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return startRigOn(t, nl, terms{share: share, awake: awake}, idle)
+	return startHarnessOn(t, nl, listenerConfig{descriptors: share, maxActiveConns: awake}, idle)
 }
 
-func startRigOn(t testing.TB, nl net.Listener, by terms, idle time.Duration) *parkRig {
-	r := &parkRig{t: t, l: newListener(nl, by), addr: nl.Addr().String(), gate: make(chan struct{})}
-	r.l.who.SetLinger(1)
-	r.l.parks(5000, idle)
+func startHarnessOn(t testing.TB, nl net.Listener, by listenerConfig, idle time.Duration) *listenerHarness {
+	r := &listenerHarness{t: t, l: newListener(nl, by), addr: nl.Addr().String(), gate: make(chan struct{})}
+	r.l.admission.SetLinger(1)
+	r.l.enableParking(5000, idle)
 	r.serve()
 	return r
 }
 
-// startKeptRig starts one that parks nothing.
-func startKeptRig(t testing.TB, nl net.Listener, by terms) *parkRig {
-	r := &parkRig{t: t, l: newListener(nl, by), addr: nl.Addr().String(), gate: make(chan struct{})}
+// startUnparkedHarness starts one that parks nothing.
+func startUnparkedHarness(t testing.TB, nl net.Listener, by listenerConfig) *listenerHarness {
+	r := &listenerHarness{t: t, l: newListener(nl, by), addr: nl.Addr().String(), gate: make(chan struct{})}
 	r.serve()
 	return r
 }
 
 // last is the connection that came last, if it has a goroutine.
-func (r *parkRig) last() *clientConn {
+func (r *listenerHarness) last() *clientConn {
 	r.l.mu.Lock()
 	defer r.l.mu.Unlock()
-	return r.l.conns[len(r.l.conns)-1].c
+	return r.l.conns[len(r.l.conns)-1].conn
 }
 
-func (r *parkRig) serve() {
-	r.srv = &http.Server{ReadHeaderTimeout: readLimit, ConnState: r.l.state, Handler: http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
+func (r *listenerHarness) serve() {
+	r.srv = &http.Server{ReadHeaderTimeout: readTimeout, ConnState: r.l.connStateChanged, Handler: http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		b, _ := io.ReadAll(q.Body)
 		if q.URL.Path == "/wait" {
 			<-r.gate
@@ -76,14 +76,14 @@
 		fmt.Fprintf(w, "%s %s", q.URL, b)
 	})}
 	go r.srv.Serve(r.l)
-	go r.srv.Serve(r.l.woken)
+	go r.srv.Serve(r.l.resumed)
 	r.t.Cleanup(func() {
 		r.l.stop()
 		r.srv.Close()
 	})
 }
 
-func (r *parkRig) parked() (n int) {
+func (r *listenerHarness) parked() (n int) {
 	r.l.mu.Lock()
 	defer r.l.mu.Unlock()
 	for _, h := range r.l.conns {
@@ -95,45 +95,45 @@
 }
 
 // until waits for what should come by itself.
-func (r *parkRig) until(what string, is func() bool) {
+func (r *listenerHarness) until(what string, is func() bool) {
 	r.t.Helper()
-	for end := time.Now().Add(patience); !is(); runtime.Gosched() {
+	for end := time.Now().Add(testTimeout); !is(); runtime.Gosched() {
 		if time.Now().After(end) {
 			r.t.Fatalf("never: %s", what)
 		}
 	}
 }
 
-func (r *parkRig) awaitParked(n int) {
+func (r *listenerHarness) awaitParked(n int) {
 	r.t.Helper()
 	r.until(fmt.Sprintf("%d connections parked", n), func() bool { return r.parked() == n })
 }
 
-type rigClient struct {
+type harnessClient struct {
 	net.Conn
 	t testing.TB
 	r *bufio.Reader
 }
 
-func (r *parkRig) dial() *rigClient {
+func (r *listenerHarness) dial() *harnessClient {
 	r.t.Helper()
 	c, err := net.Dial("tcp", r.addr)
 	if err != nil {
 		r.t.Fatal(err)
 	}
 	r.t.Cleanup(func() { c.Close() })
-	return &rigClient{c, r.t, bufio.NewReader(c)}
+	return &harnessClient{c, r.t, bufio.NewReader(c)}
 }
 
-func (c *rigClient) send(text string) {
+func (c *harnessClient) send(text string) {
 	c.t.Helper()
 	if _, err := io.WriteString(c, text); err != nil {
 		c.t.Fatal(err)
 	}
 }
 
-func (c *rigClient) answer() (status int, body string, err error) {
-	c.SetReadDeadline(time.Now().Add(patience))
+func (c *harnessClient) answer() (status int, body string, err error) {
+	c.SetReadDeadline(time.Now().Add(testTimeout))
 	res, err := http.ReadResponse(c.r, nil)
 	if err != nil {
 		return 0, "", err
@@ -143,7 +143,7 @@
 	return res.StatusCode, string(b), err
 }
 
-func (c *rigClient) want(body string) {
+func (c *harnessClient) expect(body string) {
 	c.t.Helper()
 	if status, got, err := c.answer(); err != nil || status != 200 || got != body {
 		c.t.Fatalf("got %d %q, %v, want %q", status, got, err, body)
@@ -154,11 +154,11 @@
 	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", path, len(body), body)
 }
 
-func TestAHeadCutAtEveryByteAcrossAPark(t *testing.T) {
-	r := startRig(t, 100, 0, 0)
+func TestRequestHeadSplitAcrossParking(t *testing.T) {
+	r := startHarness(t, 100, 0, 0)
 	c := r.dial()
 	c.send(post("/0", "first"))
-	c.want("/0 first")
+	c.expect("/0 first")
 	text := post("/some/path", "the body")
 	for cut := range len(text) {
 		r.awaitParked(1)
@@ -167,39 +167,39 @@
 			r.awaitParked(0)
 		}
 		c.send(text[cut:])
-		c.want("/some/path the body")
+		c.expect("/some/path the body")
 	}
 }
 
-func TestPipelinedBytesBehindAnAnswerAreNotLost(t *testing.T) {
-	r := startRig(t, 100, 0, 0)
+func TestPipelinedRequestsAreNotLost(t *testing.T) {
+	r := startHarness(t, 100, 0, 0)
 	c := r.dial()
 	third := post("/3", "c")
 	c.send(post("/1", "a") + post("/2", "b") + third[:3])
-	c.want("/1 a")
-	c.want("/2 b")
+	c.expect("/1 a")
+	c.expect("/2 b")
 	// Three bytes of the next request are in net/http's hands, which waits for more: it must not be parked.
 	r.l.mu.Lock()
-	held := r.l.conns[0].c
+	held := r.l.conns[0].conn
 	r.l.mu.Unlock()
-	r.until("rest", func() bool { return held != nil && held.rests() })
-	if held.restful() || r.l.who.Len() != 1 {
+	r.until("rest", func() bool { return held != nil && held.isMarkedIdle() })
+	if held.isIdle() || r.l.admission.Len() != 1 {
 		t.Error("a connection may be parked with part of a request read")
 	}
 	c.send(third[3:])
-	c.want("/3 c")
+	c.expect("/3 c")
 	r.awaitParked(1)
 	c.send(post("/4", "") + post("/5", "x"))
-	c.want("/4 ")
-	c.want("/5 x")
+	c.expect("/4 ")
+	c.expect("/5 x")
 }
 
-func TestParkedConnectionsThatEnd(t *testing.T) {
-	r := startRig(t, 100, 0, 0)
+func TestParkedConnectionClose(t *testing.T) {
+	r := startHarness(t, 100, 0, 0)
 	closed, half, asking, reset := r.dial(), r.dial(), r.dial(), r.dial()
-	for _, c := range []*rigClient{closed, half, asking, reset} {
+	for _, c := range []*harnessClient{closed, half, asking, reset} {
 		c.send(post("/", ""))
-		c.want("/ ")
+		c.expect("/ ")
 	}
 	r.awaitParked(4)
 	closed.Close()
@@ -213,37 +213,37 @@
 	// A request and then the half-close: it is answered.
 	asking.send(post("/last", "x"))
 	asking.Conn.(*net.TCPConn).CloseWrite()
-	asking.want("/last x")
-	r.until("all gone", func() bool { r.l.mu.Lock(); defer r.l.mu.Unlock(); return r.l.who.Len() == 0 })
+	asking.expect("/last x")
+	r.until("all gone", func() bool { r.l.mu.Lock(); defer r.l.mu.Unlock(); return r.l.admission.Len() == 0 })
 }
 
-func TestASpuriousOrStaleWakeChangesNothing(t *testing.T) {
-	r := startRig(t, 100, 0, 0)
+func TestSpuriousWakeupIsIgnored(t *testing.T) {
+	r := startHarness(t, 100, 0, 0)
 	c := r.dial()
 	c.send(post("/1", ""))
-	c.want("/1 ")
+	c.expect("/1 ")
 	r.awaitParked(1)
 	r.l.mu.Lock()
 	fd := int(r.l.conns[0].fd)
 	r.l.mu.Unlock()
-	r.l.wakes(0, fd)      // nothing has come
-	r.l.wakes(0, fd+1000) // another socket's
-	r.l.wakes(77, fd)     // nobody's
+	r.l.parkedReadable(0, fd)      // nothing has come
+	r.l.parkedReadable(0, fd+1000) // another socket's
+	r.l.parkedReadable(77, fd)     // nobody's
 	if r.parked() != 1 {
 		t.Fatal("it is not parked any more")
 	}
 	c.send(post("/2", "x"))
-	c.want("/2 x")
+	c.expect("/2 x")
 }
 
-func TestAllWakeAtOnce(t *testing.T) {
+func TestConcurrentWakeups(t *testing.T) {
 	const n, awake = 120, 16
-	r := startRig(t, 400, awake, 0)
-	var all []*rigClient
+	r := startHarness(t, 400, awake, 0)
+	var all []*harnessClient
 	for range n {
 		c := r.dial()
 		c.send(post("/", ""))
-		c.want("/ ")
+		c.expect("/ ")
 		all = append(all, c)
 	}
 	r.awaitParked(n)
@@ -255,7 +255,7 @@
 		go func() {
 			defer both.Done()
 			io.WriteString(c, post("/wait", "x"))
-			c.SetReadDeadline(time.Now().Add(patience))
+			c.SetReadDeadline(time.Now().Add(testTimeout))
 			res, err := http.ReadResponse(c.r, nil)
 			if err != nil {
 				t.Errorf("a request got no answer: %v", err)
@@ -279,12 +279,12 @@
 	for _, c := range all {
 		c.Close()
 	}
-	r.until("all gone", func() bool { r.l.mu.Lock(); defer r.l.mu.Unlock(); return r.l.who.Len() == 0 })
+	r.until("all gone", func() bool { r.l.mu.Lock(); defer r.l.mu.Unlock(); return r.l.admission.Len() == 0 })
 }
 
 // hold keeps the listener from dealing with anything until a request lies unread on a parked connection, and does what is
 // to be done at that very moment, under its lock.
-func (r *parkRig) hold(place int, c *rigClient, request string, done func()) {
+func (r *listenerHarness) hold(place int, c *harnessClient, request string, done func()) {
 	r.t.Helper()
 	r.l.mu.Lock()
 	fd := int(r.l.conns[place].fd)
@@ -295,44 +295,44 @@
 }
 
 // The idle limit comes at the very moment of a wake: who has asked is answered, who has not is closed.
-func TestAWakeAtTheIdleLimitIsAnswered(t *testing.T) {
-	r := startRig(t, 200, 0, time.Hour)
+func TestWakeupAtIdleTimeoutIsAnswered(t *testing.T) {
+	r := startHarness(t, 200, 0, time.Hour)
 	silent, asking := r.dial(), r.dial()
-	for _, c := range []*rigClient{silent, asking} {
+	for _, c := range []*harnessClient{silent, asking} {
 		c.send(post("/", ""))
-		c.want("/ ")
+		c.expect("/ ")
 	}
 	r.awaitParked(2)
-	r.hold(1, asking, post("/again", "x"), func() { r.l.turnTo(2 * int64(time.Hour/limitTick)) })
-	asking.want("/again x")
+	r.hold(1, asking, post("/again", "x"), func() { r.l.expireUntil(2 * int64(time.Hour/wheelTick)) })
+	asking.expect("/again x")
 	if _, _, err := silent.answer(); !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
 		t.Errorf("a silent connection got %v, not its end", err)
 	}
 }
 
-func TestTheIdleLimitComesByItself(t *testing.T) {
-	r := startRig(t, 200, 0, 200*time.Millisecond)
+func TestIdleTimeoutFires(t *testing.T) {
+	r := startHarness(t, 200, 0, 200*time.Millisecond)
 	c := r.dial()
 	c.send(post("/", ""))
-	c.want("/ ")
+	c.expect("/ ")
 	if _, _, err := c.answer(); !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
 		t.Errorf("a silent connection got %v, not its end", err)
 	}
 }
 
 // A byte a second, the first of which wakes it: its head must come whole within the read limit like any other.
-func TestATricklerAcrossAPark(t *testing.T) {
-	r := startRig(t, 100, 0, 0)
+func TestSlowHeadAcrossParking(t *testing.T) {
+	r := startHarness(t, 100, 0, 0)
 	c := r.dial()
 	c.send(post("/", ""))
-	c.want("/ ")
+	c.expect("/ ")
 	r.awaitParked(1)
 	began := time.Now()
 	over := make(chan struct{})
 	go func() {
 		defer close(over)
 		for _, b := range []byte(post("/slow", "")) {
-			if _, err := c.Write([]byte{b}); err != nil || time.Since(began) > patience {
+			if _, err := c.Write([]byte{b}); err != nil || time.Since(began) > testTimeout {
 				return
 			}
 			select {
@@ -345,16 +345,16 @@
 	if _, err := io.Copy(io.Discard, c); err != nil && !errors.Is(err, unix.ECONNRESET) {
 		t.Error(err)
 	}
-	if took := time.Since(began); took > readLimit+time.Second {
+	if took := time.Since(began); took > readTimeout+time.Second {
 		t.Errorf("it was let trickle for %s", took)
 	}
 	c.Close()
 	<-over
-	r.until("gone", func() bool { r.l.mu.Lock(); defer r.l.mu.Unlock(); return r.l.who.Len() == 0 })
+	r.until("gone", func() bool { r.l.mu.Lock(); defer r.l.mu.Unlock(); return r.l.admission.Len() == 0 })
 }
 
 // A parked connection outlives SIGHUP, in the built program, and is closed at its idle limit.
-func TestAParkedConnectionOutlivesSIGHUP(t *testing.T) {
+func TestParkedConnectionSurvivesReload(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "operator.ini")
 	write := func(text string) {
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
@@ -368,10 +368,10 @@
 		t.Fatal(err)
 	}
 	defer nc.Close()
-	c := &rigClient{nc, t, bufio.NewReader(nc)}
+	c := &harnessClient{nc, t, bufio.NewReader(nc)}
 	health := "GET /-/healthy HTTP/1.1\r\nHost: x\r\n\r\n"
 	c.send(health)
-	c.want("ok\n")
+	c.expect("ok\n")
 	for answered := time.Now(); time.Since(answered) < 2*linger; { // it is parked within that
 		p.cmd.Process.Signal(syscall.SIGHUP)
 		p.line("event=reload ", "needs_restart=none")
@@ -380,7 +380,7 @@
 	p.cmd.Process.Signal(syscall.SIGHUP)
 	p.line("event=reload ", "needs_restart=connections")
 	c.send(health)
-	c.want("ok\n")
+	c.expect("ok\n")
 	p.line("event=client_conn_end", "client="+nc.LocalAddr().String(), "reason=idle_limit", "requests=2")
 }
 
@@ -408,44 +408,44 @@
 }
 
 // Descriptors are used up when a parked connection wakes: its request is shed with advice, not closed upon.
-func TestAWakeWithoutADescriptorIsAnswered(t *testing.T) {
-	r := startRig(t, 200, 0, 0)
+func TestWakeupWithoutDescriptorIsAnswered(t *testing.T) {
+	r := startHarness(t, 200, 0, 0)
 	c, later := r.dial(), r.dial()
-	for _, c := range []*rigClient{c, later} {
+	for _, c := range []*harnessClient{c, later} {
 		c.send(post("/", ""))
-		c.want("/ ")
+		c.expect("/ ")
 	}
 	r.awaitParked(2)
 	give := noDescriptors(t)
 	defer give()
 	c.send(post("/now", "x"))
-	c.SetReadDeadline(time.Now().Add(patience))
+	c.SetReadDeadline(time.Now().Add(testTimeout))
 	res, err := http.ReadResponse(c.r, nil)
 	give()
 	if err != nil || res.StatusCode != http.StatusServiceUnavailable || res.Header.Get("Retry-After") != "0.5" {
 		t.Errorf("got %v, %v", res, err)
 	}
 	later.send(post("/later", "x"))
-	later.want("/later x")
+	later.expect("/later x")
 }
 
 // Descriptors are used up in accept: the connection idle longest makes room, parked or not, so that who waits in the backlog
 // is served and not left there.
-func TestAnAcceptWithoutADescriptorMakesRoom(t *testing.T) {
+func TestAcceptWithoutDescriptorEvicts(t *testing.T) {
 	for _, parks := range []bool{true, false} {
 		t.Run(fmt.Sprintf("parked=%t", parks), func(t *testing.T) {
-			r := startRig(t, 200, 0, 0)
+			r := startHarness(t, 200, 0, 0)
 			if !parks {
-				r.l.who.SetLinger(3600_000)
+				r.l.admission.SetLinger(3600_000)
 			}
 			oldest, other := r.dial(), r.dial()
-			for i, c := range []*rigClient{oldest, other} {
+			for i, c := range []*harnessClient{oldest, other} {
 				c.send(post("/", ""))
-				c.want("/ ")
+				c.expect("/ ")
 				r.until("at rest", func() bool {
 					r.l.mu.Lock()
 					defer r.l.mu.Unlock()
-					_, visiting, _, _ := r.l.who.Counts()
+					_, visiting, _, _ := r.l.admission.Counts()
 					return visiting == i+1
 				})
 			}
@@ -458,7 +458,7 @@
 			defer give()
 			unix.Write(raw, []byte(post("/new", "x")))
 			answer := make([]byte, 1024)
-			unix.SetsockoptTimeval(raw, unix.SOL_SOCKET, unix.SO_RCVTIMEO, &unix.Timeval{Sec: int64(patience / time.Second)})
+			unix.SetsockoptTimeval(raw, unix.SOL_SOCKET, unix.SO_RCVTIMEO, &unix.Timeval{Sec: int64(testTimeout / time.Second)})
 			k, err := unix.Read(raw, answer)
 			give()
 			if err != nil || !strings.HasSuffix(string(answer[:max(k, 0)]), "/new x") {
@@ -468,7 +468,7 @@
 				t.Error("the one idle longest did not make room")
 			}
 			other.send(post("/still", "x"))
-			other.want("/still x")
+			other.expect("/still x")
 		})
 	}
 }
@@ -476,10 +476,10 @@
 // The machine grants fewer descriptors than the configuration says, and clients hold all of them: connects to servers fail.
 // Every search gets its one final answer, a shed or errored one at the latest by its timeout; once descriptors are there
 // again, so are answers.
-func TestDescriptorsUsedUpInDiallingServersAndInAccept(t *testing.T) {
+func TestDescriptorExhaustion(t *testing.T) {
 	a := startShard(t, "s-a", nil)
 	p := start(t, startList(t, a), nil)
-	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}, Timeout: patience}
+	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}, Timeout: testTimeout}
 	ask := func(id string) (int, time.Duration) {
 		t.Helper()
 		s := standin.Request{ID: id, QueryType: "lookup", Customer: "acme", Timeout: 1500 * time.Millisecond, Shards: []int{1}, Statement: "c41e77d0"}
@@ -536,7 +536,7 @@
 		c.Close()
 	}
 	n := 0
-	for end := time.Now().Add(patience); ; n++ {
+	for end := time.Now().Add(testTimeout); ; n++ {
 		if status, _ := ask(fmt.Sprintf("c%d", n)); status == http.StatusOK {
 			break
 		}
@@ -546,45 +546,45 @@
 	}
 }
 
-func TestADrainClosesWhatIsParkedAndAnswersWhatHasAsked(t *testing.T) {
-	r := startRig(t, 200, 0, 0)
+func TestDrainClosesIdleAndAnswersPending(t *testing.T) {
+	r := startHarness(t, 200, 0, 0)
 	quiet, asking := r.dial(), r.dial()
-	for _, c := range []*rigClient{quiet, asking} {
+	for _, c := range []*harnessClient{quiet, asking} {
 		c.send(post("/", ""))
-		c.want("/ ")
+		c.expect("/ ")
 	}
 	r.awaitParked(2)
-	r.hold(1, asking, post("/late", "x"), func() { r.l.endAll() })
+	r.hold(1, asking, post("/late", "x"), func() { r.l.closeAll() })
 	r.l.stop()
-	asking.want("/late x")
+	asking.expect("/late x")
 	if _, _, err := quiet.answer(); err == nil {
 		t.Error("a parked connection outlives the drain")
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	if err := r.srv.Shutdown(ctx); err != nil {
 		t.Error(err)
 	}
 }
 
-func TestParkedConnectionsMakeRoomOldestFirst(t *testing.T) {
-	r := startRig(t, 9, 0, 0) // eight, and one to shed with
-	var all []*rigClient
+func TestOldestParkedConnectionIsEvictedFirst(t *testing.T) {
+	r := startHarness(t, 9, 0, 0) // eight, and one to shed with
+	var all []*harnessClient
 	for i := range 8 {
 		c := r.dial()
 		c.send(post(fmt.Sprintf("/%d", i), ""))
-		c.want(fmt.Sprintf("/%d ", i))
+		c.expect(fmt.Sprintf("/%d ", i))
 		all = append(all, c)
 		r.awaitParked(i + 1)
 	}
 	fresh := r.dial()
 	fresh.send(post("/fresh", ""))
-	fresh.want("/fresh ")
+	fresh.expect("/fresh ")
 	if _, _, err := all[0].answer(); err == nil {
 		t.Error("the one idle longest did not make room")
 	}
 	all[1].send(post("/still", ""))
-	all[1].want("/still ")
+	all[1].expect("/still ")
 }
 
 // rawDial connects a socket; it takes no descriptor but that.
@@ -605,7 +605,7 @@
 }
 
 // rawClients connects without anything of Go's runtime on the clients' side, so that memory is the listener's alone.
-func rawClients(t testing.TB, r *parkRig, n int) (fds []int) {
+func rawClients(t testing.TB, r *listenerHarness, n int) (fds []int) {
 	request, answer := []byte(post("/", "")), make([]byte, 1024)
 	for i := range n {
 		fd := rawDial(t, r.addr)
@@ -630,13 +630,13 @@
 
 // What a parked connection costs: fails when it grows by more than a half over what was measured when this was built
 // (88 bytes, no goroutine; docs/measured/idle-connections.md).
-func TestWhatAParkedConnectionCosts(t *testing.T) {
+func TestParkedConnectionMemory(t *testing.T) {
 	const n, most = 1500, 140
-	r := startRig(t, 4*n, 0, 0)
+	r := startHarness(t, 4*n, 0, 0)
 	for _, fd := range rawClients(t, r, 20) { // warm up
 		unix.Close(fd)
 	}
-	r.until("warm clients gone", func() bool { r.l.mu.Lock(); defer r.l.mu.Unlock(); return r.l.who.Len() == 0 })
+	r.until("warm clients gone", func() bool { r.l.mu.Lock(); defer r.l.mu.Unlock(); return r.l.admission.Len() == 0 })
 	before, goroutines := memoryHeld(), runtime.NumGoroutine()
 	fds := rawClients(t, r, n)
 	defer func() {
@@ -648,7 +648,7 @@
 	// What net/http lent goes back to its pools and from there to the collector.
 	r.until("goroutines gone", func() bool { return runtime.NumGoroutine() <= goroutines+2 })
 	cost := float64(int64(memoryHeld())-int64(before)) / n
-	own := float64(cap(r.l.conns)*int(unsafe.Sizeof(held{}))+connadmission.Size(r.l.who)) / n
+	own := float64(cap(r.l.conns)*int(unsafe.Sizeof(connSlot{}))+connadmission.Size(r.l.admission)) / n
 	t.Logf("%.0f bytes a connection by the runtime's figures, %.0f of them in the tables", cost, own)
 	if own > most {
 		t.Errorf("the tables hold %.0f bytes a connection, %d are allowed", own, most)
@@ -661,18 +661,18 @@
 // One operation is an idle connection that wakes, is answered and parked again.
 //
 //	go test -run xxx -bench Wake -benchmem ./gatherer
-func BenchmarkWake(b *testing.B) {
+func BenchmarkWakeup(b *testing.B) {
 	for _, way := range []string{"parked", "kept"} {
 		b.Run(way, func(b *testing.B) {
-			r := startRig(b, 100, 0, 0)
+			r := startHarness(b, 100, 0, 0)
 			if way == "kept" {
-				r.l.who.SetLinger(3600_000)
+				r.l.admission.SetLinger(3600_000)
 			}
 			c := r.dial()
 			b.ReportAllocs()
 			for b.Loop() {
 				c.send(post("/", ""))
-				c.want("/ ")
+				c.expect("/ ")
 				if way == "parked" {
 					r.awaitParked(1)
 				}
--- a/gatherer/mailbox.go
+++ b/gatherer/mailbox.go
@@ -13,33 +13,33 @@
 
 // The messages to the module's actor.
 type (
-	searchCame struct{ s *search }
-	clientLeft struct{ s *search }
-	listCame   struct{ l discovery.ServerList }
-	listFailed struct{}
-	ended      struct{ e shardconn.AttemptEnded }
-	probed     struct{ p balancer.HealthCheckEnded }
+	requestArrived   struct{ request *clientRequest }
+	clientGone       struct{ request *clientRequest }
+	listReceived     struct{ list discovery.ServerList }
+	watchFailed      struct{}
+	attemptEnded     struct{ event shardconn.AttemptEnded }
+	healthCheckEnded struct{ event balancer.HealthCheckEnded }
 	// levelsReplaced puts other figures of reduced service in force.
-	levelsReplaced struct{ f degradation.Figures }
+	levelsReplaced struct{ config degradation.Figures }
 )
 
 // mailbox is the module's, seen from outside. It is what peers and the list tell their news to.
 type mailbox struct {
-	c    chan any
-	done chan struct{} // closed when the actor is gone
+	messages chan any
+	done     chan struct{} // closed when the actor is gone
 }
 
-// put hands a message over; false = the actor is gone.
-func (m mailbox) put(msg any) bool {
+// send hands a message over; false = the actor is gone.
+func (m mailbox) send(msg any) bool {
 	select {
-	case m.c <- msg:
+	case m.messages <- msg:
 		return true
 	case <-m.done:
 		return false
 	}
 }
 
-func (m mailbox) AttemptEnded(e shardconn.AttemptEnded)        { m.put(ended{e}) }
-func (m mailbox) HealthCheckEnded(p balancer.HealthCheckEnded) { m.put(probed{p}) }
-func (m mailbox) ListReceived(l discovery.ServerList)          { m.put(listCame{l}) }
-func (m mailbox) WatchFailed()                                 { m.put(listFailed{}) }
+func (m mailbox) AttemptEnded(e shardconn.AttemptEnded)        { m.send(attemptEnded{e}) }
+func (m mailbox) HealthCheckEnded(p balancer.HealthCheckEnded) { m.send(healthCheckEnded{p}) }
+func (m mailbox) ListReceived(l discovery.ServerList)          { m.send(listReceived{l}) }
+func (m mailbox) WatchFailed()                                 { m.send(watchFailed{}) }
--- a/gatherer/memory.go
+++ b/gatherer/memory.go
@@ -8,17 +8,17 @@
 	"oxbowspan/memorybudget"
 )
 
-// memoryTurned logs a change of pressure.
-func memoryTurned(from, to memorybudget.Pressure, s memorybudget.State) {
+// logPressure logs a change of pressure.
+func logPressure(from, to memorybudget.Pressure, s memorybudget.State) {
 	level := slog.LevelInfo
 	if to == memorybudget.Full {
 		level = slog.LevelWarn
 	}
-	slog.Log(nil, level, "memory_pressure", append([]any{"from", from.String(), "to", to.String()}, heldFields(s)...)...)
+	slog.Log(nil, level, "memory_pressure", append([]any{"from", from.String(), "to", to.String()}, memoryFields(s)...)...)
 }
 
-// heldFields are a ledger's figures, in bytes.
-func heldFields(s memorybudget.State) []any {
+// memoryFields are a ledger's figures, in bytes.
+func memoryFields(s memorybudget.State) []any {
 	out := []any{"held", int64(s.Sum), "most", int64(s.Most), "peak", int64(s.Peak)}
 	for a := range memorybudget.Accounts {
 		out = append(out, a.String(), int64(s.Held[a]))
@@ -51,16 +51,16 @@
 		}
 		s := l.State()
 		slog.Info("memory", append([]any{"pressure", s.Pressure.String(), "heap", v(0), "stacks", v(1), "mapped", v(2) - v(3),
-			"goroutines", v(4)}, heldFields(s)...)...)
+			"goroutines", v(4)}, memoryFields(s)...)...)
 	}
 }
 
-// accountOf hands one account of a ledger to what knows no ledger: merges and servers' connections.
-type accountOf struct {
-	l *memorybudget.Ledger
-	a memorybudget.Account
+// memoryAccount hands one account of a ledger to what knows no ledger: merges and servers' connections.
+type memoryAccount struct {
+	ledger  *memorybudget.Ledger
+	account memorybudget.Account
 }
 
-func (x accountOf) Take(n int64) bool    { return x.l.Take(x.a, memorybudget.Bytes(n)) }
-func (x accountOf) ForceAcquire(n int64) { x.l.Force(x.a, memorybudget.Bytes(n)) }
-func (x accountOf) Release(n int64)      { x.l.Give(x.a, memorybudget.Bytes(n)) }
+func (x memoryAccount) Take(n int64) bool    { return x.ledger.Take(x.account, memorybudget.Bytes(n)) }
+func (x memoryAccount) ForceAcquire(n int64) { x.ledger.Force(x.account, memorybudget.Bytes(n)) }
+func (x memoryAccount) Release(n int64)      { x.ledger.Give(x.account, memorybudget.Bytes(n)) }
--- a/gatherer/merge_test.go
+++ b/gatherer/merge_test.go
@@ -31,8 +31,8 @@
 
 const testKey = "k1 00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff\n"
 
-// mergeFile is an operator's file for the test's query types; edit changes it.
-func mergeFile(edit func(string) string) string {
+// writeMergeFile is an operator's file for the test's query types; edit changes it.
+func writeMergeFile(edit func(string) string) string {
 	text := "[merging]\nmemory = 4MiB\nrows = 50000\nopen = 200\ncursor_keys = cursor.keys\n" +
 		"[schema arrears/1]\n" + standin.DatasetSchema
 	for _, name := range []string{"report", "loose"} {
@@ -46,8 +46,8 @@
 	return text
 }
 
-// ledgerSite is a gatherer over shard servers that give rows of a ledger with known data.
-type ledgerSite struct {
+// mergeEnv is a gatherer over shard servers that give rows of a ledger with known data.
+type mergeEnv struct {
 	*program
 	t      *testing.T
 	ledger *standin.Dataset
@@ -57,11 +57,11 @@
 	last   atomic.Int64 // of search ids
 }
 
-// startLedger starts one: four cells, each segment held by two of them. meet may meet a part in its own way, by saying
+// startMergeEnv starts one: four cells, each segment held by two of them. meet may meet a part in its own way, by saying
 // true; else its rows are given.
-func startLedger(t *testing.T, shape standin.DatasetShape, meet func(c *standin.ShardConn, p standin.ShardCall, rows string) bool, edit func(string) string) *ledgerSite {
+func startMergeEnv(t *testing.T, shape standin.DatasetShape, meet func(c *standin.ShardConn, p standin.ShardCall, rows string) bool, edit func(string) string) *mergeEnv {
 	t.Helper()
-	s := &ledgerSite{t: t, ledger: standin.NewDataset(11, shape)}
+	s := &mergeEnv{t: t, ledger: standin.NewDataset(11, shape)}
 	for cell := range 4 {
 		shard := startShard(t, fmt.Sprintf("s-%d", cell), func(c *standin.ShardConn, p standin.ShardCall) {
 			if p.Attributes["m"] == "" { // a search that is not merged
@@ -82,20 +82,20 @@
 	s.list = startList(t, s.shards...)
 	dir := t.TempDir()
 	s.file = filepath.Join(dir, "operator.ini")
-	s.write("operator.ini", mergeFile(edit))
+	s.write("operator.ini", writeMergeFile(edit))
 	s.write("cursor.keys", testKey)
-	s.program = start(t, s.list, func(c *Setup) { c.Settings = json.RawMessage(mergeSettings) }, "--operator", s.file)
+	s.program = start(t, s.list, func(c *Config) { c.Settings = json.RawMessage(mergeSettings) }, "--operator", s.file)
 	return s
 }
 
-func (s *ledgerSite) write(name, text string) {
+func (s *mergeEnv) write(name, text string) {
 	s.t.Helper()
 	if err := os.WriteFile(filepath.Join(filepath.Dir(s.file), name), []byte(text), 0o600); err != nil {
 		s.t.Fatal(err)
 	}
 }
 
-func (s *ledgerSite) search(kind string, terms merge.Terms) standin.Request {
+func (s *mergeEnv) search(kind string, terms merge.Terms) standin.Request {
 	return standin.Request{ID: fmt.Sprintf("%016x", 1<<40+s.last.Add(1)), QueryType: kind, Customer: "acme", Timeout: 2900 * time.Millisecond,
 		Shards: []int{0, 1, 2, 3}, Statement: "c41e77d0", Merge: wire(terms)}
 }
@@ -113,7 +113,7 @@
 	return out
 }
 
-func (s *ledgerSite) merged(kind string, terms merge.Terms) standin.MergedResponse {
+func (s *mergeEnv) merged(kind string, terms merge.Terms) standin.MergedResponse {
 	s.t.Helper()
 	r, err := s.search(kind, terms).Send(context.Background(), http.DefaultClient, s.addr)
 	if err != nil || r.Status != http.StatusOK {
@@ -126,16 +126,16 @@
 	return m
 }
 
-func (s *ledgerSite) truth(forbids bool) standin.Oracle {
+func (s *mergeEnv) expected(forbids bool) standin.Oracle {
 	return standin.Oracle{Dataset: s.ledger, Segments: []int{0, 1, 2, 3}, RequireComplete: forbids}
 }
 
 // walk reads a paged list to its end; before is told the number of each page before it is asked for.
-func (s *ledgerSite) walk(kind string, order []string, limit int, before func(page int)) standin.PagedCheck {
+func (s *mergeEnv) walk(kind string, order []string, limit int, before func(page int)) standin.PagedCheck {
 	s.t.Helper()
-	w := standin.PagedCheck{Oracle: s.truth(kind == "report"), Order: order, Limit: limit}
+	w := standin.PagedCheck{Oracle: s.expected(kind == "report"), Order: order, Limit: limit}
 	// While a segment is missing there is always a next page: as many are asked for as it takes to be back.
-	for cursor, end := "", time.Now().Add(patience); time.Now().Before(end); {
+	for cursor, end := "", time.Now().Add(testTimeout); time.Now().Before(end); {
 		if before != nil {
 			before(w.Pages)
 		}
@@ -152,15 +152,15 @@
 	return w
 }
 
-func TestMergedAnswersAreThoseOfTheLedger(t *testing.T) {
+func TestMergedAnswersMatchReference(t *testing.T) {
 	for name, shape := range map[string]standin.DatasetShape{"ordinary": {Segments: 4, Accounts: 300}, "one segment": {Segments: 4, Accounts: 60, SingleSegment: true},
 		"empty": {Segments: 4}, "equal keys": {Segments: 4, Accounts: 80, EqualKeys: true, SharedAccounts: true}} {
 		t.Run(name, func(t *testing.T) {
-			s := startLedger(t, shape, nil, nil)
+			s := startMergeEnv(t, shape, nil, nil)
 			for _, order := range [][]string{{"due"}, {"-amount", "due"}, {"-customer", "-bills"}} {
 				for _, at := range []struct{ offset, limit int }{{0, 1}, {0, 50}, {17, 40}, {290, 30}, {400, 5}} {
 					m := s.merged("report", merge.Terms{Kind: "ranked", Order: order, Offset: at.offset, Limit: at.limit})
-					if err := s.truth(true).CheckRanked(m, order, at.offset, at.limit, true); err != nil {
+					if err := s.expected(true).CheckRanked(m, order, at.offset, at.limit, true); err != nil {
 						t.Errorf("%v from %d, %d rows: %v", order, at.offset, at.limit, err)
 					}
 				}
@@ -173,7 +173,7 @@
 				{Kind: "aggregated", Limit: 100, Group: []string{"customer"}, Figures: []string{"count", "sum(amount)", "max(due)"}, By: "sum(amount)"},
 				{Kind: "aggregated", Limit: 9, Group: []string{"due", "customer"}, Figures: []string{"sum(bills)", "mean(amount)"}},
 			} {
-				if err := s.truth(true).CheckAggregated(s.merged("report", terms), terms, terms.Limit != 9); err != nil {
+				if err := s.expected(true).CheckAggregated(s.merged("report", terms), terms, terms.Limit != 9); err != nil {
 					t.Errorf("%v: %v", terms, err)
 				}
 			}
@@ -181,8 +181,8 @@
 	}
 }
 
-func TestMergesPastWhatIsAllowedAreRefusedInOneSentence(t *testing.T) {
-	s := startLedger(t, standin.DatasetShape{Segments: 4, Accounts: 40}, nil, nil)
+func TestDisallowedMergesAreRejected(t *testing.T) {
+	s := startMergeEnv(t, standin.DatasetShape{Segments: 4, Accounts: 40}, nil, nil)
 	page := s.merged("report", merge.Terms{Kind: "paged", Order: []string{"due"}, Limit: 5})
 	cursor := page.Result.Next
 	turned := []byte(cursor)
@@ -218,7 +218,7 @@
 	}
 }
 
-func TestWithoutAnOperatorsFileAMergeIsNoWord(t *testing.T) {
+func TestMergeIsIgnoredWithoutOperatorFile(t *testing.T) {
 	a := startShard(t, "s-a", func(c *standin.ShardConn, p standin.ShardCall) {
 		if len(p.Attributes) > 0 {
 			t.Errorf("a part's line lists %v", p.Attributes)
@@ -234,13 +234,13 @@
 	}
 }
 
-// spoiler says how often something is still to be spoilt.
-type spoiler struct {
+// corruptor says how often something is still to be spoilt.
+type corruptor struct {
 	mu   sync.Mutex
 	left map[string]int // by what is done to it
 }
 
-func (s *spoiler) take(what string) bool {
+func (s *corruptor) take(what string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.left[what] == 0 {
@@ -250,7 +250,7 @@
 	return true
 }
 
-func TestUnusableRowsAreAskedForAtAnotherReplica(t *testing.T) {
+func TestUndecodableRowsAreRetriedElsewhere(t *testing.T) {
 	for what, spoil := range map[string]func(string) string{
 		"cut": func(v string) string { return v[:len(v)-9] },
 		"unsorted": func(v string) string {
@@ -261,8 +261,8 @@
 		"schema": func(v string) string { return strings.Replace(v, "arrears/1", "arrears/2", 1) },
 	} {
 		t.Run(what, func(t *testing.T) {
-			once := &spoiler{left: map[string]int{what: 2}}
-			s := startLedger(t, standin.DatasetShape{Segments: 4, Accounts: 120}, func(c *standin.ShardConn, p standin.ShardCall, rows string) bool {
+			once := &corruptor{left: map[string]int{what: 2}}
+			s := startMergeEnv(t, standin.DatasetShape{Segments: 4, Accounts: 120}, func(c *standin.ShardConn, p standin.ShardCall, rows string) bool {
 				if !once.take(what) {
 					return false
 				}
@@ -271,7 +271,7 @@
 			}, nil)
 			order := []string{"due", "amount"}
 			m := s.merged("report", merge.Terms{Kind: "ranked", Order: order, Limit: 60})
-			if err := s.truth(true).CheckRanked(m, order, 0, 60, true); err != nil || !m.Full {
+			if err := s.expected(true).CheckRanked(m, order, 0, 60, true); err != nil || !m.Full {
 				t.Errorf("full %t: %v", m.Full, err)
 			}
 			s.line("event=part_unusable", "server=s-")
@@ -280,8 +280,8 @@
 }
 
 // Nothing but spoilt rows of one segment: a type that forbids missing parts is refused, another says what it lacks.
-func TestASegmentThatOnlySpoilsIsNeverMerged(t *testing.T) {
-	s := startLedger(t, standin.DatasetShape{Segments: 4, Accounts: 120}, func(c *standin.ShardConn, p standin.ShardCall, rows string) bool {
+func TestCorruptSegmentIsNeverMerged(t *testing.T) {
+	s := startMergeEnv(t, standin.DatasetShape{Segments: 4, Accounts: 120}, func(c *standin.ShardConn, p standin.ShardCall, rows string) bool {
 		if p.Shard == 2 {
 			c.Respond(p.ID, "served", rows[:len(rows)-9])
 		}
@@ -296,7 +296,7 @@
 		t.Errorf("got %d %.200s, error %v", r.Status, r.Body, err)
 	}
 	m := s.merged("loose", terms)
-	if err := s.truth(false).CheckRanked(m, order, 0, 60, true); err != nil {
+	if err := s.expected(false).CheckRanked(m, order, 0, 60, true); err != nil {
 		t.Error(err)
 	}
 	if state := m.Result.Complete.Segments[2].State; state != "unusable" || m.Full || m.Result.Certain != 0 {
@@ -305,9 +305,9 @@
 }
 
 // Both replicas of a segment are silent while the first pages are read, and then come back.
-func TestASegmentMissingOnOnePageAndBackOnTheNext(t *testing.T) {
+func TestSegmentMissingOnOnePage(t *testing.T) {
 	var out atomic.Bool
-	s := startLedger(t, standin.DatasetShape{Segments: 4, Accounts: 90}, func(c *standin.ShardConn, p standin.ShardCall, rows string) bool {
+	s := startMergeEnv(t, standin.DatasetShape{Segments: 4, Accounts: 90}, func(c *standin.ShardConn, p standin.ShardCall, rows string) bool {
 		if p.Shard == 1 && out.Load() {
 			c.Respond(p.ID, "broke", "")
 			return true
@@ -321,8 +321,8 @@
 }
 
 // A server dies between two pages, and with it one replica of two segments: the walk goes on at the others.
-func TestAServerThatDiesBetweenTwoPages(t *testing.T) {
-	s := startLedger(t, standin.DatasetShape{Segments: 4, Accounts: 90}, nil, nil)
+func TestServerFailureBetweenPages(t *testing.T) {
+	s := startMergeEnv(t, standin.DatasetShape{Segments: 4, Accounts: 90}, nil, nil)
 	w := s.walk("report", []string{"-amount"}, 10, func(page int) {
 		if page == 2 {
 			s.shards[1].Stop()
@@ -333,8 +333,8 @@
 	}
 }
 
-func TestDataThatMovesOnBetweenPagesIsSaid(t *testing.T) {
-	s := startLedger(t, standin.DatasetShape{Segments: 4, Accounts: 60}, nil, nil)
+func TestDataChangeBetweenPagesIsReported(t *testing.T) {
+	s := startMergeEnv(t, standin.DatasetShape{Segments: 4, Accounts: 60}, nil, nil)
 	first := s.merged("report", merge.Terms{Kind: "paged", Order: []string{"due"}, Limit: 10})
 	s.ledger.Advance(2)
 	second := s.merged("report", merge.Terms{Kind: "paged", Order: []string{"due"}, Limit: 10, Cursor: first.Result.Next})
@@ -348,9 +348,9 @@
 }
 
 // The original is late, a copy of it goes out, and then both answer: the segment counts once.
-func TestACopyAndTheOriginalBothAnswer(t *testing.T) {
+func TestHedgeAndOriginalBothAnswer(t *testing.T) {
 	var held sync.Map
-	s := startLedger(t, standin.DatasetShape{Segments: 4, Accounts: 120}, func(c *standin.ShardConn, p standin.ShardCall, rows string) bool {
+	s := startMergeEnv(t, standin.DatasetShape{Segments: 4, Accounts: 120}, func(c *standin.ShardConn, p standin.ShardCall, rows string) bool {
 		first, copied := held.LoadOrStore(p.ID, func() { c.Respond(p.ID, "served", rows) })
 		if p.Shard != 3 {
 			return false
@@ -363,15 +363,15 @@
 	}, nil)
 	terms := merge.Terms{Kind: "aggregated", Limit: 1, Figures: []string{"count", "sum(amount)"}}
 	m := s.merged("report", terms)
-	if err := s.truth(true).CheckAggregated(m, terms, true); err != nil || !m.Full {
+	if err := s.expected(true).CheckAggregated(m, terms, true); err != nil || !m.Full {
 		t.Errorf("full %t: %v", m.Full, err)
 	}
 }
 
 // One segment answers before, at and after the moment to answer, which for this type is its latency target.
-func TestALateSegmentIsInOrSaidToBeMissing(t *testing.T) {
+func TestLateSegmentIsMergedOrReportedMissing(t *testing.T) {
 	var wait atomic.Int64
-	s := startLedger(t, standin.DatasetShape{Segments: 4, Accounts: 120}, func(c *standin.ShardConn, p standin.ShardCall, rows string) bool {
+	s := startMergeEnv(t, standin.DatasetShape{Segments: 4, Accounts: 120}, func(c *standin.ShardConn, p standin.ShardCall, rows string) bool {
 		if p.Shard != 0 || wait.Load() == 0 {
 			return false
 		}
@@ -383,7 +383,7 @@
 	for _, ms := range []int64{0, 60, 270, 285, 290, 295, 300, 310, 700} {
 		wait.Store(ms)
 		m := s.merged("loose", terms)
-		if err := s.truth(false).CheckAggregated(m, terms, true); err != nil {
+		if err := s.expected(false).CheckAggregated(m, terms, true); err != nil {
 			t.Errorf("%d ms late: %v", ms, err)
 		}
 		states[m.Result.Complete.Segments[0].State] = true
@@ -394,9 +394,9 @@
 }
 
 // Merges that all wait for one segment reach what they may hold together: what passes it is shed at once.
-func TestOpenMergesStayWithinTheirBytesAndAreShedPastThem(t *testing.T) {
+func TestMergeMemoryLimit(t *testing.T) {
 	release := make(chan struct{})
-	s := startLedger(t, standin.DatasetShape{Segments: 4, Accounts: 2000}, func(c *standin.ShardConn, p standin.ShardCall, rows string) bool {
+	s := startMergeEnv(t, standin.DatasetShape{Segments: 4, Accounts: 2000}, func(c *standin.ShardConn, p standin.ShardCall, rows string) bool {
 		if p.Shard == 3 {
 			go func() {
 				<-release
@@ -432,16 +432,16 @@
 	}
 	// What was held is given back.
 	m := s.merged("report", merge.Terms{Kind: "ranked", Order: []string{"due"}, Limit: 50})
-	if err := s.truth(true).CheckRanked(m, []string{"due"}, 0, 50, true); err != nil {
+	if err := s.expected(true).CheckRanked(m, []string{"due"}, 0, 50, true); err != nil {
 		t.Error(err)
 	}
 }
 
 // Clients that leave in the middle of a merge leave nothing held.
-func TestAClientThatLeavesWhileMergingLeavesNothingHeld(t *testing.T) {
+func TestClientGoneDuringMergeReleasesMemory(t *testing.T) {
 	var hold atomic.Bool
 	hold.Store(true)
-	s := startLedger(t, standin.DatasetShape{Segments: 4, Accounts: 400}, func(c *standin.ShardConn, p standin.ShardCall, rows string) bool {
+	s := startMergeEnv(t, standin.DatasetShape{Segments: 4, Accounts: 400}, func(c *standin.ShardConn, p standin.ShardCall, rows string) bool {
 		return p.Shard == 3 && hold.Load()
 	}, func(f string) string { return strings.Replace(f, "open = 200", "open = 3", 1) })
 	for range 9 { // three times what may be open
@@ -461,15 +461,15 @@
 	}
 	hold.Store(false)
 	m := s.merged("report", merge.Terms{Kind: "ranked", Order: []string{"due"}, Limit: 100})
-	if err := s.truth(true).CheckRanked(m, []string{"due"}, 0, 100, true); err != nil {
+	if err := s.expected(true).CheckRanked(m, []string{"due"}, 0, 100, true); err != nil {
 		t.Error(err)
 	}
 }
 
 // A key changes between two pages, first with and then without an overlap; an operator's file with a fault changes nothing.
-func TestKeysAndFilesChangeInService(t *testing.T) {
+func TestOperatorFileReload(t *testing.T) {
 	const newKey = "k2 ff112233445566778899aabbccddeeff00112233445566778899aabbccddeeff\n"
-	s := startLedger(t, standin.DatasetShape{Segments: 4, Accounts: 60}, nil, nil)
+	s := startMergeEnv(t, standin.DatasetShape{Segments: 4, Accounts: 60}, nil, nil)
 	page := func(cursor string) (standin.Response, standin.MergedResponse) {
 		r, err := s.search("report", merge.Terms{Kind: "paged", Order: []string{"due"}, Limit: 10, Cursor: cursor}).Send(context.Background(), http.DefaultClient, s.addr)
 		if err != nil {
@@ -489,7 +489,7 @@
 	if r, _ := page(first.Result.Next); r.Status != http.StatusOK {
 		t.Errorf("after a file with a fault: %d %s", r.Status, r.Body)
 	}
-	s.write("operator.ini", mergeFile(nil))
+	s.write("operator.ini", writeMergeFile(nil))
 	s.write("cursor.keys", newKey+testKey)
 	hup("event=reload ")
 	r, second := page(first.Result.Next)
@@ -504,7 +504,7 @@
 	if r, _ := page(second.Result.Next); r.Status != http.StatusOK {
 		t.Errorf("a cursor made in the overlap: %d %s", r.Status, r.Body)
 	}
-	s.write("operator.ini", mergeFile(func(f string) string { return strings.Replace(f, "[merge report]", "[merge post]", 1) }))
+	s.write("operator.ini", writeMergeFile(func(f string) string { return strings.Replace(f, "[merge report]", "[merge post]", 1) }))
 	s.cmd.Process.Signal(syscall.SIGHUP)
 	s.line("event=reload_failed", "not idempotent")
 	s.write("operator.ini", "[merging]\nopen = 1\n")
--- a/gatherer/remember.go
+++ b/gatherer/persistence.go
@@ -25,27 +25,27 @@
 	TableLearned store.Table = 3
 )
 
-// remembered is what the module's actor keeps across restarts. It is the actor's alone; the store calls back into its mailbox.
-type remembered struct {
+// persistence is what the module's actor keeps across restarts. It is the actor's alone; the store calls back into its mailbox.
+type persistence struct {
 	store   *store.Store
 	table   *idempotency.Table
 	disk    idempotency.Disk
-	refused bool // the store was unwell the last time: said once
+	failing bool // the store was unwell the last time: said once
 }
 
 // The store's news to the module's actor.
 type (
 	// intentWritten says that a search's intent is on the disk, or why it is not.
 	intentWritten struct {
-		s   *search
-		err error
+		request *clientRequest
+		err     error
 	}
-	// intentLate says that it takes too long.
-	intentLate struct{ s *search }
+	// intentTimeout says that it takes too long.
+	intentTimeout struct{ request *clientRequest }
 )
 
-// openStore opens the store that the operator's file names, and says what it found.
-func openStore(o *operatorconfig.Store) (*remembered, error) {
+// openPersistence opens the store that the operator's file names, and says what it found.
+func openPersistence(o *operatorconfig.Store) (*persistence, error) {
 	disk, err := store.OpenDisk(o.Path)
 	if err != nil {
 		return nil, fmt.Errorf("store %s: %w", o.Path, err)
@@ -57,7 +57,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("store %s: %w", o.Path, err)
 	}
-	r := &remembered{store: s, disk: idempotency.Disk{Slow: idempotency.Time(o.Slow.Milliseconds())},
+	r := &persistence{store: s, disk: idempotency.Disk{Slow: idempotency.Time(o.Slow.Milliseconds())},
 		table: idempotency.New(idempotency.Figures{Keep: idempotency.Time(o.Keep.Milliseconds()), Most: o.Searches, MostBytes: int(o.Answers)})}
 	bad := 0
 	for key, value := range s.All(TableSearches) {
@@ -69,7 +69,7 @@
 	return r, nil
 }
 
-func (r *remembered) close() {
+func (r *persistence) close() {
 	if err := r.store.Close(); err != nil {
 		slog.Error("store_close", "error", err)
 	}
@@ -78,155 +78,155 @@
 func unixNow() idempotency.Time { return idempotency.Time(time.Now().UnixMilli()) }
 
 // write writes changes that nothing waits for.
-func (r *remembered) write(changes []idempotency.Change) {
+func (r *persistence) write(changes []idempotency.Change) {
 	if len(changes) > 0 {
 		r.store.Begin(func(err error) {
 			if err != nil && !errors.Is(err, store.ErrClosed) {
 				slog.Warn("store_not_written", "error", err) // the search stays doubtful, which is honest
 			}
-		}, ops(changes)...)
+		}, storeOps(changes)...)
 	}
 }
 
-func ops(changes []idempotency.Change) (out []store.Op) {
+func storeOps(changes []idempotency.Change) (out []store.Op) {
 	for _, c := range changes {
 		out = append(out, store.Op{Table: TableSearches, Key: string(c.Key), Value: c.Value, Delete: c.Value == nil})
 	}
 	return out
 }
 
-// remember deals with a search that must not run twice before anything else is done with it. It guards against a payment post
+// checkIntent deals with a search that must not run twice before anything else is done with it. It guards against a payment post
 // that goes out again because a crash wiped out that it had gone out before: nothing of it leaves until its intent is on the
 // disk. false = it has been answered, or waits.
-func (m *module) remember(s *search) bool {
-	r := m.remembers
-	if r == nil || s.key == "" || s.cleared {
+func (m *dispatcher) checkIntent(s *clientRequest) bool {
+	r := m.persistence
+	if r == nil || s.key == "" || s.intentDurable {
 		return true
 	}
 	now := unixNow()
 	if !r.disk.Takes(now) {
-		m.refuse(s, errors.New("the disk is slow"))
+		m.rejectRequest(s, errors.New("the disk is slow"))
 		return false
 	}
-	patience := idempotency.Time(s.patience / balancer.Millisecond)
+	patience := idempotency.Time(s.timeout / balancer.Millisecond)
 	verdict, answer, changes := r.table.Arrive(now, s.key, s.digest, patience)
 	switch verdict {
 	case idempotency.Write:
-		s.waiting, s.cameAt = true, m.clock.now()
+		s.intentPending, s.intentAt = true, m.clock.now()
 		r.disk.Begins(now)
-		s.late = time.AfterFunc(time.Duration(r.disk.Wait(patience))*time.Millisecond, func() { m.put(intentLate{s}) })
+		s.intentTimer = time.AfterFunc(time.Duration(r.disk.Wait(patience))*time.Millisecond, func() { m.send(intentTimeout{s}) })
 		// Not in the store's goroutine alone: it must not wait for this actor.
-		r.store.Begin(func(err error) { m.put(intentWritten{s, err}) }, ops(changes)...)
+		r.store.Begin(func(err error) { m.send(intentWritten{s, err}) }, storeOps(changes)...)
 		return false
 	case idempotency.Doubtful:
 		r.write(changes)
-		s.cleared, s.sentBefore = true, true // brain says what becomes of it
+		s.intentDurable, s.mayHaveRun = true, true // brain says what becomes of it
 		return true
 	}
 	r.write(changes)
-	s.over = true
+	s.finished = true
 	switch verdict {
 	case idempotency.Replay:
-		s.reply <- reply{kind: replyStored, text: answer}
+		s.result <- result{kind: resultStored, text: answer}
 	case idempotency.Open:
-		s.reply <- reply{kind: replyOpen}
+		s.result <- result{kind: resultKeyOpen}
 	case idempotency.Other:
-		s.reply <- reply{kind: replyOther}
+		s.result <- result{kind: resultKeyMismatch}
 	default:
-		s.reply <- reply{kind: replyShed, retryAfter: m.d.Balancer.MaxRetryAfter}
+		s.result <- result{kind: resultShed, retryAfter: m.deployment.Balancer.MaxRetryAfter}
 	}
 	return false
 }
 
-// refuse sheds a search whose intent cannot be written: nothing of it has been sent.
-func (m *module) refuse(s *search, why error) {
-	if r := m.remembers; !r.refused {
-		r.refused = true
+// rejectRequest sheds a search whose intent cannot be written: nothing of it has been sent.
+func (m *dispatcher) rejectRequest(s *clientRequest, why error) {
+	if r := m.persistence; !r.failing {
+		r.failing = true
 		slog.Warn("store_refuses", "error", why)
 	}
-	s.over = true
-	s.reply <- reply{kind: replyShed, retryAfter: m.d.Balancer.MaxRetryAfter}
+	s.finished = true
+	s.result <- result{kind: resultShed, retryAfter: m.deployment.Balancer.MaxRetryAfter}
 }
 
-// written goes on with a search whose intent is on the disk.
-func (m *module) written(e intentWritten) {
-	r, s := m.remembers, e.s
+// intentWritten goes on with a search whose intent is on the disk.
+func (m *dispatcher) intentWritten(e intentWritten) {
+	r, s := m.persistence, e.request
 	r.disk.Ends()
-	s.late.Stop()
-	wanted := s.waiting && !s.left
-	s.waiting = false
+	s.intentTimer.Stop()
+	wanted := s.intentPending && !s.clientGone
+	s.intentPending = false
 	switch {
 	case e.err != nil:
 		r.table.NeverRan(s.key)
 		if wanted {
-			m.refuse(s, e.err)
+			m.rejectRequest(s, e.err)
 		}
 		return
 	case !wanted: // its client has left, or it has been shed meanwhile: nothing of it was sent, nor will be
 		r.write(r.table.NeverRan(s.key))
 		return
 	}
-	if r.refused {
-		r.refused = false
+	if r.failing {
+		r.failing = false
 		slog.Info("store_takes_again")
 	}
 	if !r.table.Durable(s.key) {
-		m.refuse(s, errors.New("its intent is not expected any more"))
+		m.rejectRequest(s, errors.New("its intent is not expected any more"))
 		return
 	}
-	s.cleared = true
-	s.patience -= m.clock.now() - s.cameAt
-	m.arrived(s)
+	s.intentDurable = true
+	s.timeout -= m.clock.now() - s.intentAt
+	m.requestArrived(s)
 }
 
-// lateIntent sheds a search whose intent takes too long to be written, while its client still waits.
-func (m *module) lateIntent(s *search) {
-	if s.waiting && !s.left {
-		s.waiting = false
-		m.refuse(s, errors.New("the disk is slow"))
+// intentTimedOut sheds a search whose intent takes too long to be written, while its client still waits.
+func (m *dispatcher) intentTimedOut(s *clientRequest) {
+	if s.intentPending && !s.clientGone {
+		s.intentPending = false
+		m.rejectRequest(s, errors.New("the disk is slow"))
 	}
 }
 
-// unsent frees the key of a search of which nothing was sent.
-func (m *module) unsent(s *search) {
-	if m.remembers != nil && s.cleared && !s.sentBefore {
-		m.remembers.write(m.remembers.table.NeverRan(s.key))
+// intentUnused frees the key of a search of which nothing was sent.
+func (m *dispatcher) intentUnused(s *clientRequest) {
+	if m.persistence != nil && s.intentDurable && !s.mayHaveRun {
+		m.persistence.write(m.persistence.table.NeverRan(s.key))
 	}
 }
 
-// outcome notes what became of a search that must not run twice, and gives its answer the text that repeats will get.
-func (m *module) outcome(s *search, r *reply) {
-	if m.remembers == nil || !s.cleared || s.sentBefore {
+// recordOutcome notes what became of a search that must not run twice, and gives its answer the text that repeats will get.
+func (m *dispatcher) recordOutcome(s *clientRequest, r *result) {
+	if m.persistence == nil || !s.intentDurable || s.mayHaveRun {
 		return
 	}
-	t := m.remembers.table
+	t := m.persistence.table
 	switch r.kind {
-	case replyAnswer:
-		r.text = answerText(r.whole, r.values)
-		m.remembers.write(t.Answered(s.key, r.text))
-	case replyShed: // brain sheds it only where all its sub-requests are known not to have run
-		m.remembers.write(t.NeverRan(s.key))
+	case resultAnswer:
+		r.text = encodeAnswer(r.complete, r.values)
+		m.persistence.write(t.Answered(s.key, r.text))
+	case resultShed: // brain sheds it only where all its sub-requests are known not to have run
+		m.persistence.write(t.NeverRan(s.key))
 	default:
-		m.remembers.write(t.Unknown(s.key))
+		m.persistence.write(t.Unknown(s.key))
 	}
 }
 
-// abandoned notes that a search's client has left.
-func (m *module) abandoned(s *search) {
-	if m.remembers == nil || !s.cleared || s.sentBefore {
+// recordAbandoned notes that a search's client has left.
+func (m *dispatcher) recordAbandoned(s *clientRequest) {
+	if m.persistence == nil || !s.intentDurable || s.mayHaveRun {
 		return
 	}
-	for _, p := range s.parts {
-		if len(p.sends) > 0 {
-			m.remembers.write(m.remembers.table.Unknown(s.key))
+	for _, p := range s.calls {
+		if len(p.attempts) > 0 {
+			m.persistence.write(m.persistence.table.Unknown(s.key))
 			return
 		}
 	}
-	m.remembers.write(m.remembers.table.NeverRan(s.key))
+	m.persistence.write(m.persistence.table.NeverRan(s.key))
 }
 
-// keepList writes what the list service has told.
-func (r *remembered) keepList(l discovery.ServerList) {
+// saveServerList writes what the list service has told.
+func (r *persistence) saveServerList(l discovery.ServerList) {
 	var changes []store.Op
 	if l.Complete {
 		named := map[string]bool{"": true}
@@ -250,8 +250,8 @@
 	r.store.Begin(func(error) {}, changes...) // an old list is better than none, and the service will tell anew
 }
 
-// list is the list as last told, if it is not older than the one that the configuration holds. What does not fit is dropped.
-func (r *remembered) list(known discovery.ServerList, fits func(discovery.Server) error) discovery.ServerList {
+// loadServerList is the list as last told, if it is not older than the one that the configuration holds. What does not fit is dropped.
+func (r *persistence) loadServerList(known discovery.ServerList, fits func(discovery.Server) error) discovery.ServerList {
 	held := r.store.All(TableList)
 	seq, err := strconv.ParseUint(string(held[""]), 10, 64)
 	switch {
@@ -279,15 +279,15 @@
 	return known
 }
 
-// keepEvery is how often what is learned of servers is written. It counts for ten seconds; a loss of one does no harm.
-const keepEvery = 1000 * balancer.Millisecond
+// saveInterval is how often what is learned of servers is written. It counts for ten seconds; a loss of one does no harm.
+const saveInterval = 1000 * balancer.Millisecond
 
-// keepLearned writes what has been learned of servers since it was last written.
-func (m *module) keepLearned(now balancer.Time) {
-	since := m.keptAt
-	m.keptAt = now
+// saveServerRecords writes what has been learned of servers since it was last written.
+func (m *dispatcher) saveServerRecords(now balancer.Time) {
+	since := m.recordsSavedAt
+	m.recordsSavedAt = now
 	var changes []store.Op
-	for _, l := range m.brain.ServerRecords() {
+	for _, l := range m.balancer.ServerRecords() {
 		s := m.servers[l.ID]
 		if s == nil || l.TaughtAt < since {
 			continue
@@ -296,27 +296,27 @@
 			changes = append(changes, store.Op{Table: TableLearned, Key: s.host, Value: raw})
 		}
 	}
-	for host := range m.remembers.store.All(TableLearned) {
-		if s := m.servers[m.ids[host]]; s == nil || !s.listed {
+	for host := range m.persistence.store.All(TableLearned) {
+		if s := m.servers[m.serverIDs[host]]; s == nil || !s.listed {
 			changes = append(changes, store.Op{Table: TableLearned, Key: host, Delete: true})
 		}
 	}
 	if len(changes) > 0 {
-		m.remembers.store.Begin(func(error) {}, changes...) // it is learned anew soon enough
+		m.persistence.store.Begin(func(error) {}, changes...) // it is learned anew soon enough
 	}
 }
 
-// recall tells brain what an earlier run had learned of the servers that are listed.
-func (m *module) recall() {
+// restoreServerRecords tells brain what an earlier run had learned of the servers that are listed.
+func (m *dispatcher) restoreServerRecords() {
 	var e balancer.RecordsRestored
-	for host, raw := range m.remembers.store.All(TableLearned) {
+	for host, raw := range m.persistence.store.All(TableLearned) {
 		var l balancer.ServerRecord
-		if id, known := m.ids[host]; known && json.Unmarshal(raw, &l) == nil {
+		if id, known := m.serverIDs[host]; known && json.Unmarshal(raw, &l) == nil {
 			l.ID = id
 			e.Servers = append(e.Servers, l)
 		}
 	}
 	slog.Info("learned_recalled", "servers", len(e.Servers))
-	m.keptAt = m.clock.now()
+	m.recordsSavedAt = m.clock.now()
 	m.handle(e)
 }
--- a/gatherer/remember_test.go
+++ b/gatherer/persistence_test.go
@@ -16,8 +16,8 @@
 	"oxbowspan/internal/testing/standin"
 )
 
-// storeFile writes an operator's file with a store beside it.
-func storeFile(t *testing.T, more string) (file, dir string) {
+// writeStoreFile writes an operator's file with a store beside it.
+func writeStoreFile(t *testing.T, more string) (file, dir string) {
 	t.Helper()
 	dir = t.TempDir()
 	file = filepath.Join(dir, "operator.ini")
@@ -27,8 +27,8 @@
 	return file, filepath.Join(dir, "kept")
 }
 
-// keyed sends a post with a client's own key.
-func keyed(t *testing.T, p *program, id, key, text string) (status int, body string, after string) {
+// postKeyed sends a post with a client's own key.
+func postKeyed(t *testing.T, p *program, id, key, text string) (status int, body string, after string) {
 	t.Helper()
 	r, err := post2(context.Background(), p.addr, id, key, text)
 	if err != nil {
@@ -38,26 +38,26 @@
 	return r.status, r.body, r.after
 }
 
-// letIn sends a post until it is not shed: on loaded cores the first one to a program may come before it has a connection to its
+// postUntilAdmitted sends a post until it is not shed: on loaded cores the first one to a program may come before it has a connection to its
 // server, and is told that nothing ran.
-func letIn(t *testing.T, p *program, id, key, text string) (status int, body string) {
+func postUntilAdmitted(t *testing.T, p *program, id, key, text string) (status int, body string) {
 	t.Helper()
-	for try, end := 0, time.Now().Add(patience); time.Now().Before(end); try++ {
-		if status, body, _ = keyed(t, p, id+strings.Repeat("0", try%8), key, text); status != http.StatusServiceUnavailable {
+	for try, end := 0, time.Now().Add(testTimeout); time.Now().Before(end); try++ {
+		if status, body, _ = postKeyed(t, p, id+strings.Repeat("0", try%8), key, text); status != http.StatusServiceUnavailable {
 			return status, body
 		}
 	}
 	return status, body
 }
 
-type got struct {
+type keyedResponse struct {
 	status      int
 	body, after string
 }
 
-var keyedClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: patience}
+var keyedClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: testTimeout}
 
-func post2(ctx context.Context, addr, id, key, text string) (got, error) {
+func post2(ctx context.Context, addr, id, key, text string) (keyedResponse, error) {
 	s := standin.Request{ID: id, QueryType: "post", Customer: "acme", Shards: []int{2}, Statement: text}
 	r, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/post", strings.NewReader(string(s.Body())))
 	for k, v := range map[string]string{"Req-Id": id, "Req-Kind": "post", "Req-Owner": "acme", "Req-Deadline-Ms": "1500", "Idempotency-Key": key} {
@@ -67,34 +67,34 @@
 	}
 	res, err := keyedClient.Do(r)
 	if err != nil {
-		return got{}, err
+		return keyedResponse{}, err
 	}
 	defer res.Body.Close()
 	b, err := io.ReadAll(res.Body)
-	return got{res.StatusCode, string(b), res.Header.Get("Retry-After")}, err
+	return keyedResponse{res.StatusCode, string(b), res.Header.Get("Retry-After")}, err
 }
 
-// ran counts how often a shard server ran a text.
-type ran struct {
+// runCounter counts how often a shard server ran a text.
+type runCounter struct {
 	mu sync.Mutex
 	by map[string]int
 }
 
-func (r *ran) add(text string) {
+func (r *runCounter) add(text string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.by[text]++
 }
 
-func (r *ran) of(text string) int {
+func (r *runCounter) of(text string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.by[text]
 }
 
 // A post that was answered, one that was under way at a kill, and their repeats after the restart: by key, and by id.
-func TestARepeatAfterAKillFindsWhatBecameOfItsPost(t *testing.T) {
-	runs := &ran{by: map[string]int{}}
+func TestRetryAfterCrashFindsOutcome(t *testing.T) {
+	runs := &runCounter{by: map[string]int{}}
 	a := startShard(t, "s-a", func(c *standin.ShardConn, p standin.ShardCall) {
 		runs.add(string(p.Query))
 		if !strings.HasPrefix(string(p.Query), "dead") { // those run and are never answered
@@ -102,16 +102,16 @@
 		}
 	})
 	l := startList(t, a)
-	file, _ := storeFile(t, "")
+	file, _ := writeStoreFile(t, "")
 	p := start(t, l, nil, "--operator", file)
-	status, answered := letIn(t, p, "a1", "key-1", "c0ffee01")
+	status, answered := postUntilAdmitted(t, p, "a1", "key-1", "c0ffee01")
 	if status != 200 {
 		t.Fatalf("a post: %d %s", status, answered)
 	}
-	if status, body, _ := keyed(t, p, "a2", "key-1", "c0ffee01"); status != 200 || body != answered {
+	if status, body, _ := postKeyed(t, p, "a2", "key-1", "c0ffee01"); status != 200 || body != answered {
 		t.Errorf("its repeat: %d %s", status, body)
 	}
-	if status, _, _ := keyed(t, p, "a3", "key-1", "c0ffee02"); status != http.StatusUnprocessableEntity {
+	if status, _, _ := postKeyed(t, p, "a3", "key-1", "c0ffee02"); status != http.StatusUnprocessableEntity {
 		t.Errorf("another search of its key: %d", status)
 	}
 	// Under way at the kill, with a key and without.
@@ -119,19 +119,19 @@
 		go post2(t.Context(), p.addr, "b"+fmt.Sprint(len(key)), key, "dead"+fmt.Sprint(len(key)))
 		await(t, a.Received, func(id string) bool { return strings.HasPrefix(id, "b"+fmt.Sprint(len(key))) })
 	}
-	if status, _, _ := keyed(t, p, "c1", "key-2", "dead5"); status != http.StatusConflict {
+	if status, _, _ := postKeyed(t, p, "c1", "key-2", "dead5"); status != http.StatusConflict {
 		t.Errorf("a repeat of one that is open: %d", status)
 	}
 	p.run.Kill()
 	<-p.run.Exited
 
 	p = start(t, l, nil, "--operator", file)
-	if status, body, _ := keyed(t, p, "d1", "key-1", "c0ffee01"); status != 200 || body != answered {
+	if status, body, _ := postKeyed(t, p, "d1", "key-1", "c0ffee01"); status != 200 || body != answered {
 		t.Errorf("after the kill, the repeat of an answered post: %d %s", status, body)
 	}
 	for _, key := range []string{"key-2", ""} {
 		began := time.Now()
-		status, body, after := keyed(t, p, "b"+fmt.Sprint(len(key)), key, "dead"+fmt.Sprint(len(key)))
+		status, body, after := postKeyed(t, p, "b"+fmt.Sprint(len(key)), key, "dead"+fmt.Sprint(len(key)))
 		if status != http.StatusGatewayTimeout || after != "" {
 			t.Errorf("after the kill, the repeat of one that may have run: %d %s, Retry-After %q", status, body, after)
 		}
@@ -139,7 +139,7 @@
 			t.Errorf("that was held back for %s", took)
 		}
 	}
-	if status, _, _ := keyed(t, p, "e1", "key-3", "c0ffee03"); status != 200 {
+	if status, _, _ := postKeyed(t, p, "e1", "key-3", "c0ffee03"); status != 200 {
 		t.Errorf("a new post: %d", status)
 	}
 	for _, text := range []string{"c0ffee01", "dead5", "dead0", "c0ffee03"} {
@@ -148,25 +148,25 @@
 		}
 	}
 	// It ends well, and the store is whole.
-	if err := p.run.Drain(patience); err != nil {
+	if err := p.run.Drain(testTimeout); err != nil {
 		t.Error(err)
 	}
 }
 
 // A post that is known not to have run is free to come again under its key.
-func TestAPostThatNeverRanMayComeAgain(t *testing.T) {
+func TestRequestThatNeverRanMayBeRetried(t *testing.T) {
 	a := startShard(t, "s-a", nil)
 	l := startList(t, a)
-	file, _ := storeFile(t, "")
+	file, _ := writeStoreFile(t, "")
 	p := start(t, l, nil, "--operator", file)
 	a.Stop() // connects are refused: it never ran
-	if status, _, _ := keyed(t, p, "a1", "key-1", "c0ffee01"); status != http.StatusServiceUnavailable {
+	if status, _, _ := postKeyed(t, p, "a1", "key-1", "c0ffee01"); status != http.StatusServiceUnavailable {
 		t.Fatalf("with no server: %d", status)
 	}
 	b := startShard(t, "s-b", nil)
 	l.Update(b.Entry())
-	for end := time.Now().Add(patience); ; {
-		status, _, _ := keyed(t, p, "a2", "key-1", "c0ffee01")
+	for end := time.Now().Add(testTimeout); ; {
+		status, _, _ := postKeyed(t, p, "a2", "key-1", "c0ffee01")
 		if status == 200 {
 			break
 		}
@@ -176,8 +176,8 @@
 	}
 }
 
-// turnedAway holds an answer for one that says that nothing ran.
-func turnedAway(t *testing.T, r got) {
+// expectShed holds an answer for one that says that nothing ran.
+func expectShed(t *testing.T, r keyedResponse) {
 	t.Helper()
 	if r.status != http.StatusServiceUnavailable {
 		t.Fatalf("beside posts that were shed one is answered %d %s", r.status, r.body)
@@ -185,28 +185,28 @@
 }
 
 // SIGTERM while intents are being written, many at once: each post gets its final answer, and the program ends well.
-func TestTermDuringGroupCommit(t *testing.T) {
-	runs := &ran{by: map[string]int{}}
+func TestShutdownDuringGroupCommit(t *testing.T) {
+	runs := &runCounter{by: map[string]int{}}
 	a := startShard(t, "s-a", func(c *standin.ShardConn, p standin.ShardCall) {
 		runs.add(string(p.Query))
 		c.Respond(p.ID, "served", "paid")
 	})
 	l := startList(t, a)
-	file, _ := storeFile(t, "linger = 50ms\n")
+	file, _ := writeStoreFile(t, "linger = 50ms\n")
 	p := start(t, l, nil, "--operator", file)
 	const n = 8 // as many as one server is taken to bear at once
-	results := make(chan got, n)
+	results := make(chan keyedResponse, n)
 	// On loaded cores all may be shed as they come, before anything is written: then nothing is under way that a SIGTERM could
 	// meet, and all are sent again, as the answer says that they may be.
-	var first got
-	for try, end := 0, time.Now().Add(patience); first.status != http.StatusOK; try++ {
+	var first keyedResponse
+	for try, end := 0, time.Now().Add(testTimeout); first.status != http.StatusOK; try++ {
 		if time.Now().After(end) {
 			t.Fatalf("the posts are never let in: %d %s", first.status, first.body)
 		}
 		if try > 0 {
-			turnedAway(t, first)
+			expectShed(t, first)
 			for range n - 1 {
-				turnedAway(t, <-results)
+				expectShed(t, <-results)
 			}
 		}
 		for i := range n {
@@ -230,12 +230,12 @@
 		if err != nil {
 			t.Error(err)
 		}
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("it does not end")
 	}
 	p = start(t, l, nil, "--operator", file)
 	for i := range n {
-		if status, _, _ := keyed(t, p, fmt.Sprintf("%x", 0x500+i), fmt.Sprint("k", i), fmt.Sprintf("%04x", i)); status != 200 {
+		if status, _, _ := postKeyed(t, p, fmt.Sprintf("%x", 0x500+i), fmt.Sprint("k", i), fmt.Sprintf("%04x", i)); status != 200 {
 			t.Errorf("post %d after the restart: %d", i, status)
 		}
 		if got := runs.of(fmt.Sprintf("%04x", i)); got != 1 {
@@ -245,14 +245,14 @@
 }
 
 // Posts are turned away at once with advice where the store cannot be written, and look-ups go on.
-func TestAStoreThatIsFullTurnsPostsAwayAndServesLookUps(t *testing.T) {
+func TestFullStoreShedsWritesOnly(t *testing.T) {
 	a := startShard(t, "s-a", nil)
 	l := startList(t, a)
-	file, _ := storeFile(t, "size = 1MiB\nsearches = 10\n")
+	file, _ := writeStoreFile(t, "size = 1MiB\nsearches = 10\n")
 	p := start(t, l, nil, "--operator", file)
 	refused := 0
 	for i := range 14 {
-		status, _, after := keyed(t, p, fmt.Sprintf("%x", i+1), fmt.Sprint("k", i), "c0ffee01")
+		status, _, after := postKeyed(t, p, fmt.Sprintf("%x", i+1), fmt.Sprint("k", i), "c0ffee01")
 		switch {
 		case status == http.StatusServiceUnavailable && after != "":
 			refused++
@@ -263,22 +263,22 @@
 	if refused != 4 {
 		t.Errorf("%d posts were turned away, ten may be held", refused)
 	}
-	client := &http.Client{Timeout: patience}
+	client := &http.Client{Timeout: testTimeout}
 	s := standin.Request{ID: "ff", QueryType: "lookup", Customer: "acme", Timeout: time.Second, Shards: []int{1}, Statement: "c41e77d0"}
 	if r, err := s.Send(t.Context(), client, p.addr); err != nil || r.Status != 200 {
 		t.Errorf("a look-up: %d, %v", r.Status, err)
 	}
 	// Held answers of the ten are still given.
-	if status, _, _ := keyed(t, p, "fe", "k3", "c0ffee01"); status != 200 {
+	if status, _, _ := postKeyed(t, p, "fe", "k3", "c0ffee01"); status != 200 {
 		t.Errorf("a repeat: %d", status)
 	}
 }
 
 // A directory that another gatherer uses, or that is none of a store's, is one plain message and exit code 1.
-func TestAStoreThatCannotBeUsedIsToldPlainly(t *testing.T) {
+func TestUnusableStoreIsReported(t *testing.T) {
 	a := startShard(t, "s-a", nil)
 	l := startList(t, a)
-	file, dir := storeFile(t, "")
+	file, dir := writeStoreFile(t, "")
 	first := start(t, l, nil, "--operator", file)
 	fails := func(words string) {
 		t.Helper()
@@ -288,7 +288,7 @@
 		}
 	}
 	fails("in use by another process")
-	if err := first.run.Drain(patience); err != nil {
+	if err := first.run.Drain(testTimeout); err != nil {
 		t.Error(err)
 	}
 	os.RemoveAll(dir)
@@ -301,34 +301,34 @@
 }
 
 // The list as last told, and what was learned of its servers, outlive a restart while the list service is away.
-func TestTheListOutlivesARestart(t *testing.T) {
+func TestServerListSurvivesRestart(t *testing.T) {
 	a := startShard(t, "s-a", nil)
 	l := startList(t, a)
-	file, _ := storeFile(t, "")
+	file, _ := writeStoreFile(t, "")
 	p := start(t, l, nil, "--operator", file)
-	if status, _, _ := keyed(t, p, "a0", "key-0", "c0ffee00"); status != 200 {
+	if status, _, _ := postKeyed(t, p, "a0", "key-0", "c0ffee00"); status != 200 {
 		t.Fatalf("a post: %d", status)
 	}
-	if err := p.run.Drain(patience); err != nil {
+	if err := p.run.Drain(testTimeout); err != nil {
 		t.Fatal(err)
 	}
 	l.Stop()
 	p = start(t, l, nil, "--operator", file) // ready only with a server
 	p.line("event=stored_list ", "hosts=1")
 	p.line("event=learned_recalled", "servers=1")
-	if status, _, _ := keyed(t, p, "a1", "key-1", "c0ffee01"); status != 200 {
+	if status, _, _ := postKeyed(t, p, "a1", "key-1", "c0ffee01"); status != 200 {
 		t.Errorf("with the list service away: %d", status)
 	}
 }
 
 // A kill while a post is at its second server, the first having turned it away: it may have run there, so it is neither sent a
 // third time nor called harmless.
-func TestAKillDuringAResend(t *testing.T) {
-	runs := &ran{by: map[string]int{}}
+func TestCrashDuringRetry(t *testing.T) {
+	runs := &runCounter{by: map[string]int{}}
 	a := startShard(t, "s-a", func(c *standin.ShardConn, p standin.ShardCall) { c.Respond(p.ID, "skipped", "") })
 	b := startShard(t, "s-b", func(c *standin.ShardConn, p standin.ShardCall) { runs.add(string(p.Query)) })
 	l := startList(t, a, b)
-	file, _ := storeFile(t, "")
+	file, _ := writeStoreFile(t, "")
 	p := start(t, l, nil, "--operator", file)
 	go post2(t.Context(), p.addr, "a1", "key-1", "c0ffee01")
 	await(t, b.Received, func(id string) bool { return strings.HasPrefix(id, "a1") })
@@ -336,7 +336,7 @@
 	<-p.run.Exited
 	p = start(t, l, nil, "--operator", file)
 	for i := range 3 {
-		if status, _, after := keyed(t, p, fmt.Sprint("b", i), "key-1", "c0ffee01"); status != http.StatusGatewayTimeout || after != "" {
+		if status, _, after := postKeyed(t, p, fmt.Sprint("b", i), "key-1", "c0ffee01"); status != http.StatusGatewayTimeout || after != "" {
 			t.Errorf("its repeat: %d, Retry-After %q", status, after)
 		}
 	}
--- a/gatherer/program_test.go
+++ b/gatherer/program_test.go
@@ -27,7 +27,7 @@
 	"oxbowspan/memorybudget"
 )
 
-func TestSearchIsAnsweredOverOneKeptConnection(t *testing.T) {
+func TestRequestsReuseServerConnection(t *testing.T) {
 	a := startShard(t, "s-a", nil)
 	p := start(t, startList(t, a), nil)
 	for range 3 {
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestServerDiesUnderASearch(t *testing.T) {
+func TestServerFailureDuringRequest(t *testing.T) {
 	a := startShard(t, "s-a", func(c *standin.ShardConn, _ standin.ShardCall) { c.Reset() })
 	b := startShard(t, "s-b", func(c *standin.ShardConn, _ standin.ShardCall) { c.Reset() })
 	l := startList(t, a, b)
@@ -84,7 +84,7 @@
 	t.Error("no idempotent search is answered beside two servers that die")
 }
 
-func TestRefusedConnectionNeverRan(t *testing.T) {
+func TestRefusedConnectionIsRetried(t *testing.T) {
 	a, b := startShard(t, "s-a", nil), startShard(t, "s-b", nil)
 	a.Stop()
 	p := start(t, startList(t, a, b), nil)
@@ -96,7 +96,7 @@
 	p.line("event=server_connect_failed", "server=s-a", "reason=refused")
 }
 
-func TestTurnedAwayAndErroredPartsGoElsewhere(t *testing.T) {
+func TestRejectedAndFailedCallsAreRetried(t *testing.T) {
 	full := startShard(t, "s-full", func(c *standin.ShardConn, p standin.ShardCall) { c.Respond(p.ID, "skipped", "") })
 	b := startShard(t, "s-b", nil)
 	p := start(t, startList(t, full, b), nil)
@@ -112,9 +112,9 @@
 	}
 }
 
-func TestClientLeavesAndItsPartsAreGivenUp(t *testing.T) {
+func TestClientDisconnectCancelsCalls(t *testing.T) {
 	a := startShard(t, "s-a", func(*standin.ShardConn, standin.ShardCall) {})
-	p := start(t, startList(t, a), func(s *Setup) { // so long that no time limit gives the part up
+	p := start(t, startList(t, a), func(s *Config) { // so long that no time limit gives the part up
 		s.Settings = json.RawMessage(strings.ReplaceAll(testSettings, `"hardLimit":2000.0`, `"hardLimit":600000`))
 	})
 	ctx, leave := context.WithCancel(context.Background())
@@ -131,7 +131,7 @@
 	p.line("event=client_conn_end", "reason=client_left")
 }
 
-func TestTimeLimitGivesThePartUp(t *testing.T) {
+func TestDeadlineCancelsCall(t *testing.T) {
 	a := startShard(t, "s-a", func(*standin.ShardConn, standin.ShardCall) {})
 	p := start(t, startList(t, a), nil)
 	if status, _, _ := p.ask("post", 0); status != http.StatusGatewayTimeout {
@@ -140,7 +140,7 @@
 	await(t, a.Received, func(s string) bool { return strings.HasPrefix(s, "c ") })
 }
 
-func TestServersOfBadFormEndAsReset(t *testing.T) {
+func TestMalformedServersAreReset(t *testing.T) {
 	junk := map[string]string{
 		"bad_form":      "\xff\xff\xff\xffa",
 		"bad_form ":     "\x00\x00\x00\x02zz",
@@ -161,7 +161,7 @@
 	}
 }
 
-func TestAnswersThatComeTwiceAreUsedOnce(t *testing.T) {
+func TestDuplicateAnswersAreIgnored(t *testing.T) {
 	a := startShard(t, "s-a", nil)
 	a.Handle = func(c *standin.ShardConn, p standin.ShardCall) {
 		c.Respond(p.ID, "served", "value of c41e77d0")
@@ -176,7 +176,7 @@
 	p.line("event=server_conn_end", "reason=bad_form")
 }
 
-func TestReloadMovesToTheFilesDiscovery(t *testing.T) {
+func TestReloadChangesDiscoveryAddress(t *testing.T) {
 	a, b := startShard(t, "s-a", nil), startShard(t, "s-b", nil)
 	was, is := startList(t, a), startList(t, b)
 	is.SetSequence(1) // it counts its versions in its own way
@@ -207,7 +207,7 @@
 	if q := await(t, is.Requests, func(string) bool { return true }); q != "/api/targets" {
 		t.Errorf("the new discovery is asked %s", q)
 	}
-	for end := time.Now().Add(patience); len(b.Received) == 0 && time.Now().Before(end); {
+	for end := time.Now().Add(testTimeout); len(b.Received) == 0 && time.Now().Before(end); {
 		p.ask("lookup", 0)
 	}
 	before := len(a.Received)
@@ -225,7 +225,7 @@
 	}
 }
 
-func TestDiscoveryLostAndBack(t *testing.T) {
+func TestDiscoveryOutage(t *testing.T) {
 	a, b := startShard(t, "s-a", nil), startShard(t, "s-b", nil)
 	l := startList(t, a)
 	p := start(t, l, nil)
@@ -264,13 +264,13 @@
 	}
 }
 
-func TestStartsFromAStaleListAndRejectsBadEntries(t *testing.T) {
+func TestStartFromKnownServers(t *testing.T) {
 	dead, a := startShard(t, "s-dead", nil), startShard(t, "s-a", nil)
 	dead.Stop()
 	l := startList(t, a)
 	l.Set(discovery.Server{Host: "s-odd", Address: "127.0.0.1:1", Cell: 9, Health: discovery.Up})
-	p := start(t, l, func(s *Setup) {
-		s.Known, _ = json.Marshal(discovery.ServerList{Version: 7, Complete: true, Servers: []discovery.Server{dead.Entry()}})
+	p := start(t, l, func(s *Config) {
+		s.KnownServers, _ = json.Marshal(discovery.ServerList{Version: 7, Complete: true, Servers: []discovery.Server{dead.Entry()}})
 	})
 	if call := await(t, l.Requests, func(string) bool { return true }); !strings.Contains(call, "after=7") || !strings.Contains(call, "watch=1") {
 		t.Errorf("discovery was asked %s", call)
@@ -283,7 +283,7 @@
 	}
 }
 
-func TestTermFinishesWhatIsOpen(t *testing.T) {
+func TestGracefulShutdown(t *testing.T) {
 	hold := make(chan struct{})
 	a := startShard(t, "s-a", func(c *standin.ShardConn, p standin.ShardCall) {
 		go func() {
@@ -336,7 +336,7 @@
 	}
 }
 
-func TestSecondSignalEndsAtOnce(t *testing.T) {
+func TestSecondSignalExitsImmediately(t *testing.T) {
 	a := startShard(t, "s-a", func(*standin.ShardConn, standin.ShardCall) {})
 	p := start(t, startList(t, a), nil)
 	r, _ := newSearch(context.Background(), p.addr, "lookup", 0)
@@ -351,7 +351,7 @@
 }
 
 // What other servers might read as a second request is never taken for one, nor is the first.
-func TestRequestsOfTwoLengthsAreRefused(t *testing.T) {
+func TestAmbiguousRequestLengthIsRejected(t *testing.T) {
 	a := startShard(t, "s-a", nil)
 	p := start(t, startList(t, a), nil)
 	text := `{"tablets":[{"tablet":0,"fraction":1}],"statement":"c41e77d0"}`
@@ -375,7 +375,7 @@
 			t.Fatal(err)
 		}
 		defer c.Close()
-		c.SetDeadline(time.Now().Add(patience))
+		c.SetDeadline(time.Now().Add(testTimeout))
 		io.WriteString(c, good+bad+good)
 		b, err := io.ReadAll(c)
 		if n := strings.Count(string(b), " 200 OK\r\n"); err != nil && !errors.Is(err, syscall.ECONNRESET) || n != 2 ||
@@ -389,7 +389,7 @@
 }
 
 // Answers to the parts of two searches with one id could not be told apart.
-func TestAnOpenSearchsIDIsRefused(t *testing.T) {
+func TestDuplicateRequestIDIsRejected(t *testing.T) {
 	hold := make(chan struct{})
 	a := startShard(t, "s-a", func(c *standin.ShardConn, p standin.ShardCall) {
 		go func() {
@@ -433,9 +433,9 @@
 }
 
 // Strangers that say nothing hold no usual client up, and are closed within what they are owed.
-func TestSilentStrangersMakeRoom(t *testing.T) {
+func TestSilentConnectionsAreEvicted(t *testing.T) {
 	a := startShard(t, "s-a", nil)
-	p := start(t, startList(t, a), func(s *Setup) { s.Limits.Sockets = 64 })
+	p := start(t, startList(t, a), func(s *Config) { s.Limits.Sockets = 64 })
 	began := time.Now()
 	var strangers []net.Conn
 	for i := range 100 {
@@ -453,7 +453,7 @@
 			t.Errorf("a usual client got %d %s", status, body)
 		}
 	}
-	if took := time.Since(began); took > readLimit/2 {
+	if took := time.Since(began); took > readTimeout/2 {
 		t.Errorf("it waited %v", took)
 	}
 	for _, c := range strangers {
@@ -464,7 +464,7 @@
 	}
 }
 
-func TestBadInputIsToldPlainly(t *testing.T) {
+func TestInvalidRequests(t *testing.T) {
 	a := startShard(t, "s-a", nil)
 	p := start(t, startList(t, a), nil)
 	parts := func(text string) string { return `{"tablets":[` + text + `],"statement":"x"}` }
@@ -502,7 +502,7 @@
 		{404, "GET", "/", "", ""},
 		{405, "GET", "/lookup", "", ""},
 		{405, "POST", "/-/ready", "", ""},
-		{413, "POST", "/lookup", "", parts(`{"tablet":0,"fraction":1}`) + strings.Repeat(" ", mostBody)},
+		{413, "POST", "/lookup", "", parts(`{"tablet":0,"fraction":1}`) + strings.Repeat(" ", maxBodyBytes)},
 	} {
 		r, _ := newSearch(context.Background(), p.addr, "lookup", 0)
 		again, err := http.NewRequest(c.method, "http://"+p.addr+c.path, strings.NewReader(c.body))
@@ -547,11 +547,11 @@
 	}
 }
 
-func TestMoreClientsThanFit(t *testing.T) {
-	p := start(t, startList(t, startShard(t, "s-a", nil)), func(s *Setup) {
+func TestConnectionLimit(t *testing.T) {
+	p := start(t, startList(t, startShard(t, "s-a", nil)), func(s *Config) {
 		s.Limits.Sockets = 64
 	})
-	clients, servers := Limits{Sockets: 64}.split()
+	clients, servers := Limits{Sockets: 64}.splitDescriptors()
 	var conns []net.Conn
 	dial := func() net.Conn {
 		c, err := net.Dial("tcp", p.addr)
@@ -616,9 +616,9 @@
 // Clients that ask once and keep their connection fill what clients may hold in all, and nothing is left for those that
 // would ask (incident r776d5d). In such a crowd the first answer on a connection says that it is closed behind it; one that
 // keeps asking keeps its place.
-func TestACrowdOfConnectionsThatAskedOnceIsReleased(t *testing.T) {
-	p := start(t, startList(t, startShard(t, "s-a", nil)), func(s *Setup) { s.Limits.Sockets = 256 })
-	clients, _ := Limits{Sockets: 256}.split()
+func TestIdleConnectionCrowdIsClosed(t *testing.T) {
+	p := start(t, startList(t, startShard(t, "s-a", nil)), func(s *Config) { s.Limits.Sockets = 256 })
+	clients, _ := Limits{Sockets: 256}.splitDescriptors()
 	ask := func(c net.Conn) bool {
 		t.Helper()
 		r, _ := newSearch(context.Background(), p.addr, "lookup", 0)
@@ -653,8 +653,8 @@
 			kept++
 		}
 	}
-	if kept > clients/crowdedPart+1 || released == 0 {
-		t.Errorf("%d connections that asked once are kept, %d released, %d may lie idle", kept, released, clients/crowdedPart)
+	if kept > clients/crowdDivisor+1 || released == 0 {
+		t.Errorf("%d connections that asked once are kept, %d released, %d may lie idle", kept, released, clients/crowdDivisor)
 	}
 	if ask(steady) {
 		t.Error("a connection that keeps asking is released")
@@ -691,7 +691,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	good := Setup{Listen: l.Addr().String(), Discovery: "127.0.0.1:1", Settings: json.RawMessage(testSettings)}
+	good := Config{Listen: l.Addr().String(), Discovery: "127.0.0.1:1", Settings: json.RawMessage(testSettings)}
 	g, err := New(good)
 	if err != nil {
 		t.Fatal(err)
@@ -700,7 +700,7 @@
 		t.Errorf("a taken address gives %v", err)
 	}
 	odd := good // a list that does not parse must not keep the program from starting, nor must the form of a number
-	odd.Known = json.RawMessage(`{"hosts":7}`)
+	odd.KnownServers = json.RawMessage(`{"hosts":7}`)
 	if _, err := New(odd); err != nil {
 		t.Error(err)
 	}
@@ -709,7 +709,7 @@
 	}
 	tokened := good
 	tokened.Settings = json.RawMessage(strings.Replace(testSettings, "free", "guarded", 1))
-	if g, err := New(tokened); err != nil || g.d.Balancer.QueryTypes[0].Idempotency != balancer.NonIdempotent {
+	if g, err := New(tokened); err != nil || g.deployment.Balancer.QueryTypes[0].Idempotency != balancer.NonIdempotent {
 		t.Errorf("a tokened type, whose token no frame carries, may be sent again: %v", err)
 	}
 	for cut, says := range map[string]string{`"slo":1000.0,`: "slo is missing", `"positions":1,`: "positions is missing", `"dialTimeout":250.0,`: "dialTimeout is missing"} {
@@ -723,13 +723,13 @@
 
 // An embedded gatherer, over many searches, beside a server that answers nothing, one that dies and clients that
 // leave: when it has ended, no search, part, timer table or goroutine is left.
-func TestNothingIsLeftBehind(t *testing.T) {
+func TestNoResourceLeaks(t *testing.T) {
 	silent := startShard(t, "s-silent", func(*standin.ShardConn, standin.ShardCall) {})
 	dying := startShard(t, "s-dying", func(c *standin.ShardConn, _ standin.ShardCall) { c.Reset() })
 	a := startShard(t, "s-a", nil)
 	l := startList(t)
-	g, err := New(Setup{Listen: "127.0.0.1:0", Discovery: l.Addr(), Settings: json.RawMessage(testSettings),
-		Known: json.RawMessage(`{"seq":1,"whole":true,"hosts":[]}`)})
+	g, err := New(Config{Listen: "127.0.0.1:0", Discovery: l.Addr(), Settings: json.RawMessage(testSettings),
+		KnownServers: json.RawMessage(`{"seq":1,"whole":true,"hosts":[]}`)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -754,7 +754,7 @@
 	for _, s := range []*standin.ShardServer{silent, dying, a} {
 		l.Update(s.Entry())
 	}
-	for end := time.Now().Add(patience); ready() != http.StatusOK; {
+	for end := time.Now().Add(testTimeout); ready() != http.StatusOK; {
 		if time.Now().After(end) {
 			t.Fatal("never ready")
 		}
@@ -782,13 +782,13 @@
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
-	m := g.module
-	if len(m.searches) > 0 || m.held != 0 || m.budget.left.Load() != int64(serversOf(Limits{})) {
-		t.Errorf("%d searches, %d held, %d descriptors free of %d", len(m.searches), m.held, m.budget.left.Load(), serversOf(Limits{}))
+	m := g.dispatcher
+	if len(m.requests) > 0 || m.pending != 0 || m.descriptors.available.Load() != int64(serversOf(Limits{})) {
+		t.Errorf("%d searches, %d held, %d descriptors free of %d", len(m.requests), m.pending, m.descriptors.available.Load(), serversOf(Limits{}))
 	}
-	for end := time.Now().Add(patience); runtime.NumGoroutine() > before+4 || g.held.State().Sum != 0; { // the stand-ins have some
+	for end := time.Now().Add(testTimeout); runtime.NumGoroutine() > before+4 || g.memory.State().Sum != 0; { // the stand-ins have some
 		if time.Now().After(end) {
-			t.Fatalf("%d goroutines, %d before; held is %+v", runtime.NumGoroutine(), before, g.held.State())
+			t.Fatalf("%d goroutines, %d before; held is %+v", runtime.NumGoroutine(), before, g.memory.State())
 		}
 		runtime.Gosched()
 	}
@@ -802,32 +802,32 @@
 }
 
 // What clients hold for requests and a connection to each server of a fleet both fit into the descriptors.
-func TestDescriptorsForAFleet(t *testing.T) {
+func TestServerDescriptorShare(t *testing.T) {
 	for _, c := range []struct{ sockets, hosts int }{{512, 200}, {640, 200}, {256, 100}, {1024, 400}} {
-		clients, servers := Limits{Sockets: float64(c.sockets)}.split()
-		if servers < c.hosts || clients < c.sockets/3 || clients+servers > c.sockets-ownDescriptors {
+		clients, servers := Limits{Sockets: float64(c.sockets)}.splitDescriptors()
+		if servers < c.hosts || clients < c.sockets/3 || clients+servers > c.sockets-reservedDescriptors {
 			t.Errorf("of %d descriptors clients get %d, servers %d; a third and %d are wanted", c.sockets, clients, servers, c.hosts)
 		}
 	}
 }
 
 func serversOf(l Limits) int {
-	_, servers := l.split()
+	_, servers := l.splitDescriptors()
 	return servers
 }
 
 // A search that is shed says when to come back, also one that took longer than its request may take to come.
-func TestShedSaysWhenToComeBack(t *testing.T) {
+func TestShedSetsRetryAfter(t *testing.T) {
 	d, err := balancerconfig.FromJSON([]byte(testSettings), 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	box := mailbox{make(chan any, 1), make(chan struct{})}
-	srv := httptest.NewServer(newFront(newTransport(d, box, ledgerOf(0)), time.Second, ledgerOf(0)))
+	srv := httptest.NewServer(newFrontend(newTransport(d, box, ledgerOf(0)), time.Second, ledgerOf(0)))
 	defer srv.Close()
 	go func() {
-		s := (<-box.c).(searchCame).s
-		time.AfterFunc(readLimit+readLimit/8, func() { s.reply <- reply{kind: replyShed, retryAfter: 2500} })
+		s := (<-box.messages).(requestArrived).request
+		time.AfterFunc(readTimeout+readTimeout/8, func() { s.result <- result{kind: resultShed, retryAfter: 2500} })
 	}()
 	r, _ := newSearch(context.Background(), srv.Listener.Addr().String(), "lookup", 0)
 	res, err := http.DefaultClient.Do(r)
@@ -840,9 +840,9 @@
 	}
 }
 
-func TestMostHeldIsKept(t *testing.T) {
+func TestMaxPending(t *testing.T) {
 	a := startShard(t, "s-a", func(*standin.ShardConn, standin.ShardCall) {})
-	p := start(t, startList(t, a), func(s *Setup) {
+	p := start(t, startList(t, a), func(s *Config) {
 		s.Settings = json.RawMessage(strings.Replace(testSettings, `"limits":{`, `"limits":{"mostHeld":5,`, 1))
 	})
 	ctx, leave := context.WithCancel(context.Background())
@@ -870,40 +870,40 @@
 func (l pipeListener) Addr() net.Addr            { return nil }
 
 // A client that does not read its answer must not hold its connection for good.
-func TestClientThatDoesNotReadItsAnswer(t *testing.T) {
+func TestWriteTimeout(t *testing.T) {
 	ours, theirs := net.Pipe() // it holds nothing: a write waits for its reader
 	l := make(pipeListener, 1)
 	l <- theirs
-	f := newFront(newTransport(balancerconfig.Deployment{}, mailbox{}, ledgerOf(0)), 50*time.Millisecond, ledgerOf(0))
+	f := newFrontend(newTransport(balancerconfig.Deployment{}, mailbox{}, ledgerOf(0)), 50*time.Millisecond, ledgerOf(0))
 	go f.serve(context.Background(), l, 8, time.Second)
 	if _, err := io.WriteString(ours, "GET /-/healthy HTTP/1.1\r\nHost: x\r\n\r\n"); err != nil {
 		t.Fatal(err)
 	}
-	ours.SetWriteDeadline(time.Now().Add(patience))
+	ours.SetWriteDeadline(time.Now().Add(testTimeout))
 	if _, err := io.WriteString(ours, strings.Repeat("x", 1<<16)); err != io.ErrClosedPipe {
 		t.Errorf("the connection gives %v", err)
 	}
 }
 
 // On a long day servers come and go under new ids without end.
-func TestReplacedServersLeaveNothing(t *testing.T) {
-	g, err := New(Setup{Listen: "127.0.0.1:0", Discovery: "127.0.0.1:1", Settings: json.RawMessage(testSettings)})
+func TestReplacedServersAreForgotten(t *testing.T) {
+	g, err := New(Config{Listen: "127.0.0.1:0", Discovery: "127.0.0.1:1", Settings: json.RawMessage(testSettings)})
 	if err != nil {
 		t.Fatal(err)
 	}
-	m, before := g.module, runtime.NumGoroutine()
-	defer m.end()
+	m, before := g.dispatcher, runtime.NumGoroutine()
+	defer m.shutdown()
 	for i := range 2000 {
 		l := discovery.ServerList{Version: uint64(i), Servers: []discovery.Server{{Host: fmt.Sprint("s-", i), Address: "127.0.0.1:1", Health: discovery.Up}}}
 		if i >= 4 {
 			l.Servers = append(l.Servers, discovery.Server{Host: fmt.Sprint("s-", i-4), Health: discovery.Removed})
 		}
-		m.takeList(balancer.ListDelta, l)
+		m.applyServerList(balancer.ListDelta, l)
 	}
-	if m.ready != 4 || len(m.servers) > 2*m.ready || len(m.ids) != len(m.servers) {
-		t.Errorf("%d servers are listed, %d held, under %d hosts", m.ready, len(m.servers), len(m.ids))
+	if m.listedServers != 4 || len(m.servers) > 2*m.listedServers || len(m.serverIDs) != len(m.servers) {
+		t.Errorf("%d servers are listed, %d held, under %d hosts", m.listedServers, len(m.servers), len(m.serverIDs))
 	}
-	for end := time.Now().Add(patience); runtime.NumGoroutine() > before+m.ready; runtime.Gosched() {
+	for end := time.Now().Add(testTimeout); runtime.NumGoroutine() > before+m.listedServers; runtime.Gosched() {
 		if time.Now().After(end) {
 			t.Fatalf("%d goroutines, %d before four servers were listed", runtime.NumGoroutine(), before)
 		}
@@ -911,12 +911,12 @@
 }
 
 // Bodies fit the memory in sum; what does not is shed at once, with advice.
-func TestBodiesBeyondTheirShareAreShed(t *testing.T) {
+func TestBodyMemoryLimit(t *testing.T) {
 	d, err := balancerconfig.FromJSON([]byte(testSettings), 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	srv := httptest.NewServer(newFront(newTransport(d, mailbox{}, ledgerOf(10)), time.Second, ledgerOf(10)))
+	srv := httptest.NewServer(newFrontend(newTransport(d, mailbox{}, ledgerOf(10)), time.Second, ledgerOf(10)))
 	defer srv.Close()
 	for range 3 {
 		r, _ := newSearch(context.Background(), srv.Listener.Addr().String(), "lookup", 0)
--- a/gatherer/roundtrip.go
+++ b/gatherer/roundtrip.go
@@ -30,17 +30,17 @@
 // transport is the reverse proxy's RoundTripper: it hands a request's search to the module's actor and makes
 // the response of its final answer.
 type transport struct {
-	d         balancerconfig.Deployment
-	types     map[string]balancer.QueryType
-	customers map[string]balancer.CustomerIndex
-	module    mailbox
-	held      *memorybudget.Ledger
-	keyHeader string                                 // where clients name searches that must not run twice; "" = nothing is kept of them
-	merging   atomic.Pointer[operatorconfig.Merging] // nil = nothing is merged
+	deployment balancerconfig.Deployment
+	types      map[string]balancer.QueryType
+	customers  map[string]balancer.CustomerIndex
+	dispatcher mailbox
+	memory     *memorybudget.Ledger
+	keyHeader  string                                 // where clients name searches that must not run twice; "" = nothing is kept of them
+	merging    atomic.Pointer[operatorconfig.Merging] // nil = nothing is merged
 }
 
 func newTransport(d balancerconfig.Deployment, m mailbox, held *memorybudget.Ledger) *transport {
-	t := &transport{d: d, types: map[string]balancer.QueryType{}, customers: map[string]balancer.CustomerIndex{}, module: m, held: held}
+	t := &transport{deployment: d, types: map[string]balancer.QueryType{}, customers: map[string]balancer.CustomerIndex{}, dispatcher: m, memory: held}
 	for i, name := range d.QueryTypes {
 		t.types[name] = balancer.QueryType(i)
 	}
@@ -50,13 +50,13 @@
 	return t
 }
 
-func (t *transport) known(queryType string) bool {
+func (t *transport) isKnownType(queryType string) bool {
 	_, ok := t.types[queryType]
 	return ok
 }
 
-// customer finds a customer's number by name.
-func (t *transport) customer(name string) connadmission.Customer {
+// customerIndex finds a customer's number by name.
+func (t *transport) customerIndex(name string) connadmission.Customer {
 	if at, ok := t.customers[name]; ok {
 		return connadmission.Customer(at)
 	}
@@ -66,26 +66,26 @@
 // RoundTrip implements http.RoundTripper. The request's body has been read whole before, so that its context
 // tells of the client's leaving.
 func (t *transport) RoundTrip(r *http.Request) (*http.Response, error) {
-	s, err := t.search(r)
+	s, err := t.parseRequest(r)
 	if err != nil {
-		return plain(r, http.StatusBadRequest, err.Error()), nil
+		return textResponse(r, http.StatusBadRequest, err.Error()), nil
 	}
-	if !t.module.put(searchCame{s}) {
-		return plain(r, http.StatusServiceUnavailable, "the gatherer has stopped"), nil
+	if !t.dispatcher.send(requestArrived{s}) {
+		return textResponse(r, http.StatusServiceUnavailable, "the gatherer has stopped"), nil
 	}
 	select {
-	case a := <-s.reply:
+	case a := <-s.result:
 		return t.response(r, a), nil
 	case <-r.Context().Done():
-		t.module.put(clientLeft{s})
+		t.dispatcher.send(clientGone{s})
 		return nil, r.Context().Err()
-	case <-t.module.done:
-		return plain(r, http.StatusBadGateway, "the gatherer has stopped"), nil
+	case <-t.dispatcher.done:
+		return textResponse(r, http.StatusBadGateway, "the gatherer has stopped"), nil
 	}
 }
 
-// body is the fields of a request's body that decisions need, and the text that goes on.
-type body struct {
+// requestBody is the fields of a request's body that decisions need, and the text that goes on.
+type requestBody struct {
 	Parts []struct {
 		Shard  *int64   `json:"tablet"`
 		Weight *float64 `json:"fraction"`
@@ -95,14 +95,14 @@
 	Merge json.RawMessage `json:"merge"`
 }
 
-// search takes from a request what decisions need. Its errors are one plain sentence for the client.
-func (t *transport) search(r *http.Request) (*search, error) {
-	s := &search{wire: r.Header.Get("Req-Id"), repeat: r.Header.Get("Req-Retry") == "1", reply: make(chan reply, 1)}
-	if !hexID(s.wire) {
+// parseRequest takes from a request what decisions need. Its errors are one plain sentence for the client.
+func (t *transport) parseRequest(r *http.Request) (*clientRequest, error) {
+	s := &clientRequest{wireID: r.Header.Get("Req-Id"), retry: r.Header.Get("Req-Retry") == "1", result: make(chan result, 1)}
+	if !isHexID(s.wireID) {
 		return nil, fmt.Errorf("Req-Id must be 1 to 32 hex digits")
 	}
 	kind, ok := r.Header.Get("Req-Kind"), false // also the first part of the path
-	if s.typ, ok = t.types[kind]; !ok {
+	if s.queryType, ok = t.types[kind]; !ok {
 		return nil, fmt.Errorf("Req-Kind %.60q is not a known query type", kind)
 	}
 	if first, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/"); first != kind {
@@ -118,7 +118,7 @@
 	if err != nil || wait <= 0 {
 		return nil, fmt.Errorf("Req-Deadline-Ms must be a whole number of milliseconds above 0")
 	}
-	s.patience = balancer.Time(wait) * balancer.Millisecond
+	s.timeout = balancer.Time(wait) * balancer.Millisecond
 	if r.Body == nil {
 		return nil, fmt.Errorf("the body is empty")
 	}
@@ -129,7 +129,7 @@
 	if !utf8.Valid(raw) {
 		return nil, fmt.Errorf("the body is not UTF-8")
 	}
-	var b body
+	var b requestBody
 	if err := json.Unmarshal(raw, &b); err != nil {
 		return nil, fmt.Errorf("the body is not the JSON form: %.100s", err)
 	}
@@ -145,36 +145,36 @@
 	sum, seen := 0.0, map[int64]bool{}
 	for _, p := range b.Parts {
 		switch {
-		case p.Shard == nil || *p.Shard < 0 || *p.Shard >= int64(t.d.Balancer.Shards):
-			return nil, fmt.Errorf("a tablet is missing or out of range, 0 to %d are known", t.d.Balancer.Shards-1)
+		case p.Shard == nil || *p.Shard < 0 || *p.Shard >= int64(t.deployment.Balancer.Shards):
+			return nil, fmt.Errorf("a tablet is missing or out of range, 0 to %d are known", t.deployment.Balancer.Shards-1)
 		case seen[*p.Shard]:
 			return nil, fmt.Errorf("tablet %d is named twice", *p.Shard)
-		case p.Weight == nil || !(0 <= *p.Weight && *p.Weight <= 1+sumSlack):
+		case p.Weight == nil || !(0 <= *p.Weight && *p.Weight <= 1+weightTolerance):
 			return nil, fmt.Errorf("the fraction of tablet %d is missing or not from 0 to 1", *p.Shard)
 		case p.Guess < 0 || math.IsInf(p.Guess, 0):
 			return nil, fmt.Errorf("the guess of tablet %d is below 0", *p.Shard)
 		}
 		seen[*p.Shard] = true
 		sum += *p.Weight
-		s.asked = append(s.asked, asked{balancer.ShardIndex(*p.Shard), *p.Weight, p.Guess / 1000})
+		s.callSpecs = append(s.callSpecs, callSpec{balancer.ShardIndex(*p.Shard), *p.Weight, p.Guess / 1000})
 	}
-	if math.Abs(sum-1) > sumSlack {
+	if math.Abs(sum-1) > weightTolerance {
 		return nil, fmt.Errorf("the fractions add up to %.6g, not to 1", sum)
 	}
-	if header := t.keyHeader; header != "" && t.d.Balancer.QueryTypes[s.typ].Idempotency != balancer.Idempotent {
-		s.key, s.digest = searchKey(r, header, kind, s.wire, raw)
+	if header := t.keyHeader; header != "" && t.deployment.Balancer.QueryTypes[s.queryType].Idempotency != balancer.Idempotent {
+		s.key, s.digest = idempotencyKey(r, header, kind, s.wireID, raw)
 	}
 	if m := t.merging.Load(); m != nil && len(b.Merge) > 0 && string(b.Merge) != "null" {
-		if s.query, err = t.query(m, r, kind, s, b.Merge); err != nil {
+		if s.query, err = t.mergeQuery(m, r, kind, s, b.Merge); err != nil {
 			return nil, err
 		}
 	}
 	return s, nil
 }
 
-// searchKey names a search that must not run twice: by the client's own key where it gives one, else by its id, as a client may
+// idempotencyKey names a search that must not run twice: by the client's own key where it gives one, else by its id, as a client may
 // send a request once more on another connection where the first was closed upon.
-func searchKey(r *http.Request, header, kind, wire string, body []byte) (idempotency.Key, idempotency.Digest) {
+func idempotencyKey(r *http.Request, header, kind, wire string, body []byte) (idempotency.Key, idempotency.Digest) {
 	own := "id " + wire
 	if given := r.Header.Get(header); given != "" {
 		own = "key " + given
@@ -187,8 +187,8 @@
 	return idempotency.Key(hex.EncodeToString(h.Sum(nil)[:16])), idempotency.Digest(binary.BigEndian.Uint64(d[:]))
 }
 
-// query checks what a search wants merged.
-func (t *transport) query(m *operatorconfig.Merging, r *http.Request, kind string, s *search, raw json.RawMessage) (*merge.Query, error) {
+// mergeQuery checks what a search wants merged.
+func (t *transport) mergeQuery(m *operatorconfig.Merging, r *http.Request, kind string, s *clientRequest, raw json.RawMessage) (*merge.Query, error) {
 	allowed := m.Types[kind]
 	if allowed == nil {
 		return nil, fmt.Errorf("searches of query type %s are not merged", kind)
@@ -198,26 +198,26 @@
 		return nil, err
 	}
 	var segments []merge.Asked
-	for _, a := range s.asked {
+	for _, a := range s.callSpecs {
 		segments = append(segments, merge.Asked{Segment: merge.Segment(a.shard), Weight: a.weight})
 	}
-	return allowed.Query(terms, segments, t.d.Balancer.QueryTypes[s.typ].MinCoverage >= 1, merge.Paging{Keys: m.Keys,
+	return allowed.Query(terms, segments, t.deployment.Balancer.QueryTypes[s.queryType].MinCoverage >= 1, merge.Paging{Keys: m.Keys,
 		Life: m.CursorLife.Milliseconds(), Most: m.MostCursor, Now: time.Now().UnixMilli(), Type: kind,
 		Customer: r.Header.Get("Req-Owner"), Statement: s.text})
 }
 
-// sumSlack is how far from 1 rounding may bring a sum of weights: ten times what the rule on answers lets it fall
+// weightTolerance is how far from 1 rounding may bring a sum of weights: ten times what the rule on answers lets it fall
 // short.
-const sumSlack = 1e-3
+const weightTolerance = 1e-3
 
-// advise tells a client that was shed when to come back, where that is known.
-func advise(h http.Header, after balancer.Time) {
+// setRetryAfter tells a client that was shed when to come back, where that is known.
+func setRetryAfter(h http.Header, after balancer.Time) {
 	if after > 0 {
 		h.Set("Retry-After", strconv.FormatFloat(balancerconfig.Millis(after)/1000, 'f', -1, 64))
 	}
 }
 
-func hexID(id string) bool {
+func isHexID(id string) bool {
 	for _, c := range []byte(id) {
 		if !('0' <= c && c <= '9' || 'a' <= c && c <= 'f' || 'A' <= c && c <= 'F') {
 			return false
@@ -236,43 +236,43 @@
 	return []byte(text), err
 }
 
-func (t *transport) response(r *http.Request, a reply) *http.Response {
+func (t *transport) response(r *http.Request, a result) *http.Response {
 	switch a.kind {
-	case replyShed:
-		res := plain(r, http.StatusServiceUnavailable, "the search cannot be answered now, asking again is harmless")
-		advise(res.Header, a.retryAfter)
+	case resultShed:
+		res := textResponse(r, http.StatusServiceUnavailable, "the search cannot be answered now, asking again is harmless")
+		setRetryAfter(res.Header, a.retryAfter)
 		return res
-	case replyTaken:
-		return plain(r, http.StatusBadRequest, "Req-Id is that of another search, which is still open")
-	case replyOpen:
-		return plain(r, http.StatusConflict, "a search with the same key is still open")
-	case replyOther:
-		return plain(r, http.StatusUnprocessableEntity, "the key is that of a different search")
-	case replyFail:
-		return plain(r, http.StatusGatewayTimeout, "the search could not be answered in time")
-	case replyMerged:
+	case resultDuplicateID:
+		return textResponse(r, http.StatusBadRequest, "Req-Id is that of another search, which is still open")
+	case resultKeyOpen:
+		return textResponse(r, http.StatusConflict, "a search with the same key is still open")
+	case resultKeyMismatch:
+		return textResponse(r, http.StatusUnprocessableEntity, "the key is that of a different search")
+	case resultFailed:
+		return textResponse(r, http.StatusGatewayTimeout, "the search could not be answered in time")
+	case resultMerged:
 		defer a.merge.Close()
-		answer, err := a.merge.Answer(a.whole)
+		answer, err := a.merge.Answer(a.complete)
 		if err != nil { // never short of a part where that is forbidden, nor a number that is not known to be right
-			return plain(r, http.StatusGatewayTimeout, "the search could not be answered: "+err.Error())
+			return textResponse(r, http.StatusGatewayTimeout, "the search could not be answered: "+err.Error())
 		}
 		b := answer.JSON(nil)
-		t.held.Force(memorybudget.Answers, memorybudget.Bytes(len(b)))
+		t.memory.Force(memorybudget.Answers, memorybudget.Bytes(len(b)))
 		res := response(r, http.StatusOK, "application/json", b)
-		res.Body = t.holding(res.Body, memorybudget.Bytes(len(b)))
+		res.Body = t.releaseOnClose(res.Body, memorybudget.Bytes(len(b)))
 		return res
 	}
 	b := a.text
 	if b == nil {
-		b = answerText(a.whole, a.values)
+		b = encodeAnswer(a.complete, a.values)
 	}
 	res := response(r, http.StatusOK, "application/json", b)
-	res.Body = t.holding(res.Body, a.holds)
+	res.Body = t.releaseOnClose(res.Body, a.reserved)
 	return res
 }
 
-// answerText is an answer as clients get it.
-func answerText(whole bool, values []value) []byte {
+// encodeAnswer is an answer as clients get it.
+func encodeAnswer(whole bool, values []shardValue) []byte {
 	b := append([]byte(`{"full":`), strconv.FormatBool(whole)...)
 	b = append(b, `,"pieces":[`...)
 	for i, v := range values {
@@ -282,28 +282,28 @@
 		b = append(b, `{"tablet":`...)
 		b = strconv.AppendInt(b, int64(v.shard), 10)
 		b = append(b, `,"cell":`...)
-		b = append(quote(b, v.value), '}')
+		b = append(appendQuoted(b, v.value), '}')
 	}
 	return append(b, `]}`...)
 }
 
-// holding gives back what an answer holds once it is written, or its client is gone.
-func (t *transport) holding(b io.ReadCloser, n memorybudget.Bytes) io.ReadCloser {
-	return &heldBody{ReadCloser: b, done: sync.OnceFunc(func() { t.held.Give(memorybudget.Answers, n) })}
+// releaseOnClose gives back what an answer holds once it is written, or its client is gone.
+func (t *transport) releaseOnClose(b io.ReadCloser, n memorybudget.Bytes) io.ReadCloser {
+	return &accountedBody{ReadCloser: b, done: sync.OnceFunc(func() { t.memory.Give(memorybudget.Answers, n) })}
 }
 
-type heldBody struct {
+type accountedBody struct {
 	io.ReadCloser
 	done func()
 }
 
-func (b *heldBody) Close() error {
+func (b *accountedBody) Close() error {
 	b.done()
 	return b.ReadCloser.Close()
 }
 
-// quote writes a value, which is valid UTF-8, as a JSON string: its own bytes wherever JSON allows them.
-func quote(b []byte, v string) []byte {
+// appendQuoted writes a value, which is valid UTF-8, as a JSON string: its own bytes wherever JSON allows them.
+func appendQuoted(b []byte, v string) []byte {
 	for _, c := range []byte(v) {
 		if c < ' ' || c == '"' || c == '\\' {
 			text, _ := json.Marshal(v)
@@ -313,7 +313,7 @@
 	return append(append(append(b, '"'), v...), '"')
 }
 
-func plain(r *http.Request, status int, text string) *http.Response {
+func textResponse(r *http.Request, status int, text string) *http.Response {
 	return response(r, status, "text/plain; charset=utf-8", []byte(text+"\n"))
 }
 
--- a/gatherer/slow_test.go
+++ b/gatherer/slowclient_test.go
@@ -43,18 +43,18 @@
 	return lines
 }
 
-func slowRig(t *testing.T, doors operatorconfig.Connections) *parkRig {
+func slowClientHarness(t *testing.T, doors operatorconfig.Connections) *listenerHarness {
 	t.Helper()
 	nl, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	doors.Grace = 300 * time.Millisecond
-	return startRigOn(t, nl, terms{share: 200, doors: doors}, 0)
+	return startHarnessOn(t, nl, listenerConfig{descriptors: 200, connections: doors}, 0)
 }
 
 // trickle sends a text byte by byte, until it is all sent or the connection ends; it tells how long that took.
-func trickle(t *testing.T, c *rigClient, text string, pause time.Duration) time.Duration {
+func trickle(t *testing.T, c *harnessClient, text string, pause time.Duration) time.Duration {
 	began := time.Now()
 	ended := make(chan struct{})
 	go func() {
@@ -80,49 +80,49 @@
 
 // A head that trickles in ends with a reason of its own, well before the read limit, on a new connection and on one that it
 // woke; others are served meanwhile.
-func TestTricklersAreClosedByTheirLeastRate(t *testing.T) {
+func TestSlowHeadIsClosed(t *testing.T) {
 	lines := logged(t)
-	r := slowRig(t, operatorconfig.Connections{HeadRate: 200})
+	r := slowClientHarness(t, operatorconfig.Connections{HeadRate: 200})
 	usual := r.dial()
 	fresh, kept := r.dial(), r.dial()
 	kept.send(post("/kept", ""))
-	kept.want("/kept ")
+	kept.expect("/kept ")
 	r.awaitParked(1)
 	long := "POST /slow HTTP/1.1\r\nHost: x\r\nX-Long: " + strings.Repeat("x", 300) + "\r\n"
 	var both sync.WaitGroup
-	for _, c := range []*rigClient{fresh, kept} {
+	for _, c := range []*harnessClient{fresh, kept} {
 		both.Add(1)
 		go func() {
 			defer both.Done()
-			if took := trickle(t, c, long, 20*time.Millisecond); took > readLimit-200*time.Millisecond {
+			if took := trickle(t, c, long, 20*time.Millisecond); took > readTimeout-200*time.Millisecond {
 				t.Errorf("it was let trickle for %s", took)
 			}
 		}()
 		usual.send(post("/usual", "x"))
-		usual.want("/usual x")
+		usual.expect("/usual x")
 	}
 	both.Wait()
-	for _, c := range []*rigClient{fresh, kept} {
+	for _, c := range []*harnessClient{fresh, kept} {
 		lines.awaitAny(t, c.LocalAddr().String(), "reason="+endSlowHead)
 	}
 	usual.send(post("/usual", "y"))
-	usual.want("/usual y")
+	usual.expect("/usual y")
 }
 
 // In the built program: a body that trickles is closed with a reason of its own, and who keeps to the rate is answered.
-func TestABodyThatTricklesIsClosed(t *testing.T) {
+func TestSlowBodyIsClosed(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "operator.ini")
 	if err := os.WriteFile(file, []byte("[connections]\nbody_rate = 500\ngrace = 300ms\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	p := start(t, startList(t, startShard(t, "s-a", nil)), nil, "--operator", file)
-	client := func(pause time.Duration) *rigClient {
+	client := func(pause time.Duration) *harnessClient {
 		nc, err := net.Dial("tcp", p.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { nc.Close() })
-		c := &rigClient{nc, t, bufio.NewReader(nc)}
+		c := &harnessClient{nc, t, bufio.NewReader(nc)}
 		body := standin.Request{Shards: []int{0}, Statement: strings.Repeat("t", 100)}.Body()
 		c.send(fmt.Sprintf("POST /lookup HTTP/1.1\r\nHost: x\r\nReq-Id: %x\r\nReq-Kind: lookup\r\nReq-Owner: acme\r\nReq-Deadline-Ms: 1900\r\nContent-Length: %d\r\n\r\n",
 			nc.LocalAddr().(*net.TCPAddr).Port, len(body)))
@@ -148,7 +148,7 @@
 func (l logLines) awaitAny(t *testing.T, client, words string) string {
 	t.Helper()
 	var seen []string
-	end := time.After(patience)
+	end := time.After(testTimeout)
 	for {
 		select {
 		case line := <-l:
@@ -166,8 +166,8 @@
 }
 
 // Who keeps to the rate is served, however small its pieces: the rate is of bytes, not of packets.
-func TestWhoKeepsToTheRateIsServed(t *testing.T) {
-	r := slowRig(t, operatorconfig.Connections{HeadRate: 200, AnswerRate: 200})
+func TestClientAboveMinRateIsServed(t *testing.T) {
+	r := slowClientHarness(t, operatorconfig.Connections{HeadRate: 200, AnswerRate: 200})
 	c := r.dial()
 	text := post("/steady", strings.Repeat("b", 200))
 	tick := time.NewTicker(20 * time.Millisecond)
@@ -178,21 +178,21 @@
 		rest = rest[n:]
 		<-tick.C
 	}
-	c.want("/steady " + strings.Repeat("b", 200))
+	c.expect("/steady " + strings.Repeat("b", 200))
 	c.send(post("/at-once", "x"))
-	c.want("/at-once x")
+	c.expect("/at-once x")
 }
 
 // A client that does not read its answer is closed by the least rate, not by the write limit, which is much later.
-func TestASlowReaderIsClosedByItsLeastRate(t *testing.T) {
+func TestSlowReaderIsClosed(t *testing.T) {
 	lines := logged(t)
 	nl, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := newListener(nl, terms{share: 200, doors: operatorconfig.Connections{AnswerRate: 50_000, Grace: 300 * time.Millisecond, SendBuffer: 8 << 10}})
+	l := newListener(nl, listenerConfig{descriptors: 200, connections: operatorconfig.Connections{AnswerRate: 50_000, Grace: 300 * time.Millisecond, SendBuffer: 8 << 10}})
 	answer := bytes.Repeat([]byte("x"), 1<<20)
-	srv := &http.Server{WriteTimeout: patience, ConnState: l.state, Handler: http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
+	srv := &http.Server{WriteTimeout: testTimeout, ConnState: l.connStateChanged, Handler: http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		w.Write(answer)
 	})}
 	go srv.Serve(l)
@@ -227,24 +227,24 @@
 		t.Errorf("a client that reads got %d bytes", got)
 	}
 	lines.awaitAny(t, stuck.LocalAddr().String(), "reason="+endSlowAnswer)
-	if took := time.Since(began); took > patience/2 {
+	if took := time.Since(began); took > testTimeout/2 {
 		t.Errorf("the slow one was closed after %s", took)
 	}
 }
 
 // Thousands that connect and never speak hold no goroutine, and are closed at the read limit, while usual clients are
 // served on theirs. Scaled down.
-func TestSilentStrangersCostNoGoroutine(t *testing.T) {
+func TestSilentConnectionsUseNoGoroutine(t *testing.T) {
 	lines := logged(t)
 	nl, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	const n = 600
-	r := startRigOn(t, nl, terms{share: 2 * n}, 0)
+	r := startHarnessOn(t, nl, listenerConfig{descriptors: 2 * n}, 0)
 	usual := r.dial()
 	usual.send(post("/0", ""))
-	usual.want("/0 ")
+	usual.expect("/0 ")
 	began := time.Now()
 	var fds []int
 	defer func() {
@@ -257,14 +257,14 @@
 		fds = append(fds, fd)
 		if i%100 == 0 {
 			usual.send(post("/still", fmt.Sprint(i)))
-			usual.want(fmt.Sprintf("/still %d", i))
+			usual.expect(fmt.Sprintf("/still %d", i))
 		}
 	}
-	r.until("strangers parked", func() bool { return r.parked() >= n-mostIdle || time.Since(began) > readLimit })
+	r.until("strangers parked", func() bool { return r.parked() >= n-minIdleConns || time.Since(began) > readTimeout })
 	r.l.mu.Lock()
-	awake := r.l.who.Len() - r.l.who.Parked()
+	awake := r.l.admission.Len() - r.l.admission.Parked()
 	r.l.mu.Unlock()
-	if awake > mostIdle/8+4 {
+	if awake > minIdleConns/8+4 {
 		t.Errorf("%d connections hold a goroutine, %d strangers are there", awake, n)
 	}
 	// One of them speaks after all, and is served.
@@ -276,12 +276,12 @@
 		t.Errorf("a stranger that speaks got %q, %v", answer[:max(k, 0)], err)
 	}
 	lines.awaitAny(t, "requests=0", "reason="+endReadLimit)
-	r.until("strangers gone", func() bool { r.l.mu.Lock(); defer r.l.mu.Unlock(); return r.l.who.Len() <= 2 })
-	if took := time.Since(began); took < readLimit-limitTick || took > readLimit+3*time.Second {
+	r.until("strangers gone", func() bool { r.l.mu.Lock(); defer r.l.mu.Unlock(); return r.l.admission.Len() <= 2 })
+	if took := time.Since(began); took < readTimeout-wheelTick || took > readTimeout+3*time.Second {
 		t.Errorf("they were closed after %s, not at the read limit", took)
 	}
 	usual.send(post("/end", ""))
-	usual.want("/end ")
+	usual.expect("/end ")
 }
 
 // vanish makes a peer deaf and dumb without a word: every packet to it is dropped before its socket sees it, so that nothing
@@ -303,56 +303,56 @@
 }
 
 // A peer that vanishes in silence while it is parked is found by keep-alive, long before an idle limit of hours.
-func TestAPeerThatVanishesInSilenceIsFound(t *testing.T) {
+func TestKeepAliveDetectsVanishedClient(t *testing.T) {
 	lines := logged(t)
 	nl, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := startRigOn(t, nl, terms{share: 100, doors: operatorconfig.Connections{KeepAlive: time.Second}}, time.Hour)
+	r := startHarnessOn(t, nl, listenerConfig{descriptors: 100, connections: operatorconfig.Connections{KeepAlive: time.Second}}, time.Hour)
 	gone, there := r.dial(), r.dial()
-	for _, c := range []*rigClient{gone, there} {
+	for _, c := range []*harnessClient{gone, there} {
 		c.send(post("/", ""))
-		c.want("/ ")
+		c.expect("/ ")
 	}
 	r.awaitParked(2)
 	vanish(t, gone.Conn)
 	lines.awaitAny(t, gone.LocalAddr().String(), "reason="+endReset)
 	there.send(post("/still", "x"))
-	there.want("/still x")
+	there.expect("/still x")
 }
 
-// memoryRig has a ledger of its own.
-func memoryRig(t *testing.T, f memorybudget.Figures, park bool) (*parkRig, *memorybudget.Ledger) {
+// memoryHarness has a ledger of its own.
+func memoryHarness(t *testing.T, f memorybudget.Figures, park bool) (*listenerHarness, *memorybudget.Ledger) {
 	t.Helper()
 	nl, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	held := memorybudget.New(f, nil)
-	by := terms{share: 400, held: held}
+	by := listenerConfig{descriptors: 400, memory: held}
 	if park {
-		return startRigOn(t, nl, by, 0), held
+		return startHarnessOn(t, nl, by, 0), held
 	}
-	return startKeptRig(t, nl, by), held
+	return startUnparkedHarness(t, nl, by), held
 }
 
 // All wake where memory allows a few: those beyond are answered 503 at once, and the sum is never passed.
-func TestWakingKeepsWithinTheMemory(t *testing.T) {
+func TestWakeupsStayWithinMemoryLimit(t *testing.T) {
 	const n, room = 60, 10
-	f := memorybudget.Figures{Most: room*awakeHolds + n*parkedHolds}
-	r, held := memoryRig(t, f, true)
-	var all []*rigClient
+	f := memorybudget.Figures{Most: room*activeConnMemory + n*idleConnMemory}
+	r, held := memoryHarness(t, f, true)
+	var all []*harnessClient
 	for range n {
 		c := r.dial()
 		c.send(post("/", ""))
-		c.want("/ ")
+		c.expect("/ ")
 		if all = append(all, c); len(all)%(room/2) == 0 {
 			r.awaitParked(len(all)) // those on their way to rest hold room, too
 		}
 	}
 	r.awaitParked(n)
-	if s := held.State(); s.Held[memorybudget.Awake] != 0 || s.Held[memorybudget.Parked] != n*parkedHolds {
+	if s := held.State(); s.Held[memorybudget.Awake] != 0 || s.Held[memorybudget.Parked] != n*idleConnMemory {
 		t.Errorf("with all parked: %+v", s)
 	}
 	var mu sync.Mutex
@@ -388,14 +388,14 @@
 }
 
 // Without parking, connections beyond the memory are shed, and idle ones are told to close once it is tight.
-func TestKeptConnectionsKeepWithinTheMemory(t *testing.T) {
+func TestKeepAliveConnectionsStayWithinMemoryLimit(t *testing.T) {
 	const room = 10
-	r, held := memoryRig(t, memorybudget.Figures{Most: room * awakeHolds}, false)
+	r, held := memoryHarness(t, memorybudget.Figures{Most: room * activeConnMemory}, false)
 	var told, over int
 	for i := range room + 3 {
 		c := r.dial()
 		c.send(post("/", ""))
-		c.SetReadDeadline(time.Now().Add(patience))
+		c.SetReadDeadline(time.Now().Add(testTimeout))
 		res, err := http.ReadResponse(c.r, nil)
 		if err != nil {
 			t.Fatal(err)
@@ -403,12 +403,12 @@
 		io.Copy(io.Discard, res.Body)
 		r.l.mu.Lock()
 		for _, h := range r.l.conns {
-			if h.c != nil && h.c.over {
+			if h.conn != nil && h.conn.overLimit {
 				over++
 			}
 		}
 		r.l.mu.Unlock()
-		if c := r.last(); c != nil && r.l.releases(c) {
+		if c := r.last(); c != nil && r.l.shouldClose(c) {
 			told++
 		}
 		_ = i
--- a/gatherer/standin_test.go
+++ b/gatherer/testenv_test.go
@@ -20,7 +20,7 @@
 
 // Small stand-ins, written from the protocol, for what a gatherer speaks to: shard servers, discovery, clients.
 
-const patience = 20 * time.Second // for whatever should come by itself
+const testTimeout = 20 * time.Second // for whatever should come by itself
 
 const testSettings = `{"classes":[
 	{"name":"lookup","effect":"free","slo":1000.0,"hardLimit":2000.0,"lateWorth":0.3},
@@ -75,7 +75,7 @@
 	t     *testing.T
 	run   *standin.Program
 	cmd   *exec.Cmd
-	setup Setup // as its configuration file has it
+	setup Config // as its configuration file has it
 	file  string
 	addr  string
 	lines chan string // its log
@@ -83,9 +83,9 @@
 }
 
 // start starts the program for a list of servers; edit changes its configuration first.
-func start(t *testing.T, l *standin.DiscoveryService, edit func(*Setup), args ...string) *program {
+func start(t *testing.T, l *standin.DiscoveryService, edit func(*Config), args ...string) *program {
 	t.Helper()
-	s := Setup{Name: "n0", Listen: "127.0.0.1:0", Discovery: l.Addr(), Seed: "8c1f30d27a5be964",
+	s := Config{Name: "n0", Listen: "127.0.0.1:0", Discovery: l.Addr(), Seed: "8c1f30d27a5be964",
 		Limits: Limits{Cores: 1, MemoryMB: 192, Sockets: 1024}, Settings: json.RawMessage(testSettings)}
 	if edit != nil {
 		edit(&s)
@@ -122,7 +122,7 @@
 // line waits for a log line that holds all the words.
 func (p *program) line(words ...string) string {
 	p.t.Helper()
-	limit := time.After(patience)
+	limit := time.After(testTimeout)
 next:
 	for {
 		select {
@@ -159,7 +159,7 @@
 	select {
 	case err := <-p.exit:
 		return err
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		p.t.Fatal("the program does not end")
 		return nil
 	}
@@ -220,7 +220,7 @@
 // await takes from a channel what should come by itself.
 func await(t *testing.T, c <-chan string, want func(string) bool) string {
 	t.Helper()
-	limit := time.After(patience)
+	limit := time.After(testTimeout)
 	for {
 		select {
 		case got := <-c:
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -24,7 +24,7 @@
 
 // joinFleet makes a gatherer a member of the fleet that its operator's file names, and keeps the fleet's log where it is a steward.
 // ends is to be called where the gatherer is told to end, and leave once it has. Without a fleet ends drains at once.
-func joinFleet(setup gatherer.Setup, node *gatherer.Gatherer, found bool, drain func()) (ends, leave func(), err error) {
+func joinFleet(setup gatherer.Config, node *gatherer.Gatherer, found bool, drain func()) (ends, leave func(), err error) {
 	if setup.Operator == nil || setup.Operator.Fleet == nil {
 		if found {
 			return nil, nil, errors.New("--found-fleet needs a section [fleet] in the operator's file")
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -35,11 +35,11 @@
 }
 
 // load reads the file, as it stands and with what goes before it.
-func (g *given) load() (file, setup gatherer.Setup, err error) {
+func (g *given) load() (file, setup gatherer.Config, err error) {
 	if g.config == "" {
 		return file, setup, errors.New("no configuration: give --config or set PROXY_CONFIG")
 	}
-	if file, err = gatherer.Load(g.config); err != nil {
+	if file, err = gatherer.LoadConfig(g.config); err != nil {
 		return file, setup, err
 	}
 	setup = file
@@ -54,7 +54,7 @@
 }
 
 // again reads the file anew. What it newly says of discovery goes before the environment, though not before the flag.
-func (g *given) again(was, inForce gatherer.Setup) (file, setup gatherer.Setup, err error) {
+func (g *given) again(was, inForce gatherer.Config) (file, setup gatherer.Config, err error) {
 	if file, setup, err = g.load(); err != nil {
 		return file, setup, err
 	}
