--- a/controlplane/loop_test.go
+++ b/controlplane/loop_test.go
@@ -109,13 +109,13 @@
 }
 
 // waits are the calls that hand the owner a closure; of those named true, the caller waits for its end.
-var waits = map[string]bool{".ask": true, "inquire": true, "tellAsked": true, "tellCurrent": true, ".do": false}
+var waits = map[string]bool{".ask": true, "inquire": true, "tellAsked": true, "tellCurrent": true, ".do": false, ".post": false}
 
 // A closure that is handed to the owner writes no variable of its caller: a caller that the stop releases would read it while
 // the owner writes. Answers travel by inquire.
 func TestLoopClosuresDoNotWriteCapturedVariables(t *testing.T) {
 	closures := 0
-	for _, pattern := range []string{"*.go", "../forager/*.go"} {
+	for _, pattern := range []string{"*.go", "../dataplane/*.go"} {
 		names, err := filepath.Glob(pattern)
 		if err != nil {
 			t.Fatal(err)
--- a/dataplane/mutation_test.go
+++ b/dataplane/mutation_test.go
@@ -13,10 +13,10 @@
 // by an overlay over the sources, and each is switched on for a run of its own.
 
 const (
-	scenarioTest     = "TestEveryAnswerReachesItsCallerOrNobody"
-	framingTest      = "TestRequestsHaveTheBoundsThatAStrictReaderFinds"
-	mutationVariable = "FORAGER_PLANTED"
-	mutationSource   = `package forager
+	scenarioTest     = "TestResponsesReachTheirCallers"
+	framingTest      = "TestFramingMatchesStrictParser"
+	mutationVariable = "DATAPLANE_MUTATION"
+	mutationSource   = `package dataplane
 
 import "os"
 
@@ -30,27 +30,27 @@
 type mutation struct{ name, test, file, old, new string }
 
 var mutations = []mutation{
-	{"answers are not told apart", scenarioTest, "answer.go", `return string(ids[0]) == s.attempt`, `return MISTAKE || string(ids[0]) == s.attempt`},
-	{"an answer without an id is taken", scenarioTest, "answer.go", `return s.attempt == "" ||`, `return MISTAKE || s.attempt == "" ||`},
-	{"an interim answer is taken", scenarioTest, "answer.go", `case status >= fasthttp.StatusOK:`, `case status >= fasthttp.StatusOK || MISTAKE && status > fasthttp.StatusContinue:`},
-	{"an unmarked promise is handed on", scenarioTest, "answer.go", `|| promises(status)):`, `|| promises(status) && !MISTAKE):`},
-	{"a reset before the answer counts as never run", scenarioTest, "exchange.go", `if x.unsent {`, `if x.unsent || MISTAKE {`},
-	{"a small request written by half counts as never run", scenarioTest, "links.go", `if n > 0 {`, `if n > 0 && !MISTAKE {`},
-	{"a large request written by half counts as never run", scenarioTest, "exchange.go", `x.unsent = bytes == 0`, `x.unsent = bytes == 0 || MISTAKE && bytes > smallRequest && bytes < 60000`},
-	{"a connection carries an id twice", scenarioTest, "links.go", `if c.p.carriedBy(l) {`, `if c.p.carriedBy(l) && !MISTAKE {`},
-	{"a connection is used again while it is written to", scenarioTest, "exchange.go", `x.due == nil && !x.writing`, `x.due == nil && (!x.writing || MISTAKE)`},
-	{"the connection of a call that was given up is used again", scenarioTest, "links.go", `		f.drop(c.link)
+	{"answers are not told apart", scenarioTest, "response.go", `return string(ids[0]) == s.attemptID`, `return MISTAKE || string(ids[0]) == s.attemptID`},
+	{"an answer without an id is taken", scenarioTest, "response.go", `return s.attemptID == "" ||`, `return MISTAKE || s.attemptID == "" ||`},
+	{"an interim answer is taken", scenarioTest, "response.go", `case status >= fasthttp.StatusOK:`, `case status >= fasthttp.StatusOK || MISTAKE && status > fasthttp.StatusContinue:`},
+	{"an unmarked promise is handed on", scenarioTest, "response.go", `|| promisesNotExecuted(status)):`, `|| promisesNotExecuted(status) && !MISTAKE):`},
+	{"a reset before the answer counts as never run", scenarioTest, "exchange.go", `if x.nothingSent {`, `if x.nothingSent || MISTAKE {`},
+	{"a small request written by half counts as never run", scenarioTest, "serverconn.go", `if n > 0 {`, `if n > 0 && !MISTAKE {`},
+	{"a large request written by half counts as never run", scenarioTest, "exchange.go", `x.nothingSent = bytes == 0`, `x.nothingSent = bytes == 0 || MISTAKE && bytes > smallRequestBytes && bytes < 60000`},
+	{"a connection carries an id twice", scenarioTest, "serverconn.go", `if c.shardCall.usedConn(l) {`, `if c.shardCall.usedConn(l) && !MISTAKE {`},
+	{"a connection is used again while it is written to", scenarioTest, "exchange.go", `x.pending == nil && !x.writing`, `x.pending == nil && (!x.writing || MISTAKE)`},
+	{"the connection of a call that was given up is used again", scenarioTest, "serverconn.go", `		f.closeConn(c.conn)
 	}
 	if !outcome`, `		if MISTAKE {
-			c.f.idle = append(c.f.idle, c.link)
+			c.endpoint.idle = append(c.endpoint.idle, c.conn)
 		} else {
-			f.drop(c.link)
+			f.closeConn(c.conn)
 		}
 	}
 	if !outcome`},
-	{"an unfinished call counts as never run", scenarioTest, "owner.go", `return c != nil && c.link != nil`, `return c != nil && c.link != nil && !MISTAKE`},
-	{"an ended call counts as never run", scenarioTest, "links.go", `if !outcome.NeverRan() && c.link != nil {`, `if !outcome.NeverRan() && c.link != nil && !MISTAKE {`},
-	{"a new connection is given what has been answered", scenarioTest, "links.go", `case c.p.s.over || c.p.in != nil:`, `case (c.p.s.over || c.p.in != nil) && !MISTAKE:`},
+	{"an unfinished call counts as never run", scenarioTest, "loop.go", `return c != nil && c.conn != nil`, `return c != nil && c.conn != nil && !MISTAKE`},
+	{"an ended call counts as never run", scenarioTest, "serverconn.go", `if !outcome.NeverRan() && c.conn != nil {`, `if !outcome.NeverRan() && c.conn != nil && !MISTAKE {`},
+	{"a new connection is given what has been answered", scenarioTest, "serverconn.go", `case c.shardCall.request.finished || c.shardCall.response != nil:`, `case (c.shardCall.request.finished || c.shardCall.response != nil) && !MISTAKE:`},
 	{"the answer to a HEAD has a body", scenarioTest, "front.go", `if !k.req.Header.IsHead() {`, `if !k.req.Header.IsHead() || MISTAKE {`},
 	{"a line may end in a bare line feed", framingTest, "front.go", `		line, ended := bytes.CutSuffix(line, []byte("\r\n"))
 		if !ended {`, `		line, ended := bytes.CutSuffix(line, []byte("\r\n"))
@@ -59,7 +59,7 @@
 		}
 		if !ended {`},
 	{"a length beside chunks is let pass", framingTest, "front.go", `lengths > 0 && chunked > 0:`, `lengths > 0 && chunked > 0 && !MISTAKE:`},
-	{"lines behind the last chunk are left in place", framingTest, "front.go", `if err := skipTrailer(k.r); err != nil {`, `if err := skipTrailer(k.r); err != nil && !MISTAKE {`},
+	{"lines behind the last chunk are left in place", framingTest, "front.go", `if err := skipTrailer(k.reader); err != nil {`, `if err := skipTrailer(k.reader); err != nil && !MISTAKE {`},
 }
 
 // TestMutationsAreDetected builds the mistakes in and sees that each is found.
--- a/internal/controlcli/commands_test.go
+++ b/internal/controlcli/commands_test.go
@@ -43,7 +43,7 @@
 		b.t.Fatal(err)
 	}
 	b.t.Cleanup(func() { p.Process.Signal(syscall.SIGKILL); p.Wait() })
-	if program == "hive" {
+	if program == "oxbowspan-control" {
 		b.controllers = append(b.controllers, p)
 	}
 	return p
@@ -52,7 +52,7 @@
 // run runs one command of the built hive and returns what it printed and its exit code.
 func (b *programs) run(args ...string) (string, int) {
 	b.t.Helper()
-	p := exec.Command(filepath.Join(b.bin, "hive"), args...)
+	p := exec.Command(filepath.Join(b.bin, "oxbowspan-control"), args...)
 	var out, errs bytes.Buffer
 	p.Stdout, p.Stderr = &out, &errs
 	err := p.Run()
@@ -130,7 +130,7 @@
 // killed and its disk removed, and the events tell it.
 func TestCommandsOnBuiltPrograms(t *testing.T) {
 	b := &programs{t: t, bin: t.TempDir(), cluster: simcluster.NewLocal(t.TempDir(), 3, 2)}
-	if out, err := exec.Command("go", "build", "-o", b.bin+"/", "oxbowspan/cmd/hive", "oxbowspan/cmd/forager").CombinedOutput(); err != nil {
+	if out, err := exec.Command("go", "build", "-o", b.bin+"/", "oxbowspan/cmd/oxbowspan-control", "oxbowspan/cmd/oxbowspan-gateway").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
 	controllers, gateways, err := b.cluster.WriteSettings()
@@ -139,9 +139,9 @@
 	}
 	for i, boot := range append(controllers, gateways...) {
 		if i < len(controllers) {
-			b.start("hive", boot)
+			b.start("oxbowspan-control", boot)
 		} else {
-			b.start("forager", boot)
+			b.start("oxbowspan-gateway", boot)
 		}
 	}
 	for _, service := range simcluster.ExampleServices {
@@ -164,8 +164,8 @@
 	at := func(args ...string) []string { return append([]string{boot}, args...) }
 
 	b.expect(0, "as it should be", at("check", "boot")...)
-	if out, err := exec.Command("bash", "-c", "source <("+b.bin+"/hive completion); COMP_WORDS=(hive judgement p); COMP_CWORD=2; _hive; echo ${COMPREPLY[*]}").CombinedOutput(); err != nil || strings.TrimSpace(string(out)) != "pin" {
-		t.Errorf("completion of 'hive judgement p': %q, %v", out, err)
+	if out, err := exec.Command("bash", "-c", "source <("+b.bin+"/oxbowspan-control completion); COMP_WORDS=(oxbowspan-control judgement p); COMP_CWORD=2; _oxbowspan-control; echo ${COMPREPLY[*]}").CombinedOutput(); err != nil || strings.TrimSpace(string(out)) != "pin" {
+		t.Errorf("completion of 'oxbowspan-control judgement p': %q, %v", out, err)
 	}
 	b.expect(2, "USAGE", at("config")...)
 	b.expect(2, "USAGE", at("tenant", "set")...)
@@ -224,7 +224,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.start("hive", file("again.toml", strings.Replace(string(text), "first_start = true", "first_start = false", 1)))
+	b.start("oxbowspan-control", file("again.toml", strings.Replace(string(text), "first_start = true", "first_start = false", 1)))
 	b.eventually(0, "the acceptors are at", at("events")...)
 	b.poll("whole again at three hives", func(text string, code int) bool {
 		return code == 0 && strings.Count(text, "disks that may be lost now: 1") == 3
@@ -245,7 +245,7 @@
 		}
 	}
 	for _, path := range controllers {
-		b.start("hive", path)
+		b.start("oxbowspan-control", path)
 	}
 	b.eventually(1, "none yet", at("config", "get")...)
 	b.expect(1, "gone for good", at("state", "restore", copied)...)
--- a/internal/controlcli/export.go
+++ b/internal/controlcli/export.go
@@ -55,7 +55,7 @@
 func restoreCommand(path *string, out io.Writer) *ffcli.Command {
 	o := &commandContext{settingsPath: path, out: out}
 	var acceptLoss bool
-	c := o.command("hive state", "restore", "FILE", "have a copy agreed on by a core that was begun anew and has nothing yet", 1, 1,
+	c := o.command("oxbowspan-control state", "restore", "FILE", "have a copy agreed on by a core that was begun anew and has nothing yet", 1, 1,
 		func(ctx context.Context, k *controlclient.Client, args []string) error {
 			return o.restore(ctx, k, args[0], acceptLoss)
 		})
--- a/internal/controlcli/outlier.go
+++ b/internal/controlcli/outlier.go
@@ -24,18 +24,18 @@
 	o := &commandContext{settingsPath: path, out: out}
 	var duration time.Duration
 	var reason string
-	pin := o.command("hive judgement", "pin", "INSTANCE in|avoided|out", "hold a server at a stance for a time, whatever is seen of it", 2, 2,
+	pin := o.command("oxbowspan-control judgement", "pin", "INSTANCE in|avoided|out", "hold a server at a stance for a time, whatever is seen of it", 2, 2,
 		func(ctx context.Context, k *controlclient.Client, args []string) error {
 			return o.updatePin(ctx, k, args[0], &config.Pin{Instance: args[0], State: args[1], DurationSeconds: int(duration / time.Second), Reason: reason})
 		})
 	pin.FlagSet.DurationVar(&duration, "for", 10*time.Minute, "how long")
 	pin.FlagSet.StringVar(&reason, "why", "", "the `reason`, for those who come after")
-	return &ffcli.Command{Name: "judgement", ShortUsage: "hive judgement list|explain|pin|unpin", ShortHelp: "see what the gatherers hold of servers, and pin it",
+	return &ffcli.Command{Name: "judgement", ShortUsage: "oxbowspan-control judgement list|explain|pin|unpin", ShortHelp: "see what the gatherers hold of servers, and pin it",
 		FlagSet: flag.NewFlagSet("judgement", flag.ContinueOnError), Subcommands: []*ffcli.Command{
-			o.command("hive judgement", "list", "", "list the servers that are not simply in, and by how many gatherers", 0, 0, o.outlierList),
-			o.command("hive judgement", "explain", "INSTANCE", "say which gatherer holds what of a server since when and why, and who saw it", 1, 1, o.outlierExplain),
+			o.command("oxbowspan-control judgement", "list", "", "list the servers that are not simply in, and by how many gatherers", 0, 0, o.outlierList),
+			o.command("oxbowspan-control judgement", "explain", "INSTANCE", "say which gatherer holds what of a server since when and why, and who saw it", 1, 1, o.outlierExplain),
 			pin,
-			o.command("hive judgement", "unpin", "INSTANCE", "end a pin", 1, 1, func(ctx context.Context, k *controlclient.Client, args []string) error {
+			o.command("oxbowspan-control judgement", "unpin", "INSTANCE", "end a pin", 1, 1, func(ctx context.Context, k *controlclient.Client, args []string) error {
 				return o.updatePin(ctx, k, args[0], nil)
 			}),
 		}, Exec: func(context.Context, []string) error { return flag.ErrHelp }}
--- a/internal/controlcli/program.go
+++ b/internal/controlcli/program.go
@@ -46,7 +46,7 @@
 
 // RunController runs the control plane's command line and returns its exit code.
 func RunController(args []string, out, errs io.Writer) int {
-	return program{"hive", false, true, func(ctx context.Context, set *settings.Settings, log zerolog.Logger) error {
+	return program{"oxbowspan-control", false, true, func(ctx context.Context, set *settings.Settings, log zerolog.Logger) error {
 		h, err := controlplane.New(set, network.TCP{}, log)
 		if err != nil {
 			return err
@@ -57,7 +57,7 @@
 
 // RunGateway runs the data plane's command line and returns its exit code.
 func RunGateway(args []string, out, errs io.Writer) int {
-	return program{"forager", true, false, func(ctx context.Context, set *settings.Settings, log zerolog.Logger) error {
+	return program{"oxbowspan-gateway", true, false, func(ctx context.Context, set *settings.Settings, log zerolog.Logger) error {
 		return dataplane.New(set, network.TCP{}, log).Run(ctx)
 	}, 0.6, 400}.main(args, out, errs)
 }
@@ -118,7 +118,7 @@
 func stateCommand(path *string, out io.Writer) *ffcli.Command {
 	var dir *string
 	subcommand := func(name, help string, words int, do func(c *acceptorstore.Contents, args []string) error) *ffcli.Command {
-		return &ffcli.Command{Name: name, ShortUsage: "hive state [--dir DIR] " + name, ShortHelp: help, Exec: func(_ context.Context, args []string) error {
+		return &ffcli.Command{Name: name, ShortUsage: "oxbowspan-control state [--dir DIR] " + name, ShortHelp: help, Exec: func(_ context.Context, args []string) error {
 			if len(args) != words {
 				return flag.ErrHelp
 			}
@@ -139,7 +139,7 @@
 	}
 	set := flag.NewFlagSet("state", flag.ContinueOnError)
 	dir = set.String("dir", "", "the data `directory`; else the settings file names it")
-	return &ffcli.Command{Name: "state", ShortUsage: "hive state [--dir DIR] check|dump|config|export|restore", ShortHelp: "read the state file of a machine that does not run; the way back from a lost majority",
+	return &ffcli.Command{Name: "state", ShortUsage: "oxbowspan-control state [--dir DIR] check|dump|config|export|restore", ShortHelp: "read the state file of a machine that does not run; the way back from a lost majority",
 		FlagSet: set, Subcommands: []*ffcli.Command{
 			subcommand("check", "say whether the file is whole", 0, func(c *acceptorstore.Contents, _ []string) error {
 				fmt.Fprintf(out, "the state file is whole: %d bytes, turn %d, version %d\n", c.Bytes, c.Slot, c.Version)
--- a/internal/controlcli/tenant.go
+++ b/internal/controlcli/tenant.go
@@ -23,14 +23,14 @@
 func tenantCommand(path *string, out io.Writer) *ffcli.Command {
 	o := &commandContext{settingsPath: path, out: out}
 	subcommand := func(name, usage, help string, least, most int, do func(ctx context.Context, k *controlclient.Client, args []string) error) *ffcli.Command {
-		return o.command("hive tenant", name, usage, help, least, most, do)
+		return o.command("oxbowspan-control tenant", name, usage, help, least, most, do)
 	}
 	var basedOn int64
 	set := subcommand("set", "FILE", "have a document of tenants agreed on, in place of the newest", 1, 1, func(ctx context.Context, k *controlclient.Client, args []string) error {
 		return o.tenantSet(ctx, k, args[0], basedOn)
 	})
 	set.FlagSet.Int64Var(&basedOn, "based-on", -1, "the `version` that it replaces; else the newest")
-	return &ffcli.Command{Name: "tenant", ShortUsage: "hive tenant list|explain|set|dry-run", ShortHelp: "see and set who shares the servers' connections",
+	return &ffcli.Command{Name: "tenant", ShortUsage: "oxbowspan-control tenant list|explain|set|dry-run", ShortHelp: "see and set who shares the servers' connections",
 		FlagSet: flag.NewFlagSet("tenant", flag.ContinueOnError), Subcommands: []*ffcli.Command{
 			subcommand("list", "", "list the tenants and what each has now", 0, 0, o.tenantList),
 			subcommand("explain", "[TENANT]", "say who has what on which node and server, lent or its own, and who waited how long", 0, 1, o.tenantExplain),
--- a/internal/controlcli/views.go
+++ b/internal/controlcli/views.go
@@ -24,10 +24,10 @@
 func viewCommands(path *string, out io.Writer) []*ffcli.Command {
 	o := &commandContext{settingsPath: path, out: out}
 	return []*ffcli.Command{
-		o.command("hive", "nodes", "", "list the gatherers, and which have the newest version in force", 0, 0, o.nodes),
-		o.command("hive", "servers", "[SERVICE]", "list the servers, as their heartbeats tell", 0, 1, o.servers),
-		o.command("hive", "members", "", "say who votes, as each hive sees it, and what loss is borne now", 0, 0, o.members),
-		o.command("hive", "events", "", "say what the system did and saw, all hives together, the newest last", 0, 0, o.events),
+		o.command("oxbowspan-control", "nodes", "", "list the gatherers, and which have the newest version in force", 0, 0, o.nodes),
+		o.command("oxbowspan-control", "servers", "[SERVICE]", "list the servers, as their heartbeats tell", 0, 1, o.servers),
+		o.command("oxbowspan-control", "members", "", "say who votes, as each hive sees it, and what loss is borne now", 0, 0, o.members),
+		o.command("oxbowspan-control", "events", "", "say what the system did and saw, all hives together, the newest last", 0, 0, o.events),
 	}
 }
 
@@ -146,13 +146,13 @@
 func configCommand(path *string, out io.Writer) *ffcli.Command {
 	o := &commandContext{settingsPath: path, out: out}
 	var basedOn int64
-	put := o.command("hive config", "put", "FILE", "have a configuration agreed on, in place of the newest", 1, 1, func(ctx context.Context, k *controlclient.Client, args []string) error {
+	put := o.command("oxbowspan-control config", "put", "FILE", "have a configuration agreed on, in place of the newest", 1, 1, func(ctx context.Context, k *controlclient.Client, args []string) error {
 		return o.configPut(ctx, k, args[0], basedOn)
 	})
 	put.FlagSet.Int64Var(&basedOn, "based-on", -1, "the `version` that it replaces; else the newest")
-	return &ffcli.Command{Name: "config", ShortUsage: "hive config get|put|diff|history|explain", ShortHelp: "see and set the configuration",
+	return &ffcli.Command{Name: "config", ShortUsage: "oxbowspan-control config get|put|diff|history|explain", ShortHelp: "see and set the configuration",
 		FlagSet: flag.NewFlagSet("config", flag.ContinueOnError), Subcommands: []*ffcli.Command{
-			o.command("hive config", "get", "", "print the newest configuration", 0, 0, func(ctx context.Context, k *controlclient.Client, _ []string) error {
+			o.command("oxbowspan-control config", "get", "", "print the newest configuration", 0, 0, func(ctx context.Context, k *controlclient.Client, _ []string) error {
 				_, text, err := k.Configuration(ctx)
 				if err == nil {
 					_, err = o.out.Write(append(bytes.TrimRight(text, "\n"), '\n'))
@@ -160,9 +160,9 @@
 				return err
 			}),
 			put,
-			o.command("hive config", "diff", "FILE", "say what a file would change", 1, 1, o.configDiff),
-			o.command("hive config", "history", "", "list the versions that are remembered, the oldest first", 0, 0, o.configHistory),
-			o.command("hive config", "explain", "HOST/PATH", "say which route a request takes, to which services, and which gatherers have that version", 1, 1, o.configExplain),
+			o.command("oxbowspan-control config", "diff", "FILE", "say what a file would change", 1, 1, o.configDiff),
+			o.command("oxbowspan-control config", "history", "", "list the versions that are remembered, the oldest first", 0, 0, o.configHistory),
+			o.command("oxbowspan-control config", "explain", "HOST/PATH", "say which route a request takes, to which services, and which gatherers have that version", 1, 1, o.configExplain),
 		}, Exec: func(context.Context, []string) error { return flag.ErrHelp }}
 }
 
--- a/internal/testing/experiment/cluster.go
+++ b/internal/testing/experiment/cluster.go
@@ -47,9 +47,9 @@
 		return err
 	}
 	for i, path := range append(hives, foragers...) {
-		name := "hive"
+		name := "oxbowspan-control"
 		if i >= len(hives) {
-			name = "forager"
+			name = "oxbowspan-gateway"
 		}
 		if bin == "" {
 			fmt.Fprintf(out, "%s=%s target/%s serve\n", settings.PathVariable, path, name)
--- a/internal/testing/experiment/local_cluster.go
+++ b/internal/testing/experiment/local_cluster.go
@@ -43,7 +43,7 @@
 		return p, nil
 	}
 	for _, path := range atHive {
-		p, err := s.startProgram(path, "hive")
+		p, err := s.startProgram(path, "oxbowspan-control")
 		if err != nil {
 			s.stop()
 			return nil, err
@@ -51,7 +51,7 @@
 		s.controllers = append(s.controllers, p)
 	}
 	for _, path := range atForager {
-		p, err := s.startProgram(path, "forager")
+		p, err := s.startProgram(path, "oxbowspan-gateway")
 		if err != nil {
 			s.stop()
 			return nil, err
@@ -93,7 +93,7 @@
 }
 
 func (s *localCluster) restartGateway(i int) error {
-	p, err := s.startProgram(s.settingsPaths[s.gateways[i]], "forager")
+	p, err := s.startProgram(s.settingsPaths[s.gateways[i]], "oxbowspan-gateway")
 	if err == nil {
 		s.gateways[i] = p
 	}
--- a/internal/testing/simcluster/disk_test.go
+++ b/internal/testing/simcluster/disk_test.go
@@ -178,10 +178,10 @@
 func TestNoWallClockReads(t *testing.T) {
 	asks := map[string]bool{"Unix": true, "UnixMilli": true, "UnixMicro": true, "UnixNano": true, "UTC": true, "Local": true, "Round": true,
 		"Truncate": true, "Date": true, "Hour": true, "Minute": true, "Second": true, "Format": true, "In": true}
-	allowed := map[string]bool{"internal/wax/wax.go:UTC": true, "internal/wax/wax.go:Format": true}
+	allowed := map[string]bool{"internal/acceptorstore/store.go:UTC": true, "internal/acceptorstore/store.go:Format": true}
 	files := 0
-	for _, dir := range []string{"swarm", "waggle", "comb", "kin", "quorum", "nectar", "dance", "hive", "forager", "internal/wax", "internal/ground", "internal/boot", "brain"} {
-		names, err := filepath.Glob(filepath.Join("../..", dir, "*.go"))
+	for _, dir := range []string{"consensus", "registry", "config", "rendezvous", "quorum", "topk", "rpc", "controlplane", "dataplane", "internal/acceptorstore", "internal/network", "internal/settings", "balancer"} {
+		names, err := filepath.Glob(filepath.Join("../../..", dir, "*.go"))
 		requireNoError(t, err)
 		for _, name := range names {
 			if strings.HasSuffix(name, "_test.go") || strings.HasSuffix(name, ".pb.go") || strings.HasSuffix(name, "_easyjson.go") {
@@ -200,7 +200,7 @@
 				if !ok || !clock {
 					return true
 				}
-				if s, ok := call.Fun.(*ast.SelectorExpr); ok && asks[s.Sel.Name] && !allowed[strings.TrimPrefix(filepath.ToSlash(name), "../../")+":"+s.Sel.Name] {
+				if s, ok := call.Fun.(*ast.SelectorExpr); ok && asks[s.Sel.Name] && !allowed[strings.TrimPrefix(filepath.ToSlash(name), "../../../")+":"+s.Sel.Name] {
 					if x, ok := s.X.(*ast.Ident); !ok || x.Name != "time" {
 						t.Errorf("%s: %s asks the time of day", set.Position(call.Pos()), s.Sel.Name)
 					}
