--- a/rpc/convert.go
+++ b/rpc/convert.go
@@ -6,20 +6,27 @@
 	"oxbowspan/consensus"
 )
 
-// ValueToProto and the others below turn what is agreed on into messages and back. Bodies whose digests the reader has are left
-// out.
+// ValueToProto encodes a value for a reader that has the bodies with the known digests: those bodies are omitted.
 func ValueToProto(v *consensus.Value, knownDigests ...string) *Value {
 	if v == nil {
 		return nil
 	}
-	m := &Value{Slot: uint64(v.Slot), Members: membersToProto(v.Members), PriorMembers: membersToProto(v.PriorMembers),
-		Version: uint64(v.Version), BasedOn: uint64(v.BasedOn), Digest: []byte(v.Digest), Body: v.Body, PriorRevisions: revisionsToProto(v.PriorRevisions)}
+	m := &Value{
+		Slot:           uint64(v.Slot),
+		Members:        membersToProto(v.Members),
+		PriorMembers:   membersToProto(v.PriorMembers),
+		Version:        uint64(v.Version),
+		BasedOn:        uint64(v.BasedOn),
+		Digest:         []byte(v.Digest),
+		Body:           v.Body,
+		PriorRevisions: revisionsToProto(v.PriorRevisions),
+	}
 	if omitBody(v.Digest, knownDigests) {
 		m.Body, m.BodyOmitted = nil, true
 	}
-	for _, n := range v.Documents {
-		document := DocumentToProto(n)
-		if omitBody(n.Digest, knownDigests) {
+	for _, d := range v.Documents {
+		document := DocumentToProto(d)
+		if omitBody(d.Digest, knownDigests) {
 			document.Body, document.BodyOmitted = nil, true
 		}
 		m.Documents = append(m.Documents, document)
@@ -27,19 +34,28 @@
 	return m
 }
 
+// omitBody reports whether the reader has a body. The empty digest stands for no body, which is not omitted.
 func omitBody(digest string, knownDigests []string) bool {
 	return digest != "" && slices.Contains(knownDigests, digest)
 }
 
-// ValueFromProto returns the value, with bodies that were left out taken from values that the reader holds. It returns nil where one
-// of them is in none of these: such a value is not to be used.
+// ValueFromProto decodes a value and restores omitted bodies from the known values. It returns nil when one of the omitted
+// bodies is in none of them: the value is incomplete and must not be used.
 func ValueFromProto(m *Value, known ...*consensus.Value) *consensus.Value {
 	if m == nil {
 		return nil
 	}
+	v := &consensus.Value{
+		Slot:           consensus.Slot(m.Slot),
+		Members:        membersFromProto(m.Members),
+		PriorMembers:   membersFromProto(m.PriorMembers),
+		Version:        consensus.Version(m.Version),
+		BasedOn:        consensus.Version(m.BasedOn),
+		Digest:         string(m.Digest),
+		Body:           m.Body,
+		PriorRevisions: revisionsFromProto(m.PriorRevisions),
+	}
 	bodies := BodiesByDigest(known...)
-	v := &consensus.Value{Slot: consensus.Slot(m.Slot), Members: membersFromProto(m.Members), PriorMembers: membersFromProto(m.PriorMembers),
-		Version: consensus.Version(m.Version), BasedOn: consensus.Version(m.BasedOn), Digest: string(m.Digest), Body: m.Body, PriorRevisions: revisionsFromProto(m.PriorRevisions)}
 	if m.BodyOmitted {
 		body, found := bodies[v.Digest]
 		if !found {
@@ -47,9 +63,9 @@
 		}
 		v.Body = body
 	}
-	for _, n := range m.Documents {
-		document := consensus.Document{Name: n.Name, Version: consensus.Version(n.Version), Digest: string(n.Digest), Body: n.Body, PriorRevisions: revisionsFromProto(n.PriorRevisions)}
-		if n.BodyOmitted {
+	for _, d := range m.Documents {
+		document := documentFromProto(d)
+		if d.BodyOmitted {
 			body, found := bodies[document.Digest]
 			if !found {
 				return nil
@@ -61,15 +77,15 @@
 	return v
 }
 
-// BodyDigests are those of the bodies that a value holds.
-func BodyDigests(v *consensus.Value) (out []string) {
+// BodyDigests returns the digests of the bodies that a value contains, in no order.
+func BodyDigests(v *consensus.Value) (digests []string) {
 	for digest := range BodiesByDigest(v) {
-		out = append(out, digest)
+		digests = append(digests, digest)
 	}
-	return out
+	return digests
 }
 
-// BodiesByDigest are those that values hold, by digest.
+// BodiesByDigest returns the bodies of the configurations and documents of some values. Nil values are skipped.
 func BodiesByDigest(values ...*consensus.Value) map[string][]byte {
 	bodies := map[string][]byte{}
 	for _, v := range values {
@@ -79,70 +95,90 @@
 		if v.Digest != "" {
 			bodies[v.Digest] = v.Body
 		}
-		for _, n := range v.Documents {
-			if n.Digest != "" {
-				bodies[n.Digest] = n.Body
+		for _, d := range v.Documents {
+			if d.Digest != "" {
+				bodies[d.Digest] = d.Body
 			}
 		}
 	}
 	return bodies
 }
 
-// DigestsToProto turns digests into those of a message.
-func DigestsToProto(digests []string) (out [][]byte) {
+// DigestsToProto encodes digests.
+func DigestsToProto(digests []string) (encoded [][]byte) {
 	for _, d := range digests {
-		out = append(out, []byte(d))
+		encoded = append(encoded, []byte(d))
 	}
-	return out
+	return encoded
 }
 
-// DigestsFromProto is its inverse.
-func DigestsFromProto(digests [][]byte) (out []string) {
-	for _, d := range digests {
-		out = append(out, string(d))
+// DigestsFromProto decodes digests.
+func DigestsFromProto(encoded [][]byte) (digests []string) {
+	for _, d := range encoded {
+		digests = append(digests, string(d))
 	}
-	return out
+	return digests
 }
 
-// DocumentToProto turns a note into a message.
-func DocumentToProto(n consensus.Document) *Document {
-	return &Document{Name: n.Name, Version: uint64(n.Version), Digest: []byte(n.Digest), Body: n.Body, PriorRevisions: revisionsToProto(n.PriorRevisions)}
+// DocumentToProto encodes a document with its body. Its age is left at 0.
+func DocumentToProto(d consensus.Document) *Document {
+	return &Document{
+		Name:           d.Name,
+		Version:        uint64(d.Version),
+		Digest:         []byte(d.Digest),
+		Body:           d.Body,
+		PriorRevisions: revisionsToProto(d.PriorRevisions),
+	}
+}
+
+func documentFromProto(m *Document) consensus.Document {
+	return consensus.Document{
+		Name:           m.Name,
+		Version:        consensus.Version(m.Version),
+		Digest:         string(m.Digest),
+		Body:           m.Body,
+		PriorRevisions: revisionsFromProto(m.PriorRevisions),
+	}
 }
 
-func revisionsToProto(in []consensus.Revision) (out []*Revision) {
-	for _, p := range in {
-		out = append(out, &Revision{Version: uint64(p.Version), BasedOn: uint64(p.BasedOn), Digest: []byte(p.Digest)})
+func revisionsToProto(revisions []consensus.Revision) (encoded []*Revision) {
+	for _, r := range revisions {
+		encoded = append(encoded, &Revision{Version: uint64(r.Version), BasedOn: uint64(r.BasedOn), Digest: []byte(r.Digest)})
 	}
-	return out
+	return encoded
 }
 
-func revisionsFromProto(in []*Revision) (out []consensus.Revision) {
-	for _, p := range in {
-		out = append(out, consensus.Revision{Version: consensus.Version(p.Version), BasedOn: consensus.Version(p.BasedOn), Digest: string(p.Digest)})
+func revisionsFromProto(encoded []*Revision) (revisions []consensus.Revision) {
+	for _, m := range encoded {
+		revisions = append(revisions, consensus.Revision{
+			Version: consensus.Version(m.Version),
+			BasedOn: consensus.Version(m.BasedOn),
+			Digest:  string(m.Digest),
+		})
 	}
-	return out
+	return revisions
 }
 
-func membersToProto(in []consensus.Member) (out []*Member) {
-	for _, m := range in {
-		out = append(out, &Member{Id: uint64(m.ID), Address: m.Address})
+func membersToProto(members []consensus.Member) (encoded []*Member) {
+	for _, m := range members {
+		encoded = append(encoded, &Member{Id: uint64(m.ID), Address: m.Address})
 	}
-	return out
+	return encoded
 }
 
-func membersFromProto(in []*Member) (out []consensus.Member) {
-	for _, m := range in {
-		out = append(out, consensus.Member{ID: consensus.AcceptorID(m.Id), Address: m.Address})
+func membersFromProto(encoded []*Member) (members []consensus.Member) {
+	for _, m := range encoded {
+		members = append(members, consensus.Member{ID: consensus.AcceptorID(m.Id), Address: m.Address})
 	}
-	return out
+	return members
 }
 
-// BallotToProto turns a ballot into a message.
+// BallotToProto encodes a ballot.
 func BallotToProto(b consensus.Ballot) *Ballot {
 	return &Ballot{Number: b.Number, Proposer: uint64(b.By)}
 }
 
-// BallotFromProto is its inverse; nil is the zero ballot.
+// BallotFromProto decodes a ballot; nil is the zero ballot.
 func BallotFromProto(m *Ballot) consensus.Ballot {
 	return consensus.Ballot{Number: m.GetNumber(), By: consensus.ProposerID(m.GetProposer())}
 }
--- /dev/null
+++ b/rpc/doc.go
@@ -0,0 +1,9 @@
+// Package rpc is the transport between controllers and gateways: protobuf messages in length-prefixed frames over TCP.
+// It owns the frame format and its size limit, connections and their time limits, and the matching of responses to
+// requests. The contents of requests and responses belong to the programs.
+//
+// A connection begins with [Preface], sent by the side that dialed. Each frame that follows is its length as four
+// big-endian bytes and then that many bytes of an encoded [Frame], [MaxFrameBytes] at most.
+package rpc
+
+//go:generate protoc --proto_path=.. --go_out=.. --go_opt=module=oxbowspan rpc/rpc.proto
