--- a/quota/bench_test.go
+++ b/quota/bench_test.go
@@ -6,12 +6,11 @@
 	"time"
 )
 
-// What fair shares of connections cost, by number of servers and of gatherers, for docs/CAPACITY.md:
+// Costs of fair shares by number of servers and gateways, for docs/CAPACITY.md:
 //
-//	go test -run xxx -bench . -benchmem ./pollen
+//	go test -run xxx -bench . -benchmem ./quota
 
-// BenchmarkLimiterSetServer puts a whole list of servers in place, as a gatherer's first list and each change of the number of
-// gatherers do.
+// BenchmarkLimiterSetServer sets all servers, as a gateway does with its first list and when the number of gateways changes.
 func BenchmarkLimiterSetServer(b *testing.B) {
 	for _, servers := range []int{300, 1000, 3000, 10_000} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
@@ -26,11 +25,16 @@
 	}
 }
 
+// BenchmarkAllocator measures one request of a gateway.
 func BenchmarkAllocator(b *testing.B) {
 	for _, gateways := range []int{30, 300, 3300} {
-		b.Run(fmt.Sprintf("asked by one of/gatherers=%d", gateways), func(b *testing.B) {
+		b.Run(fmt.Sprintf("gateways=%d", gateways), func(b *testing.B) {
 			allocator := NewAllocator()
-			demands := []Demand{{"a", 2, 1}, {"b", 1, 2}, {"c", 0.5, 1}}
+			demands := []Demand{
+				{Tenant: "a", Connections: 2, Weight: 1},
+				{Tenant: "b", Connections: 1, Weight: 2},
+				{Tenant: "c", Connections: 0.5, Weight: 1},
+			}
 			for incarnation := range gateways {
 				allocator.Request(uint64(incarnation), demands, 0, 1000, time.Second)
 			}
--- a/quota/estimate.go
+++ b/quota/estimate.go
@@ -2,26 +2,27 @@
 
 import "time"
 
-// How much of the in-flight limit tenants may fill while others are there too: whoever has less than its part is let in when whoever has
-// more is not.
+// Portions of the gateway's in-flight limit that a tenant's requests may fill while other tenants are present: one that uses less than its
+// share is still admitted when one that uses more is not.
 const (
 	underShareFactor = 1.25
 	overShareFactor  = 0.9
 )
 
-// InFlightFactor is how much of the gatherer's in-flight limit a tenant's requests may fill.
+// InFlightFactor returns the portion of the gateway's in-flight limit that a tenant's requests may fill; 1 = all of it.
 func (l *Limiter) InFlightFactor(tenant TenantID, now time.Duration) float64 {
-	inUse, weights, own, others := 0, l.policies[tenant].Weight, 0, false
-	for other, total := range l.totals {
+	inUse, own, others := 0, 0, false
+	weights := l.policies[tenant].Weight
+	for id, total := range l.totals {
 		switch {
-		case other == tenant:
+		case id == tenant:
 			own = total.inUse
 		case total.inUse == 0 && now-total.lastUsed >= presenceWindow:
-			delete(l.totals, other)
+			delete(l.totals, id)
 			continue
 		default:
 			others = true
-			weights += l.policies[other].Weight
+			weights += l.policies[id].Weight
 		}
 		inUse += total.inUse
 	}
@@ -34,8 +35,8 @@
 	return overShareFactor
 }
 
-// EstimatedWait is how long a part that finds no room at a service is likely to wait for it: those that wait before it, held one after the
-// other in the tenant's own part.
+// EstimatedWait returns how long a shard call without a free connection is likely to wait for one: as long as the tenant's calls that wait
+// already take, one after another, on the connections of its share.
 func (l *Limiter) EstimatedWait(service Service, tenant TenantID, now time.Duration) time.Duration {
 	holdTime, waiting := initialHoldTime, 0
 	if queue := l.queues[queueKey{service, tenant}]; queue != nil {
@@ -44,7 +45,7 @@
 	connections := 0.0
 	for _, server := range l.servers {
 		if server.service == service && !server.removed {
-			connections += max(l.share(server, server.usage(tenant, now), now), 1)
+			connections += max(l.share(server, server.usage(tenant), now), 1)
 		}
 	}
 	if connections == 0 {
@@ -53,32 +54,35 @@
 	return time.Duration(float64(holdTime) * float64(waiting+1) / connections)
 }
 
-// ConnectionUsage is what a tenant has at a server.
+// ConnectionUsage is a tenant's use of one server, for operators.
 type ConnectionUsage struct {
-	Server          ServerID
-	Tenant          string
-	InUse, Borrowed int
-	Limit           int // of the gatherer's; 0 = no limit
-	Share           float64
-	WantsMore       bool
+	Server    ServerID
+	Tenant    string
+	InUse     int     // connections
+	Borrowed  int     // of these, beyond the tenant's share
+	Limit     int     // of all tenants of this gateway at the server; 0 = no limit
+	Share     float64 // of the limit
+	WantsMore bool    // the tenant was denied another lately and still waits
 }
 
-// ConnectionUsages lists who holds or wants connections, at all servers.
-func (l *Limiter) ConnectionUsages(now time.Duration) (out []ConnectionUsage) {
+// ConnectionUsages returns the tenants that use or want connections, at all servers, in no order.
+func (l *Limiter) ConnectionUsages(now time.Duration) (usages []ConnectionUsage) {
 	for id, server := range l.servers {
 		for _, usage := range server.tenants {
-			if wants := l.wantsMore(server, usage, now); usage.inUse > 0 || wants {
-				out = append(out, ConnectionUsage{id, l.policies[usage.tenant].Name, usage.inUse, usage.borrowed, server.limit, l.share(server, usage, now), wants})
+			wantsMore := l.wantsMore(server, usage, now)
+			if usage.inUse == 0 && !wantsMore {
+				continue
 			}
+			usages = append(usages, ConnectionUsage{
+				Server:    id,
+				Tenant:    l.policies[usage.tenant].Name,
+				InUse:     usage.inUse,
+				Borrowed:  usage.borrowed,
+				Limit:     server.limit,
+				Share:     l.share(server, usage, now),
+				WantsMore: wantsMore,
+			})
 		}
 	}
-	return out
-}
-
-// Waiting is how many parts of a tenant wait at a service.
-func (l *Limiter) Waiting(service Service, tenant TenantID) int {
-	if queue := l.queues[queueKey{service, tenant}]; queue != nil {
-		return queue.waiting
-	}
-	return 0
+	return usages
 }
--- a/quota/limiter.go
+++ b/quota/limiter.go
@@ -1,9 +1,3 @@
-// Package quota shares the servers' connections among tenants, as foragers carry home what feeds the whole hive: on one gatherer
-// (Node) by weighted max-min with what is idle lent out, and over all gatherers (Keeper) as parts that follow where each tenant's
-// traffic is. It owns who may take the next connection and how many each gatherer may hold. It has no I/O, no clock and no
-// goroutine; times are the caller's steady clock.
-//
-// Connections held over time are the server's time that a tenant takes: what holds for the one at each moment holds for the other.
 package quota
 
 import (
@@ -11,136 +5,93 @@
 	"time"
 )
 
-type (
-	TenantID int    // a tenant's number at one gatherer
-	ServerID uint32 // a server, as the gatherer numbers it
-	Service  string
-)
-
-// TenantPolicy are what a tenant is given. Floor, Most and Borrow count connections at one server of all gatherers together; a gatherer
-// holds its part of them.
-type TenantPolicy struct {
-	Name        string
-	Weight      float64 // above 0
-	Floor       float64 // never lent to others
-	Max         float64 // 0 = no bound
-	MaxBorrowed float64 // beyond its own part, of what others leave idle; negative = all of it
-}
-
 const (
-	denialWindow      = 50 * time.Millisecond // a tenant that was refused wants a connection for so long
-	creditDecay       = time.Second           // what a tenant had too little or too much of is forgotten in so long
-	presenceWindow    = 2 * time.Second       // one that used a server so lately is expected back: a reserve is kept
-	reserveDivisor    = 8                     // of a service's connections one in so many is kept in reserve at the most, one at least
-	inUseSmoothing    = 0.05                  // smoothing of how many connections a tenant holds at a service
-	holdTimeSmoothing = 0.05                  // smoothing of how long a connection is held
-	initialHoldTime   = 20 * time.Millisecond // before any was seen
+	denialWindow      = 50 * time.Millisecond // how long a denied tenant counts as wanting a connection
+	creditDecay       = time.Second           // after which a tenant's credit is forgotten
+	presenceWindow    = 2 * time.Second       // how long a tenant is expected back after it used a server
+	reserveDivisor    = 8                     // at most 1/8 of a service's connections is kept in reserve, but 1 at least
+	inUseSmoothing    = 0.05                  // weight of a new sample in tenantQueue.meanInUse
+	holdTimeSmoothing = 0.05                  // weight of a new sample in tenantQueue.meanHoldTime
+	initialHoldTime   = 20 * time.Millisecond // assumed before a connection was released
 )
 
-// Limiter is the sharing on one gatherer.
+// Limiter shares the connections of one gateway. Its tables hold entries for the servers and services that exist and the tenants
+// that have a policy or still use or await connections.
 type Limiter struct {
 	rankOffset uint64
-	policies   []TenantPolicy
-	byName     map[string]TenantID       // as many as the document and the routes name
-	freeIDs    []TenantID                // numbers of those gone that hold nothing
-	servers    map[ServerID]*serverState // emptied as servers go
+	policies   []TenantPolicy // by tenant ID
+	byName     map[string]TenantID
+	freeIDs    []TenantID // for reuse
+	servers    map[ServerID]*serverState
 	floors     map[Service][]TenantID
-	queues     map[queueKey]*tenantQueue // emptied as services go
-	services   map[Service]*serviceState // emptied as services go
-	totals     map[TenantID]*tenantTotal // emptied of those that hold nothing and were not seen of late
-}
-
-// tenantTotal is what a tenant holds at all servers.
-type tenantTotal struct {
-	inUse    int
-	lastUsed time.Duration
-}
-
-type queueKey struct {
-	service Service
-	tenant  TenantID
-}
-
-// tenantQueue is a tenant at one service: parts that wait for a connection, connections that it holds and how long.
-type tenantQueue struct {
-	tenant       TenantID
-	waiting      int
-	inUse        int
-	meanInUse    float64 // of what it held, as it took another
-	lastUsed     time.Duration
-	meanHoldTime time.Duration
-}
-
-// serviceState is a service: its servers, and the tenants that were seen there.
-type serviceState struct {
-	serverCount, totalLimit int
-	recentTenants           []*tenantQueue
-}
-
-// serverState is one server's connections, as this gatherer may hold them.
-type serverState struct {
-	service            Service
-	limit, globalLimit int // of whole for all gatherers together; part 0 = no limit
-	inUse              int
-	tenants            []*tenantUsage // emptied of those that hold nothing and were not seen of late
-	updatedAt          time.Duration
-	rank               int  // among the servers of its service, in this gatherer's order
-	removed            bool // the server is gone; forgotten with its last connection
+	queues     map[queueKey]*tenantQueue
+	services   map[Service]*serviceState
+	totals     map[TenantID]*tenantTotal
 }
 
-type tenantUsage struct {
-	tenant   TenantID
-	inUse    int
-	borrowed int           // of these, taken beyond its own part
-	lastUsed time.Duration // when it last held one
-	deniedAt time.Duration // when it was last refused
-	credit   float64       // connections times seconds that it had less than its part, while it and others wanted more
-}
-
-// NewLimiter makes a sharing that knows no tenant and no server. Gatherers with other lots keep their reserves at other servers.
+// NewLimiter returns a limiter without tenants and servers. Gateways with different rank offsets keep their reserves at different
+// servers.
 func NewLimiter(rankOffset uint64) *Limiter {
-	return &Limiter{rankOffset: rankOffset, byName: map[string]TenantID{}, servers: map[ServerID]*serverState{}, floors: map[Service][]TenantID{}, queues: map[queueKey]*tenantQueue{}, services: map[Service]*serviceState{}, totals: map[TenantID]*tenantTotal{}}
+	return &Limiter{
+		rankOffset: rankOffset,
+		byName:     map[string]TenantID{},
+		servers:    map[ServerID]*serverState{},
+		floors:     map[Service][]TenantID{},
+		queues:     map[queueKey]*tenantQueue{},
+		services:   map[Service]*serviceState{},
+		totals:     map[TenantID]*tenantTotal{},
+	}
 }
 
-// SetPolicies puts terms in force and returns the tenants' numbers, in their order. A tenant keeps its number, and what it holds, from one
-// document to the next; one that is no longer named keeps its terms until its last connection is back.
+// SetPolicies replaces all policies and returns the tenants' IDs in the same order. A tenant keeps its ID and its connections; one
+// without a policy any more keeps its old one until it neither uses nor awaits connections.
 func (l *Limiter) SetPolicies(policies []TenantPolicy) (ids []TenantID) {
 	named := map[string]bool{}
-	for _, t := range policies {
-		named[t.Name] = true
+	for _, policy := range policies {
+		named[policy.Name] = true
 	}
 	for name, id := range l.byName {
-		if !named[name] && !l.inUse(id) {
-			delete(l.byName, name)
-			l.freeIDs = append(l.freeIDs, id)
-			for key, queue := range l.queues {
-				if key.tenant == id && queue.waiting == 0 {
-					delete(l.queues, key)
-				}
-			}
-			for _, server := range l.servers {
-				server.tenants = slices.DeleteFunc(server.tenants, func(usage *tenantUsage) bool { return usage.tenant == id })
-			}
+		if !named[name] && !l.isActive(id) {
+			l.removeTenant(name, id)
 		}
 	}
-	for _, t := range policies {
-		id, known := l.byName[t.Name]
+	for _, policy := range policies {
+		id, known := l.byName[policy.Name]
 		if !known {
-			id = TenantID(len(l.policies))
-			if k := len(l.freeIDs); k > 0 {
-				id, l.freeIDs = l.freeIDs[k-1], l.freeIDs[:k-1]
-			} else {
-				l.policies = append(l.policies, t)
-			}
-			l.byName[t.Name] = id
+			id = l.addTenant(policy)
 		}
-		l.policies[id] = t
+		l.policies[id] = policy
 		ids = append(ids, id)
 	}
 	return ids
 }
 
-func (l *Limiter) inUse(tenant TenantID) bool {
+func (l *Limiter) addTenant(policy TenantPolicy) TenantID {
+	id := TenantID(len(l.policies))
+	if free := len(l.freeIDs); free > 0 {
+		id, l.freeIDs = l.freeIDs[free-1], l.freeIDs[:free-1]
+	} else {
+		l.policies = append(l.policies, policy)
+	}
+	l.byName[policy.Name] = id
+	return id
+}
+
+func (l *Limiter) removeTenant(name string, id TenantID) {
+	delete(l.byName, name)
+	l.freeIDs = append(l.freeIDs, id)
+	for key, queue := range l.queues {
+		if key.tenant == id && queue.waiting == 0 {
+			delete(l.queues, key)
+		}
+	}
+	for _, server := range l.servers {
+		server.tenants = slices.DeleteFunc(server.tenants, func(usage *tenantUsage) bool { return usage.tenant == id })
+	}
+}
+
+// isActive reports whether a tenant uses or awaits connections.
+func (l *Limiter) isActive(tenant TenantID) bool {
 	for _, server := range l.servers {
 		for _, usage := range server.tenants {
 			if usage.tenant == tenant && usage.inUse > 0 {
@@ -148,160 +99,156 @@
 			}
 		}
 	}
-	for key, q := range l.queues {
-		if key.tenant == tenant && q.waiting > 0 {
+	for key, queue := range l.queues {
+		if key.tenant == tenant && queue.waiting > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// SetFloors says which tenants with floors have routes to a service.
+// SetFloors sets which tenants with a floor have routes to a service.
 func (l *Limiter) SetFloors(service Service, tenants []TenantID) {
 	if l.floors[service] = tenants; len(tenants) == 0 {
 		delete(l.floors, service)
 	}
 }
 
-// SetServer says that a server is there and how many of its connections this gatherer may hold, of how many that it takes in all;
-// part 0 = no limit.
-func (l *Limiter) SetServer(server ServerID, service Service, limit, globalLimit int) {
-	state := l.servers[server]
-	if state == nil {
-		state = &serverState{}
-		l.servers[server] = state
+// SetServer adds or changes a server. The limit is the number of its connections that this gateway may use, 0 = no limit; the global
+// limit is that of all gateways together.
+func (l *Limiter) SetServer(id ServerID, service Service, limit, globalLimit int) {
+	server := l.servers[id]
+	if server == nil {
+		server = &serverState{}
+		l.servers[id] = server
 	}
-	if state.service != service || state.limit != limit || state.globalLimit != globalLimit || state.removed {
-		state.service, state.limit, state.globalLimit, state.removed = service, limit, globalLimit, false
+	if server.service != service || server.limit != limit || server.globalLimit != globalLimit || server.removed {
+		server.service, server.limit, server.globalLimit, server.removed = service, limit, globalLimit, false
 		l.rankServers(service)
 	}
 }
 
-// rankServers puts the servers of a service into this gatherer's order, in which they keep connections in reserve.
-func (l *Limiter) rankServers(service Service) {
-	state := l.service(service)
-	state.serverCount, state.totalLimit = 0, 0
+// rankServers orders the servers of a service. The order decides which of them keep connections in reserve.
+func (l *Limiter) rankServers(name Service) {
+	service := l.service(name)
+	service.serverCount, service.totalLimit = 0, 0
 	var ids []ServerID
 	for id, server := range l.servers {
-		if server.service == service && !server.removed && server.limit > 0 {
+		if server.service == name && !server.removed && server.limit > 0 {
 			ids = append(ids, id)
-			state.totalLimit += server.limit
+			service.totalLimit += server.limit
 		}
 	}
 	slices.Sort(ids)
-	state.serverCount = len(ids)
+	service.serverCount = len(ids)
 	for i, id := range ids {
 		l.servers[id].rank = int((uint64(i) + l.rankOffset) % uint64(len(ids)))
 	}
 }
 
-func (l *Limiter) service(service Service) *serviceState {
-	state := l.services[service]
-	if state == nil {
-		state = &serviceState{}
-		l.services[service] = state
-	}
-	return state
-}
-
-// RemoveServer says that a server is gone.
-func (l *Limiter) RemoveServer(server ServerID) {
-	if state := l.servers[server]; state != nil {
-		if state.removed = true; state.inUse == 0 {
-			delete(l.servers, server)
-		}
-		l.rankServers(state.service)
-		l.pruneService(state.service)
-	}
-}
-
-// pruneService empties the tables of a service whose last server is gone and whose last connection is back.
-func (l *Limiter) pruneService(service Service) {
-	for _, server := range l.servers {
-		if server.service == service {
-			return
-		}
+// RemoveServer removes a server. Its state is kept until its last connection is released.
+func (l *Limiter) RemoveServer(id ServerID) {
+	server := l.servers[id]
+	if server == nil {
+		return
 	}
-	delete(l.services, service)
-	for key, queue := range l.queues {
-		if key.service == service && queue.waiting == 0 {
-			delete(l.queues, key)
-		}
+	if server.removed = true; server.inUse == 0 {
+		delete(l.servers, id)
 	}
+	l.rankServers(server.service)
+	l.pruneService(server.service)
 }
 
-// CanAcquire tells whether a tenant may take one more connection to a server now. A refusal is noted: the tenant wants one.
-func (l *Limiter) CanAcquire(server ServerID, tenant TenantID, now time.Duration) bool {
-	state := l.servers[server]
-	if state == nil || state.limit == 0 {
+// CanAcquire reports whether a tenant may take one more connection to a server. A denial counts as demand for a while.
+func (l *Limiter) CanAcquire(id ServerID, tenant TenantID, now time.Duration) bool {
+	server := l.servers[id]
+	if server == nil || server.limit == 0 {
 		return true
 	}
-	l.advance(state, now)
-	usage := state.usage(tenant, now)
-	allowed := state.inUse < state.limit && l.withinShare(state, usage, now)
+	l.advance(server, now)
+	usage := server.usage(tenant)
+	allowed := server.inUse < server.limit && l.withinShare(server, usage, now)
 	if !allowed {
 		usage.deniedAt = now
 	}
 	return allowed
 }
 
-// Acquire says that a tenant took a connection, Back that it gave one back.
-func (l *Limiter) Acquire(server ServerID, tenant TenantID, now time.Duration) {
-	state := l.servers[server]
-	if state == nil {
+// Acquire records that a tenant took a connection. It does not check whether it may: see CanAcquire.
+func (l *Limiter) Acquire(id ServerID, tenant TenantID, now time.Duration) {
+	server := l.servers[id]
+	if server == nil {
 		return
 	}
-	l.advance(state, now)
-	usage := state.usage(tenant, now)
-	if state.limit > 0 && float64(usage.inUse) >= l.share(state, usage, now) {
+	l.advance(server, now)
+	usage := server.usage(tenant)
+	if server.limit > 0 && float64(usage.inUse) >= l.share(server, usage, now) {
 		usage.borrowed++
 	}
-	usage.inUse, usage.lastUsed, usage.deniedAt = usage.inUse+1, now, -denialWindow
-	state.inUse++
+	usage.inUse++
+	usage.lastUsed = now
+	usage.deniedAt = -denialWindow
+	server.inUse++
+	l.acquireTotal(tenant, now)
+	l.acquireQueue(server.service, tenant, now)
+}
+
+func (l *Limiter) acquireTotal(tenant TenantID, now time.Duration) {
 	total := l.totals[tenant]
 	if total == nil {
 		total = &tenantTotal{}
 		l.totals[tenant] = total
 	}
-	total.inUse, total.lastUsed = total.inUse+1, now
-	queue := l.queue(state.service, tenant)
-	if queue.inUse++; now-queue.lastUsed >= presenceWindow {
+	total.inUse++
+	total.lastUsed = now
+}
+
+func (l *Limiter) acquireQueue(name Service, tenant TenantID, now time.Duration) {
+	queue := l.queue(name, tenant)
+	queue.inUse++
+	if now-queue.lastUsed >= presenceWindow {
 		queue.meanInUse = 0
 	}
 	queue.meanInUse += (float64(queue.inUse) - queue.meanInUse) * inUseSmoothing
-	if queue.lastUsed = now; !slices.Contains(l.service(state.service).recentTenants, queue) {
-		service := l.service(state.service)
-		service.recentTenants = append(slices.DeleteFunc(service.recentTenants, func(other *tenantQueue) bool { return other.inUse == 0 && now-other.lastUsed >= presenceWindow }), queue)
+	queue.lastUsed = now
+	service := l.service(name)
+	if slices.Contains(service.recentTenants, queue) {
+		return
 	}
+	present := slices.DeleteFunc(service.recentTenants, func(other *tenantQueue) bool {
+		return other.inUse == 0 && now-other.lastUsed >= presenceWindow
+	})
+	service.recentTenants = append(present, queue)
 }
 
-// Release says that a tenant gave a connection back that it had held for so long.
-func (l *Limiter) Release(server ServerID, tenant TenantID, holdTime, now time.Duration) {
-	state := l.servers[server]
-	if state == nil {
+// Release records that a tenant released a connection that it had held for a time.
+func (l *Limiter) Release(id ServerID, tenant TenantID, holdTime, now time.Duration) {
+	server := l.servers[id]
+	if server == nil {
 		return
 	}
-	l.advance(state, now)
-	usage := state.usage(tenant, now)
+	l.advance(server, now)
+	usage := server.usage(tenant)
 	if usage.inUse == 0 {
 		return
 	}
-	usage.inUse, usage.lastUsed = usage.inUse-1, now
+	usage.inUse--
+	usage.lastUsed = now
 	usage.borrowed = min(usage.borrowed, usage.inUse)
 	if total := l.totals[tenant]; total != nil {
 		total.inUse, total.lastUsed = max(total.inUse-1, 0), now
 	}
-	state.inUse--
-	queue := l.queue(state.service, tenant)
+	server.inUse--
+	queue := l.queue(server.service, tenant)
 	queue.inUse, queue.lastUsed = max(queue.inUse-1, 0), now
 	queue.meanHoldTime += time.Duration(holdTimeSmoothing * float64(holdTime-queue.meanHoldTime))
-	if state.removed && state.inUse == 0 {
-		delete(l.servers, server)
-		l.pruneService(state.service)
+	if server.removed && server.inUse == 0 {
+		delete(l.servers, id)
+		l.pruneService(server.service)
 	}
 }
 
-// AddWaiting says that so many more parts of a tenant wait at a service, or fewer.
+// AddWaiting changes the number of a tenant's shard calls that wait for a connection of a service.
 func (l *Limiter) AddWaiting(service Service, tenant TenantID, delta int) {
 	queue := l.queue(service, tenant)
 	queue.waiting = max(queue.waiting+delta, 0)
@@ -310,23 +257,10 @@
 	}
 }
 
-func (l *Limiter) queue(service Service, tenant TenantID) *tenantQueue {
-	key := queueKey{service, tenant}
-	queue := l.queues[key]
-	if queue == nil {
-		queue = &tenantQueue{tenant: tenant, meanHoldTime: initialHoldTime}
-		l.queues[key] = queue
-	}
-	return queue
-}
-
-func (server *serverState) usage(tenant TenantID, now time.Duration) *tenantUsage {
-	for _, usage := range server.tenants {
-		if usage.tenant == tenant {
-			return usage
-		}
+// Waiting returns how many of a tenant's shard calls wait for a connection of a service.
+func (l *Limiter) Waiting(service Service, tenant TenantID) int {
+	if queue := l.queues[queueKey{service, tenant}]; queue != nil {
+		return queue.waiting
 	}
-	usage := &tenantUsage{tenant: tenant, lastUsed: -presenceWindow, deniedAt: -denialWindow}
-	server.tenants = append(server.tenants, usage)
-	return usage
+	return 0
 }
