--- a/topk/topk.go
+++ b/topk/topk.go
@@ -1,5 +1,4 @@
-// Package topk makes one answer of the parts that servers gave: the greatest records of 16 bytes, compared byte by byte.
-// It has no I/O, no clock and no goroutine.
+// Package topk merges lists of fixed-size records and selects the greatest. It has no I/O, clock or goroutines.
 package topk
 
 import (
@@ -7,14 +6,17 @@
 	"slices"
 )
 
-// RecordBytes is the length of a record. A shorter remainder of a part is none.
+// RecordBytes is the length of a record. Records are compared byte by byte. A shorter remainder of a list is ignored.
 const RecordBytes = 16
 
+// sortBelow is the length from which a range is sorted rather than partitioned further.
+const sortBelow = 8
+
+// record is a record as two big-endian words, which compare as its bytes do.
 type record struct{ high, low uint64 }
 
-// greater tells whether a record is greater than another.
-func (a record) greater(b record) bool {
-	return a.high > b.high || a.high == b.high && a.low > b.low
+func (r record) greater(other record) bool {
+	return r.high > other.high || r.high == other.high && r.low > other.low
 }
 
 // descending orders records, the greatest first.
@@ -28,61 +30,68 @@
 	return 0
 }
 
-// Selector appends to dst the top greatest records of all parts, greatest first; equal ones all count. Room is used again
-// by the next call.
+// Selector selects the greatest records. Its zero value is ready for use; it keeps its buffer from one call to the next, so that calls must
+// not be concurrent.
 type Selector struct{ buffer []record }
 
-// Append does so.
+// Append appends the k greatest records of all lists to dst, the greatest first. Equal records are all counted.
 func (s *Selector) Append(dst []byte, k int, lists ...[]byte) []byte {
-	all := s.buffer[:0]
+	records := s.buffer[:0]
 	for _, list := range lists {
 		for ; len(list) >= RecordBytes; list = list[RecordBytes:] {
-			all = append(all, record{binary.BigEndian.Uint64(list), binary.BigEndian.Uint64(list[8:])})
+			records = append(records, record{binary.BigEndian.Uint64(list), binary.BigEndian.Uint64(list[8:])})
 		}
 	}
-	s.buffer = all[:0]
-	all = selectTop(all, k)
-	slices.SortFunc(all, descending)
-	for _, r := range all {
+	s.buffer = records[:0]
+	records = selectTop(records, k)
+	slices.SortFunc(records, descending)
+	for _, r := range records {
 		dst = binary.BigEndian.AppendUint64(dst, r.high)
 		dst = binary.BigEndian.AppendUint64(dst, r.low)
 	}
 	return dst
 }
 
-// selectTop returns the top greatest of all, in no order: it halves around a middle record until the cut falls on top.
-func selectTop(all []record, k int) []record {
+// selectTop returns the k greatest records in no order. It reorders the records by quickselect: [low, high) always contains position k, all
+// records before it are at least as great as those in it, and all after it at most.
+func selectTop(records []record, k int) []record {
 	k = max(k, 0)
-	if k >= len(all) {
-		return all
+	if k >= len(records) {
+		return records
 	}
-	low, high := 0, len(all) // the cut lies between
-	for high-low > 8 {
-		pivot := median(all[low], all[(low+high)/2], all[high-1])
-		i, j := low, high-1
-		for i <= j {
-			for all[i].greater(pivot) {
-				i++
-			}
-			for pivot.greater(all[j]) {
-				j--
-			}
-			if i <= j {
-				all[i], all[j] = all[j], all[i]
-				i, j = i+1, j-1
-			}
-		}
+	low, high := 0, len(records)
+	for high-low > sortBelow {
+		i, j := partition(records, low, high)
 		switch {
 		case k <= j:
 			high = j + 1
 		case k >= i:
 			low = i
-		default:
-			return all[:k]
+		default: // between the parts all records are equal
+			return records[:k]
+		}
+	}
+	slices.SortFunc(records[low:high], descending)
+	return records[:k]
+}
+
+// partition reorders records[low:high] around a pivot: records up to j are at least as great, records from i on at most; j < i.
+func partition(records []record, low, high int) (i, j int) {
+	pivot := median(records[low], records[(low+high)/2], records[high-1])
+	i, j = low, high-1
+	for i <= j {
+		for records[i].greater(pivot) {
+			i++
+		}
+		for pivot.greater(records[j]) {
+			j--
+		}
+		if i <= j {
+			records[i], records[j] = records[j], records[i]
+			i, j = i+1, j-1
 		}
 	}
-	slices.SortFunc(all[low:high], descending)
-	return all[:k]
+	return i, j
 }
 
 func median(a, b, c record) record {
--- a/topk/topk_test.go
+++ b/topk/topk_test.go
@@ -10,48 +10,50 @@
 	"pgregory.net/rapid"
 )
 
-// What Greatest gives is what sorting everything gives, whatever the parts, with equal records and remainders.
+// Selecting gives the same records as sorting all of them, for lists with equal records and with remainders.
 func TestSelectorMatchesSorting(t *testing.T) {
-	var g Selector
+	var selector Selector
 	rapid.Check(t, func(t *rapid.T) {
 		var lists [][]byte
-		var all []string
-		for range rapid.IntRange(0, 6).Draw(t, "parts") {
+		var records []string
+		for range rapid.IntRange(0, 6).Draw(t, "lists") {
 			list := make([]byte, 0, 100)
 			for range rapid.IntRange(0, 60).Draw(t, "records") {
-				r := bytes.Repeat([]byte{byte(rapid.IntRange(0, 5).Draw(t, "high"))}, RecordBytes)
-				r[15] = byte(rapid.IntRange(0, 255).Draw(t, "low"))
-				list = append(list, r...)
-				all = append(all, string(r))
+				record := bytes.Repeat([]byte{byte(rapid.IntRange(0, 5).Draw(t, "high"))}, RecordBytes)
+				record[RecordBytes-1] = byte(rapid.IntRange(0, 255).Draw(t, "low"))
+				list = append(list, record...)
+				records = append(records, string(record))
 			}
-			lists = append(lists, append(list, make([]byte, rapid.IntRange(0, 15).Draw(t, "rest"))...))
+			remainder := make([]byte, rapid.IntRange(0, RecordBytes-1).Draw(t, "remainder"))
+			lists = append(lists, append(list, remainder...))
 		}
-		k := rapid.IntRange(0, 220).Draw(t, "top")
-		slices.SortFunc(all, func(a, b string) int { return bytes.Compare([]byte(b), []byte(a)) })
+		k := rapid.IntRange(0, 220).Draw(t, "k")
+		slices.SortFunc(records, func(a, b string) int { return bytes.Compare([]byte(b), []byte(a)) })
 		want := ""
-		for _, r := range all[:min(k, len(all))] {
-			want += r
+		for _, record := range records[:min(k, len(records))] {
+			want += record
 		}
-		if got := string(g.Append(nil, k, lists...)); got != want {
+		if got := string(selector.Append(nil, k, lists...)); got != want {
 			t.Fatalf("got %x, want %x", got, want)
 		}
 	})
 }
 
-// What the answer to a listing costs: twelve parts of 200 records, the greatest 200 of them.
+// BenchmarkSelector measures the response to a listing: twelve shards with 200 records each, of which the greatest 200 are returned.
 func BenchmarkSelector(b *testing.B) {
-	lists := make([][]byte, 12)
-	r := rand.New(rand.NewPCG(1, 2))
+	const shards, records = 12, 200
+	lists := make([][]byte, shards)
+	rng := rand.New(rand.NewPCG(1, 2))
 	for i := range lists {
-		for range 200 {
-			lists[i] = binary.BigEndian.AppendUint64(lists[i], r.Uint64())
-			lists[i] = binary.BigEndian.AppendUint64(lists[i], r.Uint64())
+		for range records {
+			lists[i] = binary.BigEndian.AppendUint64(lists[i], rng.Uint64())
+			lists[i] = binary.BigEndian.AppendUint64(lists[i], rng.Uint64())
 		}
 	}
-	var g Selector
-	buffer := make([]byte, 0, 200*RecordBytes)
+	var selector Selector
+	buffer := make([]byte, 0, records*RecordBytes)
 	b.ReportAllocs()
 	for b.Loop() {
-		g.Append(buffer[:0], 200, lists...)
+		selector.Append(buffer[:0], records, lists...)
 	}
 }
