--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,8 +1,9 @@
-// Package settings reads what the platform tells a process when it starts: the settings file, in TOML, whose path stands in
-// the environment. It owns the file's form and what makes it unusable; unknown fields are ignored.
+// Package settings reads the settings file that the platform writes for a process before it starts it, in TOML. It owns the file's format and
+// the checks of its values. Unknown fields are ignored.
 package settings
 
 import (
+	"errors"
 	"fmt"
 	"net/netip"
 	"os"
@@ -10,59 +11,74 @@
 	"time"
 
 	"github.com/BurntSushi/toml"
-	"github.com/rotisserie/eris"
 )
 
 // PathVariable names the environment variable that holds the file's path.
 const PathVariable = "OXBOWSPAN_BOOT"
 
-// Settings are what a process is told. Fields ending in MS are milliseconds, in S seconds.
+// Settings are the contents of the file. Fields that end in MS are in milliseconds, those that end in S in seconds, those that end in MB in
+// units of 2^20 bytes.
 type Settings struct {
 	NodeName            string            `toml:"node_name"`
 	Role                string            `toml:"role"`
 	IPAddress           string            `toml:"ip_address"`
 	Zone                string            `toml:"zone"`
 	Region              string            `toml:"region"`
-	InternalPorts       []int             `toml:"internal_ports"` // the first and the last
-	SeedAddresses       []string          `toml:"seed_addresses"`
-	LocalDetectionOnly  bool              `toml:"judge_alone"` // this gatherer's own records decide alone; not the platform's: for comparing
-	FirstStart          bool              `toml:"first_start"`
+	InternalPorts       []int             `toml:"internal_ports"` // the first and the last of a range
+	SeedAddresses       []string          `toml:"seed_addresses"` // control addresses of controllers
+	LocalDetectionOnly  bool              `toml:"judge_alone"`    // ignore outlier observations of other gateways; for comparisons, not set by the platform
+	FirstStart          bool              `toml:"first_start"`    // the cluster starts for the first time, so that missing state is no loss
 	LossCounted         bool              `toml:"loss_counted"`
 	DataDirectory       string            `toml:"data_directory"`
 	HeartbeatIntervalMS float64           `toml:"beat_interval_ms"`
-	Zones               map[string]string `toml:"zones"`
-	Listen              struct {
-		Front     string `toml:"front_address"`
-		Readiness string `toml:"readiness_address"`
-		Control   string `toml:"control_address"`
-	} `toml:"listen_addresses"`
-	Limits struct {
-		ProcessorShare  float64 `toml:"processor_share"`
-		Cores           float64 `toml:"cores"`
-		MemoryMB        float64 `toml:"memory_mb"`
-		FileDescriptors int     `toml:"file_descriptors"`
-		DiskMB          float64 `toml:"disk_mb"`
-	} `toml:"limits"`
-	ToleratedLosses struct {
-		Machines int `toml:"machines"`
-	} `toml:"tolerated_losses"`
-	Bounds struct {
-		ContactMS        float64 `toml:"contact_ms"`
-		DrainLimitMS     float64 `toml:"drain_limit_ms"`
-		GracePeriodS     float64 `toml:"grace_period_s"`
-		ConfigApplyMS    float64 `toml:"config_apply_ms"`
-		RetryBudgetRatio float64 `toml:"retry_budget_ratio"`
-		BudgetWindowS    float64 `toml:"budget_window_s"`
-		BudgetExtraTries float64 `toml:"budget_extra_tries"`
-		AddressReuseS    float64 `toml:"address_reuse_s"`
-		AcknowledgeMS    float64 `toml:"acknowledge_ms"`
-		RecoveryS        float64 `toml:"recovery_s"`
-		CatchUpS         float64 `toml:"catch_up_s"`
-		HasRetryBudget   bool    `toml:"-"`
-	} `toml:"bounds"`
+	Zones               map[string]string `toml:"zones"` // regions by zone
+	Listen              Listen            `toml:"listen_addresses"`
+	Limits              Limits            `toml:"limits"`
+	ToleratedLosses     ToleratedLosses   `toml:"tolerated_losses"`
+	Bounds              Bounds            `toml:"bounds"`
 }
 
-// ResolvePath is where the settings are: the flag's value, or what the environment says.
+// Listen has the addresses, as IP address and port, on which a process listens beside its internal ports.
+type Listen struct {
+	Front     string `toml:"front_address"`     // of a gateway, for clients
+	Readiness string `toml:"readiness_address"` // of a gateway, for the platform's health checks
+	Control   string `toml:"control_address"`   // of a controller, for servers and operators
+}
+
+// Limits are the process's resources; 0 = no limit.
+type Limits struct {
+	ProcessorShare  float64 `toml:"processor_share"`
+	Cores           float64 `toml:"cores"`
+	MemoryMB        float64 `toml:"memory_mb"`
+	FileDescriptors int     `toml:"file_descriptors"`
+	DiskMB          float64 `toml:"disk_mb"`
+}
+
+// ToleratedLosses are the failures that the control plane must survive at once.
+type ToleratedLosses struct {
+	Machines int `toml:"machines"`
+}
+
+// Bounds are the service levels that the platform requires.
+type Bounds struct {
+	ContactMS        float64 `toml:"contact_ms"`
+	DrainLimitMS     float64 `toml:"drain_limit_ms"`
+	GracePeriodS     float64 `toml:"grace_period_s"` // from SIGTERM to SIGKILL
+	ConfigApplyMS    float64 `toml:"config_apply_ms"`
+	RetryBudgetRatio float64 `toml:"retry_budget_ratio"` // retries for each request
+	BudgetWindowS    float64 `toml:"budget_window_s"`    // over which the ratio holds
+	BudgetExtraTries float64 `toml:"budget_extra_tries"` // retries in a window beyond the ratio
+	AddressReuseS    float64 `toml:"address_reuse_s"`
+	AcknowledgeMS    float64 `toml:"acknowledge_ms"`
+	RecoveryS        float64 `toml:"recovery_s"`
+	CatchUpS         float64 `toml:"catch_up_s"`
+	HasRetryBudget   bool    `toml:"-"` // retry_budget_ratio is set
+}
+
+// ErrNoPath is returned by [Read] without a path.
+var ErrNoPath = errors.New("no settings file: set --boot or " + PathVariable)
+
+// ResolvePath returns the path of the settings file: the flag's value, or else that of the environment variable [PathVariable].
 func ResolvePath(flag string) string {
 	if flag != "" {
 		return flag
@@ -70,91 +86,67 @@
 	return os.Getenv(PathVariable)
 }
 
-// Read reads a settings file. Its error is one sentence.
+// Read reads a settings file. It does not check the values: see [Settings.Check]. The text of its error is a single line.
 func Read(path string) (*Settings, error) {
 	if path == "" {
-		return nil, eris.Errorf("no settings file: give --boot or set %s", PathVariable)
+		return nil, ErrNoPath
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, eris.Errorf("the settings file can't be read: %v", err)
+		return nil, fmt.Errorf("read settings file: %w", err)
 	}
 	s := &Settings{}
 	meta, err := toml.Decode(string(text), s)
 	if err != nil {
-		return nil, eris.Errorf("the settings file %s is not as it should be: %s", path, strings.ReplaceAll(err.Error(), "\n", " "))
+		return nil, &FormatError{Path: path, Err: err}
 	}
 	s.Bounds.HasRetryBudget = meta.IsDefined("bounds", "retry_budget_ratio")
 	return s, nil
 }
 
-// Check returns all that keeps a process of one kind from starting, a sentence each.
-func (s *Settings) Check(gateway, controller bool) (problems []string) {
-	report := func(format string, args ...any) { problems = append(problems, fmt.Sprintf(format, args...)) }
-	if _, err := netip.ParseAddr(s.IPAddress); err != nil {
-		report("ip_address %q is not an IP address", s.IPAddress)
-	}
-	if len(s.InternalPorts) != 2 || s.InternalPorts[0] < 1 || s.InternalPorts[1] < s.InternalPorts[0]+1 || s.InternalPorts[1] > 65535 {
-		report("internal_ports %v are not the first and the last of two ports or more", s.InternalPorts)
-	}
-	if len(s.SeedAddresses) == 0 {
-		report("seed_addresses is empty")
-	}
-	address := func(name, a string) {
-		if _, err := netip.ParseAddrPort(a); err != nil {
-			report("%s %q is not an address with a port", name, a)
-		}
-	}
-	for _, a := range s.SeedAddresses {
-		address("a seed address", a)
-	}
-	if gateway {
-		address("front_address", s.Listen.Front)
-		address("readiness_address", s.Listen.Readiness)
-	}
-	if controller {
-		address("control_address", s.Listen.Control)
-		if s.DataDirectory == "" {
-			report("data_directory is missing: the control plane keeps its state on a disk")
-		}
-	}
-	if s.HeartbeatIntervalMS <= 0 {
-		report("beat_interval_ms %v is not above 0", s.HeartbeatIntervalMS)
-	}
-	return problems
+// FormatError reports a settings file that is not valid TOML, or has a field of another type.
+type FormatError struct {
+	Path string
+	Err  error
 }
 
-// ControllerPort and GatewayPort are the offsets of the internal ports that the two programs use.
+func (e *FormatError) Error() string {
+	return fmt.Sprintf("parse settings file %s: %s", e.Path, strings.ReplaceAll(e.Err.Error(), "\n", " "))
+}
+
+func (e *FormatError) Unwrap() error { return e.Err }
+
+// Offsets of the programs' internal ports from the first.
 const (
 	ControllerPort = iota
 	GatewayPort
 )
 
-// InternalAddress is this machine's address for one of the internal ports.
+// InternalAddress returns this machine's address, with the internal port at an offset. The settings must have been checked.
 func (s *Settings) InternalAddress(offset int) string {
 	return s.internalAddressOf(s.IPAddress, offset)
 }
 
 func (s *Settings) internalAddressOf(ip string, offset int) string {
-	a, _ := netip.ParseAddr(ip)
-	return netip.AddrPortFrom(a, uint16(s.InternalPorts[0]+offset)).String()
+	address, _ := netip.ParseAddr(ip)
+	return netip.AddrPortFrom(address, uint16(s.InternalPorts[0]+offset)).String()
 }
 
-// SeedControllers are the internal addresses of the seeds' hives.
-func (s *Settings) SeedControllers() (out []string) {
-	for _, a := range s.SeedAddresses {
-		if ap, err := netip.ParseAddrPort(a); err == nil {
-			out = append(out, s.internalAddressOf(ap.Addr().String(), ControllerPort))
+// SeedControllers returns the internal addresses of the seeds' controllers.
+func (s *Settings) SeedControllers() (addresses []string) {
+	for _, seed := range s.SeedAddresses {
+		if address, err := netip.ParseAddrPort(seed); err == nil {
+			addresses = append(addresses, s.internalAddressOf(address.Addr().String(), ControllerPort))
 		}
 	}
-	return out
+	return addresses
 }
 
-// HeartbeatInterval is how often servers call.
+// HeartbeatInterval returns the time between two heartbeats of a server.
 func (s *Settings) HeartbeatInterval() time.Duration { return Milliseconds(s.HeartbeatIntervalMS) }
 
-// Milliseconds is so many as a duration.
+// Milliseconds converts a number of milliseconds.
 func Milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// Seconds is so many as a duration.
+// Seconds converts a number of seconds.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
