--- a/connadmission/admit_test.go
+++ b/connadmission/controller_test.go
@@ -10,44 +10,44 @@
 // known is a connection as the plain walk sees it.
 type known struct {
 	id       ID
-	since    Time
-	class    class
+	since    Millis
+	class    connState
 	searched bool
 	customer int
 }
 
 // walk finds the victim by looking at all, as was done before there were lists.
-func walk(f Figures, all map[ID]*known, now Time) ID {
-	held := make([]int, len(f.Shares)+1)
+func walk(f Options, all map[ID]*known, now Millis) ID {
+	held := make([]int, len(f.CustomerShares)+1)
 	total := 0.0
-	for _, s := range f.Shares {
+	for _, s := range f.CustomerShares {
 		total += s
 	}
 	for _, k := range all {
 		held[k.customer]++
 	}
 	over := func(k *known) float64 {
-		if k.customer >= len(f.Shares) || f.Shares[k.customer] <= 0 || total <= 0 {
+		if k.customer >= len(f.CustomerShares) || f.CustomerShares[k.customer] <= 0 || total <= 0 {
 			return 1
 		}
-		return max(1, float64(held[k.customer])/(f.Shares[k.customer]/total*float64(f.Limit)))
+		return max(1, float64(held[k.customer])/(f.CustomerShares[k.customer]/total*float64(f.MaxConns)))
 	}
 	rank := func(k *known) int {
 		age := now - k.since
 		switch {
-		case k.class == trickler:
+		case k.class == stateSlowHeader:
 			return 7
-		case k.class == visitor && age >= f.IdleLong:
+		case k.class == stateIdleWithoutRequest && age >= f.MinIdle:
 			return 6
-		case k.class == idle && age >= f.IdleLong:
+		case k.class == stateIdle && age >= f.MinIdle:
 			return 5
-		case k.class == stranger && age >= f.HeadLate:
+		case k.class == stateNew && age >= f.HeaderTimeout:
 			return 4
-		case k.class == visitor:
+		case k.class == stateIdleWithoutRequest:
 			return 3
-		case k.class == idle:
+		case k.class == stateIdle:
 			return 2
-		case k.class == stranger:
+		case k.class == stateNew:
 			return 1
 		}
 		return 0
@@ -58,24 +58,24 @@
 		if r == 0 {
 			continue
 		}
-		if best == nil || r > rank(best) || r == rank(best) && k.class == idle && over(k) > over(best) ||
-			r == rank(best) && (k.class != idle || over(k) == over(best)) && k.since < best.since {
+		if best == nil || r > rank(best) || r == rank(best) && k.class == stateIdle && over(k) > over(best) ||
+			r == rank(best) && (k.class != stateIdle || over(k) == over(best)) && k.since < best.since {
 			best = k
 		}
 	}
 	if best == nil {
-		return None
+		return NoConn
 	}
 	return best.id
 }
 
-func TestTheVictimIsThatOfThePlainWalk(t *testing.T) {
+func TestVictimMatchesReferenceScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := Figures{Limit: rapid.IntRange(1, 12).Draw(t, "limit"), IdleLong: 20, HeadLate: 10,
-			Shares: rapid.SampledFrom([][]float64{nil, {1}, {3, 1}, {5, 0, 2}}).Draw(t, "shares")}
+		f := Options{MaxConns: rapid.IntRange(1, 12).Draw(t, "limit"), MinIdle: 20, HeaderTimeout: 10,
+			CustomerShares: rapid.SampledFrom([][]float64{nil, {1}, {3, 1}, {5, 0, 2}}).Draw(t, "shares")}
 		a := New(f)
 		all := map[ID]*known{}
-		now := Time(0)
+		now := Millis(0)
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now++ // no two enter a class at one moment: the walk could not tell them apart
 			var some *known
@@ -85,63 +85,63 @@
 			}
 			switch rapid.IntRange(0, 6).Draw(t, "what") {
 			case 0, 1:
-				want := None
-				if len(all) >= f.Limit {
+				want := NoConn
+				if len(all) >= f.MaxConns {
 					want = walk(f, all, now)
 				}
-				victim := None
+				victim := NoConn
 				if a.Full() {
 					victim = a.Victim(now)
 				}
 				if victim != want {
 					t.Fatalf("the victim is %d, the walk says %d", victim, want)
 				}
-				id := a.Came(now)
+				id := a.Open(now)
 				if all[id] != nil {
 					t.Fatalf("%d is given out twice", id)
 				}
-				all[id] = &known{id: id, since: now, class: stranger, customer: len(f.Shares)}
-				if victim != None {
-					a.Gone(victim)
-					a.Gone(victim)
+				all[id] = &known{id: id, since: now, class: stateNew, customer: len(f.CustomerShares)}
+				if victim != NoConn {
+					a.Close(victim)
+					a.Close(victim)
 					delete(all, victim)
 				}
 			case 2:
 				if some != nil {
-					a.Asks(some.id)
-					some.class = active
+					a.BeginRequest(some.id)
+					some.class = stateActive
 				}
 			case 3:
-				if some != nil && some.class == active {
-					of := rapid.IntRange(-1, len(f.Shares)).Draw(t, "customer")
-					a.Searches(some.id, Customer(of))
-					some.searched, some.customer = true, len(f.Shares)
-					if of >= 0 && of < len(f.Shares) {
+				if some != nil && some.class == stateActive {
+					of := rapid.IntRange(-1, len(f.CustomerShares)).Draw(t, "customer")
+					a.IdentifyRequest(some.id, CustomerIndex(of))
+					some.searched, some.customer = true, len(f.CustomerShares)
+					if of >= 0 && of < len(f.CustomerShares) {
 						some.customer = of
 					}
 				}
 			case 4:
-				if some != nil && some.class == active {
-					a.Rests(some.id, now)
-					if some.class, some.since = visitor, now; some.searched {
-						some.class = idle
+				if some != nil && some.class == stateActive {
+					a.EndRequest(some.id, now)
+					if some.class, some.since = stateIdleWithoutRequest, now; some.searched {
+						some.class = stateIdle
 					}
 				}
 			case 6:
 				if some != nil {
-					a.Parks(some.id)
+					a.Park(some.id)
 					if rapid.Bool().Draw(t, "trickles") {
-						if a.Trickles(some.id, now); some.class != trickler {
-							some.class, some.since = trickler, now
+						if a.MarkSlowHeader(some.id, now); some.class != stateSlowHeader {
+							some.class, some.since = stateSlowHeader, now
 						}
 					}
 				}
 			case 5:
 				if some != nil && rapid.Bool().Draw(t, "goes") {
-					a.Gone(some.id)
+					a.Close(some.id)
 					delete(all, some.id)
 				}
-				now += Time(rapid.IntRange(0, 15).Draw(t, "later"))
+				now += Millis(rapid.IntRange(0, 15).Draw(t, "later"))
 			}
 			if got, want := a.Victim(now), walk(f, all, now); got != want {
 				t.Fatalf("the victim is %d, the walk says %d", got, want)
@@ -153,18 +153,18 @@
 	})
 }
 
-func TestWakingPastTheLimitIsTurnedAwayButForThoseWhoHoldLittle(t *testing.T) {
-	a := New(Figures{Limit: 1000, IdleLong: 2000, HeadLate: 1000, Shares: []float64{1, 1}, MostOpen: 16})
+func TestWakePastLimitOnlyForCustomersUnderHalfShare(t *testing.T) {
+	a := New(Options{MaxConns: 1000, MinIdle: 2000, HeaderTimeout: 1000, CustomerShares: []float64{1, 1}, MaxActive: 16})
 	var parked []ID
 	for i := range 100 {
-		id := a.Came(Time(i))
-		of := Customer(0)
+		id := a.Open(Millis(i))
+		of := CustomerIndex(0)
 		if i%10 == 0 {
 			of = 1
 		}
-		a.Asks(id)
-		a.Searches(id, of)
-		a.Rests(id, Time(i))
+		a.BeginRequest(id)
+		a.IdentifyRequest(id, of)
+		a.EndRequest(id, Millis(i))
 		parked = append(parked, id)
 	}
 	var woken, turned [2]int
@@ -183,56 +183,56 @@
 		t.Errorf("woken %v, turned away %v", woken, turned)
 	}
 	for _, id := range parked {
-		a.Gone(id)
+		a.Close(id)
 	}
 	if _, _, _, open := a.Counts(); a.Len() != 0 || open != 0 {
 		t.Errorf("%d held, %d open once all are gone", a.Len(), open)
 	}
 }
 
-func TestWhoAskedOnceIsReleasedInACrowdOfIdleOnes(t *testing.T) {
-	a := New(Figures{Limit: 100, Crowded: 5})
+func TestOneShotConnsCloseWhenManyAreIdle(t *testing.T) {
+	a := New(Options{MaxConns: 100, MaxIdleOneShot: 5})
 	rest := func() ID {
-		id := a.Came(1)
-		a.Asks(id)
-		a.Searches(id, Unknown)
-		a.Rests(id, 1)
+		id := a.Open(1)
+		a.BeginRequest(id)
+		a.IdentifyRequest(id, UnknownCustomer)
+		a.EndRequest(id, 1)
 		return id
 	}
 	for range 4 {
 		rest()
 	}
-	id := a.Came(2)
-	a.Asks(id)
-	if a.Releases(id, 1, false) {
+	id := a.Open(2)
+	a.BeginRequest(id)
+	if a.ShouldCloseAfterResponse(id, 1, false) {
 		t.Error("released while few lie idle")
 	}
 	last := rest()
-	if !a.Releases(id, 1, false) || a.Releases(id, 2, false) {
+	if !a.ShouldCloseAfterResponse(id, 1, false) || a.ShouldCloseAfterResponse(id, 2, false) {
 		t.Error("in a crowd who asked once is to be released, who asks again is not")
 	}
-	a.Gone(last)
-	if a.Releases(id, 1, false) || a.Releases(last, 1, false) {
+	a.Close(last)
+	if a.ShouldCloseAfterResponse(id, 1, false) || a.ShouldCloseAfterResponse(last, 1, false) {
 		t.Error("released once the crowd is over, or after its end")
 	}
-	if none := New(Figures{Limit: 100}); none.Releases(none.Came(1), 1, false) {
+	if none := New(Options{MaxConns: 100}); none.ShouldCloseAfterResponse(none.Open(1), 1, false) {
 		t.Error("released without a figure")
 	}
 }
 
 func TestCounts(t *testing.T) {
-	a := New(Figures{Limit: 10})
+	a := New(Options{MaxConns: 10})
 	var ids []ID
 	for range 4 {
-		id := a.Came(1)
+		id := a.Open(1)
 		ids = append(ids, id)
 	}
-	a.Asks(ids[1])
-	a.Asks(ids[2])
-	a.Rests(ids[2], 2)
-	a.Asks(ids[3])
-	a.Searches(ids[3], Unknown)
-	a.Rests(ids[3], 3)
+	a.BeginRequest(ids[1])
+	a.BeginRequest(ids[2])
+	a.EndRequest(ids[2], 2)
+	a.BeginRequest(ids[3])
+	a.IdentifyRequest(ids[3], UnknownCustomer)
+	a.EndRequest(ids[3], 3)
 	if s, v, i, act := a.Counts(); s != 1 || v != 1 || i != 1 || act != 1 {
 		t.Errorf("%d strangers, %d visitors, %d idle, %d active", s, v, i, act)
 	}
@@ -243,19 +243,19 @@
 //	go test -run xxx -bench Victim -benchmem ./admit
 func BenchmarkVictim(b *testing.B) {
 	for _, n := range []int{600, 10_000, 100_000} {
-		f := Figures{Limit: n, IdleLong: 2000, HeadLate: 1000, Shares: []float64{5, 3, 2}}
+		f := Options{MaxConns: n, MinIdle: 2000, HeaderTimeout: 1000, CustomerShares: []float64{5, 3, 2}}
 		b.Run(fmt.Sprintf("connections=%d/index", n), func(b *testing.B) {
 			a := New(f)
-			now := Time(0)
+			now := Millis(0)
 			come := func() {
 				now++
 				if a.Full() {
-					a.Gone(a.Victim(now))
+					a.Close(a.Victim(now))
 				}
-				id := a.Came(now)
-				a.Asks(id)
-				a.Searches(id, Customer(id%3))
-				a.Rests(id, now)
+				id := a.Open(now)
+				a.BeginRequest(id)
+				a.IdentifyRequest(id, CustomerIndex(id%3))
+				a.EndRequest(id, now)
 			}
 			for range n {
 				come()
@@ -271,9 +271,9 @@
 		b.Run(fmt.Sprintf("connections=%d/walk", n), func(b *testing.B) {
 			all := map[ID]*known{}
 			for i := range n {
-				all[ID(i)] = &known{id: ID(i), since: Time(i), class: idle, customer: i % 3}
+				all[ID(i)] = &known{id: ID(i), since: Millis(i), class: stateIdle, customer: i % 3}
 			}
-			now := Time(n)
+			now := Millis(n)
 			b.ReportAllocs()
 			for b.Loop() {
 				now++
@@ -284,49 +284,49 @@
 	}
 }
 
-func TestCrowdsOfIdleConnectionsKeepTheirGoroutinesForLess(t *testing.T) {
-	a := New(Figures{Limit: 1000, Linger: 250, MostIdle: 100})
+func TestParkDelayShrinksWithIdleConns(t *testing.T) {
+	a := New(Options{MaxConns: 1000, ParkDelay: 250, MaxIdleGoroutines: 100})
 	var ids []ID
-	last := Time(250)
+	last := Millis(250)
 	for i := range 120 {
-		got := a.Linger(false)
+		got := a.ParkDelay(false)
 		if got > last || got < 250/20 || i < 50 && got != 250 || i >= 100 && got != 250/20 {
 			t.Fatalf("with %d lingering a connection lingers for %d ms, before %d", i, got, last)
 		}
 		last = got
-		id := a.Came(Time(i))
-		a.Asks(id)
-		a.Searches(id, Unknown)
-		a.Rests(id, Time(i))
+		id := a.Open(Millis(i))
+		a.BeginRequest(id)
+		a.IdentifyRequest(id, UnknownCustomer)
+		a.EndRequest(id, Millis(i))
 		ids = append(ids, id)
 	}
 	for _, id := range ids {
-		a.Parks(id)
-		a.Parks(id)
+		a.Park(id)
+		a.Park(id)
 	}
-	if a.Parked() != 120 || a.Linger(false) != 250 {
-		t.Errorf("all parked: %d, linger %d ms", a.Parked(), a.Linger(false))
+	if a.ParkedCount() != 120 || a.ParkDelay(false) != 250 {
+		t.Errorf("all parked: %d, linger %d ms", a.ParkedCount(), a.ParkDelay(false))
 	}
-	if a.Linger(true) != 250/20 {
-		t.Errorf("memory short: linger %d ms", a.Linger(true))
+	if a.ParkDelay(true) != 250/20 {
+		t.Errorf("memory short: linger %d ms", a.ParkDelay(true))
 	}
-	a.Asks(ids[0])
+	a.BeginRequest(ids[0])
 	a.Wake(ids[1])
-	a.Gone(ids[2])
-	if a.Parked() != 117 {
-		t.Errorf("%d parked after three went", a.Parked())
+	a.Close(ids[2])
+	if a.ParkedCount() != 117 {
+		t.Errorf("%d parked after three went", a.ParkedCount())
 	}
 }
 
-func TestTheLeastRate(t *testing.T) {
-	p := Pace{Rate: 100, Grace: 500}
-	play := func(step Time, n int, until Time) (slowAt Time) {
-		due := p.Begin(0)
-		for now := Time(0); now < until; now += step {
-			if p.Slow(due, now) {
+func TestMinRate(t *testing.T) {
+	p := MinRate{BytesPerSecond: 100, Grace: 500}
+	play := func(step Millis, n int, until Millis) (slowAt Millis) {
+		due := p.FirstDeadline(0)
+		for now := Millis(0); now < until; now += step {
+			if p.Exceeded(due, now) {
 				return now
 			}
-			due = p.Moved(due, now, n)
+			due = p.NextDeadline(due, now, n)
 		}
 		return -1
 	}
@@ -340,10 +340,10 @@
 		t.Errorf("half of the rate is found at %d ms", at)
 	}
 	// A burst buys no more than twice the grace, however long.
-	if due := p.Moved(p.Begin(0), 0, 1<<20); due != 1000 {
+	if due := p.NextDeadline(p.FirstDeadline(0), 0, 1<<20); due != 1000 {
 		t.Errorf("after a burst of a megabyte the next byte is due at %d ms", due)
 	}
-	if off := (Pace{}); off.On() || off.Slow(0, 1000) {
+	if off := (MinRate{}); off.Enabled() || off.Exceeded(0, 1000) {
 		t.Error("no least rate, and somebody is too slow")
 	}
 }
--- a/gatherer/clientconn.go
+++ b/gatherer/clientconn.go
@@ -51,8 +51,8 @@
 	idle      bool // it waits for a request
 	resumed   bool // it was parked, and its next request's head is not whole
 	phase     ioPhase
-	slowAt    connadmission.Time // in a phase: when the client is too slow if nothing moves until then
-	graceLeft connadmission.Time // of the present answer, between two writes: what was left until then; 0 = nothing of it is written
+	slowAt    connadmission.Millis // in a phase: when the client is too slow if nothing moves until then
+	graceLeft connadmission.Millis // of the present answer, between two writes: what was left until then; 0 = nothing of it is written
 }
 
 func (c *clientConn) Read(b []byte) (int, error) {
@@ -131,7 +131,7 @@
 }
 
 func (c *clientConn) Write(b []byte) (int, error) {
-	if !c.listener.minRates[writingAnswer].On() {
+	if !c.listener.minRates[writingAnswer].Enabled() {
 		n, err := c.Conn.Write(b)
 		c.recordWrite(err)
 		return n, err
--- a/gatherer/dispatcher.go
+++ b/gatherer/dispatcher.go
@@ -121,8 +121,8 @@
 	listedServers int           // servers listed
 	timers        timerHeap     // emptied as they fire: a search's are over soon after its time
 	merges        *merge.Budget // what open merges hold together
-	memory        *memorybudget.Ledger
-	valueSizes    *memorybudget.Expect
+	memory        *memorybudget.Budget
+	valueSizes    *memorybudget.SizeEstimator
 
 	recordsSavedAt balancer.Time       // when what was learned was last written
 	degradation    *degradationState   // nil = service is never reduced
@@ -231,7 +231,7 @@
 		}
 		select {
 		case r := <-e.request.result: // nobody will take it
-			m.memory.Give(memorybudget.Answers, r.reserved)
+			m.memory.Release(memorybudget.Answers, r.reserved)
 		default:
 		}
 	case attemptEnded:
@@ -407,8 +407,8 @@
 	// Set aside now, while turning it away is harmless: values that come cannot be refused.
 	// Each part's frame holds the text again.
 	s.inUse = requestMemory + memorybudget.Bytes(len(s.callSpecs))*(callMemory+memorybudget.Bytes(len(s.text)))
-	s.reserved = s.inUse + memorybudget.Bytes(len(s.callSpecs))*m.valueSizes.Each(int(s.queryType))
-	if !m.memory.Take(memorybudget.Searches, s.reserved) {
+	s.reserved = s.inUse + memorybudget.Bytes(len(s.callSpecs))*m.valueSizes.Estimate(int(s.queryType))
+	if !m.memory.Reserve(memorybudget.Requests, s.reserved) {
 		s.finished = true
 		m.intentUnused(s)
 		s.result <- result{kind: resultShed, retryAfter: m.deployment.Balancer.MaxRetryAfter}
@@ -418,7 +418,7 @@
 		var err error
 		if s.merge, err = merge.New(s.query, m.merges); err != nil {
 			s.finished = true
-			m.memory.Give(memorybudget.Searches, s.reserved)
+			m.memory.Release(memorybudget.Requests, s.reserved)
 			s.result <- result{kind: resultShed, retryAfter: m.deployment.Balancer.MaxRetryAfter}
 			return
 		}
@@ -464,10 +464,10 @@
 
 // accountValue accounts for a value that is in: out of what was set aside, and beyond that whatever is held, as it is here.
 func (m *dispatcher) accountValue(s *clientRequest, n memorybudget.Bytes) {
-	m.valueSizes.Saw(int(s.queryType), n)
+	m.valueSizes.Observe(int(s.queryType), n)
 	s.inUse += n
 	if more := s.inUse - s.reserved; more > 0 {
-		m.memory.Force(memorybudget.Searches, more)
+		m.memory.ForceReserve(memorybudget.Requests, more)
 		s.reserved += more
 	}
 }
@@ -497,7 +497,7 @@
 				r.reserved += 2*memorybudget.Bytes(len(p.value)) + valueOverhead // as it came, and in the answer's text
 			}
 		}
-		m.memory.Force(memorybudget.Answers, r.reserved)
+		m.memory.ForceReserve(memorybudget.Answers, r.reserved)
 	}
 	m.finish(a.Request, r)
 }
@@ -523,7 +523,7 @@
 
 func (m *dispatcher) closeRequest(s *clientRequest) {
 	s.finished = true
-	m.memory.Give(memorybudget.Searches, s.reserved)
+	m.memory.Release(memorybudget.Requests, s.reserved)
 	s.reserved = 0
 	m.pending -= 1 + len(s.calls)
 	delete(m.requests, s.id)
--- a/gatherer/frontend.go
+++ b/gatherer/frontend.go
@@ -40,8 +40,8 @@
 	isKnownType      func(queryType string) bool
 	maxClientTimeout time.Duration // client timeout
 	retryAfter       balancer.Time // to clients that are shed here; 0 = none
-	memory           *memorybudget.Ledger
-	customer         func(name string) connadmission.Customer
+	memory           *memorybudget.Budget
+	customer         func(name string) connadmission.CustomerIndex
 	quotas           []float64 // the customers' shares of searches
 	maxActiveConns   int       // connections that memory lets be awake at once; 0 = no limit
 	connections      operatorconfig.Connections
@@ -51,7 +51,7 @@
 
 type connKey struct{}
 
-func newFrontend(t *transport, longest time.Duration, held *memorybudget.Ledger) *frontend {
+func newFrontend(t *transport, longest time.Duration, held *memorybudget.Budget) *frontend {
 	f := &frontend{maxClientTimeout: longest, memory: held, isKnownType: t.isKnownType, customer: t.customerIndex, retryAfter: t.deployment.Balancer.MaxRetryAfter}
 	for _, c := range t.deployment.Balancer.Customers {
 		f.quotas = append(f.quotas, c.QuotaPerSecond)
@@ -133,13 +133,13 @@
 		setRetryAfter(w.Header(), f.retryAfter)
 		http.Error(w, "too many connections, asking again is harmless", http.StatusServiceUnavailable)
 		return
-	case !f.memory.Take(memorybudget.Bodies, memorybudget.Bytes(bodyCopies*size)):
+	case !f.memory.Reserve(memorybudget.Bodies, memorybudget.Bytes(bodyCopies*size)):
 		end(endOverLimit)
 		setRetryAfter(w.Header(), f.retryAfter)
 		http.Error(w, "too much is held, asking again is harmless", http.StatusServiceUnavailable)
 		return
 	}
-	defer f.memory.Give(memorybudget.Bodies, memorybudget.Bytes(bodyCopies*size))
+	defer f.memory.Release(memorybudget.Bodies, memorybudget.Bytes(bodyCopies*size))
 	if c != nil {
 		c.listener.requestStarted(c, f.customer(r.Header.Get("Req-Owner")))
 		c.listener.enterPhase(c, readingBody)
--- a/gatherer/gatherer.go
+++ b/gatherer/gatherer.go
@@ -177,7 +177,7 @@
 	m := s.mergingConfig()
 	g.transport.merging.Store(m)
 	g.setMergeLimits(1)
-	g.memory.Limit(s.Limits.memoryLimits(s.memoryConfig()))
+	g.memory.SetOptions(s.Limits.memoryLimits(s.memoryConfig()))
 }
 
 // setMergeLimits puts a share of the limits on merges in force.
@@ -212,7 +212,7 @@
 	frontend     *frontend
 	transport    *transport
 	dispatcher   *dispatcher
-	memory       *memorybudget.Ledger
+	memory       *memorybudget.Budget
 	deployment   balancerconfig.Deployment
 	knownServers discovery.ServerList
 	counters     counters
@@ -224,7 +224,7 @@
 	if err != nil {
 		return nil, err
 	}
-	g := &Gatherer{config: s, deployment: d, memory: memorybudget.New(memorybudget.Figures{}, logPressure)}
+	g := &Gatherer{config: s, deployment: d, memory: memorybudget.New(memorybudget.Options{}, logPressure)}
 	if len(s.KnownServers) > 0 && string(s.KnownServers) != "null" {
 		var err error
 		if g.knownServers, err = discovery.Parse(s.KnownServers, g.acceptServer); err != nil {
@@ -234,9 +234,9 @@
 	_, servers := s.Limits.splitDescriptors()
 	box := mailbox{make(chan any, mailboxSize), make(chan struct{})}
 	g.dispatcher = &dispatcher{mailbox: box, deployment: d, clock: newClock(), balancer: balancer.New(d.Balancer), descriptors: newDescriptorPool(servers), merges: &merge.Budget{},
-		memory: g.memory, valueSizes: memorybudget.NewExpect(len(d.QueryTypes), initialValueSize),
+		memory: g.memory, valueSizes: memorybudget.NewSizeEstimator(len(d.QueryTypes), initialValueSize),
 		connConfig: shardconn.Config{ConnectTimeout: d.ConnectTimeout, IdleTimeout: d.IdleTimeout, StreamsPerConn: d.StreamsPerConn,
-			CallsPerFrame: d.CallsPerFrame, LoadHealthChecks: d.LoadReportsByHealthCheck, LoadReports: len(d.LoadReportFields) > 0, Memory: memoryAccount{g.memory, memorybudget.Servers}},
+			CallsPerFrame: d.CallsPerFrame, LoadHealthChecks: d.LoadReportsByHealthCheck, LoadReports: len(d.LoadReportFields) > 0, Memory: memoryAccount{g.memory, memorybudget.ServerConns}},
 		requests: map[balancer.RequestID]*clientRequest{}, calls: map[balancer.ShardCallID]*shardCall{}, callsByWireID: map[string]int{},
 		servers: map[balancer.ServerID]*server{}, serverIDs: map[string]balancer.ServerID{}, ended: make(chan struct{})}
 	g.dispatcher.counters = &g.counters
--- a/gatherer/idleconn_test.go
+++ b/gatherer/idleconn_test.go
@@ -47,7 +47,7 @@
 
 func startHarnessOn(t testing.TB, nl net.Listener, by listenerConfig, idle time.Duration) *listenerHarness {
 	r := &listenerHarness{t: t, l: newListener(nl, by), addr: nl.Addr().String(), gate: make(chan struct{})}
-	r.l.admission.SetLinger(1)
+	r.l.admission.SetParkDelay(1)
 	r.l.enableParking(5000, idle)
 	r.serve()
 	return r
@@ -436,7 +436,7 @@
 		t.Run(fmt.Sprintf("parked=%t", parks), func(t *testing.T) {
 			r := startHarness(t, 200, 0, 0)
 			if !parks {
-				r.l.admission.SetLinger(3600_000)
+				r.l.admission.SetParkDelay(3600_000)
 			}
 			oldest, other := r.dial(), r.dial()
 			for i, c := range []*harnessClient{oldest, other} {
@@ -648,7 +648,7 @@
 	// What net/http lent goes back to its pools and from there to the collector.
 	r.until("goroutines gone", func() bool { return runtime.NumGoroutine() <= goroutines+2 })
 	cost := float64(int64(memoryHeld())-int64(before)) / n
-	own := float64(cap(r.l.conns)*int(unsafe.Sizeof(connSlot{}))+connadmission.Size(r.l.admission)) / n
+	own := float64(cap(r.l.conns)*int(unsafe.Sizeof(connSlot{}))+connadmission.MemoryBytes(r.l.admission)) / n
 	t.Logf("%.0f bytes a connection by the runtime's figures, %.0f of them in the tables", cost, own)
 	if own > most {
 		t.Errorf("the tables hold %.0f bytes a connection, %d are allowed", own, most)
@@ -666,7 +666,7 @@
 		b.Run(way, func(b *testing.B) {
 			r := startHarness(b, 100, 0, 0)
 			if way == "kept" {
-				r.l.admission.SetLinger(3600_000)
+				r.l.admission.SetParkDelay(3600_000)
 			}
 			c := r.dial()
 			b.ReportAllocs()
--- a/gatherer/limits.go
+++ b/gatherer/limits.go
@@ -69,12 +69,12 @@
 )
 
 // memoryLimits is what all work together may hold. Without a section [memory] bodies have their own limit, and nothing else has one.
-func (l Limits) memoryLimits(m *operatorconfig.Memory) memorybudget.Figures {
+func (l Limits) memoryLimits(m *operatorconfig.Memory) memorybudget.Options {
 	sum := memorybudget.Bytes(0)
 	if m != nil {
-		sum = cmp.Or(memorybudget.Bytes(m.Limit), memorybudget.SumFor(memorybudget.Bytes(l.MemoryMB*(1<<20))))
+		sum = cmp.Or(memorybudget.Bytes(m.Limit), memorybudget.TotalFor(memorybudget.Bytes(l.MemoryMB*(1<<20))))
 	}
-	return memorybudget.For(sum, bodyCopies*memorybudget.Bytes(l.bodyBytes()))
+	return memorybudget.DefaultOptions(sum, bodyCopies*memorybudget.Bytes(l.bodyBytes()))
 }
 
 // Apply sets the Go runtime to the limits; it is for a program, not for an embedder's process.
--- a/gatherer/listener.go
+++ b/gatherer/listener.go
@@ -35,8 +35,8 @@
 
 	mu        sync.Mutex
 	capacity  sync.Cond
-	admission *connadmission.Admission
-	memory    *memorybudget.Ledger
+	admission *connadmission.Controller
+	memory    *memorybudget.Budget
 	conns     []connSlot    // by admit.ID, as many as there were at once; a place is empty once its connection has ended
 	idleSet   *idleconn.Set // nil = idle connections keep their goroutines
 	closed    bool          // closed
@@ -47,7 +47,7 @@
 	wheel              *timerwheel.Wheel // idle limits of the parked, least rates of the others; in ticks since began. nil = there are none
 	timer              *time.Timer       // for the first of them
 
-	minRates   [phaseCount]connadmission.Pace
+	minRates   [phaseCount]connadmission.MinRate
 	keepAlive  time.Duration // a silent peer is asked after so long; 0 = the system's way
 	sendBuffer int           // 0 = the system's way
 }
@@ -57,7 +57,7 @@
 	descriptors    int       // descriptors for clients
 	quotas         []float64 // shares of the customers
 	maxActiveConns int       // open requests up to which a parked connection may wake; 0 = no limit
-	memory         *memorybudget.Ledger
+	memory         *memorybudget.Budget
 	connections    operatorconfig.Connections
 }
 
@@ -97,16 +97,16 @@
 
 func newListener(l net.Listener, t listenerConfig) *listener {
 	spare := max(t.descriptors/8, 1)
-	k := &listener{Listener: l, reserve: spare, startedAt: time.Now(), memory: t.memory, admission: connadmission.New(connadmission.Figures{Limit: max(t.descriptors-spare, 1),
-		IdleLong: connadmission.Time(idleGrace.Milliseconds()), HeadLate: connadmission.Time(slowHeadAfter.Milliseconds()), Shares: t.quotas, MostOpen: t.maxActiveConns,
-		Crowded: cmp.Or(t.connections.Crowd, max(t.descriptors/crowdDivisor, 1)), Linger: connadmission.Time(linger.Milliseconds()), MostIdle: max(t.maxActiveConns, minIdleConns)})}
+	k := &listener{Listener: l, reserve: spare, startedAt: time.Now(), memory: t.memory, admission: connadmission.New(connadmission.Options{MaxConns: max(t.descriptors-spare, 1),
+		MinIdle: connadmission.Millis(idleGrace.Milliseconds()), HeaderTimeout: connadmission.Millis(slowHeadAfter.Milliseconds()), CustomerShares: t.quotas, MaxActive: t.maxActiveConns,
+		MaxIdleOneShot: cmp.Or(t.connections.Crowd, max(t.descriptors/crowdDivisor, 1)), ParkDelay: connadmission.Millis(linger.Milliseconds()), MaxIdleGoroutines: max(t.maxActiveConns, minIdleConns)})}
 	k.capacity.L = &k.mu
 	if k.memory == nil {
-		k.memory = memorybudget.New(memorybudget.Figures{}, nil)
+		k.memory = memorybudget.New(memorybudget.Options{}, nil)
 	}
-	grace := connadmission.Time(t.connections.Grace.Milliseconds())
-	k.minRates = [phaseCount]connadmission.Pace{readingHead: {Rate: t.connections.HeadRate, Grace: grace}, readingBody: {Rate: t.connections.BodyRate, Grace: grace},
-		writingAnswer: {Rate: t.connections.AnswerRate, Grace: grace}}
+	grace := connadmission.Millis(t.connections.Grace.Milliseconds())
+	k.minRates = [phaseCount]connadmission.MinRate{readingHead: {BytesPerSecond: t.connections.HeadRate, Grace: grace}, readingBody: {BytesPerSecond: t.connections.BodyRate, Grace: grace},
+		writingAnswer: {BytesPerSecond: t.connections.AnswerRate, Grace: grace}}
 	k.keepAlive, k.sendBuffer = t.connections.KeepAlive, t.connections.SendBuffer
 	if k.enforcesMinRate() {
 		k.startWheel()
@@ -130,10 +130,10 @@
 func (l *listener) lingerDuration() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return time.Duration(l.admission.Linger(l.underPressure())) * time.Millisecond
+	return time.Duration(l.admission.ParkDelay(l.underPressure())) * time.Millisecond
 }
 
-func (l *listener) underPressure() bool { return l.memory.Pressure() >= memorybudget.Tight }
+func (l *listener) underPressure() bool { return l.memory.Pressure() >= memorybudget.PressureHigh }
 
 // enableParking lets idle connections wait without a goroutine from now on, where the system can.
 // A parked one is closed after idle, unless that is 0.
@@ -210,8 +210,8 @@
 	}
 }
 
-func (l *listener) now() connadmission.Time {
-	return connadmission.Time(time.Since(l.startedAt).Milliseconds())
+func (l *listener) now() connadmission.Millis {
+	return connadmission.Millis(time.Since(l.startedAt).Milliseconds())
 }
 
 func (l *listener) Accept() (net.Conn, error) {
@@ -245,7 +245,7 @@
 func (l *listener) evictOne() bool {
 	l.mu.Lock()
 	id := l.admission.Victim(l.now())
-	if l.closed || id == connadmission.None {
+	if l.closed || id == connadmission.NoConn {
 		l.mu.Unlock()
 		return false
 	}
@@ -276,16 +276,16 @@
 	l.mu.Lock()
 	var other *clientConn
 	other, c.overLimit = l.makeRoom()
-	granted := l.memory.Take(memorybudget.Awake, activeConnMemory)
+	granted := l.memory.Reserve(memorybudget.ActiveConns, activeConnMemory)
 	if !granted {
-		l.memory.Force(memorybudget.Awake, activeConnMemory) // until it is parked or shed
+		l.memory.ForceReserve(memorybudget.ActiveConns, activeConnMemory) // until it is parked or shed
 	}
-	door := l.admission.Arrives(granted, l.underPressure())
-	c.id = l.admission.Came(l.now())
+	door := l.admission.Decide(granted, l.underPressure())
+	c.id = l.admission.Open(l.now())
 	l.track(c)
-	waits := door == connadmission.Wait && !c.overLimit && l.parkLocked(c, readTimeout)
-	if door == connadmission.Wait && !waits {
-		c.overLimit = c.overLimit || l.admission.IfNot(granted) == connadmission.Shed
+	waits := door == connadmission.DecisionPark && !c.overLimit && l.parkLocked(c, readTimeout)
+	if door == connadmission.DecisionPark && !waits {
+		c.overLimit = c.overLimit || l.admission.DecideUnparkable(granted) == connadmission.DecisionReject
 	}
 	l.mu.Unlock()
 	if other != nil {
@@ -311,7 +311,7 @@
 func (l *listener) makeRoom() (other *clientConn, over bool) {
 	for l.admission.Full() {
 		id := l.admission.Victim(l.now())
-		if id == connadmission.None {
+		if id == connadmission.NoConn {
 			return nil, true
 		}
 		if c := l.conns[id].conn; c != nil {
@@ -360,9 +360,9 @@
 		l.resetTimer()
 	}
 	l.conns[c.id] = h
-	l.admission.Parks(c.id)
-	l.memory.Give(memorybudget.Awake, activeConnMemory)
-	l.memory.Force(memorybudget.Parked, idleConnMemory)
+	l.admission.Park(c.id)
+	l.memory.Release(memorybudget.ActiveConns, activeConnMemory)
+	l.memory.ForceReserve(memorybudget.ParkedConns, idleConnMemory)
 	return true
 }
 
@@ -395,10 +395,10 @@
 		l.closeParked(id, endReset)
 	case waiting:
 		// Turned away here, before it costs a goroutine and buffers: given up, so answered at once.
-		if !l.memory.Take(memorybudget.Awake, activeConnMemory) {
+		if !l.memory.Reserve(memorybudget.ActiveConns, activeConnMemory) {
 			l.rejectParked(id)
 		} else if !l.admission.Wake(id) {
-			l.memory.Give(memorybudget.Awake, activeConnMemory)
+			l.memory.Release(memorybudget.ActiveConns, activeConnMemory)
 			l.rejectParked(id)
 		} else {
 			l.resumeAccounted(id)
@@ -413,7 +413,7 @@
 // resume hands a parked connection to net/http again, whatever memory is held: a request waits on it that is not to be closed
 // upon.
 func (l *listener) resume(id connadmission.ID) {
-	l.memory.Force(memorybudget.Awake, activeConnMemory)
+	l.memory.ForceReserve(memorybudget.ActiveConns, activeConnMemory)
 	l.resumeAccounted(id)
 }
 
@@ -424,7 +424,7 @@
 	raw, err := l.idleSet.Unpark(int(h.fd))
 	if err != nil {
 		slog.Warn("client_not_woken", "error", err)
-		l.memory.Give(memorybudget.Awake, activeConnMemory)
+		l.memory.Release(memorybudget.ActiveConns, activeConnMemory)
 		l.rejectParked(id)
 		return
 	}
@@ -432,8 +432,8 @@
 	c := &clientConn{Conn: raw, listener: l, id: id, startedAt: time.UnixMilli(h.startedMillis), requests: int(h.requests), resumed: true}
 	c.hasRead.Store(true)
 	l.conns[id] = connSlot{conn: c}
-	l.memory.Give(memorybudget.Parked, idleConnMemory)
-	l.admission.Asks(id) // a request is on its way: it is not closed to make room
+	l.memory.Release(memorybudget.ParkedConns, idleConnMemory)
+	l.admission.BeginRequest(id) // a request is on its way: it is not closed to make room
 	l.resumed.enqueue(c)
 }
 
@@ -467,11 +467,11 @@
 // release empties a connection's place.
 func (l *listener) release(id connadmission.ID) {
 	l.cancelTimeout(id)
-	l.admission.Gone(id)
+	l.admission.Close(id)
 	if l.conns[id].fd != 0 {
-		l.memory.Give(memorybudget.Parked, idleConnMemory)
+		l.memory.Release(memorybudget.ParkedConns, idleConnMemory)
 	} else {
-		l.memory.Give(memorybudget.Awake, activeConnMemory)
+		l.memory.Release(memorybudget.ActiveConns, activeConnMemory)
 	}
 	l.conns[id] = connSlot{}
 	l.capacity.Signal()
@@ -503,15 +503,15 @@
 	c.mu.Unlock()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return int(c.id) < len(l.conns) && l.conns[c.id].conn == c && l.admission.Releases(c.id, requests, l.idleSet == nil && l.underPressure())
+	return int(c.id) < len(l.conns) && l.conns[c.id].conn == c && l.admission.ShouldCloseAfterResponse(c.id, requests, l.idleSet == nil && l.underPressure())
 }
 
 // requestStarted notes that a connection asks a search, and whose.
-func (l *listener) requestStarted(c *clientConn, of connadmission.Customer) {
+func (l *listener) requestStarted(c *clientConn, of connadmission.CustomerIndex) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if int(c.id) < len(l.conns) && l.conns[c.id].conn == c {
-		l.admission.Searches(c.id, of)
+		l.admission.IdentifyRequest(c.id, of)
 	}
 }
 
@@ -585,8 +585,8 @@
 	}
 	switch s {
 	case http.StateActive:
-		l.admission.Asks(c.id)
+		l.admission.BeginRequest(c.id)
 	case http.StateIdle:
-		l.admission.Rests(c.id, l.now())
+		l.admission.EndRequest(c.id, l.now())
 	}
 }
--- a/gatherer/program_test.go
+++ b/gatherer/program_test.go
@@ -786,18 +786,18 @@
 	if len(m.requests) > 0 || m.pending != 0 || m.descriptors.available.Load() != int64(serversOf(Limits{})) {
 		t.Errorf("%d searches, %d held, %d descriptors free of %d", len(m.requests), m.pending, m.descriptors.available.Load(), serversOf(Limits{}))
 	}
-	for end := time.Now().Add(testTimeout); runtime.NumGoroutine() > before+4 || g.memory.State().Sum != 0; { // the stand-ins have some
+	for end := time.Now().Add(testTimeout); runtime.NumGoroutine() > before+4 || g.memory.Snapshot().Total != 0; { // the stand-ins have some
 		if time.Now().After(end) {
-			t.Fatalf("%d goroutines, %d before; held is %+v", runtime.NumGoroutine(), before, g.memory.State())
+			t.Fatalf("%d goroutines, %d before; held is %+v", runtime.NumGoroutine(), before, g.memory.Snapshot())
 		}
 		runtime.Gosched()
 	}
 }
 
 // ledgerOf is a ledger that lets bodies hold so much; 0 = any.
-func ledgerOf(bodies memorybudget.Bytes) *memorybudget.Ledger {
-	var f memorybudget.Figures
-	f.Shares[memorybudget.Bodies].Most = bodies
+func ledgerOf(bodies memorybudget.Bytes) *memorybudget.Budget {
+	var f memorybudget.Options
+	f.Limits[memorybudget.Bodies].Max = bodies
 	return memorybudget.New(f, nil)
 }
 
--- a/gatherer/ratelimit.go
+++ b/gatherer/ratelimit.go
@@ -22,7 +22,7 @@
 
 // enforcesMinRate tells whether clients are held to any least rate.
 func (l *listener) enforcesMinRate() bool {
-	return l.minRates[readingHead].On() || l.minRates[readingBody].On() || l.minRates[writingAnswer].On()
+	return l.minRates[readingHead].Enabled() || l.minRates[readingBody].Enabled() || l.minRates[writingAnswer].Enabled()
 }
 
 // enterPhase begins a phase of a connection, or ends the present one with noPhase. One entry of the wheel stands for it, at the
@@ -33,7 +33,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if int(c.id) >= len(l.conns) || l.conns[c.id].conn != c || p != noPhase && !l.minRates[p].On() {
+	if int(c.id) >= len(l.conns) || l.conns[c.id].conn != c || p != noPhase && !l.minRates[p].Enabled() {
 		return
 	}
 	now := l.now()
@@ -46,7 +46,7 @@
 	case p == writingAnswer && c.graceLeft > 0:
 		c.slowAt = now + c.graceLeft
 	case p != noPhase:
-		c.slowAt = l.minRates[p].Begin(now)
+		c.slowAt = l.minRates[p].FirstDeadline(now)
 	}
 	due := c.slowAt
 	c.mu.Unlock()
@@ -57,7 +57,7 @@
 }
 
 // scheduleCheck sets a connection's entry in the wheel.
-func (l *listener) scheduleCheck(id connadmission.ID, after connadmission.Time) {
+func (l *listener) scheduleCheck(id connadmission.ID, after connadmission.Millis) {
 	l.conns[id].timeout = l.wheel.Add(l.tick(time.Duration(after)*time.Millisecond), uint32(id))
 	l.resetTimer()
 }
@@ -65,7 +65,7 @@
 // recordProgress notes bytes that came or went in the present phase. Its lock is held.
 func (c *clientConn) recordProgress(n int) {
 	if c.phase != noPhase {
-		c.slowAt = c.listener.minRates[c.phase].Moved(c.slowAt, c.listener.now(), n)
+		c.slowAt = c.listener.minRates[c.phase].NextDeadline(c.slowAt, c.listener.now(), n)
 	}
 }
 
@@ -75,7 +75,7 @@
 	now := l.now()
 	c.mu.Lock()
 	p, due := c.phase, c.slowAt
-	slow := p != noPhase && l.minRates[p].Slow(due, now)
+	slow := p != noPhase && l.minRates[p].Exceeded(due, now)
 	if slow && c.endReason == "" {
 		c.endReason = slowReasons[p]
 	}
@@ -84,7 +84,7 @@
 		return slow
 	}
 	if p == readingHead {
-		l.admission.Trickles(c.id, now)
+		l.admission.MarkSlowHeader(c.id, now)
 	}
 	l.scheduleCheck(c.id, due-now)
 	return false
--- a/gatherer/roundtrip.go
+++ b/gatherer/roundtrip.go
@@ -34,12 +34,12 @@
 	types      map[string]balancer.QueryType
 	customers  map[string]balancer.CustomerIndex
 	dispatcher mailbox
-	memory     *memorybudget.Ledger
+	memory     *memorybudget.Budget
 	keyHeader  string                                 // where clients name searches that must not run twice; "" = nothing is kept of them
 	merging    atomic.Pointer[operatorconfig.Merging] // nil = nothing is merged
 }
 
-func newTransport(d balancerconfig.Deployment, m mailbox, held *memorybudget.Ledger) *transport {
+func newTransport(d balancerconfig.Deployment, m mailbox, held *memorybudget.Budget) *transport {
 	t := &transport{deployment: d, types: map[string]balancer.QueryType{}, customers: map[string]balancer.CustomerIndex{}, dispatcher: m, memory: held}
 	for i, name := range d.QueryTypes {
 		t.types[name] = balancer.QueryType(i)
@@ -56,11 +56,11 @@
 }
 
 // customerIndex finds a customer's number by name.
-func (t *transport) customerIndex(name string) connadmission.Customer {
+func (t *transport) customerIndex(name string) connadmission.CustomerIndex {
 	if at, ok := t.customers[name]; ok {
-		return connadmission.Customer(at)
+		return connadmission.CustomerIndex(at)
 	}
-	return connadmission.Unknown
+	return connadmission.UnknownCustomer
 }
 
 // RoundTrip implements http.RoundTripper. The request's body has been read whole before, so that its context
@@ -257,7 +257,7 @@
 			return textResponse(r, http.StatusGatewayTimeout, "the search could not be answered: "+err.Error())
 		}
 		b := answer.JSON(nil)
-		t.memory.Force(memorybudget.Answers, memorybudget.Bytes(len(b)))
+		t.memory.ForceReserve(memorybudget.Answers, memorybudget.Bytes(len(b)))
 		res := response(r, http.StatusOK, "application/json", b)
 		res.Body = t.releaseOnClose(res.Body, memorybudget.Bytes(len(b)))
 		return res
@@ -289,7 +289,7 @@
 
 // releaseOnClose gives back what an answer holds once it is written, or its client is gone.
 func (t *transport) releaseOnClose(b io.ReadCloser, n memorybudget.Bytes) io.ReadCloser {
-	return &accountedBody{ReadCloser: b, done: sync.OnceFunc(func() { t.memory.Give(memorybudget.Answers, n) })}
+	return &accountedBody{ReadCloser: b, done: sync.OnceFunc(func() { t.memory.Release(memorybudget.Answers, n) })}
 }
 
 type accountedBody struct {
--- a/gatherer/slowclient_test.go
+++ b/gatherer/slowclient_test.go
@@ -262,7 +262,7 @@
 	}
 	r.until("strangers parked", func() bool { return r.parked() >= n-minIdleConns || time.Since(began) > readTimeout })
 	r.l.mu.Lock()
-	awake := r.l.admission.Len() - r.l.admission.Parked()
+	awake := r.l.admission.Len() - r.l.admission.ParkedCount()
 	r.l.mu.Unlock()
 	if awake > minIdleConns/8+4 {
 		t.Errorf("%d connections hold a goroutine, %d strangers are there", awake, n)
@@ -323,7 +323,7 @@
 }
 
 // memoryHarness has a ledger of its own.
-func memoryHarness(t *testing.T, f memorybudget.Figures, park bool) (*listenerHarness, *memorybudget.Ledger) {
+func memoryHarness(t *testing.T, f memorybudget.Options, park bool) (*listenerHarness, *memorybudget.Budget) {
 	t.Helper()
 	nl, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -340,7 +340,7 @@
 // All wake where memory allows a few: those beyond are answered 503 at once, and the sum is never passed.
 func TestWakeupsStayWithinMemoryLimit(t *testing.T) {
 	const n, room = 60, 10
-	f := memorybudget.Figures{Most: room*activeConnMemory + n*idleConnMemory}
+	f := memorybudget.Options{MaxTotal: room*activeConnMemory + n*idleConnMemory}
 	r, held := memoryHarness(t, f, true)
 	var all []*harnessClient
 	for range n {
@@ -352,7 +352,7 @@
 		}
 	}
 	r.awaitParked(n)
-	if s := held.State(); s.Held[memorybudget.Awake] != 0 || s.Held[memorybudget.Parked] != n*idleConnMemory {
+	if s := held.Snapshot(); s.Used[memorybudget.ActiveConns] != 0 || s.Used[memorybudget.ParkedConns] != n*idleConnMemory {
 		t.Errorf("with all parked: %+v", s)
 	}
 	var mu sync.Mutex
@@ -373,7 +373,7 @@
 		}()
 	}
 	r.until("turned away", func() bool { mu.Lock(); defer mu.Unlock(); return got[503] >= n-room-1 })
-	if s := held.State(); s.Peak > f.Most || s.Forced > 0 || s.Refused[memorybudget.Awake] == 0 {
+	if s := held.Snapshot(); s.Peak > f.MaxTotal || s.MaxOvercommit > 0 || s.Rejections[memorybudget.ActiveConns] == 0 {
 		t.Errorf("while all wake: %+v", s)
 	}
 	close(r.gate)
@@ -384,13 +384,13 @@
 	for _, c := range all {
 		c.Close()
 	}
-	r.until("nothing held", func() bool { return held.State().Sum == 0 })
+	r.until("nothing held", func() bool { return held.Snapshot().Total == 0 })
 }
 
 // Without parking, connections beyond the memory are shed, and idle ones are told to close once it is tight.
 func TestKeepAliveConnectionsStayWithinMemoryLimit(t *testing.T) {
 	const room = 10
-	r, held := memoryHarness(t, memorybudget.Figures{Most: room * activeConnMemory}, false)
+	r, held := memoryHarness(t, memorybudget.Options{MaxTotal: room * activeConnMemory}, false)
 	var told, over int
 	for i := range room + 3 {
 		c := r.dial()
@@ -414,6 +414,6 @@
 		_ = i
 	}
 	if told == 0 || over == 0 {
-		t.Errorf("%d would be told to close, %d are past the memory; %+v", told, over, held.State())
+		t.Errorf("%d would be told to close, %d are past the memory; %+v", told, over, held.Snapshot())
 	}
 }
--- a/memorybudget/budget.go
+++ b/memorybudget/budget.go
@@ -21,38 +21,38 @@
 
 // The accounts.
 const (
-	Awake    Account = iota // clients' connections with a goroutine: stacks, buffers, head
-	Parked                  // clients' connections that wait without one: table entries
-	Bodies                  // requests' bodies
-	Searches                // open searches, their parts, and the values that are in
-	Merges                  // rows of open merges
-	Answers                 // final answers that are being written
-	Servers                 // connections to shard servers, and frames on them that are not whole
-	Accounts                // how many there are
+	ActiveConns  Account = iota // clients' connections with a goroutine: stacks, buffers, head
+	ParkedConns                 // clients' connections that wait without one: table entries
+	Bodies                      // requests' bodies
+	Requests                    // open searches, their parts, and the values that are in
+	Merges                      // rows of open merges
+	Answers                     // final answers that are being written
+	ServerConns                 // connections to shard servers, and frames on them that are not whole
+	AccountCount                // how many there are
 )
 
-var names = [Accounts]string{"awake", "parked", "bodies", "searches", "merges", "answers", "servers"}
+var accountNames = [AccountCount]string{"awake", "parked", "bodies", "searches", "merges", "answers", "servers"}
 
 // String is the account's name in log lines.
 func (a Account) String() string {
-	if a >= Accounts {
+	if a >= AccountCount {
 		return fmt.Sprintf("account(%d)", uint8(a))
 	}
-	return names[a]
+	return accountNames[a]
 }
 
-// Share is what an account is granted.
-type Share struct {
-	Least Bytes // kept free for it by the others
-	Most  Bytes // that it may hold; 0 = no limit of its own
+// Limit is what an account is granted.
+type Limit struct {
+	Reserved Bytes // kept free for it by the others
+	Max      Bytes // that it may hold; 0 = no limit of its own
 }
 
-// Figures are what a ledger goes by.
-type Figures struct {
-	// Most is what all accounts together may hold; 0 = no limit in sum. It has to lie under the machine's memory by what
+// Options are what a ledger goes by.
+type Options struct {
+	// MaxTotal is what all accounts together may hold; 0 = no limit in sum. It has to lie under the machine's memory by what
 	// the runtime itself, garbage and the program's text need.
-	Most   Bytes
-	Shares [Accounts]Share
+	MaxTotal Bytes
+	Limits   [AccountCount]Limit
 }
 
 // Pressure is how full a ledger is.
@@ -61,182 +61,184 @@
 // The pressures. A ledger is entered into a higher one and left for a lower one at different marks, so that work which
 // hovers at a mark does not change it with each search.
 const (
-	Calm  Pressure = iota
-	Tight          // from 85% on, until under 70%: who can do with less should
-	Full           // from 97% on, until under 90%: what is not in hand is turned away
+	PressureNone     Pressure = iota
+	PressureHigh              // from 85% on, until under 70%: who can do with less should
+	PressureCritical          // from 97% on, until under 90%: what is not in hand is turned away
 )
 
 // String is the pressure's name in log lines.
-func (p Pressure) String() string { return [...]string{"calm", "tight", "full"}[min(p, Full)] }
+func (p Pressure) String() string {
+	return [...]string{"calm", "tight", "full"}[min(p, PressureCritical)]
+}
 
 // Marks of pressure, in hundredths of Figures.Most.
 const (
-	tightOn, tightOff = 85, 70
-	fullOn, fullOff   = 97, 90
+	highEnterPercent, highExitPercent         = 85, 70
+	criticalEnterPercent, criticalExitPercent = 97, 90
 )
 
-// State is what a ledger holds at a moment.
-type State struct {
-	Held     [Accounts]Bytes
-	Peak     Bytes           // the most that was held in sum
-	Refused  [Accounts]int64 // how often a Take was refused
-	Forced   Bytes           // the most that Force brought it over Figures.Most
-	Sum      Bytes
-	Most     Bytes
-	Pressure Pressure
+// Snapshot is what a ledger holds at a moment.
+type Snapshot struct {
+	Used          [AccountCount]Bytes
+	Peak          Bytes               // the most that was held in sum
+	Rejections    [AccountCount]int64 // how often a Take was refused
+	MaxOvercommit Bytes               // the most that Force brought it over Figures.Most
+	Total         Bytes
+	MaxTotal      Bytes
+	Pressure      Pressure
 }
 
-// Ledger is what is held.
-type Ledger struct {
-	told func(from, to Pressure, s State)
+// Budget is what is held.
+type Budget struct {
+	onPressureChange func(from, to Pressure, s Snapshot)
 
-	mu    sync.Mutex
-	f     Figures
-	s     State
-	queue []turn // changes not told yet; emptied by whoever tells them
-	busy  bool   // somebody tells them
+	mu             sync.Mutex
+	options        Options
+	usage          Snapshot
+	pendingChanges []pressureChange // changes not told yet; emptied by whoever tells them
+	notifying      bool             // somebody tells them
 }
 
-type turn struct {
+type pressureChange struct {
 	from, to Pressure
-	s        State
+	usage    Snapshot
 }
 
 // New makes a ledger that holds nothing. told, if not nil, is told of each change of pressure, in order, after the call that
 // caused it, in some caller's goroutine, with no lock held.
-func New(f Figures, told func(from, to Pressure, s State)) *Ledger {
-	l := &Ledger{told: told}
-	l.Limit(f)
+func New(f Options, told func(from, to Pressure, s Snapshot)) *Budget {
+	l := &Budget{onPressureChange: told}
+	l.SetOptions(f)
 	return l
 }
 
-// Limit puts other figures in force. What is held stays held.
-func (l *Ledger) Limit(f Figures) {
+// SetOptions puts other figures in force. What is held stays held.
+func (l *Budget) SetOptions(f Options) {
 	l.mu.Lock()
-	l.f, l.s.Most = f, f.Most
-	l.weigh()
-	l.tell()
+	l.options, l.usage.MaxTotal = f, f.MaxTotal
+	l.updatePressure()
+	l.notifyAndUnlock()
 }
 
-// Take holds so much more in an account, or nothing: false = the account's ceiling, or the sum less the floors of the others,
+// Reserve holds so much more in an account, or nothing: false = the account's ceiling, or the sum less the floors of the others,
 // would be passed. What is refused is to be turned away at once.
-func (l *Ledger) Take(a Account, n Bytes) bool {
+func (l *Budget) Reserve(a Account, n Bytes) bool {
 	l.mu.Lock()
-	if !l.fits(a, n) {
-		l.s.Refused[a]++
+	if !l.canReserve(a, n) {
+		l.usage.Rejections[a]++
 		l.mu.Unlock()
 		return false
 	}
 	l.add(a, n)
-	l.tell()
+	l.notifyAndUnlock()
 	return true
 }
 
-// Force holds so much more whatever the limits say. It is for what cannot be refused any more: an answer on its way, a value
+// ForceReserve holds so much more whatever the limits say. It is for what cannot be refused any more: an answer on its way, a value
 // that has come for a search which may not be shed. It pushes out what comes after it.
-func (l *Ledger) Force(a Account, n Bytes) {
+func (l *Budget) ForceReserve(a Account, n Bytes) {
 	l.mu.Lock()
 	l.add(a, n)
-	if over := l.s.Sum - l.f.Most; l.f.Most > 0 && over > l.s.Forced {
-		l.s.Forced = over
+	if over := l.usage.Total - l.options.MaxTotal; l.options.MaxTotal > 0 && over > l.usage.MaxOvercommit {
+		l.usage.MaxOvercommit = over
 	}
-	l.tell()
+	l.notifyAndUnlock()
 }
 
-// Give gives back what Take or Force held.
-func (l *Ledger) Give(a Account, n Bytes) {
+// Release gives back what Take or Force held.
+func (l *Budget) Release(a Account, n Bytes) {
 	l.mu.Lock()
 	l.add(a, -n)
-	l.tell()
+	l.notifyAndUnlock()
 }
 
-// Move hands what one account holds to another, so that it is never counted twice nor, for a moment, by nobody.
-func (l *Ledger) Move(from, to Account, n Bytes) {
+// Transfer hands what one account holds to another, so that it is never counted twice nor, for a moment, by nobody.
+func (l *Budget) Transfer(from, to Account, n Bytes) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.s.Held[from] -= n
-	l.s.Held[to] += n
+	l.usage.Used[from] -= n
+	l.usage.Used[to] += n
 }
 
-// State tells what is held.
-func (l *Ledger) State() State {
+// Snapshot tells what is held.
+func (l *Budget) Snapshot() Snapshot {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.s
+	return l.usage
 }
 
 // Pressure tells how full the ledger is.
-func (l *Ledger) Pressure() Pressure {
+func (l *Budget) Pressure() Pressure {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.s.Pressure
+	return l.usage.Pressure
 }
 
-// fits tells whether an account may hold so much more.
-func (l *Ledger) fits(a Account, n Bytes) bool {
-	held := l.s.Held[a] + n
-	if most := l.f.Shares[a].Most; most > 0 && held > most {
+// canReserve tells whether an account may hold so much more.
+func (l *Budget) canReserve(a Account, n Bytes) bool {
+	held := l.usage.Used[a] + n
+	if most := l.options.Limits[a].Max; most > 0 && held > most {
 		return false
 	}
-	if l.f.Most <= 0 {
+	if l.options.MaxTotal <= 0 {
 		return true
 	}
-	if l.s.Sum+n > l.f.Most {
+	if l.usage.Total+n > l.options.MaxTotal {
 		return false
 	}
-	if held <= l.f.Shares[a].Least {
+	if held <= l.options.Limits[a].Reserved {
 		return true // it was kept free for this, unless what was forced has used it up
 	}
-	free := l.f.Most - l.s.Sum - n
-	for b := range Accounts {
+	free := l.options.MaxTotal - l.usage.Total - n
+	for b := range AccountCount {
 		if b != a {
-			free -= max(l.f.Shares[b].Least-l.s.Held[b], 0)
+			free -= max(l.options.Limits[b].Reserved-l.usage.Used[b], 0)
 		}
 	}
 	return free >= 0
 }
 
-func (l *Ledger) add(a Account, n Bytes) {
-	l.s.Held[a] += n
-	l.s.Sum += n
-	l.s.Peak = max(l.s.Peak, l.s.Sum)
-	l.weigh()
+func (l *Budget) add(a Account, n Bytes) {
+	l.usage.Used[a] += n
+	l.usage.Total += n
+	l.usage.Peak = max(l.usage.Peak, l.usage.Total)
+	l.updatePressure()
 }
 
-// weigh finds the pressure, and notes a change.
-func (l *Ledger) weigh() {
-	was, now := l.s.Pressure, Calm
-	if l.f.Most > 0 {
-		at := l.s.Sum * 100
+// updatePressure finds the pressure, and notes a change.
+func (l *Budget) updatePressure() {
+	was, now := l.usage.Pressure, PressureNone
+	if l.options.MaxTotal > 0 {
+		at := l.usage.Total * 100
 		switch {
-		case at >= fullOn*l.f.Most, was == Full && at >= fullOff*l.f.Most:
-			now = Full
-		case at >= tightOn*l.f.Most, was >= Tight && at >= tightOff*l.f.Most:
-			now = Tight
+		case at >= criticalEnterPercent*l.options.MaxTotal, was == PressureCritical && at >= criticalExitPercent*l.options.MaxTotal:
+			now = PressureCritical
+		case at >= highEnterPercent*l.options.MaxTotal, was >= PressureHigh && at >= highExitPercent*l.options.MaxTotal:
+			now = PressureHigh
 		}
 	}
-	if l.s.Pressure = now; now != was && l.told != nil {
-		l.queue = append(l.queue, turn{was, now, l.s})
+	if l.usage.Pressure = now; now != was && l.onPressureChange != nil {
+		l.pendingChanges = append(l.pendingChanges, pressureChange{was, now, l.usage})
 	}
 }
 
-// tell gives the lock back and tells what changed. One caller at a time does so, so that changes are told in order; none
+// notifyAndUnlock gives the lock back and tells what changed. One caller at a time does so, so that changes are told in order; none
 // waits for another.
-func (l *Ledger) tell() {
-	if l.busy {
+func (l *Budget) notifyAndUnlock() {
+	if l.notifying {
 		l.mu.Unlock()
 		return
 	}
-	l.busy = true
-	for len(l.queue) > 0 {
-		queue := l.queue
-		l.queue = nil
+	l.notifying = true
+	for len(l.pendingChanges) > 0 {
+		queue := l.pendingChanges
+		l.pendingChanges = nil
 		l.mu.Unlock()
 		for _, t := range queue {
-			l.told(t.from, t.to, t.s)
+			l.onPressureChange(t.from, t.to, t.usage)
 		}
 		l.mu.Lock()
 	}
-	l.busy = false
+	l.notifying = false
 	l.mu.Unlock()
 }
