--- a/controlplane/controller.go
+++ b/controlplane/controller.go
@@ -22,9 +22,9 @@
 	"oxbowspan/internal/acceptorstore"
 	"oxbowspan/internal/network"
 	"oxbowspan/internal/settings"
+	"oxbowspan/lease"
 	"oxbowspan/quorum"
 	"oxbowspan/registry"
-	"oxbowspan/rendezvous"
 	"oxbowspan/rpc"
 )
 
@@ -594,5 +594,5 @@
 		Version: r.Version, Slots: int(r.Slots), State: registry.State(min(r.State, uint32(registry.Deregistered))),
 		HeartbeatOnly: r.Refresh, Unresponsive: r.Overdue, HeartbeatMissed: r.NoHeartbeats, SlowStartEndsAt: now + time.Duration(r.WarmUpMs)*time.Millisecond, Sequence: registry.Sequence(r.Sequence),
 		HeartbeatAt: now - time.Duration(r.AgeMs)*time.Millisecond, HealthyAt: now - time.Duration(r.HealthCheckAgeMs)*time.Millisecond,
-		Lease: rendezvous.Lease{FencingToken: r.FencingToken, Holder: r.LeaseHolder}}
+		Lease: lease.Lease{FencingToken: r.FencingToken, Holder: r.LeaseHolder}}
 }
--- a/dataplane/loop.go
+++ b/dataplane/loop.go
@@ -12,6 +12,7 @@
 	"oxbowspan/config"
 	"oxbowspan/internal/deadlineheap"
 	"oxbowspan/internal/settings"
+	"oxbowspan/lease"
 	"oxbowspan/outlier"
 	"oxbowspan/quota"
 	"oxbowspan/registry"
@@ -100,10 +101,10 @@
 	zone                        string
 	state                       registry.State
 	overdue                     bool
-	noHeartbeats                bool             // the core does not hear it itself
-	lease                       rendezvous.Lease // of the newest holder of its duty that was heard of
-	seenHealthyAt               balancer.Time    // when this gatherer saw it well, as that holder; 0 = not
-	nextHealthCheck             balancer.Time    // when it may be looked after again
+	noHeartbeats                bool          // the core does not hear it itself
+	lease                       lease.Lease   // of the newest holder of its duty that was heard of
+	seenHealthyAt               balancer.Time // when this gatherer saw it well, as that holder; 0 = not
+	nextHealthCheck             balancer.Time // when it may be looked after again
 	healthCheckPause            balancer.Time
 	sequence                    uint64
 	replaced                    bool // another server answered at its address
@@ -135,7 +136,7 @@
 	pendingEvents    []balancer.Event
 	subscribers      map[*rpc.Conn]bool
 	subscriptions    map[rendezvous.Name]*loadSubscription
-	roles            *rendezvous.Tracker
+	roles            *lease.Tracker
 	gateways         []rendezvous.Name          // all, as last told, this one too
 	slots            map[string]*slotAssignment // by service, as many as the configuration names
 	observedPeers    int                        // others that those watched stand for
@@ -177,7 +178,7 @@
 	o.endpoints, o.endpointsByID = map[string]*endpoint{}, map[balancer.ServerID]*endpoint{}
 	o.shards, o.queryTypes, o.zones = map[string]balancer.ShardIndex{}, map[string]balancer.QueryType{}, map[string]balancer.ZoneIndex{}
 	o.connectionLimits, o.subscribers, o.subscriptions = map[string]int{}, map[*rpc.Conn]bool{}, map[rendezvous.Name]*loadSubscription{}
-	o.roles = rendezvous.NewTracker(rendezvous.Name(f.settings.InternalAddress(settings.GatewayPort)))
+	o.roles = lease.NewTracker(rendezvous.Name(f.settings.InternalAddress(settings.GatewayPort)))
 	o.gateways, o.slots = []rendezvous.Name{rendezvous.Name(f.settings.InternalAddress(settings.GatewayPort))}, map[string]*slotAssignment{}
 	o.zones[f.settings.Zone] = 0
 	o.outliers = outlierClient{detector: outlier.NewDetector(outlier.Observer(f.incarnation)), reported: map[balancer.ServerID]balancer.OutlierVerdict{}}
@@ -494,7 +495,7 @@
 			}
 			s.sequence, s.overdue, s.noHeartbeats = r.Sequence, r.Overdue, r.NoHeartbeats
 		}
-		if claim := (rendezvous.Lease{FencingToken: r.FencingToken, Holder: r.LeaseHolder}); claim.Compare(s.lease) > 0 {
+		if claim := (lease.Lease{FencingToken: r.FencingToken, Holder: r.LeaseHolder}); claim.Compare(s.lease) > 0 {
 			s.lease = claim
 		}
 		s.state = max(s.state, registry.State(r.State))
--- a/rendezvous/lease.go
+++ b/lease/lease.go
@@ -1,9 +1,11 @@
-package rendezvous
+package lease
 
 import (
 	"cmp"
 	"slices"
 	"time"
+
+	"oxbowspan/rendezvous"
 )
 
 // Lease is what stands behind the word of a duty's holder: the fence rises each time the duty changes hands, and of two who
@@ -37,17 +39,17 @@
 //
 // Times are the caller's steady clock.
 type Tracker struct {
-	self      Name
-	members   []Name
+	self      rendezvous.Name
+	members   []rendezvous.Name
 	renewedAt time.Duration
 	changedAt time.Duration
 }
 
 // NewTracker makes the duties of one gatherer, which has none until it was told of the fleet.
-func NewTracker(self Name) *Tracker { return &Tracker{self: self, renewedAt: -TTL} }
+func NewTracker(self rendezvous.Name) *Tracker { return &Tracker{self: self, renewedAt: -TTL} }
 
 // SetMembers takes the list of the live gatherers, this one among them.
-func (d *Tracker) SetMembers(members []Name, now time.Duration) {
+func (d *Tracker) SetMembers(members []rendezvous.Name, now time.Duration) {
 	members = slices.Clone(members)
 	slices.Sort(members)
 	if !slices.Equal(members, d.members) {
@@ -65,9 +67,11 @@
 }
 
 // Holds tells whether this gatherer may do a key's duty now.
-func (d *Tracker) Holds(key Name, now time.Duration) bool { return d.HoldsAmong(key, d.members, now) }
+func (d *Tracker) Holds(key rendezvous.Name, now time.Duration) bool {
+	return d.HoldsAmong(key, d.members, now)
+}
 
 // HoldsAmong tells whether it may do a duty that is cut over some of the gatherers only, of whom it was told with the others.
-func (d *Tracker) HoldsAmong(key Name, members []Name, now time.Duration) bool {
-	return now-d.renewedAt < TTL && now-d.changedAt > TTL && Owner(key, members) == d.self
+func (d *Tracker) HoldsAmong(key rendezvous.Name, members []rendezvous.Name, now time.Duration) bool {
+	return now-d.renewedAt < TTL && now-d.changedAt > TTL && rendezvous.Owner(key, members) == d.self
 }
