--- /dev/null
+++ b/internal/deadlineheap/heap_test.go
@@ -0,0 +1,102 @@
+package deadlineheap
+
+import (
+	"container/heap"
+	"math/rand/v2"
+	"testing"
+)
+
+// reference is a heap written out by hand. Equal deadlines must leave the package's heaps in the same order as this one.
+type reference []*item
+
+type item struct {
+	Position
+	deadline int64
+	value    int
+	index    int // in the reference
+}
+
+func (i *item) Deadline() int64 { return i.deadline }
+
+func (r reference) Len() int           { return len(r) }
+func (r reference) Less(i, j int) bool { return r[i].deadline < r[j].deadline }
+func (r reference) Swap(i, j int) {
+	r[i], r[j] = r[j], r[i]
+	r[i].index, r[j].index = i, j
+}
+
+func (r *reference) Push(x any) {
+	i := x.(*item)
+	i.index = len(*r)
+	*r = append(*r, i)
+}
+
+func (r *reference) Pop() any {
+	last := (*r)[len(*r)-1]
+	*r = (*r)[:len(*r)-1]
+	return last
+}
+
+func TestEmptyHeap(t *testing.T) {
+	var h Heap[string]
+	if deadline, ok := h.Next(); ok || h.Len() != 0 {
+		t.Errorf("an empty heap has %d entries, the first due at %d", h.Len(), deadline)
+	}
+	var indexed Indexed[*item]
+	if first, ok := indexed.First(); ok || indexed.Len() != 0 {
+		t.Errorf("an empty heap has %d elements, the first is %v", indexed.Len(), first)
+	}
+}
+
+func TestHeapOrder(t *testing.T) {
+	rng := rand.New(rand.NewPCG(1, 1))
+	var h Heap[int]
+	var want reference
+	for step := range 20_000 {
+		if h.Len() == 0 || rng.IntN(5) < 3 {
+			deadline := int64(rng.IntN(50)) // many are equal
+			h.Push(deadline, step)
+			heap.Push(&want, &item{deadline: deadline, value: step})
+			continue
+		}
+		deadline, ok := h.Next()
+		first := heap.Pop(&want).(*item)
+		if got := h.Pop(); !ok || deadline != first.deadline || got != first.value {
+			t.Fatalf("step %d: value %d due at %d came first, want %d due at %d", step, got, deadline, first.value, first.deadline)
+		}
+	}
+}
+
+func TestIndexedOrder(t *testing.T) {
+	rng := rand.New(rand.NewPCG(1, 2))
+	var h Indexed[*item]
+	var want reference
+	for step := range 20_000 {
+		switch action := rng.IntN(10); {
+		case h.Len() == 0 || action < 5:
+			added := &item{deadline: int64(rng.IntN(50)), value: step}
+			h.Push(added)
+			heap.Push(&want, added)
+		case action < 8:
+			removed := want[rng.IntN(len(want))]
+			h.Remove(removed)
+			heap.Remove(&want, removed.index)
+		default:
+			moved := want[rng.IntN(len(want))]
+			moved.deadline = int64(rng.IntN(50))
+			h.Fix(moved)
+			heap.Fix(&want, moved.index)
+		}
+		if h.Len() != len(want) {
+			t.Fatalf("step %d: the heap has %d elements, want %d", step, h.Len(), len(want))
+		}
+		for i, element := range h.Elements() {
+			if element != want[i] {
+				t.Fatalf("step %d: element %d is %d, want %d", step, i, element.value, want[i].value)
+			}
+		}
+		if first, ok := h.First(); ok != (len(want) > 0) || ok && first != want[0] {
+			t.Fatalf("step %d: the first element is %v", step, first)
+		}
+	}
+}
--- a/internal/sparkline/sparkline.go
+++ b/internal/sparkline/sparkline.go
@@ -1,21 +1,25 @@
-// Package sparkline draws figures as one line of text.
+// Package sparkline draws a series of numbers as one line of text.
 package sparkline
 
 var bars = []rune("▁▂▃▄▅▆▇█")
 
-// Line draws figures from nothing to their most.
+// Line draws one bar for each value. Bars are scaled from zero to the greatest value; negative values are drawn as zero.
 func Line(values []float64) string {
 	maximum := 0.0
-	for _, x := range values {
-		maximum = max(maximum, x)
+	for _, value := range values {
+		maximum = max(maximum, value)
 	}
-	out := make([]rune, 0, len(values))
-	for _, x := range values {
-		level := 0
-		if maximum > 0 {
-			level = min(int(x/maximum*float64(len(bars))), len(bars)-1)
-		}
-		out = append(out, bars[max(level, 0)])
+	line := make([]rune, 0, len(values))
+	for _, value := range values {
+		line = append(line, bar(value, maximum))
 	}
-	return string(out)
+	return string(line)
+}
+
+func bar(value, maximum float64) rune {
+	if maximum <= 0 {
+		return bars[0]
+	}
+	index := int(value / maximum * float64(len(bars)))
+	return bars[min(max(index, 0), len(bars)-1)]
 }
