--- a/internal/controlclient/client.go
+++ b/internal/controlclient/client.go
@@ -1,51 +1,60 @@
-// Package controlclient is the operators' side of the control plane's calls: it asks any hive that answers, or all of them. It owns
-// nothing that outlives a command.
+// Package controlclient calls the control plane's HTTP API for operators: one controller that responds, or all of them. A client has no state
+// beyond a call.
 package controlclient
 
 import (
 	"bytes"
 	"context"
 	"encoding/json"
-	"errors"
+	"fmt"
 	"io"
 	"net/http"
 	"strconv"
 	"strings"
 	"time"
 
-	"github.com/rotisserie/eris"
-
 	"oxbowspan/config"
-	"oxbowspan/controlplane"
 )
 
-// ErrRefused marks an answer that is final: asking another hive would not change it.
-var ErrRefused = eris.New("refused")
+const (
+	requestTimeout = 3 * time.Second // of one request to one controller
 
-// ErrNotFound says that what was asked for is not there yet.
-var ErrNotFound = eris.New("there is none yet")
+	// maxAttempts bounds how often all controllers are tried while one of them responds that the outcome is not known yet.
+	maxAttempts    = 5
+	initialBackoff = 150 * time.Millisecond // between attempts; doubled after each
+)
 
-const requestTimeout = 3 * time.Second
+// Names of the configuration in paths, and headers of the API.
+const (
+	configurationResource = "configuration"
+	baseVersionHeader     = "X-Based-On-Version"
+	versionHeader         = "X-Version"
+)
 
-// Client calls hives by their control addresses.
+// Client calls controllers by their control addresses.
 type Client struct {
-	Addresses  []string
+	addresses  []string
 	httpClient http.Client
-	sleep      func(ctx context.Context, pause time.Duration) // between two passes; a test may put another in its place
+	sleep      func(ctx context.Context, duration time.Duration) // replaced in tests
 }
 
-// Passes over all hives, while one of them answers that it can't tell yet.
-const (
-	maxAttempts    = 5
-	initialBackoff = 150 * time.Millisecond // doubled after each pass
-)
-
-// errRetryable says that a hive answered, and that the same call may have another answer soon.
-var errRetryable = errors.New("no clear answer")
-
-// New makes one that knows some hives. It opens nothing yet.
+// New returns a client for the controllers at some addresses. It opens no connection.
 func New(addresses []string) *Client {
-	return &Client{Addresses: addresses, httpClient: http.Client{Timeout: requestTimeout, Transport: &http.Transport{DisableKeepAlives: true}}, sleep: sleep}
+	return &Client{
+		addresses:  addresses,
+		httpClient: http.Client{Timeout: requestTimeout, Transport: &http.Transport{DisableKeepAlives: true}},
+		sleep:      sleep,
+	}
+}
+
+// ParseAddresses splits a comma-separated list of control addresses. Spaces and empty entries are dropped.
+func ParseAddresses(list string) (addresses []string) {
+	for _, address := range strings.Split(list, ",") {
+		if address = strings.TrimSpace(address); address != "" {
+			addresses = append(addresses, address)
+		}
+	}
+	return addresses
 }
 
 func sleep(ctx context.Context, duration time.Duration) {
@@ -57,161 +66,107 @@
 	}
 }
 
-// request asks one hive. A redirect is followed by the client.
-func (k *Client) request(ctx context.Context, address, method, path string, basedOn *uint64, body []byte) ([]byte, http.Header, error) {
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, bytes.NewReader(body))
+// Read returns the committed version of a resource, and its number if the controller states it. It returns [ErrNotFound] before the first
+// version.
+func (c *Client) Read(ctx context.Context, resource string) (body []byte, version uint64, err error) {
+	response, err := c.callAny(ctx, call{method: http.MethodGet, path: "/-/" + resource + "/read"})
+	version, _ = strconv.ParseUint(response.header.Get(versionHeader), 10, 64)
+	return response.body, version, err
+}
+
+// Replace commits a new version of a resource in place of the one that it is based on, 0 = none, and returns the new version's number.
+func (c *Client) Replace(ctx context.Context, resource string, basedOn uint64, body []byte) (version uint64, err error) {
+	response, err := c.callAny(ctx, call{method: http.MethodPost, path: "/-/" + resource + "/replace", basedOn: &basedOn, body: body})
 	if err != nil {
-		return nil, nil, eris.Errorf("%s is no address of a hive", address)
+		return 0, err
 	}
-	if basedOn != nil {
-		req.Header.Set("X-Based-On-Version", strconv.FormatUint(*basedOn, 10))
-		req.Header.Set("Content-Type", "application/json")
+	var committed struct {
+		Version uint64 `json:"version"`
 	}
-	resp, err := k.httpClient.Do(req)
-	if err != nil {
-		return nil, nil, eris.Errorf("the hive at %s does not answer", address)
+	if err := json.Unmarshal(response.body, &committed); err != nil {
+		return 0, fmt.Errorf("decode response to the new version of %s: %w", resource, err)
 	}
-	defer resp.Body.Close()
-	text, err := io.ReadAll(resp.Body)
+	return committed.Version, nil
+}
+
+// Configuration returns the committed configuration and its text.
+func (c *Client) Configuration(ctx context.Context) (*config.Configuration, []byte, error) {
+	text, _, err := c.Read(ctx, configurationResource)
 	if err != nil {
-		return nil, nil, eris.Errorf("the hive at %s broke off", address)
-	}
-	var reply struct {
-		Error string `json:"error"`
-	}
-	switch {
-	case resp.StatusCode == http.StatusOK:
-		return text, resp.Header, nil
-	case resp.StatusCode == http.StatusNotFound && method == http.MethodGet:
-		return nil, resp.Header, ErrNotFound
-	case json.Unmarshal(text, &reply) != nil || reply.Error == "":
-		reply.Error = "status " + strconv.Itoa(resp.StatusCode)
-	}
-	if resp.StatusCode/100 == 4 && resp.StatusCode != http.StatusRequestTimeout && resp.StatusCode != http.StatusTooManyRequests {
-		return nil, nil, eris.Wrap(ErrRefused, reply.Error)
+		return nil, nil, err
 	}
-	return nil, nil, eris.Wrapf(errRetryable, "the hive at %s: %s", address, reply.Error)
+	configuration, err := config.Parse(text)
+	return configuration, text, err
+}
+
+// ReplaceConfiguration commits a new configuration. See [Client.Replace].
+func (c *Client) ReplaceConfiguration(ctx context.Context, basedOn uint64, text []byte) (version uint64, err error) {
+	return c.Replace(ctx, configurationResource, basedOn, text)
+}
+
+// call is a request that can be sent to any controller, and sent again.
+type call struct {
+	method  string
+	path    string
+	basedOn *uint64 // sent as a header with the body; nil = neither
+	body    []byte
 }
 
-// requestAny asks the hives one after the other until one has a final answer. Where none has and one of them could not tell, as a core
-// that is short of time or has just lost a machine, all are asked again after a pause: a call sent again is safe.
-func (k *Client) requestAny(ctx context.Context, method, path string, basedOn *uint64, body []byte) (text []byte, header http.Header, err error) {
-	if len(k.Addresses) == 0 {
-		return nil, nil, eris.New("no hive is named")
+type response struct {
+	body   []byte
+	header http.Header
+}
+
+// callAny sends a call to one controller after another until one gives a final response. If none does, but one responded that the outcome is
+// not known yet, as when it is overloaded or lost a peer, all are tried again after a backoff. Calls may be repeated safely.
+func (c *Client) callAny(ctx context.Context, call call) (response, error) {
+	if len(c.addresses) == 0 {
+		return response{}, ErrNoAddresses
 	}
 	backoff := initialBackoff
 	for attempt := 1; ; attempt++ {
 		retryable := false
-		for _, a := range k.Addresses {
-			if text, header, err = k.request(ctx, a, method, path, basedOn, body); err == nil || eris.Is(err, ErrRefused) || eris.Is(err, ErrNotFound) {
-				return text, header, err
+		var last error
+		for _, address := range c.addresses {
+			response, err := c.send(ctx, address, call)
+			if err == nil || isFinal(err) {
+				return response, err
 			}
-			retryable = retryable || eris.Is(err, errRetryable)
+			retryable = retryable || isRetryable(err)
+			last = err
 		}
 		if !retryable || attempt == maxAttempts || ctx.Err() != nil {
-			return nil, nil, err
+			return response{}, last
 		}
-		k.sleep(ctx, backoff)
+		c.sleep(ctx, backoff)
 		backoff *= 2
 	}
 }
 
-// Read returns a document that the hives agreed on, and its version where it is told. ErrNotFound = there is none yet.
-func (k *Client) Read(ctx context.Context, resource string) (text []byte, version uint64, err error) {
-	text, header, err := k.requestAny(ctx, http.MethodGet, "/-/"+resource+"/read", nil, nil)
-	if header != nil {
-		version, _ = strconv.ParseUint(header.Get("X-Version"), 10, 64)
-	}
-	return text, version, err
-}
-
-// Replace has a document agreed on in place of the version that it builds on, and returns the version that it has now.
-func (k *Client) Replace(ctx context.Context, resource string, basedOn uint64, body []byte) (version uint64, err error) {
-	text, _, err := k.requestAny(ctx, http.MethodPost, "/-/"+resource+"/replace", &basedOn, body)
+// send sends a call to one controller. Redirects are followed. With [ErrNotFound] the response has headers.
+func (c *Client) send(ctx context.Context, address string, call call) (response, error) {
+	request, err := http.NewRequestWithContext(ctx, call.method, "http://"+address+call.path, bytes.NewReader(call.body))
 	if err != nil {
-		return 0, err
-	}
-	var got struct {
-		Version uint64 `json:"version"`
+		return response{}, fmt.Errorf("%q is not the address of a controller: %w", address, err)
 	}
-	if err := json.Unmarshal(text, &got); err != nil {
-		return 0, eris.New("the hive's answer can't be read")
+	if call.basedOn != nil {
+		request.Header.Set(baseVersionHeader, strconv.FormatUint(*call.basedOn, 10))
+		request.Header.Set("Content-Type", "application/json")
 	}
-	return got.Version, nil
-}
-
-// Configuration is the newest one.
-func (k *Client) Configuration(ctx context.Context) (*config.Configuration, []byte, error) {
-	text, _, err := k.Read(ctx, "configuration")
+	received, err := c.httpClient.Do(request)
 	if err != nil {
-		return nil, nil, err
-	}
-	c, err := config.Parse(text)
-	return c, text, err
-}
-
-// requestAll asks all hives and hands each answer to take. It fails where none answers; who did not is told.
-func (k *Client) requestAll(ctx context.Context, path string, handle func(address string, text []byte) error) (unreachable []string, err error) {
-	for _, a := range k.Addresses {
-		text, _, requestErr := k.request(ctx, a, http.MethodGet, path, nil, nil)
-		if requestErr == nil {
-			requestErr = handle(a, text)
-		}
-		if requestErr != nil {
-			err, unreachable = requestErr, append(unreachable, a)
-		}
+		return response{}, &UnreachableError{Address: address, Err: err}
 	}
-	if len(unreachable) < len(k.Addresses) {
-		err = nil
+	defer received.Body.Close()
+	body, err := io.ReadAll(received.Body)
+	if err != nil {
+		return response{}, &UnreachableError{Address: address, Err: err}
 	}
-	return unreachable, err
-}
-
-// Tenants is what tenants have at each gatherer, as all hives that answer know it.
-func (k *Client) Tenants(ctx context.Context) (nodes []controlplane.GatewayTenants, unreachable []string, err error) {
-	return ListAll(ctx, k, "/-/tenants/explain", func(n controlplane.GatewayTenants) string { return n.Gateway }, func(_, _ controlplane.GatewayTenants) bool { return false })
-}
-
-// ForEach asks all hives for a resource and hands each answer to take, with the address that gave it. Who did not answer is told; it fails where
-// nobody did.
-func (k *Client) ForEach(ctx context.Context, path string, handle func(address string, text []byte) error) (unreachable []string, err error) {
-	return k.requestAll(ctx, path, handle)
-}
-
-// ListAll asks all hives for a list and puts the lists together, each entry once by its key; of two that better prefers one.
-func ListAll[T any](ctx context.Context, client *Client, path string, key func(T) string, better func(a, b T) bool) (all []T, unreachable []string, err error) {
-	at := map[string]int{}
-	unreachable, err = client.requestAll(ctx, path, func(_ string, text []byte) error {
-		var some []T
-		if err := json.Unmarshal(text, &some); err != nil {
-			return err
-		}
-		for _, t := range some {
-			i, known := at[key(t)]
-			switch {
-			case !known:
-				at[key(t)] = len(all)
-				all = append(all, t)
-			case better(t, all[i]):
-				all[i] = t
-			}
-		}
-		return nil
-	})
-	return all, unreachable, err
-}
-
-// OutlierVerdicts is what gatherers hold of servers that are not simply in, as all hives that answer know it.
-func (k *Client) OutlierVerdicts(ctx context.Context) (nodes []controlplane.GatewayOutliers, unreachable []string, err error) {
-	return ListAll(ctx, k, "/-/judgement/explain", func(n controlplane.GatewayOutliers) string { return n.Gateway }, func(_, _ controlplane.GatewayOutliers) bool { return false })
-}
-
-// ParseAddresses reads a list of control addresses.
-func ParseAddresses(list string) (out []string) {
-	for _, a := range strings.Split(list, ",") {
-		if a = strings.TrimSpace(a); a != "" {
-			out = append(out, a)
-		}
+	switch {
+	case received.StatusCode == http.StatusOK:
+		return response{body, received.Header}, nil
+	case received.StatusCode == http.StatusNotFound && call.method == http.MethodGet:
+		return response{header: received.Header}, ErrNotFound
 	}
-	return out
+	return response{}, newStatusError(address, received.StatusCode, body)
 }
--- a/internal/controlclient/client_test.go
+++ b/internal/controlclient/client_test.go
@@ -2,86 +2,160 @@
 
 import (
 	"context"
+	"errors"
+	"io"
 	"net/http"
 	"net/http/httptest"
+	"slices"
 	"strings"
 	"testing"
 	"time"
-
-	"github.com/rotisserie/eris"
 )
 
-// fakeController answers calls with the statuses that are told, in turn, and then with the last one.
+// fakeController responds with its statuses one after another, and then with the last one.
 type fakeController struct {
 	statuses []int
+	body     string // of each response
 	requests int
-	bodies   []string // bodies
+	received []string // base version and body of each request
 }
 
 func (c *fakeController) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	var body strings.Builder
-	buffer := make([]byte, 64)
-	for {
-		n, err := r.Body.Read(buffer)
-		body.Write(buffer[:n])
-		if err != nil {
-			break
-		}
-	}
-	c.bodies = append(c.bodies, r.Header.Get("X-Based-On-Version")+" "+body.String())
+	body, _ := io.ReadAll(r.Body)
+	c.received = append(c.received, r.Header.Get("X-Based-On-Version")+" "+string(body))
 	status := c.statuses[min(c.requests, len(c.statuses)-1)]
 	c.requests++
+	w.Header().Set("X-Version", "7")
 	w.WriteHeader(status)
-	w.Write([]byte(`{"version":7,"error":"told"}`))
+	io.WriteString(w, c.body)
+}
+
+func newFake(statuses ...int) *fakeController {
+	return &fakeController{statuses: statuses, body: `{"version":7,"error":"message"}`}
 }
 
+// newTestClient returns a client for some controllers that records its backoffs instead of sleeping.
 func newTestClient(t *testing.T, controllers ...*fakeController) (client *Client, backoffs *[]time.Duration) {
+	t.Helper()
 	var addresses []string
 	for _, c := range controllers {
-		s := httptest.NewServer(c)
-		t.Cleanup(s.Close)
-		addresses = append(addresses, strings.TrimPrefix(s.URL, "http://"))
+		server := httptest.NewServer(c)
+		t.Cleanup(server.Close)
+		addresses = append(addresses, strings.TrimPrefix(server.URL, "http://"))
 	}
-	client, backoffs = New(addresses), &[]time.Duration{}
-	client.sleep = func(_ context.Context, pause time.Duration) { *backoffs = append(*backoffs, pause) }
+	return recordBackoffs(New(addresses))
+}
+
+func recordBackoffs(client *Client) (*Client, *[]time.Duration) {
+	backoffs := &[]time.Duration{}
+	client.sleep = func(_ context.Context, backoff time.Duration) { *backoffs = append(*backoffs, backoff) }
 	return client, backoffs
 }
 
-// A core that can't tell in time is asked again, with the same order, after pauses that grow; a refusal is final at once.
-func TestRetryableRepliesAreRetried(t *testing.T) {
-	recovering, down := &fakeController{statuses: []int{503, 408, 200}}, &fakeController{statuses: []int{500}}
+// unreachableAddress returns an address without a listener.
+func unreachableAddress() string {
+	server := httptest.NewServer(http.NotFoundHandler())
+	server.Close()
+	return strings.TrimPrefix(server.URL, "http://")
+}
+
+func TestRetryableResponsesAreRetried(t *testing.T) {
+	recovering, down := newFake(503, 408, 200), newFake(500)
 	client, backoffs := newTestClient(t, down, recovering)
 	version, err := client.Replace(t.Context(), "configuration", 3, []byte("order"))
 	if err != nil || version != 7 {
 		t.Fatalf("version %d, %v", version, err)
 	}
 	if len(*backoffs) != 2 || (*backoffs)[1] != 2*(*backoffs)[0] {
-		t.Errorf("pauses %v", *backoffs)
-	}
-	for _, body := range recovering.bodies {
-		if body != "3 order" {
-			t.Errorf("sent again as %q", body)
-		}
+		t.Errorf("backoffs of %v, want two that double", *backoffs)
 	}
-	rejecting, never := &fakeController{statuses: []int{412}}, &fakeController{statuses: []int{200}}
-	client, backoffs = newTestClient(t, rejecting, never)
-	if _, err := client.Replace(t.Context(), "configuration", 3, nil); !eris.Is(err, ErrRefused) || never.requests != 0 || len(*backoffs) != 0 {
-		t.Errorf("a refusal: %v, another was asked %d times, pauses %v", err, never.requests, *backoffs)
+	if want := []string{"3 order", "3 order", "3 order"}; !slices.Equal(recovering.received, want) {
+		t.Errorf("received %q, want %q", recovering.received, want)
 	}
 }
 
-// A core that stays unclear is left after some passes, and one of which nobody answers at once.
+func TestFinalResponsesAreNotRetried(t *testing.T) {
+	t.Run("rejected", func(t *testing.T) {
+		rejecting, other := newFake(412), newFake(200)
+		client, backoffs := newTestClient(t, rejecting, other)
+		_, err := client.Replace(t.Context(), "configuration", 3, nil)
+		var status *StatusError
+		if !errors.As(err, &status) || !status.Rejected() || status.Message != "message" {
+			t.Errorf("got %v, want a rejection", err)
+		}
+		if other.requests != 0 || len(*backoffs) != 0 {
+			t.Errorf("%d requests to another controller, backoffs of %v", other.requests, *backoffs)
+		}
+	})
+	t.Run("not found", func(t *testing.T) {
+		empty, other := newFake(404), newFake(200)
+		client, backoffs := newTestClient(t, empty, other)
+		if _, version, err := client.Read(t.Context(), "configuration"); !errors.Is(err, ErrNotFound) || version != 7 {
+			t.Errorf("version %d, %v; want the version of the header and %v", version, err, ErrNotFound)
+		}
+		if other.requests != 0 || len(*backoffs) != 0 {
+			t.Errorf("%d requests to another controller, backoffs of %v", other.requests, *backoffs)
+		}
+	})
+}
+
 func TestAttemptsAreBounded(t *testing.T) {
-	unavailable := &fakeController{statuses: []int{503}}
-	client, backoffs := newTestClient(t, unavailable)
-	if _, _, err := client.Read(t.Context(), "configuration"); err == nil || unavailable.requests != maxAttempts || len(*backoffs) != maxAttempts-1 {
-		t.Errorf("%v after %d calls, pauses %v", err, unavailable.requests, *backoffs)
+	t.Run("unavailable", func(t *testing.T) {
+		unavailable := newFake(503)
+		client, backoffs := newTestClient(t, unavailable)
+		_, _, err := client.Read(t.Context(), "configuration")
+		if err == nil || unavailable.requests != maxAttempts || len(*backoffs) != maxAttempts-1 {
+			t.Errorf("%v after %d requests, backoffs of %v", err, unavailable.requests, *backoffs)
+		}
+	})
+	t.Run("unreachable", func(t *testing.T) {
+		client, backoffs := recordBackoffs(New([]string{unreachableAddress()}))
+		_, _, err := client.Read(t.Context(), "configuration")
+		var unreachable *UnreachableError
+		if !errors.As(err, &unreachable) || len(*backoffs) != 0 {
+			t.Errorf("got %v, backoffs of %v; want an UnreachableError at once", err, *backoffs)
+		}
+	})
+	t.Run("no addresses", func(t *testing.T) {
+		if _, _, err := New(nil).Read(t.Context(), "configuration"); !errors.Is(err, ErrNoAddresses) {
+			t.Errorf("got %v, want %v", err, ErrNoAddresses)
+		}
+	})
+}
+
+func TestListingsAreMerged(t *testing.T) {
+	stale, fresh := newFake(200), newFake(200)
+	stale.body = `[{"instance":"a","zone":"stale","heard_s_ago":2},{"instance":"b","heard_s_ago":1}]`
+	fresh.body = `[{"instance":"a","zone":"fresh","heard_s_ago":1},{"instance":"c","heard_s_ago":1}]`
+	malformed := newFake(200)
+	malformed.body = "no list"
+	client, _ := newTestClient(t, stale, fresh, malformed)
+	gone := unreachableAddress()
+	client.addresses = append(client.addresses, gone)
+
+	listing, err := client.Servers(t.Context())
+	if err != nil {
+		t.Fatal(err)
 	}
-	gone := httptest.NewServer(http.NotFoundHandler())
-	gone.Close()
-	client, backoffs = New([]string{strings.TrimPrefix(gone.URL, "http://")}), &[]time.Duration{}
-	client.sleep = func(_ context.Context, pause time.Duration) { *backoffs = append(*backoffs, pause) }
-	if _, _, err := client.Read(t.Context(), "configuration"); err == nil || len(*backoffs) != 0 {
-		t.Errorf("nobody answers: %v, pauses %v", err, *backoffs)
+	var got []string
+	for _, server := range listing.Items {
+		got = append(got, server.Instance+" "+server.Zone)
+	}
+	if want := []string{"a fresh", "b ", "c "}; !slices.Equal(got, want) {
+		t.Errorf("got %q, want %q", got, want)
+	}
+	if want := client.addresses[2:]; !slices.Equal(listing.Unreachable, want) {
+		t.Errorf("unreachable %q, want %q", listing.Unreachable, want)
+	}
+
+	if listing, err := New([]string{gone}).Servers(t.Context()); err == nil {
+		t.Errorf("got %+v without a response", listing)
+	}
+}
+
+func TestParseAddresses(t *testing.T) {
+	got := ParseAddresses(" 10.1.0.1:8729,, 10.2.0.1:8729 ")
+	if want := []string{"10.1.0.1:8729", "10.2.0.1:8729"}; !slices.Equal(got, want) {
+		t.Errorf("got %q, want %q", got, want)
 	}
 }
--- /dev/null
+++ b/internal/controlclient/errors.go
@@ -0,0 +1,73 @@
+package controlclient
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"net/http"
+)
+
+var (
+	// ErrNoAddresses is returned when a client has no controller to call.
+	ErrNoAddresses = errors.New("no controller addresses")
+	// ErrNotFound is returned when a resource has no version yet.
+	ErrNotFound = errors.New("there is none yet")
+)
+
+// UnreachableError reports a controller that did not respond, or not completely.
+type UnreachableError struct {
+	Address string
+	Err     error
+}
+
+func (e *UnreachableError) Error() string {
+	return fmt.Sprintf("controller at %s does not respond: %v", e.Address, e.Err)
+}
+
+func (e *UnreachableError) Unwrap() error { return e.Err }
+
+// StatusError reports a response with a status other than 200.
+type StatusError struct {
+	Address string
+	Status  int    // HTTP status
+	Message string // the controller's; "" = none
+}
+
+func newStatusError(address string, status int, body []byte) *StatusError {
+	var reply struct {
+		Error string `json:"error"`
+	}
+	if json.Unmarshal(body, &reply) != nil {
+		reply.Error = ""
+	}
+	return &StatusError{Address: address, Status: status, Message: reply.Error}
+}
+
+func (e *StatusError) Error() string {
+	message := e.Message
+	if message == "" {
+		message = fmt.Sprintf("status %d", e.Status)
+	}
+	if e.Rejected() {
+		return "rejected: " + message
+	}
+	return fmt.Sprintf("controller at %s: %s", e.Address, message)
+}
+
+// Rejected reports whether the response is final: every controller would reject the request. Otherwise the same request may have another
+// outcome soon.
+func (e *StatusError) Rejected() bool {
+	return e.Status/100 == 4 && e.Status != http.StatusRequestTimeout && e.Status != http.StatusTooManyRequests
+}
+
+// isFinal reports whether to call no other controller after an error.
+func isFinal(err error) bool {
+	var status *StatusError
+	return errors.Is(err, ErrNotFound) || errors.As(err, &status) && status.Rejected()
+}
+
+// isRetryable reports whether a controller responded that the outcome is not known yet.
+func isRetryable(err error) bool {
+	var status *StatusError
+	return errors.As(err, &status) && !status.Rejected()
+}
--- /dev/null
+++ b/internal/controlclient/listing.go
@@ -0,0 +1,120 @@
+package controlclient
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"net/http"
+
+	"oxbowspan/controlplane"
+)
+
+// Listing is what all controllers that responded know together.
+type Listing[T any] struct {
+	Items       []T      // in the order of the controllers
+	Unreachable []string // addresses of controllers without a usable response
+}
+
+// Preference reports whether a is to replace b, an entry with the same key of another controller.
+type Preference[T any] func(a, b T) bool
+
+// PreferPolling prefers the state of a gateway at a controller that it polls.
+func PreferPolling(a, b controlplane.GatewayStatus) bool { return a.PollsHere && !b.PollsHere }
+
+// PreferPollingThenRecent prefers the state at a controller that the gateway polls, and the more recent one of two such.
+func PreferPollingThenRecent(a, b controlplane.GatewayStatus) bool {
+	return PreferPolling(a, b) || a.PollsHere == b.PollsHere && a.AgeSeconds < b.AgeSeconds
+}
+
+// Gateways lists the gateways.
+func (c *Client) Gateways(ctx context.Context, preference Preference[controlplane.GatewayStatus]) (Listing[controlplane.GatewayStatus], error) {
+	key := func(g controlplane.GatewayStatus) string { return g.Address }
+	return list(ctx, c, "/-/nodes/read", key, preference)
+}
+
+// Servers lists the servers, each by its most recent heartbeat.
+func (c *Client) Servers(ctx context.Context) (Listing[controlplane.ServerStatus], error) {
+	key := func(s controlplane.ServerStatus) string { return s.Instance }
+	recent := func(a, b controlplane.ServerStatus) bool { return a.AgeSeconds < b.AgeSeconds }
+	return list(ctx, c, "/-/servers/read", key, recent)
+}
+
+// Events lists the events of all controllers.
+func (c *Client) Events(ctx context.Context) (Listing[controlplane.Event], error) {
+	key := func(e controlplane.Event) string { return fmt.Sprint(e.Controller, " ", e.Sequence) }
+	return list(ctx, c, "/-/events/read", key, nil)
+}
+
+// History lists the retained versions of the configuration.
+func (c *Client) History(ctx context.Context) (Listing[controlplane.HistoryEntry], error) {
+	key := func(e controlplane.HistoryEntry) string { return fmt.Sprint(e.Version) }
+	return list(ctx, c, "/-/configuration/history", key, nil)
+}
+
+// Tenants lists what tenants use at each gateway.
+func (c *Client) Tenants(ctx context.Context) (Listing[controlplane.GatewayTenants], error) {
+	key := func(g controlplane.GatewayTenants) string { return g.Gateway }
+	return list(ctx, c, "/-/tenants/explain", key, nil)
+}
+
+// OutlierVerdicts lists each gateway's verdicts on servers that are not simply healthy.
+func (c *Client) OutlierVerdicts(ctx context.Context) (Listing[controlplane.GatewayOutliers], error) {
+	key := func(g controlplane.GatewayOutliers) string { return g.Gateway }
+	return list(ctx, c, "/-/judgement/explain", key, nil)
+}
+
+// Memberships returns each controller's view of the membership.
+func (c *Client) Memberships(ctx context.Context) (Listing[controlplane.MembershipStatus], error) {
+	listing := Listing[controlplane.MembershipStatus]{Items: []controlplane.MembershipStatus{}}
+	err := c.callAll(ctx, "/-/members/read", &listing.Unreachable, func(body []byte) error {
+		var status controlplane.MembershipStatus
+		if err := json.Unmarshal(body, &status); err != nil {
+			return err
+		}
+		listing.Items = append(listing.Items, status)
+		return nil
+	})
+	return listing, err
+}
+
+// list merges the lists of all controllers. Of entries with the same key it keeps the first, or the one that is preferred.
+func list[T any](ctx context.Context, c *Client, path string, key func(T) string, preference Preference[T]) (listing Listing[T], err error) {
+	index := map[string]int{}
+	err = c.callAll(ctx, path, &listing.Unreachable, func(body []byte) error {
+		var items []T
+		if err := json.Unmarshal(body, &items); err != nil {
+			return err
+		}
+		for _, item := range items {
+			i, known := index[key(item)]
+			switch {
+			case !known:
+				index[key(item)] = len(listing.Items)
+				listing.Items = append(listing.Items, item)
+			case preference != nil && preference(item, listing.Items[i]):
+				listing.Items[i] = item
+			}
+		}
+		return nil
+	})
+	return listing, err
+}
+
+// callAll reads a path from each controller and passes the bodies to handle. It adds the controllers without a usable response to unreachable
+// and fails only if there are no others.
+func (c *Client) callAll(ctx context.Context, path string, unreachable *[]string, handle func(body []byte) error) (err error) {
+	for _, address := range c.addresses {
+		response, callErr := c.send(ctx, address, call{method: http.MethodGet, path: path})
+		if callErr == nil {
+			callErr = handle(response.body)
+		}
+		if callErr != nil {
+			err = callErr
+			*unreachable = append(*unreachable, address)
+		}
+	}
+	if len(*unreachable) < len(c.addresses) {
+		return nil
+	}
+	return err
+}
