--- a/internal/controlcli/completion.go
+++ b/internal/controlcli/completion.go
@@ -10,35 +10,56 @@
 	"github.com/peterbourgon/ff/v3/ffcli"
 )
 
-// completionCommand prints what a shell needs to complete the program's words: its commands by what stands before them, and their flags.
-func completionCommand(name string, root func() *ffcli.Command, out io.Writer) *ffcli.Command {
-	return &ffcli.Command{Name: "completion", ShortUsage: name + " completion", ShortHelp: "print the completions for bash: source <(" + name + " completion)",
+// The bash completion function: it joins the commands before the cursor and selects the candidates by them. The verbs stand for the
+// program's name.
+const (
+	completionHead = `_%[1]s() {
+  local words="${COMP_WORDS[*]:0:COMP_CWORD}" at= w
+  for w in ${words#%[1]s}; do case "$w" in -*) ;; *) at="$at $w" ;; esac; done
+  case "$at" in
+`
+	completionCase = `  "%s") COMPREPLY=($(compgen -W "%s" -- "${COMP_WORDS[COMP_CWORD]}")) ;;
+`
+	completionTail = `  *) COMPREPLY=($(compgen -f -- "${COMP_WORDS[COMP_CWORD]}")) ;;
+  esac
+}
+complete -F _%[1]s %[1]s
+`
+)
+
+// completionCommand prints a bash script that completes the commands and flags below root.
+func completionCommand(root *ffcli.Command, out io.Writer) *ffcli.Command {
+	return &ffcli.Command{
+		Name:       "completion",
+		ShortUsage: root.Name + " completion",
+		ShortHelp:  "print completions for bash: source <(" + root.Name + " completion)",
 		Exec: func(_ context.Context, args []string) error {
 			if len(args) > 0 {
 				return flag.ErrHelp
 			}
-			fmt.Fprintf(out, "_%s() {\n  local words=\"${COMP_WORDS[*]:0:COMP_CWORD}\" at= w\n  for w in ${words#%s}; do case \"$w\" in -*) ;; *) at=\"$at $w\" ;; esac; done\n  case \"$at\" in\n", name, name)
-			walk(root(), "", func(at string, words []string) {
-				fmt.Fprintf(out, "  \"%s\") COMPREPLY=($(compgen -W \"%s\" -- \"${COMP_WORDS[COMP_CWORD]}\")) ;;\n", at, strings.Join(words, " "))
+			fmt.Fprintf(out, completionHead, root.Name)
+			walkCommands(root, "", func(path string, candidates []string) {
+				fmt.Fprintf(out, completionCase, path, strings.Join(candidates, " "))
 			})
-			fmt.Fprintf(out, "  *) COMPREPLY=($(compgen -f -- \"${COMP_WORDS[COMP_CWORD]}\")) ;;\n  esac\n}\ncomplete -F _%s %s\n", name, name)
+			fmt.Fprintf(out, completionTail, root.Name)
 			return nil
-		}}
+		},
+	}
 }
 
-// walk visits a command and those below it, each with what stands before and what may follow.
-func walk(c *ffcli.Command, at string, visit func(at string, words []string)) {
-	var words []string
-	for _, s := range c.Subcommands {
-		words = append(words, s.Name)
+// walkCommands visits a command and all below it that have subcommands or flags, each with the commands that lead to it, a space before each.
+func walkCommands(command *ffcli.Command, path string, visit func(path string, candidates []string)) {
+	var candidates []string
+	for _, sub := range command.Subcommands {
+		candidates = append(candidates, sub.Name)
 	}
-	if c.FlagSet != nil {
-		c.FlagSet.VisitAll(func(f *flag.Flag) { words = append(words, "--"+f.Name) })
+	if command.FlagSet != nil {
+		command.FlagSet.VisitAll(func(f *flag.Flag) { candidates = append(candidates, "--"+f.Name) })
 	}
-	if len(words) > 0 {
-		visit(at, words)
+	if len(candidates) > 0 {
+		visit(path, candidates)
 	}
-	for _, s := range c.Subcommands {
-		walk(s, at+" "+s.Name, visit)
+	for _, sub := range command.Subcommands {
+		walkCommands(sub, path+" "+sub.Name, visit)
 	}
 }
--- a/internal/controlcli/export.go
+++ b/internal/controlcli/export.go
@@ -3,24 +3,28 @@
 import (
 	"context"
 	"encoding/json"
+	"errors"
+	"flag"
 	"fmt"
 	"io"
 	"os"
 
 	"github.com/peterbourgon/ff/v3/ffcli"
-	"github.com/rotisserie/eris"
 
 	"oxbowspan/config"
 	"oxbowspan/internal/acceptorstore"
 	"oxbowspan/internal/controlclient"
 )
 
-// stateExport is what one disk holds of what was agreed: the way back from a majority that is lost for good.
+// exportFormat is the version of the export's form.
+const exportFormat = 1
+
+// stateExport is what one acceptor accepted last, to recover from the permanent loss of a majority.
 type stateExport struct {
 	Format        int                `json:"format"`
-	Turn          uint64             `json:"turn"`
+	Slot          uint64             `json:"turn"`
 	Version       uint64             `json:"version"`
-	Configuration string             `json:"configuration"` // the very bytes, as their digest is agreed on
+	Configuration string             `json:"configuration"` // byte by byte, as its digest was agreed on
 	Documents     []exportedDocument `json:"notes"`
 }
 
@@ -29,71 +33,99 @@
 	Body string `json:"body"`
 }
 
-const exportFormat = 1
+var (
+	errNoExport      = errors.New("the file is not an export of a format that this program reads")
+	errAlreadyExists = errors.New("the cluster has a configuration: only one that starts anew, with empty disks and first_start, can be restored")
+)
+
+const exportCaution = "It is what this acceptor accepted last: others may have later slots, and a slot beyond the newest decided one may not have been decided. " +
+	"Export the state of all remaining acceptors, and use the one with the highest slot."
 
-func exportState(c *acceptorstore.Contents, file string, out io.Writer) error {
-	if len(c.Body) == 0 {
-		return eris.New("the state file holds no configuration")
+func exportState(contents *acceptorstore.Contents, file string, out io.Writer) error {
+	if len(contents.Body) == 0 {
+		return errNoConfiguration
 	}
-	export := stateExport{Format: exportFormat, Turn: uint64(c.Slot), Version: uint64(c.Version), Configuration: string(c.Body), Documents: []exportedDocument{}}
-	for _, n := range c.Documents {
-		export.Documents = append(export.Documents, exportedDocument{n.Name, string(n.Body)})
+	export := stateExport{
+		Format:        exportFormat,
+		Slot:          uint64(contents.Slot),
+		Version:       uint64(contents.Version),
+		Configuration: string(contents.Body),
+		Documents:     []exportedDocument{},
+	}
+	for _, document := range contents.Documents {
+		export.Documents = append(export.Documents, exportedDocument{document.Name, string(document.Body)})
 	}
 	text, err := json.MarshalIndent(export, "", " ")
 	if err != nil {
 		return err
 	}
 	if err := os.WriteFile(file, text, 0o600); err != nil {
-		return fmt.Errorf("the copy can't be written: %w", err)
+		return fmt.Errorf("write export: %w", err)
 	}
-	fmt.Fprintf(out, "turn %d, version %d and %d documents are in %s\n", c.Slot, c.Version, len(export.Documents), file)
-	fmt.Fprintln(out, "It is what this disk voted for last: other disks may hold later turns, and a turn beyond the newest may not have been agreed. Export all disks that are left, and keep the highest turn.")
+	fmt.Fprintf(out, "exported slot %d, version %d and %d documents to %s\n", export.Slot, export.Version, len(export.Documents), file)
+	fmt.Fprintln(out, exportCaution)
 	return nil
 }
 
-// restoreCommand has a copy agreed on by a core that begins anew.
+// restoreCommand commits an export on a cluster that starts anew.
 func restoreCommand(path *string, out io.Writer) *ffcli.Command {
-	o := &commandContext{settingsPath: path, out: out}
+	e := &environment{settingsPath: path, out: out}
 	var acceptLoss bool
-	c := o.command("oxbowspan-control state", "restore", "FILE", "have a copy agreed on by a core that was begun anew and has nothing yet", 1, 1,
-		func(ctx context.Context, k *controlclient.Client, args []string) error {
-			return o.restore(ctx, k, args[0], acceptLoss)
-		})
-	c.FlagSet.BoolVar(&acceptLoss, "lose-the-rest", false, "yes: what was acknowledged after the copy is gone")
-	return c
+	return e.command(remoteCommand{
+		parent:  controllerName + " state",
+		name:    "restore",
+		usage:   "FILE",
+		help:    "commit an export on a cluster that starts anew and has no configuration yet",
+		minArgs: 1,
+		maxArgs: 1,
+		setFlags: func(flags *flag.FlagSet) {
+			flags.BoolVar(&acceptLoss, "lose-the-rest", false, "accept that what was acknowledged after the export is lost")
+		},
+		run: func(ctx context.Context, client *controlclient.Client, args []string) error {
+			return e.restore(ctx, client, args[0], acceptLoss)
+		},
+	})
 }
 
-func (o *commandContext) restore(ctx context.Context, k *controlclient.Client, file string, acceptLoss bool) error {
-	text, err := os.ReadFile(file)
-	if err != nil {
-		return fmt.Errorf("the copy can't be read: %w", err)
-	}
-	var export stateExport
-	if err := json.Unmarshal(text, &export); err != nil || export.Format != exportFormat {
-		return eris.New("the file is no copy of a state that this program reads")
-	}
-	conf, err := config.Parse([]byte(export.Configuration))
+func (e *environment) restore(ctx context.Context, client *controlclient.Client, file string, acceptLoss bool) error {
+	export, configuration, err := readExport(file)
 	if err != nil {
 		return err
 	}
-	if _, _, err := k.Configuration(ctx); !eris.Is(err, controlclient.ErrNotFound) {
-		if err != nil {
-			return err
-		}
-		return eris.New("the core has a configuration: only one that was begun anew, with empty disks and first_start, takes a copy")
+	switch _, _, err := client.Configuration(ctx); {
+	case err == nil:
+		return errAlreadyExists
+	case !errors.Is(err, controlclient.ErrNotFound):
+		return err
 	}
 	if !acceptLoss {
-		return eris.Errorf("version %d of turn %d would be agreed on, and whatever was acknowledged after it is gone for good; gatherers that still run keep what they have until they are begun anew. Say --lose-the-rest", conf.Version, export.Turn)
+		return fmt.Errorf("this would commit version %d of slot %d; whatever was acknowledged after it is lost, and gateways that still run keep what they have until they are restarted: confirm with --lose-the-rest", configuration.Version, export.Slot)
 	}
-	if _, err := k.Replace(ctx, "configuration", 0, []byte(export.Configuration)); err != nil {
+	if _, err := client.ReplaceConfiguration(ctx, 0, []byte(export.Configuration)); err != nil {
 		return err
 	}
-	fmt.Fprintf(o.out, "version %d is agreed\n", conf.Version)
-	for _, n := range export.Documents {
-		if _, err := k.Replace(ctx, n.Name, 0, []byte(n.Body)); err != nil {
-			return eris.Wrapf(err, "the configuration is restored, the %s are not", n.Name)
+	fmt.Fprintf(e.out, "version %d is committed\n", configuration.Version)
+	for _, document := range export.Documents {
+		if _, err := client.Replace(ctx, document.Name, 0, []byte(document.Body)); err != nil {
+			return fmt.Errorf("the configuration is restored, but the %s document is not: %w", document.Name, err)
 		}
-		fmt.Fprintf(o.out, "the %s are agreed\n", n.Name)
+		fmt.Fprintf(e.out, "the %s document is committed\n", document.Name)
 	}
 	return nil
 }
+
+func readExport(file string) (*stateExport, *config.Configuration, error) {
+	text, err := os.ReadFile(file)
+	if err != nil {
+		return nil, nil, fmt.Errorf("read export: %w", err)
+	}
+	export := &stateExport{}
+	if err := json.Unmarshal(text, export); err != nil || export.Format != exportFormat {
+		return nil, nil, errNoExport
+	}
+	configuration, err := config.Parse([]byte(export.Configuration))
+	if err != nil {
+		return nil, nil, err
+	}
+	return export, configuration, nil
+}
--- a/internal/controlcli/outlier.go
+++ b/internal/controlcli/outlier.go
@@ -4,6 +4,7 @@
 	"cmp"
 	"context"
 	"encoding/json"
+	"errors"
 	"flag"
 	"fmt"
 	"io"
@@ -12,154 +13,194 @@
 	"time"
 
 	"github.com/peterbourgon/ff/v3/ffcli"
-	"github.com/rotisserie/eris"
 
 	"oxbowspan/config"
 	"oxbowspan/controlplane"
 	"oxbowspan/internal/controlclient"
 )
 
-// outlierCommand is what operators do with the judgement of replicas.
+// defaultPinDuration is how long a pin lasts.
+const defaultPinDuration = 10 * time.Minute
+
+// outlierCommand shows the gateways' verdicts on servers, and pins servers.
 func outlierCommand(path *string, out io.Writer) *ffcli.Command {
-	o := &commandContext{settingsPath: path, out: out}
+	const parent = controllerName + " judgement"
+	e := &environment{settingsPath: path, out: out}
 	var duration time.Duration
 	var reason string
-	pin := o.command("oxbowspan-control judgement", "pin", "INSTANCE in|avoided|out", "hold a server at a stance for a time, whatever is seen of it", 2, 2,
-		func(ctx context.Context, k *controlclient.Client, args []string) error {
-			return o.updatePin(ctx, k, args[0], &config.Pin{Instance: args[0], State: args[1], DurationSeconds: int(duration / time.Second), Reason: reason})
-		})
-	pin.FlagSet.DurationVar(&duration, "for", 10*time.Minute, "how long")
-	pin.FlagSet.StringVar(&reason, "why", "", "the `reason`, for those who come after")
-	return &ffcli.Command{Name: "judgement", ShortUsage: "oxbowspan-control judgement list|explain|pin|unpin", ShortHelp: "see what the gatherers hold of servers, and pin it",
-		FlagSet: flag.NewFlagSet("judgement", flag.ContinueOnError), Subcommands: []*ffcli.Command{
-			o.command("oxbowspan-control judgement", "list", "", "list the servers that are not simply in, and by how many gatherers", 0, 0, o.outlierList),
-			o.command("oxbowspan-control judgement", "explain", "INSTANCE", "say which gatherer holds what of a server since when and why, and who saw it", 1, 1, o.outlierExplain),
-			pin,
-			o.command("oxbowspan-control judgement", "unpin", "INSTANCE", "end a pin", 1, 1, func(ctx context.Context, k *controlclient.Client, args []string) error {
-				return o.updatePin(ctx, k, args[0], nil)
-			}),
-		}, Exec: func(context.Context, []string) error { return flag.ErrHelp }}
+	pin := remoteCommand{parent: parent, name: "pin", usage: "INSTANCE in|avoided|out", minArgs: 2, maxArgs: 2,
+		help: "hold a server in a state for a time, whatever is observed of it",
+		setFlags: func(flags *flag.FlagSet) {
+			flags.DurationVar(&duration, "for", defaultPinDuration, "how long")
+			flags.StringVar(&reason, "why", "", "the `reason`, for other operators")
+		},
+		run: func(ctx context.Context, client *controlclient.Client, args []string) error {
+			return e.updatePin(ctx, client, args[0], &config.Pin{
+				Instance:        args[0],
+				State:           args[1],
+				DurationSeconds: int(duration / time.Second),
+				Reason:          reason,
+			})
+		},
+	}
+	unpin := remoteCommand{parent: parent, name: "unpin", usage: "INSTANCE", minArgs: 1, maxArgs: 1,
+		help: "end a pin",
+		run: func(ctx context.Context, client *controlclient.Client, args []string) error {
+			return e.updatePin(ctx, client, args[0], nil)
+		},
+	}
+	return &ffcli.Command{
+		Name:       "judgement",
+		ShortUsage: parent + " list|explain|pin|unpin",
+		ShortHelp:  "show the servers that gateways avoid or eject, and pin servers",
+		FlagSet:    flag.NewFlagSet("judgement", flag.ContinueOnError),
+		Subcommands: []*ffcli.Command{
+			e.command(remoteCommand{parent: parent, name: "list", run: e.outlierList,
+				help: "list the servers that are not simply healthy, with the number of gateways"}),
+			e.command(remoteCommand{parent: parent, name: "explain", usage: "INSTANCE", minArgs: 1, maxArgs: 1, run: e.outlierExplain,
+				help: "show each gateway's verdict on a server, and the observations that it rests on"}),
+			e.command(pin),
+			e.command(unpin),
+		},
+		Exec: showUsage,
+	}
+}
+
+// verdictSummary is a server's verdicts at all gateways together.
+type verdictSummary struct {
+	Instance     string         `json:"instance"`
+	Service      string         `json:"service"`
+	States       map[string]int `json:"stances"` // number of gateways by state
+	Reason       string         `json:"why"`     // of the verdict that has held longest
+	SinceSeconds float64        `json:"since_s"` // of that
+	Pinned       bool           `json:"pinned"`
+}
+
+var verdictColumns = []column[*verdictSummary]{
+	{"INSTANCE", func(v *verdictSummary) string { return v.Instance }},
+	{"SERVICE", func(v *verdictSummary) string { return v.Service }},
+	{"GATEWAYS", (*verdictSummary).gateways},
+	{"SINCE", func(v *verdictSummary) string { return fmt.Sprintf("%.1f s", v.SinceSeconds) }},
+	{"REASON", func(v *verdictSummary) string { return v.Reason }},
 }
 
-// serverVerdicts is a server over all gatherers.
-type serverVerdicts struct {
-	Instance string         `json:"instance"`
-	Service  string         `json:"service"`
-	States   map[string]int `json:"stances"` // gatherers by what they hold
-	Reason   string         `json:"why"`
-	SinceS   float64        `json:"since_s"` // the longest
-	Pinned   bool           `json:"pinned"`
+func (v *verdictSummary) gateways() string {
+	var counts []string
+	for state, count := range v.States {
+		counts = append(counts, fmt.Sprintf("%s by %d", state, count))
+	}
+	slices.Sort(counts)
+	if v.Pinned {
+		counts = append(counts, "pinned")
+	}
+	return strings.Join(counts, ", ")
 }
 
-func (o *commandContext) outlierList(ctx context.Context, k *controlclient.Client, _ []string) error {
-	nodes, unreachable, err := k.OutlierVerdicts(ctx)
+func (e *environment) outlierList(ctx context.Context, client *controlclient.Client, _ []string) error {
+	listing, err := client.OutlierVerdicts(ctx)
 	if err != nil {
 		return err
 	}
-	all := summarizeVerdicts(nodes)
-	if err := o.print(all, func(w io.Writer) {
-		if len(all) == 0 {
-			fmt.Fprintln(w, "every server is in")
+	summaries := summarizeVerdicts(listing.Items)
+	return e.printListing(summaries, listing.Unreachable, func(w io.Writer) {
+		if len(summaries) == 0 {
+			fmt.Fprintln(w, "all servers are healthy")
 			return
 		}
-		fmt.Fprintln(w, "INSTANCE\tSERVICE\tGATHERERS\tSINCE\tWHY")
-		for _, j := range all {
-			var held []string
-			for stance, n := range j.States {
-				held = append(held, fmt.Sprintf("%s by %d", stance, n))
-			}
-			slices.Sort(held)
-			if j.Pinned {
-				held = append(held, "pinned")
-			}
-			fmt.Fprintf(w, "%s\t%s\t%s\t%.1f s\t%s\n", j.Instance, j.Service, strings.Join(held, ", "), j.SinceS, j.Reason)
-		}
-	}); err != nil {
-		return err
-	}
-	o.reportUnreachable(unreachable)
-	return nil
+		writeTable(w, verdictColumns, summaries)
+	})
 }
 
-func summarizeVerdicts(nodes []controlplane.GatewayOutliers) []*serverVerdicts {
-	by := map[string]*serverVerdicts{}
-	all := []*serverVerdicts{}
-	for _, n := range nodes {
-		for _, s := range n.Servers {
-			j := by[s.Instance]
-			if j == nil {
-				j = &serverVerdicts{Instance: s.Instance, Service: s.Service, States: map[string]int{}}
-				by[s.Instance] = j
-				all = append(all, j)
+func summarizeVerdicts(gateways []controlplane.GatewayOutliers) []*verdictSummary {
+	byInstance := map[string]*verdictSummary{}
+	summaries := []*verdictSummary{}
+	for _, gateway := range gateways {
+		for _, verdict := range gateway.Servers {
+			summary := byInstance[verdict.Instance]
+			if summary == nil {
+				summary = &verdictSummary{Instance: verdict.Instance, Service: verdict.Service, States: map[string]int{}}
+				byInstance[verdict.Instance] = summary
+				summaries = append(summaries, summary)
 			}
-			j.States[s.State]++
-			j.Pinned = j.Pinned || s.Pinned
-			if s.SinceSeconds >= j.SinceS {
-				j.SinceS, j.Reason = s.SinceSeconds, s.Reason
+			summary.States[verdict.State]++
+			summary.Pinned = summary.Pinned || verdict.Pinned
+			if verdict.SinceSeconds >= summary.SinceSeconds {
+				summary.SinceSeconds, summary.Reason = verdict.SinceSeconds, verdict.Reason
 			}
 		}
 	}
-	slices.SortFunc(all, func(a, b *serverVerdicts) int {
+	slices.SortFunc(summaries, func(a, b *verdictSummary) int {
 		return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Instance, b.Instance))
 	})
-	return all
+	return summaries
 }
 
-func (o *commandContext) outlierExplain(ctx context.Context, k *controlclient.Client, args []string) error {
-	nodes, unreachable, err := k.OutlierVerdicts(ctx)
+func (e *environment) outlierExplain(ctx context.Context, client *controlclient.Client, args []string) error {
+	listing, err := client.OutlierVerdicts(ctx)
 	if err != nil {
 		return err
 	}
-	slices.SortFunc(nodes, func(a, b controlplane.GatewayOutliers) int { return cmp.Compare(a.Gateway, b.Gateway) })
-	for i := range nodes {
-		nodes[i].Servers = slices.DeleteFunc(nodes[i].Servers, func(j controlplane.OutlierVerdict) bool { return j.Instance != args[0] })
+	instance, gateways := args[0], listing.Items
+	slices.SortFunc(gateways, func(a, b controlplane.GatewayOutliers) int { return cmp.Compare(a.Gateway, b.Gateway) })
+	for i := range gateways {
+		gateways[i].Servers = slices.DeleteFunc(gateways[i].Servers, func(v controlplane.OutlierVerdict) bool { return v.Instance != instance })
 	}
-	nodes = slices.DeleteFunc(nodes, func(n controlplane.GatewayOutliers) bool { return len(n.Servers) == 0 })
-	if err := o.print(nodes, func(w io.Writer) {
-		if len(nodes) == 0 {
-			fmt.Fprintf(w, "no gatherer holds anything against %s\n", args[0])
+	gateways = slices.DeleteFunc(gateways, func(g controlplane.GatewayOutliers) bool { return len(g.Servers) == 0 })
+	return e.printListing(gateways, listing.Unreachable, func(w io.Writer) {
+		if len(gateways) == 0 {
+			fmt.Fprintf(w, "all gateways find %s healthy\n", instance)
 		}
-		for _, n := range nodes {
-			j := n.Servers[0]
-			fmt.Fprintf(w, "%s in %s\t%s for %.1f s\tpredicted %.2f times slower\t%s\n", n.Gateway, n.Zone, j.State, j.SinceSeconds, j.Factor, j.Reason)
-			for _, v := range j.Observations {
-				fmt.Fprintf(w, "  gatherer %s said %s\t%.1f s ago\t\t\n", v.Observer, v.Kind, v.AgeSeconds)
-			}
+		for _, gateway := range gateways {
+			writeVerdict(w, gateway, gateway.Servers[0])
 		}
-	}); err != nil {
-		return err
+	})
+}
+
+func writeVerdict(w io.Writer, gateway controlplane.GatewayOutliers, verdict controlplane.OutlierVerdict) {
+	fmt.Fprintf(w, "%s in %s\t%s for %.1f s\tpredicted %.2f times slower\t%s\n", gateway.Gateway, gateway.Zone, verdict.State, verdict.SinceSeconds, verdict.Factor, verdict.Reason)
+	for _, observation := range verdict.Observations {
+		fmt.Fprintf(w, "  gateway %s observed %s\t%.1f s ago\t\t\n", observation.Observer, observation.Kind, observation.AgeSeconds)
 	}
-	o.reportUnreachable(unreachable)
-	return nil
 }
 
-// updatePin has the pins agreed on with one instance's pin set, or ended. Of two operators at once one is told to begin again.
-func (o *commandContext) updatePin(ctx context.Context, k *controlclient.Client, instance string, pin *config.Pin) error {
-	doc := &config.PinDocument{}
-	text, version, err := k.Read(ctx, config.PinsDocumentName)
-	if err == nil {
-		if doc, err = config.ParsePins(text); err != nil {
-			return err
-		}
-	} else if !eris.Is(err, controlclient.ErrNotFound) {
+// updatePin commits the pins document with one instance's pin replaced, or removed if pin is nil. Of two operators who do so at once, one is
+// rejected.
+func (e *environment) updatePin(ctx context.Context, client *controlclient.Client, instance string, pin *config.Pin) error {
+	document, basedOn, err := readPins(ctx, client)
+	if err != nil {
 		return err
 	}
-	had := len(doc.Pins)
-	doc.Pins = slices.DeleteFunc(doc.Pins, func(p config.Pin) bool { return p.Instance == instance })
+	before := len(document.Pins)
+	document.Pins = slices.DeleteFunc(document.Pins, func(p config.Pin) bool { return p.Instance == instance })
 	if pin != nil {
-		doc.Pins = append(doc.Pins, *pin)
-	} else if len(doc.Pins) == had {
-		return eris.Errorf("%s is not pinned", instance)
+		document.Pins = append(document.Pins, *pin)
+	} else if len(document.Pins) == before {
+		return fmt.Errorf("%s is not pinned", instance)
 	}
-	if problems := doc.Validate(); len(problems) > 0 {
-		return eris.New(strings.Join(problems, "; "))
+	if problems := document.Validate(); len(problems) > 0 {
+		return &problemsError{Problems: problems}
 	}
-	if text, err = json.Marshal(doc); err != nil {
+	text, err := json.Marshal(document)
+	if err != nil {
 		return err
 	}
-	if version, err = k.Replace(ctx, config.PinsDocumentName, version, text); err != nil {
+	version, err := client.Replace(ctx, config.PinsDocumentName, basedOn, text)
+	if err != nil {
 		return err
 	}
-	fmt.Fprintf(o.out, "version %d of the pins is agreed\n", version)
+	fmt.Fprintf(e.out, "version %d of the pins is committed\n", version)
 	return nil
 }
+
+// readPins returns the newest pins document and its version; an empty one before the first.
+func readPins(ctx context.Context, client *controlclient.Client) (document *config.PinDocument, version uint64, err error) {
+	text, version, err := client.Read(ctx, config.PinsDocumentName)
+	if errors.Is(err, controlclient.ErrNotFound) {
+		return &config.PinDocument{}, version, nil
+	}
+	if err != nil {
+		return nil, 0, err
+	}
+	document, err = config.ParsePins(text)
+	return document, version, err
+}
