--- a/quota/fairshare.go
+++ b/quota/fairshare.go
@@ -13,70 +13,108 @@
 	return limiter.maxMinShares(server, float64(connections), usages, false)
 }
 
-// maxMinShares divides the available connections by weighted max-min fairness: no tenant gets more than its maximum, or, when limited
-// to demand, than it uses and waits for; none gets less than its floor; weights divide the rest. It returns a share for each usage.
-//
-// Each iteration divides what is not yet fixed by weight. Floors above that level are fixed first, as they lower the level for the others;
-// only when none is left are the maxima below it, which raise it. As each iteration fixes at least one share, it ends.
+// maxMinShares divides the available connections by weighted max-min fairness: no tenant gets more than its maximum, or, when
+// limited to demand, than it uses and waits for; none gets less than its floor; weights divide the rest. It returns a share for
+// each usage.
 func (l *Limiter) maxMinShares(server *serverState, available float64, usages []*tenantUsage, limitToDemand bool) []float64 {
-	shares := make([]float64, len(usages))
-	fixed := make([]bool, len(usages))
+	d := division{
+		limiter:       l,
+		server:        server,
+		usages:        usages,
+		limitToDemand: limitToDemand,
+		shares:        make([]float64, len(usages)),
+		fixed:         make([]bool, len(usages)),
+	}
+	d.divide(available)
+	return d.shares
+}
+
+// division is the state of one computation of shares.
+type division struct {
+	limiter       *Limiter
+	server        *serverState
+	usages        []*tenantUsage
+	limitToDemand bool
+
+	shares    []float64
+	fixed     []bool  // shares that are at a floor or a limit
+	remaining float64 // connections beside the fixed shares
+	weights   float64 // sum of the tenants whose shares are not fixed
+}
+
+// divide divides what is not yet fixed by weight, again and again. Floors above that level are fixed first, as they lower the level
+// for the others; only when none is left are the limits below it, which raise it. As each iteration fixes at least one share, it ends.
+func (d *division) divide(available float64) {
 	for {
-		remaining, weights := max(available, 0), 0.0
-		for i, usage := range usages {
-			if fixed[i] {
-				remaining -= shares[i]
-			} else {
-				weights += l.policies[usage.tenant].Weight
-			}
-		}
-		if remaining = max(remaining, 0); weights <= 0 {
-			return shares
-		}
-		level := func(usage *tenantUsage) float64 {
-			return remaining * l.policies[usage.tenant].Weight / weights
+		d.sum(available)
+		if d.weights <= 0 {
+			return
 		}
-		if l.fixFloors(server, usages, level, shares, fixed) || l.fixMaxima(server, usages, level, limitToDemand, shares, fixed) {
+		if d.fixFloors() || d.fixLimits() {
 			continue
 		}
-		for i, usage := range usages {
-			if !fixed[i] {
-				shares[i] = level(usage)
+		for i := range d.usages {
+			if !d.fixed[i] {
+				d.shares[i] = d.level(i)
 			}
 		}
-		return shares
+		return
 	}
 }
 
-// fixFloors fixes the shares of tenants whose level is below their floor. It reports whether there were any.
-func (l *Limiter) fixFloors(server *serverState, usages []*tenantUsage, level func(*tenantUsage) float64, shares []float64, fixed []bool) (changed bool) {
-	for i, usage := range usages {
-		policy := l.policies[usage.tenant]
-		if fixed[i] || policy.Floor <= 0 {
+func (d *division) sum(available float64) {
+	d.remaining, d.weights = max(available, 0), 0
+	for i := range d.usages {
+		if d.fixed[i] {
+			d.remaining -= d.shares[i]
+		} else {
+			d.weights += d.policy(i).Weight
+		}
+	}
+	d.remaining = max(d.remaining, 0)
+}
+
+func (d *division) policy(i int) *TenantPolicy { return &d.limiter.policies[d.usages[i].tenant] }
+
+// level returns a tenant's part by weight of what remains.
+func (d *division) level(i int) float64 { return d.remaining * d.policy(i).Weight / d.weights }
+
+// limit returns the most that a tenant may get.
+func (d *division) limit(i int) float64 {
+	limit := math.Inf(1)
+	if maximum := d.policy(i).Max; maximum > 0 {
+		limit = max(d.server.scale(maximum), 1)
+	}
+	if d.limitToDemand {
+		usage := d.usages[i]
+		waiting := max(d.limiter.Waiting(d.server.service, usage.tenant), 1)
+		limit = min(limit, float64(usage.inUse+waiting))
+	}
+	return limit
+}
+
+// fixFloors fixes the shares of tenants whose level is below their floor, and reports whether there were any.
+func (d *division) fixFloors() (changed bool) {
+	for i := range d.usages {
+		policy := d.policy(i)
+		if d.fixed[i] || policy.Floor <= 0 {
 			continue
 		}
-		if floor := server.scale(policy.Floor); level(usage) < floor {
-			shares[i], fixed[i], changed = floor, true, true
+		if floor := d.server.scale(policy.Floor); d.level(i) < floor {
+			d.shares[i], d.fixed[i], changed = floor, true, true
 		}
 	}
 	return changed
 }
 
-// fixMaxima fixes the shares of tenants whose level is above their maximum or demand. It reports whether there were any.
-func (l *Limiter) fixMaxima(server *serverState, usages []*tenantUsage, level func(*tenantUsage) float64, limitToDemand bool, shares []float64, fixed []bool) (changed bool) {
-	for i, usage := range usages {
-		if fixed[i] {
+// fixLimits fixes the shares of tenants whose level is above their limit, and reports whether there were any.
+func (d *division) fixLimits() (changed bool) {
+	for i := range d.usages {
+		if d.fixed[i] {
 			continue
 		}
-		limit := math.Inf(1)
-		if maximum := l.policies[usage.tenant].Max; maximum > 0 {
-			limit = max(server.scale(maximum), 1)
-		}
-		if limitToDemand {
-			limit = min(limit, float64(usage.inUse+max(l.Waiting(server.service, usage.tenant), 1)))
-		}
-		if level(usage) > limit {
-			shares[i], fixed[i], changed = limit, true, true
+		if limit := d.limit(i); d.level(i) > limit {
+			d.shares[i], d.fixed[i], changed = limit, true, true
 		}
 	}
 	return changed
--- a/quota/limiter_checks_test.go
+++ b/quota/limiter_checks_test.go
@@ -73,7 +73,8 @@
 	}
 	policy := m.policies[tenant]
 	if float64(own+1) <= policy.Floor {
-		return fmt.Sprintf("%v: server %d: %s is denied with %d, below its floor of %v, and %d of %d in use", m.now, server, policy.Name, own, policy.Floor, inUse, m.limit)
+		return fmt.Sprintf("%v: server %d: %s is denied with %d, below its floor of %v, and %d of %d in use",
+			m.now, server, policy.Name, own, policy.Floor, inUse, m.limit)
 	}
 	alone := policy.Max == 0 || float64(own+1) <= policy.Max
 	for other := range m.policies {
@@ -103,7 +104,8 @@
 			return ""
 		}
 	}
-	return fmt.Sprintf("%v: %s was present lately and finds %s using all %d at each server", m.now, m.policies[tenant].Name, m.policies[other].Name, m.limit)
+	return fmt.Sprintf("%v: %s was present lately and finds %s using all %d at each server",
+		m.now, m.policies[tenant].Name, m.policies[other].Name, m.limit)
 }
 
 func (m *limiterModel) checkStarvation(tenant int) string {
--- a/quota/prune_test.go
+++ b/quota/prune_test.go
@@ -41,7 +41,8 @@
 			}
 			limiter.EstimatedWait("old", tenants[0], 2*time.Second) // must not create state
 			if len(limiter.services) != 1 || len(limiter.servers) != 1 || len(limiter.queues) != len(tenants) {
-				t.Errorf("%d services, %d servers and %d queues remain, want 1, 1 and %d", len(limiter.services), len(limiter.servers), len(limiter.queues), len(tenants))
+				t.Errorf("%d services, %d servers and %d queues remain, want 1, 1 and %d",
+					len(limiter.services), len(limiter.servers), len(limiter.queues), len(tenants))
 			}
 		})
 	}
