--- a/internal/controlcli/commands_test.go
+++ b/internal/controlcli/commands_test.go
@@ -37,7 +37,8 @@
 
 func runLocalCommands(t *testing.T, p *programs) {
 	p.expect(t, exitOK, "is valid", "check", "boot")
-	script := "source <(" + p.binaries + "/oxbowspan-control completion); COMP_WORDS=(oxbowspan-control judgement p); COMP_CWORD=2; _oxbowspan-control; echo ${COMPREPLY[*]}"
+	script := "source <(" + filepath.Join(p.binaries, controllerName) + " completion)\n" +
+		"COMP_WORDS=(oxbowspan-control judgement p); COMP_CWORD=2; _oxbowspan-control; echo ${COMPREPLY[*]}"
 	if out, err := exec.Command("bash", "-c", script).CombinedOutput(); err != nil || strings.TrimSpace(string(out)) != "pin" {
 		t.Errorf("completion of 'oxbowspan-control judgement p': %q, %v", out, err)
 	}
@@ -46,7 +47,9 @@
 	p.expectAlone(t, exitFailed, "does not respond", "config", "get", "--control", "127.0.0.1:1")
 }
 
-const invalidConfiguration = `{"version":9,"routes":[{"name":"x","hostname":"h","path_prefix":"nope","route_kind":"never","service":"every gatherer"}]}`
+const invalidConfiguration = `{"version":9,"routes":[
+	{"name":"x","hostname":"h","path_prefix":"nope","route_kind":"never","service":"no such service"}
+]}`
 
 func runConfigCommands(t *testing.T, p *programs) {
 	first := p.writeFile(t, "first.json", string(simcluster.ExampleConfiguration(1, simcluster.FirstSharding)))
@@ -57,7 +60,7 @@
 	p.expect(t, exitOK, "1 changes", "config", "diff", second) // the route with other shards
 	p.expect(t, exitFailed, "version 1 is in place", "config", "put", "--based-on", "7", second)
 	p.expect(t, exitOK, "version 5 is committed, based on 1", "config", "put", second)
-	p.expect(t, exitFailed, "every gatherer", "config", "put", p.writeFile(t, "invalid.json", invalidConfiguration))
+	p.expect(t, exitFailed, "no such service", "config", "put", p.writeFile(t, "invalid.json", invalidConfiguration))
 	p.expect(t, exitOK, "VERSION", "config", "history")
 	p.eventually(t, exitOK, "in force on 2 gateways", "config", "explain", "h.example/all/x")
 	p.eventually(t, exitOK, "404", "config", "explain", "nowhere.example/x")
--- a/internal/controlcli/export.go
+++ b/internal/controlcli/export.go
@@ -38,7 +38,7 @@
 	errAlreadyExists = errors.New("the cluster has a configuration: only one that starts anew, with empty disks and first_start, can be restored")
 )
 
-const exportCaution = "It is what this acceptor accepted last: others may have later slots, and a slot beyond the newest decided one may not have been decided. " +
+const exportCaution = "It is what this acceptor accepted last: others may have later slots, and the slot may not have been decided. " +
 	"Export the state of all remaining acceptors, and use the one with the highest slot."
 
 func exportState(contents *acceptorstore.Contents, file string, out io.Writer) error {
@@ -99,7 +99,9 @@
 		return err
 	}
 	if !acceptLoss {
-		return fmt.Errorf("this would commit version %d of slot %d; whatever was acknowledged after it is lost, and gateways that still run keep what they have until they are restarted: confirm with --lose-the-rest", configuration.Version, export.Slot)
+		return fmt.Errorf("this would commit version %d of slot %d; whatever was acknowledged after it is lost, "+
+			"and gateways that still run keep what they have until they are restarted: confirm with --lose-the-rest",
+			configuration.Version, export.Slot)
 	}
 	if _, err := client.ReplaceConfiguration(ctx, 0, []byte(export.Configuration)); err != nil {
 		return err
--- a/internal/controlcli/outlier.go
+++ b/internal/controlcli/outlier.go
@@ -157,7 +157,8 @@
 }
 
 func writeVerdict(w io.Writer, gateway controlplane.GatewayOutliers, verdict controlplane.OutlierVerdict) {
-	fmt.Fprintf(w, "%s in %s\t%s for %.1f s\tpredicted %.2f times slower\t%s\n", gateway.Gateway, gateway.Zone, verdict.State, verdict.SinceSeconds, verdict.Factor, verdict.Reason)
+	fmt.Fprintf(w, "%s in %s\t%s for %.1f s\tpredicted %.2f times slower\t%s\n",
+		gateway.Gateway, gateway.Zone, verdict.State, verdict.SinceSeconds, verdict.Factor, verdict.Reason)
 	for _, observation := range verdict.Observations {
 		fmt.Fprintf(w, "  gateway %s observed %s\t%.1f s ago\t\t\n", observation.Observer, observation.Kind, observation.AgeSeconds)
 	}
--- a/internal/controlcli/state.go
+++ b/internal/controlcli/state.go
@@ -20,7 +20,8 @@
 func stateCommand(path *string, out io.Writer) *ffcli.Command {
 	flags := flag.NewFlagSet("state", flag.ContinueOnError)
 	directory := flags.String("dir", "", "the data `directory`; default from the settings file")
-	subcommand := func(name, usage, help string, arguments int, run func(contents *acceptorstore.Contents, args []string) error) *ffcli.Command {
+	type contentsFunc func(contents *acceptorstore.Contents, args []string) error
+	subcommand := func(name, usage, help string, arguments int, run contentsFunc) *ffcli.Command {
 		return &ffcli.Command{
 			Name:       name,
 			ShortUsage: controllerName + " state [--dir DIR] " + name + usage,
@@ -43,23 +44,17 @@
 		ShortHelp:  "read the state file of a stopped controller; recover from the loss of a majority",
 		FlagSet:    flags,
 		Subcommands: []*ffcli.Command{
-			subcommand("check", "", "check the integrity of the file", 0, func(contents *acceptorstore.Contents, _ []string) error {
-				fmt.Fprintf(out, "the state file is intact: %d bytes, slot %d, version %d\n", contents.Bytes, contents.Slot, contents.Version)
-				return nil
-			}),
-			subcommand("dump", "", "print the file's contents as JSON, without the configuration", 0, func(contents *acceptorstore.Contents, _ []string) error {
-				return dumpState(contents, out)
-			}),
-			subcommand("config", "", "print the configuration that was accepted", 0, func(contents *acceptorstore.Contents, _ []string) error {
-				if len(contents.Body) == 0 {
-					return errNoConfiguration
-				}
-				_, err := out.Write(contents.Body)
-				return err
-			}),
-			subcommand("export", " FILE", "write the accepted configuration and documents to FILE", 1, func(contents *acceptorstore.Contents, args []string) error {
-				return exportState(contents, args[0], out)
-			}),
+			subcommand("check", "", "check the integrity of the file", 0,
+				func(contents *acceptorstore.Contents, _ []string) error {
+					fmt.Fprintf(out, "the state file is intact: %d bytes, slot %d, version %d\n", contents.Bytes, contents.Slot, contents.Version)
+					return nil
+				}),
+			subcommand("dump", "", "print the file's contents as JSON, without the configuration", 0,
+				func(contents *acceptorstore.Contents, _ []string) error { return dumpState(contents, out) }),
+			subcommand("config", "", "print the configuration that was accepted", 0,
+				func(contents *acceptorstore.Contents, _ []string) error { return printConfiguration(contents, out) }),
+			subcommand("export", " FILE", "write the accepted configuration and documents to FILE", 1,
+				func(contents *acceptorstore.Contents, args []string) error { return exportState(contents, args[0], out) }),
 			restoreCommand(path, out),
 		},
 		Exec: showUsage,
@@ -86,3 +81,11 @@
 	fmt.Fprintln(out, string(text))
 	return nil
 }
+
+func printConfiguration(contents *acceptorstore.Contents, out io.Writer) error {
+	if len(contents.Body) == 0 {
+		return errNoConfiguration
+	}
+	_, err := out.Write(contents.Body)
+	return err
+}
--- a/internal/controlcli/status.go
+++ b/internal/controlcli/status.go
@@ -118,7 +118,8 @@
 	if !status.Stable {
 		state += ", the membership is changing"
 	}
-	fmt.Fprintf(w, "%s: slot %d, version %d, %s; tolerable disk losses: %d\n", status.Controller, status.Slot, status.Version, state, status.TolerableLosses)
+	fmt.Fprintf(w, "%s: slot %d, version %d, %s; tolerable disk losses: %d\n",
+		status.Controller, status.Slot, status.Version, state, status.TolerableLosses)
 	for _, member := range status.Members {
 		replica := ""
 		if !member.Complete {
--- a/internal/controlcli/tenant.go
+++ b/internal/controlcli/tenant.go
@@ -191,10 +191,12 @@
 		if u.WantsMore {
 			wantsMore = ", wants more"
 		}
-		fmt.Fprintf(w, "  %s\tat %s of %s\tuses %d of %d\tshare %.1f, borrowed %d%s\n", u.Tenant, u.Instance, u.Service, u.InUse, u.Limit, u.Share, u.Borrowed, wantsMore)
+		fmt.Fprintf(w, "  %s\tat %s of %s\tuses %d of %d\tshare %.1f, borrowed %d%s\n",
+			u.Tenant, u.Instance, u.Service, u.InUse, u.Limit, u.Share, u.Borrowed, wantsMore)
 	}
 	for _, s := range gateway.Waits {
-		fmt.Fprintf(w, "  %s\t%d requests in the last minute\t%d waited, %d waiting now\tp50 %.1f ms, p99 %.1f ms, max %.1f ms\n", s.Tenant, s.Requests, s.Waited, s.Waiting, s.P50MS, s.P99MS, s.MaxMS)
+		fmt.Fprintf(w, "  %s\t%d requests in the last minute\t%d waited, %d waiting now\tp50 %.1f ms, p99 %.1f ms, max %.1f ms\n",
+			s.Tenant, s.Requests, s.Waited, s.Waiting, s.P50MS, s.P99MS, s.MaxMS)
 	}
 }
 
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -26,7 +26,7 @@
 	Region              string            `toml:"region"`
 	InternalPorts       []int             `toml:"internal_ports"` // the first and the last of a range
 	SeedAddresses       []string          `toml:"seed_addresses"` // control addresses of controllers
-	LocalDetectionOnly  bool              `toml:"judge_alone"`    // ignore outlier observations of other gateways; for comparisons, not set by the platform
+	LocalDetectionOnly  bool              `toml:"judge_alone"`    // ignore other gateways' observations of servers; set in comparisons only
 	FirstStart          bool              `toml:"first_start"`    // the cluster starts for the first time, so that missing state is no loss
 	LossCounted         bool              `toml:"loss_counted"`
 	DataDirectory       string            `toml:"data_directory"`
--- a/outlier/detector_test.go
+++ b/outlier/detector_test.go
@@ -37,7 +37,8 @@
 				after, probes := cluster.faultyCalls[server]-before, cluster.probes[server]
 				cluster.conditions[server] = conditionFine
 				recovery := cluster.advanceUntil(30*time.Second, func() bool { return cluster.avoiding(server) == 0 })
-				t.Logf("left after %v, used after %v; calls to it: %d until it was left, %d in the 2 or 4 s after, %d probes", eject, recovery, before, after, probes)
+				t.Logf("left after %v, used after %v; calls to it: %d until it was left, %d in the 2 or 4 s after, %d probes",
+					eject, recovery, before, after, probes)
 				if eject > c.eject || recovery > c.recover {
 					t.Errorf("left after %v, want %v; used after %v, want %v", eject, c.eject, recovery, c.recover)
 				}
