--- a/gatherer/listener.go
+++ b/gatherer/listener.go
@@ -99,7 +99,7 @@
 	spare := max(t.descriptors/8, 1)
 	k := &listener{Listener: l, reserve: spare, startedAt: time.Now(), memory: t.memory, admission: connadmission.New(connadmission.Options{MaxConns: max(t.descriptors-spare, 1),
 		MinIdle: connadmission.Millis(idleGrace.Milliseconds()), HeaderTimeout: connadmission.Millis(slowHeadAfter.Milliseconds()), CustomerShares: t.quotas, MaxActive: t.maxActiveConns,
-		MaxIdleOneShot: cmp.Or(t.connections.Crowd, max(t.descriptors/crowdDivisor, 1)), ParkDelay: connadmission.Millis(linger.Milliseconds()), MaxIdleGoroutines: max(t.maxActiveConns, minIdleConns)})}
+		MaxIdleOneShot: cmp.Or(t.connections.IdleThreshold, max(t.descriptors/crowdDivisor, 1)), ParkDelay: connadmission.Millis(linger.Milliseconds()), MaxIdleGoroutines: max(t.maxActiveConns, minIdleConns)})}
 	k.capacity.L = &k.mu
 	if k.memory == nil {
 		k.memory = memorybudget.New(memorybudget.Options{}, nil)
--- a/idempotency/recovery.go
+++ b/idempotency/recovery.go
@@ -35,17 +35,17 @@
 type Verdict uint8
 
 const (
-	// Write: nothing is known of it. Its intent is to be written; once that is sure, call Durable, and then it may be sent.
+	// Write means that nothing is known of it. Its intent must be stored; once Durable was called for it, it may be sent.
 	Write Verdict = iota
-	// Replay: it has been answered; the same answer is to be given.
+	// Replay means that it was answered; the same answer is given again.
 	Replay
-	// Open: the first one is still under way. Errored, at once.
+	// Open means that the first one is still in progress. This one fails at once.
 	Open
-	// Doubtful: it may have run. Errored, at once.
+	// Doubtful means that it may have run. This one fails at once.
 	Doubtful
-	// Other: the key is that of a different search. The request is at fault.
+	// Other means that the key belongs to a different search: the request is invalid.
 	Other
-	// Full: the table holds as much as it may. Shed: nothing of it has been sent.
+	// Full means that the table is at its limit. The search is shed; nothing of it was sent.
 	Full
 )
 
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -64,43 +64,51 @@
 	Changes  []Change    `json:"changes,omitempty"`
 }
 
-// The parts of a State.
-type (
-	Signal struct {
-		Name  string  `json:"name"`
-		Value float64 `json:"value"`
-		Known bool    `json:"known"`
-	}
-	Segment struct {
-		Segment int    `json:"segment"`
-		Level   string `json:"level"`
-	}
-	QueryType struct {
-		Name      string     `json:"name"`
-		Share     float64    `json:"share"` // that the level serves
-		Customers []Customer `json:"customers,omitempty"`
-	}
-	Customer struct {
-		Name   string `json:"name"`
-		Served int64  `json:"served"`
-		Shed   int64  `json:"shed"` // by the level
-	}
-	Server struct {
-		Host    string  `json:"host"`
-		Zone    string  `json:"zone"`
-		Cell    int     `json:"cell"`
-		State   string  `json:"state"`  // ready, cold, out, draining
-		Out     int     `json:"out"`    // sub-requests that have not ended
-		Millis  float64 `json:"millis"` // a part of size one takes
-		Failing float64 `json:"failing"`
-	}
-	Change struct {
-		At   time.Time `json:"at"`
-		From string    `json:"from"`
-		To   string    `json:"to"`
-		Why  string    `json:"why"`
-	}
-)
+// Signal is a smoothed input of the level decision.
+type Signal struct {
+	Name  string  `json:"name"`
+	Value float64 `json:"value"`
+	Known bool    `json:"known"`
+}
+
+// Segment is a segment with a level of its own.
+type Segment struct {
+	Segment int    `json:"segment"`
+	Level   string `json:"level"`
+}
+
+// QueryType is what a query type gets at the current level.
+type QueryType struct {
+	Name      string     `json:"name"`
+	Share     float64    `json:"share"` // that the level serves
+	Customers []Customer `json:"customers,omitempty"`
+}
+
+// Customer counts one customer's searches of a query type since the start of the process.
+type Customer struct {
+	Name   string `json:"name"`
+	Served int64  `json:"served"`
+	Shed   int64  `json:"shed"` // by the level
+}
+
+// Server is a shard server as the gatherer sees it.
+type Server struct {
+	Host    string  `json:"host"`
+	Zone    string  `json:"zone"`
+	Cell    int     `json:"cell"`
+	State   string  `json:"state"`  // ready, cold, out, draining
+	Out     int     `json:"out"`    // sub-requests that have not ended
+	Millis  float64 `json:"millis"` // a part of size one takes
+	Failing float64 `json:"failing"`
+}
+
+// Change is one change of the level.
+type Change struct {
+	At   time.Time `json:"at"`
+	From string    `json:"from"`
+	To   string    `json:"to"`
+	Why  string    `json:"why"`
+}
 
 // Socket listens for operators.
 type Socket struct {
--- a/internal/cli/fleet_test.go
+++ b/internal/cli/fleet_test.go
@@ -42,7 +42,6 @@
 	port   string
 	args   []string
 	p      *standin.Program // nil = it is being started
-	up     bool             // it was ready once in this run
 	out    bool
 	killed bool
 	ready  bool     // at the front's last look
@@ -359,9 +358,9 @@
 	}
 }
 
-// Seven gatherers are told to end in one tick, and the steward that leads is killed while they wait for each other: never more than
-// two are out at once, by what a front sees, and each comes back.
-func TestAllToldToEndGoTwoAtATime(t *testing.T) {
+// Seven gatherers get SIGTERM at once, and the leading steward is killed while they wait for each other: never more than two are out
+// at once, as a front sees it, and each comes back.
+func TestGatherersShutDownTwoAtATime(t *testing.T) {
 	s := newSite(t, 7, "most_gatherers = 2\n")
 	s.members(7)
 	leader := s.leader()
--- a/internal/operatorconfig/operator.go
+++ b/internal/operatorconfig/operator.go
@@ -54,7 +54,7 @@
 	Grace                          time.Duration // what a client is granted at the beginning of each
 	KeepAlive                      time.Duration // a silent peer is asked after so long whether it is there, three times; 0 = the system's way
 	SendBuffer                     int           // bytes of an answer that the system holds for a connection; 0 = the system's way
-	Crowd                          int           // idle connections from which on one that asked once is closed behind its answer; 0 = a twelfth of the clients' descriptors
+	IdleThreshold                  int           // idle connections from which on one that asked once is closed behind its answer; 0 = a twelfth of the clients' descriptors
 }
 
 // Memory is what the section on memory in sum says.
@@ -150,7 +150,7 @@
 			Awake:    int(s.count("awake", 0, 1, 1<<30)),
 			HeadRate: s.count("head_rate", 0, 1, 1<<30), BodyRate: s.count("body_rate", 0, 1, 1<<30), AnswerRate: s.count("answer_rate", 0, 1, 1<<30),
 			Grace: s.span("grace", time.Second, 100*time.Millisecond, 30*time.Second), KeepAlive: s.span("keep_alive", 0, time.Second, time.Hour),
-			SendBuffer: int(s.count("send_buffer", 0, 4<<10, 16<<20)), Crowd: s.crowd()}
+			SendBuffer: int(s.count("send_buffer", 0, 4<<10, 16<<20)), IdleThreshold: s.idleThreshold()}
 		s.done()
 	}
 	f.Levels = r.levels(path)
@@ -282,8 +282,8 @@
 // Never is a number of connections that is never reached.
 const Never = 1 << 30
 
-// crowd reads a number of connections, or off.
-func (s *section) crowd() int {
+// idleThreshold reads a number of connections, or off.
+func (s *section) idleThreshold() int {
 	if text, _ := s.text("crowd"); text == "off" {
 		return Never
 	}
--- a/internal/operatorconfig/operator_test.go
+++ b/internal/operatorconfig/operator_test.go
@@ -150,7 +150,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := Connections{Park: true, HeadRate: 200, BodyRate: 2000, AnswerRate: 4096, Grace: 2 * time.Second, KeepAlive: 30 * time.Second, SendBuffer: 64 << 10, Crowd: Never}
+	want := Connections{Park: true, HeadRate: 200, BodyRate: 2000, AnswerRate: 4096, Grace: 2 * time.Second, KeepAlive: 30 * time.Second, SendBuffer: 64 << 10, IdleThreshold: Never}
 	if *f.Connections != want || *f.Memory != (Memory{32 << 20, 10 * time.Second}) {
 		t.Errorf("got %+v, %+v", *f.Connections, *f.Memory)
 	}
--- a/internal/raftnode/steward.go
+++ b/internal/raftnode/steward.go
@@ -292,11 +292,11 @@
 		return !slices.ContainsFunc(orders, func(o maintenance.Order) bool { return k == order{o.Name, o.Epoch} })
 	})
 	for _, o := range orders {
-		if key := (order{o.Name, o.Epoch}); s.done[key] {
+		key := order{o.Name, o.Epoch}
+		if s.done[key] {
 			continue
-		} else {
-			s.done[key] = true
 		}
+		s.done[key] = true
 		slog.Info("fleet_order", "release", o.Release, "name", o.Name, "version", o.Version, "epoch", o.Epoch)
 		if s.f.Hook == "" {
 			s.put(hookOver{o, errors.New("there is none, so nobody carries the change out")})
--- a/maintenance/model_test.go
+++ b/maintenance/model_test.go
@@ -49,25 +49,24 @@
 }
 
 type gatherer struct {
-	i         int
-	zone      Zone
-	version   Version
-	run       Incarnation
-	dead      bool
-	frozen    bool
-	cut       bool // no word from or to it arrives
-	joined    bool
-	ready     Moment // when this run is warm
-	h         *Holder
-	out       bool // by agreement, from the drain's begin until a run of it is warm
-	ended     bool // it drained and will end
-	renewAt   Moment
-	lookAt    Moment
-	did       Epoch // the last order carried out
-	lies      bool
-	hangs     bool
-	counted   Figures
-	suspected []Name
+	i       int
+	zone    Zone
+	version Version
+	run     Incarnation
+	dead    bool
+	frozen  bool
+	cut     bool // no word from or to it arrives
+	joined  bool
+	ready   Moment // when this run is warm
+	h       *Holder
+	out     bool // by agreement, from the drain's begin until a run of it is warm
+	ended   bool // it drained and will end
+	renewAt Moment
+	lookAt  Moment
+	did     Epoch // the last order carried out
+	lies    bool
+	hangs   bool
+	counted Figures
 }
 
 func newWorld(t interface{ Fatalf(string, ...any) }, seed uint64, n, zones, most, inZone int, loss float64) *world {
--- a/maintenance/types.go
+++ b/maintenance/types.go
@@ -1,9 +1,10 @@
 package maintenance
 
-// Moment is a time in milliseconds by the stewards' clock; Span is a length of time in milliseconds.
 type (
+	// Moment is a time in milliseconds by the stewards' clock.
 	Moment int64
-	Span   int64
+	// Span is a length of time in milliseconds.
+	Span int64
 )
 
 type (
@@ -26,6 +27,7 @@
 // Kind says what a member is.
 type Kind string
 
+// The kinds of members.
 const (
 	Gatherer Kind = "gatherer"
 	Server   Kind = "server"
@@ -34,10 +36,11 @@
 // Status is what a member says of itself, or the list says of a server.
 type Status string
 
+// The states of a member.
 const (
 	Ready    Status = "ready"
-	Cold     Status = "cold"     // just started: it serves, but bears little
-	Draining Status = "draining" // it takes nothing new
+	Cold     Status = "cold"     // warming up after its start: it serves at a reduced rate
+	Draining Status = "draining" // it accepts nothing new
 )
 
 // Limits say who may be out together. A share is from 0 to 1 of the members of a kind; a number of 0 is no limit, and so is a
@@ -116,6 +119,7 @@
 // Phase is how far a release is.
 type Phase string
 
+// The phases of a release.
 const (
 	Going    Phase = "going"
 	Halted   Phase = "halted"
--- a/merge/schema.go
+++ b/merge/schema.go
@@ -16,6 +16,7 @@
 // Kind is the kind of a column's values.
 type Kind uint8
 
+// The kinds of values and their form in JSON.
 const (
 	Text  Kind = iota // a JSON string
 	Date              // a JSON string, YYYY-MM-DD
