--- a/internal/acceptorstore/directory.go
+++ b/internal/acceptorstore/directory.go
@@ -6,22 +6,22 @@
 	"github.com/rotisserie/eris"
 )
 
-// syncDirectory has the names in a folder last: of a file that was made, renamed or removed since the last one, a loss of power may
-// leave either. A test's may fail.
+// syncDirectory makes the names in a directory durable: without it a loss of power may undo the creation or renaming of a file.
+// Tests replace it.
 var syncDirectory = func(dir string) error {
-	folder, err := os.Open(dir)
+	d, err := os.Open(dir)
 	if err != nil {
 		return err
 	}
-	defer folder.Close()
-	return folder.Sync()
+	defer d.Close()
+	return d.Sync()
 }
 
-// syncName hands a store out once its file's name is sure to last. An earlier run may have ended before it was.
-func syncName(s *Store, dir string) (*Store, error) {
+// syncName makes the name of an open store's file durable, or closes the store. An earlier run may have ended before it did.
+func syncName(s *Store, dir string) error {
 	if err := syncDirectory(dir); err != nil {
 		s.Close()
-		return nil, eris.Wrap(err, "the data directory can't be synced")
+		return eris.Wrap(err, "syncing the data directory")
 	}
-	return s, nil
+	return nil
 }
--- a/internal/acceptorstore/directory_test.go
+++ b/internal/acceptorstore/directory_test.go
@@ -7,52 +7,56 @@
 	"testing"
 )
 
-// A name lasts through a loss of power only once its folder was synced: no store is handed out before, whether its file was just made,
-// was made by a run that may have ended too soon, or was put in the place of one that is damaged.
+// A file's name survives a loss of power only once its directory was synced: no store is returned before that.
 func TestDirectoryIsSyncedBeforeUse(t *testing.T) {
-	real := syncDirectory
-	defer func() { syncDirectory = real }()
+	realSync := syncDirectory
+	defer func() { syncDirectory = realSync }()
 	dir := t.TempDir()
 	path := filepath.Join(dir, fileName)
-	for _, k := range []struct {
-		what   string
-		before func()
+	for _, test := range []struct { // in order, in one directory
+		name    string
+		prepare func()
 	}{
-		{"a new file", func() {}},
-		{"one of an earlier run", func() {}},
-		{"one in place of a damaged one", func() {
+		{"new file", func() {}},
+		{"file of an earlier run", func() {}},
+		{"file that replaces a damaged one", func() {
 			if err := os.WriteFile(path, make([]byte, 64<<10), 0o644); err != nil {
 				t.Fatal(err)
 			}
 		}},
 	} {
-		k.before()
-		setAsidePath := func() int {
-			names, err := filepath.Glob(path + "*")
+		t.Run(test.name, func(t *testing.T) {
+			test.prepare()
+			syncDirectory = func(string) error { return errors.New("no") }
+			if s, _, err := Open(dir, 0); err == nil {
+				s.Close()
+				t.Error("a store is returned though its directory could not be synced")
+			}
+			files, synced := countFiles(t, path), 0
+			syncDirectory = func(synchronized string) error {
+				if synced = countFiles(t, path); synchronized != dir {
+					t.Errorf("%s was synced", synchronized)
+				}
+				return realSync(synchronized)
+			}
+			s, _, err := Open(dir, 0)
 			if err != nil {
 				t.Fatal(err)
 			}
-			return len(names)
-		}
-		syncDirectory = func(string) error { return errors.New("no") }
-		if s, _, err := Open(dir, 0); err == nil {
-			s.Close()
-			t.Errorf("%s: handed out though its folder could not be synced", k.what)
-		}
-		files, synced := setAsidePath(), 0
-		syncDirectory = func(of string) error {
-			if synced = setAsidePath(); of != dir {
-				t.Errorf("%s: %s was synced", k.what, of)
+			defer s.Close()
+			if count := countFiles(t, path); synced != files || count != files {
+				t.Errorf("the directory was synced with %d files, there are %d", synced, count)
 			}
-			return real(of)
-		}
-		s, _, err := Open(dir, 0)
-		if err != nil {
-			t.Fatalf("%s: %v", k.what, err)
-		}
-		if synced != files || setAsidePath() != files {
-			t.Errorf("%s: the folder was synced with %d files, there are %d", k.what, synced, setAsidePath())
-		}
-		s.Close()
+		})
+	}
+}
+
+// countFiles counts the files whose paths begin with one.
+func countFiles(t *testing.T, path string) int {
+	t.Helper()
+	names, err := filepath.Glob(path + "*")
+	if err != nil {
+		t.Fatal(err)
 	}
+	return len(names)
 }
--- /dev/null
+++ b/internal/acceptorstore/format.go
@@ -0,0 +1,210 @@
+package acceptorstore
+
+import (
+	"bytes"
+	"encoding/binary"
+	"fmt"
+	"os"
+
+	"go.etcd.io/bbolt"
+	"google.golang.org/protobuf/proto"
+
+	"oxbowspan/consensus"
+	"oxbowspan/rpc"
+)
+
+// FormatVersion is the version of the file's format that is written. Files of the version before are read, and converted as they
+// are opened; others are not.
+//
+// In version 1 the value contained its bodies, so that each promise wrote them again. In version 2 each body is in a bucket of its
+// own, under its digest: it is written once, however often a value with it is accepted.
+const (
+	FormatVersion      = 2
+	formatInlineBodies = 1
+)
+
+const fileName = "hive.db"
+
+// The file's buckets and their keys.
+var (
+	stateBucket = []byte("hive")
+	formatKey   = []byte("format")   // 8 bytes, big-endian
+	identityKey = []byte("identity") // 8 bytes, big-endian
+	stateKey    = []byte("state")    // an rpc.PrepareReply with the ballots alone
+	valueKey    = []byte("value")    // an rpc.Value without bodies
+
+	bodiesBucket = []byte("bodies") // has a bucket for each body, named by its digest
+	bodyKey      = []byte("body")
+
+	hintsBucket = []byte("others")
+	hintsKey    = []byte("hints") // an rpc.Gossip with reports alone; in version 1 in stateBucket
+)
+
+// readFormat returns the format's version; 0 = the file was not used yet.
+func readFormat(b *bbolt.Bucket) uint64 {
+	if format := b.Get(formatKey); len(format) == 8 {
+		return binary.BigEndian.Uint64(format)
+	}
+	return 0
+}
+
+func writeFormat(b *bbolt.Bucket) error {
+	return b.Put(formatKey, binary.BigEndian.AppendUint64(nil, FormatVersion))
+}
+
+// isReadable reports whether files of a format can be read.
+func isReadable(format uint64) bool { return format == FormatVersion || format == formatInlineBodies }
+
+// readIdentity returns the acceptor's identifier; ok is false while there is none.
+func readIdentity(b *bbolt.Bucket) (id consensus.AcceptorID, ok bool) {
+	value := b.Get(identityKey)
+	if len(value) != 8 {
+		return 0, false
+	}
+	return consensus.AcceptorID(binary.BigEndian.Uint64(value)), true
+}
+
+func writeIdentity(b *bbolt.Bucket, id consensus.AcceptorID) error {
+	return b.Put(identityKey, binary.BigEndian.AppendUint64(nil, uint64(id)))
+}
+
+// checkIntegrity checks all pages of a file.
+func checkIntegrity(db *bbolt.DB, path string) error {
+	return db.View(func(tx *bbolt.Tx) error {
+		if info, err := os.Stat(path); err != nil || info.Size() < tx.Size() {
+			return fmt.Errorf("%w: it is shorter than its header says", ErrCorrupt)
+		}
+		for err := range tx.Check() {
+			return fmt.Errorf("%w: %w", ErrCorrupt, err)
+		}
+		return nil
+	})
+}
+
+// readState reads the ballots and the value, with its bodies, into a state.
+func readState(tx *bbolt.Tx, b *bbolt.Bucket, state *consensus.AcceptorState) error {
+	if encoded := b.Get(stateKey); encoded != nil {
+		m := &rpc.PrepareReply{}
+		if err := proto.Unmarshal(encoded, m); err != nil {
+			return fmt.Errorf("%w: state: %w", ErrCorrupt, err)
+		}
+		state.Promised, state.Accepted = rpc.BallotFromProto(m.Promised), rpc.BallotFromProto(m.Accepted)
+	}
+	if encoded := b.Get(valueKey); encoded != nil {
+		m := &rpc.Value{}
+		if err := proto.Unmarshal(encoded, m); err != nil {
+			return fmt.Errorf("%w: value: %w", ErrCorrupt, err)
+		}
+		if state.Value = rpc.ValueFromProto(m, readBodies(tx)); state.Value == nil {
+			return fmt.Errorf("%w: a body of the value is missing", ErrCorrupt)
+		}
+	}
+	return nil
+}
+
+// readBodies returns a value that holds all bodies of the file and nothing else.
+func readBodies(tx *bbolt.Tx) *consensus.Value {
+	v := &consensus.Value{}
+	bodies := tx.Bucket(bodiesBucket)
+	if bodies == nil {
+		return v
+	}
+	bodies.ForEachBucket(func(digest []byte) error {
+		body := bytes.Clone(bodies.Bucket(digest).Get(bodyKey))
+		v.Documents = append(v.Documents, consensus.Document{Digest: string(digest), Body: body})
+		return nil
+	})
+	return v
+}
+
+// writeState writes the ballots of a state and, withValue, its value.
+func writeState(tx *bbolt.Tx, next consensus.AcceptorState, withValue bool) error {
+	b := tx.Bucket(stateBucket)
+	encoded, err := proto.Marshal(&rpc.PrepareReply{Promised: rpc.BallotToProto(next.Promised), Accepted: rpc.BallotToProto(next.Accepted)})
+	if err != nil {
+		return err
+	}
+	if err := b.Put(stateKey, encoded); err != nil || !withValue {
+		return err
+	}
+	if err := writeFormat(b); err != nil {
+		return err
+	}
+	if err := writeBodies(tx, next.Value); err != nil {
+		return err
+	}
+	if next.Value == nil {
+		return b.Delete(valueKey)
+	}
+	if encoded, err = proto.Marshal(rpc.ValueToProto(next.Value, rpc.BodyDigests(next.Value)...)); err != nil {
+		return err
+	}
+	return b.Put(valueKey, encoded)
+}
+
+// writeBodies makes the file hold the bodies of a value and no others. What it holds already is not written again. That is read
+// from the file, as after a failed write nothing else knows.
+func writeBodies(tx *bbolt.Tx, v *consensus.Value) error {
+	bodies, err := tx.CreateBucketIfNotExists(bodiesBucket)
+	if err != nil {
+		return err
+	}
+	wanted := rpc.BodiesByDigest(v)
+	if err := deleteBodies(bodies, wanted); err != nil {
+		return err
+	}
+	for digest, body := range wanted {
+		if bodies.Bucket([]byte(digest)) != nil {
+			continue
+		}
+		b, err := bodies.CreateBucket([]byte(digest))
+		if err != nil {
+			return err
+		}
+		if err := b.Put(bodyKey, body); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// deleteBodies deletes all bodies except those to keep, by digest.
+func deleteBodies(bodies *bbolt.Bucket, keep map[string][]byte) error {
+	var unwanted [][]byte
+	bodies.ForEachBucket(func(digest []byte) error {
+		if _, found := keep[string(digest)]; !found {
+			unwanted = append(unwanted, bytes.Clone(digest))
+		}
+		return nil
+	})
+	for _, digest := range unwanted {
+		if err := bodies.DeleteBucket(digest); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// readHints returns the hints; nil = none.
+func readHints(tx *bbolt.Tx, b *bbolt.Bucket) []byte {
+	if hints := tx.Bucket(hintsBucket); hints != nil {
+		return hints.Get(hintsKey)
+	}
+	return b.Get(hintsKey)
+}
+
+// migrateHints returns the hints, which it moves to where version 2 has them.
+func migrateHints(tx *bbolt.Tx, b *bbolt.Bucket) ([]byte, error) {
+	hints, err := tx.CreateBucketIfNotExists(hintsBucket)
+	if err != nil {
+		return nil, err
+	}
+	old := bytes.Clone(b.Get(hintsKey))
+	if old == nil {
+		return bytes.Clone(hints.Get(hintsKey)), nil
+	}
+	if err := b.Delete(hintsKey); err != nil {
+		return nil, err
+	}
+	return old, hints.Put(hintsKey, old)
+}
--- a/internal/acceptorstore/format_test.go
+++ b/internal/acceptorstore/format_test.go
@@ -20,11 +20,11 @@
 	"oxbowspan/rpc"
 )
 
-// formatOneDirectory puts a file of form 1, written by the program that made them, into a folder: a vote at turn 11 and ballot 12, a
-// promise of ballot 13, hints of one server.
-func formatOneDirectory(t *testing.T) (dir string) {
+// directoryOfFormat returns a directory with a file that an earlier release wrote in a format. It holds identity 77, a value
+// accepted in slot 11 at ballot 12, a promise of ballot 13, and hints of one server.
+func directoryOfFormat(t *testing.T, format uint64) (dir string) {
 	t.Helper()
-	packed, err := os.Open("testdata/format-1.db.gz")
+	packed, err := os.Open(fmt.Sprintf("testdata/format-%d.db.gz", format))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -33,46 +33,61 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	text, err := io.ReadAll(r)
+	content, err := io.ReadAll(r)
 	if err != nil {
 		t.Fatal(err)
 	}
 	dir = t.TempDir()
-	if err := os.WriteFile(filepath.Join(dir, fileName), text, 0o644); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, fileName), content, 0o644); err != nil {
 		t.Fatal(err)
 	}
 	return dir
 }
 
-// A file of the form before this one is read, as it was left, and again once it was turned into this form.
-func TestFormatOneIsUpgraded(t *testing.T) {
-	dir := formatOneDirectory(t)
-	for _, form := range []uint64{formatInlineBodies, FormatVersion} {
-		c, err := Inspect(dir)
-		if err != nil || c.Format != form || c.Identity != 77 || c.Slot != 11 || c.Servers != 1 || string(c.Body) != `{"version":9}` ||
-			len(c.Documents) != 1 || string(c.Documents[0].Body) != `{"tenants":[]}` {
-			t.Fatalf("inspected %+v, %v", c, err)
-		}
-		s, setAsidePath, err := Open(dir, 1)
-		if err != nil || setAsidePath != "" {
-			t.Fatal(err, setAsidePath)
-		}
-		got := s.State()
-		if got.ID != 77 || got.Promised.Number != 13 || got.Accepted.Number != 12 || got.Value.Version != 9 || string(got.Value.Body) != `{"version":9}` ||
-			string(got.Value.Document("tenants").Body) != `{"tenants":[]}` || got.Value.PriorRevisions[0].Version != 8 || len(got.Value.Members) != 3 {
-			t.Fatalf("form %d comes back as %+v", form, got)
-		}
-		hints := &rpc.Gossip{}
-		if proto.Unmarshal(s.Hints(), hints) != nil || len(hints.Reports) != 1 {
-			t.Fatalf("form %d: hints %q", form, s.Hints())
-		}
-		s.Close()
+// Files of the earlier releases are read as they were left, and again once they were opened, which converts them.
+func TestEarlierFormatsAreRead(t *testing.T) {
+	for _, written := range []uint64{formatInlineBodies, FormatVersion} {
+		t.Run(fmt.Sprint("format ", written), func(t *testing.T) {
+			dir := directoryOfFormat(t, written)
+			for _, format := range []uint64{written, FormatVersion} {
+				checkContents(t, dir, format)
+				checkState(t, dir)
+			}
+		})
+	}
+}
+
+// checkContents inspects a file of directoryOfFormat.
+func checkContents(t *testing.T, dir string, format uint64) {
+	t.Helper()
+	c, err := Inspect(dir)
+	if err != nil || c.Format != format || c.Identity != 77 || c.Slot != 11 || c.Servers != 1 || string(c.Body) != `{"version":9}` ||
+		len(c.Documents) != 1 || string(c.Documents[0].Body) != `{"tenants":[]}` {
+		t.Fatalf("inspected %+v, %v", c, err)
+	}
+}
+
+// checkState opens and closes a file of directoryOfFormat.
+func checkState(t *testing.T, dir string) {
+	t.Helper()
+	s, setAsidePath, err := Open(dir, 1)
+	if err != nil || setAsidePath != "" {
+		t.Fatal(err, setAsidePath)
+	}
+	defer s.Close()
+	got := s.State()
+	if got.ID != 77 || got.Promised.Number != 13 || got.Accepted.Number != 12 || got.Value.Version != 9 || string(got.Value.Body) != `{"version":9}` ||
+		string(got.Value.Document("tenants").Body) != `{"tenants":[]}` || got.Value.PriorRevisions[0].Version != 8 || len(got.Value.Members) != 3 {
+		t.Fatalf("read as %+v", got)
+	}
+	hints := &rpc.Gossip{}
+	if proto.Unmarshal(s.Hints(), hints) != nil || len(hints.Reports) != 1 {
+		t.Fatalf("hints %q", s.Hints())
 	}
 }
 
-// A file whose form is not known is not read.
 func TestUnknownFormatIsSetAside(t *testing.T) {
-	dir := formatOneDirectory(t)
+	dir := directoryOfFormat(t, formatInlineBodies)
 	db, err := bbolt.Open(filepath.Join(dir, fileName), 0o644, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -88,9 +103,9 @@
 	s.Close()
 }
 
-// A file that lacks a body of its value is damaged: the value must not come back without it.
+// The value must not be read without one of its bodies.
 func TestMissingBodyIsCorruption(t *testing.T) {
-	dir := formatOneDirectory(t)
+	dir := directoryOfFormat(t, formatInlineBodies)
 	s, _, err := Open(dir, 1)
 	if err != nil {
 		t.Fatal(err)
@@ -109,8 +124,8 @@
 	s.Close()
 }
 
-// acceptBodyStep votes at a ballot for a version whose body has so many bytes.
-func acceptBodyStep(ballot uint64, version consensus.Version, size int) func(consensus.AcceptorState) consensus.AcceptorState {
+// acceptBodyStep accepts, at a ballot, a version whose body has a size in bytes.
+func acceptBodyStep(ballot uint64, version consensus.Version, size int) StepFunc {
 	body := bytes.Repeat([]byte(strconv.FormatUint(uint64(version)%10, 10)), size)
 	copy(body, fmt.Sprint(version, " "))
 	sum := sha256.Sum256(body)
@@ -123,14 +138,14 @@
 }
 
 // prepareStep promises a ballot.
-func prepareStep(ballot uint64) func(consensus.AcceptorState) consensus.AcceptorState {
+func prepareStep(ballot uint64) StepFunc {
 	return func(s consensus.AcceptorState) consensus.AcceptorState {
 		next, _ := s.HandlePrepare(consensus.Prepare{To: s.ID, Ballot: consensus.Ballot{Number: ballot, By: 1}})
 		return next
 	}
 }
 
-// A body is written once: neither promises nor further votes for the same version write it again.
+// Neither promises nor further values with the same body write it again.
 func TestBodyIsWrittenOnce(t *testing.T) {
 	const size = 1 << 20
 	s, _, err := Open(t.TempDir(), 1)
@@ -138,7 +153,7 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	wrote := func(step func(consensus.AcceptorState) consensus.AcceptorState) int64 {
+	wrote := func(step StepFunc) int64 {
 		before := s.db.Stats()
 		if err := update(t, s, step); err != nil {
 			t.Fatal(err)
@@ -147,14 +162,14 @@
 		return after.TxStats.GetPageAlloc() - before.TxStats.GetPageAlloc()
 	}
 	if n := wrote(acceptBodyStep(1, 1, size)); n < size || n > size+size/8 {
-		t.Errorf("a vote for a new version writes %d bytes", n)
+		t.Errorf("accepting a new version writes %d bytes", n)
 	}
 	for ballot := uint64(2); ballot < 20; ballot += 2 {
 		if n := wrote(prepareStep(ballot)); n > 64<<10 {
 			t.Errorf("a promise writes %d bytes", n)
 		}
 		if n := wrote(acceptBodyStep(ballot+1, 1, size)); n > 64<<10 {
-			t.Errorf("a vote for the same version writes %d bytes", n)
+			t.Errorf("accepting the same version again writes %d bytes", n)
 		}
 	}
 }
@@ -166,7 +181,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.db.NoSync = true // 2,000 writes; what is looked at is how much room they take
+	s.db.NoSync = true // 2,000 writes, of which only the size matters
 	const size = 64 << 10
 	half := int64(0)
 	for n := uint64(1); n <= 1000; n++ {
@@ -178,7 +193,7 @@
 		}
 	}
 	if used := usedBytes(t, s); used > half || used > 16*size {
-		t.Errorf("after 500 versions of %d bytes it takes %d, after 1,000 %d", size, half, used)
+		t.Errorf("after 500 versions of %d bytes the file uses %d bytes, after 1,000 %d", size, half, used)
 	}
 	s.Close()
 	s, _, err = Open(dir, 1)
@@ -187,18 +202,18 @@
 	}
 	defer s.Close()
 	if got := s.State().Value; got.Version != 1000 || !strings.HasPrefix(string(got.Body), "1000 ") {
-		t.Errorf("version %d comes back with %.10q", got.Version, got.Body)
+		t.Errorf("version %d is read with body %.10q", got.Version, got.Body)
 	}
 }
 
-// usedBytes is how much of the file was ever used.
+// usedBytes returns how much of the file was ever used.
 func usedBytes(t *testing.T, s *Store) (n int64) {
 	t.Helper()
 	s.db.View(func(tx *bbolt.Tx) error { n = tx.Size(); return nil })
 	return n
 }
 
-// A write with a new body fails in its sync, and lies in the file all the same; the vote after it is for the version before.
+// A write with a new body is in the file though its sync failed. What is stored next is for the version before.
 func TestFailedBodyWriteLeavesConsistentState(t *testing.T) {
 	dir := t.TempDir()
 	s, _, err := Open(dir, 1)
@@ -215,7 +230,7 @@
 		return errors.New("input/output error")
 	}
 	if update(t, s, acceptBodyStep(2, 2, 100)) == nil {
-		t.Fatal("a vote whose sync failed is told as stored")
+		t.Fatal("a write whose sync failed is reported as stored")
 	}
 	s.commit = s.db.Update
 	if err := update(t, s, prepareStep(3)); err != nil {
--- a/internal/acceptorstore/store.go
+++ b/internal/acceptorstore/store.go
@@ -1,12 +1,12 @@
-// Package acceptorstore keeps an acceptor's state on its disk. One goroutine waits for the disk; nobody else does: what can't be
-// stored in time is refused, and the rest of the program goes on.
+// Package acceptorstore keeps an acceptor's state in a file. Only its own goroutine waits for the disk: an update that can't be
+// stored soon is refused, and the rest of the program goes on.
 package acceptorstore
 
 import (
-	"bytes"
 	"crypto/rand"
 	"encoding/binary"
 	"errors"
+	"fmt"
 	"os"
 	"path/filepath"
 	"runtime/debug"
@@ -14,74 +14,78 @@
 
 	"github.com/rotisserie/eris"
 	"go.etcd.io/bbolt"
-	"google.golang.org/protobuf/proto"
 
 	"oxbowspan/consensus"
-	"oxbowspan/rpc"
 )
 
-// Format is the number of the file's form. Files of the form before it are read, and turned into this one as they are opened;
-// others are not.
-//
-// In form 1 the value held its bodies, in the leaf that each promise writes anew. In form 2 each body lies in a bucket of its
-// own, under its digest: it is written once, however many votes are cast for it.
 const (
-	FormatVersion      = 2
-	formatInlineBodies = 1 // values with their bodies
+	queueLength     = 64          // of updates that wait for the disk
+	lockTimeout     = time.Second // for another process that has the file open
+	initialMmapSize = 4 << 20     // bytes of address space, so that the file seldom has to be mapped anew
 )
 
-const fileName = "hive.db"
-
 var (
-	stateBucket = []byte("hive")
-	formatKey   = []byte("format")
-	identityKey = []byte("identity")
-	stateKey    = []byte("state")
-	valueKey    = []byte("value")
-
-	bodiesBucket = []byte("bodies") // a bucket for each body, by digest
-	bodyKey      = []byte("body")
+	// ErrBusy is returned for an update that the disk has no time for, or that comes after Close.
+	ErrBusy = errors.New("the disk is busy")
 
-	hintsBucket = []byte("others") // what nothing depends on
-	hintsKey    = []byte("hints")  // in form 1 in the first bucket
+	// ErrCorrupt is wrapped by errors of a file whose contents can't be right.
+	ErrCorrupt = errors.New("the state file is corrupt")
 )
 
-// ErrBusy says that the disk is behind.
-var ErrBusy = errors.New("the disk is behind")
+// UnsupportedFormatError is the error for a file of a format that this program doesn't read.
+type UnsupportedFormatError struct{ Format uint64 }
+
+func (e *UnsupportedFormatError) Error() string {
+	return fmt.Sprintf("the state file has format %d, this program reads %d and %d", e.Format, formatInlineBodies, FormatVersion)
+}
 
-// Store is one acceptor's file.
+// StepFunc returns the state that follows from one.
+type StepFunc func(consensus.AcceptorState) consensus.AcceptorState
+
+// StoredFunc takes the state that is on the disk, and the error of a state that could not be stored.
+type StoredFunc func(consensus.AcceptorState, error)
+
+// Store is one acceptor's file. Its methods may be called from any goroutine, except where they say otherwise.
 type Store struct {
-	db             *bbolt.DB
-	queue          chan func()
-	closing        chan struct{}
-	done           chan struct{}
-	state          consensus.AcceptorState // the last that is known to be on the disk; the disk's goroutine's
-	writeUncertain bool                    // a write failed: what the file holds beyond state is not known; the disk's goroutine's
-	hints          []byte                  // as found at the start
+	db      *bbolt.DB
+	queue   chan func()
+	closing chan struct{}
+	done    chan struct{} // closed when the store's goroutine has ended
+	hints   []byte        // as found by Open
+
+	// The store's goroutine's.
+	state          consensus.AcceptorState // the last that is known to be on the disk
+	writeUncertain bool                    // a write failed: the file may hold what it wrote, or not
 
-	commit func(func(*bbolt.Tx) error) error // db.Update, or a test's
+	commit func(func(*bbolt.Tx) error) error // db.Update; tests replace it
 }
 
-// Open opens or makes the file in a directory. Genesis is the identity for a disk that is empty; 0 draws one. A file that
-// can't be read is set aside, named in aside, and the machine comes back as a stranger with an identity of its own.
+// Open opens or creates the file in a directory, which it creates if necessary. A file without an identity gets the genesis one,
+// or a random one if that is 0. A file that can't be read is renamed to setAsidePath, and a new one is created with a random
+// identity: the old identity's promises are lost, so it must not vote again.
 func Open(dir string, genesis consensus.AcceptorID) (s *Store, setAsidePath string, err error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return nil, "", eris.Wrap(err, "the data directory can't be made")
+		return nil, "", eris.Wrap(err, "creating the data directory")
 	}
-	path := filepath.Join(dir, fileName)
-	defer func() {
-		if err == nil {
-			s, err = syncName(s, dir)
-		}
-	}()
+	s, setAsidePath, err = openOrReplace(filepath.Join(dir, fileName), genesis)
+	if err == nil {
+		err = syncName(s, dir)
+	}
+	if err != nil {
+		return nil, setAsidePath, err
+	}
+	return s, setAsidePath, nil
+}
+
+func openOrReplace(path string, genesis consensus.AcceptorID) (s *Store, setAsidePath string, err error) {
 	if _, err := os.Stat(path); err == nil {
-		// A file that is there is from an earlier run. If it has no identity, its first use was cut off before any vote.
+		// The file is from an earlier run. If it has no identity, that run ended before it accepted anything.
 		if s, err = openFile(path, genesis); err == nil {
 			return s, "", nil
 		}
 		setAsidePath = path + ".damaged-" + time.Now().UTC().Format("20060102T150405")
-		if renamed := os.Rename(path, setAsidePath); renamed != nil {
-			return nil, "", eris.Wrapf(err, "the state file can't be read, nor set aside (%v)", renamed)
+		if renameErr := os.Rename(path, setAsidePath); renameErr != nil {
+			return nil, "", eris.Wrapf(err, "the state file can't be read, nor set aside (%v)", renameErr)
 		}
 		genesis = 0
 	}
@@ -90,13 +94,13 @@
 }
 
 func openFile(path string, genesis consensus.AcceptorID) (s *Store, err error) {
-	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true)) // a page that is not in the file any more
+	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true)) // reading a page beyond the file's end must not end the process
 	defer func() {
-		if r := recover(); r != nil { // the library panics on pages that are not as they should be
-			s, err = nil, eris.Errorf("the state file is damaged: %v", r)
+		if r := recover(); r != nil { // bbolt panics on malformed pages
+			s, err = nil, fmt.Errorf("%w: %v", ErrCorrupt, r)
 		}
 	}()
-	db, err := bbolt.Open(path, 0o644, &bbolt.Options{Timeout: time.Second, InitialMmapSize: 4 << 20})
+	db, err := bbolt.Open(path, 0o644, &bbolt.Options{Timeout: lockTimeout, InitialMmapSize: initialMmapSize})
 	if err != nil {
 		return nil, err
 	}
@@ -104,7 +108,7 @@
 		db.Close()
 		return nil, err
 	}
-	s = &Store{db: db, commit: db.Update, queue: make(chan func(), 64), closing: make(chan struct{}), done: make(chan struct{})}
+	s = &Store{db: db, commit: db.Update, queue: make(chan func(), queueLength), closing: make(chan struct{}), done: make(chan struct{})}
 	if err = db.Update(func(tx *bbolt.Tx) error { return s.loadOrInitialize(tx, genesis) }); err != nil {
 		db.Close()
 		return nil, err
@@ -113,37 +117,25 @@
 	return s, nil
 }
 
-// checkIntegrity tells what is wrong with a file's pages.
-func checkIntegrity(db *bbolt.DB, path string) error {
-	return db.View(func(tx *bbolt.Tx) error {
-		if info, err := os.Stat(path); err != nil || info.Size() < tx.Size() {
-			return eris.New("the state file is shorter than it says")
-		}
-		for fault := range tx.Check() {
-			return eris.Wrap(fault, "the state file is damaged")
-		}
-		return nil
-	})
-}
-
+// loadOrInitialize reads the file, converts it to the current format, and gives it an identity if it has none.
 func (s *Store) loadOrInitialize(tx *bbolt.Tx, genesis consensus.AcceptorID) error {
 	b, err := tx.CreateBucketIfNotExists(stateBucket)
 	if err != nil {
 		return err
 	}
-	form := readFormat(b)
-	if form != 0 && form != FormatVersion && form != formatInlineBodies {
-		return eris.Errorf("the state file has form %d, this program reads %d and %d", form, formatInlineBodies, FormatVersion)
+	format := readFormat(b)
+	if format != 0 && !isReadable(format) {
+		return &UnsupportedFormatError{format}
 	}
 	if s.hints, err = migrateHints(tx, b); err != nil {
 		return err
 	}
-	if id := b.Get(identityKey); len(id) == 8 {
-		s.state.ID = consensus.AcceptorID(binary.BigEndian.Uint64(id))
-		if err := s.readState(tx, b); err != nil || form == FormatVersion {
+	if id, ok := readIdentity(b); ok {
+		s.state.ID = id
+		if err := readState(tx, b, &s.state); err != nil || format == FormatVersion {
 			return err
 		}
-		return s.writeState(tx, s.state, true)
+		return writeState(tx, s.state, true)
 	}
 	if s.state.ID = genesis; genesis == 0 {
 		s.state.ID = NewAcceptorID()
@@ -151,78 +143,17 @@
 	if err := writeFormat(b); err != nil {
 		return err
 	}
-	return b.Put(identityKey, binary.BigEndian.AppendUint64(nil, uint64(s.state.ID)))
-}
-
-// readFormat is the number of a file's form; 0 = it has none yet.
-func readFormat(b *bbolt.Bucket) uint64 {
-	if form := b.Get(formatKey); len(form) == 8 {
-		return binary.BigEndian.Uint64(form)
-	}
-	return 0
-}
-
-func writeFormat(b *bbolt.Bucket) error {
-	return b.Put(formatKey, binary.BigEndian.AppendUint64(nil, FormatVersion))
-}
-
-// migrateHints returns the hints, moved to where they belong.
-func migrateHints(tx *bbolt.Tx, b *bbolt.Bucket) ([]byte, error) {
-	o, err := tx.CreateBucketIfNotExists(hintsBucket)
-	if err != nil {
-		return nil, err
-	}
-	if old := bytes.Clone(b.Get(hintsKey)); old != nil {
-		if err := b.Delete(hintsKey); err != nil {
-			return nil, err
-		}
-		return old, o.Put(hintsKey, old)
-	}
-	return bytes.Clone(o.Get(hintsKey)), nil
+	return writeIdentity(b, s.state.ID)
 }
 
-func (s *Store) readState(tx *bbolt.Tx, b *bbolt.Bucket) error {
-	if text := b.Get(stateKey); text != nil {
-		m := &rpc.PrepareReply{}
-		if err := proto.Unmarshal(text, m); err != nil {
-			return eris.Wrap(err, "the state is damaged")
-		}
-		s.state.Promised, s.state.Accepted = rpc.BallotFromProto(m.Promised), rpc.BallotFromProto(m.Accepted)
-	}
-	if text := b.Get(valueKey); text != nil {
-		m := &rpc.Value{}
-		if err := proto.Unmarshal(text, m); err != nil {
-			return eris.Wrap(err, "the value is damaged")
-		}
-		if s.state.Value = rpc.ValueFromProto(m, readBodies(tx)); s.state.Value == nil {
-			return eris.New("a body of the value is missing")
-		}
-	}
-	return nil
-}
-
-// readBodies is a value that holds all bodies of the file, and nothing else.
-func readBodies(tx *bbolt.Tx) *consensus.Value {
-	v := &consensus.Value{}
-	all := tx.Bucket(bodiesBucket)
-	if all == nil {
-		return v
-	}
-	all.ForEachBucket(func(digest []byte) error {
-		body := bytes.Clone(all.Bucket(digest).Get(bodyKey))
-		v.Documents = append(v.Documents, consensus.Document{Digest: string(digest), Body: body})
-		return nil
-	})
-	return v
-}
-
-// NewAcceptorID draws an identity.
+// NewAcceptorID draws a random identifier. It is never 0.
 func NewAcceptorID() consensus.AcceptorID {
 	var b [8]byte
 	rand.Read(b[:])
 	return consensus.AcceptorID(binary.BigEndian.Uint64(b[:]) | 1)
 }
 
+// run executes what is queued until the store is closed. What was queued before that is executed still.
 func (s *Store) run() {
 	defer close(s.done)
 	for {
@@ -230,7 +161,7 @@
 		case f := <-s.queue:
 			f()
 		case <-s.closing:
-			for range len(s.queue) { // what was taken is done
+			for range len(s.queue) {
 				(<-s.queue)()
 			}
 			return
@@ -238,130 +169,73 @@
 	}
 }
 
-// Update hands the state to step, in the order of the calls; what step returns is stored and then told through after,
-// with an error where it could not be stored. Both run on the disk's goroutine: they must not wait. ErrBusy is returned
-// at once where too much waits already.
-func (s *Store) Update(step func(consensus.AcceptorState) consensus.AcceptorState, after func(consensus.AcceptorState, error)) error {
+// enqueue queues a function for the store's goroutine, unless the queue is full.
+func (s *Store) enqueue(f func()) bool {
 	select {
-	case <-s.closing:
-		return ErrBusy // a round that is still on its way at the end
+	case s.queue <- f:
+		return true
 	default:
+		return false
 	}
+}
+
+// Update has step return the next state, stores that and calls after. Updates run in the order of the calls. Both functions run on the store's goroutine and must
+// not wait. ErrBusy is returned at once, and neither is called, when the queue is full or the store closed.
+func (s *Store) Update(step StepFunc, after StoredFunc) error {
 	select {
-	case s.queue <- func() {
-		next := step(s.state)
-		if !next.DiffersFrom(s.state) {
-			after(s.state, nil)
-			return
-		}
-		err := s.commitState(next)
-		if s.writeUncertain = err != nil; err == nil {
-			s.state = next
-		}
-		after(s.state, err)
-	}:
-		return nil
+	case <-s.closing:
+		return ErrBusy
 	default:
+	}
+	if !s.enqueue(func() { s.update(step, after) }) {
 		return ErrBusy
 	}
+	return nil
 }
 
-// commitState stores a state. One whose write failed may be in the file all the same, in whole: the value is then written again
-// with the next state, or a ballot would stand there beside another's value.
-func (s *Store) commitState(next consensus.AcceptorState) (err error) {
-	defer func() {
-		if r := recover(); r != nil {
-			err = eris.Errorf("the state file is damaged: %v", r)
-		}
-	}()
-	return s.commit(func(tx *bbolt.Tx) error {
-		return s.writeState(tx, next, next.Value != s.state.Value || s.writeUncertain)
-	})
-}
-
-// writeState puts a state into the file, and its value where that is another.
-func (s *Store) writeState(tx *bbolt.Tx, next consensus.AcceptorState, value bool) error {
-	b := tx.Bucket(stateBucket)
-	text, err := proto.Marshal(&rpc.PrepareReply{Promised: rpc.BallotToProto(next.Promised), Accepted: rpc.BallotToProto(next.Accepted)})
-	if err != nil {
-		return err
-	}
-	if err := b.Put(stateKey, text); err != nil || !value {
-		return err
-	}
-	if err := writeFormat(b); err != nil {
-		return err
-	}
-	if err := writeBodies(tx, next.Value); err != nil {
-		return err
-	}
-	if next.Value == nil {
-		return b.Delete(valueKey)
+func (s *Store) update(step StepFunc, after StoredFunc) {
+	next := step(s.state)
+	if !next.DiffersFrom(s.state) {
+		after(s.state, nil)
+		return
 	}
-	if text, err = proto.Marshal(rpc.ValueToProto(next.Value, rpc.BodyDigests(next.Value)...)); err != nil {
-		return err
+	err := s.commitState(next)
+	s.writeUncertain = err != nil
+	if err == nil {
+		s.state = next
 	}
-	return b.Put(valueKey, text)
+	after(s.state, err)
 }
 
-// writeBodies has the file hold the bodies of a value and no others. What it holds already is not written again: the file is
-// asked, as after a write that failed nobody else knows.
-func writeBodies(tx *bbolt.Tx, v *consensus.Value) error {
-	all, err := tx.CreateBucketIfNotExists(bodiesBucket)
-	if err != nil {
-		return err
-	}
-	wanted := rpc.BodiesByDigest(v)
-	var unwanted [][]byte
-	all.ForEachBucket(func(digest []byte) error {
-		if _, found := wanted[string(digest)]; !found {
-			unwanted = append(unwanted, bytes.Clone(digest))
-		}
-		return nil
-	})
-	for _, digest := range unwanted {
-		if err := all.DeleteBucket(digest); err != nil {
-			return err
-		}
-	}
-	for digest, body := range wanted {
-		if all.Bucket([]byte(digest)) != nil {
-			continue
-		}
-		own, err := all.CreateBucket([]byte(digest))
-		if err != nil {
-			return err
-		}
-		if err := own.Put(bodyKey, body); err != nil {
-			return err
+// commitState stores a state. After a failed write the file may hold what it wrote nevertheless: the value is then written again
+// with the next state, as otherwise that state's ballots might stand beside another state's value.
+func (s *Store) commitState(next consensus.AcceptorState) (err error) {
+	defer func() {
+		if r := recover(); r != nil {
+			err = fmt.Errorf("%w: %v", ErrCorrupt, r)
 		}
-	}
-	return nil
+	}()
+	withValue := next.Value != s.state.Value || s.writeUncertain
+	return s.commit(func(tx *bbolt.Tx) error { return writeState(tx, next, withValue) })
 }
 
-// Hints are what SaveHints last stored, as found at the start; nil = nothing. They help, and nothing depends on them.
+// Hints returns what SaveHints stored last before Open; nil = nothing. Nothing depends on hints.
 func (s *Store) Hints() []byte { return s.hints }
 
-// SaveHints stores hints where the disk has nothing else to do, else it tells false and nothing happens. After, on the
-// disk's goroutine, is told how it went.
+// SaveHints stores hints if the disk is idle, and calls after on the store's goroutine. It reports whether it does.
 func (s *Store) SaveHints(hints []byte, after func(error)) bool {
 	if len(s.queue) > 0 {
 		return false
 	}
-	select {
-	case s.queue <- func() {
+	return s.enqueue(func() {
 		after(s.commit(func(tx *bbolt.Tx) error { return tx.Bucket(hintsBucket).Put(hintsKey, hints) }))
-	}:
-		return true
-	default:
-		return false
-	}
+	})
 }
 
-// State is the state as found at the start. It may be called before the first Update only.
+// State returns the state as found by Open. It must not be called after the first Update.
 func (s *Store) State() consensus.AcceptorState { return s.state }
 
-// Close ends the goroutine and closes the file. It must be called once. Updates that come later are refused.
+// Close executes what is queued and closes the file. It must be called once.
 func (s *Store) Close() error {
 	close(s.closing)
 	<-s.done
--- a/internal/acceptorstore/store_bench_test.go
+++ b/internal/acceptorstore/store_bench_test.go
@@ -8,21 +8,21 @@
 	"oxbowspan/consensus"
 )
 
-// BenchmarkStore tells what a promise, a vote for the same version and one for a new version write, by the body's size. The
-// disk is memory, so that times are the processor's.
+// BenchmarkStore measures what a promise, accepting the same version again and accepting a new version write, by the size of the
+// body. The file is in memory, so that the times are the processor's.
 func BenchmarkStore(b *testing.B) {
 	for _, size := range []int{2 << 10, 170 << 10, 1700 << 10} {
-		for name, step := range map[string]func(n uint64) func(consensus.AcceptorState) consensus.AcceptorState{
-			"promise": func(n uint64) func(consensus.AcceptorState) consensus.AcceptorState { return prepareStep(n) },
-			"vote again": func(n uint64) func(consensus.AcceptorState) consensus.AcceptorState {
+		for name, step := range map[string]func(n uint64) StepFunc{
+			"promise": func(n uint64) StepFunc { return prepareStep(n) },
+			"accept again": func(n uint64) StepFunc {
 				return acceptBodyStep(n, 1, size)
 			},
-			"vote for another": func(n uint64) func(consensus.AcceptorState) consensus.AcceptorState {
+			"accept new": func(n uint64) StepFunc {
 				return acceptBodyStep(n, consensus.Version(n), size)
 			},
 		} {
 			b.Run(fmt.Sprintf("%s/body=%d", name, size), func(b *testing.B) {
-				dir, err := os.MkdirTemp("/dev/shm", "wax")
+				dir, err := os.MkdirTemp("/dev/shm", "acceptorstore")
 				if err != nil {
 					dir = b.TempDir()
 				}
@@ -32,7 +32,7 @@
 					b.Fatal(err)
 				}
 				defer s.Close()
-				act := func(n uint64) {
+				store := func(n uint64) {
 					done := make(chan error, 1)
 					if s.Update(step(n), func(_ consensus.AcceptorState, err error) { done <- err }) != nil || <-done != nil {
 						b.Fatal("not stored")
@@ -46,7 +46,7 @@
 				before := s.db.Stats()
 				b.ResetTimer()
 				for i := range b.N {
-					act(uint64(i + 2))
+					store(uint64(i + 2))
 				}
 				b.StopTimer()
 				after := s.db.Stats()
