--- a/controlplane/api.go
+++ b/controlplane/api.go
@@ -104,7 +104,7 @@
 // that it is not lost with this machine.
 func (c *instanceAPI) take(w http.ResponseWriter, r *http.Request, report func(now time.Duration)) {
 	h, id := c.h, registry.InstanceID(r.PathValue("id"))
-	taken, written := inquire(h, func() reportOutcome { return h.applyReport(id, report) })
+	taken, written := query(h.loop, func() reportOutcome { return h.applyReport(id, report) })
 	if !written {
 		writeError(w, http.StatusServiceUnavailable, "this machine is leaving")
 		return
@@ -115,7 +115,7 @@
 		case <-time.After(replicationTimeout):
 			writeError(w, http.StatusServiceUnavailable, "too few of the core have heard of it yet")
 			return
-		case <-h.stopped:
+		case <-h.loop.stopped:
 			writeError(w, http.StatusServiceUnavailable, "this machine is leaving")
 			return
 		}
@@ -130,7 +130,7 @@
 
 // applyReport takes what a server says of itself.
 func (h *Controller) applyReport(id registry.InstanceID, report func(now time.Duration)) (t reportOutcome) {
-	now, before := h.now(), h.table.Cursor()
+	now, before := h.clock.now(), h.table.Cursor()
 	t.isolated = now > peerLivenessTimeout && !h.inContact(now)
 	report(now)
 	changed := h.table.ChangesAfter(before)
@@ -198,7 +198,7 @@
 	if fate != consensus.OutcomeUnknown {
 		return fate
 	}
-	if found, ok := inquire(h, func() bool { return held(&h.history) }); ok && found {
+	if found, ok := query(h.loop, func() bool { return held(&h.history) }); ok && found {
 		return consensus.OutcomeCommitted
 	}
 	return consensus.OutcomeUnknown
--- a/controlplane/api_test.go
+++ b/controlplane/api_test.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	close(h.stopped)
+	h.loop.stop()
 	calls := h.handler()
 	for call, body := range map[string]string{
 		"/-/instances/i-1/heartbeat": `{"service":"s","address":"10.0.3.1:80","state":"draining","call_sequence":4}`,
--- a/controlplane/controller.go
+++ b/controlplane/controller.go
@@ -13,7 +13,6 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/emirpasic/gods/v2/queues/circularbuffer"
 	"github.com/rotisserie/eris"
 	"github.com/rs/zerolog"
 	"google.golang.org/protobuf/proto"
@@ -50,9 +49,8 @@
 	proposerID    consensus.ProposerID
 	incarnation   uint64
 	address       string
-	startedAt     time.Time
-	commands      chan func()
-	stopped       chan struct{}
+	clock         *steadyClock
+	loop          *eventLoop
 	killed        chan struct{}
 	proposalToken chan struct{} // holds one token: this hive's rounds go one at a time
 	wg            sync.WaitGroup
@@ -75,17 +73,15 @@
 	newestAccepted   consensus.Slot // the newest turn that this acceptor voted for
 	acceptedAt       time.Duration
 	table            *registry.Table
-	gateways         map[uint64]*gatewayState           // emptied of those not heard for a while
-	membershipEpoch  uint64                             // number of the list of foragers
-	gatewaySequence  uint64                             // of the last forager that there was something to tell the other hives of
-	peers            map[string]*peer                   // emptied of those unheard that do not vote
-	waiters          map[*pollWaiter]bool               // emptied by answers
-	replicationWaits []*replicationWait                 // emptied by acks and time
-	events           *circularbuffer.Queue[eventRecord] // the newest eventLogCapacity
-	eventSequence    uint64
-	eventCursor      registry.Cursor   // up to which servers' changes were noted as events,
-	serverStates     map[string]string // with what each was then; kept to those of the table
-	updateAt         time.Duration     // when waiters are to be told; 0 = nothing to tell
+	gateways         map[uint64]*gatewayState // emptied of those not heard for a while
+	membershipEpoch  uint64                   // number of the list of foragers
+	gatewaySequence  uint64                   // of the last forager that there was something to tell the other hives of
+	peers            map[string]*peer         // emptied of those unheard that do not vote
+	waiters          map[*pollWaiter]bool     // emptied by answers
+	replicationWaits []*replicationWait       // emptied by acks and time
+	events           *eventLog
+	serverChanges    *serverChangeLog
+	updateAt         time.Duration // when waiters are to be told; 0 = nothing to tell
 	housekeepingAt   time.Duration
 	proposing        bool // a round to resolve or to join is on its way
 	proposeAfter     time.Duration
@@ -151,9 +147,11 @@
 	}
 	state := store.State()
 	h := &Controller{settings: set, network: on, log: log, store: store, self: state.ID, proposerID: consensus.ProposerID(acceptorstore.NewAcceptorID()), incarnation: uint64(acceptorstore.NewAcceptorID()),
-		address: set.InternalAddress(settings.ControllerPort), startedAt: time.Now(), commands: make(chan func(), 1024), stopped: make(chan struct{}), killed: make(chan struct{}),
+		address: set.InternalAddress(settings.ControllerPort), clock: newSteadyClock(), loop: newEventLoop(), killed: make(chan struct{}),
 		proposalToken: make(chan struct{}, 1), known: consensus.Genesis(genesis), table: registry.NewTable(set.HeartbeatInterval()),
-		gateways: map[uint64]*gatewayState{}, peers: map[string]*peer{}, waiters: map[*pollWaiter]bool{}, serverStates: map[string]string{}, events: circularbuffer.New[eventRecord](eventLogCapacity), documentTimes: map[string]documentTime{}, highestBallot: state.Promised.Number, contact: quorum.NewContactTracker()}
+		gateways: map[uint64]*gatewayState{}, peers: map[string]*peer{}, waiters: map[*pollWaiter]bool{}, documentTimes: map[string]documentTime{}, highestBallot: state.Promised.Number, contact: quorum.NewContactTracker()}
+	h.events = newEventLog(h.clock)
+	h.serverChanges = newServerChangeLog(h.table, h.events)
 	if v := state.Value; v != nil {
 		// Whether it was decided is not known.
 		h.newestAccepted, h.known = v.Slot, consensus.RecoveryBase(v)
@@ -180,41 +178,6 @@
 	return members, self
 }
 
-// now is the steady clock.
-func (h *Controller) now() time.Duration { return time.Since(h.startedAt) }
-
-// do hands the owner a command. It tells whether the owner still works.
-func (h *Controller) do(f func()) bool {
-	select {
-	case h.commands <- f:
-		return true
-	case <-h.stopped:
-		return false
-	}
-}
-
-// ask hands the owner a command and waits for its end. A caller that the stop releases does not wait for the command, which
-// may still run: it must write nothing that the caller reads. What has an answer is asked by inquire.
-func (h *Controller) ask(f func()) bool {
-	_, done := inquire(h, func() struct{} { f(); return struct{}{} })
-	return done
-}
-
-// inquire hands the owner a question and waits for its answer. The answer travels through a channel: a caller that the stop
-// releases shares no variable with a question that still runs. It tells whether there was an answer.
-func inquire[T any](h *Controller, question func() T) (answer T, ok bool) {
-	answers := make(chan T, 1) // the owner waits for no caller
-	if !h.do(func() { answers <- question() }) {
-		return answer, false
-	}
-	select {
-	case answer = <-answers:
-		return answer, true
-	case <-h.stopped:
-		return answer, false
-	}
-}
-
 // Run serves until the context is done.
 func (h *Controller) Run(ctx context.Context) error {
 	control, err := h.network.Listen(h.settings.Listen.Control)
@@ -226,16 +189,16 @@
 		control.Close()
 		return eris.Errorf("the internal address can't be listened on: %v", err)
 	}
-	talk := &rpc.Server{Handle: h.handleFrame, OnClose: func(c *rpc.Conn) { h.do(func() { h.dropConnection(c) }) }}
+	talk := &rpc.Server{Handle: h.handleFrame, OnClose: func(c *rpc.Conn) { h.loop.post(func() { h.dropConnection(c) }) }}
 	web := &http.Server{Handler: h.handler(), ReadHeaderTimeout: 3 * time.Second, IdleTimeout: 30 * time.Second}
 	h.wg.Go(func() { talk.Serve(inner) })
 	h.wg.Go(func() { web.Serve(control) })
 	h.wg.Go(h.runLoop)
-	h.do(func() {
+	h.loop.post(func() {
 		for _, a := range h.settings.SeedControllers() {
 			h.addPeer(a)
 		}
-		h.housekeepingAt = h.now() + time.Duration(rand.Int64N(int64(60*time.Millisecond))) // who begins is left to chance
+		h.housekeepingAt = h.clock.now() + time.Duration(rand.Int64N(int64(60*time.Millisecond))) // who begins is left to chance
 		h.log.Info().Uint64("identity", uint64(h.self)).Uint64("turn", uint64(h.newestAccepted)).Msg("hive: started")
 	})
 	select {
@@ -250,7 +213,7 @@
 	}
 	web.Close()
 	inner.Close()
-	close(h.stopped)
+	h.loop.stop()
 	h.wg.Wait()
 	return h.store.Close()
 }
@@ -266,20 +229,20 @@
 // Freeze has the owner stand still for a time, as in a process that is frozen: what comes meanwhile is worked on afterwards.
 // With clock, the steady clock stands still as long, as on a machine that is suspended. For tests.
 func (h *Controller) Freeze(d time.Duration, clock bool) {
-	h.do(func() {
+	h.loop.post(func() {
 		select {
 		case <-time.After(d):
-		case <-h.stopped:
+		case <-h.loop.stopped:
 		}
 		if clock {
-			h.startedAt = h.startedAt.Add(d)
+			h.clock.setBack(d)
 		}
 	})
 }
 
 // Committed is the newest turn and version that this hive knows to be agreed.
 func (h *Controller) Committed() (turn consensus.Slot, version consensus.Version) {
-	known, _ := inquire(h, func() *consensus.Value {
+	known, _ := query(h.loop, func() *consensus.Value {
 		if !h.confirmed {
 			return &consensus.Value{}
 		}
@@ -291,26 +254,14 @@
 	return known.Slot, known.Version
 }
 
-// runLoop is the owner: it works through the queue of commands.
+// runLoop is the event loop's goroutine.
 func (h *Controller) runLoop() {
-	timer := time.NewTimer(housekeepingInterval)
-	defer timer.Stop()
-	for {
-		select {
-		case f := <-h.commands:
-			f()
-		case <-timer.C:
-		case <-h.stopped:
-			for _, p := range h.peers {
-				p.close()
-			}
-			return
-		}
-		for range len(h.commands) {
-			(<-h.commands)()
-		}
-		next := h.advance(h.now())
-		timer.Reset(max(next-h.now(), time.Millisecond))
+	h.loop.run(housekeepingInterval, func() time.Duration {
+		next := h.advance(h.clock.now())
+		return next - h.clock.now()
+	})
+	for _, p := range h.peers {
+		p.close()
 	}
 }
 
@@ -344,10 +295,10 @@
 	if h.table.Expire(now) {
 		h.scheduleUpdate(false)
 	}
-	h.logServerChanges(now)
+	h.serverChanges.record(now)
 	for life, f := range h.gateways {
 		if now-f.lastSeen > gatewayTimeout {
-			h.logEvent("node", "gatherer "+f.address+" is not heard any more")
+			h.events.add(eventGateway, "gatherer "+f.address+" is not heard any more")
 			delete(h.gateways, life)
 			h.membershipEpoch++
 			h.scheduleUpdate(false)
@@ -357,7 +308,7 @@
 	for _, p := range h.peers {
 		if heard := p.lastSeen > 0 && now-p.lastSeen < peerLivenessTimeout; heard != p.listed {
 			p.listed = heard
-			h.logEvent("hive", "hive "+p.address+map[bool]string{true: " is heard", false: " is not heard any more"}[heard])
+			h.events.add(eventController, "hive "+p.address+map[bool]string{true: " is heard", false: " is not heard any more"}[heard])
 			h.membershipEpoch++
 			h.scheduleUpdate(false)
 		}
@@ -400,7 +351,7 @@
 	}
 	h.hintsSavedAt = now
 	h.savingHints = h.store.SaveHints(text, func(err error) {
-		go h.do(func() {
+		go h.loop.post(func() {
 			if h.savingHints = false; err == nil {
 				h.hintsCursor = upTo
 			}
@@ -415,13 +366,13 @@
 	}
 	for _, r := range m.Reports {
 		r.AgeMs = 0 // how long ago that was nobody knows
-		h.table.Merge(decodeReport(r, h.now()), "disk")
+		h.table.Merge(decodeReport(r, h.clock.now()), "disk")
 	}
 }
 
 // scheduleUpdate has the waiters told, at once or soon.
 func (h *Controller) scheduleUpdate(urgent bool) {
-	at := h.now()
+	at := h.clock.now()
 	if !urgent {
 		at += updateDelay
 	}
@@ -498,16 +449,20 @@
 func (h *Controller) handleFrame(c *rpc.Conn, f *rpc.Frame) {
 	switch b := f.Body.(type) {
 	case *rpc.Frame_Prepare:
-		h.handlePrepare(b.Prepare, func(p *rpc.PrepareReply) { c.Respond(f.Id, &rpc.Frame{Body: &rpc.Frame_PrepareReply{PrepareReply: p}}) })
+		h.handlePrepare(b.Prepare, func(p *rpc.PrepareReply) {
+			c.Respond(f.Id, &rpc.Frame{Body: &rpc.Frame_PrepareReply{PrepareReply: p}})
+		})
 	case *rpc.Frame_Accept:
-		h.handleAccept(b.Accept, func(a *rpc.AcceptReply) { c.Respond(f.Id, &rpc.Frame{Body: &rpc.Frame_AcceptReply{AcceptReply: a}}) })
+		h.handleAccept(b.Accept, func(a *rpc.AcceptReply) {
+			c.Respond(f.Id, &rpc.Frame{Body: &rpc.Frame_AcceptReply{AcceptReply: a}})
+		})
 	case *rpc.Frame_Gossip:
-		back, ok := inquire(h, func() *rpc.GossipReply { return h.receiveGossip(b.Gossip, h.now()) })
+		back, ok := query(h.loop, func() *rpc.GossipReply { return h.receiveGossip(b.Gossip, h.clock.now()) })
 		if ok {
 			c.Respond(f.Id, &rpc.Frame{Body: &rpc.Frame_GossipReply{GossipReply: back}})
 		}
 	case *rpc.Frame_Poll:
-		h.do(func() { h.receivePoll(c, f.Id, b.Poll, h.now()) })
+		h.loop.post(func() { h.receivePoll(c, f.Id, b.Poll, h.clock.now()) })
 	}
 }
 
@@ -533,7 +488,7 @@
 		h.verifyContact(now, func(verified bool) {
 			if h.waiters[w] {
 				w.verifying = !verified
-				h.answerPoll(w, h.now())
+				h.answerPoll(w, h.clock.now())
 			}
 		})
 	case h.hasUpdate(a, now) || a.WaitMs == 0:
@@ -547,7 +502,7 @@
 func (h *Controller) observeGateway(f *rpc.Gateway, at time.Duration, told bool) {
 	if f.Left {
 		if h.gateways[f.Incarnation] != nil {
-			h.logEvent("node", "gatherer "+h.gateways[f.Incarnation].address+" leaves")
+			h.events.add(eventGateway, "gatherer "+h.gateways[f.Incarnation].address+" leaves")
 			delete(h.gateways, f.Incarnation)
 			h.membershipEpoch++
 			h.scheduleUpdate(false)
@@ -564,7 +519,7 @@
 	if f.Address == "" {
 		return // one that is not known, named by its life alone: it will be told whole
 	}
-	if h.now()-at > gatewayTimeout/2 && !told {
+	if h.clock.now()-at > gatewayTimeout/2 && !told {
 		return // old news of one that may have been forgotten
 	}
 	for life, o := range h.gateways {
@@ -575,7 +530,7 @@
 			delete(h.gateways, life)
 		}
 	}
-	h.logEvent("node", "gatherer "+f.Address+" in "+f.Zone+" comes")
+	h.events.add(eventGateway, "gatherer "+f.Address+" in "+f.Zone+" comes")
 	h.membershipEpoch++
 	h.gatewaySequence++
 	h.gateways[f.Incarnation] = &gatewayState{incarnation: f.Incarnation, address: f.Address, zone: f.Zone, lastSeen: at, direct: told, sequence: h.gatewaySequence}
--- a/controlplane/documents.go
+++ b/controlplane/documents.go
@@ -156,7 +156,7 @@
 }
 
 func (c *gatewayStatsAPI) tenants(w http.ResponseWriter, _ *http.Request) {
-	tellCurrent(c.h, w, func() []GatewayTenants {
+	serveVerified(c.h, w, func() []GatewayTenants {
 		out := []GatewayTenants{}
 		for _, f := range c.h.reportingGateways() {
 			if f.stats.TenantsVersion > 0 {
@@ -195,7 +195,7 @@
 }
 
 func (c *gatewayStatsAPI) judgement(w http.ResponseWriter, _ *http.Request) {
-	tellCurrent(c.h, w, func() []GatewayOutliers {
+	serveVerified(c.h, w, func() []GatewayOutliers {
 		out := []GatewayOutliers{}
 		for _, f := range c.h.reportingGateways() {
 			out = append(out, gatewayOutliers(f.address, f.zone, f.stats))
@@ -208,7 +208,7 @@
 func (h *Controller) reportingGateways() []*gatewayState {
 	var out []*gatewayState
 	for _, f := range h.gateways {
-		if f.stats != nil && f.pollsHere(h.now()) {
+		if f.stats != nil && f.pollsHere(h.clock.now()) {
 			out = append(out, f)
 		}
 	}
--- a/controlplane/gossip.go
+++ b/controlplane/gossip.go
@@ -71,7 +71,7 @@
 		return p
 	}
 	ctx, quit := context.WithCancel(context.Background())
-	p := &peer{address: address, caller: &rpc.Client{Address: address, Network: h.network}, wake: make(chan struct{}, 1), cancel: quit, addedAt: h.now(),
+	p := &peer{address: address, caller: &rpc.Client{Address: address, Network: h.network}, wake: make(chan struct{}, 1), cancel: quit, addedAt: h.clock.now(),
 		silences: map[string]time.Duration{}}
 	h.peers[address] = p
 	h.wg.Go(func() { h.gossipLoop(ctx, p) })
@@ -95,10 +95,10 @@
 		case <-p.wake:
 		case <-ctx.Done():
 			return
-		case <-h.stopped:
+		case <-h.loop.stopped:
 			return
 		}
-		next, ok := inquire(h, func() outgoingGossip { return h.buildGossip(p, h.now()) })
+		next, ok := query(h.loop, func() outgoingGossip { return h.buildGossip(p, h.clock.now()) })
 		if !ok {
 			return
 		}
@@ -109,7 +109,7 @@
 			p.caller.Disconnect()
 		}
 		if err == nil && back.GetGossipReply() != nil {
-			h.do(func() { h.receiveGossipReply(p, back.GetGossipReply(), next, h.now()) })
+			h.loop.post(func() { h.receiveGossipReply(p, back.GetGossipReply(), next, h.clock.now()) })
 		}
 		if err != nil && err != rpc.ErrTimeout { // it may just be starting
 			timer.Reset(redialInterval)
--- a/controlplane/loop_test.go
+++ b/controlplane/loop_test.go
@@ -79,7 +79,7 @@
 					default:
 					}
 					select {
-					case <-h.stopped:
+					case <-h.loop.stopped:
 						return
 					default:
 					}
@@ -94,7 +94,7 @@
 			for {
 				h.Committed()
 				select {
-				case <-h.stopped:
+				case <-h.loop.stopped:
 					return
 				default:
 				}
@@ -109,7 +109,7 @@
 }
 
 // waits are the calls that hand the owner a closure; of those named true, the caller waits for its end.
-var waits = map[string]bool{".ask": true, "inquire": true, "tellAsked": true, "tellCurrent": true, ".do": false, ".post": false}
+var waits = map[string]bool{".execute": true, "query": true, "serveLocal": true, "serveVerified": true, ".post": false}
 
 // A closure that is handed to the owner writes no variable of its caller: a caller that the stop releases would read it while
 // the owner writes. Answers travel by inquire.
@@ -144,17 +144,17 @@
 // The check finds what it is there for.
 func TestCapturedWriteDetection(t *testing.T) {
 	for body, want := range map[string]int{
-		"var a int; h.ask(func() { a = 1 })":                                     1,
-		"var a int; h.do(func() { a++ })":                                        1,
-		"var a []int; h.ask(func() { for i := range 3 { a = append(a, i) } })":   1,
-		"var a struct{ b int }; h.ask(func() { a.b = 1 })":                       1,
-		"a, b := 1, 2; inquire(h, func() int { b, c := a, 1; a = b; return c })": 1,
-		"var a int; h.ask(func() { read(&a) })":                                  1,
-		"var a int; for range 1 { h.ask(func() { for a = range 3 {} }) }":        1,
-		"f := func() {}; h.ask(f)":                                               1,
-		"h.ask(func() { h.a = 1; b := 2; b++ })":                                 0,
-		"a := inquire(h, func() int { var a int; a = 2; return a }); _ = a":      0,
-		"inquire(h, h.next)":                                                     0,
+		"var a int; h.execute(func() { a = 1 })":                                   1,
+		"var a int; h.post(func() { a++ })":                                        1,
+		"var a []int; h.execute(func() { for i := range 3 { a = append(a, i) } })": 1,
+		"var a struct{ b int }; h.execute(func() { a.b = 1 })":                     1,
+		"a, b := 1, 2; query(h, func() int { b, c := a, 1; a = b; return c })":     1,
+		"var a int; h.execute(func() { read(&a) })":                                1,
+		"var a int; for range 1 { h.execute(func() { for a = range 3 {} }) }":      1,
+		"f := func() {}; h.execute(f)":                                             1,
+		"h.execute(func() { h.a = 1; b := 2; b++ })":                               0,
+		"a := query(h, func() int { var a int; a = 2; return a }); _ = a":          0,
+		"query(h, h.next)": 0,
 	} {
 		file, err := parser.ParseFile(token.NewFileSet(), "", "package p\nfunc (h *H) f() { "+body+" }", 0)
 		if err != nil {
@@ -198,7 +198,7 @@
 			}
 			if closures++; isLiteral {
 				faults = append(faults, writes(literal, receiver, waiting)...)
-			} else if f.Name.Name != "ask" && f.Name.Name != "inquire" && !strings.HasPrefix(f.Name.Name, "tell") {
+			} else if f.Name.Name != "execute" && f.Name.Name != "query" && !strings.HasPrefix(f.Name.Name, "serve") {
 				faults = append(faults, last.Pos()) // a closure that the check can't look into
 			}
 			return true
--- a/controlplane/proposer.go
+++ b/controlplane/proposer.go
@@ -58,7 +58,7 @@
 		if told.OK {
 			h.acceptedValue.Store(value)
 			h.acceptedSlot.Store(uint64(value.Slot)) // before anybody is told
-			go h.do(func() { h.recordAccepted(value.Slot, rpc.BallotFromProto(m.Ballot)) })
+			go h.loop.post(func() { h.recordAccepted(value.Slot, rpc.BallotFromProto(m.Ballot)) })
 		}
 		answer(&rpc.AcceptReply{Acceptor: uint64(told.From), Ok: told.OK, Promised: rpc.BallotToProto(told.Promised)})
 	})
@@ -71,7 +71,7 @@
 		h.ownReplica = consensus.Replica{Slot: turn, Ballot: b}
 	}
 	if turn > h.newestAccepted {
-		h.newestAccepted, h.acceptedAt = turn, h.now()
+		h.newestAccepted, h.acceptedAt = turn, h.clock.now()
 	}
 }
 
@@ -88,13 +88,13 @@
 	}
 	for _, n := range v.Documents {
 		if h.documentTimes[n.Name].version != n.Version {
-			h.documentTimes[n.Name] = documentTime{n.Version, h.now()}
-			h.logEvent("config", "version "+strconv.FormatUint(uint64(n.Version), 10)+" of the "+n.Name+" is agreed")
+			h.documentTimes[n.Name] = documentTime{n.Version, h.clock.now()}
+			h.events.add(eventConfiguration, "version "+strconv.FormatUint(uint64(n.Version), 10)+" of the "+n.Name+" is agreed")
 		}
 	}
 	if v.Version != old.Version {
 		h.log.Info().Uint64("turn", uint64(v.Slot)).Uint64("version", uint64(v.Version)).Msg("config: a version is agreed")
-		h.logEvent("config", "version "+strconv.FormatUint(uint64(v.Version), 10)+" is agreed, on top of "+strconv.FormatUint(uint64(v.BasedOn), 10))
+		h.events.add(eventConfiguration, "version "+strconv.FormatUint(uint64(v.Version), 10)+" is agreed, on top of "+strconv.FormatUint(uint64(v.BasedOn), 10))
 	}
 	if len(v.Members) != len(old.Members) || !v.Confirmed() {
 		h.log.Info().Uint64("turn", uint64(v.Slot)).Interface("members", v.Members).Msg("swarm: the acceptors are agreed")
@@ -102,7 +102,7 @@
 		for _, m := range v.Members {
 			addresses = append(addresses, m.Address)
 		}
-		h.logEvent("members", "the acceptors are at "+strings.Join(addresses, ", "))
+		h.events.add(eventMembership, "the acceptors are at "+strings.Join(addresses, ", "))
 	}
 	h.scheduleUpdate(true)
 	h.gossipNow()
@@ -128,17 +128,17 @@
 		defer func() { h.proposalToken <- struct{}{} }()
 	case <-ctx.Done():
 		return nil, errNoQuorum
-	case <-h.stopped:
+	case <-h.loop.stopped:
 		return nil, errNoQuorum
 	}
 	for try := 0; ; try++ {
-		start, ok := inquire(h, h.nextBallot)
+		start, ok := query(h.loop, h.nextBallot)
 		if !ok {
 			return nil, errNoQuorum
 		}
 		v, changed, err := h.runProposal(ctx, consensus.NewProposal(start.ballot, start.known, change))
 		if err == nil {
-			h.ask(func() { h.learnCommitted(v); h.observeDecidedBallot(v.Slot, start.ballot) })
+			h.loop.execute(func() { h.learnCommitted(v); h.observeDecidedBallot(v.Slot, start.ballot) })
 			if v.Confirmed() && changed {
 				return v, nil
 			}
@@ -173,7 +173,7 @@
 			}
 			return
 		}
-		p, _ := inquire(h, func() *peer { return h.addPeer(m.Address) })
+		p, _ := query(h.loop, func() *peer { return h.addPeer(m.Address) })
 		if p == nil {
 			return
 		}
@@ -227,12 +227,12 @@
 				}
 			}
 			if by, lost := r.Preempted(); lost {
-				h.do(func() { h.highestBallot = max(h.highestBallot, by.Number) })
+				h.loop.post(func() { h.highestBallot = max(h.highestBallot, by.Number) })
 				return nil, false, errNoQuorum
 			}
 		case <-ctx.Done():
 			return nil, false, errNoQuorum
-		case <-h.stopped:
+		case <-h.loop.stopped:
 			return nil, false, errNoQuorum
 		}
 	}
@@ -259,12 +259,12 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 2*peerCallTimeout)
 		defer cancel()
 		_, err := h.propose(ctx, change)
-		h.do(func() {
+		h.loop.post(func() {
 			h.proposing = false
 			if incomplete {
-				h.repair.RecordAttempt(h.now(), rand.Float64())
+				h.repair.RecordAttempt(h.clock.now(), rand.Float64())
 			}
-			h.proposeAfter = h.now() + time.Duration(rand.Int64N(int64(resolveDelay)))
+			h.proposeAfter = h.clock.now() + time.Duration(rand.Int64N(int64(resolveDelay)))
 			if err != nil {
 				h.proposeAfter += resolveDelay
 			}
--- a/controlplane/replica_repair.go
+++ b/controlplane/replica_repair.go
@@ -95,7 +95,7 @@
 		if taken && err == nil {
 			h.acceptedSlot.Store(uint64(a.Value.Slot)) // before anybody is told
 			h.acceptedValue.Store(a.Value)
-			go h.do(func() { h.recordAccepted(a.Value.Slot, a.Ballot) })
+			go h.loop.post(func() { h.recordAccepted(a.Value.Slot, a.Ballot) })
 		}
 	})
 }
@@ -117,7 +117,7 @@
 
 // CommittedValue is the newest value that this hive knows to be agreed; nil = none. For tests and the emulator.
 func (h *Controller) CommittedValue() *consensus.Value {
-	known, _ := inquire(h, func() *consensus.Value {
+	known, _ := query(h.loop, func() *consensus.Value {
 		if !h.confirmed {
 			return nil
 		}
--- a/controlplane/shutdown.go
+++ b/controlplane/shutdown.go
@@ -34,12 +34,12 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), max(limit, 0))
 	defer cancel()
-	needed, ok := inquire(h, h.beginDrain)
+	needed, ok := query(h.loop, h.beginDrain)
 	if !ok || !needed {
 		return
 	}
 	for {
-		d, ok := inquire(h, h.departureStatus)
+		d, ok := query(h.loop, h.departureStatus)
 		if !ok || d.reason == consensus.LeaveAllowed && d.successor == nil {
 			return
 		}
@@ -73,7 +73,7 @@
 	if !h.confirmed {
 		return departureStatus{reason: consensus.UnresolvedAccept}
 	}
-	now := h.now()
+	now := h.clock.now()
 	stay, lacking := h.decision.CheckLeave(h.self, h.ownReplica, h.replicas(now))
 	return departureStatus{stay, lacking, h.successor(now)}
 }
--- a/controlplane/status_api.go
+++ b/controlplane/status_api.go
@@ -9,61 +9,12 @@
 	"time"
 
 	"oxbowspan/consensus"
-	"oxbowspan/registry"
 )
 
 // What operators may look at. Each hive tells what it knows; whoever wants all asks all hives. Lists of gatherers and servers
 // and what gatherers say of themselves are told by a hive in contact with a majority only: they would be old. Members and
 // events are what a hive itself saw, with their ages, and are told always: they are what there is to see of a core cut in two.
 
-// eventLogCapacity is how many events a hive remembers; the oldest go first.
-const eventLogCapacity = 1024
-
-// Event is something that the system did or saw, as one hive noted it.
-type Event struct {
-	Controller string  `json:"hive"`
-	Sequence   uint64  `json:"no"`
-	AgeSeconds float64 `json:"age_s"` // by that hive's steady clock
-	Kind       string  `json:"kind"`
-	Text       string  `json:"text"`
-}
-
-type eventRecord struct {
-	sequence   uint64
-	at         time.Duration
-	kind, text string
-}
-
-// logEvent remembers an event. It is the owner's.
-func (h *Controller) logEvent(kind, text string) {
-	h.eventSequence++
-	h.events.Enqueue(eventRecord{h.eventSequence, h.now(), kind, text})
-}
-
-// logServerChanges remembers what servers did that changes who is asked.
-func (h *Controller) logServerChanges(now time.Duration) {
-	for _, r := range h.table.ChangesAfter(h.eventCursor) {
-		is := r.State.String()
-		if r.State == registry.Ready && r.Unresponsive {
-			is = "silent"
-		}
-		id := string(r.Instance)
-		if was, known := h.serverStates[id]; known && was == is || r.Service == "" {
-			continue
-		}
-		if h.serverStates[id] = is; now > peerLivenessTimeout { // not all that it learns as it begins
-			h.logEvent("server", id+" of "+string(r.Service)+" at "+r.Address+" is "+is)
-		}
-		if r.State == registry.Deregistered {
-			delete(h.serverStates, id)
-		}
-	}
-	h.eventCursor = h.table.Cursor()
-	if len(h.serverStates) > 2*h.table.Len()+64 { // those that the table forgot
-		clear(h.serverStates)
-	}
-}
-
 // statusAPI are an operator's looks.
 type statusAPI struct{ h *Controller }
 
@@ -112,9 +63,9 @@
 }
 
 func (c *statusAPI) members(w http.ResponseWriter, _ *http.Request) {
-	tellAsked(c.h, w, func() MembershipStatus {
+	serveLocal(c.h, w, func() MembershipStatus {
 		h := c.h
-		now := h.now()
+		now := h.clock.now()
 		out := MembershipStatus{Controller: h.address, Slot: uint64(h.known.Slot), Version: uint64(h.known.Version), HasQuorum: h.confirmed && h.inContact(now), Stable: h.known.Confirmed()}
 		proven := 0
 		lacking := h.decision.Unreplicated(h.replicas(now))
@@ -151,9 +102,9 @@
 }
 
 func (c *statusAPI) nodes(w http.ResponseWriter, _ *http.Request) {
-	tellCurrent(c.h, w, func() []GatewayStatus {
+	serveVerified(c.h, w, func() []GatewayStatus {
 		out := []GatewayStatus{}
-		now := c.h.now()
+		now := c.h.clock.now()
 		for _, f := range c.h.gateways {
 			out = append(out, GatewayStatus{f.address, f.zone, strconv.FormatUint(f.incarnation, 16), (now - f.lastSeen).Seconds(), f.pollsHere(now), f.slot, f.pollsHere(now) && f.slot >= uint64(c.h.known.Slot)})
 		}
@@ -177,9 +128,9 @@
 }
 
 func (c *statusAPI) servers(w http.ResponseWriter, _ *http.Request) {
-	tellCurrent(c.h, w, func() []ServerStatus {
+	serveVerified(c.h, w, func() []ServerStatus {
 		out := []ServerStatus{}
-		now := c.h.now()
+		now := c.h.clock.now()
 		for _, r := range c.h.table.ChangesAfter(0) {
 			out = append(out, ServerStatus{string(r.Instance), string(r.Service), r.Address, r.Zone, r.Version, r.Slots, r.State.String(), r.Unresponsive, r.HeartbeatMissed,
 				(now - r.HeartbeatAt).Seconds(), max(r.SlowStartEndsAt-now, 0).Seconds()})
@@ -189,19 +140,12 @@
 }
 
 func (c *statusAPI) events(w http.ResponseWriter, _ *http.Request) {
-	tellAsked(c.h, w, func() []Event {
-		out := []Event{}
-		now := c.h.now()
-		for _, e := range c.h.events.Values() {
-			out = append(out, Event{c.h.address, e.sequence, (now - e.at).Seconds(), e.kind, e.text})
-		}
-		return out
-	})
+	serveLocal(c.h, w, func() []Event { return c.h.events.list(c.h.address) })
 }
 
-// tellAsked answers a look with what the owner says.
-func tellAsked[T any](h *Controller, w http.ResponseWriter, look func() T) {
-	out, ok := inquire(h, look)
+// serveLocal answers a look with what the owner says.
+func serveLocal[T any](h *Controller, w http.ResponseWriter, look func() T) {
+	out, ok := query(h.loop, look)
 	if !ok {
 		writeError(w, http.StatusServiceUnavailable, "this machine is leaving")
 		return
@@ -212,11 +156,11 @@
 // isolatedMessage says that what this machine knows may be old.
 const isolatedMessage = "this machine is cut off from the core: ask another"
 
-// tellCurrent answers a look with what the owner says, once a majority has answered what it was asked after the look came.
-func tellCurrent[T any](h *Controller, w http.ResponseWriter, look func() T) {
+// serveVerified answers a look with what the owner says, once a majority has answered what it was asked after the look came.
+func serveVerified[T any](h *Controller, w http.ResponseWriter, look func() T) {
 	answers := make(chan func(), 1)
-	h.do(func() {
-		h.verifyContact(h.now(), func(verified bool) {
+	h.loop.post(func() {
+		h.verifyContact(h.clock.now(), func(verified bool) {
 			if !verified {
 				answers <- func() { writeError(w, http.StatusServiceUnavailable, isolatedMessage) }
 				return
@@ -228,7 +172,7 @@
 	select {
 	case answer := <-answers:
 		answer()
-	case <-h.stopped:
+	case <-h.loop.stopped:
 		writeError(w, http.StatusServiceUnavailable, "this machine is leaving")
 	}
 }
--- a/controlplane/value_bodies_test.go
+++ b/controlplane/value_bodies_test.go
@@ -21,7 +21,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { close(h.stopped); h.store.Close() })
+	t.Cleanup(func() { h.loop.stop(); h.store.Close() })
 	return h
 }
 
