--- a/controlplane/api.go
+++ b/controlplane/api.go
@@ -198,7 +198,7 @@
 	if fate != consensus.OutcomeUnknown {
 		return fate
 	}
-	if found, ok := query(h.loop, func() bool { return held(&h.history) }); ok && found {
+	if found, ok := query(h.loop, func() bool { return held(&h.learner.history) }); ok && found {
 		return consensus.OutcomeCommitted
 	}
 	return consensus.OutcomeUnknown
--- a/controlplane/config_pacing.go
+++ b/controlplane/config_pacing.go
@@ -21,7 +21,7 @@
 
 // hasVersion tells whether a newer version than the asker's is known to be agreed.
 func (h *Controller) hasVersion(a *rpc.Poll) bool {
-	return h.confirmed && uint64(h.known.Slot) > a.Slot
+	return h.learner.confirmed && uint64(h.learner.value.Slot) > a.Slot
 }
 
 // nextVersionAt is when the asker may be given the next version.
--- a/controlplane/contact_monitor.go
+++ b/controlplane/contact_monitor.go
@@ -22,9 +22,9 @@
 
 // contactTime is the newest time before which nothing was decided that this hive does not know. Its own disk answers at once.
 func (h *Controller) contactTime(now time.Duration) (since time.Duration, ok bool) {
-	own := quorum.Reply{Incarnation: h.incarnation, SentAt: now, Slot: consensus.Slot(h.acceptedSlot.Load())}
-	h.contact.ObserveReply(h.self, own, h.known.Slot)
-	return h.contact.Since(h.known.Members, h.known.Slot)
+	own := quorum.Reply{Incarnation: h.self.incarnation, SentAt: now, Slot: consensus.Slot(h.acceptor.acceptedSlot.Load())}
+	h.contact.ObserveReply(h.self.id, own, h.learner.value.Slot)
+	return h.contact.Since(h.learner.value.Members, h.learner.value.Slot)
 }
 
 // checkContact has all gatherers that wait told as soon as contact is lost, and returns when to look again.
--- a/controlplane/controller.go
+++ b/controlplane/controller.go
@@ -10,7 +10,6 @@
 	"math/rand/v2"
 	"net/http"
 	"sync"
-	"sync/atomic"
 	"time"
 
 	"github.com/rotisserie/eris"
@@ -45,33 +44,23 @@
 	network       network.Network
 	log           zerolog.Logger
 	store         *acceptorstore.Store
-	self          consensus.AcceptorID
+	self          identity
+	learner       *learner
+	acceptor      *acceptorEndpoint
 	proposerID    consensus.ProposerID
-	incarnation   uint64
-	address       string
 	clock         *steadyClock
 	loop          *eventLoop
 	killed        chan struct{}
 	proposalToken chan struct{} // holds one token: this hive's rounds go one at a time
 	wg            sync.WaitGroup
-	acceptedValue atomic.Pointer[consensus.Value] // on the disk; written before the vote is told; nil = none
-	acceptedSlot  atomic.Uint64                   // of the vote on the disk; written before the vote is told
 
 	// The owner's.
-	known            *consensus.Value         // decided, or what a round may start from
-	confirmed        bool                     // known was decided
-	history          consensus.History        // of decided values; bounded by itself
 	highestBallot    uint64                   // the highest number seen
-	documentTimes    map[string]documentTime  // since when each note's version is known here; as many as there are notes
-	decision         consensus.Decision       // known, and at which ballots it was decided
-	ownReplica       consensus.Replica        // what this machine's disk holds
 	selfRepair       consensus.RepairSchedule // when this machine's own copy is to be completed
 	repair           consensus.RepairSchedule // when a round is owed for copies that lack
 	contact          *quorum.ContactTracker
 	wasInContact     bool // in contact, when last looked
 	verifier         verifications
-	newestAccepted   consensus.Slot // the newest turn that this acceptor voted for
-	acceptedAt       time.Duration
 	table            *registry.Table
 	gateways         map[uint64]*gatewayState // emptied of those not heard for a while
 	membershipEpoch  uint64                   // number of the list of foragers
@@ -105,11 +94,6 @@
 	sentAt      time.Duration // and when
 }
 
-type documentTime struct {
-	version consensus.Version
-	since   time.Duration
-}
-
 // pollsHere tells whether a forager asks this hive, of late.
 func (f *gatewayState) pollsHere(now time.Duration) bool {
 	return f.polledAt > 0 && now-f.polledAt < gatewayTimeout/2
@@ -134,57 +118,57 @@
 
 // New opens the state and makes a hive that does nothing yet.
 func New(set *settings.Settings, on network.Network, log zerolog.Logger) (*Controller, error) {
-	genesis, self := genesisMembers(set)
+	members, id := genesisMembers(set)
 	if !set.FirstStart {
-		self = 0
+		id = 0
 	}
-	store, aside, err := acceptorstore.Open(set.DataDirectory, self)
+	store, setAside, err := acceptorstore.Open(set.DataDirectory, id)
 	if err != nil {
 		return nil, err
 	}
-	if aside != "" {
-		log.Warn().Str("file", aside).Msg("state: damaged file set aside, coming back as a stranger")
+	if setAside != "" {
+		log.Warn().Str("file", setAside).Msg("state: damaged file set aside, coming back as a stranger")
 	}
 	state := store.State()
-	h := &Controller{settings: set, network: on, log: log, store: store, self: state.ID, proposerID: consensus.ProposerID(acceptorstore.NewAcceptorID()), incarnation: uint64(acceptorstore.NewAcceptorID()),
-		address: set.InternalAddress(settings.ControllerPort), clock: newSteadyClock(), loop: newEventLoop(), killed: make(chan struct{}),
-		proposalToken: make(chan struct{}, 1), known: consensus.Genesis(genesis), table: registry.NewTable(set.HeartbeatInterval()),
-		gateways: map[uint64]*gatewayState{}, peers: map[string]*peer{}, waiters: map[*pollWaiter]bool{}, documentTimes: map[string]documentTime{}, highestBallot: state.Promised.Number, contact: quorum.NewContactTracker()}
+	h := &Controller{settings: set, network: on, log: log, store: store, proposerID: consensus.ProposerID(acceptorstore.NewAcceptorID()),
+		clock: newSteadyClock(), loop: newEventLoop(), killed: make(chan struct{}),
+		proposalToken: make(chan struct{}, 1), table: registry.NewTable(set.HeartbeatInterval()),
+		gateways: map[uint64]*gatewayState{}, peers: map[string]*peer{}, waiters: map[*pollWaiter]bool{}, highestBallot: state.Promised.Number, contact: quorum.NewContactTracker()}
+	h.self = identity{id: state.ID, incarnation: uint64(acceptorstore.NewAcceptorID()), address: set.InternalAddress(settings.ControllerPort),
+		controlAddress: set.Listen.Control, zone: set.Zone}
 	h.events = newEventLog(h.clock)
 	h.serverChanges = newServerChangeLog(h.table, h.events)
-	if v := state.Value; v != nil {
-		// Whether it was decided is not known.
-		h.newestAccepted, h.known = v.Slot, consensus.RecoveryBase(v)
-		h.acceptedSlot.Store(uint64(v.Slot))
-		h.acceptedValue.Store(v)
+	base := consensus.Genesis(members)
+	if state.Value != nil {
+		base = consensus.RecoveryBase(state.Value)
 	}
-	h.ownReplica, h.decision = state.Replica(), consensus.Decision{Value: h.known}
+	h.learner = newLearner(base, h.clock, h.events, h, log)
+	h.acceptor = newAcceptorEndpoint(store, h.loop, h.clock, h, log)
 	h.selfRepair, h.repair = consensus.RepairSchedule{Delay: selfRepairDelay}, consensus.RepairSchedule{Delay: repairDelay}
 	h.proposalToken <- struct{}{}
 	h.restoreHints(store.Hints())
 	return h, nil
 }
 
-// genesisMembers are the first acceptors, and this machine's identity among them, 0 = none. At the first start every process is
-// told the same seeds, so that all name the same set.
-func genesisMembers(set *settings.Settings) (members []consensus.Member, self consensus.AcceptorID) {
-	for i, a := range set.SeedControllers() {
-		id := genesisID(set.SeedAddresses[i])
-		members = append(members, consensus.Member{ID: id, Address: a})
-		if set.SeedAddresses[i] == set.Listen.Control {
-			self = id
-		}
+// valueLearned implements learnListener.
+func (h *Controller) valueLearned(v *consensus.Value) {
+	for _, m := range v.Acceptors() {
+		h.addPeer(m.Address)
 	}
-	return members, self
+	h.scheduleUpdate(true)
+	h.gossipNow()
 }
 
+// observeBallot implements ballotObserver.
+func (h *Controller) observeBallot(number uint64) { h.highestBallot = max(h.highestBallot, number) }
+
 // Run serves until the context is done.
 func (h *Controller) Run(ctx context.Context) error {
 	control, err := h.network.Listen(h.settings.Listen.Control)
 	if err != nil {
 		return eris.Errorf("the control address can't be listened on: %v", err)
 	}
-	inner, err := h.network.Listen(h.address)
+	inner, err := h.network.Listen(h.self.address)
 	if err != nil {
 		control.Close()
 		return eris.Errorf("the internal address can't be listened on: %v", err)
@@ -199,7 +183,7 @@
 			h.addPeer(a)
 		}
 		h.housekeepingAt = h.clock.now() + time.Duration(rand.Int64N(int64(60*time.Millisecond))) // who begins is left to chance
-		h.log.Info().Uint64("identity", uint64(h.self)).Uint64("turn", uint64(h.newestAccepted)).Msg("hive: started")
+		h.log.Info().Uint64("identity", uint64(h.self.id)).Uint64("turn", uint64(h.acceptor.newestSlot)).Msg("hive: started")
 	})
 	select {
 	case <-ctx.Done():
@@ -222,9 +206,7 @@
 func (h *Controller) Kill() { close(h.killed) }
 
 // StallDisk has the disk answer nothing for a time, as one that stalls. For tests and the emulator.
-func (h *Controller) StallDisk(d time.Duration) {
-	h.store.Update(func(s consensus.AcceptorState) consensus.AcceptorState { time.Sleep(d); return s }, func(consensus.AcceptorState, error) {})
-}
+func (h *Controller) StallDisk(d time.Duration) { h.acceptor.stall(d) }
 
 // Freeze has the owner stand still for a time, as in a process that is frozen: what comes meanwhile is worked on afterwards.
 // With clock, the steady clock stands still as long, as on a machine that is suspended. For tests.
@@ -241,13 +223,8 @@
 }
 
 // Committed is the newest turn and version that this hive knows to be agreed.
-func (h *Controller) Committed() (turn consensus.Slot, version consensus.Version) {
-	known, _ := query(h.loop, func() *consensus.Value {
-		if !h.confirmed {
-			return &consensus.Value{}
-		}
-		return h.known
-	})
+func (h *Controller) Committed() (slot consensus.Slot, version consensus.Version) {
+	known := h.CommittedValue()
 	if known == nil {
 		return 0, 0
 	}
@@ -314,7 +291,7 @@
 		}
 	}
 	for a, p := range h.peers {
-		if now-p.lastSeen > peerForgetTimeout && !h.isMemberAddress(a) && !h.isSeed(a) {
+		if now-p.lastSeen > peerForgetTimeout && !h.learner.isMemberAddress(a) && !h.isSeed(a) {
 			delete(h.peers, a)
 			p.close()
 		}
@@ -395,26 +372,26 @@
 }
 
 func (h *Controller) hasUpdate(a *rpc.Poll, now time.Duration) bool {
-	return h.hasVersion(a) && now >= h.nextVersionAt(a) || a.ControllerIncarnation != h.incarnation || a.MembershipEpoch != h.membershipEpoch ||
+	return h.hasVersion(a) && now >= h.nextVersionAt(a) || a.ControllerIncarnation != h.self.incarnation || a.MembershipEpoch != h.membershipEpoch ||
 		len(h.table.ChangesAfter(registry.Cursor(a.Cursor))) > 0
 }
 
 func (h *Controller) answerPoll(w *pollWaiter, now time.Duration) {
 	delete(h.waiters, w)
 	a := w.poll
-	n := &rpc.Update{ControllerIncarnation: h.incarnation, Cursor: uint64(h.table.Cursor()), HasQuorum: h.confirmed && !w.verifying && h.inContact(now), Slot: a.Slot,
+	n := &rpc.Update{ControllerIncarnation: h.self.incarnation, Cursor: uint64(h.table.Cursor()), HasQuorum: h.learner.confirmed && !w.verifying && h.inContact(now), Slot: a.Slot,
 		Warm: now > 3*h.settings.HeartbeatInterval(), MembershipEpoch: h.membershipEpoch}
 	if h.hasVersion(a) && now >= h.nextVersionAt(a) {
-		h.recordVersionSent(a, len(h.known.Body), now)
-		n.Slot, n.Version, n.HasConfig, n.Config = uint64(h.known.Slot), uint64(h.known.Version), h.known.Digest != "", h.known.Body
-		for _, note := range h.known.Documents {
+		h.recordVersionSent(a, len(h.learner.value.Body), now)
+		n.Slot, n.Version, n.HasConfig, n.Config = uint64(h.learner.value.Slot), uint64(h.learner.value.Version), h.learner.value.Digest != "", h.learner.value.Body
+		for _, note := range h.learner.value.Documents {
 			m := rpc.DocumentToProto(note)
-			m.PriorRevisions, m.AgeMs = nil, uint32((now-h.documentTimes[note.Name].since)/time.Millisecond)
+			m.PriorRevisions, m.AgeMs = nil, uint32((now-h.learner.documentTimes[note.Name].since)/time.Millisecond)
 			n.Documents = append(n.Documents, m)
 		}
 	}
 	after := registry.Cursor(a.Cursor)
-	if a.ControllerIncarnation != h.incarnation {
+	if a.ControllerIncarnation != h.self.incarnation {
 		n.Full, after = true, 0
 	}
 	for _, r := range h.table.ChangesAfter(after) {
@@ -428,7 +405,7 @@
 		n.Controllers = append(n.Controllers, h.describeSelf())
 		for _, p := range h.peers {
 			if p.lastSeen > 0 && now-p.lastSeen < peerLivenessTimeout {
-				n.Controllers = append(n.Controllers, p.describe(now, h.isMemberAddress(p.address)))
+				n.Controllers = append(n.Controllers, p.describe(now, h.learner.isMemberAddress(p.address)))
 			}
 		}
 	}
@@ -449,11 +426,11 @@
 func (h *Controller) handleFrame(c *rpc.Conn, f *rpc.Frame) {
 	switch b := f.Body.(type) {
 	case *rpc.Frame_Prepare:
-		h.handlePrepare(b.Prepare, func(p *rpc.PrepareReply) {
+		h.acceptor.handlePrepare(b.Prepare, func(p *rpc.PrepareReply) {
 			c.Respond(f.Id, &rpc.Frame{Body: &rpc.Frame_PrepareReply{PrepareReply: p}})
 		})
 	case *rpc.Frame_Accept:
-		h.handleAccept(b.Accept, func(a *rpc.AcceptReply) {
+		h.acceptor.handleAccept(b.Accept, func(a *rpc.AcceptReply) {
 			c.Respond(f.Id, &rpc.Frame{Body: &rpc.Frame_AcceptReply{AcceptReply: a}})
 		})
 	case *rpc.Frame_Gossip:
@@ -483,7 +460,7 @@
 	w := &pollWaiter{conn: c, id: id, poll: a, deadline: now + time.Duration(a.WaitMs)*time.Millisecond}
 	h.waiters[w] = true
 	switch {
-	case a.ControllerIncarnation != h.incarnation && h.confirmed && h.inContact(now):
+	case a.ControllerIncarnation != h.self.incarnation && h.learner.confirmed && h.inContact(now):
 		w.verifying, w.deadline = true, now+2*verifyTimeout
 		h.verifyContact(now, func(verified bool) {
 			if h.waiters[w] {
--- a/controlplane/gossip.go
+++ b/controlplane/gossip.go
@@ -58,13 +58,12 @@
 }
 
 func (h *Controller) describeSelf() *rpc.Controller {
-	return &rpc.Controller{Id: uint64(h.self), Address: h.address, ControlAddress: h.settings.Listen.Control, Zone: h.settings.Zone,
-		Voter: consensus.Contains(h.known.Members, h.self), RestoresBodies: true}
+	return h.self.describe(h.learner.isMember(h.self.id))
 }
 
 // addPeer makes a hive known.
 func (h *Controller) addPeer(address string) *peer {
-	if address == h.address || address == "" {
+	if address == h.self.address || address == "" {
 		return nil
 	}
 	if p := h.peers[address]; p != nil {
@@ -128,11 +127,11 @@
 
 // buildGossip makes what one hive is to be told now.
 func (h *Controller) buildGossip(p *peer, now time.Duration) outgoingGossip {
-	m := &rpc.Gossip{From: h.describeSelfWithReplica(), Incarnation: h.incarnation, Slot: uint64(h.known.Slot), MissingBody: p.requestFullValue}
+	m := &rpc.Gossip{From: h.describeSelfWithReplica(), Incarnation: h.self.incarnation, Slot: uint64(h.learner.value.Slot), MissingBody: p.requestFullValue}
 	p.requestFullValue = false
-	if !h.confirmed {
+	if !h.learner.confirmed {
 		m.Slot = 0
-	} else if p.slot < h.known.Slot && p.lastSeen > 0 {
+	} else if p.slot < h.learner.value.Slot && p.lastSeen > 0 {
 		m.Value = h.valueForPeer(p)
 	}
 	upTo := h.table.Cursor()
@@ -183,9 +182,9 @@
 
 // receiveGossip takes what another hive tells and answers it.
 func (h *Controller) receiveGossip(m *rpc.Gossip, now time.Duration) *rpc.GossipReply {
-	back := &rpc.GossipReply{From: h.describeSelfWithReplica(), Incarnation: h.incarnation, VotedSlot: h.acceptedSlot.Load()}
+	back := &rpc.GossipReply{From: h.describeSelfWithReplica(), Incarnation: h.self.incarnation, VotedSlot: h.acceptor.acceptedSlot.Load()}
 	from := m.From
-	if from == nil || from.Address == h.address {
+	if from == nil || from.Address == h.self.address {
 		return back
 	}
 	p := h.addPeer(from.Address)
@@ -197,13 +196,13 @@
 	}
 	h.observePeer(p, from, m.Incarnation, consensus.Slot(m.Slot), now)
 	for _, o := range m.Controllers {
-		if o.AgeMs < uint32(peerForgetTimeout/time.Millisecond) || h.isMemberAddress(o.Address) {
+		if o.AgeMs < uint32(peerForgetTimeout/time.Millisecond) || h.learner.isMemberAddress(o.Address) {
 			h.addPeer(o.Address)
 		}
 		p.silences[o.Address] = time.Duration(o.AgeMs) * time.Millisecond
 	}
 	p.missingBody = p.missingBody || m.MissingBody
-	back.MissingBody = h.receiveValue(m.Value)
+	back.MissingBody = h.learner.learnMessage(m.Value, h.acceptor.acceptedValue.Load())
 	h.observeReplica(p, from, consensus.Slot(m.Slot))
 	urgent, changed := false, h.table.Cursor()
 	for _, r := range m.Reports {
@@ -232,8 +231,8 @@
 			}
 		}
 	}
-	if h.confirmed {
-		if back.Slot = uint64(h.known.Slot); h.known.Slot > p.slot {
+	if h.learner.confirmed {
+		if back.Slot = uint64(h.learner.value.Slot); h.learner.value.Slot > p.slot {
 			back.Value = h.valueForPeer(p)
 		}
 	}
@@ -255,7 +254,7 @@
 	}
 	h.receiveValueReply(p, m)
 	h.observeReplica(p, m.From, consensus.Slot(m.Slot))
-	h.contact.ObserveReply(p.id, quorum.Reply{Incarnation: m.Incarnation, SentAt: sent.sentAt, Slot: consensus.Slot(max(m.VotedSlot, m.Slot))}, h.known.Slot)
+	h.contact.ObserveReply(p.id, quorum.Reply{Incarnation: m.Incarnation, SentAt: sent.sentAt, Slot: consensus.Slot(max(m.VotedSlot, m.Slot))}, h.learner.value.Slot)
 	h.finishVerifications(now)
 	for _, no := range m.DifferingRanges {
 		if no < registry.RangeCount && !slices.Contains(p.differingRanges, int(no)) {
@@ -275,8 +274,8 @@
 
 // replicatedToMajority tells whether a majority of the acceptors' machines hold the reports up to a cursor.
 func (h *Controller) replicatedToMajority(cursor registry.Cursor) bool {
-	return consensus.HasMajority(h.known.Members, func(id consensus.AcceptorID) bool {
-		if id == h.self {
+	return consensus.HasMajority(h.learner.value.Members, func(id consensus.AcceptorID) bool {
+		if id == h.self.id {
 			return true
 		}
 		for _, p := range h.peers {
@@ -299,11 +298,6 @@
 	p.lastSeen, p.slot = max(now, 1), turn
 }
 
-// isMemberAddress tells whether an acceptor votes at an address; seed, whether the settings name it.
-func (h *Controller) isMemberAddress(address string) bool {
-	return slices.ContainsFunc(h.known.Members, func(m consensus.Member) bool { return m.Address == address })
-}
-
 func (h *Controller) isSeed(address string) bool {
 	return slices.Contains(h.settings.SeedControllers(), address)
 }
--- /dev/null
+++ b/controlplane/learner.go
@@ -0,0 +1,120 @@
+package controlplane
+
+import (
+	"strings"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"oxbowspan/consensus"
+	"oxbowspan/rpc"
+)
+
+// learnListener is told of each newly decided value, on the event loop.
+type learnListener interface {
+	valueLearned(v *consensus.Value)
+}
+
+// learner holds the newest value that this controller knows to be decided. It belongs to the event loop.
+type learner struct {
+	value         *consensus.Value // the newest decided one, or, while not confirmed, what a proposal may start from
+	confirmed     bool             // value is known to be decided
+	decision      consensus.Decision
+	history       consensus.History
+	documentTimes map[string]documentTime // of the documents in value, by name
+	clock         *steadyClock
+	events        *eventLog
+	log           zerolog.Logger
+	listener      learnListener
+}
+
+// documentTime is since when a version of a document is known here.
+type documentTime struct {
+	version consensus.Version
+	since   time.Duration
+}
+
+// newLearner returns a learner that knows no decision, only a value that proposals may start from.
+func newLearner(base *consensus.Value, clock *steadyClock, events *eventLog, listener learnListener, log zerolog.Logger) *learner {
+	return &learner{value: base, decision: consensus.Decision{Value: base}, documentTimes: map[string]documentTime{},
+		clock: clock, events: events, listener: listener, log: log}
+}
+
+// decided returns the newest value known to be decided; nil = none.
+func (l *learner) decided() *consensus.Value {
+	if !l.confirmed {
+		return nil
+	}
+	return l.value
+}
+
+// isMember reports whether an acceptor is a member in the newest value.
+func (l *learner) isMember(id consensus.AcceptorID) bool {
+	return consensus.Contains(l.value.Members, id)
+}
+
+// isMemberAddress reports whether a member of the newest value has an address.
+func (l *learner) isMemberAddress(address string) bool {
+	for _, m := range l.value.Members {
+		if m.Address == address {
+			return true
+		}
+	}
+	return false
+}
+
+// learn takes a decided value, unless a newer one is known. A nil value is ignored.
+func (l *learner) learn(v *consensus.Value) {
+	if v == nil || l.confirmed && v.Slot <= l.value.Slot || v.Slot < l.value.Slot {
+		return
+	}
+	previous := l.value
+	l.value, l.confirmed, l.decision = v, true, consensus.Decision{Value: v}
+	l.history.Learn(v)
+	l.recordDocuments(v)
+	if v.Version != previous.Version {
+		l.log.Info().Uint64("slot", uint64(v.Slot)).Uint64("version", uint64(v.Version)).Msg("config: version decided")
+		l.events.add(eventConfiguration, "version "+formatVersion(v.Version)+" is decided, based on "+formatVersion(v.BasedOn))
+	}
+	if len(v.Members) != len(previous.Members) || !v.Confirmed() {
+		l.recordMembers(v)
+	}
+	l.listener.valueLearned(v)
+}
+
+func (l *learner) recordDocuments(v *consensus.Value) {
+	for _, d := range v.Documents {
+		if l.documentTimes[d.Name].version == d.Version {
+			continue
+		}
+		l.documentTimes[d.Name] = documentTime{d.Version, l.clock.now()}
+		l.events.add(eventConfiguration, "version "+formatVersion(d.Version)+" of the "+d.Name+" is decided")
+	}
+}
+
+func (l *learner) recordMembers(v *consensus.Value) {
+	l.log.Info().Uint64("slot", uint64(v.Slot)).Interface("members", v.Members).Msg("consensus: members decided")
+	addresses := []string{}
+	for _, m := range v.Members {
+		addresses = append(addresses, m.Address)
+	}
+	l.events.add(eventMembership, "the members are at "+strings.Join(addresses, ", "))
+}
+
+// observeBallot notes a ballot at which a slot was decided.
+func (l *learner) observeBallot(slot consensus.Slot, ballot consensus.Ballot) {
+	if l.confirmed && slot == l.value.Slot {
+		l.decision = l.decision.WithBallot(ballot)
+	}
+}
+
+// learnMessage learns a value that another controller sent. Omitted bodies are restored from the values that this controller
+// holds, the accepted one among them; missing reports that one of them is not there, so that the value was not learned.
+func (l *learner) learnMessage(m *rpc.Value, accepted *consensus.Value) (missing bool) {
+	if m == nil || l.confirmed && m.Slot <= uint64(l.value.Slot) {
+		return false
+	}
+	v := rpc.ValueFromProto(m, l.value, accepted)
+	l.learn(v)
+	return v == nil
+}
--- a/controlplane/membership.go
+++ b/controlplane/membership.go
@@ -47,8 +47,8 @@
 // membershipRequest is made of what the owner knows now.
 func (h *Controller) membershipRequest(now time.Duration) membershipRequest {
 	silences := map[string]time.Duration{}
-	for _, m := range h.known.Members {
-		if m.Address == h.address {
+	for _, m := range h.learner.value.Members {
+		if m.Address == h.self.address {
 			continue
 		}
 		shortest := time.Duration(0)
@@ -76,14 +76,14 @@
 			silences[m.Address] = 0 // nobody else speaks: it may be this machine that is cut off
 		}
 	}
-	return membershipRequest{consensus.Member{ID: h.self, Address: h.address}, 2*h.settings.ToleratedLosses.Machines + 1,
+	return membershipRequest{consensus.Member{ID: h.self.id, Address: h.self.address}, 2*h.settings.ToleratedLosses.Machines + 1,
 		func(a string) time.Duration { return silences[a] }}
 }
 
 // wantsMembership tells whether this hive should ask for a seat now.
 func (h *Controller) wantsMembership(now time.Duration) bool {
-	if !h.confirmed || consensus.Contains(h.known.Members, h.self) || !h.known.Confirmed() || !h.inContact(now) {
+	if !h.learner.confirmed || consensus.Contains(h.learner.value.Members, h.self.id) || !h.learner.value.Confirmed() || !h.inContact(now) {
 		return false
 	}
-	return h.membershipRequest(now).apply(h.known) != h.known
+	return h.membershipRequest(now).apply(h.learner.value) != h.learner.value
 }
--- a/controlplane/proposer.go
+++ b/controlplane/proposer.go
@@ -4,12 +4,8 @@
 	"context"
 	"errors"
 	"math/rand/v2"
-	"strconv"
-	"strings"
 	"time"
 
-	"github.com/cespare/xxhash/v2"
-
 	"oxbowspan/consensus"
 	"oxbowspan/rpc"
 )
@@ -17,97 +13,6 @@
 // errNoQuorum says that a round came to no end in time: its proposal may be decided yet, or not.
 var errNoQuorum = errors.New("no majority answered in time")
 
-func genesisID(control string) consensus.AcceptorID {
-	return consensus.AcceptorID(xxhash.Sum64String("genesis "+control) | 1)
-}
-
-// handlePrepare and accept are the acceptor's side. An acceptor whose disk is behind says nothing: the round goes on with others.
-func (h *Controller) handlePrepare(m *rpc.Prepare, answer func(*rpc.PrepareReply)) {
-	var told consensus.PrepareReply
-	h.store.Update(func(s consensus.AcceptorState) consensus.AcceptorState {
-		next, p := s.HandlePrepare(consensus.Prepare{To: consensus.AcceptorID(m.Acceptor), Ballot: rpc.BallotFromProto(m.Ballot)})
-		told = p
-		return next
-	}, func(s consensus.AcceptorState, err error) {
-		if err != nil {
-			h.log.Warn().Err(err).Msg("disk: a promise could not be stored")
-			answer(&rpc.PrepareReply{Acceptor: uint64(h.self)})
-			return
-		}
-		answer(&rpc.PrepareReply{Acceptor: uint64(told.From), Ok: told.OK, Promised: rpc.BallotToProto(told.Promised),
-			Accepted: rpc.BallotToProto(told.Accepted), Value: rpc.ValueToProto(told.Value, append(rpc.DigestsFromProto(m.KnownBodies), string(m.KnownDigest))...),
-			KnownBodies: rpc.DigestsToProto(rpc.BodyDigests(told.Value))})
-	})
-}
-
-func (h *Controller) handleAccept(m *rpc.Accept, answer func(*rpc.AcceptReply)) {
-	var told consensus.AcceptReply
-	var value *consensus.Value
-	h.store.Update(func(s consensus.AcceptorState) consensus.AcceptorState {
-		// What was left out lies in the vote that the promise told of: no other was cast since, or this one is refused.
-		value = rpc.ValueFromProto(m.Value, s.Value)
-		next, a := s.HandleAccept(consensus.Accept{To: consensus.AcceptorID(m.Acceptor), Ballot: rpc.BallotFromProto(m.Ballot), Value: value})
-		told = a
-		return next
-	}, func(s consensus.AcceptorState, err error) {
-		if err != nil {
-			h.log.Warn().Err(err).Msg("disk: a vote could not be stored")
-			answer(&rpc.AcceptReply{Acceptor: uint64(h.self)})
-			return
-		}
-		if told.OK {
-			h.acceptedValue.Store(value)
-			h.acceptedSlot.Store(uint64(value.Slot)) // before anybody is told
-			go h.loop.post(func() { h.recordAccepted(value.Slot, rpc.BallotFromProto(m.Ballot)) })
-		}
-		answer(&rpc.AcceptReply{Acceptor: uint64(told.From), Ok: told.OK, Promised: rpc.BallotToProto(told.Promised)})
-	})
-}
-
-// recordAccepted notes a vote: if its fate is not heard of soon, this hive finds it out.
-func (h *Controller) recordAccepted(turn consensus.Slot, b consensus.Ballot) {
-	h.highestBallot = max(h.highestBallot, b.Number)
-	if b.Compare(h.ownReplica.Ballot) > 0 {
-		h.ownReplica = consensus.Replica{Slot: turn, Ballot: b}
-	}
-	if turn > h.newestAccepted {
-		h.newestAccepted, h.acceptedAt = turn, h.clock.now()
-	}
-}
-
-// learnCommitted takes a value that is decided.
-func (h *Controller) learnCommitted(v *consensus.Value) {
-	if v == nil || h.confirmed && v.Slot <= h.known.Slot || v.Slot < h.known.Slot {
-		return
-	}
-	old := h.known
-	h.known, h.confirmed, h.decision = v, true, consensus.Decision{Value: v}
-	h.history.Learn(v)
-	for _, m := range v.Acceptors() {
-		h.addPeer(m.Address)
-	}
-	for _, n := range v.Documents {
-		if h.documentTimes[n.Name].version != n.Version {
-			h.documentTimes[n.Name] = documentTime{n.Version, h.clock.now()}
-			h.events.add(eventConfiguration, "version "+strconv.FormatUint(uint64(n.Version), 10)+" of the "+n.Name+" is agreed")
-		}
-	}
-	if v.Version != old.Version {
-		h.log.Info().Uint64("turn", uint64(v.Slot)).Uint64("version", uint64(v.Version)).Msg("config: a version is agreed")
-		h.events.add(eventConfiguration, "version "+strconv.FormatUint(uint64(v.Version), 10)+" is agreed, on top of "+strconv.FormatUint(uint64(v.BasedOn), 10))
-	}
-	if len(v.Members) != len(old.Members) || !v.Confirmed() {
-		h.log.Info().Uint64("turn", uint64(v.Slot)).Interface("members", v.Members).Msg("swarm: the acceptors are agreed")
-		addresses := []string{}
-		for _, m := range v.Members {
-			addresses = append(addresses, m.Address)
-		}
-		h.events.add(eventMembership, "the acceptors are at "+strings.Join(addresses, ", "))
-	}
-	h.scheduleUpdate(true)
-	h.gossipNow()
-}
-
 // proposalStart is what a round begins with.
 type proposalStart struct {
 	ballot consensus.Ballot
@@ -117,7 +22,7 @@
 // nextBallot numbers a new round, above all that were seen.
 func (h *Controller) nextBallot() proposalStart {
 	h.highestBallot++
-	return proposalStart{consensus.Ballot{Number: h.highestBallot, By: h.proposerID}, h.known}
+	return proposalStart{consensus.Ballot{Number: h.highestBallot, By: h.proposerID}, h.learner.value}
 }
 
 // propose runs rounds until change has nothing more to say of the newest value, which is then decided. Its own rounds go
@@ -138,7 +43,7 @@
 		}
 		v, changed, err := h.runProposal(ctx, consensus.NewProposal(start.ballot, start.known, change))
 		if err == nil {
-			h.loop.execute(func() { h.learnCommitted(v); h.observeDecidedBallot(v.Slot, start.ballot) })
+			h.loop.execute(func() { h.learner.learn(v); h.learner.observeBallot(v.Slot, start.ballot) })
 			if v.Confirmed() && changed {
 				return v, nil
 			}
@@ -164,12 +69,12 @@
 	known := r.Base()
 	held := map[consensus.AcceptorID][]string{} // the bodies that each acceptor said that it has
 	ask := func(m consensus.Member, f *rpc.Frame) {
-		if m.ID == h.self {
+		if m.ID == h.self.id {
 			switch b := f.Body.(type) {
 			case *rpc.Frame_Prepare:
-				h.handlePrepare(b.Prepare, func(p *rpc.PrepareReply) { answers <- p })
+				h.acceptor.handlePrepare(b.Prepare, func(p *rpc.PrepareReply) { answers <- p })
 			case *rpc.Frame_Accept:
-				h.handleAccept(b.Accept, func(a *rpc.AcceptReply) { answers <- a })
+				h.acceptor.handleAccept(b.Accept, func(a *rpc.AcceptReply) { answers <- a })
 			}
 			return
 		}
@@ -244,9 +149,9 @@
 	if h.proposing || now < h.proposeAfter {
 		return
 	}
-	unresolved := !h.confirmed && (h.newestAccepted > 0 || !h.settings.FirstStart) || h.confirmed && !h.decision.Resolves(h.ownReplica) && now-h.acceptedAt > resolveDelay
+	unresolved := !h.learner.confirmed && (h.acceptor.newestSlot > 0 || !h.settings.FirstStart) || h.learner.confirmed && !h.learner.decision.Resolves(h.acceptor.replica) && now-h.acceptor.newestAt > resolveDelay
 	seatless := !h.draining && h.wantsMembership(now)
-	unsettled := h.confirmed && !h.known.Confirmed() && now-h.acceptedAt > resolveDelay
+	unsettled := h.learner.confirmed && !h.learner.value.Confirmed() && now-h.acceptor.newestAt > resolveDelay
 	if !unresolved && !seatless && !unsettled && !incomplete {
 		return
 	}
--- a/controlplane/replica_repair.go
+++ b/controlplane/replica_repair.go
@@ -13,11 +13,11 @@
 // knows is decided.
 func (h *Controller) describeSelfWithReplica() *rpc.Controller {
 	m := h.describeSelf()
-	m.StoredSlot, m.StoredBallot, m.Draining = uint64(h.ownReplica.Slot), rpc.BallotToProto(h.ownReplica.Ballot), h.draining
-	if h.confirmed {
-		m.LowestDecidedBallot = rpc.BallotToProto(h.decision.First)
-		if h.decision.Last != h.decision.First {
-			m.HighestDecidedBallot = rpc.BallotToProto(h.decision.Last)
+	m.StoredSlot, m.StoredBallot, m.Draining = uint64(h.acceptor.replica.Slot), rpc.BallotToProto(h.acceptor.replica.Ballot), h.draining
+	if h.learner.confirmed {
+		m.LowestDecidedBallot = rpc.BallotToProto(h.learner.decision.First)
+		if h.learner.decision.Last != h.learner.decision.First {
+			m.HighestDecidedBallot = rpc.BallotToProto(h.learner.decision.Last)
 		}
 	}
 	return m
@@ -27,20 +27,13 @@
 func (h *Controller) observeReplica(p *peer, from *rpc.Controller, turn consensus.Slot) {
 	p.reportsReplica, p.draining = from.StoredBallot != nil, from.Draining
 	p.replica = consensus.Replica{Slot: consensus.Slot(from.StoredSlot), Ballot: rpc.BallotFromProto(from.StoredBallot)}
-	h.observeDecidedBallot(turn, rpc.BallotFromProto(from.LowestDecidedBallot))
-	h.observeDecidedBallot(turn, rpc.BallotFromProto(from.HighestDecidedBallot))
-}
-
-// observeDecidedBallot notes a ballot at which a turn was decided.
-func (h *Controller) observeDecidedBallot(turn consensus.Slot, at consensus.Ballot) {
-	if h.confirmed && turn == h.known.Slot {
-		h.decision = h.decision.WithBallot(at)
-	}
+	h.learner.observeBallot(turn, rpc.BallotFromProto(from.LowestDecidedBallot))
+	h.learner.observeBallot(turn, rpc.BallotFromProto(from.HighestDecidedBallot))
 }
 
 // replicas are what the acceptors in contact said of their disks, and what this machine's holds.
 func (h *Controller) replicas(now time.Duration) map[consensus.AcceptorID]consensus.Replica {
-	out := map[consensus.AcceptorID]consensus.Replica{h.self: h.ownReplica}
+	out := map[consensus.AcceptorID]consensus.Replica{h.self.id: h.acceptor.replica}
 	for _, p := range h.peers {
 		if p.reportsReplica && p.id != 0 && p.lastSeen > 0 && now-p.lastSeen < peerLivenessTimeout {
 			out[p.id] = p.replica
@@ -59,69 +52,37 @@
 // replicasIncomplete tells whether this hive owes a round that stores the agreed value again, for members in contact whose copies
 // are not proven. It looks each time, so that a copy counts as lacking from when it was first seen.
 func (h *Controller) replicasIncomplete(now time.Duration) bool {
-	if !h.confirmed || !consensus.Contains(h.known.Members, h.self) || !h.inContact(now) {
+	if !h.learner.confirmed || !consensus.Contains(h.learner.value.Members, h.self.id) || !h.inContact(now) {
 		return false
 	}
 	copies := h.replicas(now)
-	lacking := slices.DeleteFunc(h.decision.Unreplicated(copies), func(m consensus.Member) bool {
+	lacking := slices.DeleteFunc(h.learner.decision.Unreplicated(copies), func(m consensus.Member) bool {
 		_, told := copies[m.ID]
 		return !told
 	})
 	h.completeOwnReplica(now, lacking)
-	return h.repair.Due(now, h.known.Slot, lacking, h.ownReplica.Ballot, rand.Float64())
+	return h.repair.Due(now, h.learner.value.Slot, lacking, h.acceptor.replica.Ballot, rand.Float64())
 }
 
 // completeOwnReplica has this machine's disk take the Accept that decided the agreed value, where that never reached it. Where it
 // has promised a higher ballot since, it refuses, and a round completes the copy.
 func (h *Controller) completeOwnReplica(now time.Duration, lacking []consensus.Member) {
-	own := slices.DeleteFunc(slices.Clone(lacking), func(m consensus.Member) bool { return m.ID != h.self })
-	if !h.selfRepair.Due(now, h.known.Slot, own, h.ownReplica.Ballot, rand.Float64()) {
+	own := slices.DeleteFunc(slices.Clone(lacking), func(m consensus.Member) bool { return m.ID != h.self.id })
+	if !h.selfRepair.Due(now, h.learner.value.Slot, own, h.acceptor.replica.Ballot, rand.Float64()) {
 		return
 	}
 	h.selfRepair.RecordAttempt(now, rand.Float64())
-	a, ok := h.decision.CatchUpAccept(h.self)
-	if !ok {
-		return
+	a, ok := h.learner.decision.CatchUpAccept(h.self.id)
+	if ok {
+		h.acceptor.catchUp(a, h.learner.decision)
 	}
-	taken, decision := false, h.decision
-	h.store.Update(func(s consensus.AcceptorState) consensus.AcceptorState {
-		if decision.ReplicatedBy(s.Replica()) {
-			return s // it came after all
-		}
-		next, back := s.HandleAccept(a)
-		taken = back.OK
-		return next
-	}, func(_ consensus.AcceptorState, err error) {
-		if taken && err == nil {
-			h.acceptedSlot.Store(uint64(a.Value.Slot)) // before anybody is told
-			h.acceptedValue.Store(a.Value)
-			go h.loop.post(func() { h.recordAccepted(a.Value.Slot, a.Ballot) })
-		}
-	})
 }
 
 // StoredState is what this machine's disk holds. It waits for the disk. For tests and the emulator.
-func (h *Controller) StoredState() (consensus.AcceptorState, bool) {
-	states := make(chan consensus.AcceptorState, 1)
-	err := h.store.Update(func(s consensus.AcceptorState) consensus.AcceptorState { return s }, func(s consensus.AcceptorState, _ error) { states <- s })
-	if err != nil {
-		return consensus.AcceptorState{}, false
-	}
-	select {
-	case s := <-states:
-		return s, true
-	case <-time.After(time.Second):
-		return consensus.AcceptorState{}, false
-	}
-}
+func (h *Controller) StoredState() (consensus.AcceptorState, bool) { return h.acceptor.storedState() }
 
 // CommittedValue is the newest value that this hive knows to be agreed; nil = none. For tests and the emulator.
 func (h *Controller) CommittedValue() *consensus.Value {
-	known, _ := query(h.loop, func() *consensus.Value {
-		if !h.confirmed {
-			return nil
-		}
-		return h.known
-	})
+	known, _ := query(h.loop, h.learner.decided)
 	return known
 }
--- a/controlplane/shutdown.go
+++ b/controlplane/shutdown.go
@@ -62,31 +62,31 @@
 func (h *Controller) beginDrain() (needed bool) {
 	h.draining = true
 	h.gossipNow() // the others' answers say what their disks hold now
-	if !h.confirmed {
-		return h.newestAccepted > 0
+	if !h.learner.confirmed {
+		return h.acceptor.newestSlot > 0
 	}
-	return consensus.Contains(h.known.Acceptors(), h.self) || !h.decision.Resolves(h.ownReplica)
+	return consensus.Contains(h.learner.value.Acceptors(), h.self.id) || !h.learner.decision.Resolves(h.acceptor.replica)
 }
 
 // departureStatus looks at what stands against this hive's end now.
 func (h *Controller) departureStatus() departureStatus {
-	if !h.confirmed {
+	if !h.learner.confirmed {
 		return departureStatus{reason: consensus.UnresolvedAccept}
 	}
 	now := h.clock.now()
-	stay, lacking := h.decision.CheckLeave(h.self, h.ownReplica, h.replicas(now))
+	stay, lacking := h.learner.decision.CheckLeave(h.self.id, h.acceptor.replica, h.replicas(now))
 	return departureStatus{stay, lacking, h.successor(now)}
 }
 
 // successor is a machine in contact that has no seat, and is not leaving itself; nil = there is none, or this hive has no
 // seat to give.
 func (h *Controller) successor(now time.Duration) *consensus.Member {
-	if !consensus.Contains(h.known.Members, h.self) {
+	if !consensus.Contains(h.learner.value.Members, h.self.id) {
 		return nil
 	}
 	for _, p := range h.peers {
 		heard := p.lastSeen > 0 && now-p.lastSeen < peerLivenessTimeout
-		if heard && !p.draining && p.id != 0 && !consensus.Contains(h.known.Members, p.id) && !h.isMemberAddress(p.address) {
+		if heard && !p.draining && p.id != 0 && !consensus.Contains(h.learner.value.Members, p.id) && !h.learner.isMemberAddress(p.address) {
 			return &consensus.Member{ID: p.id, Address: p.address}
 		}
 	}
@@ -98,7 +98,7 @@
 	ctx, cancel := context.WithTimeout(ctx, handOverTimeout)
 	defer cancel()
 	h.propose(ctx, func(v *consensus.Value) *consensus.Value {
-		i := slices.IndexFunc(v.Members, func(m consensus.Member) bool { return m.ID == h.self })
+		i := slices.IndexFunc(v.Members, func(m consensus.Member) bool { return m.ID == h.self.id })
 		if i < 0 || consensus.Contains(v.Members, to.ID) {
 			return v
 		}
--- a/controlplane/status_api.go
+++ b/controlplane/status_api.go
@@ -66,25 +66,25 @@
 	serveLocal(c.h, w, func() MembershipStatus {
 		h := c.h
 		now := h.clock.now()
-		out := MembershipStatus{Controller: h.address, Slot: uint64(h.known.Slot), Version: uint64(h.known.Version), HasQuorum: h.confirmed && h.inContact(now), Stable: h.known.Confirmed()}
+		out := MembershipStatus{Controller: h.self.address, Slot: uint64(h.learner.value.Slot), Version: uint64(h.learner.value.Version), HasQuorum: h.learner.confirmed && h.inContact(now), Stable: h.learner.value.Confirmed()}
 		proven := 0
-		lacking := h.decision.Unreplicated(h.replicas(now))
-		for _, m := range h.known.Members {
+		lacking := h.learner.decision.Unreplicated(h.replicas(now))
+		for _, m := range h.learner.value.Members {
 			silent := time.Duration(0)
-			if m.ID != h.self {
+			if m.ID != h.self.id {
 				silent = now
 				if p := h.peers[m.Address]; p != nil && p.id == m.ID && p.lastSeen > 0 {
 					silent = now - p.lastSeen
 				}
 			}
-			complete := h.confirmed && !consensus.Contains(lacking, m.ID)
+			complete := h.learner.confirmed && !consensus.Contains(lacking, m.ID)
 			if complete && silent < peerLivenessTimeout {
 				proven++
 			}
 			out.Members = append(out.Members, MemberStatus{strconv.FormatUint(uint64(m.ID), 16), m.Address, silent.Seconds(), complete})
 		}
 		if out.Stable {
-			out.TolerableLosses = max(proven-(len(h.known.Members)/2+1), 0)
+			out.TolerableLosses = max(proven-(len(h.learner.value.Members)/2+1), 0)
 		}
 		return out
 	})
@@ -106,7 +106,7 @@
 		out := []GatewayStatus{}
 		now := c.h.clock.now()
 		for _, f := range c.h.gateways {
-			out = append(out, GatewayStatus{f.address, f.zone, strconv.FormatUint(f.incarnation, 16), (now - f.lastSeen).Seconds(), f.pollsHere(now), f.slot, f.pollsHere(now) && f.slot >= uint64(c.h.known.Slot)})
+			out = append(out, GatewayStatus{f.address, f.zone, strconv.FormatUint(f.incarnation, 16), (now - f.lastSeen).Seconds(), f.pollsHere(now), f.slot, f.pollsHere(now) && f.slot >= uint64(c.h.learner.value.Slot)})
 		}
 		return out
 	})
@@ -140,7 +140,7 @@
 }
 
 func (c *statusAPI) events(w http.ResponseWriter, _ *http.Request) {
-	serveLocal(c.h, w, func() []Event { return c.h.events.list(c.h.address) })
+	serveLocal(c.h, w, func() []Event { return c.h.events.list(c.h.self.address) })
 }
 
 // serveLocal answers a look with what the owner says.
--- a/controlplane/value_bodies_test.go
+++ b/controlplane/value_bodies_test.go
@@ -27,21 +27,21 @@
 
 func (h *Controller) sendPrepare(number uint64, has ...string) *rpc.PrepareReply {
 	told := make(chan *rpc.PrepareReply, 1)
-	h.handlePrepare(&rpc.Prepare{Acceptor: uint64(h.self), Ballot: &rpc.Ballot{Number: number}, KnownBodies: rpc.DigestsToProto(has)},
+	h.acceptor.handlePrepare(&rpc.Prepare{Acceptor: uint64(h.self.id), Ballot: &rpc.Ballot{Number: number}, KnownBodies: rpc.DigestsToProto(has)},
 		func(p *rpc.PrepareReply) { told <- p })
 	return <-told
 }
 
 func (h *Controller) sendAccept(number uint64, v *rpc.Value) *rpc.AcceptReply {
 	told := make(chan *rpc.AcceptReply, 1)
-	h.handleAccept(&rpc.Accept{Acceptor: uint64(h.self), Ballot: &rpc.Ballot{Number: number}, Value: v}, func(a *rpc.AcceptReply) { told <- a })
+	h.acceptor.handleAccept(&rpc.Accept{Acceptor: uint64(h.self.id), Ballot: &rpc.Ballot{Number: number}, Value: v}, func(a *rpc.AcceptReply) { told <- a })
 	return <-told
 }
 
 // An acceptor puts in the bodies that an Accept leaves out, where it holds them, and votes for nothing that lacks one.
 func TestAcceptorFillsOmittedBodies(t *testing.T) {
 	h := newTestController(t)
-	members := []consensus.Member{{ID: h.self, Address: h.address}}
+	members := []consensus.Member{{ID: h.self.id, Address: h.self.address}}
 	first := &consensus.Value{Slot: 1, Members: members, PriorMembers: members, Version: 1, Digest: "d1", Body: []byte("one"),
 		Documents: []consensus.Document{{Name: "x", Version: 1, Digest: "dx", Body: []byte("note")}}}
 	if p := h.sendPrepare(1); !p.Ok || p.Value != nil || len(p.KnownBodies) != 0 {
@@ -76,12 +76,12 @@
 // A proposer of the program before names the configuration alone: notes come whole.
 func TestPrepareNamingOnlyConfigurationDigest(t *testing.T) {
 	h := newTestController(t)
-	members := []consensus.Member{{ID: h.self, Address: h.address}}
+	members := []consensus.Member{{ID: h.self.id, Address: h.self.address}}
 	v := &consensus.Value{Slot: 1, Members: members, PriorMembers: members, Version: 1, Digest: "d1", Body: []byte("one"),
 		Documents: []consensus.Document{{Name: "x", Version: 1, Digest: "dx", Body: []byte("note")}}}
 	h.sendAccept(1, rpc.ValueToProto(v))
 	told := make(chan *rpc.PrepareReply, 1)
-	h.handlePrepare(&rpc.Prepare{Acceptor: uint64(h.self), Ballot: &rpc.Ballot{Number: 2}, KnownDigest: []byte("d1")}, func(p *rpc.PrepareReply) { told <- p })
+	h.acceptor.handlePrepare(&rpc.Prepare{Acceptor: uint64(h.self.id), Ballot: &rpc.Ballot{Number: 2}, KnownDigest: []byte("d1")}, func(p *rpc.PrepareReply) { told <- p })
 	if p := <-told; !p.Value.BodyOmitted || string(p.Value.Documents[0].Body) != "note" {
 		t.Errorf("it is told %v", p.Value)
 	}
@@ -91,31 +91,31 @@
 // program before is told it whole. What lacks a body is not learned.
 func TestCompleteValueSentAfterMissingBody(t *testing.T) {
 	h := newTestController(t)
-	members := []consensus.Member{{ID: h.self, Address: h.address}}
+	members := []consensus.Member{{ID: h.self.id, Address: h.self.address}}
 	v := &consensus.Value{Slot: 3, Members: members, PriorMembers: members, Version: 1, Digest: "d1", Body: []byte("one")}
-	h.known, h.confirmed = v, true
+	h.learner.value, h.learner.confirmed = v, true
 	able, old := &peer{restoresBodies: true, wake: make(chan struct{}, 1)}, &peer{}
 	bare := h.valueForPeer(able)
 	if !bare.BodyOmitted || h.valueForPeer(old).BodyOmitted {
 		t.Fatalf("one that puts bodies in is told %v", bare)
 	}
 	reader := newTestController(t)
-	if !reader.receiveValue(bare) || reader.confirmed {
+	if !reader.learner.learnMessage(bare, reader.acceptor.acceptedValue.Load()) || reader.learner.confirmed {
 		t.Fatal("a value that lacks its body is learned")
 	}
 	h.receiveValueReply(able, &rpc.GossipReply{MissingBody: true})
 	if len(able.wake) != 1 {
 		t.Error("the next pulse does not go at once")
 	}
-	if whole := h.valueForPeer(able); whole.BodyOmitted || reader.receiveValue(whole) || string(reader.known.Body) != "one" {
+	if whole := h.valueForPeer(able); whole.BodyOmitted || reader.learner.learnMessage(whole, reader.acceptor.acceptedValue.Load()) || string(reader.learner.value.Body) != "one" {
 		t.Errorf("it is told %v", whole)
 	}
 	voter := newTestController(t)
-	voter.acceptedValue.Store(v)
-	if voter.receiveValue(bare) || voter.known.Version != 1 || string(voter.known.Body) != "one" {
+	voter.acceptor.acceptedValue.Store(v)
+	if voter.learner.learnMessage(bare, voter.acceptor.acceptedValue.Load()) || voter.learner.value.Version != 1 || string(voter.learner.value.Body) != "one" {
 		t.Error("who has voted for it does not know its body")
 	}
-	if voter.receiveValue(rpc.ValueToProto(&consensus.Value{Slot: 2, Digest: "d0"}, "d0")) {
+	if voter.learner.learnMessage(rpc.ValueToProto(&consensus.Value{Slot: 2, Digest: "d0"}, "d0"), voter.acceptor.acceptedValue.Load()) {
 		t.Error("the body of a value older than its own is asked for")
 	}
 }
--- a/controlplane/value_gossip.go
+++ b/controlplane/value_gossip.go
@@ -6,25 +6,15 @@
 // is decided: the bodies are left out, unless the peer has said that it lacks one.
 func (h *Controller) valueForPeer(p *peer) *rpc.Value {
 	if p.restoresBodies && !p.missingBody {
-		return rpc.ValueToProto(h.known, rpc.BodyDigests(h.known)...)
+		return rpc.ValueToProto(h.learner.value, rpc.BodyDigests(h.learner.value)...)
 	}
 	p.missingBody = false
-	return rpc.ValueToProto(h.known)
-}
-
-// receiveValue learns a value that a peer told. It tells whether a body was left out that this hive does not hold.
-func (h *Controller) receiveValue(m *rpc.Value) (lacks bool) {
-	if m == nil || h.confirmed && m.Slot <= uint64(h.known.Slot) {
-		return false
-	}
-	v := rpc.ValueFromProto(m, h.known, h.acceptedValue.Load())
-	h.learnCommitted(v)
-	return v == nil
+	return rpc.ValueToProto(h.learner.value)
 }
 
 // receiveValueReply takes the value in the answer to a pulse. Where either side lacks a body, the next pulse goes at once.
 func (h *Controller) receiveValueReply(p *peer, m *rpc.GossipReply) {
-	p.requestFullValue = h.receiveValue(m.Value)
+	p.requestFullValue = h.learner.learnMessage(m.Value, h.acceptor.acceptedValue.Load())
 	p.missingBody = p.missingBody || m.MissingBody
 	if p.requestFullValue || p.missingBody {
 		p.gossipNow()
