--- a/admission/admission.go
+++ b/admission/admission.go
@@ -1,53 +1,57 @@
-// Package admission decides how long a request may be held that no server could be offered. It has no I/O, no clock and no goroutine.
+// Package admission decides how long a request may be held that could not be dispatched to any server yet. It is pure: no I/O,
+// no clock, no goroutines.
 package admission
 
 import "time"
 
-// A request that was never offered is not held for longer than this share of its latency target: its client is told that it has
-// not run, and when to come back, while there is time for another try.
+// A request that was never dispatched is held for no longer than holdShare of its latency target. Its client then learns that the
+// request has not run and when to retry, while there is still time for another attempt within the target.
 const (
 	holdShare        = 0.25
-	clientRoundTrip  = 8 * time.Millisecond // of the share, for the ways from and to the client
+	clientRoundTrip  = 8 * time.Millisecond // taken off the share for the network between client and gateway
 	minHold          = 5 * time.Millisecond
-	warmupHeartbeats = 2 // heartbeats of each server, by a gatherer that has just begun: it may hear of servers at any moment
+	warmupHeartbeats = 2 // heartbeat intervals after its start in which a gateway may still learn of servers at any moment
 )
 
-// WarmingUp tells whether a gatherer that has run for some time need not know all servers yet, as each calls once in an interval.
-func WarmingUp(running, heartbeatInterval time.Duration) bool {
-	return running < warmupHeartbeats*heartbeatInterval
+// WarmingUp reports whether a gateway that has run for the given time may not know all servers yet. Each server sends one
+// heartbeat in an interval.
+func WarmingUp(uptime, heartbeatInterval time.Duration) bool {
+	return uptime < warmupHeartbeats*heartbeatInterval
 }
 
-// HoldLimit is how long a request with a latency target may wait for its first offer. One without a target has no such limit.
-func HoldLimit(target time.Duration) (limit time.Duration, limited bool) {
+// HoldLimit returns how long a request with the given latency target may wait for its first dispatch. A request without a
+// target (zero or negative) has no limit: ok is false.
+func HoldLimit(target time.Duration) (limit time.Duration, ok bool) {
 	if target <= 0 {
 		return 0, false
 	}
-	return max(time.Duration(holdShare*float64(target))-clientRoundTrip, minHold), true
+	share := time.Duration(holdShare * float64(target))
+	return max(share-clientRoundTrip, minHold), true
 }
 
-// DispatchState is what the parts of a request that was not answered yet say of it together.
+// DispatchState is how far the shard calls of an unanswered request have come, taken together.
 type DispatchState struct {
-	Dispatched bool // a connection has carried a part
-	Pending    bool // a connection is being made for a part, or one waits for its turn
-	WarmingUp  bool // its gatherer has just begun
+	Dispatched bool // a connection has carried a shard call
+	Pending    bool // a connection is being made for a shard call, or a shard call waits for one
+	WarmingUp  bool // the gateway has just started
 }
 
-// Decision is what becomes of a request whose limit is over.
+// Decision is what to do with a request whose hold limit has passed.
 type Decision uint8
 
-// The verdicts.
+// The decisions.
 const (
-	AwaitResponse Decision = iota // it was offered: its answer is due
-	Recheck                       // it may be offered yet: after another limit
-	Reject                        // nobody can be offered it
+	AwaitResponse Decision = iota // it was dispatched: keep waiting for the response
+	Recheck                       // it may still be dispatched: check again after another hold limit
+	Reject                        // no server can take it
 )
 
-// Decide tells what becomes of a request whose limit is over.
-func (w DispatchState) Decide() Decision {
+// Decide returns what to do with a request whose hold limit has passed.
+func (s DispatchState) Decide() Decision {
 	switch {
-	case w.Dispatched:
+	case s.Dispatched:
 		return AwaitResponse
-	case w.Pending || w.WarmingUp:
+	case s.Pending || s.WarmingUp:
 		return Recheck
 	}
 	return Reject
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -5,30 +5,63 @@
 	"time"
 )
 
-// A quarter of the target has not passed at the client when it hears, and no request is given up at once.
+// The client must hear of a rejection before a quarter of its target has passed, and no request is rejected at once.
 func TestHoldLimit(t *testing.T) {
-	for _, target := range []time.Duration{10 * time.Millisecond, 60 * time.Millisecond, 500 * time.Millisecond, 30 * time.Second} {
-		limit, limited := HoldLimit(target)
-		if !limited || limit < minHold || limit > minHold && limit+clientRoundTrip > target/4 {
-			t.Errorf("target %v: held for %v", target, limit)
-		}
-	}
-	if _, limited := HoldLimit(0); limited {
-		t.Error("a request without a target is given up")
+	for _, target := range []time.Duration{
+		10 * time.Millisecond,
+		60 * time.Millisecond,
+		500 * time.Millisecond,
+		30 * time.Second,
+	} {
+		t.Run(target.String(), func(t *testing.T) {
+			limit, ok := HoldLimit(target)
+			if !ok || limit < minHold || limit > minHold && limit+clientRoundTrip > target/4 {
+				t.Errorf("HoldLimit(%v) = %v, %v", target, limit, ok)
+			}
+		})
 	}
+	t.Run("no target", func(t *testing.T) {
+		if limit, ok := HoldLimit(0); ok {
+			t.Errorf("HoldLimit(0) = %v, want no limit", limit)
+		}
+	})
 }
 
 func TestDecide(t *testing.T) {
-	for wait, want := range map[DispatchState]Decision{{}: Reject, {Pending: true}: Recheck, {Dispatched: true}: AwaitResponse, {Dispatched: true, Pending: true, WarmingUp: true}: AwaitResponse, {WarmingUp: true}: Recheck} {
-		if got := wait.Decide(); got != want {
-			t.Errorf("%+v: %d, want %d", wait, got, want)
-		}
+	for _, test := range []struct {
+		name  string
+		state DispatchState
+		want  Decision
+	}{
+		{"no server can be asked", DispatchState{}, Reject},
+		{"a shard call waits", DispatchState{Pending: true}, Recheck},
+		{"the gateway warms up", DispatchState{WarmingUp: true}, Recheck},
+		{"dispatched", DispatchState{Dispatched: true}, AwaitResponse},
+		{"dispatched while others wait", DispatchState{Dispatched: true, Pending: true, WarmingUp: true}, AwaitResponse},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if got := test.state.Decide(); got != test.want {
+				t.Errorf("Decide() = %d, want %d", got, test.want)
+			}
+		})
 	}
 }
 
 func TestWarmingUp(t *testing.T) {
-	interval := 1200 * time.Millisecond
-	if !WarmingUp(0, interval) || !WarmingUp(2*interval-1, interval) || WarmingUp(2*interval, interval) {
-		t.Error("fresh for another time than two intervals")
+	const interval = 1200 * time.Millisecond
+	for _, test := range []struct {
+		name   string
+		uptime time.Duration
+		want   bool
+	}{
+		{"at the start", 0, true},
+		{"just before two heartbeats", 2*interval - 1, true},
+		{"after two heartbeats", 2 * interval, false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			if got := WarmingUp(test.uptime, interval); got != test.want {
+				t.Errorf("WarmingUp(%v) = %v, want %v", test.uptime, got, test.want)
+			}
+		})
 	}
 }
--- a/cmd/oxbowspan-gateway/main.go
+++ b/cmd/oxbowspan-gateway/main.go
@@ -1,4 +1,4 @@
-// Command forager is the data plane's program: one gatherer of the system.
+// Command oxbowspan-gateway is the data plane's program: one search gateway.
 package main
 
 import (
