--- a/dataplane/bench_test.go
+++ b/dataplane/bench_test.go
@@ -38,9 +38,9 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	f.wg.Go(f.runLoop)
-	f.wg.Go(func() { f.acceptClients(front) })
-	f.post(func() {
+	f.process.goroutines.Go(func() { f.loop.run(f) })
+	f.process.goroutines.Go(func() { f.acceptClients(front) })
+	f.loop.post(func() {
 		f.activateConfig(&config.Configuration{Version: 1, Services: []config.Service{{Name: "s"}}, Routes: []config.Route{
 			{Hostname: "h", PathPrefix: "/", RouteKind: config.Retryable, TimeoutMS: 900, TargetMS: 90, Service: "s", Attempts: 2}}}, 1)
 		f.applyReports(&rpc.Update{Full: true, HasQuorum: true, Warm: true, Reports: []*rpc.ServerReport{
@@ -64,8 +64,8 @@
 	front.Close()
 	server.Close()
 	f.clients.closeAll()
-	close(f.stopped)
-	f.wg.Wait()
+	f.loop.stop()
+	f.process.goroutines.Wait()
 }
 
 // answerRequests answers requests without a body, each with its id.
--- a/dataplane/configfollower.go
+++ b/dataplane/configfollower.go
@@ -32,7 +32,7 @@
 // followConfig asks the hives for news, one at a time, each question with what is had.
 func (f *Gateway) followConfig(ctx context.Context) {
 	controllers := map[string]controllerAddress{}
-	for _, a := range f.settings.SeedControllers() {
+	for _, a := range f.process.settings.SeedControllers() {
 		controllers[a] = controllerAddress{address: a}
 	}
 	var order []controllerAddress
@@ -52,7 +52,7 @@
 			order = append(order, p)
 		}
 		// The nearest first; among equals each gatherer has its own order, so that they spread.
-		self := rendezvous.Name(f.settings.InternalAddress(settings.GatewayPort))
+		self := rendezvous.Name(f.process.settings.InternalAddress(settings.GatewayPort))
 		slices.SortFunc(order, func(a, b controllerAddress) int {
 			return cmp.Or(cmp.Compare(f.zoneDistance(a.zone), f.zoneDistance(b.zone)),
 				cmp.Compare(rendezvous.Weight(rendezvous.Name(a.address), self), rendezvous.Weight(rendezvous.Name(b.address), self)))
@@ -68,13 +68,13 @@
 		p := order[at%len(order)]
 		c := callers[p.address]
 		if c == nil {
-			c = &rpc.Client{Address: p.address, Network: f.network}
+			c = &rpc.Client{Address: p.address, Network: f.process.network}
 			callers[p.address] = c
 		}
-		ask := &rpc.Poll{From: &rpc.Gateway{Incarnation: f.incarnation, Address: f.settings.InternalAddress(settings.GatewayPort), Zone: f.settings.Zone, Left: f.draining.Load()},
+		ask := &rpc.Poll{From: &rpc.Gateway{Incarnation: f.process.incarnation, Address: f.process.settings.InternalAddress(settings.GatewayPort), Zone: f.process.settings.Zone, Left: f.process.draining.Load()},
 			Slot: slot, ControllerIncarnation: incarnation, Cursor: cursor, MembershipEpoch: membershipEpoch, WaitMs: uint32(pollHold / time.Millisecond)}
 		f.fillPoll(ask)
-		sent, askedAt := time.Now(), duration(f.now())
+		sent, askedAt := time.Now(), duration(f.loop.now())
 		timeout := pollHold + pollTimeoutMargin
 		if incarnation == 0 { // all is news to one that begins: no question is held
 			timeout = pollTimeoutMargin
@@ -93,7 +93,7 @@
 		}
 		if !n.HasQuorum && time.Since(began) < startupGrace && slot == 0 || !n.HasQuorum && slot > n.Slot {
 			// Cut off or just started: what it knows may be old.
-			f.post(func() { f.applyReports(n) })
+			f.loop.post(func() { f.applyReports(n) })
 			at, incarnation = at+1, 0
 			sleep(ctx, pollRetryPause(slot))
 			continue
@@ -105,7 +105,7 @@
 		if n.HasGateways {
 			membershipEpoch, peers = n.MembershipEpoch, peers[:0]
 			for _, o := range n.Gateways {
-				if o.Address != f.settings.InternalAddress(settings.GatewayPort) {
+				if o.Address != f.process.settings.InternalAddress(settings.GatewayPort) {
 					peers = append(peers, o.Address)
 				}
 			}
@@ -114,17 +114,17 @@
 			slot = n.Slot
 			f.readConfig(n)
 		}
-		f.post(func() {
+		f.loop.post(func() {
 			f.applyDocuments(n.Documents)
 			f.applyReports(n)
 			f.applyMembership(n)
-			if now := duration(f.now()); n.HasQuorum {
+			if now := duration(f.loop.now()); n.HasQuorum {
 				f.roles.Renew(askedAt, now)
 			}
 		})
 		if len(n.Controllers) > 0 {
 			updated := map[string]controllerAddress{}
-			for _, a := range f.settings.SeedControllers() {
+			for _, a := range f.process.settings.SeedControllers() {
 				updated[a] = controllerAddress{address: a}
 			}
 			for _, h := range n.Controllers {
@@ -166,7 +166,7 @@
 // pollPeer asks another gatherer what it knows, while no hive that is in contact with the core answers: this gatherer may be cut
 // off from the core and the other not. What a gatherer has in force was agreed on. It returns the turn that is now had.
 func (f *Gateway) pollPeer(ctx context.Context, address string, slot uint64) uint64 {
-	c := &rpc.Client{Address: address, Network: f.network}
+	c := &rpc.Client{Address: address, Network: f.process.network}
 	defer c.Close()
 	limit, cancel := context.WithTimeout(ctx, pollTimeoutMargin)
 	defer cancel()
@@ -176,9 +176,9 @@
 	if err != nil || n == nil || time.Since(sent) > pollTimeoutMargin {
 		return slot
 	}
-	f.post(func() { f.applyDocuments(n.Documents); f.applyReports(n) })
+	f.loop.post(func() { f.applyDocuments(n.Documents); f.applyReports(n) })
 	if n.Slot > slot && n.HasConfig {
-		f.log.Info().Str("from", address).Uint64("version", n.Version).Msg("news: no hive answers, another gatherer did")
+		f.process.log.Info().Str("from", address).Uint64("version", n.Version).Msg("news: no hive answers, another gatherer did")
 		f.readConfig(n)
 		slot = n.Slot
 	}
@@ -211,9 +211,9 @@
 // zoneDistance is how far a zone is: this one's, one of its region, another.
 func (f *Gateway) zoneDistance(zone string) int {
 	switch {
-	case zone == f.settings.Zone:
+	case zone == f.process.settings.Zone:
 		return 0
-	case f.settings.Zones[zone] == f.settings.Region:
+	case f.process.settings.Zones[zone] == f.process.settings.Region:
 		return 1
 	}
 	return 2
@@ -233,10 +233,10 @@
 	}
 	c, err := config.Parse(n.Config)
 	if err != nil {
-		f.log.Error().Err(err).Uint64("version", n.Version).Msg("config: an agreed version can't be read, the last one stays")
+		f.process.log.Error().Err(err).Uint64("version", n.Version).Msg("config: an agreed version can't be read, the last one stays")
 		return
 	}
-	f.post(func() {
+	f.loop.post(func() {
 		if n.Slot > f.configSlot {
 			f.configText = n.Config
 		}
--- a/dataplane/dispatchwatch.go
+++ b/dataplane/dispatchwatch.go
@@ -23,7 +23,7 @@
 	if !limited {
 		return
 	}
-	f.timers.Push(int64(now+ticks(limit)), timerEvent{undispatched: s})
+	f.loop.schedule(now+ticks(limit), timerEvent{undispatched: s})
 }
 
 // dispatchOverdue gives up a search that nobody could be offered: no server can be asked, and brain waits for one to come back.
@@ -32,7 +32,7 @@
 		return
 	}
 	wait := s.dispatchState()
-	wait.WarmingUp = admission.WarmingUp(duration(now), f.settings.HeartbeatInterval())
+	wait.WarmingUp = admission.WarmingUp(duration(now), f.process.settings.HeartbeatInterval())
 	switch wait.Decide() {
 	case admission.Recheck:
 		f.watchDispatch(s, now)
--- a/dataplane/front.go
+++ b/dataplane/front.go
@@ -57,7 +57,7 @@
 }
 
 // maxClientConns is how many connections clients may hold: half of the descriptors, as servers and the talk need the rest.
-func (f *Gateway) maxClientConns() int { return f.settings.Limits.FileDescriptors / 2 }
+func (f *Gateway) maxClientConns() int { return f.process.settings.Limits.FileDescriptors / 2 }
 
 func (c *clientConns) closeIdle() {
 	c.mu.Lock()
@@ -121,7 +121,7 @@
 			nc.Close() // unread: its client goes elsewhere
 			continue
 		}
-		f.wg.Go(func() {
+		f.process.goroutines.Go(func() {
 			f.serveClient(k)
 			nc.Close()
 			f.clients.mu.Lock()
@@ -154,8 +154,6 @@
 	return l
 }
 
-func fromMillis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
-
 // serveClient serves one connection: its requests one after the other, answered in their order.
 func (f *Gateway) serveClient(k *clientConn) {
 	limits := f.clientLimits()
@@ -167,7 +165,7 @@
 		if first {
 			wait = min(wait, fromMillis(limits.HeaderTimeoutMS))
 		}
-		if f.draining.Load() && !first && k.reader.Buffered() == 0 {
+		if f.process.draining.Load() && !first && k.reader.Buffered() == 0 {
 			wait = min(wait, 50*time.Millisecond)
 		}
 		k.conn.SetReadDeadline(time.Now().Add(wait))
@@ -206,7 +204,7 @@
 	path, _, _ := strings.Cut(uri, "?")
 	to := now.table.Find(string(q.Header.Host()), path)
 	if to == nil {
-		return k.writeError(fasthttp.StatusNotFound, "no route leads there", 0, keep && !f.draining.Load()) && keep
+		return k.writeError(fasthttp.StatusNotFound, "no route leads there", 0, keep && !f.process.draining.Load()) && keep
 	}
 	s := &request{route: now.routes[to], method: string(q.Header.Method()), uri: uri, body: bytes.Clone(q.Body()),
 		attemptID: string(q.Header.Peek("X-Attempt-Id")), deadline: ticks(defaultDeadline), results: k.results}
@@ -214,17 +212,17 @@
 		s.deadline = min(s.deadline, ticksFromMillis(ms))
 	}
 	s.header = forwardedHeaders(q)
-	if !f.post(func() { f.requestArrived(s) }) {
+	if !f.loop.post(func() { f.requestArrived(s) }) {
 		k.writeError(fasthttp.StatusServiceUnavailable, "this gatherer is leaving", 0, false)
 		return false
 	}
 	var r result
 	select {
 	case r = <-k.results:
-	case <-f.stopped:
+	case <-f.loop.stopped:
 		return false
 	}
-	keep = keep && !f.draining.Load()
+	keep = keep && !f.process.draining.Load()
 	ok := k.writeResult(f, s, r, keep, limits)
 	for _, p := range r.responses {
 		fasthttp.ReleaseResponse(p)
--- a/dataplane/healthcheck.go
+++ b/dataplane/healthcheck.go
@@ -24,7 +24,7 @@
 
 // runHealthChecks probes the servers whose duty this gatherer holds.
 func (f *Gateway) runHealthChecks(now balancer.Time) {
-	if f.draining.Load() {
+	if f.process.draining.Load() {
 		return // what it begins must end with it
 	}
 	for _, s := range f.endpoints {
@@ -41,9 +41,9 @@
 		s.nextHealthCheck = now + s.healthCheckPause
 		s.healthCheckPause = min(2*s.healthCheckPause, ticks(maxHealthCheckInterval))
 		path, address, instance := f.healthPath(s.service), s.address, s.instance
-		f.wg.Go(func() {
+		f.process.goroutines.Go(func() {
 			well := f.checkHealth(address, instance, path)
-			f.post(func() { f.healthCheckDone(instance, well) })
+			f.loop.post(func() { f.healthCheckDone(instance, well) })
 		})
 	}
 }
@@ -51,12 +51,12 @@
 // healthCheckDone takes the end of a probe. The duty may have changed hands since.
 func (f *Gateway) healthCheckDone(instance string, well bool) {
 	s := f.endpoints[instance]
-	now := f.now()
+	now := f.loop.now()
 	if s == nil || !well || !f.roles.Holds(rendezvous.Name(instance), duration(now)) {
 		return
 	}
-	if s.lease = s.lease.Acquire(f.incarnation); s.seenHealthyAt == 0 || s.overdue {
-		f.log.Info().Str("instance", instance).Uint64("fence", s.lease.FencingToken).Msg("duties: the core does not hear a server that is well")
+	if s.lease = s.lease.Acquire(f.process.incarnation); s.seenHealthyAt == 0 || s.overdue {
+		f.process.log.Info().Str("instance", instance).Uint64("fence", s.lease.FencingToken).Msg("duties: the core does not hear a server that is well")
 	}
 	s.seenHealthyAt, s.nextHealthCheck, s.healthCheckPause = now, now+ticks(healthCheckInterval), ticks(healthCheckInterval)
 }
@@ -71,13 +71,13 @@
 // owner's answer travels through a channel, so that a caller that the stop releases shares no variable with the owner.
 func (f *Gateway) fillPoll(a *rpc.Poll) {
 	answers := make(chan pollStatus, 1)
-	if !f.post(func() { answers <- f.pollStatus(f.now()) }) {
+	if !f.loop.post(func() { answers <- f.pollStatus(f.loop.now()) }) {
 		return
 	}
 	select {
 	case o := <-answers:
 		a.HealthChecks, a.Stats = o.healthChecks, o.stats
-	case <-f.stopped:
+	case <-f.loop.stopped:
 	}
 }
 
@@ -85,7 +85,7 @@
 func (f *Gateway) pollStatus(now balancer.Time) pollStatus {
 	o := pollStatus{stats: f.stats(now)}
 	for _, s := range f.endpoints {
-		if s.seenHealthyAt > 0 && now-s.seenHealthyAt < ticks(healthReportAge) && s.lease.Holder == f.incarnation && s.noHeartbeats {
+		if s.seenHealthyAt > 0 && now-s.seenHealthyAt < ticks(healthReportAge) && s.lease.Holder == f.process.incarnation && s.noHeartbeats {
 			o.healthChecks = append(o.healthChecks, &rpc.ServerReport{Instance: s.instance, HealthCheckAgeMs: uint32(duration(now-s.seenHealthyAt) / time.Millisecond),
 				FencingToken: s.lease.FencingToken, LeaseHolder: s.lease.Holder})
 		}
@@ -106,7 +106,7 @@
 
 // checkHealth asks a server for its health. Another server at its address, or one that is leaving, is not it.
 func (f *Gateway) checkHealth(address, instance, path string) bool {
-	c, err := f.network.Dial(address, healthCheckTimeout)
+	c, err := f.process.network.Dial(address, healthCheckTimeout)
 	if err != nil {
 		return false
 	}
--- a/dataplane/loadexchange.go
+++ b/dataplane/loadexchange.go
@@ -10,9 +10,6 @@
 	"oxbowspan/rpc"
 )
 
-// exchangeInterval is how often a gatherer tells those that watch it what it has unfinished, and takes what it was told.
-const exchangeInterval = 250 * time.Millisecond
-
 // loadSubscription is a gatherer that this one watches. Its fields are the owner's.
 type loadSubscription struct {
 	caller     *rpc.Client
@@ -24,15 +21,15 @@
 // handleFrame takes a frame of another gatherer.
 func (f *Gateway) handleFrame(c *rpc.Conn, q *rpc.Frame) {
 	if a := q.GetPoll(); a != nil {
-		f.post(func() { f.answerPeer(c, q.Id, a) })
+		f.loop.post(func() { f.answerPeer(c, q.Id, a) })
 	}
 	if m := q.GetQuotaRequest(); m != nil {
-		f.post(func() { f.handleQuotaRequest(c, q.Id, m) })
+		f.loop.post(func() { f.handleQuotaRequest(c, q.Id, m) })
 	}
 	if w := q.GetLoadSubscription(); w != nil {
-		f.post(func() {
+		f.loop.post(func() {
 			f.subscribers[c] = w.ObservationsOnly
-			go c.Respond(q.Id, &rpc.Frame{Body: &rpc.Frame_LoadReport{LoadReport: &rpc.LoadReport{Incarnation: f.incarnation}}})
+			go c.Respond(q.Id, &rpc.Frame{Body: &rpc.Frame_LoadReport{LoadReport: &rpc.LoadReport{Incarnation: f.process.incarnation}}})
 		})
 	}
 }
@@ -40,7 +37,7 @@
 // loadReport are the unfinished parts that this gatherer had at each server, in the mean since they were last told: a part takes
 // less time than passes between two tellings, so that what is out at the moment says little.
 func (f *Gateway) loadReport(now balancer.Time) *rpc.LoadReport {
-	m := &rpc.LoadReport{Incarnation: f.incarnation}
+	m := &rpc.LoadReport{Incarnation: f.process.incarnation}
 	for _, s := range f.endpoints {
 		s.addInFlight(now, 0)
 		if over := now - s.integralSince; over > 0 && s.inFlightIntegral > 0 {
@@ -63,16 +60,16 @@
 	if !n.HasGateways {
 		return
 	}
-	self := rendezvous.Name(f.settings.InternalAddress(settings.GatewayPort))
+	self := rendezvous.Name(f.process.settings.InternalAddress(settings.GatewayPort))
 	// Those of this zone are watched, where there are any: they ask the servers that this gatherer asks, and news of them
 	// passes between no zones.
 	all, zone, far := []rendezvous.Name{self}, []rendezvous.Name{self}, []rendezvous.Name(nil)
-	near := map[string][]rendezvous.Name{f.settings.Zone: {self}}
+	near := map[string][]rendezvous.Name{f.process.settings.Zone: {self}}
 	f.outliers.zoneGateways = near
 	for _, o := range n.Gateways {
 		if name := rendezvous.Name(o.Address); name != self {
 			near[o.Zone] = append(near[o.Zone], name)
-			if all = append(all, name); o.Zone == f.settings.Zone {
+			if all = append(all, name); o.Zone == f.process.settings.Zone {
 				zone = append(zone, name)
 			} else {
 				far = append(far, name)
@@ -80,7 +77,7 @@
 		}
 	}
 	f.gateways = all
-	f.roles.SetMembers(all, duration(f.now()))
+	f.roles.SetMembers(all, duration(f.loop.now()))
 	f.observedPeers = len(zone) - 1
 	if len(zone) == 1 {
 		zone, far, f.observedPeers = all, nil, len(all)-1
@@ -111,13 +108,13 @@
 func (f *Gateway) subscribe(name rendezvous.Name, wordsOnly bool) {
 	ctx, quit := context.WithCancel(context.Background())
 	w := &loadSubscription{cancel: quit}
-	w.caller = &rpc.Client{Address: string(name), Network: f.network}
+	w.caller = &rpc.Client{Address: string(name), Network: f.process.network}
 	take := func(m *rpc.LoadReport) {
-		f.post(func() {
+		f.loop.post(func() {
 			if f.receiveObservations(m.Observations); wordsOnly {
 				return
 			}
-			w.receivedAt, w.loads = f.now(), map[string]float64{}
+			w.receivedAt, w.loads = f.loop.now(), map[string]float64{}
 			for _, l := range m.Loads {
 				w.loads[l.Instance] = float64(l.PendingMilli) / 1000
 			}
@@ -129,7 +126,7 @@
 		}
 	}
 	f.subscriptions[name] = w
-	f.wg.Go(func() {
+	f.process.goroutines.Go(func() {
 		for ctx.Err() == nil {
 			limit, cancel := context.WithTimeout(ctx, time.Second)
 			a, err := w.caller.Call(limit, &rpc.Frame{Body: &rpc.Frame_LoadSubscription{LoadSubscription: &rpc.LoadSubscription{ObservationsOnly: wordsOnly}}})
@@ -153,7 +150,7 @@
 		m := f.loadReport(now)
 		all := &rpc.Frame{Body: &rpc.Frame_LoadReport{LoadReport: m}}
 		m.Observations = words
-		few := &rpc.Frame{Body: &rpc.Frame_LoadReport{LoadReport: &rpc.LoadReport{Incarnation: f.incarnation, Observations: words}}}
+		few := &rpc.Frame{Body: &rpc.Frame_LoadReport{LoadReport: &rpc.LoadReport{Incarnation: f.process.incarnation, Observations: words}}}
 		n := len(m.Loads)
 		for c, wordsOnly := range f.subscribers {
 			switch { // the owner waits for no peer
@@ -167,7 +164,7 @@
 	}
 	sums, heard := map[string]float64{}, 0
 	for _, w := range f.subscriptions {
-		if w.receivedAt > 0 && now-w.receivedAt < ticks(4*exchangeInterval) {
+		if w.receivedAt > 0 && now-w.receivedAt < ticks(4*maintenanceInterval) {
 			heard++
 			for i, n := range w.loads {
 				sums[i] += n
@@ -181,7 +178,7 @@
 	told := balancer.PeerUpdate{}
 	for _, s := range f.endpoints {
 		// Of servers elsewhere, silence of this zone's gatherers says nothing: those of their own zones ask them.
-		if s.listed && (s.zone == f.settings.Zone || f.observedPeers == len(f.gateways)-1) {
+		if s.listed && (s.zone == f.process.settings.Zone || f.observedPeers == len(f.gateways)-1) {
 			told.Loads = append(told.Loads, balancer.PeerLoad{Server: s.id, InFlight: sums[s.instance] * scale})
 		}
 	}
--- a/dataplane/mutation_test.go
+++ b/dataplane/mutation_test.go
@@ -9,74 +9,131 @@
 	"testing"
 )
 
-// Mistakes that are planted in the program itself, to see that the drawn plays find them. All are built into one program of tests,
-// by an overlay over the sources, and each is switched on for a run of its own.
+// Mutations of the package itself check that the tests over drawn scenarios detect faults. All are built into one test program, by an
+// overlay over the sources, and each is switched on for a run of its own.
 
 const (
 	scenarioTest     = "TestResponsesReachTheirCallers"
 	framingTest      = "TestFramingMatchesStrictParser"
-	mutationVariable = "DATAPLANE_MUTATION"
+	mutationVariable = "DATAPLANE_MUTATION" // names the mutation that is switched on
 	mutationSource   = `package dataplane
 
 import "os"
 
-var plantedName = os.Getenv("` + mutationVariable + `")
+var activeMutation = os.Getenv("` + mutationVariable + `")
 
-func planted(name string) bool { return plantedName == name }
+func mutated(name string) bool { return activeMutation == name }
 `
 )
 
-// mutation replaces a text that stands once in a source; MISTAKE in the new text tells whether it is switched on.
+// mutation replaces a text that stands once in a file; MUTATED in the new text is true where the mutation is switched on.
 type mutation struct{ name, test, file, old, new string }
 
 var mutations = []mutation{
-	{"answers are not told apart", scenarioTest, "response.go", `return string(ids[0]) == s.attemptID`, `return MISTAKE || string(ids[0]) == s.attemptID`},
-	{"an answer without an id is taken", scenarioTest, "response.go", `return s.attemptID == "" ||`, `return MISTAKE || s.attemptID == "" ||`},
-	{"an interim answer is taken", scenarioTest, "response.go", `case status >= fasthttp.StatusOK:`, `case status >= fasthttp.StatusOK || MISTAKE && status > fasthttp.StatusContinue:`},
-	{"an unmarked promise is handed on", scenarioTest, "response.go", `|| promisesNotExecuted(status)):`, `|| promisesNotExecuted(status) && !MISTAKE):`},
-	{"a reset before the answer counts as never run", scenarioTest, "exchange.go", `if x.nothingSent {`, `if x.nothingSent || MISTAKE {`},
-	{"a small request written by half counts as never run", scenarioTest, "serverconn.go", `if n > 0 {`, `if n > 0 && !MISTAKE {`},
-	{"a large request written by half counts as never run", scenarioTest, "exchange.go", `x.nothingSent = bytes == 0`, `x.nothingSent = bytes == 0 || MISTAKE && bytes > smallRequestBytes && bytes < 60000`},
-	{"a connection carries an id twice", scenarioTest, "serverconn.go", `if c.shardCall.usedConn(l) {`, `if c.shardCall.usedConn(l) && !MISTAKE {`},
-	{"a connection is used again while it is written to", scenarioTest, "exchange.go", `x.pending == nil && !x.writing`, `x.pending == nil && (!x.writing || MISTAKE)`},
-	{"the connection of a call that was given up is used again", scenarioTest, "serverconn.go", `		f.closeConn(c.conn)
+	{
+		name: "responses are not told apart", test: scenarioTest, file: "response.go",
+		old: `return string(ids[0]) == s.attemptID`,
+		new: `return MUTATED || string(ids[0]) == s.attemptID`,
+	},
+	{
+		name: "a response without an id is accepted", test: scenarioTest, file: "response.go",
+		old: `return s.attemptID == "" ||`,
+		new: `return MUTATED || s.attemptID == "" ||`,
+	},
+	{
+		name: "an interim response is accepted", test: scenarioTest, file: "response.go",
+		old: `case status >= fasthttp.StatusOK:`,
+		new: `case status >= fasthttp.StatusOK || MUTATED && status > fasthttp.StatusContinue:`,
+	},
+	{
+		name: "an unmarked promise is forwarded", test: scenarioTest, file: "response.go",
+		old: `|| promisesNotExecuted(status)):`,
+		new: `|| promisesNotExecuted(status) && !MUTATED):`,
+	},
+	{
+		name: "a reset before the response counts as never run", test: scenarioTest, file: "exchange.go",
+		old: `if x.nothingSent {`,
+		new: `if x.nothingSent || MUTATED {`,
+	},
+	{
+		name: "a small request written by half counts as never run", test: scenarioTest, file: "serverconn.go",
+		old: `if n > 0 {`,
+		new: `if n > 0 && !MUTATED {`,
+	},
+	{
+		name: "a large request written by half counts as never run", test: scenarioTest, file: "exchange.go",
+		old: `x.nothingSent = bytes == 0`,
+		new: `x.nothingSent = bytes == 0 || MUTATED && bytes > smallRequestBytes && bytes < 60000`,
+	},
+	{
+		name: "a connection carries an id twice", test: scenarioTest, file: "serverconn.go",
+		old: `if c.shardCall.usedConn(l) {`,
+		new: `if c.shardCall.usedConn(l) && !MUTATED {`,
+	},
+	{
+		name: "a connection is used again while it is written to", test: scenarioTest, file: "exchange.go",
+		old: `x.pending == nil && !x.writing`,
+		new: `x.pending == nil && (!x.writing || MUTATED)`,
+	},
+	{
+		name: "the connection of an attempt that was given up is used again", test: scenarioTest, file: "serverconn.go",
+		old: `		f.closeConn(c.conn)
 	}
-	if !outcome`, `		if MISTAKE {
+	if !outcome`,
+		new: `		if MUTATED {
 			c.endpoint.idle = append(c.endpoint.idle, c.conn)
 		} else {
 			f.closeConn(c.conn)
 		}
 	}
-	if !outcome`},
-	{"an unfinished call counts as never run", scenarioTest, "loop.go", `return c != nil && c.conn != nil`, `return c != nil && c.conn != nil && !MISTAKE`},
-	{"an ended call counts as never run", scenarioTest, "serverconn.go", `if !outcome.NeverRan() && c.conn != nil {`, `if !outcome.NeverRan() && c.conn != nil && !MISTAKE {`},
-	{"a new connection is given what has been answered", scenarioTest, "serverconn.go", `case c.shardCall.request.finished || c.shardCall.response != nil:`, `case (c.shardCall.request.finished || c.shardCall.response != nil) && !MISTAKE:`},
-	{"the answer to a HEAD has a body", scenarioTest, "front.go", `if !k.req.Header.IsHead() {`, `if !k.req.Header.IsHead() || MISTAKE {`},
-	{"a line may end in a bare line feed", framingTest, "front.go", `		line, ended := bytes.CutSuffix(line, []byte("\r\n"))
-		if !ended {`, `		line, ended := bytes.CutSuffix(line, []byte("\r\n"))
-		if MISTAKE && !ended {
+	if !outcome`,
+	},
+	{
+		name: "an unfinished attempt counts as never run", test: scenarioTest, file: "dispatcher.go",
+		old: `return c != nil && c.conn != nil`,
+		new: `return c != nil && c.conn != nil && !MUTATED`,
+	},
+	{
+		name: "an ended attempt counts as never run", test: scenarioTest, file: "serverconn.go",
+		old: `if !outcome.NeverRan() && c.conn != nil {`,
+		new: `if !outcome.NeverRan() && c.conn != nil && !MUTATED {`,
+	},
+	{
+		name: "a new connection is given what has been answered", test: scenarioTest, file: "serverconn.go",
+		old: `case c.shardCall.request.finished || c.shardCall.response != nil:`,
+		new: `case (c.shardCall.request.finished || c.shardCall.response != nil) && !MUTATED:`,
+	},
+	{
+		name: "the response to a HEAD request has a body", test: scenarioTest, file: "front.go",
+		old: `if !k.req.Header.IsHead() {`,
+		new: `if !k.req.Header.IsHead() || MUTATED {`,
+	},
+	{
+		name: "a line may end in a bare line feed", test: framingTest, file: "front.go",
+		old: `		line, ended := bytes.CutSuffix(line, []byte("\r\n"))
+		if !ended {`,
+		new: `		line, ended := bytes.CutSuffix(line, []byte("\r\n"))
+		if MUTATED && !ended {
 			line, ended = bytes.TrimSuffix(line, []byte("\n")), true
 		}
-		if !ended {`},
-	{"a length beside chunks is let pass", framingTest, "front.go", `lengths > 0 && chunked > 0:`, `lengths > 0 && chunked > 0 && !MISTAKE:`},
-	{"lines behind the last chunk are left in place", framingTest, "front.go", `if err := skipTrailer(k.reader); err != nil {`, `if err := skipTrailer(k.reader); err != nil && !MISTAKE {`},
+		if !ended {`,
+	},
+	{
+		name: "a length beside chunks is accepted", test: framingTest, file: "front.go",
+		old: `lengths > 0 && chunked > 0:`,
+		new: `lengths > 0 && chunked > 0 && !MUTATED:`,
+	},
+	{
+		name: "a trailer is left unread", test: framingTest, file: "front.go",
+		old: `if err := skipTrailer(k.reader); err != nil {`,
+		new: `if err := skipTrailer(k.reader); err != nil && !MUTATED {`,
+	},
 }
 
-// TestMutationsAreDetected builds the mistakes in and sees that each is found.
-func TestMutationsAreDetected(t *testing.T) {
-	dir := t.TempDir()
-	here, err := filepath.Abs(".")
-	if err != nil {
-		t.Fatal(err)
-	}
-	overlay := map[string]string{filepath.Join(here, "planted.go"): filepath.Join(dir, "planted.go")}
-	write := func(name, text string) {
-		if err := os.WriteFile(filepath.Join(dir, name), []byte(text), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	write("planted.go", mutationSource)
-	sources := map[string]string{}
+// mutatedSources returns the texts of the files that mutations change, with all mutations in them.
+func mutatedSources(t *testing.T) map[string]string {
+	t.Helper()
+	sources := map[string]string{"mutated.go": mutationSource}
 	for _, m := range mutations {
 		if sources[m.file] == "" {
 			text, err := os.ReadFile(m.file)
@@ -88,35 +145,64 @@
 		if n := strings.Count(sources[m.file], m.old); n != 1 {
 			t.Fatalf("%q stands %d times in %s", m.old, n, m.file)
 		}
-		sources[m.file] = strings.Replace(sources[m.file], m.old, strings.ReplaceAll(m.new, "MISTAKE", `planted("`+m.name+`")`), 1)
+		mutatedText := strings.ReplaceAll(m.new, "MUTATED", `mutated("`+m.name+`")`)
+		sources[m.file] = strings.Replace(sources[m.file], m.old, mutatedText, 1)
+	}
+	return sources
+}
+
+// buildMutatedTests builds the package's tests with all mutations, and returns the program's path.
+func buildMutatedTests(t *testing.T) string {
+	t.Helper()
+	dir := t.TempDir()
+	here, err := filepath.Abs(".")
+	if err != nil {
+		t.Fatal(err)
 	}
-	for name, text := range sources {
-		write(name, text)
-		overlay[filepath.Join(here, name)] = filepath.Join(dir, name)
+	overlay := map[string]string{}
+	for name, text := range mutatedSources(t) {
+		overlay[filepath.Join(here, name)] = writeFile(t, dir, name, []byte(text))
 	}
 	list, err := json.Marshal(map[string]any{"Replace": overlay})
 	if err != nil {
 		t.Fatal(err)
 	}
-	write("overlay.json", string(list))
-	program := filepath.Join(dir, "planted.test")
-	if out, err := exec.Command("go", "test", "-c", "-overlay", filepath.Join(dir, "overlay.json"), "-o", program, ".").CombinedOutput(); err != nil {
-		t.Fatalf("the tests with the mistakes can't be built: %v\n%s", err, out)
+	overlayFile := writeFile(t, dir, "overlay.json", list)
+	program := filepath.Join(dir, "mutated.test")
+	if out, err := exec.Command("go", "test", "-c", "-overlay", overlayFile, "-o", program, ".").CombinedOutput(); err != nil {
+		t.Fatalf("the tests with the mutations can't be built: %v\n%s", err, out)
 	}
+	return program
+}
+
+func writeFile(t *testing.T, dir, name string, text []byte) (path string) {
+	t.Helper()
+	path = filepath.Join(dir, name)
+	if err := os.WriteFile(path, text, 0o644); err != nil {
+		t.Fatal(err)
+	}
+	return path
+}
+
+// TestMutationsAreDetected checks that a test over drawn scenarios detects each mutation.
+func TestMutationsAreDetected(t *testing.T) {
+	program := buildMutatedTests(t)
 	for _, m := range mutations {
 		t.Run(m.name, func(t *testing.T) {
 			c := exec.Command(program, "-test.run", "^"+m.test+"$",
 				"-rapid.checks=10000", "-rapid.nofailfile", "-rapid.shrinktime=0s")
-			c.Env = append(os.Environ(), mutationVariable+"="+m.name, "GOMAXPROCS=1") // a bubble runs quickest on one
+			c.Env = append(os.Environ(), mutationVariable+"="+m.name, "GOMAXPROCS=1") // a synctest bubble runs fastest on one
 			out, err := c.CombinedOutput()
 			if err == nil {
-				t.Fatal("it is not found")
+				t.Fatal("it is not detected")
 			}
-			_, found, ok := strings.Cut(string(out), "[rapid] ") // a draw that fails once only says so, and is a find as well
-			if found, _, _ = strings.Cut(found, "\n"); !ok || !strings.HasPrefix(found, "failed after") && !strings.HasPrefix(found, "flaky test") {
-				t.Fatalf("it ends otherwise than by a rule: %s", out)
+			_, report, ok := strings.Cut(string(out), "[rapid] ")
+			report, _, _ = strings.Cut(report, "\n")
+			// A scenario that fails once only is reported as flaky, and detects the mutation as well.
+			if !ok || !strings.HasPrefix(report, "failed after") && !strings.HasPrefix(report, "flaky test") {
+				t.Fatalf("the test ends otherwise than by a violation: %s", out)
 			}
-			t.Log(found)
+			t.Log(report)
 		})
 	}
 }
--- a/dataplane/outlier.go
+++ b/dataplane/outlier.go
@@ -39,7 +39,7 @@
 	j := &f.outliers
 	doc, err := config.ParsePins(n.Body)
 	if err != nil {
-		f.log.Error().Err(err).Uint64("version", n.Version).Msg("judgement: an agreed document of pins can't be read, the last one stays")
+		f.process.log.Error().Err(err).Uint64("version", n.Version).Msg("judgement: an agreed document of pins can't be read, the last one stays")
 		return
 	}
 	j.pinsVersion = n.Version
@@ -48,18 +48,18 @@
 	j.pins, j.pinEnds = map[string]outlier.State{}, map[string]balancer.Time{}
 	for _, p := range doc.Pins {
 		state := map[string]outlier.State{"in": outlier.Healthy, "avoided": outlier.Avoided, "out": outlier.Ejected}[p.State]
-		j.pins[p.Instance], j.pinEnds[p.Instance] = state, f.now()+ticks(time.Duration(p.DurationSeconds)*time.Second-time.Duration(n.AgeMs)*time.Millisecond)
+		j.pins[p.Instance], j.pinEnds[p.Instance] = state, f.loop.now()+ticks(time.Duration(p.DurationSeconds)*time.Second-time.Duration(n.AgeMs)*time.Millisecond)
 		if was, stood := before[p.Instance]; stood && was == state && ends[p.Instance] > 0 {
 			j.pinEnds[p.Instance] = min(ends[p.Instance], j.pinEnds[p.Instance]) // sent again it lasts no longer
 		}
 	}
 	for i := range before {
 		if _, stands := j.pins[i]; !stands {
-			j.detector.Pin(outlier.Instance(i), nil, duration(f.now()))
+			j.detector.Pin(outlier.Instance(i), nil, duration(f.loop.now()))
 		}
 	}
-	f.log.Info().Uint64("version", n.Version).Int("pins", len(doc.Pins)).Msg("judgement: pins in force")
-	f.enforcePins(f.now())
+	f.process.log.Info().Uint64("version", n.Version).Int("pins", len(doc.Pins)).Msg("judgement: pins in force")
+	f.enforcePins(f.loop.now())
 }
 
 // enforcePins holds what is pinned, and ends what is over.
@@ -71,7 +71,7 @@
 			delete(j.pins, i)
 			delete(j.pinEnds, i)
 			j.detector.Pin(outlier.Instance(i), nil, duration(now))
-			f.log.Info().Str("instance", i).Msg("judgement: a pin has ended")
+			f.process.log.Info().Str("instance", i).Msg("judgement: a pin has ended")
 		case !st.Pinned || st.State != state:
 			j.detector.Pin(outlier.Instance(i), &state, duration(now))
 		}
@@ -101,10 +101,10 @@
 
 // recordOutcome notes how a sub-request ended.
 func (f *Gateway) recordOutcome(s *endpoint, outcome balancer.Outcome, err error) {
-	if f.settings.LocalDetectionOnly {
+	if f.process.settings.LocalDetectionOnly {
 		return
 	}
-	now := duration(f.now())
+	now := duration(f.loop.now())
 	was := f.outliers.detector.Status(outlier.Instance(s.instance)).State
 	switch outcome {
 	case balancer.Answered:
@@ -119,19 +119,19 @@
 		return
 	}
 	if is := f.outliers.detector.Status(outlier.Instance(s.instance)).State; is != was {
-		f.expediteExchange(f.now())
-		f.updateBalancer(f.now())
+		f.expediteExchange(f.loop.now())
+		f.updateBalancer(f.loop.now())
 	}
 }
 
 // expediteExchange has words told soon.
 func (f *Gateway) expediteExchange(now balancer.Time) {
-	f.nextExchange = min(f.nextExchange, max(now+ticks(urgentDelay), f.outliers.sentAt+ticks(minUrgentInterval)))
+	f.loop.expedite(max(now+ticks(urgentDelay), f.outliers.sentAt+ticks(minUrgentInterval)))
 }
 
 // evaluateOutliers looks at servers that are silent, carries the judgement on and tells brain what changed.
 func (f *Gateway) evaluateOutliers(now balancer.Time) {
-	if f.settings.LocalDetectionOnly {
+	if f.process.settings.LocalDetectionOnly {
 		return
 	}
 	j := &f.outliers
@@ -184,9 +184,9 @@
 			j.reported[s.id] = is
 		}
 		if stance := st.State.String(); s.loggedState != stance {
-			line := f.log.Debug()
+			line := f.process.log.Debug()
 			if f.ownsProbation(s, now) { // one line in the whole fleet
-				line = f.log.Info()
+				line = f.process.log.Info()
 			}
 			line.Str("instance", s.instance).Str("service", s.service).Str("stance", stance).Str("why", st.Reason).Msg("judgement: a server's stance")
 			s.loggedState = stance
@@ -228,10 +228,10 @@
 
 // receiveObservations takes the words of another gatherer.
 func (f *Gateway) receiveObservations(all []*rpc.Observation) {
-	if f.settings.LocalDetectionOnly {
+	if f.process.settings.LocalDetectionOnly {
 		return
 	}
-	now, news := f.now(), false
+	now, news := f.loop.now(), false
 	for _, w := range all {
 		if w.Kind > uint32(outlier.ObservedRefused) {
 			continue // of a version to come
--- a/dataplane/quotaclient.go
+++ b/dataplane/quotaclient.go
@@ -88,11 +88,11 @@
 		}
 		doc, err := config.ParseTenants(n.Body)
 		if err != nil {
-			f.log.Error().Err(err).Uint64("version", n.Version).Msg("tenants: an agreed document can't be read, the last one stays")
+			f.process.log.Error().Err(err).Uint64("version", n.Version).Msg("tenants: an agreed document can't be read, the last one stays")
 			continue
 		}
 		f.quota.version, f.quota.document, f.quota.text = n.Version, doc, n.Body
-		f.log.Info().Uint64("version", n.Version).Int("tenants", len(doc.Tenants)).Msg("tenants: in force")
+		f.process.log.Info().Uint64("version", n.Version).Int("tenants", len(doc.Tenants)).Msg("tenants: in force")
 		f.rebuildTenants()
 		f.syncEndpoints()
 	}
@@ -113,7 +113,7 @@
 		return
 	}
 	if t.limiter == nil {
-		t.limiter, t.tenants = quota.NewLimiter(f.incarnation), map[quota.TenantID]*tenantUsage{}
+		t.limiter, t.tenants = quota.NewLimiter(f.process.incarnation), map[quota.TenantID]*tenantUsage{}
 		t.demands, t.grants, t.allocators, t.callers = map[string]*quota.DemandEstimator{}, map[string]quotaGrant{}, map[string]*quota.Allocator{}, map[rendezvous.Name]*rpc.Client{}
 	}
 	of := t.document.NewTenantTable()
@@ -141,7 +141,7 @@
 	kept := map[quota.TenantID]*tenantUsage{}
 	for i, no := range numbers {
 		if kept[no] = t.tenants[no]; kept[no] == nil || kept[no].Name != all[i].Name {
-			kept[no] = &tenantUsage{since: f.now()}
+			kept[no] = &tenantUsage{since: f.loop.now()}
 		}
 		kept[no].TenantPolicy = all[i]
 	}
@@ -246,7 +246,7 @@
 		return
 	}
 	if who.waited++; who.lastWait == 0 {
-		f.log.Info().Str("tenant", who.Name).Int("parts", who.waiting).Msg("tenants: one waits for connections")
+		f.process.log.Info().Str("tenant", who.Name).Int("parts", who.waiting).Msg("tenants: one waits for connections")
 	}
 	who.lastWait = now
 	if who.waits == nil {
@@ -280,7 +280,7 @@
 	for _, who := range t.tenants {
 		if who.waiting == 0 && who.lastWait > 0 && now-who.lastWait > ticks(waitingCooldown) {
 			who.lastWait = 0
-			f.log.Info().Str("tenant", who.Name).Msg("tenants: one waits no longer")
+			f.process.log.Info().Str("tenant", who.Name).Msg("tenants: one waits no longer")
 		}
 		if now-who.since > ticks(statsWindow) {
 			who.since, who.requests, who.waited = now, 0, 0
@@ -373,20 +373,20 @@
 	if g.requested {
 		return
 	}
-	self := rendezvous.Name(f.settings.InternalAddress(settings.GatewayPort))
+	self := rendezvous.Name(f.process.settings.InternalAddress(settings.GatewayPort))
 	holder := rendezvous.Owner(poolRole(service), f.gateways)
 	if holder == self {
-		if parts, may := f.allocate(service, f.incarnation, wants, g.connections, now); may {
+		if parts, may := f.allocate(service, f.process.incarnation, wants, g.connections, now); may {
 			f.applyGrant(service, parts, now)
 		}
 		return
 	}
 	c := t.callers[holder]
 	if c == nil {
-		c = &rpc.Client{Address: string(holder), Network: f.network}
+		c = &rpc.Client{Address: string(holder), Network: f.process.network}
 		t.callers[holder] = c
 	}
-	m := &rpc.QuotaRequest{Service: service, From: string(self), Incarnation: f.incarnation, InUse: uint32(g.connections)}
+	m := &rpc.QuotaRequest{Service: service, From: string(self), Incarnation: f.process.incarnation, InUse: uint32(g.connections)}
 	for _, w := range wants {
 		m.Demands = append(m.Demands, &rpc.Demand{Tenant: w.Tenant, ConnectionsMilli: uint32(1000 * w.Connections), WeightMilli: uint32(1000 * w.Weight)})
 	}
@@ -396,7 +396,7 @@
 		limit, cancel := context.WithTimeout(context.Background(), quotaRequestTimeout)
 		defer cancel()
 		a, err := c.Call(limit, &rpc.Frame{Body: &rpc.Frame_QuotaRequest{QuotaRequest: m}})
-		f.post(func() {
+		f.loop.post(func() {
 			g := t.grants[service]
 			g.requested = false
 			t.grants[service] = g
@@ -410,7 +410,7 @@
 // applyGrant takes a part that was asked for at a moment.
 func (f *Gateway) applyGrant(service string, parts int, asked balancer.Time) {
 	g := quotaGrant{connections: parts, expiresAt: asked + ticks(quota.LeaseDuration)}
-	if f.now() >= g.expiresAt {
+	if f.loop.now() >= g.expiresAt {
 		return // it was on its way for too long
 	}
 	changed := f.quota.grants[service].connections != parts
@@ -441,7 +441,7 @@
 	for _, w := range m.Demands {
 		wants = append(wants, quota.Demand{Tenant: w.Tenant, Connections: float64(w.ConnectionsMilli) / 1000, Weight: float64(w.WeightMilli) / 1000})
 	}
-	parts, may := f.allocate(m.Service, m.Incarnation, wants, int(m.InUse), f.now())
+	parts, may := f.allocate(m.Service, m.Incarnation, wants, int(m.InUse), f.loop.now())
 	go c.Respond(id, &rpc.Frame{Body: &rpc.Frame_QuotaGrant{QuotaGrant: &rpc.QuotaGrant{Connections: uint32(parts), Granted: may}}})
 }
 
--- a/dataplane/scenario_test.go
+++ b/dataplane/scenario_test.go
@@ -273,7 +273,7 @@
 	set := &settings.Settings{IPAddress: gatewayHost, Zone: "z", InternalPorts: []int{7000, 7010}, FirstStart: true}
 	set.Listen.Front = frontAddress
 	f := New(set, &faultyNetwork{w.network.Host(gatewayHost), w}, zerolog.Nop())
-	f.wg.Go(f.runLoop)
+	f.process.goroutines.Go(func() { f.loop.run(f) })
 	c := &config.Configuration{Version: 1, Routes: []config.Route{
 		{Hostname: "h", PathPrefix: "/once/", RouteKind: config.NonRetryable, TimeoutMS: 900, TargetMS: 90, Service: "once", Attempts: 3},
 		{Hostname: "h", PathPrefix: "/one/", RouteKind: config.Retryable, TimeoutMS: 900, TargetMS: 90, Service: "one", Attempts: 3},
@@ -281,7 +281,7 @@
 	for _, s := range services {
 		c.Services = append(c.Services, config.Service{Name: s, ConnectionLimit: 40})
 	}
-	f.post(func() {
+	f.loop.post(func() {
 		f.activateConfig(c, 1)
 		f.applyReports(&rpc.Update{Full: true, HasQuorum: true, Warm: true, Reports: reports})
 	})
@@ -290,12 +290,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.wg.Go(func() { f.acceptClients(l) })
+	f.process.goroutines.Go(func() { f.acceptClients(l) })
 	return func() {
 		l.Close()
 		f.clients.closeAll()
-		close(f.stopped)
-		f.wg.Wait()
+		f.loop.stop()
+		f.process.goroutines.Wait()
 		w.network.Kill(gatewayHost, false)
 	}
 }
--- a/dataplane/serverconn.go
+++ b/dataplane/serverconn.go
@@ -80,7 +80,7 @@
 	if p == nil {
 		return
 	}
-	now := f.now()
+	now := f.loop.now()
 	c := &attempt{shardCall: p, number: balancer.AttemptNumber(len(p.attempts)), endpoint: s, sentAt: now, deadline: now + a.Timeout}
 	p.attempts = append(p.attempts, c)
 	p.inFlight++
@@ -94,7 +94,7 @@
 	}
 	s.addInFlight(now, 1)
 	f.acquireConnection(c, now)
-	f.timers.Push(int64(c.deadline), timerEvent{attempt: c})
+	f.loop.schedule(c.deadline, timerEvent{attempt: c})
 	f.sendAttempt(c)
 }
 
@@ -156,8 +156,8 @@
 }
 
 func (f *Gateway) connect(s *endpoint, address string, c *attempt) {
-	nc, err := f.network.Dial(address, connectTimeout)
-	if !f.post(func() { f.connected(s, nc, err, c) }) && err == nil {
+	nc, err := f.process.network.Dial(address, connectTimeout)
+	if !f.loop.post(func() { f.connected(s, nc, err, c) }) && err == nil {
 		nc.Close()
 	}
 }
@@ -172,7 +172,7 @@
 		return
 	}
 	l := &serverConn{conn: nc, endpoint: s, reader: bufio.NewReaderSize(nc, 4096), maxIdle: maxIdle, usedAt: time.Now()}
-	f.wg.Go(func() { f.readResponses(l) })
+	f.process.goroutines.Go(func() { f.readResponses(l) })
 	switch {
 	case !s.listed || s.state != registry.Ready:
 		// It left while the connection was made: nothing may reach it any more.
@@ -195,7 +195,7 @@
 	s := c.shardCall.request
 	c.shardCall.addConn(l)
 	c.conn, c.afterIdle = l, time.Since(l.usedAt) > idleThreshold
-	left := duration(c.deadline - f.now())
+	left := duration(c.deadline - f.loop.now())
 	b := append(f.writeBuffer[:0], s.method...)
 	b = append(b, ' ')
 	b = append(b, s.uri...)
@@ -258,7 +258,7 @@
 		c := l.pending()
 		if err != nil || c == nil {
 			l.conn.Close()
-			f.post(func() { f.connectionLost(l, balancer.Reset) })
+			f.loop.post(func() { f.connectionLost(l, balancer.Reset) })
 			return
 		}
 		resp := fasthttp.AcquireResponse()
@@ -266,14 +266,14 @@
 		if err != nil {
 			fasthttp.ReleaseResponse(resp)
 			l.conn.Close()
-			f.post(func() { f.connectionLost(l, outcome) })
+			f.loop.post(func() { f.connectionLost(l, outcome) })
 			return
 		}
 		if l.reader.Buffered() > 0 {
 			keep = 0
 		}
 		l.responseReceived()
-		if !f.post(func() { f.responseReceived(l, c, outcome, resp, keep) }) {
+		if !f.loop.post(func() { f.responseReceived(l, c, outcome, resp, keep) }) {
 			l.conn.Close()
 			return
 		}
@@ -298,7 +298,7 @@
 	s := l.endpoint
 	if resp.StatusCode() == fasthttp.StatusMisdirectedRequest {
 		if other := resp.Header.Peek("X-Instance-Id"); len(other) > 0 && string(other) != s.instance && !s.replaced {
-			f.log.Info().Str("instance", s.instance).Str("now", string(other)).Msg("servers: another server has the address")
+			f.process.log.Info().Str("instance", s.instance).Str("now", string(other)).Msg("servers: another server has the address")
 			s.replaced, keep = true, 0
 			f.syncEndpoints()
 		}
@@ -339,8 +339,8 @@
 	c.ended = true
 	p.attempts[c.number] = nil
 	p.inFlight--
-	c.endpoint.addInFlight(f.now(), -1)
-	f.releaseConnection(c, f.now())
+	c.endpoint.addInFlight(f.loop.now(), -1)
+	f.releaseConnection(c, f.loop.now())
 	if c.conn != nil && resp == nil {
 		f.closeConn(c.conn)
 	}
@@ -360,7 +360,7 @@
 		fasthttp.ReleaseResponse(resp)
 	}
 	f.releaseShardCall(p)
-	f.handleEvent(balancer.AttemptEnded{Call: p.id, Attempt: c.number, Server: c.endpoint.id, Elapsed: f.now() - c.sentAt, Outcome: outcome})
+	f.handleEvent(balancer.AttemptEnded{Call: p.id, Attempt: c.number, Server: c.endpoint.id, Elapsed: f.loop.now() - c.sentAt, Outcome: outcome})
 	if outcome == balancer.Answered {
 		f.recordOutcome(c.endpoint, outcome, nil)
 	}
