--- a/dataplane/bench_test.go
+++ b/dataplane/bench_test.go
@@ -39,7 +39,7 @@
 		b.Fatal(err)
 	}
 	f.process.goroutines.Go(func() { f.loop.run(f) })
-	f.process.goroutines.Go(func() { f.acceptClients(front) })
+	f.process.goroutines.Go(func() { f.front.serve(front) })
 	f.loop.post(func() {
 		f.activateConfig(&config.Configuration{Version: 1, Services: []config.Service{{Name: "s"}}, Routes: []config.Route{
 			{Hostname: "h", PathPrefix: "/", RouteKind: config.Retryable, TimeoutMS: 900, TargetMS: 90, Service: "s", Attempts: 2}}}, 1)
@@ -63,7 +63,7 @@
 	c.Close()
 	front.Close()
 	server.Close()
-	f.clients.closeAll()
+	f.front.conns.closeAll()
 	f.loop.stop()
 	f.process.goroutines.Wait()
 }
--- a/dataplane/dispatcher.go
+++ b/dataplane/dispatcher.go
@@ -248,6 +248,11 @@
 	}
 }
 
+// submit passes a client's request to the loop. It reports false once the loop has stopped. Any goroutine may call it.
+func (f *Gateway) submit(r *request) bool {
+	return f.loop.post(func() { f.requestArrived(r) })
+}
+
 // requestArrived takes a request.
 func (f *Gateway) requestArrived(s *request) {
 	f.lastID++
--- a/dataplane/exchange.go
+++ b/dataplane/exchange.go
@@ -2,39 +2,39 @@
 
 import "oxbowspan/balancer"
 
-// exchange is the state of one connection to a server: the request whose answer is due, and how much of it has been handed over.
-// It does no I/O and holds no lock; its link does both.
+// exchange is the state of one connection to a server: the attempt whose response is expected, and how much of its request has been
+// written. It does no I/O and holds no lock; its serverConn does both.
 //
-// A request counts as perhaps run from its first byte that is handed to the connection. Before that it has not run and never
-// will, as nobody but this gatherer knows of it; from then on only its own answer can say so.
+// An attempt may have run from the first byte that is passed to the connection. Before that it has not run and never will, as only
+// this gateway knows of it; afterwards only its own response can tell.
 type exchange struct {
-	pending     *attempt // whose answer is due; nil = none, and whatever comes is nobody's
-	writing     bool     // its request is still being handed over
-	nothingSent bool     // not a byte of its request could be handed over
+	pending     *attempt // nil = no response is expected, and any that comes belongs to nobody
+	writing     bool     // its request is still being written
+	nothingSent bool     // writing ended without a byte
 }
 
-// begin takes a request, before its first byte is handed over: its answer may come at any moment from then on.
-func (x *exchange) begin(c *attempt) { *x = exchange{pending: c, writing: true} }
+// begin starts an attempt, before its first byte is written: from then on its response may come at any moment.
+func (x *exchange) begin(a *attempt) { *x = exchange{pending: a, writing: true} }
 
-// written notes the end of handing over, with so many bytes taken.
+// written ends the writing of the request, after so many bytes.
 func (x *exchange) written(bytes int) {
 	x.writing = false
 	x.nothingSent = bytes == 0
 }
 
-// responseReceived notes a whole answer.
+// responseReceived ends the attempt with its complete response.
 func (x *exchange) responseReceived() { x.pending = nil }
 
-// reusable tells whether another request may be handed over: nothing is due, and nothing of the last request is still on its way
-// into the connection.
+// reusable reports whether another request may be written: no response is expected, and nothing of the last request is still to be
+// written.
 func (x *exchange) reusable() bool { return x.pending == nil && !x.writing }
 
-// connectionLost notes the end of the connection. It returns whose answer is lost, nil = nobody's, and what that says of its request.
+// connectionLost ends the exchange. It returns the attempt that has lost its response, nil = none, and its outcome.
 func (x *exchange) connectionLost(outcome balancer.Outcome) (*attempt, balancer.Outcome) {
-	c := x.pending
+	a := x.pending
 	x.pending = nil
 	if x.nothingSent {
 		outcome = balancer.ConnectFailed
 	}
-	return c, outcome
+	return a, outcome
 }
--- /dev/null
+++ b/dataplane/framing.go
@@ -0,0 +1,140 @@
+package dataplane
+
+import (
+	"bytes"
+
+	"github.com/valyala/fasthttp"
+)
+
+// framingError says why the end of a request is ambiguous. Clients see its text.
+type framingError string
+
+func (e framingError) Error() string { return string(e) }
+
+// The faults that checkFraming finds.
+const (
+	errHeaderLineEnd  framingError = "a header line does not end as it must"
+	errHeaderField    framingError = "a header line is not a name, a colon and a value"
+	errContentLength  framingError = "the length is not a number"
+	errTransferCoding framingError = "the only transfer coding that is understood is chunked"
+	errSeveralLengths framingError = "the request states more than one length"
+	errSeveralIDs     framingError = "the request bears more than one id"
+	errRequestTarget  framingError = "the request's target is not a path"
+)
+
+// framing counts the header fields that a request's end depends on.
+type framing struct {
+	lengths, chunked, ids int
+}
+
+// checkFraming returns what makes a request's end ambiguous, nil = nothing. Another parser of the same bytes might find a second
+// request in an ambiguous one.
+func checkFraming(req *fasthttp.Request) error {
+	var f framing
+	for line := range bytes.SplitAfterSeq(req.Header.RawHeaders(), []byte("\n")) {
+		if len(line) == 0 {
+			continue // behind the last one
+		}
+		line, ended := bytes.CutSuffix(line, []byte("\r\n"))
+		if !ended {
+			return errHeaderLineEnd
+		}
+		if len(line) == 0 {
+			continue
+		}
+		if err := f.addField(line); err != nil {
+			return err
+		}
+	}
+	uri := req.Header.RequestURI()
+	switch {
+	case f.lengths > 1 || f.chunked > 1 || f.lengths > 0 && f.chunked > 0:
+		return errSeveralLengths
+	case f.ids > 1:
+		return errSeveralIDs
+	case len(uri) == 0 || uri[0] != '/' || bytes.ContainsAny(uri, " \r\n\t"):
+		return errRequestTarget
+	}
+	return nil
+}
+
+// addField checks one header field, without its line end, and counts it.
+func (f *framing) addField(line []byte) error {
+	name, value, ok := bytes.Cut(line, []byte(":"))
+	if !ok || len(name) == 0 || bytes.ContainsAny(name, " \t\r") || bytes.IndexByte(value, '\r') >= 0 {
+		return errHeaderField
+	}
+	switch {
+	case bytes.EqualFold(name, []byte("Content-Length")):
+		f.lengths++
+		if !isNumber(bytes.TrimSpace(value)) {
+			return errContentLength
+		}
+	case bytes.EqualFold(name, []byte("X-Attempt-Id")):
+		f.ids++
+	case bytes.EqualFold(name, []byte("Transfer-Encoding")):
+		f.chunked++
+		if !bytes.EqualFold(bytes.TrimSpace(value), []byte("chunked")) {
+			return errTransferCoding
+		}
+	}
+	return nil
+}
+
+// isNumber reports whether text is one or more decimal digits.
+func isNumber(text []byte) bool {
+	return len(text) > 0 && !bytes.ContainsFunc(text, func(r rune) bool { return r < '0' || r > '9' })
+}
+
+// forwardedHeaders returns the header lines of a request that are forwarded to servers.
+func forwardedHeaders(req *fasthttp.Request) []byte {
+	connection := connectionFields(req)
+	b := make([]byte, 0, 256)
+	b = append(b, "Host: "...)
+	b = append(b, req.Header.Host()...)
+	b = append(b, "\r\n"...)
+	for name, value := range req.Header.All() {
+		if isHopByHop(name) || isSetAnew(name) || containsFold(connection, name) {
+			continue
+		}
+		b = appendField(b, name, value)
+	}
+	return b
+}
+
+// connectionFields lists the fields that a request's Connection field names. X-Attempt-Id is forwarded nonetheless: responses are matched
+// by it.
+func connectionFields(req *fasthttp.Request) (names [][]byte) {
+	for _, value := range req.Header.PeekAll("Connection") {
+		for name := range bytes.SplitSeq(value, []byte(",")) {
+			if name = bytes.TrimSpace(name); !bytes.EqualFold(name, []byte("X-Attempt-Id")) {
+				names = append(names, name)
+			}
+		}
+	}
+	return names
+}
+
+// isSetAnew reports whether the gateway itself sets a field of the requests that it forwards.
+func isSetAnew(name []byte) bool {
+	return bytes.EqualFold(name, []byte("Host")) || bytes.EqualFold(name, []byte("X-Deadline-Remaining")) ||
+		bytes.EqualFold(name, []byte("X-Expected-Instance"))
+}
+
+// containsFold reports whether a field's name is among names, in any case of letters.
+func containsFold(names [][]byte, name []byte) bool {
+	for _, other := range names {
+		if bytes.EqualFold(name, other) {
+			return true
+		}
+	}
+	return false
+}
+
+// appendField appends a header line to b.
+func appendField(b, name, value []byte) []byte {
+	b = append(b, name...)
+	b = append(b, ": "...)
+	b = append(b, value...)
+	return append(b, "\r\n"...)
+}
--- a/dataplane/framing_test.go
+++ b/dataplane/framing_test.go
@@ -7,110 +7,152 @@
 	"io"
 	"net"
 	"net/http"
+	"slices"
 	"strconv"
 	"strings"
 	"testing"
 	"time"
 
+	"github.com/valyala/fasthttp"
 	"pgregory.net/rapid"
 
 	"oxbowspan/config"
 )
 
-// What stands on a client's connection is read as requests with the bounds that a strict reader finds, or refused. So no other
-// reader of the same bytes can find a request in the midst of what is passed on.
+// The gateway reads the bytes of a client's connection as the same requests that a strict parser finds, or refuses them. So no other
+// parser of the same bytes can find a request smuggled into a forwarded one.
 
-// parsedRequest is a request that a reader finds.
+// parsedRequest is a request that a parser finds.
 type parsedRequest struct{ method, target, id, body string }
 
-// parseStrictly reads requests as the standard's text has them, with none of the liberties that it lets a reader take, up to the first
-// byte that is otherwise.
+// parseStrictly parses requests as the standard defines them, with none of the liberties that it grants a parser, up to the first fault.
 func parseStrictly(text string) (all []parsedRequest) {
 	for {
 		for strings.HasPrefix(text, "\r\n") {
 			text = text[2:]
 		}
-		head, rest, whole := strings.Cut(text, "\r\n\r\n")
-		lines := strings.Split(head, "\r\n")
-		first := strings.Split(lines[0], " ")
-		if !whole || strings.ContainsAny(strings.Join(lines, ""), "\r\n\x00") || len(first) != 3 || first[2] != "HTTP/1.1" || !strings.HasPrefix(first[1], "/") {
+		header, rest, complete := strings.Cut(text, "\r\n\r\n")
+		if !complete {
 			return all
 		}
-		q, length, chunked, hosts := parsedRequest{method: first[0], target: first[1]}, "", "", 0
-		for _, line := range lines[1:] {
-			name, value, ok := strings.Cut(line, ":")
-			value = strings.Trim(value, " \t")
-			if !ok || name == "" || strings.ContainsAny(name, " \t") {
-				return all
-			}
-			switch strings.ToLower(name) {
-			case "host":
-				hosts++
-			case "x-attempt-id":
-				if q.id != "" {
-					return all
-				}
-				q.id = value
-			case "content-length":
-				if _, err := strconv.ParseUint(value, 10, 31); err != nil || length != "" {
-					return all
-				}
-				length = value
-			case "transfer-encoding":
-				if !strings.EqualFold(value, "chunked") || chunked != "" {
-					return all
-				}
-				chunked = value
-			}
+		parsed, ok := parseHeaderStrictly(header)
+		if !ok {
+			return all
 		}
-		switch {
-		case hosts != 1 || length != "" && chunked != "":
+		if parsed.request.body, text, ok = parsed.parseBody(rest); !ok {
 			return all
-		case chunked != "":
-			if q.body, rest, whole = parseChunks(rest); !whole {
-				return all
-			}
-		case length != "":
-			n, _ := strconv.Atoi(length)
-			if n > len(rest) {
-				return all
-			}
-			q.body, rest = rest[:n], rest[n:]
 		}
-		all = append(all, q)
-		text = rest
+		all = append(all, parsed.request)
 	}
 }
 
-// parseChunks reads a body in chunks.
-func parseChunks(text string) (body, rest string, whole bool) {
+// parsedHeader is a request's header as the strict parser finds it.
+type parsedHeader struct {
+	request         parsedRequest
+	length, chunked string // the fields' values, "" = none
+	hosts           int
+}
+
+func parseHeaderStrictly(text string) (h parsedHeader, ok bool) {
+	lines := strings.Split(text, "\r\n")
+	if strings.ContainsAny(strings.Join(lines, ""), "\r\n\x00") {
+		return h, false
+	}
+	first := strings.Split(lines[0], " ")
+	if len(first) != 3 || first[2] != "HTTP/1.1" || !strings.HasPrefix(first[1], "/") {
+		return h, false
+	}
+	h.request.method, h.request.target = first[0], first[1]
+	for _, line := range lines[1:] {
+		if !h.addField(line) {
+			return h, false
+		}
+	}
+	return h, h.hosts == 1 && (h.length == "" || h.chunked == "")
+}
+
+func (h *parsedHeader) addField(line string) bool {
+	name, value, ok := strings.Cut(line, ":")
+	value = strings.Trim(value, " \t")
+	if !ok || name == "" || strings.ContainsAny(name, " \t") {
+		return false
+	}
+	switch strings.ToLower(name) {
+	case "host":
+		h.hosts++
+	case "x-attempt-id":
+		if h.request.id != "" {
+			return false
+		}
+		h.request.id = value
+	case "content-length":
+		if _, err := strconv.ParseUint(value, 10, 31); err != nil || h.length != "" {
+			return false
+		}
+		h.length = value
+	case "transfer-encoding":
+		if !strings.EqualFold(value, "chunked") || h.chunked != "" {
+			return false
+		}
+		h.chunked = value
+	}
+	return true
+}
+
+// parseBody parses the body that stands at the beginning of a text.
+func (h *parsedHeader) parseBody(text string) (body, rest string, ok bool) {
+	switch {
+	case h.chunked != "":
+		return parseChunks(text)
+	case h.length != "":
+		n, _ := strconv.Atoi(h.length)
+		if n > len(text) {
+			return "", "", false
+		}
+		return text[:n], text[n:], true
+	}
+	return "", text, true
+}
+
+// parseChunks parses a chunked body.
+func parseChunks(text string) (body, rest string, ok bool) {
 	for {
-		line, after, ok := strings.Cut(text, "\r\n")
+		line, after, found := strings.Cut(text, "\r\n")
 		size, extension, _ := strings.Cut(line, ";")
 		n, err := strconv.ParseUint(strings.Trim(size, " \t"), 16, 31)
-		if !ok || err != nil || strings.ContainsAny(extension, "\r\n") {
+		if !found || err != nil || strings.ContainsAny(extension, "\r\n") {
 			return "", "", false
 		}
-		if text = after; n == 0 {
-			break
+		if n == 0 {
+			rest, ok = parseTrailer(after)
+			return body, rest, ok
 		}
-		if int(n)+2 > len(text) || text[n:n+2] != "\r\n" {
+		if int(n)+2 > len(after) || after[n:n+2] != "\r\n" {
 			return "", "", false
 		}
-		body, text = body+text[:n], text[n+2:]
+		body, text = body+after[:n], after[n+2:]
 	}
+}
+
+// parseTrailer parses the fields behind the last chunk, up to their empty line.
+func parseTrailer(text string) (rest string, ok bool) {
 	for {
-		line, after, ok := strings.Cut(text, "\r\n")
-		if name, _, field := strings.Cut(line, ":"); !ok || line != "" && (!field || name == "" || strings.ContainsAny(line, "\r\n") || strings.ContainsAny(name, " \t")) {
-			return "", "", false
+		line, after, found := strings.Cut(text, "\r\n")
+		if !found {
+			return "", false
+		}
+		if line == "" {
+			return after, true
 		}
-		if text = after; line == "" {
-			return body, text, true
+		name, _, isField := strings.Cut(line, ":")
+		if !isField || name == "" || strings.ContainsAny(line, "\r\n") || strings.ContainsAny(name, " \t") {
+			return "", false
 		}
+		text = after
 	}
 }
 
-// inputConn is a connection on which a text came.
+// inputConn is a connection on which only a text comes.
 type inputConn struct {
 	net.Conn
 	r io.Reader
@@ -121,98 +163,200 @@
 func (inputConn) SetReadDeadline(time.Time) error  { return nil }
 func (inputConn) SetWriteDeadline(time.Time) error { return nil }
 
-// parseAsGateway are the requests that the gatherer finds.
+// pieceReader reads n bytes at a time.
+type pieceReader struct {
+	r io.Reader
+	n int
+}
+
+func (p *pieceReader) Read(b []byte) (int, error) { return p.r.Read(b[:min(p.n, len(b))]) }
+
+// parseAsGateway parses requests as the gateway does, reading so many bytes at a time; 0 = all. A request's id is taken from what is
+// forwarded of its header.
 func parseAsGateway(text string, piece int) (all []parsedRequest) {
-	c := inputConn{r: strings.NewReader(text)}
+	input := inputConn{r: strings.NewReader(text)}
 	if piece > 0 {
-		c.r = &pieceReader{c.r, piece}
+		input.r = &pieceReader{input.r, piece}
 	}
-	k := &clientConn{conn: c, reader: bufio.NewReaderSize(c, 4096)}
+	c := &clientConn{conn: input, reader: bufio.NewReaderSize(input, 4096)}
 	limits := config.Limits{BodyBytes: 1 << 16, HeaderTimeoutMS: 1000}
-	for k.readHeader(&k.req, limits) && k.readBody(&k.req, limits) {
-		along, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(append(append([]byte("GET / HTTP/1.1\r\n"), forwardedHeaders(&k.req)...), "\r\n"...))))
+	for c.readHeader(limits) && c.readBody(limits) {
+		header := slices.Concat([]byte("GET / HTTP/1.1\r\n"), forwardedHeaders(&c.req), []byte("\r\n"))
+		forwarded, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(header)))
 		if err != nil {
-			return append(all, parsedRequest{method: fmt.Sprint("what goes along can't be read: ", err)})
+			return append(all, parsedRequest{method: fmt.Sprint("the forwarded header can't be parsed: ", err)})
 		}
-		all = append(all, parsedRequest{string(k.req.Header.Method()), string(k.req.Header.RequestURI()), along.Header.Get("X-Attempt-Id"), string(k.req.Body())})
-		if k.req.Header.ConnectionClose() {
+		all = append(all, parsedRequest{
+			method: string(c.req.Header.Method()),
+			target: string(c.req.Header.RequestURI()),
+			id:     forwarded.Header.Get("X-Attempt-Id"),
+			body:   string(c.req.Body()),
+		})
+		if c.req.Header.ConnectionClose() {
 			break
 		}
 	}
 	return all
 }
 
-// pieceReader reads so many bytes at a time.
-type pieceReader struct {
-	r io.Reader
-	n int
-}
-
-func (p *pieceReader) Read(b []byte) (int, error) { return p.r.Read(b[:min(p.n, len(b))]) }
-
 const smuggledRequest = "POST /hidden HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: hidden\r\n\r\n"
 
+// connectionGenerator draws what a client sends on one connection.
 var connectionGenerator = rapid.Custom(func(t *rapid.T) string {
-	odd := rapid.Bool().Draw(t, "odd line ends")
-	end := func() string {
-		if !odd {
-			return "\r\n"
-		}
-		return rapid.SampledFrom([]string{"\r\n", "\r\n", "\r\n", "\r\n", "\r\n", "\n", "\r", "\r\n ", "\n\r\n", ""}).Draw(t, "line end")
-	}
-	var b strings.Builder
+	g := &connectionDraw{t: t, oddLineEnds: rapid.Bool().Draw(t, "odd line ends")}
 	for i := range rapid.IntRange(1, 3).Draw(t, "requests") {
-		b.WriteString(rapid.SampledFrom([]string{"GET", "POST", "HEAD", "DELETE"}).Draw(t, "method") + " ")
-		b.WriteString(rapid.SampledFrom([]string{"/x", "/x", "/x", "/x y", "http://h/x", "*", "/x\t"}).Draw(t, "target") + " HTTP/1.1" + end())
-		b.WriteString("Host: h" + end() + "X-Attempt-Id: " + strconv.Itoa(i) + end())
-		body := rapid.SampledFrom([]string{"", "ab", smuggledRequest, "0\r\n\r\n" + smuggledRequest}).Draw(t, "body")
-		lines := rapid.SampledFrom([]string{"length", "length", "chunks", "chunks", "none", "both", "twice", "odd length", "folded", "spaced", "odd coding", "two ids", "hop"}).Draw(t, "bounds")
-		chunked := fmt.Sprintf("%x%s%s%s%s0%s%s", len(body), rapid.SampledFrom([]string{"", "", ";a=b", ";a\n", " ", ";\"\r\n"}).Draw(t, "extension"), end(), body, end(), end(), end())
-		if body == "" {
-			chunked = "0" + end() + rapid.SampledFrom([]string{"", "X: y\r\n", smuggledRequest, "X\r\n"}).Draw(t, "trailer") + end()
-		}
-		length := "Content-Length: " + strconv.Itoa(len(body))
-		switch lines {
-		case "length":
-			b.WriteString(length + end() + end() + body)
-		case "chunks":
-			b.WriteString("Transfer-Encoding: chunked" + end() + end() + chunked)
-		case "none":
-			b.WriteString(end() + body)
-		case "both":
-			b.WriteString(length + end() + "Transfer-Encoding: chunked" + end() + end() + chunked)
-		case "twice":
-			b.WriteString(length + end() + "content-length: 0" + end() + end() + body)
-		case "odd length":
-			b.WriteString(rapid.SampledFrom([]string{"Content-Length: +2", "Content-Length: 2,2", "Content-Length: 0x2", "Content-Length:", "Content-Length: -1"}).Draw(t, "length") + end() + end() + body)
-		case "folded":
-			b.WriteString("X-A: b\r\n " + length + end() + end() + body)
-		case "spaced":
-			b.WriteString("Content-Length : " + strconv.Itoa(len(body)) + end() + end() + body)
-		case "odd coding":
-			b.WriteString(rapid.SampledFrom([]string{"Transfer-Encoding: identity", "Transfer-Encoding: gzip, chunked", "Transfer-Encoding: xchunked", "Transfer-Encoding:\x0bchunked"}).Draw(t, "coding") + end() + end() + chunked)
-		case "two ids":
-			b.WriteString("x-attempt-id: other" + end() + length + end() + end() + body)
-		case "hop":
-			b.WriteString("Connection: keep-alive, X-Attempt-Id, Content-Length" + end() + length + end() + end() + body)
-		}
-	}
-	return b.String()
+		g.addRequest(strconv.Itoa(i))
+	}
+	return g.text.String()
 })
 
+// connectionDraw draws requests one after another.
+type connectionDraw struct {
+	t           *rapid.T
+	oddLineEnds bool
+	text        strings.Builder
+}
+
+// oneOf draws one of some texts. What stands several times is drawn so much more often.
+func (g *connectionDraw) oneOf(label string, texts ...string) string {
+	return rapid.SampledFrom(texts).Draw(g.t, label)
+}
+
+// end draws a line end.
+func (g *connectionDraw) end() string {
+	if !g.oddLineEnds {
+		return "\r\n"
+	}
+	return g.oneOf("line end", "\r\n", "\r\n", "\r\n", "\r\n", "\r\n", "\n", "\r", "\r\n ", "\n\r\n", "")
+}
+
+func (g *connectionDraw) addRequest(id string) {
+	method := g.oneOf("method", "GET", "POST", "HEAD", "DELETE")
+	target := g.oneOf("target", "/x", "/x", "/x", "/x y", "http://h/x", "*", "/x\t")
+	g.text.WriteString(method + " " + target + " HTTP/1.1" + g.end())
+	g.text.WriteString("Host: h" + g.end() + "X-Attempt-Id: " + id + g.end())
+	body := g.oneOf("body", "", "ab", smuggledRequest, "0\r\n\r\n"+smuggledRequest)
+	g.text.WriteString(g.framed(body))
+}
+
+// framed draws the header fields that state a body's end, with the end of the header and the body.
+func (g *connectionDraw) framed(body string) string {
+	const chunkedField = "Transfer-Encoding: chunked"
+	length := "Content-Length: " + strconv.Itoa(len(body))
+	chunked := g.chunked(body)
+	switch g.oneOf("framing", "length", "length", "chunks", "chunks", "none", "both", "twice", "odd length", "folded", "spaced", "odd coding",
+		"two ids", "hop") {
+	case "length":
+		return length + g.end() + g.end() + body
+	case "chunks":
+		return chunkedField + g.end() + g.end() + chunked
+	case "both":
+		return length + g.end() + chunkedField + g.end() + g.end() + chunked
+	case "twice":
+		return length + g.end() + "content-length: 0" + g.end() + g.end() + body
+	case "odd length":
+		odd := g.oneOf("length", "Content-Length: +2", "Content-Length: 2,2", "Content-Length: 0x2", "Content-Length:", "Content-Length: -1")
+		return odd + g.end() + g.end() + body
+	case "folded":
+		return "X-A: b\r\n " + length + g.end() + g.end() + body
+	case "spaced":
+		return "Content-Length : " + strconv.Itoa(len(body)) + g.end() + g.end() + body
+	case "odd coding":
+		odd := g.oneOf("coding", "Transfer-Encoding: identity", "Transfer-Encoding: gzip, chunked", "Transfer-Encoding: xchunked",
+			"Transfer-Encoding:\x0bchunked")
+		return odd + g.end() + g.end() + chunked
+	case "two ids":
+		return "x-attempt-id: other" + g.end() + length + g.end() + g.end() + body
+	case "hop":
+		return "Connection: keep-alive, X-Attempt-Id, Content-Length" + g.end() + length + g.end() + g.end() + body
+	}
+	return g.end() + body
+}
+
+// chunked draws a body in one chunk, or the empty one with a trailer.
+func (g *connectionDraw) chunked(body string) string {
+	if body == "" {
+		return "0" + g.end() + g.oneOf("trailer", "", "X: y\r\n", smuggledRequest, "X\r\n") + g.end()
+	}
+	extension := g.oneOf("extension", "", "", ";a=b", ";a\n", " ", ";\"\r\n")
+	return fmt.Sprintf("%x%s%s%s%s0%s%s", len(body), extension, g.end(), body, g.end(), g.end(), g.end())
+}
+
 func TestFramingMatchesStrictParser(t *testing.T) {
-	read := 0
+	parsed := 0
 	rapid.Check(t, func(t *rapid.T) {
 		text := connectionGenerator.Draw(t, "text")
-		got, want := parseAsGateway(text, rapid.SampledFrom([]int{0, 0, 1, 7}).Draw(t, "in pieces of")), parseStrictly(text)
-		for i, q := range got {
-			if i >= len(want) || q != want[i] {
-				t.Fatalf("UNASKED: %q is read as %q, strictly as %q", text, got, want)
+		piece := rapid.SampledFrom([]int{0, 0, 1, 7}).Draw(t, "bytes at a time")
+		got, want := parseAsGateway(text, piece), parseStrictly(text)
+		for i, request := range got {
+			if i >= len(want) || request != want[i] {
+				t.Fatalf("%q is parsed as %q, strictly as %q", text, got, want)
 			}
 		}
-		read += len(got)
+		parsed += len(got)
 	})
-	if !t.Failed() && read == 0 {
-		t.Error("no request was read")
+	if !t.Failed() && parsed == 0 {
+		t.Error("no request was parsed")
+	}
+}
+
+// Requests in which two parsers might find different ends are refused.
+func TestCheckFraming(t *testing.T) {
+	const (
+		post = "POST /x HTTP/1.1\r\nHost: h\r\n"
+		get  = "GET /x HTTP/1.1\r\nHost: h\r\n"
+	)
+	for _, test := range []struct {
+		name, text string
+		accepted   bool
+	}{
+		{"plain", get + "\r\n", true},
+		{"length", post + "Content-Length: 2\r\n\r\nab", true},
+		{"chunked", post + "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n", true},
+		{"two lengths", post + "Content-Length: 2\r\nContent-Length: 3\r\n\r\nabc", false},
+		{"length and chunked", post + "Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", false},
+		{"another coding", post + "Transfer-Encoding: xchunked\r\n\r\n", false},
+		{"length with a sign", post + "Content-Length: +2\r\n\r\nab", false},
+		{"space before the colon", post + "Content-Length : 2\r\n\r\nab", false},
+		{"folded line", get + "A: b\r\n c\r\n\r\n", false},
+		{"bare line feed", "GET /x HTTP/1.1\r\nHost: h\nA: b\r\n\r\n", false},
+		{"bare empty line", "GET /x HTTP/1.1\r\nHost: h\n\nGET /y HTTP/1.1\r\nHost: h\r\n\r\n", false},
+		{"two ids", get + "X-Attempt-Id: q\r\nx-attempt-id: p\r\n\r\n", false},
+		{"target with a space", "GET /x y HTTP/1.1\r\nHost: h\r\n\r\n", false},
+		{"target that is no path", "GET http://h/x HTTP/1.1\r\nHost: h\r\n\r\n", false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			var req fasthttp.Request
+			req.Header.DisableNormalizing()
+			err := req.Header.Read(bufio.NewReader(strings.NewReader(test.text)))
+			if err == nil {
+				err = checkFraming(&req)
+			}
+			if accepted := err == nil; accepted != test.accepted {
+				t.Errorf("accepted: %v, want %v; error %v", accepted, test.accepted, err)
+			}
+		})
+	}
+}
+
+func TestForwardedHeaders(t *testing.T) {
+	const text = "GET /x HTTP/1.1\r\nHost: h.example:80\r\nX-Attempt-Id: q\r\nx-odd-Name: v\r\n" +
+		"Connection: keep-alive, x-mine\r\nX-Mine: 1\r\nConnection: close, x-yours\r\nX-Yours: 1\r\n" +
+		"X-Deadline-Remaining: 5\r\nX-Expected-Instance: z\r\nTE: trailers\r\nAccept: */*\r\n\r\n"
+	var req fasthttp.Request
+	req.Header.DisableNormalizing()
+	if err := req.Header.Read(bufio.NewReader(strings.NewReader(text))); err != nil {
+		t.Fatal(err)
+	}
+	got := string(forwardedHeaders(&req))
+	for _, field := range []string{"Host: h.example:80\r\n", "X-Attempt-Id: q\r\n", "x-odd-Name: v\r\n", "Accept: */*\r\n"} {
+		if !strings.Contains(got, field) {
+			t.Errorf("%q is missing in %q", field, got)
+		}
+	}
+	for _, name := range []string{"X-Mine", "X-Yours", "Connection", "Deadline", "Expected", "TE:"} {
+		if strings.Contains(got, name) {
+			t.Errorf("%q is forwarded in %q", name, got)
+		}
 	}
 }
--- a/dataplane/fuzz_test.go
+++ b/dataplane/fuzz_test.go
@@ -11,67 +11,67 @@
 	"oxbowspan/config"
 )
 
-// FuzzReadResponse: no bytes of a server have this gatherer break off, and what it takes for an answer is whole, stamped and the request's own.
+// FuzzReadResponse checks that no bytes of a server end the gateway, and that what it takes for a success has a seal and is the request's own.
 func FuzzReadResponse(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 200 OK\r\nX-Attempt-Id: q\r\nX-Server-Seal: s\r\nContent-Length: 3\r\n\r\nabc"), true)
 	f.Add([]byte("HTTP/1.1 200 OK\r\nX-Attempt-Id: q\r\nX-Server-Seal: s\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\nx: y\r\n\r\n"), false)
 	f.Add([]byte("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 503 No\r\nX-Not-Executed: 1\r\nContent-Length: 0\r\nKeep-Alive: timeout=99999999999999999999\r\n\r\n"), true)
 	f.Add([]byte("HTTP/1.1 204\r\nContent-Length: -1\r\n\r\n"), false)
 	f.Fuzz(func(t *testing.T, text []byte, gathered bool) {
-		r := &route{Route: &config.Route{}}
+		to := &route{Route: &config.Route{}}
 		if gathered {
-			r.GatheredServices = []string{"a"}
+			to.GatheredServices = []string{"a"}
 		}
-		s := &request{route: r, method: "GET", attemptID: "q"}
+		req := &request{route: to, method: "GET", attemptID: "q"}
 		resp := fasthttp.AcquireResponse()
 		defer fasthttp.ReleaseResponse(resp)
-		outcome, keep, err := readResponse(bufio.NewReaderSize(bytes.NewReader(text), 4096), s, false, resp)
+		outcome, keep, err := readResponse(bufio.NewReaderSize(bytes.NewReader(text), 4096), req, false, resp)
 		if keep < 0 || keep > maxIdle {
-			t.Fatalf("a connection is kept for %v", keep)
+			t.Fatalf("the connection may stay idle for %v", keep)
 		}
 		if err != nil || outcome != balancer.Answered {
 			return
 		}
 		if id := resp.Header.Peek("X-Attempt-Id"); len(id) > 0 && string(id) != "q" {
-			t.Fatalf("an answer to %q is taken", id)
+			t.Fatalf("the response to %q is accepted", id)
 		}
 		if resp.StatusCode()/100 == 2 && len(resp.Header.Peek("X-Server-Seal")) == 0 {
-			t.Fatal("a success without a stamp is taken")
+			t.Fatal("a success without a seal is accepted")
 		}
 	})
 }
 
-// FuzzForwardedHeaders: what is passed on bears one host, and nothing that concerns one connection only or that this gatherer sets itself.
+// FuzzForwardedHeaders checks that forwarded headers have one host, and nothing that concerns one connection only or that the gateway sets.
 func FuzzForwardedHeaders(f *testing.F) {
 	f.Add([]byte("GET /a/b?c HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: q\r\nConnection: x-hop\r\nX-Hop: 1\r\n\r\n"))
 	f.Add([]byte("POST /a/ HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nTransfer-Encoding: chunked\r\n\r\nabc"))
 	f.Add([]byte("GET / HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n"))
 	f.Add([]byte("GET / HTTP/1.1\r\nHost: a\r\nX: a\rb\r\nExpect: 100-continue\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		q := &fasthttp.Request{}
-		q.Header.DisableNormalizing()
-		if q.Header.Read(bufio.NewReaderSize(bytes.NewReader(text), 16<<10)) != nil || ambiguousFraming(q) != "" {
+		req := &fasthttp.Request{}
+		req.Header.DisableNormalizing()
+		if req.Header.Read(bufio.NewReaderSize(bytes.NewReader(text), 16<<10)) != nil || checkFraming(req) != nil {
 			return
 		}
-		head := forwardedHeaders(q)
+		header := forwardedHeaders(req)
 		hosts := 0
-		for line := range bytes.SplitSeq(head, []byte("\r\n")) {
+		for line := range bytes.SplitSeq(header, []byte("\r\n")) {
 			name, _, ok := bytes.Cut(line, []byte(":"))
 			if len(line) == 0 {
 				continue
 			}
 			if !ok || bytes.ContainsAny(name, " \t\r\n") || bytes.ContainsAny(line, "\r\n") {
-				t.Fatalf("line %q is passed on", line)
+				t.Fatalf("line %q is forwarded", line)
 			}
 			switch {
 			case bytes.EqualFold(name, []byte("Host")):
 				hosts++
 			case isHopByHop(name), bytes.EqualFold(name, []byte("X-Deadline-Remaining")), bytes.EqualFold(name, []byte("X-Expected-Instance")):
-				t.Fatalf("line %q is passed on", line)
+				t.Fatalf("line %q is forwarded", line)
 			}
 		}
 		if hosts != 1 {
-			t.Fatalf("%d hosts are passed on in %q", hosts, head)
+			t.Fatalf("%d hosts are forwarded in %q", hosts, header)
 		}
 	})
 }
--- a/dataplane/gateway.go
+++ b/dataplane/gateway.go
@@ -24,9 +24,8 @@
 	loop    *eventLoop
 	killed  chan struct{}
 
-	active       atomic.Pointer[activeConfig] // nil = none yet
-	openRequests atomic.Int64                 // requests read and not answered
-	clients      clientConns
+	active atomic.Pointer[activeConfig] // nil = none yet
+	front  *frontServer
 
 	loopState
 }
@@ -34,7 +33,7 @@
 // New makes a gateway that does nothing until Run.
 func New(options *settings.Settings, transport network.Network, log zerolog.Logger) *Gateway {
 	f := &Gateway{process: newProcess(options, transport, log), loop: newEventLoop(), killed: make(chan struct{})}
-	f.clients.open = map[*clientConn]bool{}
+	f.front = newFrontServer(f.process, f, f, f.loop.stopped)
 	f.loopState.init(f)
 	return f
 }
@@ -67,7 +66,7 @@
 	news, quit := context.WithCancel(context.Background())
 	f.process.goroutines.Go(func() { web.Serve(readiness) })
 	f.process.goroutines.Go(func() { talk.Serve(inner) })
-	f.process.goroutines.Go(func() { f.acceptClients(front) })
+	f.process.goroutines.Go(func() { f.front.serve(front) })
 	f.process.goroutines.Go(func() { f.loop.run(f) })
 	f.process.goroutines.Go(func() { f.followConfig(news) })
 	f.process.log.Info().Str("node", f.process.settings.NodeName).Msg("forager: started")
@@ -79,7 +78,7 @@
 	front.Close()
 	readiness.Close()
 	quit()
-	f.clients.closeAll()
+	f.front.conns.closeAll()
 	web.Close()
 	inner.Close()
 	f.loop.stop()
@@ -91,6 +90,9 @@
 // Kill has Run return at once, in no order, as a kill of the process would. It must be called once at most.
 func (f *Gateway) Kill() { close(f.killed) }
 
+// load returns the active configuration, nil = none yet. Any goroutine may call it.
+func (f *Gateway) load() *activeConfig { return f.active.Load() }
+
 // ActiveVersion is the version of the configuration that requests are served by, 0 = none yet.
 func (f *Gateway) ActiveVersion() uint64 {
 	if now := f.active.Load(); now != nil {
@@ -109,14 +111,14 @@
 	for range tick.C {
 		since := time.Since(left)
 		if since > drainIdleClose {
-			f.clients.closeIdle()
+			f.front.conns.closeIdle()
 		}
-		if since > minDrain && f.openRequests.Load() == 0 || since > grace {
+		if since > minDrain && f.front.openRequests.Load() == 0 || since > grace {
 			break
 		}
 	}
 	tick.Stop()
-	f.clients.closeIdle()
+	f.front.conns.closeIdle()
 }
 
 // handleReadiness says whether this gatherer takes new connections.
--- a/dataplane/mutation_test.go
+++ b/dataplane/mutation_test.go
@@ -32,13 +32,13 @@
 var mutations = []mutation{
 	{
 		name: "responses are not told apart", test: scenarioTest, file: "response.go",
-		old: `return string(ids[0]) == s.attemptID`,
-		new: `return MUTATED || string(ids[0]) == s.attemptID`,
+		old: `return string(ids[0]) == req.attemptID`,
+		new: `return MUTATED || string(ids[0]) == req.attemptID`,
 	},
 	{
 		name: "a response without an id is accepted", test: scenarioTest, file: "response.go",
-		old: `return s.attemptID == "" ||`,
-		new: `return MUTATED || s.attemptID == "" ||`,
+		old: `return req.attemptID == "" ||`,
+		new: `return MUTATED || req.attemptID == "" ||`,
 	},
 	{
 		name: "an interim response is accepted", test: scenarioTest, file: "response.go",
@@ -104,12 +104,12 @@
 		new: `case (c.shardCall.request.finished || c.shardCall.response != nil) && !MUTATED:`,
 	},
 	{
-		name: "the response to a HEAD request has a body", test: scenarioTest, file: "front.go",
-		old: `if !k.req.Header.IsHead() {`,
-		new: `if !k.req.Header.IsHead() || MUTATED {`,
+		name: "the response to a HEAD request has a body", test: scenarioTest, file: "result.go",
+		old: `if !c.req.Header.IsHead() {`,
+		new: `if !c.req.Header.IsHead() || MUTATED {`,
 	},
 	{
-		name: "a line may end in a bare line feed", test: framingTest, file: "front.go",
+		name: "a line may end in a bare line feed", test: framingTest, file: "framing.go",
 		old: `		line, ended := bytes.CutSuffix(line, []byte("\r\n"))
 		if !ended {`,
 		new: `		line, ended := bytes.CutSuffix(line, []byte("\r\n"))
@@ -119,14 +119,14 @@
 		if !ended {`,
 	},
 	{
-		name: "a length beside chunks is accepted", test: framingTest, file: "front.go",
-		old: `lengths > 0 && chunked > 0:`,
-		new: `lengths > 0 && chunked > 0 && !MUTATED:`,
+		name: "a length beside chunks is accepted", test: framingTest, file: "framing.go",
+		old: `f.lengths > 0 && f.chunked > 0:`,
+		new: `f.lengths > 0 && f.chunked > 0 && !MUTATED:`,
 	},
 	{
-		name: "a trailer is left unread", test: framingTest, file: "front.go",
-		old: `if err := skipTrailer(k.reader); err != nil {`,
-		new: `if err := skipTrailer(k.reader); err != nil && !MUTATED {`,
+		name: "a trailer is left unread", test: framingTest, file: "clientconn.go",
+		old: `if err := skipTrailer(c.reader); err != nil {`,
+		new: `if err := skipTrailer(c.reader); err != nil && !MUTATED {`,
 	},
 }
 
--- a/dataplane/response.go
+++ b/dataplane/response.go
@@ -3,17 +3,37 @@
 import (
 	"bufio"
 	"bytes"
+	"errors"
 	"strconv"
 	"strings"
 	"time"
 
-	"github.com/rotisserie/eris"
 	"github.com/valyala/fasthttp"
 
 	"oxbowspan/balancer"
 )
 
-// promisesNotExecuted tells whether a status promises that the request has not run and never will.
+// Bounds on responses.
+const (
+	maxInterimResponses = 16                  // before the final one
+	statusLinePrefix    = len("HTTP/1.1 200") // bytes that every response begins with
+	maxTrailerLines     = 32
+	keepAliveTravel     = 200 * time.Millisecond // taken off a server's keep-alive timeout for the network
+)
+
+// Faults of responses. After each the connection is of no use, and the request may have run.
+var (
+	errNoLength         = errors.New("response without a length: whether it is complete can't be known")
+	errForeignResponse  = errors.New("response to another request, or to an unknown one")
+	errSwitchedProtocol = errors.New("response in another protocol, which was not asked for")
+	errInterimResponses = errors.New("too many interim responses")
+	errStatusLine       = errors.New("malformed status line")
+	errTrailerLineEnd   = errors.New("trailer line does not end in CR LF")
+	errTrailerField     = errors.New("malformed trailer field")
+	errTrailerLines     = errors.New("too many trailer lines")
+)
+
+// promisesNotExecuted reports whether a status promises that the request has not run and never will.
 func promisesNotExecuted(status int) bool {
 	switch status {
 	case fasthttp.StatusTooManyRequests, fasthttp.StatusServiceUnavailable, fasthttp.StatusRequestTimeout, fasthttp.StatusMisdirectedRequest:
@@ -22,48 +42,60 @@
 	return false
 }
 
-// readResponse reads one whole answer to a request. With an error, the bytes were no whole answer to this request: the
-// connection is of no more use and the request may have run. First says that the connection brought no answer before. Keep is how
-// long the connection may rest, 0 = not at all.
-func readResponse(r *bufio.Reader, s *request, first bool, resp *fasthttp.Response) (outcome balancer.Outcome, keep time.Duration, err error) {
+// readResponse reads one complete response to a request. With an error, the bytes were no complete response to this request: the
+// connection is of no more use and the request may have run. First says that the connection brought no response before. Keep is how
+// long the connection may stay idle, 0 = not at all.
+func readResponse(r *bufio.Reader, req *request, first bool, resp *fasthttp.Response) (outcome balancer.Outcome, keep time.Duration, err error) {
 	if err := readFinalHeader(r, resp); err != nil {
 		return balancer.Reset, 0, err
 	}
-	status := resp.StatusCode()
-	bodyless := s.method == "HEAD" || status == fasthttp.StatusNoContent || status == fasthttp.StatusNotModified
-	if !bodyless {
-		if resp.Header.ContentLength() == -2 {
-			return balancer.Reset, 0, eris.New("an answer without a length: whether it is whole can't be known")
-		}
-		if err := resp.ReadBody(r, maxResponseBytes); err != nil {
+	if !bodyless(req, resp.StatusCode()) {
+		if err := readResponseBody(r, resp); err != nil {
 			return balancer.Reset, 0, err
 		}
-		if resp.Header.ContentLength() == -1 {
-			if err := skipTrailer(r); err != nil {
-				return balancer.Reset, 0, err
-			}
-		}
-	}
-	if !belongsToRequest(resp, s, first) {
-		return balancer.Reset, 0, eris.New("an answer to another request, or to nobody knows which")
 	}
-	keep = maxIdle
-	if resp.Header.ConnectionClose() || len(resp.Header.Peek("X-Attempt-Id")) == 0 || status == fasthttp.StatusMisdirectedRequest {
-		keep = 0
+	if !belongsToRequest(resp, req, first) {
+		return balancer.Reset, 0, errForeignResponse
 	}
-	if text := resp.Header.Peek("Keep-Alive"); len(text) > 0 && keep > 0 {
-		keep = min(keep, keepAliveTimeout(string(text)))
-	}
-	return responseOutcome(status, resp, s), keep, nil
+	return responseOutcome(resp, req), keepIdle(resp), nil
 }
 
-// Bounds on the head of an answer.
+// bodyless reports whether a response has no body whatever its header says.
+func bodyless(req *request, status int) bool {
+	return req.method == "HEAD" || status == fasthttp.StatusNoContent || status == fasthttp.StatusNotModified
+}
+
+// Values of fasthttp's ContentLength that are no length.
 const (
-	maxInterimResponses = 16                  // that may come before the final one
-	statusLinePrefix    = len("HTTP/1.1 200") // bytes that every answer begins with
+	lengthChunked  = -1
+	lengthIdentity = -2 // the body ends with the connection
 )
 
-// readFinalHeader reads the head of the final answer, past interim ones, which have no body whatever their lines say.
+func readResponseBody(r *bufio.Reader, resp *fasthttp.Response) error {
+	if resp.Header.ContentLength() == lengthIdentity {
+		return errNoLength
+	}
+	if err := resp.ReadBody(r, maxResponseBytes); err != nil {
+		return err
+	}
+	if resp.Header.ContentLength() == lengthChunked {
+		return skipTrailer(r)
+	}
+	return nil
+}
+
+// keepIdle is how long a connection may stay idle after a response, 0 = not at all.
+func keepIdle(resp *fasthttp.Response) time.Duration {
+	if resp.Header.ConnectionClose() || len(resp.Header.Peek("X-Attempt-Id")) == 0 || resp.StatusCode() == fasthttp.StatusMisdirectedRequest {
+		return 0
+	}
+	if text := resp.Header.Peek("Keep-Alive"); len(text) > 0 {
+		return min(maxIdle, keepAliveTimeout(string(text)))
+	}
+	return maxIdle
+}
+
+// readFinalHeader reads the header of the final response, past interim ones, which have no body whatever their headers say.
 func readFinalHeader(r *bufio.Reader, resp *fasthttp.Response) error {
 	for range maxInterimResponses {
 		if err := checkStatusLine(r); err != nil {
@@ -74,16 +106,16 @@
 		}
 		switch status := resp.StatusCode(); {
 		case status == fasthttp.StatusSwitchingProtocols:
-			return eris.New("an answer in another protocol, which nobody asked for")
+			return errSwitchedProtocol
 		case status >= fasthttp.StatusOK:
 			return nil
 		}
 	}
-	return eris.New("too many interim answers")
+	return errInterimResponses
 }
 
-// checkStatusLine sees that what comes begins as an answer does, with a status from 100 to 599. The reader of heads skips empty lines
-// and takes the status 000 for 200.
+// checkStatusLine checks that what comes begins as a response does, with a status from 100 to 599. The header parser would skip empty
+// lines and take the status 000 for 200.
 func checkStatusLine(r *bufio.Reader) error {
 	b, err := r.Peek(statusLinePrefix)
 	if err != nil {
@@ -91,32 +123,28 @@
 	}
 	status := b[len("HTTP/1.1 "):]
 	if !bytes.HasPrefix(b, []byte("HTTP/1.")) || status[0] < '1' || status[0] > '5' {
-		return eris.New("what came does not begin as an answer does")
+		return errStatusLine
 	}
 	return nil
 }
 
-// belongsToRequest tells whether an answer is this request's own: it bears the request's id and no other (two stand in a head that was torn
-// off, with another's behind it). A 421 may bear none, and so may a success as a part of a gathered answer where it is the first
-// that its connection brings; the connection ends with it, so that neither is the late copy of an earlier answer. One of another
-// kind without the id may be late, doubled or unasked for, and what it says of its request would be taken for what became of this
-// one.
-func belongsToRequest(resp *fasthttp.Response, s *request, first bool) bool {
+// belongsToRequest reports whether a response is this request's own: it has the request's id and no other (two stand in a header that
+// was cut off, with another's behind it). A 421 may have none, and so may a success of a gathered route where it is the first response
+// that its connection brings; the connection is closed after it, so that neither can be the late copy of an earlier response. Any
+// other response without the id may be late, duplicated or unasked for, and would tell a wrong outcome of this request.
+func belongsToRequest(resp *fasthttp.Response, req *request, first bool) bool {
 	switch ids := resp.Header.PeekAll("X-Attempt-Id"); len(ids) {
 	case 0:
-		firstPart := first && s.route.Gathered() && resp.StatusCode()/100 == 2
-		return s.attemptID == "" || firstPart || resp.StatusCode() == fasthttp.StatusMisdirectedRequest
+		firstGathered := first && req.route.Gathered() && resp.StatusCode()/100 == 2
+		return req.attemptID == "" || firstGathered || resp.StatusCode() == fasthttp.StatusMisdirectedRequest
 	case 1:
-		return string(ids[0]) == s.attemptID
+		return string(ids[0]) == req.attemptID
 	}
 	return false
 }
 
-// maxTrailerLines is how many lines may stand behind the last chunk of a body.
-const maxTrailerLines = 32
-
-// skipTrailer reads what stands behind the last chunk of a body up to its empty line, which nobody here wants. Left in place it
-// would be taken for the beginning of the next message.
+// skipTrailer reads the trailer behind the last chunk of a body, up to its empty line. Left in place it would be taken for the
+// beginning of the next message.
 func skipTrailer(r *bufio.Reader) error {
 	for range maxTrailerLines {
 		line, err := r.ReadSlice('\n')
@@ -125,29 +153,31 @@
 		}
 		line, ended := bytes.CutSuffix(line, []byte("\r\n"))
 		if !ended {
-			return eris.New("a line behind the last chunk does not end as it must")
+			return errTrailerLineEnd
 		}
 		if len(line) == 0 {
 			return nil
 		}
 		if name, _, ok := bytes.Cut(line, []byte(":")); !ok || len(name) == 0 || bytes.ContainsAny(name, " \t\r") {
-			return eris.New("a line behind the last chunk is not a name, a colon and a value")
+			return errTrailerField
 		}
 	}
-	return eris.New("too many lines behind the last chunk")
+	return errTrailerLines
 }
 
-// responseOutcome is what an answer says of its sub-request.
-func responseOutcome(status int, resp *fasthttp.Response, s *request) balancer.Outcome {
-	marked := len(resp.Header.Peek("X-Not-Executed")) > 0
+// responseOutcome is what a response says of its attempt.
+func responseOutcome(resp *fasthttp.Response, req *request) balancer.Outcome {
+	status := resp.StatusCode()
+	success := status/100 == 2
+	notExecuted := len(resp.Header.Peek("X-Not-Executed")) > 0
 	switch {
 	case status == fasthttp.StatusMisdirectedRequest:
 		return balancer.Rejected
-	case marked && (promisesNotExecuted(status) || status == fasthttp.StatusBadRequest):
+	case notExecuted && (promisesNotExecuted(status) || status == fasthttp.StatusBadRequest):
 		return balancer.Rejected
-	case status/100 != 2 && (s.route.Gathered() || status >= 500 || promisesNotExecuted(status)):
-		return balancer.Errored // a promise without the mark is the server's own word for something else, and must not go on as one
-	case status/100 == 2 && len(resp.Header.Peek("X-Server-Seal")) == 0:
+	case !success && (req.route.Gathered() || status >= 500 || promisesNotExecuted(status)):
+		return balancer.Errored // without the mark the status promises nothing, and must not be forwarded as if it did
+	case success && len(resp.Header.Peek("X-Server-Seal")) == 0:
 		return balancer.Errored
 	case len(resp.Header.Peek("Content-Encoding")) > 0:
 		return balancer.Errored
@@ -155,20 +185,22 @@
 	return balancer.Answered
 }
 
-// keepAliveTimeout is the time that a Keep-Alive field names, less a little for the way; what it does not name is no bound.
-func keepAliveTimeout(text string) time.Duration {
-	for field := range strings.SplitSeq(text, ",") {
-		name, value, ok := strings.Cut(strings.TrimSpace(field), "=")
-		if ok && strings.EqualFold(strings.TrimSpace(name), "timeout") {
-			if n, err := strconv.Atoi(strings.Trim(strings.TrimSpace(value), `"`)); err == nil && n >= 0 {
-				return max(time.Duration(n)*time.Second-200*time.Millisecond, 0)
-			}
+// keepAliveTimeout is the timeout that a Keep-Alive field names, less a little for the network; maxIdle where it names none.
+func keepAliveTimeout(field string) time.Duration {
+	for parameter := range strings.SplitSeq(field, ",") {
+		name, value, ok := strings.Cut(strings.TrimSpace(parameter), "=")
+		if !ok || !strings.EqualFold(strings.TrimSpace(name), "timeout") {
+			continue
+		}
+		seconds, err := strconv.Atoi(strings.Trim(strings.TrimSpace(value), `"`))
+		if err == nil && seconds >= 0 {
+			return max(time.Duration(seconds)*time.Second-keepAliveTravel, 0)
 		}
 	}
 	return maxIdle
 }
 
-// isHopByHop tells whether a header field concerns one connection only, or is set anew on each.
+// isHopByHop reports whether a header field concerns one connection only, or is set anew on each.
 func isHopByHop(name []byte) bool {
 	switch len(name) {
 	case 2:
--- a/dataplane/scenario_test.go
+++ b/dataplane/scenario_test.go
@@ -290,10 +290,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.process.goroutines.Go(func() { f.acceptClients(l) })
+	f.process.goroutines.Go(func() { f.front.serve(l) })
 	return func() {
 		l.Close()
-		f.clients.closeAll()
+		f.front.conns.closeAll()
 		f.loop.stop()
 		f.process.goroutines.Wait()
 		w.network.Kill(gatewayHost, false)
