--- a/dataplane/configfollower.go
+++ b/dataplane/configfollower.go
@@ -8,7 +8,6 @@
 	"time"
 
 	"oxbowspan/config"
-	"oxbowspan/internal/settings"
 	"oxbowspan/rendezvous"
 	"oxbowspan/rpc"
 )
@@ -52,7 +51,7 @@
 			order = append(order, p)
 		}
 		// The nearest first; among equals each gatherer has its own order, so that they spread.
-		self := rendezvous.Name(f.process.settings.InternalAddress(settings.GatewayPort))
+		self := f.members.self
 		slices.SortFunc(order, func(a, b controllerAddress) int {
 			return cmp.Or(cmp.Compare(f.zoneDistance(a.zone), f.zoneDistance(b.zone)),
 				cmp.Compare(rendezvous.Weight(rendezvous.Name(a.address), self), rendezvous.Weight(rendezvous.Name(b.address), self)))
@@ -71,7 +70,7 @@
 			c = &rpc.Client{Address: p.address, Network: f.process.network}
 			callers[p.address] = c
 		}
-		ask := &rpc.Poll{From: &rpc.Gateway{Incarnation: f.process.incarnation, Address: f.process.settings.InternalAddress(settings.GatewayPort), Zone: f.process.settings.Zone, Left: f.process.draining.Load()},
+		ask := &rpc.Poll{From: &rpc.Gateway{Incarnation: f.process.incarnation, Address: string(f.members.self), Zone: f.process.settings.Zone, Left: f.process.draining.Load()},
 			Slot: slot, ControllerIncarnation: incarnation, Cursor: cursor, MembershipEpoch: membershipEpoch, WaitMs: uint32(pollHold / time.Millisecond)}
 		f.fillPoll(ask)
 		sent, askedAt := time.Now(), duration(f.loop.now())
@@ -105,7 +104,7 @@
 		if n.HasGateways {
 			membershipEpoch, peers = n.MembershipEpoch, peers[:0]
 			for _, o := range n.Gateways {
-				if o.Address != f.process.settings.InternalAddress(settings.GatewayPort) {
+				if o.Address != string(f.members.self) {
 					peers = append(peers, o.Address)
 				}
 			}
@@ -119,7 +118,7 @@
 			f.applyReports(n)
 			f.applyMembership(n)
 			if now := duration(f.loop.now()); n.HasQuorum {
-				f.roles.Renew(askedAt, now)
+				f.members.renew(askedAt, now)
 			}
 		})
 		if len(n.Controllers) > 0 {
--- a/dataplane/dispatcher.go
+++ b/dataplane/dispatcher.go
@@ -10,7 +10,6 @@
 
 	"oxbowspan/balancer"
 	"oxbowspan/config"
-	"oxbowspan/internal/settings"
 	"oxbowspan/outlier"
 	"oxbowspan/quota"
 	"oxbowspan/registry"
@@ -133,8 +132,6 @@
 	pendingEvents    []balancer.Event
 	subscribers      map[*rpc.Conn]bool
 	subscriptions    map[rendezvous.Name]*loadSubscription
-	roles            *rendezvous.Tracker
-	gateways         []rendezvous.Name          // all, as last told, this one too
 	slots            map[string]*slotAssignment // by service, as many as the configuration names
 	observedPeers    int                        // others that those watched stand for
 	lastID           uint64
@@ -167,8 +164,7 @@
 	o.endpoints, o.endpointsByID = map[string]*endpoint{}, map[balancer.ServerID]*endpoint{}
 	o.shards, o.queryTypes, o.zones = map[string]balancer.ShardIndex{}, map[string]balancer.QueryType{}, map[string]balancer.ZoneIndex{}
 	o.connectionLimits, o.subscribers, o.subscriptions = map[string]int{}, map[*rpc.Conn]bool{}, map[rendezvous.Name]*loadSubscription{}
-	o.roles = rendezvous.NewTracker(rendezvous.Name(f.process.settings.InternalAddress(settings.GatewayPort)))
-	o.gateways, o.slots = []rendezvous.Name{rendezvous.Name(f.process.settings.InternalAddress(settings.GatewayPort))}, map[string]*slotAssignment{}
+	o.slots = map[string]*slotAssignment{}
 	o.zones[f.process.settings.Zone] = 0
 	o.outliers = outlierClient{detector: outlier.NewDetector(outlier.Observer(f.process.incarnation)), reported: map[balancer.ServerID]balancer.OutlierVerdict{}}
 }
@@ -354,7 +350,7 @@
 		f.connectionLimits[s.Name] = s.ConnectionLimit
 		f.shardNumber(s.Name)
 	}
-	f.handleEvent(balancer.ClusterResized{Shards: len(f.shards), Instances: len(f.gateways)})
+	f.handleEvent(balancer.ClusterResized{Shards: len(f.shards), Instances: f.members.size()})
 	next := &activeConfig{slot: turn, version: c.Version, table: config.NewRouteTable(c), routes: map[*config.Route]*route{}}
 	had := f.queryTypes
 	f.queryTypes = map[string]balancer.QueryType{}
@@ -471,7 +467,7 @@
 	for _, s := range f.endpoints {
 		f.shardNumber(s.service)
 	}
-	f.handleEvent(balancer.ClusterResized{Shards: len(f.shards), Instances: len(f.gateways)})
+	f.handleEvent(balancer.ClusterResized{Shards: len(f.shards), Instances: f.members.size()})
 	seated := f.assignedEndpoints()
 	ev := balancer.ServerList{Kind: balancer.ListDelta}
 	for i, s := range f.endpoints {
@@ -520,7 +516,7 @@
 	few := map[string]map[string]bool{}
 	for service, limit := range f.connectionLimits {
 		n := rendezvous.ConnectionSlots(limit)
-		if n <= 0 || n >= len(f.gateways) {
+		if n <= 0 || n >= f.members.size() {
 			delete(f.slots, service)
 			continue
 		}
@@ -532,9 +528,9 @@
 		}
 		slices.Sort(servers)
 		at := f.slots[service]
-		if at == nil || at.slots != n || !slices.Equal(at.servers, servers) || !slices.Equal(at.gateways, f.gateways) {
-			at = &slotAssignment{servers, f.gateways, n, map[string]bool{}}
-			for _, name := range rendezvous.AssignedServers(rendezvous.Name(f.process.settings.InternalAddress(settings.GatewayPort)), f.gateways, servers, n) {
+		if at == nil || at.slots != n || !slices.Equal(at.servers, servers) || !slices.Equal(at.gateways, f.members.gateways) {
+			at = &slotAssignment{servers, f.members.gateways, n, map[string]bool{}}
+			for _, name := range rendezvous.AssignedServers(f.members.self, f.members.gateways, servers, n) {
 				at.assigned[string(name)] = true
 			}
 			f.slots[service] = at
@@ -547,9 +543,9 @@
 // maxConnections is this gatherer's part of the connections that a server of a service takes from all callers together.
 func (f *Gateway) maxConnections(service string) int {
 	if f.quota.limiter != nil {
-		if base, pool := quota.SplitCapacity(rendezvous.ConnectionSlots(f.connectionLimits[service]), len(f.gateways)); pool > 0 {
+		if base, pool := quota.SplitCapacity(rendezvous.ConnectionSlots(f.connectionLimits[service]), f.members.size()); pool > 0 {
 			return base + f.quota.grants[service].connections
 		}
 	}
-	return rendezvous.ConnectionShare(f.connectionLimits[service], len(f.gateways))
+	return rendezvous.ConnectionShare(f.connectionLimits[service], f.members.size())
 }
--- a/dataplane/gateway.go
+++ b/dataplane/gateway.go
@@ -24,8 +24,9 @@
 	loop    *eventLoop
 	killed  chan struct{}
 
-	active atomic.Pointer[activeConfig] // nil = none yet
-	front  *frontServer
+	active  atomic.Pointer[activeConfig] // nil = none yet
+	front   *frontServer
+	members *membership
 
 	loopState
 }
@@ -33,6 +34,7 @@
 // New makes a gateway that does nothing until Run.
 func New(options *settings.Settings, transport network.Network, log zerolog.Logger) *Gateway {
 	f := &Gateway{process: newProcess(options, transport, log), loop: newEventLoop(), killed: make(chan struct{})}
+	f.members = newMembership(f.process)
 	f.front = newFrontServer(f.process, f, f, f.loop.stopped)
 	f.loopState.init(f)
 	return f
@@ -55,7 +57,7 @@
 	if err != nil {
 		return eris.Errorf("the readiness address can't be listened on: %v", err)
 	}
-	inner, err := f.process.network.Listen(f.process.settings.InternalAddress(settings.GatewayPort))
+	inner, err := f.process.network.Listen(string(f.members.self))
 	if err != nil {
 		return eris.Errorf("the internal address can't be listened on: %v", err)
 	}
--- a/dataplane/healthcheck.go
+++ b/dataplane/healthcheck.go
@@ -32,7 +32,7 @@
 			s.healthCheckPause = 0
 			continue
 		}
-		if s.state != registry.Ready || s.replaced || now < s.nextHealthCheck || !f.roles.Holds(rendezvous.Name(s.instance), duration(now)) {
+		if s.state != registry.Ready || s.replaced || now < s.nextHealthCheck || !f.members.holdsRole(rendezvous.Name(s.instance), duration(now)) {
 			continue
 		}
 		if s.healthCheckPause == 0 {
@@ -52,7 +52,7 @@
 func (f *Gateway) healthCheckDone(instance string, well bool) {
 	s := f.endpoints[instance]
 	now := f.loop.now()
-	if s == nil || !well || !f.roles.Holds(rendezvous.Name(instance), duration(now)) {
+	if s == nil || !well || !f.members.holdsRole(rendezvous.Name(instance), duration(now)) {
 		return
 	}
 	if s.lease = s.lease.Acquire(f.process.incarnation); s.seenHealthyAt == 0 || s.overdue {
--- a/dataplane/loadexchange.go
+++ b/dataplane/loadexchange.go
@@ -5,7 +5,6 @@
 	"time"
 
 	"oxbowspan/balancer"
-	"oxbowspan/internal/settings"
 	"oxbowspan/rendezvous"
 	"oxbowspan/rpc"
 )
@@ -60,38 +59,23 @@
 	if !n.HasGateways {
 		return
 	}
-	self := rendezvous.Name(f.process.settings.InternalAddress(settings.GatewayPort))
-	// Those of this zone are watched, where there are any: they ask the servers that this gatherer asks, and news of them
-	// passes between no zones.
-	all, zone, far := []rendezvous.Name{self}, []rendezvous.Name{self}, []rendezvous.Name(nil)
-	near := map[string][]rendezvous.Name{f.process.settings.Zone: {self}}
-	f.outliers.zoneGateways = near
-	for _, o := range n.Gateways {
-		if name := rendezvous.Name(o.Address); name != self {
-			near[o.Zone] = append(near[o.Zone], name)
-			if all = append(all, name); o.Zone == f.process.settings.Zone {
-				zone = append(zone, name)
-			} else {
-				far = append(far, name)
-			}
-		}
-	}
-	f.gateways = all
-	f.roles.SetMembers(all, duration(f.loop.now()))
-	f.observedPeers = len(zone) - 1
+	f.members.update(n.Gateways, duration(f.loop.now()))
+	// Peers of this gateway's zone are observed, where there are any: they ask the servers that this gateway asks.
+	zone, far := f.members.sameZone(), f.members.otherZones
 	if len(zone) == 1 {
-		zone, far, f.observedPeers = all, nil, len(all)-1
+		zone, far = f.members.gateways, nil
 	}
-	f.handleEvent(balancer.ClusterResized{Shards: len(f.shards), Instances: len(all)})
+	f.observedPeers = len(zone) - 1
+	f.handleEvent(balancer.ClusterResized{Shards: len(f.shards), Instances: f.members.size()})
 	f.syncEndpoints()
 	few := map[rendezvous.Name]bool{}
-	for _, name := range rendezvous.Peers(self, zone, rendezvous.PeerCount) {
+	for _, name := range rendezvous.Peers(f.members.self, zone, rendezvous.PeerCount) {
 		if few[name] = true; f.subscriptions[name] == nil {
 			f.subscribe(name, false)
 		}
 	}
 	// And one elsewhere, for words of servers alone: they come where there is trouble.
-	for _, name := range rendezvous.Peers(self, far, 1) {
+	for _, name := range rendezvous.Peers(f.members.self, far, 1) {
 		if few[name] = true; f.subscriptions[name] == nil {
 			f.subscribe(name, true)
 		}
@@ -178,7 +162,7 @@
 	told := balancer.PeerUpdate{}
 	for _, s := range f.endpoints {
 		// Of servers elsewhere, silence of this zone's gatherers says nothing: those of their own zones ask them.
-		if s.listed && (s.zone == f.process.settings.Zone || f.observedPeers == len(f.gateways)-1) {
+		if s.listed && (s.zone == f.process.settings.Zone || f.observedPeers == f.members.size()-1) {
 			told.Loads = append(told.Loads, balancer.PeerLoad{Server: s.id, InFlight: sums[s.instance] * scale})
 		}
 	}
--- a/dataplane/outlier.go
+++ b/dataplane/outlier.go
@@ -24,10 +24,9 @@
 
 // outlierClient is what the owner keeps of it.
 type outlierClient struct {
-	detector     *outlier.Detector
-	reported     map[balancer.ServerID]balancer.OutlierVerdict // what brain was told; emptied of servers that are in as they are
-	zoneGateways map[string][]rendezvous.Name                  // gatherers by zone, as last told
-	sentAt       balancer.Time
+	detector *outlier.Detector
+	reported map[balancer.ServerID]balancer.OutlierVerdict // what brain was told; emptied of servers that are in as they are
+	sentAt   balancer.Time
 
 	pinsVersion uint64                   // the version of the document of pins that is in force
 	pins        map[string]outlier.State // by instance, as that says
@@ -199,11 +198,7 @@
 
 // ownsProbation tells whether this gatherer is to try a server that is out: the holder of its duty among the gatherers of its zone.
 func (f *Gateway) ownsProbation(s *endpoint, now balancer.Time) bool {
-	near := f.outliers.zoneGateways[s.zone]
-	if len(near) == 0 {
-		near = f.gateways
-	}
-	return f.roles.HoldsAmong(rendezvous.Name("judgement "+s.instance), near, duration(now))
+	return f.members.holdsZoneRole(s.zone, rendezvous.Name("judgement "+s.instance), duration(now))
 }
 
 // syncDetector tells the board which servers there are.
@@ -214,7 +209,7 @@
 			all[outlier.Instance(i)] = outlier.Shard(s.service)
 		}
 	}
-	f.outliers.detector.SetServers(all, len(f.gateways)-1)
+	f.outliers.detector.SetServers(all, f.members.size()-1)
 }
 
 // outgoingObservations are what is to be told now.
--- a/dataplane/quotaclient.go
+++ b/dataplane/quotaclient.go
@@ -8,7 +8,6 @@
 
 	"oxbowspan/balancer"
 	"oxbowspan/config"
-	"oxbowspan/internal/settings"
 	"oxbowspan/quota"
 	"oxbowspan/rendezvous"
 	"oxbowspan/rpc"
@@ -290,13 +289,13 @@
 		}
 	}
 	for service := range t.allocators {
-		if !f.roles.Holds(poolRole(service), duration(now)) {
+		if !f.members.holdsRole(poolRole(service), duration(now)) {
 			delete(t.allocators, service)
 		}
 	}
 	for name, c := range t.callers {
 		gone := true
-		for _, g := range f.gateways {
+		for _, g := range f.members.gateways {
 			gone = gone && g != name
 		}
 		if gone {
@@ -347,7 +346,7 @@
 	}
 	out := map[string][]quota.Demand{}
 	for service, limit := range f.connectionLimits {
-		base, pool := quota.SplitCapacity(rendezvous.ConnectionSlots(limit), len(f.gateways))
+		base, pool := quota.SplitCapacity(rendezvous.ConnectionSlots(limit), f.members.size())
 		if pool == 0 || servers[service] == 0 {
 			continue
 		}
@@ -373,8 +372,8 @@
 	if g.requested {
 		return
 	}
-	self := rendezvous.Name(f.process.settings.InternalAddress(settings.GatewayPort))
-	holder := rendezvous.Owner(poolRole(service), f.gateways)
+	self := f.members.self
+	holder := f.members.roleOwner(poolRole(service))
 	if holder == self {
 		if parts, may := f.allocate(service, f.process.incarnation, wants, g.connections, now); may {
 			f.applyGrant(service, parts, now)
@@ -423,7 +422,7 @@
 func (f *Gateway) allocate(service string, life uint64, wants []quota.Demand, used int, now balancer.Time) (parts int, may bool) {
 	t := &f.quota
 	limit, known := f.connectionLimits[service]
-	if t.limiter == nil || !known || !f.roles.Holds(poolRole(service), duration(now)) {
+	if t.limiter == nil || !known || !f.members.holdsRole(poolRole(service), duration(now)) {
 		return 0, false
 	}
 	k := t.allocators[service]
@@ -431,7 +430,7 @@
 		k = quota.NewAllocator()
 		t.allocators[service] = k
 	}
-	_, pool := quota.SplitCapacity(rendezvous.ConnectionSlots(limit), len(f.gateways))
+	_, pool := quota.SplitCapacity(rendezvous.ConnectionSlots(limit), f.members.size())
 	return k.Request(life, wants, used, pool, duration(now)), true
 }
 
