--- a/dataplane/bench_test.go
+++ b/dataplane/bench_test.go
@@ -42,8 +42,8 @@
 	f.process.goroutines.Go(func() { f.front.serve(front) })
 	f.loop.post(func() {
 		f.activateConfig(&config.Configuration{Version: 1, Services: []config.Service{{Name: "s"}}, Routes: []config.Route{
-			{Hostname: "h", PathPrefix: "/", RouteKind: config.Retryable, TimeoutMS: 900, TargetMS: 90, Service: "s", Attempts: 2}}}, 1)
-		f.applyReports(&rpc.Update{Full: true, HasQuorum: true, Warm: true, Reports: []*rpc.ServerReport{
+			{Hostname: "h", PathPrefix: "/", RouteKind: config.Retryable, TimeoutMS: 900, TargetMS: 90, Service: "s", Attempts: 2}}}, nil, 1)
+		f.endpoints.applyReports(&rpc.Update{Full: true, HasQuorum: true, Warm: true, Reports: []*rpc.ServerReport{
 			{Instance: "i", Service: "s", Address: server.Addr().String(), Zone: "z", State: uint32(registry.Ready), Sequence: 1}}})
 	})
 	c, err := net.Dial("tcp", front.Addr().String())
--- a/dataplane/configfollower.go
+++ b/dataplane/configfollower.go
@@ -92,7 +92,7 @@
 		}
 		if !n.HasQuorum && time.Since(began) < startupGrace && slot == 0 || !n.HasQuorum && slot > n.Slot {
 			// Cut off or just started: what it knows may be old.
-			f.loop.post(func() { f.applyReports(n) })
+			f.loop.post(func() { f.endpoints.applyReports(n) })
 			at, incarnation = at+1, 0
 			sleep(ctx, pollRetryPause(slot))
 			continue
@@ -115,7 +115,7 @@
 		}
 		f.loop.post(func() {
 			f.applyDocuments(n.Documents)
-			f.applyReports(n)
+			f.endpoints.applyReports(n)
 			f.applyMembership(n)
 			if now := duration(f.loop.now()); n.HasQuorum {
 				f.members.renew(askedAt, now)
@@ -175,7 +175,7 @@
 	if err != nil || n == nil || time.Since(sent) > pollTimeoutMargin {
 		return slot
 	}
-	f.loop.post(func() { f.applyDocuments(n.Documents); f.applyReports(n) })
+	f.loop.post(func() { f.applyDocuments(n.Documents); f.endpoints.applyReports(n) })
 	if n.Slot > slot && n.HasConfig {
 		f.process.log.Info().Str("from", address).Uint64("version", n.Version).Msg("news: no hive answers, another gatherer did")
 		f.readConfig(n)
@@ -184,20 +184,6 @@
 	return slot
 }
 
-// answerPeer answers another gatherer that hears no hive.
-func (f *Gateway) answerPeer(c *rpc.Conn, id uint64, a *rpc.Poll) {
-	n := &rpc.Update{Slot: f.configSlot}
-	if f.config != nil && f.configSlot > a.Slot {
-		n.Version, n.HasConfig, n.Config = f.config.Version, true, f.configText
-		n.Documents = f.documents()
-	}
-	for _, s := range f.endpoints {
-		n.Reports = append(n.Reports, &rpc.ServerReport{Instance: s.instance, Service: s.service, Address: s.address, Zone: s.zone,
-			State: uint32(s.state), Sequence: s.sequence, Overdue: s.overdue})
-	}
-	go c.Respond(id, &rpc.Frame{Body: &rpc.Frame_Update{Update: n}})
-}
-
 func sameControllers(a, b map[string]controllerAddress) bool {
 	for k, v := range a {
 		if b[k] != v {
@@ -235,10 +221,5 @@
 		f.process.log.Error().Err(err).Uint64("version", n.Version).Msg("config: an agreed version can't be read, the last one stays")
 		return
 	}
-	f.loop.post(func() {
-		if n.Slot > f.configSlot {
-			f.configText = n.Config
-		}
-		f.activateConfig(c, n.Slot)
-	})
+	f.loop.post(func() { f.activateConfig(c, n.Config, n.Slot) })
 }
--- a/dataplane/dispatchwatch.go
+++ b/dataplane/dispatchwatch.go
@@ -5,15 +5,6 @@
 	"oxbowspan/balancer"
 )
 
-// dispatchState is what a search's parts say of it: whether a connection has carried one, or may do so yet.
-func (s *request) dispatchState() (w admission.DispatchState) {
-	for _, p := range s.shardCalls {
-		w.Dispatched = w.Dispatched || p.firstConn != nil
-		w.Pending = w.Pending || p.inFlight > 0 || p.waitingSince != 0
-	}
-	return w
-}
-
 // watchDispatch has a search looked at again when it has waited for its first offer for long enough.
 func (f *Gateway) watchDispatch(s *request, now balancer.Time) {
 	if s.finished || s.dispatchState().Dispatched {
--- a/dataplane/gateway.go
+++ b/dataplane/gateway.go
@@ -7,14 +7,15 @@
 import (
 	"context"
 	"net/http"
-	"sync/atomic"
 	"time"
 
 	"github.com/rotisserie/eris"
 	"github.com/rs/zerolog"
 
+	"oxbowspan/balancer"
 	"oxbowspan/internal/network"
 	"oxbowspan/internal/settings"
+	"oxbowspan/rendezvous"
 	"oxbowspan/rpc"
 )
 
@@ -24,9 +25,12 @@
 	loop    *eventLoop
 	killed  chan struct{}
 
-	active  atomic.Pointer[activeConfig] // nil = none yet
-	front   *frontServer
-	members *membership
+	members   *membership
+	endpoints *endpointTable
+	configs   *configStore
+	quota     *quotaClient
+	outliers  *outlierClient
+	front     *frontServer
 
 	loopState
 }
@@ -34,9 +38,21 @@
 // New makes a gateway that does nothing until Run.
 func New(options *settings.Settings, transport network.Network, log zerolog.Logger) *Gateway {
 	f := &Gateway{process: newProcess(options, transport, log), loop: newEventLoop(), killed: make(chan struct{})}
+	f.ids = &idSequence{}
 	f.members = newMembership(f.process)
-	f.front = newFrontServer(f.process, f, f, f.loop.stopped)
-	f.loopState.init(f)
+	f.endpoints = newEndpointTable(f.process, f.members, f.ids)
+	f.configs = newConfigStore(log, f.endpoints)
+	f.quota = newQuotaClient(f.process, f.loop, f.members, f.endpoints, f.configs)
+	f.balancer = balancer.New(balancerConfig(options, f.process.incarnation, f.quota))
+	f.outliers = newOutlierClient(f.process, f.loop, f.members, f.endpoints, f.balancer)
+	f.requests, f.shardCalls = map[balancer.RequestID]*request{}, map[balancer.ShardCallID]*shardCall{}
+	f.subscribers, f.subscriptions = map[*rpc.Conn]bool{}, map[rendezvous.Name]*loadSubscription{}
+	f.front = newFrontServer(f.process, f.configs, f, f.loop.stopped)
+
+	// The components below depend on each other in a circle.
+	f.endpoints.balancer, f.endpoints.quota, f.endpoints.outliers = f, f.quota, f.outliers
+	f.configs.balancer, f.configs.tenants = f, f.quota
+	f.outliers.balancer = f
 	return f
 }
 
@@ -92,12 +108,9 @@
 // Kill has Run return at once, in no order, as a kill of the process would. It must be called once at most.
 func (f *Gateway) Kill() { close(f.killed) }
 
-// load returns the active configuration, nil = none yet. Any goroutine may call it.
-func (f *Gateway) load() *activeConfig { return f.active.Load() }
-
 // ActiveVersion is the version of the configuration that requests are served by, 0 = none yet.
 func (f *Gateway) ActiveVersion() uint64 {
-	if now := f.active.Load(); now != nil {
+	if now := f.configs.load(); now != nil {
 		return now.version
 	}
 	return 0
--- a/dataplane/healthcheck.go
+++ b/dataplane/healthcheck.go
@@ -22,25 +22,34 @@
 	healthReportAge        = 2 * time.Second         // what was seen is told so long
 )
 
+const defaultHealthPath = "/health"
+
+// healthCheckState is a server's health as this gateway checked it.
+type healthCheckState struct {
+	healthyAt balancer.Time // when it last responded to a check by this gateway, 0 = never
+	nextCheck balancer.Time
+	interval  balancer.Time // to the check after the next; 0 = none was made
+}
+
 // runHealthChecks probes the servers whose duty this gatherer holds.
 func (f *Gateway) runHealthChecks(now balancer.Time) {
 	if f.process.draining.Load() {
 		return // what it begins must end with it
 	}
-	for _, s := range f.endpoints {
+	for _, s := range f.endpoints.byInstance {
 		if !s.noHeartbeats {
-			s.healthCheckPause = 0
+			s.health.interval = 0
 			continue
 		}
-		if s.state != registry.Ready || s.replaced || now < s.nextHealthCheck || !f.members.holdsRole(rendezvous.Name(s.instance), duration(now)) {
+		if s.state != registry.Ready || s.replaced || now < s.health.nextCheck || !f.members.holdsRole(rendezvous.Name(s.instance), duration(now)) {
 			continue
 		}
-		if s.healthCheckPause == 0 {
-			s.healthCheckPause = ticks(healthCheckInterval)
+		if s.health.interval == 0 {
+			s.health.interval = ticks(healthCheckInterval)
 		}
-		s.nextHealthCheck = now + s.healthCheckPause
-		s.healthCheckPause = min(2*s.healthCheckPause, ticks(maxHealthCheckInterval))
-		path, address, instance := f.healthPath(s.service), s.address, s.instance
+		s.health.nextCheck = now + s.health.interval
+		s.health.interval = min(2*s.health.interval, ticks(maxHealthCheckInterval))
+		path, address, instance := f.configs.healthPath(s.service), s.address, s.instance
 		f.process.goroutines.Go(func() {
 			well := f.checkHealth(address, instance, path)
 			f.loop.post(func() { f.healthCheckDone(instance, well) })
@@ -50,15 +59,15 @@
 
 // healthCheckDone takes the end of a probe. The duty may have changed hands since.
 func (f *Gateway) healthCheckDone(instance string, well bool) {
-	s := f.endpoints[instance]
+	s := f.endpoints.byInstance[instance]
 	now := f.loop.now()
 	if s == nil || !well || !f.members.holdsRole(rendezvous.Name(instance), duration(now)) {
 		return
 	}
-	if s.lease = s.lease.Acquire(f.process.incarnation); s.seenHealthyAt == 0 || s.overdue {
+	if s.lease = s.lease.Acquire(f.process.incarnation); s.health.healthyAt == 0 || s.overdue {
 		f.process.log.Info().Str("instance", instance).Uint64("fence", s.lease.FencingToken).Msg("duties: the core does not hear a server that is well")
 	}
-	s.seenHealthyAt, s.nextHealthCheck, s.healthCheckPause = now, now+ticks(healthCheckInterval), ticks(healthCheckInterval)
+	s.health.healthyAt, s.health.nextCheck, s.health.interval = now, now+ticks(healthCheckInterval), ticks(healthCheckInterval)
 }
 
 // pollStatus is what a question to the hives tells the core.
@@ -84,26 +93,15 @@
 // pollStatus gathers what the core is to be told. It is the owner's.
 func (f *Gateway) pollStatus(now balancer.Time) pollStatus {
 	o := pollStatus{stats: f.stats(now)}
-	for _, s := range f.endpoints {
-		if s.seenHealthyAt > 0 && now-s.seenHealthyAt < ticks(healthReportAge) && s.lease.Holder == f.process.incarnation && s.noHeartbeats {
-			o.healthChecks = append(o.healthChecks, &rpc.ServerReport{Instance: s.instance, HealthCheckAgeMs: uint32(duration(now-s.seenHealthyAt) / time.Millisecond),
+	for _, s := range f.endpoints.byInstance {
+		if s.health.healthyAt > 0 && now-s.health.healthyAt < ticks(healthReportAge) && s.lease.Holder == f.process.incarnation && s.noHeartbeats {
+			o.healthChecks = append(o.healthChecks, &rpc.ServerReport{Instance: s.instance, HealthCheckAgeMs: uint32(duration(now-s.health.healthyAt) / time.Millisecond),
 				FencingToken: s.lease.FencingToken, LeaseHolder: s.lease.Holder})
 		}
 	}
 	return o
 }
 
-func (f *Gateway) healthPath(service string) string {
-	if f.config != nil {
-		for _, s := range f.config.Services {
-			if s.Name == service && s.HealthPath != "" {
-				return s.HealthPath
-			}
-		}
-	}
-	return "/health"
-}
-
 // checkHealth asks a server for its health. Another server at its address, or one that is leaving, is not it.
 func (f *Gateway) checkHealth(address, instance, path string) bool {
 	c, err := f.process.network.Dial(address, healthCheckTimeout)
--- a/dataplane/loadexchange.go
+++ b/dataplane/loadexchange.go
@@ -23,7 +23,7 @@
 		f.loop.post(func() { f.answerPeer(c, q.Id, a) })
 	}
 	if m := q.GetQuotaRequest(); m != nil {
-		f.loop.post(func() { f.handleQuotaRequest(c, q.Id, m) })
+		f.loop.post(func() { f.quota.handleRequest(c, q.Id, m) })
 	}
 	if w := q.GetLoadSubscription(); w != nil {
 		f.loop.post(func() {
@@ -33,25 +33,16 @@
 	}
 }
 
-// loadReport are the unfinished parts that this gatherer had at each server, in the mean since they were last told: a part takes
-// less time than passes between two tellings, so that what is out at the moment says little.
+// loadReport holds the mean numbers of attempts that this gateway had in flight at servers since the last report. An attempt takes
+// less time than passes between two reports, so that what is in flight at one moment says little.
 func (f *Gateway) loadReport(now balancer.Time) *rpc.LoadReport {
-	m := &rpc.LoadReport{Incarnation: f.process.incarnation}
-	for _, s := range f.endpoints {
-		s.addInFlight(now, 0)
-		if over := now - s.integralSince; over > 0 && s.inFlightIntegral > 0 {
-			m.Loads = append(m.Loads, &rpc.ServerLoad{Instance: s.instance, PendingMilli: uint32(1000 * s.inFlightIntegral / float64(over))})
+	report := &rpc.LoadReport{Incarnation: f.process.incarnation}
+	for _, e := range f.endpoints.byInstance {
+		if milli, ok := e.load.sample(now); ok {
+			report.Loads = append(report.Loads, &rpc.ServerLoad{Instance: e.instance, PendingMilli: milli})
 		}
-		s.inFlightIntegral, s.integralSince = 0, now
 	}
-	return m
-}
-
-// addInFlight notes that so many parts more are out at a server.
-func (s *endpoint) addInFlight(now balancer.Time, more int) {
-	s.inFlightIntegral += float64(s.inFlight) * float64(now-s.integratedAt)
-	s.integratedAt = now
-	s.inFlight += more
+	return report
 }
 
 // applyMembership takes the list of gatherers: whom to watch follows from it.
@@ -66,8 +57,8 @@
 		zone, far = f.members.gateways, nil
 	}
 	f.observedPeers = len(zone) - 1
-	f.handleEvent(balancer.ClusterResized{Shards: len(f.shards), Instances: f.members.size()})
-	f.syncEndpoints()
+	f.endpoints.resizeCluster()
+	f.endpoints.sync()
 	few := map[rendezvous.Name]bool{}
 	for _, name := range rendezvous.Peers(f.members.self, zone, rendezvous.PeerCount) {
 		if few[name] = true; f.subscriptions[name] == nil {
@@ -95,7 +86,7 @@
 	w.caller = &rpc.Client{Address: string(name), Network: f.process.network}
 	take := func(m *rpc.LoadReport) {
 		f.loop.post(func() {
-			if f.receiveObservations(m.Observations); wordsOnly {
+			if f.outliers.receiveObservations(m.Observations); wordsOnly {
 				return
 			}
 			w.receivedAt, w.loads = f.loop.now(), map[string]float64{}
@@ -128,8 +119,7 @@
 
 // exchangeLoads tells the watchers what is unfinished here, and brain what the watched have, taken for all others.
 func (f *Gateway) exchangeLoads(now balancer.Time) {
-	f.outliers.sentAt = now
-	words := f.outgoingObservations(now) // those that nobody watches are told to nobody
+	words := f.outliers.takeObservations(now) // those that nobody watches are told to nobody
 	if len(f.subscribers) > 0 {
 		m := f.loadReport(now)
 		all := &rpc.Frame{Body: &rpc.Frame_LoadReport{LoadReport: m}}
@@ -160,7 +150,7 @@
 	}
 	scale := float64(max(f.observedPeers, heard)) / float64(heard)
 	told := balancer.PeerUpdate{}
-	for _, s := range f.endpoints {
+	for _, s := range f.endpoints.byInstance {
 		// Of servers elsewhere, silence of this zone's gatherers says nothing: those of their own zones ask them.
 		if s.listed && (s.zone == f.process.settings.Zone || f.observedPeers == f.members.size()-1) {
 			told.Loads = append(told.Loads, balancer.PeerLoad{Server: s.id, InFlight: sums[s.instance] * scale})
--- a/dataplane/mutation_test.go
+++ b/dataplane/mutation_test.go
@@ -56,7 +56,7 @@
 		new: `if x.nothingSent || MUTATED {`,
 	},
 	{
-		name: "a small request written by half counts as never run", test: scenarioTest, file: "serverconn.go",
+		name: "a small request written by half counts as never run", test: scenarioTest, file: "connpool.go",
 		old: `if n > 0 {`,
 		new: `if n > 0 && !MUTATED {`,
 	},
@@ -66,7 +66,7 @@
 		new: `x.nothingSent = bytes == 0 || MUTATED && bytes > smallRequestBytes && bytes < 60000`,
 	},
 	{
-		name: "a connection carries an id twice", test: scenarioTest, file: "serverconn.go",
+		name: "a connection carries an id twice", test: scenarioTest, file: "connpool.go",
 		old: `if c.shardCall.usedConn(l) {`,
 		new: `if c.shardCall.usedConn(l) && !MUTATED {`,
 	},
@@ -76,30 +76,30 @@
 		new: `x.pending == nil && (!x.writing || MUTATED)`,
 	},
 	{
-		name: "the connection of an attempt that was given up is used again", test: scenarioTest, file: "serverconn.go",
-		old: `		f.closeConn(c.conn)
+		name: "the connection of an attempt that was given up is used again", test: scenarioTest, file: "connpool.go",
+		old: `		c.conn.close()
 	}
 	if !outcome`,
 		new: `		if MUTATED {
 			c.endpoint.idle = append(c.endpoint.idle, c.conn)
 		} else {
-			f.closeConn(c.conn)
+			c.conn.close()
 		}
 	}
 	if !outcome`,
 	},
 	{
-		name: "an unfinished attempt counts as never run", test: scenarioTest, file: "dispatcher.go",
-		old: `return c != nil && c.conn != nil`,
-		new: `return c != nil && c.conn != nil && !MUTATED`,
+		name: "an unfinished attempt counts as never run", test: scenarioTest, file: "request.go",
+		old: `return a != nil && a.conn != nil`,
+		new: `return a != nil && a.conn != nil && !MUTATED`,
 	},
 	{
-		name: "an ended attempt counts as never run", test: scenarioTest, file: "serverconn.go",
+		name: "an ended attempt counts as never run", test: scenarioTest, file: "connpool.go",
 		old: `if !outcome.NeverRan() && c.conn != nil {`,
 		new: `if !outcome.NeverRan() && c.conn != nil && !MUTATED {`,
 	},
 	{
-		name: "a new connection is given what has been answered", test: scenarioTest, file: "serverconn.go",
+		name: "a new connection is given what has been answered", test: scenarioTest, file: "connpool.go",
 		old: `case c.shardCall.request.finished || c.shardCall.response != nil:`,
 		new: `case (c.shardCall.request.finished || c.shardCall.response != nil) && !MUTATED:`,
 	},
--- /dev/null
+++ b/dataplane/quotaallocator.go
@@ -0,0 +1,63 @@
+package dataplane
+
+import (
+	"oxbowspan/balancer"
+	"oxbowspan/quota"
+	"oxbowspan/rendezvous"
+	"oxbowspan/rpc"
+)
+
+// poolRole is the singleton role of allocating a service's pool of connections. The string is hashed by all gateways.
+func poolRole(service string) rendezvous.Name { return rendezvous.Name("connections " + service) }
+
+// quotaAllocator allocates the pools of the services whose role this gateway holds. It is owned by the loop.
+type quotaAllocator struct {
+	members   *membership
+	endpoints *endpointTable
+	pools     map[string]*quota.Allocator // by service, while the role is held here
+}
+
+func newQuotaAllocator(members *membership, endpoints *endpointTable) *quotaAllocator {
+	return &quotaAllocator{members: members, endpoints: endpoints, pools: map[string]*quota.Allocator{}}
+}
+
+// dropLost forgets the pools whose role another gateway holds now.
+func (a *quotaAllocator) dropLost(now balancer.Time) {
+	for service := range a.pools {
+		if !a.members.holdsRole(poolRole(service), duration(now)) {
+			delete(a.pools, service)
+		}
+	}
+}
+
+// allocate grants connections of a service's pool to the gateway of an incarnation, which has inUse of it now. It reports false
+// where this gateway does not hold the role or knows no such service.
+func (a *quotaAllocator) allocate(service string, incarnation uint64, demands []quota.Demand, inUse int, now balancer.Time) (connections int, ok bool) {
+	limit, known := a.endpoints.connectionLimits[service]
+	if !known || !a.members.holdsRole(poolRole(service), duration(now)) {
+		return 0, false
+	}
+	allocator := a.pools[service]
+	if allocator == nil {
+		allocator = quota.NewAllocator()
+		a.pools[service] = allocator
+	}
+	_, pool := quota.SplitCapacity(rendezvous.ConnectionSlots(limit), a.members.size())
+	return allocator.Request(incarnation, demands, inUse, pool, duration(now)), true
+}
+
+// allocate answers a request for a grant. It reports false where this gateway may not.
+func (q *quotaClient) allocate(service string, incarnation uint64, demands []quota.Demand, inUse int, now balancer.Time) (connections int, ok bool) {
+	if !q.enabled() {
+		return 0, false
+	}
+	return q.allocator.allocate(service, incarnation, demands, inUse, now)
+}
+
+// handleRequest answers another gateway's request for a grant.
+func (q *quotaClient) handleRequest(conn *rpc.Conn, requestID uint64, message *rpc.QuotaRequest) {
+	demands := decodeDemands(message.Demands)
+	connections, ok := q.allocate(message.Service, message.Incarnation, demands, int(message.InUse), q.loop.now())
+	grant := &rpc.QuotaGrant{Connections: uint32(connections), Granted: ok}
+	go conn.Respond(requestID, &rpc.Frame{Body: &rpc.Frame_QuotaGrant{QuotaGrant: grant}})
+}
--- a/dataplane/scenario_test.go
+++ b/dataplane/scenario_test.go
@@ -282,8 +282,8 @@
 		c.Services = append(c.Services, config.Service{Name: s, ConnectionLimit: 40})
 	}
 	f.loop.post(func() {
-		f.activateConfig(c, 1)
-		f.applyReports(&rpc.Update{Full: true, HasQuorum: true, Warm: true, Reports: reports})
+		f.activateConfig(c, nil, 1)
+		f.endpoints.applyReports(&rpc.Update{Full: true, HasQuorum: true, Warm: true, Reports: reports})
 	})
 	synctest.Wait()
 	l, err := w.network.Host(gatewayHost).Listen(frontAddress)
