--- a/dataplane/endpoints.go
+++ b/dataplane/endpoints.go
@@ -3,6 +3,7 @@
 import (
 	"oxbowspan/balancer"
 	"oxbowspan/config"
+	"oxbowspan/lease"
 	"oxbowspan/registry"
 	"oxbowspan/rendezvous"
 	"oxbowspan/rpc"
@@ -21,7 +22,7 @@
 	sequence     uint64 // of the newest report taken
 	overdue      bool   // its heartbeats are overdue
 	noHeartbeats bool   // no controller hears its heartbeats; a gateway may vouch for it
-	lease        rendezvous.Lease
+	lease        lease.Lease
 
 	replaced    bool   // another server answered at its address
 	listed      bool   // the balancer may send there
@@ -219,9 +220,9 @@
 		}
 		e.sequence, e.overdue, e.noHeartbeats = report.Sequence, report.Overdue, report.NoHeartbeats
 	}
-	lease := rendezvous.Lease{FencingToken: report.FencingToken, Holder: report.LeaseHolder}
-	if lease.Compare(e.lease) > 0 {
-		e.lease = lease
+	reported := lease.Lease{FencingToken: report.FencingToken, Holder: report.LeaseHolder}
+	if reported.Compare(e.lease) > 0 {
+		e.lease = reported
 	}
 	e.state = max(e.state, registry.State(report.State)) // a server's state only ever advances
 }
--- a/dataplane/membership.go
+++ b/dataplane/membership.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"oxbowspan/lease"
 	"oxbowspan/rendezvous"
 	"oxbowspan/rpc"
 )
@@ -12,7 +13,7 @@
 type membership struct {
 	self  rendezvous.Name
 	zone  string
-	roles *rendezvous.Tracker
+	roles *lease.Tracker
 
 	gateways   []rendezvous.Name            // all, this one first
 	byZone     map[string][]rendezvous.Name // nil = no list has come yet
@@ -23,7 +24,7 @@
 	return &membership{
 		self:     p.name,
 		zone:     p.settings.Zone,
-		roles:    rendezvous.NewTracker(p.name),
+		roles:    lease.NewTracker(p.name),
 		gateways: []rendezvous.Name{p.name},
 	}
 }
