--- a/dataplane/connpool.go
+++ b/dataplane/connpool.go
@@ -11,260 +11,235 @@
 	"oxbowspan/registry"
 )
 
-// Bounds on what passes between this gatherer and servers.
+// Timing and bounds of connections to servers.
 const (
 	connectTimeout      = 400 * time.Millisecond
-	maxResponseBytes    = 16 << 20 // of one answer's body
-	maxIdle             = 14 * time.Second
+	maxResponseBytes    = 16 << 20 // of one response's body
 	responseBufferBytes = 4096
-	smallRequestBytes   = 8 << 10               // a request so short is written at once: nothing else is in its connection's buffers
-	loopWriteTimeout    = 10 * time.Millisecond // the owner waits for no connection longer
+	maxIdle             = 14 * time.Second
+	smallRequestBytes   = 8 << 10               // a request so short is written by the loop: the socket's buffer has room for it
+	loopWriteTimeout    = 10 * time.Millisecond // where the buffer may not be empty, the loop waits no longer
 )
 
-// dispatch does what brain.Send says.
-func (f *Gateway) dispatch(a balancer.Send) {
-	p, s := f.shardCalls[a.Call], f.endpoints.byID[a.Server]
-	if p == nil {
-		return
-	}
-	now := f.loop.now()
-	c := &attempt{shardCall: p, number: balancer.AttemptNumber(len(p.attempts)), endpoint: s, sentAt: now, deadline: now + a.Timeout}
-	p.attempts = append(p.attempts, c)
-	p.inFlight++
-	if s == nil || p.request.finished || !s.listed {
-		c.ended = true
-		p.inFlight--
-		p.attempts[c.number] = nil
-		f.pendingEvents = append(f.pendingEvents, balancer.AttemptEnded{Call: p.id, Attempt: c.number, Server: a.Server, Outcome: balancer.NotDispatched})
-		f.releaseShardCall(p)
-		return
-	}
-	s.load.add(now, 1)
-	f.quota.acquire(c, now)
-	f.loop.schedule(c.deadline, timerEvent{attempt: c})
-	f.sendAttempt(c)
+// attemptSink is notified of what becomes of attempts. All methods are called on the loop's goroutine.
+type attemptSink interface {
+	// attemptEnded is called once for each attempt passed to the pool; response is nil where none came.
+	attemptEnded(a *attempt, outcome balancer.Outcome, response *fasthttp.Response)
+	// connectFailed is called before attemptEnded where no connection could be made.
+	connectFailed(e *endpoint, err error)
+	// endpointReplaced is called when another server turns out to have an endpoint's address.
+	endpointReplaced(e *endpoint)
+}
+
+// connPool sends attempts over connections to servers. It is owned by the loop; dialling, reading and large writes run on goroutines
+// of their own.
+type connPool struct {
+	process *process
+	loop    commandLoop
+	sink    attemptSink
+
+	writeBuffer []byte
+}
+
+func newConnPool(p *process, loop commandLoop) *connPool {
+	return &connPool{process: p, loop: loop}
 }
 
-// sendAttempt sends a sub-request over an idle connection, or a new one where there is none. Over one to which not a byte can be
-// handed any more nothing has been sent: the next one is taken.
-func (f *Gateway) sendAttempt(c *attempt) {
+// send sends an attempt over an idle connection, or over a new one where there is none. A connection that takes no byte any more has
+// sent nothing: the next one is tried.
+func (p *connPool) send(a *attempt) {
 	for {
-		l := f.takeIdleConn(c)
-		if l == nil {
+		conn := takeIdleConn(a)
+		if conn == nil {
 			break
 		}
-		if f.write(l, c) {
+		if p.write(conn, a) {
 			return
 		}
 	}
-	if s := c.endpoint; len(s.idle) > 0 { // none that it may use: one makes room
-		s.idle[0].close()
-		s.idle = slices.Delete(s.idle, 0, 1)
+	e := a.endpoint
+	if len(e.idle) > 0 { // none that this attempt may use: one makes room
+		e.idle[0].close()
+		e.idle = slices.Delete(e.idle, 0, 1)
 	}
-	c.conn = nil
-	c.endpoint.connections++
-	go f.connect(c.endpoint, c.endpoint.address, c)
+	a.conn = nil
+	e.connections++
+	go p.connect(e, e.address, a)
 }
 
-// takeIdleConn takes the connection to a call's server that was used last, nil = none may be used. A connection never carries the same
-// id twice: a late copy of the first answer could not be told from the second one. What bears no id needs one of its own.
-func (f *Gateway) takeIdleConn(c *attempt) *serverConn {
-	s := c.endpoint
-	if c.shardCall.request.attemptID == "" {
+// takeIdleConn takes the connection to an attempt's server that was used last, nil = none may be used. A connection never carries the
+// same request id twice: a late copy of the first response could not be distinguished from the second. A request without an id needs a
+// connection of its own.
+func takeIdleConn(a *attempt) *serverConn {
+	e := a.endpoint
+	if a.shardCall.request.attemptID == "" {
 		return nil
 	}
-	for i := len(s.idle) - 1; i >= 0; i-- {
-		l := s.idle[i]
-		if c.shardCall.usedConn(l) {
+	for i := len(e.idle) - 1; i >= 0; i-- {
+		conn := e.idle[i]
+		if a.shardCall.usedConn(conn) {
 			continue
 		}
-		s.idle = slices.Delete(s.idle, i, i+1)
-		if l.closed || time.Since(l.usedAt) > l.maxIdle {
-			l.close()
+		e.idle = slices.Delete(e.idle, i, i+1)
+		if conn.expired() {
+			conn.close()
 			continue
 		}
-		return l
+		return conn
 	}
 	return nil
 }
 
-func (f *Gateway) connect(s *endpoint, address string, c *attempt) {
-	nc, err := f.process.network.Dial(address, connectTimeout)
-	if !f.loop.post(func() { f.connected(s, nc, err, c) }) && err == nil {
-		nc.Close()
+// connect makes a connection for an attempt. It runs on a goroutine of its own.
+func (p *connPool) connect(e *endpoint, address string, a *attempt) {
+	conn, err := p.process.network.Dial(address, connectTimeout)
+	if !p.loop.post(func() { p.connected(e, conn, err, a) }) && err == nil {
+		conn.Close()
 	}
 }
 
-func (f *Gateway) connected(s *endpoint, nc net.Conn, err error, c *attempt) {
+// connected takes the result of connect.
+func (p *connPool) connected(e *endpoint, netConn net.Conn, err error, a *attempt) {
 	if err != nil {
-		s.connections--
-		if !c.ended {
-			f.outliers.recordConnectFailure(s, err)
-			f.attemptEnded(c, balancer.ConnectFailed, nil)
+		e.connections--
+		if !a.ended {
+			p.sink.connectFailed(e, err)
+			p.sink.attemptEnded(a, balancer.ConnectFailed, nil)
 		}
 		return
 	}
-	l := newServerConn(nc, s)
-	f.process.goroutines.Go(func() { f.readResponses(l) })
+	conn := newServerConn(netConn, e)
+	p.process.goroutines.Go(func() { p.readResponses(conn) })
 	switch {
-	case !s.listed || s.state != registry.Ready:
-		// It left while the connection was made: nothing may reach it any more.
-		if !c.ended {
-			f.attemptEnded(c, balancer.ConnectFailed, nil)
+	case !e.listed || e.state != registry.Ready:
+		// The server left while the connection was made: nothing may reach it any more.
+		if !a.ended {
+			p.sink.attemptEnded(a, balancer.ConnectFailed, nil)
 		}
-		l.close()
-	case c.ended:
-		s.idle = append(s.idle, l)
-	case c.shardCall.request.finished || c.shardCall.response != nil: // answered meanwhile
-		s.idle = append(s.idle, l)
-		f.attemptEnded(c, balancer.NotDispatched, nil)
-	case !f.write(l, c):
-		f.attemptEnded(c, balancer.ConnectFailed, nil)
+		conn.close()
+	case a.ended:
+		e.idle = append(e.idle, conn)
+	case a.shardCall.request.finished || a.shardCall.response != nil: // another attempt was faster
+		e.idle = append(e.idle, conn)
+		p.sink.attemptEnded(a, balancer.NotDispatched, nil)
+	case !p.write(conn, a):
+		p.sink.attemptEnded(a, balancer.ConnectFailed, nil)
 	}
 }
 
-// write sends a sub-request over a connection. It tells false where the connection has ended without taking a byte.
-func (f *Gateway) write(l *serverConn, c *attempt) bool {
-	c.shardCall.addConn(l)
-	c.conn = l
-	left := duration(c.deadline - f.loop.now())
-	b := c.appendRequest(f.writeBuffer[:0], left)
-	f.writeBuffer = b[:0]
-	l.begin(c)
-	if len(b) <= smallRequestBytes {
-		return f.writeSmall(l, b)
-	}
-	f.writeBuffer, l.carriedLarge = nil, true
-	go func() {
-		l.conn.SetWriteDeadline(time.Now().Add(left))
-		n, err := l.conn.Write(b)
-		l.written(n)
-		if err != nil {
-			l.conn.Close() // the reader finds it out
-		}
-	}()
+// write sends an attempt over a connection. It reports false where the connection has ended without taking a byte.
+func (p *connPool) write(conn *serverConn, a *attempt) bool {
+	a.shardCall.addConn(conn)
+	a.conn = conn
+	remaining := duration(a.deadline - p.loop.now())
+	text := a.appendRequest(p.writeBuffer[:0], remaining)
+	conn.begin(a)
+	if len(text) <= smallRequestBytes {
+		p.writeBuffer = text[:0]
+		return writeSmall(conn, text)
+	}
+	p.writeBuffer = nil // the writing goroutine keeps it
+	conn.carriedLarge = true
+	go writeLarge(conn, text, remaining)
 	return true
 }
 
-// writeSmall writes a small request. What a large one before it may have left in the connection's buffers holds the owner up for
-// a moment only.
-func (f *Gateway) writeSmall(l *serverConn, b []byte) bool {
-	limit := time.Time{}
-	if l.carriedLarge {
-		limit = time.Now().Add(loopWriteTimeout)
+// writeLarge writes a large request. It runs on a goroutine of its own.
+func writeLarge(conn *serverConn, text []byte, timeout time.Duration) {
+	conn.conn.SetWriteDeadline(time.Now().Add(timeout))
+	n, err := conn.conn.Write(text)
+	conn.written(n)
+	if err != nil {
+		conn.conn.Close() // the reading goroutine sees it
 	}
-	l.conn.SetWriteDeadline(limit)
-	n, err := l.conn.Write(b)
-	l.written(n)
+}
+
+// writeSmall writes a small request on the loop's goroutine. What a large one before it may have left in the socket's buffer delays
+// the loop for a moment only. It reports false where the connection has ended without taking a byte.
+func writeSmall(conn *serverConn, text []byte) bool {
+	deadline := time.Time{}
+	if conn.carriedLarge {
+		deadline = time.Now().Add(loopWriteTimeout)
+	}
+	conn.conn.SetWriteDeadline(deadline)
+	n, err := conn.conn.Write(text)
+	conn.written(n)
 	if err == nil {
 		return true
 	}
 	if n > 0 {
-		l.conn.Close() // the reader finds it out
+		conn.conn.Close() // the reading goroutine sees it
 		return true
 	}
-	l.responseReceived() // nothing is due: nothing was sent
-	l.close()
+	conn.responseReceived() // nothing was sent, and no response is expected
+	conn.close()
 	return false
 }
 
-// readResponses takes answers until the connection ends. What comes while no answer is due, or beyond one, belongs to no request:
-// the connection is closed.
-func (f *Gateway) readResponses(l *serverConn) {
+// readResponses reads responses until the connection ends. It is closed where something comes while no response is expected, or
+// beyond one: that belongs to no request. It runs on a goroutine of its own.
+func (p *connPool) readResponses(conn *serverConn) {
 	for first := true; ; first = false {
-		_, err := l.reader.Peek(1)
-		c := l.pending()
-		if err != nil || c == nil {
-			l.conn.Close()
-			f.loop.post(func() { f.connectionLost(l, balancer.Reset) })
+		_, err := conn.reader.Peek(1)
+		a := conn.pending()
+		if err != nil || a == nil {
+			conn.conn.Close()
+			p.loop.post(func() { p.connectionLost(conn, balancer.Reset) })
 			return
 		}
 		resp := fasthttp.AcquireResponse()
-		outcome, keep, err := readResponse(l.reader, c.shardCall.request, first, resp)
+		outcome, keep, err := readResponse(conn.reader, a.shardCall.request, first, resp)
 		if err != nil {
 			fasthttp.ReleaseResponse(resp)
-			l.conn.Close()
-			f.loop.post(func() { f.connectionLost(l, outcome) })
+			conn.conn.Close()
+			p.loop.post(func() { p.connectionLost(conn, outcome) })
 			return
 		}
-		if l.reader.Buffered() > 0 {
+		if conn.reader.Buffered() > 0 {
 			keep = 0
 		}
-		l.responseReceived()
-		if !f.loop.post(func() { f.responseReceived(l, c, outcome, resp, keep) }) {
-			l.conn.Close()
-			return
-		}
-		if keep == 0 {
-			l.conn.Close()
+		conn.responseReceived()
+		if !p.loop.post(func() { p.responseReceived(conn, a, outcome, resp, keep) }) || keep == 0 {
+			conn.conn.Close()
 			return
 		}
 	}
 }
 
 // connectionLost takes the end of a connection.
-func (f *Gateway) connectionLost(l *serverConn, outcome balancer.Outcome) {
-	c, outcome := l.connectionLost(outcome)
-	l.close()
-	if c != nil && !c.ended {
-		f.attemptEnded(c, outcome, nil)
+func (p *connPool) connectionLost(conn *serverConn, outcome balancer.Outcome) {
+	a, outcome := conn.connectionLost(outcome)
+	conn.close()
+	if a != nil && !a.ended {
+		p.sink.attemptEnded(a, outcome, nil)
 	}
 }
 
-// responseReceived takes a whole answer, and puts its connection back.
-func (f *Gateway) responseReceived(l *serverConn, c *attempt, outcome balancer.Outcome, resp *fasthttp.Response, keep time.Duration) {
-	s := l.endpoint
-	if resp.StatusCode() == fasthttp.StatusMisdirectedRequest {
-		if other := resp.Header.Peek("X-Instance-Id"); len(other) > 0 && string(other) != s.instance && !s.replaced {
-			f.process.log.Info().Str("instance", s.instance).Str("now", string(other)).Msg("servers: another server has the address")
-			s.replaced, keep = true, 0
-			f.endpoints.sync()
-		}
-	}
-	if keep > 0 && s.listed && !l.closed && l.reusable() {
-		l.usedAt, l.maxIdle = time.Now(), keep
-		s.idle = append(s.idle, l)
+// responseReceived takes a complete response, after which its connection may stay idle for the time of keep.
+func (p *connPool) responseReceived(conn *serverConn, a *attempt, outcome balancer.Outcome, resp *fasthttp.Response, keep time.Duration) {
+	e := conn.endpoint
+	if other := misdirectedTo(resp); other != "" && other != e.instance && !e.replaced {
+		p.process.log.Info().Str("instance", e.instance).Str("found", other).Msg("endpoints: another server has the address")
+		e.replaced, keep = true, 0
+		p.sink.endpointReplaced(e)
+	}
+	if keep > 0 && e.listed && !conn.closed && conn.reusable() {
+		conn.usedAt, conn.maxIdle = time.Now(), keep
+		e.idle = append(e.idle, conn)
 	} else {
-		l.close()
+		conn.close()
 	}
-	if c.ended || c.conn != l {
+	if a.ended || a.conn != conn {
 		fasthttp.ReleaseResponse(resp)
 		return
 	}
-	f.attemptEnded(c, outcome, resp)
+	p.sink.attemptEnded(a, outcome, resp)
 }
 
-// attemptEnded tells brain a sub-request's outcome. A connection whose answer is still due is closed: the answer would be
-// nobody's.
-func (f *Gateway) attemptEnded(c *attempt, outcome balancer.Outcome, resp *fasthttp.Response) {
-	p, s := c.shardCall, c.shardCall.request
-	c.ended = true
-	p.attempts[c.number] = nil
-	p.inFlight--
-	c.endpoint.load.add(f.loop.now(), -1)
-	f.quota.release(c, f.loop.now())
-	if c.conn != nil && resp == nil {
-		c.conn.close()
-	}
-	if !outcome.NeverRan() && c.conn != nil { // on none, nothing was handed over
-		s.mayHaveRun = true
-	}
-	switch {
-	case resp == nil:
-	case outcome == balancer.Answered && !s.finished && p.response == nil:
-		p.response = resp
-	case !s.finished && !outcome.NeverRan() && outcome != balancer.Answered && resp.StatusCode() >= 500 && !promisesNotExecuted(resp.StatusCode()):
-		if s.lastFailure != nil {
-			fasthttp.ReleaseResponse(s.lastFailure)
-		}
-		s.lastFailure = resp
-	default:
-		fasthttp.ReleaseResponse(resp)
-	}
-	f.releaseShardCall(p)
-	f.handleEvent(balancer.AttemptEnded{Call: p.id, Attempt: c.number, Server: c.endpoint.id, Elapsed: f.loop.now() - c.sentAt, Outcome: outcome})
-	if outcome == balancer.Answered {
-		f.outliers.recordSuccess(c.endpoint)
+// misdirectedTo returns the instance that answered in place of the one addressed, "" = the right one or an unknown one.
+func misdirectedTo(resp *fasthttp.Response) string {
+	if resp.StatusCode() != fasthttp.StatusMisdirectedRequest {
+		return ""
 	}
-	f.endpoints.removeIfGone(c.endpoint)
+	return string(resp.Header.Peek("X-Instance-Id"))
 }
--- a/dataplane/dispatcher.go
+++ b/dataplane/dispatcher.go
@@ -7,27 +7,11 @@
 
 	"github.com/valyala/fasthttp"
 
+	"oxbowspan/admission"
 	"oxbowspan/balancer"
 	"oxbowspan/internal/settings"
-	"oxbowspan/rendezvous"
-	"oxbowspan/rpc"
 )
 
-// loopState is the state of requests and loads, owned by the loop.
-type loopState struct {
-	balancer      *balancer.Balancer
-	ids           *idSequence
-	requests      map[balancer.RequestID]*request     // until their result
-	shardCalls    map[balancer.ShardCallID]*shardCall // until their request has finished and no attempt is in flight
-	pendingEvents []balancer.Event
-	lastNumber    balancer.RequestNumber
-	subscribers   map[*rpc.Conn]bool
-	subscriptions map[rendezvous.Name]*loadSubscription
-	observedPeers int // others that those observed stand for
-	writeBuffer   []byte
-	sentLoads     bool
-}
-
 // What the settings leave open for the balancer.
 const (
 	maxRetryAfter           = 400 * time.Millisecond // clients follow a Retry-After of up to a third of their timeout
@@ -35,6 +19,74 @@
 	localZone               = balancer.ZoneIndex(0)
 )
 
+// timerLoop is what the dispatcher uses of the loop.
+type timerLoop interface {
+	commandLoop
+	// schedule has an event fire at a moment.
+	schedule(at balancer.Time, event timerEvent)
+}
+
+// attemptSender sends attempts to servers.
+type attemptSender interface {
+	send(a *attempt)
+}
+
+// tenantAccounting accounts connections and waiting shard calls to tenants.
+type tenantAccounting interface {
+	acquire(a *attempt, now balancer.Time)
+	release(a *attempt, now balancer.Time)
+	startWaiting(r *request, now balancer.Time)
+	stopWaiting(call *shardCall, now balancer.Time)
+}
+
+// outcomeRecorder records how servers respond.
+type outcomeRecorder interface {
+	recordSuccess(e *endpoint)
+	recordConnectFailure(e *endpoint, err error)
+}
+
+// dispatcher takes requests, gives events to the balancer and performs its actions. It is owned by the loop.
+type dispatcher struct {
+	process   *process
+	loop      timerLoop
+	balancer  *balancer.Balancer
+	endpoints *endpointTable
+	ids       *idSequence
+	sender    attemptSender
+	tenants   tenantAccounting
+	outcomes  outcomeRecorder
+
+	requests      map[balancer.RequestID]*request     // until their result
+	shardCalls    map[balancer.ShardCallID]*shardCall // until their request has finished and no attempt is in flight
+	pendingEvents []balancer.Event                    // raised while actions are performed
+	lastNumber    balancer.RequestNumber
+}
+
+// dispatcherOptions are what a dispatcher works with.
+type dispatcherOptions struct {
+	balancer  *balancer.Balancer
+	endpoints *endpointTable
+	ids       *idSequence
+	sender    attemptSender
+	tenants   tenantAccounting
+	outcomes  outcomeRecorder
+}
+
+func newDispatcher(p *process, loop timerLoop, options dispatcherOptions) *dispatcher {
+	return &dispatcher{
+		process:    p,
+		loop:       loop,
+		balancer:   options.balancer,
+		endpoints:  options.endpoints,
+		ids:        options.ids,
+		sender:     options.sender,
+		tenants:    options.tenants,
+		outcomes:   options.outcomes,
+		requests:   map[balancer.RequestID]*request{},
+		shardCalls: map[balancer.ShardCallID]*shardCall{},
+	}
+}
+
 // balancerConfig describes the deployment to the balancer.
 func balancerConfig(options *settings.Settings, seed uint64, limiter balancer.CapacityLimiter) balancer.Config {
 	bounds := options.Bounds
@@ -63,163 +115,267 @@
 	}
 }
 
-// maintain implements loopHandler.
-func (f *Gateway) maintain(now balancer.Time) {
-	f.outliers.evaluate(now)
-	f.exchangeLoads(now)
-	f.runHealthChecks(now)
-	f.quota.maintain(now)
+// submit passes a client's request to the loop. It reports false once the loop has stopped. Any goroutine may call it.
+func (d *dispatcher) submit(r *request) bool {
+	return d.loop.post(func() { d.requestArrived(r) })
 }
 
-// loopStopped implements loopHandler: it closes the connections that goroutines wait on.
-func (f *Gateway) loopStopped() {
-	for _, w := range f.subscriptions {
-		w.cancel()
-		w.caller.Close()
+// requestArrived takes a request.
+func (d *dispatcher) requestArrived(r *request) {
+	r.id = balancer.RequestID(d.ids.next())
+	d.requests[r.id] = r
+	event := balancer.RequestArrived{
+		Request:    r.id,
+		Number:     d.nextNumber(),
+		Type:       r.route.queryType,
+		Timeout:    r.deadline,
+		Candidates: r.route.alternatives,
 	}
-	f.endpoints.closeConns()
-	f.quota.close()
-	for _, p := range f.shardCalls {
-		for _, c := range p.attempts {
-			if c != nil && c.conn != nil {
-				c.conn.conn.Close()
-			}
-		}
+	shards := r.route.shards
+	if len(shards) == 0 {
+		shards = []balancer.ShardIndex{r.route.alternatives[0].Shard}
+	}
+	for _, shard := range shards {
+		call := &shardCall{request: r, id: balancer.ShardCallID(d.ids.next()), shard: shard}
+		r.shardCalls = append(r.shardCalls, call)
+		d.shardCalls[call.id] = call
+		event.Calls = append(event.Calls, balancer.ShardCall{ID: call.id, Shard: shard, Weight: 1 / float64(len(shards))})
 	}
+	d.handleEvent(event)
+	d.tenants.startWaiting(r, d.loop.now())
+	d.watchDispatch(r, d.loop.now())
 }
 
-// timerFired implements loopHandler.
-func (f *Gateway) timerFired(event timerEvent, now balancer.Time) {
-	switch {
-	case event.undispatched != nil:
-		f.dispatchOverdue(event.undispatched, now)
-	case event.attempt == nil:
-		f.handleEvent(balancer.TimerFired{Timer: event.timer})
-	case !event.attempt.ended:
-		f.attemptEnded(event.attempt, balancer.TimedOut, nil)
+// nextNumber numbers requests from 1, and begins again before the numbers' type ends.
+func (d *dispatcher) nextNumber() balancer.RequestNumber {
+	d.lastNumber++
+	if d.lastNumber >= math.MaxUint32-1 {
+		d.lastNumber = 1
 	}
+	return d.lastNumber
 }
 
-// handleEvent gives an event to brain and performs its actions, in order.
-func (f *Gateway) handleEvent(ev balancer.Event) {
-	f.performActions(f.balancer.Handle(f.loop.now(), ev))
-	for len(f.pendingEvents) > 0 {
-		next := f.pendingEvents[0]
-		f.pendingEvents = f.pendingEvents[1:]
-		f.performActions(f.balancer.Handle(f.loop.now(), next))
+// handleEvent gives an event to the balancer and performs its actions in order, then those of the events that this raised.
+func (d *dispatcher) handleEvent(event balancer.Event) {
+	d.perform(d.balancer.Handle(d.loop.now(), event))
+	for len(d.pendingEvents) > 0 {
+		next := d.pendingEvents[0]
+		d.pendingEvents = d.pendingEvents[1:]
+		d.perform(d.balancer.Handle(d.loop.now(), next))
 	}
-	f.pendingEvents = nil
+	d.pendingEvents = nil
 }
 
-func (f *Gateway) performActions(acts []balancer.Action) {
-	for _, a := range acts {
-		switch a := a.(type) {
+func (d *dispatcher) perform(actions []balancer.Action) {
+	for _, action := range actions {
+		switch action := action.(type) {
 		case balancer.Send:
-			f.dispatch(a)
+			d.dispatch(action)
 		case balancer.Answer:
-			f.answerRequest(a)
+			d.complete(action.Request)
 		case balancer.Shed:
-			f.failRequest(a.Request, a.RetryAfter)
+			d.abandon(action.Request, action.RetryAfter)
 		case balancer.Fail:
-			f.failRequest(a.Request, 0)
+			d.abandon(action.Request, 0)
 		case balancer.SetTimer:
-			f.loop.schedule(a.At, timerEvent{timer: a.Timer})
+			d.loop.schedule(action.At, timerEvent{timer: action.Timer})
 		case balancer.CloseIdle:
-			if s := f.endpoints.byID[a.Server]; s != nil {
-				s.closeIdle()
+			if e := d.endpoints.byID[action.Server]; e != nil {
+				e.closeIdle()
 			}
 		}
 	}
 }
 
-// submit passes a client's request to the loop. It reports false once the loop has stopped. Any goroutine may call it.
-func (f *Gateway) submit(r *request) bool {
-	return f.loop.post(func() { f.requestArrived(r) })
+// timerFired takes a scheduled event that is due.
+func (d *dispatcher) timerFired(event timerEvent, now balancer.Time) {
+	switch {
+	case event.undispatched != nil:
+		d.dispatchOverdue(event.undispatched, now)
+	case event.attempt == nil:
+		d.handleEvent(balancer.TimerFired{Timer: event.timer})
+	case !event.attempt.ended:
+		d.attemptEnded(event.attempt, balancer.TimedOut, nil)
+	}
 }
 
-// requestArrived takes a request.
-func (f *Gateway) requestArrived(s *request) {
-	s.id = balancer.RequestID(f.ids.next())
-	if f.lastNumber++; f.lastNumber >= math.MaxUint32-1 {
-		f.lastNumber = 1
-	}
-	f.requests[s.id] = s
-	ev := balancer.RequestArrived{Request: s.id, Number: f.lastNumber, Type: s.route.queryType, Timeout: s.deadline, Candidates: s.route.alternatives}
-	shards := s.route.shards
-	if len(shards) == 0 {
-		shards = []balancer.ShardIndex{s.route.alternatives[0].Shard}
+// dispatch sends a shard call to a server, as the balancer decided.
+func (d *dispatcher) dispatch(action balancer.Send) {
+	call, e := d.shardCalls[action.Call], d.endpoints.byID[action.Server]
+	if call == nil {
+		return
+	}
+	now := d.loop.now()
+	a := &attempt{
+		shardCall: call,
+		number:    balancer.AttemptNumber(len(call.attempts)),
+		endpoint:  e,
+		sentAt:    now,
+		deadline:  now + action.Timeout,
 	}
-	for _, at := range shards {
-		p := &shardCall{request: s, id: balancer.ShardCallID(f.ids.next()), shard: at}
-		s.shardCalls = append(s.shardCalls, p)
-		f.shardCalls[p.id] = p
-		ev.Calls = append(ev.Calls, balancer.ShardCall{ID: p.id, Shard: at, Weight: 1 / float64(len(shards))})
+	if e == nil || call.request.finished || !e.listed {
+		a.ended = true
+		call.attempts = append(call.attempts, nil)
+		d.pendingEvents = append(d.pendingEvents, balancer.AttemptEnded{Call: call.id, Attempt: a.number, Server: action.Server, Outcome: balancer.NotDispatched})
+		d.forgetIfDone(call)
+		return
 	}
-	f.handleEvent(ev)
-	f.quota.startWaiting(s, f.loop.now())
-	f.watchDispatch(s, f.loop.now())
+	call.attempts = append(call.attempts, a)
+	call.inFlight++
+	e.load.add(now, 1)
+	d.tenants.acquire(a, now)
+	d.loop.schedule(a.deadline, timerEvent{attempt: a})
+	d.sender.send(a)
+}
+
+// connectFailed implements attemptSink.
+func (d *dispatcher) connectFailed(e *endpoint, err error) { d.outcomes.recordConnectFailure(e, err) }
+
+// endpointReplaced implements attemptSink.
+func (d *dispatcher) endpointReplaced(*endpoint) { d.endpoints.sync() }
+
+// attemptEnded implements attemptSink: it tells the balancer an attempt's outcome. A connection on which the response is still
+// expected is closed, as the response would belong to nobody.
+func (d *dispatcher) attemptEnded(a *attempt, outcome balancer.Outcome, resp *fasthttp.Response) {
+	call, e := a.shardCall, a.endpoint
+	a.ended = true
+	call.attempts[a.number] = nil
+	call.inFlight--
+	e.load.add(d.loop.now(), -1)
+	d.tenants.release(a, d.loop.now())
+	if a.conn != nil && resp == nil {
+		a.conn.close()
+	}
+	if !outcome.NeverRan() && a.conn != nil { // without a connection nothing was written
+		call.request.mayHaveRun = true
+	}
+	if resp != nil {
+		keepResponse(call, outcome, resp)
+	}
+	d.forgetIfDone(call)
+	d.handleEvent(balancer.AttemptEnded{Call: call.id, Attempt: a.number, Server: e.id, Elapsed: d.loop.now() - a.sentAt, Outcome: outcome})
+	if outcome == balancer.Answered {
+		d.outcomes.recordSuccess(e)
+	}
+	d.endpoints.removeIfGone(e)
+}
+
+// keepResponse keeps a response that may be passed to the client, and releases any other.
+func keepResponse(call *shardCall, outcome balancer.Outcome, resp *fasthttp.Response) {
+	r := call.request
+	switch {
+	case r.finished:
+		fasthttp.ReleaseResponse(resp)
+	case outcome == balancer.Answered && call.response == nil:
+		call.response = resp
+	case isServerFailure(outcome, resp.StatusCode()):
+		r.releaseLastFailure()
+		r.lastFailure = resp
+	default:
+		fasthttp.ReleaseResponse(resp)
+	}
+}
+
+// isServerFailure reports whether a response is a failure that the request may have caused by running.
+func isServerFailure(outcome balancer.Outcome, status int) bool {
+	return !outcome.NeverRan() && outcome != balancer.Answered && status >= fasthttp.StatusInternalServerError && !promisesNotExecuted(status)
 }
 
-// answerRequest gives a search what is in.
-func (f *Gateway) answerRequest(a balancer.Answer) {
-	s := f.requests[a.Request]
-	if s == nil {
+// complete ends a request with the responses that have come.
+func (d *dispatcher) complete(id balancer.RequestID) {
+	r := d.requests[id]
+	if r == nil {
 		return
 	}
-	r := result{kind: resultMerge, missing: len(s.shardCalls)}
-	for _, p := range s.shardCalls {
-		if p.response != nil {
-			r.responses = append(r.responses, p.response)
-			r.missing--
-			p.response = nil
+	outcome := result{kind: resultMerge, missing: len(r.shardCalls)}
+	for _, call := range r.shardCalls {
+		if call.response != nil {
+			outcome.responses = append(outcome.responses, call.response)
+			outcome.missing--
+			call.response = nil
 		}
 	}
-	if !s.route.Gathered() {
-		r.kind = resultForward
+	if !r.route.Gathered() {
+		outcome.kind = resultForward
 	}
-	f.finishRequest(s, r)
+	d.finish(r, outcome)
 }
 
-// failRequest ends a search without an answer. Only where nothing has run nor can yet, it is told that coming back is harmless.
-func (f *Gateway) failRequest(id balancer.RequestID, advice balancer.Time) {
-	s := f.requests[id]
-	if s == nil {
+// abandon ends a request without a success. Its client is advised to retry only where no attempt has run nor can yet.
+func (d *dispatcher) abandon(id balancer.RequestID, retryAfter balancer.Time) {
+	r := d.requests[id]
+	if r == nil {
 		return
 	}
-	r := result{kind: resultRejected, retryAfter: duration(advice)}
-	for _, p := range s.shardCalls {
-		s.mayHaveRun = s.mayHaveRun || slices.ContainsFunc(p.attempts, (*attempt).mayHaveRun)
+	for _, call := range r.shardCalls {
+		r.mayHaveRun = r.mayHaveRun || slices.ContainsFunc(call.attempts, (*attempt).mayHaveRun)
 	}
+	outcome := result{kind: resultRejected, retryAfter: duration(retryAfter)}
 	switch {
-	case s.mayHaveRun && s.lastFailure != nil && !s.route.Gathered():
-		r = result{kind: resultForward, responses: []*fasthttp.Response{s.lastFailure}}
-		s.lastFailure = nil
-	case s.mayHaveRun:
-		r.kind = resultFailed
-	}
-	f.finishRequest(s, r)
-}
-
-func (f *Gateway) finishRequest(s *request, r result) {
-	s.finished = true
-	delete(f.requests, s.id)
-	for _, p := range s.shardCalls {
-		if p.response != nil {
-			fasthttp.ReleaseResponse(p.response)
-			p.response = nil
-		}
-		f.quota.stopWaiting(p, f.loop.now())
-		f.releaseShardCall(p)
+	case r.mayHaveRun && r.lastFailure != nil && !r.route.Gathered():
+		outcome = result{kind: resultForward, responses: []*fasthttp.Response{r.lastFailure}}
+		r.lastFailure = nil
+	case r.mayHaveRun:
+		outcome.kind = resultFailed
+	}
+	d.finish(r, outcome)
+}
+
+// finish passes a request's result to its client.
+func (d *dispatcher) finish(r *request, outcome result) {
+	r.finished = true
+	delete(d.requests, r.id)
+	for _, call := range r.shardCalls {
+		call.releaseResponse()
+		d.tenants.stopWaiting(call, d.loop.now())
+		d.forgetIfDone(call)
 	}
-	if s.lastFailure != nil {
-		fasthttp.ReleaseResponse(s.lastFailure)
-		s.lastFailure = nil
+	r.releaseLastFailure()
+	r.results <- outcome
+}
+
+// forgetIfDone forgets a shard call once its request has finished and no attempt is in flight.
+func (d *dispatcher) forgetIfDone(call *shardCall) {
+	if call.request.finished && call.inFlight == 0 {
+		delete(d.shardCalls, call.id)
 	}
-	s.results <- r
 }
 
-func (f *Gateway) releaseShardCall(p *shardCall) {
-	if p.request.finished && p.inFlight == 0 {
-		delete(f.shardCalls, p.id)
+// watchDispatch has a request that was not dispatched yet checked when its hold limit has passed.
+func (d *dispatcher) watchDispatch(r *request, now balancer.Time) {
+	if r.finished || r.dispatchState().Dispatched {
+		return
+	}
+	if limit, ok := admission.HoldLimit(fromMillis(r.route.TargetMS)); ok {
+		d.loop.schedule(now+ticks(limit), timerEvent{undispatched: r})
+	}
+}
+
+// dispatchOverdue rejects a request whose hold limit has passed, where no server can take it and the balancer only waits for one to
+// come back.
+func (d *dispatcher) dispatchOverdue(r *request, now balancer.Time) {
+	if r.finished {
+		return
+	}
+	state := r.dispatchState()
+	state.WarmingUp = admission.WarmingUp(duration(now), d.process.settings.HeartbeatInterval())
+	switch state.Decide() {
+	case admission.Recheck:
+		d.watchDispatch(r, now)
+	case admission.Reject:
+		d.handleEvent(balancer.RequestCancelled{Request: r.id})
+		d.abandon(r.id, ticks(maxRetryAfter))
+	case admission.AwaitResponse:
+	}
+}
+
+// closeConns closes the connections that carry attempts.
+func (d *dispatcher) closeConns() {
+	for _, call := range d.shardCalls {
+		for _, a := range call.attempts {
+			if a != nil && a.conn != nil {
+				a.conn.conn.Close()
+			}
+		}
 	}
 }
--- a/dataplane/gateway.go
+++ b/dataplane/gateway.go
@@ -25,34 +25,44 @@
 	loop    *eventLoop
 	killed  chan struct{}
 
-	members   *membership
-	endpoints *endpointTable
-	configs   *configStore
-	quota     *quotaClient
-	outliers  *outlierClient
-	front     *frontServer
-
-	loopState
+	members    *membership
+	endpoints  *endpointTable
+	configs    *configStore
+	quota      *quotaClient
+	outliers   *outlierClient
+	dispatcher *dispatcher
+	front      *frontServer
+
+	exchangeState
 }
 
 // New makes a gateway that does nothing until Run.
 func New(options *settings.Settings, transport network.Network, log zerolog.Logger) *Gateway {
 	f := &Gateway{process: newProcess(options, transport, log), loop: newEventLoop(), killed: make(chan struct{})}
-	f.ids = &idSequence{}
+	ids := &idSequence{}
 	f.members = newMembership(f.process)
-	f.endpoints = newEndpointTable(f.process, f.members, f.ids)
+	f.endpoints = newEndpointTable(f.process, f.members, ids)
 	f.configs = newConfigStore(log, f.endpoints)
 	f.quota = newQuotaClient(f.process, f.loop, f.members, f.endpoints, f.configs)
-	f.balancer = balancer.New(balancerConfig(options, f.process.incarnation, f.quota))
-	f.outliers = newOutlierClient(f.process, f.loop, f.members, f.endpoints, f.balancer)
-	f.requests, f.shardCalls = map[balancer.RequestID]*request{}, map[balancer.ShardCallID]*shardCall{}
+	decisions := balancer.New(balancerConfig(options, f.process.incarnation, f.quota))
+	f.outliers = newOutlierClient(f.process, f.loop, f.members, f.endpoints, decisions)
+	conns := newConnPool(f.process, f.loop)
+	f.dispatcher = newDispatcher(f.process, f.loop, dispatcherOptions{
+		balancer:  decisions,
+		endpoints: f.endpoints,
+		ids:       ids,
+		sender:    conns,
+		tenants:   f.quota,
+		outcomes:  f.outliers,
+	})
 	f.subscribers, f.subscriptions = map[*rpc.Conn]bool{}, map[rendezvous.Name]*loadSubscription{}
-	f.front = newFrontServer(f.process, f.configs, f, f.loop.stopped)
+	f.front = newFrontServer(f.process, f.configs, f.dispatcher, f.loop.stopped)
 
 	// The components below depend on each other in a circle.
-	f.endpoints.balancer, f.endpoints.quota, f.endpoints.outliers = f, f.quota, f.outliers
-	f.configs.balancer, f.configs.tenants = f, f.quota
-	f.outliers.balancer = f
+	f.endpoints.balancer, f.endpoints.quota, f.endpoints.outliers = f.dispatcher, f.quota, f.outliers
+	f.configs.balancer, f.configs.tenants = f.dispatcher, f.quota
+	f.outliers.balancer = f.dispatcher
+	conns.sink = f.dispatcher
 	return f
 }
 
@@ -142,3 +152,27 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
+
+// maintain implements loopHandler.
+func (f *Gateway) maintain(now balancer.Time) {
+	f.outliers.evaluate(now)
+	f.exchangeLoads(now)
+	f.runHealthChecks(now)
+	f.quota.maintain(now)
+}
+
+// timerFired implements loopHandler.
+func (f *Gateway) timerFired(event timerEvent, now balancer.Time) {
+	f.dispatcher.timerFired(event, now)
+}
+
+// loopStopped implements loopHandler: it closes the connections that goroutines wait on.
+func (f *Gateway) loopStopped() {
+	for _, w := range f.subscriptions {
+		w.cancel()
+		w.caller.Close()
+	}
+	f.endpoints.closeConns()
+	f.quota.close()
+	f.dispatcher.closeConns()
+}
--- a/dataplane/loadexchange.go
+++ b/dataplane/loadexchange.go
@@ -17,6 +17,14 @@
 	receivedAt balancer.Time
 }
 
+// exchangeState is the state of the exchange of loads, owned by the loop.
+type exchangeState struct {
+	subscribers   map[*rpc.Conn]bool
+	subscriptions map[rendezvous.Name]*loadSubscription
+	observedPeers int // others that those observed stand for
+	sentLoads     bool
+}
+
 // handleFrame takes a frame of another gatherer.
 func (f *Gateway) handleFrame(c *rpc.Conn, q *rpc.Frame) {
 	if a := q.GetPoll(); a != nil {
@@ -156,5 +164,5 @@
 			told.Loads = append(told.Loads, balancer.PeerLoad{Server: s.id, InFlight: sums[s.instance] * scale})
 		}
 	}
-	f.handleEvent(told)
+	f.dispatcher.handleEvent(told)
 }
--- a/dataplane/mutation_test.go
+++ b/dataplane/mutation_test.go
@@ -67,8 +67,8 @@
 	},
 	{
 		name: "a connection carries an id twice", test: scenarioTest, file: "connpool.go",
-		old: `if c.shardCall.usedConn(l) {`,
-		new: `if c.shardCall.usedConn(l) && !MUTATED {`,
+		old: `if a.shardCall.usedConn(conn) {`,
+		new: `if a.shardCall.usedConn(conn) && !MUTATED {`,
 	},
 	{
 		name: "a connection is used again while it is written to", test: scenarioTest, file: "exchange.go",
@@ -76,14 +76,14 @@
 		new: `x.pending == nil && (!x.writing || MUTATED)`,
 	},
 	{
-		name: "the connection of an attempt that was given up is used again", test: scenarioTest, file: "connpool.go",
-		old: `		c.conn.close()
+		name: "the connection of an attempt that was given up is used again", test: scenarioTest, file: "dispatcher.go",
+		old: `		a.conn.close()
 	}
 	if !outcome`,
 		new: `		if MUTATED {
-			c.endpoint.idle = append(c.endpoint.idle, c.conn)
+			e.idle = append(e.idle, a.conn)
 		} else {
-			c.conn.close()
+			a.conn.close()
 		}
 	}
 	if !outcome`,
@@ -94,14 +94,14 @@
 		new: `return a != nil && a.conn != nil && !MUTATED`,
 	},
 	{
-		name: "an ended attempt counts as never run", test: scenarioTest, file: "connpool.go",
-		old: `if !outcome.NeverRan() && c.conn != nil {`,
-		new: `if !outcome.NeverRan() && c.conn != nil && !MUTATED {`,
+		name: "an ended attempt counts as never run", test: scenarioTest, file: "dispatcher.go",
+		old: `if !outcome.NeverRan() && a.conn != nil {`,
+		new: `if !outcome.NeverRan() && a.conn != nil && !MUTATED {`,
 	},
 	{
 		name: "a new connection is given what has been answered", test: scenarioTest, file: "connpool.go",
-		old: `case c.shardCall.request.finished || c.shardCall.response != nil:`,
-		new: `case (c.shardCall.request.finished || c.shardCall.response != nil) && !MUTATED:`,
+		old: `case a.shardCall.request.finished || a.shardCall.response != nil:`,
+		new: `case (a.shardCall.request.finished || a.shardCall.response != nil) && !MUTATED:`,
 	},
 	{
 		name: "the response to a HEAD request has a body", test: scenarioTest, file: "result.go",
