--- a/internal/network/network.go
+++ b/internal/network/network.go
@@ -1,4 +1,4 @@
-// Package network is the network that the system's processes stand on: TCP, or the simulated network of the tests.
+// Package network abstracts the network that the programs run on: TCP in production, a simulated network in tests.
 package network
 
 import (
@@ -7,23 +7,30 @@
 	"time"
 )
 
-// Network makes and takes connections. Addresses are an IP and a port.
+// keepAliveDisabled turns off the TCP keep-alive probes of package net.
+const keepAliveDisabled = -1
+
+// Network opens and accepts stream connections. Addresses have the form "IP:port".
 type Network interface {
+	// Listen announces on a local address.
 	Listen(address string) (net.Listener, error)
-	Dial(address string, limit time.Duration) (net.Conn, error)
+	// Dial connects to an address. It fails if the connection is not established within the timeout; 0 means no timeout
+	// of its own.
+	Dial(address string, timeout time.Duration) (net.Conn, error)
 }
 
-// TCP is the machine's own network. Its connections probe nothing by themselves: who wants a dead peer to show asks for it.
+// TCP is the network of the operating system. Its connections send no keep-alive probes; callers that must detect a dead
+// peer enable them on the connection.
 type TCP struct{}
 
-// Listen listens on an address.
+// Listen implements Network.
 func (TCP) Listen(address string) (net.Listener, error) {
-	config := net.ListenConfig{KeepAlive: -1}
+	config := net.ListenConfig{KeepAlive: keepAliveDisabled}
 	return config.Listen(context.Background(), "tcp", address)
 }
 
-// Dial connects to an address, within a limit.
+// Dial implements Network.
 func (TCP) Dial(address string, timeout time.Duration) (net.Conn, error) {
-	dialer := net.Dialer{Timeout: timeout, KeepAlive: -1}
+	dialer := net.Dialer{Timeout: timeout, KeepAlive: keepAliveDisabled}
 	return dialer.Dial("tcp", address)
 }
