--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -371,8 +371,8 @@
 	now, soon, old := ratio(start(0, nil)), ratio(start(latencyMaxAge/2, nil)), ratio(start(2*latencyMaxAge, nil))
 	failIf(t, now < 4 || soon >= now || soon <= 1 || old != 1, "slow over quick: %.2f at once, %.2f later, %.2f when old", now, soon, old)
 	for what, change := range map[string]func(*ServerRecord){
-		"of a moment to come": func(l *ServerRecord) { l.TaughtAt += 1000 }, "of another start": func(l *ServerRecord) { l.UpSince = 77 },
-		"nonsense": func(l *ServerRecord) { l.Size = 0 },
+		"of a moment to come": func(l *ServerRecord) { l.MeasuredAt += 1000 }, "of another start": func(l *ServerRecord) { l.StartedAt = 77 },
+		"nonsense": func(l *ServerRecord) { l.Work = 0 },
 	} {
 		if got := ratio(start(0, change)); got != 1 {
 			t.Errorf("%s: %.2f", what, got)
@@ -380,7 +380,7 @@
 	}
 	b := start(0, func(l *ServerRecord) {
 		if l.ID == 1 {
-			l.OutUntil = before.at + 1<<40
+			l.EjectedUntil = before.at + 1<<40
 		}
 	})
 	failIf(t, b.servers[1].ejectedUntil > b.now+maxEjectionFactor*b.baseEjection, "out for longer than any failure takes it out")
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -84,12 +84,12 @@
 // restoreRecords takes in what still counts. A record of a moment to come is of a clock that went back.
 func (b *Balancer) restoreRecords(e RecordsRestored) {
 	for _, record := range e.Servers {
-		s, old := b.servers[record.ID], record.TaughtAt > b.now || b.freshness(record.TaughtAt, latencyMaxAge) == 0
-		if s == nil || s.startedAt != record.UpSince || s.unitLatency > 0 || s.respondedAt > 0 || old || record.Took <= 0 || record.Size <= 0 {
+		s, old := b.servers[record.ID], record.MeasuredAt > b.now || b.freshness(record.MeasuredAt, latencyMaxAge) == 0
+		if s == nil || s.startedAt != record.StartedAt || s.unitLatency > 0 || s.respondedAt > 0 || old || record.Latency <= 0 || record.Work <= 0 {
 			continue
 		}
-		s.latency, s.latencyWork, s.unitLatency, s.measuredAt = record.Took, record.Size, record.Took/record.Size, record.TaughtAt
-		s.failureRate = max(0, min(record.Failing, 1))
-		s.ejectedUntil, s.probation = min(record.OutUntil, b.now+maxEjectionFactor*b.baseEjection), record.OutUntil > b.now
+		s.latency, s.latencyWork, s.unitLatency, s.measuredAt = record.Latency, record.Work, record.Latency/record.Work, record.MeasuredAt
+		s.failureRate = max(0, min(record.FailureRate, 1))
+		s.ejectedUntil, s.probation = min(record.EjectedUntil, b.now+maxEjectionFactor*b.baseEjection), record.EjectedUntil > b.now
 	}
 }
--- a/balancer/types.go
+++ b/balancer/types.go
@@ -145,11 +145,13 @@
 
 // ServerRecord is what is known of one server: its latency record and its health.
 type ServerRecord struct {
-	ID                 ServerID
-	UpSince            Time
-	Took, Size         float64 // smoothed latency in Time, and the sizes that took it
-	TaughtAt, OutUntil Time
-	Failing            float64 // smoothed share of failures
+	ID           ServerID
+	StartedAt    Time    `json:"UpSince"`
+	Latency      float64 `json:"Took"` // smoothed latency in Time
+	Work         float64 `json:"Size"` // the sizes that took it
+	MeasuredAt   Time    `json:"TaughtAt"`
+	EjectedUntil Time    `json:"OutUntil"`
+	FailureRate  float64 `json:"Failing"` // smoothed share of failures
 }
 
 // ServerListKind says how a ServerList relates to the list held.
--- a/gatherer/degradation.go
+++ b/gatherer/degradation.go
@@ -140,7 +140,7 @@
 func (l *degradationState) readings(now degradation.Time) degradation.Readings {
 	out := map[balancer.ServerID]balancer.Time{}
 	for _, k := range l.dispatcher.balancer.ServerRecords() {
-		out[k.ID] = k.OutUntil
+		out[k.ID] = k.EjectedUntil
 	}
 	var seen []degradation.Seen
 	for _, s := range l.dispatcher.servers {
@@ -223,14 +223,14 @@
 			continue
 		}
 		k := learned[x.id]
-		one := admin.Server{Host: x.host, Zone: x.zone, Cell: x.cell, Out: x.inFlight, Failing: k.Failing, State: "ready"}
-		if k.Size > 0 {
-			one.Millis = k.Took / k.Size / float64(balancer.Millisecond)
+		one := admin.Server{Host: x.host, Zone: x.zone, Cell: x.cell, Out: x.inFlight, Failing: k.FailureRate, State: "ready"}
+		if k.Work > 0 {
+			one.Millis = k.Latency / k.Work / float64(balancer.Millisecond)
 		}
 		switch {
 		case x.draining:
 			one.State = "draining"
-		case k.OutUntil > at:
+		case k.EjectedUntil > at:
 			one.State = "out"
 		case l.isWarmingUp(x):
 			one.State = "cold"
--- a/gatherer/persistence.go
+++ b/gatherer/persistence.go
@@ -289,7 +289,7 @@
 	var changes []store.Op
 	for _, l := range m.balancer.ServerRecords() {
 		s := m.servers[l.ID]
-		if s == nil || l.TaughtAt < since {
+		if s == nil || l.MeasuredAt < since {
 			continue
 		}
 		if raw, err := json.Marshal(l); err == nil {
