--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -1,75 +1,199 @@
 package balancer
 
-// Handle takes one Event and its moment, in order of arrival, and returns the Actions to perform, in order.
-// The design (docs/design.md) places each part: see plan.go. Beside it, six mechanisms, a file each:
-//  1. Health: errors and silence take a server out; one trial part at a time brings it back, after a probe
-//     where a search depends on it. Rested connections, where many are found dead, are closed before use.
-//  2. Cold allowance: a server just started gets its share of what warm ones bear, by its age.
-//  3. Further sub-requests: resends and copies follow the recent ones' success, inside the stated budget.
-//  4. In-flight limit: follows the shortest over the present answer time; past it searches are shed.
-//  5. Moment to answer: whole at once, short at the latency target, given up in time.
-//  6. List keeping: a subscription asked for again with growing pauses; unlisted servers are forgotten.
-
 import (
 	"cmp"
 	"math"
 )
 
-const (
-	stragglerGap  = 100 * Millisecond   // the design's: a part so far behind the fastest moves once
-	initialShare  = 10                  // the design's: before any answer a part takes target / initialShare
-	latencyWeight = 0.2                 // smoothing of latency per unit size: about the last five answers
-	slowWeight    = 0.05                // smoothing of a part's size, of success and of the reported queue
-	latencyMaxAge = 10000 * Millisecond // a server's own rate counts less by its age, up to this
-	queueMaxAge   = 1000 * Millisecond  // and so does its reported queue
-	idleAfter     = 500 * Millisecond   // a connection that carried nothing for so long is rested
-	deadIdleLimit = 0.25                // smoothed share of these found dead, past which none is used
-	silenceWeight = 4.0                 // something overdue and no word: so many times slower again
+// Balancer is the state machine of one instance. Its methods must not be called concurrently.
+type Balancer struct {
+	settings
+	estimates
 
-	ejectionThreshold = 0.3               // smoothed share of failures that takes a server out
-	errorWeight       = 0.2               // weight of an error: two close together are needed
-	lossWeight        = 0.4               // weight of a dead connection or of silence: one is enough
-	successWeight     = 0.1               // weight of an answer
-	zoneWeight        = 0.2               // of an answer or a hard failure, for all servers of a zone
-	firstBackoff      = 500 * Millisecond // the list is unasked so long after a failure; a server is out at first
-	backoffDivisor    = 2                 // the shortest target / backoffDivisor, but no longer
-	maxEjectionFactor = 8                 // the pause doubles up to so many times the first
+	types     []*typePolicy
+	customers []customer // the last one counts the requests of all
+	rand      mwc
+	now       Time
+	actions   []Action
 
-	slowStartSafety = 0.6 // of the rule's multiple: others may send more, or this gatherer before a restart
+	servers          map[ServerID]*server // removed ones stay until nothing is in flight or was sent lately
+	ready            []*server            // in order of cell and id
+	replicas         [][]*server          // ready servers of each shard, in the same order
+	zones            map[ZoneIndex]*zone
+	requests         map[RequestID]*request // open ones
+	requestsByNumber map[RequestNumber]*request
+	inFlight         map[ShardCallID]*shardCall // calls with an attempt in flight
+	plannedWork      map[*server]float64        // of the plan being drawn
 
-	defaultRetryRatio = 0.2 // further sub-requests per search or part taken, where no budget is stated
-	minHedgeShare     = 0.1 // of the budget left to copies when none succeeds, so that success can be seen
-	probationShare    = 0.5 // of the budget, past which no trial is made
+	cells        int            // grows with the shards where the replication factor is 1
+	baseEjection Time           // first ejection time of a server
+	budgets      []*retryBudget // of each shard, or one for all
+	budgetFrom   Time           // no base retry budget before it
+	shrinkAt     Time           // when fewer instances begin to share the budget
+	listBackoff  Time           // until the next request for the server list
+	listTimerSet bool
+}
 
-	medianStep        = 0.01               // how fast the median answer time is learned
-	warmupSamples     = 100                // answers that only teach what the median is
-	limitWeight       = 0.02               // smoothing of the in-flight limit
-	latencyTolerance  = 1.5                // the present answer time may be so many times the shortest
-	minLimitPerServer = 9.0                // parts in flight for each ready server, over all gatherers, always allowed
-	minLimitWidest    = 3                  // and so many of the widest searches
-	baseLatencyGrowth = 1e-4               // the shortest answer time is forgotten so fast, per answer
-	overloadPower     = 4                  // past latencyTolerance, how much less than pressed will do
-	pressureShare     = 0.5                // of the limit: past it places are short; customers are held to shares
-	quotaWindow       = 2000 * Millisecond // over which a customer's searches are held against its share
+// settings are the parts of the Config that stay as they are.
+type settings struct {
+	replicationFactor, maxAttempts int
+	margin                         Time // by which work finishes ahead of a deadline
+	maxRetryAfter                  Time // 0 = none
+	maxListBackoff                 Time
+	allowCancel, allowHedging      bool
+	listOnRequest, retriesMarked   bool
+	hedgeProbation                 bool // probation attempts go beside an attempt on a healthy server
+	checkFirst                     bool // a health check precedes each probation attempt
+	slowStartDuration              Time
+	slowStartShare                 float64
+	slowStartMultiple              float64 // of the work of a warm server, the allowance at full capacity
+	overloadWindow, budgetWindow   Time
+	budgetBase, budgetRatio        float64
+	sharedBudgetBase               float64 // of all instances, for each shard; 0 = one budget for all shards
+	networkDelay                   Time
+	inferTimeout, preferLocal      bool
+	localZone                      ZoneIndex
+	millisPerTick                  float64         // 0 = the sizes of calls are not learned
+	callCost                       float64         // part of each size: most attempts are frames of their own
+	limiter                        CapacityLimiter // nil = none
+}
 
-	clientNetworkDelay = 10 * Millisecond // of a target that counts at the client, what the way takes
-	sharedBudgetSafety = 0.8              // of the free budget of all: one that is cut off may still use its part
-	retryAfterDivisor  = 8                // a shed client is told to come back after target / retryAfterDivisor
-	localPreference    = 0.7              // a near server that ends a part within so much of the target will do
-	sizeWeight         = 0.01             // smoothing of what a part of a type takes by itself
-	timeoutDecay       = 200              // the longest patience seen is forgotten by a part in so many, per search
+// estimates are what the balancer learns of the cluster as a whole. Unit latency is latency over work.
+type estimates struct {
+	meanLatency     float64 // unit latency of the ready servers that are measured; 0 = none is
+	currentLatency  float64 // median unit latency of recent answers; 0 = none
+	baseLatency     float64 // lowest currentLatency, slowly forgotten; 0 = none
+	latencySamples  int     // answers in these two
+	meanSize        float64 // of a call
+	meanQueue       float64 // of reported queue lengths
+	retrySuccess    float64 // share of retries and hedges that win
+	warmWork        float64 // sent to a warm server within overloadWindow, when there last was one
+	deadIdleShare   float64 // share of idle connections found dead
+	deadIdleAt      Time
+	widestRequest   int     // most calls of a request
+	stuckCalls      int     // attempts in flight at silent servers
+	limit           float64 // of calls in flight
+	instances       float64
+	recentInstances float64 // most instances within the budget window
+}
 
-	weightTolerance = 5e-5 // sums of weights may fall so short by rounding
-	reviewDivisor   = 25   // of the first pause, until a part that waits or is late is looked at again
+// New returns a balancer that has measured nothing yet.
+func New(config Config) *Balancer {
+	b := &Balancer{
+		settings: newSettings(config), rand: newMWC(config.Seed),
+		cells: config.Cells, replicas: make([][]*server, config.Shards),
+		servers: map[ServerID]*server{}, zones: map[ZoneIndex]*zone{}, plannedWork: map[*server]float64{},
+		requests: map[RequestID]*request{}, requestsByNumber: map[RequestNumber]*request{},
+		inFlight:    map[ShardCallID]*shardCall{},
+		listBackoff: firstBackoff, baseEjection: firstBackoff,
+	}
+	b.meanSize, b.retrySuccess, b.instances = 1, 1, float64(max(config.Instances, 1))
+	if config.RetryBudgetPerShard {
+		b.sharedBudgetBase, b.recentInstances = b.budgetBase, b.instances
+	} else {
+		b.budgets = []*retryBudget{b.newRetryBudget()}
+	}
+	if config.RetryBudgetDelayed {
+		b.budgetFrom = Never // until ClusterResized starts the first window
+	}
+	for i, t := range config.QueryTypes {
+		b.setQueryType(QueryType(i), t)
+		b.hedgeProbation = b.hedgeProbation || config.AllowHedging && config.AllowCancel &&
+			config.MaxAttempts > 1 && t.Idempotency == Idempotent
+	}
+	b.hedgeProbation = b.hedgeProbation || config.AllowHedging && config.RetryBudgetPerShard
+	b.checkFirst = config.AllowHealthChecks && !b.hedgeProbation
+	b.addCustomers(config)
+	return b
+}
 
-	never     = Never
-	listTimer = TimerID(math.MaxUint32) // the others bear their search's number
-)
+func newSettings(config Config) settings {
+	s := settings{
+		replicationFactor: min(config.ReplicationFactor, config.Cells),
+		maxAttempts:       config.MaxAttempts,
+		margin:            max(2*config.ClockResolution, 4*Millisecond),
+		maxRetryAfter:     config.MaxRetryAfter,
+		maxListBackoff:    max(config.MaxListAge/2, firstBackoff),
+		allowCancel:       config.AllowCancel,
+		allowHedging:      config.AllowHedging,
+		listOnRequest:     config.ListOnRequest,
+		retriesMarked:     config.RetriesMarked,
+		slowStartDuration: config.SlowStartDuration,
+		slowStartShare:    config.SlowStartShare,
+		slowStartMultiple: slowStartSafety * max(config.OverloadMultiple, 1),
+		overloadWindow:    config.OverloadWindow,
+		budgetWindow:      config.RetryBudgetWindow,
+		budgetBase:        config.RetryBudgetBase,
+		budgetRatio:       config.RetryBudgetRatio,
+		inferTimeout:      config.InferClientTimeout,
+		preferLocal:       config.PreferLocalZone,
+		localZone:         config.LocalZone,
+		callCost:          config.CallCost,
+		limiter:           config.Limiter,
+	}
+	if config.InferClientTimeout {
+		s.millisPerTick = 1 / float64(Millisecond)
+	}
+	if config.MeasuredAtClient {
+		s.networkDelay = clientNetworkDelay
+	}
+	if !config.HasRetryBudget {
+		s.budgetBase, s.budgetRatio, s.budgetWindow = float64(s.maxAttempts), defaultRetryRatio, 10*quotaWindow
+	}
+	return s
+}
+
+// addCustomers sets up the quotas. There are none where requests above quota are worth as much as others.
+func (b *Balancer) addCustomers(config Config) {
+	windowSeconds := float64(quotaWindow) / float64(1000*Millisecond) / b.instances
+	all := customer{0, newWindowCounter(quotaWindow)}
+	for _, c := range config.Customers {
+		if config.OverQuotaValue < 1 {
+			quota := c.QuotaPerSecond * windowSeconds
+			b.customers = append(b.customers, customer{quota, newWindowCounter(quotaWindow)})
+			all.quota += quota
+		}
+	}
+	b.customers = append(b.customers, all)
+}
+
+// setQueryType installs the policy of a query type for requests that arrive from now on.
+func (b *Balancer) setQueryType(at QueryType, config QueryTypeConfig) {
+	config.LatencyTarget -= min(b.networkDelay, config.LatencyTarget/2)
+	b.baseEjection = min(b.baseEjection, max(config.LatencyTarget/backoffDivisor, Millisecond))
+	for len(b.types) <= int(at) {
+		b.types = append(b.types, nil)
+	}
+	policy := &typePolicy{
+		idempotency:      config.Idempotency,
+		target:           config.LatencyTarget,
+		timeout:          config.ClientTimeout,
+		dedupWindow:      config.DedupWindow,
+		minCoverage:      config.MinCoverage,
+		completeCoverage: config.CompleteCoverage,
+		lateCounts:       config.LateValue > 0,
+		partialCounts:    config.PartialValue*config.MinCoverage >= config.LateValue,
+		partialCoverage:  config.MinCoverage,
+		quadratic:        config.QuadraticPartialValue,
+		twoPhase:         config.SecondPhaseCalls > 0,
+		maxAttempts:      cmp.Or(config.MaxAttempts, b.maxAttempts),
+		size:             b.millisPerTick * float64(config.LatencyTarget/initialShare),
+		abandonedAt:      -Never,
+	}
+	if config.QuadraticPartialValue {
+		policy.partialCoverage, policy.partialCounts = max(config.MinCoverage, math.Sqrt(config.LateValue)), true
+	}
+	if old := b.types[at]; old != nil {
+		policy.longestTimeout, policy.abandonedAt, policy.size = old.longestTimeout, old.abandonedAt, old.size
+	}
+	b.types[at] = policy
+}
 
-// Handle takes what happened and returns what is to be done.
-func (b *Balancer) Handle(now Time, ev Event) []Action {
+// Handle processes one event at a moment and returns the actions to perform, in order. A moment before the
+// last one counts as the last one.
+func (b *Balancer) Handle(now Time, event Event) []Action {
 	b.now, b.actions = max(now, b.now), nil
-	switch e := ev.(type) {
+	switch e := event.(type) {
 	case ServerList:
 		b.applyServerList(e)
 	case RequestArrived:
@@ -100,23 +224,4 @@
 	return b.actions
 }
 
-// setQueryType puts the figures of a query type in force for the searches to come.
-func (b *Balancer) setQueryType(at QueryType, config QueryTypeConfig) {
-	config.LatencyTarget -= min(b.networkDelay, config.LatencyTarget/2)
-	b.baseEjection = min(b.baseEjection, max(config.LatencyTarget/backoffDivisor, Millisecond))
-	for len(b.types) <= int(at) {
-		b.types = append(b.types, nil)
-	}
-	policy := &typePolicy{config.Idempotency, config.LatencyTarget, config.ClientTimeout, config.DedupWindow, config.MinCoverage, config.CompleteCoverage,
-		config.LateValue > 0, config.PartialValue*config.MinCoverage >= config.LateValue, config.QuadraticPartialValue, config.SecondPhaseCalls > 0,
-		cmp.Or(config.MaxAttempts, b.maxAttempts), b.millisPerTick * float64(config.LatencyTarget/initialShare), config.MinCoverage, 0, -never}
-	if config.QuadraticPartialValue {
-		policy.partialCoverage, policy.partialCounts = max(config.MinCoverage, math.Sqrt(config.LateValue)), true
-	}
-	if old := b.types[at]; old != nil {
-		policy.longestTimeout, policy.abandonedAt, policy.size = old.longestTimeout, old.abandonedAt, old.size
-	}
-	b.types[at] = policy
-}
-
 func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
--- a/balancer/completion.go
+++ b/balancer/completion.go
@@ -2,35 +2,37 @@
 
 import "slices"
 
-// review answers a search, sends what is due or gives it up, and sets the timer for the next look.
+// review completes or abandons a request, or else reviews its calls and sets the timer for the next review.
 func (b *Balancer) review(req *request) {
-	least, whole := req.policy.minCoverage-weightTolerance, req.policy.completeCoverage-weightTolerance
-	if req.inSecondPhase && least >= whole {
-		least, whole = 1-weightTolerance, 1-weightTolerance
-	} else if req.inSecondPhase {
-		whole = 1 - weightTolerance
+	policy := req.policy
+	minimum, complete := policy.minCoverage-weightTolerance, policy.completeCoverage-weightTolerance
+	if req.inSecondPhase {
+		if minimum >= complete {
+			minimum = 1 - weightTolerance
+		}
+		complete = 1 - weightTolerance
 	}
-	got, reach := 0.0, 0.0 // weights: in, and still to be had
+	skippable := func(call *shardCall) bool { return call.skipped || b.cannotFinish(call, Never) }
+	covered := b.coveredWithout(req, skippable)
+	got, reachable := 0.0, 0.0 // coverage so far, and at most
 	if req.inSecondPhase && len(req.calls) == 0 {
-		reach = 1 // its parts are still to come
+		reachable = 1 // its calls have not arrived yet
 	}
-	skippable := func(call *shardCall) bool { return call.skipped || b.cannotFinish(call, never) }
-	spare := b.coveredWithout(req, skippable)
 	for _, call := range req.calls {
 		if call.answered {
 			got += call.weight
 		}
-		if call.answered || (call.inFlight > 0 || b.canRetry(call)) && !(spare && skippable(call)) {
-			reach += call.weight
+		if call.answered || (call.inFlight > 0 || b.canRetry(call)) && !(covered && skippable(call)) {
+			reachable += call.weight
 		}
 	}
-	short := req.policy.partialCounts && b.now >= req.targetAt && got >= req.policy.partialCoverage-weightTolerance
-	ripe := b.now >= req.deadline || reach <= got || short
+	partial := policy.partialCounts && b.now >= req.targetAt && got >= policy.partialCoverage-weightTolerance
+	final := b.now >= req.deadline || reachable <= got || partial
 	switch {
-	case got >= whole || got >= least && ripe:
-		b.answer(req, got >= whole && (!req.inSecondPhase || req.firstComplete))
+	case got >= complete || got >= minimum && final:
+		b.answer(req, got >= complete && (!req.inSecondPhase || req.firstComplete))
 		return
-	case b.now >= req.deadline || reach < least:
+	case b.now >= req.deadline || reachable < minimum:
 		b.abandon(req)
 		return
 	}
@@ -39,65 +41,76 @@
 		next = min(next, req.targetAt)
 	}
 	for _, call := range req.calls {
-		if call.answered || spare && skippable(call) {
-			continue
+		if !call.answered && !(covered && skippable(call)) {
+			next = min(next, b.reviewCall(call))
 		}
-		due, last, wait, flying, trial, oldest := never, Time(0), Time(0), 0, -1, -1
-		for no, attempt := range call.attempts {
-			if attempt.probation && !attempt.ended {
-				trial = no
-			} else if !attempt.ended {
-				due, last, flying = min(due, attempt.sentAt+attempt.overdueAfter), max(last, attempt.sentAt+attempt.overdueAfter), flying+1
-				if flying == 1 {
-					oldest = no
-				}
+	}
+	b.scheduleReview(req, next)
+}
+
+// reviewCall retries or hedges a call that has no attempt in flight or an overdue one. It returns when to
+// review the call next.
+func (b *Balancer) reviewCall(call *shardCall) (next Time) {
+	p := attemptProgress(call)
+	if p.firstDue > b.now && p.inFlight > 0 {
+		return p.firstDue
+	}
+	s, healthy := b.bestReplica(call)
+	switch {
+	case s == nil || !b.canRetry(call) || p.inFlight == 0 && !healthy && b.now < p.retryFrom:
+	case p.inFlight == 0 && (len(call.attempts) == 0 || b.withinBudget(call, 1)):
+		b.dispatch(call, s)
+	case p.inFlight == 1 && p.probation >= 0: // no more than two may be in flight
+		b.emit(Cancel{call.id, AttemptNumber(p.probation)})
+	case p.inFlight == 0 || !healthy || b.now+b.predict(s, call) >= call.req.targetAt ||
+		!b.withinBudget(call, max(minHedgeShare, b.retrySuccess)):
+	case p.inFlight == 1 && b.allowHedging:
+		b.dispatch(call, s)
+	case b.allowCancel && (!b.allowHedging || p.lastDue <= b.now && b.silenceRatio(call.attempts[p.oldest]) > 1):
+		// A retry follows once this one has ended. Two overdue ones may both be lost in a partitioned zone.
+		b.emit(Cancel{call.id, AttemptNumber(p.oldest)})
+	}
+	return b.now + b.baseEjection/reviewDivisor
+}
+
+// attemptProgress sums up the attempts of a call.
+func attemptProgress(call *shardCall) progress {
+	p := progress{firstDue: Never, oldest: -1, probation: -1}
+	for number, a := range call.attempts {
+		if a.probation && !a.ended {
+			p.probation = number
+		} else if !a.ended {
+			due := a.sentAt + a.overdueAfter
+			p.firstDue, p.lastDue = min(p.firstDue, due), max(p.lastDue, due)
+			if p.inFlight++; p.inFlight == 1 {
+				p.oldest = number
 			}
-			// Without a sound replica the last tries are spread over the time: erring servers use them up at once.
-			wait = attempt.sentAt + (req.deadline-attempt.sentAt)/4
-		}
-		if due > b.now && flying > 0 {
-			next = min(next, due)
-			continue
-		}
-		// Unsent, ended without an answer, or overdue: its server may have failed, be slow, stalled or silent.
-		next = min(next, b.now+b.baseEjection/reviewDivisor)
-		s, usable := b.bestReplica(call)
-		switch {
-		case s == nil || !b.canRetry(call) || flying == 0 && !usable && b.now < wait:
-		case flying == 0 && (len(call.attempts) == 0 || b.withinBudget(call, 1)):
-			b.dispatch(call, s)
-		case flying == 1 && trial >= 0: // it makes room for a copy: no more than two may be out
-			b.emit(Cancel{call.id, AttemptNumber(trial)})
-		case flying == 0 || !usable || b.now+b.predict(s, call) >= req.targetAt ||
-			!b.withinBudget(call, max(minHedgeShare, b.retrySuccess)):
-		case flying == 1 && b.allowHedging:
-			b.dispatch(call, s)
-		case !b.allowHedging && b.allowCancel: // the next one goes once this one's end is known
-			b.emit(Cancel{call.id, AttemptNumber(oldest)})
-		case last <= b.now && b.silenceRatio(call.attempts[oldest]) > 1 && b.allowCancel: // both may have met what is cut off
-			b.emit(Cancel{call.id, AttemptNumber(oldest)})
 		}
+		// Spread over the time left: servers that return errors would use up all retries at once.
+		p.retryFrom = a.sentAt + (call.req.deadline-a.sentAt)/4
 	}
-	b.scheduleReview(req, next)
+	return p
 }
 
-func (b *Balancer) answer(req *request, whole bool) {
-	b.emit(Answer{req.id, whole})
+// answer completes a phase of a request with the calls that are answered.
+func (b *Balancer) answer(req *request, complete bool) {
+	b.emit(Answer{req.id, complete})
 	if req.inSecondPhase || !req.policy.twoPhase {
 		b.close(req)
 		return
 	}
 	b.cancel(req.calls...)
-	req.inSecondPhase, req.firstComplete, req.calls = true, whole, nil
+	req.inSecondPhase, req.firstComplete, req.calls = true, complete, nil
 	b.scheduleReview(req, req.deadline)
 }
 
-// abandon ends a search without an answer: shed where asking again is sure to be harmless, else errored.
+// abandon ends a request without an answer: shed if none of it can have run or it is idempotent, else failed.
 func (b *Balancer) abandon(req *request) {
-	harmless := !req.inSecondPhase || req.policy.idempotency == Idempotent // a first step has run
+	idempotent := req.policy.idempotency == Idempotent
+	harmless := !req.inSecondPhase || idempotent // the first phase has run
 	for _, call := range req.calls {
-		for _, attempt := range call.attempts {
-			harmless = harmless && (attempt.neverRan || req.policy.idempotency == Idempotent)
+		for _, a := range call.attempts {
+			harmless = harmless && (a.neverRan || idempotent)
 		}
 	}
 	req.policy.abandonedAt = b.now
@@ -109,20 +122,22 @@
 	b.close(req)
 }
 
+// cancel cancels the attempts of calls, except probation attempts: their outcome is what they are made for.
 func (b *Balancer) cancel(calls ...*shardCall) {
 	for _, call := range calls {
-		for no, attempt := range call.attempts {
-			if b.allowCancel && !attempt.ended && !attempt.probation { // a trial is seen to its end, or it would tell nothing
-				b.emit(Cancel{call.id, AttemptNumber(no)})
+		for number, a := range call.attempts {
+			if b.allowCancel && !a.ended && !a.probation {
+				b.emit(Cancel{call.id, AttemptNumber(number)})
 			}
 		}
 	}
 }
 
-// retryAfter is when a shed client should come back: soon enough for its target, where that counts at the client.
+// retryAfter returns when a shed client should retry: early enough for its target where that is measured at
+// the client and all of its shards have a replica.
 func (b *Balancer) retryAfter(req *request) Time {
-	bare := slices.ContainsFunc(req.calls, func(call *shardCall) bool { return len(b.replicas[call.shard]) == 0 })
-	if b.networkDelay == 0 || bare { // nobody to ask: it takes a while until one is known
+	empty := slices.ContainsFunc(req.calls, func(c *shardCall) bool { return len(b.replicas[c.shard]) == 0 })
+	if b.networkDelay == 0 || empty {
 		return b.maxRetryAfter
 	}
 	return min(b.maxRetryAfter, max(req.policy.target/retryAfterDivisor, b.networkDelay))
--- a/balancer/gateway_test.go
+++ b/balancer/gateway_test.go
@@ -7,13 +7,16 @@
 	"testing"
 )
 
-// gatewayHarness is a gatherer as the system's data plane makes it: shards that come, three servers each, the first in its zone.
-func gatewayHarness(shards int, t QueryTypeConfig) *harness {
-	b := &harness{Balancer: New(Config{Seed: 5, Instances: 1, ClockResolution: Millisecond, Cells: 1, ReplicationFactor: 1, MaxAttempts: 2, AllowHedging: true,
-		HasRetryBudget: true, RetryBudgetPerShard: true, RetryBudgetBase: 54, RetryBudgetRatio: 0.2, RetryBudgetWindow: 10000 * Millisecond, MaxRetryAfter: 400 * Millisecond,
-		InferClientTimeout: true, MeasuredAtClient: true, PreferLocalZone: true, OverQuotaValue: 1}), at: 1000000}
+// gatewayHarness returns a balancer as the data plane configures it, with three servers for each shard, the first of them
+// in the local zone.
+func gatewayHarness(shards int, queryType QueryTypeConfig) *harness {
+	config := Config{Seed: 5, Instances: 1, ClockResolution: Millisecond, Cells: 1, ReplicationFactor: 1, MaxAttempts: 2,
+		AllowHedging: true, HasRetryBudget: true, RetryBudgetPerShard: true, RetryBudgetBase: 54, RetryBudgetRatio: 0.2,
+		RetryBudgetWindow: 10000 * Millisecond, MaxRetryAfter: 400 * Millisecond, InferClientTimeout: true,
+		MeasuredAtClient: true, PreferLocalZone: true, OverQuotaValue: 1}
+	b := &harness{Balancer: New(config), at: 1000000}
 	b.do(ClusterResized{Shards: shards, Instances: 1})
-	b.do(QueryTypeChanged{Type: 0, Config: t})
+	b.do(QueryTypeChanged{Type: 0, Config: queryType})
 	var list []Server
 	for s := range shards {
 		for i := range 3 {
@@ -24,9 +27,10 @@
 	return b
 }
 
-var gatewayQueryType = QueryTypeConfig{LatencyTarget: 120 * Millisecond, ClientTimeout: 1200 * Millisecond, LateValue: 0.3, MinCoverage: 0.5,
-	CompleteCoverage: 1, MaxAttempts: 2, QuadraticPartialValue: true}
+var gatewayQueryType = QueryTypeConfig{LatencyTarget: 120 * Millisecond, ClientTimeout: 1200 * Millisecond, LateValue: 0.3,
+	MinCoverage: 0.5, CompleteCoverage: 1, MaxAttempts: 2, QuadraticPartialValue: true}
 
+// request lets a request arrive with one call to each of the first shards.
 func (b *harness) request(shards int) (sends []Send, actions []Action) {
 	b.next++
 	e := RequestArrived{Request: RequestID(b.next), Number: RequestNumber(b.next), Timeout: 1200 * Millisecond}
@@ -53,25 +57,25 @@
 
 func TestLocalServersArePreferredWhenEquallyGood(t *testing.T) {
 	b := gatewayHarness(4, gatewayQueryType)
-	near, all := 0, 0
+	local, all := 0, 0
 	for range 200 {
 		sends, _ := b.request(4)
 		b.at += 20 * Millisecond
 		for _, s := range sends {
 			if all++; s.Server%10 == 1 {
-				near++
+				local++
 			}
 			b.do(AttemptEnded{Call: s.Call, Server: s.Server, Elapsed: 20 * Millisecond, Outcome: Answered})
 		}
 	}
-	failIf(t, near*10 < all*9, "%d of %d parts went to servers of the gatherer's zone while all are idle", near, all)
-	// With the near ones busy, the plan holds.
+	failIf(t, local*10 < all*9, "%d of %d calls went to local servers while all servers are idle", local, all)
+	// Busy local servers are not preferred.
 	for s := range 4 {
 		b.do(PeerUpdate{Loads: []PeerLoad{{Server: ServerID(10*s + 1), InFlight: 50}}})
 	}
 	sends, _ := b.request(4)
 	for _, s := range sends {
-		failIf(t, s.Server%10 == 1, "a part went to a near server with fifty parts before it")
+		failIf(t, s.Server%10 == 1, "a call went to a local server with 50 calls before it")
 	}
 }
 
@@ -80,7 +84,7 @@
 	var lost []Send
 	for range 40 {
 		sends, actions := b.request(4)
-		failIf(t, containsShed(actions), "a search was shed although three of four shards are idle")
+		failIf(t, containsShed(actions), "a request was shed although three of four shards are idle")
 		b.at += 20 * Millisecond
 		for _, s := range sends {
 			if s.Server > 30 {
@@ -91,13 +95,13 @@
 			}
 		}
 	}
-	// Now the servers of shard 3 are known to be out: three parts make the answer at once.
+	// Now the servers of shard 3 are ejected: three calls make the answer at once.
 	sends, _ := b.request(4)
 	b.at += 20 * Millisecond
 	answered := false
 	for _, s := range sends {
 		if s.Server > 30 {
-			continue // a trial
+			continue // a probation attempt
 		}
 		for _, a := range b.do(AttemptEnded{Call: s.Call, Server: s.Server, Elapsed: 20 * Millisecond, Outcome: Answered}) {
 			if _, ok := a.(Answer); ok {
@@ -105,53 +109,52 @@
 			}
 		}
 	}
-	failIf(t, !answered, "the answer waits for a shard that is all down")
-	failIf(t, len(lost) > 60, "%d parts were sent to a shard that is all down, by 40 searches", len(lost))
+	failIf(t, !answered, "the answer waits for a shard that is unavailable")
+	failIf(t, len(lost) > 60, "%d attempts at an unavailable shard, by 40 requests", len(lost))
 }
 
 func TestRetryBudgetPerShard(t *testing.T) {
 	b := gatewayHarness(2, gatewayQueryType)
 	b.at += 20000 * Millisecond
 	call := &shardCall{req: &request{policy: b.types[0]}, shard: 0, size: 1}
-	req := &shardCall{req: call.req, shard: 1, size: 1}
+	other := &shardCall{req: call.req, shard: 1, size: 1}
 	for range 200 {
 		b.budgetFor(0).retries.add(b.at, 1)
 	}
 	b.now = b.at
-	failIf(t, b.withinBudget(call, 1), "a shard's spent budget is still there")
-	failIf(t, !b.withinBudget(req, 1), "another shard's spending took a shard's budget")
+	failIf(t, b.withinBudget(call, 1), "the spent budget of a shard is still available")
+	failIf(t, !b.withinBudget(other, 1), "a shard spent the budget of another")
 	for n := 1; n <= 64; n *= 4 {
 		b.do(ClusterResized{Shards: 2, Instances: n})
-		free := 0.0
-		for b.withinBudget(req, 1) {
+		spent := 0.0
+		for b.withinBudget(other, 1) {
 			b.budgetFor(1).retries.add(b.at, 1)
-			free++
+			spent++
 		}
-		failIf(t, free*float64(n) > 54, "%d gatherers may spend %v each", n, free)
+		failIf(t, spent*float64(n) > 54, "%d instances may spend %v each", n, spent)
 		b.at += 30000 * Millisecond
 		b.now = b.at
 	}
 }
 
 func TestRestartedInstanceHasNoBaseRetryBudget(t *testing.T) {
-	f := Config{Instances: 1, Cells: 1, ReplicationFactor: 1, MaxAttempts: 2, HasRetryBudget: true, RetryBudgetPerShard: true, RetryBudgetBase: 54, RetryBudgetWindow: 100000,
-		RetryBudgetDelayed: true, OverQuotaValue: 1}
-	b := New(f)
+	b := New(Config{Instances: 1, Cells: 1, ReplicationFactor: 1, MaxAttempts: 2, HasRetryBudget: true, RetryBudgetPerShard: true,
+		RetryBudgetBase: 54, RetryBudgetWindow: 100000, RetryBudgetDelayed: true, OverQuotaValue: 1})
 	b.Handle(1000, ClusterResized{Shards: 1, Instances: 2})
 	call := &shardCall{req: &request{}, size: 1}
-	failIf(t, b.withinBudget(call, 1), "its life before may have spent its part in this window")
+	failIf(t, b.withinBudget(call, 1), "a base budget in the window that an earlier incarnation may have spent")
 	b.now = 1000 + 100001
-	failIf(t, !b.withinBudget(call, 1), "its part does not come back")
+	failIf(t, !b.withinBudget(call, 1), "no base budget after the first window")
 }
 
 func TestWeightedShardChoice(t *testing.T) {
-	one := QueryTypeConfig{LatencyTarget: 500 * Millisecond, ClientTimeout: 5000 * Millisecond, LateValue: 0.3, MinCoverage: 1, CompleteCoverage: 1, MaxAttempts: 2}
-	b := gatewayHarness(3, one)
+	b := gatewayHarness(3, QueryTypeConfig{LatencyTarget: 500 * Millisecond, ClientTimeout: 5000 * Millisecond, LateValue: 0.3,
+		MinCoverage: 1, CompleteCoverage: 1, MaxAttempts: 2})
 	got := map[ServerID]int{}
-	ask := func() {
+	request := func() {
 		b.next++
-		e := RequestArrived{Request: RequestID(b.next), Number: RequestNumber(b.next), Timeout: 1200 * Millisecond, Calls: []ShardCall{{ID: ShardCallID(b.next), Weight: 1}},
-			Candidates: []WeightedShard{{0, 3}, {1, 1}, {2, 0}}}
+		e := RequestArrived{Request: RequestID(b.next), Number: RequestNumber(b.next), Timeout: 1200 * Millisecond,
+			Calls: []ShardCall{{ID: ShardCallID(b.next), Weight: 1}}, Candidates: []WeightedShard{{0, 3}, {1, 1}, {2, 0}}}
 		for _, a := range b.do(e) {
 			if s, ok := a.(Send); ok {
 				got[s.Server/10]++
@@ -161,18 +164,18 @@
 		}
 	}
 	for range 400 {
-		ask()
+		request()
 	}
-	failIf(t, got[2] != 0 || got[0] < 250 || got[0] > 350 || got[0]+got[1] != 400, "of 400 with weights 3, 1 and 0 went %v", got)
+	failIf(t, got[2] != 0 || got[0] < 250 || got[0] > 350 || got[0]+got[1] != 400, "400 requests with weights 3, 1 and 0: %v", got)
 	b.do(ServerList{ListDelta, []Server{{ID: 1, State: Removed}, {ID: 2, State: Removed}, {ID: 3, State: Removed}}})
 	clear(got)
 	for range 20 {
-		ask()
+		request()
 	}
-	failIf(t, got[1] != 20, "a service without servers was chosen: %v", got)
+	failIf(t, got[1] != 20, "a shard without servers was chosen: %v", got)
 }
 
-// A type that changes holds for what comes from then on; what is open keeps what it came with.
+// A changed query type applies to later requests; open ones keep the one they arrived with.
 func TestQueryTypeChange(t *testing.T) {
 	b := gatewayHarness(2, gatewayQueryType)
 	sends, _ := b.request(2)
@@ -180,45 +183,44 @@
 	next := gatewayQueryType
 	next.Idempotency, next.LatencyTarget = NonIdempotent, 60*Millisecond
 	b.do(QueryTypeChanged{Type: 0, Config: next})
-	failIf(t, open.policy.idempotency != Idempotent || len(sends) != 2, "an open search changed its rules")
+	failIf(t, open.policy.idempotency != Idempotent || len(sends) != 2, "the policy of an open request changed")
 	b.request(2)
-	failIf(t, b.requests[RequestID(b.next)].policy.idempotency != NonIdempotent, "a new search has the old rules")
+	failIf(t, b.requests[RequestID(b.next)].policy.idempotency != NonIdempotent, "a new request has the old policy")
 }
 
-// Past the connections that a gatherer may hold, a server is not asked.
 func TestMaxInFlightPerServer(t *testing.T) {
 	b := gatewayHarness(1, gatewayQueryType)
 	b.do(ServerList{ListDelta, []Server{{ID: 1, State: Ready, MaxInFlight: 2}, {ID: 2, State: Removed}, {ID: 3, State: Removed}}})
 	for range 6 {
 		b.request(1)
 	}
-	failIf(t, len(b.servers[1].inFlight) > 2, "%d are out at a server that may have 2", len(b.servers[1].inFlight))
+	failIf(t, len(b.servers[1].inFlight) > 2, "%d calls in flight at a server that may have 2", len(b.servers[1].inFlight))
 }
 
-// runOverload plays a shard of three servers with three slots each, calm at first and then at twice what they bear: three long
-// searches to one brief one.
-// It returns, of each type, how many came once it is so and how many were answered in time.
-func runOverload(seconds int) (came, inTime [2]int) {
+// runOverload simulates a shard of three servers with three slots each, first at low load and then at twice its capacity, with
+// three long requests to each short one. It returns, by type, how many arrived under overload and how many of these
+// were answered in time.
+func runOverload(seconds int) (arrived, inTime [2]int) {
 	b := gatewayHarness(1, gatewayQueryType)
-	brief := gatewayQueryType
-	brief.LatencyTarget, brief.ClientTimeout = 60*Millisecond, 600*Millisecond
-	b.do(QueryTypeChanged{Type: 1, Config: brief})
+	short := gatewayQueryType
+	short.LatencyTarget, short.ClientTimeout = 60*Millisecond, 600*Millisecond
+	b.do(QueryTypeChanged{Type: 1, Config: short})
 	b.do(ClusterResized{Shards: 2, Instances: 1})
-	idle := ServerList{Kind: ListDelta} // another shard's servers: the in-flight limit is one over all
+	idle := ServerList{Kind: ListDelta} // servers of another shard: the in-flight limit covers all shards
 	for i := range 9 {
 		idle.Servers = append(idle.Servers, Server{ID: ServerID(100 + i), Cell: 1, State: Ready})
 	}
 	b.do(idle)
 	type job struct {
-		s    Send
-		no   AttemptNumber
-		typ  QueryType
-		sent Time
+		send      Send
+		number    AttemptNumber
+		queryType QueryType
+		sentAt    Time
 	}
 	type event struct {
 		at    Time
 		seq   int
-		what  Event
+		event Event
 		ended *job
 	}
 	var queue []event
@@ -226,43 +228,45 @@
 	push := func(e event) {
 		seq++
 		e.seq = seq
-		i, _ := slices.BinarySearchFunc(queue, e, func(a, b event) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.seq, b.seq)) })
+		i, _ := slices.BinarySearchFunc(queue, e, func(a, b event) int {
+			return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.seq, b.seq))
+		})
 		queue = slices.Insert(queue, i, e)
 	}
 	busy, waiting := map[ServerID]int{}, map[ServerID][]job{}
 	work := [2]Time{20 * Millisecond, 7 * Millisecond}
 	start := func(j job) {
-		busy[j.s.Server]++
-		push(event{at: b.at + work[j.typ], ended: &j})
+		busy[j.send.Server]++
+		push(event{at: b.at + work[j.queryType], ended: &j})
 	}
-	began, typeOf := map[RequestID]Time{}, map[ShardCallID]QueryType{}
-	tries := map[ShardCallID]AttemptNumber{}
+	arrivedAt, typeOf := map[RequestID]Time{}, map[ShardCallID]QueryType{}
+	attempts := map[ShardCallID]AttemptNumber{}
 	first := b.at
-	calm := first + 3000*Millisecond
+	overloadAt := first + 3000*Millisecond
 	perform := func(actions []Action) {
 		for _, a := range actions {
 			switch a := a.(type) {
 			case Send:
-				j := job{a, tries[a.Call], typeOf[a.Call], b.at}
-				tries[a.Call]++
+				j := job{a, attempts[a.Call], typeOf[a.Call], b.at}
+				attempts[a.Call]++
 				if busy[a.Server] < 3 {
 					start(j)
 				} else {
 					waiting[a.Server] = append(waiting[a.Server], j)
 				}
 			case SetTimer:
-				push(event{at: a.At, what: TimerFired{a.Timer}})
+				push(event{at: a.At, event: TimerFired{a.Timer}})
 			case Answer:
 				typ := typeOf[ShardCallID(a.Request)]
-				if began[a.Request] >= calm && b.at-began[a.Request] <= []Time{120 * Millisecond, 60 * Millisecond}[typ] {
+				if arrivedAt[a.Request] >= overloadAt && b.at-arrivedAt[a.Request] <= []Time{120 * Millisecond, 60 * Millisecond}[typ] {
 					inTime[typ]++
 				}
 			}
 		}
 	}
 	r := rand.New(rand.NewPCG(3, 4))
-	for at := first; at < calm+Time(seconds)*1000*Millisecond; at += Time(1 + r.IntN(22)) { // about 870 a second
-		if at < calm {
+	for at := first; at < overloadAt+Time(seconds)*1000*Millisecond; at += Time(1 + r.IntN(22)) { // about 870 a second
+		if at < overloadAt {
 			at += Time(r.IntN(40))
 		}
 		seq++
@@ -271,11 +275,11 @@
 		if r.IntN(4) == 0 {
 			typ = 1
 		}
-		if at >= calm {
-			came[typ]++
+		if at >= overloadAt {
+			arrived[typ]++
 		}
 		typeOf[ShardCallID(id)] = typ
-		push(event{at: at, what: RequestArrived{Request: id, Number: RequestNumber(id), Type: typ, Timeout: []Time{12000, 6000}[typ],
+		push(event{at: at, event: RequestArrived{Request: id, Number: RequestNumber(id), Type: typ, Timeout: []Time{12000, 6000}[typ],
 			Calls: []ShardCall{{ID: ShardCallID(id), Weight: 1}}}})
 	}
 	for len(queue) > 0 {
@@ -283,60 +287,61 @@
 		queue = queue[1:]
 		b.at = max(b.at, e.at)
 		if j := e.ended; j != nil {
-			if busy[j.s.Server]--; len(waiting[j.s.Server]) > 0 {
-				start(waiting[j.s.Server][0])
-				waiting[j.s.Server] = waiting[j.s.Server][1:]
+			if busy[j.send.Server]--; len(waiting[j.send.Server]) > 0 {
+				start(waiting[j.send.Server][0])
+				waiting[j.send.Server] = waiting[j.send.Server][1:]
 			}
-			perform(b.do(AttemptEnded{Call: j.s.Call, Attempt: j.no, Server: j.s.Server, Elapsed: b.at - j.sent, Outcome: Answered}))
+			perform(b.do(AttemptEnded{Call: j.send.Call, Attempt: j.number, Server: j.send.Server, Elapsed: b.at - j.sentAt, Outcome: Answered}))
 			continue
 		}
-		if a, ok := e.what.(RequestArrived); ok {
-			began[a.Request] = b.at
+		if a, ok := e.event.(RequestArrived); ok {
+			arrivedAt[a.Request] = b.at
 		}
-		perform(b.do(e.what))
+		perform(b.do(e.event))
 	}
-	return came, inTime
+	return arrived, inTime
 }
 
-// At twice the load, what waits is held so short that the brief searches are still answered in time. Held at the long ones'
-// own target, the queue refuses the brief ones alone, and serves no more of the long.
+// At twice the capacity queues must stay so short that short requests are still answered in time. Queues as long as the target
+// of long requests would shed only the short ones, and complete no more of the long.
 func TestLongQueueDoesNotShedShortRequests(t *testing.T) {
-	came, inTime := runOverload(8)
-	long, brief := float64(inTime[0])/float64(came[0]), float64(inTime[1])/float64(came[1])
-	t.Logf("in time: %.2f of %d long, %.2f of %d brief", long, came[0], brief, came[1])
-	failIf(t, brief < 0.4, "of the brief searches only %.2f are answered in time", brief)
-	failIf(t, float64(inTime[0])*20+float64(inTime[1])*7 < 0.7*9*8000, "the servers work for %d ms of what is in time", inTime[0]*20+inTime[1]*7)
+	arrived, inTime := runOverload(8)
+	long, short := float64(inTime[0])/float64(arrived[0]), float64(inTime[1])/float64(arrived[1])
+	t.Logf("in time: %.2f of %d long, %.2f of %d short requests", long, arrived[0], short, arrived[1])
+	failIf(t, short < 0.4, "only %.2f of the short requests are answered in time", short)
+	work := inTime[0]*20 + inTime[1]*7
+	failIf(t, float64(work) < 0.7*9*8000, "the servers worked only %d ms on answers in time", work)
 }
 
-// A near server that is busy is no reason to go elsewhere while the next near one is free; further tries hold to it too.
+// A busy local server is no reason to leave the zone while another local one is free; that holds for retries too.
 func TestNextLocalServerIsTried(t *testing.T) {
 	b := gatewayHarness(1, gatewayQueryType)
 	var list []Server
-	for i := range 6 { // 1, 2 and 3 stand in the gatherer's zone
+	for i := range 6 { // 1, 2 and 3 are in the local zone
 		list = append(list, Server{ID: ServerID(i + 1), Zone: ZoneIndex(i / 3), State: Ready})
 	}
 	b.do(ServerList{ListDelta, list})
-	for range 200 { // all are known to take 20 ms
+	for range 200 { // all are measured at 20 ms
 		sends, _ := b.request(1)
 		b.at += 20 * Millisecond
 		for _, s := range sends {
 			b.do(AttemptEnded{Call: s.Call, Server: s.Server, Elapsed: 20 * Millisecond, Outcome: Answered})
 		}
 	}
-	away := 0
+	remote := 0
 	for range 60 {
 		b.do(PeerUpdate{Loads: []PeerLoad{{Server: 1, InFlight: 20}, {Server: 2, InFlight: 20}}})
 		sends, _ := b.request(1)
 		b.at += 20 * Millisecond
 		for _, s := range sends {
 			if s.Server > 3 {
-				away++
+				remote++
 			}
 			b.do(AttemptEnded{Call: s.Call, Server: s.Server, Elapsed: 20 * Millisecond, Outcome: Answered})
 		}
 	}
-	failIf(t, away > 0, "%d of 60 parts went to another zone beside a near server that is free", away)
+	failIf(t, remote > 0, "%d of 60 calls left the zone although a local server is free", remote)
 	req := &request{policy: b.types[0], targetAt: b.at + 100*Millisecond, deadline: b.at + 1000*Millisecond}
-	s, usable := b.bestReplica(&shardCall{req: req, size: 1})
-	failIf(t, !usable || !s.local, "the earliest replica is sought elsewhere though near ones are as good")
+	s, healthy := b.bestReplica(&shardCall{req: req, size: 1})
+	failIf(t, !healthy || !s.local, "the best replica is remote although local ones are as good")
 }
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -1,10 +1,8 @@
 package balancer
 
-// Health: who failed, who is silent, and how one comes back.
-
-// surveyServers is what the ready servers show together: their speed, the load of the warm ones, what is stuck.
+// surveyServers updates the estimates over all ready servers and starts the health checks that are due.
 func (b *Balancer) surveyServers() {
-	speed, measured, load, warm := 0.0, 0.0, 0.0, 0.0
+	speed, measured, work, warm := 0.0, 0.0, 0.0, 0.0
 	b.stuckCalls = 0
 	for _, s := range b.ready {
 		if b.silenceRatio(s.inFlight...) > 1 {
@@ -18,30 +16,19 @@
 			b.emit(HealthCheck{s.id})
 		}
 		if b.slowStartDuration > 0 && b.capacityShare(s) >= 1 {
-			load, warm = load+s.sentWork.lower(b.now), warm+1
+			work, warm = work+s.sentWork.lower(b.now), warm+1
 		}
 	}
-	if measured > 0 { // of speeds, not of times: a few slow servers must not make the unheard look slow
+	if measured > 0 { // the harmonic mean: a few slow servers must not make unmeasured ones look slow
 		b.meanLatency = measured / speed
 	}
 	if warm > 0 {
-		b.warmWork += (load/warm - b.warmWork) * slowWeight
-	}
-}
-
-// peerUpdate takes what other gatherers have unfinished: the design's reported queue, where servers report none.
-func (b *Balancer) peerUpdate(e PeerUpdate) {
-	b.applyVerdicts(e.Verdicts)
-	for _, l := range e.Loads {
-		if s := b.servers[l.Server]; s != nil {
-			s.reportedQueue, s.reportedAt = max(l.InFlight, 0), b.now
-			b.meanQueue += (s.reportedQueue - b.meanQueue) * slowWeight
-		}
+		b.warmWork += (work/warm - b.warmWork) * slowWeight
 	}
 }
 
-// healthCheckEnded takes a probe's end. One that fails spares a search the loss of the trial's part: it guards against
-// servers that stay dead, cut off or silent. What hangs may answer it, so a trial follows.
+// healthCheckEnded records the end of a health check. A failed one extends the ejection. A successful one
+// only allows probation attempts, as a server that hangs may still answer it.
 func (b *Balancer) healthCheckEnded(e HealthCheckEnded) {
 	s := b.servers[e.Server]
 	if s == nil {
@@ -52,44 +39,98 @@
 	case Answered, Rejected:
 		s.checkedAt = b.now
 	default:
-		s.ejectedUntil = b.now + s.nextEjection
-		s.nextEjection = min(2*s.nextEjection, maxEjectionFactor*b.baseEjection)
+		b.eject(s)
+	}
+}
+
+// recordOutcome updates the health of an attempt's server. An error comes fast: its latency is not measured,
+// so that it cannot make the server look quick.
+func (b *Balancer) recordOutcome(ended *attempt, e AttemptEnded, silent bool) {
+	s := ended.server
+	switch e.Outcome {
+	case Answered:
+		b.adjustLimit(float64(max(e.Elapsed, 1)) / ended.call.size)
+		s.failureRate -= s.failureRate * successWeight
+		s.zone.failureRate -= s.zone.failureRate * zoneWeight
+		s.probation = s.probation && ended.sentAt < s.ejectedUntil
+		if s.failureRate < successWeight {
+			s.nextEjection = b.baseEjection
+		}
+	case Rejected: // full or draining: no failure, but other servers are preferred for a while
+		s.ejectedUntil = max(s.ejectedUntil, b.now+b.baseEjection)
+	case Errored:
+		b.recordFailure(s, errorWeight)
+	case ConnectFailed, Reset, TimedOut, Cancelled:
+		if e.Outcome == ConnectFailed || e.Outcome == Reset || silent {
+			b.recordFailure(s, lossWeight)
+			s.zone.failureRate += (1 - s.zone.failureRate) * zoneWeight
+			s.zone.failedAt = b.now
+		}
 	}
 }
 
-// recordFailure counts a failure against a server and takes it out when they are many. It guards against crashes,
-// fast errors, silence and lost connections alike. Harm: chance errors may idle a sound server for a pause.
+// recordFailure counts a failure and ejects the server when its failure rate is high or it is on probation.
+// The cost: errors that coincide by chance may idle a healthy server for one ejection time.
 func (b *Balancer) recordFailure(s *server, weight float64) {
 	s.failureRate += (1 - s.failureRate) * weight
 	if s.ejectedUntil <= b.now && (s.failureRate > ejectionThreshold || s.probation) {
-		s.ejectedUntil, s.probation = b.now+s.nextEjection, true
-		s.nextEjection = min(2*s.nextEjection, maxEjectionFactor*b.baseEjection)
+		b.eject(s)
+		s.probation = true
+	}
+}
+
+// eject takes a server out for its next ejection time, which doubles.
+func (b *Balancer) eject(s *server) {
+	s.ejectedUntil = b.now + s.nextEjection
+	s.nextEjection = min(2*s.nextEjection, maxEjectionFactor*b.baseEjection)
+}
+
+// trackIdleLoss learns whether idle connections are found dead, as behind a middlebox that drops them: an
+// attempt on one is lost in silence, and the next one, on a new connection, is answered.
+func (b *Balancer) trackIdleLoss(ended *attempt, answered, lost bool) {
+	s := ended.server
+	switch {
+	case lost && ended.onIdleConn:
+		s.idleLossAt = ended.sentAt
+	case answered && s.idleLossAt > 0 && ended.sentAt > s.idleLossAt:
+		if b.now-s.idleLossAt < latencyMaxAge {
+			b.deadIdleShare, b.deadIdleAt = b.deadIdleShare+(1-b.deadIdleShare)*slowWeight, b.now
+		}
+		s.idleLossAt = 0
+	case answered && ended.onIdleConn:
+		b.deadIdleShare -= b.deadIdleShare * slowWeight
 	}
 }
 
-// idleConnsUnsafe tells whether rested connections are found dead, as when something between drops them unseen.
+// idleConnsUnsafe reports whether idle connections are too often found dead to be reused.
 func (b *Balancer) idleConnsUnsafe() bool {
 	return b.deadIdleShare*b.freshness(b.deadIdleAt, 6*latencyMaxAge) > deadIdleLimit
 }
 
-// silenceRatio is how long the first of some sub-requests has been out with no word from its server, in due ages:
-// past 1 it is overdue and the server has said nothing.
+// silenceRatio returns how long the first of some attempts has been out without any response from its server,
+// as a multiple of the time after which it is overdue.
 func (b *Balancer) silenceRatio(out ...*attempt) float64 {
 	if len(out) == 0 {
 		return 0
 	}
-	return float64(b.now-max(out[0].sentAt, out[0].server.respondedAt)) / float64(max(out[0].overdueAfter, 1))
+	silence := b.now - max(out[0].sentAt, out[0].server.respondedAt)
+	return float64(silence) / float64(max(out[0].overdueAfter, 1))
 }
 
-// restoreRecords takes in what still counts. A record of a moment to come is of a clock that went back.
+// restoreRecords adopts the records of an earlier run that still count. A record from the future was written
+// before the clock was set back.
 func (b *Balancer) restoreRecords(e RecordsRestored) {
 	for _, record := range e.Servers {
-		s, old := b.servers[record.ID], record.MeasuredAt > b.now || b.freshness(record.MeasuredAt, latencyMaxAge) == 0
-		if s == nil || s.startedAt != record.StartedAt || s.unitLatency > 0 || s.respondedAt > 0 || old || record.Latency <= 0 || record.Work <= 0 {
+		s := b.servers[record.ID]
+		old := record.MeasuredAt > b.now || b.freshness(record.MeasuredAt, latencyMaxAge) == 0
+		if s == nil || s.startedAt != record.StartedAt || s.unitLatency > 0 || s.respondedAt > 0 || old ||
+			record.Latency <= 0 || record.Work <= 0 {
 			continue
 		}
-		s.latency, s.latencyWork, s.unitLatency, s.measuredAt = record.Latency, record.Work, record.Latency/record.Work, record.MeasuredAt
+		s.latency, s.latencyWork = record.Latency, record.Work
+		s.unitLatency, s.measuredAt = record.Latency/record.Work, record.MeasuredAt
 		s.failureRate = max(0, min(record.FailureRate, 1))
-		s.ejectedUntil, s.probation = min(record.EjectedUntil, b.now+maxEjectionFactor*b.baseEjection), record.EjectedUntil > b.now
+		s.ejectedUntil = min(record.EjectedUntil, b.now+maxEjectionFactor*b.baseEjection)
+		s.probation = record.EjectedUntil > b.now
 	}
 }
--- a/balancer/model_test.go
+++ b/balancer/model_test.go
@@ -20,13 +20,13 @@
 	os.Exit(m.Run())
 }
 
-// referenceModel is a slow, plain model of the six rules: it keeps everything that happened and looks through all of
-// it at each action. It shares nothing with the module but the interface.
+// referenceModel is a slow and simple model of the rules that every action must keep. It records everything that happened and
+// checks each action against all of it. It shares only the interface with the balancer.
 type referenceModel struct {
 	t           *rapid.T
-	f           Config
+	config      Config
 	now         Time
-	taken       []Time
+	admitted    []Time // requests and calls
 	requests    []*modelRequest
 	servers     map[ServerID]*modelServer
 	attempts    []*modelAttempt
@@ -37,8 +37,8 @@
 	id                   RequestID
 	number               RequestNumber
 	queryType            QueryTypeConfig
-	arrivedAt, patience  Time
-	phase                int
+	arrivedAt, timeout   Time
+	phase                int // 1 or 2
 	firstComplete, ended bool
 	calls                []*modelCall
 }
@@ -62,19 +62,20 @@
 
 type modelServer struct {
 	Server
-	unavailableSince Time // when it was told to drain or be gone; -1 = it was not
+	unavailableSince Time // when it was listed as draining or removed; -1 = it is ready
 	attempts         []*modelAttempt
 }
 
-func (m *referenceModel) failIf(broken bool, format string, args ...any) {
-	if broken {
+func (m *referenceModel) failIf(failed bool, format string, args ...any) {
+	m.t.Helper()
+	if failed {
 		m.t.Fatalf(format, args...)
 	}
 }
 
 func (m *referenceModel) request(id RequestID) *modelRequest {
 	i := slices.IndexFunc(m.requests, func(req *modelRequest) bool { return req.id == id })
-	m.failIf(i < 0, "search %d was never given", id)
+	m.failIf(i < 0, "request %d never arrived", id)
 	return m.requests[i]
 }
 
@@ -84,7 +85,7 @@
 			return req, req.calls[i]
 		}
 	}
-	m.t.Fatalf("part %d was never given", id)
+	m.t.Fatalf("call %d never arrived", id)
 	return nil, nil
 }
 
@@ -126,7 +127,8 @@
 		req := m.request(a.Request)
 		for _, call := range req.calls {
 			for _, s := range call.attempts {
-				m.failIf(req.queryType.Idempotency == NonIdempotent && !(s.ended && s.outcome.NeverRan()), "rule 2: search %d shed, but part %d may have run", req.id, call.ID)
+				mayHaveRun := !(s.ended && s.outcome.NeverRan())
+				m.failIf(req.queryType.Idempotency == NonIdempotent && mayHaveRun, "no unsafe retry: request %d shed, but call %d may have run", req.id, call.ID)
 			}
 		}
 		m.finish(req)
@@ -134,14 +136,14 @@
 		m.finish(m.request(a.Request))
 	case Cancel:
 		_, call := m.call(a.Call)
-		m.failIf(!m.f.AllowCancel || int(a.Attempt) >= len(call.attempts), "cancel of part %d, send %d is not permitted", a.Call, a.Attempt)
+		m.failIf(!m.config.AllowCancel || int(a.Attempt) >= len(call.attempts), "cancel of call %d, attempt %d is not allowed", a.Call, a.Attempt)
 	case SetTimer:
 		m.failIf(a.At <= m.now, "timer set for %d at %d", a.At, m.now)
 	}
 }
 
 func (m *referenceModel) finish(req *modelRequest) {
-	m.failIf(req.ended, "rule 1: search %d has two final answers", req.id)
+	m.failIf(req.ended, "one outcome in time: request %d has two outcomes", req.id)
 	req.ended = true
 }
 
@@ -153,15 +155,16 @@
 			got += call.Weight
 		}
 	}
-	least, whole := req.queryType.MinCoverage, req.queryType.CompleteCoverage
+	minimum, complete := req.queryType.MinCoverage, req.queryType.CompleteCoverage
 	if req.phase == 2 {
-		whole = 1
+		complete = 1
 		if req.queryType.MinCoverage >= req.queryType.CompleteCoverage {
-			least = 1
+			minimum = 1
 		}
 	}
-	m.failIf(got < least-1e-4, "rule 5: search %d answered from %v of at least %v", req.id, got, least)
-	m.failIf(a.Complete && (got < whole-1e-4 || req.phase == 2 && !req.firstComplete), "rule 5: search %d marked whole at %v of %v", req.id, got, whole)
+	m.failIf(got < minimum-1e-4, "coverage: request %d answered with coverage %v, minimum %v", req.id, got, minimum)
+	m.failIf(a.Complete && (got < complete-1e-4 || req.phase == 2 && !req.firstComplete),
+		"coverage: request %d marked complete at coverage %v of %v", req.id, got, complete)
 	m.finish(req)
 	if req.queryType.SecondPhaseCalls > 0 && req.phase == 1 {
 		req.phase, req.firstComplete, req.ended = 2, a.Complete, false
@@ -170,20 +173,23 @@
 
 func (m *referenceModel) checkSend(a Send) {
 	req, call := m.call(a.Call)
-	m.failIf(req.ended || call.phase != req.phase || call.answered, "rule 1: part %d sent after it was over", call.ID)
-	m.failIf(len(call.attempts) >= m.f.MaxAttempts, "part %d sent %d times", call.ID, len(call.attempts)+1)
+	m.failIf(req.ended || call.phase != req.phase || call.answered, "one outcome in time: call %d sent after it had ended", call.ID)
+	m.failIf(len(call.attempts) >= m.config.MaxAttempts, "call %d sent %d times", call.ID, len(call.attempts)+1)
 	s := m.servers[a.Server]
-	m.failIf(s == nil || (int(s.Cell)-int(call.Shard)%m.f.Cells+m.f.Cells)%m.f.Cells >= m.f.ReplicationFactor, "server %d does not hold shard %d", a.Server, call.Shard)
-	m.failIf(s.unavailableSince >= 0 && m.now > s.unavailableSince+m.f.DrainGrace, "rule 3: server %d sent to %d after its end was told", a.Server, m.now-s.unavailableSince)
+	cells := m.config.Cells
+	m.failIf(s == nil || (int(s.Cell)-int(call.Shard)%cells+cells)%cells >= m.config.ReplicationFactor,
+		"server %d does not hold shard %d", a.Server, call.Shard)
+	m.failIf(s.unavailableSince >= 0 && m.now > s.unavailableSince+m.config.DrainGrace,
+		"drain: server %d sent to %d after it was listed as unavailable", a.Server, m.now-s.unavailableSince)
 	firstRisk := Time(-1)
 	for _, before := range call.attempts {
-		m.failIf(!before.ended && !m.f.AllowHedging, "two sub-requests of part %d out at once", call.ID)
+		m.failIf(!before.ended && !m.config.AllowHedging, "two attempts of call %d in flight at once", call.ID)
 		if firstRisk < 0 && !(before.ended && before.outcome.NeverRan()) {
 			firstRisk = before.at
 		}
 	}
 	m.failIf(firstRisk >= 0 && (req.queryType.Idempotency == NonIdempotent ||
-		req.queryType.Idempotency == Deduplicated && m.now > firstRisk+req.queryType.DedupWindow), "rule 2: part %d sent again, first at %d", call.ID, firstRisk)
+		req.queryType.Idempotency == Deduplicated && m.now > firstRisk+req.queryType.DedupWindow), "no unsafe retry: call %d retried, first sent at %d", call.ID, firstRisk)
 	send := &modelAttempt{call: call.ID, number: AttemptNumber(len(call.attempts)), at: m.now, server: a.Server, size: call.Size}
 	if call.Size == 0 {
 		send.size = 1
@@ -191,26 +197,26 @@
 	m.attempts = append(m.attempts, send)
 	call.attempts = append(call.attempts, send)
 	s.attempts = append(s.attempts, send)
-	if m.f.HasRetryBudget && len(call.attempts) > 1 {
+	if m.config.HasRetryBudget && len(call.attempts) > 1 {
 		m.checkBudget()
 	}
 	m.checkSlowStart(s)
 }
 
 func (m *referenceModel) checkBudget() {
-	further, taken := 0.0, 0.0
+	retries, admitted := 0.0, 0.0
 	for _, s := range m.attempts {
-		if s.number > 0 && s.at > m.now-m.f.RetryBudgetWindow && !(s.ended && s.outcome == NotDispatched) {
-			further++
+		if s.number > 0 && s.at > m.now-m.config.RetryBudgetWindow && !(s.ended && s.outcome == NotDispatched) {
+			retries++
 		}
 	}
-	for i := len(m.taken) - 1; i >= 0 && m.taken[i] > m.now-m.f.RetryBudgetWindow; i-- {
-		taken++
+	for i := len(m.admitted) - 1; i >= 0 && m.admitted[i] > m.now-m.config.RetryBudgetWindow; i-- {
+		admitted++
 	}
-	m.failIf(further > m.f.RetryBudgetBase+m.f.RetryBudgetRatio*taken, "rule 6: %v further sub-requests with %v taken", further, taken)
+	m.failIf(retries > m.config.RetryBudgetBase+m.config.RetryBudgetRatio*admitted, "retry budget: %v retries with %v admitted", retries, admitted)
 }
 
-// checkSlowStart takes the most that a warm server was sent in any window so far as what one can do.
+// checkSlowStart takes the most work that a warm server was sent in any window as the capacity of one.
 func (m *referenceModel) checkSlowStart(s *modelServer) {
 	load := func(s *modelServer, span Time) (sum float64) {
 		for _, r := range s.attempts {
@@ -221,49 +227,49 @@
 		return sum
 	}
 	age := m.now - s.StartedAt
-	if s.StartedAt == 0 || age >= m.f.SlowStartDuration {
-		m.maxWarmWork = max(m.maxWarmWork, load(s, m.f.OverloadWindow))
+	if s.StartedAt == 0 || age >= m.config.SlowStartDuration {
+		m.maxWarmWork = max(m.maxWarmWork, load(s, m.config.OverloadWindow))
 		return
 	}
-	capacity := m.f.SlowStartShare + (1-m.f.SlowStartShare)*float64(age)/float64(m.f.SlowStartDuration)
-	sent := load(s, m.f.OverloadWindow)
-	allowed := max(s.attempts[len(s.attempts)-1].size, m.f.OverloadMultiple*capacity*m.maxWarmWork+1e-9)
-	m.failIf(sent > allowed, "rule 4: cold server %d sent %v, warm ones bear %v, it has %v", s.ID, sent, m.maxWarmWork, capacity)
+	capacity := m.config.SlowStartShare + (1-m.config.SlowStartShare)*float64(age)/float64(m.config.SlowStartDuration)
+	sent := load(s, m.config.OverloadWindow)
+	allowed := max(s.attempts[len(s.attempts)-1].size, m.config.OverloadMultiple*capacity*m.maxWarmWork+1e-9)
+	m.failIf(sent > allowed, "slow start: cold server %d was sent %v, warm ones bear %v, its capacity is %v", s.ID, sent, m.maxWarmWork, capacity)
 }
 
-// simulation plays generated events to the module, twice over, and holds what it does against the rules.
+// simulation feeds generated events to two equal balancers and checks their actions against the reference model.
 type simulation struct {
 	*referenceModel
 	balancer, twin *Balancer
 	timers         []SetTimer
-	healthChecks   []ServerID // out
+	healthChecks   []ServerID // in flight
 	nextID         uint64
 }
 
 func newSimulation(t *rapid.T) *simulation {
-	f := Config{
-		Seed: rapid.Uint64().Draw(t, "seed"), Instances: rapid.IntRange(1, 4).Draw(t, "gatherers"), ClockResolution: 50,
+	config := Config{
+		Seed: rapid.Uint64().Draw(t, "seed"), Instances: rapid.IntRange(1, 4).Draw(t, "instances"), ClockResolution: 50,
 		Shards: rapid.IntRange(1, 12).Draw(t, "shards"), Cells: rapid.IntRange(1, 6).Draw(t, "cells"),
-		MaxAttempts: rapid.IntRange(1, 4).Draw(t, "most"),
-		AllowCancel: rapid.Bool().Draw(t, "may cancel"), AllowHedging: rapid.Bool().Draw(t, "may copy"),
-		AllowHealthChecks: rapid.Bool().Draw(t, "may probe"), RetriesMarked: rapid.Bool().Draw(t, "marked"),
-		ListOnRequest: rapid.Bool().Draw(t, "on request"), MaxListAge: 100000,
+		MaxAttempts: rapid.IntRange(1, 4).Draw(t, "max attempts"),
+		AllowCancel: rapid.Bool().Draw(t, "allow cancel"), AllowHedging: rapid.Bool().Draw(t, "allow hedging"),
+		AllowHealthChecks: rapid.Bool().Draw(t, "allow health checks"), RetriesMarked: rapid.Bool().Draw(t, "retries marked"),
+		ListOnRequest: rapid.Bool().Draw(t, "list on request"), MaxListAge: 100000,
 		DrainGrace:     Time(rapid.IntRange(0, 10000).Draw(t, "grace")),
 		SlowStartShare: 0.2, SlowStartDuration: 100000, OverloadMultiple: rapid.Float64Range(1, 4).Draw(t, "multiple"),
 		OverloadWindow: 10000, HasRetryBudget: rapid.Bool().Draw(t, "budget"), RetryBudgetBase: 1, RetryBudgetRatio: 0.02,
 		RetryBudgetWindow: 50000, OverQuotaValue: 0.1, Customers: []CustomerConfig{{20}, {0}},
 	}
-	f.ReplicationFactor = rapid.IntRange(1, f.Cells).Draw(t, "reach")
-	for _, effect := range []Idempotency{Idempotent, Deduplicated, NonIdempotent} {
-		req := QueryTypeConfig{Idempotency: effect, LatencyTarget: 10000, ClientTimeout: 25000, DedupWindow: 8000,
-			LateValue: rapid.SampledFrom([]float64{0, 0.3}).Draw(t, "late"), PartialValue: 0.9,
-			MinCoverage: rapid.SampledFrom([]float64{0.5, 0.8, 1}).Draw(t, "least"), CompleteCoverage: 1}
-		req.CompleteCoverage = max(req.MinCoverage, rapid.SampledFrom([]float64{0.75, 1}).Draw(t, "whole"))
-		req.SecondPhaseCalls = rapid.SampledFrom([]int{0, 2}).Draw(t, "second step")
-		f.QueryTypes = append(f.QueryTypes, req)
+	config.ReplicationFactor = rapid.IntRange(1, config.Cells).Draw(t, "replication factor")
+	for _, idempotency := range []Idempotency{Idempotent, Deduplicated, NonIdempotent} {
+		queryType := QueryTypeConfig{Idempotency: idempotency, LatencyTarget: 10000, ClientTimeout: 25000, DedupWindow: 8000,
+			LateValue: rapid.SampledFrom([]float64{0, 0.3}).Draw(t, "late value"), PartialValue: 0.9,
+			MinCoverage: rapid.SampledFrom([]float64{0.5, 0.8, 1}).Draw(t, "min coverage"), CompleteCoverage: 1}
+		queryType.CompleteCoverage = max(queryType.MinCoverage, rapid.SampledFrom([]float64{0.75, 1}).Draw(t, "complete coverage"))
+		queryType.SecondPhaseCalls = rapid.SampledFrom([]int{0, 2}).Draw(t, "second phase calls")
+		config.QueryTypes = append(config.QueryTypes, queryType)
 	}
-	m := &referenceModel{t: t, f: f, now: 1000000, servers: map[ServerID]*modelServer{}}
-	w := &simulation{referenceModel: m, balancer: New(f), twin: New(f)}
+	m := &referenceModel{t: t, config: config, now: 1000000, servers: map[ServerID]*modelServer{}}
+	w := &simulation{referenceModel: m, balancer: New(config), twin: New(config)}
 	var list []Server
 	for i := range rapid.IntRange(1, 10).Draw(t, "servers") {
 		list = append(list, w.server(ServerID(i+1)))
@@ -273,9 +279,9 @@
 }
 
 func (w *simulation) server(id ServerID) Server {
-	s := Server{ID: id, Cell: CellIndex(int(id) % w.f.Cells),
+	s := Server{ID: id, Cell: CellIndex(int(id) % w.config.Cells),
 		State: rapid.SampledFrom([]ServerState{Ready, Ready, Ready, Draining, Removed}).Draw(w.t, "state")}
-	if rapid.Bool().Draw(w.t, "young") {
+	if rapid.Bool().Draw(w.t, "recently started") {
 		s.StartedAt = w.now - Time(rapid.IntRange(0, 90000).Draw(w.t, "age"))
 	}
 	return s
@@ -289,13 +295,13 @@
 	w.failIf(!reflect.DeepEqual(actions, again), "the same events gave %v and %v", actions, again)
 	for _, a := range actions {
 		w.check(a)
-		if wake, ok := a.(SetTimer); ok {
-			w.timers = append(w.timers, wake)
+		if timer, ok := a.(SetTimer); ok {
+			w.timers = append(w.timers, timer)
 		}
-		if probe, ok := a.(HealthCheck); ok {
-			w.failIf(!w.f.AllowHealthChecks || w.servers[probe.Server] == nil || slices.Contains(w.healthChecks, probe.Server),
-				"server %d probed, which may not be or was never listed, or twice at once", probe.Server)
-			w.healthChecks = append(w.healthChecks, probe.Server)
+		if check, ok := a.(HealthCheck); ok {
+			w.failIf(!w.config.AllowHealthChecks || w.servers[check.Server] == nil || slices.Contains(w.healthChecks, check.Server),
+				"health check of server %d is not allowed, of an unknown server, or in flight already", check.Server)
+			w.healthChecks = append(w.healthChecks, check.Server)
 		}
 	}
 	for _, req := range w.requests {
@@ -310,38 +316,38 @@
 func (w *simulation) addCalls(req *modelRequest, n int) []ShardCall {
 	var calls []ShardCall
 	for range n {
-		call := ShardCall{ID: ShardCallID(w.id()), Shard: ShardIndex(rapid.IntRange(0, w.f.Shards-1).Draw(w.t, "shard")),
+		call := ShardCall{ID: ShardCallID(w.id()), Shard: ShardIndex(rapid.IntRange(0, w.config.Shards-1).Draw(w.t, "shard")),
 			Weight: 1 / float64(n), Size: rapid.SampledFrom([]float64{0, 40, 90}).Draw(w.t, "size")}
 		calls = append(calls, call)
 		req.calls = append(req.calls, &modelCall{ShardCall: call, phase: req.phase})
-		w.taken = append(w.taken, w.now)
+		w.admitted = append(w.admitted, w.now)
 	}
 	return calls
 }
 
 func (w *simulation) arrive() {
 	kind := rapid.IntRange(0, 2).Draw(w.t, "type")
-	req := &modelRequest{id: RequestID(w.id()), number: RequestNumber(w.nextID), queryType: w.f.QueryTypes[kind], arrivedAt: w.now,
-		patience: Time(rapid.IntRange(0, 25000).Draw(w.t, "patience")), phase: 1}
+	req := &modelRequest{id: RequestID(w.id()), number: RequestNumber(w.nextID), queryType: w.config.QueryTypes[kind], arrivedAt: w.now,
+		timeout: Time(rapid.IntRange(0, 25000).Draw(w.t, "timeout")), phase: 1}
 	w.requests = append(w.requests, req)
-	w.taken = append(w.taken, w.now)
-	calls := w.addCalls(req, rapid.IntRange(1, 5).Draw(w.t, "parts"))
-	w.event(RequestArrived{Request: req.id, Number: req.number, Type: QueryType(kind), Timeout: req.patience,
+	w.admitted = append(w.admitted, w.now)
+	calls := w.addCalls(req, rapid.IntRange(1, 5).Draw(w.t, "calls"))
+	w.event(RequestArrived{Request: req.id, Number: req.number, Type: QueryType(kind), Timeout: req.timeout,
 		Customer: CustomerIndex(rapid.IntRange(0, 1).Draw(w.t, "customer")), Calls: calls})
 }
 
-// endAttempt ends one of the sub-requests out, or says again what is long over.
+// endAttempt ends an attempt in flight, or if late repeats the end of one that has ended.
 func (w *simulation) endAttempt(late bool) {
-	var some []*modelAttempt
+	var candidates []*modelAttempt
 	for _, s := range w.attempts {
 		if !s.ended || late && s.number == 0 {
-			some = append(some, s)
+			candidates = append(candidates, s)
 		}
 	}
-	if len(some) == 0 {
+	if len(candidates) == 0 {
 		return
 	}
-	s := rapid.SampledFrom(some).Draw(w.t, "which")
+	s := rapid.SampledFrom(candidates).Draw(w.t, "which")
 	outcomes := []Outcome{0, 0, 0, Answered, Errored, Rejected, TimedOut, ConnectFailed, Reset, Cancelled, NotDispatched}
 	e := AttemptEnded{Call: s.call, Attempt: s.number, Server: s.server, Elapsed: w.now - s.at,
 		Outcome: rapid.SampledFrom(outcomes).Draw(w.t, "outcome")}
@@ -357,10 +363,10 @@
 	w.event(e)
 }
 
-// advance moves the clock, firing each timer in the first tick at or after its time.
+// advance moves the clock and fires each timer at the first tick at or after its moment.
 func (w *simulation) advance(by Time) {
 	for end := w.now + by; w.now < end; {
-		w.now = (w.now/w.f.ClockResolution + 1) * w.f.ClockResolution
+		w.now = (w.now/w.config.ClockResolution + 1) * w.config.ClockResolution
 		for i := 0; i < len(w.timers); i++ {
 			if due := w.timers[i]; due.At <= w.now {
 				w.timers = slices.Delete(w.timers, i, i+1)
@@ -369,7 +375,7 @@
 			}
 		}
 		for _, req := range w.requests {
-			w.failIf(!req.ended && w.now > req.arrivedAt+req.patience, "rule 1: search %d has no final answer in time", req.id)
+			w.failIf(!req.ended && w.now > req.arrivedAt+req.timeout, "one outcome in time: request %d has no outcome in time", req.id)
 		}
 	}
 }
@@ -390,13 +396,13 @@
 				w.event(ServerList{kind, []Server{w.server(ServerID(rapid.IntRange(1, 12).Draw(t, "server")))}})
 			case 10:
 				if len(w.healthChecks) > 0 {
-					e := HealthCheckEnded{Server: w.healthChecks[0], Outcome: rapid.SampledFrom([]Outcome{Answered, TimedOut, NotDispatched}).Draw(t, "probed")}
+					e := HealthCheckEnded{Server: w.healthChecks[0], Outcome: rapid.SampledFrom([]Outcome{Answered, TimedOut, NotDispatched}).Draw(t, "health check")}
 					w.healthChecks = w.healthChecks[1:]
 					w.event(e)
 				}
 			case 9:
 				if len(w.requests) > 0 {
-					req := w.requests[rapid.IntRange(0, len(w.requests)-1).Draw(t, "left")]
+					req := w.requests[rapid.IntRange(0, len(w.requests)-1).Draw(t, "cancelled")]
 					req.ended = true
 					w.event(RequestCancelled{req.id})
 				}
@@ -406,6 +412,8 @@
 		for n := 0; n < 200 && len(w.balancer.inFlight) > 0; n++ {
 			w.endAttempt(false)
 		}
-		w.failIf(len(w.balancer.requests)+len(w.balancer.requestsByNumber)+len(w.balancer.inFlight) > 0, "left over: %d searches, %d sub-requests", len(w.balancer.requests), len(w.balancer.inFlight))
+		b := w.balancer
+		w.failIf(len(b.requests)+len(b.requestsByNumber)+len(b.inFlight) > 0,
+			"left over: %d requests, %d calls", len(b.requests), len(b.inFlight))
 	})
 }
--- a/balancer/plan.go
+++ b/balancer/plan.go
@@ -1,24 +1,52 @@
 package balancer
 
-// The ordinary path: two plans, the prediction, and what takes a part off its plan.
-
 import (
 	"cmp"
 	"math"
 	"slices"
 )
 
-// fanOut is the ordinary path of a search: two plans are drawn, each part predicted in both, and the plan
-// whose slowest part ends first is sent.
+// fanOut places the calls of a request: two plans are drawn, the one that is predicted to finish first is
+// improved and dispatched. A request that cannot finish in time is not begun.
 func (b *Balancer) fanOut(req *request, calls []ShardCall) {
-	shortestTarget := req.policy.target // the shortest target among those that share its shards
+	shortestTarget := b.addCalls(req, calls)
+	plan := b.choosePlan(req)
+	latest := b.latestFinish(req, shortestTarget)
+	slowest, idle := b.moveStragglers(plan, latest)
+	b.moveToLocalZone(req, plan, slowest)
+	if clear(b.plannedWork); req.policy.quadratic {
+		idle = idle && slowest < Never
+		slowest = b.partialFinish(req, plan)
+	}
+	// A late call is sent all the same to a server that is idle: nothing else shows whether it is still slow,
+	// and shedding here could leave the whole cluster idle.
+	tooLate := !idle && b.now+slowest > latest || b.now >= req.deadline
+	if !req.inSecondPhase && slowest < Never && tooLate {
+		b.abandon(req)
+		return
+	}
+	b.dispatchPlan(req, plan)
+	b.review(req)
+}
+
+// addCalls adds the calls of a phase to a request. It returns the shortest latency target among the recent
+// requests of the same shards.
+func (b *Balancer) addCalls(req *request, calls []ShardCall) Time {
+	shortest := req.policy.target
 	for _, call := range calls {
-		shortestTarget = min(shortestTarget, b.budgetFor(call.Shard).admit(req.policy.target, b.now, b.now+latencyMaxAge))
+		budget := b.budgetFor(call.Shard)
+		shortest = min(shortest, budget.admit(req.policy.target, b.now, b.now+latencyMaxAge))
 		size := cmp.Or(max(call.Size, 0), req.policy.size, 1) + b.callCost
 		b.meanSize += (size - b.meanSize) * slowWeight
-		req.calls = append(req.calls, &shardCall{req: req, id: call.ID, shard: call.Shard, weight: call.Weight, size: size})
+		req.calls = append(req.calls,
+			&shardCall{req: req, id: call.ID, shard: call.Shard, weight: call.Weight, size: size})
 	}
-	var best []placement
+	return shortest
+}
+
+// choosePlan draws two plans at random offsets and returns the one whose slowest call is predicted to finish
+// first, in order of predicted finish.
+func (b *Balancer) choosePlan(req *request) (best []placement) {
 	slowest := Time(math.MaxInt64)
 	for range 2 {
 		offset := b.rand.intN(1 << 16)
@@ -35,128 +63,143 @@
 			}
 			plan = append(plan, placed)
 		}
-		slices.SortStableFunc(plan, func(a, placed placement) int { return cmp.Compare(a.finish, placed.finish) })
-		if end := plan[len(plan)-1].finish; end < slowest {
-			best, slowest = plan, end
+		slices.SortStableFunc(plan, compareFinish)
+		if finish := plan[len(plan)-1].finish; finish < slowest {
+			best, slowest = plan, finish
 		}
 	}
-	late := req.deadline // but while places are short its target counts: the sooner, the longer answers take
+	return best
+}
+
+// latestFinish returns when a request must finish to be begun: by its deadline, or its latency target under
+// pressure. Where requests with a shorter target use the same shards that one counts: a longer queue would
+// shed only those and complete no more of the others.
+func (b *Balancer) latestFinish(req *request, shortestTarget Time) Time {
 	falling := min(1, latencyTolerance*cmp.Or(b.baseLatency, 1)/cmp.Or(b.currentLatency, 1))
-	if float64(len(b.inFlight)) >= pressureShare*b.limit*math.Pow(falling, overloadPower) {
-		if late = req.targetAt; b.sharedBudgetBase > 0 { // a longer queue refuses the brief ones alone, and serves no more
-			late = min(late, b.now+shortestTarget-b.margin)
-		}
+	switch {
+	case float64(len(b.inFlight)) < pressureShare*b.limit*math.Pow(falling, overloadPower):
+		return req.deadline
+	case b.sharedBudgetBase > 0:
+		return min(req.targetAt, b.now+shortestTarget-b.margin)
 	}
-	// A part far behind the fastest, or too late for its search, moves once, to its earliest replica.
-	slowest, idle := Time(0), false // idle: the slowest part would have its server to itself
+	return req.targetAt
+}
+
+// moveStragglers moves each call that is far behind the fastest or too late to the replica that is predicted
+// to finish it first. It returns the slowest finish, and whether that call would have its server to itself.
+func (b *Balancer) moveStragglers(plan []placement, latest Time) (slowest Time, idle bool) {
 	clear(b.plannedWork)
-	for _, placed := range best {
+	for _, placed := range plan {
 		b.plannedWork[placed.server] += placed.call.size
 	}
-	for i := range best {
-		placed := &best[i]
-		if placed.finish > best[0].finish+stragglerGap || b.now+placed.finish > late {
+	for i := range plan {
+		placed := &plan[i]
+		if placed.finish > plan[0].finish+stragglerGap || b.now+placed.finish > latest {
 			b.plannedWork[placed.server] -= placed.call.size
-			if s, usable := b.bestReplica(placed.call); usable && b.predict(s, placed.call) < placed.finish {
+			if s, healthy := b.bestReplica(placed.call); healthy && b.predict(s, placed.call) < placed.finish {
 				placed.server, placed.finish = s, b.predict(s, placed.call)
 			}
 			b.plannedWork[placed.server] += placed.call.size
 		}
 		if placed.finish > slowest {
-			slowest, idle = placed.finish, placed.server != nil && placed.server.backlog+b.queueLength(placed.server)+b.plannedWork[placed.server] <= placed.call.size
+			slowest = placed.finish
+			idle = placed.server != nil && b.workAt(placed.server) <= placed.call.size
 		}
 	}
-	slowest = b.moveToLocalZone(req, best, slowest)
-	// What cannot end in time even so is better not begun, unless it waits for nothing there: only asking tells
-	// whether a server is still slow. Guards against a fleet that stands idle while searches are shed.
-	if clear(b.plannedWork); req.policy.quadratic {
-		slowest, idle = b.partialFinish(req, best), idle && slowest < never
-	}
-	if !req.inSecondPhase && slowest < never && (!idle && b.now+slowest > late || b.now >= req.deadline) {
-		b.abandon(req)
-		return
-	}
-	spare := b.coveredWithout(req, func(call *shardCall) bool { return b.cannotFinish(call, req.targetAt-b.now) })
-	for _, placed := range best {
-		placed.call.skipped = spare && b.cannotFinish(placed.call, req.targetAt-b.now)
+	return slowest, idle
+}
+
+// dispatchPlan sends each call of a plan, except those given up from the start. A call that may be hedged
+// also goes to the server on probation that its placement names.
+func (b *Balancer) dispatchPlan(req *request, plan []placement) {
+	hopeless := func(call *shardCall) bool { return b.cannotFinish(call, req.targetAt-b.now) }
+	covered := b.coveredWithout(req, hopeless)
+	for _, placed := range plan {
+		placed.call.skipped = covered && hopeless(placed.call)
 		if placed.server != nil && !placed.call.skipped && b.canDispatch(placed.server, placed.call) {
 			b.dispatch(placed.call, placed.server)
 		}
 	}
-	for _, placed := range best {
-		if n := len(placed.call.attempts); placed.probation != nil && (placed.probation != placed.server || n == 0) && b.canDispatch(placed.probation, placed.call) &&
-			(n == 0 && placed.call.skipped || n == 1 && b.withinBudget(placed.call, probationShare)) {
-			b.dispatch(placed.call, placed.probation)
-			placed.call.attempts[n].probation = n > 0
+	for _, placed := range plan {
+		call, s, sent := placed.call, placed.probation, len(placed.call.attempts)
+		if s == nil || s == placed.server && sent > 0 || !b.canDispatch(s, call) {
+			continue
+		}
+		if sent == 0 && call.skipped || sent == 1 && b.withinBudget(call, probationShare) {
+			b.dispatch(call, s)
+			call.attempts[sent].probation = sent > 0
 		}
 	}
-	b.review(req)
 }
 
-// replicaAt names a part's replica at an offset, or the next one that can be used. On a ring the offset marks
-// every reach-th cell and a part goes to its replica there; in sets they are counted by offset plus shard.
-// Where the one named is due for a trial it is told too.
-func (b *Balancer) replicaAt(call *shardCall, offset int) (s, tried *server) {
-	all := b.replicas[call.shard]
-	start, nearest := (offset+int(call.shard))%max(len(all), 1), b.replicationFactor
+// replicaAt returns the replica that an offset selects, or the next healthy one. On a ring the offset marks
+// every n-th cell, n the replication factor, and selects the replica there; otherwise it counts replicas. A
+// selected server that is due for a hedged probation attempt is returned as probation.
+func (b *Balancer) replicaAt(call *shardCall, offset int) (s, probation *server) {
+	all, factor := b.replicas[call.shard], b.replicationFactor
+	start, nearest := (offset+int(call.shard))%max(len(all), 1), factor
 	for i, s := range all {
-		if far := ((int(s.cell)-offset)%b.replicationFactor + b.replicationFactor) % b.replicationFactor; b.replicationFactor > 1 && far < nearest {
-			start, nearest = i, far
+		if distance := ((int(s.cell)-offset)%factor + factor) % factor; factor > 1 && distance < nearest {
+			start, nearest = i, distance
 		}
 	}
 	for i := range all {
-		if s = all[(start+i)%len(all)]; b.isHealthyChoice(s, call) {
-			return s, tried
+		if s = all[(start+i)%len(all)]; b.isHealthyFor(s, call) {
+			return s, probation
 		}
-		if i == 0 && b.hedgeProbation && s.probation && call.req.policy.idempotency == Idempotent && s.ejectedUntil <= b.now &&
-			len(s.inFlight) == 0 && b.plannedWork[s] == 0 {
-			tried = s
+		if i == 0 && b.hedgeProbation && s.probation && call.req.policy.idempotency == Idempotent &&
+			s.ejectedUntil <= b.now && len(s.inFlight) == 0 && b.plannedWork[s] == 0 {
+			probation = s
 		}
 	}
 	s, _ = b.bestReplica(call)
-	return s, tried
+	return s, probation
 }
 
-// bestReplica is the usable replica predicted to end a part first. When none is usable it is the least bad one
-// that the rules allow: one that fails seldom and ends soon.
-func (b *Balancer) bestReplica(call *shardCall) (best *server, usable bool) {
-	least := math.Inf(1)
+// bestReplica returns the healthy replica that is predicted to finish a call first. Where none is healthy it
+// returns the best one that may be used at all; failures weigh in the prediction.
+func (b *Balancer) bestReplica(call *shardCall) (best *server, healthy bool) {
+	lowest := math.Inf(1)
 	for _, s := range b.replicas[call.shard] {
-		good := b.isHealthyChoice(s, call)
-		if usable && !good || !b.canDispatch(s, call) {
+		good := b.isHealthyFor(s, call)
+		if healthy && !good || !b.canDispatch(s, call) {
 			continue
 		}
-		figure := float64(b.predict(s, call))
+		cost := float64(b.predict(s, call))
 		if b.preferLocal && !s.local {
-			figure /= localPreference
+			cost /= localPreference
 		}
-		if good && !usable || figure < least {
-			best, least, usable = s, figure, good
+		if good && !healthy || cost < lowest {
+			best, lowest, healthy = s, cost, good
 		}
 	}
-	return best, usable
+	return best, healthy
 }
 
-// canDispatch tells whether the rules let a part go to a ready server; usable, that it also looks sound and has
-// not had the part. On trial it takes one idempotent part at a time, beside the part's own sub-request where
-// that may be: while a third of a fleet is cut off every search of twenty parts would else depend on some
-// trial. One that is long in coming is made with any part.
+// canDispatch reports whether a call may be sent to a ready server at all, healthy or not.
 func (b *Balancer) canDispatch(s *server, call *shardCall) bool {
 	out := slices.ContainsFunc(call.attempts, func(a *attempt) bool { return a.server == s && !a.ended })
 	return !out && b.hasCapacity(s, call) && b.slowStartAllows(s, call.size)
 }
 
-func (b *Balancer) isHealthyChoice(s *server, call *shardCall) bool {
+// isHealthyFor reports whether a server may be sent a call, looks healthy and has not had the call. On
+// probation it takes one idempotent call at a time, or any call after a long time. Where attempts can be
+// hedged, probation attempts go beside healthy ones instead: wide requests would nearly all depend on them.
+func (b *Balancer) isHealthyFor(s *server, call *shardCall) bool {
 	had := slices.ContainsFunc(call.attempts, func(a *attempt) bool { return a.server == s })
-	if had || !b.canDispatch(s, call) || s.ejectedUntil > b.now || s.clusterEjected || b.silenceRatio(s.inFlight...) > 1 ||
-		b.checkFirst && s.probation && s.checkedAt < s.ejectedUntil && b.now < s.ejectedUntil+latencyMaxAge {
+	if had || !b.canDispatch(s, call) || s.ejectedUntil > b.now || s.clusterEjected ||
+		b.silenceRatio(s.inFlight...) > 1 {
 		return false
 	}
-	fit := call.req.policy.idempotency == Idempotent && !b.hedgeProbation || b.now > s.ejectedUntil+max(maxEjectionFactor*b.baseEjection, latencyMaxAge)
+	if b.checkFirst && s.probation && s.checkedAt < s.ejectedUntil && b.now < s.ejectedUntil+latencyMaxAge {
+		return false
+	}
+	fit := call.req.policy.idempotency == Idempotent && !b.hedgeProbation ||
+		b.now > s.ejectedUntil+max(maxEjectionFactor*b.baseEjection, latencyMaxAge)
 	return !s.probation || fit && len(s.inFlight) == 0 && b.plannedWork[s] == 0
 }
 
-// predict is when a part would end at a server, from now: its size after the unfinished ones there.
+// predict returns how long a call would take at a server, with the work ahead of it there.
 func (b *Balancer) predict(s *server, call *shardCall) Time {
 	rate := b.meanLatency
 	if rate == 0 {
@@ -166,82 +209,85 @@
 	if s.unitLatency > 0 {
 		rate += (s.unitLatency - rate) * b.freshness(s.measuredAt, latencyMaxAge)
 	}
-	// A slowdown of seconds, before smoothing catches up: the longer something is out without a word, the slower
-	// the server is held to be. A stall shows likewise. Harm: one odd part makes a sound server look slow.
 	failing := s.failureRate
-	if s.respondedAt <= s.zone.failedAt { // nothing says that it is better than its zone
+	if s.respondedAt <= s.zone.failedAt { // no evidence yet that it is better than its zone
 		failing = max(failing, s.zone.failureRate*b.freshness(s.zone.failedAt, latencyMaxAge))
 	}
+	// Silence counts before any outcome does, so that a stall shows at once. The cost: one call that takes
+	// unusually long makes a healthy server look slow.
 	rate *= max(s.slowdown, 1) * (1 + silenceWeight*b.silenceRatio(s.inFlight...)) / (1 - min(failing, 0.99))
 	ahead := s.backlog + b.queueLength(s)*b.meanSize + b.plannedWork[s]
-	return Time(min(rate*(ahead+call.size), float64(never-1)))
+	return Time(min(rate*(ahead+call.size), float64(Never-1)))
 }
 
-// queueLength is what a server reported, or the mean report as that grows old.
+// queueLength returns the queue that a server reported, fading to the mean report with age.
 func (b *Balancer) queueLength(s *server) float64 {
 	return b.meanQueue + (s.reportedQueue-b.meanQueue)*b.freshness(s.reportedAt, queueMaxAge)
 }
 
-// freshness is how much news of a moment still counts: all at once, nothing when it is so old.
+// workAt returns what is pending or planned at a server; 0 = it is idle.
+func (b *Balancer) workAt(s *server) float64 { return s.backlog + b.queueLength(s) + b.plannedWork[s] }
+
+// freshness returns the weight of an observation: 1 at the moment it was made, 0 at the age given.
 func (b *Balancer) freshness(at, age Time) float64 { return max(0, 1-float64(b.now-at)/float64(age)) }
 
-// moveToLocalZone moves parts of the plan to servers of this gatherer's zone, each to one an offset names or a next
-// one, if neither the part nor the plan ends later, or soon enough. Between zones it is dear.
-func (b *Balancer) moveToLocalZone(req *request, best []placement, slowest Time) Time {
+// moveToLocalZone moves calls to servers of the local zone, as traffic between zones is expensive, where the
+// call then finishes no later than the plan does, or early enough for the target.
+func (b *Balancer) moveToLocalZone(req *request, plan []placement, slowest Time) {
 	if !b.preferLocal {
-		return slowest
+		return
 	}
 	offset := b.rand.intN(1 << 16)
-	for i := range best {
-		placed := &best[i]
+	for i := range plan {
+		placed := &plan[i]
 		if placed.server == nil || placed.server.local {
 			continue
 		}
-		near := slices.DeleteFunc(slices.Clone(b.replicas[placed.call.shard]), func(s *server) bool {
-			return !s.local || !b.isHealthyChoice(s, placed.call)
+		local := slices.DeleteFunc(slices.Clone(b.replicas[placed.call.shard]), func(s *server) bool {
+			return !s.local || !b.isHealthyFor(s, placed.call)
 		})
 		b.plannedWork[placed.server] -= placed.call.size
-		enough := max(slowest, placed.finish, Time(localPreference*float64(req.policy.target)))
-		for k := 0; k < len(near) && !placed.server.local; k++ {
-			s := near[(offset+int(placed.call.shard)+k)%len(near)]
-			if end := b.predict(s, placed.call); end <= enough {
-				placed.server, placed.finish = s, end
+		latest := max(slowest, placed.finish, Time(localPreference*float64(req.policy.target)))
+		for k := 0; k < len(local) && !placed.server.local; k++ {
+			s := local[(offset+int(placed.call.shard)+k)%len(local)]
+			if finish := b.predict(s, placed.call); finish <= latest {
+				placed.server, placed.finish = s, finish
 			}
 		}
 		b.plannedWork[placed.server] += placed.call.size
 	}
-	return slowest
 }
 
-// partialFinish is when the parts that make a short answer worth having end, from now.
-func (b *Balancer) partialFinish(req *request, best []placement) (end Time) {
-	in := 0.0
-	slices.SortStableFunc(best, func(a, placed placement) int { return cmp.Compare(a.finish, placed.finish) })
-	for _, placed := range best {
-		if in >= req.policy.partialCoverage-weightTolerance {
+// partialFinish returns when a plan reaches the coverage that makes a partial answer worthwhile.
+func (b *Balancer) partialFinish(req *request, plan []placement) (finish Time) {
+	covered := 0.0
+	slices.SortStableFunc(plan, compareFinish)
+	for _, placed := range plan {
+		if covered >= req.policy.partialCoverage-weightTolerance {
 			break
 		}
-		in, end = in+placed.call.weight, placed.finish
+		covered, finish = covered+placed.call.weight, placed.finish
 	}
-	return end
+	return finish
 }
 
-// cannotFinish tells whether no sound replica of a part would end it in a time, nor stands idle: all of a shard
-// may be down, or the few that are back would be overrun.
+// cannotFinish reports whether no healthy replica is idle or would finish a call within a time: the shard may
+// be down, or its few remaining replicas overloaded. Only partial answers of some value allow for that.
 func (b *Balancer) cannotFinish(call *shardCall, within Time) bool {
 	return call.req.policy.quadratic && !slices.ContainsFunc(b.replicas[call.shard], func(s *server) bool {
 		return s.ejectedUntil <= b.now && !s.probation && b.silenceRatio(s.inFlight...) <= 1 &&
-			(within == never || b.predict(s, call) <= within || s.backlog+b.queueLength(s)+b.plannedWork[s] == 0)
+			(within == Never || b.predict(s, call) <= within || b.workAt(s) == 0)
 	})
 }
 
-// coveredWithout tells whether a search's other parts make an answer worth having without those that are given up.
+// coveredWithout reports whether a partial answer without the skippable calls is worthwhile.
 func (b *Balancer) coveredWithout(req *request, skippable func(*shardCall) bool) bool {
-	in := 0.0
+	covered := 0.0
 	for _, call := range req.calls {
 		if call.answered || !skippable(call) {
-			in += call.weight
+			covered += call.weight
 		}
 	}
-	return req.policy.quadratic && in < 1-weightTolerance && in >= req.policy.partialCoverage-weightTolerance
+	return req.policy.quadratic && covered < 1-weightTolerance &&
+		covered >= req.policy.partialCoverage-weightTolerance
 }
--- a/balancer/serverlist.go
+++ b/balancer/serverlist.go
@@ -5,15 +5,10 @@
 	"slices"
 )
 
-// applyServerList applies what the list says. Where it must be asked for, a failed call is followed by another after a
-// pause that doubles, with some chance in it, so that gatherers do not flood a list service already late.
+// applyServerList applies an update of the server list, or backs off after a failed request for one.
 func (b *Balancer) applyServerList(e ServerList) {
 	if e.Kind == ListFailed {
-		if b.listOnRequest && !b.listTimerSet {
-			b.listTimerSet = true
-			b.emit(SetTimer{b.now + b.listBackoff/2 + Time(b.rand.intN(int(b.listBackoff))), listTimer})
-			b.listBackoff = min(2*b.listBackoff, b.maxListBackoff)
-		}
+		b.retryServerList()
 		return
 	}
 	b.listBackoff = firstBackoff
@@ -26,24 +21,7 @@
 		}
 	}
 	for _, entry := range e.Servers {
-		s := b.servers[entry.ID]
-		if s == nil {
-			s = &server{id: entry.ID, startedAt: -1, sentWork: newWindowCounter(b.overloadWindow)}
-			b.servers[entry.ID] = s
-		}
-		b.setState(s, Removed)
-		s.local = b.preferLocal && entry.Zone == b.localZone
-		s.cell, s.maxInFlight = entry.Cell, entry.MaxInFlight
-		if s.zone = b.zones[entry.Zone]; s.zone == nil {
-			s.zone = &zone{}
-			b.zones[entry.Zone] = s.zone
-		}
-		b.setState(s, entry.State)
-		if entry.StartedAt != s.startedAt {
-			// Started anew: nothing learned of it holds any more.
-			s.startedAt, s.nextEjection = entry.StartedAt, b.baseEjection
-			s.unitLatency, s.reportedAt, s.failureRate, s.ejectedUntil, s.probation = 0, 0, 0, 0, false
-		}
+		b.applyServer(entry)
 	}
 	if len(b.servers) > 2*len(b.ready) {
 		maps.DeleteFunc(b.servers, func(_ ServerID, s *server) bool {
@@ -51,3 +29,14 @@
 		})
 	}
 }
+
+// retryServerList schedules the next request for the list, with exponential backoff and jitter so that
+// instances do not flood a list service that is already late.
+func (b *Balancer) retryServerList() {
+	if !b.listOnRequest || b.listTimerSet {
+		return
+	}
+	b.listTimerSet = true
+	b.emit(SetTimer{b.now + b.listBackoff/2 + Time(b.rand.intN(int(b.listBackoff))), listTimer})
+	b.listBackoff = min(2*b.listBackoff, b.maxListBackoff)
+}
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -1,22 +1,24 @@
 package balancer
 
-// capacityShare is the share of its capacity that a server has at least, by its age.
+// capacityShare returns the share of its full capacity that a server has at least, by its age.
 func (b *Balancer) capacityShare(s *server) float64 {
 	if s.startedAt == 0 || b.slowStartDuration <= 0 {
 		return 1
 	}
-	return max(0.01, min(1, b.slowStartShare+(1-b.slowStartShare)*float64(b.now-s.startedAt)/float64(b.slowStartDuration)))
+	age := float64(b.now - s.startedAt)
+	share := b.slowStartShare + (1-b.slowStartShare)*age/float64(b.slowStartDuration)
+	return max(0.01, min(1, share))
 }
 
-// slowStartAllows tells whether a cold server may be sent one more part. Its allowance is its warmth's share of what
-// this gatherer sends warm servers, or sent before all were cold: all gatherers together send it that share.
-// Where that is below a part, a lot drawn once a window lets one through with half that share for its chance;
-// unused it is lost, or many would save up. Guards against a rush on a server just started, and a dead fleet.
+// slowStartAllows reports whether a server that is warming up may be sent a call of a size. It gets its
+// capacity share of what this instance sends to a warm server, or sent before all of them were cold; all
+// instances together then send it that share. Where the allowance is below one call, a lottery each window
+// admits one with half the share as its chance. An unused win expires: saved up, many would be spent at once.
 func (b *Balancer) slowStartAllows(s *server, size float64) bool {
-	warmth := b.capacityShare(s)
-	if warmth < 1 && b.now >= s.lotteryUntil {
+	capacity := b.capacityShare(s)
+	if capacity < 1 && b.now >= s.lotteryUntil {
 		s.lottery, s.lotteryUntil = float64(b.rand.intN(1<<16))/(1<<16), b.now+b.overloadWindow
 	}
-	sent, share := s.sentWork.upper(b.now)+b.plannedWork[s], b.slowStartMultiple*warmth
-	return warmth >= 1 || sent+size <= share*b.warmWork || sent == 0 && s.lottery < share/2
+	sent, share := s.sentWork.upper(b.now)+b.plannedWork[s], b.slowStartMultiple*capacity
+	return capacity >= 1 || sent+size <= share*b.warmWork || sent == 0 && s.lottery < share/2
 }
--- a/balancer/window.go
+++ b/balancer/window.go
@@ -1,51 +1,39 @@
 package balancer
 
-// Helpers: counts over a span, and chance.
-
-import "math"
+// counterSlots is the number of slots of a windowCounter, beside the one in progress.
+const counterSlots = 16
 
-// windowCounter counts over the last span, in slots; it empties itself as time goes by.
+// windowCounter is a sum over a sliding window, kept in slots.
 type windowCounter struct {
-	slotLength, current Time // a slot's length, and the number of the present one
-	counts              [counterSlots + 1]float64
+	slotLength Time
+	current    Time // number of the slot in progress
+	counts     [counterSlots + 1]float64
 }
 
-const counterSlots = 16
-
-func newWindowCounter(span Time) windowCounter {
-	return windowCounter{slotLength: max(1, (span+counterSlots-1)/counterSlots), current: -never}
+func newWindowCounter(window Time) windowCounter {
+	return windowCounter{slotLength: max(1, (window+counterSlots-1)/counterSlots), current: -Never}
 }
 
-// slotAt is the slot so many after the present one, once time has passed to now.
-func (t *windowCounter) slotAt(now, after Time) *float64 {
-	for t.current = max(t.current, now/t.slotLength-counterSlots-1); t.current < now/t.slotLength; {
-		t.current++
-		t.counts[(t.current%(counterSlots+1)+counterSlots+1)%(counterSlots+1)] = 0
+// slotAt clears the slots that have expired by now and returns the one so many after that in progress.
+func (w *windowCounter) slotAt(now, after Time) *float64 {
+	const slots = counterSlots + 1
+	for w.current = max(w.current, now/w.slotLength-slots); w.current < now/w.slotLength; {
+		w.current++
+		w.counts[(w.current%slots+slots)%slots] = 0
 	}
-	return &t.counts[((t.current+after)%(counterSlots+1)+counterSlots+1)%(counterSlots+1)]
+	return &w.counts[((w.current+after)%slots+slots)%slots]
 }
 
-func (t *windowCounter) add(now Time, v float64) { *t.slotAt(now, 0) += v }
+func (w *windowCounter) add(now Time, v float64) { *w.slotAt(now, 0) += v }
 
-// upper is the count over the span and up to a slot more; least, over up to a slot less.
-func (t *windowCounter) upper(now Time) (sum float64) {
-	t.slotAt(now, 0)
-	for _, v := range t.counts {
+// upper returns an upper bound of the sum over the window: over the window and up to one slot more.
+func (w *windowCounter) upper(now Time) (sum float64) {
+	w.slotAt(now, 0)
+	for _, v := range w.counts {
 		sum += v
 	}
 	return sum
 }
 
-func (t *windowCounter) lower(now Time) float64 { return t.upper(now) - *t.slotAt(now, 1) }
-
-// mwc is a multiply-with-carry generator: the low half is the last number, the high half the carry.
-type mwc uint64
-
-const mwcFactor = 4294957665
-
-func newMWC(seed uint64) mwc { return mwc((seed>>32)%(mwcFactor-1)<<32 | seed&math.MaxUint32 | 1) }
-
-func (m *mwc) intN(n int) int {
-	*m = (*m&math.MaxUint32)*mwcFactor + *m>>32
-	return int(uint64(uint32(*m)) * uint64(n) >> 32)
-}
+// lower returns a lower bound of the sum over the window: over the window less up to one slot.
+func (w *windowCounter) lower(now Time) float64 { return w.upper(now) - *w.slotAt(now, 1) }
