--- a/internal/shardconn/conn.go
+++ b/internal/shardconn/conn.go
@@ -1,12 +1,10 @@
 package shardconn
 
 import (
-	"bufio"
 	"errors"
 	"io"
 	"net"
 	"slices"
-	"strconv"
 	"sync"
 	"syscall"
 	"time"
@@ -15,51 +13,63 @@
 	"oxbowspan/internal/frame"
 )
 
-// Why a connection to a server ended: the reason codes of its log line.
+// connBytes is the memory of a connection: the stacks of its goroutines, its read buffer and finished ids.
+const connBytes = 24 << 10
+
+// maxFinishedIDs is how many finished ids a connection remembers, to tell a late or duplicate answer from one to an
+// id that was never sent. It is several times what is in flight at once.
+const maxFinishedIDs = 256
+
+// endReason is why a connection ended, or could not be opened: the reason code in the log.
+type endReason string
+
 const (
-	endIdle         = "idle"            // ours: unused nearly as long as the server allows
-	endUnlisted     = "unlisted"        // ours: the server has left the list
-	endStopped      = "stopped"         // ours: the program ends
-	endRestarted    = "restarted"       // ours: the server started anew, this led to the process before
-	endDraining     = "draining"        // ours: the server drains, nothing new is sent there
-	endIdleUnsafe   = "rested"          // ours: it carried nothing for a while, and such connections have been found dead
-	endSurplus      = "surplus"         // ours: nothing is out on it, and another carries what comes
-	endMoved        = "moved"           // ours: the server listens elsewhere
-	endSilent       = "silent"          // ours: nothing came on it for long, and others are silent too
-	endMalformed    = "bad_form"        // ours: the server sent what is not the protocol's form
-	endServerFault  = "server_fault"    // the server could not use a frame
-	endServerClosed = "server_closed"   // the server closed it
-	endReset        = "reset"           // it broke
-	failRefused     = "refused"         // a connect: nobody listens there
-	failTimeout     = "connect_timeout" // a connect: no word in time
-	failBudget      = "no_descriptor"   // a connect: the servers' share of descriptors is used up
-	failOther       = "connect_failed"
+	endIdle         endReason = "idle"            // closed here: unused for most of the server's idle timeout
+	endUnlisted     endReason = "unlisted"        // closed here: the server was removed from the list
+	endStopped      endReason = "stopped"         // closed here: the program ends
+	endRestarted    endReason = "restarted"       // closed here: it led to an earlier process of the server
+	endDraining     endReason = "draining"        // closed here: the server drains
+	endIdleUnsafe   endReason = "rested"          // closed here: idle connections have been found dead
+	endSurplus      endReason = "surplus"         // closed here: idle beside another connection
+	endMoved        endReason = "moved"           // closed here: the server has another address
+	endSilent       endReason = "silent"          // closed here: silent, as are newer ones
+	endMalformed    endReason = "bad_form"        // closed here: the server violated the protocol
+	endServerFault  endReason = "server_fault"    // the server reported that it could not parse a frame
+	endServerClosed endReason = "server_closed"   // the server closed it
+	endReset        endReason = "reset"           // it broke
+	failRefused     endReason = "refused"         // not opened: connection refused
+	failTimeout     endReason = "connect_timeout" // not opened: timeout
+	failOther       endReason = "connect_failed"  // not opened: another failure
 )
 
-// conn is one connection. Its reader and writer are goroutines of their own; the rest is the actor's.
+// conn is one connection. Its reader and its writer are goroutines.
 type conn struct {
 	client   *Client
 	netConn  net.Conn
 	addr     string
 	openedAt balancer.Time
 
-	inFlight                  int // parts out on it
-	usedAt, receivedAt        balancer.Time
-	silent                    bool   // a part was given up on it without a word since
-	drainReason               string // why it gets no new parts and is closed when done; "" = it stays
-	closed, malformed         bool
-	partialSince              balancer.Time              // since when a frame on it is not whole; 0 = none is
-	framesReceived            int                        // frames that came
-	finished                  [maxFinishedIDs]finishedID // the last ids answered or given up on it
-	finishedCount, unanswered int                        // how many there have been; those given up and not answered since
+	// The client's goroutine owns these.
+	inFlight       int // attempts
+	usedAt         balancer.Time
+	receivedAt     balancer.Time
+	silent         bool      // an attempt was abandoned, and nothing received since it was sent
+	drainReason    endReason // why it gets no attempts and is closed when none is in flight; "" = it stays
+	closed         bool
+	malformed      bool          // closed because of a protocol violation
+	partialSince   balancer.Time // since when a frame is incomplete; 0 = none is
+	framesReceived int
+	finished       [maxFinishedIDs]finishedID // a ring of the ids that were answered or cancelled last
+	finishedCount  int                        // of all finished ids so far
+	unanswered     int                        // finished ids that were cancelled and not answered since
 
 	mu            sync.Mutex
-	ready         sync.Cond
-	queue         [][]byte // frames not yet begun; nil = taken back
-	framesBegun   int      // frames begun or taken back
-	framesWritten int      // frames written whole; the actor reads it once both goroutines have ended
+	ready         sync.Cond // the queue is not empty, or the connection has ended
+	queue         [][]byte  // frames to be written; nil = withdrawn
+	framesBegun   int       // frames taken from the queue
+	framesWritten int       // frames written completely; read only after both goroutines have ended
 	ended         bool
-	endReason     string // why it ended, and in what words
+	endReason     endReason
 	endDetail     string
 }
 
@@ -68,42 +78,41 @@
 	answered bool
 }
 
-// maxFinishedIDs is how many ids that have ended a connection remembers, to tell an answer that crossed a give-up, or came
-// twice, from one that was never asked for: several times what it carries at once.
-const maxFinishedIDs = 256
+// event is what the goroutines of connections send to the client's.
+type event interface{ event() }
 
-// News from the goroutines to the actor.
 type (
+	// dialResult is the end of an attempt to open a connection.
 	dialResult struct {
-		c    net.Conn
-		addr string
-		err  error
+		netConn net.Conn
+		addr    string
+		err     error
 	}
-	// received is all that one read of a connection brought.
+	// received carries all frames that were read at once.
 	received struct {
-		c         *conn
+		conn      *conn
 		at        balancer.Time
 		frames    []inboundFrame
-		partial   bool // bytes of a frame that is not whole yet
-		formatErr error
-	}
-	inboundFrame struct {
-		letter            byte
-		id, report, value string
-		status            frame.Status
+		partial   bool  // the beginning of another frame was read
+		formatErr error // of the last frame; nil = it is valid
 	}
-	connClosed struct{ c *conn }
+	// connClosed says that both goroutines of a connection have ended.
+	connClosed struct{ conn *conn }
 )
 
-// dial opens a connection in the background; false = no descriptor is left.
+func (dialResult) event() {}
+func (received) event()   {}
+func (connClosed) event() {}
+
+// dial opens a connection in the background. It reports false if no descriptor is available.
 func (p *Client) dial() bool {
 	if !p.budget.Acquire() {
 		return false
 	}
 	p.dialing++
-	addr, limit := p.addr, time.Duration(p.config.ConnectTimeout)*tick
+	addr, timeout := p.addr, time.Duration(p.config.ConnectTimeout)*tick
 	go func() {
-		c, err := p.connect(addr, limit)
+		c, err := p.connect(addr, timeout)
 		if err != nil {
 			p.budget.Release()
 		}
@@ -112,25 +121,26 @@
 	return true
 }
 
-func connect(addr string, limit time.Duration) (net.Conn, error) {
-	d := net.Dialer{Timeout: limit, KeepAlive: -1} // the protocol says that keep-alive tells nothing
+func connect(addr string, timeout time.Duration) (net.Conn, error) {
+	d := net.Dialer{Timeout: timeout, KeepAlive: -1} // the protocol gives no meaning to keep-alive probes
 	return d.Dial("tcp", addr)
 }
 
-func dialReason(err error) string {
-	var timeout net.Error
+// dialFailure returns the reason code of a failed dial.
+func dialFailure(err error) string {
+	var netErr net.Error
 	switch {
 	case errors.Is(err, syscall.ECONNREFUSED):
-		return failRefused
-	case errors.As(err, &timeout) && timeout.Timeout():
-		return failTimeout
+		return string(failRefused)
+	case errors.As(err, &netErr) && netErr.Timeout():
+		return string(failTimeout)
 	}
-	return failOther
+	return string(failOther)
 }
 
-func newConn(p *Client, d dialResult) *conn {
+func newConn(p *Client, result dialResult) *conn {
 	now := p.now()
-	c := &conn{client: p, netConn: d.c, addr: d.addr, openedAt: now, usedAt: now}
+	c := &conn{client: p, netConn: result.netConn, addr: result.addr, openedAt: now, usedAt: now}
 	c.ready.L = &c.mu
 	p.config.Memory.ForceAcquire(connBytes)
 	var both sync.WaitGroup
@@ -141,7 +151,7 @@
 	return c
 }
 
-// enqueue queues a frame and returns its number.
+// enqueue queues a frame for writing and returns its number.
 func (c *conn) enqueue(b []byte) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -150,14 +160,14 @@
 	return c.framesBegun + len(c.queue)
 }
 
-// withdraw withdraws a frame of which nothing has been written.
-func (c *conn) withdraw(no int) bool {
+// withdraw removes a frame from the queue. It reports false if writing may have begun.
+func (c *conn) withdraw(frameNumber int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if no <= c.framesBegun {
+	if frameNumber <= c.framesBegun {
 		return false
 	}
-	c.queue[no-c.framesBegun-1] = nil
+	c.queue[frameNumber-c.framesBegun-1] = nil
 	return true
 }
 
@@ -183,100 +193,7 @@
 	}
 }
 
-// maxKeptBuffer is how large a connection's buffer for frames may stay between them.
-const maxKeptBuffer = 8 << 10
-
-// readLoop passes on what comes. All that came at once is told at once, so that nothing new is sent on a connection
-// whose last answer brought noise with it.
-func (c *conn) readLoop() {
-	r := bufio.NewReaderSize(c.netConn, 4<<10)
-	var buf []byte
-	held := 0 // bytes of buf accounted for
-	account := func() {
-		if grown := cap(buf) - held; grown > 0 {
-			c.client.config.Memory.ForceAcquire(int64(grown))
-		} else if grown < 0 {
-			c.client.config.Memory.Release(int64(-grown))
-		}
-		held = cap(buf)
-	}
-	defer func() { buf = nil; account() }()
-	n := received{c: c}
-	for {
-		if !frame.HasFrame(r) {
-			if n.partial = r.Buffered() > 0; n.partial || len(n.frames) > 0 {
-				n.at = c.client.now()
-				c.client.events <- n
-				n = received{c: c}
-			}
-			if r.Buffered() == 0 {
-				// One long value must not stay on each connection for as long as that lasts.
-				if cap(buf) > maxKeptBuffer {
-					buf = nil
-					account()
-				}
-				if _, err := r.Peek(1); err != nil {
-					c.stop(closeReason(err), err.Error())
-					return
-				}
-				continue
-			}
-		}
-		letter, rest, grown, err := frame.Read(r, buf)
-		buf = grown
-		account()
-		f, badForm := inboundFrame{letter: letter}, frame.IsFormatError(err)
-		if err == nil {
-			f, err = parseFrame(letter, rest)
-			badForm = frame.IsFormatError(err)
-		}
-		switch {
-		case badForm: // the actor ends it, with what the answer was for
-			n.at, n.formatErr = c.client.now(), err
-			n.frames = append(n.frames, f)
-			c.client.events <- n
-			return
-		case err != nil:
-			if len(n.frames) > 0 {
-				n.at = c.client.now()
-				c.client.events <- n
-			}
-			why := closeReason(err)
-			if letter == frame.ErrorFrame {
-				why = endServerFault
-			}
-			c.stop(why, err.Error())
-			return
-		}
-		n.frames = append(n.frames, f)
-	}
-}
-
-// parseFrame reads one frame. With an error of the form it gives the id that the frame names, if any.
-func parseFrame(letter byte, rest []byte) (f inboundFrame, err error) {
-	f.letter = letter
-	switch letter {
-	case frame.AnswerFrame:
-		var a frame.AnswerBody
-		a, err = frame.ParseAnswer(rest)
-		f.id, f.report, f.value, f.status = string(a.ID), string(a.Report), string(a.Value), a.Status
-	case frame.HealthCheckFrame, frame.LoadCheckFrame:
-		f.report = string(rest)
-		if f.report == "broke" {
-			f.status = frame.Failed
-		}
-		if letter == frame.HealthCheckFrame {
-			f.report = ""
-		}
-	case frame.ErrorFrame:
-		err = errors.New(string(rest[:min(len(rest), 100)]))
-	default:
-		err = &frame.FormatError{Reason: "unknown letter " + strconv.QuoteRune(rune(letter))}
-	}
-	return f, err
-}
-
-// recordFinished notes that an id has ended on this connection.
+// recordFinished remembers an id that was answered or cancelled.
 func (c *conn) recordFinished(id string, answered bool) {
 	c.finished[c.finishedCount%maxFinishedIDs] = finishedID{id, answered}
 	c.finishedCount++
@@ -285,22 +202,34 @@
 	}
 }
 
-// acceptLateAnswer takes an answer for an id that has ended here of late; false = there was none.
+// acceptLateAnswer processes an answer to a finished id. It reports false if the id is unknown.
 func (c *conn) acceptLateAnswer(id string) bool {
-	at := slices.IndexFunc(c.finished[:], func(p finishedID) bool { return p.id == id && id != "" })
+	at := slices.IndexFunc(c.finished[:], func(f finishedID) bool { return f.id == id && id != "" })
 	switch {
 	case at < 0:
 		return false
-	case c.finished[at].answered: // it came twice: what is out may still be answered, but nothing new is trusted to it
+	case c.finished[at].answered: // a duplicate: what is in flight may still be answered, but nothing new is sent
 		c.drainReason = endMalformed
-	default: // it was given up, an ordinary race
+	default: // the answer crossed the cancellation
 		c.finished[at].answered = true
 		c.unanswered--
 	}
 	return true
 }
 
-func closeReason(err error) string {
+// outcomeOfLoss returns the outcome of an attempt that was in flight when the connection ended.
+func (c *conn) outcomeOfLoss(frameNumber int) balancer.Outcome {
+	switch {
+	case frameNumber > c.framesWritten:
+		return balancer.ConnectFailed
+	case c.malformed:
+		return balancer.Cancelled
+	}
+	return balancer.Reset
+}
+
+// closeReason returns why a connection ended by its error.
+func closeReason(err error) endReason {
 	switch {
 	case frame.IsFormatError(err):
 		return endMalformed
@@ -310,22 +239,22 @@
 	return endReset
 }
 
-// stop ends both goroutines. The first reason stands.
-func (c *conn) stop(why, detail string) {
+// stop ends both goroutines. The first reason is kept.
+func (c *conn) stop(reason endReason, detail string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.ended {
-		c.ended, c.endReason, c.endDetail = true, why, detail
+		c.ended, c.endReason, c.endDetail = true, reason, detail
 		c.netConn.Close()
 		c.ready.Broadcast()
 	}
 }
 
-// close is the actor's stop: its goroutines' end is heard as news.
-func (c *conn) close(why string) {
+// close closes the connection for the client's goroutine. The event connClosed follows.
+func (c *conn) close(reason endReason) {
 	if !c.closed {
 		c.closed = true
-		c.stop(why, "")
+		c.stop(reason, "")
 	}
 }
 
--- /dev/null
+++ b/internal/shardconn/reader.go
@@ -0,0 +1,146 @@
+package shardconn
+
+import (
+	"bufio"
+	"strconv"
+
+	"oxbowspan/internal/frame"
+)
+
+// maxKeptBuffer is how large the frame buffer of a connection may stay between frames.
+const maxKeptBuffer = 8 << 10
+
+// readBufferSize is the size of the buffered reader of a connection.
+const readBufferSize = 4 << 10
+
+// maxFaultText is how much of a server's error message is logged, in bytes.
+const maxFaultText = 100
+
+// inboundFrame is a frame of the server.
+type inboundFrame struct {
+	letter            byte
+	id, report, value string
+	status            frame.Status
+}
+
+// serverFaultError is the content of an error frame: the server could not parse a frame.
+type serverFaultError struct{ message string }
+
+func (e *serverFaultError) Error() string { return e.message }
+
+// frameReader reads the frames of a connection and accounts for its buffer.
+type frameReader struct {
+	conn      *conn
+	r         *bufio.Reader
+	buf       []byte
+	accounted int // bytes of buf that are accounted for
+}
+
+// account accounts for a change of the buffer's capacity.
+func (f *frameReader) account() {
+	memory := f.conn.client.config.Memory
+	if grown := cap(f.buf) - f.accounted; grown > 0 {
+		memory.ForceAcquire(int64(grown))
+	} else if grown < 0 {
+		memory.Release(int64(-grown))
+	}
+	f.accounted = cap(f.buf)
+}
+
+// release frees the buffer.
+func (f *frameReader) release() {
+	f.buf = nil
+	f.account()
+}
+
+// await waits for the first byte of a frame. Before that it frees a large buffer, so that one long value does not
+// stay on each connection for as long as it lasts.
+func (f *frameReader) await() error {
+	if cap(f.buf) > maxKeptBuffer {
+		f.release()
+	}
+	_, err := f.r.Peek(1)
+	return err
+}
+
+// next reads one frame. With a format error the frame carries its letter and, if there is one, its id.
+func (f *frameReader) next() (inboundFrame, error) {
+	letter, rest, grown, err := frame.Read(f.r, f.buf)
+	f.buf = grown
+	f.account()
+	if err != nil {
+		return inboundFrame{letter: letter}, err
+	}
+	return parseFrame(letter, rest)
+}
+
+// readLoop sends the client all that is read at once in one event, so that nothing new is sent on a connection whose
+// last answer is followed by garbage.
+func (c *conn) readLoop() {
+	reader := &frameReader{conn: c, r: bufio.NewReaderSize(c.netConn, readBufferSize)}
+	defer reader.release()
+	batch := received{conn: c}
+	send := func() {
+		batch.at = c.client.now()
+		c.client.events <- batch
+		batch = received{conn: c}
+	}
+	for {
+		if !frame.HasFrame(reader.r) {
+			batch.partial = reader.r.Buffered() > 0
+			if batch.partial || len(batch.frames) > 0 {
+				send()
+			}
+			if reader.r.Buffered() == 0 {
+				if err := reader.await(); err != nil {
+					c.stop(closeReason(err), err.Error())
+					return
+				}
+				continue
+			}
+		}
+		f, err := reader.next()
+		switch {
+		case frame.IsFormatError(err): // the client's goroutine closes the connection and fails the attempt
+			batch.formatErr = err
+			batch.frames = append(batch.frames, f)
+			send()
+			return
+		case err != nil:
+			if len(batch.frames) > 0 {
+				send()
+			}
+			reason := closeReason(err)
+			if f.letter == frame.ErrorFrame {
+				reason = endServerFault
+			}
+			c.stop(reason, err.Error())
+			return
+		}
+		batch.frames = append(batch.frames, f)
+	}
+}
+
+// parseFrame parses the content of a frame. With an error it returns the id that the frame names, if any.
+func parseFrame(letter byte, rest []byte) (f inboundFrame, err error) {
+	f.letter = letter
+	switch letter {
+	case frame.AnswerFrame:
+		var a frame.AnswerBody
+		a, err = frame.ParseAnswer(rest)
+		f.id, f.report, f.value, f.status = string(a.ID), string(a.Report), string(a.Value), a.Status
+	case frame.HealthCheckFrame, frame.LoadCheckFrame:
+		f.report = string(rest)
+		if f.report == frame.StatusFailed {
+			f.status = frame.Failed
+		}
+		if letter == frame.HealthCheckFrame {
+			f.report = ""
+		}
+	case frame.ErrorFrame:
+		err = &serverFaultError{string(rest[:min(len(rest), maxFaultText)])}
+	default:
+		err = &frame.FormatError{Reason: "unknown letter " + strconv.QuoteRune(rune(letter))}
+	}
+	return f, err
+}
