--- a/internal/frame/frame.go
+++ b/internal/frame/frame.go
@@ -1,52 +1,70 @@
-// Package frame is the codec of the shard servers' protocol: a length of four bytes, a letter, the rest.
+// Package frame encodes and decodes the frames of the shard servers' protocol. A frame is its length in four bytes,
+// big endian, a letter, and a content that depends on the letter.
 package frame
 
 import (
 	"bufio"
-	"bytes"
 	"encoding/binary"
 	"errors"
 	"fmt"
 	"io"
 	"strconv"
-	"unicode/utf8"
 )
 
-// The letters.
+// Letters of frames. Calls, cancellations and health checks are sent to a server; the server sends answers, errors and
+// the answers to health checks, which carry the letter of the check.
 const (
-	CallFrame        = 'q' // parts asked for
-	CancelFrame      = 'c' // a part's id: it is given up
+	CallFrame        = 'q' // calls
+	CancelFrame      = 'c' // the id of a call that is cancelled
 	HealthCheckFrame = 'p'
-	LoadCheckFrame   = 'l' // a probe for load
+	LoadCheckFrame   = 'l' // a health check that requests a load report
 	AnswerFrame      = 'a'
-	ErrorFrame       = 'e' // the frame before could not be used
+	ErrorFrame       = 'e' // a message: the last frame could not be parsed
 )
 
-// MaxFrameSize is the most that a frame from a server may state: a value as long as a whole answer, and its line.
+// MaxFrameSize is the most bytes that a frame from a server may have after its length: a value as long as a whole answer,
+// and its line.
 const MaxFrameSize = 64<<10 + 1<<10
 
-// readChunk is how much is set aside at a time while a frame comes in, so that a stated length alone costs nothing.
+// lengthBytes is the size of a frame's length.
+const lengthBytes = 4
+
+// readChunk is how many bytes are allocated at a time while a frame is read, so that a length alone allocates nothing.
 const readChunk = 4 << 10
 
-// Begin opens a frame in b; End closes it.
+// FormatError says that bytes are not a valid frame.
+type FormatError struct{ Reason string }
+
+func (e *FormatError) Error() string { return e.Reason }
+
+// IsFormatError reports whether an error is due to the format of a frame and not to the connection.
+func IsFormatError(err error) bool {
+	var format *FormatError
+	return errors.As(err, &format)
+}
+
+// Begin appends the beginning of a frame to b. End completes it.
 func Begin(b []byte, letter byte) []byte { return append(b, 0, 0, 0, 0, letter) }
 
-// End writes the length of the frame that starts at byte start of b.
+// End writes the length of the frame that begins at b[start] and ends with b.
 func End(b []byte, start int) []byte {
-	binary.BigEndian.PutUint32(b[start:], uint32(len(b)-start-4))
+	binary.BigEndian.PutUint32(b[start:], uint32(len(b)-start-lengthBytes))
 	return b
 }
 
-// AppendCall adds one part to an open call: its line and the search's text. What more the line's list holds, beside the time
-// limit, is in list; "" = nothing.
-func AppendCall(b []byte, id string, shard int, millis int64, list string, text []byte) []byte {
+// New returns a frame.
+func New(letter byte, content string) []byte { return End(append(Begin(nil, letter), content...), 0) }
+
+// AppendCall appends one call to an open CallFrame: a line of its id, shard, options and length of the text, then the
+// text. The time limit in milliseconds is the first option; options holds the others, "" = none.
+func AppendCall(b []byte, id string, shard int, millis int64, options string, text []byte) []byte {
 	b = append(b, id...)
 	b = append(b, ' ')
 	b = strconv.AppendInt(b, int64(shard), 10)
 	b = append(b, " d="...)
 	b = strconv.AppendInt(b, millis, 10)
-	if list != "" {
-		b = append(append(b, ','), list...)
+	if options != "" {
+		b = append(append(b, ','), options...)
 	}
 	b = append(b, ' ')
 	b = strconv.AppendInt(b, int64(len(text)), 10)
@@ -54,107 +72,39 @@
 	return append(b, text...)
 }
 
-// New is a frame made in one go.
-func New(letter byte, rest string) []byte { return End(append(Begin(nil, letter), rest...), 0) }
-
-// HasFrame tells whether Read would return without waiting for more: a whole frame has come, or what came cannot
-// be one.
+// HasFrame reports whether Read would return without reading more: a complete frame is buffered, or an invalid one.
 func HasFrame(r *bufio.Reader) bool {
-	if r.Buffered() < 4 {
+	if r.Buffered() < lengthBytes {
 		return false
 	}
-	head, _ := r.Peek(4)
+	head, _ := r.Peek(lengthBytes)
 	left := int64(binary.BigEndian.Uint32(head))
-	return left < 1 || left > MaxFrameSize || int64(r.Buffered()-4) >= left
+	return left < 1 || left > MaxFrameSize || int64(r.Buffered()-lengthBytes) >= left
 }
 
-// Read reads one frame into buf, growing it only as bytes really come. At a clean end it returns io.EOF.
-func Read(r io.Reader, buf []byte) (letter byte, rest, grown []byte, err error) {
+// Read reads one frame into buf and returns its letter and content, and buf as it has grown. It allocates only as bytes
+// arrive. At the end of the input between frames the error is io.EOF, within a frame it wraps io.ErrUnexpectedEOF. An
+// invalid length is a *FormatError.
+func Read(r io.Reader, buf []byte) (letter byte, content, grown []byte, err error) {
 	buf = append(buf[:0], 0, 0, 0, 0)
 	if n, err := io.ReadFull(r, buf); err != nil {
 		if n == 0 {
 			return 0, nil, buf, err
 		}
-		return 0, nil, buf, fmt.Errorf("frame cut off within its length: %w", io.ErrUnexpectedEOF)
+		return 0, nil, buf, fmt.Errorf("frame truncated within its length: %w", io.ErrUnexpectedEOF)
 	}
 	left := int64(binary.BigEndian.Uint32(buf))
 	if left < 1 || left > MaxFrameSize {
-		return 0, nil, buf, &FormatError{fmt.Sprintf("a frame of %d bytes was stated, 1 to %d are allowed", left, MaxFrameSize)}
+		return 0, nil, buf, &FormatError{fmt.Sprintf("frame length %d is not from 1 to %d", left, MaxFrameSize)}
 	}
 	buf = buf[:0]
 	for left > 0 {
 		n, start := int(min(left, readChunk)), len(buf)
 		buf = append(buf, make([]byte, n)...)
 		if _, err := io.ReadFull(r, buf[start:]); err != nil {
-			return 0, nil, buf, fmt.Errorf("frame cut off, %d bytes were still stated: %w", left, err)
+			return 0, nil, buf, fmt.Errorf("frame truncated, %d bytes missing: %w", left, err)
 		}
 		left -= int64(n)
 	}
 	return buf[0], buf[1:], buf, nil
 }
-
-// FormatError says that bytes are not the protocol's form.
-type FormatError struct{ Reason string }
-
-func (e *FormatError) Error() string { return e.Reason }
-
-// End of a part, as the server says it.
-type Status uint8
-
-const (
-	Served   Status = iota // it ran
-	Failed                 // it may have run
-	Rejected               // it never ran
-)
-
-// An Answered is the content of an answer frame. Its slices are those of the frame.
-type AnswerBody struct {
-	ID, Report, Value []byte
-	Status            Status
-}
-
-// ParseAnswer reads the rest of an answer frame. With an error it still gives the id, where the line has one: the
-// part that it names has run.
-func ParseAnswer(rest []byte) (a AnswerBody, err error) {
-	line, value, ok := bytes.Cut(rest, []byte{'\n'})
-	words := bytes.SplitN(line, []byte{' '}, 4)
-	a.ID = words[0]
-	if !ok || len(words) != 4 || len(words[0]) == 0 {
-		return a, &FormatError{fmt.Sprintf("answer line %.60q is not 'ID END SCORE REPORT'", line)}
-	}
-	if _, err := strconv.ParseFloat(string(words[2]), 64); err != nil && string(words[2]) != "-" {
-		return a, &FormatError{fmt.Sprintf("the score %.40q is no number", words[2])}
-	}
-	if !utf8.Valid(value) {
-		return a, &FormatError{"the value is not text, and could not be passed on as it came"}
-	}
-	a.Report, a.Value = words[3], value
-	switch string(words[1]) {
-	case "served":
-		a.Status = Served
-	case "broke":
-		a.Status = Failed
-	case "skipped":
-		a.Status = Rejected
-	default:
-		return a, &FormatError{fmt.Sprintf("answer ends in unknown %.20q", words[1])}
-	}
-	return a, nil
-}
-
-// ReportValue finds one figure of a report such as inflight=7,util=0.61.
-func ReportValue(report []byte, name string) (float64, bool) {
-	for pair := range bytes.SplitSeq(report, []byte{','}) {
-		if key, value, ok := bytes.Cut(pair, []byte{'='}); ok && string(key) == name {
-			v, err := strconv.ParseFloat(string(value), 64)
-			return v, err == nil && v-v == 0 // neither infinite nor no number
-		}
-	}
-	return 0, false
-}
-
-// IsFormatError tells whether an error says that the form was broken, not the connection.
-func IsFormatError(err error) bool {
-	var form *FormatError
-	return errors.As(err, &form)
-}
--- a/internal/frame/frame_test.go
+++ b/internal/frame/frame_test.go
@@ -15,19 +15,19 @@
 	f.Fuzz(func(t *testing.T, in []byte) {
 		r := bytes.NewReader(in)
 		for {
-			letter, rest, grown, err := Read(r, nil)
+			letter, content, grown, err := Read(r, nil)
 			if cap(grown) > 2*len(in)+2*readChunk {
-				t.Fatalf("%d bytes were set aside for %d", cap(grown), len(in))
+				t.Fatalf("%d bytes allocated for %d", cap(grown), len(in))
 			}
 			if err != nil {
 				if !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) && !IsFormatError(err) {
-					t.Fatalf("unexpected %v", err)
+					t.Fatalf("unexpected error %v", err)
 				}
 				return
 			}
-			if a, err := ParseAnswer(rest); letter == AnswerFrame && err == nil {
-				if !bytes.HasSuffix(rest, a.Value) || len(a.ID) == 0 {
-					t.Fatalf("%q became %+v", rest, a)
+			if a, err := ParseAnswer(content); letter == AnswerFrame && err == nil {
+				if !bytes.HasSuffix(content, a.Value) || len(a.ID) == 0 {
+					t.Fatalf("%q parsed as %+v", content, a)
 				}
 				ReportValue(a.Report, "queue")
 			}
@@ -35,22 +35,65 @@
 	})
 }
 
-func TestParseAnswerAndReport(t *testing.T) {
+func TestParseAnswer(t *testing.T) {
 	a, err := ParseAnswer([]byte("9b1f.3 broke 1840277719 inflight=7,util=0.61\nv\nv"))
 	if err != nil || string(a.ID) != "9b1f.3" || a.Status != Failed || string(a.Value) != "v\nv" {
 		t.Errorf("got %+v, %v", a, err)
 	}
-	if v, ok := ReportValue(a.Report, "inflight"); !ok || v != 7 {
-		t.Errorf("inflight is %v, %v", v, ok)
+	if string(a.Report) != "inflight=7,util=0.61" {
+		t.Errorf("report %q", a.Report)
+	}
+}
+
+func TestParseAnswerErrors(t *testing.T) {
+	for name, content := range map[string]string{
+		"empty":             "",
+		"no newline":        "a b c d",
+		"three fields":      "a served c\n",
+		"no value":          "a served c d",
+		"no id":             " served c d\n",
+		"score no number":   "a served c d\n",
+		"unknown status":    "a lost 1 -\n",
+		"value not UTF-8":   "a served 1 -\n\xff",
+		"several are wrong": "a lost c d\n\xff",
+	} {
+		t.Run(name, func(t *testing.T) {
+			if a, err := ParseAnswer([]byte(content)); !IsFormatError(err) {
+				t.Errorf("got %+v, %v, want a FormatError", a, err)
+			}
+		})
+	}
+}
+
+func TestReportValue(t *testing.T) {
+	if v, ok := ReportValue([]byte("inflight=7,util=0.61"), "inflight"); !ok || v != 7 {
+		t.Errorf("got %v, %v", v, ok)
 	}
 	for _, report := range []string{"-", "inflight", "inflight=x", "inflight=NaN", "inflight=+Inf"} {
-		if v, ok := ReportValue([]byte(report), "inflight"); ok {
-			t.Errorf("%s gives %v", report, v)
-		}
+		t.Run(report, func(t *testing.T) {
+			if v, ok := ReportValue([]byte(report), "inflight"); ok {
+				t.Errorf("got %v, want none", v)
+			}
+		})
 	}
-	for _, bad := range []string{"", "a b c d", "a served c\n", "a served c d", " served c d\n", "a lost c d\n", "a served c d\n\xff"} {
-		if _, err := ParseAnswer([]byte(bad)); !IsFormatError(err) {
-			t.Errorf("%q gives %v", bad, err)
-		}
+}
+
+func TestReadErrors(t *testing.T) {
+	for name, test := range map[string]struct {
+		in   string
+		want error // nil = a FormatError
+	}{
+		"end of input":      {"", io.EOF},
+		"truncated length":  {"\x00\x00", io.ErrUnexpectedEOF},
+		"truncated content": {"\x00\x00\x00\x09a", io.ErrUnexpectedEOF},
+		"length 0":          {"\x00\x00\x00\x00", nil},
+		"length too large":  {"\xff\xff\xff\xffa", nil},
+	} {
+		t.Run(name, func(t *testing.T) {
+			_, _, _, err := Read(bytes.NewReader([]byte(test.in)), nil)
+			if test.want == nil && !IsFormatError(err) || test.want != nil && !errors.Is(err, test.want) {
+				t.Errorf("got %v, want %v", err, test.want)
+			}
+		})
 	}
 }
