--- a/internal/shardconn/client_test.go
+++ b/internal/shardconn/client_test.go
@@ -3,7 +3,6 @@
 import (
 	"io"
 	"net"
-	"sync"
 	"sync/atomic"
 	"testing"
 	"time"
