--- a/dataplane/loadexchange.go
+++ b/dataplane/loadexchange.go
@@ -5,14 +5,10 @@
 	"time"
 
 	"oxbowspan/balancer"
-	"oxbowspan/internal/settings"
 	"oxbowspan/rendezvous"
 	"oxbowspan/rpc"
 )
 
-// exchangeInterval is how often a gatherer tells those that watch it what it has unfinished, and takes what it was told.
-const exchangeInterval = 250 * time.Millisecond
-
 // loadSubscription is a gatherer that this one watches. Its fields are the owner's.
 type loadSubscription struct {
 	caller     *rpc.Client
@@ -21,41 +17,40 @@
 	receivedAt balancer.Time
 }
 
+// exchangeState is the state of the exchange of loads, owned by the loop.
+type exchangeState struct {
+	subscribers   map[*rpc.Conn]bool
+	subscriptions map[rendezvous.Name]*loadSubscription
+	observedPeers int // others that those observed stand for
+	sentLoads     bool
+}
+
 // handleFrame takes a frame of another gatherer.
 func (f *Gateway) handleFrame(c *rpc.Conn, q *rpc.Frame) {
 	if a := q.GetPoll(); a != nil {
-		f.post(func() { f.answerPeer(c, q.Id, a) })
+		f.loop.post(func() { f.answerPeer(c, q.Id, a) })
 	}
 	if m := q.GetQuotaRequest(); m != nil {
-		f.post(func() { f.handleQuotaRequest(c, q.Id, m) })
+		f.loop.post(func() { f.quota.handleRequest(c, q.Id, m) })
 	}
 	if w := q.GetLoadSubscription(); w != nil {
-		f.post(func() {
+		f.loop.post(func() {
 			f.subscribers[c] = w.ObservationsOnly
-			go c.Respond(q.Id, &rpc.Frame{Body: &rpc.Frame_LoadReport{LoadReport: &rpc.LoadReport{Incarnation: f.incarnation}}})
+			go c.Respond(q.Id, &rpc.Frame{Body: &rpc.Frame_LoadReport{LoadReport: &rpc.LoadReport{Incarnation: f.process.incarnation}}})
 		})
 	}
 }
 
-// loadReport are the unfinished parts that this gatherer had at each server, in the mean since they were last told: a part takes
-// less time than passes between two tellings, so that what is out at the moment says little.
+// loadReport holds the mean numbers of attempts that this gateway had in flight at servers since the last report. An attempt takes
+// less time than passes between two reports, so that what is in flight at one moment says little.
 func (f *Gateway) loadReport(now balancer.Time) *rpc.LoadReport {
-	m := &rpc.LoadReport{Incarnation: f.incarnation}
-	for _, s := range f.endpoints {
-		s.addInFlight(now, 0)
-		if over := now - s.integralSince; over > 0 && s.inFlightIntegral > 0 {
-			m.Loads = append(m.Loads, &rpc.ServerLoad{Instance: s.instance, PendingMilli: uint32(1000 * s.inFlightIntegral / float64(over))})
+	report := &rpc.LoadReport{Incarnation: f.process.incarnation}
+	for _, e := range f.endpoints.byInstance {
+		if milli, ok := e.load.sample(now); ok {
+			report.Loads = append(report.Loads, &rpc.ServerLoad{Instance: e.instance, PendingMilli: milli})
 		}
-		s.inFlightIntegral, s.integralSince = 0, now
 	}
-	return m
-}
-
-// addInFlight notes that so many parts more are out at a server.
-func (s *endpoint) addInFlight(now balancer.Time, more int) {
-	s.inFlightIntegral += float64(s.inFlight) * float64(now-s.integratedAt)
-	s.integratedAt = now
-	s.inFlight += more
+	return report
 }
 
 // applyMembership takes the list of gatherers: whom to watch follows from it.
@@ -63,38 +58,23 @@
 	if !n.HasGateways {
 		return
 	}
-	self := rendezvous.Name(f.settings.InternalAddress(settings.GatewayPort))
-	// Those of this zone are watched, where there are any: they ask the servers that this gatherer asks, and news of them
-	// passes between no zones.
-	all, zone, far := []rendezvous.Name{self}, []rendezvous.Name{self}, []rendezvous.Name(nil)
-	near := map[string][]rendezvous.Name{f.settings.Zone: {self}}
-	f.outliers.zoneGateways = near
-	for _, o := range n.Gateways {
-		if name := rendezvous.Name(o.Address); name != self {
-			near[o.Zone] = append(near[o.Zone], name)
-			if all = append(all, name); o.Zone == f.settings.Zone {
-				zone = append(zone, name)
-			} else {
-				far = append(far, name)
-			}
-		}
-	}
-	f.gateways = all
-	f.roles.SetMembers(all, duration(f.now()))
-	f.observedPeers = len(zone) - 1
+	f.members.update(n.Gateways, duration(f.loop.now()))
+	// Peers of this gateway's zone are observed, where there are any: they ask the servers that this gateway asks.
+	zone, far := f.members.sameZone(), f.members.otherZones
 	if len(zone) == 1 {
-		zone, far, f.observedPeers = all, nil, len(all)-1
+		zone, far = f.members.gateways, nil
 	}
-	f.handleEvent(balancer.ClusterResized{Shards: len(f.shards), Instances: len(all)})
-	f.syncEndpoints()
+	f.observedPeers = len(zone) - 1
+	f.endpoints.resizeCluster()
+	f.endpoints.sync()
 	few := map[rendezvous.Name]bool{}
-	for _, name := range rendezvous.Peers(self, zone, rendezvous.PeerCount) {
+	for _, name := range rendezvous.Peers(f.members.self, zone, rendezvous.PeerCount) {
 		if few[name] = true; f.subscriptions[name] == nil {
 			f.subscribe(name, false)
 		}
 	}
 	// And one elsewhere, for words of servers alone: they come where there is trouble.
-	for _, name := range rendezvous.Peers(self, far, 1) {
+	for _, name := range rendezvous.Peers(f.members.self, far, 1) {
 		if few[name] = true; f.subscriptions[name] == nil {
 			f.subscribe(name, true)
 		}
@@ -111,13 +91,13 @@
 func (f *Gateway) subscribe(name rendezvous.Name, wordsOnly bool) {
 	ctx, quit := context.WithCancel(context.Background())
 	w := &loadSubscription{cancel: quit}
-	w.caller = &rpc.Client{Address: string(name), Network: f.network}
+	w.caller = &rpc.Client{Address: string(name), Network: f.process.network}
 	take := func(m *rpc.LoadReport) {
-		f.post(func() {
-			if f.receiveObservations(m.Observations); wordsOnly {
+		f.loop.post(func() {
+			if f.outliers.receiveObservations(m.Observations); wordsOnly {
 				return
 			}
-			w.receivedAt, w.loads = f.now(), map[string]float64{}
+			w.receivedAt, w.loads = f.loop.now(), map[string]float64{}
 			for _, l := range m.Loads {
 				w.loads[l.Instance] = float64(l.PendingMilli) / 1000
 			}
@@ -129,7 +109,7 @@
 		}
 	}
 	f.subscriptions[name] = w
-	f.wg.Go(func() {
+	f.process.goroutines.Go(func() {
 		for ctx.Err() == nil {
 			limit, cancel := context.WithTimeout(ctx, time.Second)
 			a, err := w.caller.Call(limit, &rpc.Frame{Body: &rpc.Frame_LoadSubscription{LoadSubscription: &rpc.LoadSubscription{ObservationsOnly: wordsOnly}}})
@@ -147,13 +127,12 @@
 
 // exchangeLoads tells the watchers what is unfinished here, and brain what the watched have, taken for all others.
 func (f *Gateway) exchangeLoads(now balancer.Time) {
-	f.outliers.sentAt = now
-	words := f.outgoingObservations(now) // those that nobody watches are told to nobody
+	words := f.outliers.takeObservations(now) // those that nobody watches are told to nobody
 	if len(f.subscribers) > 0 {
 		m := f.loadReport(now)
 		all := &rpc.Frame{Body: &rpc.Frame_LoadReport{LoadReport: m}}
 		m.Observations = words
-		few := &rpc.Frame{Body: &rpc.Frame_LoadReport{LoadReport: &rpc.LoadReport{Incarnation: f.incarnation, Observations: words}}}
+		few := &rpc.Frame{Body: &rpc.Frame_LoadReport{LoadReport: &rpc.LoadReport{Incarnation: f.process.incarnation, Observations: words}}}
 		n := len(m.Loads)
 		for c, wordsOnly := range f.subscribers {
 			switch { // the owner waits for no peer
@@ -167,7 +146,7 @@
 	}
 	sums, heard := map[string]float64{}, 0
 	for _, w := range f.subscriptions {
-		if w.receivedAt > 0 && now-w.receivedAt < ticks(4*exchangeInterval) {
+		if w.receivedAt > 0 && now-w.receivedAt < ticks(4*maintenanceInterval) {
 			heard++
 			for i, n := range w.loads {
 				sums[i] += n
@@ -179,11 +158,11 @@
 	}
 	scale := float64(max(f.observedPeers, heard)) / float64(heard)
 	told := balancer.PeerUpdate{}
-	for _, s := range f.endpoints {
+	for _, s := range f.endpoints.byInstance {
 		// Of servers elsewhere, silence of this zone's gatherers says nothing: those of their own zones ask them.
-		if s.listed && (s.zone == f.settings.Zone || f.observedPeers == len(f.gateways)-1) {
+		if s.listed && (s.zone == f.process.settings.Zone || f.observedPeers == f.members.size()-1) {
 			told.Loads = append(told.Loads, balancer.PeerLoad{Server: s.id, InFlight: sums[s.instance] * scale})
 		}
 	}
-	f.handleEvent(told)
+	f.dispatcher.handleEvent(told)
 }
