--- a/internal/controlcli/state.go
+++ b/internal/controlcli/state.go
@@ -54,7 +54,9 @@
 			subcommand("config", "", "print the configuration that was accepted", 0,
 				func(contents *acceptorstore.Contents, _ []string) error { return printConfiguration(contents, out) }),
 			subcommand("export", " FILE", "write the accepted configuration and documents to FILE", 1,
-				func(contents *acceptorstore.Contents, args []string) error { return exportState(contents, args[0], out) }),
+				func(contents *acceptorstore.Contents, args []string) error {
+					return exportState(contents, args[0], out)
+				}),
 			restoreCommand(path, out),
 		},
 		Exec: showUsage,
