--- a/consensus/acceptor.go
+++ b/consensus/acceptor.go
@@ -1,28 +1,32 @@
 package consensus
 
-// AcceptorState is what one acceptor keeps on its disk.
+// AcceptorState is what one acceptor stores on its disk. Its methods return new states and never change it.
+//
+// Promised never falls, and is never below Accepted: an acceptor that promised a ballot accepts nothing at a lower one. This
+// is what makes prepare replies of a majority conclusive.
 type AcceptorState struct {
 	ID       AcceptorID
-	Promised Ballot // no lower one is voted for
-	Accepted Ballot // of the vote last cast
-	Value    *Value // voted for; nil = none
+	Promised Ballot // nothing is accepted at a lower one
+	Accepted Ballot // at which Value was accepted
+	Value    *Value // accepted last; nil = none
 }
 
-// Prepare asks for a promise.
+// Prepare is phase 1 of a proposal: it asks an acceptor to promise a ballot.
 type Prepare struct {
 	To     AcceptorID
 	Ballot Ballot
 }
 
-// PrepareReply answers a Prepare. Where OK is false, Promised is what stands against it.
+// PrepareReply answers a Prepare.
 type PrepareReply struct {
-	From               AcceptorID
-	OK                 bool
-	Promised, Accepted Ballot
-	Value              *Value
+	From     AcceptorID
+	OK       bool   // the ballot is promised
+	Promised Ballot // the acceptor's highest promise; where OK is false, the one that stands against the ballot
+	Accepted Ballot // at which Value was accepted
+	Value    *Value // accepted last; nil = none
 }
 
-// Accept asks for a vote.
+// Accept is phase 2 of a proposal: it asks an acceptor to accept a value.
 type Accept struct {
 	To     AcceptorID
 	Ballot Ballot
@@ -32,30 +36,40 @@
 // AcceptReply answers an Accept.
 type AcceptReply struct {
 	From     AcceptorID
-	OK       bool
-	Promised Ballot
+	OK       bool   // the value is accepted
+	Promised Ballot // as in a PrepareReply
 }
 
-// HandlePrepare returns the state to be stored and the answer to be told once that is stored. Where the state is unchanged
-// nothing need be stored. A wish for another acceptor is one for a disk that is gone: it is refused.
+// HandlePrepare returns the state to store, and the reply to send once that is stored. A message for another acceptor, one
+// whose disk was replaced by this one, is rejected: this disk does not know what that one promised.
 func (s AcceptorState) HandlePrepare(p Prepare) (AcceptorState, PrepareReply) {
 	if p.To != s.ID || p.Ballot.Compare(s.Promised) < 0 {
 		return s, PrepareReply{From: s.ID, Promised: s.Promised}
 	}
 	s.Promised = p.Ballot
-	return s, PrepareReply{s.ID, true, s.Promised, s.Accepted, s.Value}
+	return s, PrepareReply{From: s.ID, OK: true, Promised: s.Promised, Accepted: s.Accepted, Value: s.Value}
 }
 
-// HandleAccept returns the state to be stored and the answer to be told once that is stored.
+// HandleAccept returns the state to store, and the reply to send once that is stored. It rejects what HandlePrepare rejects.
 func (s AcceptorState) HandleAccept(a Accept) (AcceptorState, AcceptReply) {
 	if a.To != s.ID || a.Value == nil || a.Ballot.Compare(s.Promised) < 0 {
 		return s, AcceptReply{From: s.ID, Promised: s.Promised}
 	}
-	s.Promised, s.Accepted, s.Value = a.Ballot, a.Ballot, a.Value
-	return s, AcceptReply{s.ID, true, s.Promised}
+	s.Promised = a.Ballot
+	s.Accepted = a.Ballot
+	s.Value = a.Value
+	return s, AcceptReply{From: s.ID, OK: true, Promised: s.Promised}
 }
 
-// DiffersFrom tells whether a state must be stored before the answer that came with it is told.
+// DiffersFrom reports whether the state must be stored before the reply that came with it is sent.
 func (s AcceptorState) DiffersFrom(previous AcceptorState) bool {
 	return s.Promised != previous.Promised || s.Accepted != previous.Accepted || s.Value != previous.Value
 }
+
+// Replica returns what the acceptor's disk holds.
+func (s AcceptorState) Replica() Replica {
+	if s.Value == nil {
+		return Replica{}
+	}
+	return Replica{Slot: s.Value.Slot, Ballot: s.Accepted}
+}
--- a/consensus/change_request.go
+++ b/consensus/change_request.go
@@ -1,103 +1,129 @@
 package consensus
 
-import "slices"
+import (
+	"fmt"
+	"slices"
+)
 
-// Outcome is what becomes of a call.
+// Outcome is what becomes of a request to change the configuration or a document. It holds once the value that it was
+// found from is decided, not before.
+//
+// OutcomeConflict and OutcomeVersionTooLow are final: no copy of the request that is still in flight can be committed later,
+// as versions only rise.
 type Outcome uint8
 
-// The fates. Each holds once the value that it was found from is decided, not before. Outrun and OutcomeVersionTooLow are final: no copy
-// of the call that is still on its way can be agreed later, as versions only rise.
+// The outcomes.
 const (
-	OutcomeCommitted     Outcome = iota // it is agreed, now or since it was first sent
-	OutcomeConflict                     // another version is in place than the one that it builds on, and it never was nor will be agreed
-	OutcomeVersionTooLow                // its version is not above the one that it builds on
-	OutcomeUnknown                      // it may have been agreed before all that the value remembers, or may be later: neither taken nor refused
-	OutcomeIncompatible                 // a note that does not fit the configuration beside which it would stand
+	// OutcomeCommitted: the request is committed, now or since it was first sent.
+	OutcomeCommitted Outcome = iota
+	// OutcomeConflict: another version is in place than the one that the request is based on. It was never committed and
+	// never will be.
+	OutcomeConflict
+	// OutcomeVersionTooLow: the request's version is not above the one that it is based on.
+	OutcomeVersionTooLow
+	// OutcomeUnknown: the request may have been committed before all revisions that the value lists, or may be later.
+	OutcomeUnknown
+	// OutcomeIncompatible: the document does not fit the configuration beside which it would be. Another configuration may
+	// follow that it fits.
+	OutcomeIncompatible
 )
 
-// String is the fate in words.
-func (f Outcome) String() string {
-	switch f {
+// String returns the outcome in words.
+func (o Outcome) String() string {
+	switch o {
 	case OutcomeCommitted:
-		return "taken"
+		return "committed"
 	case OutcomeConflict:
-		return "another version is in place"
+		return "conflict"
 	case OutcomeVersionTooLow:
-		return "not above its base"
+		return "version too low"
 	case OutcomeUnknown:
-		return "not known"
+		return "unknown"
 	case OutcomeIncompatible:
-		return "does not fit the configuration"
+		return "incompatible with the configuration"
 	}
-	return "unknown fate"
+	return fmt.Sprintf("outcome %d", uint8(o))
 }
 
-// ChangeRequest is what an operator wants agreed: a configuration on top of the version that it builds on.
+// ChangeRequest asks for a configuration to be committed on top of another version.
 type ChangeRequest struct {
-	Version, BasedOn Version
-	Digest           string // of Body
-	Body             []byte
+	Version Version
+	BasedOn Version // the version that must be in place
+	Digest  string  // of Body
+	Body    []byte
 }
 
-// Evaluate tells a call's fate where v is the newest value, and the value to be proposed: v itself, or one that follows it with
-// the call's configuration. A call that was taken before is found among those that v remembers, whatever is in place now:
-// one sent again after no clear answer must not be told that it lost. One that is older than all that v remembers is
-// Unclear; a Ledger may know more.
-func (c ChangeRequest) Evaluate(v *Value) (next *Value, outcome Outcome) {
-	outcome, follows := evaluate(c.revision(), v.Revisions())
+// Evaluate returns the request's outcome where v is the newest value, and the value to propose: v itself, or one that
+// follows it with the request's configuration.
+//
+// A request that was committed before is found among the revisions that v lists, whatever is in place now: one that is sent
+// again after an unclear answer must not be reported as a conflict. One that is older than all revisions that v lists has
+// OutcomeUnknown; a History may know more.
+func (r ChangeRequest) Evaluate(v *Value) (next *Value, outcome Outcome) {
+	outcome, follows := evaluate(r.revision(), v.Revisions())
 	if !follows {
 		return v, outcome
 	}
-	return v.WithConfiguration(c.Version, c.BasedOn, c.Digest, c.Body), outcome
+	return v.WithConfiguration(r.Version, r.BasedOn, r.Digest, r.Body), outcome
 }
 
-func (c ChangeRequest) revision() Revision { return Revision{c.Version, c.BasedOn, c.Digest} }
+// revision returns the revision that the request asks for.
+func (r ChangeRequest) revision() Revision {
+	return Revision{Version: r.Version, BasedOn: r.BasedOn, Digest: r.Digest}
+}
 
-// DocumentChangeRequest is what an operator wants agreed beside the configuration: a note on top of the version of it that it builds on.
+// DocumentChangeRequest asks for a document to be committed on top of another version of it.
 type DocumentChangeRequest struct {
 	Name       string
-	BasedOn    Version // of the note; 0 = there is none yet
+	BasedOn    Version // of the document; 0 = it does not exist yet
 	Digest     string  // of Body
 	Body       []byte
-	Compatible func(v *Value) bool // whether it may stand in a value that follows v; nil = in any
+	Compatible func(v *Value) bool // reports whether the document may be in a value that follows v; nil = in any
 }
 
-// Evaluate tells a note's fate as Call.Meet does a configuration's, and the version that it has where it is taken. Whether it
-// fits is asked only where it would be new: what was taken once is not held against what came later.
-func (c DocumentChangeRequest) Evaluate(v *Value) (next *Value, version Version, outcome Outcome) {
-	n := v.Document(c.Name)
-	outcome, follows := evaluate(c.revision(), n.Revisions())
+// Evaluate returns the request's outcome as ChangeRequest.Evaluate does, and the document's version: the one that the
+// request created where it is committed, else the one in place.
+//
+// Compatibility is checked only where the revision would be new: what was committed once is not judged by a configuration
+// that came later.
+func (r DocumentChangeRequest) Evaluate(v *Value) (next *Value, version Version, outcome Outcome) {
+	current := v.Document(r.Name)
+	outcome, follows := evaluate(r.revision(), current.Revisions())
 	switch {
 	case outcome == OutcomeCommitted && !follows:
-		return v, c.revision().Version, outcome
+		return v, r.revision().Version, outcome
 	case !follows:
-		return v, n.Version, outcome
-	case c.Compatible != nil && !c.Compatible(v):
-		return v, n.Version, OutcomeIncompatible
+		return v, current.Version, outcome
+	case r.Compatible != nil && !r.Compatible(v):
+		return v, current.Version, OutcomeIncompatible
 	}
-	return v.WithDocument(c.Name, c.Digest, c.Body), c.revision().Version, outcome
+	return v.WithDocument(r.Name, r.Digest, r.Body), r.revision().Version, outcome
 }
 
-func (c DocumentChangeRequest) revision() Revision {
-	return Revision{c.BasedOn + 1, c.BasedOn, c.Digest}
+// revision returns the revision that the request asks for.
+func (r DocumentChangeRequest) revision() Revision {
+	return Revision{Version: r.BasedOn + 1, BasedOn: r.BasedOn, Digest: r.Digest}
 }
 
-// evaluate tells the fate of a version beside those that are remembered, the oldest first, and whether it is to follow them.
+// evaluate returns the outcome of a requested revision, given those that are listed, oldest first, and whether it is to
+// follow them.
 //
-// Versions rise, and each names the one before it. So none was agreed between a remembered one and the one that it builds
-// on; and one that builds on a version below the newest can never be agreed later. What is left is what came before all
-// that are remembered, and what builds on a version that is not there yet: the base may come, and a copy of the call with it.
-func evaluate(revision Revision, agreed []Revision) (outcome Outcome, follows bool) {
-	newest, horizon := Version(0), Version(0)
-	if n := len(agreed); n > 0 {
-		newest, horizon = agreed[n-1].Version, agreed[0].BasedOn
+// Versions rise, and each names the one before it. So none was committed between a listed revision and its base, and one
+// based on a version below the newest can never be committed later. What is left unknown is what came before all listed
+// revisions, and what is based on a version that is not in place yet: that version may follow, and a copy of the request
+// after it.
+func evaluate(revision Revision, listed []Revision) (outcome Outcome, follows bool) {
+	var newest, horizon Version
+	if len(listed) > 0 {
+		newest = listed[len(listed)-1].Version
+		horizon = listed[0].BasedOn
 	}
 	switch {
-	case slices.Contains(agreed, revision):
+	case slices.Contains(listed, revision):
 		return OutcomeCommitted, false
 	case revision.Version <= revision.BasedOn && revision.BasedOn == newest:
 		return OutcomeVersionTooLow, false
-	case revision.Version <= revision.BasedOn: // never to be agreed, whatever comes
+	case revision.Version <= revision.BasedOn: // never to be committed, whatever is in place
 		return OutcomeConflict, false
 	case revision.BasedOn == newest:
 		return OutcomeCommitted, true
--- a/consensus/proposal.go
+++ b/consensus/proposal.go
@@ -1,123 +1,164 @@
 package consensus
 
-// ChangeFunc makes a round's proposal from the newest value that may have been decided. It returns that value itself where
-// nothing is to be changed: the round then makes sure that it is decided.
+// ChangeFunc returns the value to propose, given the newest value that may have been decided. It returns that value itself
+// where nothing is to be changed: the proposal then makes sure that it is decided.
 type ChangeFunc func(newest *Value) *Value
 
-// Proposal is one ballot of one proposer, from the first Prepare to the decision. It is used once.
+// Proposal is a proposer's attempt at one ballot, from the first Prepare to the decision. It is used once: a proposer that
+// was preempted, or whose messages were lost, starts another with a higher ballot.
+//
+// The caller sends a Prepare to the acceptors of NextPrepares, hands the replies to HandlePrepareReply, sends an Accept of
+// Value to the acceptors that it returns, and hands the replies to HandleAcceptReply.
 type Proposal struct {
-	ballot          Ballot
-	change          ChangeFunc
-	base            *Value // decided, or the genesis
-	promised        map[AcceptorID]bool
-	accepted        map[AcceptorID]bool
+	ballot Ballot
+	change ChangeFunc
+	base   *Value // known to be decided, or the genesis value
+
 	prepareSent     map[AcceptorID]bool
-	highestAccepted Ballot
-	newest          *Value
-	value           *Value
-	decided         bool
-	preempted       bool
-	changeApplied   bool // change was asked for the proposal
-	preemptedBy     Ballot
+	promised        map[AcceptorID]bool
+	newest          *Value // that may have been decided, so far
+	highestAccepted Ballot // in a prepare reply; none is taken from a lower one
+
+	value         *Value // proposed; nil during phase 1
+	changeApplied bool   // value is what change returned
+	accepted      map[AcceptorID]bool
+	decided       bool
+
+	preempted   bool
+	preemptedBy Ballot // the highest known that stands against ballot
 }
 
-// NewProposal starts a round. Known is a value that this proposer knows to be decided, or the genesis.
-func NewProposal(ballot Ballot, known *Value, change ChangeFunc) *Proposal {
-	return &Proposal{ballot: ballot, change: change, base: known, newest: known, promised: map[AcceptorID]bool{},
-		accepted: map[AcceptorID]bool{}, prepareSent: map[AcceptorID]bool{}, preemptedBy: ballot}
+// NewProposal starts a proposal. Base is a value that the proposer knows to be decided, or the genesis value.
+func NewProposal(ballot Ballot, base *Value, change ChangeFunc) *Proposal {
+	return &Proposal{
+		ballot:      ballot,
+		change:      change,
+		base:        base,
+		prepareSent: map[AcceptorID]bool{},
+		promised:    map[AcceptorID]bool{},
+		newest:      base,
+		accepted:    map[AcceptorID]bool{},
+		preemptedBy: ballot,
+	}
 }
 
-// Ballot is the round's.
-func (r *Proposal) Ballot() Ballot { return r.ballot }
+// Ballot returns the proposal's ballot.
+func (p *Proposal) Ballot() Ballot { return p.ballot }
+
+// Base returns the value that the proposal started from.
+func (p *Proposal) Base() *Value { return p.base }
+
+// Value returns the proposed value, which the Accepts carry; nil until enough acceptors have promised the ballot.
+func (p *Proposal) Value() *Value { return p.value }
 
-// Base is the value that the round started from.
-func (r *Proposal) Base() *Value { return r.base }
+// IncludesChange reports whether the proposed value is what the ChangeFunc returned. Where it is not, a change of the members
+// had to be decided first, and the caller starts another proposal after this one.
+func (p *Proposal) IncludesChange() bool { return p.changeApplied }
 
-// IncludesChange tells whether the proposal is what the change made: where it is not, a set of acceptors had to be decided first.
-func (r *Proposal) IncludesChange() bool { return r.changeApplied }
+// Preempted reports whether a higher ballot ended the proposal, and which. A later proposal takes a higher number.
+func (p *Proposal) Preempted() (Ballot, bool) { return p.preemptedBy, p.preempted }
 
-// NextPrepares returns the acceptors that are to be sent a Prepare now and were not before.
-func (r *Proposal) NextPrepares() (to []Member) {
-	if r.value != nil || r.preempted {
+// NextPrepares returns the acceptors to send a Prepare to now, each once. Replies may make further ones necessary.
+func (p *Proposal) NextPrepares() []Member {
+	if p.value != nil || p.preempted {
 		return nil
 	}
-	for _, m := range r.newest.Acceptors() {
-		if !r.prepareSent[m.ID] {
-			r.prepareSent[m.ID] = true
-			to = append(to, m)
+	var acceptors []Member
+	for _, m := range p.newest.Acceptors() {
+		if !p.prepareSent[m.ID] {
+			p.prepareSent[m.ID] = true
+			acceptors = append(acceptors, m)
 		}
 	}
-	return to
+	return acceptors
 }
 
-// HandlePrepareReply takes an acceptor's answer to a Prepare. It returns the acceptors that are to be sent an Accept of Proposal
-// now; none while too few have promised. Ask may name further acceptors afterwards.
-func (r *Proposal) HandlePrepareReply(p PrepareReply) (to []Member) {
-	if r.value != nil || r.preempted {
+// HandlePrepareReply takes an acceptor's reply to a Prepare. It returns the acceptors to send an Accept of Value to now,
+// none while too few have promised the ballot. NextPrepares may return further acceptors afterwards.
+func (p *Proposal) HandlePrepareReply(reply PrepareReply) []Member {
+	if p.value != nil || p.preempted {
 		return nil
 	}
-	if !p.OK {
-		r.handleRejection(p.Promised)
+	if !reply.OK {
+		p.handleRejection(reply.Promised)
 		return nil
 	}
-	r.promised[p.From] = true
-	// The newest is the one with the highest ballot, whatever was heard of before. Where that is of no later turn than one known
-	// to be decided, what is known stands: a vote for a later turn at a lower ballot has lost.
-	if p.Value != nil && p.Accepted.Compare(r.highestAccepted) > 0 {
-		r.highestAccepted, r.newest = p.Accepted, r.base
-		if p.Value.Slot > r.base.Slot {
-			r.newest = p.Value
-		}
-	}
-	if !r.hasPrepareQuorum() {
+	p.promised[reply.From] = true
+	p.learn(reply)
+	if !p.hasPrepareQuorum() {
 		return nil
 	}
-	switch r.value = r.newest; {
-	case r.newest.Confirmed():
-		r.value, r.changeApplied = r.change(r.newest), true
-	case r.newest.Equal(r.base): // decided: from here on its own acceptors are enough
-		r.value = r.newest.Confirm()
+	p.chooseValue()
+	return p.value.Acceptors()
+}
+
+// learn takes the value of a prepare reply as the newest that may have been decided, if it is.
+//
+// The newest is the one accepted at the highest ballot, whatever was received before. Where that value is of no later slot
+// than the base, which is decided, the base stands: a value of a later slot that was accepted at a lower ballot has lost.
+func (p *Proposal) learn(reply PrepareReply) {
+	if reply.Value == nil || reply.Accepted.Compare(p.highestAccepted) <= 0 {
+		return
+	}
+	p.highestAccepted = reply.Accepted
+	if reply.Value.Slot > p.base.Slot {
+		p.newest = reply.Value
+	} else {
+		p.newest = p.base
 	}
-	return r.value.Acceptors()
 }
 
-// hasPrepareQuorum tells whether those who have promised show every value that may have been decided. What follows a value that is
-// known to be decided needs a majority of its members, whoever voted before them: a majority of these is enough. Of a value
-// that was only found in votes it is not known whether the set before it gave way: majorities of both sets are needed.
-func (r *Proposal) hasPrepareQuorum() bool {
-	has := func(id AcceptorID) bool { return r.promised[id] }
-	if r.newest.Equal(r.base) {
-		return HasMajority(r.base.Members, has)
+// hasPrepareQuorum reports whether the acceptors that promised the ballot show every value that may have been decided.
+//
+// A value that follows one known to be decided needs a majority of the known value's members to be decided, whoever accepted
+// the values before: a majority of these members is enough. Of a value that was only found in prepare replies it is not
+// known whether its prior members gave way: majorities of both sets are needed.
+func (p *Proposal) hasPrepareQuorum() bool {
+	promised := func(id AcceptorID) bool { return p.promised[id] }
+	if p.newest.Equal(p.base) {
+		return HasMajority(p.base.Members, promised)
 	}
-	return hasQuorum(r.newest, has)
+	return hasQuorum(p.newest, promised)
 }
 
-// Value is what the Accepts carry; nil = not yet known.
-func (r *Proposal) Value() *Value { return r.value }
+// chooseValue ends phase 1. No value may follow one that is not confirmed: a change of the members that is known to be
+// decided is confirmed, by its own members alone; one that is not known to be decided is proposed again as it is.
+func (p *Proposal) chooseValue() {
+	switch {
+	case p.newest.Confirmed():
+		p.value = p.change(p.newest)
+		p.changeApplied = true
+	case p.newest.Equal(p.base):
+		p.value = p.newest.Confirm()
+	default:
+		p.value = p.newest
+	}
+}
 
-// HandleAcceptReply takes an acceptor's answer to an Accept and tells whether the proposal is now decided.
-func (r *Proposal) HandleAcceptReply(a AcceptReply) bool {
-	if r.preempted || r.value == nil {
+// HandleAcceptReply takes an acceptor's reply to an Accept. It reports whether Value is decided now.
+func (p *Proposal) HandleAcceptReply(reply AcceptReply) bool {
+	if p.preempted || p.value == nil {
 		return false
 	}
-	if !a.OK {
-		r.handleRejection(a.Promised)
+	if !reply.OK {
+		p.handleRejection(reply.Promised)
 		return false
 	}
-	r.accepted[a.From] = true
-	r.decided = r.decided || hasQuorum(r.value, func(id AcceptorID) bool { return r.accepted[id] })
-	return r.decided
+	p.accepted[reply.From] = true
+	if !p.decided {
+		p.decided = hasQuorum(p.value, func(id AcceptorID) bool { return p.accepted[id] })
+	}
+	return p.decided
 }
 
-// handleRejection ends the round where a higher ballot stands against it. A stranger's refusal, with none, only does not count.
-func (r *Proposal) handleRejection(by Ballot) {
-	if !r.decided && by.Compare(r.ballot) > 0 {
-		r.preempted = true
-		if by.Compare(r.preemptedBy) > 0 {
-			r.preemptedBy = by
-		}
+// handleRejection ends the proposal where a higher ballot stands against it. The rejection of an acceptor with another disk
+// names no such ballot; the acceptor just does not count. A decision can't be undone.
+func (p *Proposal) handleRejection(promised Ballot) {
+	if p.decided || promised.Compare(p.ballot) <= 0 {
+		return
+	}
+	p.preempted = true
+	if promised.Compare(p.preemptedBy) > 0 {
+		p.preemptedBy = promised
 	}
 }
-
-// Preempted tells whether a higher ballot ended the round, and which. A later round takes a higher number.
-func (r *Proposal) Preempted() (Ballot, bool) { return r.preemptedBy, r.preempted }
