--- a/registry/table_bench_test.go
+++ b/registry/table_bench_test.go
@@ -6,68 +6,76 @@
 	"time"
 )
 
-// What a holder of reports spends, by number of servers, for docs/CAPACITY.md:
+// The benchmarks measure what a controller spends on records, by the number of servers, for docs/CAPACITY.md:
 //
-//	go test -run xxx -bench Table -benchmem ./waggle
+//	go test -run xxx -bench Table -benchmem ./registry
 
 const benchHeartbeatInterval = 1200 * time.Millisecond
 
 var benchSizes = []int{1000, 10_000, 30_000, 96_000}
 
-// benchTable is a table of so many servers that were all heard a moment ago. It is filled without Take, whose cost grows with
-// the square of their number.
+// benchTable returns a table of servers that all sent a heartbeat a moment ago, and their records. It is filled without
+// Merge, whose cost grows with the square of their number.
 func benchTable(servers int) (*Table, []Record, time.Duration) {
-	t, all, now := NewTable(benchHeartbeatInterval), make([]Record, servers), time.Hour
-	for i := range all {
-		all[i] = Record{Instance: InstanceID(fmt.Sprintf("i-%08x", i)), Service: ServiceID(fmt.Sprint("service-", i/8)),
-			Address: fmt.Sprintf("10.%d.%d.%d:8080", i>>16, i>>8&255, i&255), Zone: "zone-1", Version: "v1", Slots: 3, Sequence: 1, HeartbeatAt: now}
-		r := all[i]
-		t.cursor++
-		r.lastUpdate, r.lastChange = t.cursor, t.cursor
+	const now = time.Hour
+	t, records := NewTable(benchHeartbeatInterval), make([]Record, servers)
+	for i := range records {
+		records[i] = Record{
+			Instance:    InstanceID(fmt.Sprintf("i-%08x", i)),
+			Service:     ServiceID(fmt.Sprint("service-", i/8)),
+			Address:     fmt.Sprintf("10.%d.%d.%d:8080", i>>16, i>>8&255, i&255),
+			Zone:        "zone-1",
+			Version:     "v1",
+			Slots:       3,
+			Sequence:    1,
+			HeartbeatAt: now,
+		}
+		r := records[i]
 		t.records[r.Instance] = &r
+		t.markChanged(&r, "")
 	}
 	t.lastHeartbeat = now
-	return t, all, now
+	return t, records, now
 }
 
 func BenchmarkTable(b *testing.B) {
 	for _, servers := range benchSizes {
-		t, all, now := benchTable(servers)
+		t, records, now := benchTable(servers)
 		next := 0
 		heartbeat := func() {
 			i := next % servers
 			next++
-			all[i].Sequence++
-			t.Merge(all[i], "")
+			records[i].Sequence++
+			t.Merge(records[i], "")
 		}
-		run := func(name string, what func()) {
+		run := func(name string, operation func()) {
 			b.Run(fmt.Sprintf("%s/servers=%d", name, servers), func(b *testing.B) {
 				b.ReportAllocs()
 				for b.Loop() {
-					what()
+					operation()
 				}
 			})
 		}
 		run("heartbeat", heartbeat)
-		run("heartbeat and what it changed", func() { // as a control machine takes one: Changed looks at all
+		run("heartbeat and its changes", func() { // as a controller receives one: ChangesAfter visits all records
 			before := t.Cursor()
 			heartbeat()
 			t.ChangesAfter(before)
 		})
-		run("what changed since the last heartbeat", func() { t.ChangesAfter(t.Cursor() - 1) })
-		run("what a hundredth of the heartbeats told", func() {
+		run("changes since the last heartbeat", func() { t.ChangesAfter(t.Cursor() - 1) })
+		run("updates of a hundredth of the servers", func() {
 			after := t.Cursor()
 			for range servers / 100 {
 				heartbeat()
 			}
 			t.UpdatesFor(after, "other", func(string) bool { return false })
 		})
-		run("whole list", func() { t.ChangesAfter(0) })
-		run("tidy", func() { t.Expire(now) })
+		run("all records", func() { t.ChangesAfter(0) })
+		run("expire", func() { t.Expire(now) })
 		run("digests", func() { t.Digests() })
 		run("range", func() { t.Range(3) })
-		run("first heard", func() { // succeeds looks at all for one at its address
-			r := all[0]
+		run("new server", func() { // supersedeAddress visits all records for one at its address
+			r := records[0]
 			r.Instance, r.Address = InstanceID(fmt.Sprint("new-", next)), fmt.Sprint("new-", next)
 			next++
 			t.Merge(r, "")
@@ -76,16 +84,16 @@
 	}
 }
 
-// BenchmarkTableFill takes all reports into an empty table, as a control machine that starts anew does.
+// BenchmarkTableFill merges all records into an empty table, as a controller that restarts does.
 func BenchmarkTableFill(b *testing.B) {
 	for _, servers := range []int{300, 1000, 3000, 10_000} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
-			_, all, _ := benchTable(servers)
+			_, records, _ := benchTable(servers)
 			b.ReportAllocs()
 			for b.Loop() {
 				t := NewTable(benchHeartbeatInterval)
-				for i := range all {
-					t.Merge(all[i], "other")
+				for i := range records {
+					t.Merge(records[i], "other")
 				}
 			}
 		})
--- a/registry/table_test.go
+++ b/registry/table_test.go
@@ -13,88 +13,99 @@
 
 const testHeartbeatInterval = time.Second
 
-// Holders that heard different calls of the same servers, in whatever order and however often, come to the same, once each
-// has told the others; draining and gone never go back.
+// testID returns the id, and the address, of a test's server.
+func testID(i int) InstanceID { return InstanceID(fmt.Sprint("i-", i)) }
+
+func testRecord(id InstanceID, sequence Sequence, at time.Duration) Record {
+	return Record{Instance: id, Service: "s", Address: string(id), Sequence: sequence, HeartbeatAt: at}
+}
+
+// newFilledTable returns a table with n servers, i-0 and so on, that sent one heartbeat.
+func newFilledTable(n int) *Table {
+	t := NewTable(testHeartbeatInterval)
+	for i := range n {
+		t.Merge(testRecord(testID(i), 1, 1), "")
+	}
+	return t
+}
+
+func everySource(string) bool { return true }
+
+// Tables that received different heartbeats of the same servers, in whatever order and however often, are equal once each has
+// sent the others its records. States never go back.
 func TestMergeConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		n := rapid.IntRange(2, 4).Draw(t, "holders")
-		tables := make([]*Table, n)
+		tables := make([]*Table, rapid.IntRange(2, 4).Draw(t, "tables"))
 		for i := range tables {
 			tables[i] = NewTable(testHeartbeatInterval)
 		}
-		worst := map[InstanceID]State{}
-		for k := range rapid.IntRange(1, 40).Draw(t, "calls") {
-			id := InstanceID(fmt.Sprint("i-", rapid.IntRange(0, 5).Draw(t, "id")))
-			state := State(rapid.SampledFrom([]int{0, 0, 0, 1, 2}).Draw(t, "state"))
-			worst[id] = max(worst[id], state)
-			in := Record{Instance: id, Service: "s", Address: string(id), State: state, Sequence: Sequence(rapid.IntRange(1, 9).Draw(t, "seq")),
-				HeartbeatAt: time.Duration(k) * time.Millisecond}
-			tables[rapid.IntRange(0, n-1).Draw(t, "at")].Merge(in, "")
+		furthest := map[InstanceID]State{}
+		for k := range rapid.IntRange(1, 40).Draw(t, "heartbeats") {
+			id := testID(rapid.IntRange(0, 5).Draw(t, "id"))
+			sequence := Sequence(rapid.IntRange(1, 9).Draw(t, "sequence"))
+			in := testRecord(id, sequence, time.Duration(k)*time.Millisecond)
+			in.State = rapid.SampledFrom([]State{Ready, Ready, Ready, Draining, Deregistered}).Draw(t, "state")
+			furthest[id] = max(furthest[id], in.State)
+			tables[rapid.IntRange(0, len(tables)-1).Draw(t, "table")].Merge(in, "")
 		}
-		for range n {
-			for i, from := range tables {
-				for j, to := range tables {
-					if i == j {
-						continue
-					}
-					for _, r := range from.UpdatesFor(0, "", func(string) bool { return true }) {
-						to.Merge(*r, fmt.Sprint(i))
-					}
-				}
-			}
+		for range tables {
+			exchangeAll(tables)
 		}
-		for _, o := range tables[1:] {
-			if o.Digests() != tables[0].Digests() {
-				t.Fatalf("two holders differ after they told each other everything")
+		for i, table := range tables[1:] {
+			if table.Digests() != tables[0].Digests() {
+				t.Fatalf("tables 0 and %d differ after they exchanged all records", i+1)
 			}
 		}
-		for id, state := range worst {
+		for id, state := range furthest {
 			if got := tables[0].Get(id).State; got != state {
-				t.Fatalf("%s is %d, and was %d once", id, got, state)
+				t.Fatalf("%s is %s, and was %s once", id, got, state)
 			}
 		}
 	})
 }
 
-func newFilledTable(n int) *Table {
-	t := NewTable(testHeartbeatInterval)
-	for i := range n {
-		id := InstanceID(fmt.Sprint("i-", i))
-		t.Merge(Record{Instance: id, Service: "s", Address: string(id), Sequence: 1, HeartbeatAt: 1}, "")
+// exchangeAll has each table send the others all its records.
+func exchangeAll(tables []*Table) {
+	for i, from := range tables {
+		for j, to := range tables {
+			if i == j {
+				continue
+			}
+			for _, r := range from.UpdatesFor(0, "", everySource) {
+				to.Merge(*r, fmt.Sprint(i))
+			}
+		}
 	}
-	return t
 }
 
 func TestExpireDistinguishesOutageFromUnresponsiveServers(t *testing.T) {
+	const now = 10 * testHeartbeatInterval
 	table := newFilledTable(10)
-	now := 10 * testHeartbeatInterval
 	if table.Expire(now) || table.Get("i-0").Unresponsive {
-		t.Fatal("all servers became silent at once: it is the core that hears nobody")
+		t.Fatal("all servers became unresponsive at once: it is the controller that receives nothing")
 	}
 	for i := range 8 {
-		table.Merge(Record{Instance: InstanceID(fmt.Sprint("i-", i)), Service: "s", Address: fmt.Sprint("i-", i), Sequence: 2, HeartbeatAt: now}, "")
+		table.Merge(testRecord(testID(i), 2, now), "")
 	}
 	if !table.Expire(now) || table.Get("i-0").Unresponsive || !table.Get("i-9").Unresponsive {
-		t.Fatal("two of ten that do not call are not found silent")
+		t.Fatal("two of ten without heartbeats are not unresponsive")
 	}
-	table.Merge(Record{Instance: "i-9", Service: "s", Address: "i-9", Sequence: 2, HeartbeatAt: now}, "")
+	table.Merge(testRecord("i-9", 2, now), "")
 	if table.Get("i-9").Unresponsive {
-		t.Fatal("a call does not end silence")
+		t.Fatal("a server that sends a heartbeat stays unresponsive")
 	}
 }
 
 func TestLateHeartbeatDoesNotUndoDeregistration(t *testing.T) {
 	table := newFilledTable(2)
-	table.Deregister("i-0", 2)
-	table.Merge(Record{Instance: "i-0", Service: "s", Address: "i-0", Sequence: 9, HeartbeatAt: 3}, "")
-	if table.Get("i-0").State != Deregistered {
-		t.Fatal("a call that came late brought back a server that signed off")
-	}
-	// One that nobody knew: its calls come behind its sign-off.
-	table.Deregister("i-7", 2)
-	table.Merge(Record{Instance: "i-7", Service: "s", Address: "x", Sequence: 3, HeartbeatAt: 3}, "")
-	if table.Get("i-7").State != Deregistered {
-		t.Fatal("a call behind a sign-off made a server ready")
+	for name, id := range map[string]InstanceID{"known server": "i-0", "unknown server": "i-7"} {
+		t.Run(name, func(t *testing.T) {
+			table.Deregister(id, 2)
+			table.Merge(testRecord(id, 9, 3), "")
+			if got := table.Get(id).State; got != Deregistered {
+				t.Fatalf("after a late heartbeat its state is %s", got)
+			}
+		})
 	}
 }
 
@@ -102,26 +113,26 @@
 	table := newFilledTable(3)
 	table.Merge(Record{Instance: "i-new", Service: "other", Address: "i-1", Sequence: 1, HeartbeatAt: 9}, "")
 	if !table.Get("i-1").Unresponsive || table.Get("i-new").Unresponsive {
-		t.Fatal("the life before at an address is still asked")
+		t.Fatal("the earlier incarnation at the address is still in use")
 	}
-	// Was that the late word of an older life, the present one's next call brings it back.
-	table.Merge(Record{Instance: "i-1", Service: "s", Address: "i-1", Sequence: 2, HeartbeatAt: 12}, "")
+	// Had that been the late heartbeat of an older incarnation, the next one of the present incarnation would show it.
+	table.Merge(testRecord("i-1", 2, 12), "")
 	if table.Get("i-1").Unresponsive {
-		t.Fatal("a server that calls stays silent")
+		t.Fatal("a server that sends a heartbeat stays unresponsive")
 	}
 }
 
-// What is over is forgotten, however many lives there were.
+// Servers that are over are forgotten, however many incarnations there were.
 func TestTableSizeIsBounded(t *testing.T) {
-	table := newFilledTable(4)
+	const running, incarnations = 4, 2000
+	table := newFilledTable(running)
 	now := time.Duration(0)
-	for i := range 2000 {
+	for i := range incarnations {
 		now += testHeartbeatInterval
-		id := InstanceID(fmt.Sprint("life-", i))
+		id := InstanceID(fmt.Sprint("incarnation-", i))
 		table.Merge(Record{Instance: id, Service: "s", Address: "a", Sequence: 1, HeartbeatAt: now}, "")
-		for k := range 4 {
-			name := InstanceID(fmt.Sprint("i-", k))
-			table.Merge(Record{Instance: name, Service: "s", Address: string(name), Sequence: Sequence(i + 2), HeartbeatAt: now}, "")
+		for k := range running {
+			table.Merge(testRecord(testID(k), Sequence(i+2), now), "")
 		}
 		if i%3 == 0 {
 			table.Deregister(id, now)
@@ -129,81 +140,101 @@
 		table.Expire(now)
 	}
 	if table.Len() > 200 {
-		t.Fatalf("%d servers are held after 2000 lives of one", table.Len())
+		t.Fatalf("%d records after %d incarnations of one server", table.Len(), incarnations)
 	}
 }
 
-// A refresh tells of nothing but life; of a server that is not known it is dropped.
+// A record of a heartbeat alone changes nothing else, and is dropped where the server is not known.
 func TestHeartbeatOnlyRecordChangesOnlyLiveness(t *testing.T) {
 	table := newFilledTable(1)
-	at := table.Cursor()
+	before := table.Cursor()
 	table.Merge(Record{Instance: "i-0", HeartbeatOnly: true, Sequence: 5, HeartbeatAt: 7}, "b")
 	table.Merge(Record{Instance: "i-9", HeartbeatOnly: true, Sequence: 5, HeartbeatAt: 7}, "b")
 	r := table.Get("i-0")
-	if r.Sequence != 5 || r.HeartbeatAt != 7 || r.Address != "i-0" || len(table.ChangesAfter(at)) != 0 || table.Get("i-9") != nil {
-		t.Fatalf("a refresh made %+v, and of an unknown one %v", r, table.Get("i-9"))
+	if r.Sequence != 5 || r.HeartbeatAt != 7 || r.Address != "i-0" {
+		t.Errorf("the known server is %+v", r)
+	}
+	if changes := table.ChangesAfter(before); len(changes) != 0 {
+		t.Errorf("%d changes", len(changes))
+	}
+	if r := table.Get("i-9"); r != nil {
+		t.Errorf("the unknown server is %+v", r)
 	}
 }
 
-// No call reaches the core any more: as each server called at its own time, they fall unheard one by one, a few at each look.
+// No heartbeat arrives any more. As each server sent its last at its own time, they are missed one by one, a few at each call
+// of Expire.
 func TestExpireDuringGradualOutage(t *testing.T) {
+	const servers = 12
 	table := NewTable(testHeartbeatInterval)
-	for i := range 12 {
-		id := InstanceID(fmt.Sprint("i-", i))
-		table.Merge(Record{Instance: id, Service: "s", Address: string(id), Sequence: 1, HeartbeatAt: time.Duration(i) * testHeartbeatInterval / 12}, "")
+	for i := range servers {
+		table.Merge(testRecord(testID(i), 1, time.Duration(i)*testHeartbeatInterval/servers), "")
 	}
 	for now := testHeartbeatInterval; now < 20*testHeartbeatInterval; now += testHeartbeatInterval / 3 {
 		table.Expire(now)
 	}
-	for i := range 12 {
-		if table.Get(InstanceID(fmt.Sprint("i-", i))).Unresponsive {
-			t.Fatalf("server %d is held for silent, though nobody can call", i)
+	for i := range servers {
+		if table.Get(testID(i)).Unresponsive {
+			t.Fatalf("server %d is unresponsive, though none can send heartbeats", i)
 		}
 	}
 }
 
-// What a duty's holder sees keeps an unheard server in service for a while, under the newest claim only; it undoes neither a
-// draining nor a sign-off, and says nothing of servers that call.
-func TestConfirmHealthy(t *testing.T) {
-	table := newFilledTable(8)
-	old, new := lease.Lease{FencingToken: 1, Holder: 9}, lease.Lease{FencingToken: 2, Holder: 3}
-	calls := func(now time.Duration, but ...InstanceID) {
-		for i := range 8 {
-			if id := InstanceID(fmt.Sprint("i-", i)); !slices.Contains(but, id) {
-				table.Merge(Record{Instance: id, Service: "s", Address: string(id), Sequence: Sequence(now/testHeartbeatInterval) + 2, HeartbeatAt: now}, "")
-			}
+// heartbeatsExcept merges a heartbeat of each of a number of servers but some, and expires.
+func heartbeatsExcept(table *Table, servers int, now time.Duration, except ...InstanceID) {
+	for i := range servers {
+		if id := testID(i); !slices.Contains(except, id) {
+			table.Merge(testRecord(id, Sequence(now/testHeartbeatInterval)+2, now), "")
 		}
-		table.Expire(now)
 	}
-	calls(10*testHeartbeatInterval, "i-0", "i-1")
-	table.Merge(Record{Instance: "i-2", State: Draining, Service: "s", Address: "i-2", Sequence: 99, HeartbeatAt: 10 * testHeartbeatInterval}, "")
-	if !table.Get("i-0").Unresponsive || !table.Get("i-0").HeartbeatMissed {
-		t.Fatal("a server that does not call is not silent")
+	table.Expire(now)
+}
+
+// What a lease holder sees keeps a server without heartbeats in service for a while, under the newest lease only. It undoes
+// neither a draining nor a deregistration, and says nothing of servers that send heartbeats.
+func TestConfirmHealthy(t *testing.T) {
+	const servers, second = 8, testHeartbeatInterval
+	table := newFilledTable(servers)
+	older, newer := lease.Lease{FencingToken: 1, Holder: 9}, lease.Lease{FencingToken: 2, Holder: 3}
+
+	heartbeatsExcept(table, servers, 10*second, "i-0", "i-1")
+	table.Merge(Record{Instance: "i-2", State: Draining, Service: "s", Address: "i-2", Sequence: 99, HeartbeatAt: 10 * second}, "")
+	if r := table.Get("i-0"); !r.Unresponsive || !r.HeartbeatMissed {
+		t.Fatal("a server without heartbeats is not unresponsive")
+	}
+	if !table.ConfirmHealthy("i-0", newer, 10*second) {
+		t.Fatal("the statement of the lease holder is not taken")
 	}
-	if !table.ConfirmHealthy("i-0", new, 10*testHeartbeatInterval) || table.Get("i-0").Unresponsive || !table.Get("i-0").HeartbeatMissed {
-		t.Fatal("a server seen well by the holder of its duty stays out")
+	if r := table.Get("i-0"); r.Unresponsive || !r.HeartbeatMissed {
+		t.Fatal("a server that the lease holder saw healthy stays out of service")
 	}
-	if table.ConfirmHealthy("i-0", old, 11*testHeartbeatInterval) || table.ConfirmHealthy("i-2", new, 11*testHeartbeatInterval) || table.ConfirmHealthy("i-9", new, 11*testHeartbeatInterval) {
-		t.Fatal("an older claim, or the word of one that leaves or is not known, was taken")
+	for name, id := range map[string]InstanceID{"draining server": "i-2", "unknown server": "i-9"} {
+		if table.ConfirmHealthy(id, newer, 11*second) {
+			t.Fatalf("a statement about a %s is taken", name)
+		}
+	}
+	if table.ConfirmHealthy("i-0", older, 11*second) {
+		t.Fatal("a statement under an older lease is taken")
 	}
-	calls(14*testHeartbeatInterval, "i-0", "i-1")
+
+	heartbeatsExcept(table, servers, 14*second, "i-0", "i-1")
 	if table.Get("i-0").Unresponsive || !table.Get("i-1").Unresponsive {
-		t.Fatal("what was seen does not last, or lasts for others")
+		t.Fatal("the statement does not last, or counts for another server")
 	}
-	calls(20*testHeartbeatInterval, "i-0", "i-1")
+	heartbeatsExcept(table, servers, 20*second, "i-0", "i-1")
 	if !table.Get("i-0").Unresponsive {
-		t.Fatal("what was seen lasts for ever")
+		t.Fatal("the statement does not expire")
 	}
-	calls(21 * testHeartbeatInterval)
+	heartbeatsExcept(table, servers, 21*second)
 	if r := table.Get("i-0"); r.Unresponsive || r.HeartbeatMissed {
-		t.Fatal("a server that calls again is not heard")
+		t.Fatal("a server that sends heartbeats again is not in service")
 	}
-	// Another holder of the reports comes to the same.
+
 	other := NewTable(testHeartbeatInterval)
-	for _, r := range table.UpdatesFor(0, "", func(string) bool { return true }) {
+	for _, r := range table.UpdatesFor(0, "", everySource) {
 		other.Merge(*r, "a")
 	}
-	if other.Get("i-0").Lease != new {
-		t.Fatal("the claim is not told on")
+	if other.Get("i-0").Lease != newer {
+		t.Fatal("the lease is not sent to other controllers")
 	}
 }
