--- a/controlplane/api.go
+++ b/controlplane/api.go
@@ -131,7 +131,7 @@
 // applyReport takes what a server says of itself.
 func (h *Controller) applyReport(id registry.InstanceID, report func(now time.Duration)) (t reportOutcome) {
 	now, before := h.clock.now(), h.table.Cursor()
-	t.isolated = now > peerLivenessTimeout && !h.inContact(now)
+	t.isolated = now > peerLivenessTimeout && !h.contact.hasQuorum(now)
 	report(now)
 	changed := h.table.ChangesAfter(before)
 	for _, o := range changed {
@@ -149,11 +149,11 @@
 		h.scheduleUpdate(t.wait != nil)
 	}
 	if t.wait != nil {
-		if h.replicatedToMajority(t.wait.cursor) {
+		if h.peers.replicated(h.learner.value.Members, t.wait.cursor) {
 			t.wait = nil
 		} else {
 			h.replicationWaits = append(h.replicationWaits, t.wait)
-			h.gossipNow()
+			h.peers.gossipNow()
 		}
 	}
 	return t
--- a/controlplane/contact_monitor.go
+++ b/controlplane/contact_monitor.go
@@ -7,98 +7,63 @@
 	"oxbowspan/quorum"
 )
 
-// Contact with a majority of the acceptors: docs/design/control-safety.md has the argument.
-const (
-	contactLifetime = 2 * time.Second        // a hive is in contact so long after it asked those of a majority that answered
-	verifyTimeout   = 500 * time.Millisecond // for a majority's answers to what it is asked from a moment on
-	verifyInterval  = 20 * time.Millisecond  // between two such questions
-)
+// contactLifetime is how long a controller counts as in contact with a majority after it sent the requests that the majority
+// answered. docs/design/control-safety.md has the argument.
+const contactLifetime = 2 * time.Second
 
-// inContact tells whether this hive was of late in contact with a majority of the acceptors.
-func (h *Controller) inContact(now time.Duration) bool {
-	since, ok := h.contactTime(now)
-	return ok && now-since < contactLifetime
+// contactMonitor tells whether this controller was in contact with a majority of the acceptors of late. It belongs to the event
+// loop.
+type contactMonitor struct {
+	self      identity
+	acceptor  *acceptorEndpoint
+	learner   *learner
+	tracker   *quorum.ContactTracker
+	inContact bool // when check last looked
 }
 
-// contactTime is the newest time before which nothing was decided that this hive does not know. Its own disk answers at once.
-func (h *Controller) contactTime(now time.Duration) (since time.Duration, ok bool) {
-	own := quorum.Reply{Incarnation: h.self.incarnation, SentAt: now, Slot: consensus.Slot(h.acceptor.acceptedSlot.Load())}
-	h.contact.ObserveReply(h.self.id, own, h.learner.value.Slot)
-	return h.contact.Since(h.learner.value.Members, h.learner.value.Slot)
+func newContactMonitor(self identity, acceptor *acceptorEndpoint, learner *learner) *contactMonitor {
+	return &contactMonitor{self: self, acceptor: acceptor, learner: learner, tracker: quorum.NewContactTracker()}
 }
 
-// checkContact has all gatherers that wait told as soon as contact is lost, and returns when to look again.
-func (h *Controller) checkContact(now time.Duration) time.Duration {
-	since, ok := h.contactTime(now)
-	was := h.wasInContact
-	if h.wasInContact = ok && now-since < contactLifetime; h.wasInContact {
-		return since + contactLifetime
-	}
-	if was {
-		for w := range h.waiters {
-			h.answerPoll(w, now)
-		}
-	}
-	return now + housekeepingInterval
+// hasQuorum reports whether this controller is in contact with a majority.
+func (m *contactMonitor) hasQuorum(now time.Duration) bool {
+	since, ok := m.since(now)
+	return ok && now-since < contactLifetime
 }
 
-// verifications wait until a majority has answered what it was asked after each of them came. This hive's clock, which may
-// have stood still with the machine, has no say in that. Emptied by answers and by verifyTimeout.
-type verifications struct {
-	pending    []verification
-	gossipAt   time.Duration // when the others are to be asked, 0 = they need not be;
-	gossipedAt time.Duration // when they last were
+// isCurrent reports whether the newest value is known to be decided and confirmed by a majority of late.
+func (m *contactMonitor) isCurrent(now time.Duration) bool {
+	return m.learner.confirmed && m.hasQuorum(now)
 }
 
-type verification struct {
-	since time.Duration
-	done  func(verified bool)
+// since returns the newest time before which nothing was decided that this controller doesn't know. Its own acceptor counts as
+// one that answers at once.
+func (m *contactMonitor) since(now time.Duration) (since time.Duration, ok bool) {
+	accepted := consensus.Slot(m.acceptor.acceptedSlot.Load())
+	m.observeReply(m.self.id, quorum.Reply{Incarnation: m.self.incarnation, SentAt: now, Slot: accepted})
+	return m.tracker.Since(m.learner.value.Members, m.learner.value.Slot)
 }
 
-// verifyContact calls done, on the owner, once a majority has answered what it is asked from now on, or when it did not in time.
-func (h *Controller) verifyContact(now time.Duration, done func(verified bool)) {
-	h.verifier.pending = append(h.verifier.pending, verification{now, done})
-	if h.verifier.gossipAt == 0 {
-		h.verifier.gossipAt = max(now, h.verifier.gossipedAt+verifyInterval, 1)
-	}
-	h.finishVerifications(now)
+// observeReply takes what an acceptor replied to a request.
+func (m *contactMonitor) observeReply(id consensus.AcceptorID, reply quorum.Reply) {
+	m.tracker.ObserveReply(id, reply, m.learner.value.Slot)
 }
 
-// finishVerifications ends the verifications that are over.
-func (h *Controller) finishVerifications(now time.Duration) {
-	if len(h.verifier.pending) == 0 {
-		return
-	}
-	since, ok := h.contactTime(now)
-	var over []verification
-	kept := h.verifier.pending[:0]
-	for _, v := range h.verifier.pending {
-		if ok && since >= v.since || now >= v.since+verifyTimeout {
-			over = append(over, v)
-		} else {
-			kept = append(kept, v)
-		}
-	}
-	clear(h.verifier.pending[len(kept):])
-	h.verifier.pending = kept
-	for _, v := range over {
-		v.done(ok && since >= v.since)
-	}
+// observeIncarnation notes that an acceptor's process runs under an incarnation.
+func (m *contactMonitor) observeIncarnation(id consensus.AcceptorID, incarnation uint64) {
+	m.tracker.ObserveIncarnation(id, incarnation)
 }
 
-// checkVerifications asks the others where somebody waits for it, and returns when to look again.
-func (h *Controller) checkVerifications(now time.Duration) time.Duration {
-	h.finishVerifications(now)
-	if h.verifier.gossipAt != 0 && now >= h.verifier.gossipAt {
-		h.verifier.gossipAt, h.verifier.gossipedAt = 0, now
-		h.gossipNow()
+// check reports whether contact was lost since the last call, and when to call again.
+func (m *contactMonitor) check(now time.Duration) (lost bool, next time.Duration) {
+	since, ok := m.since(now)
+	before := m.inContact
+	m.inContact = ok && now-since < contactLifetime
+	if m.inContact {
+		return false, since + contactLifetime
 	}
-	next := now + housekeepingInterval
-	if h.verifier.gossipAt != 0 {
-		next = h.verifier.gossipAt
-	}
-	if len(h.verifier.pending) > 0 { // the oldest is the first
-		next = min(next, h.verifier.pending[0].since+verifyTimeout)
-	}
-	return next
+	return before, now + housekeepingInterval
 }
+
+// prune drops acceptors whose replies are too old to matter.
+func (m *contactMonitor) prune(now time.Duration) { m.tracker.Prune(now - 2*contactLifetime) }
--- a/controlplane/controller.go
+++ b/controlplane/controller.go
@@ -20,21 +20,17 @@
 	"oxbowspan/internal/acceptorstore"
 	"oxbowspan/internal/network"
 	"oxbowspan/internal/settings"
-	"oxbowspan/lease"
-	"oxbowspan/quorum"
 	"oxbowspan/registry"
 	"oxbowspan/rpc"
 )
 
 // Rhythm of the hive's own talk.
 const (
-	gossipInterval       = 400 * time.Millisecond  // to each other hive
-	peerCallTimeout      = 800 * time.Millisecond  // for an answer of another hive
-	peerLivenessTimeout  = 1500 * time.Millisecond // another hive counts as heard so long after its last word
+	gossipInterval       = 400 * time.Millisecond // to each other hive
+	peerCallTimeout      = 800 * time.Millisecond // for an answer of another hive
 	housekeepingInterval = 400 * time.Millisecond
 	updateDelay          = 60 * time.Millisecond // what is not urgent is gathered so long
 	gatewayTimeout       = 4 * time.Second       // without a question, a forager is held to be gone
-	peerForgetTimeout    = 30 * time.Second      // without a word, a hive that does not vote is forgotten
 	resolveDelay         = 400 * time.Millisecond
 )
 
@@ -58,16 +54,15 @@
 	highestBallot    uint64                   // the highest number seen
 	selfRepair       consensus.RepairSchedule // when this machine's own copy is to be completed
 	repair           consensus.RepairSchedule // when a round is owed for copies that lack
-	contact          *quorum.ContactTracker
-	wasInContact     bool // in contact, when last looked
-	verifier         verifications
+	contact          *contactMonitor
+	verifier         *contactVerifier
 	table            *registry.Table
 	gateways         map[uint64]*gatewayState // emptied of those not heard for a while
 	membershipEpoch  uint64                   // number of the list of foragers
 	gatewaySequence  uint64                   // of the last forager that there was something to tell the other hives of
-	peers            map[string]*peer         // emptied of those unheard that do not vote
-	waiters          map[*pollWaiter]bool     // emptied by answers
-	replicationWaits []*replicationWait       // emptied by acks and time
+	peers            *peerSet
+	waiters          map[*pollWaiter]bool // emptied by answers
+	replicationWaits []*replicationWait   // emptied by acks and time
 	events           *eventLog
 	serverChanges    *serverChangeLog
 	updateAt         time.Duration // when waiters are to be told; 0 = nothing to tell
@@ -133,7 +128,7 @@
 	h := &Controller{settings: set, network: on, log: log, store: store, proposerID: consensus.ProposerID(acceptorstore.NewAcceptorID()),
 		clock: newSteadyClock(), loop: newEventLoop(), killed: make(chan struct{}),
 		proposalToken: make(chan struct{}, 1), table: registry.NewTable(set.HeartbeatInterval()),
-		gateways: map[uint64]*gatewayState{}, peers: map[string]*peer{}, waiters: map[*pollWaiter]bool{}, highestBallot: state.Promised.Number, contact: quorum.NewContactTracker()}
+		gateways: map[uint64]*gatewayState{}, waiters: map[*pollWaiter]bool{}, highestBallot: state.Promised.Number}
 	h.self = identity{id: state.ID, incarnation: uint64(acceptorstore.NewAcceptorID()), address: set.InternalAddress(settings.ControllerPort),
 		controlAddress: set.Listen.Control, zone: set.Zone}
 	h.events = newEventLog(h.clock)
@@ -144,6 +139,9 @@
 	}
 	h.learner = newLearner(base, h.clock, h.events, h, log)
 	h.acceptor = newAcceptorEndpoint(store, h.loop, h.clock, h, log)
+	h.contact = newContactMonitor(h.self, h.acceptor, h.learner)
+	h.peers = newPeerSet(h.self, set.SeedControllers(), on, h.clock, h.startGossip)
+	h.verifier = newContactVerifier(h.contact, h.peers)
 	h.selfRepair, h.repair = consensus.RepairSchedule{Delay: selfRepairDelay}, consensus.RepairSchedule{Delay: repairDelay}
 	h.proposalToken <- struct{}{}
 	h.restoreHints(store.Hints())
@@ -153,10 +151,14 @@
 // valueLearned implements learnListener.
 func (h *Controller) valueLearned(v *consensus.Value) {
 	for _, m := range v.Acceptors() {
-		h.addPeer(m.Address)
+		h.peers.add(m.Address)
 	}
 	h.scheduleUpdate(true)
-	h.gossipNow()
+	h.peers.gossipNow()
+}
+
+func (h *Controller) startGossip(ctx context.Context, p *peer) {
+	h.wg.Go(func() { h.gossipLoop(ctx, p) })
 }
 
 // observeBallot implements ballotObserver.
@@ -180,7 +182,7 @@
 	h.wg.Go(h.runLoop)
 	h.loop.post(func() {
 		for _, a := range h.settings.SeedControllers() {
-			h.addPeer(a)
+			h.peers.add(a)
 		}
 		h.housekeepingAt = h.clock.now() + time.Duration(rand.Int64N(int64(60*time.Millisecond))) // who begins is left to chance
 		h.log.Info().Uint64("identity", uint64(h.self.id)).Uint64("turn", uint64(h.acceptor.newestSlot)).Msg("hive: started")
@@ -237,9 +239,7 @@
 		next := h.advance(h.clock.now())
 		return next - h.clock.now()
 	})
-	for _, p := range h.peers {
-		p.close()
-	}
+	h.peers.closeAll()
 }
 
 // advance does what is due and returns when the next thing is.
@@ -248,7 +248,13 @@
 		h.housekeepingAt = now + housekeepingInterval
 		h.housekeep(now)
 	}
-	next := min(h.housekeepingAt, h.checkContact(now), h.checkVerifications(now))
+	contactLost, checkAt := h.contact.check(now)
+	if contactLost {
+		for w := range h.waiters {
+			h.answerPoll(w, now)
+		}
+	}
+	next := min(h.housekeepingAt, checkAt, h.verifier.check(now))
 	if h.updateAt != 0 {
 		if now >= h.updateAt {
 			h.updateAt = 0
@@ -282,20 +288,12 @@
 		}
 	}
 	// Foragers are told whom they may ask: also when no forager has come or gone.
-	for _, p := range h.peers {
-		if heard := p.lastSeen > 0 && now-p.lastSeen < peerLivenessTimeout; heard != p.listed {
-			p.listed = heard
-			h.events.add(eventController, "hive "+p.address+map[bool]string{true: " is heard", false: " is not heard any more"}[heard])
-			h.membershipEpoch++
-			h.scheduleUpdate(false)
-		}
-	}
-	for a, p := range h.peers {
-		if now-p.lastSeen > peerForgetTimeout && !h.learner.isMemberAddress(a) && !h.isSeed(a) {
-			delete(h.peers, a)
-			p.close()
-		}
+	for _, p := range h.peers.updateListed(now) {
+		h.events.add(eventController, "hive "+p.address+map[bool]string{true: " is heard", false: " is not heard any more"}[p.listed])
+		h.membershipEpoch++
+		h.scheduleUpdate(false)
 	}
+	h.peers.forget(now, h.learner.isMemberAddress)
 	kept := h.replicationWaits[:0]
 	for _, s := range h.replicationWaits {
 		if now < s.deadline {
@@ -303,7 +301,7 @@
 		}
 	}
 	h.replicationWaits = kept
-	h.contact.Prune(now - 2*contactLifetime)
+	h.contact.prune(now)
 	h.startDueProposal(now)
 	h.saveHints(now)
 }
@@ -379,7 +377,7 @@
 func (h *Controller) answerPoll(w *pollWaiter, now time.Duration) {
 	delete(h.waiters, w)
 	a := w.poll
-	n := &rpc.Update{ControllerIncarnation: h.self.incarnation, Cursor: uint64(h.table.Cursor()), HasQuorum: h.learner.confirmed && !w.verifying && h.inContact(now), Slot: a.Slot,
+	n := &rpc.Update{ControllerIncarnation: h.self.incarnation, Cursor: uint64(h.table.Cursor()), HasQuorum: h.learner.confirmed && !w.verifying && h.contact.hasQuorum(now), Slot: a.Slot,
 		Warm: now > 3*h.settings.HeartbeatInterval(), MembershipEpoch: h.membershipEpoch}
 	if h.hasVersion(a) && now >= h.nextVersionAt(a) {
 		h.recordVersionSent(a, len(h.learner.value.Body), now)
@@ -403,7 +401,7 @@
 			n.Gateways = append(n.Gateways, &rpc.Gateway{Incarnation: f.incarnation, Address: f.address, Zone: f.zone})
 		}
 		n.Controllers = append(n.Controllers, h.describeSelf())
-		for _, p := range h.peers {
+		for _, p := range h.peers.byAddress {
 			if p.lastSeen > 0 && now-p.lastSeen < peerLivenessTimeout {
 				n.Controllers = append(n.Controllers, p.describe(now, h.learner.isMemberAddress(p.address)))
 			}
@@ -460,9 +458,9 @@
 	w := &pollWaiter{conn: c, id: id, poll: a, deadline: now + time.Duration(a.WaitMs)*time.Millisecond}
 	h.waiters[w] = true
 	switch {
-	case a.ControllerIncarnation != h.self.incarnation && h.learner.confirmed && h.inContact(now):
+	case a.ControllerIncarnation != h.self.incarnation && h.learner.confirmed && h.contact.hasQuorum(now):
 		w.verifying, w.deadline = true, now+2*verifyTimeout
-		h.verifyContact(now, func(verified bool) {
+		h.verifier.verify(now, func(verified bool) {
 			if h.waiters[w] {
 				w.verifying = !verified
 				h.answerPoll(w, h.clock.now())
@@ -513,18 +511,3 @@
 	h.gateways[f.Incarnation] = &gatewayState{incarnation: f.Incarnation, address: f.Address, zone: f.Zone, lastSeen: at, direct: told, sequence: h.gatewaySequence}
 	h.scheduleUpdate(false)
 }
-
-func encodeReport(r *registry.Record, now time.Duration) *rpc.ServerReport {
-	return &rpc.ServerReport{Instance: string(r.Instance), Service: string(r.Service), Address: r.Address, Zone: r.Zone, Version: r.Version,
-		Slots: uint32(r.Slots), State: uint32(r.State), WarmUpMs: uint32(max(r.SlowStartEndsAt-now, 0) / time.Millisecond),
-		Sequence: uint64(r.Sequence), AgeMs: uint32(max(now-r.HeartbeatAt, 0) / time.Millisecond), Overdue: r.Unresponsive, NoHeartbeats: r.HeartbeatMissed,
-		HealthCheckAgeMs: uint32(max(now-r.HealthyAt, 0) / time.Millisecond), FencingToken: r.Lease.FencingToken, LeaseHolder: r.Lease.Holder}
-}
-
-func decodeReport(r *rpc.ServerReport, now time.Duration) registry.Record {
-	return registry.Record{Instance: registry.InstanceID(r.Instance), Service: registry.ServiceID(r.Service), Address: r.Address, Zone: r.Zone,
-		Version: r.Version, Slots: int(r.Slots), State: registry.State(min(r.State, uint32(registry.Deregistered))),
-		HeartbeatOnly: r.Refresh, Unresponsive: r.Overdue, HeartbeatMissed: r.NoHeartbeats, SlowStartEndsAt: now + time.Duration(r.WarmUpMs)*time.Millisecond, Sequence: registry.Sequence(r.Sequence),
-		HeartbeatAt: now - time.Duration(r.AgeMs)*time.Millisecond, HealthyAt: now - time.Duration(r.HealthCheckAgeMs)*time.Millisecond,
-		Lease: lease.Lease{FencingToken: r.FencingToken, Holder: r.LeaseHolder}}
-}
--- a/controlplane/gossip.go
+++ b/controlplane/gossip.go
@@ -11,79 +11,16 @@
 	"oxbowspan/rpc"
 )
 
-// peer is another hive. Its fields are the owner's, save those that are set when it is made.
-type peer struct {
-	address string
-	caller  *rpc.Client
-	wake    chan struct{}
-	cancel  context.CancelFunc
-
-	id               consensus.AcceptorID
-	control          string
-	zone             string
-	incarnation      uint64                   // of its process
-	addedAt          time.Duration            // when this hive first tried to reach it
-	lastSeen         time.Duration            // 0 = never
-	listed           bool                     // among those that foragers are told of
-	slot             consensus.Slot           // that it knows
-	ackedCursor      registry.Cursor          // up to which it has this hive's reports
-	ackedGateways    uint64                   // up to which number it has the foragers that ask this hive,
-	sentGateways     uint64                   // and up to which the pulse on its way names them whole
-	gatewaysSentAt   time.Duration            // when all of them were last named
-	differingRanges  []int                    // ranges of reports in which it differs
-	digestsSentAt    time.Duration            // when digests were last sent
-	restoresBodies   bool                     // the bodies that a told value leaves out
-	missingBody      bool                     // a body of the value that it was told: it is told whole
-	requestFullValue bool                     // this hive lacks one of the value that the peer told, and asks for all of it
-	replica          consensus.Replica        // what its disk holds,
-	reportsReplica   bool                     // where it tells that
-	draining         bool                     // it was told to end
-	silences         map[string]time.Duration // how long it has not heard others, by address, as it last told
-}
-
 // redialInterval is how often a hive that refuses connections is tried again.
 const redialInterval = 100 * time.Millisecond
 
 // gatewayRefreshInterval is how often a hive names the foragers that ask it to the others: they are lost after four times as long.
 const gatewayRefreshInterval = time.Second
 
-func (p *peer) close() {
-	p.cancel()
-	p.caller.Close()
-}
-
-func (p *peer) describe(now time.Duration, voter bool) *rpc.Controller {
-	return &rpc.Controller{Id: uint64(p.id), Address: p.address, ControlAddress: p.control, Zone: p.zone, Voter: voter,
-		AgeMs: uint32((now - max(p.lastSeen, p.addedAt)) / time.Millisecond)}
-}
-
 func (h *Controller) describeSelf() *rpc.Controller {
 	return h.self.describe(h.learner.isMember(h.self.id))
 }
 
-// addPeer makes a hive known.
-func (h *Controller) addPeer(address string) *peer {
-	if address == h.self.address || address == "" {
-		return nil
-	}
-	if p := h.peers[address]; p != nil {
-		return p
-	}
-	ctx, quit := context.WithCancel(context.Background())
-	p := &peer{address: address, caller: &rpc.Client{Address: address, Network: h.network}, wake: make(chan struct{}, 1), cancel: quit, addedAt: h.clock.now(),
-		silences: map[string]time.Duration{}}
-	h.peers[address] = p
-	h.wg.Go(func() { h.gossipLoop(ctx, p) })
-	return p
-}
-
-// gossipNow has what changed told to all hives now.
-func (h *Controller) gossipNow() {
-	for _, p := range h.peers {
-		p.gossipNow()
-	}
-}
-
 // gossipLoop sends pulses to one hive, each after the answer to the one before.
 func (h *Controller) gossipLoop(ctx context.Context, p *peer) {
 	timer := time.NewTimer(0)
@@ -102,10 +39,10 @@
 			return
 		}
 		limit, cancel := context.WithTimeout(ctx, peerCallTimeout)
-		back, err := p.caller.Call(limit, &rpc.Frame{Body: &rpc.Frame_Gossip{Gossip: next.message}})
+		back, err := p.client.Call(limit, &rpc.Frame{Body: &rpc.Frame_Gossip{Gossip: next.message}})
 		cancel()
 		if err == rpc.ErrTimeout {
-			p.caller.Disconnect()
+			p.client.Disconnect()
 		}
 		if err == nil && back.GetGossipReply() != nil {
 			h.loop.post(func() { h.receiveGossipReply(p, back.GetGossipReply(), next, h.clock.now()) })
@@ -169,7 +106,7 @@
 		p.gatewaysSentAt = now
 	}
 	p.sentGateways = h.gatewaySequence
-	for _, o := range h.peers {
+	for _, o := range h.peers.byAddress {
 		m.Controllers = append(m.Controllers, &rpc.Controller{Address: o.address, AgeMs: uint32((now - max(o.lastSeen, o.addedAt)) / time.Millisecond)})
 	}
 	if now-p.digestsSentAt > 2*time.Second {
@@ -187,7 +124,7 @@
 	if from == nil || from.Address == h.self.address {
 		return back
 	}
-	p := h.addPeer(from.Address)
+	p := h.peers.add(from.Address)
 	if p == nil {
 		return back
 	}
@@ -197,7 +134,7 @@
 	h.observePeer(p, from, m.Incarnation, consensus.Slot(m.Slot), now)
 	for _, o := range m.Controllers {
 		if o.AgeMs < uint32(peerForgetTimeout/time.Millisecond) || h.learner.isMemberAddress(o.Address) {
-			h.addPeer(o.Address)
+			h.peers.add(o.Address)
 		}
 		p.silences[o.Address] = time.Duration(o.AgeMs) * time.Millisecond
 	}
@@ -254,8 +191,8 @@
 	}
 	h.receiveValueReply(p, m)
 	h.observeReplica(p, m.From, consensus.Slot(m.Slot))
-	h.contact.ObserveReply(p.id, quorum.Reply{Incarnation: m.Incarnation, SentAt: sent.sentAt, Slot: consensus.Slot(max(m.VotedSlot, m.Slot))}, h.learner.value.Slot)
-	h.finishVerifications(now)
+	h.contact.observeReply(p.id, quorum.Reply{Incarnation: m.Incarnation, SentAt: sent.sentAt, Slot: consensus.Slot(max(m.VotedSlot, m.Slot))})
+	h.verifier.finish(now)
 	for _, no := range m.DifferingRanges {
 		if no < registry.RangeCount && !slices.Contains(p.differingRanges, int(no)) {
 			p.differingRanges = append(p.differingRanges, int(no))
@@ -263,7 +200,7 @@
 	}
 	kept := h.replicationWaits[:0]
 	for _, s := range h.replicationWaits {
-		if h.replicatedToMajority(s.cursor) {
+		if h.peers.replicated(h.learner.value.Members, s.cursor) {
 			close(s.done)
 		} else {
 			kept = append(kept, s)
@@ -272,32 +209,13 @@
 	h.replicationWaits = kept
 }
 
-// replicatedToMajority tells whether a majority of the acceptors' machines hold the reports up to a cursor.
-func (h *Controller) replicatedToMajority(cursor registry.Cursor) bool {
-	return consensus.HasMajority(h.learner.value.Members, func(id consensus.AcceptorID) bool {
-		if id == h.self.id {
-			return true
-		}
-		for _, p := range h.peers {
-			if p.id == id && p.ackedCursor >= cursor {
-				return true
-			}
-		}
-		return false
-	})
-}
-
 // observePeer notes that a hive lives. One that began anew has nothing of this hive's.
 func (h *Controller) observePeer(p *peer, from *rpc.Controller, life uint64, turn consensus.Slot, now time.Duration) {
 	if p.incarnation != life && p.incarnation != 0 {
 		p.ackedCursor, p.slot, p.ackedGateways = 0, 0, 0
 	}
-	h.contact.ObserveIncarnation(consensus.AcceptorID(from.Id), life)
+	h.contact.observeIncarnation(consensus.AcceptorID(from.Id), life)
 	p.restoresBodies = from.RestoresBodies
-	p.incarnation, p.id, p.control, p.zone = life, consensus.AcceptorID(from.Id), from.ControlAddress, from.Zone
+	p.incarnation, p.id, p.controlAddress, p.zone = life, consensus.AcceptorID(from.Id), from.ControlAddress, from.Zone
 	p.lastSeen, p.slot = max(now, 1), turn
 }
-
-func (h *Controller) isSeed(address string) bool {
-	return slices.Contains(h.settings.SeedControllers(), address)
-}
--- a/controlplane/membership.go
+++ b/controlplane/membership.go
@@ -52,12 +52,12 @@
 			continue
 		}
 		shortest := time.Duration(0)
-		if p := h.peers[m.Address]; p != nil {
+		if p := h.peers.byAddress[m.Address]; p != nil {
 			shortest = now - max(p.lastSeen, p.addedAt)
 		}
 		told := false
 		longest := shortest
-		for _, p := range h.peers {
+		for _, p := range h.peers.byAddress {
 			if p.address == m.Address || p.lastSeen == 0 || now-p.lastSeen > peerLivenessTimeout {
 				continue
 			}
@@ -68,7 +68,7 @@
 				told = true
 			}
 		}
-		if p := h.peers[m.Address]; p != nil && p.lastSeen == 0 && told {
+		if p := h.peers.byAddress[m.Address]; p != nil && p.lastSeen == 0 && told {
 			shortest = longest // a newcomer never heard it: the others' word counts
 		}
 		silences[m.Address] = min(shortest, longest)
@@ -82,7 +82,7 @@
 
 // wantsMembership tells whether this hive should ask for a seat now.
 func (h *Controller) wantsMembership(now time.Duration) bool {
-	if !h.learner.confirmed || consensus.Contains(h.learner.value.Members, h.self.id) || !h.learner.value.Confirmed() || !h.inContact(now) {
+	if !h.learner.confirmed || consensus.Contains(h.learner.value.Members, h.self.id) || !h.learner.value.Confirmed() || !h.contact.hasQuorum(now) {
 		return false
 	}
 	return h.membershipRequest(now).apply(h.learner.value) != h.learner.value
--- a/controlplane/proposer.go
+++ b/controlplane/proposer.go
@@ -78,7 +78,7 @@
 			}
 			return
 		}
-		p, _ := query(h.loop, func() *peer { return h.addPeer(m.Address) })
+		p, _ := query(h.loop, func() *peer { return h.peers.add(m.Address) })
 		if p == nil {
 			return
 		}
@@ -88,7 +88,7 @@
 		}
 		go func() {
 			defer end()
-			a, err := p.caller.Call(limit, f)
+			a, err := p.client.Call(limit, f)
 			if err != nil {
 				return
 			}
--- a/controlplane/replica_repair.go
+++ b/controlplane/replica_repair.go
@@ -31,17 +31,6 @@
 	h.learner.observeBallot(turn, rpc.BallotFromProto(from.HighestDecidedBallot))
 }
 
-// replicas are what the acceptors in contact said of their disks, and what this machine's holds.
-func (h *Controller) replicas(now time.Duration) map[consensus.AcceptorID]consensus.Replica {
-	out := map[consensus.AcceptorID]consensus.Replica{h.self.id: h.acceptor.replica}
-	for _, p := range h.peers {
-		if p.reportsReplica && p.id != 0 && p.lastSeen > 0 && now-p.lastSeen < peerLivenessTimeout {
-			out[p.id] = p.replica
-		}
-	}
-	return out
-}
-
 // How long a lacking copy is given, and up to as much more by lot. The machine that lacks it is the first to act: it costs the
 // others nothing. A round of all is for what it can't do by itself.
 const (
@@ -52,10 +41,10 @@
 // replicasIncomplete tells whether this hive owes a round that stores the agreed value again, for members in contact whose copies
 // are not proven. It looks each time, so that a copy counts as lacking from when it was first seen.
 func (h *Controller) replicasIncomplete(now time.Duration) bool {
-	if !h.learner.confirmed || !consensus.Contains(h.learner.value.Members, h.self.id) || !h.inContact(now) {
+	if !h.learner.confirmed || !consensus.Contains(h.learner.value.Members, h.self.id) || !h.contact.hasQuorum(now) {
 		return false
 	}
-	copies := h.replicas(now)
+	copies := h.peers.replicas(now, h.acceptor.replica)
 	lacking := slices.DeleteFunc(h.learner.decision.Unreplicated(copies), func(m consensus.Member) bool {
 		_, told := copies[m.ID]
 		return !told
--- /dev/null
+++ b/controlplane/reports.go
@@ -0,0 +1,70 @@
+package controlplane
+
+import (
+	"time"
+
+	"oxbowspan/lease"
+	"oxbowspan/registry"
+	"oxbowspan/rpc"
+)
+
+// milliseconds converts a duration for a message.
+func milliseconds(d time.Duration) uint32 { return uint32(d / time.Millisecond) }
+
+// duration converts milliseconds of a message.
+func duration(ms uint32) time.Duration { return time.Duration(ms) * time.Millisecond }
+
+// encodeReport turns a server's record into a message. Times become ages, as clocks of machines differ.
+func encodeReport(r *registry.Record, now time.Duration) *rpc.ServerReport {
+	return &rpc.ServerReport{
+		Instance:         string(r.Instance),
+		Service:          string(r.Service),
+		Address:          r.Address,
+		Zone:             r.Zone,
+		Version:          r.Version,
+		Slots:            uint32(r.Slots),
+		State:            uint32(r.State),
+		WarmUpMs:         milliseconds(max(r.SlowStartEndsAt-now, 0)),
+		Sequence:         uint64(r.Sequence),
+		AgeMs:            milliseconds(max(now-r.HeartbeatAt, 0)),
+		Overdue:          r.Unresponsive,
+		NoHeartbeats:     r.HeartbeatMissed,
+		HealthCheckAgeMs: milliseconds(max(now-r.HealthyAt, 0)),
+		FencingToken:     r.Lease.FencingToken,
+		LeaseHolder:      r.Lease.Holder,
+	}
+}
+
+// encodeRefresh is the report of a server of which only the times are new.
+func encodeRefresh(r *registry.Record, now time.Duration) *rpc.ServerReport {
+	return &rpc.ServerReport{
+		Instance:         string(r.Instance),
+		Sequence:         uint64(r.Sequence),
+		AgeMs:            milliseconds(max(now-r.HeartbeatAt, 0)),
+		Refresh:          true,
+		HealthCheckAgeMs: milliseconds(max(now-r.HealthyAt, 0)),
+		FencingToken:     r.Lease.FencingToken,
+		LeaseHolder:      r.Lease.Holder,
+	}
+}
+
+// decodeReport is the reverse of encodeReport and encodeRefresh.
+func decodeReport(r *rpc.ServerReport, now time.Duration) registry.Record {
+	return registry.Record{
+		Instance:        registry.InstanceID(r.Instance),
+		Service:         registry.ServiceID(r.Service),
+		Address:         r.Address,
+		Zone:            r.Zone,
+		Version:         r.Version,
+		Slots:           int(r.Slots),
+		State:           registry.State(min(r.State, uint32(registry.Deregistered))),
+		HeartbeatOnly:   r.Refresh,
+		Unresponsive:    r.Overdue,
+		HeartbeatMissed: r.NoHeartbeats,
+		SlowStartEndsAt: now + duration(r.WarmUpMs),
+		Sequence:        registry.Sequence(r.Sequence),
+		HeartbeatAt:     now - duration(r.AgeMs),
+		HealthyAt:       now - duration(r.HealthCheckAgeMs),
+		Lease:           lease.Lease{FencingToken: r.FencingToken, Holder: r.LeaseHolder},
+	}
+}
--- a/controlplane/shutdown.go
+++ b/controlplane/shutdown.go
@@ -61,7 +61,7 @@
 // the turn before, or does not know what became of its vote. Those that don't count may end at once.
 func (h *Controller) beginDrain() (needed bool) {
 	h.draining = true
-	h.gossipNow() // the others' answers say what their disks hold now
+	h.peers.gossipNow() // the others' answers say what their disks hold now
 	if !h.learner.confirmed {
 		return h.acceptor.newestSlot > 0
 	}
@@ -74,7 +74,7 @@
 		return departureStatus{reason: consensus.UnresolvedAccept}
 	}
 	now := h.clock.now()
-	stay, lacking := h.learner.decision.CheckLeave(h.self.id, h.acceptor.replica, h.replicas(now))
+	stay, lacking := h.learner.decision.CheckLeave(h.self.id, h.acceptor.replica, h.peers.replicas(now, h.acceptor.replica))
 	return departureStatus{stay, lacking, h.successor(now)}
 }
 
@@ -84,7 +84,7 @@
 	if !consensus.Contains(h.learner.value.Members, h.self.id) {
 		return nil
 	}
-	for _, p := range h.peers {
+	for _, p := range h.peers.byAddress {
 		heard := p.lastSeen > 0 && now-p.lastSeen < peerLivenessTimeout
 		if heard && !p.draining && p.id != 0 && !consensus.Contains(h.learner.value.Members, p.id) && !h.learner.isMemberAddress(p.address) {
 			return &consensus.Member{ID: p.id, Address: p.address}
--- a/controlplane/status_api.go
+++ b/controlplane/status_api.go
@@ -66,14 +66,14 @@
 	serveLocal(c.h, w, func() MembershipStatus {
 		h := c.h
 		now := h.clock.now()
-		out := MembershipStatus{Controller: h.self.address, Slot: uint64(h.learner.value.Slot), Version: uint64(h.learner.value.Version), HasQuorum: h.learner.confirmed && h.inContact(now), Stable: h.learner.value.Confirmed()}
+		out := MembershipStatus{Controller: h.self.address, Slot: uint64(h.learner.value.Slot), Version: uint64(h.learner.value.Version), HasQuorum: h.learner.confirmed && h.contact.hasQuorum(now), Stable: h.learner.value.Confirmed()}
 		proven := 0
-		lacking := h.learner.decision.Unreplicated(h.replicas(now))
+		lacking := h.learner.decision.Unreplicated(h.peers.replicas(now, h.acceptor.replica))
 		for _, m := range h.learner.value.Members {
 			silent := time.Duration(0)
 			if m.ID != h.self.id {
 				silent = now
-				if p := h.peers[m.Address]; p != nil && p.id == m.ID && p.lastSeen > 0 {
+				if p := h.peers.byAddress[m.Address]; p != nil && p.id == m.ID && p.lastSeen > 0 {
 					silent = now - p.lastSeen
 				}
 			}
@@ -160,7 +160,7 @@
 func serveVerified[T any](h *Controller, w http.ResponseWriter, look func() T) {
 	answers := make(chan func(), 1)
 	h.loop.post(func() {
-		h.verifyContact(h.clock.now(), func(verified bool) {
+		h.verifier.verify(h.clock.now(), func(verified bool) {
 			if !verified {
 				answers <- func() { writeError(w, http.StatusServiceUnavailable, isolatedMessage) }
 				return
--- a/controlplane/value_gossip.go
+++ b/controlplane/value_gossip.go
@@ -20,11 +20,3 @@
 		p.gossipNow()
 	}
 }
-
-// gossipNow has the peer told what is new now.
-func (p *peer) gossipNow() {
-	select {
-	case p.wake <- struct{}{}:
-	default:
-	}
-}
