--- a/controlplane/api.go
+++ b/controlplane/api.go
@@ -146,7 +146,7 @@
 		}
 	}
 	if len(changed) > 0 {
-		h.scheduleUpdate(t.wait != nil)
+		h.updates.request(t.wait != nil)
 	}
 	if t.wait != nil {
 		if h.peers.replicated(h.learner.value.Members, t.wait.cursor) {
--- a/controlplane/controller.go
+++ b/controlplane/controller.go
@@ -29,8 +29,6 @@
 	gossipInterval       = 400 * time.Millisecond // to each other hive
 	peerCallTimeout      = 800 * time.Millisecond // for an answer of another hive
 	housekeepingInterval = 400 * time.Millisecond
-	updateDelay          = 60 * time.Millisecond // what is not urgent is gathered so long
-	gatewayTimeout       = 4 * time.Second       // without a question, a forager is held to be gone
 	resolveDelay         = 400 * time.Millisecond
 )
 
@@ -57,15 +55,13 @@
 	contact          *contactMonitor
 	verifier         *contactVerifier
 	table            *registry.Table
-	gateways         map[uint64]*gatewayState // emptied of those not heard for a while
-	membershipEpoch  uint64                   // number of the list of foragers
-	gatewaySequence  uint64                   // of the last forager that there was something to tell the other hives of
+	gateways         *gatewayDirectory
+	polls            *pollService
+	updates          *updateSchedule
 	peers            *peerSet
-	waiters          map[*pollWaiter]bool // emptied by answers
-	replicationWaits []*replicationWait   // emptied by acks and time
+	replicationWaits []*replicationWait // emptied by acks and time
 	events           *eventLog
 	serverChanges    *serverChangeLog
-	updateAt         time.Duration // when waiters are to be told; 0 = nothing to tell
 	housekeepingAt   time.Duration
 	proposing        bool // a round to resolve or to join is on its way
 	proposeAfter     time.Duration
@@ -75,25 +71,6 @@
 	savingHints      bool
 }
 
-type gatewayState struct {
-	incarnation uint64
-	address     string
-	zone        string
-	lastSeen    time.Duration
-	direct      bool   // heard by this hive itself
-	sequence    uint64 // in the order in which this hive had something to tell the others of
-	stats       *rpc.GatewayStats
-	slot        uint64        // that it has in force, of one that asks here
-	polledAt    time.Duration // when it last did
-	sentBytes   int           // bytes of the version that this hive last gave it,
-	sentAt      time.Duration // and when
-}
-
-// pollsHere tells whether a forager asks this hive, of late.
-func (f *gatewayState) pollsHere(now time.Duration) bool {
-	return f.polledAt > 0 && now-f.polledAt < gatewayTimeout/2
-}
-
 // replicationWait waits until a report is held by enough of the core.
 type replicationWait struct {
 	cursor   registry.Cursor
@@ -101,16 +78,6 @@
 	deadline time.Duration
 }
 
-// pollWaiter is a forager's held question.
-type pollWaiter struct {
-	conn     *rpc.Conn
-	id       uint64
-	poll     *rpc.Poll
-	deadline time.Duration
-
-	verifying bool // until a majority has answered what it was asked after the question came
-}
-
 // New opens the state and makes a hive that does nothing yet.
 func New(set *settings.Settings, on network.Network, log zerolog.Logger) (*Controller, error) {
 	members, id := genesisMembers(set)
@@ -128,7 +95,7 @@
 	h := &Controller{settings: set, network: on, log: log, store: store, proposerID: consensus.ProposerID(acceptorstore.NewAcceptorID()),
 		clock: newSteadyClock(), loop: newEventLoop(), killed: make(chan struct{}),
 		proposalToken: make(chan struct{}, 1), table: registry.NewTable(set.HeartbeatInterval()),
-		gateways: map[uint64]*gatewayState{}, waiters: map[*pollWaiter]bool{}, highestBallot: state.Promised.Number}
+		highestBallot: state.Promised.Number}
 	h.self = identity{id: state.ID, incarnation: uint64(acceptorstore.NewAcceptorID()), address: set.InternalAddress(settings.ControllerPort),
 		controlAddress: set.Listen.Control, zone: set.Zone}
 	h.events = newEventLog(h.clock)
@@ -142,6 +109,22 @@
 	h.contact = newContactMonitor(h.self, h.acceptor, h.learner)
 	h.peers = newPeerSet(h.self, set.SeedControllers(), on, h.clock, h.startGossip)
 	h.verifier = newContactVerifier(h.contact, h.peers)
+	h.updates = newUpdateSchedule(h.clock)
+	h.gateways = newGatewayDirectory(h.clock, h.events, h.updates)
+	h.polls = &pollService{
+		self:              h.self,
+		heartbeatInterval: set.HeartbeatInterval(),
+		inForceWithin:     settings.Milliseconds(set.Bounds.ConfigApplyMS),
+		clock:             h.clock,
+		learner:           h.learner,
+		contact:           h.contact,
+		verifier:          h.verifier,
+		peers:             h.peers,
+		gateways:          h.gateways,
+		table:             h.table,
+		updates:           h.updates,
+		waiters:           map[*pollWaiter]bool{},
+	}
 	h.selfRepair, h.repair = consensus.RepairSchedule{Delay: selfRepairDelay}, consensus.RepairSchedule{Delay: repairDelay}
 	h.proposalToken <- struct{}{}
 	h.restoreHints(store.Hints())
@@ -153,7 +136,7 @@
 	for _, m := range v.Acceptors() {
 		h.peers.add(m.Address)
 	}
-	h.scheduleUpdate(true)
+	h.updates.request(true)
 	h.peers.gossipNow()
 }
 
@@ -175,7 +158,7 @@
 		control.Close()
 		return eris.Errorf("the internal address can't be listened on: %v", err)
 	}
-	talk := &rpc.Server{Handle: h.handleFrame, OnClose: func(c *rpc.Conn) { h.loop.post(func() { h.dropConnection(c) }) }}
+	talk := &rpc.Server{Handle: h.handleFrame, OnClose: func(c *rpc.Conn) { h.loop.post(func() { h.polls.drop(c) }) }}
 	web := &http.Server{Handler: h.handler(), ReadHeaderTimeout: 3 * time.Second, IdleTimeout: 30 * time.Second}
 	h.wg.Go(func() { talk.Serve(inner) })
 	h.wg.Go(func() { web.Serve(control) })
@@ -250,48 +233,28 @@
 	}
 	contactLost, checkAt := h.contact.check(now)
 	if contactLost {
-		for w := range h.waiters {
-			h.answerPoll(w, now)
-		}
+		h.polls.respondAll(now) // gateways must learn at once that this controller may be out of date
 	}
 	next := min(h.housekeepingAt, checkAt, h.verifier.check(now))
-	if h.updateAt != 0 {
-		if now >= h.updateAt {
-			h.updateAt = 0
-			h.notifyWaiters(now)
-		} else {
-			next = min(next, h.updateAt)
-		}
-	}
-	for w := range h.waiters {
-		if now >= w.deadline {
-			h.answerPoll(w, now)
-		} else {
-			next = min(next, w.deadline)
-		}
+	if due, at := h.updates.due(now); due {
+		h.polls.notify(now)
+	} else if at != 0 {
+		next = min(next, at)
 	}
-	return next
+	return h.polls.expire(now, next)
 }
 
 // housekeep forgets what is over and starts the rounds that this hive owes.
 func (h *Controller) housekeep(now time.Duration) {
 	if h.table.Expire(now) {
-		h.scheduleUpdate(false)
+		h.updates.request(false)
 	}
 	h.serverChanges.record(now)
-	for life, f := range h.gateways {
-		if now-f.lastSeen > gatewayTimeout {
-			h.events.add(eventGateway, "gatherer "+f.address+" is not heard any more")
-			delete(h.gateways, life)
-			h.membershipEpoch++
-			h.scheduleUpdate(false)
-		}
-	}
+	h.gateways.expire(now)
 	// Foragers are told whom they may ask: also when no forager has come or gone.
 	for _, p := range h.peers.updateListed(now) {
 		h.events.add(eventController, "hive "+p.address+map[bool]string{true: " is heard", false: " is not heard any more"}[p.listed])
-		h.membershipEpoch++
-		h.scheduleUpdate(false)
+		h.gateways.listChanged()
 	}
 	h.peers.forget(now, h.learner.isMemberAddress)
 	kept := h.replicationWaits[:0]
@@ -345,81 +308,6 @@
 	}
 }
 
-// scheduleUpdate has the waiters told, at once or soon.
-func (h *Controller) scheduleUpdate(urgent bool) {
-	at := h.clock.now()
-	if !urgent {
-		at += updateDelay
-	}
-	if h.updateAt == 0 || at < h.updateAt {
-		h.updateAt = max(at, 1)
-	}
-}
-
-// notifyWaiters answers the waiters for whom there is news.
-func (h *Controller) notifyWaiters(now time.Duration) {
-	for w := range h.waiters {
-		switch {
-		case w.verifying:
-		case h.hasUpdate(w.poll, now):
-			h.answerPoll(w, now)
-		default:
-			h.scheduleVersion(w.poll)
-		}
-	}
-}
-
-func (h *Controller) hasUpdate(a *rpc.Poll, now time.Duration) bool {
-	return h.hasVersion(a) && now >= h.nextVersionAt(a) || a.ControllerIncarnation != h.self.incarnation || a.MembershipEpoch != h.membershipEpoch ||
-		len(h.table.ChangesAfter(registry.Cursor(a.Cursor))) > 0
-}
-
-func (h *Controller) answerPoll(w *pollWaiter, now time.Duration) {
-	delete(h.waiters, w)
-	a := w.poll
-	n := &rpc.Update{ControllerIncarnation: h.self.incarnation, Cursor: uint64(h.table.Cursor()), HasQuorum: h.learner.confirmed && !w.verifying && h.contact.hasQuorum(now), Slot: a.Slot,
-		Warm: now > 3*h.settings.HeartbeatInterval(), MembershipEpoch: h.membershipEpoch}
-	if h.hasVersion(a) && now >= h.nextVersionAt(a) {
-		h.recordVersionSent(a, len(h.learner.value.Body), now)
-		n.Slot, n.Version, n.HasConfig, n.Config = uint64(h.learner.value.Slot), uint64(h.learner.value.Version), h.learner.value.Digest != "", h.learner.value.Body
-		for _, note := range h.learner.value.Documents {
-			m := rpc.DocumentToProto(note)
-			m.PriorRevisions, m.AgeMs = nil, uint32((now-h.learner.documentTimes[note.Name].since)/time.Millisecond)
-			n.Documents = append(n.Documents, m)
-		}
-	}
-	after := registry.Cursor(a.Cursor)
-	if a.ControllerIncarnation != h.self.incarnation {
-		n.Full, after = true, 0
-	}
-	for _, r := range h.table.ChangesAfter(after) {
-		n.Reports = append(n.Reports, encodeReport(r, now))
-	}
-	if a.MembershipEpoch != h.membershipEpoch || n.Full {
-		n.HasGateways = true
-		for _, f := range h.gateways {
-			n.Gateways = append(n.Gateways, &rpc.Gateway{Incarnation: f.incarnation, Address: f.address, Zone: f.zone})
-		}
-		n.Controllers = append(n.Controllers, h.describeSelf())
-		for _, p := range h.peers.byAddress {
-			if p.lastSeen > 0 && now-p.lastSeen < peerLivenessTimeout {
-				n.Controllers = append(n.Controllers, p.describe(now, h.learner.isMemberAddress(p.address)))
-			}
-		}
-	}
-	// The owner waits for no peer: one that does not read holds up its own answer only, until its connection is closed.
-	go w.conn.Respond(w.id, &rpc.Frame{Body: &rpc.Frame_Update{Update: n}})
-}
-
-// dropConnection drops the questions of a connection that has ended.
-func (h *Controller) dropConnection(c *rpc.Conn) {
-	for w := range h.waiters {
-		if w.conn == c {
-			delete(h.waiters, w)
-		}
-	}
-}
-
 // handleFrame takes a frame of another process, in the goroutine of its connection.
 func (h *Controller) handleFrame(c *rpc.Conn, f *rpc.Frame) {
 	switch b := f.Body.(type) {
@@ -437,77 +325,6 @@
 			c.Respond(f.Id, &rpc.Frame{Body: &rpc.Frame_GossipReply{GossipReply: back}})
 		}
 	case *rpc.Frame_Poll:
-		h.loop.post(func() { h.receivePoll(c, f.Id, b.Poll, h.clock.now()) })
-	}
-}
-
-// receivePoll takes a forager's question.
-func (h *Controller) receivePoll(c *rpc.Conn, id uint64, a *rpc.Poll, now time.Duration) {
-	if f := a.From; f != nil && f.Incarnation != 0 {
-		h.observeGateway(f, now, true)
-		if known := h.gateways[f.Incarnation]; known != nil {
-			known.stats, known.slot, known.polledAt = a.Stats, a.Slot, now
-		}
-	}
-	for _, r := range a.HealthChecks {
-		in := decodeReport(r, now)
-		if h.table.ConfirmHealthy(in.Instance, in.Lease, in.HealthyAt) {
-			h.scheduleUpdate(false)
-		}
-	}
-	w := &pollWaiter{conn: c, id: id, poll: a, deadline: now + time.Duration(a.WaitMs)*time.Millisecond}
-	h.waiters[w] = true
-	switch {
-	case a.ControllerIncarnation != h.self.incarnation && h.learner.confirmed && h.contact.hasQuorum(now):
-		w.verifying, w.deadline = true, now+2*verifyTimeout
-		h.verifier.verify(now, func(verified bool) {
-			if h.waiters[w] {
-				w.verifying = !verified
-				h.answerPoll(w, h.clock.now())
-			}
-		})
-	case h.hasUpdate(a, now) || a.WaitMs == 0:
-		h.answerPoll(w, now)
-	default:
-		h.scheduleVersion(a)
-	}
-}
-
-// observeGateway notes that a forager lives. One life at an address ends those before it.
-func (h *Controller) observeGateway(f *rpc.Gateway, at time.Duration, told bool) {
-	if f.Left {
-		if h.gateways[f.Incarnation] != nil {
-			h.events.add(eventGateway, "gatherer "+h.gateways[f.Incarnation].address+" leaves")
-			delete(h.gateways, f.Incarnation)
-			h.membershipEpoch++
-			h.scheduleUpdate(false)
-		}
-		return
-	}
-	if old := h.gateways[f.Incarnation]; old != nil {
-		if old.lastSeen = max(old.lastSeen, at); told && !old.direct {
-			h.gatewaySequence++ // from now on this hive tells the others of it, whole at first
-			old.direct, old.sequence = true, h.gatewaySequence
-		}
-		return
-	}
-	if f.Address == "" {
-		return // one that is not known, named by its life alone: it will be told whole
-	}
-	if h.clock.now()-at > gatewayTimeout/2 && !told {
-		return // old news of one that may have been forgotten
-	}
-	for life, o := range h.gateways {
-		if o.address == f.Address {
-			if o.lastSeen > at {
-				return
-			}
-			delete(h.gateways, life)
-		}
+		h.loop.post(func() { h.polls.receive(c, f.Id, b.Poll) })
 	}
-	h.events.add(eventGateway, "gatherer "+f.Address+" in "+f.Zone+" comes")
-	h.membershipEpoch++
-	h.gatewaySequence++
-	h.gateways[f.Incarnation] = &gatewayState{incarnation: f.Incarnation, address: f.Address, zone: f.Zone, lastSeen: at, direct: told, sequence: h.gatewaySequence}
-	h.scheduleUpdate(false)
 }
--- a/controlplane/documents.go
+++ b/controlplane/documents.go
@@ -158,7 +158,7 @@
 func (c *gatewayStatsAPI) tenants(w http.ResponseWriter, _ *http.Request) {
 	serveVerified(c.h, w, func() []GatewayTenants {
 		out := []GatewayTenants{}
-		for _, f := range c.h.reportingGateways() {
+		for _, f := range c.h.gateways.reporting() {
 			if f.stats.TenantsVersion > 0 {
 				out = append(out, gatewayTenants(f.address, f.zone, f.stats))
 			}
@@ -197,24 +197,13 @@
 func (c *gatewayStatsAPI) judgement(w http.ResponseWriter, _ *http.Request) {
 	serveVerified(c.h, w, func() []GatewayOutliers {
 		out := []GatewayOutliers{}
-		for _, f := range c.h.reportingGateways() {
+		for _, f := range c.h.gateways.reporting() {
 			out = append(out, gatewayOutliers(f.address, f.zone, f.stats))
 		}
 		return out
 	})
 }
 
-// reportingGateways are the gatherers that ask this hive and have told of themselves.
-func (h *Controller) reportingGateways() []*gatewayState {
-	var out []*gatewayState
-	for _, f := range h.gateways {
-		if f.stats != nil && f.pollsHere(h.clock.now()) {
-			out = append(out, f)
-		}
-	}
-	return out
-}
-
 func gatewayOutliers(address, zone string, m *rpc.GatewayStats) GatewayOutliers {
 	n := GatewayOutliers{Gateway: address, Zone: zone, Servers: []OutlierVerdict{}}
 	for _, s := range m.Verdicts {
--- a/controlplane/gossip.go
+++ b/controlplane/gossip.go
@@ -93,7 +93,7 @@
 	}
 	p.differingRanges = nil
 	refresh := now-p.gatewaysSentAt >= gatewayRefreshInterval
-	for _, f := range h.gateways {
+	for _, f := range h.gateways.byIncarnation {
 		switch age := uint32((now - f.lastSeen) / time.Millisecond); {
 		case !f.direct:
 		case f.sequence > p.ackedGateways:
@@ -105,7 +105,7 @@
 	if refresh {
 		p.gatewaysSentAt = now
 	}
-	p.sentGateways = h.gatewaySequence
+	p.sentGateways = h.gateways.sequence
 	for _, o := range h.peers.byAddress {
 		m.Controllers = append(m.Controllers, &rpc.Controller{Address: o.address, AgeMs: uint32((now - max(o.lastSeen, o.addedAt)) / time.Millisecond)})
 	}
@@ -154,11 +154,11 @@
 		}
 	}
 	if len(h.table.ChangesAfter(changed)) > 0 {
-		h.scheduleUpdate(urgent)
+		h.updates.request(urgent)
 	}
 	for _, f := range m.Gateways {
-		back.UnknownGateway = back.UnknownGateway || f.Address == "" && !f.Left && h.gateways[f.Incarnation] == nil
-		h.observeGateway(f, now-time.Duration(f.AgeMs)*time.Millisecond, false)
+		back.UnknownGateway = back.UnknownGateway || f.Address == "" && !f.Left && h.gateways.byIncarnation[f.Incarnation] == nil
+		h.gateways.observe(f, now-time.Duration(f.AgeMs)*time.Millisecond, false)
 	}
 	if len(m.RangeDigests) == registry.RangeCount {
 		for no, sum := range h.table.Digests() {
--- /dev/null
+++ b/controlplane/poll_service.go
@@ -0,0 +1,220 @@
+package controlplane
+
+import (
+	"time"
+
+	"oxbowspan/registry"
+	"oxbowspan/rpc"
+)
+
+// warmHeartbeats is after how many heartbeat intervals a controller has received a heartbeat of every server.
+const warmHeartbeats = 3
+
+// pollWaiter is a gateway's long poll that was not answered yet.
+type pollWaiter struct {
+	conn      *rpc.Conn
+	id        uint64 // of the frame
+	poll      *rpc.Poll
+	deadline  time.Duration
+	verifying bool // until a majority has replied to what it was sent after the poll came
+}
+
+// pollService answers the long polls of gateways. It belongs to the event loop.
+type pollService struct {
+	self              identity
+	heartbeatInterval time.Duration
+	inForceWithin     time.Duration // the time in which a version must be in force everywhere
+	clock             *steadyClock
+	learner           *learner
+	contact           *contactMonitor
+	verifier          *contactVerifier
+	peers             *peerSet
+	gateways          *gatewayDirectory
+	table             *registry.Table
+	updates           *updateSchedule
+	waiters           map[*pollWaiter]bool
+}
+
+// receive takes a poll. It is answered at once where there is an update or the gateway doesn't want to wait. The first one to
+// this incarnation is answered once a majority confirmed that this controller's state is current.
+func (s *pollService) receive(conn *rpc.Conn, id uint64, poll *rpc.Poll) {
+	now := s.clock.now()
+	s.observeSender(poll, now)
+	for _, check := range poll.HealthChecks {
+		in := decodeReport(check, now)
+		if s.table.ConfirmHealthy(in.Instance, in.Lease, in.HealthyAt) {
+			s.updates.request(false)
+		}
+	}
+	w := &pollWaiter{conn: conn, id: id, poll: poll, deadline: now + duration(poll.WaitMs)}
+	s.waiters[w] = true
+	switch {
+	case poll.ControllerIncarnation != s.self.incarnation && s.contact.isCurrent(now):
+		s.verify(w, now)
+	case s.hasUpdate(poll, now) || poll.WaitMs == 0:
+		s.respond(w, now)
+	default:
+		s.requestPaced(poll)
+	}
+}
+
+func (s *pollService) observeSender(poll *rpc.Poll, now time.Duration) {
+	from := poll.From
+	if from == nil || from.Incarnation == 0 {
+		return
+	}
+	s.gateways.observe(from, now, true)
+	if g := s.gateways.byIncarnation[from.Incarnation]; g != nil {
+		g.stats, g.slot, g.polledAt = poll.Stats, poll.Slot, now
+	}
+}
+
+// verify answers a poll once a majority has confirmed this controller's state, or has not in time.
+func (s *pollService) verify(w *pollWaiter, now time.Duration) {
+	w.verifying, w.deadline = true, now+2*verifyTimeout
+	s.verifier.verify(now, func(verified bool) {
+		if s.waiters[w] {
+			w.verifying = !verified
+			s.respond(w, s.clock.now())
+		}
+	})
+}
+
+// notify answers the polls for which there is an update.
+func (s *pollService) notify(now time.Duration) {
+	for w := range s.waiters {
+		switch {
+		case w.verifying:
+		case s.hasUpdate(w.poll, now):
+			s.respond(w, now)
+		default:
+			s.requestPaced(w.poll)
+		}
+	}
+}
+
+// respondAll answers all polls, with an update or without.
+func (s *pollService) respondAll(now time.Duration) {
+	for w := range s.waiters {
+		s.respond(w, now)
+	}
+}
+
+// expire answers the polls whose time is over, and returns when the next one's is, at most limit.
+func (s *pollService) expire(now, limit time.Duration) (next time.Duration) {
+	next = limit
+	for w := range s.waiters {
+		if now >= w.deadline {
+			s.respond(w, now)
+		} else {
+			next = min(next, w.deadline)
+		}
+	}
+	return next
+}
+
+// drop forgets the polls of a connection that has ended.
+func (s *pollService) drop(conn *rpc.Conn) {
+	for w := range s.waiters {
+		if w.conn == conn {
+			delete(s.waiters, w)
+		}
+	}
+}
+
+// respond answers a poll.
+func (s *pollService) respond(w *pollWaiter, now time.Duration) {
+	delete(s.waiters, w)
+	update := s.update(w.poll, now)
+	update.HasQuorum = !w.verifying && s.contact.isCurrent(now)
+	// The event loop waits for no gateway: one that doesn't read delays its own answer only, until its connection is closed.
+	go w.conn.Respond(w.id, &rpc.Frame{Body: &rpc.Frame_Update{Update: update}})
+}
+
+// update is what a gateway lacks. HasQuorum is left to the caller.
+func (s *pollService) update(poll *rpc.Poll, now time.Duration) *rpc.Update {
+	update := &rpc.Update{
+		ControllerIncarnation: s.self.incarnation,
+		Cursor:                uint64(s.table.Cursor()),
+		Slot:                  poll.Slot,
+		Warm:                  now > warmHeartbeats*s.heartbeatInterval,
+		MembershipEpoch:       s.gateways.epoch,
+	}
+	if s.mayReceiveVersion(poll, now) {
+		s.addVersion(update, poll, now)
+	}
+	after := registry.Cursor(poll.Cursor)
+	if poll.ControllerIncarnation != s.self.incarnation {
+		update.Full, after = true, 0
+	}
+	for _, r := range s.table.ChangesAfter(after) {
+		update.Reports = append(update.Reports, encodeReport(r, now))
+	}
+	if poll.MembershipEpoch != s.gateways.epoch || update.Full {
+		s.addMembership(update, now)
+	}
+	return update
+}
+
+func (s *pollService) addVersion(update *rpc.Update, poll *rpc.Poll, now time.Duration) {
+	v := s.learner.value
+	if g := s.sender(poll); g != nil {
+		g.recordSent(len(v.Body), now)
+	}
+	update.Slot, update.Version = uint64(v.Slot), uint64(v.Version)
+	update.HasConfig, update.Config = v.Digest != "", v.Body
+	for _, d := range v.Documents {
+		m := rpc.DocumentToProto(d)
+		m.PriorRevisions, m.AgeMs = nil, milliseconds(now-s.learner.documentTimes[d.Name].since)
+		update.Documents = append(update.Documents, m)
+	}
+}
+
+func (s *pollService) addMembership(update *rpc.Update, now time.Duration) {
+	update.HasGateways = true
+	update.Gateways = s.gateways.listed()
+	update.Controllers = append(update.Controllers, s.self.describe(s.learner.isMember(s.self.id)))
+	for _, p := range s.peers.byAddress {
+		if p.alive(now) {
+			update.Controllers = append(update.Controllers, p.describe(now, s.learner.isMemberAddress(p.address)))
+		}
+	}
+}
+
+// hasUpdate reports whether there is anything that a gateway lacks and may be sent now.
+func (s *pollService) hasUpdate(poll *rpc.Poll, now time.Duration) bool {
+	return s.mayReceiveVersion(poll, now) || poll.ControllerIncarnation != s.self.incarnation || poll.MembershipEpoch != s.gateways.epoch ||
+		len(s.table.ChangesAfter(registry.Cursor(poll.Cursor))) > 0
+}
+
+// lacksVersion reports whether a newer version than the gateway's is decided.
+func (s *pollService) lacksVersion(poll *rpc.Poll) bool {
+	return s.learner.confirmed && uint64(s.learner.value.Slot) > poll.Slot
+}
+
+func (s *pollService) mayReceiveVersion(poll *rpc.Poll, now time.Duration) bool {
+	return s.lacksVersion(poll) && now >= s.nextVersionAt(poll)
+}
+
+// nextVersionAt is when a gateway may be sent the next version.
+func (s *pollService) nextVersionAt(poll *rpc.Poll) time.Duration {
+	if g := s.sender(poll); g != nil {
+		return g.nextVersionAt(s.inForceWithin)
+	}
+	return 0
+}
+
+// requestPaced has the polls looked at again when the gateway may be sent the version that it lacks.
+func (s *pollService) requestPaced(poll *rpc.Poll) {
+	if s.lacksVersion(poll) {
+		s.updates.requestAt(s.nextVersionAt(poll))
+	}
+}
+
+// sender is the gateway that sent a poll; nil = it is not known.
+func (s *pollService) sender(poll *rpc.Poll) *gatewayState {
+	if poll.From == nil {
+		return nil
+	}
+	return s.gateways.byIncarnation[poll.From.Incarnation]
+}
--- a/controlplane/status_api.go
+++ b/controlplane/status_api.go
@@ -105,7 +105,7 @@
 	serveVerified(c.h, w, func() []GatewayStatus {
 		out := []GatewayStatus{}
 		now := c.h.clock.now()
-		for _, f := range c.h.gateways {
+		for _, f := range c.h.gateways.byIncarnation {
 			out = append(out, GatewayStatus{f.address, f.zone, strconv.FormatUint(f.incarnation, 16), (now - f.lastSeen).Seconds(), f.pollsHere(now), f.slot, f.pollsHere(now) && f.slot >= uint64(c.h.learner.value.Slot)})
 		}
 		return out
