--- a/dataplane/configfollower.go
+++ b/dataplane/configfollower.go
@@ -116,7 +116,9 @@
 		f.loop.post(func() {
 			f.applyDocuments(n.Documents)
 			f.endpoints.applyReports(n)
-			f.applyMembership(n)
+			if n.HasGateways {
+				f.applyMembership(n.Gateways)
+			}
 			if now := duration(f.loop.now()); n.HasQuorum {
 				f.members.renew(askedAt, now)
 			}
@@ -223,3 +225,17 @@
 	}
 	f.loop.post(func() { f.activateConfig(c, n.Config, n.Slot) })
 }
+
+// fillPoll puts the gateway's status into a poll. The loop sends it through a channel, so that this goroutine shares no variable with
+// the loop when the stop releases it.
+func (f *Gateway) fillPoll(poll *rpc.Poll) {
+	statuses := make(chan pollStatus, 1)
+	if !f.loop.post(func() { statuses <- f.pollStatus() }) {
+		return
+	}
+	select {
+	case status := <-statuses:
+		poll.HealthChecks, poll.Stats = status.healthChecks, status.stats
+	case <-f.loop.stopped:
+	}
+}
--- a/dataplane/gateway.go
+++ b/dataplane/gateway.go
@@ -15,7 +15,6 @@
 	"oxbowspan/balancer"
 	"oxbowspan/internal/network"
 	"oxbowspan/internal/settings"
-	"oxbowspan/rendezvous"
 	"oxbowspan/rpc"
 )
 
@@ -31,9 +30,9 @@
 	quota      *quotaClient
 	outliers   *outlierClient
 	dispatcher *dispatcher
+	loads      *loadExchange
+	health     *healthChecker
 	front      *frontServer
-
-	exchangeState
 }
 
 // New makes a gateway that does nothing until Run.
@@ -55,7 +54,8 @@
 		tenants:   f.quota,
 		outcomes:  f.outliers,
 	})
-	f.subscribers, f.subscriptions = map[*rpc.Conn]bool{}, map[rendezvous.Name]*loadSubscription{}
+	f.loads = newLoadExchange(f.process, f.loop, f.members, f.endpoints, f.outliers, f.dispatcher)
+	f.health = newHealthChecker(f.process, f.loop, f.members, f.endpoints, f.configs)
 	f.front = newFrontServer(f.process, f.configs, f.dispatcher, f.loop.stopped)
 
 	// The components below depend on each other in a circle.
@@ -90,7 +90,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /-/readiness", f.handleReadiness)
 	web := &http.Server{Handler: mux, ReadHeaderTimeout: 3 * time.Second, IdleTimeout: 10 * time.Second}
-	talk := &rpc.Server{Handle: f.handleFrame, OnClose: func(c *rpc.Conn) { f.loop.post(func() { delete(f.subscribers, c) }) }}
+	talk := &rpc.Server{Handle: f.handleFrame, OnClose: func(c *rpc.Conn) { f.loop.post(func() { f.loads.removeSubscriber(c) }) }}
 	news, quit := context.WithCancel(context.Background())
 	f.process.goroutines.Go(func() { web.Serve(readiness) })
 	f.process.goroutines.Go(func() { talk.Serve(inner) })
@@ -156,8 +156,8 @@
 // maintain implements loopHandler.
 func (f *Gateway) maintain(now balancer.Time) {
 	f.outliers.evaluate(now)
-	f.exchangeLoads(now)
-	f.runHealthChecks(now)
+	f.loads.exchange(now)
+	f.health.run(now)
 	f.quota.maintain(now)
 }
 
@@ -168,10 +168,7 @@
 
 // loopStopped implements loopHandler: it closes the connections that goroutines wait on.
 func (f *Gateway) loopStopped() {
-	for _, w := range f.subscriptions {
-		w.cancel()
-		w.caller.Close()
-	}
+	f.loads.close()
 	f.endpoints.closeConns()
 	f.quota.close()
 	f.dispatcher.closeConns()
--- a/dataplane/healthcheck.go
+++ b/dataplane/healthcheck.go
@@ -7,19 +7,19 @@
 	"time"
 
 	"oxbowspan/balancer"
+	"oxbowspan/internal/network"
 	"oxbowspan/registry"
 	"oxbowspan/rendezvous"
 	"oxbowspan/rpc"
 )
 
-// Looking after a server that the core does not hear. Its calls may not come through while it serves as before: one gatherer,
-// the holder of that server's duty, asks for its health and tells the core under its claim. Servers that are heard are never
-// probed: their calls and the traffic tell more.
+// Timing of health checks.
 const (
-	healthCheckTimeout     = 400 * time.Millisecond  // for the whole probe
-	healthCheckInterval    = 1000 * time.Millisecond // between two probes of a server that is well,
-	maxHealthCheckInterval = 8000 * time.Millisecond // doubling up to this between those of one that is not
-	healthReportAge        = 2 * time.Second         // what was seen is told so long
+	healthCheckTimeout     = 400 * time.Millisecond // of one check, from dialling to the response
+	healthCheckInterval    = time.Second            // between two checks of a healthy server;
+	maxHealthCheckInterval = 8 * time.Second        // doubling up to this while it is not
+	healthReportAge        = 2 * time.Second        // how long a healthy response is reported
+	healthResponseBuffer   = 1024                   // bytes
 )
 
 const defaultHealthPath = "/health"
@@ -31,90 +31,110 @@
 	interval  balancer.Time // to the check after the next; 0 = none was made
 }
 
-// runHealthChecks probes the servers whose duty this gatherer holds.
-func (f *Gateway) runHealthChecks(now balancer.Time) {
-	if f.process.draining.Load() {
-		return // what it begins must end with it
+// healthPaths tells the path at which a service's servers tell their health.
+type healthPaths interface {
+	healthPath(service string) string
+}
+
+// healthChecker checks the servers whose heartbeats reach no controller. They may serve as before while only their heartbeats are
+// lost. For each, one gateway holds the singleton role to check it and vouches for it to the controllers, under its lease. Servers
+// whose heartbeats arrive are never checked: heartbeats and traffic tell more. It is owned by the loop.
+type healthChecker struct {
+	process   *process
+	loop      commandLoop
+	members   *membership
+	endpoints *endpointTable
+	paths     healthPaths
+}
+
+func newHealthChecker(p *process, loop commandLoop, members *membership, endpoints *endpointTable, paths healthPaths) *healthChecker {
+	return &healthChecker{process: p, loop: loop, members: members, endpoints: endpoints, paths: paths}
+}
+
+// run begins the checks that are due.
+func (h *healthChecker) run(now balancer.Time) {
+	if h.process.draining.Load() {
+		return // a check would outlive the gateway
 	}
-	for _, s := range f.endpoints.byInstance {
-		if !s.noHeartbeats {
-			s.health.interval = 0
-			continue
-		}
-		if s.state != registry.Ready || s.replaced || now < s.health.nextCheck || !f.members.holdsRole(rendezvous.Name(s.instance), duration(now)) {
+	for _, e := range h.endpoints.byInstance {
+		if !e.noHeartbeats {
+			e.health.interval = 0
 			continue
 		}
-		if s.health.interval == 0 {
-			s.health.interval = ticks(healthCheckInterval)
+		if e.state == registry.Ready && !e.replaced && now >= e.health.nextCheck && h.holdsRole(e.instance, now) {
+			h.check(e, now)
 		}
-		s.health.nextCheck = now + s.health.interval
-		s.health.interval = min(2*s.health.interval, ticks(maxHealthCheckInterval))
-		path, address, instance := f.configs.healthPath(s.service), s.address, s.instance
-		f.process.goroutines.Go(func() {
-			well := f.checkHealth(address, instance, path)
-			f.loop.post(func() { f.healthCheckDone(instance, well) })
-		})
 	}
 }
 
-// healthCheckDone takes the end of a probe. The duty may have changed hands since.
-func (f *Gateway) healthCheckDone(instance string, well bool) {
-	s := f.endpoints.byInstance[instance]
-	now := f.loop.now()
-	if s == nil || !well || !f.members.holdsRole(rendezvous.Name(instance), duration(now)) {
-		return
-	}
-	if s.lease = s.lease.Acquire(f.process.incarnation); s.health.healthyAt == 0 || s.overdue {
-		f.process.log.Info().Str("instance", instance).Uint64("fence", s.lease.FencingToken).Msg("duties: the core does not hear a server that is well")
-	}
-	s.health.healthyAt, s.health.nextCheck, s.health.interval = now, now+ticks(healthCheckInterval), ticks(healthCheckInterval)
+// holdsRole reports whether this gateway is the one that checks a server.
+func (h *healthChecker) holdsRole(instance string, now balancer.Time) bool {
+	return h.members.holdsRole(rendezvous.Name(instance), duration(now))
 }
 
-// pollStatus is what a question to the hives tells the core.
-type pollStatus struct {
-	healthChecks []*rpc.ServerReport
-	stats        *rpc.GatewayStats
+// check begins one check, on a goroutine of its own.
+func (h *healthChecker) check(e *endpoint, now balancer.Time) {
+	if e.health.interval == 0 {
+		e.health.interval = ticks(healthCheckInterval)
+	}
+	e.health.nextCheck = now + e.health.interval
+	e.health.interval = min(2*e.health.interval, ticks(maxHealthCheckInterval))
+	path, address, instance := h.paths.healthPath(e.service), e.address, e.instance
+	h.process.goroutines.Go(func() {
+		healthy := checkHealth(h.process.network, address, instance, path)
+		h.loop.post(func() { h.checkDone(instance, healthy) })
+	})
 }
 
-// fillPoll puts into a question what the core is to be told: servers that it does not hear, and what operators ask for. The
-// owner's answer travels through a channel, so that a caller that the stop releases shares no variable with the owner.
-func (f *Gateway) fillPoll(a *rpc.Poll) {
-	answers := make(chan pollStatus, 1)
-	if !f.loop.post(func() { answers <- f.pollStatus(f.loop.now()) }) {
+// checkDone takes the result of a check. The role may have moved since it began.
+func (h *healthChecker) checkDone(instance string, healthy bool) {
+	e := h.endpoints.byInstance[instance]
+	now := h.loop.now()
+	if e == nil || !healthy || !h.holdsRole(instance, now) {
 		return
 	}
-	select {
-	case o := <-answers:
-		a.HealthChecks, a.Stats = o.healthChecks, o.stats
-	case <-f.loop.stopped:
+	e.lease = e.lease.Acquire(h.process.incarnation)
+	if e.health.healthyAt == 0 || e.overdue {
+		h.process.log.Info().Str("instance", instance).Uint64("fencing_token", e.lease.FencingToken).
+			Msg("health check: server without heartbeats is healthy")
+	}
+	e.health = healthCheckState{
+		healthyAt: now,
+		nextCheck: now + ticks(healthCheckInterval),
+		interval:  ticks(healthCheckInterval),
 	}
 }
 
-// pollStatus gathers what the core is to be told. It is the owner's.
-func (f *Gateway) pollStatus(now balancer.Time) pollStatus {
-	o := pollStatus{stats: f.stats(now)}
-	for _, s := range f.endpoints.byInstance {
-		if s.health.healthyAt > 0 && now-s.health.healthyAt < ticks(healthReportAge) && s.lease.Holder == f.process.incarnation && s.noHeartbeats {
-			o.healthChecks = append(o.healthChecks, &rpc.ServerReport{Instance: s.instance, HealthCheckAgeMs: uint32(duration(now-s.health.healthyAt) / time.Millisecond),
-				FencingToken: s.lease.FencingToken, LeaseHolder: s.lease.Holder})
+// reports returns what to tell the controllers of servers whose heartbeats do not reach them.
+func (h *healthChecker) reports(now balancer.Time) (reports []*rpc.ServerReport) {
+	for _, e := range h.endpoints.byInstance {
+		age := now - e.health.healthyAt
+		if e.health.healthyAt == 0 || age >= ticks(healthReportAge) || e.lease.Holder != h.process.incarnation || !e.noHeartbeats {
+			continue
 		}
+		reports = append(reports, &rpc.ServerReport{
+			Instance:         e.instance,
+			HealthCheckAgeMs: uint32(duration(age) / time.Millisecond),
+			FencingToken:     e.lease.FencingToken,
+			LeaseHolder:      e.lease.Holder,
+		})
 	}
-	return o
+	return reports
 }
 
-// checkHealth asks a server for its health. Another server at its address, or one that is leaving, is not it.
-func (f *Gateway) checkHealth(address, instance, path string) bool {
-	c, err := f.process.network.Dial(address, healthCheckTimeout)
+// checkHealth asks a server for its health. A response of another instance at the address, or one that is draining, does not count.
+func checkHealth(transport network.Network, address, instance, path string) bool {
+	conn, err := transport.Dial(address, healthCheckTimeout)
 	if err != nil {
 		return false
 	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(healthCheckTimeout))
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(healthCheckTimeout))
 	host, _, _ := net.SplitHostPort(address)
-	if _, err := c.Write([]byte("GET " + path + " HTTP/1.1\r\nHost: " + host + "\r\nConnection: close\r\n\r\n")); err != nil {
+	if _, err := conn.Write([]byte("GET " + path + " HTTP/1.1\r\nHost: " + host + "\r\nConnection: close\r\n\r\n")); err != nil {
 		return false
 	}
-	resp, err := http.ReadResponse(bufio.NewReaderSize(c, 1024), nil)
+	resp, err := http.ReadResponse(bufio.NewReaderSize(conn, healthResponseBuffer), nil)
 	if err != nil {
 		return false
 	}
--- a/dataplane/loadexchange.go
+++ b/dataplane/loadexchange.go
@@ -9,160 +9,229 @@
 	"oxbowspan/rpc"
 )
 
-// loadSubscription is a gatherer that this one watches. Its fields are the owner's.
-type loadSubscription struct {
-	caller     *rpc.Client
-	cancel     context.CancelFunc
-	loads      map[string]float64 // parts, by instance
-	receivedAt balancer.Time
+// Timing of the exchange of loads.
+const (
+	maxLoadAge           = 4 * maintenanceInterval // loads of a peer count for so long
+	subscribeTimeout     = time.Second
+	subscriptionInterval = time.Second // between two looks at a subscription's connection, and between two attempts to subscribe
+	observationOnlyPeers = 1           // gateways of other zones that this one subscribes to, for observations alone
+)
+
+// observationExchange is the outlier detection's side of the exchange.
+type observationExchange interface {
+	takeObservations(now balancer.Time) []*rpc.Observation
+	receiveObservations(observations []*rpc.Observation)
 }
 
-// exchangeState is the state of the exchange of loads, owned by the loop.
-type exchangeState struct {
-	subscribers   map[*rpc.Conn]bool
+// loadExchange tells other gateways what this one has in flight at servers, and the balancer what they have. Each gateway subscribes
+// to a few others, and takes what they have for that of all. It is owned by the loop.
+type loadExchange struct {
+	process      *process
+	loop         commandLoop
+	members      *membership
+	endpoints    *endpointTable
+	observations observationExchange
+	balancer     eventSink
+
+	subscribers   map[*rpc.Conn]bool // of this gateway; true = for observations only
 	subscriptions map[rendezvous.Name]*loadSubscription
-	observedPeers int // others that those observed stand for
-	sentLoads     bool
+	observedPeers int  // gateways that those subscribed to stand for
+	sentLoads     bool // the last report held loads, so that another is due when there are none
 }
 
-// handleFrame takes a frame of another gatherer.
-func (f *Gateway) handleFrame(c *rpc.Conn, q *rpc.Frame) {
-	if a := q.GetPoll(); a != nil {
-		f.loop.post(func() { f.answerPeer(c, q.Id, a) })
-	}
-	if m := q.GetQuotaRequest(); m != nil {
-		f.loop.post(func() { f.quota.handleRequest(c, q.Id, m) })
-	}
-	if w := q.GetLoadSubscription(); w != nil {
-		f.loop.post(func() {
-			f.subscribers[c] = w.ObservationsOnly
-			go c.Respond(q.Id, &rpc.Frame{Body: &rpc.Frame_LoadReport{LoadReport: &rpc.LoadReport{Incarnation: f.process.incarnation}}})
-		})
+// loadSubscription is this gateway's subscription to another's reports.
+type loadSubscription struct {
+	client           *rpc.Client
+	cancel           context.CancelFunc
+	observationsOnly bool
+	loads            map[string]float64 // shard calls in flight, by instance
+	receivedAt       balancer.Time      // 0 = no loads yet
+}
+
+func newLoadExchange(p *process, loop commandLoop, members *membership, endpoints *endpointTable, observations observationExchange, balancer eventSink) *loadExchange {
+	return &loadExchange{
+		process:       p,
+		loop:          loop,
+		members:       members,
+		endpoints:     endpoints,
+		observations:  observations,
+		balancer:      balancer,
+		subscribers:   map[*rpc.Conn]bool{},
+		subscriptions: map[rendezvous.Name]*loadSubscription{},
 	}
 }
 
-// loadReport holds the mean numbers of attempts that this gateway had in flight at servers since the last report. An attempt takes
-// less time than passes between two reports, so that what is in flight at one moment says little.
-func (f *Gateway) loadReport(now balancer.Time) *rpc.LoadReport {
-	report := &rpc.LoadReport{Incarnation: f.process.incarnation}
-	for _, e := range f.endpoints.byInstance {
-		if milli, ok := e.load.sample(now); ok {
-			report.Loads = append(report.Loads, &rpc.ServerLoad{Instance: e.instance, PendingMilli: milli})
+// addSubscriber answers another gateway's subscription and begins to send it reports.
+func (x *loadExchange) addSubscriber(conn *rpc.Conn, requestID uint64, observationsOnly bool) {
+	x.subscribers[conn] = observationsOnly
+	go conn.Respond(requestID, loadReportFrame(&rpc.LoadReport{Incarnation: x.process.incarnation}))
+}
+
+// removeSubscriber ends a subscription whose connection was closed.
+func (x *loadExchange) removeSubscriber(conn *rpc.Conn) { delete(x.subscribers, conn) }
+
+func loadReportFrame(report *rpc.LoadReport) *rpc.Frame {
+	return &rpc.Frame{Body: &rpc.Frame_LoadReport{LoadReport: report}}
+}
+
+// membershipChanged subscribes to the gateways that this one is to observe by the new membership: peers of its own zone, as those
+// ask the servers that it asks, or any peers where it is alone in its zone. One gateway of another zone is asked for observations
+// only: they spread everywhere when servers are in trouble.
+func (x *loadExchange) membershipChanged() {
+	peers, others := x.members.sameZone(), x.members.otherZones
+	if len(peers) == 1 {
+		peers, others = x.members.gateways, nil
+	}
+	x.observedPeers = len(peers) - 1
+	wanted := map[rendezvous.Name]bool{}
+	for _, name := range rendezvous.Peers(x.members.self, peers, rendezvous.PeerCount) {
+		wanted[name] = true
+		x.subscribe(name, false)
+	}
+	for _, name := range rendezvous.Peers(x.members.self, others, observationOnlyPeers) {
+		wanted[name] = true
+		x.subscribe(name, true)
+	}
+	for name, subscription := range x.subscriptions {
+		if !wanted[name] {
+			subscription.close()
+			delete(x.subscriptions, name)
 		}
 	}
-	return report
 }
 
-// applyMembership takes the list of gatherers: whom to watch follows from it.
-func (f *Gateway) applyMembership(n *rpc.Update) {
-	if !n.HasGateways {
+// subscribe begins a subscription to a gateway, unless there is one.
+func (x *loadExchange) subscribe(name rendezvous.Name, observationsOnly bool) {
+	if x.subscriptions[name] != nil {
 		return
 	}
-	f.members.update(n.Gateways, duration(f.loop.now()))
-	// Peers of this gateway's zone are observed, where there are any: they ask the servers that this gateway asks.
-	zone, far := f.members.sameZone(), f.members.otherZones
-	if len(zone) == 1 {
-		zone, far = f.members.gateways, nil
-	}
-	f.observedPeers = len(zone) - 1
-	f.endpoints.resizeCluster()
-	f.endpoints.sync()
-	few := map[rendezvous.Name]bool{}
-	for _, name := range rendezvous.Peers(f.members.self, zone, rendezvous.PeerCount) {
-		if few[name] = true; f.subscriptions[name] == nil {
-			f.subscribe(name, false)
+	ctx, cancel := context.WithCancel(context.Background())
+	subscription := &loadSubscription{cancel: cancel, observationsOnly: observationsOnly}
+	subscription.client = &rpc.Client{Address: string(name), Network: x.process.network}
+	subscription.client.OnMessage = func(frame *rpc.Frame) {
+		if report := frame.GetLoadReport(); report != nil {
+			x.loop.post(func() { x.receive(subscription, report) })
 		}
 	}
-	// And one elsewhere, for words of servers alone: they come where there is trouble.
-	for _, name := range rendezvous.Peers(f.members.self, far, 1) {
-		if few[name] = true; f.subscriptions[name] == nil {
-			f.subscribe(name, true)
+	x.subscriptions[name] = subscription
+	x.process.goroutines.Go(func() { x.maintainSubscription(ctx, subscription) })
+}
+
+// maintainSubscription subscribes, and does so again whenever the connection has ended, until the context is done. It runs on a
+// goroutine of its own.
+func (x *loadExchange) maintainSubscription(ctx context.Context, subscription *loadSubscription) {
+	request := &rpc.Frame{Body: &rpc.Frame_LoadSubscription{
+		LoadSubscription: &rpc.LoadSubscription{ObservationsOnly: subscription.observationsOnly},
+	}}
+	for ctx.Err() == nil {
+		callCtx, cancel := context.WithTimeout(ctx, subscribeTimeout)
+		reply, err := subscription.client.Call(callCtx, request)
+		cancel()
+		if report := reply.GetLoadReport(); err == nil && report != nil {
+			x.loop.post(func() { x.receive(subscription, report) })
 		}
-	}
-	for name, w := range f.subscriptions {
-		if !few[name] {
-			w.cancel()
-			w.caller.Close()
-			delete(f.subscriptions, name)
+		for err == nil && subscription.client.Connected() && ctx.Err() == nil {
+			sleep(ctx, subscriptionInterval)
 		}
+		sleep(ctx, subscriptionInterval)
 	}
 }
 
-func (f *Gateway) subscribe(name rendezvous.Name, wordsOnly bool) {
-	ctx, quit := context.WithCancel(context.Background())
-	w := &loadSubscription{cancel: quit}
-	w.caller = &rpc.Client{Address: string(name), Network: f.process.network}
-	take := func(m *rpc.LoadReport) {
-		f.loop.post(func() {
-			if f.outliers.receiveObservations(m.Observations); wordsOnly {
-				return
-			}
-			w.receivedAt, w.loads = f.loop.now(), map[string]float64{}
-			for _, l := range m.Loads {
-				w.loads[l.Instance] = float64(l.PendingMilli) / 1000
-			}
-		})
-	}
-	w.caller.OnMessage = func(q *rpc.Frame) {
-		if m := q.GetLoadReport(); m != nil {
-			take(m)
-		}
+// receive takes a report of a gateway subscribed to.
+func (x *loadExchange) receive(subscription *loadSubscription, report *rpc.LoadReport) {
+	x.observations.receiveObservations(report.Observations)
+	if subscription.observationsOnly {
+		return
 	}
-	f.subscriptions[name] = w
-	f.process.goroutines.Go(func() {
-		for ctx.Err() == nil {
-			limit, cancel := context.WithTimeout(ctx, time.Second)
-			a, err := w.caller.Call(limit, &rpc.Frame{Body: &rpc.Frame_LoadSubscription{LoadSubscription: &rpc.LoadSubscription{ObservationsOnly: wordsOnly}}})
-			cancel()
-			if err == nil && a.GetLoadReport() != nil {
-				take(a.GetLoadReport())
-			}
-			for err == nil && w.caller.Connected() && ctx.Err() == nil {
-				sleep(ctx, time.Second)
-			}
-			sleep(ctx, time.Second)
-		}
-	})
-}
-
-// exchangeLoads tells the watchers what is unfinished here, and brain what the watched have, taken for all others.
-func (f *Gateway) exchangeLoads(now balancer.Time) {
-	words := f.outliers.takeObservations(now) // those that nobody watches are told to nobody
-	if len(f.subscribers) > 0 {
-		m := f.loadReport(now)
-		all := &rpc.Frame{Body: &rpc.Frame_LoadReport{LoadReport: m}}
-		m.Observations = words
-		few := &rpc.Frame{Body: &rpc.Frame_LoadReport{LoadReport: &rpc.LoadReport{Incarnation: f.process.incarnation, Observations: words}}}
-		n := len(m.Loads)
-		for c, wordsOnly := range f.subscribers {
-			switch { // the owner waits for no peer
-			case wordsOnly && len(words) > 0:
-				go c.Send(few)
-			case !wordsOnly && (n > 0 || f.sentLoads || len(words) > 0):
-				go c.Send(all)
-			}
+	subscription.receivedAt = x.loop.now()
+	subscription.loads = map[string]float64{}
+	for _, load := range report.Loads {
+		subscription.loads[load.Instance] = float64(load.PendingMilli) / 1000
+	}
+}
+
+// exchange sends a report to the subscribers, and tells the balancer the loads of the peers.
+func (x *loadExchange) exchange(now balancer.Time) {
+	observations := x.observations.takeObservations(now)
+	if len(x.subscribers) > 0 {
+		x.sendReports(observations, now)
+	}
+	x.updateBalancer(now)
+}
+
+// sendReports sends each subscriber its report, on goroutines of their own: the loop waits for no peer.
+func (x *loadExchange) sendReports(observations []*rpc.Observation, now balancer.Time) {
+	loads := x.sampleLoads(now)
+	full := loadReportFrame(&rpc.LoadReport{Incarnation: x.process.incarnation, Loads: loads, Observations: observations})
+	observed := loadReportFrame(&rpc.LoadReport{Incarnation: x.process.incarnation, Observations: observations})
+	for conn, observationsOnly := range x.subscribers {
+		switch {
+		case observationsOnly && len(observations) > 0:
+			go conn.Send(observed)
+		case !observationsOnly && (len(loads) > 0 || x.sentLoads || len(observations) > 0):
+			go conn.Send(full)
 		}
-		f.sentLoads = n > 0
-	}
-	sums, heard := map[string]float64{}, 0
-	for _, w := range f.subscriptions {
-		if w.receivedAt > 0 && now-w.receivedAt < ticks(4*maintenanceInterval) {
-			heard++
-			for i, n := range w.loads {
-				sums[i] += n
-			}
+	}
+	x.sentLoads = len(loads) > 0
+}
+
+// sampleLoads returns the mean numbers of attempts that this gateway had in flight at servers since the last sample. An attempt
+// takes less time than passes between two samples, so that what is in flight at one moment says little.
+func (x *loadExchange) sampleLoads(now balancer.Time) (loads []*rpc.ServerLoad) {
+	for _, e := range x.endpoints.byInstance {
+		if milli, ok := e.load.sample(now); ok {
+			loads = append(loads, &rpc.ServerLoad{Instance: e.instance, PendingMilli: milli})
 		}
 	}
-	if heard == 0 {
+	return loads
+}
+
+// updateBalancer tells the balancer what all other gateways have in flight at servers, extrapolated from those that report to
+// this one.
+func (x *loadExchange) updateBalancer(now balancer.Time) {
+	sums, reporting := x.peerLoads(now)
+	if reporting == 0 {
 		return
 	}
-	scale := float64(max(f.observedPeers, heard)) / float64(heard)
-	told := balancer.PeerUpdate{}
-	for _, s := range f.endpoints.byInstance {
-		// Of servers elsewhere, silence of this zone's gatherers says nothing: those of their own zones ask them.
-		if s.listed && (s.zone == f.process.settings.Zone || f.observedPeers == f.members.size()-1) {
-			told.Loads = append(told.Loads, balancer.PeerLoad{Server: s.id, InFlight: sums[s.instance] * scale})
+	scale := float64(max(x.observedPeers, reporting)) / float64(reporting)
+	update := balancer.PeerUpdate{}
+	for _, e := range x.endpoints.byInstance {
+		if e.listed && x.observes(e) {
+			update.Loads = append(update.Loads, balancer.PeerLoad{Server: e.id, InFlight: sums[e.instance] * scale})
 		}
 	}
-	f.dispatcher.handleEvent(told)
+	x.balancer.handleEvent(update)
+}
+
+// observes reports whether the peers' loads say something of a server. Those of this zone do not ask servers of other zones, unless
+// peers of all zones are observed.
+func (x *loadExchange) observes(e *endpoint) bool {
+	return e.zone == x.process.settings.Zone || x.observedPeers == x.members.size()-1
+}
+
+// peerLoads sums up by instance what the peers with recent reports have in flight, and counts them.
+func (x *loadExchange) peerLoads(now balancer.Time) (sums map[string]float64, reporting int) {
+	sums = map[string]float64{}
+	for _, subscription := range x.subscriptions {
+		if subscription.receivedAt == 0 || now-subscription.receivedAt >= ticks(maxLoadAge) {
+			continue
+		}
+		reporting++
+		for instance, load := range subscription.loads {
+			sums[instance] += load
+		}
+	}
+	return sums, reporting
+}
+
+// close ends all subscriptions.
+func (x *loadExchange) close() {
+	for _, subscription := range x.subscriptions {
+		subscription.close()
+	}
+}
+
+func (s *loadSubscription) close() {
+	s.cancel()
+	s.client.Close()
 }
--- a/dataplane/updates.go
+++ b/dataplane/updates.go
@@ -7,46 +7,79 @@
 )
 
 // activateConfig takes a configuration with its encoding.
-func (f *Gateway) activateConfig(c *config.Configuration, text []byte, slot uint64) {
-	f.configs.activate(c, text, slot)
+func (g *Gateway) activateConfig(c *config.Configuration, text []byte, slot uint64) {
+	g.configs.activate(c, text, slot)
 }
 
 // applyDocuments takes what is agreed beside the configuration.
-func (f *Gateway) applyDocuments(documents []*rpc.Document) {
+func (g *Gateway) applyDocuments(documents []*rpc.Document) {
 	for _, document := range documents {
 		switch document.Name {
 		case config.PinsDocumentName:
-			f.outliers.applyPins(document)
+			g.outliers.applyPins(document)
 		case config.TenantsDocumentName:
-			f.quota.applyDocument(document)
+			g.quota.applyDocument(document)
 		}
 	}
 }
 
+// applyMembership takes the list of live gateways.
+func (g *Gateway) applyMembership(gateways []*rpc.Gateway) {
+	g.members.update(gateways, duration(g.loop.now()))
+	g.endpoints.resizeCluster()
+	g.endpoints.sync()
+	g.loads.membershipChanged()
+}
+
+// pollStatus is what a poll tells the controllers of this gateway.
+type pollStatus struct {
+	healthChecks []*rpc.ServerReport
+	stats        *rpc.GatewayStats // nil = nothing to tell
+}
+
+// pollStatus gathers it, on the loop's goroutine.
+func (g *Gateway) pollStatus() pollStatus {
+	now := g.loop.now()
+	return pollStatus{stats: g.stats(now), healthChecks: g.health.reports(now)}
+}
+
 // stats returns what operators see of this gateway, nil = nothing but the version of its configuration.
-func (f *Gateway) stats(now balancer.Time) *rpc.GatewayStats {
+func (g *Gateway) stats(now balancer.Time) *rpc.GatewayStats {
 	stats := &rpc.GatewayStats{
-		TenantsVersion: f.quota.document.version,
-		Verdicts:       f.outliers.verdicts(now),
-		Version:        f.configs.version(),
+		TenantsVersion: g.quota.document.version,
+		Verdicts:       g.outliers.verdicts(now),
+		Version:        g.configs.version(),
 	}
-	if !f.quota.enabled() {
+	if !g.quota.enabled() {
 		if len(stats.Verdicts) == 0 {
 			return nil
 		}
 		return stats
 	}
-	stats.Connections = f.quota.connectionUsages(now)
-	stats.Waits = f.quota.waitStats()
+	stats.Connections = g.quota.connectionUsages(now)
+	stats.Waits = g.quota.waitStats()
 	return stats
 }
 
-// answerPeer answers a gateway that reaches no controller with a quorum.
-func (f *Gateway) answerPeer(conn *rpc.Conn, requestID uint64, poll *rpc.Poll) {
+// handleFrame takes a message of another gateway. Connections call it on goroutines of their own.
+func (g *Gateway) handleFrame(conn *rpc.Conn, frame *rpc.Frame) {
+	if poll := frame.GetPoll(); poll != nil {
+		g.loop.post(func() { g.answerPoll(conn, frame.Id, poll) })
+	}
+	if request := frame.GetQuotaRequest(); request != nil {
+		g.loop.post(func() { g.quota.handleRequest(conn, frame.Id, request) })
+	}
+	if subscription := frame.GetLoadSubscription(); subscription != nil {
+		g.loop.post(func() { g.loads.addSubscriber(conn, frame.Id, subscription.ObservationsOnly) })
+	}
+}
+
+// answerPoll answers a gateway that reaches no controller with a quorum.
+func (g *Gateway) answerPoll(conn *rpc.Conn, requestID uint64, poll *rpc.Poll) {
 	update := &rpc.Update{}
-	if f.configs.fill(update, poll.Slot) {
-		update.Documents = f.quota.documents()
+	if g.configs.fill(update, poll.Slot) {
+		update.Documents = g.quota.documents()
 	}
-	update.Reports = f.endpoints.reports()
+	update.Reports = g.endpoints.reports()
 	go conn.Respond(requestID, &rpc.Frame{Body: &rpc.Frame_Update{Update: update}})
 }
