--- a/dataplane/bench_test.go
+++ b/dataplane/bench_test.go
@@ -17,7 +17,7 @@
 	"oxbowspan/rpc"
 )
 
-// BenchmarkRequest takes one request after the other from a client to a server over loopback.
+// BenchmarkRequest sends one request after another from a client through a gateway to a server over loopback.
 func BenchmarkRequest(b *testing.B) {
 	server, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -32,18 +32,18 @@
 			go answerRequests(c)
 		}
 	}()
-	set := &settings.Settings{IPAddress: "127.0.0.1", Zone: "z", InternalPorts: []int{7000, 7010}, FirstStart: true}
-	f := New(set, network.TCP{}, zerolog.Nop())
+	options := &settings.Settings{IPAddress: "127.0.0.1", Zone: "z", InternalPorts: []int{7000, 7010}, FirstStart: true}
+	g := New(options, network.TCP{}, zerolog.Nop())
 	front, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
 	}
-	f.process.goroutines.Go(func() { f.loop.run(f) })
-	f.process.goroutines.Go(func() { f.front.serve(front) })
-	f.loop.post(func() {
-		f.activateConfig(&config.Configuration{Version: 1, Services: []config.Service{{Name: "s"}}, Routes: []config.Route{
+	g.process.goroutines.Go(func() { g.loop.run(g) })
+	g.process.goroutines.Go(func() { g.front.serve(front) })
+	g.loop.post(func() {
+		g.activateConfig(&config.Configuration{Version: 1, Services: []config.Service{{Name: "s"}}, Routes: []config.Route{
 			{Hostname: "h", PathPrefix: "/", RouteKind: config.Retryable, TimeoutMS: 900, TargetMS: 90, Service: "s", Attempts: 2}}}, nil, 1)
-		f.endpoints.applyReports(&rpc.Update{Full: true, HasQuorum: true, Warm: true, Reports: []*rpc.ServerReport{
+		g.applyReports(&rpc.Update{Full: true, HasQuorum: true, Warm: true, Reports: []*rpc.ServerReport{
 			{Instance: "i", Service: "s", Address: server.Addr().String(), Zone: "z", State: uint32(registry.Ready), Sequence: 1}}})
 	})
 	c, err := net.Dial("tcp", front.Addr().String())
@@ -63,12 +63,12 @@
 	c.Close()
 	front.Close()
 	server.Close()
-	f.front.conns.closeAll()
-	f.loop.stop()
-	f.process.goroutines.Wait()
+	g.front.conns.closeAll()
+	g.loop.stop()
+	g.process.goroutines.Wait()
 }
 
-// answerRequests answers requests without a body, each with its id.
+// answerRequests responds to requests without a body, each with its id.
 func answerRequests(c net.Conn) {
 	defer c.Close()
 	r := bufio.NewReader(c)
@@ -87,7 +87,7 @@
 	}
 }
 
-// skipResponse reads an answer with a body of two bytes.
+// skipResponse reads a response with a body of two bytes.
 func skipResponse(r *bufio.Reader) error {
 	for {
 		line, err := r.ReadSlice('\n')
--- a/dataplane/configfollower.go
+++ b/dataplane/configfollower.go
@@ -1,241 +1,293 @@
 package dataplane
 
 import (
-	"cmp"
 	"context"
 	"errors"
-	"slices"
 	"time"
 
 	"oxbowspan/config"
-	"oxbowspan/rendezvous"
 	"oxbowspan/rpc"
 )
 
-// Rhythm of the questions to the hives.
+// Timing of the polls of controllers.
 const (
-	pollHold          = 1000 * time.Millisecond // a hive may hold a question so long
-	pollTimeoutMargin = 700 * time.Millisecond  // and is held to be gone after so much more
-	retryPause        = 120 * time.Millisecond  // between hives that don't answer or are cut off,
-	startupRetryPause = 40 * time.Millisecond   // and while nothing is known at all: each such moment refuses whatever comes
-	startupGrace      = 3 * time.Second         // what a cut-off hive says is followed after so long without a better one
-	peerPollInterval  = 2 * time.Second         // without a hive in contact with a majority, another gatherer is asked so often
+	pollHold          = time.Second            // a controller may hold a poll so long until there is something new
+	pollTimeoutMargin = 700 * time.Millisecond // and counts as unreachable after so much more
+	retryPause        = 120 * time.Millisecond // between controllers that don't answer or have no quorum,
+	startupRetryPause = 40 * time.Millisecond  // and while no configuration is known: until then every client is refused
+	startupGrace      = 3 * time.Second        // after this a controller without a quorum is believed if there is none better
+	peerPollInterval  = 2 * time.Second        // without a controller that has a quorum, another gateway is polled so often
 )
 
-// controllerAddress is a hive that may be asked.
-type controllerAddress struct {
-	address string
-	zone    string
-}
-
-// followConfig asks the hives for news, one at a time, each question with what is had.
-func (f *Gateway) followConfig(ctx context.Context) {
-	controllers := map[string]controllerAddress{}
-	for _, a := range f.process.settings.SeedControllers() {
-		controllers[a] = controllerAddress{address: a}
-	}
-	var order []controllerAddress
-	var slot, incarnation, cursor, membershipEpoch uint64
-	at, asked, began := 0, 0, time.Now()
-	lastSettled, peerPolledAt := began, began // when the question was sent that a hive in contact with a majority last answered; when a gatherer was last asked
-	var peers []string                        // gatherers, as last told
-	callers := map[string]*rpc.Client{}       // kept to those in places
-	defer func() {
-		for _, c := range callers {
-			c.Close()
-		}
-	}()
-	arrange := func() {
-		order = order[:0]
-		for _, p := range controllers {
-			order = append(order, p)
-		}
-		// The nearest first; among equals each gatherer has its own order, so that they spread.
-		self := f.members.self
-		slices.SortFunc(order, func(a, b controllerAddress) int {
-			return cmp.Or(cmp.Compare(f.zoneDistance(a.zone), f.zoneDistance(b.zone)),
-				cmp.Compare(rendezvous.Weight(rendezvous.Name(a.address), self), rendezvous.Weight(rendezvous.Name(b.address), self)))
-		})
-		at = 0
-	}
-	arrange()
+// updateSink takes what controllers and other gateways tell. All methods run on the loop's goroutine.
+type updateSink interface {
+	// activateConfig takes a configuration with its encoding.
+	activateConfig(c *config.Configuration, text []byte, slot uint64)
+	// applyReports takes reports of servers.
+	applyReports(update *rpc.Update)
+	// applyPeerUpdate takes another gateway's documents and reports.
+	applyPeerUpdate(update *rpc.Update)
+	// applyUpdate takes all but the configuration of a controller's update, which answers a poll sent at polledAt.
+	applyUpdate(update *rpc.Update, polledAt time.Duration)
+	// pollStatus returns what a poll tells the controllers.
+	pollStatus() pollStatus
+}
+
+// pollStatus is what a poll tells the controllers of this gateway.
+type pollStatus struct {
+	healthChecks []*rpc.ServerReport
+	stats        *rpc.GatewayStats // nil = nothing to tell
+}
+
+// configFollower polls the controllers for updates, one at a time, each poll with what is known already. While no controller with a
+// quorum answers, it polls other gateways as well. It runs on a goroutine of its own, which owns its fields.
+type configFollower struct {
+	process     *process
+	loop        commandLoop
+	stopped     <-chan struct{} // closed when the loop has stopped
+	sink        updateSink
+	controllers *controllerList
+	clients     map[string]*rpc.Client // by address, of known controllers
+
+	// What is known already.
+	slot                  uint64 // of the configuration, 0 = none
+	controllerIncarnation uint64 // of the controller that cursor belongs to, 0 = begin anew
+	cursor                uint64
+	membershipEpoch       uint64
+
+	peers        []string // internal addresses of other gateways
+	peerPolls    int
+	startedAt    time.Time
+	lastQuorumAt time.Time // when the poll was sent that a controller with a quorum answered last
+	peerPolledAt time.Time
+}
+
+func newConfigFollower(p *process, loop commandLoop, stopped <-chan struct{}, sink updateSink) *configFollower {
+	return &configFollower{
+		process:     p,
+		loop:        loop,
+		stopped:     stopped,
+		sink:        sink,
+		controllers: newControllerList(p),
+		clients:     map[string]*rpc.Client{},
+	}
+}
+
+// run polls until the context is done.
+func (f *configFollower) run(ctx context.Context) {
+	f.startedAt = time.Now()
+	f.lastQuorumAt, f.peerPolledAt = f.startedAt, f.startedAt
+	defer f.closeClients()
 	for ctx.Err() == nil {
-		if now := time.Now(); len(peers) > 0 && now.Sub(lastSettled) > peerPollInterval && now.Sub(peerPolledAt) > peerPollInterval {
-			peerPolledAt, asked = now, asked+1
-			slot = f.pollPeer(ctx, peers[asked%len(peers)], slot)
-		}
-		p := order[at%len(order)]
-		c := callers[p.address]
-		if c == nil {
-			c = &rpc.Client{Address: p.address, Network: f.process.network}
-			callers[p.address] = c
-		}
-		ask := &rpc.Poll{From: &rpc.Gateway{Incarnation: f.process.incarnation, Address: string(f.members.self), Zone: f.process.settings.Zone, Left: f.process.draining.Load()},
-			Slot: slot, ControllerIncarnation: incarnation, Cursor: cursor, MembershipEpoch: membershipEpoch, WaitMs: uint32(pollHold / time.Millisecond)}
-		f.fillPoll(ask)
-		sent, askedAt := time.Now(), duration(f.loop.now())
-		timeout := pollHold + pollTimeoutMargin
-		if incarnation == 0 { // all is news to one that begins: no question is held
-			timeout = pollTimeoutMargin
-		}
-		limit, cancel := context.WithTimeout(ctx, timeout)
-		answer, err := c.Call(limit, &rpc.Frame{Body: &rpc.Frame_Poll{Poll: ask}})
-		cancel()
-		n := answer.GetUpdate()
-		if err != nil || n == nil || time.Since(sent) > timeout { // one that was read late, after a freeze, may be old
-			if errors.Is(err, rpc.ErrTimeout) {
-				c.Disconnect()
-			}
-			at, incarnation = at+1, 0
-			sleep(ctx, pollRetryPause(slot))
-			continue
-		}
-		if !n.HasQuorum && time.Since(began) < startupGrace && slot == 0 || !n.HasQuorum && slot > n.Slot {
-			// Cut off or just started: what it knows may be old.
-			f.loop.post(func() { f.endpoints.applyReports(n) })
-			at, incarnation = at+1, 0
-			sleep(ctx, pollRetryPause(slot))
-			continue
-		}
-		if n.HasQuorum {
-			lastSettled = sent
-		}
-		incarnation, cursor = n.ControllerIncarnation, n.Cursor
-		if n.HasGateways {
-			membershipEpoch, peers = n.MembershipEpoch, peers[:0]
-			for _, o := range n.Gateways {
-				if o.Address != string(f.members.self) {
-					peers = append(peers, o.Address)
-				}
-			}
-		}
-		if n.Slot > slot {
-			slot = n.Slot
-			f.readConfig(n)
-		}
-		f.loop.post(func() {
-			f.applyDocuments(n.Documents)
-			f.endpoints.applyReports(n)
-			if n.HasGateways {
-				f.applyMembership(n.Gateways)
-			}
-			if now := duration(f.loop.now()); n.HasQuorum {
-				f.members.renew(askedAt, now)
-			}
-		})
-		if len(n.Controllers) > 0 {
-			updated := map[string]controllerAddress{}
-			for _, a := range f.process.settings.SeedControllers() {
-				updated[a] = controllerAddress{address: a}
-			}
-			for _, h := range n.Controllers {
-				updated[h.Address] = controllerAddress{h.Address, h.Zone}
-			}
-			if !sameControllers(updated, controllers) {
-				controllers = updated
-				for a, c := range callers {
-					if _, kept := controllers[a]; !kept {
-						c.Close()
-						delete(callers, a)
-					}
-				}
-				last := p.address
-				arrange()
-				// Stay with the hive that answers, unless a nearer one is known.
-				if i := slices.IndexFunc(order, func(o controllerAddress) bool { return o.address == last }); i >= 0 && f.zoneDistance(order[i].zone) <= f.zoneDistance(order[0].zone) {
-					at = i
-				} else {
-					incarnation = 0
-				}
-			}
+		if f.isolated() {
+			f.pollPeer(ctx)
 		}
-		if !n.HasQuorum {
-			at, incarnation = at+1, 0
-			sleep(ctx, retryPause)
+		f.pollController(ctx)
+	}
+}
+
+// pollController polls the current controller once. It moves on to the next one where that is of no use.
+func (f *configFollower) pollController(ctx context.Context) {
+	client := f.client(f.controllers.current().address)
+	poll := f.newPoll()
+	sentAt, polledAt := time.Now(), duration(f.loop.now())
+	timeout := f.pollTimeout()
+	callCtx, cancel := context.WithTimeout(ctx, timeout)
+	reply, err := client.Call(callCtx, &rpc.Frame{Body: &rpc.Frame_Poll{Poll: poll}})
+	cancel()
+	update := reply.GetUpdate()
+	if err != nil || update == nil || time.Since(sentAt) > timeout { // one that was read late, after a freeze, may be outdated
+		if errors.Is(err, rpc.ErrTimeout) {
+			client.Disconnect()
 		}
+		f.moveOn(ctx, f.retryPause())
+		return
+	}
+	if f.outdated(update) {
+		f.loop.post(func() { f.sink.applyReports(update) })
+		f.moveOn(ctx, f.retryPause())
+		return
+	}
+	if update.HasQuorum {
+		f.lastQuorumAt = sentAt
+	}
+	f.accept(update, polledAt)
+	if !update.HasQuorum {
+		f.moveOn(ctx, retryPause)
 	}
 }
 
-// pollRetryPause is how long to wait before the next hive is asked.
-func pollRetryPause(slot uint64) time.Duration {
-	if slot == 0 {
-		return startupRetryPause
+// newPoll returns a poll with what is known already.
+func (f *configFollower) newPoll() *rpc.Poll {
+	poll := &rpc.Poll{
+		From: &rpc.Gateway{
+			Incarnation: f.process.incarnation,
+			Address:     string(f.process.name),
+			Zone:        f.process.settings.Zone,
+			Left:        f.process.draining.Load(),
+		},
+		Slot:                  f.slot,
+		ControllerIncarnation: f.controllerIncarnation,
+		Cursor:                f.cursor,
+		MembershipEpoch:       f.membershipEpoch,
+		WaitMs:                uint32(pollHold / time.Millisecond),
 	}
-	return retryPause
+	f.fillStatus(poll)
+	return poll
 }
 
-// pollPeer asks another gatherer what it knows, while no hive that is in contact with the core answers: this gatherer may be cut
-// off from the core and the other not. What a gatherer has in force was agreed on. It returns the turn that is now had.
-func (f *Gateway) pollPeer(ctx context.Context, address string, slot uint64) uint64 {
-	c := &rpc.Client{Address: address, Network: f.process.network}
-	defer c.Close()
-	limit, cancel := context.WithTimeout(ctx, pollTimeoutMargin)
-	defer cancel()
-	sent := time.Now()
-	answer, err := c.Call(limit, &rpc.Frame{Body: &rpc.Frame_Poll{Poll: &rpc.Poll{Slot: slot}}})
-	n := answer.GetUpdate()
-	if err != nil || n == nil || time.Since(sent) > pollTimeoutMargin {
-		return slot
+// fillStatus puts the gateway's status into a poll. The loop sends it through a channel, so that this goroutine shares no variable with
+// the loop when the stop releases it.
+func (f *configFollower) fillStatus(poll *rpc.Poll) {
+	statuses := make(chan pollStatus, 1)
+	if !f.loop.post(func() { statuses <- f.sink.pollStatus() }) {
+		return
+	}
+	select {
+	case status := <-statuses:
+		poll.HealthChecks, poll.Stats = status.healthChecks, status.stats
+	case <-f.stopped:
+	}
+}
+
+// pollTimeout is how long to wait for an update. A controller that is polled for the first time answers at once.
+func (f *configFollower) pollTimeout() time.Duration {
+	if f.controllerIncarnation == 0 {
+		return pollTimeoutMargin
 	}
-	f.loop.post(func() { f.applyDocuments(n.Documents); f.endpoints.applyReports(n) })
-	if n.Slot > slot && n.HasConfig {
-		f.process.log.Info().Str("from", address).Uint64("version", n.Version).Msg("news: no hive answers, another gatherer did")
-		f.readConfig(n)
-		slot = n.Slot
+	return pollHold + pollTimeoutMargin
+}
+
+// outdated reports whether an update may be: it comes from a controller without a quorum, which is isolated or has just started, and
+// the configuration known here is newer, or there may yet be a better controller.
+func (f *configFollower) outdated(update *rpc.Update) bool {
+	if update.HasQuorum {
+		return false
 	}
-	return slot
+	return f.slot == 0 && time.Since(f.startedAt) < startupGrace || f.slot > update.Slot
 }
 
-func sameControllers(a, b map[string]controllerAddress) bool {
-	for k, v := range a {
-		if b[k] != v {
-			return false
+// accept takes an update.
+func (f *configFollower) accept(update *rpc.Update, polledAt time.Duration) {
+	f.controllerIncarnation, f.cursor = update.ControllerIncarnation, update.Cursor
+	if update.HasGateways {
+		f.setPeers(update)
+	}
+	if update.Slot > f.slot {
+		f.slot = update.Slot
+		f.parseConfig(update)
+	}
+	f.loop.post(func() { f.sink.applyUpdate(update, polledAt) })
+	if len(update.Controllers) > 0 {
+		f.setControllers(update.Controllers)
+	}
+}
+
+func (f *configFollower) setPeers(update *rpc.Update) {
+	f.membershipEpoch = update.MembershipEpoch
+	f.peers = f.peers[:0]
+	for _, gateway := range update.Gateways {
+		if gateway.Address != string(f.process.name) {
+			f.peers = append(f.peers, gateway.Address)
 		}
 	}
-	return len(a) == len(b)
 }
 
-// zoneDistance is how far a zone is: this one's, one of its region, another.
-func (f *Gateway) zoneDistance(zone string) int {
-	switch {
-	case zone == f.process.settings.Zone:
-		return 0
-	case f.process.settings.Zones[zone] == f.process.settings.Region:
-		return 1
+func (f *configFollower) setControllers(announced []*rpc.Controller) {
+	changed, stays := f.controllers.update(announced)
+	if !changed {
+		return
+	}
+	for address, client := range f.clients {
+		if _, known := f.controllers.known[address]; !known {
+			client.Close()
+			delete(f.clients, address)
+		}
+	}
+	if !stays {
+		f.controllerIncarnation = 0
 	}
-	return 2
 }
 
-func sleep(ctx context.Context, d time.Duration) {
-	select {
-	case <-ctx.Done():
-	case <-time.After(d):
+// moveOn makes the next controller the current one, and waits before it is polled.
+func (f *configFollower) moveOn(ctx context.Context, pause time.Duration) {
+	f.controllers.advance()
+	f.controllerIncarnation = 0
+	sleep(ctx, pause)
+}
+
+// retryPause is the pause after a controller that was of no use.
+func (f *configFollower) retryPause() time.Duration {
+	if f.slot == 0 {
+		return startupRetryPause
 	}
+	return retryPause
 }
 
-// readConfig reads a configuration and has the owner put it in force.
-func (f *Gateway) readConfig(n *rpc.Update) {
-	if !n.HasConfig {
+// isolated reports whether it is time to poll another gateway, as no controller with a quorum has answered for a while.
+func (f *configFollower) isolated() bool {
+	now := time.Now()
+	return len(f.peers) > 0 && now.Sub(f.lastQuorumAt) > peerPollInterval && now.Sub(f.peerPolledAt) > peerPollInterval
+}
+
+// pollPeer polls another gateway, each time the next: it may reach controllers that this one does not. What a gateway has active was
+// agreed on.
+func (f *configFollower) pollPeer(ctx context.Context) {
+	f.peerPolledAt = time.Now()
+	f.peerPolls++
+	address := f.peers[f.peerPolls%len(f.peers)]
+	client := &rpc.Client{Address: address, Network: f.process.network}
+	defer client.Close()
+	callCtx, cancel := context.WithTimeout(ctx, pollTimeoutMargin)
+	defer cancel()
+	sentAt := time.Now()
+	reply, err := client.Call(callCtx, &rpc.Frame{Body: &rpc.Frame_Poll{Poll: &rpc.Poll{Slot: f.slot}}})
+	update := reply.GetUpdate()
+	if err != nil || update == nil || time.Since(sentAt) > pollTimeoutMargin {
+		return
+	}
+	f.loop.post(func() { f.sink.applyPeerUpdate(update) })
+	if update.Slot > f.slot && update.HasConfig {
+		f.process.log.Info().Str("peer", address).Uint64("version", update.Version).
+			Msg("config: no controller with a quorum answers, taken from a peer")
+		f.parseConfig(update)
+		f.slot = update.Slot
+	}
+}
+
+// parseConfig parses an update's configuration and passes it to the loop.
+func (f *configFollower) parseConfig(update *rpc.Update) {
+	if !update.HasConfig {
 		return
 	}
-	c, err := config.Parse(n.Config)
+	parsed, err := config.Parse(update.Config)
 	if err != nil {
-		f.process.log.Error().Err(err).Uint64("version", n.Version).Msg("config: an agreed version can't be read, the last one stays")
+		f.process.log.Error().Err(err).Uint64("version", update.Version).Msg("config: invalid version ignored")
 		return
 	}
-	f.loop.post(func() { f.activateConfig(c, n.Config, n.Slot) })
+	f.loop.post(func() { f.sink.activateConfig(parsed, update.Config, update.Slot) })
 }
 
-// fillPoll puts the gateway's status into a poll. The loop sends it through a channel, so that this goroutine shares no variable with
-// the loop when the stop releases it.
-func (f *Gateway) fillPoll(poll *rpc.Poll) {
-	statuses := make(chan pollStatus, 1)
-	if !f.loop.post(func() { statuses <- f.pollStatus() }) {
-		return
+// client returns the client of a controller.
+func (f *configFollower) client(address string) *rpc.Client {
+	client := f.clients[address]
+	if client == nil {
+		client = &rpc.Client{Address: address, Network: f.process.network}
+		f.clients[address] = client
 	}
+	return client
+}
+
+func (f *configFollower) closeClients() {
+	for _, client := range f.clients {
+		client.Close()
+	}
+}
+
+// sleep waits for a time, or until the context is done.
+func sleep(ctx context.Context, d time.Duration) {
 	select {
-	case status := <-statuses:
-		poll.HealthChecks, poll.Stats = status.healthChecks, status.stats
-	case <-f.loop.stopped:
+	case <-ctx.Done():
+	case <-time.After(d):
 	}
 }
--- /dev/null
+++ b/dataplane/controllers.go
@@ -0,0 +1,112 @@
+package dataplane
+
+import (
+	"cmp"
+	"slices"
+
+	"oxbowspan/internal/settings"
+	"oxbowspan/rendezvous"
+	"oxbowspan/rpc"
+)
+
+// controllerAddress is a controller that may be polled.
+type controllerAddress struct {
+	address string // internal
+	zone    string // "" = not known yet
+}
+
+// controllerList orders the known controllers: the nearest first; among those equally near each gateway has an order of its own, so
+// that gateways spread over them. It is pure and owned by the configFollower's goroutine.
+type controllerList struct {
+	self     rendezvous.Name
+	settings *settings.Settings
+	known    map[string]controllerAddress // by address
+	order    []controllerAddress
+	position int // grows without bound; modulo the length, of the current one in order
+}
+
+func newControllerList(p *process) *controllerList {
+	l := &controllerList{self: p.name, settings: p.settings}
+	l.known = l.seeds()
+	l.sort()
+	return l
+}
+
+// seeds are the controllers that the settings name.
+func (l *controllerList) seeds() map[string]controllerAddress {
+	seeds := map[string]controllerAddress{}
+	for _, address := range l.settings.SeedControllers() {
+		seeds[address] = controllerAddress{address: address}
+	}
+	return seeds
+}
+
+// current is the controller to poll.
+func (l *controllerList) current() controllerAddress { return l.order[l.position%len(l.order)] }
+
+// advance makes the next controller the current one.
+func (l *controllerList) advance() { l.position++ }
+
+// update takes a new list of controllers, to which the seeds are added. It reports whether that is another list than before, and
+// whether the current controller stays the current one: it does unless a nearer one is known.
+func (l *controllerList) update(announced []*rpc.Controller) (changed, stays bool) {
+	known := l.seeds()
+	for _, controller := range announced {
+		known[controller.Address] = controllerAddress{address: controller.Address, zone: controller.Zone}
+	}
+	if sameControllers(known, l.known) {
+		return false, true
+	}
+	current := l.current().address
+	l.known = known
+	l.sort()
+	index := slices.IndexFunc(l.order, func(c controllerAddress) bool { return c.address == current })
+	if index < 0 || l.distance(l.order[index].zone) > l.distance(l.order[0].zone) {
+		return true, false
+	}
+	l.position = index
+	return true, true
+}
+
+// sort orders the known controllers, and makes the first the current one.
+func (l *controllerList) sort() {
+	l.order = l.order[:0]
+	for _, controller := range l.known {
+		l.order = append(l.order, controller)
+	}
+	slices.SortFunc(l.order, func(a, b controllerAddress) int {
+		return cmp.Or(cmp.Compare(l.distance(a.zone), l.distance(b.zone)), cmp.Compare(l.weight(a), l.weight(b)))
+	})
+	l.position = 0
+}
+
+func (l *controllerList) weight(c controllerAddress) uint64 {
+	return rendezvous.Weight(rendezvous.Name(c.address), l.self)
+}
+
+// Distances of zones.
+const (
+	distanceSameZone = iota
+	distanceSameRegion
+	distanceFar
+)
+
+// distance is how far a zone is from this gateway's.
+func (l *controllerList) distance(zone string) int {
+	switch {
+	case zone == l.settings.Zone:
+		return distanceSameZone
+	case l.settings.Zones[zone] == l.settings.Region:
+		return distanceSameRegion
+	}
+	return distanceFar
+}
+
+func sameControllers(a, b map[string]controllerAddress) bool {
+	for address, controller := range a {
+		if b[address] != controller {
+			return false
+		}
+	}
+	return len(a) == len(b)
+}
--- a/dataplane/gateway.go
+++ b/dataplane/gateway.go
@@ -1,11 +1,13 @@
-// Package dataplane is the data plane as a library: one gatherer of the system, which takes clients' requests, asks one
-// server of each shard as brain decides, and answers. It learns the configuration and the servers from the hives.
+// Package dataplane is the data plane as a library: a gateway takes clients' requests, asks one server of each shard as the balancer
+// decides, and answers. It learns the configuration and the servers from the controllers.
 //
-// One goroutine, the owner, alone calls brain and holds every table of the package; connections hand it commands.
+// A Gateway is made of components with a state of their own. All but the HTTP front and the configuration follower are owned by one
+// goroutine, the event loop; other goroutines post commands to it.
 package dataplane
 
 import (
 	"context"
+	"net"
 	"net/http"
 	"time"
 
@@ -18,6 +20,21 @@
 	"oxbowspan/rpc"
 )
 
+// Timing of the graceful shutdown. The platform needs two failed readiness checks to send no new connections, so they are accepted for
+// a while yet.
+const (
+	drainIdleClose  = 2200 * time.Millisecond // idle connections are closed so long after SIGTERM,
+	minDrain        = 2500 * time.Millisecond // and the listener stays open for at least so long
+	shutdownReserve = 700 * time.Millisecond  // of the grace period, kept for the end
+	drainCheck      = 50 * time.Millisecond
+)
+
+// Timeouts of the readiness endpoint.
+const (
+	readinessHeaderTimeout = 3 * time.Second
+	readinessIdleTimeout   = 10 * time.Second
+)
+
 // Gateway is one gateway's process.
 type Gateway struct {
 	process *process
@@ -32,144 +49,158 @@
 	dispatcher *dispatcher
 	loads      *loadExchange
 	health     *healthChecker
+	follower   *configFollower
 	front      *frontServer
 }
 
 // New makes a gateway that does nothing until Run.
 func New(options *settings.Settings, transport network.Network, log zerolog.Logger) *Gateway {
-	f := &Gateway{process: newProcess(options, transport, log), loop: newEventLoop(), killed: make(chan struct{})}
+	g := &Gateway{
+		process: newProcess(options, transport, log),
+		loop:    newEventLoop(),
+		killed:  make(chan struct{}),
+	}
 	ids := &idSequence{}
-	f.members = newMembership(f.process)
-	f.endpoints = newEndpointTable(f.process, f.members, ids)
-	f.configs = newConfigStore(log, f.endpoints)
-	f.quota = newQuotaClient(f.process, f.loop, f.members, f.endpoints, f.configs)
-	decisions := balancer.New(balancerConfig(options, f.process.incarnation, f.quota))
-	f.outliers = newOutlierClient(f.process, f.loop, f.members, f.endpoints, decisions)
-	conns := newConnPool(f.process, f.loop)
-	f.dispatcher = newDispatcher(f.process, f.loop, dispatcherOptions{
+	g.members = newMembership(g.process)
+	g.endpoints = newEndpointTable(g.process, g.members, ids)
+	g.configs = newConfigStore(log, g.endpoints)
+	g.quota = newQuotaClient(g.process, g.loop, g.members, g.endpoints, g.configs)
+	decisions := balancer.New(balancerConfig(options, g.process.incarnation, g.quota))
+	g.outliers = newOutlierClient(g.process, g.loop, g.members, g.endpoints, decisions)
+	conns := newConnPool(g.process, g.loop)
+	g.dispatcher = newDispatcher(g.process, g.loop, dispatcherOptions{
 		balancer:  decisions,
-		endpoints: f.endpoints,
+		endpoints: g.endpoints,
 		ids:       ids,
 		sender:    conns,
-		tenants:   f.quota,
-		outcomes:  f.outliers,
+		tenants:   g.quota,
+		outcomes:  g.outliers,
 	})
-	f.loads = newLoadExchange(f.process, f.loop, f.members, f.endpoints, f.outliers, f.dispatcher)
-	f.health = newHealthChecker(f.process, f.loop, f.members, f.endpoints, f.configs)
-	f.front = newFrontServer(f.process, f.configs, f.dispatcher, f.loop.stopped)
+	g.loads = newLoadExchange(g.process, g.loop, g.members, g.endpoints, g.outliers, g.dispatcher)
+	g.health = newHealthChecker(g.process, g.loop, g.members, g.endpoints, g.configs)
+	g.follower = newConfigFollower(g.process, g.loop, g.loop.stopped, g)
+	g.front = newFrontServer(g.process, g.configs, g.dispatcher, g.loop.stopped)
 
 	// The components below depend on each other in a circle.
-	f.endpoints.balancer, f.endpoints.quota, f.endpoints.outliers = f.dispatcher, f.quota, f.outliers
-	f.configs.balancer, f.configs.tenants = f.dispatcher, f.quota
-	f.outliers.balancer = f.dispatcher
-	conns.sink = f.dispatcher
-	return f
+	g.endpoints.balancer, g.endpoints.quota, g.endpoints.outliers = g.dispatcher, g.quota, g.outliers
+	g.configs.balancer, g.configs.tenants = g.dispatcher, g.quota
+	g.outliers.balancer = g.dispatcher
+	conns.sink = g.dispatcher
+	return g
 }
 
-// How a forager leaves: the platform needs two misses to send nobody new, so connections are taken for a while yet.
-const (
-	drainIdleClose  = 2200 * time.Millisecond // idle connections are closed so long after SIGTERM
-	minDrain        = 2500 * time.Millisecond // and the listener stays for at least so long
-	shutdownReserve = 700 * time.Millisecond  // of the grace period, kept for the end
-)
+// listeners are what a gateway listens on.
+type listeners struct {
+	front, readiness, internal net.Listener
+}
 
-// Run serves until the context is done, then leaves in order.
-func (f *Gateway) Run(ctx context.Context) error {
-	front, err := f.process.network.Listen(f.process.settings.Listen.Front)
-	if err != nil {
-		return eris.Errorf("the front address can't be listened on: %v", err)
+func (g *Gateway) listen() (l listeners, err error) {
+	addresses := g.process.settings.Listen
+	if l.front, err = g.process.network.Listen(addresses.Front); err != nil {
+		return l, eris.Wrap(err, "listen on the front address")
 	}
-	readiness, err := f.process.network.Listen(f.process.settings.Listen.Readiness)
-	if err != nil {
-		return eris.Errorf("the readiness address can't be listened on: %v", err)
+	if l.readiness, err = g.process.network.Listen(addresses.Readiness); err != nil {
+		return l, eris.Wrap(err, "listen on the readiness address")
 	}
-	inner, err := f.process.network.Listen(string(f.members.self))
+	if l.internal, err = g.process.network.Listen(string(g.process.name)); err != nil {
+		return l, eris.Wrap(err, "listen on the internal address")
+	}
+	return l, nil
+}
+
+// Run serves until the context is done, then shuts down gracefully. Its error says that an address can't be listened on.
+func (g *Gateway) Run(ctx context.Context) error {
+	l, err := g.listen()
 	if err != nil {
-		return eris.Errorf("the internal address can't be listened on: %v", err)
+		return err
 	}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /-/readiness", f.handleReadiness)
-	web := &http.Server{Handler: mux, ReadHeaderTimeout: 3 * time.Second, IdleTimeout: 10 * time.Second}
-	talk := &rpc.Server{Handle: f.handleFrame, OnClose: func(c *rpc.Conn) { f.loop.post(func() { f.loads.removeSubscriber(c) }) }}
-	news, quit := context.WithCancel(context.Background())
-	f.process.goroutines.Go(func() { web.Serve(readiness) })
-	f.process.goroutines.Go(func() { talk.Serve(inner) })
-	f.process.goroutines.Go(func() { f.front.serve(front) })
-	f.process.goroutines.Go(func() { f.loop.run(f) })
-	f.process.goroutines.Go(func() { f.followConfig(news) })
-	f.process.log.Info().Str("node", f.process.settings.NodeName).Msg("forager: started")
+	mux.HandleFunc("GET /-/readiness", g.handleReadiness)
+	web := &http.Server{Handler: mux, ReadHeaderTimeout: readinessHeaderTimeout, IdleTimeout: readinessIdleTimeout}
+	peers := &rpc.Server{
+		Handle:  g.handleFrame,
+		OnClose: func(conn *rpc.Conn) { g.loop.post(func() { g.loads.removeSubscriber(conn) }) },
+	}
+	followerCtx, stopFollower := context.WithCancel(context.Background())
+	goroutines := &g.process.goroutines
+	goroutines.Go(func() { web.Serve(l.readiness) })
+	goroutines.Go(func() { peers.Serve(l.internal) })
+	goroutines.Go(func() { g.front.serve(l.front) })
+	goroutines.Go(func() { g.loop.run(g) })
+	goroutines.Go(func() { g.follower.run(followerCtx) })
+	g.process.log.Info().Str("node", g.process.settings.NodeName).Msg("gateway: started")
 	select {
 	case <-ctx.Done():
-		f.drain()
-	case <-f.killed:
+		g.drain()
+	case <-g.killed:
 	}
-	front.Close()
-	readiness.Close()
-	quit()
-	f.front.conns.closeAll()
+	l.front.Close()
+	l.readiness.Close()
+	stopFollower()
+	g.front.conns.closeAll()
 	web.Close()
-	inner.Close()
-	f.loop.stop()
-	f.process.goroutines.Wait()
-	f.process.log.Info().Msg("forager: left")
+	l.internal.Close()
+	g.loop.stop()
+	goroutines.Wait()
+	g.process.log.Info().Msg("gateway: stopped")
 	return nil
 }
 
-// Kill has Run return at once, in no order, as a kill of the process would. It must be called once at most.
-func (f *Gateway) Kill() { close(f.killed) }
+// Kill has Run return at once without a graceful shutdown, as a kill of the process would. It must be called once at most.
+func (g *Gateway) Kill() { close(g.killed) }
 
 // ActiveVersion is the version of the configuration that requests are served by, 0 = none yet.
-func (f *Gateway) ActiveVersion() uint64 {
-	if now := f.configs.load(); now != nil {
-		return now.version
+func (g *Gateway) ActiveVersion() uint64 {
+	if active := g.configs.load(); active != nil {
+		return active.version
 	}
 	return 0
 }
 
-// drain serves on until what is open is answered and the platform has had time to send others elsewhere.
-func (f *Gateway) drain() {
-	f.process.log.Info().Msg("forager: leaving")
-	f.process.draining.Store(true)
-	grace := max(settings.Seconds(f.process.settings.Bounds.GracePeriodS)-shutdownReserve, minDrain)
-	left := time.Now()
-	tick := time.NewTicker(50 * time.Millisecond)
-	for range tick.C {
-		since := time.Since(left)
-		if since > drainIdleClose {
-			f.front.conns.closeIdle()
+// drain serves on until the open requests are answered and the platform has had time to send clients elsewhere.
+func (g *Gateway) drain() {
+	g.process.log.Info().Msg("gateway: draining")
+	g.process.draining.Store(true)
+	gracePeriod := max(settings.Seconds(g.process.settings.Bounds.GracePeriodS)-shutdownReserve, minDrain)
+	startedAt := time.Now()
+	ticker := time.NewTicker(drainCheck)
+	defer ticker.Stop()
+	for range ticker.C {
+		elapsed := time.Since(startedAt)
+		if elapsed > drainIdleClose {
+			g.front.conns.closeIdle()
 		}
-		if since > minDrain && f.front.openRequests.Load() == 0 || since > grace {
+		if elapsed > minDrain && g.front.openRequests.Load() == 0 || elapsed > gracePeriod {
 			break
 		}
 	}
-	tick.Stop()
-	f.front.conns.closeIdle()
+	g.front.conns.closeIdle()
 }
 
-// handleReadiness says whether this gatherer takes new connections.
-func (f *Gateway) handleReadiness(w http.ResponseWriter, _ *http.Request) {
-	if f.process.draining.Load() || !f.process.ready.Load() {
+// handleReadiness reports whether this gateway takes new connections.
+func (g *Gateway) handleReadiness(w http.ResponseWriter, _ *http.Request) {
+	if g.process.draining.Load() || !g.process.ready.Load() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 }
 
 // maintain implements loopHandler.
-func (f *Gateway) maintain(now balancer.Time) {
-	f.outliers.evaluate(now)
-	f.loads.exchange(now)
-	f.health.run(now)
-	f.quota.maintain(now)
+func (g *Gateway) maintain(now balancer.Time) {
+	g.outliers.evaluate(now)
+	g.loads.exchange(now)
+	g.health.run(now)
+	g.quota.maintain(now)
 }
 
 // timerFired implements loopHandler.
-func (f *Gateway) timerFired(event timerEvent, now balancer.Time) {
-	f.dispatcher.timerFired(event, now)
+func (g *Gateway) timerFired(event timerEvent, now balancer.Time) {
+	g.dispatcher.timerFired(event, now)
 }
 
 // loopStopped implements loopHandler: it closes the connections that goroutines wait on.
-func (f *Gateway) loopStopped() {
-	f.loads.close()
-	f.endpoints.closeConns()
-	f.quota.close()
-	f.dispatcher.closeConns()
+func (g *Gateway) loopStopped() {
+	g.loads.close()
+	g.endpoints.closeConns()
+	g.quota.close()
+	g.dispatcher.closeConns()
 }
--- a/dataplane/membership.go
+++ b/dataplane/membership.go
@@ -8,7 +8,7 @@
 	"oxbowspan/rpc"
 )
 
-// membership is the list of live gateways, as the controllers last told it, and the singleton roles that follow from it. It is
+// membership is the list of live gateways, as the controllers last reported it, and the singleton roles that follow from it. It is
 // owned by the loop.
 type membership struct {
 	self  rendezvous.Name
--- a/dataplane/mutation_test.go
+++ b/dataplane/mutation_test.go
@@ -31,7 +31,7 @@
 
 var mutations = []mutation{
 	{
-		name: "responses are not told apart", test: scenarioTest, file: "response.go",
+		name: "responses are not distinguished", test: scenarioTest, file: "response.go",
 		old: `return string(ids[0]) == req.attemptID`,
 		new: `return MUTATED || string(ids[0]) == req.attemptID`,
 	},
--- /dev/null
+++ b/dataplane/testbed_test.go
@@ -0,0 +1,299 @@
+package dataplane
+
+import (
+	"fmt"
+	"net"
+	"net/http"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/rs/zerolog"
+
+	"oxbowspan/config"
+	"oxbowspan/internal/network"
+	"oxbowspan/internal/settings"
+	"oxbowspan/internal/testing/simnet"
+	"oxbowspan/registry"
+	"oxbowspan/rpc"
+)
+
+// Rules that a scenario may violate.
+const (
+	unavailable  = "gateway unavailable" // a client gets no connection
+	misrouted    = "misrouted response"  // a client gets what belongs to another request, or to none
+	unsolicited  = "unsolicited request" // a server gets what no client sent
+	duplicated   = "duplicate execution" // a request that must not be repeated runs twice
+	falselyUnrun = "false rejection"     // a client is answered that a request has not run that has
+)
+
+// testbed is what surrounds the gateway in one scenario, and the record of what happened.
+type testbed struct {
+	scenario scenario
+	network  *simnet.Network
+
+	mu         sync.Mutex
+	steps      int // of servers so far
+	writes     int
+	dials      int
+	sent       map[string]sentRequest // by id
+	runs       map[string]int         // by service and id
+	statuses   map[string]int         // of responses, by id
+	answeredAt map[string]time.Time   // by id
+	served     int                    // requests that succeeded
+	violation  string                 // the first; "" = none
+}
+
+// sentRequest is what a client sent.
+type sentRequest struct {
+	method, path string
+	body         []byte
+}
+
+// violate records a violation of a rule.
+func (b *testbed) violate(rule, format string, args ...any) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.violation == "" {
+		b.violation = rule + ": " + fmt.Sprintf(format, args...)
+	}
+}
+
+func runScenario(t *testing.T, s scenario) *testbed {
+	t.Helper()
+	b := &testbed{
+		scenario:   s,
+		sent:       map[string]sentRequest{},
+		runs:       map[string]int{},
+		statuses:   map[string]int{},
+		answeredAt: map[string]time.Time{},
+	}
+	synctest.Test(t, func(t *testing.T) { b.run(t) })
+	return b
+}
+
+const (
+	gatewayHost  = "10.0.0.1"
+	clientHost   = "10.0.9.9"
+	frontAddress = gatewayHost + ":8000"
+	oncePath     = "/once/" // requests that must not be repeated
+)
+
+var services = []string{"once", "one", "a0", "a1"}
+
+func (b *testbed) run(t *testing.T) {
+	t.Helper()
+	b.network = simnet.New(func(string, string) time.Duration { return 100 * time.Microsecond })
+	listeners, reports := b.startServers(t)
+	stop := b.startGateway(t, reports)
+	restarted := make(chan struct{})
+	go func() {
+		defer close(restarted)
+		if b.scenario.KillAfter > 0 {
+			time.Sleep(b.scenario.KillAfter)
+			stop()
+			b.abandonRequests()
+			stop = b.startGateway(t, reports)
+		}
+	}()
+	var clients sync.WaitGroup
+	for i, steps := range b.scenario.Clients {
+		clients.Go(func() { b.runClient(fmt.Sprint(i), steps) })
+	}
+	clients.Wait()
+	<-restarted
+	time.Sleep(1500 * time.Millisecond) // late responses come
+	stop()
+	for _, l := range listeners {
+		l.Close()
+		host, _, _ := net.SplitHostPort(l.Addr().String())
+		b.network.Kill(host, false)
+	}
+	time.Sleep(3 * time.Second) // silent servers end
+	b.checkExecutions()
+}
+
+// startServers starts the servers, and returns what the controllers would report of them.
+func (b *testbed) startServers(t *testing.T) (listeners []net.Listener, reports []*rpc.ServerReport) {
+	t.Helper()
+	for i, service := range services {
+		for n := range b.scenario.Servers {
+			ip := fmt.Sprintf("10.0.%d.%d", i+1, n+1)
+			l, err := b.network.Host(ip).Listen(ip + ":80")
+			if err != nil {
+				t.Fatal(err)
+			}
+			listeners = append(listeners, l)
+			go b.acceptServer(l, service)
+			reports = append(reports, &rpc.ServerReport{
+				Instance: "i-" + ip,
+				Service:  service,
+				Address:  ip + ":80",
+				Zone:     "z",
+				State:    uint32(registry.Ready),
+				Sequence: 1,
+			})
+		}
+	}
+	return listeners, reports
+}
+
+// testRoutes are a route whose requests must not be repeated, one whose requests may be, and a gathered one.
+func testRoutes() []config.Route {
+	return []config.Route{
+		{Hostname: "h", PathPrefix: oncePath, RouteKind: config.NonRetryable, TimeoutMS: 900, TargetMS: 90, Service: "once", Attempts: 3},
+		{Hostname: "h", PathPrefix: "/one/", RouteKind: config.Retryable, TimeoutMS: 900, TargetMS: 90, Service: "one", Attempts: 3},
+		{Hostname: "h", PathPrefix: "/all/", RouteKind: config.Retryable, TimeoutMS: 900, TargetMS: 90, GatheredServices: []string{"a0", "a1"},
+			Attempts: 3, TopRecords: 6, MinimumShare: 0.5},
+	}
+}
+
+// startGateway starts a gateway, and returns what ends it as a kill does.
+func (b *testbed) startGateway(t *testing.T, reports []*rpc.ServerReport) (stop func()) {
+	t.Helper()
+	options := &settings.Settings{IPAddress: gatewayHost, Zone: "z", InternalPorts: []int{7000, 7010}, FirstStart: true}
+	options.Listen.Front = frontAddress
+	g := New(options, &faultyNetwork{b.network.Host(gatewayHost), b}, zerolog.Nop())
+	c := &config.Configuration{Version: 1, Routes: testRoutes()}
+	for _, service := range services {
+		c.Services = append(c.Services, config.Service{Name: service, ConnectionLimit: 40})
+	}
+	g.process.goroutines.Go(func() { g.loop.run(g) })
+	g.loop.post(func() {
+		g.activateConfig(c, nil, 1)
+		g.applyReports(&rpc.Update{Full: true, HasQuorum: true, Warm: true, Reports: reports})
+	})
+	synctest.Wait()
+	l, err := b.network.Host(gatewayHost).Listen(frontAddress)
+	if err != nil {
+		t.Fatal(err)
+	}
+	g.process.goroutines.Go(func() { g.front.serve(l) })
+	return func() {
+		l.Close()
+		g.front.conns.closeAll()
+		g.loop.stop()
+		g.process.goroutines.Wait()
+		b.network.Kill(gatewayHost, false)
+	}
+}
+
+// abandonRequests counts the requests to a killed gateway as answered: none may be sent to a server any more.
+func (b *testbed) abandonRequests() {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	for id := range b.sent {
+		if b.answeredAt[id].IsZero() {
+			b.answeredAt[id] = time.Now()
+		}
+	}
+}
+
+// faultyNetwork dials connections whose writes do what is drawn.
+type faultyNetwork struct {
+	simnet.Host
+	testbed *testbed
+}
+
+var _ network.Network = &faultyNetwork{}
+
+func (n *faultyNetwork) Dial(address string, timeout time.Duration) (net.Conn, error) {
+	n.testbed.mu.Lock()
+	dials := n.testbed.scenario.Dials
+	takes := dials[n.testbed.dials%len(dials)]
+	n.testbed.dials++
+	n.testbed.mu.Unlock()
+	time.Sleep(takes)
+	conn, err := n.Host.Dial(address, timeout)
+	if err != nil {
+		return nil, err
+	}
+	return &faultyConn{Conn: conn, testbed: n.testbed}, nil
+}
+
+// faultyConn is a connection whose writes do what is drawn.
+type faultyConn struct {
+	net.Conn
+	testbed *testbed
+	writing atomic.Bool
+}
+
+// Write writes in pieces as a socket whose buffer is full. Only what is larger than a small request ever waits.
+func (c *faultyConn) Write(text []byte) (int, error) {
+	step := c.testbed.nextWrite()
+	if c.writing.Swap(true) {
+		c.testbed.violate(unsolicited, "a request is written into the midst of another, or waits for its end")
+	}
+	defer c.writing.Store(false)
+	at := step.At
+	if at < 0 {
+		at += len(text)
+	}
+	if step.Fails && at < len(text) {
+		n, _ := c.Conn.Write(text[:at])
+		if at > smallRequestBytes {
+			time.Sleep(step.Slow)
+		}
+		c.Conn.Close()
+		return n, syscall.ECONNRESET
+	}
+	if len(text) <= smallRequestBytes || step.Slow == 0 {
+		return c.Conn.Write(text)
+	}
+	half := len(text) / 2
+	n, err := c.Conn.Write(text[:half])
+	if err != nil {
+		return n, err
+	}
+	time.Sleep(step.Slow)
+	rest, err := c.Conn.Write(text[half:])
+	return n + rest, err
+}
+
+func (b *testbed) nextWrite() writeStep {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	step := b.scenario.Writes[b.writes%len(b.scenario.Writes)]
+	b.writes++
+	return step
+}
+
+// checkForwarded compares what a server got with what a client sent.
+func (b *testbed) checkForwarded(service, id string, req *http.Request, body []byte, bodyRead bool) {
+	b.mu.Lock()
+	sent, known := b.sent[id]
+	b.mu.Unlock()
+	if !known || sent.method != req.Method || sent.path != req.RequestURI || bodyRead && string(sent.body) != string(body) {
+		b.violate(unsolicited, "%s got %s %s with id %q and a body of %d bytes", service, req.Method, req.RequestURI, id, len(body))
+	}
+}
+
+// checkNotLate checks that a request is not sent to a server once it has been answered. A large one may be on its way for longer.
+func (b *testbed) checkNotLate(service, id string) {
+	b.mu.Lock()
+	answeredAt, large := b.answeredAt[id], len(b.sent[id].body) > smallRequestBytes
+	b.mu.Unlock()
+	if late := time.Since(answeredAt); !answeredAt.IsZero() && late > 5*time.Millisecond && !large {
+		b.violate(unsolicited, "%s got %s %v after it was answered", service, id, late)
+	}
+}
+
+// checkExecutions checks at the end how often requests ran that must not be repeated.
+func (b *testbed) checkExecutions() {
+	for id, sent := range b.sent {
+		if !strings.HasPrefix(sent.path, oncePath) {
+			continue
+		}
+		runs := b.runs["once "+id]
+		switch status := b.statuses[id]; {
+		case runs > 1:
+			b.violate(duplicated, "%s ran %d times", id, runs)
+		case runs > 0 && promisesNotExecuted(status):
+			b.violate(falselyUnrun, "%s ran and was answered %d", id, status)
+		}
+	}
+}
--- /dev/null
+++ b/dataplane/testclient_test.go
@@ -0,0 +1,210 @@
+package dataplane
+
+import (
+	"bufio"
+	"bytes"
+	"cmp"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+
+	"oxbowspan/topk"
+)
+
+// testClient is one client.
+type testClient struct {
+	testbed *testbed
+	name    string
+	conn    net.Conn // nil = not connected
+	reader  *bufio.Reader
+}
+
+// batch is what a client sends in one write: one request, or several that are pipelined.
+type batch struct {
+	text       []byte
+	ids        []string
+	giveUp     time.Duration
+	truncateAt int
+	pause      time.Duration // of the last request
+	next       int           // the step after those of the batch
+}
+
+// runClient sends a client's requests, as many as are pipelined in one write, and reads their responses in order.
+func (b *testbed) runClient(name string, steps []clientStep) {
+	c := &testClient{testbed: b, name: name}
+	defer c.disconnect()
+	for i := 0; i < len(steps); {
+		time.Sleep(steps[i].Pause)
+		if err := c.connect(); err != nil {
+			b.violate(unavailable, "%v", err)
+			return
+		}
+		sent := c.newBatch(steps, i)
+		i = sent.next
+		c.run(sent)
+	}
+	c.checkNothingComes()
+}
+
+// connect connects to the gateway, which may be about to start again.
+func (c *testClient) connect() (err error) {
+	for range 20 {
+		if c.conn != nil {
+			return nil
+		}
+		conn, dialErr := c.testbed.network.Host(clientHost).Dial(frontAddress, time.Second)
+		if dialErr == nil {
+			c.conn, c.reader = conn, bufio.NewReader(conn)
+			return nil
+		}
+		err = dialErr
+		time.Sleep(20 * time.Millisecond)
+	}
+	return err
+}
+
+func (c *testClient) disconnect() {
+	if c.conn != nil {
+		c.conn.Close()
+		c.conn = nil
+	}
+}
+
+// newBatch makes a batch of the requests from a step on.
+func (c *testClient) newBatch(steps []clientStep, first int) batch {
+	var made batch
+	for i := first; ; i++ {
+		step := steps[i]
+		id := c.name + "-" + strconv.Itoa(i)
+		request := step.request()
+		c.testbed.recordSent(id, request)
+		made.text = fmt.Appendf(made.text, "%s %s HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: %s\r\nX-Deadline-Remaining: %d\r\nContent-Length: %d\r\n\r\n%s",
+			request.method, request.path, id, step.Deadline/time.Millisecond, len(request.body), request.body)
+		made.ids = append(made.ids, id)
+		made.giveUp, made.truncateAt = cmp.Or(made.giveUp, step.GiveUp), cmp.Or(made.truncateAt, step.TruncateAt)
+		if !step.Pipelined || i+1 == len(steps) {
+			made.pause, made.next = step.Pause, i+1
+			return made
+		}
+	}
+}
+
+// request is what the client sends by a step.
+func (s clientStep) request() sentRequest {
+	method := "GET"
+	if strings.HasPrefix(s.Path, oncePath) {
+		method = "POST"
+	}
+	if strings.HasSuffix(s.Path, "/head") {
+		method = "HEAD"
+	}
+	return sentRequest{method: method, path: s.Path, body: bytes.Repeat([]byte{'b'}, s.Body)}
+}
+
+func (b *testbed) recordSent(id string, request sentRequest) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.sent[id] = request
+}
+
+// run sends a batch and reads the responses.
+func (c *testClient) run(sent batch) {
+	if sent.truncateAt > 0 {
+		c.conn.Write(sent.text[:len(sent.text)*sent.truncateAt/100])
+		time.Sleep(sent.pause)
+		c.disconnect()
+		return
+	}
+	c.conn.Write(sent.text)
+	for _, id := range sent.ids {
+		c.conn.SetReadDeadline(time.Now().Add(cmp.Or(sent.giveUp, 3*time.Second)))
+		if !c.readResponse(id) {
+			c.disconnect()
+			return
+		}
+	}
+	if c.reader.Buffered() > 0 {
+		c.testbed.violate(misrouted, "%d bytes come where no request is pending", c.reader.Buffered())
+	}
+}
+
+// checkNothingComes checks that nothing comes once all requests are answered.
+func (c *testClient) checkNothingComes() {
+	if c.conn == nil {
+		return
+	}
+	c.conn.SetReadDeadline(time.Now().Add(time.Second))
+	if _, err := c.reader.Peek(1); err == nil {
+		c.testbed.violate(misrouted, "something comes where no request is pending")
+	}
+}
+
+// readResponse reads the response to one request. It reports whether the connection may carry another.
+func (c *testClient) readResponse(id string) bool {
+	b := c.testbed
+	b.mu.Lock()
+	sent := b.sent[id]
+	b.mu.Unlock()
+	resp, err := http.ReadResponse(c.reader, &http.Request{Method: sent.method})
+	if err != nil {
+		if strings.Contains(err.Error(), "malformed") {
+			b.violate(misrouted, "what %s gets is no response: %v", id, err)
+		}
+		return false
+	}
+	body, err := io.ReadAll(resp.Body)
+	if err != nil {
+		return false
+	}
+	b.recordResponse(id, resp.StatusCode)
+	if got := resp.Header.Get("X-Attempt-Id"); got != "" && got != id {
+		b.violate(misrouted, "%s gets the response to %s", id, got)
+	}
+	if resp.StatusCode < 200 || resp.StatusCode > 599 {
+		b.violate(misrouted, "%s gets the status %d", id, resp.StatusCode)
+	}
+	if resp.StatusCode/100 == 2 {
+		b.checkSuccess(id, sent, resp, body)
+	}
+	return !resp.Close
+}
+
+func (b *testbed) recordResponse(id string, status int) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.statuses[id], b.answeredAt[id] = status, time.Now()
+	if status/100 == 2 {
+		b.served++
+	}
+}
+
+// checkSuccess checks that the response to a request that was served is made of its own servers' responses.
+func (b *testbed) checkSuccess(id string, sent sentRequest, resp *http.Response, body []byte) {
+	if sent.method == "HEAD" {
+		return
+	}
+	service := strings.Split(sent.path, "/")[1]
+	if service != "all" {
+		if resp.Header.Get("X-Server-Seal") != service+"."+id || !bytes.Equal(body, recordsOf(service, id)) {
+			b.violate(misrouted, "%s gets another body, or another seal than its server's: %q", id, resp.Header.Get("X-Server-Seal"))
+		}
+		return
+	}
+	var records [][]byte
+	for _, seal := range strings.Split(resp.Header.Get("X-Part-Seals"), ", ") {
+		shard, of, _ := strings.Cut(seal, ".")
+		if of != id {
+			b.violate(misrouted, "%s gets a shard's response sealed %q", id, seal)
+		}
+		records = slices.AppendSeq(records, slices.Chunk(recordsOf(shard, id), topk.RecordBytes))
+	}
+	slices.SortFunc(records, func(a, b []byte) int { return bytes.Compare(b, a) })
+	if !bytes.Equal(slices.Concat(records...), body) {
+		b.violate(misrouted, "%s gets records that are not the greatest of its shards", id)
+	}
+}
--- a/dataplane/updates.go
+++ b/dataplane/updates.go
@@ -1,16 +1,42 @@
 package dataplane
 
 import (
+	"time"
+
 	"oxbowspan/balancer"
 	"oxbowspan/config"
 	"oxbowspan/rpc"
 )
 
-// activateConfig takes a configuration with its encoding.
+// Gateway's side of what controllers and other gateways tell it, and of what it tells them. All methods but handleFrame run on the
+// loop's goroutine.
+
+// activateConfig implements updateSink.
 func (g *Gateway) activateConfig(c *config.Configuration, text []byte, slot uint64) {
 	g.configs.activate(c, text, slot)
 }
 
+// applyReports implements updateSink.
+func (g *Gateway) applyReports(update *rpc.Update) { g.endpoints.applyReports(update) }
+
+// applyPeerUpdate implements updateSink.
+func (g *Gateway) applyPeerUpdate(update *rpc.Update) {
+	g.applyDocuments(update.Documents)
+	g.endpoints.applyReports(update)
+}
+
+// applyUpdate implements updateSink.
+func (g *Gateway) applyUpdate(update *rpc.Update, polledAt time.Duration) {
+	g.applyDocuments(update.Documents)
+	g.endpoints.applyReports(update)
+	if update.HasGateways {
+		g.applyMembership(update.Gateways)
+	}
+	if update.HasQuorum {
+		g.members.renew(polledAt, duration(g.loop.now()))
+	}
+}
+
 // applyDocuments takes what is agreed beside the configuration.
 func (g *Gateway) applyDocuments(documents []*rpc.Document) {
 	for _, document := range documents {
@@ -31,13 +57,7 @@
 	g.loads.membershipChanged()
 }
 
-// pollStatus is what a poll tells the controllers of this gateway.
-type pollStatus struct {
-	healthChecks []*rpc.ServerReport
-	stats        *rpc.GatewayStats // nil = nothing to tell
-}
-
-// pollStatus gathers it, on the loop's goroutine.
+// pollStatus implements updateSink.
 func (g *Gateway) pollStatus() pollStatus {
 	now := g.loop.now()
 	return pollStatus{stats: g.stats(now), healthChecks: g.health.reports(now)}
