--- a/internal/controlcli/commands_test.go
+++ b/internal/controlcli/commands_test.go
@@ -113,20 +113,20 @@
 	}
 	restarted := strings.Replace(string(text), "first_start = true", "first_start = false", 1)
 	p.startController(p.writeFile(t, "restarted.toml", restarted))
-	p.eventually(t, exitOK, "the acceptors are at", "events")
+	p.eventually(t, exitOK, "the members are at", "events")
 	p.poll(t, "tolerable loss at three controllers", func(output string, code int) bool {
 		return code == exitOK && strings.Count(output, "tolerable disk losses: 1") == 3
 	}, "members")
 	if t.Failed() {
 		t.FailNow()
 	}
-	p.eventually(t, exitOK, "version 5 is agreed", "events")
+	p.eventually(t, exitOK, "version 5 is decided", "events")
 }
 
 // runMajorityLoss exports the state of a remaining controller and restores it on a cluster that starts anew.
 func runMajorityLoss(t *testing.T, p *programs) {
 	export := filepath.Join(p.cluster.Dir, "export.json")
-	p.expectAlone(t, exitFailed, "machine runs", "state", "--dir", p.dataDirectory(0), "export", export)
+	p.expectAlone(t, exitFailed, "a running controller", "state", "--dir", p.dataDirectory(0), "export", export)
 	p.killControllers()
 	p.expectAlone(t, exitOK, "version 5 and 2 documents", "state", "--dir", p.dataDirectory(0), "export", export)
 	for i := range p.cluster.Controllers {
