--- a/internal/controlcli/commands_test.go
+++ b/internal/controlcli/commands_test.go
@@ -5,9 +5,12 @@
 	"os"
 	"os/exec"
 	"path/filepath"
+	"slices"
 	"strings"
 	"testing"
+	"time"
 
+	"oxbowspan/controlplane"
 	"oxbowspan/internal/testing/simcluster"
 )
 
@@ -103,24 +106,38 @@
 
 // runControllerLoss kills a controller, removes its disk and starts it without.
 func runControllerLoss(t *testing.T, p *programs) {
-	kill(p.controllers[2])
-	p.removeData(t, 2)
-	p.eventually(t, exitOK, "is not heard any more", "events")
+	const lost = 2
+	killed := time.Now()
+	kill(p.controllers[lost])
+	p.removeData(t, lost)
+	p.eventuallyEvent(t, "loss of a controller", func(e controlplane.Event) bool {
+		recent := e.AgeSeconds < time.Since(killed).Seconds()
+		return e.Kind == "hive" && recent && strings.Contains(e.Text, p.cluster.Controllers[lost].IP)
+	})
 	p.eventually(t, exitOK, "no response from", "members")
-	text, err := os.ReadFile(p.settings[2])
+	text, err := os.ReadFile(p.settings[lost])
 	if err != nil {
 		t.Fatal(err)
 	}
 	restarted := strings.Replace(string(text), "first_start = true", "first_start = false", 1)
+	started := time.Now()
 	p.startController(p.writeFile(t, "restarted.toml", restarted))
-	p.eventually(t, exitOK, "the members are at", "events")
+	p.eventuallyEvent(t, "membership of all controllers", func(e controlplane.Event) bool {
+		recent := e.AgeSeconds < time.Since(started).Seconds()
+		missing := slices.ContainsFunc(p.cluster.Controllers, func(c *simcluster.ControllerNode) bool {
+			return !strings.Contains(e.Text, c.IP)
+		})
+		return e.Kind == "members" && recent && !missing
+	})
 	p.poll(t, "tolerable loss at three controllers", func(output string, code int) bool {
 		return code == exitOK && strings.Count(output, "tolerable disk losses: 1") == 3
 	}, "members")
 	if t.Failed() {
 		t.FailNow()
 	}
-	p.eventually(t, exitOK, "version 5 is decided", "events")
+	p.eventuallyEvent(t, "decision of version 5", func(e controlplane.Event) bool {
+		return e.Kind == "config" && strings.HasPrefix(e.Text, "version 5 ")
+	})
 }
 
 // runMajorityLoss exports the state of a remaining controller and restores it on a cluster that starts anew.
--- a/internal/controlcli/programs_test.go
+++ b/internal/controlcli/programs_test.go
@@ -176,6 +176,15 @@
 	}, args...)
 }
 
+// eventuallyEvent waits until a controller has recorded an event that passes.
+func (p *programs) eventuallyEvent(t *testing.T, want string, pass func(controlplane.Event) bool) {
+	t.Helper()
+	p.poll(t, "event of the "+want, func(output string, code int) bool {
+		var events []controlplane.Event
+		return code == exitOK && json.Unmarshal([]byte(output), &events) == nil && slices.ContainsFunc(events, pass)
+	}, "events", "--json")
+}
+
 // allServers waits until a number of servers is listed, all ready and with recent heartbeats, and returns them.
 func (p *programs) allServers(t *testing.T, count int) (servers []controlplane.ServerStatus) {
 	t.Helper()
