--- a/cmd/oxbowwatch/main.go
+++ b/cmd/oxbowwatch/main.go
@@ -1,4 +1,4 @@
-// Command oxbowwatch is the screen of 'oxbowspan watch'.
+// Command oxbowwatch is the dashboard that 'oxbowspan watch' starts.
 package main
 
 import (
--- a/internal/dashboard/main.go
+++ b/internal/dashboard/main.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"fmt"
 	"io"
 	"os"
 
@@ -11,37 +12,47 @@
 	"oxbowspan/internal/command"
 )
 
-// exitFailure is the exit code where the gatherer could not be watched.
+// exitFailure is the exit code of a dashboard that could not read the gatherer's states.
 const exitFailure = 1
 
-// Main runs the screen as a program and returns its exit code.
+// socketVariable is the environment variable that names the admin socket.
+const socketVariable = "OXBOWSPAN_SOCKET"
+
+// Main runs the dashboard as a program and returns its exit code.
 func Main(args []string, stdout, stderr io.Writer) int {
 	var socket, record string
-	root := command.Root(&cobra.Command{Use: "oxbowwatch", Short: "Show a running gatherer on a terminal", Args: command.NoArgs,
-		Long: "oxbowwatch is the screen of 'oxbowspan watch', which starts it."}, stdout, stderr)
-	root.Flags().StringVar(&socket, "socket", os.Getenv("OXBOWSPAN_SOCKET"), "the gatherer's admin socket (OXBOWSPAN_SOCKET)")
+	root := command.Root(&cobra.Command{
+		Use:   "oxbowwatch",
+		Short: "Show a running gatherer on a terminal",
+		Long:  "oxbowwatch is the dashboard that 'oxbowspan watch' starts.",
+		Args:  command.NoArgs,
+	}, stdout, stderr)
+	root.Flags().StringVar(&socket, "socket", os.Getenv(socketVariable), "the gatherer's admin socket ("+socketVariable+")")
 	root.Flags().StringVar(&record, "record", "", "also append the signals to this file")
-	root.RunE = func(*cobra.Command, []string) error {
-		if socket == "" {
-			return errors.New("no socket: give --socket or set OXBOWSPAN_SOCKET")
-		}
-		c, err := admin.Dial(socket)
-		if err != nil {
-			return err
-		}
-		defer c.Close()
-		if err := c.Watch(); err != nil {
-			return err
-		}
-		if record == "" {
-			return Run(c)
-		}
-		f, err := os.OpenFile(record, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
-		if err != nil {
-			return err
-		}
-		defer f.Close()
-		return Run(admin.Recorder{Source: c, Out: f})
-	}
+	root.RunE = func(*cobra.Command, []string) error { return watch(socket, record) }
 	return command.Run(root, args, stderr, func(error) int { return exitFailure })
 }
+
+// watch shows the states of the gatherer behind an admin socket and appends its signals to a file, if one is named.
+func watch(socket, recordPath string) error {
+	if socket == "" {
+		return errors.New("no socket: give --socket or set " + socketVariable)
+	}
+	client, err := admin.Dial(socket)
+	if err != nil {
+		return err
+	}
+	defer client.Close()
+	if err := client.Watch(); err != nil {
+		return err
+	}
+	if recordPath == "" {
+		return Run(client)
+	}
+	file, err := os.OpenFile(recordPath, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+	if err != nil {
+		return fmt.Errorf("record signals: %w", err)
+	}
+	defer file.Close()
+	return Run(admin.Recorder{Source: client, Out: file})
+}
