--- a/internal/testing/standin/discovery.go
+++ b/internal/testing/standin/discovery.go
@@ -9,99 +9,131 @@
 	"oxbowspan/internal/discovery"
 )
 
-// DiscoveryService is the list service: a list, its watchers, and whether it answers.
+const (
+	// firstSequence is the list's version at the start.
+	firstSequence = 40
+	// requestLogSize is how many requests DiscoveryService.Requests holds.
+	requestLogSize = 1000
+)
+
+// DiscoveryService is the service that gatherers read the list of shard servers from and watch for changes. Its methods may be
+// called concurrently.
 type DiscoveryService struct {
-	Requests chan string // queries, as they come; it holds 1,000
+	// Requests receives the URL of each request. Requests that find it full are not recorded.
+	Requests chan string
 
-	srv  *http.Server
-	addr string
+	server *http.Server
+	addr   string
 
 	mu       sync.Mutex
 	sequence uint64
-	hosts    map[string]discovery.Server
-	changed  chan struct{} // closed at each change
+	servers  map[string]discovery.Server // by host
+	changed  chan struct{}               // closed and replaced at each change
 	down     bool
 }
 
-// StartDiscoveryService starts a list service on loopback that lists some servers.
-func StartDiscoveryService(shards ...*ShardServer) (*DiscoveryService, error) {
-	l := &DiscoveryService{sequence: 40, hosts: map[string]discovery.Server{}, changed: make(chan struct{}), Requests: make(chan string, 1000)}
-	for _, s := range shards {
-		l.hosts[s.Host] = s.Entry()
+// StartDiscoveryService starts a service on loopback that lists some shard servers.
+func StartDiscoveryService(shardServers ...*ShardServer) (*DiscoveryService, error) {
+	d := &DiscoveryService{
+		Requests: make(chan string, requestLogSize),
+		sequence: firstSequence,
+		servers:  map[string]discovery.Server{},
+		changed:  make(chan struct{}),
 	}
-	nl, err := net.Listen("tcp", "127.0.0.1:0")
+	for _, s := range shardServers {
+		d.servers[s.Host] = s.Entry()
+	}
+	listener, err := net.Listen("tcp", loopbackAddress)
 	if err != nil {
 		return nil, err
 	}
-	l.addr, l.srv = nl.Addr().String(), &http.Server{Handler: l}
-	go l.srv.Serve(nl)
-	return l, nil
+	d.addr = listener.Addr().String()
+	d.server = &http.Server{Handler: d}
+	go d.server.Serve(listener)
+	return d, nil
 }
 
-// Addr is where it listens.
-func (l *DiscoveryService) Addr() string { return l.addr }
+// Addr returns the address that the service listens at.
+func (d *DiscoveryService) Addr() string { return d.addr }
 
-// Stop ends it.
-func (l *DiscoveryService) Stop() { l.srv.Close() }
+// Stop closes the service and its connections.
+func (d *DiscoveryService) Stop() { d.server.Close() }
 
-// Entry is a server's entry, as one that is up.
+// Entry returns the list entry of a server that is up.
 func (s *ShardServer) Entry() discovery.Server {
-	return discovery.Server{Host: s.Host, Address: s.Addr(), Zone: s.Zone, Cell: s.Cell, Health: discovery.Up, StartedMillis: s.StartedMillis}
+	return discovery.Server{
+		Host:          s.Host,
+		Address:       s.Addr(),
+		Zone:          s.Zone,
+		Cell:          s.Cell,
+		Health:        discovery.Up,
+		StartedMillis: s.StartedMillis,
+	}
 }
 
-// Update changes one entry and tells the watchers.
-func (l *DiscoveryService) Update(e discovery.Server) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.sequence++
-	l.hosts[e.Host] = e
-	l.notify()
+// Update changes or adds one entry in a new version of the list and notifies the watchers.
+func (d *DiscoveryService) Update(entry discovery.Server) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.sequence++
+	d.servers[entry.Host] = entry
+	d.notify()
 }
 
-// Set changes an entry before anybody watches.
-func (l *DiscoveryService) Set(e discovery.Server) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.hosts[e.Host] = e
+// Set changes or adds one entry without a new version. It is meant for the time before the first watch.
+func (d *DiscoveryService) Set(entry discovery.Server) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.servers[entry.Host] = entry
 }
 
-// SetDown ends all watches and refuses calls, or takes them again.
-func (l *DiscoveryService) SetDown(down bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.down = down
-	l.notify()
+// SetDown makes the service end all watches and reject requests, or accept them again.
+func (d *DiscoveryService) SetDown(down bool) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.down = down
+	d.notify()
 }
 
-func (l *DiscoveryService) notify() {
-	close(l.changed)
-	l.changed = make(chan struct{})
+// SetSequence sets the list's version without notifying the watchers.
+func (d *DiscoveryService) SetSequence(sequence uint64) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.sequence = sequence
 }
 
-func (l *DiscoveryService) snapshot() discovery.ServerList {
-	out := discovery.ServerList{Version: l.sequence, Complete: true}
-	for _, e := range l.hosts {
-		out.Servers = append(out.Servers, e)
+// notify wakes the watchers. The caller holds the lock.
+func (d *DiscoveryService) notify() {
+	close(d.changed)
+	d.changed = make(chan struct{})
+}
+
+// snapshot returns the list as it is sent. The caller holds the lock.
+func (d *DiscoveryService) snapshot() discovery.ServerList {
+	list := discovery.ServerList{Version: d.sequence, Complete: true}
+	for _, entry := range d.servers {
+		list.Servers = append(list.Servers, entry)
 	}
-	return out
+	return list
 }
 
-// ServeHTTP implements http.Handler.
-func (l *DiscoveryService) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+// ServeHTTP implements http.Handler. It sends the list once, or with the query parameter watch again after each change.
+func (d *DiscoveryService) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	select {
-	case l.Requests <- r.URL.String():
+	case d.Requests <- r.URL.String():
 	default:
 	}
 	for {
-		l.mu.Lock()
-		down, now, changed := l.down, l.snapshot(), l.changed
-		l.mu.Unlock()
+		d.mu.Lock()
+		down, list, changed := d.down, d.snapshot(), d.changed
+		d.mu.Unlock()
 		if down {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
-		json.NewEncoder(w).Encode(now)
-		if w.(http.Flusher).Flush(); r.URL.Query().Get("watch") == "" {
+		json.NewEncoder(w).Encode(list)
+		w.(http.Flusher).Flush()
+		if r.URL.Query().Get("watch") == "" {
 			return
 		}
 		select {
@@ -111,10 +143,3 @@
 		}
 	}
 }
-
-// SetSequence sets the list's version, as of a list service that counts on its own.
-func (l *DiscoveryService) SetSequence(seq uint64) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.sequence = seq
-}
--- a/internal/testing/standin/program.go
+++ b/internal/testing/standin/program.go
@@ -2,9 +2,6 @@
 
 import (
 	"bufio"
-	"bytes"
-	"context"
-	"encoding/json"
 	"fmt"
 	"io"
 	"net/http"
@@ -15,21 +12,42 @@
 	"time"
 )
 
-// Program is a built gatherer that runs as a process of its own.
+const (
+	// startTimeout is how long a program may take until it is ready.
+	startTimeout = 20 * time.Second
+	// readyInterval is the time between two requests to the ready endpoint.
+	readyInterval = 5 * time.Millisecond
+	// readyPath is the gatherer's ready endpoint.
+	readyPath = "/-/ready"
+	// logBufferSize is how many lines Program.Lines holds.
+	logBufferSize = 100_000
+	// logTailLines is how many lines of the log error texts quote.
+	logTailLines = 5
+
+	// The log event of a program that accepts connections, and the field that holds its address.
+	listeningEvent = "event=listening "
+	addressField   = "addr"
+)
+
+// Program is a built gatherer running as a process.
 type Program struct {
-	Addr   string        // where it takes clients
-	Lines  chan string   // its log; it holds 100,000 lines, what comes then is not kept
-	Exit   chan error    // how it ended
-	Exited chan struct{} // closed when it has
-	cmd    *exec.Cmd
-}
+	Addr   string        // that clients connect to
+	Lines  chan string   // the log; lines that find it full are dropped; closed at the end of the log
+	Exit   chan error    // receives the process's exit status
+	Exited chan struct{} // closed after Exit has received
 
-// startTimeout is how long a program may take to serve.
-const startTimeout = 20 * time.Second
+	cmd *exec.Cmd
+}
 
-// StartProgram starts a command that serves, and waits until it is ready. seen is told each line of its log; nil = nobody.
-func StartProgram(cmd *exec.Cmd, seen func(line string)) (*Program, error) {
-	p := &Program{Lines: make(chan string, 100_000), Exit: make(chan error, 1), Exited: make(chan struct{}), cmd: cmd}
+// StartProgram starts a command that serves and waits until it is ready. Each line of its log is passed to onLine, if that is
+// not nil.
+func StartProgram(cmd *exec.Cmd, onLine func(line string)) (*Program, error) {
+	p := &Program{
+		Lines:  make(chan string, logBufferSize),
+		Exit:   make(chan error, 1),
+		Exited: make(chan struct{}),
+		cmd:    cmd,
+	}
 	stderr, err := cmd.StderrPipe()
 	if err != nil {
 		return nil, err
@@ -38,77 +56,91 @@
 		return nil, err
 	}
 	listening := make(chan string, 1)
-	var last logTail
+	var tail logTail
 	go func() {
-		for r := bufio.NewScanner(stderr); r.Scan(); {
-			line := r.Text()
-			if last.add(line); seen != nil {
-				seen(line)
-			}
-			if strings.Contains(line, "event=listening ") {
-				select {
-				case listening <- LogField(line, "addr"):
-				default:
-				}
-			}
-			select {
-			case p.Lines <- line:
-			default:
-			}
-		}
-		close(p.Lines)
+		p.readLog(stderr, &tail, listening, onLine)
 		p.Exit <- cmd.Wait()
 		close(p.Exited)
 	}()
-	limit := time.After(startTimeout)
+	timeout := time.After(startTimeout)
 	select {
 	case p.Addr = <-listening:
 	case <-p.Exited:
-		return nil, fmt.Errorf("the program ended before it listened: %s", last.text())
-	case <-limit:
+		return nil, fmt.Errorf("the program exited before it listened: %s", tail.text())
+	case <-timeout:
 		p.Kill()
-		return nil, fmt.Errorf("the program never listened: %s", last.text())
+		return nil, fmt.Errorf("the program did not listen within %s: %s", startTimeout, tail.text())
+	}
+	if err := p.waitReady(timeout); err != nil {
+		return nil, fmt.Errorf("%w: %s", err, tail.text())
+	}
+	return p, nil
+}
+
+// readLog reads the program's log to its end and sends the address that it first listens at.
+func (p *Program) readLog(log io.Reader, tail *logTail, listening chan<- string, onLine func(line string)) {
+	for scanner := bufio.NewScanner(log); scanner.Scan(); {
+		line := scanner.Text()
+		tail.add(line)
+		if onLine != nil {
+			onLine(line)
+		}
+		if strings.Contains(line, listeningEvent) {
+			select {
+			case listening <- LogField(line, addressField):
+			default:
+			}
+		}
+		select {
+		case p.Lines <- line:
+		default:
+		}
 	}
+	close(p.Lines)
+}
+
+// waitReady polls the ready endpoint, as a load balancer does, until it succeeds or the timeout fires.
+func (p *Program) waitReady(timeout <-chan time.Time) error {
 	for {
-		if res, err := http.Get("http://" + p.Addr + "/-/ready"); err == nil {
+		if res, err := http.Get("http://" + p.Addr + readyPath); err == nil {
 			res.Body.Close()
 			if res.StatusCode == http.StatusOK {
-				return p, nil
+				return nil
 			}
 		}
 		select {
 		case <-p.Exited:
-			return nil, fmt.Errorf("the program ended before it was ready: %s", last.text())
-		case <-limit:
+			return fmt.Errorf("the program exited before it was ready")
+		case <-timeout:
 			p.Kill()
-			return nil, fmt.Errorf("the program is never ready: %s", last.text())
-		case <-time.After(5 * time.Millisecond): // it is asked again, as a front would
+			return fmt.Errorf("the program was not ready within %s", startTimeout)
+		case <-time.After(readyInterval):
 		}
 	}
 }
 
-// Signal sends it a signal.
+// Signal sends a signal to the process.
 func (p *Program) Signal(s syscall.Signal) error { return p.cmd.Process.Signal(s) }
 
-// Kill ends it outright.
+// Kill kills the process without a graceful shutdown.
 func (p *Program) Kill() { p.cmd.Process.Kill() }
 
-// PID is its process.
+// PID returns the process's id.
 func (p *Program) PID() int { return p.cmd.Process.Pid }
 
-// Drain asks it to end and waits until it has.
-func (p *Program) Drain(limit time.Duration) error {
+// Drain asks the program for a graceful shutdown and waits for it. After the timeout it kills the process.
+func (p *Program) Drain(timeout time.Duration) error {
 	p.Signal(syscall.SIGTERM)
 	select {
 	case <-p.Exited:
 		return <-p.Exit
-	case <-time.After(limit):
+	case <-time.After(timeout):
 		p.Kill()
-		return fmt.Errorf("the program does not end within %s of SIGTERM", limit)
+		return fmt.Errorf("the program did not exit within %s of SIGTERM", timeout)
 	}
 }
 
-// logTail is the end of a log.
+// logTail holds the last lines of a log.
 type logTail struct {
 	mu    sync.Mutex
 	lines []string
@@ -117,7 +149,8 @@
 func (t *logTail) add(line string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.lines = append(t.lines, line); len(t.lines) > 5 {
+	t.lines = append(t.lines, line)
+	if len(t.lines) > logTailLines {
 		t.lines = t.lines[1:]
 	}
 }
@@ -128,78 +161,12 @@
 	return strings.Join(t.lines, " | ")
 }
 
-// LogField takes one word of a key=value line.
+// LogField returns the value of a field of a log line in key=value form, or "" if the line lacks the field.
 func LogField(line, name string) string {
-	for _, w := range strings.Fields(line) {
-		if v, ok := strings.CutPrefix(w, name+"="); ok {
-			return v
+	for _, field := range strings.Fields(line) {
+		if value, ok := strings.CutPrefix(field, name+"="); ok {
+			return value
 		}
 	}
 	return ""
 }
-
-// Request is a search as a client sends it.
-type Request struct {
-	ID        string
-	QueryType string // query type
-	Customer  string
-	Timeout   time.Duration
-	Shards    []int
-	Weights   []float64 // nil = equal ones
-	Statement string
-	Merge     any // nil = none; else as JSON
-}
-
-// Body is the search's body.
-func (s Request) Body() []byte {
-	type tablet struct {
-		Tablet   int     `json:"tablet"`
-		Fraction float64 `json:"fraction"`
-	}
-	var b struct {
-		Tablets   []tablet `json:"tablets"`
-		Statement string   `json:"statement"`
-		Merge     any      `json:"merge,omitempty"`
-	}
-	for i, n := range s.Shards {
-		w := 1 / float64(len(s.Shards))
-		if s.Weights != nil {
-			w = s.Weights[i]
-		}
-		b.Tablets = append(b.Tablets, tablet{n, w})
-	}
-	b.Statement, b.Merge = s.Statement, s.Merge
-	raw, err := json.Marshal(b)
-	if err != nil {
-		panic(err) // a Merge that is no JSON is the caller's mistake
-	}
-	return raw
-}
-
-// Response is what a client got.
-type Response struct {
-	Status     int
-	Body       []byte
-	RetryAfter string
-	Elapsed    time.Duration
-}
-
-// Send sends a search and reads the answer whole.
-func (s Request) Send(ctx context.Context, client *http.Client, addr string) (Response, error) {
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/"+s.QueryType, bytes.NewReader(s.Body()))
-	if err != nil {
-		return Response{}, err
-	}
-	r.Header.Set("Req-Id", s.ID)
-	r.Header.Set("Req-Kind", s.QueryType)
-	r.Header.Set("Req-Owner", s.Customer)
-	r.Header.Set("Req-Deadline-Ms", fmt.Sprint(s.Timeout.Milliseconds()))
-	began := time.Now()
-	res, err := client.Do(r)
-	if err != nil {
-		return Response{}, err
-	}
-	defer res.Body.Close()
-	b, err := io.ReadAll(res.Body)
-	return Response{res.StatusCode, b, res.Header.Get("Retry-After"), time.Since(began)}, err
-}
--- a/internal/testing/standin/shardserver.go
+++ b/internal/testing/standin/shardserver.go
@@ -1,133 +1,153 @@
-// Package standin plays the outside systems that a gatherer speaks to, from their protocols: shard servers, the list
-// service, clients, and a ledger with known data whose rows the shard servers give. All of it listens and calls on
-// loopback alone. Faults are scripted: a stand-in does nothing by chance that its seed does not fix.
+// Package standin provides the systems around a gatherer for tests and experiments, written from their protocols: shard
+// servers, the discovery service, clients, and a dataset with known content that the shard servers return rows of. Everything
+// listens and connects on loopback only. Faults are scripted: random decisions are drawn from seeds.
 //
-// It is for tests and for oxbowlab. What it knows of the protocols it has from their pages, not from the program's own
-// code, save the frames' codec.
+// Of the gatherer's own code the package uses the frame codec and the types that both sides exchange. What is right is computed
+// independently, so that an error in the gatherer is not repeated here.
 package standin
 
 import (
-	"bytes"
 	"encoding/binary"
 	"fmt"
 	"io"
 	"net"
-	"strconv"
-	"strings"
 	"sync"
 
 	"oxbowspan/internal/frame"
 )
 
-// ShardCall is what a shard server is asked for.
-type ShardCall struct {
-	ID            string
-	Shard         int
-	TimeoutMillis int64             // milliseconds that the gatherer waits
-	Attributes    map[string]string // what else its line lists
-	Query         []byte
-}
+const (
+	// loopbackAddress is what stand-ins listen at: any free port.
+	loopbackAddress = "127.0.0.1:0"
+	// defaultZone is the zone of shard servers that are not given another.
+	defaultZone = "a"
+	// callLogSize is how many entries ShardServer.Received holds.
+	callLogSize = 10_000
+	// maxFrameBytes bounds the frames that a shard server reads.
+	maxFrameBytes = 4 << 20
+	// frameLengthBytes is the size of the length before each frame.
+	frameLengthBytes = 4
+	// cancelPrefix precedes the id of a cancelled call in ShardServer.Received.
+	cancelPrefix = "c "
+)
+
+// Outcomes of shard calls, as shard servers state them.
+const (
+	Served  = "served"
+	Broke   = "broke"
+	Skipped = "skipped"
+)
+
+// loadReport follows the outcome in each response: the service time in milliseconds and the server's load.
+const loadReport = "7 queue=1,inflight=2"
 
-// ShardServer is a shard server.
+// ShardServer is a shard server on loopback. Its exported fields must be set before the first connection.
 type ShardServer struct {
 	Host          string
 	Zone          string
 	Cell          int
-	StartedMillis float64 // Unix milliseconds, as the list tells; 0 = long ago
-	// Handle meets a part; nil = it is served with "value of TEXT". It runs in the connection's own goroutine, so that a Do
-	// which waits holds up what comes behind it there.
-	Handle func(c *ShardConn, p ShardCall)
-	// OnProtocolError is told what no gatherer may send.
-	OnProtocolError func(what string)
-	// Received takes parts by id as they come, and given-up ones as "c ID". It holds 10,000; what comes then is not kept.
+	StartedMillis float64 // Unix time, as the discovery service tells it; 0 = long ago
+	// Handle handles a call. By default calls are served with "value of QUERY". It is called by the goroutine of the
+	// connection, so that a Handle which waits delays the calls behind it on that connection.
+	Handle func(conn *ShardConn, call ShardCall)
+	// OnProtocolError, if not nil, is called for what a gatherer must not send.
+	OnProtocolError func(problem string)
+	// Received receives the ids of calls as they arrive, and "c ID" for cancelled ones. Entries that find it full are not
+	// recorded.
 	Received chan string
 
 	listener   net.Listener
 	mu         sync.Mutex
-	conns      map[*ShardConn]struct{} // open ones; emptied as they end
-	accepted   int                     // connections there have been
-	callFrames int                     // calls
+	conns      map[*ShardConn]struct{} // open ones
+	accepted   int                     // connections so far
+	callFrames int                     // received so far
 }
 
-// ShardConn is one connection to a shard server.
+// ShardConn is a connection of a shard server. Respond and RespondTruncated may be called concurrently.
 type ShardConn struct {
 	net.Conn
 	Server *ShardServer
-	mu     sync.Mutex
+
+	mu sync.Mutex // serializes responses
 }
 
-// StartShardServer starts a shard server on loopback.
-func StartShardServer(host string, do func(*ShardConn, ShardCall), fault func(string)) (*ShardServer, error) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// StartShardServer starts a shard server on loopback. Both functions may be nil; see the fields of ShardServer.
+func StartShardServer(host string, handle func(*ShardConn, ShardCall), onProtocolError func(string)) (*ShardServer, error) {
+	listener, err := net.Listen("tcp", loopbackAddress)
 	if err != nil {
 		return nil, err
 	}
-	s := &ShardServer{Host: host, Zone: "a", listener: l, Handle: do, OnProtocolError: fault, Received: make(chan string, 10000),
-		conns: map[*ShardConn]struct{}{}}
-	go s.accept(l)
+	s := &ShardServer{
+		Host:            host,
+		Zone:            defaultZone,
+		Handle:          handle,
+		OnProtocolError: onProtocolError,
+		Received:        make(chan string, callLogSize),
+		listener:        listener,
+		conns:           map[*ShardConn]struct{}{},
+	}
+	go s.acceptConnections()
 	return s, nil
 }
 
-func (s *ShardServer) accept(l net.Listener) {
+func (s *ShardServer) acceptConnections() {
 	for {
-		c, err := l.Accept()
+		conn, err := s.listener.Accept()
 		if err != nil {
 			return
 		}
-		sc := &ShardConn{Conn: c, Server: s}
+		shardConn := &ShardConn{Conn: conn, Server: s}
 		s.mu.Lock()
-		s.conns[sc] = struct{}{}
+		s.conns[shardConn] = struct{}{}
 		s.accepted++
 		s.mu.Unlock()
-		go sc.serve()
+		go shardConn.serve()
 	}
 }
 
-// Addr is where it listens.
+// Addr returns the address that the server listens at.
 func (s *ShardServer) Addr() string { return s.listener.Addr().String() }
 
-// Stop ends it as a process that dies: nobody listens, and open connections break.
+// Stop closes the listener and all connections, like the end of the server's process.
 func (s *ShardServer) Stop() {
 	s.listener.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for c := range s.conns {
-		c.Close()
+	for conn := range s.conns {
+		conn.Close()
 	}
 }
 
-// ResetConnections resets all open connections, and goes on listening.
+// ResetConnections resets all open connections. The server goes on listening.
 func (s *ShardServer) ResetConnections() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for c := range s.conns {
-		c.Reset()
+	for conn := range s.conns {
+		conn.Reset()
 	}
 }
 
-// Counts tells how many connections there were and how many calls came.
-func (s *ShardServer) Counts() (conns, calls int) {
+// Counts returns the number of connections accepted and of call frames received so far.
+func (s *ShardServer) Counts() (connections, callFrames int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.accepted, s.callFrames
 }
 
-func (s *ShardServer) protocolError(form string, args ...any) {
+func (s *ShardServer) protocolError(format string, args ...any) {
 	if s.OnProtocolError != nil {
-		s.OnProtocolError(fmt.Sprintf("shard server %s: ", s.Host) + fmt.Sprintf(form, args...))
+		s.OnProtocolError(fmt.Sprintf("shard server %s: ", s.Host) + fmt.Sprintf(format, args...))
 	}
 }
 
-func (s *ShardServer) record(what string) {
+func (s *ShardServer) record(entry string) {
 	select {
-	case s.Received <- what:
+	case s.Received <- entry:
 	default:
 	}
 }
 
-// maxFrameBytes bounds what a stand-in reads at once.
-const maxFrameBytes = 4 << 20
-
+// serve handles frames until the connection ends or a frame is malformed.
 func (c *ShardConn) serve() {
 	defer func() {
 		c.Close()
@@ -136,97 +156,88 @@
 		c.Server.mu.Unlock()
 	}()
 	for {
-		head := make([]byte, 4)
-		if _, err := io.ReadFull(c, head); err != nil {
-			return
-		}
-		n := binary.BigEndian.Uint32(head)
-		if n < 1 || n > maxFrameBytes {
-			c.Server.protocolError("a frame of %d bytes", n)
+		letter, body, ok := c.readFrame()
+		if !ok {
 			return
 		}
-		buf := make([]byte, n)
-		if _, err := io.ReadFull(c, buf); err != nil {
-			return
-		}
-		switch rest := buf[1:]; buf[0] {
+		switch letter {
 		case frame.CancelFrame:
-			c.Server.record("c " + string(rest))
+			c.Server.record(cancelPrefix + string(body))
 		case frame.CallFrame:
-			c.Server.mu.Lock()
-			c.Server.callFrames++
-			c.Server.mu.Unlock()
-			for len(rest) > 0 {
-				p, after, err := parseShardCall(rest)
-				if err != nil {
-					c.Server.protocolError("%v", err)
-					return
-				}
-				rest = after
-				c.Server.record(p.ID)
-				if c.Server.Handle != nil {
-					c.Server.Handle(c, p)
-				} else {
-					c.Respond(p.ID, "served", "value of "+string(p.Query))
-				}
+			if !c.handleCalls(body) {
+				return
 			}
 		default:
-			c.Server.protocolError("a gatherer sent letter %q", buf[0])
+			c.Server.protocolError("unexpected frame type %q", letter)
 			return
 		}
 	}
 }
 
-// parseShardCall reads a part's line, ID SHARD LIST LENGTH, and its text.
-func parseShardCall(b []byte) (p ShardCall, rest []byte, err error) {
-	line, after, _ := bytes.Cut(b, []byte{'\n'})
-	words := strings.Fields(string(line))
-	if len(words) != 4 {
-		return p, nil, fmt.Errorf("a part's line is %q", line)
-	}
-	p = ShardCall{ID: words[0], Attributes: map[string]string{}}
-	if p.Shard, err = strconv.Atoi(words[1]); err != nil {
-		return p, nil, fmt.Errorf("a part's line is %q", line)
+// readFrame reads the next frame; ok is false if there is none or its length is not allowed.
+func (c *ShardConn) readFrame() (letter byte, body []byte, ok bool) {
+	header := make([]byte, frameLengthBytes)
+	if _, err := io.ReadFull(c, header); err != nil {
+		return 0, nil, false
 	}
-	for _, item := range strings.Split(words[2], ",") {
-		name, value, ok := strings.Cut(item, "=")
-		if _, twice := p.Attributes[name]; !ok || twice {
-			return p, nil, fmt.Errorf("a part's list is %q", words[2])
-		}
-		p.Attributes[name] = value
+	length := binary.BigEndian.Uint32(header)
+	if length < 1 || length > maxFrameBytes {
+		c.Server.protocolError("a frame of %d bytes", length)
+		return 0, nil, false
 	}
-	if p.TimeoutMillis, err = strconv.ParseInt(p.Attributes["d"], 10, 64); err != nil {
-		return p, nil, fmt.Errorf("a part's list %q has no time limit", words[2])
+	content := make([]byte, length)
+	if _, err := io.ReadFull(c, content); err != nil {
+		return 0, nil, false
 	}
-	delete(p.Attributes, "d")
-	n, err := strconv.Atoi(words[3])
-	if err != nil || n < 0 || n > len(after) {
-		return p, nil, fmt.Errorf("a part's line is %q before %d bytes", line, len(after))
+	return content[0], content[1:], true
+}
+
+// handleCalls handles the calls of one frame; ok is false if one is malformed.
+func (c *ShardConn) handleCalls(body []byte) (ok bool) {
+	c.Server.mu.Lock()
+	c.Server.callFrames++
+	c.Server.mu.Unlock()
+	for len(body) > 0 {
+		call, rest, err := parseShardCall(body)
+		if err != nil {
+			c.Server.protocolError("%v", err)
+			return false
+		}
+		body = rest
+		c.Server.record(call.ID)
+		if c.Server.Handle != nil {
+			c.Server.Handle(c, call)
+		} else {
+			c.Respond(call.ID, Served, "value of "+string(call.Query))
+		}
 	}
-	p.Query = after[:n]
-	return p, after[n:], nil
+	return true
 }
 
-// Respond answers a part: served, broke or skipped.
-func (c *ShardConn) Respond(part, end, value string) {
+// Respond sends the response to a call. The outcome is Served, Broke or Skipped.
+func (c *ShardConn) Respond(callID, outcome, value string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.Write(frame.New(frame.AnswerFrame, part+" "+end+" 7 queue=1,inflight=2\n"+value))
+	c.Write(answerFrame(callID, outcome, value))
 }
 
-// RespondTruncated writes only so many bytes of an answer and then resets the connection.
-func (c *ShardConn) RespondTruncated(part, value string, n int) {
+// RespondTruncated sends the first bytes of a response and then resets the connection.
+func (c *ShardConn) RespondTruncated(callID, value string, bytes int) {
 	c.mu.Lock()
-	b := frame.New(frame.AnswerFrame, part+" served 7 queue=1,inflight=2\n"+value)
-	c.Write(b[:min(n, len(b))])
+	content := answerFrame(callID, Served, value)
+	c.Write(content[:min(bytes, len(content))])
 	c.mu.Unlock()
 	c.Reset()
 }
 
-// Reset breaks the connection as a dying process does.
+func answerFrame(callID, outcome, value string) []byte {
+	return frame.New(frame.AnswerFrame, callID+" "+outcome+" "+loadReport+"\n"+value)
+}
+
+// Reset closes the connection with a TCP reset, like a process that dies.
 func (c *ShardConn) Reset() {
-	if t, ok := c.Conn.(*net.TCPConn); ok {
-		t.SetLinger(0)
+	if tcp, ok := c.Conn.(*net.TCPConn); ok {
+		tcp.SetLinger(0)
 	}
 	c.Close()
 }
