--- a/controlplane/controller.go
+++ b/controlplane/controller.go
@@ -10,10 +10,8 @@
 	"math/rand/v2"
 	"net/http"
 	"sync"
-	"sync/atomic"
 	"time"
 
-	"github.com/emirpasic/gods/v2/queues/circularbuffer"
 	"github.com/rotisserie/eris"
 	"github.com/rs/zerolog"
 	"google.golang.org/protobuf/proto"
@@ -22,9 +20,9 @@
 	"oxbowspan/internal/acceptorstore"
 	"oxbowspan/internal/network"
 	"oxbowspan/internal/settings"
+	"oxbowspan/lease"
 	"oxbowspan/quorum"
 	"oxbowspan/registry"
-	"oxbowspan/rendezvous"
 	"oxbowspan/rpc"
 )
 
@@ -46,46 +44,33 @@
 	network       network.Network
 	log           zerolog.Logger
 	store         *acceptorstore.Store
-	self          consensus.AcceptorID
+	self          identity
+	learner       *learner
+	acceptor      *acceptorEndpoint
 	proposerID    consensus.ProposerID
-	incarnation   uint64
-	address       string
-	startedAt     time.Time
-	commands      chan func()
-	stopped       chan struct{}
+	clock         *steadyClock
+	loop          *eventLoop
 	killed        chan struct{}
 	proposalToken chan struct{} // holds one token: this hive's rounds go one at a time
 	wg            sync.WaitGroup
-	acceptedValue atomic.Pointer[consensus.Value] // on the disk; written before the vote is told; nil = none
-	acceptedSlot  atomic.Uint64                   // of the vote on the disk; written before the vote is told
 
 	// The owner's.
-	known            *consensus.Value         // decided, or what a round may start from
-	confirmed        bool                     // known was decided
-	history          consensus.History        // of decided values; bounded by itself
 	highestBallot    uint64                   // the highest number seen
-	documentTimes    map[string]documentTime  // since when each note's version is known here; as many as there are notes
-	decision         consensus.Decision       // known, and at which ballots it was decided
-	ownReplica       consensus.Replica        // what this machine's disk holds
 	selfRepair       consensus.RepairSchedule // when this machine's own copy is to be completed
 	repair           consensus.RepairSchedule // when a round is owed for copies that lack
 	contact          *quorum.ContactTracker
 	wasInContact     bool // in contact, when last looked
 	verifier         verifications
-	newestAccepted   consensus.Slot // the newest turn that this acceptor voted for
-	acceptedAt       time.Duration
 	table            *registry.Table
-	gateways         map[uint64]*gatewayState           // emptied of those not heard for a while
-	membershipEpoch  uint64                             // number of the list of foragers
-	gatewaySequence  uint64                             // of the last forager that there was something to tell the other hives of
-	peers            map[string]*peer                   // emptied of those unheard that do not vote
-	waiters          map[*pollWaiter]bool               // emptied by answers
-	replicationWaits []*replicationWait                 // emptied by acks and time
-	events           *circularbuffer.Queue[eventRecord] // the newest eventLogCapacity
-	eventSequence    uint64
-	eventCursor      registry.Cursor   // up to which servers' changes were noted as events,
-	serverStates     map[string]string // with what each was then; kept to those of the table
-	updateAt         time.Duration     // when waiters are to be told; 0 = nothing to tell
+	gateways         map[uint64]*gatewayState // emptied of those not heard for a while
+	membershipEpoch  uint64                   // number of the list of foragers
+	gatewaySequence  uint64                   // of the last forager that there was something to tell the other hives of
+	peers            map[string]*peer         // emptied of those unheard that do not vote
+	waiters          map[*pollWaiter]bool     // emptied by answers
+	replicationWaits []*replicationWait       // emptied by acks and time
+	events           *eventLog
+	serverChanges    *serverChangeLog
+	updateAt         time.Duration // when waiters are to be told; 0 = nothing to tell
 	housekeepingAt   time.Duration
 	proposing        bool // a round to resolve or to join is on its way
 	proposeAfter     time.Duration
@@ -109,11 +94,6 @@
 	sentAt      time.Duration // and when
 }
 
-type documentTime struct {
-	version consensus.Version
-	since   time.Duration
-}
-
 // pollsHere tells whether a forager asks this hive, of late.
 func (f *gatewayState) pollsHere(now time.Duration) bool {
 	return f.polledAt > 0 && now-f.polledAt < gatewayTimeout/2
@@ -138,82 +118,49 @@
 
 // New opens the state and makes a hive that does nothing yet.
 func New(set *settings.Settings, on network.Network, log zerolog.Logger) (*Controller, error) {
-	genesis, self := genesisMembers(set)
+	members, id := genesisMembers(set)
 	if !set.FirstStart {
-		self = 0
+		id = 0
 	}
-	store, aside, err := acceptorstore.Open(set.DataDirectory, self)
+	store, setAside, err := acceptorstore.Open(set.DataDirectory, id)
 	if err != nil {
 		return nil, err
 	}
-	if aside != "" {
-		log.Warn().Str("file", aside).Msg("state: damaged file set aside, coming back as a stranger")
+	if setAside != "" {
+		log.Warn().Str("file", setAside).Msg("state: damaged file set aside, coming back as a stranger")
 	}
 	state := store.State()
-	h := &Controller{settings: set, network: on, log: log, store: store, self: state.ID, proposerID: consensus.ProposerID(acceptorstore.NewAcceptorID()), incarnation: uint64(acceptorstore.NewAcceptorID()),
-		address: set.InternalAddress(settings.ControllerPort), startedAt: time.Now(), commands: make(chan func(), 1024), stopped: make(chan struct{}), killed: make(chan struct{}),
-		proposalToken: make(chan struct{}, 1), known: consensus.Genesis(genesis), table: registry.NewTable(set.HeartbeatInterval()),
-		gateways: map[uint64]*gatewayState{}, peers: map[string]*peer{}, waiters: map[*pollWaiter]bool{}, serverStates: map[string]string{}, events: circularbuffer.New[eventRecord](eventLogCapacity), documentTimes: map[string]documentTime{}, highestBallot: state.Promised.Number, contact: quorum.NewContactTracker()}
-	if v := state.Value; v != nil {
-		// Whether it was decided is not known.
-		h.newestAccepted, h.known = v.Slot, consensus.RecoveryBase(v)
-		h.acceptedSlot.Store(uint64(v.Slot))
-		h.acceptedValue.Store(v)
-	}
-	h.ownReplica, h.decision = state.Replica(), consensus.Decision{Value: h.known}
+	h := &Controller{settings: set, network: on, log: log, store: store, proposerID: consensus.ProposerID(acceptorstore.NewAcceptorID()),
+		clock: newSteadyClock(), loop: newEventLoop(), killed: make(chan struct{}),
+		proposalToken: make(chan struct{}, 1), table: registry.NewTable(set.HeartbeatInterval()),
+		gateways: map[uint64]*gatewayState{}, peers: map[string]*peer{}, waiters: map[*pollWaiter]bool{}, highestBallot: state.Promised.Number, contact: quorum.NewContactTracker()}
+	h.self = identity{id: state.ID, incarnation: uint64(acceptorstore.NewAcceptorID()), address: set.InternalAddress(settings.ControllerPort),
+		controlAddress: set.Listen.Control, zone: set.Zone}
+	h.events = newEventLog(h.clock)
+	h.serverChanges = newServerChangeLog(h.table, h.events)
+	base := consensus.Genesis(members)
+	if state.Value != nil {
+		base = consensus.RecoveryBase(state.Value)
+	}
+	h.learner = newLearner(base, h.clock, h.events, h, log)
+	h.acceptor = newAcceptorEndpoint(store, h.loop, h.clock, h, log)
 	h.selfRepair, h.repair = consensus.RepairSchedule{Delay: selfRepairDelay}, consensus.RepairSchedule{Delay: repairDelay}
 	h.proposalToken <- struct{}{}
 	h.restoreHints(store.Hints())
 	return h, nil
 }
 
-// genesisMembers are the first acceptors, and this machine's identity among them, 0 = none. At the first start every process is
-// told the same seeds, so that all name the same set.
-func genesisMembers(set *settings.Settings) (members []consensus.Member, self consensus.AcceptorID) {
-	for i, a := range set.SeedControllers() {
-		id := genesisID(set.SeedAddresses[i])
-		members = append(members, consensus.Member{ID: id, Address: a})
-		if set.SeedAddresses[i] == set.Listen.Control {
-			self = id
-		}
+// valueLearned implements learnListener.
+func (h *Controller) valueLearned(v *consensus.Value) {
+	for _, m := range v.Acceptors() {
+		h.addPeer(m.Address)
 	}
-	return members, self
+	h.scheduleUpdate(true)
+	h.gossipNow()
 }
 
-// now is the steady clock.
-func (h *Controller) now() time.Duration { return time.Since(h.startedAt) }
-
-// do hands the owner a command. It tells whether the owner still works.
-func (h *Controller) do(f func()) bool {
-	select {
-	case h.commands <- f:
-		return true
-	case <-h.stopped:
-		return false
-	}
-}
-
-// ask hands the owner a command and waits for its end. A caller that the stop releases does not wait for the command, which
-// may still run: it must write nothing that the caller reads. What has an answer is asked by inquire.
-func (h *Controller) ask(f func()) bool {
-	_, done := inquire(h, func() struct{} { f(); return struct{}{} })
-	return done
-}
-
-// inquire hands the owner a question and waits for its answer. The answer travels through a channel: a caller that the stop
-// releases shares no variable with a question that still runs. It tells whether there was an answer.
-func inquire[T any](h *Controller, question func() T) (answer T, ok bool) {
-	answers := make(chan T, 1) // the owner waits for no caller
-	if !h.do(func() { answers <- question() }) {
-		return answer, false
-	}
-	select {
-	case answer = <-answers:
-		return answer, true
-	case <-h.stopped:
-		return answer, false
-	}
-}
+// observeBallot implements ballotObserver.
+func (h *Controller) observeBallot(number uint64) { h.highestBallot = max(h.highestBallot, number) }
 
 // Run serves until the context is done.
 func (h *Controller) Run(ctx context.Context) error {
@@ -221,22 +168,22 @@
 	if err != nil {
 		return eris.Errorf("the control address can't be listened on: %v", err)
 	}
-	inner, err := h.network.Listen(h.address)
+	inner, err := h.network.Listen(h.self.address)
 	if err != nil {
 		control.Close()
 		return eris.Errorf("the internal address can't be listened on: %v", err)
 	}
-	talk := &rpc.Server{Handle: h.handleFrame, OnClose: func(c *rpc.Conn) { h.do(func() { h.dropConnection(c) }) }}
+	talk := &rpc.Server{Handle: h.handleFrame, OnClose: func(c *rpc.Conn) { h.loop.post(func() { h.dropConnection(c) }) }}
 	web := &http.Server{Handler: h.handler(), ReadHeaderTimeout: 3 * time.Second, IdleTimeout: 30 * time.Second}
 	h.wg.Go(func() { talk.Serve(inner) })
 	h.wg.Go(func() { web.Serve(control) })
 	h.wg.Go(h.runLoop)
-	h.do(func() {
+	h.loop.post(func() {
 		for _, a := range h.settings.SeedControllers() {
 			h.addPeer(a)
 		}
-		h.housekeepingAt = h.now() + time.Duration(rand.Int64N(int64(60*time.Millisecond))) // who begins is left to chance
-		h.log.Info().Uint64("identity", uint64(h.self)).Uint64("turn", uint64(h.newestAccepted)).Msg("hive: started")
+		h.housekeepingAt = h.clock.now() + time.Duration(rand.Int64N(int64(60*time.Millisecond))) // who begins is left to chance
+		h.log.Info().Uint64("identity", uint64(h.self.id)).Uint64("turn", uint64(h.acceptor.newestSlot)).Msg("hive: started")
 	})
 	select {
 	case <-ctx.Done():
@@ -250,7 +197,7 @@
 	}
 	web.Close()
 	inner.Close()
-	close(h.stopped)
+	h.loop.stop()
 	h.wg.Wait()
 	return h.store.Close()
 }
@@ -259,58 +206,39 @@
 func (h *Controller) Kill() { close(h.killed) }
 
 // StallDisk has the disk answer nothing for a time, as one that stalls. For tests and the emulator.
-func (h *Controller) StallDisk(d time.Duration) {
-	h.store.Update(func(s consensus.AcceptorState) consensus.AcceptorState { time.Sleep(d); return s }, func(consensus.AcceptorState, error) {})
-}
+func (h *Controller) StallDisk(d time.Duration) { h.acceptor.stall(d) }
 
 // Freeze has the owner stand still for a time, as in a process that is frozen: what comes meanwhile is worked on afterwards.
 // With clock, the steady clock stands still as long, as on a machine that is suspended. For tests.
 func (h *Controller) Freeze(d time.Duration, clock bool) {
-	h.do(func() {
+	h.loop.post(func() {
 		select {
 		case <-time.After(d):
-		case <-h.stopped:
+		case <-h.loop.stopped:
 		}
 		if clock {
-			h.startedAt = h.startedAt.Add(d)
+			h.clock.setBack(d)
 		}
 	})
 }
 
 // Committed is the newest turn and version that this hive knows to be agreed.
-func (h *Controller) Committed() (turn consensus.Slot, version consensus.Version) {
-	known, _ := inquire(h, func() *consensus.Value {
-		if !h.confirmed {
-			return &consensus.Value{}
-		}
-		return h.known
-	})
+func (h *Controller) Committed() (slot consensus.Slot, version consensus.Version) {
+	known := h.CommittedValue()
 	if known == nil {
 		return 0, 0
 	}
 	return known.Slot, known.Version
 }
 
-// runLoop is the owner: it works through the queue of commands.
+// runLoop is the event loop's goroutine.
 func (h *Controller) runLoop() {
-	timer := time.NewTimer(housekeepingInterval)
-	defer timer.Stop()
-	for {
-		select {
-		case f := <-h.commands:
-			f()
-		case <-timer.C:
-		case <-h.stopped:
-			for _, p := range h.peers {
-				p.close()
-			}
-			return
-		}
-		for range len(h.commands) {
-			(<-h.commands)()
-		}
-		next := h.advance(h.now())
-		timer.Reset(max(next-h.now(), time.Millisecond))
+	h.loop.run(housekeepingInterval, func() time.Duration {
+		next := h.advance(h.clock.now())
+		return next - h.clock.now()
+	})
+	for _, p := range h.peers {
+		p.close()
 	}
 }
 
@@ -344,10 +272,10 @@
 	if h.table.Expire(now) {
 		h.scheduleUpdate(false)
 	}
-	h.logServerChanges(now)
+	h.serverChanges.record(now)
 	for life, f := range h.gateways {
 		if now-f.lastSeen > gatewayTimeout {
-			h.logEvent("node", "gatherer "+f.address+" is not heard any more")
+			h.events.add(eventGateway, "gatherer "+f.address+" is not heard any more")
 			delete(h.gateways, life)
 			h.membershipEpoch++
 			h.scheduleUpdate(false)
@@ -357,13 +285,13 @@
 	for _, p := range h.peers {
 		if heard := p.lastSeen > 0 && now-p.lastSeen < peerLivenessTimeout; heard != p.listed {
 			p.listed = heard
-			h.logEvent("hive", "hive "+p.address+map[bool]string{true: " is heard", false: " is not heard any more"}[heard])
+			h.events.add(eventController, "hive "+p.address+map[bool]string{true: " is heard", false: " is not heard any more"}[heard])
 			h.membershipEpoch++
 			h.scheduleUpdate(false)
 		}
 	}
 	for a, p := range h.peers {
-		if now-p.lastSeen > peerForgetTimeout && !h.isMemberAddress(a) && !h.isSeed(a) {
+		if now-p.lastSeen > peerForgetTimeout && !h.learner.isMemberAddress(a) && !h.isSeed(a) {
 			delete(h.peers, a)
 			p.close()
 		}
@@ -400,7 +328,7 @@
 	}
 	h.hintsSavedAt = now
 	h.savingHints = h.store.SaveHints(text, func(err error) {
-		go h.do(func() {
+		go h.loop.post(func() {
 			if h.savingHints = false; err == nil {
 				h.hintsCursor = upTo
 			}
@@ -415,13 +343,13 @@
 	}
 	for _, r := range m.Reports {
 		r.AgeMs = 0 // how long ago that was nobody knows
-		h.table.Merge(decodeReport(r, h.now()), "disk")
+		h.table.Merge(decodeReport(r, h.clock.now()), "disk")
 	}
 }
 
 // scheduleUpdate has the waiters told, at once or soon.
 func (h *Controller) scheduleUpdate(urgent bool) {
-	at := h.now()
+	at := h.clock.now()
 	if !urgent {
 		at += updateDelay
 	}
@@ -444,26 +372,26 @@
 }
 
 func (h *Controller) hasUpdate(a *rpc.Poll, now time.Duration) bool {
-	return h.hasVersion(a) && now >= h.nextVersionAt(a) || a.ControllerIncarnation != h.incarnation || a.MembershipEpoch != h.membershipEpoch ||
+	return h.hasVersion(a) && now >= h.nextVersionAt(a) || a.ControllerIncarnation != h.self.incarnation || a.MembershipEpoch != h.membershipEpoch ||
 		len(h.table.ChangesAfter(registry.Cursor(a.Cursor))) > 0
 }
 
 func (h *Controller) answerPoll(w *pollWaiter, now time.Duration) {
 	delete(h.waiters, w)
 	a := w.poll
-	n := &rpc.Update{ControllerIncarnation: h.incarnation, Cursor: uint64(h.table.Cursor()), HasQuorum: h.confirmed && !w.verifying && h.inContact(now), Slot: a.Slot,
+	n := &rpc.Update{ControllerIncarnation: h.self.incarnation, Cursor: uint64(h.table.Cursor()), HasQuorum: h.learner.confirmed && !w.verifying && h.inContact(now), Slot: a.Slot,
 		Warm: now > 3*h.settings.HeartbeatInterval(), MembershipEpoch: h.membershipEpoch}
 	if h.hasVersion(a) && now >= h.nextVersionAt(a) {
-		h.recordVersionSent(a, len(h.known.Body), now)
-		n.Slot, n.Version, n.HasConfig, n.Config = uint64(h.known.Slot), uint64(h.known.Version), h.known.Digest != "", h.known.Body
-		for _, note := range h.known.Documents {
+		h.recordVersionSent(a, len(h.learner.value.Body), now)
+		n.Slot, n.Version, n.HasConfig, n.Config = uint64(h.learner.value.Slot), uint64(h.learner.value.Version), h.learner.value.Digest != "", h.learner.value.Body
+		for _, note := range h.learner.value.Documents {
 			m := rpc.DocumentToProto(note)
-			m.PriorRevisions, m.AgeMs = nil, uint32((now-h.documentTimes[note.Name].since)/time.Millisecond)
+			m.PriorRevisions, m.AgeMs = nil, uint32((now-h.learner.documentTimes[note.Name].since)/time.Millisecond)
 			n.Documents = append(n.Documents, m)
 		}
 	}
 	after := registry.Cursor(a.Cursor)
-	if a.ControllerIncarnation != h.incarnation {
+	if a.ControllerIncarnation != h.self.incarnation {
 		n.Full, after = true, 0
 	}
 	for _, r := range h.table.ChangesAfter(after) {
@@ -477,7 +405,7 @@
 		n.Controllers = append(n.Controllers, h.describeSelf())
 		for _, p := range h.peers {
 			if p.lastSeen > 0 && now-p.lastSeen < peerLivenessTimeout {
-				n.Controllers = append(n.Controllers, p.describe(now, h.isMemberAddress(p.address)))
+				n.Controllers = append(n.Controllers, p.describe(now, h.learner.isMemberAddress(p.address)))
 			}
 		}
 	}
@@ -498,16 +426,20 @@
 func (h *Controller) handleFrame(c *rpc.Conn, f *rpc.Frame) {
 	switch b := f.Body.(type) {
 	case *rpc.Frame_Prepare:
-		h.handlePrepare(b.Prepare, func(p *rpc.PrepareReply) { c.Respond(f.Id, &rpc.Frame{Body: &rpc.Frame_PrepareReply{PrepareReply: p}}) })
+		h.acceptor.handlePrepare(b.Prepare, func(p *rpc.PrepareReply) {
+			c.Respond(f.Id, &rpc.Frame{Body: &rpc.Frame_PrepareReply{PrepareReply: p}})
+		})
 	case *rpc.Frame_Accept:
-		h.handleAccept(b.Accept, func(a *rpc.AcceptReply) { c.Respond(f.Id, &rpc.Frame{Body: &rpc.Frame_AcceptReply{AcceptReply: a}}) })
+		h.acceptor.handleAccept(b.Accept, func(a *rpc.AcceptReply) {
+			c.Respond(f.Id, &rpc.Frame{Body: &rpc.Frame_AcceptReply{AcceptReply: a}})
+		})
 	case *rpc.Frame_Gossip:
-		back, ok := inquire(h, func() *rpc.GossipReply { return h.receiveGossip(b.Gossip, h.now()) })
+		back, ok := query(h.loop, func() *rpc.GossipReply { return h.receiveGossip(b.Gossip, h.clock.now()) })
 		if ok {
 			c.Respond(f.Id, &rpc.Frame{Body: &rpc.Frame_GossipReply{GossipReply: back}})
 		}
 	case *rpc.Frame_Poll:
-		h.do(func() { h.receivePoll(c, f.Id, b.Poll, h.now()) })
+		h.loop.post(func() { h.receivePoll(c, f.Id, b.Poll, h.clock.now()) })
 	}
 }
 
@@ -528,12 +460,12 @@
 	w := &pollWaiter{conn: c, id: id, poll: a, deadline: now + time.Duration(a.WaitMs)*time.Millisecond}
 	h.waiters[w] = true
 	switch {
-	case a.ControllerIncarnation != h.incarnation && h.confirmed && h.inContact(now):
+	case a.ControllerIncarnation != h.self.incarnation && h.learner.confirmed && h.inContact(now):
 		w.verifying, w.deadline = true, now+2*verifyTimeout
 		h.verifyContact(now, func(verified bool) {
 			if h.waiters[w] {
 				w.verifying = !verified
-				h.answerPoll(w, h.now())
+				h.answerPoll(w, h.clock.now())
 			}
 		})
 	case h.hasUpdate(a, now) || a.WaitMs == 0:
@@ -547,7 +479,7 @@
 func (h *Controller) observeGateway(f *rpc.Gateway, at time.Duration, told bool) {
 	if f.Left {
 		if h.gateways[f.Incarnation] != nil {
-			h.logEvent("node", "gatherer "+h.gateways[f.Incarnation].address+" leaves")
+			h.events.add(eventGateway, "gatherer "+h.gateways[f.Incarnation].address+" leaves")
 			delete(h.gateways, f.Incarnation)
 			h.membershipEpoch++
 			h.scheduleUpdate(false)
@@ -564,7 +496,7 @@
 	if f.Address == "" {
 		return // one that is not known, named by its life alone: it will be told whole
 	}
-	if h.now()-at > gatewayTimeout/2 && !told {
+	if h.clock.now()-at > gatewayTimeout/2 && !told {
 		return // old news of one that may have been forgotten
 	}
 	for life, o := range h.gateways {
@@ -575,7 +507,7 @@
 			delete(h.gateways, life)
 		}
 	}
-	h.logEvent("node", "gatherer "+f.Address+" in "+f.Zone+" comes")
+	h.events.add(eventGateway, "gatherer "+f.Address+" in "+f.Zone+" comes")
 	h.membershipEpoch++
 	h.gatewaySequence++
 	h.gateways[f.Incarnation] = &gatewayState{incarnation: f.Incarnation, address: f.Address, zone: f.Zone, lastSeen: at, direct: told, sequence: h.gatewaySequence}
@@ -594,5 +526,5 @@
 		Version: r.Version, Slots: int(r.Slots), State: registry.State(min(r.State, uint32(registry.Deregistered))),
 		HeartbeatOnly: r.Refresh, Unresponsive: r.Overdue, HeartbeatMissed: r.NoHeartbeats, SlowStartEndsAt: now + time.Duration(r.WarmUpMs)*time.Millisecond, Sequence: registry.Sequence(r.Sequence),
 		HeartbeatAt: now - time.Duration(r.AgeMs)*time.Millisecond, HealthyAt: now - time.Duration(r.HealthCheckAgeMs)*time.Millisecond,
-		Lease: rendezvous.Lease{FencingToken: r.FencingToken, Holder: r.LeaseHolder}}
+		Lease: lease.Lease{FencingToken: r.FencingToken, Holder: r.LeaseHolder}}
 }
