--- a/internal/balancerconfig/config.go
+++ b/internal/balancerconfig/config.go
@@ -1,5 +1,5 @@
-// Package balancerconfig turns a deployment's settings into the module's Facts and the figures of the network code.
-// The simulator's pairs and the configuration's JSON meet in one form and are read by one path.
+// Package balancerconfig reads the settings of a deployment into the configuration of the balancer and the limits of
+// the network code. The simulator's path=value pairs and the JSON of a configuration file are read by the same code.
 package balancerconfig
 
 import (
@@ -7,240 +7,154 @@
 	"encoding/json"
 	"fmt"
 	"math"
-	"strconv"
-	"strings"
 
 	"oxbowspan/balancer"
 )
 
-// settings are the path=value lines of a hello. The first fault met in reading them is kept.
-type settings struct {
-	values map[string]string
-	err    error
-}
-
-func parseSettings(text string) *settings {
-	p := &settings{values: map[string]string{}}
-	for _, line := range strings.Split(text, "\n") {
-		if path, value, ok := strings.Cut(strings.TrimRight(line, "\r"), "="); ok {
-			p.values[path] = value
-		}
-	}
-	return p
-}
-
-func (p *settings) fail(path, what string) {
-	if p.err == nil {
-		p.err = fmt.Errorf("setting %s %s", path, what)
-	}
-}
-
-// number reads a setting that may be absent.
-func (p *settings) number(path string, absent float64) float64 {
-	text, ok := p.values[path]
-	if !ok || text == "" {
-		return absent
-	}
-	v, err := strconv.ParseFloat(text, 64)
-	if err != nil || math.IsNaN(v) || math.IsInf(v, 0) {
-		p.fail(path, fmt.Sprintf("is not a number: %.40q", text))
-		return absent
-	}
-	return v
-}
-
-// required reads a setting that a decision cannot do without.
-func (p *settings) required(path string) float64 {
-	if p.values[path] == "" {
-		p.fail(path, "is missing")
-	}
-	return p.number(path, 0)
-}
-
-func (p *settings) count(path string, most int) int {
-	v := p.number(path, 0)
-	if v < 0 || v > float64(most) {
-		p.fail(path, fmt.Sprintf("is out of range: %v", v))
-		return 0
-	}
-	return int(v)
-}
-
-func (p *settings) duration(path string) balancer.Time { return TimeFromMillis(p.number(path, 0)) }
-
-func (p *settings) flag(path string) bool {
-	v := p.values[path]
-	return v == "true" || v == "1"
-}
-
-// listItem reads the n-th value of a comma-joined list.
-func (p *settings) listItem(path string, n int, absent float64) float64 {
-	list := strings.Split(p.values[path], ",")
-	if n >= len(list) || list[n] == "" {
-		return absent
-	}
-	v, err := strconv.ParseFloat(list[n], 64)
-	if err != nil || math.IsNaN(v) || math.IsInf(v, 0) {
-		p.fail(path, fmt.Sprintf("holds no number at place %d: %.40q", n, list[n]))
-		return absent
-	}
-	return v
-}
-
-// The most entries that a list of the settings may claim, so that a bad count costs nothing.
+// maxEntries bounds the lists of the settings, so that a wrong count allocates nothing.
 const maxEntries = 4096
 
-// Deployment is what the settings say.
+// Names of idempotency in the settings.
+const (
+	effectIdempotent    = "free"
+	effectDeduplicated  = "guarded"
+	effectNonIdempotent = "single_shot"
+)
+
+// Deployment is the content of the settings.
 type Deployment struct {
-	Balancer                                      balancer.Config
-	LoadReportFields                              []string // names of a load report's figures
-	LoadReportsByHealthCheck                      bool
-	QueryTypes, Customers, Zones                  []string // names on the wire; the place is the module's number
-	ConnectTimeout, IdleTimeout, MaxClientTimeout balancer.Time
-	StreamsPerConn                                int  // parts that one server connection carries at once
-	CallsPerFrame                                 int  // parts of one frame
-	AllowPeers                                    bool // gatherers may talk to each other
-	MaxPending                                    int  // searches and parts held at once; 0 = not stated
+	Balancer                 balancer.Config
+	LoadReportFields         []string // names of the figures in load reports
+	LoadReportsByHealthCheck bool     // load is reported only on request
+	QueryTypes               []string // names on the wire, by balancer.QueryType
+	Customers                []string // names on the wire, by balancer.CustomerIndex
+	Zones                    []string // names on the wire, by balancer.ZoneIndex
+	ConnectTimeout           balancer.Time
+	IdleTimeout              balancer.Time // after which servers close idle connections; 0 = never
+	MaxClientTimeout         balancer.Time // of all query types
+	StreamsPerConn           int           // attempts in flight on one connection to a server
+	CallsPerFrame            int
+	AllowPeers               bool // gatherers may communicate with each other
+	MaxPending               int  // requests and calls pending at once; 0 = no limit
 }
 
-// FromPairs reads path=value lines, as the simulator gives them.
+// FromPairs reads lines of path=value. Its errors are *SettingError.
 func FromPairs(text string, seed uint64) (Deployment, error) {
-	return parseSettings(text).deployment(seed)
+	return parsePairs(text).deployment(seed)
 }
 
-// FromJSON reads the nested object of a configuration.
+// FromJSON reads a nested JSON object. Its errors are those of package json, or *SettingError.
 func FromJSON(raw []byte, seed uint64) (Deployment, error) {
 	d := json.NewDecoder(bytes.NewReader(raw))
 	d.UseNumber()
-	var v map[string]any
-	if err := d.Decode(&v); err != nil {
+	var object map[string]any
+	if err := d.Decode(&object); err != nil {
 		return Deployment{}, fmt.Errorf("settings are not a JSON object: %w", err)
 	}
-	p := &settings{values: map[string]string{}}
-	p.flatten("", v)
-	return p.deployment(seed)
+	s := &settings{values: map[string]string{}}
+	s.flatten("", object)
+	return s.deployment(seed)
 }
 
-// flatten writes a JSON value as the pairs it has on the simulator's wire.
-func (p *settings) flatten(path string, v any) {
-	switch v := v.(type) {
-	case map[string]any:
-		for name, inner := range v {
-			if path != "" {
-				name = path + "." + name
-			}
-			p.flatten(name, inner)
-		}
-	case []any:
-		var plain []string
-		for i, inner := range v {
-			if _, nested := inner.(map[string]any); nested {
-				p.flatten(fmt.Sprintf("%s.%d", path, i), inner)
-			} else {
-				plain = append(plain, strings.ReplaceAll(scalar(inner), ",", "_"))
-			}
-		}
-		p.values[path], p.values[path+".count"] = strings.Join(plain, ","), strconv.Itoa(len(v))
-	case nil:
-	default:
-		p.values[path] = scalar(v)
+func (s *settings) deployment(seed uint64) (Deployment, error) {
+	config := s.balancerConfig(seed)
+	d := Deployment{
+		Balancer:                 config,
+		LoadReportsByHealthCheck: s.values["feedback.how"] == "probe",
+		ConnectTimeout:           s.duration("limits.dialTimeout"),
+		IdleTimeout:              s.duration("limits.idleClose"),
+		StreamsPerConn:           s.count("limits.maxStreams", math.MaxUint16),
+		CallsPerFrame:            s.count("domain.perCall", math.MaxUint16),
+		MaxPending:               s.count("limits.mostHeld", math.MaxInt32),
+		AllowPeers:               s.flag("limits.peers"),
+		Zones:                    s.list("zones"),
+	}
+	for i, q := range config.QueryTypes {
+		d.QueryTypes = append(d.QueryTypes, s.values[fmt.Sprintf("classes.%d.name", i)])
+		d.MaxClientTimeout = max(d.MaxClientTimeout, q.ClientTimeout)
 	}
-}
-
-func scalar(v any) string {
-	if v == nil {
-		return ""
+	for i := range config.Customers {
+		d.Customers = append(d.Customers, s.values[fmt.Sprintf("tenants.%d.name", i)])
 	}
-	return fmt.Sprint(v)
+	if s.values["feedback.how"] != "none" {
+		d.LoadReportFields = s.list("feedback.names")
+	}
+	return d, s.err
 }
 
-func (p *settings) deployment(seed uint64) (Deployment, error) {
-	f := balancer.Config{
+func (s *settings) balancerConfig(seed uint64) balancer.Config {
+	c := balancer.Config{
 		Seed:              seed,
-		Instances:         max(1, p.count("instances", math.MaxInt32)),
-		ClockResolution:   p.duration("tick"),
-		Cells:             p.count("domain.positions", math.MaxUint16+1),
-		ReplicationFactor: max(1, p.count("domain.reach", math.MaxUint16)),
-		Shards:            p.count("domain.slices", math.MaxInt32),
-		CallCost:          max(0, p.number("domain.callCost", 0)),
-		MaxAttempts:       max(1, p.count("limits.attemptsCap", math.MaxUint16)),
-		AllowCancel:       p.flag("limits.cancel"),
-		AllowHealthChecks: p.flag("limits.probes"),
-		AllowHedging:      p.flag("limits.secondCopies"),
-		RetriesMarked:     p.flag("clients.marksRetry"),
-		ListOnRequest:     p.values["membershipMode"] == "on_request",
-		MaxListAge:        p.duration("guarantees.askWithin"),
-		DrainGrace:        p.duration("guarantees.stopSendingWithin"),
-		SlowStartShare:    p.number("guarantees.startCapacity", 0),
-		SlowStartDuration: p.duration("guarantees.cold"),
-		OverloadMultiple:  p.number("guarantees.fallMultiple", 0),
-		OverloadWindow:    p.duration("guarantees.tipAfter"),
-		HasRetryBudget:    p.values["guarantees.resendRatio"] != "",
-		RetryBudgetBase:   p.number("guarantees.budgetFree", 0),
-		RetryBudgetRatio:  p.number("guarantees.resendRatio", 0),
-		RetryBudgetWindow: p.duration("guarantees.budgetSpan"),
-		OverQuotaValue:    p.number("overShareWorth", 1),
-	}
-	p.required("domain.positions")
-	p.required("domain.slices")
-	if f.Cells < 1 || f.Shards < 1 {
-		p.fail("domain.positions", "or domain.slices is below 1")
-	}
-	if p.flag("limits.retryAfter") {
-		f.MaxRetryAfter = p.duration("limits.maxRetryAfter")
-	}
-	p.required("classes.count")
-	for i := range p.count("classes.count", maxEntries) {
-		at := fmt.Sprintf("classes.%d.", i)
-		q := balancer.QueryTypeConfig{
-			LatencyTarget:    TimeFromMillis(p.required(at + "slo")),
-			ClientTimeout:    TimeFromMillis(p.required(at + "hardLimit")),
-			DedupWindow:      p.duration(at + "memorySpan"),
-			LateValue:        p.number(at+"lateWorth", 0),
-			PartialValue:     p.listItem("domain.shortWorth", i, 1),
-			MinCoverage:      p.listItem("domain.leastShare", i, 1),
-			CompleteCoverage: p.listItem("domain.wholeAt", i, 1),
-			SecondPhaseCalls: int(p.listItem("domain.secondStep", i, 0)),
-		}
-		switch effect := p.values[at+"effect"]; effect {
-		case "free":
-			q.Idempotency = balancer.Idempotent
-		case "guarded":
-			q.Idempotency = balancer.Deduplicated
-		case "single_shot":
-			q.Idempotency = balancer.NonIdempotent
-		default:
-			p.fail(at+"effect", fmt.Sprintf("is not known: %.40q", effect))
-		}
-		f.QueryTypes = append(f.QueryTypes, q)
-	}
-	for i := range p.count("tenants.count", maxEntries) {
-		f.Customers = append(f.Customers, balancer.CustomerConfig{
-			QuotaPerSecond: p.number(fmt.Sprintf("tenants.%d.quotaPerS", i), 0),
-		})
-	}
-	d := Deployment{Balancer: f, LoadReportsByHealthCheck: p.values["feedback.how"] == "probe",
-		ConnectTimeout: p.duration("limits.dialTimeout"), IdleTimeout: p.duration("limits.idleClose"),
-		StreamsPerConn: p.count("limits.maxStreams", math.MaxUint16), CallsPerFrame: p.count("domain.perCall", math.MaxUint16),
-		MaxPending: p.count("limits.mostHeld", math.MaxInt32), AllowPeers: p.flag("limits.peers")}
-	for i, q := range f.QueryTypes {
-		d.QueryTypes = append(d.QueryTypes, p.values[fmt.Sprintf("classes.%d.name", i)])
-		d.MaxClientTimeout = max(d.MaxClientTimeout, q.ClientTimeout)
-	}
-	for i := range f.Customers {
-		d.Customers = append(d.Customers, p.values[fmt.Sprintf("tenants.%d.name", i)])
-	}
-	if p.values["zones"] != "" {
-		d.Zones = strings.Split(p.values["zones"], ",")
-	}
-	if how := p.values["feedback.how"]; how != "none" && p.values["feedback.names"] != "" {
-		d.LoadReportFields = strings.Split(p.values["feedback.names"], ",")
+		Instances:         max(1, s.count("instances", math.MaxInt32)),
+		ClockResolution:   s.duration("tick"),
+		Cells:             s.count("domain.positions", math.MaxUint16+1),
+		ReplicationFactor: max(1, s.count("domain.reach", math.MaxUint16)),
+		Shards:            s.count("domain.slices", math.MaxInt32),
+		CallCost:          max(0, s.number("domain.callCost", 0)),
+		MaxAttempts:       max(1, s.count("limits.attemptsCap", math.MaxUint16)),
+		AllowCancel:       s.flag("limits.cancel"),
+		AllowHealthChecks: s.flag("limits.probes"),
+		AllowHedging:      s.flag("limits.secondCopies"),
+		RetriesMarked:     s.flag("clients.marksRetry"),
+		ListOnRequest:     s.values["membershipMode"] == "on_request",
+		MaxListAge:        s.duration("guarantees.askWithin"),
+		DrainGrace:        s.duration("guarantees.stopSendingWithin"),
+		SlowStartShare:    s.number("guarantees.startCapacity", 0),
+		SlowStartDuration: s.duration("guarantees.cold"),
+		OverloadMultiple:  s.number("guarantees.fallMultiple", 0),
+		OverloadWindow:    s.duration("guarantees.tipAfter"),
+		HasRetryBudget:    s.values["guarantees.resendRatio"] != "",
+		RetryBudgetBase:   s.number("guarantees.budgetFree", 0),
+		RetryBudgetRatio:  s.number("guarantees.resendRatio", 0),
+		RetryBudgetWindow: s.duration("guarantees.budgetSpan"),
+		OverQuotaValue:    s.number("overShareWorth", 1),
+	}
+	s.required("domain.positions")
+	s.required("domain.slices")
+	if c.Cells < 1 || c.Shards < 1 {
+		s.fail("domain.positions", "or domain.slices is below 1")
+	}
+	if s.flag("limits.retryAfter") {
+		c.MaxRetryAfter = s.duration("limits.maxRetryAfter")
+	}
+	s.required("classes.count")
+	for i := range s.count("classes.count", maxEntries) {
+		c.QueryTypes = append(c.QueryTypes, s.queryType(i))
+	}
+	for i := range s.count("tenants.count", maxEntries) {
+		quota := s.number(fmt.Sprintf("tenants.%d.quotaPerS", i), 0)
+		c.Customers = append(c.Customers, balancer.CustomerConfig{QuotaPerSecond: quota})
+	}
+	return c
+}
+
+func (s *settings) queryType(i int) balancer.QueryTypeConfig {
+	path := fmt.Sprintf("classes.%d.", i)
+	q := balancer.QueryTypeConfig{
+		LatencyTarget:    TimeFromMillis(s.required(path + "slo")),
+		ClientTimeout:    TimeFromMillis(s.required(path + "hardLimit")),
+		DedupWindow:      s.duration(path + "memorySpan"),
+		LateValue:        s.number(path+"lateWorth", 0),
+		PartialValue:     s.listItem("domain.shortWorth", i, 1),
+		MinCoverage:      s.listItem("domain.leastShare", i, 1),
+		CompleteCoverage: s.listItem("domain.wholeAt", i, 1),
+		SecondPhaseCalls: int(s.listItem("domain.secondStep", i, 0)),
+	}
+	switch effect := s.values[path+"effect"]; effect {
+	case effectIdempotent:
+		q.Idempotency = balancer.Idempotent
+	case effectDeduplicated:
+		q.Idempotency = balancer.Deduplicated
+	case effectNonIdempotent:
+		q.Idempotency = balancer.NonIdempotent
+	default:
+		s.fail(path+"effect", "is unknown: %.40q", effect)
 	}
-	return d, p.err
+	return q
 }
 
-// TimeFromMillis turns milliseconds into a Time. It rounds down, so that no limit grows on the way. The small term undoes the binary fraction's
-// loss on whole tenths.
+// TimeFromMillis converts milliseconds to a balancer.Time. It rounds down, so that no limit grows; the small term makes
+// up for the error of binary fractions at whole tenths.
 func TimeFromMillis(ms float64) balancer.Time {
 	if math.IsNaN(ms) {
 		return 0
@@ -248,5 +162,5 @@
 	return balancer.Time(math.Floor(max(-1e14, min(1e14, ms))*float64(balancer.Millisecond) + 1e-6))
 }
 
-// Millis turns a Time into milliseconds.
+// Millis converts a balancer.Time to milliseconds.
 func Millis(t balancer.Time) float64 { return float64(t) / float64(balancer.Millisecond) }
--- a/internal/balancerconfig/config_test.go
+++ b/internal/balancerconfig/config_test.go
@@ -1,12 +1,13 @@
 package balancerconfig
 
 import (
+	"errors"
 	"reflect"
 	"strings"
 	"testing"
 )
 
-// The simulator's pairs and the configuration's JSON of the same settings must be read alike.
+// The simulator's pairs and the JSON of a configuration file must be read alike.
 func TestPairsAndJSONAgree(t *testing.T) {
 	object := `{"classes":[{"name":"lookup","effect":"free","slo":1000.0,"hardLimit":2000,"lateWorth":0.3,"memorySpan":5000.0},
 		{"name":"post","effect":"single_shot","slo":1200.5,"hardLimit":2500.0},
@@ -42,24 +43,36 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(a, b) {
-		t.Errorf("JSON gives %+v\npairs give %+v", a, b)
+		t.Errorf("from JSON: %+v\nfrom pairs: %+v", a, b)
 	}
-	if len(a.QueryTypes) != 3 || a.QueryTypes[2] != "pay" || a.StreamsPerConn != 32 || a.MaxClientTimeout != 25000 || a.Balancer.QueryTypes[1].MinCoverage != 0.5 {
+	if len(a.QueryTypes) != 3 || a.QueryTypes[2] != "pay" || a.StreamsPerConn != 32 || a.MaxClientTimeout != 25000 ||
+		a.Balancer.QueryTypes[1].MinCoverage != 0.5 {
 		t.Errorf("got %+v", a)
 	}
 }
 
 func TestInvalidSettings(t *testing.T) {
-	for text, says := range map[string]string{
-		"":                     "not a JSON object",
-		"[]":                   "not a JSON object",
-		"{}":                   "is missing",
-		`{"classes":"x"}`:      "is missing",
-		`{"tick":{"a":"b"}}`:   "is missing",
-		`{"instances":"many"}`: "is not a number",
+	for name, test := range map[string]struct{ text, want string }{
+		"empty":           {"", "not a JSON object"},
+		"list":            {"[]", "not a JSON object"},
+		"empty object":    {"{}", "is missing"},
+		"string for list": {`{"classes":"x"}`, "is missing"},
+		"nested":          {`{"tick":{"a":"b"}}`, "is missing"},
+		"not a number":    {`{"instances":"many"}`, "is not a number"},
 	} {
-		if _, err := FromJSON([]byte(text), 0); err == nil || !strings.Contains(err.Error(), says) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s gives %v, want %s", text, err, says)
-		}
+		t.Run(name, func(t *testing.T) {
+			_, err := FromJSON([]byte(test.text), 0)
+			if err == nil || !strings.Contains(err.Error(), test.want) || strings.Contains(err.Error(), "\n") {
+				t.Errorf("got %v, want one line with %q", err, test.want)
+			}
+		})
+	}
+}
+
+func TestSettingError(t *testing.T) {
+	_, err := FromPairs("instances=many", 0)
+	var setting *SettingError
+	if !errors.As(err, &setting) || setting.Path != "instances" {
+		t.Errorf("got %v, want a SettingError of instances", err)
 	}
 }
