--- a/internal/simbridge/bridge_test.go
+++ b/internal/simbridge/bridge_test.go
@@ -10,11 +10,13 @@
 	"oxbowspan/internal/balancerconfig"
 )
 
-var settings = strings.ReplaceAll(`classes.count=1 classes.0.effect=free classes.0.slo=1000.0 classes.0.hardLimit=2000.0
+// testSettings are of one query type and one shard.
+var testSettings = strings.ReplaceAll(`classes.count=1 classes.0.effect=free classes.0.slo=1000.0 classes.0.hardLimit=2000.0
 classes.0.lateWorth=0.3 domain.positions=1 domain.slices=1 domain.leastShare=1.0 domain.wholeAt=1.0
 limits.attemptsCap=3 limits.cancel=true instances=1 tick=5.0 unknown.key=a_b `, " ", "\n")
 
 func unhex(t *testing.T, text string) []byte {
+	t.Helper()
 	b, err := hex.DecodeString(strings.Join(strings.Fields(text), ""))
 	if err != nil {
 		t.Fatal(err)
@@ -22,6 +24,7 @@
 	return b
 }
 
+// batch returns a batch at 240 ms.
 func batch(records ...[]byte) []byte {
 	var w replyWriter
 	w.u32(0)
@@ -34,25 +37,32 @@
 	return w.data
 }
 
-func hello(text string) []byte {
+// hello returns the record that starts instance 3.
+func hello(settings string) []byte {
 	var w replyWriter
 	w.begin(8, 3)
 	w.u64(99)
-	w.u32(uint32(len(text)))
-	w.data = append(w.data, text...)
+	w.u32(uint32(len(settings)))
+	w.data = append(w.data, settings...)
 	w.end()
 	return w.data
 }
 
-// One server (id 03124a07, cell 0, ready), then the list for instance 3.
-const sheet = `05 0000001e 00000000 00000001 03124a07 0000 00 0000 01 3f800000 0000000000000000`
-const list = `0a 00000011 00000003 0000000000000029 00000000 02`
+const (
+	// serverList is a list of one server: id 03124a07, cell 0, ready.
+	serverList = `05 0000001e 00000000 00000001 03124a07 0000 00 0000 01 3f800000 0000000000000000`
+	// listUpdate is its update for instance 3.
+	listUpdate = `0a 00000011 00000003 0000000000000029 00000000 02`
+)
 
-// A search (id 1, number 1, patience 240 ms) and its one part (id 2, shard 0, weight 1, hint 12 ms).
-const query = `07 00000034 00000003 0000000000000001 00 0000 0000000000000000 406e000000000000 0000000000000000
+const (
+	// request is a request: id 1, number 1, timeout 240 ms.
+	request = `07 00000034 00000003 0000000000000001 00 0000 0000000000000000 406e000000000000 0000000000000000
 	3f800000 bf800000 3f800000 00`
-const part = `07 00000034 00000003 0000000000000002 00 0000 0000000000000000 406e000000000000 4028000000000000
+	// call is its one call: id 2, shard 0, weight 1, size 12 ms.
+	call = `07 00000034 00000003 0000000000000002 00 0000 0000000000000000 406e000000000000 4028000000000000
 	3f800000 00000000 3f800000 01`
+)
 
 func serve(t *testing.T, in []byte) (string, error) {
 	t.Helper()
@@ -62,18 +72,18 @@
 }
 
 func TestRequestIsSentAndAnswered(t *testing.T) {
-	first := batch(hello(settings), unhex(t, sheet), unhex(t, list), unhex(t, query), unhex(t, part))
-	// The part's answer, with a byte after its known fields, which is skipped.
+	first := batch(hello(testSettings), unhex(t, serverList), unhex(t, listUpdate), unhex(t, request), unhex(t, call))
+	// The answer to the call, with bytes after its known fields, which are skipped.
 	second := batch(unhex(t, `03 00000020 00000003 0000000000000002 03124a07 0000 4032800000000000 00 01 00 ff ff ff`))
 	got, err := serve(t, append(first, second...))
 	if err != nil {
 		t.Fatal(err)
 	}
-	// try: limit 230 ms, two ticks short of the client's 240; wake_me at 340 ms or before; answer, whole.
-	try := "0b00000018" + "00000003" + "0000000000000002" + "03124a07" + "406cc00000000000"
+	// The attempt's timeout is 230 ms, two ticks less than the client's 240. The answer is complete.
+	send := "0b00000018" + "00000003" + "0000000000000002" + "03124a07" + "406cc00000000000"
 	answer := "0000001600000001" + "090000000d" + "00000003" + "0000000000000001" + "01"
-	if !strings.Contains(got, try) || !strings.HasSuffix(got, answer) {
-		t.Errorf("got %s, want in it %s and last %s", got, try, answer)
+	if !strings.Contains(got, send) || !strings.HasSuffix(got, answer) {
+		t.Errorf("got %s, want %s in it and %s at the end", got, send, answer)
 	}
 }
 
@@ -90,70 +100,73 @@
 	} {
 		var o replyWriter
 		if o.action(3, a); !bytes.Equal(o.data, unhex(t, want)) {
-			t.Errorf("%#v became %x, want %s", a, o.data, want)
+			t.Errorf("%#v encoded as %x, want %s", a, o.data, want)
 		}
 	}
 }
 
 func TestStopAndHelloInOneBatch(t *testing.T) {
 	empty, stop := unhex(t, `0000000c 40c06e2000000000 00000000`), unhex(t, `06 00000004 00000003`)
-	again := batch(hello(settings), unhex(t, sheet), unhex(t, list), stop, hello(settings), unhex(t, list))
+	again := batch(hello(testSettings), unhex(t, serverList), unhex(t, listUpdate), stop, hello(testSettings), unhex(t, listUpdate))
 	if got, err := serve(t, append(empty, again...)); err != nil || got != strings.Repeat("0000000400000000", 2) {
 		t.Errorf("got %s, %v", got, err)
 	}
 }
 
 func TestServerListReferenceReusedInBatch(t *testing.T) {
-	other := strings.Replace(sheet, "03124a07", "000000aa", 1)
-	got, err := serve(t, batch(hello(settings), unhex(t, sheet), unhex(t, list), unhex(t, other),
-		unhex(t, strings.TrimSuffix(list, "02")+"00"), unhex(t, query), unhex(t, part)))
+	other := strings.Replace(serverList, "03124a07", "000000aa", 1)
+	got, err := serve(t, batch(hello(testSettings), unhex(t, serverList), unhex(t, listUpdate), unhex(t, other),
+		unhex(t, strings.TrimSuffix(listUpdate, "02")+"00"), unhex(t, request), unhex(t, call)))
 	if err != nil || !strings.Contains(got, "000000aa406cc0") {
-		t.Errorf("got %s, %v: want a try to the second list's server", got, err)
+		t.Errorf("got %s, %v: want an attempt at the server of the second list", got, err)
 	}
 }
 
 func TestInvalidInput(t *testing.T) {
-	bad := func(from, to string) []byte { return hello(strings.Replace(settings, from, to, 1)) }
+	bad := func(from, to string) []byte { return hello(strings.Replace(testSettings, from, to, 1)) }
 	for want, in := range map[string][]byte{
-		"cut off after 2 of 4":     {0, 0},
-		"cut off after 3 bytes":    unhex(t, `0000000c 40c06e`),
-		"below the 12 bytes":       unhex(t, `00000003 000000`),
-		"do not fit the batch":     unhex(t, `00000011 40c06e2000000000 00000001 03 ffffffff`),
-		"stand after the last":     unhex(t, `0000000d 40c06e2000000000 00000000 00`),
-		"record 2 of 4294967295":   unhex(t, `0000001c 40c06e2000000000 ffffffff 05 00000008 00000000 00000000 08 0000`),
-		"has had no hello":         batch(unhex(t, list)),
-		"unknown event code":       batch(hello(settings), unhex(t, `63 00000004 00000003`)),
-		"wants 8 bytes":            batch(hello(settings), unhex(t, `01 00000006 00000003 0000`)),
-		"sheet 0 was never given":  batch(hello(settings), unhex(t, list)),
-		"do not fit the 2 bytes":   batch(unhex(t, `05 0000000a 00000000 0fffffff 0000`)),
-		"unknown outcome 7":        batch(hello(settings), unhex(t, `03 0000001d 00000003 0000000000000002 03124a07 0000 4032800000000000 07 01 00`)),
-		"classes.0.slo is missing": batch(bad("classes.0.slo=1000.0\n", "")),
-		"effect is not known":      batch(bad("=free", "=odd")),
-		"is not a number":          batch(bad("hardLimit=2000.0", "hardLimit=x")),
-		"is out of range: 1e+12":   batch(bad("classes.count=1", "classes.count=1e12")),
-		"type 1 is not among":      batch(hello(settings), unhex(t, strings.Replace(query, "01 00 0000", "01 01 0000", 1))),
-		"shard 1, weight":          batch(hello(settings), unhex(t, query), unhex(t, strings.Replace(part, "3f800000 00000000", "3f800000 3f800000", 1))),
+		"truncated after 2 of 4":       {0, 0},
+		"truncated after 3 bytes":      unhex(t, `0000000c 40c06e`),
+		"below the 12 bytes":           unhex(t, `00000003 000000`),
+		"do not fit the batch":         unhex(t, `00000011 40c06e2000000000 00000001 03 ffffffff`),
+		"after the last of 0":          unhex(t, `0000000d 40c06e2000000000 00000000 00`),
+		"record 2 of 4294967295":       unhex(t, `0000001c 40c06e2000000000 ffffffff 05 00000008 00000000 00000000 08 0000`),
+		"has had no hello":             batch(unhex(t, listUpdate)),
+		"unknown event code":           batch(hello(testSettings), unhex(t, `63 00000004 00000003`)),
+		"needs 8 bytes":                batch(hello(testSettings), unhex(t, `01 00000006 00000003 0000`)),
+		"server list 0 was never sent": batch(hello(testSettings), unhex(t, listUpdate)),
+		"do not fit the 2 bytes":       batch(unhex(t, `05 0000000a 00000000 0fffffff 0000`)),
+		"unknown outcome 7":            batch(hello(testSettings), unhex(t, `03 0000001d 00000003 0000000000000002 03124a07 0000 4032800000000000 07 01 00`)),
+		"classes.0.slo is missing":     batch(bad("classes.0.slo=1000.0\n", "")),
+		"effect is unknown":            batch(bad("=free", "=odd")),
+		"is not a number":              batch(bad("hardLimit=2000.0", "hardLimit=x")),
+		"is out of range: 1e+12":       batch(bad("classes.count=1", "classes.count=1e12")),
+		"query type 1 is not among":    batch(hello(testSettings), unhex(t, strings.Replace(request, "01 00 0000", "01 01 0000", 1))),
+		"shard 1, weight":              batch(hello(testSettings), unhex(t, request), unhex(t, strings.Replace(call, "3f800000 00000000", "3f800000 3f800000", 1))),
 	} {
-		if _, err := serve(t, in); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("got error %v, want one line with %q", err, want)
-		}
+		t.Run(want, func(t *testing.T) {
+			_, err := serve(t, in)
+			if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
+				t.Errorf("got error %v, want one line with %q", err, want)
+			}
+		})
 	}
 }
 
 func TestTimesRoundDown(t *testing.T) {
 	for ms, want := range map[float64]int64{0.3: 3, 230: 2300, 17.19: 171, 0.0999: 0, 1e300: 1e15, -2.05: -21} {
 		if got := balancerconfig.TimeFromMillis(ms); int64(got) != want {
-			t.Errorf("%v ms became %d tenths, want %d", ms, got, want)
+			t.Errorf("%v ms converted to %d tenths, want %d", ms, got, want)
 		}
 	}
 }
 
 func FuzzServe(f *testing.F) {
-	f.Add(batch(hello(settings)))
+	f.Add(batch(hello(testSettings)))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		var out bytes.Buffer
 		if err := Serve(bytes.NewReader(in), &out); err != nil && strings.Contains(err.Error(), "\n") {
-			t.Errorf("message of several lines: %v", err)
+			t.Errorf("error of several lines: %v", err)
 		}
 	})
 }
