--- a/controlplane/gossip.go
+++ b/controlplane/gossip.go
@@ -80,7 +80,7 @@
 			m.Reports = append(m.Reports, encodeReport(r, now))
 		} else {
 			m.Reports = append(m.Reports, &rpc.ServerReport{Instance: string(r.Instance), Sequence: uint64(r.Sequence),
-				AgeMs: uint32(max(now-r.HeartbeatAt, 0) / time.Millisecond), Refresh: true,
+				AgeMs: uint32(max(now-r.HeartbeatAt, 0) / time.Millisecond), HeartbeatOnly: true,
 				HealthCheckAgeMs: uint32(max(now-r.HealthyAt, 0) / time.Millisecond), FencingToken: r.Lease.FencingToken, LeaseHolder: r.Lease.Holder})
 		}
 	}
--- a/dataplane/endpoints.go
+++ b/dataplane/endpoints.go
@@ -218,7 +218,7 @@
 		if report.Service != "" {
 			e.address, e.service, e.zone = report.Address, report.Service, report.Zone
 		}
-		e.sequence, e.overdue, e.noHeartbeats = report.Sequence, report.Overdue, report.NoHeartbeats
+		e.sequence, e.overdue, e.noHeartbeats = report.Sequence, report.Unresponsive, report.HeartbeatMissed
 	}
 	reported := lease.Lease{FencingToken: report.FencingToken, Holder: report.LeaseHolder}
 	if reported.Compare(e.lease) > 0 {
@@ -231,13 +231,13 @@
 func (t *endpointTable) reports() (reports []*rpc.ServerReport) {
 	for _, e := range t.byInstance {
 		reports = append(reports, &rpc.ServerReport{
-			Instance: e.instance,
-			Service:  e.service,
-			Address:  e.address,
-			Zone:     e.zone,
-			State:    uint32(e.state),
-			Sequence: e.sequence,
-			Overdue:  e.overdue,
+			Instance:     e.instance,
+			Service:      e.service,
+			Address:      e.address,
+			Zone:         e.zone,
+			State:        uint32(e.state),
+			Sequence:     e.sequence,
+			Unresponsive: e.overdue,
 		})
 	}
 	return reports
--- a/internal/testing/experiment/hollow.go
+++ b/internal/testing/experiment/hollow.go
@@ -335,7 +335,7 @@
 	for i := range min(hollowChanges, len(f.servers)/2) / 2 {
 		s := f.servers[len(f.servers)-1-i]
 		a := f.expectUpdate(func(n *rpc.Update) bool {
-			return reportMatches(n, s.id, func(r *rpc.ServerReport) bool { return r.Overdue })
+			return reportMatches(n, s.id, func(r *rpc.ServerReport) bool { return r.Unresponsive })
 		})
 		at := s.stopHeartbeats()
 		f.waitForUpdate(a, hollowPropagationTimeout)
