--- /dev/null
+++ b/gatherer/attempts.go
@@ -0,0 +1,142 @@
+package gatherer
+
+import (
+	"log/slog"
+
+	"oxbowspan/balancer"
+	"oxbowspan/internal/shardconn"
+	"oxbowspan/memorybudget"
+	"oxbowspan/merge"
+)
+
+// outBatch is the attempts that one Handle of the balancer sends to one server.
+type outBatch struct {
+	server   *server
+	attempts []shardconn.Attempt
+}
+
+// gatherAttempt adds an attempt to the batch of its server.
+func (d *dispatcher) gatherAttempt(batches []outBatch, send balancer.Send) []outBatch {
+	call, s := d.calls[send.Call], d.servers[send.Server]
+	if call == nil {
+		return batches
+	}
+	number := balancer.AttemptNumber(len(call.attempts))
+	call.attempts = append(call.attempts, s)
+	call.inFlight++
+	if s == nil || s.client == nil || call.request.finished {
+		d.notDispatched(call, number, send.Server)
+		return batches
+	}
+	now := d.clock.now()
+	attempt := shardconn.Attempt{ID: call.id, Number: number, WireID: call.wireID, Shard: call.shard,
+		Text: call.request.text, SentAt: now, Deadline: now + send.Timeout}
+	if query := call.request.query; query != nil {
+		segment := merge.Segment(call.shard)
+		attempt.Options = query.Ask(segment)
+		attempt.Decode = func(value string) (any, error) { return query.Read(segment, value) }
+	}
+	for i := range batches {
+		if batches[i].server == s {
+			batches[i].attempts = append(batches[i].attempts, attempt)
+			return batches
+		}
+	}
+	return append(batches, outBatch{s, []shardconn.Attempt{attempt}})
+}
+
+// dispatchBatches hands batches to the clients of their servers. One that a full mailbox refuses is not dispatched.
+func (d *dispatcher) dispatchBatches(batches []outBatch) {
+	for _, b := range batches {
+		if b.server.client.TrySubmit(shardconn.Dispatch{Attempts: b.attempts}) {
+			b.server.inFlight += len(b.attempts)
+			continue
+		}
+		for _, a := range b.attempts {
+			d.notDispatched(d.calls[a.ID], a.Number, b.server.id)
+		}
+	}
+}
+
+// notDispatched ends an attempt that was never sent.
+func (d *dispatcher) notDispatched(call *shardCall, number balancer.AttemptNumber, server balancer.ServerID) {
+	d.attemptDone(call, number)
+	d.deferred = append(d.deferred, balancer.AttemptEnded{Call: call.id, Attempt: number, Server: server,
+		Outcome: balancer.NotDispatched})
+}
+
+// attemptDone records that an attempt has ended.
+func (d *dispatcher) attemptDone(call *shardCall, number balancer.AttemptNumber) {
+	call.attempts[number] = nil
+	call.inFlight--
+	d.forgetCall(call)
+}
+
+// forgetCall forgets a call once its request is finished and no attempt is in flight.
+func (d *dispatcher) forgetCall(call *shardCall) {
+	if _, known := d.calls[call.id]; !known || !call.request.finished || call.inFlight > 0 {
+		return
+	}
+	delete(d.calls, call.id)
+	wireID := call.request.wireID
+	if d.callsByWireID[wireID]--; d.callsByWireID[wireID] == 0 {
+		delete(d.callsByWireID, wireID)
+	}
+}
+
+func (d *dispatcher) cancel(c balancer.Cancel) {
+	call := d.calls[c.Call]
+	if call == nil || int(c.Attempt) >= len(call.attempts) {
+		return
+	}
+	if s := call.attempts[c.Attempt]; s != nil {
+		s.client.TrySubmit(shardconn.Cancel{ID: c.Call, Number: c.Attempt}) // if refused the deadline ends it
+	}
+}
+
+// attemptEnded processes the outcome of an attempt.
+func (d *dispatcher) attemptEnded(e shardconn.AttemptEnded) {
+	call := d.calls[e.ID]
+	if call == nil || call.attempts[e.Number] == nil {
+		return
+	}
+	s := call.attempts[e.Number]
+	s.inFlight--
+	if !call.request.finished && !call.answered {
+		if e.Outcome == balancer.Answered {
+			call.answered, call.value = true, e.Value
+			d.accountValue(call.request, memorybudget.Bytes(len(e.Value)))
+			d.mergeValue(call, e.Result)
+		} else if e.DecodeFailed {
+			call.request.merge.Spoilt(merge.Segment(call.shard))
+		}
+	}
+	d.attemptDone(call, e.Number)
+	d.releaseServer(s)
+	d.handle(balancer.AttemptEnded{Call: e.ID, Attempt: e.Number, Server: e.Server, Elapsed: e.Elapsed,
+		Outcome: e.Outcome, Report: e.Report})
+}
+
+// accountValue accounts for a value out of what its request has reserved, and beyond that in any case: it is in memory.
+func (d *dispatcher) accountValue(req *clientRequest, n memorybudget.Bytes) {
+	d.valueSizes.Observe(int(req.queryType), n)
+	req.inUse += n
+	if excess := req.inUse - req.reserved; excess > 0 {
+		d.memory.ForceReserve(memorybudget.Requests, excess)
+		req.reserved += excess
+	}
+}
+
+// mergeValue adds a decoded value to the merge of its request. If all merges together would become too large the
+// request is shed at once, which is safe as only idempotent requests are merged.
+func (d *dispatcher) mergeValue(call *shardCall, decoded any) {
+	req := call.request
+	if req.merge == nil {
+		return
+	}
+	if err := req.merge.Add(decoded.(*merge.Part)); err != nil {
+		slog.Warn("merge_shed", "search", req.wireID, "error", err)
+		d.finish(req.id, result{kind: resultShed, retryAfter: d.deployment.Balancer.MaxRetryAfter})
+		d.handle(balancer.RequestCancelled{Request: req.id})
+	}
+}
--- a/gatherer/clientconn.go
+++ b/gatherer/clientconn.go
@@ -13,51 +13,57 @@
 	"oxbowspan/connadmission"
 )
 
-// Why a client's connection ended: the reason codes of its log line.
+// endReason is why a connection of a client ended: the reason code in the log.
+type endReason string
+
 const (
-	endClient          = "client_closed" // the client closed it between requests, or after its answer
-	endLeft            = "client_left"   // the client closed it while its search was open
-	endReset           = "client_reset"  // it broke
-	endReadLimit       = "read_limit"    // ours: a request did not come whole in time
-	endWriteLimit      = "write_limit"   // ours: the client did not read its answer
-	endConnectionClose = "told_close"    // ours: the answer said Connection: close
-	endBadRequest      = "bad_request"   // ours: what came is not HTTP
-	endMadeRoom        = "made_room"     // ours: idle longest when another client came at the limit
-	endOverLimit       = "over_limit"    // ours: it came past the limit and was shed
-	endIdleLimit       = "idle_limit"    // ours: parked for longer than the operator's file allows
-	endSlowHead        = "slow_head"     // ours: its head came at less than the least rate
-	endSlowBody        = "slow_body"     // ours: its body came at less than the least rate
-	endSlowAnswer      = "slow_answer"   // ours: its client read the answer at less than the least rate
-	endStopped         = "stopped"       // ours: the program ends
+	endClient          endReason = "client_closed" // the client closed it between requests, or after its answer
+	endLeft            endReason = "client_left"   // the client closed it while its request was open
+	endReset           endReason = "client_reset"  // it broke
+	endReadLimit       endReason = "read_limit"    // closed here: a request was incomplete after readTimeout
+	endWriteLimit      endReason = "write_limit"   // closed here: the client did not read its answer
+	endConnectionClose endReason = "told_close"    // closed here: the answer said Connection: close
+	endBadRequest      endReason = "bad_request"   // closed here: not HTTP
+	endMadeRoom        endReason = "made_room"     // closed here: idle longest when another client needed its descriptor
+	endOverLimit       endReason = "over_limit"    // closed here: opened above the limit, its request was shed
+	endIdleLimit       endReason = "idle_limit"    // closed here: parked for longer than the operator's file allows
+	endSlowHead        endReason = "slow_head"     // closed here: the head of a request came below the minimum rate
+	endSlowBody        endReason = "slow_body"     // closed here: the body of a request came below the minimum rate
+	endSlowAnswer      endReason = "slow_answer"   // closed here: the client read its answer below the minimum rate
+	endStopped         endReason = "stopped"       // closed here: the program ends
 )
 
-// clientConn is a client's connection; it remembers why it ended.
+// writeChunk is how much of an answer is written at a time if the client must read it at a minimum rate, in bytes.
+const writeChunk = 4 << 10
+
+// clientConn is a connection of a client. It records why it ends.
 type clientConn struct {
 	net.Conn
 	listener  *listener
 	id        connadmission.ID
-	overLimit bool // it came past the limit
+	overLimit bool // it was opened above the limit: its request is shed
 	startedAt time.Time
-	hasRead   atomic.Bool // a byte has come
+	hasRead   atomic.Bool // a byte was read
 
 	mu        sync.Mutex
 	framing   requestFramer
-	endReason string // set by whoever ends it here
+	endReason endReason // why it is closed here; "" = it is not
 	readErr   error
-	aborted   bool // net/http breaks off its own reading by a limit long past
+	aborted   bool // net/http aborts its own read by a deadline long past
 	closed    bool
-	parked    bool // its socket has been taken over: this connection is over, the client's is not
+	parked    bool // its socket belongs to the idle set: this object is closed, the connection is open
 	requests  int
 	idle      bool // it waits for a request
-	resumed   bool // it was parked, and its next request's head is not whole
+	resumed   bool // it was parked, and the head of its next request is incomplete
 	phase     ioPhase
-	slowAt    connadmission.Millis // in a phase: when the client is too slow if nothing moves until then
-	graceLeft connadmission.Millis // of the present answer, between two writes: what was left until then; 0 = nothing of it is written
+	slowAt    connadmission.Millis // in a phase, when the client is too slow unless more bytes are transferred
+	graceLeft connadmission.Millis // between two writes of an answer, the time that was left until slowAt; 0 = nothing of it is written
 }
 
+// Read implements net.Conn.
 func (c *clientConn) Read(b []byte) (int, error) {
 	if c.listener.idleSet != nil && c.isIdle() {
-		// Between requests: after a while it waits without this goroutine.
+		// Between requests it is parked after a while, and waits without this goroutine.
 		c.Conn.SetReadDeadline(time.Now().Add(c.listener.lingerDuration()))
 		n, err := c.Conn.Read(b)
 		if n > 0 || !errors.Is(err, os.ErrDeadlineExceeded) {
@@ -65,7 +71,7 @@
 			return c.recordRead(b, n, err)
 		}
 		if c.listener.park(c) {
-			return 0, io.EOF // net/http lets go of it, and Close does nothing
+			return 0, io.EOF // net/http closes it, and Close does nothing
 		}
 		c.Conn.SetReadDeadline(time.Time{})
 	}
@@ -73,7 +79,7 @@
 	return c.recordRead(b, n, err)
 }
 
-// recordRead notes what a read brought.
+// recordRead records the result of a read.
 func (c *clientConn) recordRead(b []byte, n int, err error) (int, error) {
 	if n > 0 && !c.hasRead.Load() {
 		c.hasRead.Store(true)
@@ -101,26 +107,27 @@
 	return n, err
 }
 
-// hasPartialHead tells whether part of a head has come, and nothing else is being dealt with. Its lock is held.
+// hasPartialHead reports whether the head of a request was read partly, and no other request is open. Its lock is held.
 func (c *clientConn) hasPartialHead() bool {
 	return (c.idle || c.resumed || c.requests == 0) && c.framing.inHead()
 }
 
-// isIdle tells whether it is between requests, with no byte of the next one read.
+// isIdle reports whether it is between requests, with no byte of the next one read.
 func (c *clientConn) isIdle() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.idle && !c.overLimit && c.framing.atRequestBoundary()
 }
 
-// isAmbiguous tells whether the present request, or one before it, can be read in two ways.
+// isAmbiguous reports whether the length of the present request, or of one before it, is ambiguous.
 func (c *clientConn) isAmbiguous() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.framing.ambiguousAt > 0 && c.requests >= c.framing.ambiguousAt
 }
 
-// readDeadline is when the present request must have come whole. The first counts from the connection's beginning.
+// readDeadline returns when the present request must be read completely. For the first one it counts from the opening of
+// the connection.
 func (c *clientConn) readDeadline() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -130,42 +137,41 @@
 	return time.Now().Add(readTimeout)
 }
 
+// Write implements net.Conn.
 func (c *clientConn) Write(b []byte) (int, error) {
 	if !c.listener.minRates[writingAnswer].Enabled() {
 		n, err := c.Conn.Write(b)
 		c.recordWrite(err)
 		return n, err
 	}
-	// In pieces, so that what the client reads is seen while it reads. What was left of its grace counts on from one
-	// write of an answer to the next: who lets each of them wait is as slow as who lets one wait for long.
+	// Written in chunks, so that progress shows while the client reads. Its grace carries over from one write of an
+	// answer to the next, so that a client that delays each of them a little is as slow as one that delays one for long.
 	c.listener.enterPhase(c, writingAnswer)
 	defer c.listener.enterPhase(c, noPhase)
-	all := 0
+	written := 0
 	for len(b) > 0 {
 		n, err := c.Conn.Write(b[:min(len(b), writeChunk)])
-		all += n
+		written += n
 		if err != nil {
 			c.recordWrite(err)
-			return all, err
+			return written, err
 		}
 		b = b[n:]
 		c.mu.Lock()
 		c.recordProgress(n)
 		c.mu.Unlock()
 	}
-	return all, nil
+	return written, nil
 }
 
-// writeChunk is how much of an answer is written at a time where its client is held to a least rate.
-const writeChunk = 4 << 10
-
-// recordWrite notes how a write ended.
+// recordWrite records the result of a write.
 func (c *clientConn) recordWrite(err error) {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		c.setEndReason(endWriteLimit)
 	}
 }
 
+// SetReadDeadline implements net.Conn.
 func (c *clientConn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	c.aborted = !t.IsZero() && time.Until(t) < -time.Hour
@@ -173,15 +179,16 @@
 	return c.Conn.SetReadDeadline(t)
 }
 
-// setEndReason notes why the connection is about to end. The first reason stands.
-func (c *clientConn) setEndReason(why string) {
+// setEndReason records why the connection is going to be closed. The first reason is kept.
+func (c *clientConn) setEndReason(reason endReason) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.endReason == "" {
-		c.endReason = why
+		c.endReason = reason
 	}
 }
 
+// Close implements net.Conn. It does nothing if the connection is parked.
 func (c *clientConn) Close() error {
 	c.mu.Lock()
 	parked := c.parked
@@ -193,16 +200,17 @@
 	c.mu.Lock()
 	first := !c.closed
 	c.closed = true
-	why, requests := c.closeReason(), c.requests
+	reason, requests := c.closeReason(), c.requests
 	c.mu.Unlock()
-	// Not under its own lock: the listener's is taken before a connection's everywhere else.
+	// Without its own lock: everywhere else the listener's lock is taken first.
 	if first && c.listener.connClosed(c) {
-		logClientEnd(c.RemoteAddr().String(), why, requests, c.startedAt)
+		logClientEnd(c.RemoteAddr().String(), reason, requests, c.startedAt)
 	}
 	return err
 }
 
-func (c *clientConn) closeReason() string {
+// closeReason returns why the connection ended: the recorded reason, or else that of the last read. Its lock is held.
+func (c *clientConn) closeReason() endReason {
 	switch {
 	case c.endReason != "":
 		return c.endReason
@@ -216,6 +224,13 @@
 	return endBadRequest
 }
 
-func logClientEnd(client, why string, requests int, began time.Time) {
-	slog.Info("client_conn_end", "client", client, "reason", why, "requests", requests, "age_ms", time.Since(began).Milliseconds())
+func logClientEnd(client string, reason endReason, requests int, startedAt time.Time) {
+	slog.Info("client_conn_end", "client", client, "reason", string(reason), "requests", requests,
+		"age_ms", time.Since(startedAt).Milliseconds())
+}
+
+func (c *clientConn) isMarkedIdle() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.idle
 }
--- a/gatherer/clock.go
+++ b/gatherer/clock.go
@@ -6,14 +6,14 @@
 	"oxbowspan/balancer"
 )
 
-// tick is a brain.Time of one.
+// tick is the time.Duration of one balancer.Time.
 const tick = time.Millisecond / time.Duration(balancer.Millisecond)
 
-// clock is the program's one clock: Unix time as it was at the start, carried on monotonically, so that it
-// never goes back and the moments that the list tells fit it.
+// clock returns Unix time as it was at the start plus the monotonic time since then, so that it never goes back and can
+// be compared with the start times in the server list.
 type clock struct {
 	start time.Time
-	unix  balancer.Time
+	unix  balancer.Time // at the start
 }
 
 func newClock() clock {
@@ -23,4 +23,5 @@
 
 func (c clock) now() balancer.Time { return c.unix + balancer.Time(time.Since(c.start)/tick) }
 
+// duration converts a balancer.Time to a time.Duration.
 func duration(t balancer.Time) time.Duration { return time.Duration(t) * tick }
--- a/gatherer/counters.go
+++ b/gatherer/counters.go
@@ -2,14 +2,14 @@
 
 import "sync/atomic"
 
-// Counts is how many searches had which final answer since the start.
+// Counts is the number of requests since the start by result.
 type Counts struct{ Answered, Shed, Errored uint64 }
 
-// counters are written by the module's actor and read by anybody.
+// counters count results. The dispatcher adds, any goroutine reads.
 type counters struct{ answered, shed, errored atomic.Uint64 }
 
-func (c *counters) add(k resultKind) {
-	switch k {
+func (c *counters) add(kind resultKind) {
+	switch kind {
 	case resultAnswer, resultMerged, resultStored:
 		c.answered.Add(1)
 	case resultShed:
@@ -19,10 +19,10 @@
 	}
 }
 
-// Counts tells how many searches had which final answer so far.
+// Counts returns the number of requests so far by result.
 func (g *Gatherer) Counts() Counts {
 	return Counts{g.counters.answered.Load(), g.counters.shed.Load(), g.counters.errored.Load()}
 }
 
-// Ready tells whether the gatherer takes searches: it holds a list with a server.
+// Ready reports whether the gatherer can serve requests: the server list has a server.
 func (g *Gatherer) Ready() bool { return g.frontend.hasServers.Load() }
--- a/gatherer/degradation_test.go
+++ b/gatherer/degradation_test.go
@@ -33,7 +33,7 @@
 
 func writeLevelsFile(t *testing.T, text string) (file, socket string) {
 	t.Helper()
-	dir, err := os.MkdirTemp("", "levels") // a socket's path must be short
+	dir, err := os.MkdirTemp("", "levels") // the path of a socket must be short
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,20 +54,20 @@
 	return *a.State
 }
 
-// awaitLevel asks until a level is in force.
+// awaitLevel waits until a level applies.
 func awaitLevel(t *testing.T, c *admin.Client, name string) admin.State {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); ; {
 		if s := queryState(t, c); s.Level == name {
 			return s
 		} else if time.Now().After(end) {
-			t.Fatalf("never at level %s: %+v", name, s)
+			t.Fatalf("timeout: not at level %s: %+v", name, s)
 		}
 	}
 }
 
-// A quarter of the servers goes: posts are shed with advice, look-ups are served; all is logged and seen; and back again, also
-// after a reload of other levels and a pin.
+// With a quarter of the servers lost posts are shed with a Retry-After and lookups are served, which is logged and shown to
+// operators; and service recovers, also after a reload of the levels and a pin.
 func TestDegradationShedsLowPriorityFirst(t *testing.T) {
 	var shards []*standin.ShardServer
 	for _, host := range []string{"s-a", "s-b", "s-c", "s-d"} {
@@ -77,7 +77,7 @@
 	file, socket := writeLevelsFile(t, levelsConfig)
 	p := start(t, l, nil, "--operator", file)
 	if s, err := os.Stat(socket); err != nil || s.Mode().Perm() != 0o600 {
-		t.Errorf("the socket: %v, %v", s.Mode(), err)
+		t.Errorf("mode of the socket: %v, %v", s.Mode(), err)
 	}
 	c, err := admin.Dial(socket)
 	if err != nil {
@@ -110,7 +110,7 @@
 	l.Update(gone)
 	line := p.line("event=level ", "to=trimmed")
 	if !strings.Contains(line, "scope=all") || !strings.Contains(line, "from=full") || !strings.Contains(line, "lost 0.25") {
-		t.Errorf("logged is %q", line)
+		t.Errorf("log line %q", line)
 	}
 	if after := want("b1", "post", 503); after != "0.5" && after != "0.4" && !strings.HasPrefix(after, "0.") {
 		t.Errorf("Retry-After %q", after)
@@ -118,12 +118,12 @@
 	want("b2", "lookup", 200)
 	s := awaitLevel(t, c, "trimmed")
 	if len(s.Servers) != 3 || len(s.Changes) != 1 || s.Types[1].Name != "post" || s.Types[1].Share != 0 || len(s.Types[1].Customers) != 1 || s.Types[1].Customers[0].Shed != 1 {
-		t.Errorf("seen is %+v", s)
+		t.Errorf("state %+v", s)
 	}
 	if a, err := c.Ask(admin.Question{Verb: admin.Explain}); err != nil || !strings.Contains(strings.Join(a.Lines, "\n"), "trimmed: lost 0.25, enters at 0.2, left under 0.1: enters") {
-		t.Errorf("explained is %v, %v", a.Lines, err)
+		t.Errorf("explanation %v, %v", a.Lines, err)
 	}
-	// A watcher sees it come back.
+	// An operator who watches sees it recover.
 	w, err := admin.Dial(socket)
 	if err != nil {
 		t.Fatal(err)
@@ -136,16 +136,16 @@
 	for end := time.Now().Add(testTimeout); ; {
 		s, err := w.Next()
 		if err != nil || time.Now().After(end) {
-			t.Fatalf("watched: %+v, %v", s, err)
+			t.Fatalf("watched state %+v, %v", s, err)
 		}
 		if s.Level == "full" {
 			break
 		}
 	}
 	want("c1", "post", 200)
-	// A pin, one that is no level, and its end.
+	// A pin to an unknown level, a pin, and its end.
 	if _, err := c.Ask(admin.Question{Verb: admin.Pin, Level: "nowhere", Seconds: 1}); err == nil {
-		t.Error("pinned to nowhere")
+		t.Error("pinned to an unknown level")
 	}
 	if _, err := c.Ask(admin.Question{Verb: admin.Pin, Level: "closed", Seconds: 3600}); err != nil {
 		t.Error(err)
@@ -157,7 +157,7 @@
 	}
 	awaitLevel(t, c, "full")
 	want("d2", "lookup", 200)
-	// A reload changes the levels while one is in force.
+	// A reload changes the levels while one applies.
 	l.Update(gone)
 	awaitLevel(t, c, "trimmed")
 	if err := os.WriteFile(file, []byte(strings.Replace(levelsConfig, "share = post 0", "share = post 1", 1)), 0o600); err != nil {
@@ -171,11 +171,11 @@
 		t.Error(err)
 	}
 	if _, err := os.Stat(socket); err == nil {
-		t.Error("the socket is left behind")
+		t.Error("the socket still exists")
 	}
 }
 
-// A segment all of whose replicas are gone is closed for those who ask it, and the others are served.
+// Requests for a segment without replicas are shed, others are served.
 func TestLostSegmentDoesNotDegradeOthers(t *testing.T) {
 	var shards []*standin.ShardServer
 	for cell, host := range []string{"s-a", "s-b", "s-c", "s-d"} {
@@ -214,7 +214,7 @@
 	p.line("event=level ", "scope=segment-2", "to=gone")
 	began := time.Now()
 	if status := ask("b1", 2); status != 503 || time.Since(began) > time.Second {
-		t.Errorf("the segment that is gone: %d after %s", status, time.Since(began))
+		t.Errorf("the lost segment: %d after %s", status, time.Since(began))
 	}
 	for i, segment := range []int{0, 1, 3} {
 		if status := ask([]string{"c1", "c2", "c3"}[i], segment); status != 200 {
@@ -222,6 +222,6 @@
 		}
 	}
 	if s := queryState(t, c); s.Level != "full" || len(s.Segments) != 1 || s.Segments[0].Segment != 2 {
-		t.Errorf("seen is %+v", s)
+		t.Errorf("state %+v", s)
 	}
 }
--- a/gatherer/framing.go
+++ b/gatherer/framing.go
@@ -6,20 +6,21 @@
 	"strings"
 )
 
-// requestFramer follows the bytes of a client's connection from request to request, beside net/http, which takes away what
-// contradicts itself: with a Transfer-Encoding it drops the Content-Length before a handler sees the request, and what
-// another server would take for the next request then hides in the body.
+// requestFramer finds the requests in the bytes of a connection, beside net/http, to detect ambiguous lengths. net/http
+// hides those: with a Transfer-Encoding it drops the Content-Length before a handler sees the request, and the body may
+// smuggle what another server would take for the next request.
 type requestFramer struct {
 	state         framerState
-	line          []byte // of the present line, what came before
-	remaining     int64  // bytes of the body, or of a chunk
+	line          []byte // the beginning of the present line, from earlier calls
+	remaining     int64  // bytes of the body or chunk that are still to come
 	lengths       int    // Content-Length lines of the present head
-	chunked       bool   // it has a Transfer-Encoding
-	legacyVersion bool   // its request is not HTTP/1.1
-	heads         int    // heads begun
-	ambiguousAt   int    // the first that can be read in two ways: from it on nothing is followed; 0 = none
+	chunked       bool   // the present head has a Transfer-Encoding
+	legacyVersion bool   // the present request is not HTTP/1.1
+	heads         int    // requests begun
+	ambiguousAt   int    // number of the first ambiguous request, after which nothing is parsed; 0 = none
 }
 
+// framerState is the part of a request that is being read.
 type framerState uint8
 
 const (
@@ -32,17 +33,17 @@
 	inTrailer
 )
 
-// atRequestBoundary tells whether all that came is whole requests, and nothing of another.
+// atRequestBoundary reports whether all bytes so far are complete requests.
 func (f *requestFramer) atRequestBoundary() bool {
 	return f.state == inRequestLine && len(f.line) == 0 && f.ambiguousAt == 0 && f.heads > 0
 }
 
-// inHead tells whether part of a head has come, and not all of it.
+// inHead reports whether a head was read partly.
 func (f *requestFramer) inHead() bool {
 	return f.ambiguousAt == 0 && (f.state == inHead || f.state == inRequestLine && len(f.line) > 0)
 }
 
-// feed follows some more bytes.
+// feed parses more bytes.
 func (f *requestFramer) feed(b []byte) {
 	for len(b) > 0 && f.ambiguousAt == 0 {
 		if f.state == inBody || f.state == inChunk {
@@ -51,7 +52,7 @@
 			if f.remaining > 0 {
 				return
 			}
-			if f.state++; f.state == inChunkSize { // a body's end is a request's
+			if f.state++; f.state == inChunkSize { // the end of a body is that of its request
 				f.state = inRequestLine
 			}
 			continue
@@ -75,6 +76,7 @@
 	}
 }
 
+// endLine parses a complete line.
 func (f *requestFramer) endLine(line string) {
 	switch f.state {
 	case inRequestLine:
@@ -104,7 +106,7 @@
 	}
 }
 
-// headerLine takes a line of a head; an empty one ends it.
+// headerLine parses a line of a head; an empty line ends the head.
 func (f *requestFramer) headerLine(line string) {
 	if line == "" {
 		switch {
@@ -122,7 +124,7 @@
 	name, value, _ := strings.Cut(line, ":")
 	value = strings.Trim(value, " \t")
 	switch name = strings.ToLower(strings.Trim(name, " \t\r\v\f")); {
-	case line[0] == ' ' || line[0] == '\t': // folded: readers differ on what it belongs to
+	case line[0] == ' ' || line[0] == '\t': // folded, which servers understand differently
 		f.ambiguousAt = f.heads
 	case name == "content-length":
 		n, err := strconv.ParseUint(value, 10, 62)
--- a/gatherer/frontend.go
+++ b/gatherer/frontend.go
@@ -12,7 +12,6 @@
 	"net/http"
 	"net/http/httputil"
 	"net/url"
-	"strings"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -23,36 +22,58 @@
 	"oxbowspan/memorybudget"
 )
 
-// maxBodyBytes is the most that a request's body may have, maxHeaderBytes its head.
+// Limits of a request, in bytes.
 const (
 	maxBodyBytes   = 64 << 10
 	maxHeaderBytes = 16 << 10
 )
 
-// readTimeout is what a request may take to come whole, the first one from its connection's beginning: whoever has not
-// sent one within 3 s is owed an answer or a close.
+// readTimeout is the time in which a request must be read completely, from the opening of its connection if it is the
+// first. Clients expect an answer or a close if they have not sent one within 3 s.
 const readTimeout = 2 * time.Second
 
-// frontend is the HTTP side: it reads requests whole, answers what is no search, and hands searches to the reverse
-// proxy, whose transport asks the module.
+// Times of a drain.
+const (
+	drainDelay = 700 * time.Millisecond // after SIGTERM, in which the protocol allows new requests
+	drainGrace = 50 * time.Millisecond  // beyond the longest client timeout
+)
+
+// copyBufferSize is the size of the reverse proxy's buffers: most answers fit.
+const copyBufferSize = 4 << 10
+
+// Paths of health checks.
+const (
+	pathReady   = "/-/ready"
+	pathHealthy = "/-/healthy"
+)
+
+// frontend is the HTTP side. It reads requests completely, answers those that are not for the shards, and hands the
+// others to a reverse proxy, whose transport sends them to the dispatcher.
 type frontend struct {
 	proxy            *httputil.ReverseProxy
 	isKnownType      func(queryType string) bool
-	maxClientTimeout time.Duration // client timeout
-	retryAfter       balancer.Time // to clients that are shed here; 0 = none
+	maxClientTimeout time.Duration
+	retryAfter       balancer.Time // of requests shed here; 0 = none
 	memory           *memorybudget.Budget
 	customer         func(name string) connadmission.CustomerIndex
-	quotas           []float64 // the customers' shares of searches
-	maxActiveConns   int       // connections that memory lets be awake at once; 0 = no limit
+	quotas           []float64 // of the customers, in requests per second
+	maxActiveConns   int       // 0 = no limit
 	connections      operatorconfig.Connections
-	hasServers       atomic.Bool // a list with a server is held
+	hasServers       atomic.Bool // the server list has a server
 	draining         atomic.Bool
 }
 
 type connKey struct{}
 
-func newFrontend(t *transport, longest time.Duration, held *memorybudget.Budget) *frontend {
-	f := &frontend{maxClientTimeout: longest, memory: held, isKnownType: t.isKnownType, customer: t.customerIndex, retryAfter: t.deployment.Balancer.MaxRetryAfter}
+// connOf returns the connection of a request; nil if the server is not this package's.
+func connOf(r *http.Request) *clientConn {
+	c, _ := r.Context().Value(connKey{}).(*clientConn)
+	return c
+}
+
+func newFrontend(t *transport, maxClientTimeout time.Duration, memory *memorybudget.Budget) *frontend {
+	f := &frontend{maxClientTimeout: maxClientTimeout, memory: memory, isKnownType: t.isKnownType,
+		customer: t.customerIndex, retryAfter: t.deployment.Balancer.MaxRetryAfter}
 	for _, c := range t.deployment.Balancer.Customers {
 		f.quotas = append(f.quotas, c.QuotaPerSecond)
 	}
@@ -60,57 +81,47 @@
 		Transport: t,
 		Rewrite:   func(r *httputil.ProxyRequest) { r.SetURL(&url.URL{Scheme: "http", Host: r.In.Host}) },
 		ErrorHandler: func(http.ResponseWriter, *http.Request, error) {
-			panic(http.ErrAbortHandler) // the client has left: there is nobody to answer
-		},
-		ErrorLog: log.New(httpLogWriter{}, "", 0),
-		// A drain that begins while a search is open must still tell its client to close, or what the client sends
-		// next on the connection finds nobody.
-		ModifyResponse: func(res *http.Response) error {
-			c, _ := res.Request.Context().Value(connKey{}).(*clientConn)
-			if f.draining.Load() || c != nil && c.listener.shouldClose(c) {
-				res.Header.Set("Connection", "close")
-				if c != nil {
-					c.setEndReason(endConnectionClose)
-				}
-			}
-			return nil
+			panic(http.ErrAbortHandler) // the client has disconnected
 		},
-		BufferPool: &bufferPool{sync.Pool{New: func() any { return make([]byte, 4<<10) }}},
+		ErrorLog:       log.New(httpLogWriter{}, "", 0),
+		ModifyResponse: f.closeAfterResponse,
+		BufferPool:     newBufferPool(),
 	}
 	return f
 }
 
-func (f *frontend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	c, _ := r.Context().Value(connKey{}).(*clientConn)
-	end := func(why string) {
-		w.Header().Set("Connection", "close")
+// closeAfterResponse tells the client to close its connection where it is to be closed. During a drain that also holds
+// for requests that were open before, or the next one on the connection would be lost.
+func (f *frontend) closeAfterResponse(res *http.Response) error {
+	c := connOf(res.Request)
+	if f.draining.Load() || c != nil && c.listener.shouldClose(c) {
+		res.Header.Set("Connection", "close")
 		if c != nil {
-			c.setEndReason(why)
+			c.setEndReason(endConnectionClose)
 		}
 	}
-	// The limit stands also where an answer goes out before the body is in, which net/http then reads to its end.
-	by := time.Now().Add(readTimeout)
-	if c != nil {
-		by = c.readDeadline()
-	}
-	if err := http.NewResponseController(w).SetReadDeadline(by); err != nil && !errors.Is(err, http.ErrNotSupported) {
-		panic(http.ErrAbortHandler)
-	}
+	return nil
+}
+
+// ServeHTTP implements http.Handler.
+func (f *frontend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	e := exchange{f, w, r, connOf(r)}
+	e.setReadDeadline()
 	if f.draining.Load() {
-		end(endConnectionClose)
-	} else if r.Close && c != nil {
-		c.setEndReason(endConnectionClose)
+		e.closeConn(endConnectionClose)
+	} else if r.Close && e.conn != nil {
+		e.conn.setEndReason(endConnectionClose)
 	}
 	switch r.URL.Path {
-	case "/-/ready":
-		f.serveStatus(w, r, f.hasServers.Load() && !f.draining.Load())
+	case pathReady:
+		e.serveStatus(f.hasServers.Load() && !f.draining.Load())
 		return
-	case "/-/healthy":
-		f.serveStatus(w, r, true)
+	case pathHealthy:
+		e.serveStatus(true)
 		return
 	}
-	first, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
-	if !f.isKnownType(first) && r.Header.Get("Req-Kind") != first || first == "" {
+	queryType := firstSegment(r.URL.Path)
+	if !f.isKnownType(queryType) && r.Header.Get(headerType) != queryType || queryType == "" {
 		http.Error(w, "there is nothing under this path", http.StatusNotFound)
 		return
 	}
@@ -119,61 +130,123 @@
 		http.Error(w, "a search is a POST", http.StatusMethodNotAllowed)
 		return
 	}
-	size := cmp.Or(max(r.ContentLength, 0), maxBodyBytes)
+	e.serveRequest()
+}
+
+// exchange is one request of a client and its response.
+type exchange struct {
+	*frontend
+	w    http.ResponseWriter
+	r    *http.Request
+	conn *clientConn // nil = the server is not this package's
+}
+
+// closeConn lets the response close the connection.
+func (e *exchange) closeConn(reason endReason) {
+	e.w.Header().Set("Connection", "close")
+	if e.conn != nil {
+		e.conn.setEndReason(reason)
+	}
+}
+
+// setReadDeadline limits the reading of the request. The limit also holds where a response is written before the body is
+// read, which net/http then reads to its end.
+func (e *exchange) setReadDeadline() {
+	deadline := time.Now().Add(readTimeout)
+	if e.conn != nil {
+		deadline = e.conn.readDeadline()
+	}
+	err := http.NewResponseController(e.w).SetReadDeadline(deadline)
+	if err != nil && !errors.Is(err, http.ErrNotSupported) {
+		panic(http.ErrAbortHandler)
+	}
+}
+
+// serveStatus answers a health check.
+func (e *exchange) serveStatus(ok bool) {
+	if e.r.Method != http.MethodGet && e.r.Method != http.MethodHead {
+		e.w.Header().Set("Allow", "GET, HEAD")
+		http.Error(e.w, "ask with GET", http.StatusMethodNotAllowed)
+		return
+	}
+	if !ok {
+		http.Error(e.w, "not ready", http.StatusServiceUnavailable)
+		return
+	}
+	io.WriteString(e.w, "ok\n")
+}
+
+// serveRequest admits a request, reads its body and hands it to the reverse proxy.
+func (e *exchange) serveRequest() {
+	size := cmp.Or(max(e.r.ContentLength, 0), maxBodyBytes)
+	reserved := memorybudget.Bytes(bodyCopies * size)
 	switch {
-	case c != nil && c.isAmbiguous():
-		end(endBadRequest)
-		http.Error(w, "the request's length can be read in two ways", http.StatusBadRequest)
+	case e.conn != nil && e.conn.isAmbiguous():
+		e.closeConn(endBadRequest)
+		http.Error(e.w, "the request's length can be read in two ways", http.StatusBadRequest)
 		return
 	case size > maxBodyBytes:
-		f.bodyTooLarge(w, end)
+		e.bodyTooLarge()
 		return
-	case c != nil && c.overLimit:
-		end(endOverLimit)
-		setRetryAfter(w.Header(), f.retryAfter)
-		http.Error(w, "too many connections, asking again is harmless", http.StatusServiceUnavailable)
+	case e.conn != nil && e.conn.overLimit:
+		e.shed("too many connections, asking again is harmless")
 		return
-	case !f.memory.Reserve(memorybudget.Bodies, memorybudget.Bytes(bodyCopies*size)):
-		end(endOverLimit)
-		setRetryAfter(w.Header(), f.retryAfter)
-		http.Error(w, "too much is held, asking again is harmless", http.StatusServiceUnavailable)
+	case !e.memory.Reserve(memorybudget.Bodies, reserved):
+		e.shed("too much is held, asking again is harmless")
 		return
 	}
-	defer f.memory.Release(memorybudget.Bodies, memorybudget.Bytes(bodyCopies*size))
-	if c != nil {
-		c.listener.requestStarted(c, f.customer(r.Header.Get("Req-Owner")))
-		c.listener.enterPhase(c, readingBody)
-	}
-	b, err := readBody(w, r)
-	if c != nil {
-		c.listener.enterPhase(c, noPhase)
-	}
-	var long *http.MaxBytesError
-	switch {
-	case errors.As(err, &long):
-		f.bodyTooLarge(w, end)
+	defer e.memory.Release(memorybudget.Bodies, reserved)
+	body, ok := e.readBody()
+	if !ok {
 		return
-	case err != nil: // not whole in time, broken off or not HTTP: no request was taken
-		if c != nil && errors.Is(err, io.ErrUnexpectedEOF) {
-			c.setEndReason(endLeft)
-		}
-		panic(http.ErrAbortHandler)
 	}
-	r.Body, r.ContentLength = io.NopCloser(bytes.NewReader(b)), int64(len(b))
+	e.r.Body, e.r.ContentLength = io.NopCloser(bytes.NewReader(body)), int64(len(body))
 	defer func() {
-		if r.Context().Err() != nil && c != nil {
-			c.setEndReason(endLeft)
+		if e.r.Context().Err() != nil && e.conn != nil {
+			e.conn.setEndReason(endLeft)
 		}
 	}()
-	f.proxy.ServeHTTP(w, r)
+	e.proxy.ServeHTTP(e.w, e.r)
 }
 
-func (f *frontend) bodyTooLarge(w http.ResponseWriter, end func(string)) {
-	end(endConnectionClose)
-	http.Error(w, "the body is over 64 KiB", http.StatusRequestEntityTooLarge)
+func (e *exchange) shed(text string) {
+	e.closeConn(endOverLimit)
+	setRetryAfter(e.w.Header(), e.retryAfter)
+	http.Error(e.w, text, http.StatusServiceUnavailable)
+}
+
+func (e *exchange) bodyTooLarge() {
+	e.closeConn(endConnectionClose)
+	http.Error(e.w, "the body is over 64 KiB", http.StatusRequestEntityTooLarge)
+}
+
+// readBody reads the body. It reports false if that failed and the request is answered. A request that is incomplete or
+// not HTTP is aborted.
+func (e *exchange) readBody() ([]byte, bool) {
+	if e.conn != nil {
+		e.conn.listener.requestStarted(e.conn, e.customer(e.r.Header.Get(headerOwner)))
+		e.conn.listener.enterPhase(e.conn, readingBody)
+	}
+	body, err := readBody(e.w, e.r)
+	if e.conn != nil {
+		e.conn.listener.enterPhase(e.conn, noPhase)
+	}
+	var tooLarge *http.MaxBytesError
+	switch {
+	case errors.As(err, &tooLarge):
+		e.bodyTooLarge()
+		return nil, false
+	case err != nil:
+		if e.conn != nil && errors.Is(err, io.ErrUnexpectedEOF) {
+			e.conn.setEndReason(endLeft)
+		}
+		panic(http.ErrAbortHandler)
+	}
+	return body, true
 }
 
-// readBody reads a body to its end. From then on net/http watches, without the read limit, for the client's leaving.
+// readBody reads a body to its end. From then on net/http detects, without the read deadline, when the client
+// disconnects.
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
 	var b bytes.Buffer
 	if r.ContentLength > 0 {
@@ -183,73 +256,74 @@
 	return b.Bytes(), err
 }
 
-func (f *frontend) serveStatus(w http.ResponseWriter, r *http.Request, good bool) {
-	if r.Method != http.MethodGet && r.Method != http.MethodHead {
-		w.Header().Set("Allow", "GET, HEAD")
-		http.Error(w, "ask with GET", http.StatusMethodNotAllowed)
-		return
-	}
-	if !good {
-		http.Error(w, "not ready", http.StatusServiceUnavailable)
-		return
-	}
-	io.WriteString(w, "ok\n")
-}
-
-// serve answers clients on l until ctx is done, then drains: not ready, new connections still accepted while
-// they keep coming, kept ones told to close, and at last all that is open finished, for at most so long.
-func (f *frontend) serve(ctx context.Context, nl net.Listener, share int, longest time.Duration) error {
-	l := newListener(nl, listenerConfig{descriptors: share, quotas: f.quotas, maxActiveConns: f.maxActiveConns, memory: f.memory, connections: f.connections})
+// serve serves clients on a listener until ctx is done, then drains: it is not ready, still accepts connections for
+// drainDelay, tells clients to close theirs, and waits for open requests up to the longest client timeout.
+func (f *frontend) serve(ctx context.Context, nl net.Listener, descriptors int, maxClientTimeout time.Duration) error {
+	l := newListener(nl, listenerConfig{descriptors: descriptors, quotas: f.quotas, maxActiveConns: f.maxActiveConns,
+		memory: f.memory, connections: f.connections})
 	if f.connections.Park {
 		l.enableParking(f.retryAfter, f.connections.Idle)
 	}
-	// The write limit covers all three: a request may take the read limit to come, the longest client timeout to be
-	// answered, and its answer as long again to be read.
-	srv := &http.Server{Handler: f, ReadHeaderTimeout: readTimeout, WriteTimeout: readTimeout + 2*f.maxClientTimeout, MaxHeaderBytes: maxHeaderBytes,
-		ConnState: l.connStateChanged, ErrorLog: log.New(httpLogWriter{}, "", 0),
-		ConnContext: func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, connKey{}, c) }}
+	srv := f.newServer(l)
 	failed := make(chan error, 2)
 	go func() { failed <- srv.Serve(l) }()
 	go func() { failed <- srv.Serve(l.resumed) }()
 	select {
 	case err := <-failed:
-		l.stop() // what is parked, and who waits for it, end with this too
+		l.stop() // parked connections end as well
 		srv.Close()
 		return err
 	case <-ctx.Done():
 	}
-	f.draining.Store(true) // before the log says so
+	f.draining.Store(true) // before it is logged
 	slog.Info("drain_begin")
 	time.Sleep(drainDelay)
 	l.stop()
-	end, cancel := context.WithTimeout(context.Background(), longest+drainGrace)
+	deadline, cancel := context.WithTimeout(context.Background(), maxClientTimeout+drainGrace)
 	defer cancel()
-	err := srv.Shutdown(end)
+	err := srv.Shutdown(deadline)
+	detail := ""
 	if err != nil {
 		srv.Close()
+		detail = err.Error()
 	}
-	what := ""
-	if err != nil {
-		what = err.Error()
-	}
-	slog.Info("drain_end", "error", what)
+	slog.Info("drain_end", "error", detail)
 	return err
 }
 
-// drainDelay is how long after SIGTERM requests may still come (the protocol says 0.7 s at the latest);
-// drainGrace is what their answers may take beyond the longest client timeout.
-const (
-	drainDelay = 700 * time.Millisecond
-	drainGrace = 50 * time.Millisecond
-)
+// newServer returns the HTTP server of a listener. Its write timeout covers the reading of a request, the longest client
+// timeout, and as long again for the writing of the answer.
+func (f *frontend) newServer(l *listener) *http.Server {
+	return &http.Server{
+		Handler:           f,
+		ReadHeaderTimeout: readTimeout,
+		WriteTimeout:      readTimeout + 2*f.maxClientTimeout,
+		MaxHeaderBytes:    maxHeaderBytes,
+		ConnState:         l.connStateChanged,
+		ErrorLog:          log.New(httpLogWriter{}, "", 0),
+		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
+			return context.WithValue(ctx, connKey{}, c)
+		},
+	}
+}
+
+// bufferPool is the httputil.BufferPool of the reverse proxy.
+type bufferPool struct{ pool sync.Pool }
+
+func newBufferPool() *bufferPool {
+	return &bufferPool{sync.Pool{New: func() any {
+		b := make([]byte, copyBufferSize)
+		return &b
+	}}}
+}
 
-// bufferPool lends the reverse proxy small buffers: an answer is seldom larger.
-type bufferPool struct{ p sync.Pool }
+// Get implements httputil.BufferPool.
+func (p *bufferPool) Get() []byte { return *p.pool.Get().(*[]byte) }
 
-func (b *bufferPool) Get() []byte  { return b.p.Get().([]byte) }
-func (b *bufferPool) Put(x []byte) { b.p.Put(x) }
+// Put implements httputil.BufferPool.
+func (p *bufferPool) Put(b []byte) { p.pool.Put(&b) }
 
-// httpLogWriter turns net/http's own messages into key=value lines.
+// httpLogWriter logs the messages of net/http.
 type httpLogWriter struct{}
 
 func (httpLogWriter) Write(b []byte) (int, error) {
--- a/gatherer/idleconn_test.go
+++ b/gatherer/idleconn_test.go
@@ -28,65 +28,65 @@
 	"oxbowspan/internal/testing/standin"
 )
 
-// listenerHarness is the listener with net/http over it, as front.serve has them, and a handler that says what it was asked.
+// listenerHarness is a listener with net/http, as frontend.serve sets them up, and a handler that echoes requests.
 type listenerHarness struct {
-	t    testing.TB
-	l    *listener
-	srv  *http.Server
-	addr string
-	gate chan struct{} // a request for /wait is answered once it is closed
+	t        testing.TB
+	listener *listener
+	srv      *http.Server
+	addr     string
+	gate     chan struct{} // requests for /wait are answered once it is closed
 }
 
-func startHarness(t testing.TB, share, awake int, idle time.Duration) *listenerHarness {
+func startHarness(t testing.TB, descriptors, maxActive int, idle time.Duration) *listenerHarness {
 	nl, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return startHarnessOn(t, nl, listenerConfig{descriptors: share, maxActiveConns: awake}, idle)
+	return startHarnessOn(t, nl, listenerConfig{descriptors: descriptors, maxActiveConns: maxActive}, idle)
 }
 
-func startHarnessOn(t testing.TB, nl net.Listener, by listenerConfig, idle time.Duration) *listenerHarness {
-	r := &listenerHarness{t: t, l: newListener(nl, by), addr: nl.Addr().String(), gate: make(chan struct{})}
-	r.l.admission.SetParkDelay(1)
-	r.l.enableParking(5000, idle)
+func startHarnessOn(t testing.TB, nl net.Listener, config listenerConfig, idle time.Duration) *listenerHarness {
+	r := &listenerHarness{t: t, listener: newListener(nl, config), addr: nl.Addr().String(), gate: make(chan struct{})}
+	r.listener.admission.SetParkDelay(1)
+	r.listener.enableParking(5000, idle)
 	r.serve()
 	return r
 }
 
-// startUnparkedHarness starts one that parks nothing.
-func startUnparkedHarness(t testing.TB, nl net.Listener, by listenerConfig) *listenerHarness {
-	r := &listenerHarness{t: t, l: newListener(nl, by), addr: nl.Addr().String(), gate: make(chan struct{})}
+// startUnparkedHarness starts a listener that parks nothing.
+func startUnparkedHarness(t testing.TB, nl net.Listener, config listenerConfig) *listenerHarness {
+	r := &listenerHarness{t: t, listener: newListener(nl, config), addr: nl.Addr().String(), gate: make(chan struct{})}
 	r.serve()
 	return r
 }
 
-// last is the connection that came last, if it has a goroutine.
+// last returns the connection of the last slot; nil = it is parked.
 func (r *listenerHarness) last() *clientConn {
-	r.l.mu.Lock()
-	defer r.l.mu.Unlock()
-	return r.l.conns[len(r.l.conns)-1].conn
+	r.listener.mu.Lock()
+	defer r.listener.mu.Unlock()
+	return r.listener.conns[len(r.listener.conns)-1].conn
 }
 
 func (r *listenerHarness) serve() {
-	r.srv = &http.Server{ReadHeaderTimeout: readTimeout, ConnState: r.l.connStateChanged, Handler: http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
+	r.srv = &http.Server{ReadHeaderTimeout: readTimeout, ConnState: r.listener.connStateChanged, Handler: http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		b, _ := io.ReadAll(q.Body)
 		if q.URL.Path == "/wait" {
 			<-r.gate
 		}
 		fmt.Fprintf(w, "%s %s", q.URL, b)
 	})}
-	go r.srv.Serve(r.l)
-	go r.srv.Serve(r.l.resumed)
+	go r.srv.Serve(r.listener)
+	go r.srv.Serve(r.listener.resumed)
 	r.t.Cleanup(func() {
-		r.l.stop()
+		r.listener.stop()
 		r.srv.Close()
 	})
 }
 
 func (r *listenerHarness) parked() (n int) {
-	r.l.mu.Lock()
-	defer r.l.mu.Unlock()
-	for _, h := range r.l.conns {
+	r.listener.mu.Lock()
+	defer r.listener.mu.Unlock()
+	for _, h := range r.listener.conns {
 		if h.fd != 0 {
 			n++
 		}
@@ -94,12 +94,12 @@
 	return n
 }
 
-// until waits for what should come by itself.
+// until waits until a condition is true.
 func (r *listenerHarness) until(what string, is func() bool) {
 	r.t.Helper()
 	for end := time.Now().Add(testTimeout); !is(); runtime.Gosched() {
 		if time.Now().After(end) {
-			r.t.Fatalf("never: %s", what)
+			r.t.Fatalf("timeout: not %s", what)
 		}
 	}
 }
@@ -178,12 +178,12 @@
 	c.send(post("/1", "a") + post("/2", "b") + third[:3])
 	c.expect("/1 a")
 	c.expect("/2 b")
-	// Three bytes of the next request are in net/http's hands, which waits for more: it must not be parked.
-	r.l.mu.Lock()
-	held := r.l.conns[0].conn
-	r.l.mu.Unlock()
-	r.until("rest", func() bool { return held != nil && held.isMarkedIdle() })
-	if held.isIdle() || r.l.admission.Len() != 1 {
+	// net/http has read three bytes of the next request and waits for more: the connection must not be parked.
+	r.listener.mu.Lock()
+	conn := r.listener.conns[0].conn
+	r.listener.mu.Unlock()
+	r.until("idle", func() bool { return conn != nil && conn.isMarkedIdle() })
+	if conn.isIdle() || r.listener.admission.Len() != 1 {
 		t.Error("a connection may be parked with part of a request read")
 	}
 	c.send(third[3:])
@@ -210,11 +210,15 @@
 	if _, _, err := half.answer(); !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
 		t.Errorf("a half-closed connection got %v", err)
 	}
-	// A request and then the half-close: it is answered.
+	// A request before the half-close is answered.
 	asking.send(post("/last", "x"))
 	asking.Conn.(*net.TCPConn).CloseWrite()
 	asking.expect("/last x")
-	r.until("all gone", func() bool { r.l.mu.Lock(); defer r.l.mu.Unlock(); return r.l.admission.Len() == 0 })
+	r.until("all closed", func() bool {
+		r.listener.mu.Lock()
+		defer r.listener.mu.Unlock()
+		return r.listener.admission.Len() == 0
+	})
 }
 
 func TestSpuriousWakeupIsIgnored(t *testing.T) {
@@ -223,22 +227,22 @@
 	c.send(post("/1", ""))
 	c.expect("/1 ")
 	r.awaitParked(1)
-	r.l.mu.Lock()
-	fd := int(r.l.conns[0].fd)
-	r.l.mu.Unlock()
-	r.l.parkedReadable(0, fd)      // nothing has come
-	r.l.parkedReadable(0, fd+1000) // another socket's
-	r.l.parkedReadable(77, fd)     // nobody's
+	r.listener.mu.Lock()
+	fd := int(r.listener.conns[0].fd)
+	r.listener.mu.Unlock()
+	r.listener.parkedReadable(0, fd)      // nothing to read
+	r.listener.parkedReadable(0, fd+1000) // of another socket
+	r.listener.parkedReadable(77, fd)     // of no connection
 	if r.parked() != 1 {
-		t.Fatal("it is not parked any more")
+		t.Fatal("the connection is no longer parked")
 	}
 	c.send(post("/2", "x"))
 	c.expect("/2 x")
 }
 
 func TestConcurrentWakeups(t *testing.T) {
-	const n, awake = 120, 16
-	r := startHarness(t, 400, awake, 0)
+	const n, active = 120, 16
+	r := startHarness(t, 400, active, 0)
 	var all []*harnessClient
 	for range n {
 		c := r.dial()
@@ -258,43 +262,46 @@
 			c.SetReadDeadline(time.Now().Add(testTimeout))
 			res, err := http.ReadResponse(c.r, nil)
 			if err != nil {
-				t.Errorf("a request got no answer: %v", err)
+				t.Errorf("a request got no response: %v", err)
 				return
 			}
 			if res.StatusCode == http.StatusServiceUnavailable && (res.Header.Get("Retry-After") != "0.5" || !res.Close) {
-				t.Errorf("turned away with %v", res.Header)
+				t.Errorf("shed with headers %v", res.Header)
 			}
 			mu.Lock()
 			got[res.StatusCode]++
 			mu.Unlock()
 		}()
 	}
-	// Those turned away are answered while the others still wait for theirs: nothing is held back.
-	r.until("turned away", func() bool { mu.Lock(); defer mu.Unlock(); return got[http.StatusServiceUnavailable] == n-awake })
+	// Shed requests are answered while the others still wait.
+	r.until("requests are shed", func() bool { mu.Lock(); defer mu.Unlock(); return got[http.StatusServiceUnavailable] == n-active })
 	close(r.gate)
 	both.Wait()
-	if got[http.StatusOK] != awake || got[http.StatusOK]+got[http.StatusServiceUnavailable] != n {
-		t.Errorf("answers by status: %v, want %d of %d served", got, awake, n)
+	if got[http.StatusOK] != active || got[http.StatusOK]+got[http.StatusServiceUnavailable] != n {
+		t.Errorf("responses by status: %v, want %d of %d served", got, active, n)
 	}
 	for _, c := range all {
 		c.Close()
 	}
-	r.until("all gone", func() bool { r.l.mu.Lock(); defer r.l.mu.Unlock(); return r.l.admission.Len() == 0 })
+	r.until("all closed", func() bool {
+		r.listener.mu.Lock()
+		defer r.listener.mu.Unlock()
+		return r.listener.admission.Len() == 0
+	})
 }
 
-// hold keeps the listener from dealing with anything until a request lies unread on a parked connection, and does what is
-// to be done at that very moment, under its lock.
+// hold locks the listener until a request is unread on a parked connection, and then calls a function under the lock.
 func (r *listenerHarness) hold(place int, c *harnessClient, request string, done func()) {
 	r.t.Helper()
-	r.l.mu.Lock()
-	fd := int(r.l.conns[place].fd)
+	r.listener.mu.Lock()
+	fd := int(r.listener.conns[place].fd)
 	c.send(request)
 	r.until("bytes waiting", func() bool { waiting, _ := idleconn.Peek(fd); return waiting })
 	done()
-	r.l.mu.Unlock()
+	r.listener.mu.Unlock()
 }
 
-// The idle limit comes at the very moment of a wake: who has asked is answered, who has not is closed.
+// The idle timeout and a request come at the same moment: the request is answered; a connection without one is closed.
 func TestWakeupAtIdleTimeoutIsAnswered(t *testing.T) {
 	r := startHarness(t, 200, 0, time.Hour)
 	silent, asking := r.dial(), r.dial()
@@ -303,10 +310,10 @@
 		c.expect("/ ")
 	}
 	r.awaitParked(2)
-	r.hold(1, asking, post("/again", "x"), func() { r.l.expireUntil(2 * int64(time.Hour/wheelTick)) })
+	r.hold(1, asking, post("/again", "x"), func() { r.listener.expireUntil(2 * int64(time.Hour/wheelTick)) })
 	asking.expect("/again x")
 	if _, _, err := silent.answer(); !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
-		t.Errorf("a silent connection got %v, not its end", err)
+		t.Errorf("a silent connection got %v, want its end", err)
 	}
 }
 
@@ -316,11 +323,11 @@
 	c.send(post("/", ""))
 	c.expect("/ ")
 	if _, _, err := c.answer(); !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
-		t.Errorf("a silent connection got %v, not its end", err)
+		t.Errorf("a silent connection got %v, want its end", err)
 	}
 }
 
-// A byte a second, the first of which wakes it: its head must come whole within the read limit like any other.
+// A head that comes at one byte a second, the first of which resumes the connection, must meet the read timeout.
 func TestSlowHeadAcrossParking(t *testing.T) {
 	r := startHarness(t, 100, 0, 0)
 	c := r.dial()
@@ -346,14 +353,18 @@
 		t.Error(err)
 	}
 	if took := time.Since(began); took > readTimeout+time.Second {
-		t.Errorf("it was let trickle for %s", took)
+		t.Errorf("it was open for %s", took)
 	}
 	c.Close()
 	<-over
-	r.until("gone", func() bool { r.l.mu.Lock(); defer r.l.mu.Unlock(); return r.l.admission.Len() == 0 })
+	r.until("closed", func() bool {
+		r.listener.mu.Lock()
+		defer r.listener.mu.Unlock()
+		return r.listener.admission.Len() == 0
+	})
 }
 
-// A parked connection outlives SIGHUP, in the built program, and is closed at its idle limit.
+// In the built program a parked connection survives SIGHUP and is closed at its idle timeout.
 func TestParkedConnectionSurvivesReload(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "operator.ini")
 	write := func(text string) {
@@ -372,7 +383,7 @@
 	health := "GET /-/healthy HTTP/1.1\r\nHost: x\r\n\r\n"
 	c.send(health)
 	c.expect("ok\n")
-	for answered := time.Now(); time.Since(answered) < 2*linger; { // it is parked within that
+	for answered := time.Now(); time.Since(answered) < 2*linger; { // it is parked meanwhile
 		p.cmd.Process.Signal(syscall.SIGHUP)
 		p.line("event=reload ", "needs_restart=none")
 	}
@@ -384,14 +395,14 @@
 	p.line("event=client_conn_end", "client="+nc.LocalAddr().String(), "reason=idle_limit", "requests=2")
 }
 
-// noDescriptors lets this process open no descriptor more, until it is told to give them back.
+// noDescriptors lets this process open no more descriptors until give is called.
 func noDescriptors(t *testing.T) (give func()) {
 	t.Helper()
 	var was unix.Rlimit
 	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &was); err != nil {
 		t.Fatal(err)
 	}
-	// No new number may be as high as the lowest that is free: the limit is on numbers, not on how many there are.
+	// The limit is on the number of a new descriptor, not on their count, so the lowest free one is the limit.
 	free, err := unix.FcntlInt(0, unix.F_DUPFD_CLOEXEC, 3)
 	if err != nil {
 		t.Fatal(err)
@@ -407,7 +418,7 @@
 	}
 }
 
-// Descriptors are used up when a parked connection wakes: its request is shed with advice, not closed upon.
+// If descriptors run out when a parked connection has a request, the request is shed with a Retry-After.
 func TestWakeupWithoutDescriptorIsAnswered(t *testing.T) {
 	r := startHarness(t, 200, 0, 0)
 	c, later := r.dial(), r.dial()
@@ -429,30 +440,30 @@
 	later.expect("/later x")
 }
 
-// Descriptors are used up in accept: the connection idle longest makes room, parked or not, so that who waits in the backlog
-// is served and not left there.
+// If descriptors run out in accept the connection that is idle longest is evicted, parked or not, so that clients in the
+// backlog are served.
 func TestAcceptWithoutDescriptorEvicts(t *testing.T) {
 	for _, parks := range []bool{true, false} {
 		t.Run(fmt.Sprintf("parked=%t", parks), func(t *testing.T) {
 			r := startHarness(t, 200, 0, 0)
 			if !parks {
-				r.l.admission.SetParkDelay(3600_000)
+				r.listener.admission.SetParkDelay(3600_000)
 			}
 			oldest, other := r.dial(), r.dial()
 			for i, c := range []*harnessClient{oldest, other} {
 				c.send(post("/", ""))
 				c.expect("/ ")
-				r.until("at rest", func() bool {
-					r.l.mu.Lock()
-					defer r.l.mu.Unlock()
-					_, visiting, _, _ := r.l.admission.Counts()
+				r.until("parked or idle", func() bool {
+					r.listener.mu.Lock()
+					defer r.listener.mu.Unlock()
+					_, visiting, _, _ := r.listener.admission.Counts()
 					return visiting == i+1
 				})
 			}
 			if parks {
 				r.awaitParked(2)
 			}
-			raw := rawDial(t, r.addr) // before: its own descriptor is not to be what is missing
+			raw := rawDial(t, r.addr) // before, as it needs a descriptor itself
 			defer unix.Close(raw)
 			give := noDescriptors(t)
 			defer give()
@@ -465,7 +476,7 @@
 				t.Errorf("the new client got %q, %v", answer[:max(k, 0)], err)
 			}
 			if _, _, err := oldest.answer(); err == nil {
-				t.Error("the one idle longest did not make room")
+				t.Error("the connection that is idle longest was not evicted")
 			}
 			other.send(post("/still", "x"))
 			other.expect("/still x")
@@ -473,9 +484,8 @@
 	}
 }
 
-// The machine grants fewer descriptors than the configuration says, and clients hold all of them: connects to servers fail.
-// Every search gets its one final answer, a shed or errored one at the latest by its timeout; once descriptors are there
-// again, so are answers.
+// The machine has fewer descriptors than the configuration says, and clients use all of them: connections to servers fail.
+// Every request gets a result, shed or failed, by its timeout; once descriptors are available again requests are served.
 func TestDescriptorExhaustion(t *testing.T) {
 	a := startShard(t, "s-a", nil)
 	p := start(t, startList(t, a), nil)
@@ -484,7 +494,7 @@
 		t.Helper()
 		s := standin.Request{ID: id, QueryType: "lookup", Customer: "acme", Timeout: 1500 * time.Millisecond, Shards: []int{1}, Statement: "c41e77d0"}
 		r, err := s.Send(t.Context(), client, p.addr)
-		if err != nil { // its connection made room just then: as the protocol has it, the client asks once more on a new one
+		if err != nil { // its connection was evicted: by the protocol the client retries once on a new one
 			r, err = s.Send(t.Context(), client, p.addr)
 		}
 		if err != nil {
@@ -509,7 +519,7 @@
 	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, &few, nil); err != nil {
 		t.Fatal(err)
 	}
-	var crowd []net.Conn // strangers that ask nothing: they take what there is
+	var crowd []net.Conn // connections without requests, which take all descriptors
 	for range 12 {
 		c, err := net.Dial("tcp", p.addr)
 		if err != nil {
@@ -519,14 +529,14 @@
 		crowd = append(crowd, c)
 	}
 	p.line("event=accept_no_descriptor")
-	a.ResetConnections() // now the server has to be dialled anew
+	a.ResetConnections() // now the server needs a new connection
 	for i := range 4 {
 		status, took := ask(fmt.Sprintf("b%d", i))
 		if status != http.StatusOK && status != http.StatusServiceUnavailable && status != http.StatusGatewayTimeout {
-			t.Errorf("with no descriptor left: %d", status)
+			t.Errorf("without descriptors: %d", status)
 		}
 		if took > 1600*time.Millisecond {
-			t.Errorf("its final answer took %s, past the client's timeout", took)
+			t.Errorf("the result took %s, longer than the client's timeout", took)
 		}
 	}
 	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, &was, nil); err != nil {
@@ -541,7 +551,7 @@
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatal("descriptors are there again, and nothing is answered")
+			t.Fatal("timeout: descriptors are available again, but nothing is answered")
 		}
 	}
 }
@@ -554,11 +564,11 @@
 		c.expect("/ ")
 	}
 	r.awaitParked(2)
-	r.hold(1, asking, post("/late", "x"), func() { r.l.closeAll() })
-	r.l.stop()
+	r.hold(1, asking, post("/late", "x"), func() { r.listener.closeAll() })
+	r.listener.stop()
 	asking.expect("/late x")
 	if _, _, err := quiet.answer(); err == nil {
-		t.Error("a parked connection outlives the drain")
+		t.Error("a parked connection survives the drain")
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
@@ -568,7 +578,7 @@
 }
 
 func TestOldestParkedConnectionIsEvictedFirst(t *testing.T) {
-	r := startHarness(t, 9, 0, 0) // eight, and one to shed with
+	r := startHarness(t, 9, 0, 0) // eight, and one in reserve
 	var all []*harnessClient
 	for i := range 8 {
 		c := r.dial()
@@ -581,13 +591,13 @@
 	fresh.send(post("/fresh", ""))
 	fresh.expect("/fresh ")
 	if _, _, err := all[0].answer(); err == nil {
-		t.Error("the one idle longest did not make room")
+		t.Error("the connection that is idle longest was not evicted")
 	}
 	all[1].send(post("/still", ""))
 	all[1].expect("/still ")
 }
 
-// rawDial connects a socket; it takes no descriptor but that.
+// rawDial connects a socket and uses no other descriptor.
 func rawDial(t testing.TB, addr string) int {
 	t.Helper()
 	at, err := netip.ParseAddrPort(addr)
@@ -604,7 +614,7 @@
 	return fd
 }
 
-// rawClients connects without anything of Go's runtime on the clients' side, so that memory is the listener's alone.
+// rawClients connects clients without the Go runtime on their side, so that only the listener's memory grows.
 func rawClients(t testing.TB, r *listenerHarness, n int) (fds []int) {
 	request, answer := []byte(post("/", "")), make([]byte, 1024)
 	for i := range n {
@@ -628,15 +638,19 @@
 	return m.HeapInuse + m.StackInuse
 }
 
-// What a parked connection costs: fails when it grows by more than a half over what was measured when this was built
-// (88 bytes, no goroutine; docs/measured/idle-connections.md).
+// The memory of a parked connection must not grow by more than a half over the measured 88 bytes without a goroutine
+// (docs/measured/idle-connections.md).
 func TestParkedConnectionMemory(t *testing.T) {
 	const n, most = 1500, 140
 	r := startHarness(t, 4*n, 0, 0)
 	for _, fd := range rawClients(t, r, 20) { // warm up
 		unix.Close(fd)
 	}
-	r.until("warm clients gone", func() bool { r.l.mu.Lock(); defer r.l.mu.Unlock(); return r.l.admission.Len() == 0 })
+	r.until("first clients closed", func() bool {
+		r.listener.mu.Lock()
+		defer r.listener.mu.Unlock()
+		return r.listener.admission.Len() == 0
+	})
 	before, goroutines := memoryHeld(), runtime.NumGoroutine()
 	fds := rawClients(t, r, n)
 	defer func() {
@@ -645,28 +659,28 @@
 		}
 	}()
 	r.awaitParked(n)
-	// What net/http lent goes back to its pools and from there to the collector.
-	r.until("goroutines gone", func() bool { return runtime.NumGoroutine() <= goroutines+2 })
+	// What net/http pooled is collected.
+	r.until("goroutines ended", func() bool { return runtime.NumGoroutine() <= goroutines+2 })
 	cost := float64(int64(memoryHeld())-int64(before)) / n
-	own := float64(cap(r.l.conns)*int(unsafe.Sizeof(connSlot{}))+connadmission.MemoryBytes(r.l.admission)) / n
+	own := float64(cap(r.listener.conns)*int(unsafe.Sizeof(connSlot{}))+connadmission.MemoryBytes(r.listener.admission)) / n
 	t.Logf("%.0f bytes a connection by the runtime's figures, %.0f of them in the tables", cost, own)
 	if own > most {
-		t.Errorf("the tables hold %.0f bytes a connection, %d are allowed", own, most)
+		t.Errorf("the tables use %.0f bytes a connection, %d are allowed", own, most)
 	}
 	if cost > 4*most {
-		t.Errorf("the runtime holds %.0f bytes a connection more than before", cost)
+		t.Errorf("the runtime uses %.0f bytes a connection more than before", cost)
 	}
 }
 
-// One operation is an idle connection that wakes, is answered and parked again.
+// One operation is a request on a parked connection, which is parked again after it.
 //
-//	go test -run xxx -bench Wake -benchmem ./gatherer
+//	go test -run xxx -bench Wakeup -benchmem ./gatherer
 func BenchmarkWakeup(b *testing.B) {
 	for _, way := range []string{"parked", "kept"} {
 		b.Run(way, func(b *testing.B) {
 			r := startHarness(b, 100, 0, 0)
 			if way == "kept" {
-				r.l.admission.SetParkDelay(3600_000)
+				r.listener.admission.SetParkDelay(3600_000)
 			}
 			c := r.dial()
 			b.ReportAllocs()
--- a/gatherer/mailbox.go
+++ b/gatherer/mailbox.go
@@ -3,15 +3,19 @@
 import (
 	"oxbowspan/balancer"
 	"oxbowspan/degradation"
+	"oxbowspan/internal/admin"
 	"oxbowspan/internal/discovery"
 	"oxbowspan/internal/shardconn"
 )
 
-// mailboxSize is how many messages may wait for the module. Whoever sends one more waits: a client's request,
-// a server's answer. The module's actor itself never waits for another.
+// mailboxSize is how many messages may wait for the dispatcher. Whoever sends one more blocks: a client's request, the
+// client of a server. The dispatcher itself never blocks on another goroutine.
 const mailboxSize = 1024
 
-// The messages to the module's actor.
+// message is what the dispatcher receives.
+type message interface{ message() }
+
+// The messages.
 type (
 	requestArrived   struct{ request *clientRequest }
 	clientGone       struct{ request *clientRequest }
@@ -19,18 +23,47 @@
 	watchFailed      struct{}
 	attemptEnded     struct{ event shardconn.AttemptEnded }
 	healthCheckEnded struct{ event balancer.HealthCheckEnded }
-	// levelsReplaced puts other figures of reduced service in force.
+	// levelsReplaced carries a new configuration of degradation.
 	levelsReplaced struct{ config degradation.Figures }
+	// operatorQuestion carries a question of the admin socket.
+	operatorQuestion struct{ question admin.Question }
+	// intentWritten says that the intent of a request is durable, or why it could not be written.
+	intentWritten struct {
+		request *clientRequest
+		err     error
+	}
+	// intentTimeout says that the intent of a request is not written in time.
+	intentTimeout struct{ request *clientRequest }
 )
 
-// mailbox is the module's, seen from outside. It is what peers and the list tell their news to.
+func (requestArrived) message()   {}
+func (clientGone) message()       {}
+func (listReceived) message()     {}
+func (watchFailed) message()      {}
+func (attemptEnded) message()     {}
+func (healthCheckEnded) message() {}
+func (levelsReplaced) message()   {}
+func (operatorQuestion) message() {}
+func (intentWritten) message()    {}
+func (intentTimeout) message()    {}
+
+// mailbox is the dispatcher as other goroutines see it. It implements shardconn.EventHandler and discovery.Handler.
 type mailbox struct {
-	messages chan any
-	done     chan struct{} // closed when the actor is gone
+	messages chan message
+	done     chan struct{} // closed when the dispatcher has ended
+}
+
+var (
+	_ shardconn.EventHandler = mailbox{}
+	_ discovery.Handler      = mailbox{}
+)
+
+func newMailbox() mailbox {
+	return mailbox{messages: make(chan message, mailboxSize), done: make(chan struct{})}
 }
 
-// send hands a message over; false = the actor is gone.
-func (m mailbox) send(msg any) bool {
+// send sends a message. It reports false if the dispatcher has ended.
+func (m mailbox) send(msg message) bool {
 	select {
 	case m.messages <- msg:
 		return true
@@ -39,7 +72,14 @@
 	}
 }
 
-func (m mailbox) AttemptEnded(e shardconn.AttemptEnded)        { m.send(attemptEnded{e}) }
-func (m mailbox) HealthCheckEnded(p balancer.HealthCheckEnded) { m.send(healthCheckEnded{p}) }
-func (m mailbox) ListReceived(l discovery.ServerList)          { m.send(listReceived{l}) }
-func (m mailbox) WatchFailed()                                 { m.send(watchFailed{}) }
+// AttemptEnded implements shardconn.EventHandler.
+func (m mailbox) AttemptEnded(e shardconn.AttemptEnded) { m.send(attemptEnded{e}) }
+
+// HealthCheckEnded implements shardconn.EventHandler.
+func (m mailbox) HealthCheckEnded(e balancer.HealthCheckEnded) { m.send(healthCheckEnded{e}) }
+
+// ListReceived implements discovery.Handler.
+func (m mailbox) ListReceived(l discovery.ServerList) { m.send(listReceived{l}) }
+
+// WatchFailed implements discovery.Handler.
+func (m mailbox) WatchFailed() { m.send(watchFailed{}) }
--- a/gatherer/merge_test.go
+++ b/gatherer/merge_test.go
@@ -31,7 +31,7 @@
 
 const testKey = "k1 00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff\n"
 
-// writeMergeFile is an operator's file for the test's query types; edit changes it.
+// writeMergeFile returns an operator's file for the query types of the test; edit changes it.
 func writeMergeFile(edit func(string) string) string {
 	text := "[merging]\nmemory = 4MiB\nrows = 50000\nopen = 200\ncursor_keys = cursor.keys\n" +
 		"[schema arrears/1]\n" + standin.DatasetSchema
@@ -46,31 +46,31 @@
 	return text
 }
 
-// mergeEnv is a gatherer over shard servers that give rows of a ledger with known data.
+// mergeEnv is a gatherer with shard servers that serve the rows of a known data set.
 type mergeEnv struct {
 	*program
-	t      *testing.T
-	ledger *standin.Dataset
-	shards []*standin.ShardServer
-	list   *standin.DiscoveryService
-	file   string       // the operator's
-	last   atomic.Int64 // of search ids
+	t       *testing.T
+	dataset *standin.Dataset
+	shards  []*standin.ShardServer
+	list    *standin.DiscoveryService
+	file    string       // of the operator
+	last    atomic.Int64 // request id
 }
 
-// startMergeEnv starts one: four cells, each segment held by two of them. meet may meet a part in its own way, by saying
-// true; else its rows are given.
+// startMergeEnv starts a mergeEnv of four cells, two of them for each segment. If meet returns true it has answered a call
+// itself, otherwise the rows are sent.
 func startMergeEnv(t *testing.T, shape standin.DatasetShape, meet func(c *standin.ShardConn, p standin.ShardCall, rows string) bool, edit func(string) string) *mergeEnv {
 	t.Helper()
-	s := &mergeEnv{t: t, ledger: standin.NewDataset(11, shape)}
+	s := &mergeEnv{t: t, dataset: standin.NewDataset(11, shape)}
 	for cell := range 4 {
 		shard := startShard(t, fmt.Sprintf("s-%d", cell), func(c *standin.ShardConn, p standin.ShardCall) {
-			if p.Attributes["m"] == "" { // a search that is not merged
+			if p.Attributes["m"] == "" { // a request that is not merged
 				c.Respond(p.ID, "served", "value of "+string(p.Query))
 				return
 			}
-			rows, err := s.ledger.Respond(p.Shard, p.Attributes["m"], 0)
+			rows, err := s.dataset.Respond(p.Shard, p.Attributes["m"], 0)
 			if err != nil {
-				t.Errorf("a segment is asked for %q: %v", p.Attributes["m"], err)
+				t.Errorf("a segment got the terms %q: %v", p.Attributes["m"], err)
 			}
 			if meet == nil || !meet(c, p, rows) {
 				c.Respond(p.ID, "served", rows)
@@ -100,7 +100,7 @@
 		Shards: []int{0, 1, 2, 3}, Statement: "c41e77d0", Merge: wire(terms)}
 }
 
-// wire is what a client writes: what is not said is left out.
+// wire returns the terms as a client sends them, without those that are not set.
 func wire(t merge.Terms) map[string]any {
 	raw, _ := json.Marshal(t)
 	var out map[string]any
@@ -127,14 +127,14 @@
 }
 
 func (s *mergeEnv) expected(forbids bool) standin.Oracle {
-	return standin.Oracle{Dataset: s.ledger, Segments: []int{0, 1, 2, 3}, RequireComplete: forbids}
+	return standin.Oracle{Dataset: s.dataset, Segments: []int{0, 1, 2, 3}, RequireComplete: forbids}
 }
 
-// walk reads a paged list to its end; before is told the number of each page before it is asked for.
+// walk reads a paged list to its end; before is called with the number of each page before it is requested.
 func (s *mergeEnv) walk(kind string, order []string, limit int, before func(page int)) standin.PagedCheck {
 	s.t.Helper()
 	w := standin.PagedCheck{Oracle: s.expected(kind == "report"), Order: order, Limit: limit}
-	// While a segment is missing there is always a next page: as many are asked for as it takes to be back.
+	// While a segment is missing there is always a next page, until it is back.
 	for cursor, end := "", time.Now().Add(testTimeout); time.Now().Before(end); {
 		if before != nil {
 			before(w.Pages)
@@ -148,7 +148,7 @@
 		}
 		cursor = m.Result.Next
 	}
-	s.t.Fatalf("the walk does not end: %d pages, %d rows, %d of them late", w.Pages, w.Rows, w.Late)
+	s.t.Fatalf("timeout: the walk does not end: %d pages, %d rows, %d of them late", w.Pages, w.Rows, w.Late)
 	return w
 }
 
@@ -165,7 +165,7 @@
 					}
 				}
 				if w := s.walk("report", order, 7, nil); w.Rows != shape.Accounts || w.Late > 0 {
-					t.Errorf("a walk of %v gave %d rows, %d late, the ledger has %d", order, w.Rows, w.Late, shape.Accounts)
+					t.Errorf("a walk of %v gave %d rows, %d late, the data set has %d", order, w.Rows, w.Late, shape.Accounts)
 				}
 			}
 			for _, terms := range []merge.Terms{
@@ -221,7 +221,7 @@
 func TestMergeIsIgnoredWithoutOperatorFile(t *testing.T) {
 	a := startShard(t, "s-a", func(c *standin.ShardConn, p standin.ShardCall) {
 		if len(p.Attributes) > 0 {
-			t.Errorf("a part's line lists %v", p.Attributes)
+			t.Errorf("a call has the options %v", p.Attributes)
 		}
 		c.Respond(p.ID, "served", "value of "+string(p.Query))
 	})
@@ -229,15 +229,15 @@
 	q := standin.Request{ID: "ab01", QueryType: "lookup", Customer: "acme", Timeout: time.Second, Shards: []int{0, 1}, Statement: "c41e77d0",
 		Merge: map[string]any{"kind": "ranked"}}
 	r, err := q.Send(context.Background(), http.DefaultClient, p.addr)
-	if err != nil || r.Status != 200 || string(r.Body) != wholeAnswer(0, 1) {
+	if err != nil || r.Status != 200 || string(r.Body) != completeAnswer(0, 1) {
 		t.Errorf("got %d %s, error %v", r.Status, r.Body, err)
 	}
 }
 
-// corruptor says how often something is still to be spoilt.
+// corruptor counts how often a kind of corruption is still to be applied.
 type corruptor struct {
 	mu   sync.Mutex
-	left map[string]int // by what is done to it
+	left map[string]int // by kind
 }
 
 func (s *corruptor) take(what string) bool {
@@ -251,7 +251,7 @@
 }
 
 func TestUndecodableRowsAreRetriedElsewhere(t *testing.T) {
-	for what, spoil := range map[string]func(string) string{
+	for what, corrupt := range map[string]func(string) string{
 		"cut": func(v string) string { return v[:len(v)-9] },
 		"unsorted": func(v string) string {
 			l := strings.Split(v, "\n")
@@ -266,7 +266,7 @@
 				if !once.take(what) {
 					return false
 				}
-				c.Respond(p.ID, "served", spoil(rows))
+				c.Respond(p.ID, "served", corrupt(rows))
 				return true
 			}, nil)
 			order := []string{"due", "amount"}
@@ -279,7 +279,7 @@
 	}
 }
 
-// Nothing but spoilt rows of one segment: a type that forbids missing parts is refused, another says what it lacks.
+// With only corrupt rows from one segment a type that requires complete answers fails, another reports what is missing.
 func TestCorruptSegmentIsNeverMerged(t *testing.T) {
 	s := startMergeEnv(t, standin.DatasetShape{Segments: 4, Accounts: 120}, func(c *standin.ShardConn, p standin.ShardCall, rows string) bool {
 		if p.Shard == 2 {
@@ -304,7 +304,7 @@
 	}
 }
 
-// Both replicas of a segment are silent while the first pages are read, and then come back.
+// Both replicas of a segment are silent during the first pages, and then recover.
 func TestSegmentMissingOnOnePage(t *testing.T) {
 	var out atomic.Bool
 	s := startMergeEnv(t, standin.DatasetShape{Segments: 4, Accounts: 90}, func(c *standin.ShardConn, p standin.ShardCall, rows string) bool {
@@ -316,11 +316,11 @@
 	}, nil)
 	w := s.walk("loose", []string{"due"}, 10, func(page int) { out.Store(page < 3) })
 	if w.Late == 0 || w.Rows != 90 {
-		t.Errorf("%d rows came, %d of them late, the ledger has 90", w.Rows, w.Late)
+		t.Errorf("%d rows, %d of them late, the data set has 90", w.Rows, w.Late)
 	}
 }
 
-// A server dies between two pages, and with it one replica of two segments: the walk goes on at the others.
+// A server crashes between two pages, with one replica of two segments: the walk continues at the others.
 func TestServerFailureBetweenPages(t *testing.T) {
 	s := startMergeEnv(t, standin.DatasetShape{Segments: 4, Accounts: 90}, nil, nil)
 	w := s.walk("report", []string{"-amount"}, 10, func(page int) {
@@ -329,25 +329,25 @@
 		}
 	})
 	if w.Late != 0 || w.Rows != 90 {
-		t.Errorf("%d rows came, %d of them late, the ledger has 90", w.Rows, w.Late)
+		t.Errorf("%d rows, %d of them late, the data set has 90", w.Rows, w.Late)
 	}
 }
 
 func TestDataChangeBetweenPagesIsReported(t *testing.T) {
 	s := startMergeEnv(t, standin.DatasetShape{Segments: 4, Accounts: 60}, nil, nil)
 	first := s.merged("report", merge.Terms{Kind: "paged", Order: []string{"due"}, Limit: 10})
-	s.ledger.Advance(2)
+	s.dataset.Advance(2)
 	second := s.merged("report", merge.Terms{Kind: "paged", Order: []string{"due"}, Limit: 10, Cursor: first.Result.Next})
 	if !first.Full || second.Full || !second.Result.Moved || !second.Result.Complete.Segments[2].Moved || second.Result.Complete.Segments[1].Moved {
-		t.Errorf("it says full %t, moved %t of %+v", second.Full, second.Result.Moved, second.Result.Complete.Segments)
+		t.Errorf("full %t, moved %t, segments %+v", second.Full, second.Result.Moved, second.Result.Complete.Segments)
 	}
 	third := s.merged("report", merge.Terms{Kind: "paged", Order: []string{"due"}, Limit: 10, Cursor: second.Result.Next})
 	if third.Full || !third.Result.Moved {
-		t.Errorf("a page later it says full %t, moved %t", third.Full, third.Result.Moved)
+		t.Errorf("a page later full %t, moved %t", third.Full, third.Result.Moved)
 	}
 }
 
-// The original is late, a copy of it goes out, and then both answer: the segment counts once.
+// The first attempt is late and hedged, and then both answer: the segment counts once.
 func TestHedgeAndOriginalBothAnswer(t *testing.T) {
 	var held sync.Map
 	s := startMergeEnv(t, standin.DatasetShape{Segments: 4, Accounts: 120}, func(c *standin.ShardConn, p standin.ShardCall, rows string) bool {
@@ -355,7 +355,7 @@
 		if p.Shard != 3 {
 			return false
 		}
-		if copied { // the original answers just before the copy does
+		if copied { // the first attempt answers just before the hedge does
 			first.(func())()
 			c.Respond(p.ID, "served", rows)
 		}
@@ -368,7 +368,7 @@
 	}
 }
 
-// One segment answers before, at and after the moment to answer, which for this type is its latency target.
+// One segment answers before, at and after the latency target, when this type is answered.
 func TestLateSegmentIsMergedOrReportedMissing(t *testing.T) {
 	var wait atomic.Int64
 	s := startMergeEnv(t, standin.DatasetShape{Segments: 4, Accounts: 120}, func(c *standin.ShardConn, p standin.ShardCall, rows string) bool {
@@ -393,7 +393,7 @@
 	}
 }
 
-// Merges that all wait for one segment reach what they may hold together: what passes it is shed at once.
+// Merges that wait for one segment reach their common limit: requests above it are shed at once.
 func TestMergeMemoryLimit(t *testing.T) {
 	release := make(chan struct{})
 	s := startMergeEnv(t, standin.DatasetShape{Segments: 4, Accounts: 2000}, func(c *standin.ShardConn, p standin.ShardCall, rows string) bool {
@@ -418,7 +418,7 @@
 	}
 	s.line("event=merge_shed")
 	if r := <-replies; r.Status != http.StatusServiceUnavailable || r.RetryAfter == "" || r.Elapsed > 2*time.Second {
-		t.Errorf("what is past the limit got %d after %s, Retry-After %q", r.Status, r.Elapsed, r.RetryAfter)
+		t.Errorf("a request above the limit got %d after %s, Retry-After %q", r.Status, r.Elapsed, r.RetryAfter)
 	}
 	close(release)
 	good := 0
@@ -430,21 +430,21 @@
 	if good == 0 || good == n-1 {
 		t.Errorf("%d of %d were answered, want some", good, n-1)
 	}
-	// What was held is given back.
+	// The memory is released.
 	m := s.merged("report", merge.Terms{Kind: "ranked", Order: []string{"due"}, Limit: 50})
 	if err := s.expected(true).CheckRanked(m, []string{"due"}, 0, 50, true); err != nil {
 		t.Error(err)
 	}
 }
 
-// Clients that leave in the middle of a merge leave nothing held.
+// Clients that disconnect during a merge leave no memory in use.
 func TestClientGoneDuringMergeReleasesMemory(t *testing.T) {
 	var hold atomic.Bool
 	hold.Store(true)
 	s := startMergeEnv(t, standin.DatasetShape{Segments: 4, Accounts: 400}, func(c *standin.ShardConn, p standin.ShardCall, rows string) bool {
 		return p.Shard == 3 && hold.Load()
 	}, func(f string) string { return strings.Replace(f, "open = 200", "open = 3", 1) })
-	for range 9 { // three times what may be open
+	for range 9 { // three times as many as may be open
 		ctx, leave := context.WithCancel(context.Background())
 		q := s.search("report", merge.Terms{Kind: "ranked", Order: []string{"due"}, Limit: 100})
 		left := make(chan error, 1)
@@ -455,7 +455,7 @@
 		await(t, s.shards[3].Received, func(part string) bool { return strings.HasPrefix(part, q.ID) || strings.HasPrefix(part, "c "+q.ID) })
 		leave()
 		if err := <-left; err == nil {
-			t.Fatal("a search was answered whose client had left")
+			t.Fatal("a request was answered whose client had disconnected")
 		}
 		s.line("event=client_conn_end", "reason=client_left")
 	}
@@ -466,7 +466,7 @@
 	}
 }
 
-// A key changes between two pages, first with and then without an overlap; an operator's file with a fault changes nothing.
+// A cursor key is replaced between two pages, with and without an overlap; an invalid operator's file changes nothing.
 func TestOperatorFileReload(t *testing.T) {
 	const newKey = "k2 ff112233445566778899aabbccddeeff00112233445566778899aabbccddeeff\n"
 	s := startMergeEnv(t, standin.DatasetShape{Segments: 4, Accounts: 60}, nil, nil)
@@ -487,22 +487,22 @@
 	s.write("operator.ini", "[merging]\nmemory = much\n")
 	hup("event=reload_failed")
 	if r, _ := page(first.Result.Next); r.Status != http.StatusOK {
-		t.Errorf("after a file with a fault: %d %s", r.Status, r.Body)
+		t.Errorf("after an invalid file: %d %s", r.Status, r.Body)
 	}
 	s.write("operator.ini", writeMergeFile(nil))
 	s.write("cursor.keys", newKey+testKey)
 	hup("event=reload ")
 	r, second := page(first.Result.Next)
 	if r.Status != http.StatusOK {
-		t.Fatalf("in the overlap: %d %s", r.Status, r.Body)
+		t.Fatalf("during the overlap: %d %s", r.Status, r.Body)
 	}
 	s.write("cursor.keys", newKey)
 	hup("event=reload ")
 	if r, _ := page(first.Result.Next); r.Status != http.StatusBadRequest || !strings.Contains(string(r.Body), "key is no longer") {
-		t.Errorf("a cursor of the key withdrawn: %d %s", r.Status, r.Body)
+		t.Errorf("a cursor of a removed key: %d %s", r.Status, r.Body)
 	}
 	if r, _ := page(second.Result.Next); r.Status != http.StatusOK {
-		t.Errorf("a cursor made in the overlap: %d %s", r.Status, r.Body)
+		t.Errorf("a cursor made during the overlap: %d %s", r.Status, r.Body)
 	}
 	s.write("operator.ini", writeMergeFile(func(f string) string { return strings.Replace(f, "[merge report]", "[merge post]", 1) }))
 	s.cmd.Process.Signal(syscall.SIGHUP)
@@ -510,6 +510,6 @@
 	s.write("operator.ini", "[merging]\nopen = 1\n")
 	hup("event=reload ")
 	if r, _ := page(second.Result.Next); r.Status != http.StatusOK || strings.Contains(string(r.Body), "merged") {
-		t.Errorf("once nothing is merged any more: %d %.100s", r.Status, r.Body)
+		t.Errorf("once nothing is merged: %d %.100s", r.Status, r.Body)
 	}
 }
--- /dev/null
+++ b/gatherer/parse.go
@@ -0,0 +1,235 @@
+package gatherer
+
+import (
+	"bytes"
+	"encoding/binary"
+	"encoding/hex"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"math"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+	"unicode/utf8"
+
+	"github.com/zeebo/blake3"
+
+	"oxbowspan/balancer"
+	"oxbowspan/idempotency"
+	"oxbowspan/internal/operatorconfig"
+	"oxbowspan/merge"
+)
+
+// Headers of a request.
+const (
+	headerID       = "Req-Id"
+	headerType     = "Req-Kind"
+	headerOwner    = "Req-Owner" // the customer
+	headerRetry    = "Req-Retry"
+	headerDeadline = "Req-Deadline-Ms"
+)
+
+// maxIDLength is the most hex digits of a Req-Id.
+const maxIDLength = 32
+
+// weightTolerance is the rounding error allowed in the sum of weights: ten times that of the balancer.
+const weightTolerance = 1e-3
+
+// guessPerMillisecond is the unit of a call's guess, microseconds.
+const guessPerMillisecond = 1000
+
+// Errors of requests: their texts are sent to the client.
+var (
+	errBadID       = errors.New("Req-Id must be 1 to 32 hex digits")
+	errBadDeadline = errors.New("Req-Deadline-Ms must be a whole number of milliseconds above 0")
+	errNoBody      = errors.New("the body is empty")
+	errBodyRead    = errors.New("the body could not be read")
+	errBodyUTF8    = errors.New("the body is not UTF-8")
+	errNoCalls     = errors.New("tablets names no part")
+	errNoStatement = errors.New("statement is missing or not a JSON string")
+	errStatement   = errors.New("statement is not a JSON string")
+)
+
+// requestBody is what is used of the body of a request.
+type requestBody struct {
+	Calls     []bodyCall      `json:"tablets"`
+	Statement json.RawMessage `json:"statement"` // sent with each call
+	Merge     json.RawMessage `json:"merge"`
+}
+
+// bodyCall is a call of a request.
+type bodyCall struct {
+	Shard  *int64   `json:"tablet"`
+	Weight *float64 `json:"fraction"`
+	Guess  float64  `json:"guess"` // expected work in microseconds
+}
+
+// parseRequest parses a request. The text of an error is for the client.
+func (t *transport) parseRequest(r *http.Request) (*clientRequest, error) {
+	req := &clientRequest{wireID: r.Header.Get(headerID), retry: r.Header.Get(headerRetry) == "1",
+		result: make(chan result, 1)}
+	if err := t.parseHeader(req, r); err != nil {
+		return nil, err
+	}
+	raw, err := readText(r)
+	if err != nil {
+		return nil, err
+	}
+	var body requestBody
+	if err := json.Unmarshal(raw, &body); err != nil {
+		return nil, fmt.Errorf("the body is not the JSON form: %.100s", err)
+	}
+	if len(body.Calls) == 0 {
+		return nil, errNoCalls
+	}
+	if len(body.Statement) < 2 || body.Statement[0] != '"' {
+		return nil, errNoStatement
+	}
+	if req.text, err = unquote(body.Statement); err != nil {
+		return nil, errStatement
+	}
+	if err := t.parseCalls(req, body.Calls); err != nil {
+		return nil, err
+	}
+	idempotent := t.deployment.Balancer.QueryTypes[req.queryType].Idempotency == balancer.Idempotent
+	if t.keyHeader != "" && !idempotent {
+		req.key, req.digest = idempotencyKey(r, t.keyHeader, raw)
+	}
+	if m := t.merging.Load(); m != nil && len(body.Merge) > 0 && string(body.Merge) != "null" {
+		if req.query, err = t.mergeQuery(m, r, req, body.Merge); err != nil {
+			return nil, err
+		}
+	}
+	return req, nil
+}
+
+// parseHeader parses the headers of a request.
+func (t *transport) parseHeader(req *clientRequest, r *http.Request) error {
+	if !isHexID(req.wireID) {
+		return errBadID
+	}
+	kind, ok := r.Header.Get(headerType), false
+	if req.queryType, ok = t.types[kind]; !ok {
+		return fmt.Errorf("Req-Kind %.60q is not a known query type", kind)
+	}
+	if first := firstSegment(r.URL.Path); first != kind {
+		return fmt.Errorf("the path is for %.60q, Req-Kind for %.60q", first, kind)
+	}
+	if len(t.customers) > 0 {
+		owner := r.Header.Get(headerOwner)
+		if req.customer, ok = t.customers[owner]; !ok {
+			return fmt.Errorf("Req-Owner %.60q is not a known customer", owner)
+		}
+	}
+	millis, err := strconv.ParseInt(r.Header.Get(headerDeadline), 10, 32)
+	if err != nil || millis <= 0 {
+		return errBadDeadline
+	}
+	req.timeout = balancer.Time(millis) * balancer.Millisecond
+	return nil
+}
+
+// firstSegment returns the first segment of a path, which names the query type.
+func firstSegment(path string) string {
+	first, _, _ := strings.Cut(strings.TrimPrefix(path, "/"), "/")
+	return first
+}
+
+func readText(r *http.Request) ([]byte, error) {
+	if r.Body == nil {
+		return nil, errNoBody
+	}
+	raw, err := io.ReadAll(r.Body)
+	if err != nil {
+		return nil, errBodyRead
+	}
+	if !utf8.Valid(raw) {
+		return nil, errBodyUTF8
+	}
+	return raw, nil
+}
+
+// parseCalls checks the calls of a request: each shard at most once, weights that add up to 1.
+func (t *transport) parseCalls(req *clientRequest, calls []bodyCall) error {
+	shards := t.deployment.Balancer.Shards
+	sum, seen := 0.0, map[int64]bool{}
+	for _, c := range calls {
+		switch {
+		case c.Shard == nil || *c.Shard < 0 || *c.Shard >= int64(shards):
+			return fmt.Errorf("a tablet is missing or out of range, 0 to %d are known", shards-1)
+		case seen[*c.Shard]:
+			return fmt.Errorf("tablet %d is named twice", *c.Shard)
+		case c.Weight == nil || !(0 <= *c.Weight && *c.Weight <= 1+weightTolerance):
+			return fmt.Errorf("the fraction of tablet %d is missing or not from 0 to 1", *c.Shard)
+		case c.Guess < 0 || math.IsInf(c.Guess, 0):
+			return fmt.Errorf("the guess of tablet %d is below 0", *c.Shard)
+		}
+		seen[*c.Shard] = true
+		sum += *c.Weight
+		req.callSpecs = append(req.callSpecs,
+			callSpec{shard: balancer.ShardIndex(*c.Shard), weight: *c.Weight, size: c.Guess / guessPerMillisecond})
+	}
+	if math.Abs(sum-1) > weightTolerance {
+		return fmt.Errorf("the fractions add up to %.6g, not to 1", sum)
+	}
+	return nil
+}
+
+// idempotencyKey returns the key of a request that must not run twice, and the digest of its body. The key is that of the
+// client, or else the Req-Id, as a client may send a request again after its connection was closed.
+func idempotencyKey(r *http.Request, header string, body []byte) (idempotency.Key, idempotency.Digest) {
+	own := "id " + r.Header.Get(headerID)
+	if given := r.Header.Get(header); given != "" {
+		own = "key " + given
+	}
+	h := blake3.New()
+	for _, s := range []string{r.Header.Get(headerOwner), r.Header.Get(headerType), own} {
+		fmt.Fprintf(h, "%d:%s", len(s), s)
+	}
+	digest := blake3.Sum256(body)
+	return idempotency.Key(hex.EncodeToString(h.Sum(nil)[:16])), idempotency.Digest(binary.BigEndian.Uint64(digest[:]))
+}
+
+// mergeQuery parses what a request asks to be merged.
+func (t *transport) mergeQuery(m *operatorconfig.Merging, r *http.Request, req *clientRequest,
+	raw json.RawMessage) (*merge.Query, error) {
+	kind := r.Header.Get(headerType)
+	allowed := m.Types[kind]
+	if allowed == nil {
+		return nil, fmt.Errorf("searches of query type %s are not merged", kind)
+	}
+	terms, err := merge.ParseTerms(raw)
+	if err != nil {
+		return nil, err
+	}
+	var segments []merge.Asked
+	for _, spec := range req.callSpecs {
+		segments = append(segments, merge.Asked{Segment: merge.Segment(spec.shard), Weight: spec.weight})
+	}
+	completeOnly := t.deployment.Balancer.QueryTypes[req.queryType].MinCoverage >= 1
+	return allowed.Query(terms, segments, completeOnly, merge.Paging{Keys: m.Keys, Life: m.CursorLife.Milliseconds(),
+		Most: m.MostCursor, Now: time.Now().UnixMilli(), Type: kind, Customer: r.Header.Get(headerOwner),
+		Statement: req.text})
+}
+
+func isHexID(id string) bool {
+	for _, c := range []byte(id) {
+		if !('0' <= c && c <= '9' || 'a' <= c && c <= 'f' || 'A' <= c && c <= 'F') {
+			return false
+		}
+	}
+	return 0 < len(id) && len(id) <= maxIDLength
+}
+
+// unquote returns the content of a JSON string. Without escapes that is a copy of its bytes.
+func unquote(raw []byte) ([]byte, error) {
+	if bytes.IndexByte(raw, '\\') < 0 {
+		return bytes.Clone(raw[1 : len(raw)-1]), nil
+	}
+	var text string
+	err := json.Unmarshal(raw, &text)
+	return []byte(text), err
+}
--- a/gatherer/persistence.go
+++ b/gatherer/persistence.go
@@ -17,306 +17,180 @@
 
 // Tables of the store.
 const (
-	// TableSearches holds searches that must not run twice: package recovery's values, by key.
-	TableSearches store.Table = 1
-	// TableList holds the list of servers as last told: entries as JSON, by host; the number of the list under "".
-	TableList store.Table = 2
-	// TableLearned holds what had been learned of servers, as JSON, by host.
-	TableLearned store.Table = 3
+	// TableRequests holds requests that must not run twice: the values of package idempotency, by key.
+	TableRequests store.Table = 1
+	// TableServerList holds the last server list: its entries as JSON, by host, and its version under listVersionKey.
+	TableServerList store.Table = 2
+	// TableServerRecords holds the balancer's records of servers as JSON, by host.
+	TableServerRecords store.Table = 3
 )
 
-// persistence is what the module's actor keeps across restarts. It is the actor's alone; the store calls back into its mailbox.
+// listVersionKey is the key of the list's version in TableServerList.
+const listVersionKey = ""
+
+// saveInterval is how often the records of servers are saved. They count for ten seconds, so that losing the last ones
+// does no harm.
+const saveInterval = 1000 * balancer.Millisecond
+
+// persistence is what is kept across restarts. It belongs to the dispatcher's goroutine.
 type persistence struct {
 	store   *store.Store
 	table   *idempotency.Table
 	disk    idempotency.Disk
-	failing bool // the store was unwell the last time: said once
+	failing bool // intents could not be written, which is logged once
 }
 
-// The store's news to the module's actor.
-type (
-	// intentWritten says that a search's intent is on the disk, or why it is not.
-	intentWritten struct {
-		request *clientRequest
-		err     error
-	}
-	// intentTimeout says that it takes too long.
-	intentTimeout struct{ request *clientRequest }
-)
-
-// openPersistence opens the store that the operator's file names, and says what it found.
+// openPersistence opens the store that the operator's file names, and logs what it holds.
 func openPersistence(o *operatorconfig.Store) (*persistence, error) {
 	disk, err := store.OpenDisk(o.Path)
 	if err != nil {
 		return nil, fmt.Errorf("store %s: %w", o.Path, err)
 	}
 	s, report, err := store.Open(disk, store.Options{Most: o.Size, Linger: o.Linger})
-	for _, what := range report.Damage {
-		slog.Warn("store_damage", "path", o.Path, "what", what, "mended", report.Mended)
+	for _, damage := range report.Damage {
+		slog.Warn("store_damage", "path", o.Path, "what", damage, "mended", report.Mended)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("store %s: %w", o.Path, err)
 	}
-	r := &persistence{store: s, disk: idempotency.Disk{Slow: idempotency.Time(o.Slow.Milliseconds())},
-		table: idempotency.New(idempotency.Figures{Keep: idempotency.Time(o.Keep.Milliseconds()), Most: o.Searches, MostBytes: int(o.Answers)})}
-	bad := 0
-	for key, value := range s.All(TableSearches) {
-		if r.table.Load(idempotency.Key(key), value) != nil {
-			bad++
+	p := &persistence{
+		store: s,
+		disk:  idempotency.Disk{Slow: idempotency.Time(o.Slow.Milliseconds())},
+		table: idempotency.New(idempotency.Figures{Keep: idempotency.Time(o.Keep.Milliseconds()), Most: o.Searches,
+			MostBytes: int(o.Answers)}),
+	}
+	unreadable := 0
+	for key, value := range s.All(TableRequests) {
+		if p.table.Load(idempotency.Key(key), value) != nil {
+			unreadable++
 		}
 	}
-	slog.Info("store_open", "path", o.Path, "records", report.Records, "searches", r.table.Len(), "unreadable", bad, "mended", report.Mended)
-	return r, nil
+	slog.Info("store_open", "path", o.Path, "records", report.Records, "searches", p.table.Len(),
+		"unreadable", unreadable, "mended", report.Mended)
+	return p, nil
 }
 
-func (r *persistence) close() {
-	if err := r.store.Close(); err != nil {
+func (p *persistence) close() {
+	if err := p.store.Close(); err != nil {
 		slog.Error("store_close", "error", err)
 	}
 }
 
 func unixNow() idempotency.Time { return idempotency.Time(time.Now().UnixMilli()) }
 
-// write writes changes that nothing waits for.
-func (r *persistence) write(changes []idempotency.Change) {
-	if len(changes) > 0 {
-		r.store.Begin(func(err error) {
-			if err != nil && !errors.Is(err, store.ErrClosed) {
-				slog.Warn("store_not_written", "error", err) // the search stays doubtful, which is honest
-			}
-		}, storeOps(changes)...)
-	}
-}
-
-func storeOps(changes []idempotency.Change) (out []store.Op) {
-	for _, c := range changes {
-		out = append(out, store.Op{Table: TableSearches, Key: string(c.Key), Value: c.Value, Delete: c.Value == nil})
-	}
-	return out
-}
-
-// checkIntent deals with a search that must not run twice before anything else is done with it. It guards against a payment post
-// that goes out again because a crash wiped out that it had gone out before: nothing of it leaves until its intent is on the
-// disk. false = it has been answered, or waits.
-func (m *dispatcher) checkIntent(s *clientRequest) bool {
-	r := m.persistence
-	if r == nil || s.key == "" || s.intentDurable {
-		return true
-	}
-	now := unixNow()
-	if !r.disk.Takes(now) {
-		m.rejectRequest(s, errors.New("the disk is slow"))
-		return false
-	}
-	patience := idempotency.Time(s.timeout / balancer.Millisecond)
-	verdict, answer, changes := r.table.Arrive(now, s.key, s.digest, patience)
-	switch verdict {
-	case idempotency.Write:
-		s.intentPending, s.intentAt = true, m.clock.now()
-		r.disk.Begins(now)
-		s.intentTimer = time.AfterFunc(time.Duration(r.disk.Wait(patience))*time.Millisecond, func() { m.send(intentTimeout{s}) })
-		// Not in the store's goroutine alone: it must not wait for this actor.
-		r.store.Begin(func(err error) { m.send(intentWritten{s, err}) }, storeOps(changes)...)
-		return false
-	case idempotency.Doubtful:
-		r.write(changes)
-		s.intentDurable, s.mayHaveRun = true, true // brain says what becomes of it
-		return true
-	}
-	r.write(changes)
-	s.finished = true
-	switch verdict {
-	case idempotency.Replay:
-		s.result <- result{kind: resultStored, text: answer}
-	case idempotency.Open:
-		s.result <- result{kind: resultKeyOpen}
-	case idempotency.Other:
-		s.result <- result{kind: resultKeyMismatch}
-	default:
-		s.result <- result{kind: resultShed, retryAfter: m.deployment.Balancer.MaxRetryAfter}
-	}
-	return false
-}
-
-// rejectRequest sheds a search whose intent cannot be written: nothing of it has been sent.
-func (m *dispatcher) rejectRequest(s *clientRequest, why error) {
-	if r := m.persistence; !r.failing {
-		r.failing = true
-		slog.Warn("store_refuses", "error", why)
-	}
-	s.finished = true
-	s.result <- result{kind: resultShed, retryAfter: m.deployment.Balancer.MaxRetryAfter}
-}
-
-// intentWritten goes on with a search whose intent is on the disk.
-func (m *dispatcher) intentWritten(e intentWritten) {
-	r, s := m.persistence, e.request
-	r.disk.Ends()
-	s.intentTimer.Stop()
-	wanted := s.intentPending && !s.clientGone
-	s.intentPending = false
-	switch {
-	case e.err != nil:
-		r.table.NeverRan(s.key)
-		if wanted {
-			m.rejectRequest(s, e.err)
-		}
-		return
-	case !wanted: // its client has left, or it has been shed meanwhile: nothing of it was sent, nor will be
-		r.write(r.table.NeverRan(s.key))
-		return
-	}
-	if r.failing {
-		r.failing = false
-		slog.Info("store_takes_again")
-	}
-	if !r.table.Durable(s.key) {
-		m.rejectRequest(s, errors.New("its intent is not expected any more"))
-		return
-	}
-	s.intentDurable = true
-	s.timeout -= m.clock.now() - s.intentAt
-	m.requestArrived(s)
-}
-
-// intentTimedOut sheds a search whose intent takes too long to be written, while its client still waits.
-func (m *dispatcher) intentTimedOut(s *clientRequest) {
-	if s.intentPending && !s.clientGone {
-		s.intentPending = false
-		m.rejectRequest(s, errors.New("the disk is slow"))
-	}
-}
-
-// intentUnused frees the key of a search of which nothing was sent.
-func (m *dispatcher) intentUnused(s *clientRequest) {
-	if m.persistence != nil && s.intentDurable && !s.mayHaveRun {
-		m.persistence.write(m.persistence.table.NeverRan(s.key))
-	}
-}
-
-// recordOutcome notes what became of a search that must not run twice, and gives its answer the text that repeats will get.
-func (m *dispatcher) recordOutcome(s *clientRequest, r *result) {
-	if m.persistence == nil || !s.intentDurable || s.mayHaveRun {
+// write writes changes that nothing waits for. If that fails the outcome of their requests stays unknown, which is safe.
+func (p *persistence) write(changes []idempotency.Change) {
+	if len(changes) == 0 {
 		return
 	}
-	t := m.persistence.table
-	switch r.kind {
-	case resultAnswer:
-		r.text = encodeAnswer(r.complete, r.values)
-		m.persistence.write(t.Answered(s.key, r.text))
-	case resultShed: // brain sheds it only where all its sub-requests are known not to have run
-		m.persistence.write(t.NeverRan(s.key))
-	default:
-		m.persistence.write(t.Unknown(s.key))
-	}
+	p.store.Begin(func(err error) {
+		if err != nil && !errors.Is(err, store.ErrClosed) {
+			slog.Warn("store_not_written", "error", err)
+		}
+	}, storeOps(changes)...)
 }
 
-// recordAbandoned notes that a search's client has left.
-func (m *dispatcher) recordAbandoned(s *clientRequest) {
-	if m.persistence == nil || !s.intentDurable || s.mayHaveRun {
-		return
-	}
-	for _, p := range s.calls {
-		if len(p.attempts) > 0 {
-			m.persistence.write(m.persistence.table.Unknown(s.key))
-			return
-		}
+func storeOps(changes []idempotency.Change) (ops []store.Op) {
+	for _, c := range changes {
+		ops = append(ops, store.Op{Table: TableRequests, Key: string(c.Key), Value: c.Value, Delete: c.Value == nil})
 	}
-	m.persistence.write(m.persistence.table.NeverRan(s.key))
+	return ops
 }
 
-// saveServerList writes what the list service has told.
-func (r *persistence) saveServerList(l discovery.ServerList) {
+// saveServerList saves an update of the server list. An error is ignored: an old list is better than none, and the list
+// service will send a new one.
+func (p *persistence) saveServerList(list discovery.ServerList) {
 	var changes []store.Op
-	if l.Complete {
-		named := map[string]bool{"": true}
-		for _, e := range l.Servers {
-			named[e.Host] = true
+	if list.Complete {
+		listed := map[string]bool{listVersionKey: true}
+		for _, s := range list.Servers {
+			listed[s.Host] = true
 		}
-		for host := range r.store.All(TableList) {
-			if !named[host] {
-				changes = append(changes, store.Op{Table: TableList, Key: host, Delete: true})
+		for host := range p.store.All(TableServerList) {
+			if !listed[host] {
+				changes = append(changes, store.Op{Table: TableServerList, Key: host, Delete: true})
 			}
 		}
 	}
-	for _, e := range l.Servers {
-		raw, err := json.Marshal(e)
-		if err != nil || e.Host == "" {
+	for _, s := range list.Servers {
+		raw, err := json.Marshal(s)
+		if err != nil || s.Host == listVersionKey {
 			continue
 		}
-		changes = append(changes, store.Op{Table: TableList, Key: e.Host, Value: raw, Delete: e.Health == discovery.Removed})
+		changes = append(changes, store.Op{Table: TableServerList, Key: s.Host, Value: raw,
+			Delete: s.Health == discovery.Removed})
 	}
-	changes = append(changes, store.Op{Table: TableList, Key: "", Value: strconv.AppendUint(nil, l.Version, 10)})
-	r.store.Begin(func(error) {}, changes...) // an old list is better than none, and the service will tell anew
+	changes = append(changes, store.Op{Table: TableServerList, Key: listVersionKey,
+		Value: strconv.AppendUint(nil, list.Version, 10)})
+	p.store.Begin(func(error) {}, changes...)
 }
 
-// loadServerList is the list as last told, if it is not older than the one that the configuration holds. What does not fit is dropped.
-func (r *persistence) loadServerList(known discovery.ServerList, fits func(discovery.Server) error) discovery.ServerList {
-	held := r.store.All(TableList)
-	seq, err := strconv.ParseUint(string(held[""]), 10, 64)
-	switch {
-	case len(held) == 0:
+// loadServerList returns the stored server list, or the known one if that is newer. Entries that are not accepted are
+// skipped.
+func (p *persistence) loadServerList(known discovery.ServerList, accept func(discovery.Server) error) discovery.ServerList {
+	stored := p.store.All(TableServerList)
+	if len(stored) == 0 {
 		return known
-	case err != nil || seq < known.Version:
-		slog.Info("stored_list_dropped", "seq", seq, "known", known.Version)
+	}
+	version, err := strconv.ParseUint(string(stored[listVersionKey]), 10, 64)
+	if err != nil || version < known.Version {
+		slog.Info("stored_list_dropped", "seq", version, "known", known.Version)
 		return known
 	}
 	var hosts []json.RawMessage
-	for host, raw := range held {
-		if host != "" {
+	for host, raw := range stored {
+		if host != listVersionKey {
 			hosts = append(hosts, raw)
 		}
 	}
-	raw, err := json.Marshal(map[string]any{"seq": seq, "whole": true, "hosts": hosts})
+	raw, err := json.Marshal(map[string]any{"seq": version, "whole": true, "hosts": hosts})
 	if err == nil {
-		var l discovery.ServerList
-		if l, err = discovery.Parse(raw, fits); err == nil && len(l.Servers) > 0 {
-			slog.Info("stored_list", "seq", seq, "hosts", len(l.Servers))
-			return l
+		var list discovery.ServerList
+		if list, err = discovery.Parse(raw, accept); err == nil && len(list.Servers) > 0 {
+			slog.Info("stored_list", "seq", version, "hosts", len(list.Servers))
+			return list
 		}
 	}
-	slog.Info("stored_list_dropped", "seq", seq, "error", err)
+	slog.Info("stored_list_dropped", "seq", version, "error", err)
 	return known
 }
 
-// saveInterval is how often what is learned of servers is written. It counts for ten seconds; a loss of one does no harm.
-const saveInterval = 1000 * balancer.Millisecond
-
-// saveServerRecords writes what has been learned of servers since it was last written.
-func (m *dispatcher) saveServerRecords(now balancer.Time) {
-	since := m.recordsSavedAt
-	m.recordsSavedAt = now
+// saveServerRecords saves the records of servers that are newer than the last save. An error is ignored: the servers are
+// soon measured again.
+func (d *dispatcher) saveServerRecords(now balancer.Time) {
+	since := d.recordsSavedAt
+	d.recordsSavedAt = now
 	var changes []store.Op
-	for _, l := range m.balancer.ServerRecords() {
-		s := m.servers[l.ID]
-		if s == nil || l.MeasuredAt < since {
+	for _, record := range d.balancer.ServerRecords() {
+		s := d.servers[record.ID]
+		if s == nil || record.MeasuredAt < since {
 			continue
 		}
-		if raw, err := json.Marshal(l); err == nil {
-			changes = append(changes, store.Op{Table: TableLearned, Key: s.host, Value: raw})
+		if raw, err := json.Marshal(record); err == nil {
+			changes = append(changes, store.Op{Table: TableServerRecords, Key: s.host, Value: raw})
 		}
 	}
-	for host := range m.persistence.store.All(TableLearned) {
-		if s := m.servers[m.serverIDs[host]]; s == nil || !s.listed {
-			changes = append(changes, store.Op{Table: TableLearned, Key: host, Delete: true})
+	for host := range d.persistence.store.All(TableServerRecords) {
+		if s := d.servers[d.serverIDs[host]]; s == nil || !s.listed {
+			changes = append(changes, store.Op{Table: TableServerRecords, Key: host, Delete: true})
 		}
 	}
 	if len(changes) > 0 {
-		m.persistence.store.Begin(func(error) {}, changes...) // it is learned anew soon enough
+		d.persistence.store.Begin(func(error) {}, changes...)
 	}
 }
 
-// restoreServerRecords tells brain what an earlier run had learned of the servers that are listed.
-func (m *dispatcher) restoreServerRecords() {
-	var e balancer.RecordsRestored
-	for host, raw := range m.persistence.store.All(TableLearned) {
-		var l balancer.ServerRecord
-		if id, known := m.serverIDs[host]; known && json.Unmarshal(raw, &l) == nil {
-			l.ID = id
-			e.Servers = append(e.Servers, l)
+// restoreServerRecords hands the stored records of listed servers to the balancer.
+func (d *dispatcher) restoreServerRecords() {
+	var event balancer.RecordsRestored
+	for host, raw := range d.persistence.store.All(TableServerRecords) {
+		var record balancer.ServerRecord
+		if id, known := d.serverIDs[host]; known && json.Unmarshal(raw, &record) == nil {
+			record.ID = id
+			event.Servers = append(event.Servers, record)
 		}
 	}
-	slog.Info("learned_recalled", "servers", len(e.Servers))
-	m.recordsSavedAt = m.clock.now()
-	m.handle(e)
+	slog.Info("learned_recalled", "servers", len(event.Servers))
+	d.recordsSavedAt = d.clock.now()
+	d.handle(event)
 }
--- a/gatherer/persistence_test.go
+++ b/gatherer/persistence_test.go
@@ -16,7 +16,7 @@
 	"oxbowspan/internal/testing/standin"
 )
 
-// writeStoreFile writes an operator's file with a store beside it.
+// writeStoreFile writes an operator's file with a store in the same directory.
 func writeStoreFile(t *testing.T, more string) (file, dir string) {
 	t.Helper()
 	dir = t.TempDir()
@@ -27,7 +27,7 @@
 	return file, filepath.Join(dir, "kept")
 }
 
-// postKeyed sends a post with a client's own key.
+// postKeyed sends a post with an idempotency key.
 func postKeyed(t *testing.T, p *program, id, key, text string) (status int, body string, after string) {
 	t.Helper()
 	r, err := post2(context.Background(), p.addr, id, key, text)
@@ -38,8 +38,8 @@
 	return r.status, r.body, r.after
 }
 
-// postUntilAdmitted sends a post until it is not shed: on loaded cores the first one to a program may come before it has a connection to its
-// server, and is told that nothing ran.
+// postUntilAdmitted sends a post until it is not shed: on loaded cores the first one may arrive before the program has a
+// connection to its server.
 func postUntilAdmitted(t *testing.T, p *program, id, key, text string) (status int, body string) {
 	t.Helper()
 	for try, end := 0, time.Now().Add(testTimeout); time.Now().Before(end); try++ {
@@ -92,12 +92,12 @@
 	return r.by[text]
 }
 
-// A post that was answered, one that was under way at a kill, and their repeats after the restart: by key, and by id.
+// Retries after a crash, by key and by id, of a post that was answered and of one that was open.
 func TestRetryAfterCrashFindsOutcome(t *testing.T) {
 	runs := &runCounter{by: map[string]int{}}
 	a := startShard(t, "s-a", func(c *standin.ShardConn, p standin.ShardCall) {
 		runs.add(string(p.Query))
-		if !strings.HasPrefix(string(p.Query), "dead") { // those run and are never answered
+		if !strings.HasPrefix(string(p.Query), "dead") { // these run and are never answered
 			c.Respond(p.ID, "served", "paid "+string(p.Query))
 		}
 	})
@@ -109,34 +109,34 @@
 		t.Fatalf("a post: %d %s", status, answered)
 	}
 	if status, body, _ := postKeyed(t, p, "a2", "key-1", "c0ffee01"); status != 200 || body != answered {
-		t.Errorf("its repeat: %d %s", status, body)
+		t.Errorf("its retry: %d %s", status, body)
 	}
 	if status, _, _ := postKeyed(t, p, "a3", "key-1", "c0ffee02"); status != http.StatusUnprocessableEntity {
-		t.Errorf("another search of its key: %d", status)
+		t.Errorf("another request with its key: %d", status)
 	}
-	// Under way at the kill, with a key and without.
+	// Open at the crash, with a key and without.
 	for _, key := range []string{"key-2", ""} {
 		go post2(t.Context(), p.addr, "b"+fmt.Sprint(len(key)), key, "dead"+fmt.Sprint(len(key)))
 		await(t, a.Received, func(id string) bool { return strings.HasPrefix(id, "b"+fmt.Sprint(len(key))) })
 	}
 	if status, _, _ := postKeyed(t, p, "c1", "key-2", "dead5"); status != http.StatusConflict {
-		t.Errorf("a repeat of one that is open: %d", status)
+		t.Errorf("a retry of an open request: %d", status)
 	}
 	p.run.Kill()
 	<-p.run.Exited
 
 	p = start(t, l, nil, "--operator", file)
 	if status, body, _ := postKeyed(t, p, "d1", "key-1", "c0ffee01"); status != 200 || body != answered {
-		t.Errorf("after the kill, the repeat of an answered post: %d %s", status, body)
+		t.Errorf("after the crash, the retry of an answered post: %d %s", status, body)
 	}
 	for _, key := range []string{"key-2", ""} {
 		began := time.Now()
 		status, body, after := postKeyed(t, p, "b"+fmt.Sprint(len(key)), key, "dead"+fmt.Sprint(len(key)))
 		if status != http.StatusGatewayTimeout || after != "" {
-			t.Errorf("after the kill, the repeat of one that may have run: %d %s, Retry-After %q", status, body, after)
+			t.Errorf("after the crash, the retry of one that may have run: %d %s, Retry-After %q", status, body, after)
 		}
 		if took := time.Since(began); took > time.Second {
-			t.Errorf("that was held back for %s", took)
+			t.Errorf("that took %s", took)
 		}
 	}
 	if status, _, _ := postKeyed(t, p, "e1", "key-3", "c0ffee03"); status != 200 {
@@ -147,19 +147,19 @@
 			t.Errorf("%s ran %d times", text, n)
 		}
 	}
-	// It ends well, and the store is whole.
+	// It ends without an error, and the store is intact.
 	if err := p.run.Drain(testTimeout); err != nil {
 		t.Error(err)
 	}
 }
 
-// A post that is known not to have run is free to come again under its key.
+// A post that is known not to have run may be retried with its key.
 func TestRequestThatNeverRanMayBeRetried(t *testing.T) {
 	a := startShard(t, "s-a", nil)
 	l := startList(t, a)
 	file, _ := writeStoreFile(t, "")
 	p := start(t, l, nil, "--operator", file)
-	a.Stop() // connects are refused: it never ran
+	a.Stop() // connections are refused: it never ran
 	if status, _, _ := postKeyed(t, p, "a1", "key-1", "c0ffee01"); status != http.StatusServiceUnavailable {
 		t.Fatalf("with no server: %d", status)
 	}
@@ -176,15 +176,15 @@
 	}
 }
 
-// expectShed holds an answer for one that says that nothing ran.
+// expectShed checks that a response says that nothing ran.
 func expectShed(t *testing.T, r keyedResponse) {
 	t.Helper()
 	if r.status != http.StatusServiceUnavailable {
-		t.Fatalf("beside posts that were shed one is answered %d %s", r.status, r.body)
+		t.Fatalf("beside posts that were shed one got %d %s", r.status, r.body)
 	}
 }
 
-// SIGTERM while intents are being written, many at once: each post gets its final answer, and the program ends well.
+// SIGTERM while many intents are being written: each post gets its result, and the program ends without an error.
 func TestShutdownDuringGroupCommit(t *testing.T) {
 	runs := &runCounter{by: map[string]int{}}
 	a := startShard(t, "s-a", func(c *standin.ShardConn, p standin.ShardCall) {
@@ -194,14 +194,13 @@
 	l := startList(t, a)
 	file, _ := writeStoreFile(t, "linger = 50ms\n")
 	p := start(t, l, nil, "--operator", file)
-	const n = 8 // as many as one server is taken to bear at once
+	const n = 8 // as many as the limit admits for one server
 	results := make(chan keyedResponse, n)
-	// On loaded cores all may be shed as they come, before anything is written: then nothing is under way that a SIGTERM could
-	// meet, and all are sent again, as the answer says that they may be.
+	// On loaded cores all may be shed before anything is written. Then a SIGTERM would test nothing, and all are sent again.
 	var first keyedResponse
 	for try, end := 0, time.Now().Add(testTimeout); first.status != http.StatusOK; try++ {
 		if time.Now().After(end) {
-			t.Fatalf("the posts are never let in: %d %s", first.status, first.body)
+			t.Fatalf("timeout: the posts are not admitted: %d %s", first.status, first.body)
 		}
 		if try > 0 {
 			expectShed(t, first)
@@ -215,7 +214,7 @@
 				results <- r
 			}()
 		}
-		first = <-results // the others are in the same group, or the next
+		first = <-results // the others are in the same group commit or the next
 	}
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	by := map[int]int{first.status: 1}
@@ -223,7 +222,7 @@
 		by[(<-results).status]++
 	}
 	if by[200] != n {
-		t.Errorf("answers by status: %v, the first says %q", by, first.body)
+		t.Errorf("responses by status: %v, the first is %q", by, first.body)
 	}
 	select {
 	case err := <-p.exit:
@@ -231,7 +230,7 @@
 			t.Error(err)
 		}
 	case <-time.After(testTimeout):
-		t.Fatal("it does not end")
+		t.Fatal("the program does not end")
 	}
 	p = start(t, l, nil, "--operator", file)
 	for i := range n {
@@ -244,7 +243,7 @@
 	}
 }
 
-// Posts are turned away at once with advice where the store cannot be written, and look-ups go on.
+// If the store cannot be written posts are shed at once with a Retry-After, and lookups are served.
 func TestFullStoreShedsWritesOnly(t *testing.T) {
 	a := startShard(t, "s-a", nil)
 	l := startList(t, a)
@@ -261,20 +260,20 @@
 		}
 	}
 	if refused != 4 {
-		t.Errorf("%d posts were turned away, ten may be held", refused)
+		t.Errorf("%d posts were shed, ten fit the store", refused)
 	}
 	client := &http.Client{Timeout: testTimeout}
 	s := standin.Request{ID: "ff", QueryType: "lookup", Customer: "acme", Timeout: time.Second, Shards: []int{1}, Statement: "c41e77d0"}
 	if r, err := s.Send(t.Context(), client, p.addr); err != nil || r.Status != 200 {
-		t.Errorf("a look-up: %d, %v", r.Status, err)
+		t.Errorf("a lookup: %d, %v", r.Status, err)
 	}
-	// Held answers of the ten are still given.
+	// The stored answers of the ten are still sent.
 	if status, _, _ := postKeyed(t, p, "fe", "k3", "c0ffee01"); status != 200 {
-		t.Errorf("a repeat: %d", status)
+		t.Errorf("a retry: %d", status)
 	}
 }
 
-// A directory that another gatherer uses, or that is none of a store's, is one plain message and exit code 1.
+// A directory that another gatherer uses, or that is not a store, gives one message and exit code 1.
 func TestUnusableStoreIsReported(t *testing.T) {
 	a := startShard(t, "s-a", nil)
 	l := startList(t, a)
@@ -300,7 +299,7 @@
 	fails("not a directory")
 }
 
-// The list as last told, and what was learned of its servers, outlive a restart while the list service is away.
+// The last server list and the records of servers survive a restart without the list service.
 func TestServerListSurvivesRestart(t *testing.T) {
 	a := startShard(t, "s-a", nil)
 	l := startList(t, a)
@@ -313,16 +312,15 @@
 		t.Fatal(err)
 	}
 	l.Stop()
-	p = start(t, l, nil, "--operator", file) // ready only with a server
+	p = start(t, l, nil, "--operator", file) // it is ready only with a server
 	p.line("event=stored_list ", "hosts=1")
 	p.line("event=learned_recalled", "servers=1")
 	if status, _, _ := postKeyed(t, p, "a1", "key-1", "c0ffee01"); status != 200 {
-		t.Errorf("with the list service away: %d", status)
+		t.Errorf("without the list service: %d", status)
 	}
 }
 
-// A kill while a post is at its second server, the first having turned it away: it may have run there, so it is neither sent a
-// third time nor called harmless.
+// After a crash during a retry of a post at a second server it may have run there: it is neither sent again nor shed.
 func TestCrashDuringRetry(t *testing.T) {
 	runs := &runCounter{by: map[string]int{}}
 	a := startShard(t, "s-a", func(c *standin.ShardConn, p standin.ShardCall) { c.Respond(p.ID, "skipped", "") })
@@ -337,7 +335,7 @@
 	p = start(t, l, nil, "--operator", file)
 	for i := range 3 {
 		if status, _, after := postKeyed(t, p, fmt.Sprint("b", i), "key-1", "c0ffee01"); status != http.StatusGatewayTimeout || after != "" {
-			t.Errorf("its repeat: %d, Retry-After %q", status, after)
+			t.Errorf("its retry: %d, Retry-After %q", status, after)
 		}
 	}
 	if n := runs.of("c0ffee01"); n != 1 {
--- a/gatherer/program_test.go
+++ b/gatherer/program_test.go
@@ -31,26 +31,26 @@
 	a := startShard(t, "s-a", nil)
 	p := start(t, startList(t, a), nil)
 	for range 3 {
-		if status, body, _ := p.ask("lookup", 0, 1, 2); status != 200 || body != wholeAnswer(0, 1, 2) {
+		if status, body, _ := p.ask("lookup", 0, 1, 2); status != 200 || body != completeAnswer(0, 1, 2) {
 			t.Fatalf("got %d %s", status, body)
 		}
 	}
 	if conns, frames := a.Counts(); conns != 1 || frames != 3 {
-		t.Errorf("%d connections and %d calls, want one and three", conns, frames)
+		t.Errorf("%d connections and %d frames, want 1 and 3", conns, frames)
 	}
-	// More parts than one call takes, and a body of unknown length.
-	r, _ := newSearch(context.Background(), p.addr, "lookup", 0, 1, 2, 3, 4)
+	// More calls than fit one frame, and a body of unknown length.
+	r, _ := newRequest(context.Background(), p.addr, "lookup", 0, 1, 2, 3, 4)
 	r.ContentLength, r.Body = -1, struct{ io.ReadCloser }{r.Body}
 	res, err := http.DefaultClient.Do(r)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer res.Body.Close()
-	if b, _ := io.ReadAll(res.Body); string(b) != wholeAnswer(0, 1, 2, 3, 4) || res.ContentLength != int64(len(b)) {
+	if b, _ := io.ReadAll(res.Body); string(b) != completeAnswer(0, 1, 2, 3, 4) || res.ContentLength != int64(len(b)) {
 		t.Errorf("got %s with length %d", b, res.ContentLength)
 	}
 	if _, frames := a.Counts(); frames != 5 {
-		t.Errorf("%d calls, want two more", frames)
+		t.Errorf("%d frames, want two more", frames)
 	}
 }
 
@@ -59,10 +59,10 @@
 	b := startShard(t, "s-b", func(c *standin.ShardConn, _ standin.ShardCall) { c.Reset() })
 	l := startList(t, a, b)
 	p := start(t, l, nil)
-	// A non-idempotent part may have run on the connection that broke: it is not sent again, nor called harmless.
+	// A call that is not idempotent may have run on the broken connection: it is neither retried nor shed.
 	status, _, id := p.ask("post", 0)
 	if status != http.StatusGatewayTimeout {
-		t.Errorf("a search that may have run ended with %d", status)
+		t.Errorf("a request that may have run ended with %d", status)
 	}
 	first := a
 	if len(b.Received) > 0 {
@@ -72,16 +72,16 @@
 		t.Errorf("sent %s and %d more, want %s.0 alone", got, len(a.Received)+len(b.Received), id)
 	}
 	p.line("event=server_conn_end", "server="+first.Host, "reason=reset")
-	// An idempotent one goes to the other server.
+	// An idempotent one is retried at the other server.
 	c := startShard(t, "s-c", nil)
 	l.Update(c.Entry())
 	await(t, l.Requests, func(string) bool { return true })
 	for range 20 {
-		if status, body, _ := p.ask("lookup", 0, 1); status == 200 && body == wholeAnswer(0, 1) {
+		if status, body, _ := p.ask("lookup", 0, 1); status == 200 && body == completeAnswer(0, 1) {
 			return
 		}
 	}
-	t.Error("no idempotent search is answered beside two servers that die")
+	t.Error("no idempotent request is answered with two servers that crash")
 }
 
 func TestRefusedConnectionIsRetried(t *testing.T) {
@@ -89,8 +89,8 @@
 	a.Stop()
 	p := start(t, startList(t, a, b), nil)
 	for i := range 20 {
-		if status, body, _ := p.ask("post", i%8); status != 200 || body != wholeAnswer(i%8) {
-			t.Fatalf("search %d got %d %s", i, status, body)
+		if status, body, _ := p.ask("post", i%8); status != 200 || body != completeAnswer(i%8) {
+			t.Fatalf("request %d got %d %s", i, status, body)
 		}
 	}
 	p.line("event=server_connect_failed", "server=s-a", "reason=refused")
@@ -101,31 +101,31 @@
 	b := startShard(t, "s-b", nil)
 	p := start(t, startList(t, full, b), nil)
 	for range 10 {
-		if status, body, _ := p.ask("post", 0, 1); status != 200 || body != wholeAnswer(0, 1) {
+		if status, body, _ := p.ask("post", 0, 1); status != 200 || body != completeAnswer(0, 1) {
 			t.Fatalf("got %d %s", status, body)
 		}
 	}
 	broken := startShard(t, "s-broken", func(c *standin.ShardConn, p standin.ShardCall) { c.Respond(p.ID, "broke", "") })
 	p = start(t, startList(t, broken), nil)
 	if status, _, _ := p.ask("post", 0); status != http.StatusGatewayTimeout {
-		t.Errorf("a part that may have run ended its search with %d", status)
+		t.Errorf("a call that may have run ended its request with %d", status)
 	}
 }
 
 func TestClientDisconnectCancelsCalls(t *testing.T) {
 	a := startShard(t, "s-a", func(*standin.ShardConn, standin.ShardCall) {})
-	p := start(t, startList(t, a), func(s *Config) { // so long that no time limit gives the part up
+	p := start(t, startList(t, a), func(s *Config) { // so long that no deadline cancels the call
 		s.Settings = json.RawMessage(strings.ReplaceAll(testSettings, `"hardLimit":2000.0`, `"hardLimit":600000`))
 	})
 	ctx, leave := context.WithCancel(context.Background())
-	r, id := newSearch(ctx, p.addr, "lookup", 3)
+	r, id := newRequest(ctx, p.addr, "lookup", 3)
 	r.Header.Set("Req-Deadline-Ms", "600000")
 	go func() {
 		await(t, a.Received, func(s string) bool { return s == id+".3" })
 		leave()
 	}()
 	if _, err := http.DefaultClient.Do(r); err == nil {
-		t.Error("a client that left was answered")
+		t.Error("a client that disconnected was answered")
 	}
 	await(t, a.Received, func(s string) bool { return s == "c "+id+".3" })
 	p.line("event=client_conn_end", "reason=client_left")
@@ -169,7 +169,7 @@
 	}
 	p := start(t, startList(t, a), nil)
 	for range 20 {
-		if status, body, _ := p.ask("lookup", 0); status != 200 || body != wholeAnswer(0) {
+		if status, body, _ := p.ask("lookup", 0); status != 200 || body != completeAnswer(0) {
 			t.Fatalf("got %d %s", status, body)
 		}
 	}
@@ -179,10 +179,10 @@
 func TestReloadChangesDiscoveryAddress(t *testing.T) {
 	a, b := startShard(t, "s-a", nil), startShard(t, "s-b", nil)
 	was, is := startList(t, a), startList(t, b)
-	is.SetSequence(1) // it counts its versions in its own way
+	is.SetSequence(1) // its versions are its own
 	p := start(t, was, nil)
 	hup := func() { p.cmd.Process.Signal(syscall.SIGHUP) }
-	// A file that is missing, cut off or unfit leaves what is in force, and the next signal finds it mended.
+	// A missing, truncated or invalid file changes nothing; the next signal reads the corrected one.
 	for _, text := range []string{"", `{"listen":"127.0`, `{"listen":"127.0.0.1:0","discovery":"nowhere","settings":{}}`} {
 		if os.Remove(p.file); text != "" {
 			os.WriteFile(p.file, []byte(text), 0o600)
@@ -190,14 +190,14 @@
 		hup()
 		p.line("event=reload_failed")
 	}
-	p.setup.Limits.Sockets = 512
+	p.config.Limits.Sockets = 512
 	p.configure()
 	hup()
 	p.line("event=reload ", "moved=false", "needs_restart=limits")
-	if status, body, _ := p.ask("lookup", 0); status != 200 || body != wholeAnswer(0) {
+	if status, body, _ := p.ask("lookup", 0); status != 200 || body != completeAnswer(0) {
 		t.Errorf("got %d %s", status, body)
 	}
-	p.setup.Discovery = is.Addr()
+	p.config.Discovery = is.Addr()
 	p.configure()
 	for range 20 {
 		hup()
@@ -205,23 +205,23 @@
 	p.line("event=reload ", "moved=true")
 	p.line("event=discovery_conn_end", "addr="+was.Addr(), "reason=moved")
 	if q := await(t, is.Requests, func(string) bool { return true }); q != "/api/targets" {
-		t.Errorf("the new discovery is asked %s", q)
+		t.Errorf("the new list service got query %s", q)
 	}
 	for end := time.Now().Add(testTimeout); len(b.Received) == 0 && time.Now().Before(end); {
 		p.ask("lookup", 0)
 	}
 	before := len(a.Received)
-	was.Update(a.Entry()) // nobody listens any more
+	was.Update(a.Entry()) // its address has changed
 	for range 5 {
 		p.ask("lookup", 0)
 	}
 	if len(a.Received) != before {
-		t.Errorf("%d more parts went to the server that only the old discovery lists", len(a.Received)-before)
+		t.Errorf("%d more calls went to the server that only the old list service lists", len(a.Received)-before)
 	}
 	hup()
 	p.term()
 	if err := p.ends(); err != nil {
-		t.Errorf("it ended with %v", err)
+		t.Errorf("the program ended with %v", err)
 	}
 }
 
@@ -234,17 +234,17 @@
 	p.line("event=discovery_conn_end", "reason=discovery_closed")
 	p.line("event=discovery_conn_end", "reason=bad_status")
 	if status, _, _ := p.ask("lookup", 0); status != 200 {
-		t.Errorf("without discovery a search got %d", status)
+		t.Errorf("without the list service a request got %d", status)
 	}
 	l.SetDown(false)
 	drained := a.Entry()
 	drained.Health = discovery.Draining
 	l.Update(b.Entry())
 	l.Update(drained)
-	for len(b.Received) == 0 { // asked again with growing pauses
+	for len(b.Received) == 0 { // requested again with backoff
 		p.ask("lookup", 0)
 	}
-	// Its connection ends once the gatherer knows that it drains: nothing more goes to it from then on.
+	// Its connection ends once the gatherer knows that it drains; nothing is sent there from then on.
 	p.line("event=server_conn_end", "server=s-a", "reason=draining")
 	for len(a.Received) > 0 {
 		<-a.Received
@@ -255,7 +255,7 @@
 		}
 	}
 	if len(a.Received) > 0 {
-		t.Error("a draining server was sent a part")
+		t.Error("a call was sent to a draining server")
 	}
 	drained.Health = discovery.Removed
 	l.Update(drained)
@@ -273,11 +273,11 @@
 		s.KnownServers, _ = json.Marshal(discovery.ServerList{Version: 7, Complete: true, Servers: []discovery.Server{dead.Entry()}})
 	})
 	if call := await(t, l.Requests, func(string) bool { return true }); !strings.Contains(call, "after=7") || !strings.Contains(call, "watch=1") {
-		t.Errorf("discovery was asked %s", call)
+		t.Errorf("the list service got %s", call)
 	}
 	p.line("event=list_entry_left_out", "block 9")
 	for {
-		if status, body, _ := p.ask("lookup", 0); status == 200 && body == wholeAnswer(0) {
+		if status, body, _ := p.ask("lookup", 0); status == 200 && body == completeAnswer(0) {
 			return
 		}
 	}
@@ -295,14 +295,14 @@
 	var all sync.WaitGroup
 	one := func() {
 		defer all.Done()
-		r, id := newSearch(context.Background(), p.addr, "lookup", 0)
+		r, id := newRequest(context.Background(), p.addr, "lookup", 0)
 		res, err := http.DefaultClient.Do(r)
 		if err != nil {
-			t.Errorf("search %s: %v", id, err)
+			t.Errorf("request %s: %v", id, err)
 			return
 		}
 		defer res.Body.Close()
-		if b, _ := io.ReadAll(res.Body); res.StatusCode != 200 || string(b) != wholeAnswer(0) || !res.Close {
+		if b, _ := io.ReadAll(res.Body); res.StatusCode != 200 || string(b) != completeAnswer(0) || !res.Close {
 			t.Errorf("got %d %s, close %v", res.StatusCode, b, res.Close)
 		}
 	}
@@ -323,7 +323,7 @@
 	if status, _, err := p.get("/-/ready"); err != nil || status != http.StatusServiceUnavailable {
 		t.Errorf("ready answers %d, %v", status, err)
 	}
-	for range 4 { // new connections still come
+	for range 4 { // new connections are still accepted
 		go one()
 	}
 	for range 4 {
@@ -339,24 +339,24 @@
 func TestSecondSignalExitsImmediately(t *testing.T) {
 	a := startShard(t, "s-a", func(*standin.ShardConn, standin.ShardCall) {})
 	p := start(t, startList(t, a), nil)
-	r, _ := newSearch(context.Background(), p.addr, "lookup", 0)
+	r, _ := newRequest(context.Background(), p.addr, "lookup", 0)
 	go http.DefaultClient.Do(r)
 	await(t, a.Received, func(string) bool { return true })
 	p.term()
 	p.line("event=drain_begin")
 	p.term()
 	if err := p.ends(); err == nil {
-		t.Error("a second signal ended it as if all were done")
+		t.Error("a second signal ended it without an error")
 	}
 }
 
-// What other servers might read as a second request is never taken for one, nor is the first.
+// A request whose length other servers might read differently is refused, and nothing after it is served.
 func TestAmbiguousRequestLengthIsRejected(t *testing.T) {
 	a := startShard(t, "s-a", nil)
 	p := start(t, startList(t, a), nil)
 	text := `{"tablets":[{"tablet":0,"fraction":1}],"statement":"c41e77d0"}`
 	search := func(proto, fields, body string) string {
-		_, id := newSearch(context.Background(), p.addr, "lookup", 0)
+		_, id := newRequest(context.Background(), p.addr, "lookup", 0)
 		return "POST /lookup " + proto + "\r\nHost: x\r\nReq-Id: " + id + "\r\nReq-Kind: lookup\r\nReq-Owner: acme\r\nReq-Deadline-Ms: 1500\r\n" +
 			fields + "\r\n" + body
 	}
@@ -384,11 +384,11 @@
 		}
 	}
 	if n := len(a.Received); n != 10 {
-		t.Errorf("%d parts reached the server, want those of the ten good searches", n)
+		t.Errorf("%d calls reached the server, want those of the ten valid requests", n)
 	}
 }
 
-// Answers to the parts of two searches with one id could not be told apart.
+// Answers to the calls of two requests with one id could not be told apart.
 func TestDuplicateRequestIDIsRejected(t *testing.T) {
 	hold := make(chan struct{})
 	a := startShard(t, "s-a", func(c *standin.ShardConn, p standin.ShardCall) {
@@ -398,7 +398,7 @@
 		}()
 	})
 	p := start(t, startList(t, a), nil)
-	r, id := newSearch(context.Background(), p.addr, "lookup", 0)
+	r, id := newRequest(context.Background(), p.addr, "lookup", 0)
 	first := make(chan int, 1)
 	go func() {
 		res, err := http.DefaultClient.Do(r)
@@ -411,7 +411,7 @@
 	}()
 	await(t, a.Received, func(string) bool { return true })
 	again := func() int {
-		r, _ := newSearch(context.Background(), p.addr, "lookup", 0)
+		r, _ := newRequest(context.Background(), p.addr, "lookup", 0)
 		r.Header.Set("Req-Id", id)
 		res, err := http.DefaultClient.Do(r)
 		if err != nil {
@@ -421,45 +421,45 @@
 		return res.StatusCode
 	}
 	if status := again(); status != http.StatusBadRequest {
-		t.Errorf("a second search under an open one's id got %d", status)
+		t.Errorf("a second request with the id of an open one got %d", status)
 	}
 	close(hold)
 	if status := <-first; status != http.StatusOK {
-		t.Errorf("the first got %d", status)
+		t.Errorf("the first request got %d", status)
 	}
 	if status := again(); status != http.StatusOK {
-		t.Errorf("once that is over, it got %d", status)
+		t.Errorf("after the first has ended it got %d", status)
 	}
 }
 
-// Strangers that say nothing hold no usual client up, and are closed within what they are owed.
+// Connections that send nothing delay no client, and are closed in time.
 func TestSilentConnectionsAreEvicted(t *testing.T) {
 	a := startShard(t, "s-a", nil)
 	p := start(t, startList(t, a), func(s *Config) { s.Limits.Sockets = 64 })
 	began := time.Now()
-	var strangers []net.Conn
+	var silent []net.Conn
 	for i := range 100 {
 		c, err := net.Dial("tcp", p.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
-		if strangers = append(strangers, c); i%2 == 0 {
+		if silent = append(silent, c); i%2 == 0 {
 			io.WriteString(c, "POST /lookup HTT")
 		}
 	}
 	for range 10 {
-		if status, body, _ := p.ask("lookup", 0); status != 200 || body != wholeAnswer(0) {
-			t.Errorf("a usual client got %d %s", status, body)
+		if status, body, _ := p.ask("lookup", 0); status != 200 || body != completeAnswer(0) {
+			t.Errorf("a client got %d %s", status, body)
 		}
 	}
 	if took := time.Since(began); took > readTimeout/2 {
-		t.Errorf("it waited %v", took)
+		t.Errorf("a client waited %v", took)
 	}
-	for _, c := range strangers {
+	for _, c := range silent {
 		c.SetReadDeadline(began.Add(3 * time.Second))
 		if _, err := io.ReadAll(c); errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Fatal("a stranger is still there after 3 s")
+			t.Fatal("a silent connection is still open after 3 s")
 		}
 	}
 }
@@ -504,7 +504,7 @@
 		{405, "POST", "/-/ready", "", ""},
 		{413, "POST", "/lookup", "", parts(`{"tablet":0,"fraction":1}`) + strings.Repeat(" ", maxBodyBytes)},
 	} {
-		r, _ := newSearch(context.Background(), p.addr, "lookup", 0)
+		r, _ := newRequest(context.Background(), p.addr, "lookup", 0)
 		again, err := http.NewRequest(c.method, "http://"+p.addr+c.path, strings.NewReader(c.body))
 		if err != nil {
 			t.Fatal(err)
@@ -525,9 +525,9 @@
 		}
 	}
 	if len(a.Received) > 0 {
-		t.Error("bad input reached a server")
+		t.Error("an invalid request reached a server")
 	}
-	// A request that never comes whole ends by the read limit, and one that is no HTTP at once.
+	// An incomplete request ends at the read timeout, and one that is not HTTP at once.
 	half, err := net.Dial("tcp", p.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -543,7 +543,7 @@
 	fmt.Fprintf(noise, "\x00\x01\x02 nothing\r\n\r\n")
 	p.line("event=client_conn_end", "client="+noise.LocalAddr().String(), "reason=bad_request")
 	if status, _, _ := p.ask("lookup", 0); status != 200 {
-		t.Errorf("after all that a search got %d", status)
+		t.Errorf("after all that a request got %d", status)
 	}
 }
 
@@ -566,7 +566,7 @@
 			c.Close()
 		}
 	}()
-	// Requests half sent fill the share; whoever comes then is shed, not kept waiting, and the servers' share stays.
+	// Incomplete requests fill the clients' share; another client is shed at once, and the servers' share is not touched.
 	for range clients - max(clients/8, 1) {
 		c := dial()
 		fmt.Fprintf(c, "POST /lookup HTTP/1.1\r\nHost: x\r\nContent-Length: 100\r\nExpect: 100-continue\r\n\r\n")
@@ -576,7 +576,7 @@
 	}
 	for range 3 {
 		c := dial()
-		r, _ := newSearch(context.Background(), p.addr, "lookup", 0)
+		r, _ := newRequest(context.Background(), p.addr, "lookup", 0)
 		if err := r.Write(c); err != nil {
 			t.Fatal(err)
 		}
@@ -586,15 +586,15 @@
 		}
 		b, _ := io.ReadAll(res.Body)
 		if res.StatusCode != http.StatusServiceUnavailable || !res.Close || !strings.Contains(string(b), "too many connections") {
-			t.Errorf("past the limit a client got %d %s, close %v", res.StatusCode, b, res.Close)
+			t.Errorf("above the limit a client got %d %s, close %v", res.StatusCode, b, res.Close)
 		}
 	}
 	p.line("event=client_conn_end", "reason=over_limit")
 	open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid))
 	if err != nil || len(open) > 64-servers {
-		t.Errorf("%d descriptors, %d are the servers', %v", len(open), servers, err)
+		t.Errorf("%d descriptors in use, %d are for servers, %v", len(open), servers, err)
 	}
-	// Clients that went leave room, and one that is idle gives way to one that comes.
+	// Clients that disconnect make room, and an idle one is evicted for a new one.
 	for _, c := range conns {
 		c.Close()
 	}
@@ -613,15 +613,14 @@
 	p.line("event=client_conn_end", "reason=made_room")
 }
 
-// Clients that ask once and keep their connection fill what clients may hold in all, and nothing is left for those that
-// would ask (incident r776d5d). In such a crowd the first answer on a connection says that it is closed behind it; one that
-// keeps asking keeps its place.
+// Clients that send one request and keep their connection would use up all descriptors (incident r776d5d). When there are
+// many, the first response closes the connection; one with more requests stays.
 func TestIdleConnectionCrowdIsClosed(t *testing.T) {
 	p := start(t, startList(t, startShard(t, "s-a", nil)), func(s *Config) { s.Limits.Sockets = 256 })
 	clients, _ := Limits{Sockets: 256}.splitDescriptors()
 	ask := func(c net.Conn) bool {
 		t.Helper()
-		r, _ := newSearch(context.Background(), p.addr, "lookup", 0)
+		r, _ := newRequest(context.Background(), p.addr, "lookup", 0)
 		if err := r.Write(c); err != nil {
 			t.Fatal(err)
 		}
@@ -642,8 +641,10 @@
 		return c
 	}
 	steady := dial()
-	if ask(steady) || ask(steady) {
-		t.Error("a connection is released where nobody else is there")
+	for range 2 {
+		if ask(steady) {
+			t.Error("a connection is closed though there is no other")
+		}
 	}
 	released, kept := 0, 0
 	for range clients {
@@ -654,10 +655,10 @@
 		}
 	}
 	if kept > clients/crowdDivisor+1 || released == 0 {
-		t.Errorf("%d connections that asked once are kept, %d released, %d may lie idle", kept, released, clients/crowdDivisor)
+		t.Errorf("%d connections with one request are kept, %d closed, %d may be idle", kept, released, clients/crowdDivisor)
 	}
 	if ask(steady) {
-		t.Error("a connection that keeps asking is released")
+		t.Error("a connection with many requests is closed")
 	}
 	p.line("event=client_conn_end", "reason=told_close", "requests=1")
 }
@@ -682,10 +683,10 @@
 		cmd.Env = []string{"HOME=/"}
 		out, _ := cmd.CombinedOutput()
 		if code := cmd.ProcessState.ExitCode(); code != want.code || !strings.Contains(string(out), want.says) {
-			t.Errorf("%q ended with %d and says %s", args, code, out)
+			t.Errorf("%q ended with %d and output %s", args, code, out)
 		}
 	}
-	// A setting that decisions cannot do without, and an address that is taken.
+	// A required setting is missing, or an address is in use.
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -697,9 +698,9 @@
 		t.Fatal(err)
 	}
 	if err := g.Run(context.Background()); err == nil || !strings.Contains(err.Error(), "in use") {
-		t.Errorf("a taken address gives %v", err)
+		t.Errorf("an address in use gives %v", err)
 	}
-	odd := good // a list that does not parse must not keep the program from starting, nor must the form of a number
+	odd := good // neither an invalid list nor the form of a number must prevent the start
 	odd.KnownServers = json.RawMessage(`{"hosts":7}`)
 	if _, err := New(odd); err != nil {
 		t.Error(err)
@@ -710,19 +711,19 @@
 	tokened := good
 	tokened.Settings = json.RawMessage(strings.Replace(testSettings, "free", "guarded", 1))
 	if g, err := New(tokened); err != nil || g.deployment.Balancer.QueryTypes[0].Idempotency != balancer.NonIdempotent {
-		t.Errorf("a tokened type, whose token no frame carries, may be sent again: %v", err)
+		t.Errorf("a deduplicated type, whose token no frame carries, may be retried: %v", err)
 	}
 	for cut, says := range map[string]string{`"slo":1000.0,`: "slo is missing", `"positions":1,`: "positions is missing", `"dialTimeout":250.0,`: "dialTimeout is missing"} {
 		bad := good
 		bad.Settings = json.RawMessage(strings.Replace(testSettings, cut, "", 1))
 		if _, err := New(bad); err == nil || !strings.Contains(err.Error(), says) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("without %s it says %v", cut, err)
+			t.Errorf("without %s: %v", cut, err)
 		}
 	}
 }
 
-// An embedded gatherer, over many searches, beside a server that answers nothing, one that dies and clients that
-// leave: when it has ended, no search, part, timer table or goroutine is left.
+// After many requests at an embedded gatherer, with a server that never answers, one that crashes and clients that
+// disconnect, no request, call or goroutine is left.
 func TestNoResourceLeaks(t *testing.T) {
 	silent := startShard(t, "s-silent", func(*standin.ShardConn, standin.ShardCall) {})
 	dying := startShard(t, "s-dying", func(c *standin.ShardConn, _ standin.ShardCall) { c.Reset() })
@@ -740,7 +741,7 @@
 	ended := make(chan error, 1)
 	go func() { ended <- g.Run(ctx) }()
 	await(t, l.Requests, func(string) bool { return true })
-	ready := func() int { // without a server there is nothing to be ready for
+	ready := func() int { // not ready without a server
 		res, err := http.Get(server.URL + "/-/ready")
 		if err != nil {
 			t.Fatal(err)
@@ -749,14 +750,14 @@
 		return res.StatusCode
 	}
 	if got := ready(); got != http.StatusServiceUnavailable {
-		t.Errorf("without a server ready answers %d", got)
+		t.Errorf("the ready check without a server: %d", got)
 	}
 	for _, s := range []*standin.ShardServer{silent, dying, a} {
 		l.Update(s.Entry())
 	}
 	for end := time.Now().Add(testTimeout); ready() != http.StatusOK; {
 		if time.Now().After(end) {
-			t.Fatal("never ready")
+			t.Fatal("timeout: not ready")
 		}
 	}
 	var all sync.WaitGroup
@@ -768,7 +769,7 @@
 			defer client.CloseIdleConnections()
 			for i := range 40 {
 				ctx, leave := context.WithTimeout(context.Background(), time.Duration(20+i)*time.Millisecond)
-				r, _ := newSearch(ctx, server.Listener.Addr().String(), []string{"lookup", "post"}[worker%2], i%8, (i+1)%8)
+				r, _ := newRequest(ctx, server.Listener.Addr().String(), []string{"lookup", "post"}[worker%2], i%8, (i+1)%8)
 				if res, err := client.Do(r); err == nil {
 					io.Copy(io.Discard, res.Body)
 					res.Body.Close()
@@ -784,29 +785,29 @@
 	}
 	m := g.dispatcher
 	if len(m.requests) > 0 || m.pending != 0 || m.descriptors.available.Load() != int64(serversOf(Limits{})) {
-		t.Errorf("%d searches, %d held, %d descriptors free of %d", len(m.requests), m.pending, m.descriptors.available.Load(), serversOf(Limits{}))
+		t.Errorf("%d requests, %d pending, %d descriptors available of %d", len(m.requests), m.pending, m.descriptors.available.Load(), serversOf(Limits{}))
 	}
 	for end := time.Now().Add(testTimeout); runtime.NumGoroutine() > before+4 || g.memory.Snapshot().Total != 0; { // the stand-ins have some
 		if time.Now().After(end) {
-			t.Fatalf("%d goroutines, %d before; held is %+v", runtime.NumGoroutine(), before, g.memory.Snapshot())
+			t.Fatalf("%d goroutines, %d before; memory %+v", runtime.NumGoroutine(), before, g.memory.Snapshot())
 		}
 		runtime.Gosched()
 	}
 }
 
-// ledgerOf is a ledger that lets bodies hold so much; 0 = any.
-func ledgerOf(bodies memorybudget.Bytes) *memorybudget.Budget {
+// budgetFor returns a memory budget with a limit for bodies; 0 = none.
+func budgetFor(bodies memorybudget.Bytes) *memorybudget.Budget {
 	var f memorybudget.Options
 	f.Limits[memorybudget.Bodies].Max = bodies
 	return memorybudget.New(f, nil)
 }
 
-// What clients hold for requests and a connection to each server of a fleet both fit into the descriptors.
+// The descriptors suffice for the requests of clients and a connection to each server of a cluster.
 func TestServerDescriptorShare(t *testing.T) {
 	for _, c := range []struct{ sockets, hosts int }{{512, 200}, {640, 200}, {256, 100}, {1024, 400}} {
 		clients, servers := Limits{Sockets: float64(c.sockets)}.splitDescriptors()
 		if servers < c.hosts || clients < c.sockets/3 || clients+servers > c.sockets-reservedDescriptors {
-			t.Errorf("of %d descriptors clients get %d, servers %d; a third and %d are wanted", c.sockets, clients, servers, c.hosts)
+			t.Errorf("of %d descriptors clients get %d, servers %d; want a third and %d", c.sockets, clients, servers, c.hosts)
 		}
 	}
 }
@@ -816,20 +817,20 @@
 	return servers
 }
 
-// A search that is shed says when to come back, also one that took longer than its request may take to come.
+// A shed request has a Retry-After, also if it took longer than the read timeout.
 func TestShedSetsRetryAfter(t *testing.T) {
 	d, err := balancerconfig.FromJSON([]byte(testSettings), 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	box := mailbox{make(chan any, 1), make(chan struct{})}
-	srv := httptest.NewServer(newFrontend(newTransport(d, box, ledgerOf(0)), time.Second, ledgerOf(0)))
+	box := mailbox{make(chan message, 1), make(chan struct{})}
+	srv := httptest.NewServer(newFrontend(newTransport(d, box, budgetFor(0)), time.Second, budgetFor(0)))
 	defer srv.Close()
 	go func() {
 		s := (<-box.messages).(requestArrived).request
 		time.AfterFunc(readTimeout+readTimeout/8, func() { s.result <- result{kind: resultShed, retryAfter: 2500} })
 	}()
-	r, _ := newSearch(context.Background(), srv.Listener.Addr().String(), "lookup", 0)
+	r, _ := newRequest(context.Background(), srv.Listener.Addr().String(), "lookup", 0)
 	res, err := http.DefaultClient.Do(r)
 	if err != nil {
 		t.Fatal(err)
@@ -846,7 +847,7 @@
 		s.Settings = json.RawMessage(strings.Replace(testSettings, `"limits":{`, `"limits":{"mostHeld":5,`, 1))
 	})
 	ctx, leave := context.WithCancel(context.Background())
-	r, _ := newSearch(ctx, p.addr, "lookup", 0, 1)
+	r, _ := newRequest(ctx, p.addr, "lookup", 0, 1)
 	left := make(chan struct{})
 	go func() {
 		http.DefaultClient.Do(r)
@@ -854,12 +855,12 @@
 	}()
 	await(t, a.Received, func(string) bool { return true })
 	if status, _, id := p.ask("lookup", 2, 3); status != http.StatusServiceUnavailable || len(a.Received) > 1 {
-		t.Errorf("search %s beyond what may be held got %d", id, status)
+		t.Errorf("request %s above the limit got %d", id, status)
 	}
 	leave()
 	<-left
 	p.line("event=client_conn_end", "reason=client_left")
-	p.ask("lookup", 4) // there is room again
+	p.ask("lookup", 4) // below the limit again
 	await(t, a.Received, func(part string) bool { return strings.HasSuffix(part, ".4") && !strings.HasPrefix(part, "c") })
 }
 
@@ -869,23 +870,23 @@
 func (l pipeListener) Close() error              { return nil }
 func (l pipeListener) Addr() net.Addr            { return nil }
 
-// A client that does not read its answer must not hold its connection for good.
+// A client that does not read its answer must not keep its connection forever.
 func TestWriteTimeout(t *testing.T) {
-	ours, theirs := net.Pipe() // it holds nothing: a write waits for its reader
+	ours, theirs := net.Pipe() // unbuffered: a write waits for its reader
 	l := make(pipeListener, 1)
 	l <- theirs
-	f := newFrontend(newTransport(balancerconfig.Deployment{}, mailbox{}, ledgerOf(0)), 50*time.Millisecond, ledgerOf(0))
+	f := newFrontend(newTransport(balancerconfig.Deployment{}, mailbox{}, budgetFor(0)), 50*time.Millisecond, budgetFor(0))
 	go f.serve(context.Background(), l, 8, time.Second)
 	if _, err := io.WriteString(ours, "GET /-/healthy HTTP/1.1\r\nHost: x\r\n\r\n"); err != nil {
 		t.Fatal(err)
 	}
 	ours.SetWriteDeadline(time.Now().Add(testTimeout))
 	if _, err := io.WriteString(ours, strings.Repeat("x", 1<<16)); err != io.ErrClosedPipe {
-		t.Errorf("the connection gives %v", err)
+		t.Errorf("reading the connection gives %v", err)
 	}
 }
 
-// On a long day servers come and go under new ids without end.
+// Servers come and go under new names without end.
 func TestReplacedServersAreForgotten(t *testing.T) {
 	g, err := New(Config{Listen: "127.0.0.1:0", Discovery: "127.0.0.1:1", Settings: json.RawMessage(testSettings)})
 	if err != nil {
@@ -901,25 +902,25 @@
 		m.applyServerList(balancer.ListDelta, l)
 	}
 	if m.listedServers != 4 || len(m.servers) > 2*m.listedServers || len(m.serverIDs) != len(m.servers) {
-		t.Errorf("%d servers are listed, %d held, under %d hosts", m.listedServers, len(m.servers), len(m.serverIDs))
+		t.Errorf("%d servers listed, %d known, %d hosts", m.listedServers, len(m.servers), len(m.serverIDs))
 	}
 	for end := time.Now().Add(testTimeout); runtime.NumGoroutine() > before+m.listedServers; runtime.Gosched() {
 		if time.Now().After(end) {
-			t.Fatalf("%d goroutines, %d before four servers were listed", runtime.NumGoroutine(), before)
+			t.Fatalf("%d goroutines, %d before", runtime.NumGoroutine(), before)
 		}
 	}
 }
 
-// Bodies fit the memory in sum; what does not is shed at once, with advice.
+// Bodies above their memory limit are shed at once, with a Retry-After.
 func TestBodyMemoryLimit(t *testing.T) {
 	d, err := balancerconfig.FromJSON([]byte(testSettings), 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	srv := httptest.NewServer(newFrontend(newTransport(d, mailbox{}, ledgerOf(10)), time.Second, ledgerOf(10)))
+	srv := httptest.NewServer(newFrontend(newTransport(d, mailbox{}, budgetFor(10)), time.Second, budgetFor(10)))
 	defer srv.Close()
 	for range 3 {
-		r, _ := newSearch(context.Background(), srv.Listener.Addr().String(), "lookup", 0)
+		r, _ := newRequest(context.Background(), srv.Listener.Addr().String(), "lookup", 0)
 		res, err := http.DefaultClient.Do(r)
 		if err != nil {
 			t.Fatal(err)
--- a/gatherer/ratelimit.go
+++ b/gatherer/ratelimit.go
@@ -6,7 +6,7 @@
 	"oxbowspan/connadmission"
 )
 
-// ioPhase is what a client is held to a least rate in.
+// ioPhase is what a connection is doing. Each phase has a minimum rate at which the client must send or read.
 type ioPhase uint8
 
 const (
@@ -17,23 +17,26 @@
 	phaseCount
 )
 
-// slowReasons is why a client that is too slow in a phase is closed.
-var slowReasons = [phaseCount]string{readingHead: endSlowHead, readingBody: endSlowBody, writingAnswer: endSlowAnswer}
+// slowReasons are the reasons of closing a client below the minimum rate, by phase.
+var slowReasons = [phaseCount]endReason{
+	readingHead: endSlowHead, readingBody: endSlowBody, writingAnswer: endSlowAnswer,
+}
 
-// enforcesMinRate tells whether clients are held to any least rate.
+// enforcesMinRate reports whether any phase has a minimum rate.
 func (l *listener) enforcesMinRate() bool {
-	return l.minRates[readingHead].Enabled() || l.minRates[readingBody].Enabled() || l.minRates[writingAnswer].Enabled()
+	return l.minRates[readingHead].Enabled() || l.minRates[readingBody].Enabled() ||
+		l.minRates[writingAnswer].Enabled()
 }
 
-// enterPhase begins a phase of a connection, or ends the present one with noPhase. One entry of the wheel stands for it, at the
-// moment when the client is too slow if it does nothing: bytes that move later are looked at then, and not before.
-func (l *listener) enterPhase(c *clientConn, p ioPhase) {
+// enterPhase begins a phase of a connection; noPhase ends the present one. The connection has one entry in the wheel, at
+// the moment when the client is too slow if it transfers nothing. Transferred bytes are considered only then.
+func (l *listener) enterPhase(c *clientConn, phase ioPhase) {
 	if !l.enforcesMinRate() {
 		return
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if int(c.id) >= len(l.conns) || l.conns[c.id].conn != c || p != noPhase && !l.minRates[p].Enabled() {
+	if !l.tracks(c) || phase != noPhase && !l.minRates[phase].Enabled() {
 		return
 	}
 	now := l.now()
@@ -41,51 +44,51 @@
 	if c.phase == writingAnswer {
 		c.graceLeft = max(c.slowAt-now, 1)
 	}
-	c.phase = p
+	c.phase = phase
 	switch {
-	case p == writingAnswer && c.graceLeft > 0:
+	case phase == writingAnswer && c.graceLeft > 0:
 		c.slowAt = now + c.graceLeft
-	case p != noPhase:
-		c.slowAt = l.minRates[p].FirstDeadline(now)
+	case phase != noPhase:
+		c.slowAt = l.minRates[phase].FirstDeadline(now)
 	}
-	due := c.slowAt
+	slowAt := c.slowAt
 	c.mu.Unlock()
 	l.cancelTimeout(c.id)
-	if p != noPhase {
-		l.scheduleCheck(c.id, due-now)
+	if phase != noPhase {
+		l.scheduleCheck(c.id, slowAt-now)
 	}
 }
 
-// scheduleCheck sets a connection's entry in the wheel.
+// scheduleCheck sets the entry of a connection in the wheel.
 func (l *listener) scheduleCheck(id connadmission.ID, after connadmission.Millis) {
 	l.conns[id].timeout = l.wheel.Add(l.tick(time.Duration(after)*time.Millisecond), uint32(id))
 	l.resetTimer()
 }
 
-// recordProgress notes bytes that came or went in the present phase. Its lock is held.
-func (c *clientConn) recordProgress(n int) {
+// recordProgress records bytes that were transferred in the present phase. The connection's lock is held.
+func (c *clientConn) recordProgress(bytes int) {
 	if c.phase != noPhase {
-		c.slowAt = c.listener.minRates[c.phase].NextDeadline(c.slowAt, c.listener.now(), n)
+		c.slowAt = c.listener.minRates[c.phase].NextDeadline(c.slowAt, c.listener.now(), bytes)
 	}
 }
 
-// isTooSlow looks at a connection whose entry came up: whether it is too slow and to be closed. If not it is looked at again when
-// it may be. One that is slow with its head is the first to make room from now on. The listener's lock is held.
+// isTooSlow reports whether a connection is below its minimum rate and must be closed. If not it is checked again when it
+// may be. One with an incomplete head is the first to be evicted from now on. The listener's lock is held.
 func (l *listener) isTooSlow(c *clientConn) bool {
 	now := l.now()
 	c.mu.Lock()
-	p, due := c.phase, c.slowAt
-	slow := p != noPhase && l.minRates[p].Exceeded(due, now)
+	phase, slowAt := c.phase, c.slowAt
+	slow := phase != noPhase && l.minRates[phase].Exceeded(slowAt, now)
 	if slow && c.endReason == "" {
-		c.endReason = slowReasons[p]
+		c.endReason = slowReasons[phase]
 	}
 	c.mu.Unlock()
-	if p == noPhase || slow {
+	if phase == noPhase || slow {
 		return slow
 	}
-	if p == readingHead {
+	if phase == readingHead {
 		l.admission.MarkSlowHeader(c.id, now)
 	}
-	l.scheduleCheck(c.id, due-now)
+	l.scheduleCheck(c.id, slowAt-now)
 	return false
 }
--- /dev/null
+++ b/gatherer/requests.go
@@ -0,0 +1,158 @@
+package gatherer
+
+import (
+	"strconv"
+
+	"oxbowspan/balancer"
+	"oxbowspan/memorybudget"
+	"oxbowspan/merge"
+)
+
+// maxRequestNumber is the highest number of a request; the balancer's own timers use numbers above it.
+const maxRequestNumber = 1<<32 - 3
+
+// valueOverhead is the size of the encoding around a value in an answer, in bytes.
+const valueOverhead = 64
+
+// requestArrived admits a request or sends its result. A request whose intent must be durable first comes here again
+// once it is.
+func (d *dispatcher) requestArrived(req *clientRequest) {
+	if d.degradation != nil && !req.intentDurable && !d.degradation.admit(req) {
+		return
+	}
+	if !d.checkIntent(req) {
+		return
+	}
+	calls := len(req.callSpecs)
+	if d.deployment.MaxPending > 0 && d.pending+1+calls > d.deployment.MaxPending {
+		d.shedBeforeDispatch(req)
+		return
+	}
+	if d.callsByWireID[req.wireID] > 0 { // the answers to their calls could not be told apart
+		d.rejectBeforeDispatch(req, result{kind: resultDuplicateID})
+		return
+	}
+	if !d.reserveMemory(req) {
+		d.shedBeforeDispatch(req)
+		return
+	}
+	if req.query != nil {
+		var err error
+		if req.merge, err = merge.New(req.query, d.merges); err != nil {
+			req.finished = true
+			d.memory.Release(memorybudget.Requests, req.reserved)
+			req.result <- result{kind: resultShed, retryAfter: d.deployment.Balancer.MaxRetryAfter}
+			return
+		}
+	}
+	d.callsByWireID[req.wireID] = calls
+	d.pending += 1 + calls
+	d.handle(d.openRequest(req))
+}
+
+// reserveMemory reserves the memory of a request, while rejecting it is still safe: the values of its calls cannot be
+// refused later. The frame of each call holds the text again.
+func (d *dispatcher) reserveMemory(req *clientRequest) bool {
+	calls := memorybudget.Bytes(len(req.callSpecs))
+	req.inUse = requestMemory + calls*(callMemory+memorybudget.Bytes(len(req.text)))
+	req.reserved = req.inUse + calls*d.valueSizes.Estimate(int(req.queryType))
+	return d.memory.Reserve(memorybudget.Requests, req.reserved)
+}
+
+// rejectBeforeDispatch sends the result of a request of which nothing was sent.
+func (d *dispatcher) rejectBeforeDispatch(req *clientRequest, r result) {
+	req.finished = true
+	d.intentUnused(req)
+	req.result <- r
+}
+
+func (d *dispatcher) shedBeforeDispatch(req *clientRequest) {
+	d.rejectBeforeDispatch(req, result{kind: resultShed, retryAfter: d.deployment.Balancer.MaxRetryAfter})
+}
+
+// openRequest gives a request and its calls their ids. It returns the event of its arrival.
+func (d *dispatcher) openRequest(req *clientRequest) balancer.RequestArrived {
+	d.lastID++
+	req.id = balancer.RequestID(d.lastID)
+	if d.lastNumber++; d.lastNumber > maxRequestNumber {
+		d.lastNumber = 1
+	}
+	d.requests[req.id] = req
+	event := balancer.RequestArrived{Request: req.id, Number: d.lastNumber, Type: req.queryType,
+		Customer: req.customer, Timeout: req.timeout, Retry: req.retry, MayHaveRun: req.mayHaveRun}
+	for _, spec := range req.callSpecs {
+		d.lastID++
+		call := &shardCall{request: req, id: balancer.ShardCallID(d.lastID), shard: spec.shard,
+			wireID: req.wireID + "." + strconv.Itoa(int(spec.shard))}
+		req.calls = append(req.calls, call)
+		d.calls[call.id] = call
+		event.Calls = append(event.Calls,
+			balancer.ShardCall{ID: call.id, Shard: spec.shard, Weight: spec.weight, Size: spec.size})
+	}
+	return event
+}
+
+// clientGone cancels the request of a client that has disconnected.
+func (d *dispatcher) clientGone(req *clientRequest) {
+	if req.clientGone = true; d.requests[req.id] == req {
+		d.closeRequest(req)
+		d.recordAbandoned(req)
+		d.handle(balancer.RequestCancelled{Request: req.id})
+	}
+	if req.merge != nil {
+		req.merge.Close() // whether or not it is closed with the result
+	}
+	select {
+	case r := <-req.result: // nobody receives it
+		d.memory.Release(memorybudget.Answers, r.reserved)
+	default:
+	}
+}
+
+// answer finishes a request with the values received.
+func (d *dispatcher) answer(a balancer.Answer) {
+	r := result{kind: resultAnswer, complete: a.Complete}
+	if req := d.requests[a.Request]; req != nil && req.merge != nil {
+		r.kind, r.merge = resultMerged, req.merge
+	} else if req != nil {
+		for _, call := range req.calls {
+			if call.answered {
+				r.values = append(r.values, shardValue{call.shard, call.value})
+				// As received, and in the encoded answer.
+				r.reserved += 2*memorybudget.Bytes(len(call.value)) + valueOverhead
+			}
+		}
+		d.memory.ForceReserve(memorybudget.Answers, r.reserved)
+	}
+	d.finish(a.Request, r)
+}
+
+// finish sends the result of an open request.
+func (d *dispatcher) finish(id balancer.RequestID, r result) {
+	req := d.requests[id]
+	if req == nil {
+		return
+	}
+	d.closeRequest(req)
+	d.recordOutcome(req, &r)
+	d.counters.add(r.kind)
+	if d.degradation != nil {
+		d.degradation.requestEnded(req, r.kind)
+	}
+	if req.merge != nil && r.merge == nil {
+		req.merge.Close()
+	}
+	req.result <- r
+}
+
+// closeRequest forgets an open request.
+func (d *dispatcher) closeRequest(req *clientRequest) {
+	req.finished = true
+	d.memory.Release(memorybudget.Requests, req.reserved)
+	req.reserved = 0
+	d.pending -= 1 + len(req.calls)
+	delete(d.requests, req.id)
+	for _, call := range req.calls {
+		d.forgetCall(call)
+	}
+}
--- a/gatherer/resumed.go
+++ b/gatherer/resumed.go
@@ -5,21 +5,21 @@
 	"sync"
 )
 
-// resumedListener is where net/http takes connections that were parked. It never waits for net/http: what does not fit the
-// channel waits in a list.
+// resumedListener is a net.Listener of connections that were parked. Resuming one never blocks on net/http: connections
+// that the channel has no room for wait in a queue.
 type resumedListener struct {
-	net.Listener // for its address
+	net.Listener // provides the address
 	conns        chan net.Conn
 	done         chan struct{}
 	once         sync.Once
 
 	mu      sync.Mutex
-	queue   []net.Conn // emptied by feed
-	feeding bool       // feed runs
-	served  sync.WaitGroup
+	queue   []net.Conn     // sent by feed
+	feeding bool           // feed is running
+	served  sync.WaitGroup // connections that are not accepted
 }
 
-// enqueue hands a connection over without waiting.
+// enqueue hands a connection over without blocking.
 func (w *resumedListener) enqueue(c net.Conn) {
 	w.served.Add(1)
 	select {
@@ -35,6 +35,7 @@
 	}
 }
 
+// feed sends queued connections until the queue is empty.
 func (w *resumedListener) feed() {
 	for {
 		w.mu.Lock()
@@ -55,9 +56,10 @@
 	}
 }
 
-// wait waits until all that was handed over has been taken.
+// wait blocks until all connections are accepted or closed.
 func (w *resumedListener) wait() { w.served.Wait() }
 
+// Accept implements net.Listener.
 func (w *resumedListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-w.conns:
@@ -68,6 +70,7 @@
 	}
 }
 
+// Close implements net.Listener.
 func (w *resumedListener) Close() error {
 	w.once.Do(func() { close(w.done) })
 	return nil
--- a/gatherer/slowclient_test.go
+++ b/gatherer/slowclient_test.go
@@ -24,7 +24,7 @@
 	"oxbowspan/memorybudget"
 )
 
-// logLines is what the program logs, one line at a time.
+// logLines receives the lines that are logged.
 type logLines chan string
 
 func (l logLines) Write(b []byte) (int, error) {
@@ -35,7 +35,7 @@
 	return len(b), nil
 }
 
-// logged takes what the program logs from now on, until the test ends.
+// logged redirects the log until the test ends.
 func logged(t *testing.T) logLines {
 	lines, was := make(logLines, 10_000), slog.Default()
 	slog.SetDefault(slog.New(slog.NewTextHandler(lines, nil)))
@@ -43,17 +43,18 @@
 	return lines
 }
 
-func slowClientHarness(t *testing.T, doors operatorconfig.Connections) *listenerHarness {
+// slowClientHarness starts a listener with minimum rates.
+func slowClientHarness(t *testing.T, connections operatorconfig.Connections) *listenerHarness {
 	t.Helper()
 	nl, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	doors.Grace = 300 * time.Millisecond
-	return startHarnessOn(t, nl, listenerConfig{descriptors: 200, connections: doors}, 0)
+	connections.Grace = 300 * time.Millisecond
+	return startHarnessOn(t, nl, listenerConfig{descriptors: 200, connections: connections}, 0)
 }
 
-// trickle sends a text byte by byte, until it is all sent or the connection ends; it tells how long that took.
+// trickle sends a text byte by byte until it is sent or the connection ends. It returns how long that took.
 func trickle(t *testing.T, c *harnessClient, text string, pause time.Duration) time.Duration {
 	began := time.Now()
 	ended := make(chan struct{})
@@ -78,8 +79,8 @@
 	return time.Since(began)
 }
 
-// A head that trickles in ends with a reason of its own, well before the read limit, on a new connection and on one that it
-// woke; others are served meanwhile.
+// A head below the minimum rate closes its connection well before the read timeout, with a reason of its own, on new and on
+// parked connections; others are served meanwhile.
 func TestSlowHeadIsClosed(t *testing.T) {
 	lines := logged(t)
 	r := slowClientHarness(t, operatorconfig.Connections{HeadRate: 200})
@@ -95,7 +96,7 @@
 		go func() {
 			defer both.Done()
 			if took := trickle(t, c, long, 20*time.Millisecond); took > readTimeout-200*time.Millisecond {
-				t.Errorf("it was let trickle for %s", took)
+				t.Errorf("it was open for %s", took)
 			}
 		}()
 		usual.send(post("/usual", "x"))
@@ -103,13 +104,13 @@
 	}
 	both.Wait()
 	for _, c := range []*harnessClient{fresh, kept} {
-		lines.awaitAny(t, c.LocalAddr().String(), "reason="+endSlowHead)
+		lines.awaitAny(t, c.LocalAddr().String(), "reason="+string(endSlowHead))
 	}
 	usual.send(post("/usual", "y"))
 	usual.expect("/usual y")
 }
 
-// In the built program: a body that trickles is closed with a reason of its own, and who keeps to the rate is answered.
+// In the built program a body below the minimum rate is closed with a reason of its own, and one above it is answered.
 func TestSlowBodyIsClosed(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "operator.ini")
 	if err := os.WriteFile(file, []byte("[connections]\nbody_rate = 500\ngrace = 300ms\n"), 0o600); err != nil {
@@ -138,13 +139,13 @@
 	}
 	steady := client(time.Millisecond)
 	if status, _, err := steady.answer(); status != http.StatusOK {
-		t.Errorf("a body that keeps to the rate: %d, %v", status, err)
+		t.Errorf("a body above the minimum rate: %d, %v", status, err)
 	}
 	slow := client(10 * time.Millisecond)
-	p.line("event=client_conn_end", "client="+slow.LocalAddr().String(), "reason="+endSlowBody)
+	p.line("event=client_conn_end", "client="+slow.LocalAddr().String(), "reason="+string(endSlowBody))
 }
 
-// awaitAny waits for a line about one client, whatever comes between.
+// awaitAny waits for a line about one client among lines about others.
 func (l logLines) awaitAny(t *testing.T, client, words string) string {
 	t.Helper()
 	var seen []string
@@ -154,25 +155,25 @@
 		case line := <-l:
 			if strings.Contains(line, client) && strings.Contains(line, words) {
 				for _, s := range seen {
-					l <- s // others are awaited later
+					l <- s // for later calls
 				}
 				return line
 			}
 			seen = append(seen, line)
 		case <-end:
-			t.Fatalf("%s: never logged %s in %v", client, words, seen)
+			t.Fatalf("timeout: no line of %s with %s in %v", client, words, seen)
 		}
 	}
 }
 
-// Who keeps to the rate is served, however small its pieces: the rate is of bytes, not of packets.
+// The minimum rate is of bytes, not of packets.
 func TestClientAboveMinRateIsServed(t *testing.T) {
 	r := slowClientHarness(t, operatorconfig.Connections{HeadRate: 200, AnswerRate: 200})
 	c := r.dial()
 	text := post("/steady", strings.Repeat("b", 200))
 	tick := time.NewTicker(20 * time.Millisecond)
 	defer tick.Stop()
-	for rest := text; rest != ""; { // 400 a second
+	for rest := text; rest != ""; { // 400 bytes a second
 		n := min(8, len(rest))
 		c.send(rest[:n])
 		rest = rest[n:]
@@ -183,7 +184,7 @@
 	c.expect("/at-once x")
 }
 
-// A client that does not read its answer is closed by the least rate, not by the write limit, which is much later.
+// A client that does not read its answer is closed by the minimum rate, long before the write timeout.
 func TestSlowReaderIsClosed(t *testing.T) {
 	lines := logged(t)
 	nl, err := net.Listen("tcp", "127.0.0.1:0")
@@ -215,7 +216,7 @@
 	tick := time.NewTicker(10 * time.Millisecond)
 	defer tick.Stop()
 	got := 0
-	for { // 1.6 MB a second at most
+	for { // at most 1.6 MB/s
 		n, err := steady.Read(b)
 		got += n
 		if err != nil || got >= len(answer) {
@@ -226,14 +227,13 @@
 	if got < len(answer) {
 		t.Errorf("a client that reads got %d bytes", got)
 	}
-	lines.awaitAny(t, stuck.LocalAddr().String(), "reason="+endSlowAnswer)
+	lines.awaitAny(t, stuck.LocalAddr().String(), "reason="+string(endSlowAnswer))
 	if took := time.Since(began); took > testTimeout/2 {
-		t.Errorf("the slow one was closed after %s", took)
+		t.Errorf("the slow client was closed after %s", took)
 	}
 }
 
-// Thousands that connect and never speak hold no goroutine, and are closed at the read limit, while usual clients are
-// served on theirs. Scaled down.
+// Connections that never send anything use no goroutine and are closed at the read timeout, while others are served.
 func TestSilentConnectionsUseNoGoroutine(t *testing.T) {
 	lines := logged(t)
 	nl, err := net.Listen("tcp", "127.0.0.1:0")
@@ -260,32 +260,35 @@
 			usual.expect(fmt.Sprintf("/still %d", i))
 		}
 	}
-	r.until("strangers parked", func() bool { return r.parked() >= n-minIdleConns || time.Since(began) > readTimeout })
-	r.l.mu.Lock()
-	awake := r.l.admission.Len() - r.l.admission.ParkedCount()
-	r.l.mu.Unlock()
+	r.until("silent connections parked", func() bool { return r.parked() >= n-minIdleConns || time.Since(began) > readTimeout })
+	r.listener.mu.Lock()
+	awake := r.listener.admission.Len() - r.listener.admission.ParkedCount()
+	r.listener.mu.Unlock()
 	if awake > minIdleConns/8+4 {
-		t.Errorf("%d connections hold a goroutine, %d strangers are there", awake, n)
+		t.Errorf("%d connections have a goroutine, %d are silent", awake, n)
 	}
-	// One of them speaks after all, and is served.
+	// One of them sends a request after all, and is served.
 	if _, err := unix.Write(fds[n-1], []byte(post("/late", "x"))); err != nil {
 		t.Fatal(err)
 	}
 	answer := make([]byte, 1024)
 	if k, err := unix.Read(fds[n-1], answer); err != nil || !strings.HasSuffix(string(answer[:max(k, 0)]), "/late x") {
-		t.Errorf("a stranger that speaks got %q, %v", answer[:max(k, 0)], err)
+		t.Errorf("a request on a silent connection got %q, %v", answer[:max(k, 0)], err)
 	}
-	lines.awaitAny(t, "requests=0", "reason="+endReadLimit)
-	r.until("strangers gone", func() bool { r.l.mu.Lock(); defer r.l.mu.Unlock(); return r.l.admission.Len() <= 2 })
+	lines.awaitAny(t, "requests=0", "reason="+string(endReadLimit))
+	r.until("silent connections closed", func() bool {
+		r.listener.mu.Lock()
+		defer r.listener.mu.Unlock()
+		return r.listener.admission.Len() <= 2
+	})
 	if took := time.Since(began); took < readTimeout-wheelTick || took > readTimeout+3*time.Second {
-		t.Errorf("they were closed after %s, not at the read limit", took)
+		t.Errorf("closed after %s, not at the read timeout", took)
 	}
 	usual.send(post("/end", ""))
 	usual.expect("/end ")
 }
 
-// vanish makes a peer deaf and dumb without a word: every packet to it is dropped before its socket sees it, so that nothing
-// is acknowledged any more.
+// vanish makes a peer unreachable: every packet to it is dropped before its socket, so that nothing is acknowledged.
 func vanish(t *testing.T, c net.Conn) {
 	t.Helper()
 	raw, err := c.(*net.TCPConn).SyscallConn()
@@ -302,7 +305,7 @@
 	}
 }
 
-// A peer that vanishes in silence while it is parked is found by keep-alive, long before an idle limit of hours.
+// A client that vanishes while it is parked is detected by keep-alive, long before an idle timeout of hours.
 func TestKeepAliveDetectsVanishedClient(t *testing.T) {
 	lines := logged(t)
 	nl, err := net.Listen("tcp", "127.0.0.1:0")
@@ -317,43 +320,43 @@
 	}
 	r.awaitParked(2)
 	vanish(t, gone.Conn)
-	lines.awaitAny(t, gone.LocalAddr().String(), "reason="+endReset)
+	lines.awaitAny(t, gone.LocalAddr().String(), "reason="+string(endReset))
 	there.send(post("/still", "x"))
 	there.expect("/still x")
 }
 
-// memoryHarness has a ledger of its own.
-func memoryHarness(t *testing.T, f memorybudget.Options, park bool) (*listenerHarness, *memorybudget.Budget) {
+// memoryHarness starts a listener with a memory budget of its own.
+func memoryHarness(t *testing.T, options memorybudget.Options, park bool) (*listenerHarness, *memorybudget.Budget) {
 	t.Helper()
 	nl, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	held := memorybudget.New(f, nil)
-	by := listenerConfig{descriptors: 400, memory: held}
+	budget := memorybudget.New(options, nil)
+	config := listenerConfig{descriptors: 400, memory: budget}
 	if park {
-		return startHarnessOn(t, nl, by, 0), held
+		return startHarnessOn(t, nl, config, 0), budget
 	}
-	return startUnparkedHarness(t, nl, by), held
+	return startUnparkedHarness(t, nl, config), budget
 }
 
-// All wake where memory allows a few: those beyond are answered 503 at once, and the sum is never passed.
+// If all connections have a request and memory suffices for few, the others are shed at once, and the limit is kept.
 func TestWakeupsStayWithinMemoryLimit(t *testing.T) {
 	const n, room = 60, 10
 	f := memorybudget.Options{MaxTotal: room*activeConnMemory + n*idleConnMemory}
-	r, held := memoryHarness(t, f, true)
+	r, budget := memoryHarness(t, f, true)
 	var all []*harnessClient
 	for range n {
 		c := r.dial()
 		c.send(post("/", ""))
 		c.expect("/ ")
 		if all = append(all, c); len(all)%(room/2) == 0 {
-			r.awaitParked(len(all)) // those on their way to rest hold room, too
+			r.awaitParked(len(all)) // those being parked use memory as well
 		}
 	}
 	r.awaitParked(n)
-	if s := held.Snapshot(); s.Used[memorybudget.ActiveConns] != 0 || s.Used[memorybudget.ParkedConns] != n*idleConnMemory {
-		t.Errorf("with all parked: %+v", s)
+	if s := budget.Snapshot(); s.Used[memorybudget.ActiveConns] != 0 || s.Used[memorybudget.ParkedConns] != n*idleConnMemory {
+		t.Errorf("memory with all parked: %+v", s)
 	}
 	var mu sync.Mutex
 	got := map[int]int{}
@@ -365,34 +368,34 @@
 			io.WriteString(c, post("/wait", "x"))
 			status, _, err := c.answer()
 			if err != nil {
-				t.Errorf("a request got no answer: %v", err)
+				t.Errorf("a request got no response: %v", err)
 			}
 			mu.Lock()
 			got[status]++
 			mu.Unlock()
 		}()
 	}
-	r.until("turned away", func() bool { mu.Lock(); defer mu.Unlock(); return got[503] >= n-room-1 })
-	if s := held.Snapshot(); s.Peak > f.MaxTotal || s.MaxOvercommit > 0 || s.Rejections[memorybudget.ActiveConns] == 0 {
-		t.Errorf("while all wake: %+v", s)
+	r.until("requests are shed", func() bool { mu.Lock(); defer mu.Unlock(); return got[503] >= n-room-1 })
+	if s := budget.Snapshot(); s.Peak > f.MaxTotal || s.MaxOvercommit > 0 || s.Rejections[memorybudget.ActiveConns] == 0 {
+		t.Errorf("memory during the requests: %+v", s)
 	}
 	close(r.gate)
 	both.Wait()
 	if got[200]+got[503] != n || got[200] < room-1 {
-		t.Errorf("answers by status: %v", got)
+		t.Errorf("responses by status: %v", got)
 	}
 	for _, c := range all {
 		c.Close()
 	}
-	r.until("nothing held", func() bool { return held.Snapshot().Total == 0 })
+	r.until("memory released", func() bool { return budget.Snapshot().Total == 0 })
 }
 
-// Without parking, connections beyond the memory are shed, and idle ones are told to close once it is tight.
+// Without parking, connections above the memory limit are shed, and idle ones are closed under pressure.
 func TestKeepAliveConnectionsStayWithinMemoryLimit(t *testing.T) {
 	const room = 10
-	r, held := memoryHarness(t, memorybudget.Options{MaxTotal: room * activeConnMemory}, false)
-	var told, over int
-	for i := range room + 3 {
+	r, budget := memoryHarness(t, memorybudget.Options{MaxTotal: room * activeConnMemory}, false)
+	var closing, overLimit int
+	for range room + 3 {
 		c := r.dial()
 		c.send(post("/", ""))
 		c.SetReadDeadline(time.Now().Add(testTimeout))
@@ -401,19 +404,18 @@
 			t.Fatal(err)
 		}
 		io.Copy(io.Discard, res.Body)
-		r.l.mu.Lock()
-		for _, h := range r.l.conns {
+		r.listener.mu.Lock()
+		for _, h := range r.listener.conns {
 			if h.conn != nil && h.conn.overLimit {
-				over++
+				overLimit++
 			}
 		}
-		r.l.mu.Unlock()
-		if c := r.last(); c != nil && r.l.shouldClose(c) {
-			told++
+		r.listener.mu.Unlock()
+		if c := r.last(); c != nil && r.listener.shouldClose(c) {
+			closing++
 		}
-		_ = i
 	}
-	if told == 0 || over == 0 {
-		t.Errorf("%d would be told to close, %d are past the memory; %+v", told, over, held.Snapshot())
+	if closing == 0 || overLimit == 0 {
+		t.Errorf("%d would be closed, %d are above the memory limit; %+v", closing, overLimit, budget.Snapshot())
 	}
 }
--- a/gatherer/testenv_test.go
+++ b/gatherer/testenv_test.go
@@ -18,9 +18,10 @@
 	"oxbowspan/internal/testing/standin"
 )
 
-// Small stand-ins, written from the protocol, for what a gatherer speaks to: shard servers, discovery, clients.
+// The stand-ins for shard servers, the list service and clients are those of package standin.
 
-const testTimeout = 20 * time.Second // for whatever should come by itself
+// testTimeout is for whatever should happen by itself.
+const testTimeout = 20 * time.Second
 
 const testSettings = `{"classes":[
 	{"name":"lookup","effect":"free","slo":1000.0,"hardLimit":2000.0,"lateWorth":0.3},
@@ -32,7 +33,8 @@
 	"feedback":{"how":"answers","names":["waiting","active"]},
 	"guarantees":{"askWithin":10000,"stopSendingWithin":500}}`
 
-var builtProgram string // the program, built once
+// builtProgram is the path of the program, which is built once.
+var builtProgram string
 
 func TestMain(m *testing.M) {
 	os.Exit(func() int {
@@ -72,17 +74,17 @@
 
 // program is the built program, or an embedded gatherer, under test.
 type program struct {
-	t     *testing.T
-	run   *standin.Program
-	cmd   *exec.Cmd
-	setup Config // as its configuration file has it
-	file  string
-	addr  string
-	lines chan string // its log
-	exit  chan error
+	t      *testing.T
+	run    *standin.Program
+	cmd    *exec.Cmd
+	config Config // of its configuration file
+	file   string
+	addr   string
+	lines  chan string // its log
+	exit   chan error
 }
 
-// start starts the program for a list of servers; edit changes its configuration first.
+// start starts the program with a list of servers; edit changes its configuration first.
 func start(t *testing.T, l *standin.DiscoveryService, edit func(*Config), args ...string) *program {
 	t.Helper()
 	s := Config{Name: "n0", Listen: "127.0.0.1:0", Discovery: l.Addr(), Seed: "8c1f30d27a5be964",
@@ -91,12 +93,12 @@
 		edit(&s)
 	}
 	config := filepath.Join(t.TempDir(), "config.json")
-	p := &program{t: t, setup: s, file: config, cmd: exec.Command(builtProgram, append([]string{"serve", "--config", config}, args...)...)}
+	p := &program{t: t, config: s, file: config, cmd: exec.Command(builtProgram, append([]string{"serve", "--config", config}, args...)...)}
 	p.configure()
-	p.cmd.Env = append(os.Environ(), "PROXY_DISCOVERY="+l.Addr()) // as the platform gives it
+	p.cmd.Env = append(os.Environ(), "PROXY_DISCOVERY="+l.Addr()) // as the platform sets it
 	run, err := standin.StartProgram(p.cmd, func(line string) {
 		if strings.Contains(line, "DATA RACE") || strings.Contains(line, "panic") {
-			t.Errorf("the program says %q", line)
+			t.Errorf("the program logs %q", line)
 		}
 	})
 	if err != nil {
@@ -110,7 +112,7 @@
 // configure writes the configuration file.
 func (p *program) configure() {
 	p.t.Helper()
-	raw, err := json.Marshal(p.setup)
+	raw, err := json.Marshal(p.config)
 	if err != nil {
 		p.t.Fatal(err)
 	}
@@ -119,7 +121,7 @@
 	}
 }
 
-// line waits for a log line that holds all the words.
+// line waits for a log line with all the words.
 func (p *program) line(words ...string) string {
 	p.t.Helper()
 	limit := time.After(testTimeout)
@@ -170,54 +172,54 @@
 	n uint64
 }
 
-// newSearch makes a search for parts of equal weight.
-func newSearch(ctx context.Context, addr, kind string, parts ...int) (*http.Request, string) {
+// newRequest returns a request with calls of equal weight.
+func newRequest(ctx context.Context, addr, queryType string, shards ...int) (*http.Request, string) {
 	lastID.Lock()
 	lastID.n++
 	id := fmt.Sprintf("%016x", lastID.n)
 	lastID.Unlock()
 	var b strings.Builder
-	for i, p := range parts {
-		fmt.Fprintf(&b, `%s{"tablet":%d,"fraction":%g}`, strings.Repeat(",", min(i, 1)), p, 1/float64(len(parts)))
+	for i, shard := range shards {
+		fmt.Fprintf(&b, `%s{"tablet":%d,"fraction":%g}`, strings.Repeat(",", min(i, 1)), shard, 1/float64(len(shards)))
 	}
 	text := `{"tablets":[` + b.String() + `],"statement":"c41e77d0"}`
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/"+kind+"?sid=7f3a", strings.NewReader(text))
+	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/"+queryType+"?sid=7f3a", strings.NewReader(text))
 	if err != nil {
 		panic(err)
 	}
-	for name, v := range map[string]string{"Req-Id": id, "Req-Kind": kind, "Req-Owner": "acme", "Req-Deadline-Ms": "1500"} {
+	for name, v := range map[string]string{"Req-Id": id, "Req-Kind": queryType, "Req-Owner": "acme", "Req-Deadline-Ms": "1500"} {
 		r.Header.Set(name, v)
 	}
 	return r, id
 }
 
-// ask sends a search and returns what came.
-func (p *program) ask(kind string, parts ...int) (status int, body, id string) {
+// ask sends a request and returns the response.
+func (p *program) ask(queryType string, shards ...int) (status int, body, id string) {
 	p.t.Helper()
-	r, id := newSearch(context.Background(), p.addr, kind, parts...)
+	r, id := newRequest(context.Background(), p.addr, queryType, shards...)
 	res, err := http.DefaultClient.Do(r)
 	if err != nil {
-		p.t.Errorf("search %s: %v", id, err)
+		p.t.Errorf("request %s: %v", id, err)
 		return 0, "", id
 	}
 	defer res.Body.Close()
 	b, err := io.ReadAll(res.Body)
 	if err != nil {
-		p.t.Errorf("search %s: %v", id, err)
+		p.t.Errorf("request %s: %v", id, err)
 	}
 	return res.StatusCode, string(b), id
 }
 
-// wholeAnswer is the answer that shards that serve everything give.
-func wholeAnswer(parts ...int) string {
+// completeAnswer returns the answer when all shards serve their calls.
+func completeAnswer(shards ...int) string {
 	var b strings.Builder
-	for i, p := range parts {
-		fmt.Fprintf(&b, `%s{"tablet":%d,"cell":"value of c41e77d0"}`, strings.Repeat(",", min(i, 1)), p)
+	for i, shard := range shards {
+		fmt.Fprintf(&b, `%s{"tablet":%d,"cell":"value of c41e77d0"}`, strings.Repeat(",", min(i, 1)), shard)
 	}
 	return `{"full":true,"pieces":[` + b.String() + `]}`
 }
 
-// await takes from a channel what should come by itself.
+// await receives from a channel until a value is the wanted one.
 func await(t *testing.T, c <-chan string, want func(string) bool) string {
 	t.Helper()
 	limit := time.After(testTimeout)
@@ -228,12 +230,12 @@
 				return got
 			}
 		case <-limit:
-			t.Fatal("what was waited for never came")
+			t.Fatal("timeout")
 		}
 	}
 }
 
-// serveAgain is another program on the same configuration.
+// serveAgain returns the command of another program with the same configuration.
 func serveAgain(p *program, operator string) *exec.Cmd {
 	c := exec.Command(builtProgram, "serve", "--config", p.file, "--operator", operator)
 	c.Env = p.cmd.Env
--- /dev/null
+++ b/gatherer/timeouts.go
@@ -0,0 +1,70 @@
+package gatherer
+
+import (
+	"time"
+
+	"oxbowspan/connadmission"
+	"oxbowspan/internal/timerwheel"
+)
+
+// wheelTick is the resolution of idle timeouts and minimum rates.
+const wheelTick = 100 * time.Millisecond
+
+// startWheel starts the timer wheel, if it is not started.
+func (l *listener) startWheel() {
+	if l.wheel == nil {
+		l.wheel = timerwheel.New(0)
+		l.timer = time.AfterFunc(time.Hour, l.advanceWheel)
+	}
+}
+
+// tick returns the first tick that begins after a time from now.
+func (l *listener) tick(after time.Duration) int64 {
+	return int64((time.Since(l.startedAt)+after)/wheelTick) + 1
+}
+
+// advanceWheel closes parked connections past their timeout and connections below the minimum rate.
+func (l *listener) advanceWheel() {
+	l.mu.Lock()
+	slow := l.expireUntil(int64(time.Since(l.startedAt) / wheelTick))
+	l.mu.Unlock()
+	for _, c := range slow {
+		c.Close()
+	}
+}
+
+// expireUntil processes the timeouts up to a tick: it closes parked connections, and returns those below the minimum rate
+// for the caller to close. The listener's lock is held.
+func (l *listener) expireUntil(tick int64) (slow []*clientConn) {
+	l.wheel.Turn(tick, func(value uint32) {
+		slot := &l.conns[value]
+		slot.timeout = 0
+		switch {
+		case slot.conn != nil:
+			if l.isTooSlow(slot.conn) {
+				slow = append(slow, slot.conn)
+			}
+		case slot.requests == 0: // its client expects a close if it has not sent a request in time
+			l.closeUnlessReadable(connadmission.ID(value), endReadLimit)
+		default:
+			l.closeUnlessReadable(connadmission.ID(value), endIdleLimit)
+		}
+	})
+	l.resetTimer()
+	return slow
+}
+
+// resetTimer sets the timer to the next timeout.
+func (l *listener) resetTimer() {
+	if next, ok := l.wheel.Next(); ok && !l.closed {
+		l.timer.Reset(max(time.Until(l.startedAt.Add(time.Duration(next)*wheelTick)), 0))
+	}
+}
+
+// cancelTimeout removes the timeout of a connection.
+func (l *listener) cancelTimeout(id connadmission.ID) {
+	if slot := &l.conns[id]; slot.timeout != 0 {
+		l.wheel.Cancel(slot.timeout)
+		slot.timeout = 0
+	}
+}
--- a/internal/cli/store.go
+++ b/internal/cli/store.go
@@ -173,18 +173,18 @@
 
 func tableName(t store.Table) string {
 	switch t {
-	case gatherer.TableSearches:
+	case gatherer.TableRequests:
 		return "search"
-	case gatherer.TableList:
+	case gatherer.TableServerList:
 		return "server"
-	case gatherer.TableLearned:
+	case gatherer.TableServerRecords:
 		return "learned"
 	}
 	return fmt.Sprintf("table-%d", t)
 }
 
 func describe(t store.Table, v []byte) string {
-	if t == gatherer.TableSearches {
+	if t == gatherer.TableRequests {
 		if text, err := idempotency.Describe(v); err == nil {
 			return text
 		}
