--- a/config/types_easyjson.go
+++ b/config/configuration_easyjson.go
@@ -17,7 +17,7 @@
 	_ easyjson.Marshaler
 )
 
-func easyjson6601e8cdDecodeOxbowspanComb(in *jlexer.Lexer, out *WeightedService) {
+func easyjsonA0a30a08DecodeOxbowspanConfig(in *jlexer.Lexer, out *WeightedService) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -53,7 +53,7 @@
 		in.Consumed()
 	}
 }
-func easyjson6601e8cdEncodeOxbowspanComb(out *jwriter.Writer, in WeightedService) {
+func easyjsonA0a30a08EncodeOxbowspanConfig(out *jwriter.Writer, in WeightedService) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -73,27 +73,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v WeightedService) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson6601e8cdEncodeOxbowspanComb(&w, v)
+	easyjsonA0a30a08EncodeOxbowspanConfig(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v WeightedService) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson6601e8cdEncodeOxbowspanComb(w, v)
+	easyjsonA0a30a08EncodeOxbowspanConfig(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *WeightedService) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson6601e8cdDecodeOxbowspanComb(&r, v)
+	easyjsonA0a30a08DecodeOxbowspanConfig(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *WeightedService) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson6601e8cdDecodeOxbowspanComb(l, v)
+	easyjsonA0a30a08DecodeOxbowspanConfig(l, v)
 }
-func easyjson6601e8cdDecodeOxbowspanComb1(in *jlexer.Lexer, out *Service) {
+func easyjsonA0a30a08DecodeOxbowspanConfig1(in *jlexer.Lexer, out *Service) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -147,7 +147,7 @@
 		in.Consumed()
 	}
 }
-func easyjson6601e8cdEncodeOxbowspanComb1(out *jwriter.Writer, in Service) {
+func easyjsonA0a30a08EncodeOxbowspanConfig1(out *jwriter.Writer, in Service) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -182,27 +182,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Service) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson6601e8cdEncodeOxbowspanComb1(&w, v)
+	easyjsonA0a30a08EncodeOxbowspanConfig1(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Service) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson6601e8cdEncodeOxbowspanComb1(w, v)
+	easyjsonA0a30a08EncodeOxbowspanConfig1(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Service) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson6601e8cdDecodeOxbowspanComb1(&r, v)
+	easyjsonA0a30a08DecodeOxbowspanConfig1(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Service) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson6601e8cdDecodeOxbowspanComb1(l, v)
+	easyjsonA0a30a08DecodeOxbowspanConfig1(l, v)
 }
-func easyjson6601e8cdDecodeOxbowspanComb2(in *jlexer.Lexer, out *Route) {
+func easyjsonA0a30a08DecodeOxbowspanConfig2(in *jlexer.Lexer, out *Route) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -346,7 +346,7 @@
 		in.Consumed()
 	}
 }
-func easyjson6601e8cdEncodeOxbowspanComb2(out *jwriter.Writer, in Route) {
+func easyjsonA0a30a08EncodeOxbowspanConfig2(out *jwriter.Writer, in Route) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -439,27 +439,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Route) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson6601e8cdEncodeOxbowspanComb2(&w, v)
+	easyjsonA0a30a08EncodeOxbowspanConfig2(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Route) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson6601e8cdEncodeOxbowspanComb2(w, v)
+	easyjsonA0a30a08EncodeOxbowspanConfig2(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Route) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson6601e8cdDecodeOxbowspanComb2(&r, v)
+	easyjsonA0a30a08DecodeOxbowspanConfig2(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Route) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson6601e8cdDecodeOxbowspanComb2(l, v)
+	easyjsonA0a30a08DecodeOxbowspanConfig2(l, v)
 }
-func easyjson6601e8cdDecodeOxbowspanComb3(in *jlexer.Lexer, out *Limits) {
+func easyjsonA0a30a08DecodeOxbowspanConfig3(in *jlexer.Lexer, out *Limits) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -507,7 +507,7 @@
 		in.Consumed()
 	}
 }
-func easyjson6601e8cdEncodeOxbowspanComb3(out *jwriter.Writer, in Limits) {
+func easyjsonA0a30a08EncodeOxbowspanConfig3(out *jwriter.Writer, in Limits) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -537,27 +537,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Limits) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson6601e8cdEncodeOxbowspanComb3(&w, v)
+	easyjsonA0a30a08EncodeOxbowspanConfig3(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Limits) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson6601e8cdEncodeOxbowspanComb3(w, v)
+	easyjsonA0a30a08EncodeOxbowspanConfig3(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Limits) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson6601e8cdDecodeOxbowspanComb3(&r, v)
+	easyjsonA0a30a08DecodeOxbowspanConfig3(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Limits) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson6601e8cdDecodeOxbowspanComb3(l, v)
+	easyjsonA0a30a08DecodeOxbowspanConfig3(l, v)
 }
-func easyjson6601e8cdDecodeOxbowspanComb4(in *jlexer.Lexer, out *Configuration) {
+func easyjsonA0a30a08DecodeOxbowspanConfig4(in *jlexer.Lexer, out *Configuration) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -647,7 +647,7 @@
 		in.Consumed()
 	}
 }
-func easyjson6601e8cdEncodeOxbowspanComb4(out *jwriter.Writer, in Configuration) {
+func easyjsonA0a30a08EncodeOxbowspanConfig4(out *jwriter.Writer, in Configuration) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -699,23 +699,23 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Configuration) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson6601e8cdEncodeOxbowspanComb4(&w, v)
+	easyjsonA0a30a08EncodeOxbowspanConfig4(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Configuration) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson6601e8cdEncodeOxbowspanComb4(w, v)
+	easyjsonA0a30a08EncodeOxbowspanConfig4(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Configuration) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson6601e8cdDecodeOxbowspanComb4(&r, v)
+	easyjsonA0a30a08DecodeOxbowspanConfig4(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Configuration) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson6601e8cdDecodeOxbowspanComb4(l, v)
+	easyjsonA0a30a08DecodeOxbowspanConfig4(l, v)
 }
--- a/config/heartbeat.go
+++ b/config/heartbeat.go
@@ -1,18 +1,18 @@
 package config
 
-//go:generate easyjson -all beat.go
+//go:generate easyjson -all heartbeat.go
 
-// StateDraining is what a server's heartbeat says before its planned end.
+// StateDraining is the state in a server's heartbeats before its planned end. Any other means that it is ready.
 const StateDraining = "draining"
 
-// Heartbeat is what a server says of itself. Its instance stands in the call's path.
+// Heartbeat is the body of a server's heartbeat. The server's instance id is in the request's path.
 type Heartbeat struct {
 	Service              string  `json:"service"`
 	Address              string  `json:"address"`
 	Zone                 string  `json:"zone"`
-	Version              string  `json:"version"`
-	CapacitySlots        int     `json:"capacity_slots"`
+	Version              string  `json:"version"`        // of the server's program
+	CapacitySlots        int     `json:"capacity_slots"` // requests that it handles at once
 	State                string  `json:"state"`
-	SlowStartRemainingMS float64 `json:"cold_remaining_ms"`
-	Sequence             uint64  `json:"call_sequence"`
+	SlowStartRemainingMS float64 `json:"cold_remaining_ms"` // 0 = it is warm
+	Sequence             uint64  `json:"call_sequence"`     // rising with each heartbeat of an instance
 }
--- a/config/heartbeat_easyjson.go
+++ b/config/heartbeat_easyjson.go
@@ -17,7 +17,7 @@
 	_ easyjson.Marshaler
 )
 
-func easyjson9fc382ecDecodeOxbowspanComb(in *jlexer.Lexer, out *Heartbeat) {
+func easyjson2e157c16DecodeOxbowspanConfig(in *jlexer.Lexer, out *Heartbeat) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -89,7 +89,7 @@
 		in.Consumed()
 	}
 }
-func easyjson9fc382ecEncodeOxbowspanComb(out *jwriter.Writer, in Heartbeat) {
+func easyjson2e157c16EncodeOxbowspanConfig(out *jwriter.Writer, in Heartbeat) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -139,23 +139,23 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Heartbeat) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson9fc382ecEncodeOxbowspanComb(&w, v)
+	easyjson2e157c16EncodeOxbowspanConfig(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Heartbeat) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson9fc382ecEncodeOxbowspanComb(w, v)
+	easyjson2e157c16EncodeOxbowspanConfig(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Heartbeat) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson9fc382ecDecodeOxbowspanComb(&r, v)
+	easyjson2e157c16DecodeOxbowspanConfig(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Heartbeat) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson9fc382ecDecodeOxbowspanComb(l, v)
+	easyjson2e157c16DecodeOxbowspanConfig(l, v)
 }
--- a/config/pins_easyjson.go
+++ b/config/pin_document_easyjson.go
@@ -17,7 +17,7 @@
 	_ easyjson.Marshaler
 )
 
-func easyjson34144c48DecodeOxbowspanComb(in *jlexer.Lexer, out *PinDocument) {
+func easyjson1f8d3a0fDecodeOxbowspanConfig(in *jlexer.Lexer, out *PinDocument) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -68,7 +68,7 @@
 		in.Consumed()
 	}
 }
-func easyjson34144c48EncodeOxbowspanComb(out *jwriter.Writer, in PinDocument) {
+func easyjson1f8d3a0fEncodeOxbowspanConfig(out *jwriter.Writer, in PinDocument) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -94,27 +94,27 @@
 // MarshalJSON supports json.Marshaler interface
 func (v PinDocument) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson34144c48EncodeOxbowspanComb(&w, v)
+	easyjson1f8d3a0fEncodeOxbowspanConfig(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v PinDocument) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson34144c48EncodeOxbowspanComb(w, v)
+	easyjson1f8d3a0fEncodeOxbowspanConfig(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *PinDocument) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson34144c48DecodeOxbowspanComb(&r, v)
+	easyjson1f8d3a0fDecodeOxbowspanConfig(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *PinDocument) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson34144c48DecodeOxbowspanComb(l, v)
+	easyjson1f8d3a0fDecodeOxbowspanConfig(l, v)
 }
-func easyjson34144c48DecodeOxbowspanComb1(in *jlexer.Lexer, out *Pin) {
+func easyjson1f8d3a0fDecodeOxbowspanConfig1(in *jlexer.Lexer, out *Pin) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -162,7 +162,7 @@
 		in.Consumed()
 	}
 }
-func easyjson34144c48EncodeOxbowspanComb1(out *jwriter.Writer, in Pin) {
+func easyjson1f8d3a0fEncodeOxbowspanConfig1(out *jwriter.Writer, in Pin) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -192,23 +192,23 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Pin) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson34144c48EncodeOxbowspanComb1(&w, v)
+	easyjson1f8d3a0fEncodeOxbowspanConfig1(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Pin) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson34144c48EncodeOxbowspanComb1(w, v)
+	easyjson1f8d3a0fEncodeOxbowspanConfig1(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Pin) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson34144c48DecodeOxbowspanComb1(&r, v)
+	easyjson1f8d3a0fDecodeOxbowspanConfig1(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Pin) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson34144c48DecodeOxbowspanComb1(l, v)
+	easyjson1f8d3a0fDecodeOxbowspanConfig1(l, v)
 }
--- a/config/route_table.go
+++ b/config/route_table.go
@@ -2,47 +2,38 @@
 
 import "strings"
 
-// RouteTable finds routes. It is read by many at once and never changed.
+// RouteTable finds the routes of requests. It is immutable, and safe for concurrent use.
 type RouteTable struct {
 	Limits Limits
-	hosts  map[string]map[string]*Route // by host and prefix
+	routes prefixTable[*Route]
 }
 
-// NewRouteTable makes the table of a valid configuration.
+// NewRouteTable returns the table of a valid configuration, which must not change afterwards.
 func NewRouteTable(c *Configuration) *RouteTable {
-	t := &RouteTable{Limits: c.Limits, hosts: map[string]map[string]*Route{}}
+	t := &RouteTable{Limits: c.Limits, routes: prefixTable[*Route]{}}
 	for i := range c.Routes {
 		r := &c.Routes[i]
-		host := strings.ToLower(r.Hostname)
-		if t.hosts[host] == nil {
-			t.hosts[host] = map[string]*Route{}
-		}
-		t.hosts[host][r.PathPrefix] = r
+		t.routes.add(r.Hostname, r.PathPrefix, r)
 	}
 	return t
 }
 
-// Find is the route of a host, with or without a port, that has the longest prefix of a path; nil = none. The path has
-// no query.
+// Find returns the route of a host, with or without a port, that has the longest prefix of a path; nil if there is none. The
+// path is without a query.
 func (t *RouteTable) Find(host, path string) *Route {
-	prefixes := t.hosts[host]
-	if prefixes == nil {
-		host = strings.ToLower(host)
-		if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
-			host = host[:i]
-		}
-		if prefixes = t.hosts[host]; prefixes == nil {
-			return nil
-		}
+	byPrefix := t.routes[host] // most hosts come as they are listed
+	if byPrefix == nil {
+		byPrefix = t.routes[hostKey(withoutPort(host))]
 	}
-	for end := len(path); end > 0; {
-		end = strings.LastIndexByte(path[:end], '/')
-		if end < 0 {
-			return nil
-		}
-		if r := prefixes[path[:end+1]]; r != nil {
-			return r
-		}
+	route, _ := longestPrefix(byPrefix, path)
+	return route
+}
+
+// withoutPort cuts the port off a host. A colon within brackets belongs to an IPv6 address.
+func withoutPort(host string) string {
+	i := strings.LastIndexByte(host, ':')
+	if i < 0 || strings.HasSuffix(host, "]") {
+		return host
 	}
-	return nil
+	return host[:i]
 }
--- a/config/tenants_easyjson.go
+++ b/config/tenant_document_easyjson.go
@@ -17,7 +17,7 @@
 	_ easyjson.Marshaler
 )
 
-func easyjson3593aa45DecodeOxbowspanComb(in *jlexer.Lexer, out *TenantDocument) {
+func easyjson8542b24aDecodeOxbowspanConfig(in *jlexer.Lexer, out *TenantRoute) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -31,32 +31,17 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "tenants":
+		case "hostname":
 			if in.IsNull() {
 				in.Skip()
-				out.Tenants = nil
 			} else {
-				in.Delim('[')
-				if out.Tenants == nil {
-					if !in.IsDelim(']') {
-						out.Tenants = make([]Tenant, 0, 0)
-					} else {
-						out.Tenants = []Tenant{}
-					}
-				} else {
-					out.Tenants = (out.Tenants)[:0]
-				}
-				for !in.IsDelim(']') {
-					var v1 Tenant
-					if in.IsNull() {
-						in.Skip()
-					} else {
-						(v1).UnmarshalEasyJSON(in)
-					}
-					out.Tenants = append(out.Tenants, v1)
-					in.WantComma()
-				}
-				in.Delim(']')
+				out.Hostname = string(in.String())
+			}
+		case "path_prefix":
+			if in.IsNull() {
+				in.Skip()
+			} else {
+				out.PathPrefix = string(in.String())
 			}
 		default:
 			in.SkipRecursive()
@@ -68,53 +53,47 @@
 		in.Consumed()
 	}
 }
-func easyjson3593aa45EncodeOxbowspanComb(out *jwriter.Writer, in TenantDocument) {
+func easyjson8542b24aEncodeOxbowspanConfig(out *jwriter.Writer, in TenantRoute) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
-		const prefix string = ",\"tenants\":"
+		const prefix string = ",\"hostname\":"
 		out.RawString(prefix[1:])
-		if in.Tenants == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
-			out.RawString("null")
-		} else {
-			out.RawByte('[')
-			for v2, v3 := range in.Tenants {
-				if v2 > 0 {
-					out.RawByte(',')
-				}
-				(v3).MarshalEasyJSON(out)
-			}
-			out.RawByte(']')
-		}
+		out.String(string(in.Hostname))
+	}
+	{
+		const prefix string = ",\"path_prefix\":"
+		out.RawString(prefix)
+		out.String(string(in.PathPrefix))
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v TenantDocument) MarshalJSON() ([]byte, error) {
+func (v TenantRoute) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson3593aa45EncodeOxbowspanComb(&w, v)
+	easyjson8542b24aEncodeOxbowspanConfig(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v TenantDocument) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson3593aa45EncodeOxbowspanComb(w, v)
+func (v TenantRoute) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjson8542b24aEncodeOxbowspanConfig(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *TenantDocument) UnmarshalJSON(data []byte) error {
+func (v *TenantRoute) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson3593aa45DecodeOxbowspanComb(&r, v)
+	easyjson8542b24aDecodeOxbowspanConfig(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *TenantDocument) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson3593aa45DecodeOxbowspanComb(l, v)
+func (v *TenantRoute) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjson8542b24aDecodeOxbowspanConfig(l, v)
 }
-func easyjson3593aa45DecodeOxbowspanComb1(in *jlexer.Lexer, out *TenantRoute) {
+func easyjson8542b24aDecodeOxbowspanConfig1(in *jlexer.Lexer, out *TenantDocument) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -128,17 +107,32 @@
 		key := in.UnsafeFieldName(false)
 		in.WantColon()
 		switch key {
-		case "hostname":
-			if in.IsNull() {
-				in.Skip()
-			} else {
-				out.Hostname = string(in.String())
-			}
-		case "path_prefix":
+		case "tenants":
 			if in.IsNull() {
 				in.Skip()
+				out.Tenants = nil
 			} else {
-				out.PathPrefix = string(in.String())
+				in.Delim('[')
+				if out.Tenants == nil {
+					if !in.IsDelim(']') {
+						out.Tenants = make([]Tenant, 0, 0)
+					} else {
+						out.Tenants = []Tenant{}
+					}
+				} else {
+					out.Tenants = (out.Tenants)[:0]
+				}
+				for !in.IsDelim(']') {
+					var v1 Tenant
+					if in.IsNull() {
+						in.Skip()
+					} else {
+						(v1).UnmarshalEasyJSON(in)
+					}
+					out.Tenants = append(out.Tenants, v1)
+					in.WantComma()
+				}
+				in.Delim(']')
 			}
 		default:
 			in.SkipRecursive()
@@ -150,47 +144,53 @@
 		in.Consumed()
 	}
 }
-func easyjson3593aa45EncodeOxbowspanComb1(out *jwriter.Writer, in TenantRoute) {
+func easyjson8542b24aEncodeOxbowspanConfig1(out *jwriter.Writer, in TenantDocument) {
 	out.RawByte('{')
 	first := true
 	_ = first
 	{
-		const prefix string = ",\"hostname\":"
+		const prefix string = ",\"tenants\":"
 		out.RawString(prefix[1:])
-		out.String(string(in.Hostname))
-	}
-	{
-		const prefix string = ",\"path_prefix\":"
-		out.RawString(prefix)
-		out.String(string(in.PathPrefix))
+		if in.Tenants == nil && (out.Flags&jwriter.NilSliceAsEmpty) == 0 {
+			out.RawString("null")
+		} else {
+			out.RawByte('[')
+			for v2, v3 := range in.Tenants {
+				if v2 > 0 {
+					out.RawByte(',')
+				}
+				(v3).MarshalEasyJSON(out)
+			}
+			out.RawByte(']')
+		}
 	}
 	out.RawByte('}')
 }
 
 // MarshalJSON supports json.Marshaler interface
-func (v TenantRoute) MarshalJSON() ([]byte, error) {
+func (v TenantDocument) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson3593aa45EncodeOxbowspanComb1(&w, v)
+	easyjson8542b24aEncodeOxbowspanConfig1(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
-func (v TenantRoute) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson3593aa45EncodeOxbowspanComb1(w, v)
+func (v TenantDocument) MarshalEasyJSON(w *jwriter.Writer) {
+	easyjson8542b24aEncodeOxbowspanConfig1(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
-func (v *TenantRoute) UnmarshalJSON(data []byte) error {
+func (v *TenantDocument) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson3593aa45DecodeOxbowspanComb1(&r, v)
+	easyjson8542b24aDecodeOxbowspanConfig1(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
-func (v *TenantRoute) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson3593aa45DecodeOxbowspanComb1(l, v)
+func (v *TenantDocument) UnmarshalEasyJSON(l *jlexer.Lexer) {
+	easyjson8542b24aDecodeOxbowspanConfig1(l, v)
 }
-func easyjson3593aa45DecodeOxbowspanComb2(in *jlexer.Lexer, out *Tenant) {
+func easyjson8542b24aDecodeOxbowspanConfig2(in *jlexer.Lexer, out *Tenant) {
 	isTopLevel := in.IsStart()
 	if in.IsNull() {
 		if isTopLevel {
@@ -279,7 +279,7 @@
 		in.Consumed()
 	}
 }
-func easyjson3593aa45EncodeOxbowspanComb2(out *jwriter.Writer, in Tenant) {
+func easyjson8542b24aEncodeOxbowspanConfig2(out *jwriter.Writer, in Tenant) {
 	out.RawByte('{')
 	first := true
 	_ = first
@@ -330,23 +330,23 @@
 // MarshalJSON supports json.Marshaler interface
 func (v Tenant) MarshalJSON() ([]byte, error) {
 	w := jwriter.Writer{}
-	easyjson3593aa45EncodeOxbowspanComb2(&w, v)
+	easyjson8542b24aEncodeOxbowspanConfig2(&w, v)
 	return w.Buffer.BuildBytes(), w.Error
 }
 
 // MarshalEasyJSON supports easyjson.Marshaler interface
 func (v Tenant) MarshalEasyJSON(w *jwriter.Writer) {
-	easyjson3593aa45EncodeOxbowspanComb2(w, v)
+	easyjson8542b24aEncodeOxbowspanConfig2(w, v)
 }
 
 // UnmarshalJSON supports json.Unmarshaler interface
 func (v *Tenant) UnmarshalJSON(data []byte) error {
 	r := jlexer.Lexer{Data: data}
-	easyjson3593aa45DecodeOxbowspanComb2(&r, v)
+	easyjson8542b24aDecodeOxbowspanConfig2(&r, v)
 	return r.Error()
 }
 
 // UnmarshalEasyJSON supports easyjson.Unmarshaler interface
 func (v *Tenant) UnmarshalEasyJSON(l *jlexer.Lexer) {
-	easyjson3593aa45DecodeOxbowspanComb2(l, v)
+	easyjson8542b24aDecodeOxbowspanConfig2(l, v)
 }
