--- /dev/null
+++ b/dataplane/activeconfig_test.go
@@ -0,0 +1,92 @@
+package dataplane
+
+import (
+	"slices"
+	"testing"
+
+	"oxbowspan/balancer"
+	"oxbowspan/config"
+	"oxbowspan/rpc"
+)
+
+func testConfig(version uint64, paths ...string) *config.Configuration {
+	c := &config.Configuration{Version: version, Services: []config.Service{{Name: "s"}}}
+	for _, path := range paths {
+		c.Routes = append(c.Routes, config.Route{Hostname: "h", PathPrefix: path, Service: "s"})
+	}
+	return c
+}
+
+// A route keeps its query type, with all that the balancer has learned of it, from one configuration to the next.
+func TestQueryTypesOfRoutes(t *testing.T) {
+	c := newComponents(t)
+	queryTypes := func() map[string]balancer.QueryType {
+		numbers := map[string]balancer.QueryType{}
+		for _, r := range c.configs.load().routes {
+			numbers[r.PathPrefix] = r.queryType
+		}
+		return numbers
+	}
+	c.configs.activate(testConfig(1, "/a", "/b"), nil, 1)
+	first := queryTypes()
+	c.configs.activate(testConfig(2, "/b", "/c"), nil, 2)
+	second := queryTypes()
+	if second["/b"] != first["/b"] {
+		t.Errorf("/b has query type %d, had %d", second["/b"], first["/b"])
+	}
+	if second["/c"] == second["/b"] {
+		t.Error("two routes have one query type")
+	}
+	c.configs.activate(testConfig(3, "/b", "/c", "/d"), nil, 3)
+	if third := queryTypes(); third["/d"] != first["/a"] {
+		t.Errorf("/d has query type %d, want %d of the route that went", third["/d"], first["/a"])
+	}
+}
+
+func TestActivateIgnoresOldSlots(t *testing.T) {
+	c := newComponents(t)
+	c.configs.activate(testConfig(7, "/"), []byte("seven"), 3)
+	for _, slot := range []uint64{2, 3} {
+		c.configs.activate(testConfig(8, "/"), []byte("eight"), slot)
+		if got := c.configs.version(); got != 7 {
+			t.Errorf("slot %d: version %d is active, want 7", slot, got)
+		}
+	}
+}
+
+func TestFillUpdate(t *testing.T) {
+	for _, test := range []struct {
+		name      string
+		knownSlot uint64
+		filled    bool
+	}{
+		{"older slot known", 2, true},
+		{"same slot known", 3, false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			c := newComponents(t)
+			c.configs.activate(testConfig(7, "/"), []byte("seven"), 3)
+			update := &rpc.Update{}
+			filled := c.configs.fill(update, test.knownSlot)
+			if filled != test.filled || update.HasConfig != test.filled || update.Slot != 3 {
+				t.Errorf("filled %v, has a configuration %v, slot %d", filled, update.HasConfig, update.Slot)
+			}
+			if test.filled && (update.Version != 7 || !slices.Equal(update.Config, []byte("seven"))) {
+				t.Errorf("version %d, configuration %q", update.Version, update.Config)
+			}
+		})
+	}
+}
+
+func TestHealthPath(t *testing.T) {
+	c := newComponents(t)
+	if got := c.configs.healthPath("s"); got != defaultHealthPath {
+		t.Errorf("without a configuration: %q", got)
+	}
+	c.configs.activate(&config.Configuration{Version: 1, Services: []config.Service{{Name: "s", HealthPath: "/up"}, {Name: "o"}}}, nil, 1)
+	for service, want := range map[string]string{"s": "/up", "o": defaultHealthPath, "unknown": defaultHealthPath} {
+		if got := c.configs.healthPath(service); got != want {
+			t.Errorf("healthPath(%q) = %q, want %q", service, got, want)
+		}
+	}
+}
