--- a/dataplane/activeconfig.go
+++ b/dataplane/activeconfig.go
@@ -12,7 +12,7 @@
 	"oxbowspan/rpc"
 )
 
-// What a route is worth and may do where the configuration does not say.
+// Properties of routes that the configuration does not state, or may leave out.
 const (
 	lateResponseValue = 0.3  // share of a response's value after its latency target
 	defaultAttempts   = 1    // attempts for one shard call
@@ -39,7 +39,7 @@
 	hasTenant bool // a document of tenants is active
 }
 
-// minCoverage is the smallest share of shards that makes a response.
+// minCoverage returns the smallest share of shards that is enough for a response.
 func (r *route) minCoverage() float64 {
 	if r.Gathered() {
 		return max(r.MinimumShare, minCoverageFloor)
@@ -67,7 +67,7 @@
 	}
 }
 
-// tenantRoutes learns which tenants the routes of a new configuration belong to.
+// tenantRoutes assigns tenants to the routes of a new configuration.
 type tenantRoutes interface {
 	rebuildTenants()
 }
@@ -93,7 +93,7 @@
 // load returns the active configuration, nil = none yet. Any goroutine may call it.
 func (s *configStore) load() *activeConfig { return s.active.Load() }
 
-// activate makes a configuration the active one, unless that of the slot or a later one already is. Text is its encoding.
+// activate makes a configuration the active one, unless that of the same or a later slot already is. Text is its encoding.
 func (s *configStore) activate(c *config.Configuration, text []byte, slot uint64) {
 	if slot <= s.slot {
 		return
@@ -130,7 +130,7 @@
 	return r
 }
 
-// serviceWeight is the weight of one of a route's services, 1 where the configuration states none.
+// serviceWeight returns the weight of one of a route's services, 1 if the configuration states none.
 func serviceWeight(r *config.Route, service string) float64 {
 	weight := 1.0
 	for _, weighted := range r.WeightedServices {
@@ -141,7 +141,7 @@
 	return weight
 }
 
-// version is the active configuration's, 0 = none yet.
+// version returns the version of the active configuration, 0 = none yet.
 func (s *configStore) version() uint64 {
 	if s.config == nil {
 		return 0
@@ -159,7 +159,7 @@
 	return true
 }
 
-// healthPath is the path at which a service's servers tell their health.
+// healthPath returns the path of the health checks of a service's servers.
 func (s *configStore) healthPath(service string) string {
 	if s.config != nil {
 		for _, configured := range s.config.Services {
--- a/dataplane/clientconn.go
+++ b/dataplane/clientconn.go
@@ -40,7 +40,7 @@
 	return &clientConn{conn: conn, results: make(chan result, 1)}
 }
 
-// interruptRead has the connection's goroutine end where it waits for a request.
+// interruptRead makes the connection's goroutine end if it waits for a request.
 func (c *clientConn) interruptRead() { c.conn.SetReadDeadline(time.Unix(1, 0)) }
 
 // wantsKeepAlive reports whether the client may send another request over the connection.
@@ -48,7 +48,7 @@
 	return !c.req.Header.ConnectionClose() && c.req.Header.IsHTTP11()
 }
 
-// newRequest makes a request of the one that was read, nil = no route leads there.
+// newRequest returns the request that was read for the dispatcher, nil = no route matches.
 func (c *clientConn) newRequest(active *activeConfig) *request {
 	header := &c.req.Header
 	uri := string(header.RequestURI())
@@ -69,7 +69,7 @@
 	}
 }
 
-// requestDeadline is the time that a request states for its answer, or the default.
+// requestDeadline returns the time that a request states for its response, at most the default.
 func requestDeadline(header *fasthttp.RequestHeader) balancer.Time {
 	deadline := ticks(defaultDeadline)
 	ms, err := strconv.ParseFloat(string(header.Peek("X-Deadline-Remaining")), 64)
@@ -158,7 +158,8 @@
 	return true
 }
 
-// continueRequest asks a client for the body that waits to be asked. It reports false where the connection has ended.
+// continueRequest sends an interim response to a client that waits for one before it sends the body. It reports false if the connection
+// has ended.
 func (c *clientConn) continueRequest() bool {
 	if !bytes.EqualFold(c.req.Header.Peek("Expect"), []byte("100-continue")) {
 		return true
--- a/dataplane/configfollower.go
+++ b/dataplane/configfollower.go
@@ -11,15 +11,15 @@
 
 // Timing of the polls of controllers.
 const (
-	pollHold          = time.Second            // a controller may hold a poll so long until there is something new
-	pollTimeoutMargin = 700 * time.Millisecond // and counts as unreachable after so much more
+	pollHold          = time.Second            // for which a controller may hold a poll until there is something new
+	pollTimeoutMargin = 700 * time.Millisecond // beyond that, after which it counts as unreachable
 	retryPause        = 120 * time.Millisecond // between controllers that don't answer or have no quorum,
 	startupRetryPause = 40 * time.Millisecond  // and while no configuration is known: until then every client is refused
 	startupGrace      = 3 * time.Second        // after this a controller without a quorum is believed if there is none better
-	peerPollInterval  = 2 * time.Second        // without a controller that has a quorum, another gateway is polled so often
+	peerPollInterval  = 2 * time.Second        // between polls of other gateways, while no controller with a quorum answers
 )
 
-// updateSink takes what controllers and other gateways tell. All methods run on the loop's goroutine.
+// updateSink takes the updates of controllers and other gateways. All methods run on the loop's goroutine.
 type updateSink interface {
 	// activateConfig takes a configuration with its encoding.
 	activateConfig(c *config.Configuration, text []byte, slot uint64)
@@ -29,11 +29,11 @@
 	applyPeerUpdate(update *rpc.Update)
 	// applyUpdate takes all but the configuration of a controller's update, which answers a poll sent at polledAt.
 	applyUpdate(update *rpc.Update, polledAt time.Duration)
-	// pollStatus returns what a poll tells the controllers.
+	// pollStatus returns the status that a poll reports.
 	pollStatus() pollStatus
 }
 
-// pollStatus is what a poll tells the controllers of this gateway.
+// pollStatus is the status of this gateway that a poll reports to the controllers.
 type pollStatus struct {
 	healthChecks []*rpc.ServerReport
 	stats        *rpc.GatewayStats // nil = nothing to tell
@@ -150,7 +150,7 @@
 	}
 }
 
-// pollTimeout is how long to wait for an update. A controller that is polled for the first time answers at once.
+// pollTimeout returns how long to wait for an update. A controller that is polled for the first time answers at once.
 func (f *configFollower) pollTimeout() time.Duration {
 	if f.controllerIncarnation == 0 {
 		return pollTimeoutMargin
@@ -216,7 +216,7 @@
 	sleep(ctx, pause)
 }
 
-// retryPause is the pause after a controller that was of no use.
+// retryPause returns the pause after a controller that was of no use.
 func (f *configFollower) retryPause() time.Duration {
 	if f.slot == 0 {
 		return startupRetryPause
--- a/dataplane/connpool.go
+++ b/dataplane/connpool.go
@@ -21,7 +21,7 @@
 	loopWriteTimeout    = 10 * time.Millisecond // where the buffer may not be empty, the loop waits no longer
 )
 
-// attemptSink is notified of what becomes of attempts. All methods are called on the loop's goroutine.
+// attemptSink is notified of the ends of attempts. All methods are called on the loop's goroutine.
 type attemptSink interface {
 	// attemptEnded is called once for each attempt passed to the pool; response is nil where none came.
 	attemptEnded(a *attempt, outcome balancer.Outcome, response *fasthttp.Response)
--- a/dataplane/controllers.go
+++ b/dataplane/controllers.go
@@ -22,7 +22,7 @@
 	settings *settings.Settings
 	known    map[string]controllerAddress // by address
 	order    []controllerAddress
-	position int // grows without bound; modulo the length, of the current one in order
+	position int // of the current one in order, modulo its length; grows without bound
 }
 
 func newControllerList(p *process) *controllerList {
@@ -32,7 +32,7 @@
 	return l
 }
 
-// seeds are the controllers that the settings name.
+// seeds returns the controllers that the settings name.
 func (l *controllerList) seeds() map[string]controllerAddress {
 	seeds := map[string]controllerAddress{}
 	for _, address := range l.settings.SeedControllers() {
@@ -41,7 +41,7 @@
 	return seeds
 }
 
-// current is the controller to poll.
+// current returns the controller to poll.
 func (l *controllerList) current() controllerAddress { return l.order[l.position%len(l.order)] }
 
 // advance makes the next controller the current one.
@@ -91,7 +91,7 @@
 	distanceFar
 )
 
-// distance is how far a zone is from this gateway's.
+// distance returns how far a zone is from this gateway's.
 func (l *controllerList) distance(zone string) int {
 	switch {
 	case zone == l.settings.Zone:
--- a/dataplane/dispatcher.go
+++ b/dataplane/dispatcher.go
@@ -12,7 +12,7 @@
 	"oxbowspan/internal/settings"
 )
 
-// What the settings leave open for the balancer.
+// Parts of the balancer's configuration that the settings do not state.
 const (
 	maxRetryAfter           = 400 * time.Millisecond // clients follow a Retry-After of up to a third of their timeout
 	retryBudgetWindowMargin = 1.0                    // seconds beyond the window of the settings
@@ -22,7 +22,7 @@
 // timerLoop is what the dispatcher uses of the loop.
 type timerLoop interface {
 	commandLoop
-	// schedule has an event fire at a moment.
+	// schedule fires an event at the given time.
 	schedule(at balancer.Time, event timerEvent)
 }
 
@@ -62,7 +62,7 @@
 	lastNumber    balancer.RequestNumber
 }
 
-// dispatcherOptions are what a dispatcher works with.
+// dispatcherOptions are the components that a dispatcher uses.
 type dispatcherOptions struct {
 	balancer  *balancer.Balancer
 	endpoints *endpointTable
@@ -146,7 +146,7 @@
 	d.watchDispatch(r, d.loop.now())
 }
 
-// nextNumber numbers requests from 1, and begins again before the numbers' type ends.
+// nextNumber numbers requests from 1, and starts again before the type overflows.
 func (d *dispatcher) nextNumber() balancer.RequestNumber {
 	d.lastNumber++
 	if d.lastNumber >= math.MaxUint32-1 {
@@ -341,7 +341,7 @@
 	}
 }
 
-// watchDispatch has a request that was not dispatched yet checked when its hold limit has passed.
+// watchDispatch schedules a check of a request that was not dispatched yet, for when its hold limit has passed.
 func (d *dispatcher) watchDispatch(r *request, now balancer.Time) {
 	if r.finished || r.dispatchState().Dispatched {
 		return
--- a/dataplane/endpoints.go
+++ b/dataplane/endpoints.go
@@ -21,7 +21,7 @@
 	state        registry.State
 	sequence     uint64 // of the newest report taken
 	overdue      bool   // its heartbeats are overdue
-	noHeartbeats bool   // no controller hears its heartbeats; a gateway may vouch for it
+	noHeartbeats bool   // its heartbeats reach no controller; a gateway may vouch for it
 	lease        lease.Lease
 
 	replaced    bool   // another server answered at its address
@@ -55,7 +55,7 @@
 	return e.state == registry.Deregistered && e.load.inFlight == 0 && e.connections == 0
 }
 
-// balancerState is what the balancer is to know of the server's state.
+// balancerState returns the server's state for the balancer's list.
 func (e *endpoint) balancerState() balancer.ServerState {
 	if e.overdue || e.replaced {
 		return balancer.Removed
@@ -84,8 +84,7 @@
 	l.inFlight += delta
 }
 
-// sample returns the mean number of attempts in flight since it was last called, in thousandths. It reports false where there was
-// none.
+// sample returns the mean number of attempts in flight since the last sample, in thousandths. It reports false if there was none.
 func (l *endpointLoad) sample(now balancer.Time) (meanMilli uint32, ok bool) {
 	l.add(now, 0)
 	if elapsed := now - l.sampledAt; elapsed > 0 && l.integral > 0 {
@@ -102,7 +101,7 @@
 
 // connectionQuota limits this gateway's connections to servers.
 type connectionQuota interface {
-	// maxConnections is the number of connections to one server of a service; 0 = no limit.
+	// maxConnections returns how many connections to one server of a service may be open; 0 = no limit.
 	maxConnections(service string) int
 	setServer(e *endpoint, limit, globalLimit int)
 	removeServer(e *endpoint)
@@ -155,7 +154,7 @@
 	}
 }
 
-// shardIndex numbers a service.
+// shardIndex returns the number of a service, a new one if it has none yet.
 func (t *endpointTable) shardIndex(service string) balancer.ShardIndex {
 	index, known := t.shards[service]
 	if !known {
@@ -174,7 +173,7 @@
 	return index
 }
 
-// resizeCluster tells the balancer how many shards and gateways there are.
+// resizeCluster reports the number of shards and gateways to the balancer.
 func (t *endpointTable) resizeCluster() {
 	t.balancer.handleEvent(balancer.ClusterResized{Shards: len(t.shards), Instances: t.members.size()})
 }
@@ -192,7 +191,7 @@
 	}
 }
 
-// deregisterUnlisted takes a complete list: servers that are not in it are gone.
+// deregisterUnlisted marks the servers that a complete list does not name as gone.
 func (t *endpointTable) deregisterUnlisted(reports []*rpc.ServerReport) {
 	listed := map[string]bool{}
 	for _, report := range reports {
@@ -227,7 +226,7 @@
 	e.state = max(e.state, registry.State(report.State)) // a server's state only ever advances
 }
 
-// reports describes all servers for another gateway.
+// reports returns reports of all servers for another gateway.
 func (t *endpointTable) reports() (reports []*rpc.ServerReport) {
 	for _, e := range t.byInstance {
 		reports = append(reports, &rpc.ServerReport{
@@ -243,7 +242,7 @@
 	return reports
 }
 
-// sync brings the balancer's server list, the connection limits and the outlier detection up to date with the table.
+// sync updates the balancer's server list, the connection limits and the outlier detection from the table.
 func (t *endpointTable) sync() {
 	for _, e := range t.byInstance {
 		t.shardIndex(e.service)
@@ -260,7 +259,7 @@
 	t.checkReady(len(list.Servers))
 }
 
-// syncEndpoint brings one server's connections and limits up to date, and returns its entry of the balancer's list.
+// syncEndpoint updates one server's connections and limits, and returns its entry of the balancer's list.
 func (t *endpointTable) syncEndpoint(e *endpoint, assigned map[string]map[string]bool) balancer.Server {
 	entry := balancer.Server{
 		ID:          e.id,
--- a/dataplane/framing.go
+++ b/dataplane/framing.go
@@ -102,7 +102,7 @@
 	return b
 }
 
-// connectionFields lists the fields that a request's Connection field names. X-Attempt-Id is forwarded nonetheless: responses are matched
+// connectionFields returns the fields that a request's Connection field names. X-Attempt-Id is forwarded nonetheless: responses are matched
 // by it.
 func connectionFields(req *fasthttp.Request) (names [][]byte) {
 	for _, value := range req.Header.PeekAll("Connection") {
@@ -121,7 +121,7 @@
 		bytes.EqualFold(name, []byte("X-Expected-Instance"))
 }
 
-// containsFold reports whether a field's name is among names, in any case of letters.
+// containsFold reports whether names contain a field's name, ignoring case.
 func containsFold(names [][]byte, name []byte) bool {
 	for _, other := range names {
 		if bytes.EqualFold(name, other) {
--- a/dataplane/front.go
+++ b/dataplane/front.go
@@ -27,17 +27,17 @@
 	acceptRetryPause  = 20 * time.Millisecond // after a failure to accept, such as for lack of descriptors
 	drainIdleTimeout  = 50 * time.Millisecond // of an idle connection while the gateway drains
 	noConfigRetry     = 200 * time.Millisecond
-	descriptorDivisor = 2 // clients may hold this part of the file descriptors; servers and peers need the rest
+	descriptorDivisor = 2 // clients may hold one in so many file descriptors; servers and peers need the rest
 )
 
-// activeRoutes is where the active configuration is found.
+// activeRoutes provides the active configuration.
 type activeRoutes interface {
 	load() *activeConfig
 }
 
 // requestSink takes clients' requests.
 type requestSink interface {
-	// submit passes a request on, whose result is sent to its results. It reports false once the gateway has stopped.
+	// submit takes a request; its result will be sent to r.results. It reports false once the gateway has stopped.
 	submit(r *request) bool
 }
 
@@ -80,12 +80,12 @@
 	}
 }
 
-// maxConns is how many connections clients may hold; 0 = no limit.
+// maxConns returns how many connections clients may hold; 0 = no limit.
 func (s *frontServer) maxConns() int {
 	return s.process.settings.Limits.FileDescriptors / descriptorDivisor
 }
 
-// limits are those in force for clients.
+// limits returns the limits that apply to clients now.
 func (s *frontServer) limits() config.Limits {
 	limits := config.Limits{}
 	if active := s.configs.load(); active != nil {
@@ -123,7 +123,7 @@
 	}
 }
 
-// idleTimeout is how long a connection may wait for the first byte of a request.
+// idleTimeout returns how long a connection may wait for the first byte of a request.
 func (s *frontServer) idleTimeout(conn *clientConn, limits config.Limits, first bool) time.Duration {
 	timeout := fromMillis(limits.IdleTimeoutMS)
 	if first {
@@ -189,7 +189,7 @@
 	return true
 }
 
-// evictIdle has one idle connection closed. The caller holds the lock.
+// evictIdle makes one idle connection close. The caller holds the lock.
 func (s *clientConns) evictIdle() bool {
 	for conn := range s.open {
 		if !conn.busy.Load() && !conn.evicted {
@@ -207,7 +207,7 @@
 	delete(s.open, conn)
 }
 
-// closeIdle has the connections closed that carry no request.
+// closeIdle makes the connections close that carry no request.
 func (s *clientConns) closeIdle() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/dataplane/gateway.go
+++ b/dataplane/gateway.go
@@ -1,8 +1,19 @@
-// Package dataplane is the data plane as a library: a gateway takes clients' requests, asks one server of each shard as the balancer
-// decides, and answers. It learns the configuration and the servers from the controllers.
+// Package dataplane implements the data plane: a gateway takes clients' requests, sends each to one server of every shard that it
+// concerns, as package balancer decides, and responds. It learns the configuration and the servers from the controllers.
 //
-// A Gateway is made of components with a state of their own. All but the HTTP front and the configuration follower are owned by one
-// goroutine, the event loop; other goroutines post commands to it.
+// A Gateway consists of components, each with a state of its own:
+//
+//   - frontServer reads requests of clients and writes the responses
+//   - dispatcher holds the open requests and performs the balancer's actions
+//   - connPool sends attempts over connections to servers
+//   - endpointTable holds the servers, membership the other gateways
+//   - configFollower polls the controllers, configStore holds the active configuration
+//   - quotaClient and quotaAllocator share connections among tenants
+//   - outlierClient detects outliers together with the other gateways
+//   - loadExchange exchanges loads with other gateways
+//   - healthChecker checks servers whose heartbeats are lost
+//
+// All but frontServer and configFollower are owned by one goroutine, that of eventLoop; other goroutines post commands to it.
 package dataplane
 
 import (
@@ -23,8 +34,8 @@
 // Timing of the graceful shutdown. The platform needs two failed readiness checks to send no new connections, so they are accepted for
 // a while yet.
 const (
-	drainIdleClose  = 2200 * time.Millisecond // idle connections are closed so long after SIGTERM,
-	minDrain        = 2500 * time.Millisecond // and the listener stays open for at least so long
+	drainIdleClose  = 2200 * time.Millisecond // from SIGTERM until idle connections are closed
+	minDrain        = 2500 * time.Millisecond // from SIGTERM until the listener is closed, at least
 	shutdownReserve = 700 * time.Millisecond  // of the grace period, kept for the end
 	drainCheck      = 50 * time.Millisecond
 )
@@ -35,7 +46,7 @@
 	readinessIdleTimeout   = 10 * time.Second
 )
 
-// Gateway is one gateway's process.
+// Gateway serves clients. Make one with New; Run starts it.
 type Gateway struct {
 	process *process
 	loop    *eventLoop
@@ -53,7 +64,7 @@
 	front      *frontServer
 }
 
-// New makes a gateway that does nothing until Run.
+// New returns a gateway that does nothing until Run. Options are not changed.
 func New(options *settings.Settings, transport network.Network, log zerolog.Logger) *Gateway {
 	g := &Gateway{
 		process: newProcess(options, transport, log),
@@ -89,7 +100,7 @@
 	return g
 }
 
-// listeners are what a gateway listens on.
+// listeners are the three addresses that a gateway listens on.
 type listeners struct {
 	front, readiness, internal net.Listener
 }
@@ -108,7 +119,7 @@
 	return l, nil
 }
 
-// Run serves until the context is done, then shuts down gracefully. Its error says that an address can't be listened on.
+// Run serves until the context is done, then shuts down gracefully. It returns an error if it can't listen on one of its addresses.
 func (g *Gateway) Run(ctx context.Context) error {
 	l, err := g.listen()
 	if err != nil {
@@ -146,10 +157,10 @@
 	return nil
 }
 
-// Kill has Run return at once without a graceful shutdown, as a kill of the process would. It must be called once at most.
+// Kill makes Run return at once without a graceful shutdown, as killing the process would. It must not be called twice.
 func (g *Gateway) Kill() { close(g.killed) }
 
-// ActiveVersion is the version of the configuration that requests are served by, 0 = none yet.
+// ActiveVersion returns the version of the configuration that requests are served by, 0 = none yet.
 func (g *Gateway) ActiveVersion() uint64 {
 	if active := g.configs.load(); active != nil {
 		return active.version
@@ -157,7 +168,7 @@
 	return 0
 }
 
-// drain serves on until the open requests are answered and the platform has had time to send clients elsewhere.
+// drain keeps serving until the open requests are answered and the platform has had time to send clients elsewhere.
 func (g *Gateway) drain() {
 	g.process.log.Info().Msg("gateway: draining")
 	g.process.draining.Store(true)
--- a/dataplane/healthcheck.go
+++ b/dataplane/healthcheck.go
@@ -31,7 +31,7 @@
 	interval  balancer.Time // to the check after the next; 0 = none was made
 }
 
-// healthPaths tells the path at which a service's servers tell their health.
+// healthPaths knows the paths of health checks.
 type healthPaths interface {
 	healthPath(service string) string
 }
@@ -51,7 +51,7 @@
 	return &healthChecker{process: p, loop: loop, members: members, endpoints: endpoints, paths: paths}
 }
 
-// run begins the checks that are due.
+// run starts the checks that are due.
 func (h *healthChecker) run(now balancer.Time) {
 	if h.process.draining.Load() {
 		return // a check would outlive the gateway
@@ -72,7 +72,7 @@
 	return h.members.holdsRole(rendezvous.Name(instance), duration(now))
 }
 
-// check begins one check, on a goroutine of its own.
+// check starts one check, on a goroutine of its own.
 func (h *healthChecker) check(e *endpoint, now balancer.Time) {
 	if e.health.interval == 0 {
 		e.health.interval = ticks(healthCheckInterval)
--- a/dataplane/loadexchange.go
+++ b/dataplane/loadexchange.go
@@ -11,7 +11,7 @@
 
 // Timing of the exchange of loads.
 const (
-	maxLoadAge           = 4 * maintenanceInterval // loads of a peer count for so long
+	maxLoadAge           = 4 * maintenanceInterval // after which the loads of a peer are ignored
 	subscribeTimeout     = time.Second
 	subscriptionInterval = time.Second // between two looks at a subscription's connection, and between two attempts to subscribe
 	observationOnlyPeers = 1           // gateways of other zones that this one subscribes to, for observations alone
@@ -24,7 +24,7 @@
 }
 
 // loadExchange tells other gateways what this one has in flight at servers, and the balancer what they have. Each gateway subscribes
-// to a few others, and takes what they have for that of all. It is owned by the loop.
+// to a few others, and extrapolates from them to all. It is owned by the loop.
 type loadExchange struct {
 	process      *process
 	loop         commandLoop
@@ -203,7 +203,7 @@
 	x.balancer.handleEvent(update)
 }
 
-// observes reports whether the peers' loads say something of a server. Those of this zone do not ask servers of other zones, unless
+// observes reports whether the peers' loads cover a server. Those of this zone do not ask servers of other zones, unless
 // peers of all zones are observed.
 func (x *loadExchange) observes(e *endpoint) bool {
 	return e.zone == x.process.settings.Zone || x.observedPeers == x.members.size()-1
--- a/dataplane/loop.go
+++ b/dataplane/loop.go
@@ -11,7 +11,7 @@
 const (
 	maintenanceInterval = 250 * time.Millisecond // between two rounds of periodic work, unless one is expedited
 	minLoopSleep        = 100 * time.Microsecond
-	commandQueue        = 4096 // commands that may wait for the loop before those who post block
+	commandQueue        = 4096 // commands that may wait for the loop before post blocks
 )
 
 // eventLoop runs everything that touches the gateway's tables on one goroutine: commands that other goroutines post, timers and
@@ -36,23 +36,23 @@
 	loopStopped()
 }
 
-// clock tells the time since the gateway's start. It never goes back.
+// clock returns the time since the gateway's start. It is monotonic.
 type clock interface {
 	now() balancer.Time
 }
 
-// commandLoop is what components use of the loop: its clock, and the way back onto its goroutine.
+// commandLoop is the part of the loop that components use: its clock, and running commands on its goroutine.
 type commandLoop interface {
 	clock
 	// post runs a command on the loop's goroutine later. It reports false once the loop has stopped.
 	post(command func()) bool
 }
 
-// timerEvent is one scheduled event. Exactly one of its fields is set, or none but timer.
+// timerEvent is one scheduled event: the time limit of an attempt, the hold limit of a request, or else a timer of the balancer.
 type timerEvent struct {
-	timer        balancer.TimerID // the balancer's own
-	attempt      *attempt         // its time limit
-	undispatched *request         // its hold limit
+	timer        balancer.TimerID
+	attempt      *attempt
+	undispatched *request
 }
 
 func newEventLoop() *eventLoop {
@@ -74,16 +74,16 @@
 	}
 }
 
-// schedule has an event fire at a moment.
+// schedule fires an event at the given time.
 func (l *eventLoop) schedule(at balancer.Time, event timerEvent) { l.timers.Push(int64(at), event) }
 
-// expedite has the next periodic work done at a moment, if it would be later.
+// expedite moves the next periodic work forward to the given time. It never delays it.
 func (l *eventLoop) expedite(at balancer.Time) { l.nextMaintenance = min(l.nextMaintenance, at) }
 
 // stop ends the loop. It must be called once.
 func (l *eventLoop) stop() { close(l.stopped) }
 
-// run is the loop's goroutine.
+// run routes until the loop is stopped.
 func (l *eventLoop) run(handler loopHandler) {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
--- a/dataplane/membership.go
+++ b/dataplane/membership.go
@@ -49,10 +49,10 @@
 	m.roles.SetMembers(all, now)
 }
 
-// size is the number of live gateways, this one included.
+// size returns the number of live gateways, this one included.
 func (m *membership) size() int { return len(m.gateways) }
 
-// sameZone lists the gateways of this one's zone, this one first.
+// sameZone returns the gateways of this one's zone, this one first.
 func (m *membership) sameZone() []rendezvous.Name { return m.byZone[m.zone] }
 
 // holdsRole reports whether this gateway may act in a singleton role now.
@@ -70,7 +70,7 @@
 	return m.roles.HoldsAmong(role, candidates, now)
 }
 
-// roleOwner names the gateway to which a singleton role falls.
+// roleOwner returns the gateway to which a singleton role falls.
 func (m *membership) roleOwner(role rendezvous.Name) rendezvous.Name {
 	return rendezvous.Owner(role, m.gateways)
 }
--- a/dataplane/outlierclient.go
+++ b/dataplane/outlierclient.go
@@ -31,7 +31,7 @@
 // outlierLoop is what outlier detection uses of the loop.
 type outlierLoop interface {
 	clock
-	// expedite has the next periodic work, and with it the next report to peers, done at a moment.
+	// expedite moves the next periodic work, and with it the next report to peers, forward to the given time.
 	expedite(at balancer.Time)
 }
 
@@ -70,7 +70,7 @@
 	return o.detector.Status(outlier.Instance(e.instance))
 }
 
-// syncServers tells the detector which servers there are.
+// syncServers updates the detector's list of servers.
 func (o *outlierClient) syncServers() {
 	servers := map[outlier.Instance]outlier.Shard{}
 	for instance, e := range o.endpoints.byInstance {
@@ -107,7 +107,7 @@
 	o.stateChanged(e, before)
 }
 
-// stateChanged tells peers and the balancer at once where a server's state is another than before.
+// stateChanged informs peers and the balancer without delay if a server's state has changed from before.
 func (o *outlierClient) stateChanged(e *endpoint, before outlier.State) {
 	if o.status(e).State != before {
 		o.expediteReport(o.loop.now())
@@ -115,7 +115,7 @@
 	}
 }
 
-// expediteReport has observations sent to peers soon.
+// expediteReport makes the next report to peers come soon.
 func (o *outlierClient) expediteReport(now balancer.Time) {
 	o.loop.expedite(max(now+ticks(urgentDelay), o.sentAt+ticks(minUrgentInterval)))
 }
@@ -194,14 +194,14 @@
 		delete(o.reported, e.id)
 	} else {
 		kept := verdict
-		kept.Recovered = false // said once
+		kept.Recovered = false // reported once
 		o.reported[e.id] = kept
 	}
 	o.logState(e, status, now)
 	return verdict, true
 }
 
-// logState logs a server's state where it is another than last logged: as information at the one gateway that probes the server,
+// logState logs a server's state if it has changed since last logged: as information at the one gateway that probes the server,
 // for debugging at all others.
 func (o *outlierClient) logState(e *endpoint, status outlier.Status, now balancer.Time) {
 	state := status.State.String()
@@ -277,7 +277,7 @@
 	}
 }
 
-// verdicts lists the servers that are not simply healthy, for operators.
+// verdicts returns the servers that are not simply healthy, for operators.
 func (o *outlierClient) verdicts(now balancer.Time) (verdicts []*rpc.OutlierVerdict) {
 	for id := range o.reported {
 		e := o.endpoints.byID[id]
@@ -299,7 +299,7 @@
 	return verdicts
 }
 
-// shownObservations lists some observations that stand behind a server's state, for operators.
+// shownObservations returns some observations that stand behind a server's state, for operators.
 func (o *outlierClient) shownObservations(e *endpoint, now balancer.Time) (shown []*rpc.Observation) {
 	for _, observation := range o.detector.Observations(outlier.Instance(e.instance)) {
 		if len(shown) == maxShownObservations {
@@ -315,7 +315,7 @@
 	return shown
 }
 
-// ageMillis is how many milliseconds a moment lies before now.
+// ageMillis returns the milliseconds from a moment until now.
 func ageMillis(at time.Duration, now balancer.Time) uint32 {
 	return uint32((duration(now) - at) / time.Millisecond)
 }
--- a/dataplane/process.go
+++ b/dataplane/process.go
@@ -13,7 +13,7 @@
 	"oxbowspan/rendezvous"
 )
 
-// process is what the components of one gateway share: who it is, what it runs on and whether it serves.
+// process holds what the components of one gateway share: its identity, its environment and its state.
 type process struct {
 	settings    *settings.Settings
 	network     network.Network
--- a/dataplane/quotaclient.go
+++ b/dataplane/quotaclient.go
@@ -93,7 +93,7 @@
 	return ticks(q.limiter.EstimatedWait(q.services[at], q.tenantOf[of], duration(now)))
 }
 
-// setServer tells the limiter of a server: how many connections to it this gateway may have, of how many in all.
+// setServer sets the limit of this gateway's connections to a server, and that of all gateways' together.
 func (q *quotaClient) setServer(e *endpoint, limit, globalLimit int) {
 	if q.enabled() {
 		q.limiter.SetServer(quota.ServerID(e.id), quota.Service(e.service), limit, globalLimit)
@@ -106,7 +106,7 @@
 	}
 }
 
-// maxConnections is this gateway's share of the connections that a server of a service takes from all gateways together.
+// maxConnections returns this gateway's share of the connections that a server of a service takes from all gateways together.
 func (q *quotaClient) maxConnections(service string) int {
 	limit := q.endpoints.connectionLimits[service]
 	if q.enabled() {
--- a/dataplane/request.go
+++ b/dataplane/request.go
@@ -32,7 +32,7 @@
 	lastFailure *fasthttp.Response // the last response that was no success, to be forwarded when nothing better comes
 }
 
-// dispatchState sums up how far the request's shard calls have come.
+// dispatchState returns how far the request's shard calls have come.
 func (r *request) dispatchState() (state admission.DispatchState) {
 	for _, call := range r.shardCalls {
 		state.Dispatched = state.Dispatched || call.firstConn != nil
@@ -41,7 +41,7 @@
 	return state
 }
 
-// releaseLastFailure lets the kept failure go, if there is one.
+// releaseLastFailure releases the kept failure, if there is one.
 func (r *request) releaseLastFailure() {
 	if r.lastFailure != nil {
 		fasthttp.ReleaseResponse(r.lastFailure)
@@ -79,7 +79,7 @@
 	c.otherConns = append(c.otherConns, conn)
 }
 
-// releaseResponse lets the response go, if there is one.
+// releaseResponse releases the response, if there is one.
 func (c *shardCall) releaseResponse() {
 	if c.response != nil {
 		fasthttp.ReleaseResponse(c.response)
@@ -87,7 +87,7 @@
 	}
 }
 
-// attempt is one sending of a shard call to one server. It is owned by the loop.
+// attempt sends a shard call to one server, once. It is owned by the loop.
 type attempt struct {
 	shardCall       *shardCall
 	number          balancer.AttemptNumber
--- a/dataplane/response.go
+++ b/dataplane/response.go
@@ -43,7 +43,7 @@
 }
 
 // readResponse reads one complete response to a request. With an error, the bytes were no complete response to this request: the
-// connection is of no more use and the request may have run. First says that the connection brought no response before. Keep is how
+// connection can't be used again and the request may have run. First means that the connection brought no response before. Keep is how
 // long the connection may stay idle, 0 = not at all.
 func readResponse(r *bufio.Reader, req *request, first bool, resp *fasthttp.Response) (outcome balancer.Outcome, keep time.Duration, err error) {
 	if err := readFinalHeader(r, resp); err != nil {
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// keepIdle is how long a connection may stay idle after a response, 0 = not at all.
+// keepIdle returns how long a connection may stay idle after a response, 0 = not at all.
 func keepIdle(resp *fasthttp.Response) time.Duration {
 	if resp.Header.ConnectionClose() || len(resp.Header.Peek("X-Attempt-Id")) == 0 || resp.StatusCode() == fasthttp.StatusMisdirectedRequest {
 		return 0
@@ -114,7 +114,7 @@
 	return errInterimResponses
 }
 
-// checkStatusLine checks that what comes begins as a response does, with a status from 100 to 599. The header parser would skip empty
+// checkStatusLine checks that the next bytes begin a response, with a status from 100 to 599. The header parser would skip empty
 // lines and take the status 000 for 200.
 func checkStatusLine(r *bufio.Reader) error {
 	b, err := r.Peek(statusLinePrefix)
@@ -165,7 +165,7 @@
 	return errTrailerLines
 }
 
-// responseOutcome is what a response says of its attempt.
+// responseOutcome returns the outcome of the attempt that a response belongs to.
 func responseOutcome(resp *fasthttp.Response, req *request) balancer.Outcome {
 	status := resp.StatusCode()
 	success := status/100 == 2
@@ -185,7 +185,7 @@
 	return balancer.Answered
 }
 
-// keepAliveTimeout is the timeout that a Keep-Alive field names, less a little for the network; maxIdle where it names none.
+// keepAliveTimeout returns the timeout that a Keep-Alive field names, less a little for the network; maxIdle if it names none.
 func keepAliveTimeout(field string) time.Duration {
 	for parameter := range strings.SplitSeq(field, ",") {
 		name, value, ok := strings.Cut(strings.TrimSpace(parameter), "=")
--- a/dataplane/result.go
+++ b/dataplane/result.go
@@ -31,7 +31,7 @@
 	textFailed           = "no server answered in time; it may have run"
 )
 
-// result is what a client is answered.
+// result is the outcome of a request, for its client.
 type result struct {
 	kind       resultKind
 	responses  []*fasthttp.Response // of servers; release them once written
@@ -48,7 +48,7 @@
 	resultFailed                     // the request may have run
 )
 
-// release lets the responses go.
+// release releases the responses.
 func (r result) release() {
 	for _, resp := range r.responses {
 		fasthttp.ReleaseResponse(resp)
@@ -124,8 +124,8 @@
 	return append(b, "\r\n"...)
 }
 
-// writeResponse completes and sends a response: b holds its header so far, to which comes what concerns this connection, then the body,
-// which the response to a HEAD request has not.
+// writeResponse completes and sends a response: b holds its header so far. Fields about this connection are added, then the body, except
+// in the response to a HEAD request.
 func (c *clientConn) writeResponse(b, body []byte, keep bool, idle time.Duration) bool {
 	if !keep {
 		b = append(b, "Connection: close\r\n"...)
--- a/dataplane/serverconn.go
+++ b/dataplane/serverconn.go
@@ -44,31 +44,31 @@
 	}
 }
 
-// expired reports whether an idle connection may not be used again.
+// expired reports whether an idle connection must not be used again.
 func (c *serverConn) expired() bool { return c.closed || time.Since(c.usedAt) > c.maxIdle }
 
-// begin says that an attempt's request is about to be written.
+// begin records that an attempt's request is about to be written.
 func (c *serverConn) begin(a *attempt) {
 	c.mu.Lock()
 	c.exchange.begin(a)
 	c.mu.Unlock()
 }
 
-// written says that writing the request has ended, after so many bytes.
+// written records that writing the request has ended, after so many bytes.
 func (c *serverConn) written(bytes int) {
 	c.mu.Lock()
 	c.exchange.written(bytes)
 	c.mu.Unlock()
 }
 
-// pending returns the attempt that a response is expected to, nil = none.
+// pending returns the attempt whose response is expected, nil = none.
 func (c *serverConn) pending() *attempt {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.exchange.pending
 }
 
-// responseReceived says that the response is complete.
+// responseReceived records that the response is complete.
 func (c *serverConn) responseReceived() {
 	c.mu.Lock()
 	c.exchange.responseReceived()
@@ -82,7 +82,7 @@
 	return c.exchange.reusable()
 }
 
-// connectionLost says that the connection has ended. It returns the attempt that has lost its response, nil = none, and its outcome.
+// connectionLost records that the connection has ended. It returns the attempt that has lost its response, nil = none, and its outcome.
 func (c *serverConn) connectionLost(outcome balancer.Outcome) (*attempt, balancer.Outcome) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/dataplane/slots.go
+++ b/dataplane/slots.go
@@ -15,7 +15,7 @@
 	assigned map[string]bool // by instance
 }
 
-// computedFrom reports whether the assignment still holds for these inputs.
+// computedFrom reports whether the assignment is valid for these inputs.
 func (a *slotAssignment) computedFrom(servers, gateways []rendezvous.Name, slots int) bool {
 	return a.slots == slots && slices.Equal(a.servers, servers) && slices.Equal(a.gateways, gateways)
 }
@@ -48,7 +48,7 @@
 	return result
 }
 
-// usableServers lists the servers of a service that can take requests, in order.
+// usableServers returns the servers of a service that can take requests, in order.
 func (t *endpointTable) usableServers(service string) []rendezvous.Name {
 	var servers []rendezvous.Name
 	for _, e := range t.byInstance {
--- a/dataplane/tenants.go
+++ b/dataplane/tenants.go
@@ -13,7 +13,7 @@
 
 // Reporting of tenants.
 const (
-	waitingCooldown = 5 * time.Second // a tenant waits no longer when nothing of it has waited for so long
+	waitingCooldown = 5 * time.Second // without a wait, after which a tenant counts as no longer waiting
 	statsWindow     = time.Minute     // over which its requests and waits are counted
 	waitDigits      = 2               // significant digits of recorded waits
 )
@@ -264,7 +264,7 @@
 	}
 }
 
-// connectionUsages lists who has or wants connections to which server, for operators.
+// connectionUsages returns who has or wants connections to which server, for operators.
 func (q *quotaClient) connectionUsages(now balancer.Time) (usages []*rpc.ConnectionUsage) {
 	for _, usage := range q.limiter.ConnectionUsages(duration(now)) {
 		e := q.endpoints.byID[balancer.ServerID(usage.Server)]
@@ -285,7 +285,7 @@
 	return usages
 }
 
-// waitStats tells how long tenants waited, for operators.
+// waitStats returns how long tenants waited, for operators.
 func (q *quotaClient) waitStats() (stats []*rpc.WaitStats) {
 	for _, tenant := range q.tenants {
 		if tenant.requests == 0 && tenant.waiting == 0 {
--- a/dataplane/updates.go
+++ b/dataplane/updates.go
@@ -8,8 +8,8 @@
 	"oxbowspan/rpc"
 )
 
-// Gateway's side of what controllers and other gateways tell it, and of what it tells them. All methods but handleFrame run on the
-// loop's goroutine.
+// The messages that a gateway exchanges with controllers and other gateways, routed to its components. All methods but handleFrame run on
+// the loop's goroutine.
 
 // activateConfig implements updateSink.
 func (g *Gateway) activateConfig(c *config.Configuration, text []byte, slot uint64) {
@@ -63,7 +63,7 @@
 	return pollStatus{stats: g.stats(now), healthChecks: g.health.reports(now)}
 }
 
-// stats returns what operators see of this gateway, nil = nothing but the version of its configuration.
+// stats returns the statistics of this gateway for operators, nil = nothing but the version of its configuration.
 func (g *Gateway) stats(now balancer.Time) *rpc.GatewayStats {
 	stats := &rpc.GatewayStats{
 		TenantsVersion: g.quota.document.version,
