--- a/dataplane/endpoints_test.go
+++ b/dataplane/endpoints_test.go
@@ -54,9 +54,9 @@
 		overdue bool
 		holder  uint64
 	}{
-		{"newer", &rpc.ServerReport{Instance: "i", Service: "s", Address: "10.0.1.2:80", Sequence: 3, Overdue: true}, "10.0.1.2:80", true, 5},
-		{"older", &rpc.ServerReport{Instance: "i", Service: "s", Address: "10.0.1.2:80", Sequence: 1, Overdue: true}, "10.0.1.1:80", false, 5},
-		{"without a service", &rpc.ServerReport{Instance: "i", Sequence: 3, Overdue: true}, "10.0.1.1:80", true, 5},
+		{"newer", &rpc.ServerReport{Instance: "i", Service: "s", Address: "10.0.1.2:80", Sequence: 3, Unresponsive: true}, "10.0.1.2:80", true, 5},
+		{"older", &rpc.ServerReport{Instance: "i", Service: "s", Address: "10.0.1.2:80", Sequence: 1, Unresponsive: true}, "10.0.1.1:80", false, 5},
+		{"without a service", &rpc.ServerReport{Instance: "i", Sequence: 3, Unresponsive: true}, "10.0.1.1:80", true, 5},
 		{"newer lease", &rpc.ServerReport{Instance: "i", Sequence: 1, FencingToken: 3, LeaseHolder: 4}, "10.0.1.1:80", false, 4},
 		{"older lease", &rpc.ServerReport{Instance: "i", Sequence: 1, FencingToken: 1, LeaseHolder: 9}, "10.0.1.1:80", false, 5},
 	} {
