--- a/controlplane/api.go
+++ b/controlplane/api.go
@@ -18,7 +18,6 @@
 
 // How long the calls may take, and how long their bodies may be.
 const (
-	replicationTimeout    = 800 * time.Millisecond // callers give up after a second
 	consensusTimeout      = 900 * time.Millisecond
 	maxHeartbeatBytes     = 16 << 10
 	maxConfigurationBytes = 8 << 20
@@ -94,17 +93,11 @@
 	c.take(w, r, func(now time.Duration) { c.h.table.Deregister(id, now) })
 }
 
-// reportOutcome is what became of a report.
-type reportOutcome struct {
-	wait     *replicationWait // until a majority of the core holds it; nil = it does, or need not
-	isolated bool             // this machine hears too few of the core
-}
-
 // take hands a report to the owner. What takes a server out is acknowledged only when a majority of the core holds it, so
 // that it is not lost with this machine.
 func (c *instanceAPI) take(w http.ResponseWriter, r *http.Request, report func(now time.Duration)) {
 	h, id := c.h, registry.InstanceID(r.PathValue("id"))
-	taken, written := query(h.loop, func() reportOutcome { return h.applyReport(id, report) })
+	taken, written := query(h.loop, func() reportOutcome { return h.heartbeats.apply(id, report) })
 	if !written {
 		writeError(w, http.StatusServiceUnavailable, "this machine is leaving")
 		return
@@ -128,37 +121,6 @@
 	w.Write([]byte("{}"))
 }
 
-// applyReport takes what a server says of itself.
-func (h *Controller) applyReport(id registry.InstanceID, report func(now time.Duration)) (t reportOutcome) {
-	now, before := h.clock.now(), h.table.Cursor()
-	t.isolated = now > peerLivenessTimeout && !h.contact.hasQuorum(now)
-	report(now)
-	changed := h.table.ChangesAfter(before)
-	for _, o := range changed {
-		if o.State != registry.Ready {
-			t.wait = &replicationWait{cursor: h.table.Cursor(), done: make(chan struct{}), deadline: now + replicationTimeout}
-		}
-	}
-	if t.wait == nil {
-		// A call sent again: the first one may not have been borne yet.
-		if o := h.table.Get(id); o != nil && o.State != registry.Ready {
-			t.wait = &replicationWait{cursor: h.table.LastChange(id), done: make(chan struct{}), deadline: now + replicationTimeout}
-		}
-	}
-	if len(changed) > 0 {
-		h.updates.request(t.wait != nil)
-	}
-	if t.wait != nil {
-		if h.peers.replicated(h.learner.value.Members, t.wait.cursor) {
-			t.wait = nil
-		} else {
-			h.replicationWaits = append(h.replicationWaits, t.wait)
-			h.peers.gossipNow()
-		}
-	}
-	return t
-}
-
 // configurationAPI are what the operator wants.
 type configurationAPI struct{ h *Controller }
 
@@ -241,7 +203,7 @@
 	var fate consensus.Outcome
 	var inPlace consensus.Version
 	began := time.Now()
-	v, err := c.h.propose(ctx, func(v *consensus.Value) *consensus.Value {
+	v, err := c.h.proposer.propose(ctx, func(v *consensus.Value) *consensus.Value {
 		inPlace = v.Version
 		var next *consensus.Value
 		next, fate = call.Evaluate(v)
@@ -273,7 +235,7 @@
 func (c *configurationAPI) read(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), consensusTimeout)
 	defer cancel()
-	v, err := c.h.propose(ctx, func(v *consensus.Value) *consensus.Value { return v })
+	v, err := c.h.proposer.propose(ctx, func(v *consensus.Value) *consensus.Value { return v })
 	switch {
 	case errors.Is(err, errNoQuorum):
 		writeError(w, http.StatusServiceUnavailable, "the core could not make sure of the newest version in time")
--- a/controlplane/controller.go
+++ b/controlplane/controller.go
@@ -14,7 +14,6 @@
 
 	"github.com/rotisserie/eris"
 	"github.com/rs/zerolog"
-	"google.golang.org/protobuf/proto"
 
 	"oxbowspan/consensus"
 	"oxbowspan/internal/acceptorstore"
@@ -27,55 +26,41 @@
 // Rhythm of the hive's own talk.
 const (
 	gossipInterval       = 400 * time.Millisecond // to each other hive
-	peerCallTimeout      = 800 * time.Millisecond // for an answer of another hive
 	housekeepingInterval = 400 * time.Millisecond
-	resolveDelay         = 400 * time.Millisecond
 )
 
 // Controller is one core machine's process.
 type Controller struct {
-	settings      *settings.Settings
-	network       network.Network
-	log           zerolog.Logger
-	store         *acceptorstore.Store
-	self          identity
-	learner       *learner
-	acceptor      *acceptorEndpoint
-	proposerID    consensus.ProposerID
-	clock         *steadyClock
-	loop          *eventLoop
-	killed        chan struct{}
-	proposalToken chan struct{} // holds one token: this hive's rounds go one at a time
-	wg            sync.WaitGroup
+	settings *settings.Settings
+	network  network.Network
+	log      zerolog.Logger
+	store    *acceptorstore.Store
+	self     identity
+	learner  *learner
+	acceptor *acceptorEndpoint
+	clock    *steadyClock
+	loop     *eventLoop
+	killed   chan struct{}
+	wg       sync.WaitGroup
 
 	// The owner's.
-	highestBallot    uint64                   // the highest number seen
-	selfRepair       consensus.RepairSchedule // when this machine's own copy is to be completed
-	repair           consensus.RepairSchedule // when a round is owed for copies that lack
-	contact          *contactMonitor
-	verifier         *contactVerifier
-	table            *registry.Table
-	gateways         *gatewayDirectory
-	polls            *pollService
-	updates          *updateSchedule
-	peers            *peerSet
-	replicationWaits []*replicationWait // emptied by acks and time
-	events           *eventLog
-	serverChanges    *serverChangeLog
-	housekeepingAt   time.Duration
-	proposing        bool // a round to resolve or to join is on its way
-	proposeAfter     time.Duration
-	draining         bool
-	hintsSavedAt     time.Duration
-	hintsCursor      registry.Cursor // up to which the reports are on the disk, as hints
-	savingHints      bool
-}
-
-// replicationWait waits until a report is held by enough of the core.
-type replicationWait struct {
-	cursor   registry.Cursor
-	done     chan struct{}
-	deadline time.Duration
+	contact        *contactMonitor
+	verifier       *contactVerifier
+	table          *registry.Table
+	gateways       *gatewayDirectory
+	polls          *pollService
+	heartbeats     *heartbeatService
+	hints          *hintSaver
+	membership     *membershipManager
+	completion     *replicaCompletion
+	proposer       *proposer
+	scheduler      *proposalScheduler
+	drainer        *drainer
+	updates        *updateSchedule
+	peers          *peerSet
+	events         *eventLog
+	serverChanges  *serverChangeLog
+	housekeepingAt time.Duration
 }
 
 // New opens the state and makes a hive that does nothing yet.
@@ -92,10 +77,9 @@
 		log.Warn().Str("file", setAside).Msg("state: damaged file set aside, coming back as a stranger")
 	}
 	state := store.State()
-	h := &Controller{settings: set, network: on, log: log, store: store, proposerID: consensus.ProposerID(acceptorstore.NewAcceptorID()),
+	h := &Controller{settings: set, network: on, log: log, store: store,
 		clock: newSteadyClock(), loop: newEventLoop(), killed: make(chan struct{}),
-		proposalToken: make(chan struct{}, 1), table: registry.NewTable(set.HeartbeatInterval()),
-		highestBallot: state.Promised.Number}
+		table: registry.NewTable(set.HeartbeatInterval())}
 	h.self = identity{id: state.ID, incarnation: uint64(acceptorstore.NewAcceptorID()), address: set.InternalAddress(settings.ControllerPort),
 		controlAddress: set.Listen.Control, zone: set.Zone}
 	h.events = newEventLog(h.clock)
@@ -125,9 +109,36 @@
 		updates:           h.updates,
 		waiters:           map[*pollWaiter]bool{},
 	}
-	h.selfRepair, h.repair = consensus.RepairSchedule{Delay: selfRepairDelay}, consensus.RepairSchedule{Delay: repairDelay}
-	h.proposalToken <- struct{}{}
-	h.restoreHints(store.Hints())
+	h.heartbeats = newHeartbeatService(h.clock, h.table, h.learner, h.contact, h.peers, h.updates)
+	h.hints = newHintSaver(store, h.table, h.loop, h.clock)
+	h.membership = newMembershipManager(h.self, set.ToleratedLosses.Machines, h.learner, h.contact, h.peers)
+	h.completion = newReplicaCompletion(h.self, h.learner, h.acceptor, h.contact, h.peers)
+	h.proposer = newProposer(consensus.ProposerID(acceptorstore.NewAcceptorID()), state.Promised.Number, h.loop, h.learner, h.acceptor, h.peers)
+	h.scheduler = &proposalScheduler{
+		firstStart: set.FirstStart,
+		loop:       h.loop,
+		clock:      h.clock,
+		learner:    h.learner,
+		acceptor:   h.acceptor,
+		membership: h.membership,
+		completion: h.completion,
+		proposer:   h.proposer,
+	}
+	h.drainer = &drainer{
+		self:       h.self,
+		timeout:    drainTimeout(set.Bounds.GracePeriodS),
+		loop:       h.loop,
+		clock:      h.clock,
+		learner:    h.learner,
+		acceptor:   h.acceptor,
+		peers:      h.peers,
+		membership: h.membership,
+		completion: h.completion,
+		proposer:   h.proposer,
+		killed:     h.killed,
+		log:        h.log,
+	}
+	h.hints.restore()
 	return h, nil
 }
 
@@ -145,7 +156,7 @@
 }
 
 // observeBallot implements ballotObserver.
-func (h *Controller) observeBallot(number uint64) { h.highestBallot = max(h.highestBallot, number) }
+func (h *Controller) observeBallot(number uint64) { h.proposer.observeBallot(number) }
 
 // Run serves until the context is done.
 func (h *Controller) Run(ctx context.Context) error {
@@ -173,7 +184,7 @@
 	select {
 	case <-ctx.Done():
 		h.log.Info().Msg("hive: leaving")
-		h.drain()
+		h.drainer.drain()
 		end, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		control.Close()
@@ -257,55 +268,10 @@
 		h.gateways.listChanged()
 	}
 	h.peers.forget(now, h.learner.isMemberAddress)
-	kept := h.replicationWaits[:0]
-	for _, s := range h.replicationWaits {
-		if now < s.deadline {
-			kept = append(kept, s)
-		}
-	}
-	h.replicationWaits = kept
+	h.heartbeats.expireWaits(now)
 	h.contact.prune(now)
-	h.startDueProposal(now)
-	h.saveHints(now)
-}
-
-// hintInterval is how often changed reports are put on the disk at most.
-const hintInterval = 2 * time.Second
-
-// saveHints puts the servers that are known on the disk, so that a core whose every machine lost power knows them before
-// they have called again. What is there may be old: a server that does not call is soon silent again.
-func (h *Controller) saveHints(now time.Duration) {
-	upTo := h.table.Cursor()
-	if h.savingHints || now-h.hintsSavedAt < hintInterval || len(h.table.ChangesAfter(h.hintsCursor)) == 0 {
-		return
-	}
-	m := &rpc.Gossip{}
-	for _, r := range h.table.ChangesAfter(0) {
-		m.Reports = append(m.Reports, encodeReport(r, now))
-	}
-	text, err := proto.Marshal(m)
-	if err != nil {
-		return
-	}
-	h.hintsSavedAt = now
-	h.savingHints = h.store.SaveHints(text, func(err error) {
-		go h.loop.post(func() {
-			if h.savingHints = false; err == nil {
-				h.hintsCursor = upTo
-			}
-		})
-	})
-}
-
-func (h *Controller) restoreHints(hints []byte) {
-	m := &rpc.Gossip{}
-	if len(hints) == 0 || proto.Unmarshal(hints, m) != nil {
-		return
-	}
-	for _, r := range m.Reports {
-		r.AgeMs = 0 // how long ago that was nobody knows
-		h.table.Merge(decodeReport(r, h.clock.now()), "disk")
-	}
+	h.scheduler.startDue(now)
+	h.hints.save(now)
 }
 
 // handleFrame takes a frame of another process, in the goroutine of its connection.
@@ -328,3 +294,15 @@
 		h.loop.post(func() { h.polls.receive(c, f.Id, b.Poll) })
 	}
 }
+
+// StoredState returns what the disk holds, after all that is queued for it; ok is false when the disk doesn't answer within a
+// second. For tests.
+func (h *Controller) StoredState() (state consensus.AcceptorState, ok bool) {
+	return h.acceptor.storedState()
+}
+
+// CommittedValue returns the newest value that this controller knows to be decided; nil = none, or the controller has ended.
+func (h *Controller) CommittedValue() *consensus.Value {
+	v, _ := query(h.loop, h.learner.decided)
+	return v
+}
--- a/controlplane/documents.go
+++ b/controlplane/documents.go
@@ -44,7 +44,7 @@
 	defer cancel()
 	var fate consensus.Outcome
 	var at consensus.Version
-	_, err := c.h.propose(ctx, func(v *consensus.Value) *consensus.Value {
+	_, err := c.h.proposer.propose(ctx, func(v *consensus.Value) *consensus.Value {
 		var next *consensus.Value
 		next, at, fate = call.Evaluate(v)
 		return next
@@ -69,7 +69,7 @@
 func (c *documentAPI) read(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), consensusTimeout)
 	defer cancel()
-	v, err := c.h.propose(ctx, func(v *consensus.Value) *consensus.Value { return v })
+	v, err := c.h.proposer.propose(ctx, func(v *consensus.Value) *consensus.Value { return v })
 	if err != nil {
 		writeError(w, http.StatusServiceUnavailable, "the core could not make sure of the newest version in time")
 		return
--- a/controlplane/gossip.go
+++ b/controlplane/gossip.go
@@ -55,6 +55,28 @@
 	}
 }
 
+// describeSelfWithReplica is what this controller tells its peers of itself: what its disk holds, and the ballots at which the newest
+// value is known to be decided.
+func (h *Controller) describeSelfWithReplica() *rpc.Controller {
+	m := h.describeSelf()
+	m.StoredSlot, m.StoredBallot, m.Draining = uint64(h.acceptor.replica.Slot), rpc.BallotToProto(h.acceptor.replica.Ballot), h.membership.draining
+	if h.learner.confirmed {
+		m.LowestDecidedBallot = rpc.BallotToProto(h.learner.decision.First)
+		if h.learner.decision.Last != h.learner.decision.First {
+			m.HighestDecidedBallot = rpc.BallotToProto(h.learner.decision.Last)
+		}
+	}
+	return m
+}
+
+// observeReplica takes what a peer reports of its disk, and the ballots at which the slot that it knows is decided.
+func (h *Controller) observeReplica(p *peer, from *rpc.Controller, slot consensus.Slot) {
+	p.reportsReplica, p.draining = from.StoredBallot != nil, from.Draining
+	p.replica = consensus.Replica{Slot: consensus.Slot(from.StoredSlot), Ballot: rpc.BallotFromProto(from.StoredBallot)}
+	h.learner.observeBallot(slot, rpc.BallotFromProto(from.LowestDecidedBallot))
+	h.learner.observeBallot(slot, rpc.BallotFromProto(from.HighestDecidedBallot))
+}
+
 // outgoingGossip is a pulse, when it was made, and up to which cursor its receiver will have this hive's reports.
 type outgoingGossip struct {
 	message *rpc.Gossip
@@ -198,15 +220,7 @@
 			p.differingRanges = append(p.differingRanges, int(no))
 		}
 	}
-	kept := h.replicationWaits[:0]
-	for _, s := range h.replicationWaits {
-		if h.peers.replicated(h.learner.value.Members, s.cursor) {
-			close(s.done)
-		} else {
-			kept = append(kept, s)
-		}
-	}
-	h.replicationWaits = kept
+	h.heartbeats.completeWaits()
 }
 
 // observePeer notes that a hive lives. One that began anew has nothing of this hive's.
--- /dev/null
+++ b/controlplane/proposal_scheduler.go
@@ -0,0 +1,87 @@
+package controlplane
+
+import (
+	"context"
+	"time"
+
+	"oxbowspan/consensus"
+)
+
+const (
+	// resolveDelay is how long the proposer of an accepted value is given to finish before this controller proposes, and the
+	// pause between two of this controller's own proposals.
+	resolveDelay = 400 * time.Millisecond
+
+	// scheduledProposalTimeout is for a proposal that no operator waits for.
+	scheduledProposalTimeout = 2 * peerCallTimeout
+)
+
+// proposalScheduler starts the proposals that the state of the register calls for, one at a time. It belongs to the event loop.
+type proposalScheduler struct {
+	firstStart bool // the control plane starts for the first time: there is nothing to learn
+	loop       *eventLoop
+	clock      *steadyClock
+	learner    *learner
+	acceptor   *acceptorEndpoint
+	membership *membershipManager
+	completion *replicaCompletion
+	proposer   *proposer
+	proposing  bool
+	notBefore  time.Duration // of the next proposal
+}
+
+// startDue starts a proposal if one is due: to learn whether an accepted value was decided, to become a member, to confirm a
+// change of the members, or to complete replicas.
+func (s *proposalScheduler) startDue(now time.Duration) {
+	incomplete := s.completion.due(now) // called always, as it watches since when replicas are incomplete
+	if s.proposing || now < s.notBefore {
+		return
+	}
+	joins := s.membership.wanted(now)
+	if !s.unresolved(now) && !joins && !s.unconfirmed(now) && !incomplete {
+		return
+	}
+	change := consensus.ChangeFunc(confirm)
+	if joins {
+		change = s.membership.request(now).apply
+	}
+	s.proposing = true
+	go s.propose(change, incomplete)
+}
+
+// unresolved reports whether it is not known what became of the value that this controller's acceptor accepted last.
+func (s *proposalScheduler) unresolved(now time.Duration) bool {
+	if !s.learner.confirmed {
+		return s.acceptor.newestSlot > 0 || !s.firstStart
+	}
+	return !s.learner.decision.Resolves(s.acceptor.replica) && s.isOverdue(now)
+}
+
+// unconfirmed reports whether a change of the members is decided but not confirmed.
+func (s *proposalScheduler) unconfirmed(now time.Duration) bool {
+	return s.learner.confirmed && !s.learner.value.Confirmed() && s.isOverdue(now)
+}
+
+// isOverdue reports whether the proposer of the newest accepted value has had the time to finish.
+func (s *proposalScheduler) isOverdue(now time.Duration) bool {
+	return now-s.acceptor.newestAt > resolveDelay
+}
+
+// propose runs a proposal, on a goroutine of its own.
+func (s *proposalScheduler) propose(change consensus.ChangeFunc, completes bool) {
+	ctx, cancel := context.WithTimeout(context.Background(), scheduledProposalTimeout)
+	defer cancel()
+	_, err := s.proposer.propose(ctx, change)
+	s.loop.post(func() { s.finish(completes, err) })
+}
+
+func (s *proposalScheduler) finish(completes bool, err error) {
+	s.proposing = false
+	if completes {
+		s.completion.recordAttempt(s.clock.now())
+	}
+	s.notBefore = s.clock.now() + randomDuration(resolveDelay)
+	if err != nil {
+		s.notBefore += resolveDelay
+	}
+}
--- a/controlplane/proposer.go
+++ b/controlplane/proposer.go
@@ -7,172 +7,111 @@
 	"time"
 
 	"oxbowspan/consensus"
-	"oxbowspan/rpc"
 )
 
-// errNoQuorum says that a round came to no end in time: its proposal may be decided yet, or not.
+// errNoQuorum says that no majority answered in time. The proposal may or may not be decided later.
 var errNoQuorum = errors.New("no majority answered in time")
 
-// proposalStart is what a round begins with.
+// After a proposal that another one preempted, the proposer waits for a random part of a backoff that grows with each attempt, so
+// that two of them don't go on preempting each other.
+const (
+	proposalBackoff    = 25 * time.Millisecond
+	proposalBackoffMax = 6 // times proposalBackoff
+)
+
+// proposer has values decided. Its proposals run one at a time; propose may be called from any goroutine but the event loop's.
+type proposer struct {
+	id       consensus.ProposerID
+	loop     *eventLoop
+	learner  *learner
+	acceptor *acceptorEndpoint
+	peers    *peerSet
+	token    chan struct{} // held by the running proposal
+
+	highestBallot uint64 // seen of any proposer; the event loop's
+}
+
+// newProposer returns a proposer. HighestBallot is the highest ballot number that its acceptor has promised.
+func newProposer(id consensus.ProposerID, highestBallot uint64, loop *eventLoop, learner *learner, acceptor *acceptorEndpoint, peers *peerSet) *proposer {
+	p := &proposer{id: id, loop: loop, learner: learner, acceptor: acceptor, peers: peers, token: make(chan struct{}, 1), highestBallot: highestBallot}
+	p.token <- struct{}{}
+	return p
+}
+
+// proposalStart is what a proposal begins with.
 type proposalStart struct {
 	ballot consensus.Ballot
-	known  *consensus.Value
+	base   *consensus.Value
+}
+
+// next returns what the next proposal begins with: a ballot above all that were seen. On the event loop.
+func (p *proposer) next() proposalStart {
+	p.highestBallot++
+	return proposalStart{consensus.Ballot{Number: p.highestBallot, By: p.id}, p.learner.value}
 }
 
-// nextBallot numbers a new round, above all that were seen.
-func (h *Controller) nextBallot() proposalStart {
-	h.highestBallot++
-	return proposalStart{consensus.Ballot{Number: h.highestBallot, By: h.proposerID}, h.learner.value}
+// observeBallot notes the number of a ballot that another proposer uses. On the event loop.
+func (p *proposer) observeBallot(number uint64) { p.highestBallot = max(p.highestBallot, number) }
+
+// confirm is a change that changes nothing: the newest value is decided again, and so known to be the newest.
+func confirm(v *consensus.Value) *consensus.Value { return v }
+
+// read returns the newest decided value as of the call: a controller that lags must not answer with an old one. Its error is
+// errNoQuorum.
+func (p *proposer) read(ctx context.Context) (*consensus.Value, error) {
+	return p.propose(ctx, confirm)
 }
 
-// propose runs rounds until change has nothing more to say of the newest value, which is then decided. Its own rounds go
-// one at a time.
-func (h *Controller) propose(ctx context.Context, change consensus.ChangeFunc) (*consensus.Value, error) {
+// propose runs proposals until one that includes the change is decided, and a change of the members in it is confirmed. The
+// change is applied to the newest value, and anew with each proposal. The only error is errNoQuorum.
+func (p *proposer) propose(ctx context.Context, change consensus.ChangeFunc) (*consensus.Value, error) {
 	select {
-	case <-h.proposalToken:
-		defer func() { h.proposalToken <- struct{}{} }()
+	case <-p.token:
+		defer func() { p.token <- struct{}{} }()
 	case <-ctx.Done():
 		return nil, errNoQuorum
-	case <-h.loop.stopped:
+	case <-p.loop.stopped:
 		return nil, errNoQuorum
 	}
-	for try := 0; ; try++ {
-		start, ok := query(h.loop, h.nextBallot)
+	for attempt := 0; ; attempt++ {
+		start, ok := query(p.loop, p.next)
 		if !ok {
 			return nil, errNoQuorum
 		}
-		v, changed, err := h.runProposal(ctx, consensus.NewProposal(start.ballot, start.known, change))
-		if err == nil {
-			h.loop.execute(func() { h.learner.learn(v); h.learner.observeBallot(v.Slot, start.ballot) })
-			if v.Confirmed() && changed {
+		run := newProposalRun(p, consensus.NewProposal(start.ballot, start.base, change))
+		v, err := run.run(ctx)
+		switch {
+		case err == nil:
+			p.loop.execute(func() { p.learn(v, start.ballot) })
+			if v.Confirmed() && run.proposal.IncludesChange() {
 				return v, nil
 			}
-			continue // the acceptors changed: that is confirmed first
-		}
-		if ctx.Err() != nil {
-			return nil, errNoQuorum
-		}
-		// Duels end soon: each waits by lot, longer with each try.
-		select {
-		case <-time.After(time.Duration(rand.Int64N(int64(min(try+1, 6)) * int64(25*time.Millisecond)))):
-		case <-ctx.Done():
+		case ctx.Err() != nil:
 			return nil, errNoQuorum
+		default:
+			if !sleep(ctx, randomDuration(time.Duration(min(attempt+1, proposalBackoffMax))*proposalBackoff)) {
+				return nil, errNoQuorum
+			}
 		}
 	}
 }
 
-// runProposal carries one round's messages. Changed tells whether the change was asked and has had its way.
-func (h *Controller) runProposal(ctx context.Context, r *consensus.Proposal) (v *consensus.Value, changed bool, err error) {
-	ctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
-	defer cancel()
-	answers := make(chan any, 32)
-	known := r.Base()
-	held := map[consensus.AcceptorID][]string{} // the bodies that each acceptor said that it has
-	ask := func(m consensus.Member, f *rpc.Frame) {
-		if m.ID == h.self.id {
-			switch b := f.Body.(type) {
-			case *rpc.Frame_Prepare:
-				h.acceptor.handlePrepare(b.Prepare, func(p *rpc.PrepareReply) { answers <- p })
-			case *rpc.Frame_Accept:
-				h.acceptor.handleAccept(b.Accept, func(a *rpc.AcceptReply) { answers <- a })
-			}
-			return
-		}
-		p, _ := query(h.loop, func() *peer { return h.peers.add(m.Address) })
-		if p == nil {
-			return
-		}
-		limit, end := ctx, func() {}
-		if f.GetAccept() != nil { // it outlives the decision: the slower members' disks are to hold the value, too
-			limit, end = context.WithTimeout(context.Background(), peerCallTimeout)
-		}
-		go func() {
-			defer end()
-			a, err := p.client.Call(limit, f)
-			if err != nil {
-				return
-			}
-			switch b := a.Body.(type) {
-			case *rpc.Frame_PrepareReply:
-				answers <- b.PrepareReply
-			case *rpc.Frame_AcceptReply:
-				answers <- b.AcceptReply
-			}
-		}()
-	}
-	prepare := func() {
-		for _, m := range r.NextPrepares() {
-			ask(m, &rpc.Frame{Body: &rpc.Frame_Prepare{Prepare: &rpc.Prepare{Acceptor: uint64(m.ID),
-				Ballot: rpc.BallotToProto(r.Ballot()), KnownDigest: []byte(known.Digest), KnownBodies: rpc.DigestsToProto(rpc.BodyDigests(known))}}})
-		}
-	}
-	prepare()
-	for {
-		select {
-		case a := <-answers:
-			switch a := a.(type) {
-			case *rpc.PrepareReply:
-				value := rpc.ValueFromProto(a.Value, known)
-				if a.Value != nil && value == nil {
-					continue // a vote that can't be read is not the same as none
-				}
-				held[consensus.AcceptorID(a.Acceptor)] = rpc.DigestsFromProto(a.KnownBodies)
-				to := r.HandlePrepareReply(consensus.PrepareReply{From: consensus.AcceptorID(a.Acceptor), OK: a.Ok, Promised: rpc.BallotFromProto(a.Promised),
-					Accepted: rpc.BallotFromProto(a.Accepted), Value: value})
-				if to == nil {
-					prepare()
-				}
-				for _, m := range to {
-					ask(m, &rpc.Frame{Body: &rpc.Frame_Accept{Accept: &rpc.Accept{Acceptor: uint64(m.ID),
-						Ballot: rpc.BallotToProto(r.Ballot()), Value: rpc.ValueToProto(r.Value(), held[m.ID]...)}}})
-				}
-			case *rpc.AcceptReply:
-				if r.HandleAcceptReply(consensus.AcceptReply{From: consensus.AcceptorID(a.Acceptor), OK: a.Ok, Promised: rpc.BallotFromProto(a.Promised)}) {
-					return r.Value(), r.IncludesChange(), nil
-				}
-			}
-			if by, lost := r.Preempted(); lost {
-				h.loop.post(func() { h.highestBallot = max(h.highestBallot, by.Number) })
-				return nil, false, errNoQuorum
-			}
-		case <-ctx.Done():
-			return nil, false, errNoQuorum
-		case <-h.loop.stopped:
-			return nil, false, errNoQuorum
-		}
-	}
+func (p *proposer) learn(v *consensus.Value, ballot consensus.Ballot) {
+	p.learner.learn(v)
+	p.learner.observeBallot(v.Slot, ballot)
 }
 
-// startDueProposal starts a round where this hive owes one: to find out the fate of a vote, to get a seat, or to complete copies.
-func (h *Controller) startDueProposal(now time.Duration) {
-	incomplete := h.replicasIncomplete(now)
-	if h.proposing || now < h.proposeAfter {
-		return
-	}
-	unresolved := !h.learner.confirmed && (h.acceptor.newestSlot > 0 || !h.settings.FirstStart) || h.learner.confirmed && !h.learner.decision.Resolves(h.acceptor.replica) && now-h.acceptor.newestAt > resolveDelay
-	seatless := !h.draining && h.wantsMembership(now)
-	unsettled := h.learner.confirmed && !h.learner.value.Confirmed() && now-h.acceptor.newestAt > resolveDelay
-	if !unresolved && !seatless && !unsettled && !incomplete {
-		return
-	}
-	h.proposing = true
-	change := consensus.ChangeFunc(func(v *consensus.Value) *consensus.Value { return v })
-	if seatless {
-		change = h.membershipRequest(now).apply // made here: it reads the owner's tables
+// randomDuration draws a duration from [0, limit).
+func randomDuration(limit time.Duration) time.Duration {
+	return time.Duration(rand.Int64N(int64(limit)))
+}
+
+// sleep waits for a duration. It reports whether the context lasted as long.
+func sleep(ctx context.Context, d time.Duration) bool {
+	select {
+	case <-time.After(d):
+		return true
+	case <-ctx.Done():
+		return false
 	}
-	go func() {
-		ctx, cancel := context.WithTimeout(context.Background(), 2*peerCallTimeout)
-		defer cancel()
-		_, err := h.propose(ctx, change)
-		h.loop.post(func() {
-			h.proposing = false
-			if incomplete {
-				h.repair.RecordAttempt(h.clock.now(), rand.Float64())
-			}
-			h.proposeAfter = h.clock.now() + time.Duration(rand.Int64N(int64(resolveDelay)))
-			if err != nil {
-				h.proposeAfter += resolveDelay
-			}
-		})
-	}()
 }
--- a/controlplane/status_api.go
+++ b/controlplane/status_api.go
@@ -29,7 +29,7 @@
 func (c *statusAPI) history(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), consensusTimeout)
 	defer cancel()
-	v, err := c.h.propose(ctx, func(v *consensus.Value) *consensus.Value { return v })
+	v, err := c.h.proposer.propose(ctx, func(v *consensus.Value) *consensus.Value { return v })
 	if err != nil {
 		writeError(w, http.StatusServiceUnavailable, "the core could not make sure of the newest version in time")
 		return
