--- a/controlplane/controller.go
+++ b/controlplane/controller.go
@@ -25,7 +25,6 @@
 
 // Rhythm of the hive's own talk.
 const (
-	gossipInterval       = 400 * time.Millisecond // to each other hive
 	housekeepingInterval = 400 * time.Millisecond
 )
 
@@ -56,6 +55,7 @@
 	proposer       *proposer
 	scheduler      *proposalScheduler
 	drainer        *drainer
+	gossip         *gossiper
 	updates        *updateSchedule
 	peers          *peerSet
 	events         *eventLog
@@ -110,8 +110,23 @@
 		waiters:           map[*pollWaiter]bool{},
 	}
 	h.heartbeats = newHeartbeatService(h.clock, h.table, h.learner, h.contact, h.peers, h.updates)
+	h.gossip = &gossiper{
+		self:       h.self,
+		loop:       h.loop,
+		clock:      h.clock,
+		table:      h.table,
+		acceptor:   h.acceptor,
+		learner:    h.learner,
+		contact:    h.contact,
+		verifier:   h.verifier,
+		peers:      h.peers,
+		gateways:   h.gateways,
+		heartbeats: h.heartbeats,
+		updates:    h.updates,
+	}
 	h.hints = newHintSaver(store, h.table, h.loop, h.clock)
 	h.membership = newMembershipManager(h.self, set.ToleratedLosses.Machines, h.learner, h.contact, h.peers)
+	h.gossip.membership = h.membership
 	h.completion = newReplicaCompletion(h.self, h.learner, h.acceptor, h.contact, h.peers)
 	h.proposer = newProposer(consensus.ProposerID(acceptorstore.NewAcceptorID()), state.Promised.Number, h.loop, h.learner, h.acceptor, h.peers)
 	h.scheduler = &proposalScheduler{
@@ -152,7 +167,7 @@
 }
 
 func (h *Controller) startGossip(ctx context.Context, p *peer) {
-	h.wg.Go(func() { h.gossipLoop(ctx, p) })
+	h.gossip.start(ctx, p)
 }
 
 // observeBallot implements ballotObserver.
@@ -195,6 +210,7 @@
 	inner.Close()
 	h.loop.stop()
 	h.wg.Wait()
+	h.gossip.loops.Wait()
 	return h.store.Close()
 }
 
@@ -286,7 +302,7 @@
 			c.Respond(f.Id, &rpc.Frame{Body: &rpc.Frame_AcceptReply{AcceptReply: a}})
 		})
 	case *rpc.Frame_Gossip:
-		back, ok := query(h.loop, func() *rpc.GossipReply { return h.receiveGossip(b.Gossip, h.clock.now()) })
+		back, ok := query(h.loop, func() *rpc.GossipReply { return h.gossip.receive(b.Gossip) })
 		if ok {
 			c.Respond(f.Id, &rpc.Frame{Body: &rpc.Frame_GossipReply{GossipReply: back}})
 		}
--- a/controlplane/gossip.go
+++ b/controlplane/gossip.go
@@ -2,7 +2,9 @@
 
 import (
 	"context"
+	"errors"
 	"slices"
+	"sync"
 	"time"
 
 	"oxbowspan/consensus"
@@ -11,18 +13,46 @@
 	"oxbowspan/rpc"
 )
 
-// redialInterval is how often a hive that refuses connections is tried again.
-const redialInterval = 100 * time.Millisecond
+const (
+	gossipInterval         = 400 * time.Millisecond // to each peer
+	redialInterval         = 100 * time.Millisecond // to a peer that refuses connections
+	gatewayRefreshInterval = time.Second            // between reports of all gateways: a quarter of gatewayTimeout
+	digestInterval         = 2 * time.Second        // between comparisons of the reports by digests
+)
+
+// gossiper exchanges with each peer what is new: the newest value, servers' reports, gateways, and which controllers are alive.
+// Its loops run on goroutines of their own, all other methods on the event loop.
+type gossiper struct {
+	self       identity
+	loop       *eventLoop
+	clock      *steadyClock
+	table      *registry.Table
+	acceptor   *acceptorEndpoint
+	learner    *learner
+	contact    *contactMonitor
+	verifier   *contactVerifier
+	peers      *peerSet
+	gateways   *gatewayDirectory
+	membership *membershipManager
+	heartbeats *heartbeatService
+	updates    *updateSchedule
+	loops      sync.WaitGroup
+}
 
-// gatewayRefreshInterval is how often a hive names the foragers that ask it to the others: they are lost after four times as long.
-const gatewayRefreshInterval = time.Second
+// outgoingGossip is a message, when it was made, and up to which cursor its receiver will have this controller's reports.
+type outgoingGossip struct {
+	message *rpc.Gossip
+	sentAt  time.Duration
+	cursor  registry.Cursor
+}
 
-func (h *Controller) describeSelf() *rpc.Controller {
-	return h.self.describe(h.learner.isMember(h.self.id))
+// start begins to gossip with a peer, until the context or the event loop ends.
+func (g *gossiper) start(ctx context.Context, p *peer) {
+	g.loops.Go(func() { g.run(ctx, p) })
 }
 
-// gossipLoop sends pulses to one hive, each after the answer to the one before.
-func (h *Controller) gossipLoop(ctx context.Context, p *peer) {
+// run sends messages to a peer, each after the reply to the one before.
+func (g *gossiper) run(ctx context.Context, p *peer) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -31,205 +61,263 @@
 		case <-p.wake:
 		case <-ctx.Done():
 			return
-		case <-h.loop.stopped:
+		case <-g.loop.stopped:
 			return
 		}
-		next, ok := query(h.loop, func() outgoingGossip { return h.buildGossip(p, h.clock.now()) })
+		sent, ok := query(g.loop, func() outgoingGossip { return g.build(p) })
 		if !ok {
 			return
 		}
-		limit, cancel := context.WithTimeout(ctx, peerCallTimeout)
-		back, err := p.client.Call(limit, &rpc.Frame{Body: &rpc.Frame_Gossip{Gossip: next.message}})
-		cancel()
-		if err == rpc.ErrTimeout {
-			p.client.Disconnect()
-		}
-		if err == nil && back.GetGossipReply() != nil {
-			h.loop.post(func() { h.receiveGossipReply(p, back.GetGossipReply(), next, h.clock.now()) })
-		}
-		if err != nil && err != rpc.ErrTimeout { // it may just be starting
-			timer.Reset(redialInterval)
-		} else {
-			timer.Reset(gossipInterval)
-		}
+		timer.Reset(g.send(ctx, p, sent))
+	}
+}
+
+// send sends one message, and returns when the next one is due.
+func (g *gossiper) send(ctx context.Context, p *peer, sent outgoingGossip) time.Duration {
+	ctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
+	defer cancel()
+	reply, err := p.client.Call(ctx, &rpc.Frame{Body: &rpc.Frame_Gossip{Gossip: sent.message}})
+	switch {
+	case errors.Is(err, rpc.ErrTimeout):
+		p.client.Disconnect()
+	case err != nil:
+		return redialInterval // it may be about to start
+	case reply.GetGossipReply() != nil:
+		g.loop.post(func() { g.receiveReply(p, reply.GetGossipReply(), sent) })
 	}
+	return gossipInterval
 }
 
-// describeSelfWithReplica is what this controller tells its peers of itself: what its disk holds, and the ballots at which the newest
+// describeSelf returns what this controller tells its peers of itself: what its disk holds, and the ballots at which the newest
 // value is known to be decided.
-func (h *Controller) describeSelfWithReplica() *rpc.Controller {
-	m := h.describeSelf()
-	m.StoredSlot, m.StoredBallot, m.Draining = uint64(h.acceptor.replica.Slot), rpc.BallotToProto(h.acceptor.replica.Ballot), h.membership.draining
-	if h.learner.confirmed {
-		m.LowestDecidedBallot = rpc.BallotToProto(h.learner.decision.First)
-		if h.learner.decision.Last != h.learner.decision.First {
-			m.HighestDecidedBallot = rpc.BallotToProto(h.learner.decision.Last)
+func (g *gossiper) describeSelf() *rpc.Controller {
+	m := g.self.describe(g.learner.isMember(g.self.id))
+	m.StoredSlot, m.StoredBallot = uint64(g.acceptor.replica.Slot), rpc.BallotToProto(g.acceptor.replica.Ballot)
+	m.Draining = g.membership.draining
+	if g.learner.confirmed {
+		decision := g.learner.decision
+		m.LowestDecidedBallot = rpc.BallotToProto(decision.First)
+		if decision.Last != decision.First {
+			m.HighestDecidedBallot = rpc.BallotToProto(decision.Last)
 		}
 	}
 	return m
 }
 
-// observeReplica takes what a peer reports of its disk, and the ballots at which the slot that it knows is decided.
-func (h *Controller) observeReplica(p *peer, from *rpc.Controller, slot consensus.Slot) {
-	p.reportsReplica, p.draining = from.StoredBallot != nil, from.Draining
-	p.replica = consensus.Replica{Slot: consensus.Slot(from.StoredSlot), Ballot: rpc.BallotFromProto(from.StoredBallot)}
-	h.learner.observeBallot(slot, rpc.BallotFromProto(from.LowestDecidedBallot))
-	h.learner.observeBallot(slot, rpc.BallotFromProto(from.HighestDecidedBallot))
-}
-
-// outgoingGossip is a pulse, when it was made, and up to which cursor its receiver will have this hive's reports.
-type outgoingGossip struct {
-	message *rpc.Gossip
-	sentAt  time.Duration
-	cursor  registry.Cursor
-}
-
-// buildGossip makes what one hive is to be told now.
-func (h *Controller) buildGossip(p *peer, now time.Duration) outgoingGossip {
-	m := &rpc.Gossip{From: h.describeSelfWithReplica(), Incarnation: h.self.incarnation, Slot: uint64(h.learner.value.Slot), MissingBody: p.requestFullValue}
+// build makes the next message to a peer.
+func (g *gossiper) build(p *peer) outgoingGossip {
+	now := g.clock.now()
+	m := &rpc.Gossip{From: g.describeSelf(), Incarnation: g.self.incarnation, MissingBody: p.requestFullValue}
 	p.requestFullValue = false
-	if !h.learner.confirmed {
-		m.Slot = 0
-	} else if p.slot < h.learner.value.Slot && p.lastSeen > 0 {
-		m.Value = h.valueForPeer(p)
+	if g.learner.confirmed {
+		m.Slot = uint64(g.learner.value.Slot)
+		if p.slot < g.learner.value.Slot && p.lastSeen > 0 {
+			m.Value = g.valueFor(p)
+		}
+	}
+	cursor := g.table.Cursor()
+	g.addReports(m, p, now)
+	g.addGateways(m, p, now)
+	for _, other := range g.peers.byAddress {
+		m.Controllers = append(m.Controllers, &rpc.Controller{Address: other.address, AgeMs: milliseconds(other.silence(now))})
+	}
+	if now-p.digestsSentAt > digestInterval {
+		p.digestsSentAt = now
+		digests := g.table.Digests()
+		m.RangeDigests = digests[:]
 	}
-	upTo := h.table.Cursor()
+	return outgoingGossip{m, now, cursor}
+}
+
+// addReports adds the reports that are new to a peer, and those of the ranges in which its reports differ: of these each side takes
+// what is newer than its own.
+func (g *gossiper) addReports(m *rpc.Gossip, p *peer, now time.Duration) {
 	sent := map[registry.InstanceID]bool{}
-	deaf := func(from string) bool { return p.silences[from] > 2*gossipInterval }
-	for _, r := range h.table.UpdatesFor(p.ackedCursor, p.address, deaf) {
+	unreachable := func(from string) bool { return p.silences[from] > 2*gossipInterval }
+	for _, r := range g.table.UpdatesFor(p.ackedCursor, p.address, unreachable) {
 		sent[r.Instance] = true
 		if r.ChangedAfter(p.ackedCursor) {
 			m.Reports = append(m.Reports, encodeReport(r, now))
 		} else {
-			m.Reports = append(m.Reports, &rpc.ServerReport{Instance: string(r.Instance), Sequence: uint64(r.Sequence),
-				AgeMs: uint32(max(now-r.HeartbeatAt, 0) / time.Millisecond), Refresh: true,
-				HealthCheckAgeMs: uint32(max(now-r.HealthyAt, 0) / time.Millisecond), FencingToken: r.Lease.FencingToken, LeaseHolder: r.Lease.Holder})
+			m.Reports = append(m.Reports, encodeRefresh(r, now))
 		}
 	}
-	for _, no := range p.differingRanges { // mended from the newer: it takes what is newer than its own
-		for _, r := range h.table.Range(no) {
+	for _, index := range p.differingRanges {
+		for _, r := range g.table.Range(index) {
 			if !sent[r.Instance] {
 				m.Reports = append(m.Reports, encodeReport(r, now))
 			}
 		}
 	}
 	p.differingRanges = nil
+}
+
+// addGateways adds the gateways that poll this controller: in full where the peer doesn't have them, and now and then all of them
+// by their incarnation.
+func (g *gossiper) addGateways(m *rpc.Gossip, p *peer, now time.Duration) {
 	refresh := now-p.gatewaysSentAt >= gatewayRefreshInterval
-	for _, f := range h.gateways.byIncarnation {
-		switch age := uint32((now - f.lastSeen) / time.Millisecond); {
-		case !f.direct:
-		case f.sequence > p.ackedGateways:
-			m.Gateways = append(m.Gateways, &rpc.Gateway{Incarnation: f.incarnation, Address: f.address, Zone: f.zone, AgeMs: age})
+	for _, gateway := range g.gateways.byIncarnation {
+		age := milliseconds(now - gateway.lastSeen)
+		switch {
+		case !gateway.direct:
+		case gateway.sequence > p.ackedGateways:
+			m.Gateways = append(m.Gateways, &rpc.Gateway{Incarnation: gateway.incarnation, Address: gateway.address, Zone: gateway.zone, AgeMs: age})
 		case refresh:
-			m.Gateways = append(m.Gateways, &rpc.Gateway{Incarnation: f.incarnation, AgeMs: age})
+			m.Gateways = append(m.Gateways, &rpc.Gateway{Incarnation: gateway.incarnation, AgeMs: age})
 		}
 	}
 	if refresh {
 		p.gatewaysSentAt = now
 	}
-	p.sentGateways = h.gateways.sequence
-	for _, o := range h.peers.byAddress {
-		m.Controllers = append(m.Controllers, &rpc.Controller{Address: o.address, AgeMs: uint32((now - max(o.lastSeen, o.addedAt)) / time.Millisecond)})
-	}
-	if now-p.digestsSentAt > 2*time.Second {
-		p.digestsSentAt = now
-		sums := h.table.Digests()
-		m.RangeDigests = sums[:]
-	}
-	return outgoingGossip{m, now, upTo}
+	p.sentGateways = g.gateways.sequence
 }
 
-// receiveGossip takes what another hive tells and answers it.
-func (h *Controller) receiveGossip(m *rpc.Gossip, now time.Duration) *rpc.GossipReply {
-	back := &rpc.GossipReply{From: h.describeSelfWithReplica(), Incarnation: h.self.incarnation, VotedSlot: h.acceptor.acceptedSlot.Load()}
-	from := m.From
-	if from == nil || from.Address == h.self.address {
-		return back
+// receive takes a message of a peer and returns the reply.
+func (g *gossiper) receive(m *rpc.Gossip) *rpc.GossipReply {
+	now := g.clock.now()
+	reply := &rpc.GossipReply{From: g.describeSelf(), Incarnation: g.self.incarnation, VotedSlot: g.acceptor.acceptedSlot.Load()}
+	if m.From == nil {
+		return reply
 	}
-	p := h.peers.add(from.Address)
+	p := g.peers.add(m.From.Address)
 	if p == nil {
-		return back
+		return reply
 	}
 	if p.incarnation != m.Incarnation || now-p.lastSeen > peerLivenessTimeout {
-		p.gossipNow() // it is there again: contact needs a question to it, for which a time would be waited
-	}
-	h.observePeer(p, from, m.Incarnation, consensus.Slot(m.Slot), now)
-	for _, o := range m.Controllers {
-		if o.AgeMs < uint32(peerForgetTimeout/time.Millisecond) || h.learner.isMemberAddress(o.Address) {
-			h.peers.add(o.Address)
-		}
-		p.silences[o.Address] = time.Duration(o.AgeMs) * time.Millisecond
+		p.gossipNow() // it is back: contact with it needs a reply, for which the next regular message would be late
 	}
+	g.observePeer(p, m.From, m.Incarnation, consensus.Slot(m.Slot), now)
+	g.receiveControllers(p, m.Controllers)
 	p.missingBody = p.missingBody || m.MissingBody
-	back.MissingBody = h.learner.learnMessage(m.Value, h.acceptor.acceptedValue.Load())
-	h.observeReplica(p, from, consensus.Slot(m.Slot))
-	urgent, changed := false, h.table.Cursor()
-	for _, r := range m.Reports {
-		in := decodeReport(r, now)
-		was := h.table.Get(in.Instance)
-		before := registry.Ready
-		if was != nil {
-			before = was.State
-		}
-		if h.table.Merge(in, p.address) && in.State > before {
-			urgent = true
+	reply.MissingBody = g.learner.learnMessage(m.Value, g.acceptor.acceptedValue.Load())
+	g.observeReplica(p, m.From, consensus.Slot(m.Slot))
+	g.receiveReports(p, m.Reports, now)
+	reply.UnknownGateway = g.receiveGateways(m.Gateways, now)
+	reply.DifferingRanges = g.compareDigests(p, m.RangeDigests)
+	if g.learner.confirmed {
+		reply.Slot = uint64(g.learner.value.Slot)
+		if g.learner.value.Slot > p.slot {
+			reply.Value = g.valueFor(p)
 		}
 	}
-	if len(h.table.ChangesAfter(changed)) > 0 {
-		h.updates.request(urgent)
+	return reply
+}
+
+// receiveReply takes the reply to a message.
+func (g *gossiper) receiveReply(p *peer, m *rpc.GossipReply, sent outgoingGossip) {
+	if m.From == nil {
+		return
 	}
-	for _, f := range m.Gateways {
-		back.UnknownGateway = back.UnknownGateway || f.Address == "" && !f.Left && h.gateways.byIncarnation[f.Incarnation] == nil
-		h.gateways.observe(f, now-time.Duration(f.AgeMs)*time.Millisecond, false)
+	now := g.clock.now()
+	sameIncarnation := p.incarnation == m.Incarnation || p.incarnation == 0
+	g.observePeer(p, m.From, m.Incarnation, consensus.Slot(m.Slot), now)
+	if sameIncarnation {
+		p.ackedCursor, p.ackedGateways = max(p.ackedCursor, sent.cursor), p.sentGateways
 	}
-	if len(m.RangeDigests) == registry.RangeCount {
-		for no, sum := range h.table.Digests() {
-			if sum != m.RangeDigests[no] {
-				back.DifferingRanges = append(back.DifferingRanges, uint32(no))
-				p.differingRanges = append(p.differingRanges, no)
-			}
+	if m.UnknownGateway {
+		p.ackedGateways = 0
+	}
+	g.receiveValueReply(p, m)
+	g.observeReplica(p, m.From, consensus.Slot(m.Slot))
+	g.contact.observeReply(p.id, quorum.Reply{Incarnation: m.Incarnation, SentAt: sent.sentAt, Slot: consensus.Slot(max(m.VotedSlot, m.Slot))})
+	g.verifier.finish(now)
+	for _, index := range m.DifferingRanges {
+		if index < registry.RangeCount && !slices.Contains(p.differingRanges, int(index)) {
+			p.differingRanges = append(p.differingRanges, int(index))
 		}
 	}
-	if h.learner.confirmed {
-		if back.Slot = uint64(h.learner.value.Slot); h.learner.value.Slot > p.slot {
-			back.Value = h.valueForPeer(p)
+	g.heartbeats.completeWaits()
+}
+
+// receiveControllers takes which controllers a peer knows, and makes those known that it has heard of late or that are members.
+func (g *gossiper) receiveControllers(p *peer, controllers []*rpc.Controller) {
+	for _, m := range controllers {
+		if m.AgeMs < milliseconds(peerForgetTimeout) || g.learner.isMemberAddress(m.Address) {
+			g.peers.add(m.Address)
 		}
+		p.silences[m.Address] = duration(m.AgeMs)
 	}
-	return back
 }
 
-// receiveGossipReply takes the answer to a pulse.
-func (h *Controller) receiveGossipReply(p *peer, m *rpc.GossipReply, sent outgoingGossip, now time.Duration) {
-	if m.From == nil {
-		return
+// receiveReports enters servers' reports into the table. Gateways are told at once where one takes a server out of service.
+func (g *gossiper) receiveReports(p *peer, reports []*rpc.ServerReport, now time.Duration) {
+	urgent, before := false, g.table.Cursor()
+	for _, m := range reports {
+		in := decodeReport(m, now)
+		state := registry.Ready
+		if known := g.table.Get(in.Instance); known != nil {
+			state = known.State
+		}
+		if g.table.Merge(in, p.address) && in.State > state {
+			urgent = true
+		}
 	}
-	lived := p.incarnation == m.Incarnation || p.incarnation == 0
-	h.observePeer(p, m.From, m.Incarnation, consensus.Slot(m.Slot), now)
-	if lived {
-		p.ackedCursor, p.ackedGateways = max(p.ackedCursor, sent.cursor), p.sentGateways
+	if len(g.table.ChangesAfter(before)) > 0 {
+		g.updates.request(urgent)
 	}
-	if m.UnknownGateway {
-		p.ackedGateways = 0
+}
+
+// receiveGateways takes gateways that poll a peer. Unknown reports that one of them was named by its incarnation alone and is not
+// known here: it must be reported in full.
+func (g *gossiper) receiveGateways(gateways []*rpc.Gateway, now time.Duration) (unknown bool) {
+	for _, m := range gateways {
+		if m.Address == "" && !m.Left && g.gateways.byIncarnation[m.Incarnation] == nil {
+			unknown = true
+		}
+		g.gateways.observe(m, now-duration(m.AgeMs), false)
+	}
+	return unknown
+}
+
+// compareDigests returns the ranges in which a peer's reports differ from this controller's, which are exchanged in full next.
+func (g *gossiper) compareDigests(p *peer, digests []uint64) (differing []uint32) {
+	if len(digests) != registry.RangeCount {
+		return nil
 	}
-	h.receiveValueReply(p, m)
-	h.observeReplica(p, m.From, consensus.Slot(m.Slot))
-	h.contact.observeReply(p.id, quorum.Reply{Incarnation: m.Incarnation, SentAt: sent.sentAt, Slot: consensus.Slot(max(m.VotedSlot, m.Slot))})
-	h.verifier.finish(now)
-	for _, no := range m.DifferingRanges {
-		if no < registry.RangeCount && !slices.Contains(p.differingRanges, int(no)) {
-			p.differingRanges = append(p.differingRanges, int(no))
+	for index, digest := range g.table.Digests() {
+		if digest != digests[index] {
+			differing = append(differing, uint32(index))
+			p.differingRanges = append(p.differingRanges, index)
 		}
 	}
-	h.heartbeats.completeWaits()
+	return differing
 }
 
-// observePeer notes that a hive lives. One that began anew has nothing of this hive's.
-func (h *Controller) observePeer(p *peer, from *rpc.Controller, life uint64, turn consensus.Slot, now time.Duration) {
-	if p.incarnation != life && p.incarnation != 0 {
-		p.ackedCursor, p.slot, p.ackedGateways = 0, 0, 0
+// observePeer notes that a peer is alive. One that has restarted has nothing of this controller's.
+func (g *gossiper) observePeer(p *peer, from *rpc.Controller, incarnation uint64, slot consensus.Slot, now time.Duration) {
+	if p.incarnation != incarnation && p.incarnation != 0 {
+		p.ackedCursor, p.ackedGateways = 0, 0
 	}
-	h.contact.observeIncarnation(consensus.AcceptorID(from.Id), life)
+	g.contact.observeIncarnation(consensus.AcceptorID(from.Id), incarnation)
 	p.restoresBodies = from.RestoresBodies
-	p.incarnation, p.id, p.controlAddress, p.zone = life, consensus.AcceptorID(from.Id), from.ControlAddress, from.Zone
-	p.lastSeen, p.slot = max(now, 1), turn
+	p.incarnation, p.id, p.controlAddress, p.zone = incarnation, consensus.AcceptorID(from.Id), from.ControlAddress, from.Zone
+	p.lastSeen, p.slot = max(now, 1), slot
+}
+
+// observeReplica takes what a peer reports of its disk, and the ballots at which the slot that it knows is decided.
+func (g *gossiper) observeReplica(p *peer, from *rpc.Controller, slot consensus.Slot) {
+	p.reportsReplica, p.draining = from.StoredBallot != nil, from.Draining
+	p.replica = consensus.Replica{Slot: consensus.Slot(from.StoredSlot), Ballot: rpc.BallotFromProto(from.StoredBallot)}
+	g.learner.observeBallot(slot, rpc.BallotFromProto(from.LowestDecidedBallot))
+	g.learner.observeBallot(slot, rpc.BallotFromProto(from.HighestDecidedBallot))
+}
+
+// valueFor returns the newest value for a peer that lags. Most peers have accepted it and lack only the news that it is decided:
+// bodies are omitted unless the peer has reported that it lacks one.
+func (g *gossiper) valueFor(p *peer) *rpc.Value {
+	v := g.learner.value
+	if p.restoresBodies && !p.missingBody {
+		return rpc.ValueToProto(v, rpc.BodyDigests(v)...)
+	}
+	p.missingBody = false
+	return rpc.ValueToProto(v)
+}
+
+// receiveValueReply takes the value in a reply. Where either side lacks a body, the next message is sent at once.
+func (g *gossiper) receiveValueReply(p *peer, m *rpc.GossipReply) {
+	p.requestFullValue = g.learner.learnMessage(m.Value, g.acceptor.acceptedValue.Load())
+	p.missingBody = p.missingBody || m.MissingBody
+	if p.requestFullValue || p.missingBody {
+		p.gossipNow()
+	}
 }
--- a/controlplane/value_bodies_test.go
+++ b/controlplane/value_bodies_test.go
@@ -95,19 +95,19 @@
 	v := &consensus.Value{Slot: 3, Members: members, PriorMembers: members, Version: 1, Digest: "d1", Body: []byte("one")}
 	h.learner.value, h.learner.confirmed = v, true
 	able, old := &peer{restoresBodies: true, wake: make(chan struct{}, 1)}, &peer{}
-	bare := h.valueForPeer(able)
-	if !bare.BodyOmitted || h.valueForPeer(old).BodyOmitted {
+	bare := h.gossip.valueFor(able)
+	if !bare.BodyOmitted || h.gossip.valueFor(old).BodyOmitted {
 		t.Fatalf("one that puts bodies in is told %v", bare)
 	}
 	reader := newTestController(t)
 	if !reader.learner.learnMessage(bare, reader.acceptor.acceptedValue.Load()) || reader.learner.confirmed {
 		t.Fatal("a value that lacks its body is learned")
 	}
-	h.receiveValueReply(able, &rpc.GossipReply{MissingBody: true})
+	h.gossip.receiveValueReply(able, &rpc.GossipReply{MissingBody: true})
 	if len(able.wake) != 1 {
 		t.Error("the next pulse does not go at once")
 	}
-	if whole := h.valueForPeer(able); whole.BodyOmitted || reader.learner.learnMessage(whole, reader.acceptor.acceptedValue.Load()) || string(reader.learner.value.Body) != "one" {
+	if whole := h.gossip.valueFor(able); whole.BodyOmitted || reader.learner.learnMessage(whole, reader.acceptor.acceptedValue.Load()) || string(reader.learner.value.Body) != "one" {
 		t.Errorf("it is told %v", whole)
 	}
 	voter := newTestController(t)
