--- a/internal/idleconn/park_other.go
+++ b/internal/idleconn/park_other.go
@@ -1,8 +1,8 @@
 //go:build !linux
 
-// Package park keeps idle sockets without a goroutine each where the system can. Here it cannot: New says so, and
+// Package idleconn keeps idle sockets without a goroutine each where the system can. Here it cannot: New says so, and
 // connections keep their goroutines.
-package park
+package idleconn
 
 import (
 	"errors"
