--- a/gatherer/intent.go
+++ b/gatherer/intent.go
@@ -61,7 +61,7 @@
 	p.disk.Begins(now)
 	wait := time.Duration(p.disk.Wait(timeout)) * time.Millisecond
 	req.intentTimer = time.AfterFunc(wait, func() { d.send(intentTimeout{req}) })
-	p.store.Begin(func(err error) { d.send(intentWritten{req, err}) }, storeOps(changes)...)
+	p.store.CommitAsync(func(err error) { d.send(intentWritten{req, err}) }, storeOps(changes)...)
 }
 
 // rejectIntent sheds a request whose intent is not durable: nothing of it was sent.
--- a/gatherer/persistence.go
+++ b/gatherer/persistence.go
@@ -46,9 +46,9 @@
 	if err != nil {
 		return nil, fmt.Errorf("store %s: %w", o.Path, err)
 	}
-	s, report, err := store.Open(disk, store.Options{Most: o.Size, Linger: o.Linger})
+	s, report, err := store.Open(disk, store.Options{MaxBytes: o.Size, CommitDelay: o.Linger})
 	for _, damage := range report.Damage {
-		slog.Warn("store_damage", "path", o.Path, "what", damage, "mended", report.Mended)
+		slog.Warn("store_damage", "path", o.Path, "what", damage, "mended", report.Repaired)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("store %s: %w", o.Path, err)
@@ -65,8 +65,8 @@
 			unreadable++
 		}
 	}
-	slog.Info("store_open", "path", o.Path, "records", report.Records, "searches", p.table.Len(),
-		"unreadable", unreadable, "mended", report.Mended)
+	slog.Info("store_open", "path", o.Path, "records", report.LastRecord, "searches", p.table.Len(),
+		"unreadable", unreadable, "mended", report.Repaired)
 	return p, nil
 }
 
@@ -83,7 +83,7 @@
 	if len(changes) == 0 {
 		return
 	}
-	p.store.Begin(func(err error) {
+	p.store.CommitAsync(func(err error) {
 		if err != nil && !errors.Is(err, store.ErrClosed) {
 			slog.Warn("store_not_written", "error", err)
 		}
@@ -122,7 +122,7 @@
 	}
 	changes = append(changes, store.Op{Table: TableServerList, Key: listVersionKey,
 		Value: strconv.AppendUint(nil, list.Version, 10)})
-	p.store.Begin(func(error) {}, changes...)
+	p.store.CommitAsync(func(error) {}, changes...)
 }
 
 // loadServerList returns the stored server list, or the known one if that is newer. Entries that are not accepted are
@@ -176,7 +176,7 @@
 		}
 	}
 	if len(changes) > 0 {
-		d.persistence.store.Begin(func(error) {}, changes...)
+		d.persistence.store.CommitAsync(func(error) {}, changes...)
 	}
 }
 
--- a/internal/cli/store.go
+++ b/internal/cli/store.go
@@ -53,7 +53,7 @@
 		if err = errors.Join(err, s.Close()); err != nil {
 			return err
 		}
-		fmt.Fprintf(stdout, "compacted: %d live keys, %d bytes a lane, were %d\n", after.Live, after.LaneBytes, max(before.LaneBytes, after.LaneBytes))
+		fmt.Fprintf(stdout, "compacted: %d live keys, %d bytes a lane, were %d\n", after.Keys, after.MirrorBytes, max(before.MirrorBytes, after.MirrorBytes))
 		return nil
 	}))
 	var accept bool
@@ -70,7 +70,7 @@
 		switch {
 		case len(report.Lost) > 0:
 			fmt.Fprintln(stdout, "mended without what is lost: searches that it held may be sent again")
-		case report.Mended:
+		case report.Repaired:
 			fmt.Fprintln(stdout, "mended: nothing is lost")
 		default:
 			fmt.Fprintln(stdout, "the store is whole")
@@ -84,7 +84,7 @@
 
 // look reads a store without changing it. A lock is taken meanwhile, so that nobody writes.
 func look(dir string) (store.Report, error) {
-	disk, err := store.LookDisk(dir)
+	disk, err := store.OpenDiskReadOnly(dir)
 	if err != nil {
 		return store.Report{}, err
 	}
@@ -97,7 +97,7 @@
 }
 
 func openDir(dir string, accept bool) (*store.Store, store.Report, error) {
-	if _, err := store.LookDisk(dir); err != nil {
+	if _, err := store.OpenDiskReadOnly(dir); err != nil {
 		return nil, store.Report{}, err
 	}
 	disk, err := store.OpenDisk(dir)
@@ -124,7 +124,7 @@
 	case len(r.Damage) > 0:
 		return errors.New("damaged in one lane: nothing is lost; a gatherer's start or 'oxbowspan store repair' mends it")
 	}
-	fmt.Fprintf(out, "whole: %d records, %d live keys\n", r.Records, r.Live)
+	fmt.Fprintf(out, "whole: %d records, %d live keys\n", r.LastRecord, r.Keys)
 	return nil
 }
 
@@ -133,7 +133,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "records %d\n", report.Records)
+	fmt.Fprintf(out, "records %d\n", report.LastRecord)
 	for _, t := range slices.Sorted(maps.Keys(contents)) {
 		bytes := 0
 		for k, v := range contents[t] {
@@ -159,7 +159,7 @@
 }
 
 func contentsOf(dir string) (map[store.Table]map[string][]byte, store.Report, error) {
-	disk, err := store.LookDisk(dir)
+	disk, err := store.OpenDiskReadOnly(dir)
 	if err != nil {
 		return nil, store.Report{}, err
 	}
--- a/store/bench_test.go
+++ b/store/bench_test.go
@@ -76,7 +76,7 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			o := store.Options{Compact: 1 << 40}
+			o := store.Options{CompactionThreshold: 1 << 40}
 			s, _, err := store.Open(d, o)
 			if err != nil {
 				b.Fatal(err)
@@ -84,7 +84,7 @@
 			var last sync.WaitGroup
 			for i := range n {
 				last.Add(1)
-				s.Begin(func(err error) {
+				s.CommitAsync(func(err error) {
 					if err != nil {
 						b.Error(err)
 					}
@@ -92,11 +92,11 @@
 				}, store.Op{Table: 1, Key: fmt.Sprintf("key-%05d", i%10_000), Value: value})
 			}
 			last.Wait()
-			b.ReportMetric(float64(s.Stats().LaneBytes)/(1<<20), "MiB-a-lane")
+			b.ReportMetric(float64(s.Stats().MirrorBytes)/(1<<20), "MiB-a-lane")
 			s.Close()
 			for b.Loop() {
 				r, err := store.Check(d)
-				if err != nil || r.Records != uint64(n) {
+				if err != nil || r.LastRecord != uint64(n) {
 					b.Fatal(errors.Join(err, fmt.Errorf("%+v", r)))
 				}
 			}
--- a/store/files.go
+++ b/store/files.go
@@ -34,8 +34,8 @@
 
 // Disk is the files of a directory on a real disk.
 type Disk struct {
-	dir  string
-	look bool // nothing is made in it
+	dir      string
+	readOnly bool // nothing is made in it
 }
 
 // OpenDisk uses a directory, which it makes where there is none.
@@ -46,8 +46,8 @@
 	return &Disk{dir: dir}, nil
 }
 
-// LookDisk uses a directory that must be there.
-func LookDisk(dir string) (*Disk, error) {
+// OpenDiskReadOnly uses a directory that must be there.
+func OpenDiskReadOnly(dir string) (*Disk, error) {
 	s, err := os.Stat(dir)
 	if err != nil {
 		return nil, err
@@ -55,7 +55,7 @@
 	if !s.IsDir() {
 		return nil, &fs.PathError{Op: "open", Path: dir, Err: syscall.ENOTDIR}
 	}
-	return &Disk{dir: dir, look: true}, nil
+	return &Disk{dir: dir, readOnly: true}, nil
 }
 
 func (d *Disk) path(name string) string { return filepath.Join(d.dir, filepath.FromSlash(name)) }
@@ -115,11 +115,11 @@
 // Lock implements Files. The lock goes with the process, however it ends.
 func (d *Disk) Lock() (func(), error) {
 	flags := os.O_RDWR | os.O_CREATE
-	if d.look {
+	if d.readOnly {
 		flags = os.O_RDONLY
 	}
 	f, err := os.OpenFile(d.path("lock"), flags, 0o600)
-	if d.look && errors.Is(err, fs.ErrNotExist) {
+	if d.readOnly && errors.Is(err, fs.ErrNotExist) {
 		return func() {}, nil // no store has ever been used here
 	}
 	if err != nil {
--- a/store/format.go
+++ b/store/format.go
@@ -21,77 +21,77 @@
 // A record bears a sum over its file's head, its number and its bytes, so that none is taken for another's. A log's head
 // bears the last sum of the log before: a lost, older or swapped file does not join on.
 const (
-	magic    = "oxbowsto"
-	headSize = 8 + 2 + 2 + 8 + 8 + 16 + 16 + sumSize // magic, version, kind, file number, first record, store, chain, sum
-	recHead  = 4 + 8 + sumSize                       // length of the rest, number, sum
-	sumSize  = 16
-	// mostRecord is the most bytes that a record may have.
-	mostRecord = 1 << 20
+	magic            = "oxbowsto"
+	headerSize       = 8 + 2 + 2 + 8 + 8 + 16 + 16 + checksumSize // magic, version, kind, file number, first record, store, chain, sum
+	recordHeaderSize = 4 + 8 + checksumSize                       // length of the rest, number, sum
+	checksumSize     = 16
+	// maxRecordSize is the most bytes that a record may have.
+	maxRecordSize = 1 << 20
 )
 
-type sum [sumSize]byte
+type checksum [checksumSize]byte
 
-type kind uint16
+type fileKind uint16
 
 const (
-	kindLog  kind = 1
-	kindBase kind = 2
+	kindLog      fileKind = 1
+	kindSnapshot fileKind = 2
 )
 
-// head begins a file.
-type head struct {
+// header begins a file.
+type header struct {
 	version uint16
-	kind    kind
+	kind    fileKind
 	file    uint64
 	first   uint64 // the number of its first record; of a base, of the first that it does not cover
-	store   [16]byte
-	chain   sum // of a log: the last sum of the log before
+	storeID [16]byte
+	chain   checksum // of a log: the last sum of the log before
 }
 
-func (h head) encode() []byte {
-	b := make([]byte, 0, headSize)
+func (h header) encode() []byte {
+	b := make([]byte, 0, headerSize)
 	b = append(b, magic...)
 	b = binary.BigEndian.AppendUint16(b, h.version)
 	b = binary.BigEndian.AppendUint16(b, uint16(h.kind))
 	b = binary.BigEndian.AppendUint64(b, h.file)
 	b = binary.BigEndian.AppendUint64(b, h.first)
-	b = append(b, h.store[:]...)
+	b = append(b, h.storeID[:]...)
 	b = append(b, h.chain[:]...)
-	s := sumOf(b)
+	s := checksumOf(b)
 	return append(b, s[:]...)
 }
 
-// errNewer says that a file is of a version that this program does not know.
-type errNewer struct{ version uint16 }
+// VersionError says that a file is of a version that this program does not know.
+type VersionError struct{ Version uint16 }
 
-func (e errNewer) Error() string {
-	return fmt.Sprintf("the store is of version %d, this program knows up to %d", e.version, Version)
+func (e VersionError) Error() string {
+	return fmt.Sprintf("the store is of version %d, this program knows up to %d", e.Version, Version)
 }
 
-func decodeHead(b []byte) (h head, err error) {
-	if len(b) < headSize {
+func decodeHeader(b []byte) (h header, err error) {
+	if len(b) < headerSize {
 		return h, fmt.Errorf("cut off within its head, at byte %d", len(b))
 	}
 	if string(b[:8]) != magic {
 		return h, fmt.Errorf("not a store's file")
 	}
 	h.version = binary.BigEndian.Uint16(b[8:])
-	body := b[:headSize-sumSize]
-	if s := sumOf(body); !bytes.Equal(s[:], b[headSize-sumSize:headSize]) {
+	body := b[:headerSize-checksumSize]
+	if s := checksumOf(body); !bytes.Equal(s[:], b[headerSize-checksumSize:headerSize]) {
 		return h, fmt.Errorf("its head is damaged")
 	}
 	if h.version > Version {
-		return h, errNewer{h.version}
+		return h, VersionError{h.version}
 	}
-	h.kind = kind(binary.BigEndian.Uint16(b[10:]))
+	h.kind = fileKind(binary.BigEndian.Uint16(b[10:]))
 	h.file = binary.BigEndian.Uint64(b[12:])
 	h.first = binary.BigEndian.Uint64(b[20:])
-	copy(h.store[:], b[28:44])
+	copy(h.storeID[:], b[28:44])
 	copy(h.chain[:], b[44:60])
 	return h, nil
 }
 
-func sumOf(parts ...[]byte) (s sum) {
+func checksumOf(parts ...[]byte) (s checksum) {
 	h := blake3.New()
 	for _, p := range parts {
 		h.Write(p)
@@ -102,61 +102,61 @@
 }
 
 // appendRecord adds a record to b; salt is its file's head's sum.
-func appendRecord(b []byte, salt sum, number uint64, body []byte) ([]byte, sum) {
+func appendRecord(b []byte, salt checksum, number uint64, body []byte) ([]byte, checksum) {
 	var n [12]byte
-	binary.BigEndian.PutUint32(n[:], uint32(8+sumSize+len(body)))
+	binary.BigEndian.PutUint32(n[:], uint32(8+checksumSize+len(body)))
 	binary.BigEndian.PutUint64(n[4:], number)
-	s := sumOf(salt[:], n[:], body)
+	s := checksumOf(salt[:], n[:], body)
 	b = append(b, n[:]...)
 	b = append(b, s[:]...)
 	return append(b, body...), s
 }
 
-// found is a record that was read.
-type found struct {
-	number uint64
-	sum    sum
-	body   []byte
+// record is a record that was read.
+type record struct {
+	number   uint64
+	checksum checksum
+	body     []byte
 }
 
 // readRecords reads the records behind a head. good is how many bytes of the file are whole; damage says what is wrong with
 // the rest, "" = nothing. Behind a damaged record of plausible length it goes on: the other lane has the damaged one.
-func readRecords(b []byte, salt sum) (out []found, good int, damage string) {
-	at, whole := headSize, true
+func readRecords(b []byte, salt checksum) (out []record, good int, damage string) {
+	at, whole := headerSize, true
 	for at < len(b) {
-		if len(b)-at < recHead {
-			return out, cutAt(whole, at, good), join(damage, fmt.Sprintf("cut off within a record's head, at byte %d", len(b)))
+		if len(b)-at < recordHeaderSize {
+			return out, validSize(whole, at, good), joinDamage(damage, fmt.Sprintf("cut off within a record's head, at byte %d", len(b)))
 		}
 		n := int(binary.BigEndian.Uint32(b[at:]))
-		if n < 8+sumSize || n > 8+sumSize+mostRecord {
-			return out, cutAt(whole, at, good), join(damage, fmt.Sprintf("at byte %d there is no record", at))
+		if n < 8+checksumSize || n > 8+checksumSize+maxRecordSize {
+			return out, validSize(whole, at, good), joinDamage(damage, fmt.Sprintf("at byte %d there is no record", at))
 		}
 		if len(b)-at-4 < n {
-			return out, cutAt(whole, at, good), join(damage, fmt.Sprintf("cut off within a record, at byte %d of %d", len(b), at+4+n))
+			return out, validSize(whole, at, good), joinDamage(damage, fmt.Sprintf("cut off within a record, at byte %d of %d", len(b), at+4+n))
 		}
-		f := found{number: binary.BigEndian.Uint64(b[at+4:]), body: b[at+recHead : at+4+n]}
-		copy(f.sum[:], b[at+12:])
-		if sumOf(salt[:], b[at:at+12], f.body) != f.sum {
+		f := record{number: binary.BigEndian.Uint64(b[at+4:]), body: b[at+recordHeaderSize : at+4+n]}
+		copy(f.checksum[:], b[at+12:])
+		if checksumOf(salt[:], b[at:at+12], f.body) != f.checksum {
 			if whole {
 				good, whole = at, false
 			}
-			damage = join(damage, fmt.Sprintf("the record at byte %d is damaged", at))
+			damage = joinDamage(damage, fmt.Sprintf("the record at byte %d is damaged", at))
 		} else {
 			out = append(out, f)
 		}
 		at += 4 + n
 	}
-	return out, cutAt(whole, at, good), damage
+	return out, validSize(whole, at, good), damage
 }
 
-func cutAt(whole bool, at, good int) int {
+func validSize(whole bool, at, good int) int {
 	if whole {
 		return at
 	}
 	return good
 }
 
-func join(a, b string) string {
+func joinDamage(a, b string) string {
 	if a == "" {
 		return b
 	}
@@ -227,11 +227,11 @@
 	return ops, nil
 }
 
-func logName(lane string, n uint64) string  { return fmt.Sprintf("%s/%08d.log", lane, n) }
-func baseName(lane string, n uint64) string { return fmt.Sprintf("%s/%08d.base", lane, n) }
+func logName(mirror string, n uint64) string      { return fmt.Sprintf("%s/%08d.log", mirror, n) }
+func snapshotName(mirror string, n uint64) string { return fmt.Sprintf("%s/%08d.base", mirror, n) }
 
 // parseName takes a file's number and kind from its name.
-func parseName(name string) (n uint64, k kind, ok bool) {
+func parseName(name string) (n uint64, k fileKind, ok bool) {
 	number, ending, _ := strings.Cut(name, ".")
 	n, err := strconv.ParseUint(number, 10, 64)
 	switch {
@@ -239,7 +239,7 @@
 	case ending == "log":
 		return n, kindLog, true
 	case ending == "base":
-		return n, kindBase, true
+		return n, kindSnapshot, true
 	}
 	return 0, 0, false
 }
--- a/store/store.go
+++ b/store/store.go
@@ -28,98 +28,98 @@
 var (
 	ErrLocked = errors.New("the store is in use by another process")
 	ErrFull   = errors.New("the disk is full, or the store has reached its size")
-	ErrBroken = errors.New("the store could not be written and takes nothing more until it is opened anew")
+	ErrFailed = errors.New("the store could not be written and takes nothing more until it is opened anew")
 	ErrClosed = errors.New("the store is closed")
 )
 
 // Options are how a store is kept. The zero value is usable.
 type Options struct {
-	Segment int64         // bytes of a log's segment; 0 = 4 MiB
-	Most    int64         // bytes of a lane's files; a commit past it is refused with ErrFull. 0 = no limit
-	Linger  time.Duration // a commit waits so long for others to go with it; 0 = only for the write under way
-	Compact int64         // bytes of a lane's logs from which on they are compacted, if that is four times what lives; 0 = 1 MiB
+	SegmentSize         int64         // bytes of a log's segment; 0 = 4 MiB
+	MaxBytes            int64         // bytes of a lane's files; a commit past it is refused with ErrFull. 0 = no limit
+	CommitDelay         time.Duration // a commit waits so long for others to go with it; 0 = only for the write under way
+	CompactionThreshold int64         // bytes of a lane's logs from which on they are compacted, if that is four times what lives; 0 = 1 MiB
 	// AcceptLoss opens a store although records are lost, and notes that in the store.
 	AcceptLoss bool
-	// Store, where set, is the only identity that is opened or made; tests set it, so that files are the same each time.
-	Store [16]byte
+	// ID, where set, is the only identity that is opened or made; tests set it, so that files are the same each time.
+	ID [16]byte
 }
 
-func (o Options) filled() Options {
-	if o.Segment <= 0 {
-		o.Segment = 4 << 20
+func (o Options) withDefaults() Options {
+	if o.SegmentSize <= 0 {
+		o.SegmentSize = 4 << 20
 	}
-	if o.Compact <= 0 {
-		o.Compact = 1 << 20
+	if o.CompactionThreshold <= 0 {
+		o.CompactionThreshold = 1 << 20
 	}
 	return o
 }
 
-var lanes = [2]string{"a", "b"}
+var mirrors = [2]string{"a", "b"}
 
 // Stats are figures of a store.
 type Stats struct {
-	Records   uint64 // the number of the last record
-	Live      int    // keys
-	LiveBytes int64
-	LaneBytes int64 // of one lane's files
-	Files     int   // of one lane
-	Commits   int64 // since it was opened
-	Syncs     int64 // groups written
-	Broken    error // why it takes nothing more; nil = it does
+	LastRecord  uint64 // the number of the last record
+	Keys        int    // keys
+	LiveBytes   int64
+	MirrorBytes int64 // of one lane's files
+	Files       int   // of one lane
+	Commits     int64 // since it was opened
+	Syncs       int64 // groups written
+	Failure     error // why it takes nothing more; nil = it does
 }
 
 // Store is an open store. All its methods may be used from several goroutines.
 type Store struct {
-	files  Files
-	o      Options
-	unlock func()
-	report Report
-
-	mu      sync.Mutex
-	index   map[Table]map[string][]byte
-	live    int64
-	queue   []*pending // not yet written; emptied by run
-	wake    chan struct{}
-	quit    chan struct{} // closed by Close
-	closing bool
-	broken  error
-	stats   Stats
-	done    chan struct{}
+	files   Files
+	options Options
+	unlock  func()
+	report  Report
+
+	mu        sync.Mutex
+	index     map[Table]map[string][]byte
+	liveBytes int64
+	queue     []*pendingCommit // not yet written; emptied by run
+	wake      chan struct{}
+	quit      chan struct{} // closed by Close
+	closing   bool
+	failure   error
+	stats     Stats
+	done      chan struct{}
 
 	// The writer's alone.
-	id      [16]byte
-	next    uint64 // record
-	file    uint64 // the log that is written
-	salt    sum
-	last    sum
-	out     [2]File
-	size    int64            // of the present log
-	sizes   map[string]int64 // of the other files of a lane, by name without it
-	compact chan compacted   // not nil = a compaction is under way
+	id           [16]byte
+	nextRecord   uint64 // record
+	logNumber    uint64 // the log that is written
+	salt         checksum
+	lastChecksum checksum
+	logs         [2]File
+	logSize      int64                 // of the present log
+	fileSizes    map[string]int64      // of the other files of a lane, by name without it
+	compaction   chan compactionResult // not nil = a compaction is under way
 }
 
-type pending struct {
-	ops     []Op
-	done    func(error)
-	compact bool // no changes: a compaction is asked for
+type pendingCommit struct {
+	ops        []Op
+	done       func(error)
+	compaction bool // no changes: a compaction is asked for
 }
 
-type compacted struct {
-	upTo uint64 // file
-	size int64
-	err  error
+type compactionResult struct {
+	covered uint64 // file
+	size    int64
+	err     error
 }
 
 // Open opens a store, which it makes where there is none, and recovers it. The report says what it found, also with an error.
 func Open(files Files, o Options) (*Store, Report, error) {
-	o = o.filled()
+	o = o.withDefaults()
 	unlock, err := files.Lock()
 	if err != nil {
 		return nil, Report{}, err
 	}
-	s := &Store{files: files, o: o, unlock: unlock, wake: make(chan struct{}, 1), quit: make(chan struct{}), done: make(chan struct{}), sizes: map[string]int64{}}
+	s := &Store{files: files, options: o, unlock: unlock, wake: make(chan struct{}, 1), quit: make(chan struct{}), done: make(chan struct{}), fileSizes: map[string]int64{}}
 	if err := s.open(); err != nil {
-		for _, f := range s.out {
+		for _, f := range s.logs {
 			if f != nil {
 				f.Close()
 			}
@@ -132,27 +132,27 @@
 }
 
 func (s *Store) open() error {
-	r, err := recoverFrom(s.files)
+	r, err := recoverStore(s.files)
 	s.report = r.Report
 	if err != nil {
 		return err
 	}
-	if len(r.Lost) > 0 && !s.o.AcceptLoss {
+	if len(r.Lost) > 0 && !s.options.AcceptLoss {
 		return &LossError{r.Lost}
 	}
-	s.index, s.id, s.next, s.last = r.index, r.id, r.next, r.last
+	s.index, s.id, s.nextRecord, s.lastChecksum = r.index, r.id, r.nextRecord, r.lastChecksum
 	for _, t := range s.index {
 		for k, v := range t {
-			s.live += cost(k, v)
+			s.liveBytes += entrySize(k, v)
 		}
 	}
 	if s.id == [16]byte{} {
-		if s.id = s.o.Store; s.id == [16]byte{} {
+		if s.id = s.options.ID; s.id == [16]byte{} {
 			rand.Read(s.id[:])
 		}
 	}
-	for _, lane := range lanes {
-		if err := s.files.MakeDir(lane); err != nil {
+	for _, mirror := range mirrors {
+		if err := s.files.MakeDir(mirror); err != nil {
 			return err
 		}
 	}
@@ -161,35 +161,35 @@
 	}
 	// Whatever is not whole and the same in both lanes is written anew, whole, before anything is added; and only then are the
 	// old files taken away.
-	s.file = r.highest
-	if r.Mended = !r.same || len(r.Lost) > 0; r.Mended {
-		s.report.Mended = true
-		s.file++ // the base stands for all up to and with this number, which no log has
-		size, err := s.writeBase(s.file, s.next, s.index)
+	s.logNumber = r.highestFile
+	if r.Repaired = !r.identical || len(r.Lost) > 0; r.Repaired {
+		s.report.Repaired = true
+		s.logNumber++ // the base stands for all up to and with this number, which no log has
+		size, err := s.writeSnapshot(s.logNumber, s.nextRecord, s.index)
 		if err != nil {
 			return err
 		}
-		if err := s.dropUpTo(s.file, r.names); err != nil {
+		if err := s.removeCovered(s.logNumber, r.names); err != nil {
 			return err
 		}
-		s.sizes = map[string]int64{baseName("", s.file): size}
-		s.last = sum{}
+		s.fileSizes = map[string]int64{snapshotName("", s.logNumber): size}
+		s.lastChecksum = checksum{}
 	} else {
-		s.sizes = r.sizes
-		if err := s.dropUpTo(r.base, r.names); err != nil { // left over by a crash behind a compaction
+		s.fileSizes = r.fileSizes
+		if err := s.removeCovered(r.snapshot, r.names); err != nil { // left over by a crash behind a compaction
 			return err
 		}
 	}
-	if err := s.roll(); err != nil {
+	if err := s.startLog(); err != nil {
 		return err
 	}
-	if s.o.AcceptLoss && len(r.Lost) > 0 {
-		s.report.Accepted = true
+	if s.options.AcceptLoss && len(r.Lost) > 0 {
+		s.report.LossAccepted = true
 	}
 	return nil
 }
 
-func cost(key string, value []byte) int64 { return int64(len(key)+len(value)) + 64 }
+func entrySize(key string, value []byte) int64 { return int64(len(key)+len(value)) + 64 }
 
 // Report is what was found when the store was opened.
 func (s *Store) Report() Report { return s.report }
@@ -214,9 +214,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	st := s.stats
-	st.LiveBytes, st.Broken, st.Live = s.live, s.broken, 0
+	st.LiveBytes, st.Failure, st.Keys = s.liveBytes, s.failure, 0
 	for _, t := range s.index {
-		st.Live += len(t)
+		st.Keys += len(t)
 	}
 	return st
 }
@@ -224,15 +224,17 @@
 // Commit makes changes, all or none of them, and returns once they are sure to outlive a crash.
 func (s *Store) Commit(ops ...Op) error {
 	err := make(chan error, 1)
-	s.Begin(func(e error) { err <- e }, ops...)
+	s.CommitAsync(func(e error) { err <- e }, ops...)
 	return <-err
 }
 
-// Begin makes changes without waiting. done is called once, when they are sure to outlive a crash, or with the reason why they
+// CommitAsync makes changes without waiting. done is called once, when they are sure to outlive a crash, or with the reason why they
 // are not in force; in the store's own goroutine, and must not wait.
-func (s *Store) Begin(done func(error), ops ...Op) { s.begin(&pending{ops: ops, done: done}) }
+func (s *Store) CommitAsync(done func(error), ops ...Op) {
+	s.enqueue(&pendingCommit{ops: ops, done: done})
+}
 
-func (s *Store) begin(p *pending) {
+func (s *Store) enqueue(p *pendingCommit) {
 	s.mu.Lock()
 	var err error
 	switch {
@@ -264,8 +266,8 @@
 	<-s.done
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.broken != nil && !errors.Is(s.broken, ErrClosed) {
-		return s.broken
+	if s.failure != nil && !errors.Is(s.failure, ErrClosed) {
+		return s.failure
 	}
 	return nil
 }
@@ -276,50 +278,50 @@
 	for open := true; open; {
 		select {
 		case <-s.wake:
-			if s.o.Linger > 0 {
-				time.Sleep(s.o.Linger)
+			if s.options.CommitDelay > 0 {
+				time.Sleep(s.options.CommitDelay)
 			}
-			s.drain()
-		case c := <-s.compact:
-			s.compactionOver(c)
+			s.writeQueued()
+		case c := <-s.compaction:
+			s.finishCompaction(c)
 		case <-s.quit:
 			open = false
 		}
 	}
-	s.drain()
-	if s.compact != nil {
-		s.compactionOver(<-s.compact)
+	s.writeQueued()
+	if s.compaction != nil {
+		s.finishCompaction(<-s.compaction)
 	}
-	if s.brokenBy() == nil {
-		s.mark()
+	if s.failed() == nil {
+		s.writeWatermark()
 	}
-	for _, f := range s.out {
+	for _, f := range s.logs {
 		if f != nil {
 			f.Close()
 		}
 	}
 	s.mu.Lock()
-	if s.broken == nil {
-		s.broken = ErrClosed
+	if s.failure == nil {
+		s.failure = ErrClosed
 	}
 	s.mu.Unlock()
 }
 
-func (s *Store) brokenBy() error {
+func (s *Store) failed() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.broken
+	return s.failure
 }
 
-// mostGroup bounds what one write takes.
-const mostGroup = 1 << 20
+// maxGroupSize bounds what one write takes.
+const maxGroupSize = 1 << 20
 
-// drain writes all that waits, a group at a time.
-func (s *Store) drain() {
+// writeQueued writes all that waits, a group at a time.
+func (s *Store) writeQueued() {
 	for {
 		s.mu.Lock()
 		group, size := 0, 0
-		for group < len(s.queue) && size < mostGroup {
+		for group < len(s.queue) && size < maxGroupSize {
 			for _, o := range s.queue[group].ops {
 				size += len(o.Key) + len(o.Value)
 			}
@@ -334,29 +336,29 @@
 		if len(now) == 0 {
 			return
 		}
-		s.write(now)
+		s.writeGroup(now)
 		select {
-		case c := <-s.compact:
-			s.compactionOver(c)
+		case c := <-s.compaction:
+			s.finishCompaction(c)
 		default:
 		}
 	}
 }
 
-// write writes a group and acknowledges it.
-func (s *Store) write(group []*pending) {
-	err := s.brokenBy()
+// writeGroup writes a group and acknowledges it.
+func (s *Store) writeGroup(group []*pendingCommit) {
+	err := s.failed()
 	var b []byte
-	next, last := s.next, s.last
-	var good []*pending
+	next, last := s.nextRecord, s.lastChecksum
+	var good []*pendingCommit
 	for _, p := range group {
-		if p.compact {
-			defer func() { p.done(s.compactNow()) }() // behind what was begun before it
+		if p.compaction {
+			defer func() { p.done(s.compactAndWait()) }() // behind what was begun before it
 			continue
 		}
 		body := encodeOps(p.ops)
-		if len(body) > mostRecord {
-			p.done(fmt.Errorf("a commit of %d bytes: %d are allowed", len(body), mostRecord))
+		if len(body) > maxRecordSize {
+			p.done(fmt.Errorf("a commit of %d bytes: %d are allowed", len(body), maxRecordSize))
 			continue
 		}
 		b, last = appendRecord(b, s.salt, next, body)
@@ -366,11 +368,11 @@
 	if len(good) == 0 {
 		return
 	}
-	if err == nil && s.o.Most > 0 && s.laneBytes()+int64(len(b)) > s.o.Most {
+	if err == nil && s.options.MaxBytes > 0 && s.mirrorBytes()+int64(len(b)) > s.options.MaxBytes {
 		err = ErrFull
 	}
 	if err == nil {
-		err = s.put(b)
+		err = s.appendToLogs(b)
 	}
 	if err != nil {
 		for _, p := range good {
@@ -379,7 +381,7 @@
 		s.maybeCompact() // where it is full, this may make room
 		return
 	}
-	s.next, s.last, s.size = next, last, s.size+int64(len(b))
+	s.nextRecord, s.lastChecksum, s.logSize = next, last, s.logSize+int64(len(b))
 	s.mu.Lock()
 	for _, p := range good {
 		for _, o := range p.ops {
@@ -388,15 +390,15 @@
 	}
 	s.stats.Commits += int64(len(good))
 	s.stats.Syncs++
-	s.stats.Records = s.next - 1
-	s.stats.LaneBytes, s.stats.Files = s.laneBytes(), len(s.sizes)+1
+	s.stats.LastRecord = s.nextRecord - 1
+	s.stats.MirrorBytes, s.stats.Files = s.mirrorBytes(), len(s.fileSizes)+1
 	s.mu.Unlock()
 	for _, p := range good {
 		p.done(nil)
 	}
-	if s.size >= s.o.Segment {
-		if err := s.roll(); err != nil {
-			s.breaks(err)
+	if s.logSize >= s.options.SegmentSize {
+		if err := s.startLog(); err != nil {
+			s.fail(err)
 		}
 	}
 	s.maybeCompact()
@@ -405,7 +407,7 @@
 func (s *Store) apply(o Op) {
 	t := s.index[o.Table]
 	if was, ok := t[o.Key]; ok {
-		s.live -= cost(o.Key, was)
+		s.liveBytes -= entrySize(o.Key, was)
 		delete(t, o.Key)
 	}
 	if o.Delete {
@@ -416,15 +418,15 @@
 		s.index[o.Table] = t
 	}
 	t[o.Key] = slices.Clone(o.Value)
-	s.live += cost(o.Key, o.Value)
+	s.liveBytes += entrySize(o.Key, o.Value)
 }
 
-// put appends bytes to both lanes and makes them last. A write that fails, as on a full disk, is taken back and may be tried
+// appendToLogs appends bytes to both lanes and makes them last. A write that fails, as on a full disk, is taken back and may be tried
 // again; a sync that fails never is: what it did is not known, and a second one may succeed without having written anything.
-func (s *Store) put(b []byte) error {
+func (s *Store) appendToLogs(b []byte) error {
 	var errs [2]error
 	var both sync.WaitGroup
-	for i, f := range s.out {
+	for i, f := range s.logs {
 		both.Add(1)
 		go func() {
 			defer both.Done()
@@ -433,10 +435,10 @@
 	}
 	both.Wait()
 	if err := errors.Join(errs[0], errs[1]); err != nil {
-		for _, f := range s.out {
-			if cut := f.Truncate(s.size); cut != nil {
-				s.breaks(errors.Join(err, cut))
-				return s.brokenBy()
+		for _, f := range s.logs {
+			if cut := f.Truncate(s.logSize); cut != nil {
+				s.fail(errors.Join(err, cut))
+				return s.failed()
 			}
 		}
 		if errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT) {
@@ -444,7 +446,7 @@
 		}
 		return err
 	}
-	for i, f := range s.out {
+	for i, f := range s.logs {
 		both.Add(1)
 		go func() {
 			defer both.Done()
@@ -453,71 +455,71 @@
 	}
 	both.Wait()
 	if err := errors.Join(errs[0], errs[1]); err != nil {
-		s.breaks(err)
-		return s.brokenBy()
+		s.fail(err)
+		return s.failed()
 	}
 	return nil
 }
 
-// breaks ends writing for good.
-func (s *Store) breaks(err error) {
+// fail ends writing for good.
+func (s *Store) fail(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.broken == nil {
-		s.broken = fmt.Errorf("%w: %w", ErrBroken, err)
+	if s.failure == nil {
+		s.failure = fmt.Errorf("%w: %w", ErrFailed, err)
 	}
 }
 
-// roll begins a new log in both lanes.
-func (s *Store) roll() error {
-	if s.out[0] != nil {
-		s.sizes[logName("", s.file)] = s.size
+// startLog begins a new log in both lanes.
+func (s *Store) startLog() error {
+	if s.logs[0] != nil {
+		s.fileSizes[logName("", s.logNumber)] = s.logSize
 	}
-	for _, f := range s.out {
+	for _, f := range s.logs {
 		if f != nil {
 			f.Close()
 		}
 	}
-	s.out = [2]File{}
-	s.file++
-	h := head{version: Version, kind: kindLog, file: s.file, first: s.next, store: s.id, chain: s.last}
+	s.logs = [2]File{}
+	s.logNumber++
+	h := header{version: Version, kind: kindLog, file: s.logNumber, first: s.nextRecord, storeID: s.id, chain: s.lastChecksum}
 	b := h.encode()
-	for i, lane := range lanes {
-		f, err := s.files.Create(logName(lane, s.file))
+	for i, mirror := range mirrors {
+		f, err := s.files.Create(logName(mirror, s.logNumber))
 		if err != nil {
 			return err
 		}
-		s.out[i] = f
+		s.logs[i] = f
 		if _, err := f.Write(b); err != nil {
 			return err
 		}
 		if err := f.Sync(); err != nil {
 			return err
 		}
-		if err := s.files.SyncDir(lane); err != nil {
+		if err := s.files.SyncDir(mirror); err != nil {
 			return err
 		}
 	}
-	copy(s.salt[:], b[headSize-sumSize:])
-	s.size = headSize
-	return s.mark()
+	copy(s.salt[:], b[headerSize-checksumSize:])
+	s.logSize = headerSize
+	return s.writeWatermark()
 }
 
-// mark notes, outside both lanes, up to which record there are acknowledged ones, so that a cut of both lanes' ends shows. It
+// writeWatermark notes, outside both lanes, up to which record there are acknowledged ones, so that a cut of both lanes' ends shows. It
 // is written when a log begins and when the store closes; what was added since is not marked.
-func (s *Store) mark() error {
-	b := binary.BigEndian.AppendUint64(append([]byte(magic), s.id[:]...), s.next)
-	m := sumOf(b)
+func (s *Store) writeWatermark() error {
+	b := binary.BigEndian.AppendUint64(append([]byte(magic), s.id[:]...), s.nextRecord)
+	m := checksumOf(b)
 	b = append(b, m[:]...)
-	err := s.whole("mark.new", "mark", b)
+	err := s.writeAtomically("mark.new", "mark", b)
 	if err != nil {
-		s.breaks(err)
+		s.fail(err)
 	}
 	return err
 }
 
-// whole writes a file under another name, makes it last, and gives it its name.
-func (s *Store) whole(temporary, name string, b []byte) error {
+// writeAtomically writes a file under another name, makes it last, and gives it its name.
+func (s *Store) writeAtomically(temporary, name string, b []byte) error {
 	f, err := s.files.Create(temporary)
 	if err != nil {
 		return err
@@ -535,9 +537,9 @@
 	return s.files.SyncDir(path.Dir(name))
 }
 
-func (s *Store) laneBytes() int64 {
-	n := s.size
-	for _, size := range s.sizes {
+func (s *Store) mirrorBytes() int64 {
+	n := s.logSize
+	for _, size := range s.fileSizes {
 		n += size
 	}
 	return n
@@ -545,95 +547,95 @@
 
 // maybeCompact begins a compaction where the logs are long and little of them lives. Commits go on meanwhile, in a new log.
 func (s *Store) maybeCompact() {
-	if s.compact != nil || s.brokenBy() != nil {
+	if s.compaction != nil || s.failed() != nil {
 		return
 	}
 	s.mu.Lock()
-	live := s.live
+	live := s.liveBytes
 	s.mu.Unlock()
-	if all := s.laneBytes(); all < s.o.Compact || all < 4*live {
+	if all := s.mirrorBytes(); all < s.options.CompactionThreshold || all < 4*live {
 		return
 	}
 	s.beginCompaction()
 }
 
 func (s *Store) beginCompaction() {
-	upTo, next := s.file, s.next
+	upTo, next := s.logNumber, s.nextRecord
 	s.mu.Lock()
 	index := map[Table]map[string][]byte{}
 	for t, m := range s.index {
 		index[t] = maps.Clone(m) // values are never changed in place
 	}
 	s.mu.Unlock()
-	if err := s.roll(); err != nil {
-		s.breaks(err)
+	if err := s.startLog(); err != nil {
+		s.fail(err)
 		return
 	}
-	c := make(chan compacted, 1)
-	s.compact = c
+	c := make(chan compactionResult, 1)
+	s.compaction = c
 	go func() {
-		size, err := s.writeBase(upTo, next, index)
-		c <- compacted{upTo, size, err}
+		size, err := s.writeSnapshot(upTo, next, index)
+		c <- compactionResult{upTo, size, err}
 	}()
 }
 
 // Compact compacts now and returns once that is done.
 func (s *Store) Compact() error {
 	err := make(chan error, 1)
-	s.begin(&pending{done: func(e error) { err <- e }, compact: true})
+	s.enqueue(&pendingCommit{done: func(e error) { err <- e }, compaction: true})
 	return <-err
 }
 
-// compactNow is the writer's side of Compact.
-func (s *Store) compactNow() error {
-	if s.compact == nil {
+// compactAndWait is the writer's side of Compact.
+func (s *Store) compactAndWait() error {
+	if s.compaction == nil {
 		s.beginCompaction()
 	}
-	if s.compact != nil {
-		c := <-s.compact
-		s.compactionOver(c)
+	if s.compaction != nil {
+		c := <-s.compaction
+		s.finishCompaction(c)
 		if c.err != nil {
 			return c.err
 		}
 	}
-	return s.brokenBy()
+	return s.failed()
 }
 
-// compactionOver takes away what a compaction has made needless.
-func (s *Store) compactionOver(c compacted) {
-	s.compact = nil
+// finishCompaction takes away what a compaction has made needless.
+func (s *Store) finishCompaction(c compactionResult) {
+	s.compaction = nil
 	if c.err != nil {
 		// The base is not there or not whole: the logs stay, and nothing is lost. The disk may only be full.
 		if !errors.Is(c.err, syscall.ENOSPC) && !errors.Is(c.err, syscall.EDQUOT) {
-			s.breaks(c.err)
+			s.fail(c.err)
 		}
 		return
 	}
 	var names []string
-	for name := range s.sizes {
+	for name := range s.fileSizes {
 		names = append(names, name[1:])
 	}
 	slices.Sort(names)
-	s.sizes[baseName("", c.upTo)] = c.size
-	if err := s.dropUpTo(c.upTo, [2][]string{names, names}); err != nil {
-		s.breaks(err)
+	s.fileSizes[snapshotName("", c.covered)] = c.size
+	if err := s.removeCovered(c.covered, [2][]string{names, names}); err != nil {
+		s.fail(err)
 	}
-	for name := range s.sizes {
-		if n, k, _ := parseName(name[1:]); n < c.upTo || n == c.upTo && k == kindLog {
-			delete(s.sizes, name)
+	for name := range s.fileSizes {
+		if n, k, _ := parseName(name[1:]); n < c.covered || n == c.covered && k == kindLog {
+			delete(s.fileSizes, name)
 		}
 	}
 	s.mu.Lock()
-	s.stats.LaneBytes, s.stats.Files = s.laneBytes(), len(s.sizes)+1
+	s.stats.MirrorBytes, s.stats.Files = s.mirrorBytes(), len(s.fileSizes)+1
 	s.mu.Unlock()
 }
 
-// writeBase writes what lives as a base for all up to a file, in both lanes.
-func (s *Store) writeBase(file, next uint64, index map[Table]map[string][]byte) (int64, error) {
-	h := head{version: Version, kind: kindBase, file: file, first: next, store: s.id}
+// writeSnapshot writes what lives as a base for all up to a file, in both lanes.
+func (s *Store) writeSnapshot(file, next uint64, index map[Table]map[string][]byte) (int64, error) {
+	h := header{version: Version, kind: kindSnapshot, file: file, first: next, storeID: s.id}
 	b := h.encode()
-	var salt sum
-	copy(salt[:], b[headSize-sumSize:])
+	var salt checksum
+	copy(salt[:], b[headerSize-checksumSize:])
 	number := uint64(0)
 	for _, t := range slices.Sorted(maps.Keys(index)) {
 		for _, k := range slices.Sorted(maps.Keys(index[t])) {
@@ -643,27 +645,27 @@
 	}
 	// The last record says how many there were: a base that is cut between two is not whole.
 	b, _ = appendRecord(b, salt, 0, binary.BigEndian.AppendUint64(nil, number))
-	for _, lane := range lanes {
-		if err := s.whole(lane+"/base.new", baseName(lane, file), b); err != nil {
+	for _, mirror := range mirrors {
+		if err := s.writeAtomically(mirror+"/base.new", snapshotName(mirror, file), b); err != nil {
 			return 0, err
 		}
 	}
 	return int64(len(b)), nil
 }
 
-// dropUpTo takes away what a base stands for: logs up to its file, and older bases.
-func (s *Store) dropUpTo(file uint64, names [2][]string) error {
-	for i, lane := range lanes {
+// removeCovered takes away what a base stands for: logs up to its file, and older bases.
+func (s *Store) removeCovered(file uint64, names [2][]string) error {
+	for i, mirror := range mirrors {
 		dropped := false
 		for _, name := range names[i] {
 			n, k, ok := parseName(name)
-			if ok && (n > file || n == file && k == kindBase) {
+			if ok && (n > file || n == file && k == kindSnapshot) {
 				continue
 			}
 			if !ok && name != "base.new" {
 				continue
 			}
-			if err := s.files.Remove(lane + "/" + name); errors.Is(err, fs.ErrNotExist) {
+			if err := s.files.Remove(mirror + "/" + name); errors.Is(err, fs.ErrNotExist) {
 				continue // a broken-off base, written anew and named by now
 			} else if err != nil {
 				return err
@@ -671,7 +673,7 @@
 			dropped = true
 		}
 		if dropped {
-			if err := s.files.SyncDir(lane); err != nil {
+			if err := s.files.SyncDir(mirror); err != nil {
 				return err
 			}
 		}
--- a/store/store_test.go
+++ b/store/store_test.go
@@ -23,14 +23,14 @@
 var identity = [16]byte{1, 2, 3}
 
 func small() store.Options {
-	return store.Options{Segment: 900, Compact: 1 << 40, Store: identity}
+	return store.Options{SegmentSize: 900, CompactionThreshold: 1 << 40, ID: identity}
 }
 
-// state is what a store should hold.
-type state map[string]string
+// contents is what a store should hold.
+type contents map[string]string
 
 // check compares a store with what it should hold.
-func (w state) check(t interface{ Fatalf(string, ...any) }, s *store.Store, when string) {
+func (w contents) check(t interface{ Fatalf(string, ...any) }, s *store.Store, when string) {
 	got := s.All(1)
 	for k, v := range w {
 		if string(got[k]) != v {
@@ -48,9 +48,9 @@
 func del(k string) store.Op    { return store.Op{Table: 1, Key: k, Delete: true} }
 
 // fill commits some work, with a compaction within, and says what should be there.
-func fill(t *testing.T, s *store.Store, n int) state {
+func fill(t *testing.T, s *store.Store, n int) contents {
 	t.Helper()
-	want := state{}
+	want := contents{}
 	must := func(err error) {
 		t.Helper()
 		if err != nil {
@@ -85,7 +85,7 @@
 
 // Any one file, cut at any byte or taken away: every acknowledged record is there, nothing else is, what was wrong is said,
 // and the store is whole again afterwards.
-func TestAnyOneFileCutAtAnyByte(t *testing.T) {
+func TestOneFileTruncated(t *testing.T) {
 	for _, closed := range []bool{true, false} {
 		d := faultdisk.New(1)
 		s, _ := open(t, d)
@@ -127,7 +127,7 @@
 }
 
 // Any one byte changed in any one file.
-func TestAnyOneByteFlipped(t *testing.T) {
+func TestOneByteFlipped(t *testing.T) {
 	d := faultdisk.New(1)
 	s, _ := open(t, d)
 	want := fill(t, s, 30)
@@ -149,7 +149,7 @@
 }
 
 // Both lanes damaged: what is there was committed, in order, and what is not is reported.
-func TestBothLanesCutLoseOnlyWhatNeitherHoldsAndSaySo(t *testing.T) {
+func TestBothMirrorsTruncated(t *testing.T) {
 	const n = 30
 	d := faultdisk.New(1)
 	s, _ := open(t, d)
@@ -193,14 +193,14 @@
 		}
 		lost := 0
 		for _, g := range r.Lost {
-			lost += int(g.To - g.From + 1)
+			lost += int(g.Last - g.First + 1)
 		}
 		if lost != n-len(held) {
 			t.Fatalf("%d of %d are held, lost are said to be %v", len(held), n, r.Lost)
 		}
 		o := small()
 		o.AcceptLoss = true
-		if s, r, err = store.Open(d, o); err != nil || !r.Accepted {
+		if s, r, err = store.Open(d, o); err != nil || !r.LossAccepted {
 			t.Fatalf("the loss is accepted: %v, %+v", err, r)
 		}
 		for k := range s.All(1) {
@@ -221,14 +221,14 @@
 
 // The machine crashes before any one operation of commits, of a new segment and of a compaction, and again at any one of the
 // recovery from that.
-func TestACrashAtAnyOperation(t *testing.T) {
-	work := func(d *faultdisk.Disk) (acked state, doubtful []state) {
+func TestCrashAtAnyOperation(t *testing.T) {
+	work := func(d *faultdisk.Disk) (acked contents, doubtful []contents) {
 		s, _, err := store.Open(d, small())
 		if err != nil {
-			return state{}, nil
+			return contents{}, nil
 		}
 		defer s.Close()
-		acked = state{}
+		acked = contents{}
 		for i := range 24 {
 			ops := []store.Op{set(fmt.Sprintf("key-%d", i%5), fmt.Sprintf("value %d %s", i, strings.Repeat("y", 50)))}
 			if i%6 == 5 {
@@ -241,7 +241,7 @@
 				}
 			}
 			if s.Commit(ops...) != nil {
-				return acked, []state{after}
+				return acked, []contents{after}
 			}
 			acked = after
 			if i%10 == 9 && s.Compact() != nil {
@@ -253,7 +253,7 @@
 	whole := faultdisk.New(0)
 	work(whole)
 	calls := whole.OperationCount()
-	same := func(got map[string][]byte, w state) bool {
+	same := func(got map[string][]byte, w contents) bool {
 		if len(got) != len(w) {
 			return false
 		}
@@ -300,7 +300,7 @@
 }
 
 // A sync that fails once: the commit is not acknowledged, and nothing is from then on, although the next sync would succeed.
-func TestASyncThatFailsEndsTheStore(t *testing.T) {
+func TestFailedSyncStopsWrites(t *testing.T) {
 	d := faultdisk.New(1)
 	s, _ := open(t, d)
 	if err := s.Commit(set("a", "1")); err != nil {
@@ -315,14 +315,14 @@
 		return faultdisk.Fault{}
 	}
 	for i := range 3 {
-		if err := s.Commit(set("b", "2")); !errors.Is(err, store.ErrBroken) || i == 0 && !errors.Is(err, syscall.EIO) {
+		if err := s.Commit(set("b", "2")); !errors.Is(err, store.ErrFailed) || i == 0 && !errors.Is(err, syscall.EIO) {
 			t.Errorf("commit %d after the failed sync: %v", i, err)
 		}
 	}
 	if _, ok := s.Get(1, "b"); ok {
 		t.Error("what was not acknowledged is read")
 	}
-	if err := s.Close(); !errors.Is(err, store.ErrBroken) {
+	if err := s.Close(); !errors.Is(err, store.ErrFailed) {
 		t.Errorf("close: %v", err)
 	}
 	s, _ = open(t, d.Crash())
@@ -333,7 +333,7 @@
 }
 
 // One lane's disk lies about syncs: after a crash the other lane has it all.
-func TestALaneWhoseSyncsLie(t *testing.T) {
+func TestMirrorWithFalseSyncs(t *testing.T) {
 	for seed := range uint64(20) {
 		d := faultdisk.New(seed)
 		d.Inject = func(c faultdisk.Operation) faultdisk.Fault {
@@ -351,7 +351,7 @@
 
 // The disk fills up within a record, and within a compaction: commits say so and are not in force; once there is space all goes
 // on, and nothing that was acknowledged is gone.
-func TestADiskThatFillsUp(t *testing.T) {
+func TestDiskFull(t *testing.T) {
 	for space := 1500; space < 9000; space += 37 {
 		d := faultdisk.New(uint64(space))
 		d.Capacity = space
@@ -359,7 +359,7 @@
 		if err != nil {
 			continue // not even the first files fit
 		}
-		want, full := state{}, 0
+		want, full := contents{}, 0
 		for i := range 60 {
 			k, v := fmt.Sprint(i%4), fmt.Sprintf("%d %s", i, strings.Repeat("z", 60))
 			switch err := s.Commit(set(k, v)); {
@@ -367,7 +367,7 @@
 				want[k] = v
 			case errors.Is(err, store.ErrFull):
 				full++
-			case errors.Is(err, store.ErrBroken): // a new segment could not be begun
+			case errors.Is(err, store.ErrFailed): // a new segment could not be begun
 				full++
 			default:
 				t.Fatalf("with %d bytes: %v", space, err)
@@ -380,7 +380,7 @@
 			t.Fatalf("%d bytes were enough", space)
 		}
 		want.check(t, s, fmt.Sprintf("full at %d bytes", space))
-		broken := s.Stats().Broken != nil
+		broken := s.Stats().Failure != nil
 		d.Capacity = 0
 		if !broken {
 			if err := s.Commit(set("room", "again")); err != nil {
@@ -397,7 +397,7 @@
 }
 
 // A record cut short by a full disk in both lanes is taken back in both: what comes after it is read again.
-func TestARecordCutShortInBothLanesIsTakenBack(t *testing.T) {
+func TestShortWriteIsTruncated(t *testing.T) {
 	d := faultdisk.New(1)
 	s, _ := open(t, d)
 	short := 0
@@ -411,7 +411,7 @@
 	if err := s.Commit(set("a", "1")); !errors.Is(err, store.ErrFull) || short != 2 {
 		t.Fatalf("%v, %d writes cut short", err, short)
 	}
-	want := state{}
+	want := contents{}
 	for i := range 5 {
 		k := fmt.Sprint(i)
 		if err := s.Commit(set(k, k)); err != nil {
@@ -428,10 +428,10 @@
 	s.Close()
 }
 
-func TestTheSizeLimitIsKept(t *testing.T) {
+func TestMaxBytes(t *testing.T) {
 	d := faultdisk.New(1)
 	o := small()
-	o.Most, o.Compact = 6000, 2000
+	o.MaxBytes, o.CompactionThreshold = 6000, 2000
 	s, _, err := store.Open(d, o)
 	if err != nil {
 		t.Fatal(err)
@@ -445,7 +445,7 @@
 			t.Fatal(err)
 		}
 	}
-	if refused == 0 || s.Stats().LaneBytes > 6000+1000 {
+	if refused == 0 || s.Stats().MirrorBytes > 6000+1000 {
 		t.Errorf("%d refused, %+v", refused, s.Stats())
 	}
 	// What lives no longer makes room, by compaction.
@@ -458,15 +458,15 @@
 	}
 }
 
-func TestCompactionGoesOnBesideCommits(t *testing.T) {
+func TestCompactionDuringCommits(t *testing.T) {
 	d := faultdisk.New(1)
 	o := small()
-	o.Compact = 3000
+	o.CompactionThreshold = 3000
 	s, _, err := store.Open(d, o)
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := state{}
+	want := contents{}
 	var mu sync.Mutex
 	var all sync.WaitGroup
 	for g := range 8 {
@@ -486,7 +486,7 @@
 	}
 	all.Wait()
 	st := s.Stats()
-	if st.LaneBytes > 20_000 || st.Commits != 800 || st.Syncs > 800 {
+	if st.MirrorBytes > 20_000 || st.Commits != 800 || st.Syncs > 800 {
 		t.Errorf("after 800 commits of 24 keys: %+v", st)
 	}
 	want.check(t, s, "running")
@@ -497,7 +497,7 @@
 	s.Close()
 }
 
-func TestOnADisk(t *testing.T) {
+func TestDisk(t *testing.T) {
 	dir := t.TempDir()
 	disk, err := store.OpenDisk(dir)
 	if err != nil {
@@ -514,7 +514,7 @@
 	}
 	s, r := open(t, disk)
 	want.check(t, s, "opened again")
-	if len(r.Damage) > 0 || r.Mended {
+	if len(r.Damage) > 0 || r.Repaired {
 		t.Errorf("after a clean end: %+v", r)
 	}
 	s.Close()
@@ -526,13 +526,13 @@
 	if _, _, err := store.Open(foreign, small()); !errors.As(err, &f) || !strings.Contains(err.Error(), "letters.txt") {
 		t.Errorf("a foreign directory: %v", err)
 	}
-	if _, err := store.LookDisk(other + "/letters.txt"); err == nil {
+	if _, err := store.OpenDiskReadOnly(other + "/letters.txt"); err == nil {
 		t.Error("a file is taken for a directory")
 	}
 }
 
 // What a later version has written is not touched.
-func TestANewerVersionIsRefused(t *testing.T) {
+func TestNewerVersionRejected(t *testing.T) {
 	d := faultdisk.New(1)
 	s, _ := open(t, d)
 	fill(t, s, 5)
@@ -540,7 +540,7 @@
 	files := d.Files()
 	for name, b := range files {
 		if strings.HasSuffix(name, ".log") {
-			files[name] = store.Reversioned(b, store.Version+1)
+			files[name] = store.WithVersion(b, store.Version+1)
 		}
 	}
 	d = faultdisk.NewWithFiles(1, files)
@@ -556,7 +556,7 @@
 }
 
 // A file of another time, put back: it does not join on, or contradicts, and is not taken for the present one.
-func TestAnOldSegmentPutBackShows(t *testing.T) {
+func TestForeignSegmentRejected(t *testing.T) {
 	d := faultdisk.New(1)
 	s, _ := open(t, d)
 	if err := s.Commit(set("a", "old")); err != nil {
@@ -577,13 +577,13 @@
 	}
 }
 
-func TestManyRecordsAreReplayed(t *testing.T) {
+func TestReplayOfManyRecords(t *testing.T) {
 	n := 100_000
 	if testing.Short() {
 		n = 5000
 	}
 	d := faultdisk.New(1)
-	o := store.Options{Store: identity, Compact: 1 << 40}
+	o := store.Options{ID: identity, CompactionThreshold: 1 << 40}
 	s, _, err := store.Open(d, o)
 	if err != nil {
 		t.Fatal(err)
@@ -591,7 +591,7 @@
 	var last sync.WaitGroup
 	last.Add(n)
 	for i := range n {
-		s.Begin(func(err error) {
+		s.CommitAsync(func(err error) {
 			if err != nil {
 				t.Error(err)
 			}
@@ -603,14 +603,14 @@
 	s.Close()
 	began := time.Now()
 	s, r, err := store.Open(d, o)
-	if err != nil || r.Records != uint64(n) || r.Live != 1000 {
+	if err != nil || r.LastRecord != uint64(n) || r.Keys != 1000 {
 		t.Fatalf("%v, %+v", err, r)
 	}
 	t.Logf("%d records in %s", n, time.Since(began))
 	s.Close()
 }
 
-func TestACommitTooLargeIsRefusedAlone(t *testing.T) {
+func TestCommitTooLarge(t *testing.T) {
 	d := faultdisk.New(1)
 	s, _ := open(t, d)
 	defer s.Close()
