--- a/connadmission/controller.go
+++ b/connadmission/controller.go
@@ -74,7 +74,7 @@
 	count           int
 	parked          int     // of them
 	parkedNew       int     // of those parked, the strangers
-	totalShares     float64 // of the shares
+	shareSum        float64 // of the shares
 	unknownIndex    int
 }
 
@@ -93,7 +93,7 @@
 	}
 	a.connsOfCustomer = make([]int32, len(f.CustomerShares)+1)
 	for _, s := range f.CustomerShares {
-		a.totalShares += s
+		a.shareSum += s
 	}
 	return a
 }
@@ -218,15 +218,15 @@
 }
 
 // IdentifyRequest says that the open request is a search, and whose.
-func (a *Controller) IdentifyRequest(id ID, of CustomerIndex) {
+func (a *Controller) IdentifyRequest(id ID, customer CustomerIndex) {
 	c := a.entry(id)
 	if c == nil {
 		return
 	}
 	c.hasRequested = true
 	to := a.unknownIndex
-	if of >= 0 && int(of) < a.unknownIndex {
-		to = int(of)
+	if customer >= 0 && int(customer) < a.unknownIndex {
+		to = int(customer)
 	}
 	a.connsOfCustomer[c.customer]--
 	a.connsOfCustomer[to]++
@@ -279,10 +279,10 @@
 // underHalfShare tells whether a customer holds so little that it may wake past the limit too: an eighth of the limit is kept for
 // those who hold less than half of their share of the connections.
 func (a *Controller) underHalfShare(customer, open int) bool {
-	if customer >= a.unknownIndex || a.totalShares <= 0 || open >= a.options.MaxActive+a.options.MaxActive/8 {
+	if customer >= a.unknownIndex || a.shareSum <= 0 || open >= a.options.MaxActive+a.options.MaxActive/8 {
 		return false
 	}
-	return float64(a.connsOfCustomer[customer]) < a.options.CustomerShares[customer]/a.totalShares*float64(a.count)/2
+	return float64(a.connsOfCustomer[customer]) < a.options.CustomerShares[customer]/a.shareSum*float64(a.count)/2
 }
 
 // ShouldCloseAfterResponse says whether a connection is to be told, with its answer, that it is closed behind it: it has asked once, and as
@@ -336,8 +336,8 @@
 }
 
 // oldestSince is the first of a list, if it has been there since a moment.
-func (a *Controller) oldestSince(of int, since Millis) ID {
-	if i := a.lists[of].first; i >= 0 && a.conns[i].since <= since {
+func (a *Controller) oldestSince(customer int, since Millis) ID {
+	if i := a.lists[customer].first; i >= 0 && a.conns[i].since <= since {
 		return ID(i)
 	}
 	return NoConn
@@ -353,8 +353,8 @@
 		if id == NoConn {
 			continue
 		}
-		if customer < a.unknownIndex && a.totalShares > 0 && a.options.CustomerShares[customer] > 0 {
-			over := float64(a.connsOfCustomer[customer]) / (a.options.CustomerShares[customer] / a.totalShares * float64(a.options.MaxConns))
+		if customer < a.unknownIndex && a.shareSum > 0 && a.options.CustomerShares[customer] > 0 {
+			over := float64(a.connsOfCustomer[customer]) / (a.options.CustomerShares[customer] / a.shareSum * float64(a.options.MaxConns))
 			if over > worst || over == worst && over > 1 && a.conns[id].since < oldest {
 				worst, found, oldest = over, id, a.conns[id].since
 				continue
@@ -413,10 +413,10 @@
 func MemoryBytes(a *Controller) int { return cap(a.conns) * int(unsafe.Sizeof(connEntry{})) }
 
 // Counts tells how many connections of each class there are, those with an open request last. Tricklers count as strangers.
-func (a *Controller) Counts() (strange, visiting, idle, active int) {
-	strange, visiting = int(a.lists[listNew].length+a.lists[listSlowHeader].length), int(a.lists[listIdleWithoutRequest].length)
+func (a *Controller) Counts() (withoutRequest, visiting, idle, active int) {
+	withoutRequest, visiting = int(a.lists[listNew].length+a.lists[listSlowHeader].length), int(a.lists[listIdleWithoutRequest].length)
 	for _, l := range a.lists[listFirstIdle:] {
 		idle += int(l.length)
 	}
-	return strange, visiting, idle, a.count - strange - visiting - idle
+	return withoutRequest, visiting, idle, a.count - withoutRequest - visiting - idle
 }
--- a/connadmission/controller_test.go
+++ b/connadmission/controller_test.go
@@ -7,17 +7,17 @@
 	"pgregory.net/rapid"
 )
 
-// known is a connection as the plain walk sees it.
-type known struct {
-	id       ID
-	since    Millis
-	class    connState
-	searched bool
-	customer int
+// referenceConn is a connection as the plain walk sees it.
+type referenceConn struct {
+	id           ID
+	since        Millis
+	state        connState
+	hasRequested bool
+	customer     int
 }
 
-// walk finds the victim by looking at all, as was done before there were lists.
-func walk(f Options, all map[ID]*known, now Millis) ID {
+// referenceVictim finds the victim by looking at all, as was done before there were lists.
+func referenceVictim(f Options, all map[ID]*referenceConn, now Millis) ID {
 	held := make([]int, len(f.CustomerShares)+1)
 	total := 0.0
 	for _, s := range f.CustomerShares {
@@ -26,40 +26,40 @@
 	for _, k := range all {
 		held[k.customer]++
 	}
-	over := func(k *known) float64 {
+	over := func(k *referenceConn) float64 {
 		if k.customer >= len(f.CustomerShares) || f.CustomerShares[k.customer] <= 0 || total <= 0 {
 			return 1
 		}
 		return max(1, float64(held[k.customer])/(f.CustomerShares[k.customer]/total*float64(f.MaxConns)))
 	}
-	rank := func(k *known) int {
+	rank := func(k *referenceConn) int {
 		age := now - k.since
 		switch {
-		case k.class == stateSlowHeader:
+		case k.state == stateSlowHeader:
 			return 7
-		case k.class == stateIdleWithoutRequest && age >= f.MinIdle:
+		case k.state == stateIdleWithoutRequest && age >= f.MinIdle:
 			return 6
-		case k.class == stateIdle && age >= f.MinIdle:
+		case k.state == stateIdle && age >= f.MinIdle:
 			return 5
-		case k.class == stateNew && age >= f.HeaderTimeout:
+		case k.state == stateNew && age >= f.HeaderTimeout:
 			return 4
-		case k.class == stateIdleWithoutRequest:
+		case k.state == stateIdleWithoutRequest:
 			return 3
-		case k.class == stateIdle:
+		case k.state == stateIdle:
 			return 2
-		case k.class == stateNew:
+		case k.state == stateNew:
 			return 1
 		}
 		return 0
 	}
-	var best *known
+	var best *referenceConn
 	for _, k := range all {
 		r := rank(k)
 		if r == 0 {
 			continue
 		}
-		if best == nil || r > rank(best) || r == rank(best) && k.class == stateIdle && over(k) > over(best) ||
-			r == rank(best) && (k.class != stateIdle || over(k) == over(best)) && k.since < best.since {
+		if best == nil || r > rank(best) || r == rank(best) && k.state == stateIdle && over(k) > over(best) ||
+			r == rank(best) && (k.state != stateIdle || over(k) == over(best)) && k.since < best.since {
 			best = k
 		}
 	}
@@ -74,11 +74,11 @@
 		f := Options{MaxConns: rapid.IntRange(1, 12).Draw(t, "limit"), MinIdle: 20, HeaderTimeout: 10,
 			CustomerShares: rapid.SampledFrom([][]float64{nil, {1}, {3, 1}, {5, 0, 2}}).Draw(t, "shares")}
 		a := New(f)
-		all := map[ID]*known{}
+		all := map[ID]*referenceConn{}
 		now := Millis(0)
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now++ // no two enter a class at one moment: the walk could not tell them apart
-			var some *known
+			var some *referenceConn
 			if len(all) > 0 {
 				n := rapid.IntRange(0, len(a.conns)-1).Draw(t, "which")
 				some = all[ID(n)]
@@ -87,7 +87,7 @@
 			case 0, 1:
 				want := NoConn
 				if len(all) >= f.MaxConns {
-					want = walk(f, all, now)
+					want = referenceVictim(f, all, now)
 				}
 				victim := NoConn
 				if a.Full() {
@@ -100,7 +100,7 @@
 				if all[id] != nil {
 					t.Fatalf("%d is given out twice", id)
 				}
-				all[id] = &known{id: id, since: now, class: stateNew, customer: len(f.CustomerShares)}
+				all[id] = &referenceConn{id: id, since: now, state: stateNew, customer: len(f.CustomerShares)}
 				if victim != NoConn {
 					a.Close(victim)
 					a.Close(victim)
@@ -109,30 +109,30 @@
 			case 2:
 				if some != nil {
 					a.BeginRequest(some.id)
-					some.class = stateActive
+					some.state = stateActive
 				}
 			case 3:
-				if some != nil && some.class == stateActive {
-					of := rapid.IntRange(-1, len(f.CustomerShares)).Draw(t, "customer")
-					a.IdentifyRequest(some.id, CustomerIndex(of))
-					some.searched, some.customer = true, len(f.CustomerShares)
-					if of >= 0 && of < len(f.CustomerShares) {
-						some.customer = of
+				if some != nil && some.state == stateActive {
+					customer := rapid.IntRange(-1, len(f.CustomerShares)).Draw(t, "customer")
+					a.IdentifyRequest(some.id, CustomerIndex(customer))
+					some.hasRequested, some.customer = true, len(f.CustomerShares)
+					if customer >= 0 && customer < len(f.CustomerShares) {
+						some.customer = customer
 					}
 				}
 			case 4:
-				if some != nil && some.class == stateActive {
+				if some != nil && some.state == stateActive {
 					a.EndRequest(some.id, now)
-					if some.class, some.since = stateIdleWithoutRequest, now; some.searched {
-						some.class = stateIdle
+					if some.state, some.since = stateIdleWithoutRequest, now; some.hasRequested {
+						some.state = stateIdle
 					}
 				}
 			case 6:
 				if some != nil {
 					a.Park(some.id)
 					if rapid.Bool().Draw(t, "trickles") {
-						if a.MarkSlowHeader(some.id, now); some.class != stateSlowHeader {
-							some.class, some.since = stateSlowHeader, now
+						if a.MarkSlowHeader(some.id, now); some.state != stateSlowHeader {
+							some.state, some.since = stateSlowHeader, now
 						}
 					}
 				}
@@ -143,7 +143,7 @@
 				}
 				now += Millis(rapid.IntRange(0, 15).Draw(t, "later"))
 			}
-			if got, want := a.Victim(now), walk(f, all, now); got != want {
+			if got, want := a.Victim(now), referenceVictim(f, all, now); got != want {
 				t.Fatalf("the victim is %d, the walk says %d", got, want)
 			}
 			if a.Len() != len(all) {
@@ -158,25 +158,25 @@
 	var parked []ID
 	for i := range 100 {
 		id := a.Open(Millis(i))
-		of := CustomerIndex(0)
+		customer := CustomerIndex(0)
 		if i%10 == 0 {
-			of = 1
+			customer = 1
 		}
 		a.BeginRequest(id)
-		a.IdentifyRequest(id, of)
+		a.IdentifyRequest(id, customer)
 		a.EndRequest(id, Millis(i))
 		parked = append(parked, id)
 	}
 	var woken, turned [2]int
 	for i, id := range parked { // all at once
-		of := 0
+		customer := 0
 		if i%10 == 0 {
-			of = 1
+			customer = 1
 		}
 		if a.Wake(id) {
-			woken[of]++
+			woken[customer]++
 		} else {
-			turned[of]++
+			turned[customer]++
 		}
 	}
 	if _, _, _, open := a.Counts(); open > 18 || open != woken[0]+woken[1] || woken[1] < 4 || woken[0] < 12 || turned[0] < 70 {
@@ -269,15 +269,15 @@
 			continue // the walk takes seconds there
 		}
 		b.Run(fmt.Sprintf("connections=%d/walk", n), func(b *testing.B) {
-			all := map[ID]*known{}
+			all := map[ID]*referenceConn{}
 			for i := range n {
-				all[ID(i)] = &known{id: ID(i), since: Millis(i), class: stateIdle, customer: i % 3}
+				all[ID(i)] = &referenceConn{id: ID(i), since: Millis(i), state: stateIdle, customer: i % 3}
 			}
 			now := Millis(n)
 			b.ReportAllocs()
 			for b.Loop() {
 				now++
-				id := walk(f, all, now)
+				id := referenceVictim(f, all, now)
 				all[id].since = now
 			}
 		})
--- a/gatherer/listener.go
+++ b/gatherer/listener.go
@@ -126,7 +126,7 @@
 	for {
 		raw, err := l.Listener.Accept()
 		if err != nil {
-			if isDescriptorExhausted(err) && idleconn.Acceptable(l.Listener) && l.evictOne() {
+			if isDescriptorExhausted(err) && idleconn.HasPendingConn(l.Listener) && l.evictOne() {
 				continue
 			}
 			return nil, err
--- a/gatherer/parking.go
+++ b/gatherer/parking.go
@@ -160,7 +160,7 @@
 			l.resumeAccounted(id)
 		}
 	default:
-		if l.idleSet.Watch(fd, value) != nil {
+		if l.idleSet.Rearm(fd, value) != nil {
 			l.closeParked(id, endReset)
 		}
 	}
@@ -209,7 +209,7 @@
 
 // rejectParked sheds the request of a parked connection and closes it.
 func (l *listener) rejectParked(id connadmission.ID) {
-	l.dropParked(id, endOverLimit, func() { l.idleSet.Refuse(int(l.conns[id].fd), l.shedResponse) })
+	l.dropParked(id, endOverLimit, func() { l.idleSet.Reject(int(l.conns[id].fd), l.shedResponse) })
 }
 
 // dropParked ends a parked connection by a function and releases its slot.
--- a/gatherer/timeouts.go
+++ b/gatherer/timeouts.go
@@ -36,7 +36,7 @@
 // expireUntil processes the timeouts up to a tick: it closes parked connections, and returns those below the minimum rate
 // for the caller to close. The listener's lock is held.
 func (l *listener) expireUntil(tick int64) (slow []*clientConn) {
-	l.wheel.Turn(tick, func(value uint32) {
+	l.wheel.Advance(tick, func(value uint32) {
 		slot := &l.conns[value]
 		slot.timeout = 0
 		switch {
--- a/internal/idleconn/park_linux.go
+++ b/internal/idleconn/idleconn_linux.go
@@ -22,10 +22,10 @@
 
 // Set is a set of parked sockets.
 type Set struct {
-	ep    *os.File
-	raw   syscall.RawConn
-	woken func(value uint32, fd int)
-	done  chan struct{}
+	epoll      *os.File
+	raw        syscall.RawConn
+	onReadable func(value uint32, fd int)
+	done       chan struct{}
 }
 
 // New starts a set. woken is told of each parked socket on which something may have come, in the set's own goroutine, and
@@ -41,9 +41,9 @@
 		unix.Close(fd)
 		return nil, err
 	}
-	s := &Set{ep: os.NewFile(uintptr(fd), "epoll"), woken: woken, done: make(chan struct{})}
-	if s.raw, err = s.ep.SyscallConn(); err != nil {
-		s.ep.Close()
+	s := &Set{epoll: os.NewFile(uintptr(fd), "epoll"), onReadable: woken, done: make(chan struct{})}
+	if s.raw, err = s.epoll.SyscallConn(); err != nil {
+		s.epoll.Close()
 		return nil, err
 	}
 	go s.run()
@@ -52,16 +52,16 @@
 
 // Stop ends the set's goroutine. What is parked stays open, and its owner's.
 func (s *Set) Stop() {
-	s.ep.Close()
+	s.epoll.Close()
 	<-s.done
 }
 
-// batch is how many sockets are told of at a time.
-const batch = 128
+// maxEvents is how many sockets are told of at a time.
+const maxEvents = 128
 
 func (s *Set) run() {
 	defer close(s.done)
-	events := make([]unix.EpollEvent, batch)
+	events := make([]unix.EpollEvent, maxEvents)
 	for {
 		n := 0
 		err := s.raw.Read(func(fd uintptr) bool {
@@ -73,12 +73,12 @@
 			return // closed
 		}
 		for _, e := range events[:max(n, 0)] {
-			s.woken(uint32(e.Pad), int(e.Fd))
+			s.onReadable(uint32(e.Pad), int(e.Fd))
 		}
 	}
 }
 
-func (s *Set) watch(op, fd int, value uint32) error {
+func (s *Set) control(op, fd int, value uint32) error {
 	// One shot: a socket that woke is not told again while its owner deals with it.
 	e := unix.EpollEvent{Events: unix.EPOLLIN | unix.EPOLLRDHUP | unix.EPOLLONESHOT, Fd: int32(fd), Pad: int32(value)}
 	var err error
@@ -88,12 +88,12 @@
 	return err
 }
 
-// Watch lets a socket that woke for nothing wait on.
-func (s *Set) Watch(fd int, value uint32) error { return s.watch(unix.EPOLL_CTL_MOD, fd, value) }
+// Rearm lets a socket that woke for nothing wait on.
+func (s *Set) Rearm(fd int, value uint32) error { return s.control(unix.EPOLL_CTL_MOD, fd, value) }
 
 // Peek tells whether bytes wait on a socket, or, where none do, that it is over: io.EOF if the other side has closed it,
 // else what broke it.
-func Peek(fd int) (waiting bool, over error) {
+func Peek(fd int) (waiting bool, closed error) {
 	var one [1]byte
 	for {
 		n, _, err := unix.Recvfrom(fd, one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
@@ -126,7 +126,7 @@
 	if dup != nil {
 		return -1, dup
 	}
-	if err := s.watch(unix.EPOLL_CTL_ADD, fd, value); err != nil {
+	if err := s.control(unix.EPOLL_CTL_ADD, fd, value); err != nil {
 		unix.Close(fd)
 		return -1, err
 	}
@@ -151,35 +151,35 @@
 	return c, nil
 }
 
-func (s *Set) forget(fd int) {
+func (s *Set) remove(fd int) {
 	s.raw.Control(func(ep uintptr) { unix.EpollCtl(int(ep), unix.EPOLL_CTL_DEL, fd, nil) })
 }
 
 // Close ends a parked socket.
 func (s *Set) Close(fd int) {
-	s.forget(fd)
+	s.remove(fd)
 	unix.Close(fd)
 }
 
-// Refuse answers a parked socket with bytes made ready, without waiting, and closes it: whatever has come is read first, as
+// Reject answers a parked socket with bytes made ready, without waiting, and closes it: whatever has come is read first, as
 // a socket that is closed with bytes unread takes its answer back.
-func (s *Set) Refuse(fd int, refuse []byte) {
-	b := refuseBuffers.Get().(*[16 << 10]byte)
-	for range mostRefused / len(b) {
+func (s *Set) Reject(fd int, refuse []byte) {
+	b := discardBuffers.Get().(*[16 << 10]byte)
+	for range maxDiscard / len(b) {
 		if n, _, err := unix.Recvfrom(fd, b[:], unix.MSG_DONTWAIT); n <= 0 || err != nil {
 			break
 		}
 	}
-	refuseBuffers.Put(b)
+	discardBuffers.Put(b)
 	unix.SendmsgN(fd, refuse, nil, nil, unix.MSG_DONTWAIT|unix.MSG_NOSIGNAL)
 	unix.Shutdown(fd, unix.SHUT_WR)
 	s.Close(fd)
 }
 
-// mostRefused is how much of a request that is refused is read at most: a head and a body of the longest.
-const mostRefused = 96 << 10
+// maxDiscard is how much of a request that is refused is read at most: a head and a body of the longest.
+const maxDiscard = 96 << 10
 
-var refuseBuffers = sync.Pool{New: func() any { return new([16 << 10]byte) }}
+var discardBuffers = sync.Pool{New: func() any { return new([16 << 10]byte) }}
 
 // RemoteAddr is the other side of a parked socket.
 func RemoteAddr(fd int) string {
@@ -196,9 +196,9 @@
 	return "unknown"
 }
 
-// Acceptable tells whether somebody waits to be accepted. Accept itself does not tell where no descriptor is left: it fails
+// HasPendingConn tells whether somebody waits to be accepted. Accept itself does not tell where no descriptor is left: it fails
 // then whether or not somebody does.
-func Acceptable(l net.Listener) bool {
+func HasPendingConn(l net.Listener) bool {
 	c, ok := l.(syscall.Conn)
 	if !ok {
 		return false
--- a/internal/idleconn/park_other.go
+++ b/internal/idleconn/idleconn_other.go
@@ -21,9 +21,9 @@
 func (*Set) Stop()                                  {}
 func (*Set) Park(*net.TCPConn, uint32) (int, error) { return -1, errNot }
 func (*Set) Unpark(int) (net.Conn, error)           { return nil, errNot }
-func (*Set) Watch(int, uint32) error                { return errNot }
+func (*Set) Rearm(int, uint32) error                { return errNot }
 func (*Set) Close(int)                              {}
-func (*Set) Refuse(int, []byte)                     {}
+func (*Set) Reject(int, []byte)                     {}
 
 // Peek tells whether bytes wait on a socket, or it is over.
 func Peek(int) (waiting bool, over error) { return false, errNot }
@@ -31,5 +31,5 @@
 // RemoteAddr is the other side of a parked socket.
 func RemoteAddr(int) string { return "unknown" }
 
-// Acceptable tells whether somebody waits to be accepted; here it is not known.
-func Acceptable(net.Listener) bool { return false }
+// HasPendingConn tells whether somebody waits to be accepted; here it is not known.
+func HasPendingConn(net.Listener) bool { return false }
--- a/internal/timerwheel/wheel_test.go
+++ b/internal/timerwheel/wheel_test.go
@@ -12,7 +12,7 @@
 )
 
 // The wheel against a plain list: every entry fires at its tick, once, and none that was cancelled.
-func TestWheelFiresWhatAListWould(t *testing.T) {
+func TestWheelMatchesReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := rapid.Int64Range(0, 1<<30).Draw(t, "start")
 		w := New(now)
@@ -26,7 +26,7 @@
 			switch rapid.IntRange(0, 2).Draw(t, "what") {
 			case 0:
 				for range rapid.IntRange(1, 5).Draw(t, "adds") {
-					at := now + rapid.OneOf(rapid.Int64Range(-3, 70), rapid.Int64Range(0, 5000), rapid.Int64Range(0, 3*reach)).Draw(t, "ahead")
+					at := now + rapid.OneOf(rapid.Int64Range(-3, 70), rapid.Int64Range(0, 5000), rapid.Int64Range(0, 3*horizon)).Draw(t, "ahead")
 					next++
 					open[next] = limit{max(at, now+1), w.Add(at, next)}
 				}
@@ -40,9 +40,9 @@
 					}
 				}
 			case 2:
-				to := now + rapid.OneOf(rapid.Int64Range(0, 10), rapid.Int64Range(0, 5000), rapid.Int64Range(0, 2*reach)).Draw(t, "turn")
+				to := now + rapid.OneOf(rapid.Int64Range(0, 10), rapid.Int64Range(0, 5000), rapid.Int64Range(0, 2*horizon)).Draw(t, "turn")
 				last := int64(0)
-				w.Turn(to, func(v uint32) {
+				w.Advance(to, func(v uint32) {
 					l, ok := open[v]
 					if !ok || l.at > to || l.at < last || l.at != w.now {
 						t.Fatalf("entry %d for %d fires at %d, behind %d, known %t", v, l.at, w.now, last, ok)
@@ -73,16 +73,16 @@
 	})
 }
 
-func TestAHandleOfAnEntryThatWentCancelsNoOther(t *testing.T) {
+func TestStaleHandle(t *testing.T) {
 	w := New(0)
 	old := w.Add(5, 1)
-	w.Turn(5, func(uint32) {})
+	w.Advance(5, func(uint32) {})
 	w.Add(9, 2)
 	if w.Cancel(old) || w.Len() != 1 || w.Cancel(0) {
 		t.Error("a handle that is over cancels another entry")
 	}
 	var fired []uint32
-	w.Turn(20, func(v uint32) {
+	w.Advance(20, func(v uint32) {
 		fired = append(fired, v)
 		if v == 2 {
 			w.Add(1, 3) // in the past: at the next tick
@@ -125,13 +125,13 @@
 func BenchmarkLimits(b *testing.B) {
 	for _, n := range []int{1000, 20_000, 100_000} {
 		b.Run(fmt.Sprintf("entries=%d/wheel", n), func(b *testing.B) {
-			before := held()
+			before := heapBytes()
 			w := New(0)
 			hs := make([]Handle, n)
 			for i := range hs {
 				hs[i] = w.Add(int64(3000+i%1000), uint32(i))
 			}
-			bytes := held() - before
+			bytes := heapBytes() - before
 			now, i := int64(0), 0
 			for b.Loop() {
 				w.Cancel(hs[i])
@@ -141,21 +141,21 @@
 				}
 				if i%64 == 0 {
 					now++
-					w.Turn(now, func(v uint32) { hs[v] = w.Add(now+3000, v) })
+					w.Advance(now, func(v uint32) { hs[v] = w.Add(now+3000, v) })
 				}
 			}
 			b.ReportMetric(float64(bytes)/float64(n), "B/entry")
 			runtime.KeepAlive(w)
 		})
 		b.Run(fmt.Sprintf("entries=%d/heap", n), func(b *testing.B) {
-			before := held()
+			before := heapBytes()
 			h := plain{}
 			es := make([]*plainEntry, n)
 			for i := range es {
 				es[i] = &plainEntry{at: int64(3000 + i%1000), value: uint32(i)}
 				heap.Push(&h, es[i])
 			}
-			bytes := held() - before
+			bytes := heapBytes() - before
 			now, i := int64(0), 0
 			for b.Loop() {
 				heap.Remove(&h, es[i].place)
@@ -176,12 +176,12 @@
 			runtime.KeepAlive(h)
 		})
 		b.Run(fmt.Sprintf("entries=%d/runtime", n), func(b *testing.B) {
-			before := held()
+			before := heapBytes()
 			ts := make([]*time.Timer, n)
 			for i := range ts {
 				ts[i] = time.AfterFunc(time.Hour, func() {})
 			}
-			bytes := held() - before
+			bytes := heapBytes() - before
 			i := 0
 			for b.Loop() {
 				ts[i].Stop()
@@ -198,7 +198,7 @@
 	}
 }
 
-func held() int64 {
+func heapBytes() int64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/memorybudget/budget_test.go
+++ b/memorybudget/budget_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// referenceFits is a ledger by the definition alone: what is free for an account is what the others neither hold nor are owed.
-func referenceFits(f Options, held [AccountCount]Bytes, a Account, n Bytes) bool {
+// referenceCanReserve is a ledger by the definition alone: what is free for an account is what the others neither hold nor are owed.
+func referenceCanReserve(f Options, held [AccountCount]Bytes, a Account, n Bytes) bool {
 	sum, reserved := Bytes(0), Bytes(0)
 	for b := range AccountCount {
 		h := held[b]
@@ -45,7 +45,7 @@
 			n := Bytes(rapid.IntRange(0, 60).Draw(t, "bytes"))
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0, 1, 2, 3, 4:
-				want := referenceFits(f, held, a, n)
+				want := referenceCanReserve(f, held, a, n)
 				if got := l.Reserve(a, n); got != want {
 					t.Fatalf("take %d for %s with %v held: %t, by definition %t", n, a, held, got, want)
 				}
--- a/memorybudget/estimator.go
+++ b/memorybudget/estimator.go
@@ -8,15 +8,15 @@
 // back, too little may cost the process.
 type SizeEstimator struct {
 	estimates []float64 // 0 = none has been seen
-	initial   Bytes
+	fallback  Bytes
 }
 
-// decay is the part of the way down that one smaller value goes.
-const decay = 1.0 / 64
+// decayFactor is the part of the way down that one smaller value goes.
+const decayFactor = 1.0 / 64
 
 // NewSizeEstimator makes one for so many query types; first is expected until a value of a type has been seen.
 func NewSizeEstimator(types int, first Bytes) *SizeEstimator {
-	return &SizeEstimator{estimates: make([]float64, types), initial: first}
+	return &SizeEstimator{estimates: make([]float64, types), fallback: first}
 }
 
 // Observe takes in how large a value of a type was.
@@ -25,13 +25,13 @@
 		return
 	}
 	t := &e.estimates[queryType]
-	*t = max(float64(n), *t-decay*(*t-float64(n)), 1)
+	*t = max(float64(n), *t-decayFactor*(*t-float64(n)), 1)
 }
 
 // Estimate tells how much is to be set aside for one value of a type.
 func (e *SizeEstimator) Estimate(queryType int) Bytes {
 	if queryType < 0 || queryType >= len(e.estimates) || e.estimates[queryType] == 0 {
-		return e.initial
+		return e.fallback
 	}
 	return Bytes(e.estimates[queryType])
 }
