--- a/store/bench_test.go
+++ b/store/bench_test.go
@@ -14,90 +14,117 @@
 	"oxbowspan/store"
 )
 
-var value = []byte("0123456789012345678901234567890123456789012345678901234567890123456789012345678901234567890123456789")
+const benchmarkKeys = 10_000
 
-// BenchmarkCommit is one commit of 100 bytes that outlives a crash, by so many callers at once, on a real disk: this store, and
-// bbolt with its own group commit (Batch). Both keep 10,000 keys.
+var benchmarkValue = []byte("0123456789012345678901234567890123456789012345678901234567890123456789012345678901234567890123456789")
+
+// BenchmarkCommit is one durable commit of 100 bytes by a number of concurrent callers, on the disk of the temporary
+// directory: by this store, and by bbolt with its own group commit (Batch).
 //
 //	go test -run xxx -bench Commit -benchmem ./store
 func BenchmarkCommit(b *testing.B) {
 	for _, callers := range []int{1, 8, 64, 512} {
-		each := func(b *testing.B, commit func(key string) error) {
-			var next atomic.Int64
-			var all sync.WaitGroup
-			b.ReportAllocs()
-			b.ResetTimer()
-			for range callers {
-				all.Add(1)
-				go func() {
-					defer all.Done()
-					for n := next.Add(1); n <= int64(b.N); n = next.Add(1) {
-						if err := commit(fmt.Sprintf("key-%05d", n%10_000)); err != nil {
-							b.Error(err)
-						}
-					}
-				}()
-			}
-			all.Wait()
-			b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "commits/s")
-		}
 		b.Run(fmt.Sprintf("callers=%d/store", callers), func(b *testing.B) {
-			d, err := store.OpenDisk(b.TempDir())
-			if err != nil {
-				b.Fatal(err)
-			}
-			s, _, err := store.Open(d, store.Options{})
-			if err != nil {
-				b.Fatal(err)
-			}
-			defer s.Close()
-			each(b, func(key string) error { return s.Commit(store.Op{Table: 1, Key: key, Value: value}) })
+			s := openOnDisk(b, store.Options{})
+			commitConcurrently(b, callers, func(key string) error {
+				return s.Commit(store.Op{Table: 1, Key: key, Value: benchmarkValue})
+			})
 		})
 		b.Run(fmt.Sprintf("callers=%d/bbolt", callers), func(b *testing.B) {
-			db, err := bbolt.Open(filepath.Join(b.TempDir(), "db"), 0o600, nil)
-			if err != nil {
-				b.Fatal(err)
-			}
-			defer db.Close()
-			db.Update(func(tx *bbolt.Tx) error { _, err := tx.CreateBucket([]byte("t")); return err })
-			db.MaxBatchDelay = time.Duration(min(callers-1, 1)) * time.Millisecond // alone it need not wait for others
-			each(b, func(key string) error {
-				return db.Batch(func(tx *bbolt.Tx) error { return tx.Bucket([]byte("t")).Put([]byte(key), value) })
+			bucket := []byte("t")
+			db := openBbolt(b, bucket)
+			db.MaxBatchDelay = time.Duration(min(callers-1, 1)) * time.Millisecond // a single caller has nothing to wait for
+			commitConcurrently(b, callers, func(key string) error {
+				return db.Batch(func(tx *bbolt.Tx) error { return tx.Bucket(bucket).Put([]byte(key), benchmarkValue) })
 			})
 		})
 	}
 }
 
-// BenchmarkRecovery opens a store after so many records, of which 10,000 keys live.
+// commitConcurrently makes b.N commits from a number of goroutines.
+func commitConcurrently(b *testing.B, callers int, commit func(key string) error) {
+	b.Helper()
+	var commits atomic.Int64
+	var all sync.WaitGroup
+	b.ReportAllocs()
+	b.ResetTimer()
+	for range callers {
+		all.Add(1)
+		go func() {
+			defer all.Done()
+			for n := commits.Add(1); n <= int64(b.N); n = commits.Add(1) {
+				if err := commit(benchmarkKey(int(n))); err != nil {
+					b.Error(err)
+				}
+			}
+		}()
+	}
+	all.Wait()
+	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "commits/s")
+}
+
+func benchmarkKey(n int) string { return fmt.Sprintf("key-%05d", n%benchmarkKeys) }
+
+func openOnDisk(b *testing.B, o store.Options) *store.Store {
+	b.Helper()
+	disk, err := store.OpenDisk(b.TempDir())
+	if err != nil {
+		b.Fatal(err)
+	}
+	s, _, err := store.Open(disk, o)
+	if err != nil {
+		b.Fatal(err)
+	}
+	b.Cleanup(func() { s.Close() })
+	return s
+}
+
+func openBbolt(b *testing.B, bucket []byte) *bbolt.DB {
+	b.Helper()
+	db, err := bbolt.Open(filepath.Join(b.TempDir(), "db"), 0o600, nil)
+	if err != nil {
+		b.Fatal(err)
+	}
+	b.Cleanup(func() { db.Close() })
+	err = db.Update(func(tx *bbolt.Tx) error {
+		_, err := tx.CreateBucket(bucket)
+		return err
+	})
+	if err != nil {
+		b.Fatal(err)
+	}
+	return db
+}
+
+// BenchmarkRecovery reads a store of a number of records, of which 10,000 keys are live.
 func BenchmarkRecovery(b *testing.B) {
 	for _, n := range []int{10_000, 100_000, 1_000_000} {
 		b.Run(fmt.Sprintf("records=%d", n), func(b *testing.B) {
-			d, err := store.OpenDisk(b.TempDir())
+			disk, err := store.OpenDisk(b.TempDir())
 			if err != nil {
 				b.Fatal(err)
 			}
-			o := store.Options{CompactionThreshold: 1 << 40}
-			s, _, err := store.Open(d, o)
+			s, _, err := store.Open(disk, store.Options{CompactionThreshold: 1 << 40})
 			if err != nil {
 				b.Fatal(err)
 			}
-			var last sync.WaitGroup
+			var pending sync.WaitGroup
 			for i := range n {
-				last.Add(1)
+				pending.Add(1)
 				s.CommitAsync(func(err error) {
 					if err != nil {
 						b.Error(err)
 					}
-					last.Done()
-				}, store.Op{Table: 1, Key: fmt.Sprintf("key-%05d", i%10_000), Value: value})
+					pending.Done()
+				}, store.Op{Table: 1, Key: benchmarkKey(i), Value: benchmarkValue})
 			}
-			last.Wait()
-			b.ReportMetric(float64(s.Stats().MirrorBytes)/(1<<20), "MiB-a-lane")
+			pending.Wait()
+			b.ReportMetric(float64(s.Stats().MirrorBytes)/(1<<20), "MiB/mirror")
 			s.Close()
 			for b.Loop() {
-				r, err := store.Check(d)
-				if err != nil || r.LastRecord != uint64(n) {
-					b.Fatal(errors.Join(err, fmt.Errorf("%+v", r)))
+				report, err := store.Check(disk)
+				if err != nil || report.LastRecord != uint64(n) {
+					b.Fatal(errors.Join(err, fmt.Errorf("%+v", report)))
 				}
 			}
 		})
--- /dev/null
+++ b/store/compaction.go
@@ -0,0 +1,156 @@
+package store
+
+import (
+	"encoding/binary"
+	"errors"
+	"io/fs"
+	"maps"
+	"path"
+	"slices"
+)
+
+// compactionFactor is how many times as large as the live data the files must be for a compaction.
+const compactionFactor = 4
+
+// compactionResult is the outcome of a compaction.
+type compactionResult struct {
+	covered uint64 // the snapshot covers the logs up to this number
+	size    int64  // of the snapshot, in bytes
+	err     error
+}
+
+// maybeCompact starts a compaction if the files are large and little of them is live.
+func (s *Store) maybeCompact() {
+	if s.compaction != nil || s.failed() != nil {
+		return
+	}
+	s.mu.Lock()
+	live := s.liveBytes
+	s.mu.Unlock()
+	if size := s.mirrorBytes(); size < s.options.CompactionThreshold || size < compactionFactor*live {
+		return
+	}
+	s.startCompaction()
+}
+
+// startCompaction writes a snapshot in another goroutine. Commits continue meanwhile, in a new log.
+func (s *Store) startCompaction() {
+	covered, next := s.logNumber, s.nextRecord
+	s.mu.Lock()
+	index := tables{}
+	for t, table := range s.index {
+		index[t] = maps.Clone(table)
+	}
+	s.mu.Unlock()
+	if err := s.startLog(); err != nil {
+		s.fail(err)
+		return
+	}
+	result := make(chan compactionResult, 1)
+	s.compaction = result
+	go func() {
+		size, err := s.writeSnapshot(covered, next, index)
+		result <- compactionResult{covered, size, err}
+	}()
+}
+
+// compactAndWait starts a compaction unless one is in progress, and waits for its end.
+func (s *Store) compactAndWait() error {
+	if s.compaction == nil {
+		s.startCompaction()
+	}
+	if s.compaction != nil {
+		result := <-s.compaction
+		s.finishCompaction(result)
+		if result.err != nil {
+			return result.err
+		}
+	}
+	return s.failed()
+}
+
+// finishCompaction removes the files that a compaction has made obsolete.
+func (s *Store) finishCompaction(result compactionResult) {
+	s.compaction = nil
+	if result.err != nil {
+		// There is no complete snapshot: the logs stay, and nothing is lost. A full disk is no reason to fail.
+		if !isDiskFull(result.err) {
+			s.fail(result.err)
+		}
+		return
+	}
+	names := slices.Sorted(maps.Keys(s.fileSizes))
+	s.fileSizes[snapshotName(result.covered)] = result.size
+	if err := s.removeCovered(result.covered, [2][]string{names, names}); err != nil {
+		s.fail(err)
+	}
+	for name := range s.fileSizes {
+		number, kind, _ := parseName(name)
+		if number < result.covered || number == result.covered && kind == kindLog {
+			delete(s.fileSizes, name)
+		}
+	}
+	s.mu.Lock()
+	s.stats.MirrorBytes, s.stats.Files = s.mirrorBytes(), len(s.fileSizes)+1
+	s.mu.Unlock()
+}
+
+// writeSnapshot writes an index to both mirrors as a snapshot that covers the logs up to a number and all records before
+// nextRecord. It returns the snapshot's size in bytes.
+func (s *Store) writeSnapshot(covered, nextRecord uint64, index tables) (int64, error) {
+	h := header{version: Version, kind: kindSnapshot, file: covered, first: nextRecord, storeID: s.id}
+	b := h.encode()
+	salt := headerChecksum(b)
+	count := uint64(0)
+	for _, t := range slices.Sorted(maps.Keys(index)) {
+		for _, key := range slices.Sorted(maps.Keys(index[t])) {
+			count++
+			b, _ = appendRecord(b, salt, count, encodeOps([]Op{{Table: t, Key: key, Value: index[t][key]}}))
+		}
+	}
+	// The last record holds the number of the others, so that a truncation between two records is detected.
+	b, _ = appendRecord(b, salt, 0, binary.BigEndian.AppendUint64(nil, count))
+	for _, mirror := range mirrors {
+		temporary, name := path.Join(mirror, temporarySnapshotName), path.Join(mirror, snapshotName(covered))
+		if err := s.writeAtomically(temporary, name, b); err != nil {
+			return 0, err
+		}
+	}
+	return int64(len(b)), nil
+}
+
+// removeCovered removes what the snapshot of a number replaces: logs up to that number, older snapshots and incomplete ones.
+// names are the files of each mirror.
+func (s *Store) removeCovered(snapshot uint64, names [2][]string) error {
+	for i, mirror := range mirrors {
+		removed := false
+		for _, name := range names[i] {
+			if !isCovered(name, snapshot) {
+				continue
+			}
+			err := s.files.Remove(path.Join(mirror, name))
+			if errors.Is(err, fs.ErrNotExist) {
+				continue // an incomplete snapshot, which has been written again and renamed since
+			}
+			if err != nil {
+				return err
+			}
+			removed = true
+		}
+		if removed {
+			if err := s.files.SyncDir(mirror); err != nil {
+				return err
+			}
+		}
+	}
+	return nil
+}
+
+// isCovered reports whether a mirror's file is obsolete beside the snapshot of a number.
+func isCovered(name string, snapshot uint64) bool {
+	number, kind, ok := parseName(name)
+	if !ok {
+		return name == temporarySnapshotName
+	}
+	return number < snapshot || number == snapshot && kind == kindLog
+}
--- a/store/export_test.go
+++ b/store/export_test.go
@@ -2,11 +2,11 @@
 
 import "encoding/binary"
 
-// WithVersion is a file of a store as another version would have written it.
-func WithVersion(b []byte, version uint16) []byte {
-	b = append([]byte(nil), b...)
-	binary.BigEndian.PutUint16(b[8:], version)
-	s := checksumOf(b[:headerSize-checksumSize])
-	copy(b[headerSize-checksumSize:], s[:])
-	return b
+// WithVersion returns a file of a store with another version in its header.
+func WithVersion(file []byte, version uint16) []byte {
+	changed := append([]byte(nil), file...)
+	binary.BigEndian.PutUint16(changed[len(magic):], version)
+	sum := checksumOf(changed[:headerSize-checksumSize])
+	copy(changed[headerSize-checksumSize:], sum[:])
+	return changed
 }
--- a/store/format.go
+++ b/store/format.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"encoding/binary"
+	"errors"
 	"fmt"
 	"strconv"
 	"strings"
@@ -10,27 +11,49 @@
 	"github.com/zeebo/blake3"
 )
 
-// Version is the format that this program writes. It reads this one and those before it.
+// Version is the format that this package writes. It reads this one and all earlier ones.
 const Version = 1
 
-// A file is a head and records. Two lanes hold the same bytes in files of the same names:
+// A file is a header followed by records. Both mirrors hold files of the same names and bytes:
 //
-//	LANE/00000007.log    records in the order of their numbers, appended to
-//	LANE/00000007.base   what lives of all records up to the end of log 7, written whole and then named so
+//	MIRROR/00000007.log    records in the order of their numbers, appended to
+//	MIRROR/00000007.base   snapshot of all records up to the end of log 7, written under another name and then renamed
 //
-// A record bears a sum over its file's head, its number and its bytes, so that none is taken for another's. A log's head
-// bears the last sum of the log before: a lost, older or swapped file does not join on.
+// A record's checksum covers its file header's checksum, its number and its body, so that a record of another file or
+// position is not accepted. A log's header contains the checksum of the last record of the log before, so that a missing,
+// outdated or exchanged log is detected.
 const (
 	magic            = "oxbowsto"
-	headerSize       = 8 + 2 + 2 + 8 + 8 + 16 + 16 + checksumSize // magic, version, kind, file number, first record, store, chain, sum
-	recordHeaderSize = 4 + 8 + checksumSize                       // length of the rest, number, sum
+	storeIDSize      = 16
 	checksumSize     = 16
-	// maxRecordSize is the most bytes that a record may have.
+	headerSize       = len(magic) + 2 + 2 + 8 + 8 + storeIDSize + checksumSize + checksumSize
+	recordPrefixSize = 4 + 8 // length of what follows it, record number
+	recordHeaderSize = recordPrefixSize + checksumSize
+	// maxRecordSize is the largest body of a record, in bytes.
 	maxRecordSize = 1 << 20
 )
 
+// Names of files outside the mirrors, and of files that are not complete yet.
+const (
+	lockName              = "lock"
+	watermarkName         = "mark"
+	temporaryWatermark    = "mark.new"
+	temporarySnapshotName = "base.new"
+)
+
+// checksum is the first bytes of a BLAKE3 hash.
 type checksum [checksumSize]byte
 
+func checksumOf(parts ...[]byte) (sum checksum) {
+	h := blake3.New()
+	for _, p := range parts {
+		h.Write(p)
+	}
+	var full [32]byte
+	copy(sum[:], h.Sum(full[:0]))
+	return sum
+}
+
 type fileKind uint16
 
 const (
@@ -38,14 +61,14 @@
 	kindSnapshot fileKind = 2
 )
 
-// header begins a file.
+// header is the beginning of a file.
 type header struct {
 	version uint16
 	kind    fileKind
 	file    uint64
-	first   uint64 // the number of its first record; of a base, of the first that it does not cover
-	storeID [16]byte
-	chain   checksum // of a log: the last sum of the log before
+	first   uint64 // log: number of its first record; snapshot: number of the first record that it does not cover
+	storeID [storeIDSize]byte
+	chain   checksum // log: checksum of the last record of the log before
 }
 
 func (h header) encode() []byte {
@@ -57,28 +80,20 @@
 	b = binary.BigEndian.AppendUint64(b, h.first)
 	b = append(b, h.storeID[:]...)
 	b = append(b, h.chain[:]...)
-	s := checksumOf(b)
-	return append(b, s[:]...)
-}
-
-// VersionError says that a file is of a version that this program does not know.
-type VersionError struct{ Version uint16 }
-
-func (e VersionError) Error() string {
-	return fmt.Sprintf("the store is of version %d, this program knows up to %d", e.Version, Version)
+	sum := checksumOf(b)
+	return append(b, sum[:]...)
 }
 
 func decodeHeader(b []byte) (h header, err error) {
 	if len(b) < headerSize {
-		return h, fmt.Errorf("cut off within its head, at byte %d", len(b))
+		return h, fmt.Errorf("truncated within its header, at byte %d", len(b))
 	}
-	if string(b[:8]) != magic {
-		return h, fmt.Errorf("not a store's file")
+	if string(b[:len(magic)]) != magic {
+		return h, errors.New("not a file of a store")
 	}
 	h.version = binary.BigEndian.Uint16(b[8:])
-	body := b[:headerSize-checksumSize]
-	if s := checksumOf(body); !bytes.Equal(s[:], b[headerSize-checksumSize:headerSize]) {
-		return h, fmt.Errorf("its head is damaged")
+	if checksumOf(b[:headerSize-checksumSize]) != headerChecksum(b) {
+		return h, errors.New("its header is damaged")
 	}
 	if h.version > Version {
 		return h, VersionError{h.version}
@@ -91,69 +106,56 @@
 	return h, nil
 }
 
-func checksumOf(parts ...[]byte) (s checksum) {
-	h := blake3.New()
-	for _, p := range parts {
-		h.Write(p)
-	}
-	var full [32]byte
-	copy(s[:], h.Sum(full[:0]))
-	return s
+// headerChecksum returns the checksum at the end of a file's header. It is the salt of the checksums of the file's records.
+func headerChecksum(file []byte) checksum {
+	return checksum(file[headerSize-checksumSize : headerSize])
 }
 
-// appendRecord adds a record to b; salt is its file's head's sum.
-func appendRecord(b []byte, salt checksum, number uint64, body []byte) ([]byte, checksum) {
-	var n [12]byte
-	binary.BigEndian.PutUint32(n[:], uint32(8+checksumSize+len(body)))
-	binary.BigEndian.PutUint64(n[4:], number)
-	s := checksumOf(salt[:], n[:], body)
-	b = append(b, n[:]...)
-	b = append(b, s[:]...)
-	return append(b, body...), s
-}
-
-// record is a record that was read.
+// record is one record of a file.
 type record struct {
 	number   uint64
 	checksum checksum
 	body     []byte
 }
 
-// readRecords reads the records behind a head. good is how many bytes of the file are whole; damage says what is wrong with
-// the rest, "" = nothing. Behind a damaged record of plausible length it goes on: the other lane has the damaged one.
-func readRecords(b []byte, salt checksum) (out []record, good int, damage string) {
-	at, whole := headerSize, true
-	for at < len(b) {
-		if len(b)-at < recordHeaderSize {
-			return out, validSize(whole, at, good), joinDamage(damage, fmt.Sprintf("cut off within a record's head, at byte %d", len(b)))
+// appendRecord appends a record to b and returns its checksum as well.
+func appendRecord(b []byte, salt checksum, number uint64, body []byte) ([]byte, checksum) {
+	var prefix [recordPrefixSize]byte
+	binary.BigEndian.PutUint32(prefix[:], uint32(8+checksumSize+len(body)))
+	binary.BigEndian.PutUint64(prefix[4:], number)
+	sum := checksumOf(salt[:], prefix[:], body)
+	b = append(b, prefix[:]...)
+	b = append(b, sum[:]...)
+	return append(b, body...), sum
+}
+
+// readRecords reads the records of a file. damage describes what is wrong with the file, "" if nothing. Reading continues
+// after a damaged record of plausible length: the other mirror may hold that one.
+func readRecords(file []byte, salt checksum) (records []record, damage string) {
+	offset := headerSize
+	for offset < len(file) {
+		rest := file[offset:]
+		if len(rest) < recordHeaderSize {
+			return records, joinDamage(damage, fmt.Sprintf("truncated within a record's header, at byte %d", len(file)))
 		}
-		n := int(binary.BigEndian.Uint32(b[at:]))
-		if n < 8+checksumSize || n > 8+checksumSize+maxRecordSize {
-			return out, validSize(whole, at, good), joinDamage(damage, fmt.Sprintf("at byte %d there is no record", at))
+		length := int(binary.BigEndian.Uint32(rest))
+		if length < 8+checksumSize || length > 8+checksumSize+maxRecordSize {
+			return records, joinDamage(damage, fmt.Sprintf("no record at byte %d", offset))
 		}
-		if len(b)-at-4 < n {
-			return out, validSize(whole, at, good), joinDamage(damage, fmt.Sprintf("cut off within a record, at byte %d of %d", len(b), at+4+n))
+		end := 4 + length
+		if len(rest) < end {
+			return records, joinDamage(damage, fmt.Sprintf("truncated within a record, at byte %d of %d", len(file), offset+end))
 		}
-		f := record{number: binary.BigEndian.Uint64(b[at+4:]), body: b[at+recordHeaderSize : at+4+n]}
-		copy(f.checksum[:], b[at+12:])
-		if checksumOf(salt[:], b[at:at+12], f.body) != f.checksum {
-			if whole {
-				good, whole = at, false
-			}
-			damage = joinDamage(damage, fmt.Sprintf("the record at byte %d is damaged", at))
+		r := record{number: binary.BigEndian.Uint64(rest[4:]), body: rest[recordHeaderSize:end]}
+		copy(r.checksum[:], rest[recordPrefixSize:])
+		if checksumOf(salt[:], rest[:recordPrefixSize], r.body) == r.checksum {
+			records = append(records, r)
 		} else {
-			out = append(out, f)
+			damage = joinDamage(damage, fmt.Sprintf("the record at byte %d is damaged", offset))
 		}
-		at += 4 + n
+		offset += end
 	}
-	return out, validSize(whole, at, good), damage
-}
-
-func validSize(whole bool, at, good int) int {
-	if whole {
-		return at
-	}
-	return good
+	return records, damage
 }
 
 func joinDamage(a, b string) string {
@@ -163,83 +165,40 @@
 	return a + "; " + b
 }
 
-// Op is one change: a key of a table is set to a value, or taken out.
-type Op struct {
-	Table  Table
-	Key    string
-	Value  []byte
-	Delete bool
-}
-
-// Table is a kind of thing kept.
-type Table uint8
-
-// A record's body is the changes of one commit, which come into force together or not at all.
-func encodeOps(ops []Op) []byte {
-	var b []byte
-	for _, o := range ops {
-		flag := byte(0)
-		if o.Delete {
-			flag = 1
-		}
-		b = append(b, byte(o.Table), flag)
-		b = binary.AppendUvarint(b, uint64(len(o.Key)))
-		b = append(b, o.Key...)
-		if !o.Delete {
-			b = binary.AppendUvarint(b, uint64(len(o.Value)))
-			b = append(b, o.Value...)
-		}
-	}
-	return b
+// encodeWatermark returns the contents of the watermark file.
+func encodeWatermark(storeID [storeIDSize]byte, nextRecord uint64) []byte {
+	b := append([]byte(magic), storeID[:]...)
+	b = binary.BigEndian.AppendUint64(b, nextRecord)
+	sum := checksumOf(b)
+	return append(b, sum[:]...)
 }
 
-func decodeOps(b []byte) (ops []Op, err error) {
-	bad := fmt.Errorf("a record whose sum is right does not have the form of one")
-	text := func() ([]byte, bool) {
-		n, k := binary.Uvarint(b)
-		if k <= 0 || n > uint64(len(b)-k) {
-			return nil, false
-		}
-		t := b[k : k+int(n)]
-		b = b[k+int(n):]
-		return t, true
+// decodeWatermark is the inverse of encodeWatermark. damage is "" if the file is intact.
+func decodeWatermark(b []byte) (storeID [storeIDSize]byte, nextRecord uint64, damage string) {
+	const size = len(magic) + storeIDSize + 8
+	if len(b) != size+checksumSize {
+		return storeID, 0, "truncated"
 	}
-	for len(b) > 0 {
-		if len(b) < 2 || b[1] > 1 {
-			return nil, bad
-		}
-		o := Op{Table: Table(b[0]), Delete: b[1] == 1}
-		b = b[2:]
-		key, ok := text()
-		if !ok {
-			return nil, bad
-		}
-		o.Key = string(key)
-		if !o.Delete {
-			v, ok := text()
-			if !ok {
-				return nil, bad
-			}
-			o.Value = bytes.Clone(v)
-		}
-		ops = append(ops, o)
+	if sum := checksumOf(b[:size]); !bytes.Equal(sum[:], b[size:]) || string(b[:len(magic)]) != magic {
+		return storeID, 0, "damaged"
 	}
-	return ops, nil
+	copy(storeID[:], b[len(magic):])
+	return storeID, binary.BigEndian.Uint64(b[len(magic)+storeIDSize:]), ""
 }
 
-func logName(mirror string, n uint64) string      { return fmt.Sprintf("%s/%08d.log", mirror, n) }
-func snapshotName(mirror string, n uint64) string { return fmt.Sprintf("%s/%08d.base", mirror, n) }
+func logName(number uint64) string      { return fmt.Sprintf("%08d.log", number) }
+func snapshotName(number uint64) string { return fmt.Sprintf("%08d.base", number) }
 
-// parseName takes a file's number and kind from its name.
-func parseName(name string) (n uint64, k fileKind, ok bool) {
-	number, ending, _ := strings.Cut(name, ".")
-	n, err := strconv.ParseUint(number, 10, 64)
+// parseName returns the number and kind of a mirror's file; ok is false if the name is not that of a log or snapshot.
+func parseName(name string) (number uint64, kind fileKind, ok bool) {
+	digits, extension, _ := strings.Cut(name, ".")
+	number, err := strconv.ParseUint(digits, 10, 64)
 	switch {
-	case err != nil || len(number) < 8:
-	case ending == "log":
-		return n, kindLog, true
-	case ending == "base":
-		return n, kindSnapshot, true
+	case err != nil || len(digits) < 8:
+	case extension == "log":
+		return number, kindLog, true
+	case extension == "base":
+		return number, kindSnapshot, true
 	}
 	return 0, 0, false
 }
