--- a/internal/operatorconfig/fleet.go
+++ b/internal/operatorconfig/fleet.go
@@ -7,9 +7,9 @@
 	"strings"
 	"time"
 
+	"oxbowspan/internal/keyring"
 	"oxbowspan/internal/raftnode"
 	"oxbowspan/maintenance"
-	"oxbowspan/merge"
 )
 
 // Fleet is what the section on the fleet says. Its name and version are the program's to fill in.
@@ -43,7 +43,7 @@
 		s.wrong("keys", "is missing: a file with the keys that gatherers know each other by; 'oxbowspan keys new' makes a line of it")
 	} else if raw, err := r.open(keys); err != nil {
 		s.wrong("keys", "%v", err)
-	} else if f.Keys, err = merge.ParseKeys(string(raw)); err != nil {
+	} else if f.Keys, err = keyring.Parse(string(raw)); err != nil {
 		s.wrong("keys", "%v", err)
 	}
 	if f.Path, _ = s.text("path"); f.Path != "" && !filepath.IsAbs(f.Path) {
--- a/internal/operatorconfig/operator.go
+++ b/internal/operatorconfig/operator.go
@@ -16,6 +16,7 @@
 
 	"gopkg.in/ini.v1"
 
+	"oxbowspan/internal/keyring"
 	"oxbowspan/merge"
 )
 
@@ -66,7 +67,7 @@
 // Merging is what the sections on merging say.
 type Merging struct {
 	MostBytes, MostRows, MostOpen int64 // of all open merges together
-	Keys                          *merge.KeyRing
+	Keys                          *keyring.Ring
 	CursorLife                    time.Duration
 	MostCursor                    int // bytes
 	Types                         map[string]*merge.Allowance
@@ -369,7 +370,7 @@
 	case given:
 		raw, err := r.open(keys)
 		if err == nil {
-			m.Keys, err = merge.ParseKeys(string(raw))
+			m.Keys, err = keyring.Parse(string(raw))
 		}
 		if err != nil {
 			s.wrong("cursor_keys", "%v", err)
--- a/internal/raftnode/client.go
+++ b/internal/raftnode/client.go
@@ -8,15 +8,15 @@
 	"net/http"
 	"time"
 
+	"oxbowspan/internal/keyring"
 	"oxbowspan/maintenance"
-	"oxbowspan/merge"
 )
 
 // Client asks the stewards, whoever leads.
 type Client struct {
 	from     string
 	stewards []Address
-	keys     *merge.KeyRing
+	keys     *keyring.Ring
 	http     *http.Client
 	no       numbers
 	next     int // the steward that is asked first: the last one known to lead
--- a/internal/raftnode/steward.go
+++ b/internal/raftnode/steward.go
@@ -22,8 +22,8 @@
 	pb "go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 
+	"oxbowspan/internal/keyring"
 	"oxbowspan/maintenance"
-	"oxbowspan/merge"
 	"oxbowspan/raftlog"
 )
 
@@ -34,7 +34,7 @@
 	Version  string
 	Listen   string    // the fleet's own address here; "" = this one keeps no log
 	Stewards []Address // all of them, in the order that every gatherer's file has
-	Keys     *merge.KeyRing
+	Keys     *keyring.Ring
 	Path     string        // of the log; only of a steward
 	Wait     time.Duration // an end waits so long for a permit
 	Hook     string        // a command that carries out a release's change; "" = there are none
--- a/internal/raftnode/steward_test.go
+++ b/internal/raftnode/steward_test.go
@@ -13,13 +13,13 @@
 	"testing"
 	"time"
 
+	"oxbowspan/internal/keyring"
 	"oxbowspan/maintenance"
-	"oxbowspan/merge"
 	"oxbowspan/raftlog"
 )
 
-func ring(t *testing.T, digit string) *merge.KeyRing {
-	k, err := merge.ParseKeys("k1 " + strings.Repeat(digit, 64))
+func ring(t *testing.T, digit string) *keyring.Ring {
+	k, err := keyring.Parse("k1 " + strings.Repeat(digit, 64))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/raftnode/wire.go
+++ b/internal/raftnode/wire.go
@@ -12,8 +12,8 @@
 	"sync/atomic"
 	"time"
 
+	"oxbowspan/internal/keyring"
 	"oxbowspan/maintenance"
-	"oxbowspan/merge"
 )
 
 // Messages between gatherers are plain HTTP on the fleet's own address, each way under a keyed MAC over the path, who says it, its
@@ -36,7 +36,7 @@
 // errStranger says that a message does not bear the fleet's mark. It is told to nobody but the log, once a minute at most.
 var errStranger = errors.New("a message does not bear a mark of the fleet's keys")
 
-func signed(keys *merge.KeyRing, h http.Header, path, from string, no uint64, body []byte) {
+func signed(keys *keyring.Ring, h http.Header, path, from string, no uint64, body []byte) {
 	id, mac := keys.Sign(use, text(path, from, no, body))
 	h.Set(headKey, id)
 	h.Set(headMAC, base64.StdEncoding.EncodeToString(mac))
@@ -49,13 +49,13 @@
 }
 
 // genuine reads who says a message and its number; an error where its mark is not the fleet's.
-func genuine(keys *merge.KeyRing, h http.Header, path string, body []byte) (from string, no uint64, err error) {
+func genuine(keys *keyring.Ring, h http.Header, path string, body []byte) (from string, no uint64, err error) {
 	from = h.Get(headFrom)
 	if no, err = strconv.ParseUint(h.Get(headNumber), 10, 64); err != nil {
 		return "", 0, errStranger
 	}
 	mac, err := base64.StdEncoding.DecodeString(h.Get(headMAC))
-	if err != nil || !keys.Signed(use, h.Get(headKey), text(path, from, no, body), mac) {
+	if err != nil || !keys.Verify(use, h.Get(headKey), text(path, from, no, body), mac) {
 		return "", 0, errStranger
 	}
 	return from, no, nil
@@ -100,7 +100,7 @@
 }
 
 // post sends a body and returns the answer's, whose mark is checked.
-func post(ctx context.Context, c *http.Client, keys *merge.KeyRing, addr, path, from string, no uint64, body []byte) ([]byte, error) {
+func post(ctx context.Context, c *http.Client, keys *keyring.Ring, addr, path, from string, no uint64, body []byte) ([]byte, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+path, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
--- a/merge/cursor.go
+++ b/merge/cursor.go
@@ -2,16 +2,14 @@
 
 import (
 	"bytes"
-	"crypto/subtle"
 	"encoding/base64"
 	"encoding/binary"
-	"encoding/hex"
 	"errors"
-	"fmt"
 	"math"
-	"strings"
 
 	"github.com/zeebo/blake3"
+
+	"oxbowspan/internal/keyring"
 )
 
 // walk is where the reading of a paged list stands, between two pages.
@@ -112,84 +110,12 @@
 	return binding{[16]byte(sum[:16]), p.Most}
 }
 
-// CursorKey signs cursors.
-type CursorKey struct {
-	ID     string
-	Secret [32]byte
-}
-
-// KeyRing holds the keys of cursors: the first signs, all are accepted. A key changes in service by putting the new
-// one first and leaving the old one below it for as long as its cursors live.
-type KeyRing struct{ keys []CursorKey }
-
-// ParseKeys reads a key file: a line "ID SECRET" for each key, the secret as 64 hex digits; "#" begins a remark.
-func ParseKeys(text string) (*KeyRing, error) {
-	r := &KeyRing{}
-	for n, line := range strings.Split(text, "\n") {
-		line, _, _ = strings.Cut(line, "#")
-		words := strings.Fields(line)
-		if len(words) == 0 {
-			continue
-		}
-		if len(words) != 2 || !plainName(words[0]) || len(words[0]) > mostKeyID {
-			return nil, fmt.Errorf("line %d is not ID SECRET, with an id of 1 to %d letters, digits, - or _", n+1, mostKeyID)
-		}
-		secret, err := hex.DecodeString(words[1])
-		if err != nil || len(secret) != 32 {
-			return nil, fmt.Errorf("line %d: the secret is not 64 hex digits", n+1)
-		}
-		if r.find(words[0]) != nil {
-			return nil, fmt.Errorf("line %d: key %q is there twice", n+1, words[0])
-		}
-		r.keys = append(r.keys, CursorKey{words[0], [32]byte(secret)})
-	}
-	if len(r.keys) == 0 {
-		return nil, errors.New("there is no key")
-	}
-	return r, nil
-}
-
-const mostKeyID = 16
-
-// Sign makes a keyed BLAKE3 over a text for some use other than cursors, with the ring's first key, and names that key.
-func (r *KeyRing) Sign(use string, b []byte) (id string, mac []byte) {
-	k := &r.keys[0]
-	return k.ID, k.mac(append([]byte(use+"\x00"), b...))
-}
-
-// Signed tells whether a text bears the mark of one of the ring's keys for that use.
-func (r *KeyRing) Signed(use, id string, b, mac []byte) bool {
-	k := r.find(id)
-	return k != nil && subtle.ConstantTimeCompare(k.mac(append([]byte(use+"\x00"), b...)), mac) == 1
-}
-
-func (r *KeyRing) find(id string) *CursorKey {
-	for i := range r.keys {
-		if r.keys[i].ID == id {
-			return &r.keys[i]
-		}
-	}
-	return nil
-}
-
 // A cursor, in base64 for URLs: a version, the key's id and its length before, the binding, when it ends, the walk, and
 // a keyed BLAKE3 over all of that. It is signed, not hidden: it holds values of a row that its owner has been given.
-const (
-	cursorVersion = 1
-	macSize       = 16
-)
-
-func (k *CursorKey) mac(b []byte) []byte {
-	h, err := blake3.NewKeyed(k.Secret[:])
-	if err != nil {
-		panic(err) // only for keys that are not 32 bytes long
-	}
-	h.Write(b)
-	return h.Sum(nil)[:macSize]
-}
+const cursorVersion = 1
 
 func (q *Query) seal(w *walk) string {
-	key := &q.keys.keys[0]
+	key := q.keys.Primary()
 	b := append([]byte{cursorVersion, byte(len(key.ID))}, key.ID...)
 	b = append(b, q.bind.sum[:]...)
 	b = binary.AppendUvarint(b, uint64(max(q.now+q.life, 0)))
@@ -214,7 +140,7 @@
 			b = binary.AppendUvarint(append(b, 1), uint64(*s))
 		}
 	}
-	return base64.RawURLEncoding.EncodeToString(append(b, key.mac(b)...))
+	return base64.RawURLEncoding.EncodeToString(append(b, key.MAC(b)...))
 }
 
 func flag(v bool) byte {
@@ -243,15 +169,15 @@
 		return errCursorLong
 	}
 	all, err := base64.RawURLEncoding.Strict().DecodeString(text)
-	if err != nil || len(all) < 2+macSize || all[0] != cursorVersion || len(all) < 2+int(all[1])+macSize {
+	if err != nil || len(all) < 2+keyring.MACSize || all[0] != cursorVersion || len(all) < 2+int(all[1])+keyring.MACSize {
 		return errCursorForm
 	}
-	key := q.keys.find(string(all[2 : 2+int(all[1])]))
+	key := q.keys.Find(string(all[2 : 2+int(all[1])]))
 	if key == nil {
 		return errCursorKey
 	}
-	b, mac := all[:len(all)-macSize], all[len(all)-macSize:]
-	if subtle.ConstantTimeCompare(mac, key.mac(b)) != 1 {
+	b, mac := all[:len(all)-keyring.MACSize], all[len(all)-keyring.MACSize:]
+	if !key.Valid(b, mac) {
 		return errCursorForm
 	}
 	r := reader{b: b[2+len(key.ID):]}
--- a/merge/cursor_test.go
+++ b/merge/cursor_test.go
@@ -86,23 +86,6 @@
 	}
 }
 
-func TestKeyFilesAreReadStrictly(t *testing.T) {
-	for text, want := range map[string]string{
-		"":                     "no key",
-		"# none\n":             "no key",
-		"one\n":                "line 1 is not",
-		"\none 00\n":           "line 2: the secret",
-		keyOne + keyOne:        "twice",
-		"a/b " + keyOne[4:]:    "line 1 is not",
-		keyOne + "x " + keyOne: "line 2 is not",
-		strings.Repeat("a", 17) + " " + keyOne[4:]: "line 1 is not",
-	} {
-		if _, err := merge.ParseKeys(text); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v, want %q in it", text, err, want)
-		}
-	}
-}
-
 // FuzzCursor holds that no bytes but the program's own are taken for a cursor, and none break it.
 func FuzzCursor(f *testing.F) {
 	p := paging(f)
--- a/merge/merge_test.go
+++ b/merge/merge_test.go
@@ -10,6 +10,7 @@
 
 	"pgregory.net/rapid"
 
+	"oxbowspan/internal/keyring"
 	"oxbowspan/internal/testing/standin"
 	"oxbowspan/merge"
 )
@@ -35,8 +36,8 @@
 		MostRows: 1000, MostOffset: 1000, MostGroups: 300, MostParts: 1 << 20, MostAnswer: 1 << 20}
 }
 
-func ring(t testing.TB, text string) *merge.KeyRing {
-	r, err := merge.ParseKeys(text)
+func ring(t testing.TB, text string) *keyring.Ring {
+	r, err := keyring.Parse(text)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -206,8 +207,8 @@
 	})
 }
 
-func mustRing() *merge.KeyRing {
-	r, err := merge.ParseKeys(keyOne)
+func mustRing() *keyring.Ring {
+	r, err := keyring.Parse(keyOne)
 	if err != nil {
 		panic(err)
 	}
--- a/merge/query.go
+++ b/merge/query.go
@@ -10,6 +10,8 @@
 	"slices"
 	"strconv"
 	"strings"
+
+	"oxbowspan/internal/keyring"
 )
 
 // The kinds of merge.
@@ -81,14 +83,14 @@
 	whole    bool
 	walk     walk // paged: where the walk stands
 	bind     binding
-	keys     *KeyRing
+	keys     *keyring.Ring
 	now      int64
 	life     int64
 }
 
 // Paging is what a paged list needs besides its terms: the keys that sign cursors, what they are bound to, and when.
 type Paging struct {
-	Keys      *KeyRing
+	Keys      *keyring.Ring
 	Life      int64  // milliseconds that a cursor is good for
 	Most      int    // bytes of one
 	Now       int64  // Unix milliseconds
