--- a/degradation/gate.go
+++ b/degradation/gate.go
@@ -5,16 +5,16 @@
 // Gate says of each search whether the present level serves it, so that of each query type's searches each customer gets the
 // same share of its own, however few or many it sends. Its table is as long as query types times customers of the settings.
 type Gate struct {
-	m         *Machine
+	machine   *Machine
 	customers int
 	credit    [][]float64 // by query type and customer; the last customer stands for those that are not known
-	from      Terms       // in force before the last change
-	spread    float64     // where the next advice lies between the least and the most
+	previous  Policy      // in force before the last change
+	jitter    float64     // where the next advice lies between the least and the most
 }
 
 // NewGate makes one for a machine.
 func NewGate(m *Machine, queryTypes, customers int) *Gate {
-	g := &Gate{m: m, customers: customers}
+	g := &Gate{machine: m, customers: customers}
 	for range queryTypes {
 		credit := make([]float64, customers+1)
 		for i := range credit {
@@ -25,23 +25,25 @@
 	return g
 }
 
-// Changed is told of each change of the machine's level.
-func (g *Gate) Changed(c Change) {
-	g.from = g.m.f.Levels[min(int(c.From), len(g.m.f.Levels)-1)].Terms
+// HandleChange is told of each change of the machine's level.
+func (g *Gate) HandleChange(c Change) {
+	g.previous = g.machine.config.Levels[min(int(c.From), len(g.machine.config.Levels)-1)].Policy
 }
 
 // Share is what part of a query type's searches is served at a moment. After a step up it widens over Figures.Ramp, so that
 // those who come back do not come all at once, on servers that have just started.
-func (g *Gate) Share(now Time, queryType int) float64 { return g.shareAt(now, g.m.rank, queryType) }
+func (g *Gate) Share(now Time, queryType int) float64 {
+	return g.shareAt(now, g.machine.rank, queryType)
+}
 
 // shareAt is that at the machine's level, or at a worse one that holds for a segment.
 func (g *Gate) shareAt(now Time, rank Rank, queryType int) float64 {
-	to := g.m.f.Levels[min(max(rank, g.m.rank), Rank(len(g.m.f.Levels)-1))].Terms.share(queryType)
-	from := g.from.share(queryType)
-	if from >= to || g.m.f.Ramp <= 0 {
+	to := g.machine.config.Levels[min(max(rank, g.machine.rank), Rank(len(g.machine.config.Levels)-1))].Policy.servedShare(queryType)
+	from := g.previous.servedShare(queryType)
+	if from >= to || g.machine.config.RampUp <= 0 {
 		return to
 	}
-	return from + (to-from)*math.Min(1, math.Max(0, float64(now-g.m.since)/float64(g.m.f.Ramp)))
+	return from + (to-from)*math.Min(1, math.Max(0, float64(now-g.machine.since)/float64(g.machine.config.RampUp)))
 }
 
 // Admit says whether a search is served; worst is the worst level of the segments that it asks. If it is not served it is to be
@@ -60,14 +62,14 @@
 		*c--
 		return true, 0
 	}
-	return false, g.advice(max(worst, g.m.rank))
+	return false, g.retryAfter(max(worst, g.machine.rank))
 }
 
-// advice is when to come back: spread evenly between the level's least and twice that, so that those who are shed together do
+// retryAfter is when to come back: spread evenly between the level's least and twice that, so that those who are shed together do
 // not come back together.
-func (g *Gate) advice(rank Rank) Time {
-	least := g.m.f.Levels[min(rank, Rank(len(g.m.f.Levels)-1))].Terms.RetryAfter
+func (g *Gate) retryAfter(rank Rank) Time {
+	least := g.machine.config.Levels[min(rank, Rank(len(g.machine.config.Levels)-1))].Policy.RetryAfter
 	const golden = 0.6180339887498949 // steps of this fill an interval evenly, however many there are
-	g.spread = math.Mod(g.spread+golden, 1)
-	return least + Time(g.spread*float64(least))
+	g.jitter = math.Mod(g.jitter+golden, 1)
+	return least + Time(g.jitter*float64(least))
 }
--- a/gatherer/adminstate.go
+++ b/gatherer/adminstate.go
@@ -57,7 +57,7 @@
 		state.Pinned = seconds(pin.Until - s.now())
 	}
 	readings := s.machine.Readings()
-	for signal := range degradation.Signals {
+	for signal := range degradation.NumSignals {
 		state.Signals = append(state.Signals, admin.Signal{Name: signal.String(), Value: readings[signal].Value,
 			Known: readings[signal].Known})
 	}
@@ -68,7 +68,7 @@
 	}
 	for _, change := range s.changes {
 		state.Changes = append(state.Changes, admin.Change{At: time.UnixMilli(int64(change.At)),
-			From: s.levelName(change.From), To: s.levelName(change.To), Why: change.Why})
+			From: s.levelName(change.From), To: s.levelName(change.To), Why: change.Reason})
 	}
 	return state
 }
--- a/gatherer/degradation.go
+++ b/gatherer/degradation.go
@@ -28,11 +28,11 @@
 // or sheds requests before the balancer sees them. It belongs to the dispatcher's goroutine.
 type degradationState struct {
 	dispatcher  *dispatcher
-	config      degradation.Figures
+	config      degradation.Config
 	machine     *degradation.Machine
 	segments    []*degradation.Machine // by shard
 	gate        *degradation.Gate
-	gauge       *degradation.Gauge
+	gauge       *degradation.Monitor
 	evaluatedAt balancer.Time
 
 	served, shed [][]int64 // by query type and customer; the last customer stands for unknown ones
@@ -48,7 +48,7 @@
 	types, customers := len(d.deployment.QueryTypes), len(d.deployment.Customers)
 	s := &degradationState{
 		dispatcher: d,
-		gauge:      degradation.NewGauge(d.deployment.Balancer.Cells, d.deployment.Balancer.ReplicationFactor, types),
+		gauge:      degradation.NewMonitor(d.deployment.Balancer.Cells, d.deployment.Balancer.ReplicationFactor, types),
 	}
 	for range types {
 		s.served = append(s.served, make([]int64, customers+1))
@@ -59,7 +59,7 @@
 }
 
 // applyConfig applies a configuration, at the start and on reload.
-func (s *degradationState) applyConfig(config degradation.Figures) {
+func (s *degradationState) applyConfig(config degradation.Config) {
 	now, deployment := s.now(), s.dispatcher.deployment
 	s.config = config
 	if s.machine == nil {
@@ -69,9 +69,9 @@
 			s.segments[i] = degradation.New(config, now)
 		}
 	} else {
-		s.machine.Replace(config)
+		s.machine.Reconfigure(config)
 		for _, segment := range s.segments {
-			segment.Replace(config)
+			segment.Reconfigure(config)
 		}
 	}
 	s.gate = degradation.NewGate(s.machine, len(deployment.QueryTypes), len(deployment.Customers))
@@ -80,7 +80,7 @@
 
 func (s *degradationState) applyMergeLimits(level degradation.Level) {
 	if s.dispatcher.setMergeLimits != nil {
-		s.dispatcher.setMergeLimits(level.Terms.Merge)
+		s.dispatcher.setMergeLimits(level.Policy.MergeShare)
 	}
 }
 
@@ -127,7 +127,7 @@
 	answered := kind == resultAnswer || kind == resultMerged
 	latency := s.dispatcher.clock.now() - req.admittedAt
 	target := s.dispatcher.deployment.Balancer.QueryTypes[req.queryType].LatencyTarget
-	s.gauge.Ended(int(req.queryType), answered, degradation.Time(latency/balancer.Millisecond),
+	s.gauge.RecordRequest(int(req.queryType), answered, degradation.Time(latency/balancer.Millisecond),
 		degradation.Time(target/balancer.Millisecond))
 }
 
@@ -135,15 +135,15 @@
 func (s *degradationState) evaluate() {
 	s.evaluatedAt = s.dispatcher.clock.now()
 	now := s.now()
-	s.machine.Feed(now, s.readings(now))
-	if change, changed := s.machine.Turn(now); changed {
-		s.gate.Changed(change)
+	s.machine.Observe(now, s.readings(now))
+	if change, changed := s.machine.Evaluate(now); changed {
+		s.gate.HandleChange(change)
 		s.logChange(scopeAll, change)
 	}
-	if s.config.GoesBy(degradation.SegmentLost) { // costly with thousands of segments
+	if s.config.UsesSignal(degradation.SegmentLostCapacity) { // costly with thousands of segments
 		for shard, segment := range s.segments {
-			segment.Feed(now, s.gauge.Segment(shard))
-			if change, changed := segment.Turn(now); changed {
+			segment.Observe(now, s.gauge.MeasureSegment(shard))
+			if change, changed := segment.Evaluate(now); changed {
 				s.logChange(fmt.Sprint("segment-", shard), change)
 			}
 		}
@@ -157,18 +157,18 @@
 	for _, record := range s.dispatcher.balancer.ServerRecords() {
 		ejectedUntil[record.ID] = record.EjectedUntil
 	}
-	var seen []degradation.Seen
+	var seen []degradation.Server
 	for _, server := range s.dispatcher.servers {
 		if server.listed {
-			seen = append(seen, degradation.Seen{Cell: server.cell, Ready: !server.draining,
-				Cold: s.isWarmingUp(server), OutUntil: degradation.Time(ejectedUntil[server.id] / balancer.Millisecond)})
+			seen = append(seen, degradation.Server{Cell: server.cell, Ready: !server.draining,
+				WarmingUp: s.isWarmingUp(server), EjectedUntil: degradation.Time(ejectedUntil[server.id] / balancer.Millisecond)})
 		}
 	}
 	store := degradation.Reading{Known: s.dispatcher.persistence != nil}
 	if store.Known && s.dispatcher.persistence.failing {
 		store.Value = 1
 	}
-	return s.gauge.Read(now, seen, s.dispatcher.balancer.Utilization(), store)
+	return s.gauge.Measure(now, seen, s.dispatcher.balancer.Utilization(), store)
 }
 
 // isWarmingUp reports whether a server was started recently.
@@ -184,8 +184,8 @@
 
 // logChange logs a change of level and, if it is not of a segment, applies its limits of merges.
 func (s *degradationState) logChange(scope string, change degradation.Change) {
-	fields := []any{"scope", scope, "from", s.levelName(change.From), "to", s.levelName(change.To), "why", change.Why}
-	for signal := range degradation.Signals {
+	fields := []any{"scope", scope, "from", s.levelName(change.From), "to", s.levelName(change.To), "why", change.Reason}
+	for signal := range degradation.NumSignals {
 		if reading := change.Readings[signal]; reading.Known {
 			fields = append(fields, signal.String(), math.Round(reading.Value*1000)/1000)
 		}
@@ -246,7 +246,7 @@
 	case q.Seconds <= 0 || q.Seconds > admin.LongestPin.Seconds():
 		return admin.Answer{Error: fmt.Sprintf("a pin is for 0 to %s", admin.LongestPin)}
 	}
-	s.machine.PinTo(degradation.Rank(rank), s.now()+degradation.Time(q.Seconds*1000))
+	s.machine.Pin(degradation.Rank(rank), s.now()+degradation.Time(q.Seconds*1000))
 	slog.Warn("level_pinned", "level", q.Level, "seconds", q.Seconds)
 	return admin.Answer{Lines: []string{fmt.Sprintf("pinned to %s for %g s", q.Level, q.Seconds)}}
 }
--- a/gatherer/dispatcher.go
+++ b/gatherer/dispatcher.go
@@ -129,7 +129,7 @@
 		d.listReceived(m.list)
 	case watchFailed:
 		if d.degradation != nil {
-			d.degradation.gauge.List(d.degradation.now(), false)
+			d.degradation.gauge.RecordListResult(d.degradation.now(), false)
 		}
 		d.handle(balancer.ServerList{Kind: balancer.ListFailed})
 	case levelsReplaced:
--- a/gatherer/mailbox.go
+++ b/gatherer/mailbox.go
@@ -24,7 +24,7 @@
 	attemptEnded     struct{ event shardconn.AttemptEnded }
 	healthCheckEnded struct{ event balancer.HealthCheckEnded }
 	// levelsReplaced carries a new configuration of degradation.
-	levelsReplaced struct{ config degradation.Figures }
+	levelsReplaced struct{ config degradation.Config }
 	// operatorQuestion carries a question of the admin socket.
 	operatorQuestion struct{ question admin.Question }
 	// intentWritten says that the intent of a request is durable, or why it could not be written.
--- a/gatherer/servers.go
+++ b/gatherer/servers.go
@@ -35,7 +35,7 @@
 		d.persistence.saveServerList(list)
 	}
 	if d.degradation != nil {
-		d.degradation.gauge.List(d.degradation.now(), true)
+		d.degradation.gauge.RecordListResult(d.degradation.now(), true)
 	}
 }
 
--- a/internal/cli/level.go
+++ b/internal/cli/level.go
@@ -197,15 +197,15 @@
 }
 
 // replayLevels plays a record through levels.
-func replayLevels(f degradation.Figures, in io.Reader, out io.Writer) error {
+func replayLevels(f degradation.Config, in io.Reader, out io.Writer) error {
 	var m *degradation.Machine
 	var began, last degradation.Time
 	var ranks []int
 	changes := 0
 	turn := func(now degradation.Time) {
-		if c, changed := m.Turn(now); changed {
+		if c, changed := m.Evaluate(now); changed {
 			changes++
-			fmt.Fprintf(out, "%8.1f s  %s > %s: %s\n", float64(now-began)/1000, f.Levels[c.From].Name, f.Levels[c.To].Name, c.Why)
+			fmt.Fprintf(out, "%8.1f s  %s > %s: %s\n", float64(now-began)/1000, f.Levels[c.From].Name, f.Levels[c.To].Name, c.Reason)
 		}
 	}
 	lines := bufio.NewScanner(in)
@@ -229,7 +229,7 @@
 			}
 			r[s] = degradation.Reading{Value: v, Known: true}
 		}
-		m.Feed(now, r)
+		m.Observe(now, r)
 		turn(now)
 		last = now
 		ranks = append(ranks, int(m.Rank()))
@@ -249,6 +249,6 @@
 		}
 		chart = append(chart, float64(worst))
 	}
-	fmt.Fprintf(out, "%d changes in %.0f s, %d a minute are possible at the most\n%s\n", changes, float64(last-began)/1000, f.MostChanges(), sparkline.Line(chart))
+	fmt.Fprintf(out, "%d changes in %.0f s, %d a minute are possible at the most\n%s\n", changes, float64(last-began)/1000, f.MaxChangesPerMinute(), sparkline.Line(chart))
 	return nil
 }
--- a/internal/operatorconfig/levels.go
+++ b/internal/operatorconfig/levels.go
@@ -12,7 +12,7 @@
 
 // Levels is what the sections on reduced service say.
 type Levels struct {
-	Figures degradation.Figures  // without the shares of query types, whose numbers only the settings tell
+	Figures degradation.Config   // without the shares of query types, whose numbers only the settings tell
 	Shares  []map[string]float64 // by rank and query type
 	Socket  string               // where operators look and pin; "" = nowhere
 	lines   []int                // of the levels' sections, by rank
@@ -25,7 +25,7 @@
 // levels reads the sections on reduced service. Their order in the file is that of the levels.
 func (r *reading) levels(path string) *Levels {
 	out := &Levels{Shares: []map[string]float64{nil}, lines: []int{0}, path: path}
-	out.Figures.Levels = []degradation.Level{{Name: fullName, Terms: degradation.Terms{Merge: 1}}}
+	out.Figures.Levels = []degradation.Level{{Name: fullName, Policy: degradation.Policy{MergeShare: 1}}}
 	for _, one := range r.ini.Sections() {
 		if name, is := strings.CutPrefix(one.Name(), "level "); is {
 			s := &section{reading: r, s: one}
@@ -46,10 +46,10 @@
 		return degradation.Time(s.span(key, absent, least, most).Milliseconds())
 	}
 	f := &out.Figures
-	f.Smooth, f.EnterFor = ms("smooth", time.Second, 0, time.Minute), ms("enter_for", time.Second, 0, time.Minute)
-	f.ExitFor, f.Swing = ms("exit_for", 5*time.Second, 100*time.Millisecond, time.Hour), ms("swing", time.Minute, time.Second, 24*time.Hour)
-	f.Stale, f.Ramp = ms("stale", 5*time.Second, 500*time.Millisecond, time.Hour), ms("ramp", 5*time.Second, 0, time.Hour)
-	f.Longest, f.MostUps = int(s.count("longest", 16, 1, 1000)), int(s.count("ups", 4, 1, 60))
+	f.SmoothingTime, f.EnterAfter = ms("smooth", time.Second, 0, time.Minute), ms("enter_for", time.Second, 0, time.Minute)
+	f.ExitAfter, f.FlapWindow = ms("exit_for", 5*time.Second, 100*time.Millisecond, time.Hour), ms("swing", time.Minute, time.Second, 24*time.Hour)
+	f.StaleAfter, f.RampUp = ms("stale", 5*time.Second, 500*time.Millisecond, time.Hour), ms("ramp", 5*time.Second, 0, time.Hour)
+	f.MaxBackoff, f.MaxUpgradesPerMinute = int(s.count("longest", 16, 1, 1000)), int(s.count("ups", 4, 1, 60))
 	if socket, given := s.text("socket"); given {
 		if out.Socket = socket; !filepath.IsAbs(socket) {
 			out.Socket = filepath.Join(filepath.Dir(path), socket)
@@ -61,7 +61,7 @@
 		r.fault(at, "[levels] needs a section [level NAME] at least")
 		return nil
 	}
-	for _, what := range f.Check() {
+	for _, what := range f.Validate() {
 		r.fault(at, "[levels]: %s", what)
 	}
 	return out
@@ -100,15 +100,15 @@
 		}
 		shares[p.name] = p.value
 	}
-	l.Terms.Merge = 1
+	l.Policy.MergeShare = 1
 	if text, given := s.text("merge"); given {
 		v, err := strconv.ParseFloat(text, 64)
 		if err != nil || !(v >= 0 && v <= 1) {
 			s.wrong("merge", "%.40q is not from 0 to 1", text)
 		}
-		l.Terms.Merge = v
+		l.Policy.MergeShare = v
 	}
-	l.Terms.RetryAfter = degradation.Time(s.span("retry_after", time.Second, 10*time.Millisecond, time.Hour).Milliseconds())
+	l.Policy.RetryAfter = degradation.Time(s.span("retry_after", time.Second, 10*time.Millisecond, time.Hour).Milliseconds())
 	s.done()
 	return l, shares
 }
@@ -137,7 +137,7 @@
 }
 
 // For makes figures for the query types of the settings. A type that a level does not name has the share of the level before.
-func (l *Levels) For(types []string) (degradation.Figures, error) {
+func (l *Levels) For(types []string) (degradation.Config, error) {
 	f := l.Figures
 	f.Levels = append([]degradation.Level(nil), l.Figures.Levels...)
 	var errs []error
@@ -160,11 +160,11 @@
 			}
 			serve[at] = share
 		}
-		f.Levels[rank].Terms.Serve = serve
+		f.Levels[rank].Policy.ServedShares = serve
 		before = serve
 	}
 	if len(errs) == 0 {
-		for _, what := range f.Check() {
+		for _, what := range f.Validate() {
 			errs = append(errs, &Faults{l.path, []Fault{{l.lines[1], what}}})
 		}
 	}
--- a/internal/operatorconfig/operator_test.go
+++ b/internal/operatorconfig/operator_test.go
@@ -171,8 +171,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(x.Levels) != 3 || x.Levels[1].Name != "trimmed" || x.Levels[1].Conditions[0].Exit != 0.1 || x.Levels[1].Terms.Merge != 0.5 ||
-		x.Levels[1].Terms.RetryAfter != 2000 || x.Levels[1].Terms.Serve[1] != 0.5 || x.Levels[2].Terms.Serve[1] != 0.5 || x.Levels[2].Terms.Serve[0] != 0 || x.ExitFor != 3000 {
+	if len(x.Levels) != 3 || x.Levels[1].Name != "trimmed" || x.Levels[1].Conditions[0].Exit != 0.1 || x.Levels[1].Policy.MergeShare != 0.5 ||
+		x.Levels[1].Policy.RetryAfter != 2000 || x.Levels[1].Policy.ServedShares[1] != 0.5 || x.Levels[2].Policy.ServedShares[1] != 0.5 || x.Levels[2].Policy.ServedShares[0] != 0 || x.ExitAfter != 3000 {
 		t.Errorf("got %+v", x)
 	}
 	if _, err := f.Levels.For([]string{"lookup"}); err == nil || !strings.Contains(err.Error(), ":4: [level trimmed] share: report is no query type") {
