--- a/gatherer/intent.go
+++ b/gatherer/intent.go
@@ -24,17 +24,17 @@
 		return true
 	}
 	now := unixNow()
-	if !p.disk.Takes(now) {
+	if !p.disk.Available(now) {
 		d.rejectIntent(req, errDiskSlow)
 		return false
 	}
 	timeout := idempotency.Time(req.timeout / balancer.Millisecond)
 	verdict, answer, changes := p.table.Arrive(now, req.key, req.digest, timeout)
 	switch verdict {
-	case idempotency.Write:
+	case idempotency.WriteIntent:
 		d.writeIntent(req, now, timeout, changes)
 		return false
-	case idempotency.Doubtful:
+	case idempotency.OutcomeUnknown:
 		p.write(changes)
 		req.intentDurable, req.mayHaveRun = true, true // the balancer decides
 		return true
@@ -44,9 +44,9 @@
 	switch verdict {
 	case idempotency.Replay:
 		req.result <- result{kind: resultStored, text: answer}
-	case idempotency.Open:
+	case idempotency.InProgress:
 		req.result <- result{kind: resultKeyOpen}
-	case idempotency.Other:
+	case idempotency.KeyReused:
 		req.result <- result{kind: resultKeyMismatch}
 	default:
 		req.result <- result{kind: resultShed, retryAfter: d.deployment.Balancer.MaxRetryAfter}
@@ -58,8 +58,8 @@
 func (d *dispatcher) writeIntent(req *clientRequest, now, timeout idempotency.Time, changes []idempotency.Change) {
 	p := d.persistence
 	req.intentPending, req.intentAt = true, d.clock.now()
-	p.disk.Begins(now)
-	wait := time.Duration(p.disk.Wait(timeout)) * time.Millisecond
+	p.disk.Begin(now)
+	wait := time.Duration(p.disk.Timeout(timeout)) * time.Millisecond
 	req.intentTimer = time.AfterFunc(wait, func() { d.send(intentTimeout{req}) })
 	p.store.Begin(func(err error) { d.send(intentWritten{req, err}) }, storeOps(changes)...)
 }
@@ -77,26 +77,26 @@
 // intentWritten continues with a request whose intent is durable.
 func (d *dispatcher) intentWritten(m intentWritten) {
 	p, req := d.persistence, m.request
-	p.disk.Ends()
+	p.disk.End()
 	req.intentTimer.Stop()
 	wanted := req.intentPending && !req.clientGone
 	req.intentPending = false
 	switch {
 	case m.err != nil:
-		p.table.NeverRan(req.key)
+		p.table.Discard(req.key)
 		if wanted {
 			d.rejectIntent(req, m.err)
 		}
 		return
 	case !wanted: // the client is gone, or the request was shed: nothing of it was or will be sent
-		p.write(p.table.NeverRan(req.key))
+		p.write(p.table.Discard(req.key))
 		return
 	}
 	if p.failing {
 		p.failing = false
 		slog.Info("store_takes_again")
 	}
-	if !p.table.Durable(req.key) {
+	if !p.table.ConfirmIntent(req.key) {
 		d.rejectIntent(req, errIntentExpired)
 		return
 	}
@@ -121,7 +121,7 @@
 // intentUnused records that nothing of a request was sent.
 func (d *dispatcher) intentUnused(req *clientRequest) {
 	if d.ownsIntent(req) {
-		d.persistence.write(d.persistence.table.NeverRan(req.key))
+		d.persistence.write(d.persistence.table.Discard(req.key))
 	}
 }
 
@@ -135,11 +135,11 @@
 	switch r.kind {
 	case resultAnswer:
 		r.text = encodeAnswer(r.complete, r.values)
-		d.persistence.write(table.Answered(req.key, r.text))
+		d.persistence.write(table.RecordAnswer(req.key, r.text))
 	case resultShed:
-		d.persistence.write(table.NeverRan(req.key))
+		d.persistence.write(table.Discard(req.key))
 	default:
-		d.persistence.write(table.Unknown(req.key))
+		d.persistence.write(table.RecordUnknown(req.key))
 	}
 }
 
@@ -150,9 +150,9 @@
 	}
 	for _, call := range req.calls {
 		if len(call.attempts) > 0 {
-			d.persistence.write(d.persistence.table.Unknown(req.key))
+			d.persistence.write(d.persistence.table.RecordUnknown(req.key))
 			return
 		}
 	}
-	d.persistence.write(d.persistence.table.NeverRan(req.key))
+	d.persistence.write(d.persistence.table.Discard(req.key))
 }
--- a/gatherer/persistence.go
+++ b/gatherer/persistence.go
@@ -36,7 +36,7 @@
 type persistence struct {
 	store   *store.Store
 	table   *idempotency.Table
-	disk    idempotency.Disk
+	disk    idempotency.DiskGuard
 	failing bool // intents could not be written, which is logged once
 }
 
@@ -55,13 +55,13 @@
 	}
 	p := &persistence{
 		store: s,
-		disk:  idempotency.Disk{Slow: idempotency.Time(o.Slow.Milliseconds())},
-		table: idempotency.New(idempotency.Figures{Keep: idempotency.Time(o.Keep.Milliseconds()), Most: o.Searches,
-			MostBytes: int(o.Answers)}),
+		disk:  idempotency.DiskGuard{SlowAfter: idempotency.Time(o.Slow.Milliseconds())},
+		table: idempotency.New(idempotency.Config{Retention: idempotency.Time(o.Keep.Milliseconds()), MaxRequests: o.Searches,
+			MaxAnswerBytes: int(o.Answers)}),
 	}
 	unreadable := 0
 	for key, value := range s.All(TableRequests) {
-		if p.table.Load(idempotency.Key(key), value) != nil {
+		if p.table.Restore(idempotency.Key(key), value) != nil {
 			unreadable++
 		}
 	}
--- a/idempotency/model_test.go
+++ b/idempotency/model_test.go
@@ -13,24 +13,24 @@
 
 // world is a state of the model.
 type world struct {
-	disk     string   // the value on the disk; "" = none
-	written  []string // begun writes that are not durable yet, in order; "-" = taken out
-	table    *Table
-	up       bool
-	waits    bool // a search waits for its intent to be durable
-	permits  bool // parts may be sent
-	sent     bool // by this process, for the search that is under way
-	frames   int  // on their way to the server; they outlive the gatherer
-	results  int  // on their way back to this process
-	runs     int
-	asks     int // the client's
-	crashes  int
-	harmless bool // the client was told so of its last try
-	trace    []string
+	disk            string   // the value on the disk; "" = none
+	written         []string // begun writes that are not durable yet, in order; "-" = taken out
+	table           *Table
+	up              bool
+	awaitingIntent  bool // a search waits for its intent to be durable
+	mayDispatch     bool // parts may be sent
+	dispatched      bool // by this process, for the search that is under way
+	inFlight        int  // on their way to the server; they outlive the gatherer
+	results         int  // on their way back to this process
+	runs            int
+	arrivals        int // the client's
+	crashes         int
+	toldSafeToRetry bool // the client was told so of its last try
+	trace           []string
 }
 
-// rules says which order the gatherer keeps; the second is broken on purpose.
-type rules struct{ sendBeforeDurable, shedAfterSend bool }
+// brokenRules says which order the gatherer keeps; the second is broken on purpose.
+type brokenRules struct{ dispatchBeforeDurable, shedAfterDispatch bool }
 
 const key, digest = Key("k"), Digest(5)
 
@@ -38,7 +38,7 @@
 	c := *w
 	c.written = append([]string(nil), w.written...)
 	c.trace = append([]string(nil), w.trace...)
-	c.table = New(w.table.f)
+	c.table = New(w.table.config)
 	c.table.now = w.table.now
 	for _, e := range w.table.entries {
 		copied := *e
@@ -53,7 +53,7 @@
 	if e := w.table.entries[key]; e != nil {
 		st = e.stage
 	}
-	return fmt.Sprint(w.disk, w.written, st, w.up, w.waits, w.permits, w.sent, w.frames, w.results, w.runs, w.asks, w.crashes, w.harmless)
+	return fmt.Sprint(w.disk, w.written, st, w.up, w.awaitingIntent, w.mayDispatch, w.dispatched, w.inFlight, w.results, w.runs, w.arrivals, w.crashes, w.toldSafeToRetry)
 }
 
 func (w *world) write(changes []Change) {
@@ -66,31 +66,31 @@
 	}
 }
 
-func (w *world) ends() { w.waits, w.permits, w.sent = false, false, false }
+func (w *world) endRequest() { w.awaitingIntent, w.mayDispatch, w.dispatched = false, false, false }
 
 // steps are all that may happen next.
-func (w *world) steps(r rules, asks, crashes int) (out []*world) {
+func (w *world) steps(r brokenRules, asks, crashes int) (out []*world) {
 	step := func(what string, do func(c *world)) {
 		c := w.clone()
 		c.trace = append(c.trace, what)
 		do(c)
 		out = append(out, c)
 	}
-	if w.up && w.asks < asks && !w.permits && !w.waits {
+	if w.up && w.arrivals < asks && !w.mayDispatch && !w.awaitingIntent {
 		step("the client asks", func(c *world) {
-			c.asks++
-			c.harmless = false
-			v, _, changes := c.table.Arrive(Time(c.asks), key, digest, 1000)
+			c.arrivals++
+			c.toldSafeToRetry = false
+			v, _, changes := c.table.Arrive(Time(c.arrivals), key, digest, 1000)
 			c.write(changes)
 			c.trace[len(c.trace)-1] += fmt.Sprintf(" (verdict %d)", v)
-			if v == Write {
-				c.waits = true
-				if r.sendBeforeDurable {
-					c.permits = true
+			if v == WriteIntent {
+				c.awaitingIntent = true
+				if r.dispatchBeforeDurable {
+					c.mayDispatch = true
 				}
 			}
-			if v == Full {
-				c.harmless = true
+			if v == TableFull {
+				c.toldSafeToRetry = true
 			}
 		})
 	}
@@ -100,58 +100,58 @@
 				c.disk = ""
 			}
 			c.written = c.written[1:]
-			if c.up && c.waits && len(c.written) == 0 {
-				c.waits = false
-				c.permits = c.table.Durable(key)
+			if c.up && c.awaitingIntent && len(c.written) == 0 {
+				c.awaitingIntent = false
+				c.mayDispatch = c.table.ConfirmIntent(key)
 			}
 		})
 	}
-	if w.up && w.waits && !w.sent {
+	if w.up && w.awaitingIntent && !w.dispatched {
 		step("the write fails: shed", func(c *world) {
 			c.written = nil // a write that fails is taken back
-			c.table.NeverRan(key)
-			c.ends()
-			c.harmless = true
+			c.table.Discard(key)
+			c.endRequest()
+			c.toldSafeToRetry = true
 		})
 	}
-	if w.up && w.permits && !w.sent {
-		step("the part is sent", func(c *world) { c.sent = true; c.frames++ })
+	if w.up && w.mayDispatch && !w.dispatched {
+		step("the part is sent", func(c *world) { c.dispatched = true; c.inFlight++ })
 		step("no server may be had: shed", func(c *world) {
-			c.write(c.table.NeverRan(key))
-			c.ends()
-			c.harmless = true
+			c.write(c.table.Discard(key))
+			c.endRequest()
+			c.toldSafeToRetry = true
 		})
 	}
-	if w.frames > 0 {
+	if w.inFlight > 0 {
 		step("the part runs", func(c *world) {
-			c.frames--
+			c.inFlight--
 			c.runs++
-			if c.up && c.sent {
+			if c.up && c.dispatched {
 				c.results++
 			}
 		})
 	}
-	if w.up && w.sent && w.results > 0 {
+	if w.up && w.dispatched && w.results > 0 {
 		step("its outcome comes: answered", func(c *world) {
 			c.results--
-			c.table.Durable(key)
-			c.write(c.table.Answered(key, []byte("x")))
-			c.ends()
+			c.table.ConfirmIntent(key)
+			c.write(c.table.RecordAnswer(key, []byte("x")))
+			c.endRequest()
 		})
 	}
-	if w.up && w.sent {
+	if w.up && w.dispatched {
 		step("given up", func(c *world) {
-			c.table.Durable(key)
-			c.write(c.table.Unknown(key))
-			c.ends()
+			c.table.ConfirmIntent(key)
+			c.write(c.table.RecordUnknown(key))
+			c.endRequest()
 			c.results = 0
 		})
-		if r.shedAfterSend {
+		if r.shedAfterDispatch {
 			step("given up: shed", func(c *world) {
-				c.write(c.table.NeverRan(key))
-				c.ends()
+				c.write(c.table.Discard(key))
+				c.endRequest()
 				c.results = 0
-				c.harmless = true
+				c.toldSafeToRetry = true
 			})
 		}
 	}
@@ -165,15 +165,15 @@
 				}
 				c.written, c.up, c.results = nil, false, 0
 				c.crashes++
-				c.ends()
+				c.endRequest()
 			})
 		}
 	}
 	if !w.up {
 		step("restart", func(c *world) {
-			c.table = New(c.table.f)
+			c.table = New(c.table.config)
 			if c.disk != "" {
-				c.table.Load(key, []byte(c.disk))
+				c.table.Restore(key, []byte(c.disk))
 			}
 			c.up = true
 		})
@@ -181,26 +181,26 @@
 	return out
 }
 
-// wrong says what must never be, and is.
-func (w *world) wrong() string {
+// violation says what must never be, and is.
+func (w *world) violation() string {
 	switch {
 	case w.runs > 1:
 		return "the part ran twice"
-	case w.harmless && w.runs+w.frames > 0:
+	case w.toldSafeToRetry && w.runs+w.inFlight > 0:
 		return "the client was told that asking again is harmless, and the part ran or may still run"
 	}
 	return ""
 }
 
 // explore looks at all states within a depth; it gives the trace to the first wrong one.
-func explore(r rules, depth, asks, crashes int) (states int, trace []string, wrong string) {
+func explore(r brokenRules, depth, asks, crashes int) (states int, trace []string, wrong string) {
 	seen := map[string]bool{}
-	front := []*world{{table: New(Figures{Keep: 1 << 40, Most: 4}), up: true}}
+	front := []*world{{table: New(Config{Retention: 1 << 40, MaxRequests: 4}), up: true}}
 	for range depth {
 		var next []*world
 		for _, w := range front {
 			for _, c := range w.steps(r, asks, crashes) {
-				if bad := c.wrong(); bad != "" {
+				if bad := c.violation(); bad != "" {
 					return len(seen), c.trace, bad
 				}
 				if id := c.id(); !seen[id] {
@@ -214,8 +214,8 @@
 	return len(seen), nil, ""
 }
 
-func TestNoInterleavingRunsAPartTwiceOrCallsItHarmless(t *testing.T) {
-	states, trace, wrong := explore(rules{}, 24, 4, 3)
+func TestModelNeverRunsTwiceNorMisreports(t *testing.T) {
+	states, trace, wrong := explore(brokenRules{}, 24, 4, 3)
 	if wrong != "" {
 		t.Fatalf("%s:\n%s", wrong, strings.Join(trace, "\n"))
 	}
@@ -226,8 +226,8 @@
 }
 
 // The model finds what it is for.
-func TestTheModelFindsABrokenOrder(t *testing.T) {
-	for what, r := range map[string]rules{"intent after send": {sendBeforeDurable: true}, "shed after send": {shedAfterSend: true}} {
+func TestModelDetectsBrokenOrder(t *testing.T) {
+	for what, r := range map[string]brokenRules{"intent after send": {dispatchBeforeDurable: true}, "shed after send": {shedAfterDispatch: true}} {
 		_, trace, wrong := explore(r, 24, 4, 3)
 		if wrong == "" {
 			t.Errorf("%s: not found", what)
--- a/internal/cli/store_test.go
+++ b/internal/cli/store_test.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	table := idempotency.New(idempotency.Figures{Keep: 1000})
+	table := idempotency.New(idempotency.Config{Retention: 1000})
 	_, _, changes := table.Arrive(5, "the-key", 1, 10)
 	for range 3 {
 		if err := s.Commit(store.Op{Table: 1, Key: string(changes[0].Key), Value: changes[0].Value}, store.Op{Table: 2, Key: "host", Value: []byte(`{"host":"s-1"}`)}); err != nil {
