--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -39,9 +39,9 @@
 			return nil, nil, err
 		}
 	}
-	agent := raftnode.Join(f, node.Ready, func() maintenance.Figures {
+	agent := raftnode.Join(f, node.Ready, func() maintenance.RequestCounts {
 		c := node.Counts()
-		return maintenance.Figures{Answered: c.Answered, Shed: c.Shed, Errored: c.Errored}
+		return maintenance.RequestCounts{Answered: c.Answered, Shed: c.Shed, Errored: c.Errored}
 	})
 	go func() {
 		var agreed bool
@@ -116,10 +116,10 @@
 	status.Flags().BoolVar(&whole, "json", false, "the whole state as JSON")
 	c.AddCommand(status,
 		one("drain NAME", "Let a gatherer or server go out, where the limits allow it", func(n string) maintenance.Command {
-			return maintenance.Command{Ask: &maintenance.Ask{Name: maintenance.Name(n), Why: "an operator's word"}}
+			return maintenance.Command{RequestPermit: &maintenance.RequestPermit{Name: maintenance.MemberName(n), Reason: "an operator's word"}}
 		}, "may be out; a gatherer drains at its next word to the stewards"),
 		one("forget NAME", "Say that a member will not come back", func(n string) maintenance.Command {
-			return maintenance.Command{Forget: &maintenance.Forget{Name: maintenance.Name(n)}}
+			return maintenance.Command{Forget: &maintenance.Forget{Name: maintenance.MemberName(n)}}
 		}, "is forgotten"),
 		newRelease(stdout, with, one))
 	return c
@@ -137,7 +137,7 @@
 		Example: "  oxbowspan fleet release start r42 --from v1 --to v2 --steps 0.05,0.25,1 --dwell 5m",
 		RunE: func(_ *cobra.Command, args []string) error {
 			p.ID, p.Kind, p.From, p.To = maintenance.ReleaseID(args[0]), maintenance.Kind(kind), maintenance.Version(from), maintenance.Version(to)
-			p.Dwell, p.Within = maintenance.Span(dwell.Milliseconds()), maintenance.Span(within.Milliseconds())
+			p.Dwell, p.ChangeTimeout = maintenance.Duration(dwell.Milliseconds()), maintenance.Duration(within.Milliseconds())
 			for _, text := range strings.Split(steps, ",") {
 				share, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
 				if err != nil {
@@ -147,7 +147,7 @@
 			}
 			return with(func(ctx context.Context, c *raftnode.Client) error {
 				if !dry {
-					if _, err := c.Do(ctx, maintenance.Command{Start: &p}); err != nil {
+					if _, err := c.Do(ctx, maintenance.Command{StartRelease: &p}); err != nil {
 						return err
 					}
 					fmt.Fprintf(stdout, "release %s begins: it watches the fleet for %s first\n", p.ID, dwell)
@@ -157,7 +157,7 @@
 				if err != nil {
 					return err
 				}
-				names, err := s.Steps(p)
+				names, err := s.PlanSteps(p)
 				if err != nil {
 					return err
 				}
@@ -174,15 +174,21 @@
 	f.StringVar(&steps, "steps", "0.05,0.25,1", "rising shares, the last is 1")
 	f.DurationVar(&dwell, "dwell", 5*time.Minute, "how long each step is watched")
 	f.DurationVar(&within, "within", 5*time.Minute, "how long one change may take")
-	f.Float64Var(&p.MostLoss, "most-loss", 0.01, "the changed ones' share answered in time may be so much lower")
-	f.Uint64Var(&p.Least, "least", 1000, "searches of the changed ones that a step is judged by")
+	f.Float64Var(&p.MaxLoss, "most-loss", 0.01, "the changed ones' share answered in time may be so much lower")
+	f.Uint64Var(&p.MinRequests, "least", 1000, "searches of the changed ones that a step is judged by")
 	f.BoolVar(&p.ByZone, "by-zone", false, "zone after zone, else spread over the zones")
 	f.BoolVar(&dry, "dry-run", false, "only print the steps")
 	id := func(n string) maintenance.ReleaseID { return maintenance.ReleaseID(n) }
 	c.AddCommand(start,
-		one("halt NAME", "Stop a release where it is", func(n string) maintenance.Command { return maintenance.Command{Halt: &maintenance.Halt{ID: id(n)}} }, "is halted"),
-		one("resume NAME", "Let a halted release go on", func(n string) maintenance.Command { return maintenance.Command{Resume: &maintenance.Resume{ID: id(n)}} }, "goes on"),
-		one("back NAME", "Bring the changed ones back", func(n string) maintenance.Command { return maintenance.Command{Back: &maintenance.Back{ID: id(n)}} }, "goes back"))
+		one("halt NAME", "Stop a release where it is", func(n string) maintenance.Command {
+			return maintenance.Command{HaltRelease: &maintenance.HaltRelease{ID: id(n)}}
+		}, "is halted"),
+		one("resume NAME", "Let a halted release go on", func(n string) maintenance.Command {
+			return maintenance.Command{ResumeRelease: &maintenance.ResumeRelease{ID: id(n)}}
+		}, "goes on"),
+		one("back NAME", "Bring the changed ones back", func(n string) maintenance.Command {
+			return maintenance.Command{RollBack: &maintenance.RollBack{ID: id(n)}}
+		}, "goes back"))
 	return c
 }
 
@@ -192,14 +198,14 @@
 	} else {
 		fmt.Fprintf(w, "leader %s, %d commands applied\n", leader, s.Applied)
 	}
-	var names []maintenance.Name
+	var names []maintenance.MemberName
 	for n := range s.Members {
 		names = append(names, n)
 	}
 	slices.Sort(names)
 	for _, n := range names {
 		m := s.Members[n]
-		fmt.Fprintf(w, "%s %s zone %s version %s: %s\n", m.Kind, n, m.Zone, m.Version, cmp.Or(s.Out(m), "in"))
+		fmt.Fprintf(w, "%s %s zone %s version %s: %s\n", m.Kind, n, m.Zone, m.Version, cmp.Or(s.OutReason(m), "in"))
 	}
 	for _, r := range s.Releases {
 		count := map[string]int{}
@@ -208,8 +214,8 @@
 		}
 		fmt.Fprintf(w, "release %s: %s, step %d of %d, %d changed, %d changing, %d to do", r.Plan.ID, r.Phase, min(r.Step+1, len(r.Plan.Steps)), len(r.Plan.Steps),
 			count["changed"], count["changing"], count["todo"])
-		if r.Why != "" {
-			fmt.Fprintf(w, ": %s", r.Why)
+		if r.HaltReason != "" {
+			fmt.Fprintf(w, ": %s", r.HaltReason)
 		}
 		fmt.Fprintln(w)
 	}
--- a/internal/operatorconfig/fleet.go
+++ b/internal/operatorconfig/fleet.go
@@ -53,11 +53,11 @@
 		f.Hook = filepath.Join(filepath.Dir(path), f.Hook)
 	}
 	most := func(key string) int { return int(s.count(key, 0, 1, 1<<20)) }
-	f.Limits = maintenance.Limits{MostGatherers: most("most_gatherers"), ShareGatherers: s.share("share_gatherers"), MostGatherersZone: most("most_gatherers_zone"),
-		MostServers: most("most_servers"), MostServersZone: most("most_servers_zone"), LeastReplicas: most("least_replicas"),
-		SuspectedByMost: s.share("suspected_by"), LeaseSpan: maintenance.Span(s.span("lease", 6*time.Second, 3*time.Second, time.Minute).Milliseconds()),
-		ForgetGatherersFor: maintenance.Span(s.span("forget", time.Hour, time.Minute, 30*24*time.Hour).Milliseconds())}
-	if f.Limits.MostGatherers == 0 && f.Limits.ShareGatherers == 0 {
+	f.Limits = maintenance.Limits{MaxGatherers: most("most_gatherers"), MaxGathererShare: s.share("share_gatherers"), MaxGatherersPerZone: most("most_gatherers_zone"),
+		MaxServers: most("most_servers"), MaxServersPerZone: most("most_servers_zone"), MinReplicas: most("least_replicas"),
+		SuspicionShare: s.share("suspected_by"), LeaseDuration: maintenance.Duration(s.span("lease", 6*time.Second, 3*time.Second, time.Minute).Milliseconds()),
+		ForgetAfter: maintenance.Duration(s.span("forget", time.Hour, time.Minute, 30*24*time.Hour).Milliseconds())}
+	if f.Limits.MaxGatherers == 0 && f.Limits.MaxGathererShare == 0 {
 		s.wrong("most_gatherers", "is missing, and so is share_gatherers: without either all may be out at once")
 	}
 	s.done()
--- a/internal/raftnode/agent.go
+++ b/internal/raftnode/agent.go
@@ -16,7 +16,7 @@
 	run     maintenance.Incarnation
 	client  *Client
 	ready   func() bool
-	counted func() maintenance.Figures
+	counted func() maintenance.RequestCounts
 	end     chan struct{}
 	once    sync.Once
 	drain   chan bool // takes one: whether the drain is agreed
@@ -26,7 +26,7 @@
 }
 
 // Join makes a gatherer a member for as long as it runs. ready and counted say how it does; they are called from the actor.
-func Join(f Figures, ready func() bool, counted func() maintenance.Figures) *Agent {
+func Join(f Figures, ready func() bool, counted func() maintenance.RequestCounts) *Agent {
 	a := &Agent{f: f, run: maintenance.Incarnation(time.Now().UnixNano()), client: NewClient(f.Name, f), ready: ready, counted: counted,
 		end: make(chan struct{}), drain: make(chan bool, 1), over: make(chan struct{})}
 	a.ctx, a.stop = context.WithCancel(context.Background())
@@ -49,34 +49,34 @@
 	<-a.over
 	ctx, cancel := context.WithTimeout(context.Background(), oneAsk)
 	defer cancel()
-	_, _ = a.client.Do(ctx, maintenance.Command{Leave: &maintenance.Leave{Name: maintenance.Name(a.f.Name), Incarnation: a.run}})
+	_, _ = a.client.Do(ctx, maintenance.Command{Leave: &maintenance.Leave{Name: maintenance.MemberName(a.f.Name), Incarnation: a.run}})
 	a.client.Close()
 }
 
 func (a *Agent) work() {
 	defer close(a.over)
-	h := maintenance.NewHolder(maintenance.Span(a.f.Wait.Milliseconds()))
+	h := maintenance.NewDrainer(maintenance.Duration(a.f.Wait.Milliseconds()))
 	start, joined, heard, told := time.Now(), false, true, false
-	now := func() maintenance.Moment { return maintenance.Moment(time.Since(start).Milliseconds()) }
-	every := time.Duration(a.f.Limits.LeaseSpan) * time.Millisecond / 3
+	now := func() maintenance.Time { return maintenance.Time(time.Since(start).Milliseconds()) }
+	every := time.Duration(a.f.Limits.LeaseDuration) * time.Millisecond / 3
 	renewAt, lookAt, end := time.Now(), time.Time{}, a.end
-	name := maintenance.Name(a.f.Name)
-	var act func(maintenance.Holding)
-	act = func(w maintenance.Holding) {
-		if lookAt = (time.Time{}); w.At > 0 {
-			lookAt = start.Add(time.Duration(w.At) * time.Millisecond)
+	name := maintenance.MemberName(a.f.Name)
+	var act func(maintenance.DrainAction)
+	act = func(w maintenance.DrainAction) {
+		if lookAt = (time.Time{}); w.PollAt > 0 {
+			lookAt = start.Add(time.Duration(w.PollAt) * time.Millisecond)
 		}
 		if w.Drain && !told {
 			told = true
-			a.drain <- w.Agreed
+			a.drain <- w.Permitted
 			renewAt = time.Now() // what drains says so at once
 		}
-		if w.Ask {
-			p, err := a.client.Do(a.ctx, maintenance.Command{Ask: &maintenance.Ask{Name: name, Incarnation: a.run, Why: "told to end"}})
+		if w.RequestPermit {
+			p, err := a.client.Do(a.ctx, maintenance.Command{RequestPermit: &maintenance.RequestPermit{Name: name, Incarnation: a.run, Reason: "told to end"}})
 			if err != nil && !errors.Is(err, maintenance.ErrRefused) {
 				slog.Debug("fleet_ask", "error", err)
 			}
-			act(h.Answered(now(), p))
+			act(h.HandleReply(now(), p))
 		}
 	}
 	for {
@@ -91,12 +91,12 @@
 			return
 		case <-end:
 			end = nil
-			act(h.End(now()))
+			act(h.Begin(now()))
 		case <-timer.C:
 		}
 		timer.Stop()
 		if !lookAt.IsZero() && !time.Now().Before(lookAt) {
-			act(h.Look(now()))
+			act(h.Poll(now()))
 		}
 		if time.Now().Before(renewAt) {
 			continue
@@ -111,14 +111,14 @@
 			}
 		}
 		if p != nil && p.Release == "" && !told {
-			slog.Info("fleet_told_to_drain", "name", a.f.Name, "why", p.Why)
-			h.End(now())
-			act(h.Answered(now(), p))
+			slog.Info("fleet_told_to_drain", "name", a.f.Name, "why", p.Reason)
+			h.Begin(now())
+			act(h.HandleReply(now(), p))
 		}
 	}
 }
 
-func (a *Agent) renew(name maintenance.Name, joined *bool, draining bool) (*maintenance.Permit, error) {
+func (a *Agent) renew(name maintenance.MemberName, joined *bool, draining bool) (*maintenance.Permit, error) {
 	if !*joined {
 		_, err := a.client.Do(a.ctx, maintenance.Command{Join: &maintenance.Join{Name: name, Zone: maintenance.Zone(a.f.Zone), Version: maintenance.Version(a.f.Version), Incarnation: a.run}})
 		if err != nil {
@@ -126,13 +126,13 @@
 		}
 		*joined = true
 	}
-	status := maintenance.Cold
+	status := maintenance.WarmingUp
 	if draining {
 		status = maintenance.Draining
 	} else if a.ready() {
 		status = maintenance.Ready
 	}
-	p, err := a.client.Do(a.ctx, maintenance.Command{Renew: &maintenance.Renew{Name: name, Incarnation: a.run, Status: status, Figures: a.counted()}})
+	p, err := a.client.Do(a.ctx, maintenance.Command{Renew: &maintenance.Renew{Name: name, Incarnation: a.run, Status: status, Counts: a.counted()}})
 	if err != nil && !errors.Is(err, ErrNobody) && !errors.Is(err, maintenance.ErrStale) {
 		*joined = false // forgotten meanwhile: it joins again
 	}
--- a/internal/raftnode/steward.go
+++ b/internal/raftnode/steward.go
@@ -79,13 +79,13 @@
 	done  map[order]bool // orders given to the hook in this lead; emptied of those that are orders no more, and when the lead ends
 
 	mu      sync.Mutex
-	fence   *maintenance.Fence
+	fence   *maintenance.ReplayFilter
 	strange time.Time // when a stranger was last logged
 }
 
 // order tells one order from another: one command may begin the changes of several members, which bear its epoch alike.
 type order struct {
-	name  maintenance.Name
+	name  maintenance.MemberName
 	epoch maintenance.Epoch
 }
 
@@ -104,7 +104,7 @@
 func Start(f Figures, found bool) (*Steward, error) {
 	s := &Steward{f: f, id: f.steward(), box: make(chan any, mailbox), peers: map[raftlog.ID]chan []byte{}, since: time.Now(),
 		done: map[order]bool{}}
-	s.fence = maintenance.NewFence(uint64(s.since.UnixNano()), mostSpeakers)
+	s.fence = maintenance.NewReplayFilter(uint64(s.since.UnixNano()), mostSpeakers)
 	var err error
 	if s.disk, err = openDisk(f.Path); err != nil {
 		return nil, err
@@ -176,9 +176,9 @@
 			return
 		case <-tick.C:
 			ticks++
-			s.node.Tick(maintenance.Moment(time.Since(s.since).Milliseconds()))
+			s.node.Tick(maintenance.Time(time.Since(s.since).Milliseconds()))
 			if s.node.Leads() && ticks%turnEvery == 0 {
-				s.node.Propose(maintenance.Command{Turn: &maintenance.Turn{}}, func(maintenance.Result, error) {})
+				s.node.Propose(maintenance.Command{AdvanceTime: &maintenance.AdvanceTime{}}, func(maintenance.Result, error) {})
 			}
 		case m := <-s.box:
 			s.take(m)
@@ -245,7 +245,7 @@
 		if m.err != nil {
 			slog.Error("fleet_hook", "release", m.order.Release, "name", m.order.Name, "version", m.order.Version, "error", m.err)
 			why := fmt.Sprintf("the hook for %s: %v", m.order.Name, m.err)
-			s.node.Propose(maintenance.Command{Halt: &maintenance.Halt{ID: m.order.Release, Why: why}}, func(maintenance.Result, error) {})
+			s.node.Propose(maintenance.Command{HaltRelease: &maintenance.HaltRelease{ID: m.order.Release, Reason: why}}, func(maintenance.Result, error) {})
 		}
 	case question:
 		if m.Command == nil {
@@ -263,7 +263,7 @@
 				a.NotMe, a.Unsure = errors.Is(err, raftlog.ErrNotLeading), errors.Is(err, raftlog.ErrUnsure)
 			} else if c := m.Command.Renew; c != nil {
 				if member := s.node.State().Members[c.Name]; member != nil {
-					a.Permit = member.Due()
+					a.Permit = member.ActivePermit()
 				}
 			}
 			m.reply <- a
@@ -304,7 +304,7 @@
 		}
 		within := time.Minute
 		if r := s.node.State().Release(o.Release); r != nil {
-			within = time.Duration(r.Plan.Within) * time.Millisecond
+			within = time.Duration(r.Plan.ChangeTimeout) * time.Millisecond
 		}
 		s.all.Go(func() {
 			ctx, cancel := context.WithTimeout(s.ctx, within)
@@ -369,7 +369,7 @@
 		return
 	}
 	s.mu.Lock()
-	fresh, least := s.fence.Pass(from, no)
+	fresh, least := s.fence.Accept(from, no)
 	s.mu.Unlock()
 	if !fresh { // a recording, or a speaker whose clock is behind: it is told, under the mark, what its next number must be above
 		s.reply(w, no, answer{Least: least, NotMe: true})
--- a/internal/raftnode/steward_test.go
+++ b/internal/raftnode/steward_test.go
@@ -29,7 +29,7 @@
 // three starts a fleet's stewards in this process and waits until one leads.
 func three(t *testing.T) (all []*Steward, f Figures) {
 	dir := t.TempDir()
-	f = Figures{Keys: ring(t, "a"), Limits: maintenance.Limits{MostGatherers: 1, LeaseSpan: 6000}}
+	f = Figures{Keys: ring(t, "a"), Limits: maintenance.Limits{MaxGatherers: 1, LeaseDuration: 6000}}
 	for i := range 3 {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -85,11 +85,11 @@
 		c := NewClient("late", f)
 		c.next = i
 		c.no.last.Store(uint64(time.Now().Add(-time.Hour).UnixNano()))
-		if _, err := c.Do(context.Background(), maintenance.Command{Join: &maintenance.Join{Name: maintenance.Name(fmt.Sprint("m", i)), Zone: "a", Version: "v", Incarnation: 1}}); err != nil {
+		if _, err := c.Do(context.Background(), maintenance.Command{Join: &maintenance.Join{Name: maintenance.MemberName(fmt.Sprint("m", i)), Zone: "a", Version: "v", Incarnation: 1}}); err != nil {
 			t.Errorf("asked of steward %d first: %v", i, err)
 		}
 		s, leader, err := c.State(context.Background())
-		if err != nil || leader == "" || s.Members[maintenance.Name(fmt.Sprint("m", i))] == nil {
+		if err != nil || leader == "" || s.Members[maintenance.MemberName(fmt.Sprint("m", i))] == nil {
 			t.Errorf("state asked after it: %v, leader %q", err, leader)
 		}
 		c.Close()
@@ -102,7 +102,7 @@
 	var wg sync.WaitGroup
 	for i := range 300 {
 		wg.Go(func() {
-			n := maintenance.Name(fmt.Sprintf("m%03d", i))
+			n := maintenance.MemberName(fmt.Sprintf("m%03d", i))
 			c := NewClient(string(n), f)
 			defer c.Close()
 			for _, command := range []maintenance.Command{{Join: &maintenance.Join{Name: n, Zone: "a", Version: "v", Incarnation: 1}},
@@ -146,7 +146,7 @@
 		}
 		return p, err
 	}
-	for _, n := range []maintenance.Name{"m1", "m2"} {
+	for _, n := range []maintenance.MemberName{"m1", "m2"} {
 		if _, err := do(maintenance.Command{Join: &maintenance.Join{Name: n, Zone: "a", Version: "v", Incarnation: 1}}); err != nil {
 			t.Fatal(err)
 		}
@@ -154,7 +154,7 @@
 			t.Fatal(err)
 		}
 	}
-	first, err := do(maintenance.Command{Ask: &maintenance.Ask{Name: "m1", Incarnation: 1}})
+	first, err := do(maintenance.Command{RequestPermit: &maintenance.RequestPermit{Name: "m1", Incarnation: 1}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -165,11 +165,11 @@
 			s.stop()
 		}
 	}
-	again, err := do(maintenance.Command{Ask: &maintenance.Ask{Name: "m1", Incarnation: 1}})
+	again, err := do(maintenance.Command{RequestPermit: &maintenance.RequestPermit{Name: "m1", Incarnation: 1}})
 	if err != nil || again.Epoch != first.Epoch {
 		t.Errorf("asked again: %+v %v, first %+v", again, err, first)
 	}
-	if _, err := do(maintenance.Command{Ask: &maintenance.Ask{Name: "m2", Incarnation: 1}}); !errors.Is(err, maintenance.ErrRefused) {
+	if _, err := do(maintenance.Command{RequestPermit: &maintenance.RequestPermit{Name: "m2", Incarnation: 1}}); !errors.Is(err, maintenance.ErrRefused) {
 		t.Errorf("a second one: %v", err)
 	}
 }
--- a/maintenance/release.go
+++ b/maintenance/release.go
@@ -8,8 +8,8 @@
 	"slices"
 )
 
-// check tells what is wrong with a plan as such.
-func (p Plan) check() error {
+// validate tells what is wrong with a plan as such.
+func (p Plan) validate() error {
 	switch {
 	case p.ID == "":
 		return errors.New("a release needs a name")
@@ -19,7 +19,7 @@
 		return errors.New("a release needs two versions that differ")
 	case len(p.Steps) == 0 || p.Steps[len(p.Steps)-1] != 1:
 		return errors.New("the last step of a release is all of its targets, a share of 1")
-	case p.Within <= 0 || p.Dwell < 0:
+	case p.ChangeTimeout <= 0 || p.Dwell < 0:
 		return errors.New("a release says how long one change may take and how long each step is watched")
 	}
 	last := 0.0
@@ -32,32 +32,32 @@
 	return nil
 }
 
-// Steps are the names that each step of a plan would change, in order: what a dry run prints.
-func (s *State) Steps(p Plan) ([][]Name, error) {
-	if err := p.check(); err != nil {
+// PlanSteps are the names that each step of a plan would change, in order: what a dry run prints.
+func (s *State) PlanSteps(p Plan) ([][]MemberName, error) {
+	if err := p.validate(); err != nil {
 		return nil, err
 	}
-	targets := s.targets(p)
+	targets := s.planTargets(p)
 	if len(targets) == 0 {
 		return nil, fmt.Errorf("no %s runs version %s", p.Kind, p.From)
 	}
-	var steps [][]Name
+	var steps [][]MemberName
 	begun := 0
 	for _, share := range p.Steps {
-		need := needed(share, len(targets))
+		need := targetCount(share, len(targets))
 		steps = append(steps, targets[begun:need])
 		begun = need
 	}
 	return steps, nil
 }
 
-func needed(share float64, of int) int { return min(of, int(math.Ceil(share*float64(of)-1e-9))) }
+func targetCount(share float64, of int) int { return min(of, int(math.Ceil(share*float64(of)-1e-9))) }
 
-// targets are the members to change, zone after zone or in turn over the zones, so that no zone is much ahead of the others.
-func (s *State) targets(p Plan) []Name {
+// planTargets are the members to change, zone after zone or in turn over the zones, so that no zone is much ahead of the others.
+func (s *State) planTargets(p Plan) []MemberName {
 	var found []*Member
-	rank, inZone := map[Name]int{}, map[Zone]int{}
-	for _, m := range s.order(p.Kind) {
+	rank, inZone := map[MemberName]int{}, map[Zone]int{}
+	for _, m := range s.sortedMembers(p.Kind) {
 		if m.Version == p.From {
 			found = append(found, m)
 			rank[m.Name] = inZone[m.Zone]
@@ -70,7 +70,7 @@
 		}
 		return cmp.Or(cmp.Compare(rank[a.Name], rank[b.Name]), cmp.Compare(a.Zone, b.Zone))
 	})
-	var names []Name
+	var names []MemberName
 	for _, m := range found {
 		names = append(names, m.Name)
 	}
@@ -87,53 +87,53 @@
 	return nil
 }
 
-func (s *State) start(p Plan) error {
+func (s *State) startRelease(p Plan) error {
 	if s.Release(p.ID) != nil {
 		return fmt.Errorf("there is a release %s already", p.ID)
 	}
 	for _, r := range s.Releases {
-		if r.Phase == Going || r.Phase == Halted {
+		if r.Phase == Running || r.Phase == Halted {
 			return fmt.Errorf("release %s is %s, and two at once could not be told apart when something fails", r.Plan.ID, r.Phase)
 		}
 	}
-	if _, err := s.Steps(p); err != nil {
+	if _, err := s.PlanSteps(p); err != nil {
 		return err
 	}
-	r := &Release{Plan: p, Phase: Going, Started: s.Now, Dwells: s.Now}
-	for _, n := range s.targets(p) {
-		r.Targets = append(r.Targets, Target{Name: n, State: todo})
+	r := &Release{Plan: p, Phase: Running, StartedAt: s.Now, DwellSince: s.Now}
+	for _, n := range s.planTargets(p) {
+		r.Targets = append(r.Targets, Target{Name: n, State: TargetPending})
 	}
-	if len(s.Releases) >= keptReleases {
+	if len(s.Releases) >= maxReleases {
 		s.Releases = s.Releases[1:]
 	}
 	s.Releases = append(s.Releases, r)
-	s.Before[p.ID] = Watch{Share: -1, Base: s.counts()} // the first dwell watches the fleet as it is
+	s.Baselines[p.ID] = Baseline{SuccessRatio: -1, Counts: s.gathererCounts()} // the first dwell watches the fleet as it is
 	return nil
 }
 
-func (s *State) counts() map[Name]Figures {
-	all := map[Name]Figures{}
-	for _, m := range s.order(Gatherer) {
-		all[m.Name] = m.Figures
+func (s *State) gathererCounts() map[MemberName]RequestCounts {
+	all := map[MemberName]RequestCounts{}
+	for _, m := range s.sortedMembers(Gatherer) {
+		all[m.Name] = m.Counts
 	}
 	return all
 }
 
-func (s *State) halt(h Halt) error {
+func (s *State) haltRelease(h HaltRelease) error {
 	r := s.Release(h.ID)
 	if r == nil {
 		return fmt.Errorf("there is no release %s", h.ID)
 	}
-	if r.Phase != Going {
+	if r.Phase != Running {
 		return fmt.Errorf("release %s is %s", h.ID, r.Phase)
 	}
-	r.stop(cmp.Or(h.Why, "an operator halted it"))
+	r.halt(cmp.Or(h.Reason, "an operator halted it"))
 	return nil
 }
 
-func (r *Release) stop(why string) { r.Phase, r.Why = Halted, why }
+func (r *Release) halt(why string) { r.Phase, r.HaltReason = Halted, why }
 
-func (s *State) resume(c Resume) error {
+func (s *State) resumeRelease(c ResumeRelease) error {
 	r := s.Release(c.ID)
 	if r == nil {
 		return fmt.Errorf("there is no release %s", c.ID)
@@ -141,111 +141,111 @@
 	if r.Phase != Halted {
 		return fmt.Errorf("release %s is %s", c.ID, r.Phase)
 	}
-	r.Phase, r.Why = Going, ""
-	s.drop(r)
-	s.begin(r)
+	r.Phase, r.HaltReason = Running, ""
+	s.dropFormerMembers(r)
+	s.restartTimers(r)
 	return nil
 }
 
-// drop takes out the targets that are no members any more: what an operator has forgotten, or what was long gone, is not waited for.
-func (s *State) drop(r *Release) {
+// dropFormerMembers takes out the targets that are no members any more: what an operator has forgotten, or what was long gone, is not waited for.
+func (s *State) dropFormerMembers(r *Release) {
 	r.Targets = slices.DeleteFunc(r.Targets, func(t Target) bool { return s.Members[t.Name] == nil })
 }
 
-// begin gives what is under way its time anew, and watches the step from now on.
-func (s *State) begin(r *Release) {
+// restartTimers gives what is under way its time anew, and watches the step from now on.
+func (s *State) restartTimers(r *Release) {
 	for i := range r.Targets {
-		if r.Targets[i].State == changing {
-			r.Targets[i].Due = s.Now + Moment(r.Plan.Within)
+		if r.Targets[i].State == TargetChanging {
+			r.Targets[i].Deadline = s.Now + Time(r.Plan.ChangeTimeout)
 		}
 	}
-	if r.Dwells != 0 {
-		s.watch(r)
+	if r.DwellSince != 0 {
+		s.startDwell(r)
 	}
 }
 
-func (s *State) watch(r *Release) {
-	r.Dwells = s.Now
-	w := s.Before[r.Plan.ID]
-	w.Base = s.counts()
-	s.Before[r.Plan.ID] = w
+func (s *State) startDwell(r *Release) {
+	r.DwellSince = s.Now
+	w := s.Baselines[r.Plan.ID]
+	w.Counts = s.gathererCounts()
+	s.Baselines[r.Plan.ID] = w
 }
 
-// back turns a release round: what was changed goes back under the same limits, and what was under way is ordered back.
-func (s *State) back(c Back) error {
+// rollBack turns a release round: what was changed goes back under the same limits, and what was under way is ordered back.
+func (s *State) rollBack(c RollBack) error {
 	r := s.Release(c.ID)
 	if r == nil {
 		return fmt.Errorf("there is no release %s", c.ID)
 	}
 	for _, other := range s.Releases {
-		if other != r && (other.Phase == Going || other.Phase == Halted) {
+		if other != r && (other.Phase == Running || other.Phase == Halted) {
 			return fmt.Errorf("release %s is %s", other.Plan.ID, other.Phase)
 		}
 	}
-	s.drop(r)
+	s.dropFormerMembers(r)
 	r.Plan.From, r.Plan.To = r.Plan.To, r.Plan.From
-	r.Back, r.Phase, r.Why, r.Step, r.Dwells, r.Ended = !r.Back, Going, "", 0, 0, 0
+	r.RollingBack, r.Phase, r.HaltReason, r.Step, r.DwellSince, r.EndedAt = !r.RollingBack, Running, "", 0, 0, 0
 	for i := range r.Targets {
 		switch t := &r.Targets[i]; t.State {
-		case todo:
-			t.State = changed // it was never changed: it is where it should be
-		case changed:
-			t.State = todo
-		case changing:
-			t.Epoch, t.Since, t.Due = s.Applied, s.Now, s.Now+Moment(r.Plan.Within) // a new order, or the hook would take it for one it has carried out
+		case TargetPending:
+			t.State = TargetChanged // it was never changed: it is where it should be
+		case TargetChanged:
+			t.State = TargetPending
+		case TargetChanging:
+			t.Epoch, t.OrderedAt, t.Deadline = s.Applied, s.Now, s.Now+Time(r.Plan.ChangeTimeout) // a new order, or the hook would take it for one it has carried out
 			if m := s.Members[t.Name]; m != nil && m.Permit != nil {
-				m.Permit.Epoch, m.Permit.Asked = s.Applied, s.Now
+				m.Permit.Epoch, m.Permit.RequestedAt = s.Applied, s.Now
 			}
 		}
 	}
-	if _, watched := s.Before[c.ID]; !watched {
-		s.Before[c.ID] = Watch{Share: -1, Base: s.counts()}
+	if _, watched := s.Baselines[c.ID]; !watched {
+		s.Baselines[c.ID] = Baseline{SuccessRatio: -1, Counts: s.gathererCounts()}
 	}
 	return nil
 }
 
-// advance moves the releases as far as what is known allows. It is called after each command, so that nothing waits for a next one.
-func (s *State) advance() {
+// advanceReleases moves the releases as far as what is known allows. It is called after each command, so that nothing waits for a next one.
+func (s *State) advanceReleases() {
 	for _, r := range s.Releases {
 		switch r.Phase {
-		case Going:
-			s.move(r)
+		case Running:
+			s.advanceRelease(r)
 		case Halted:
-			s.see(r) // what was under way comes to its end all the same, and is in again
+			s.observeTargets(r) // what was under way comes to its end all the same, and is in again
 		}
-		if r.Phase == Done || r.Phase == WentBack {
-			delete(s.Before, r.Plan.ID)
+		if r.Phase == Completed || r.Phase == RolledBack {
+			delete(s.Baselines, r.Plan.ID)
 		}
 	}
 }
 
-func (s *State) move(r *Release) {
-	if why := s.see(r); why != "" {
-		r.stop(why)
+func (s *State) advanceRelease(r *Release) {
+	if why := s.observeTargets(r); why != "" {
+		r.halt(why)
 		return
 	}
 	changedNow, changingNow := 0, 0
 	for _, t := range r.Targets {
 		switch t.State {
-		case changed:
+		case TargetChanged:
 			changedNow++
-		case changing:
+		case TargetChanging:
 			changingNow++
 		}
 	}
-	w := s.Before[r.Plan.ID]
-	if !r.Back && w.Share < 0 { // before the first change the fleet is watched as it is
-		if s.Now-r.Dwells < Moment(r.Plan.Dwell) {
+	w := s.Baselines[r.Plan.ID]
+	if !r.RollingBack && w.SuccessRatio < 0 { // before the first change the fleet is watched as it is
+		if s.Now-r.DwellSince < Time(r.Plan.Dwell) {
 			return
 		}
-		w.Share = s.counted(r, "", w.Base).good()
-		s.Before[r.Plan.ID], r.Dwells = w, 0
+		w.SuccessRatio = s.countsSince(r, "", w.Counts).successRatio()
+		s.Baselines[r.Plan.ID], r.DwellSince = w, 0
 	}
-	need := needed(r.Plan.Steps[r.Step], len(r.Targets))
+	need := targetCount(r.Plan.Steps[r.Step], len(r.Targets))
 	if changedNow < need {
 		for i := range r.Targets {
-			if t := &r.Targets[i]; t.State == todo && changedNow+changingNow < need {
-				if !s.begun(r, t) {
+			if t := &r.Targets[i]; t.State == TargetPending && changedNow+changingNow < need {
+				if !s.startChange(r, t) {
 					return // a limit holds: it waits
 				}
 				changingNow++
@@ -256,33 +256,33 @@
 	if changingNow > 0 {
 		return
 	}
-	if r.Dwells == 0 {
-		s.watch(r)
+	if r.DwellSince == 0 {
+		s.startDwell(r)
 	}
-	if s.Now-r.Dwells < Moment(r.Plan.Dwell) {
+	if s.Now-r.DwellSince < Time(r.Plan.Dwell) {
 		return
 	}
-	if !r.Back {
-		wait, why := s.gate(r)
+	if !r.RollingBack {
+		wait, why := s.evaluateGate(r)
 		if why != "" {
-			r.stop(why)
+			r.halt(why)
 		}
 		if wait || why != "" {
 			return
 		}
 	}
 	if r.Step++; r.Step < len(r.Plan.Steps) {
-		r.Dwells = 0
-		s.move(r)
+		r.DwellSince = 0
+		s.advanceRelease(r)
 		return
 	}
-	if r.Phase, r.Ended = Done, s.Now; r.Back {
-		r.Phase = WentBack
+	if r.Phase, r.EndedAt = Completed, s.Now; r.RollingBack {
+		r.Phase = RolledBack
 	}
 }
 
-// begun lets a target's change begin; false = not now.
-func (s *State) begun(r *Release, t *Target) bool {
+// startChange lets a target's change begin; false = not now.
+func (s *State) startChange(r *Release, t *Target) bool {
 	m := s.Members[t.Name]
 	if m.Permit != nil {
 		return false // it is out for another reason, and will be back
@@ -291,83 +291,83 @@
 	if err != nil {
 		return false
 	}
-	t.State, t.Epoch, t.Since, t.Due = changing, p.Epoch, s.Now, s.Now+Moment(r.Plan.Within)
+	t.State, t.Epoch, t.OrderedAt, t.Deadline = TargetChanging, p.Epoch, s.Now, s.Now+Time(r.Plan.ChangeTimeout)
 	return true
 }
 
-// see notes what the targets have become, and tells why the release must halt; "" = it need not.
-func (s *State) see(r *Release) (halt string) {
+// observeTargets notes what the targets have become, and tells why the release must halt; "" = it need not.
+func (s *State) observeTargets(r *Release) (halt string) {
 	for i := range r.Targets {
-		if why := s.look(r, &r.Targets[i]); halt == "" {
+		if why := s.observeTarget(r, &r.Targets[i]); halt == "" {
 			halt = why
 		}
 	}
 	return halt
 }
 
-// look notes what one target has become, and tells why its release must halt.
-func (s *State) look(r *Release, t *Target) string {
+// observeTarget notes what one target has become, and tells why its release must halt.
+func (s *State) observeTarget(r *Release, t *Target) string {
 	m := s.Members[t.Name]
 	if m == nil {
 		return fmt.Sprintf("%s is no member any more", t.Name)
 	}
 	switch t.State {
-	case changed:
+	case TargetChanged:
 		// One that was restarted and is cold comes back; one that is gone may have died of its version.
-		if why := s.Out(m); m.Permit == nil && (m.Until <= s.Now || s.suspected(m)) {
+		if why := s.OutReason(m); m.Permit == nil && (m.LeaseEnd <= s.Now || s.suspected(m)) {
 			return fmt.Sprintf("%s, which runs version %s, is out: %s", t.Name, m.Version, why)
 		}
 		if m.Version != r.Plan.To {
 			return fmt.Sprintf("%s runs version %s again, not %s", t.Name, m.Version, r.Plan.To)
 		}
-	case changing:
-		again := m.Since > t.Since && m.Status == Ready && m.Until > s.Now
+	case TargetChanging:
+		again := m.StartedAt > t.OrderedAt && m.Status == Ready && m.LeaseEnd > s.Now
 		switch {
 		case again && m.Version == r.Plan.To:
-			t.State, m.Permit = changed, nil
+			t.State, m.Permit = TargetChanged, nil
 		case again:
 			return fmt.Sprintf("%s came back with version %s, though it was to be %s", t.Name, m.Version, r.Plan.To)
-		case s.Now > t.Due:
-			return fmt.Sprintf("%s is not back within %d ms: version %s, %s", t.Name, r.Plan.Within, m.Version, cmp.Or(s.Out(m), "in"))
+		case s.Now > t.Deadline:
+			return fmt.Sprintf("%s is not back within %d ms: version %s, %s", t.Name, r.Plan.ChangeTimeout, m.Version, cmp.Or(s.OutReason(m), "in"))
 		}
 	}
 	return ""
 }
 
-// counted sums what gatherers counted since a base: of one state of a release's targets, or of all where that is "".
-func (s *State) counted(r *Release, state string, base map[Name]Figures) (sum Figures) {
-	in := map[Name]string{}
+// countsSince sums what gatherers counted since a base: of one state of a release's targets, or of all where that is "".
+func (s *State) countsSince(r *Release, state string, base map[MemberName]RequestCounts) (sum RequestCounts) {
+	in := map[MemberName]string{}
 	for _, t := range r.Targets {
 		in[t.Name] = t.State
 	}
-	for _, m := range s.order(Gatherer) {
+	for _, m := range s.sortedMembers(Gatherer) {
 		if state == "" || in[m.Name] == state {
-			sum = sum.plus(m.Figures.since(base[m.Name]))
+			sum = sum.plus(m.Counts.since(base[m.Name]))
 		}
 	}
 	return sum
 }
 
-// gate judges a step by what was answered in time while it was watched: of gatherers those changed against those not yet, or where
+// evaluateGate judges a step by what was answered in time while it was watched: of gatherers those changed against those not yet, or where
 // these counted too little against the fleet before the release; of servers the whole fleet against that.
-func (s *State) gate(r *Release) (wait bool, why string) {
-	w := s.Before[r.Plan.ID]
-	now, before := s.counted(r, "", w.Base), w.Share
+func (s *State) evaluateGate(r *Release) (wait bool, why string) {
+	w := s.Baselines[r.Plan.ID]
+	now, before := s.countsSince(r, "", w.Counts), w.SuccessRatio
 	if r.Plan.Kind == Gatherer {
-		now = s.counted(r, changed, w.Base)
-		if others := s.counted(r, todo, w.Base); others.all() >= max(r.Plan.Least, 1) {
-			before = others.good()
+		now = s.countsSince(r, TargetChanged, w.Counts)
+		if others := s.countsSince(r, TargetPending, w.Counts); others.total() >= max(r.Plan.MinRequests, 1) {
+			before = others.successRatio()
 		}
 	}
-	if now.all() < r.Plan.Least {
-		if s.Now-r.Dwells > patience*max(Moment(r.Plan.Dwell), 1) {
-			return false, fmt.Sprintf("step %d saw %d searches, and %d are needed to judge it", r.Step+1, now.all(), r.Plan.Least)
+	if now.total() < r.Plan.MinRequests {
+		if s.Now-r.DwellSince > maxGateDwells*max(Time(r.Plan.Dwell), 1) {
+			return false, fmt.Sprintf("step %d saw %d searches, and %d are needed to judge it", r.Step+1, now.total(), r.Plan.MinRequests)
 		}
 		return true, ""
 	}
-	if before-now.good() > r.Plan.MostLoss {
+	if before-now.successRatio() > r.Plan.MaxLoss {
 		return false, fmt.Sprintf("step %d: %.4f of the searches were answered in time, %.4f of those compared with; errored %d, late %d, shed %d of %d",
-			r.Step+1, now.good(), before, now.Errored, now.Late, now.Shed, now.all())
+			r.Step+1, now.successRatio(), before, now.Errored, now.Late, now.Shed, now.total())
 	}
 	return false, ""
 }
@@ -376,11 +376,11 @@
 // leader that had it changed once more would take out a gatherer that is just coming back.
 func (s *State) Orders() (out []Order) {
 	for _, r := range s.Releases {
-		if r.Phase != Going {
+		if r.Phase != Running {
 			continue
 		}
 		for _, t := range r.Targets {
-			if m := s.Members[t.Name]; t.State == changing && m != nil && m.Permit != nil && m.Since <= t.Since {
+			if m := s.Members[t.Name]; t.State == TargetChanging && m != nil && m.Permit != nil && m.StartedAt <= t.OrderedAt {
 				out = append(out, Order{r.Plan.ID, t.Name, r.Plan.To, m.Permit.Epoch})
 			}
 		}
--- a/maintenance/state_test.go
+++ b/maintenance/state_test.go
@@ -8,21 +8,21 @@
 	"testing"
 )
 
-// rig is a state with commands given one by one.
-type rig struct {
+// harness is a state with commands given one by one.
+type harness struct {
 	*State
 	t *testing.T
 	n Epoch
 }
 
-func newRig(t *testing.T, l Limits) *rig {
-	if l.LeaseSpan == 0 {
-		l.LeaseSpan = 3000
+func newHarness(t *testing.T, l Limits) *harness {
+	if l.LeaseDuration == 0 {
+		l.LeaseDuration = 3000
 	}
-	return &rig{State: New(l), t: t}
+	return &harness{State: New(l), t: t}
 }
 
-func (r *rig) do(c Command) (Result, error) {
+func (r *harness) apply(c Command) (Result, error) {
 	r.n++
 	b, err := c.Encode()
 	if err != nil {
@@ -35,24 +35,24 @@
 	return r.Apply(r.n, back)
 }
 
-func (r *rig) must(c Command) Result {
+func (r *harness) must(c Command) Result {
 	r.t.Helper()
-	got, err := r.do(c)
+	got, err := r.apply(c)
 	if err != nil {
 		r.t.Fatal(err)
 	}
 	return got
 }
 
-func (r *rig) refused(c Command, want string) {
+func (r *harness) mustFail(c Command, want string) {
 	r.t.Helper()
-	if _, err := r.do(c); err == nil || !strings.Contains(err.Error(), want) {
+	if _, err := r.apply(c); err == nil || !strings.Contains(err.Error(), want) {
 		r.t.Errorf("got %v, want an error with %q", err, want)
 	}
 }
 
 // gatherers joins so many, in zones in turn, and makes them ready.
-func (r *rig) gatherers(n int, zones ...Zone) {
+func (r *harness) gatherers(n int, zones ...Zone) {
 	for i := range n {
 		z := Zone("a")
 		if len(zones) > 0 {
@@ -62,165 +62,173 @@
 	}
 }
 
-func name(i int) Name { return Name(fmt.Sprintf("n%02d", i)) }
+func memberName(i int) MemberName { return MemberName(fmt.Sprintf("n%02d", i)) }
 
-func (r *rig) run(i int, inc Incarnation, z Zone, v Version) {
-	r.must(Command{At: r.Now, Join: &Join{Name: name(i), Zone: z, Version: v, Incarnation: inc}})
-	r.renew(i, inc, Figures{})
+func (r *harness) run(i int, inc Incarnation, z Zone, v Version) {
+	r.must(Command{At: r.Now, Join: &Join{Name: memberName(i), Zone: z, Version: v, Incarnation: inc}})
+	r.renew(i, inc, RequestCounts{})
 }
 
-func (r *rig) renew(i int, inc Incarnation, f Figures, suspects ...Name) {
-	r.must(Command{At: r.Now, Renew: &Renew{Name: name(i), Incarnation: inc, Status: Ready, Figures: f, Suspects: suspects}})
+func (r *harness) renew(i int, inc Incarnation, f RequestCounts, suspects ...MemberName) {
+	r.must(Command{At: r.Now, Renew: &Renew{Name: memberName(i), Incarnation: inc, Status: Ready, Counts: f, Suspects: suspects}})
 }
 
-func (r *rig) pass(d Span) { r.must(Command{At: r.Now + Moment(d), Turn: &Turn{}}) }
+func (r *harness) pass(d Duration) { r.must(Command{At: r.Now + Time(d), AdvanceTime: &AdvanceTime{}}) }
 
-func ask(i int, inc Incarnation) Command {
-	return Command{Ask: &Ask{Name: name(i), Incarnation: inc, Why: "asked"}}
+func permitRequest(i int, inc Incarnation) Command {
+	return Command{RequestPermit: &RequestPermit{Name: memberName(i), Incarnation: inc, Reason: "asked"}}
 }
 
-func TestAPermitCountsUntilItIsGivenBack(t *testing.T) {
-	r := newRig(t, Limits{MostGatherers: 1})
+func TestPermitCountsUntilReturned(t *testing.T) {
+	r := newHarness(t, Limits{MaxGatherers: 1})
 	r.gatherers(3)
-	p := r.must(ask(0, 1)).Permit
-	r.refused(ask(1, 1), "1 of at most 1 gatherers are out")
-	if again := r.must(ask(0, 1)).Permit; again.Epoch != p.Epoch {
+	p := r.must(permitRequest(0, 1)).Permit
+	r.mustFail(permitRequest(1, 1), "1 of at most 1 gatherers are out")
+	if again := r.must(permitRequest(0, 1)).Permit; again.Epoch != p.Epoch {
 		t.Errorf("asked again after a lost answer: %v, first %v", again, p)
 	}
 	// The holder is frozen past its lease. It may wake and drain, so its permit still counts.
 	r.pass(10000)
 	for i := range 2 {
-		r.renew(i+1, 1, Figures{})
+		r.renew(i+1, 1, RequestCounts{})
 	}
-	r.refused(ask(1, 1), "1 of at most 1")
-	r.refused(Command{Return: &Return{Name: name(0), Epoch: p.Epoch - 1}}, "earlier")
-	r.renew(0, 1, Figures{})
-	r.must(Command{Return: &Return{Name: name(0), Epoch: p.Epoch}})
-	r.must(ask(1, 1))
+	r.mustFail(permitRequest(1, 1), "1 of at most 1")
+	r.mustFail(Command{ReturnPermit: &ReturnPermit{Name: memberName(0), Epoch: p.Epoch - 1}}, "earlier")
+	r.renew(0, 1, RequestCounts{})
+	r.must(Command{ReturnPermit: &ReturnPermit{Name: memberName(0), Epoch: p.Epoch}})
+	r.must(permitRequest(1, 1))
 }
 
 // A run that begins cold while the permit of the one before stands is not to go out again for it; nobody else may go either until it is
 // ready. What is asked of the new run is its own.
-func TestAPermitIsNotTheNextRuns(t *testing.T) {
-	r := newRig(t, Limits{MostGatherers: 1})
+func TestPermitIsNotInheritedByNextRun(t *testing.T) {
+	r := newHarness(t, Limits{MaxGatherers: 1})
 	r.gatherers(2)
 	r.pass(100)
-	r.must(Command{Ask: &Ask{Name: name(0), Why: "an operator's word"}})
-	if r.Members[name(0)].Due() == nil {
+	r.must(Command{RequestPermit: &RequestPermit{Name: memberName(0), Reason: "an operator's word"}})
+	if r.Members[memberName(0)].ActivePermit() == nil {
 		t.Fatal("the run that it was granted to is not told of it")
 	}
 	r.pass(100)
-	r.must(Command{At: r.Now, Join: &Join{Name: name(0), Zone: "a", Version: "v1", Incarnation: 2}})
-	r.must(Command{At: r.Now, Renew: &Renew{Name: name(0), Incarnation: 2, Status: Cold}})
-	if p := r.Members[name(0)].Due(); p != nil {
+	r.must(Command{At: r.Now, Join: &Join{Name: memberName(0), Zone: "a", Version: "v1", Incarnation: 2}})
+	r.must(Command{At: r.Now, Renew: &Renew{Name: memberName(0), Incarnation: 2, Status: WarmingUp}})
+	if p := r.Members[memberName(0)].ActivePermit(); p != nil {
 		t.Errorf("a run that has just begun is to go out by %v", p)
 	}
-	r.refused(ask(1, 1), "1 of at most 1")
-	r.renew(0, 2, Figures{})
-	r.must(ask(0, 2))
-	if r.Members[name(0)].Due() == nil {
+	r.mustFail(permitRequest(1, 1), "1 of at most 1")
+	r.renew(0, 2, RequestCounts{})
+	r.must(permitRequest(0, 2))
+	if r.Members[memberName(0)].ActivePermit() == nil {
 		t.Error("the new run is not told of its own")
 	}
 }
 
-func TestWhoIsOutCountsWhateverTheReason(t *testing.T) {
-	for what, out := range map[string]func(*rig){
-		"dead":   func(r *rig) { r.pass(2900); r.renew(1, 1, Figures{}); r.renew(2, 1, Figures{}); r.pass(200) },
-		"leaves": func(r *rig) { r.must(Command{Leave: &Leave{Name: name(0), Incarnation: 1}}) },
-		"cold": func(r *rig) {
-			r.must(Command{Join: &Join{Name: name(0), Zone: "a", Version: "v1", Incarnation: 2}})
+func TestEveryOutReasonCounts(t *testing.T) {
+	for what, out := range map[string]func(*harness){
+		"dead": func(r *harness) {
+			r.pass(2900)
+			r.renew(1, 1, RequestCounts{})
+			r.renew(2, 1, RequestCounts{})
+			r.pass(200)
+		},
+		"leaves": func(r *harness) { r.must(Command{Leave: &Leave{Name: memberName(0), Incarnation: 1}}) },
+		"cold": func(r *harness) {
+			r.must(Command{Join: &Join{Name: memberName(0), Zone: "a", Version: "v1", Incarnation: 2}})
+		},
+		"suspected by most": func(r *harness) {
+			r.renew(1, 1, RequestCounts{}, memberName(0))
+			r.renew(2, 1, RequestCounts{}, memberName(0))
 		},
-		"suspected by most": func(r *rig) { r.renew(1, 1, Figures{}, name(0)); r.renew(2, 1, Figures{}, name(0)) },
 	} {
-		r := newRig(t, Limits{MostGatherers: 1, ShareGatherers: 0.9})
+		r := newHarness(t, Limits{MaxGatherers: 1, MaxGathererShare: 0.9})
 		r.gatherers(3)
 		out(r)
-		if _, err := r.do(ask(1, 1)); !errors.Is(err, ErrRefused) {
+		if _, err := r.apply(permitRequest(1, 1)); !errors.Is(err, ErrRefused) {
 			t.Errorf("%s: got %v, want a refusal", what, err)
 		}
 	}
 }
 
-func TestOneThatSuspectsMostOthersIsNotBelieved(t *testing.T) {
-	r := newRig(t, Limits{MostGatherers: 1, SuspectedByMost: 0.1})
+func TestSuspectingMostMembersIsIgnored(t *testing.T) {
+	r := newHarness(t, Limits{MaxGatherers: 1, SuspicionShare: 0.1})
 	r.gatherers(5)
-	r.renew(4, 1, Figures{}, name(0), name(1), name(2))
-	r.must(ask(3, 1))
+	r.renew(4, 1, RequestCounts{}, memberName(0), memberName(1), memberName(2))
+	r.must(permitRequest(3, 1))
 }
 
 func TestLimitsByZoneShareAndSegment(t *testing.T) {
-	r := newRig(t, Limits{MostGatherersZone: 1})
+	r := newHarness(t, Limits{MaxGatherersPerZone: 1})
 	r.gatherers(4, "a", "b")
-	r.must(ask(0, 1))
-	r.refused(ask(2, 1), "gatherers of zone a")
-	r.must(ask(1, 1))
-	r = newRig(t, Limits{ShareGatherers: 0.2})
+	r.must(permitRequest(0, 1))
+	r.mustFail(permitRequest(2, 1), "gatherers of zone a")
+	r.must(permitRequest(1, 1))
+	r = newHarness(t, Limits{MaxGathererShare: 0.2})
 	r.gatherers(4)
-	r.refused(ask(0, 1), "less than one")
-	r = newRig(t, Limits{LeastReplicas: 1, MostServers: 9})
-	list := func(status Status) *Listed {
-		return &Listed{[]ListedServer{{"s1", "a", "v1", 5, Ready, []Segment{0, 1}}, {"s2", "b", "v1", 5, status, []Segment{1, 2}},
+	r.mustFail(permitRequest(0, 1), "less than one")
+	r = newHarness(t, Limits{MinReplicas: 1, MaxServers: 9})
+	list := func(status Status) *UpdateServers {
+		return &UpdateServers{[]ListedServer{{"s1", "a", "v1", 5, Ready, []Segment{0, 1}}, {"s2", "b", "v1", 5, status, []Segment{1, 2}},
 			{"s3", "b", "v1", 5, Ready, []Segment{2, 0}}}}
 	}
-	r.must(Command{Listed: list(Cold)})
-	r.refused(Command{Ask: &Ask{Name: "s1", Why: "disk"}}, "segment 1 would have 0 ready replicas of at least 1")
-	r.must(Command{Listed: list(Ready)})
-	r.must(Command{Ask: &Ask{Name: "s1", Why: "disk"}})
-	r.refused(Command{Ask: &Ask{Name: "s3", Why: "disk"}}, "segment 0")
+	r.must(Command{UpdateServers: list(WarmingUp)})
+	r.mustFail(Command{RequestPermit: &RequestPermit{Name: "s1", Reason: "disk"}}, "segment 1 would have 0 ready replicas of at least 1")
+	r.must(Command{UpdateServers: list(Ready)})
+	r.must(Command{RequestPermit: &RequestPermit{Name: "s1", Reason: "disk"}})
+	r.mustFail(Command{RequestPermit: &RequestPermit{Name: "s3", Reason: "disk"}}, "segment 0")
 	// It leaves the list and comes back under its name with a later birth: its permit ends when it is ready.
 	l := list(Ready)
 	l.Servers = l.Servers[1:]
 	r.pass(10)
-	r.must(Command{At: r.Now, Listed: l})
-	r.refused(Command{Ask: &Ask{Name: "s3", Why: "disk"}}, "segment 0")
+	r.must(Command{At: r.Now, UpdateServers: l})
+	r.mustFail(Command{RequestPermit: &RequestPermit{Name: "s3", Reason: "disk"}}, "segment 0")
 	r.pass(10)
 	l = list(Ready)
 	l.Servers[0].Incarnation = 6
-	r.must(Command{At: r.Now, Listed: l})
-	r.must(Command{Ask: &Ask{Name: "s3", Why: "disk"}})
+	r.must(Command{At: r.Now, UpdateServers: l})
+	r.must(Command{RequestPermit: &RequestPermit{Name: "s3", Reason: "disk"}})
 }
 
-func TestWhatIsOldChangesNothing(t *testing.T) {
-	r := newRig(t, Limits{})
+func TestStaleCommandsChangeNothing(t *testing.T) {
+	r := newHarness(t, Limits{})
 	r.gatherers(2)
 	r.run(0, 7, "a", "v2")
 	for _, c := range []Command{
-		{Renew: &Renew{Name: name(0), Incarnation: 1, Status: Draining}},
-		{Leave: &Leave{Name: name(0), Incarnation: 1}},
-		{Join: &Join{Name: name(0), Incarnation: 6, Version: "v1"}},
-		ask(0, 1),
+		{Renew: &Renew{Name: memberName(0), Incarnation: 1, Status: Draining}},
+		{Leave: &Leave{Name: memberName(0), Incarnation: 1}},
+		{Join: &Join{Name: memberName(0), Incarnation: 6, Version: "v1"}},
+		permitRequest(0, 1),
 	} {
 		before, _ := json.Marshal(r.Members)
-		if _, err := r.do(c); !errors.Is(err, ErrStale) {
+		if _, err := r.apply(c); !errors.Is(err, ErrStale) {
 			t.Errorf("%+v: got %v", c, err)
 		}
 		if after, _ := json.Marshal(r.Members); string(after) != string(before) {
 			t.Errorf("%+v changed the members", c)
 		}
 	}
-	if _, err := r.Apply(r.n, ask(0, 7)); !errors.Is(err, ErrStale) || r.Members[name(0)].Permit != nil {
+	if _, err := r.Apply(r.n, permitRequest(0, 7)); !errors.Is(err, ErrStale) || r.Members[memberName(0)].Permit != nil {
 		t.Errorf("a command applied twice: %v", err)
 	}
 }
 
-func TestNewerFormatsAreNotGuessedAt(t *testing.T) {
-	if _, err := Decode([]byte(`{"v":2,"grow":{}}`)); !errors.Is(err, ErrNewer) {
+func TestNewerFormatsAreRejected(t *testing.T) {
+	if _, err := Decode([]byte(`{"v":2,"grow":{}}`)); !errors.Is(err, ErrNewerFormat) {
 		t.Errorf("command: %v", err)
 	}
-	if _, err := Restore([]byte(`{"v":2}`)); !errors.Is(err, ErrNewer) {
+	if _, err := Restore([]byte(`{"v":2}`)); !errors.Is(err, ErrNewerFormat) {
 		t.Errorf("snapshot: %v", err)
 	}
-	if _, err := Decode([]byte(`{`)); err == nil || errors.Is(err, ErrNewer) {
+	if _, err := Decode([]byte(`{`)); err == nil || errors.Is(err, ErrNewerFormat) {
 		t.Errorf("no command: %v", err)
 	}
 }
 
 func plan(steps ...float64) Plan {
-	return Plan{ID: "r", Kind: Gatherer, From: "v1", To: "v2", Steps: steps, Dwell: 1000, Within: 5000, MostLoss: 0.02, Least: 10}
+	return Plan{ID: "r", Kind: Gatherer, From: "v1", To: "v2", Steps: steps, Dwell: 1000, ChangeTimeout: 5000, MaxLoss: 0.02, MinRequests: 10}
 }
 
-// carry does what the orders say, as a hook that works: each member runs anew with the version ordered.
-func (r *rig) carry(good func(Version) bool) {
+// runHooks does what the orders say, as a hook that works: each member runs anew with the version ordered.
+func (r *harness) runHooks(good func(Version) bool) {
 	for _, o := range r.Orders() {
 		var i int
 		fmt.Sscanf(string(o.Name), "n%d", &i)
@@ -228,28 +236,28 @@
 		r.run(i, r.Members[o.Name].Incarnation+1, r.Members[o.Name].Zone, o.Version)
 	}
 	r.pass(500)
-	for _, m := range r.order(Gatherer) {
-		f := m.Figures
+	for _, m := range r.sortedMembers(Gatherer) {
+		f := m.Counts
 		if good(m.Version) {
 			f.Answered += 100
 		} else {
 			f.Answered, f.Errored = f.Answered+50, f.Errored+50
 		}
-		if m.Until > r.Now {
-			r.must(Command{At: r.Now, Renew: &Renew{Name: m.Name, Incarnation: m.Incarnation, Status: Ready, Figures: f}})
+		if m.LeaseEnd > r.Now {
+			r.must(Command{At: r.Now, Renew: &Renew{Name: m.Name, Incarnation: m.Incarnation, Status: Ready, Counts: f}})
 		}
 	}
 }
 
-func (r *rig) until(phase Phase, good func(Version) bool) *Release {
+func (r *harness) until(phase Phase, good func(Version) bool) *Release {
 	r.t.Helper()
 	for range 200 {
 		if rel := r.Release("r"); rel.Phase == phase {
 			return rel
 		}
-		r.carry(good)
-		if n := len(r.Orders()); r.Limits.MostGatherers > 0 && n > r.Limits.MostGatherers {
-			r.t.Fatalf("%d changes at once, at most %d may be out", n, r.Limits.MostGatherers)
+		r.runHooks(good)
+		if n := len(r.Orders()); r.Limits.MaxGatherers > 0 && n > r.Limits.MaxGatherers {
+			r.t.Fatalf("%d changes at once, at most %d may be out", n, r.Limits.MaxGatherers)
 		}
 	}
 	b, _ := json.Marshal(r.Release("r"))
@@ -257,100 +265,100 @@
 	return nil
 }
 
-func fine(Version) bool { return true }
+func allSucceed(Version) bool { return true }
 
-func TestReleaseGoesInStepsUnderTheLimit(t *testing.T) {
-	r := newRig(t, Limits{MostGatherers: 2})
+func TestReleaseStepsStayWithinLimit(t *testing.T) {
+	r := newHarness(t, Limits{MaxGatherers: 2})
 	r.gatherers(9, "a", "b", "c")
-	steps, err := r.Steps(plan(0.1, 0.5, 1))
+	steps, err := r.PlanSteps(plan(0.1, 0.5, 1))
 	if err != nil || len(steps) != 3 || len(steps[0]) != 1 || len(steps[1]) != 4 || len(steps[2]) != 4 {
 		t.Fatalf("steps %v, %v", steps, err)
 	}
-	r.must(Command{Start: &Plan{ID: "r", Kind: Gatherer, From: "v1", To: "v2", Steps: []float64{0.1, 0.5, 1}, Dwell: 1000, Within: 5000, MostLoss: 0.02, Least: 10}})
+	r.must(Command{StartRelease: &Plan{ID: "r", Kind: Gatherer, From: "v1", To: "v2", Steps: []float64{0.1, 0.5, 1}, Dwell: 1000, ChangeTimeout: 5000, MaxLoss: 0.02, MinRequests: 10}})
 	second := plan(1)
 	second.ID = "other"
-	r.refused(Command{Start: &second}, "two at once")
-	rel := r.until(Done, fine)
-	for _, m := range r.order(Gatherer) {
+	r.mustFail(Command{StartRelease: &second}, "two at once")
+	rel := r.until(Completed, allSucceed)
+	for _, m := range r.sortedMembers(Gatherer) {
 		if m.Version != "v2" || m.Permit != nil {
 			t.Errorf("%s runs %s, permit %v", m.Name, m.Version, m.Permit)
 		}
 	}
-	if len(r.Before) > 0 || rel.Ended == 0 {
-		t.Errorf("left over: %v, ended %d", r.Before, rel.Ended)
+	if len(r.Baselines) > 0 || rel.EndedAt == 0 {
+		t.Errorf("left over: %v, ended %d", r.Baselines, rel.EndedAt)
 	}
 }
 
-func TestReleaseHaltsByItselfAndGoesBackAndBackAgain(t *testing.T) {
-	r := newRig(t, Limits{MostGatherers: 2})
+func TestReleaseHaltsAndRollsBackTwice(t *testing.T) {
+	r := newHarness(t, Limits{MaxGatherers: 2})
 	r.gatherers(6, "a", "b")
 	p := plan(0.3, 1)
-	r.must(Command{Start: &p})
+	r.must(Command{StartRelease: &p})
 	rel := r.until(Halted, func(v Version) bool { return v == "v1" })
-	if !strings.Contains(rel.Why, "0.5000 of the searches were answered in time, 1.0000") {
-		t.Errorf("halted as %q", rel.Why)
+	if !strings.Contains(rel.HaltReason, "0.5000 of the searches were answered in time, 1.0000") {
+		t.Errorf("halted as %q", rel.HaltReason)
 	}
 	if len(r.Orders()) > 0 {
 		t.Errorf("a halted release orders %v", r.Orders())
 	}
-	r.must(Command{Back: &Back{ID: "r"}})
-	r.until(WentBack, fine)
-	for _, m := range r.order(Gatherer) {
+	r.must(Command{RollBack: &RollBack{ID: "r"}})
+	r.until(RolledBack, allSucceed)
+	for _, m := range r.sortedMembers(Gatherer) {
 		if m.Version != "v1" {
 			t.Errorf("%s still runs %s", m.Name, m.Version)
 		}
 	}
-	r.must(Command{Back: &Back{ID: "r"}}) // the way back of the way back
-	r.until(Done, fine)
+	r.must(Command{RollBack: &RollBack{ID: "r"}}) // the way back of the way back
+	r.until(Completed, allSucceed)
 }
 
-func TestReleaseHaltsWhere(t *testing.T) {
-	for want, spoil := range map[string]func(*rig, Order){
-		"came back with version v9, though it was to be v2": func(r *rig, o Order) { r.pass(1); r.run(0, 2, "a", "v9") },
-		"n00 is not back within 5000 ms": func(r *rig, o Order) {
+func TestReleaseHaltReasons(t *testing.T) {
+	for want, spoil := range map[string]func(*harness, Order){
+		"came back with version v9, though it was to be v2": func(r *harness, o Order) { r.pass(1); r.run(0, 2, "a", "v9") },
+		"n00 is not back within 5000 ms": func(r *harness, o Order) {
 			for range 6 {
 				r.pass(1000)
 				for i := range 4 {
-					r.renew(i, 1, Figures{})
+					r.renew(i, 1, RequestCounts{})
 				}
 			}
 		},
-		"which runs version v2, is out: gone": func(r *rig, o Order) {
-			r.carry(fine)
+		"which runs version v2, is out: gone": func(r *harness, o Order) {
+			r.runHooks(allSucceed)
 			for range 4 {
 				r.pass(900)
 				for i := range 3 {
-					r.renew(i+1, 1, Figures{})
+					r.renew(i+1, 1, RequestCounts{})
 				}
 			}
 		},
 	} {
-		r := newRig(t, Limits{MostGatherers: 1})
+		r := newHarness(t, Limits{MaxGatherers: 1})
 		r.gatherers(4)
 		p := plan(0.25, 1)
-		r.must(Command{Start: &p})
+		r.must(Command{StartRelease: &p})
 		for range 10 {
 			if len(r.Orders()) > 0 {
 				break
 			}
-			r.carry(fine)
+			r.runHooks(allSucceed)
 		}
 		orders := r.Orders()
 		if len(orders) != 1 {
 			t.Fatalf("%s: orders %v", want, orders)
 		}
 		spoil(r, orders[0])
-		if rel := r.Release("r"); rel.Phase != Halted || !strings.Contains(rel.Why, want) {
-			t.Errorf("want %q, is %s: %q", want, rel.Phase, rel.Why)
+		if rel := r.Release("r"); rel.Phase != Halted || !strings.Contains(rel.HaltReason, want) {
+			t.Errorf("want %q, is %s: %q", want, rel.Phase, rel.HaltReason)
 		}
 	}
 }
 
-func TestAGateWithoutSearchesHaltsInTheEnd(t *testing.T) {
-	r := newRig(t, Limits{MostGatherers: 1})
+func TestGateWithoutRequestsHalts(t *testing.T) {
+	r := newHarness(t, Limits{MaxGatherers: 1})
 	r.gatherers(4)
 	p := plan(0.25, 1)
-	r.must(Command{Start: &p})
+	r.must(Command{StartRelease: &p})
 	for range 40 {
 		for _, o := range r.Orders() {
 			var i int
@@ -359,56 +367,56 @@
 			r.run(i, 2, "a", o.Version)
 		}
 		r.pass(500)
-		for _, m := range r.order(Gatherer) {
+		for _, m := range r.sortedMembers(Gatherer) {
 			r.must(Command{At: r.Now, Renew: &Renew{Name: m.Name, Incarnation: m.Incarnation, Status: Ready}})
 		}
 	}
-	if rel := r.Release("r"); rel.Phase != Halted || !strings.Contains(rel.Why, "needed to judge it") {
-		t.Errorf("%s: %q", rel.Phase, rel.Why)
+	if rel := r.Release("r"); rel.Phase != Halted || !strings.Contains(rel.HaltReason, "needed to judge it") {
+		t.Errorf("%s: %q", rel.Phase, rel.HaltReason)
 	}
 }
 
-func TestBackWhileAStepIsUnderWayOrdersAnew(t *testing.T) {
-	r := newRig(t, Limits{MostGatherers: 2})
+func TestRollBackReissuesOrders(t *testing.T) {
+	r := newHarness(t, Limits{MaxGatherers: 2})
 	r.gatherers(4)
 	p := plan(0.5, 1)
-	r.must(Command{Start: &p})
+	r.must(Command{StartRelease: &p})
 	for range 10 {
 		if len(r.Orders()) == 2 {
 			break
 		}
-		r.carry(fine)
+		r.runHooks(allSucceed)
 	}
 	first := r.Orders()
-	r.must(Command{Back: &Back{ID: "r"}})
+	r.must(Command{RollBack: &RollBack{ID: "r"}})
 	now := r.Orders()
 	if len(now) != 2 || now[0].Version != "v1" || now[0].Epoch == first[0].Epoch {
 		t.Errorf("orders %v, before %v", now, first)
 	}
-	r.until(WentBack, fine)
+	r.until(RolledBack, allSucceed)
 }
 
-func TestResumeForgetsWhoIsGoneForGood(t *testing.T) {
-	r := newRig(t, Limits{MostGatherers: 1})
+func TestResumeDropsFormerMembers(t *testing.T) {
+	r := newHarness(t, Limits{MaxGatherers: 1})
 	r.gatherers(3)
 	p := plan(1)
-	r.must(Command{Start: &p})
+	r.must(Command{StartRelease: &p})
 	for range 4 {
 		r.pass(900)
-		r.renew(1, 1, Figures{Answered: 100})
-		r.renew(2, 1, Figures{Answered: 100})
+		r.renew(1, 1, RequestCounts{Answered: 100})
+		r.renew(2, 1, RequestCounts{Answered: 100})
 	}
-	r.refused(Command{Forget: &Forget{Name: name(1)}}, "is alive")
-	r.must(Command{Forget: &Forget{Name: name(0)}})
+	r.mustFail(Command{Forget: &Forget{Name: memberName(1)}}, "is alive")
+	r.must(Command{Forget: &Forget{Name: memberName(0)}})
 	if rel := r.Release("r"); rel.Phase != Halted {
 		t.Fatalf("a target is no member any more and the release is %s", rel.Phase)
 	}
-	r.must(Command{Resume: &Resume{ID: "r"}})
-	r.until(Done, fine)
+	r.must(Command{ResumeRelease: &ResumeRelease{ID: "r"}})
+	r.until(Completed, allSucceed)
 }
 
-func TestBadPlansAreRefusedInASentence(t *testing.T) {
-	r := newRig(t, Limits{})
+func TestInvalidCommandsAreRejected(t *testing.T) {
+	r := newHarness(t, Limits{})
 	r.gatherers(2)
 	for want, spoil := range map[string]func(*Plan){
 		"needs a name":            func(p *Plan) { p.ID = "" },
@@ -417,74 +425,74 @@
 		"the last step":           func(p *Plan) { p.Steps = []float64{0.5} },
 		"shares that rise":        func(p *Plan) { p.Steps = []float64{0.5, 0.5, 1} },
 		"no gatherer runs":        func(p *Plan) { p.From = "v0" },
-		"how long one change may": func(p *Plan) { p.Within = 0 },
+		"how long one change may": func(p *Plan) { p.ChangeTimeout = 0 },
 	} {
 		p := plan(0.5, 1)
 		spoil(&p)
-		r.refused(Command{Start: &p}, want)
+		r.mustFail(Command{StartRelease: &p}, want)
 	}
-	for _, c := range []Command{{Halt: &Halt{ID: "x"}}, {Resume: &Resume{ID: "x"}}, {Back: &Back{ID: "x"}}} {
-		r.refused(c, "there is no release x")
+	for _, c := range []Command{{HaltRelease: &HaltRelease{ID: "x"}}, {ResumeRelease: &ResumeRelease{ID: "x"}}, {RollBack: &RollBack{ID: "x"}}} {
+		r.mustFail(c, "there is no release x")
 	}
-	r.refused(Command{Forget: &Forget{Name: "x"}}, "x is no member")
-	r.refused(Command{Renew: &Renew{Name: "x"}}, "x is no member")
+	r.mustFail(Command{Forget: &Forget{Name: "x"}}, "x is no member")
+	r.mustFail(Command{Renew: &Renew{Name: "x"}}, "x is no member")
 }
 
-func TestHolderAsksAndEndsInAnyCase(t *testing.T) {
-	h := NewHolder(1000)
-	if got := h.End(0); !got.Ask || got.Drain {
+func TestDrainerRequestsThenDrains(t *testing.T) {
+	h := NewDrainer(1000)
+	if got := h.Begin(0); !got.RequestPermit || got.Drain {
 		t.Fatalf("told to end: %+v", got)
 	}
-	if got := h.Answered(10, nil); got.Drain || got.Ask || got.At != 50 {
+	if got := h.HandleReply(10, nil); got.Drain || got.RequestPermit || got.PollAt != 50 {
 		t.Errorf("refused: %+v", got)
 	}
-	if got := h.Look(50); !got.Ask {
+	if got := h.Poll(50); !got.RequestPermit {
 		t.Errorf("later: %+v", got)
 	}
-	if got := h.Look(1000); !got.Drain || got.Agreed {
+	if got := h.Poll(1000); !got.Drain || got.Permitted {
 		t.Errorf("after its wait: %+v", got)
 	}
-	if got := h.Answered(1001, &Permit{Epoch: 4}); got.Drain {
+	if got := h.HandleReply(1001, &Permit{Epoch: 4}); got.Drain {
 		t.Errorf("drains twice: %+v", got)
 	}
-	h = NewHolder(1000)
-	h.End(0)
-	if got := h.Answered(5, &Permit{Epoch: 4}); !got.Drain || !got.Agreed {
+	h = NewDrainer(1000)
+	h.Begin(0)
+	if got := h.HandleReply(5, &Permit{Epoch: 4}); !got.Drain || !got.Permitted {
 		t.Errorf("granted: %+v", got)
 	}
 	// Called off before its answer came; that answer, coming late, is of a permit that was given back.
-	h = NewHolder(1000)
-	h.End(0)
+	h = NewDrainer(1000)
+	h.Begin(0)
 	h.permit = &Permit{Epoch: 4}
-	if p := h.Stay(); p == nil || p.Epoch != 4 {
+	if p := h.Cancel(); p == nil || p.Epoch != 4 {
 		t.Errorf("gives back %+v", p)
 	}
-	h.End(10)
-	if got := h.Answered(11, &Permit{Epoch: 4}); got.Drain {
+	h.Begin(10)
+	if got := h.HandleReply(11, &Permit{Epoch: 4}); got.Drain {
 		t.Errorf("drains by a permit that was given back: %+v", got)
 	}
 }
 
 // Two changes that one command began bear its epoch alike: whoever carries them out must tell them by name too. What was under way when
 // the release halts comes to its end all the same, whichever target it halted for.
-func TestChangesUnderWayEndThoughTheReleaseHalts(t *testing.T) {
-	r := newRig(t, Limits{MostGatherers: 2})
+func TestOngoingChangesCompleteAfterHalt(t *testing.T) {
+	r := newHarness(t, Limits{MaxGatherers: 2})
 	r.gatherers(4)
 	p := plan(0.5, 1)
-	r.must(Command{Start: &p})
+	r.must(Command{StartRelease: &p})
 	for range 10 {
 		if len(r.Orders()) == 2 {
 			break
 		}
-		r.carry(fine)
+		r.runHooks(allSucceed)
 	}
 	orders := r.Orders()
 	if len(orders) != 2 || orders[0].Name == orders[1].Name || orders[0].Epoch != orders[1].Epoch {
 		t.Fatalf("orders %v", orders)
 	}
 	r.pass(1)
-	r.must(Command{At: r.Now, Join: &Join{Name: name(1), Zone: "a", Version: "v2", Incarnation: 2}})
-	if now := r.Orders(); len(now) != 1 || now[0].Name != name(0) {
+	r.must(Command{At: r.Now, Join: &Join{Name: memberName(1), Zone: "a", Version: "v2", Incarnation: 2}})
+	if now := r.Orders(); len(now) != 1 || now[0].Name != memberName(0) {
 		t.Errorf("one that runs anew is ordered again: %v", now)
 	}
 	r.run(0, 2, "a", "v9") // the first one's hook lies
@@ -492,63 +500,63 @@
 		t.Fatalf("the release is %s", rel.Phase)
 	}
 	r.run(1, 2, "a", "v2")
-	if m := r.Members[name(1)]; m.Permit != nil || r.Release("r").Targets[1].State != changed {
+	if m := r.Members[memberName(1)]; m.Permit != nil || r.Release("r").Targets[1].State != TargetChanged {
 		t.Errorf("%s is back with its version and still counts as out: %v", m.Name, m.Permit)
 	}
 }
 
 // A halted release that goes on gives more time to what is under way, and still knows what had come back by then.
-func TestResumeKnowsWhoRanAnewBefore(t *testing.T) {
-	r := newRig(t, Limits{MostGatherers: 1})
+func TestResumeKeepsRestartsDuringHalt(t *testing.T) {
+	r := newHarness(t, Limits{MaxGatherers: 1})
 	r.gatherers(3)
 	p := plan(0.3, 1)
-	r.must(Command{Start: &p})
+	r.must(Command{StartRelease: &p})
 	for range 10 {
 		if len(r.Orders()) > 0 {
 			break
 		}
-		r.carry(fine)
+		r.runHooks(allSucceed)
 	}
-	r.must(Command{Halt: &Halt{ID: "r"}})
+	r.must(Command{HaltRelease: &HaltRelease{ID: "r"}})
 	r.pass(1)
-	r.must(Command{At: r.Now, Join: &Join{Name: name(0), Zone: "a", Version: "v2", Incarnation: 2}})
+	r.must(Command{At: r.Now, Join: &Join{Name: memberName(0), Zone: "a", Version: "v2", Incarnation: 2}})
 	r.pass(1)
-	r.must(Command{At: r.Now, Resume: &Resume{ID: "r"}})
+	r.must(Command{At: r.Now, ResumeRelease: &ResumeRelease{ID: "r"}})
 	r.pass(1)
-	r.renew(0, 2, Figures{})
-	if rel := r.Release("r"); rel.Targets[0].State != changed {
+	r.renew(0, 2, RequestCounts{})
+	if rel := r.Release("r"); rel.Targets[0].State != TargetChanged {
 		t.Errorf("it is %s, though it came back with its version", rel.Targets[0].State)
 	}
 }
 
 // A gatherer that was killed and runs again is cold for a moment: no reason to halt.
-func TestAColdOneDoesNotHaltARelease(t *testing.T) {
-	r := newRig(t, Limits{MostGatherers: 1})
+func TestWarmingUpTargetDoesNotHaltRelease(t *testing.T) {
+	r := newHarness(t, Limits{MaxGatherers: 1})
 	r.gatherers(3)
 	p := plan(0.3, 1)
-	r.must(Command{Start: &p})
+	r.must(Command{StartRelease: &p})
 	for range 20 {
-		if r.Release("r").Targets[0].State == changed {
+		if r.Release("r").Targets[0].State == TargetChanged {
 			break
 		}
-		r.carry(fine)
+		r.runHooks(allSucceed)
 	}
-	r.must(Command{At: r.Now, Join: &Join{Name: name(0), Zone: "a", Version: "v2", Incarnation: 9}})
-	if rel := r.Release("r"); rel.Phase != Going || rel.Targets[0].State != changed {
-		t.Errorf("the release is %s: %s", rel.Phase, rel.Why)
+	r.must(Command{At: r.Now, Join: &Join{Name: memberName(0), Zone: "a", Version: "v2", Incarnation: 9}})
+	if rel := r.Release("r"); rel.Phase != Running || rel.Targets[0].State != TargetChanged {
+		t.Errorf("the release is %s: %s", rel.Phase, rel.HaltReason)
 	}
 }
 
-func TestFenceLetsNothingPassTwice(t *testing.T) {
-	f := NewFence(100, 4)
+func TestReplayFilterAcceptsNothingTwice(t *testing.T) {
+	f := NewReplayFilter(100, 4)
 	passed := map[string]uint64{}
 	for no := uint64(90); no < 400; no++ {
 		who := fmt.Sprint("s", no%9)
-		if ok, _ := f.Pass(who, no); ok {
+		if ok, _ := f.Accept(who, no); ok {
 			passed[who] = no
 		}
 		for who, no := range passed {
-			if ok, least := f.Pass(who, no); ok || least < no {
+			if ok, least := f.Accept(who, no); ok || least < no {
 				t.Fatalf("%s said %d twice, and is told %d", who, no, least)
 			}
 		}
@@ -562,62 +570,62 @@
 }
 
 // A gate that flaps: once it halted, better figures do not let the release go on by itself.
-func TestAHaltedReleaseStaysHalted(t *testing.T) {
-	r := newRig(t, Limits{MostGatherers: 2})
+func TestHaltedReleaseStaysHalted(t *testing.T) {
+	r := newHarness(t, Limits{MaxGatherers: 2})
 	r.gatherers(6)
 	p := plan(0.3, 1)
-	r.must(Command{Start: &p})
+	r.must(Command{StartRelease: &p})
 	rel := r.until(Halted, func(v Version) bool { return v == "v1" })
-	why := rel.Why
+	why := rel.HaltReason
 	for range 10 {
-		r.carry(fine)
+		r.runHooks(allSucceed)
 	}
-	if rel.Phase != Halted || rel.Why != why || len(r.Orders()) > 0 {
-		t.Errorf("the release is %s: %s, orders %v", rel.Phase, rel.Why, r.Orders())
+	if rel.Phase != Halted || rel.HaltReason != why || len(r.Orders()) > 0 {
+		t.Errorf("the release is %s: %s, orders %v", rel.Phase, rel.HaltReason, r.Orders())
 	}
 }
 
 // A halt that crosses a grant: the permit stands, nothing is ordered, and the way on orders it again.
-func TestAHaltRightBehindAGrant(t *testing.T) {
-	r := newRig(t, Limits{MostGatherers: 1})
+func TestHaltAfterGrantKeepsPermit(t *testing.T) {
+	r := newHarness(t, Limits{MaxGatherers: 1})
 	r.gatherers(3)
 	p := plan(1)
-	r.must(Command{Start: &p})
+	r.must(Command{StartRelease: &p})
 	for range 10 {
 		if len(r.Orders()) > 0 {
 			break
 		}
-		r.carry(fine)
+		r.runHooks(allSucceed)
 	}
-	r.must(Command{Halt: &Halt{ID: "r"}})
-	if len(r.Orders()) > 0 || r.Members[name(0)].Permit == nil {
-		t.Errorf("orders %v, permit %v", r.Orders(), r.Members[name(0)].Permit)
+	r.must(Command{HaltRelease: &HaltRelease{ID: "r"}})
+	if len(r.Orders()) > 0 || r.Members[memberName(0)].Permit == nil {
+		t.Errorf("orders %v, permit %v", r.Orders(), r.Members[memberName(0)].Permit)
 	}
-	r.refused(ask(1, 1), "1 of at most 1")
-	r.must(Command{Resume: &Resume{ID: "r"}})
-	r.until(Done, fine)
+	r.mustFail(permitRequest(1, 1), "1 of at most 1")
+	r.must(Command{ResumeRelease: &ResumeRelease{ID: "r"}})
+	r.until(Completed, allSucceed)
 }
 
 // Servers die until a segment is down to its least replicas in the middle of a release of servers: it waits, and goes on once they are back.
-func TestServersDyingInMidReleaseHoldIt(t *testing.T) {
-	r := newRig(t, Limits{LeastReplicas: 1, MostServers: 3})
-	list := func(dead ...Name) {
-		l := &Listed{}
-		for i, n := range []Name{"s1", "s2", "s3"} {
+func TestReleaseWaitsForMinReplicas(t *testing.T) {
+	r := newHarness(t, Limits{MinReplicas: 1, MaxServers: 3})
+	list := func(dead ...MemberName) {
+		l := &UpdateServers{}
+		for i, n := range []MemberName{"s1", "s2", "s3"} {
 			status := Ready
 			for _, d := range dead {
 				if d == n {
-					status = Cold
+					status = WarmingUp
 				}
 			}
 			l.Servers = append(l.Servers, ListedServer{n, "a", "v1", Incarnation(i + 1), status, []Segment{0}})
 		}
-		r.must(Command{At: r.Now, Listed: l})
+		r.must(Command{At: r.Now, UpdateServers: l})
 	}
 	list()
-	p := Plan{ID: "r", Kind: Server, From: "v1", To: "v2", Steps: []float64{1}, Within: 60000}
+	p := Plan{ID: "r", Kind: Server, From: "v1", To: "v2", Steps: []float64{1}, ChangeTimeout: 60000}
 	list("s2", "s3")
-	r.must(Command{Start: &p})
+	r.must(Command{StartRelease: &p})
 	r.pass(10)
 	if n := len(r.Orders()); n != 0 {
 		t.Errorf("%d servers are ordered out where each is its segment's last", n)
--- a/raftlog/agree.go
+++ b/raftlog/agree.go
@@ -87,8 +87,8 @@
 	cutAt    uint64
 	began    uint64 // the first command number of this steward's lead that it has applied; 0 = it does not lead, or not yet
 	term     uint64
-	now      maintenance.Moment // own clock
-	base     maintenance.Moment // the machine's time when this lead began, less the own clock then
+	now      maintenance.Time // own clock
+	base     maintenance.Time // the machine's time when this lead began, less the own clock then
 	seq      uint64
 	waiting  map[uint64]func(maintenance.Result, error)
 	ticks    int            // so many since the start
@@ -214,7 +214,7 @@
 func (n *Node) Dead() error { return n.dead }
 
 // Tick lets time pass, by the steward's own monotonic clock.
-func (n *Node) Tick(now maintenance.Moment) {
+func (n *Node) Tick(now maintenance.Time) {
 	if n.dead != nil {
 		return
 	}
--- a/raftlog/agree_test.go
+++ b/raftlog/agree_test.go
@@ -70,7 +70,7 @@
 	node   *Node // nil = dead
 	disk   *disk
 	frozen bool
-	clock  maintenance.Moment // its own is so much ahead
+	clock  maintenance.Time // its own is so much ahead
 }
 
 type letter struct {
@@ -91,11 +91,11 @@
 	cut     map[[2]ID]bool
 	loss    float64
 	names   int
-	acked   []maintenance.Name
+	acked   []maintenance.MemberName
 	at      map[maintenance.Epoch][]byte // the state after each command, as the first steward to be seen there had it
 }
 
-var limits = maintenance.Limits{MostGatherers: 1, LeaseSpan: 3000}
+var limits = maintenance.Limits{MaxGatherers: 1, LeaseDuration: 3000}
 
 func newWorld(t interface{ Fatalf(string, ...any) }, seed uint64, n int, loss float64) *world {
 	w := &world{t: t, rand: rand.New(rand.NewPCG(seed, 3)), cut: map[[2]ID]bool{}, loss: loss, at: map[maintenance.Epoch][]byte{}}
@@ -117,7 +117,7 @@
 		w.t.Fatalf("steward %d does not start: %v", s.id, err)
 	}
 	// Each run has a clock of its own: a new leader carries the machine's time on from where it stood.
-	s.node, s.frozen, s.clock = node, false, maintenance.Moment(w.rand.IntN(864_000_000))
+	s.node, s.frozen, s.clock = node, false, maintenance.Time(w.rand.IntN(864_000_000))
 }
 
 // leader passes time until one leads that is not the one left out. Elections that split are held again, at waits that the library
@@ -158,7 +158,7 @@
 		}
 		for _, s := range w.all {
 			if s.node != nil && !s.frozen {
-				s.node.Tick(maintenance.Moment(100*w.tick) + s.clock)
+				s.node.Tick(maintenance.Time(100*w.tick) + s.clock)
 				w.turn(s)
 			}
 		}
@@ -184,7 +184,7 @@
 		w.kept(s)
 	}
 	st := s.node.State()
-	if limit := maintenance.Moment(100 * w.tick); st.Now > limit {
+	if limit := maintenance.Time(100 * w.tick); st.Now > limit {
 		w.t.Fatalf("steward %d holds it for %d, %d have passed", s.id, st.Now, limit)
 	}
 	b, err := st.Snapshot()
@@ -232,7 +232,7 @@
 			continue
 		}
 		w.names++
-		n := maintenance.Name(fmt.Sprintf("m%04d", w.names))
+		n := maintenance.MemberName(fmt.Sprintf("m%04d", w.names))
 		s.node.Propose(maintenance.Command{Join: &maintenance.Join{Name: n, Zone: "a", Version: "v1", Incarnation: 1}}, func(_ maintenance.Result, err error) {
 			if err == nil {
 				w.acked = append(w.acked, n)
@@ -349,12 +349,12 @@
 	}
 	var got error
 	lead := w.all[slices.IndexFunc(w.all, func(s *steward) bool { return s.node != nil })]
-	lead.node.Propose(maintenance.Command{Turn: &maintenance.Turn{}}, func(_ maintenance.Result, err error) { got = err })
+	lead.node.Propose(maintenance.Command{AdvanceTime: &maintenance.AdvanceTime{}}, func(_ maintenance.Result, err error) { got = err })
 	w.pass(60)
 	if !errors.Is(got, ErrUnsure) || lead.node.Leads() {
 		t.Errorf("without a majority: %v, leads %v", got, lead.node.Leads())
 	}
-	lead.node.Propose(maintenance.Command{Turn: &maintenance.Turn{}}, func(_ maintenance.Result, err error) { got = err })
+	lead.node.Propose(maintenance.Command{AdvanceTime: &maintenance.AdvanceTime{}}, func(_ maintenance.Result, err error) { got = err })
 	if !errors.Is(got, ErrNotLeading) {
 		t.Errorf("asked again: %v", got)
 	}
@@ -394,7 +394,7 @@
 		w.pass(40)
 		return err
 	}
-	for _, n := range []maintenance.Name{"m1", "m2"} {
+	for _, n := range []maintenance.MemberName{"m1", "m2"} {
 		for _, c := range []maintenance.Command{{Join: &maintenance.Join{Name: n, Zone: "a", Version: "v", Incarnation: 1}},
 			{Renew: &maintenance.Renew{Name: n, Incarnation: 1, Status: maintenance.Ready}}} {
 			if err := tell(lead, c); err != nil {
@@ -403,14 +403,14 @@
 		}
 	}
 	w.fault(7, int(lead.id)-1, 0) // it hears and is heard by nobody
-	if err := tell(lead, maintenance.Command{Ask: &maintenance.Ask{Name: "m1", Incarnation: 1}}); !errors.Is(err, ErrUnsure) {
+	if err := tell(lead, maintenance.Command{RequestPermit: &maintenance.RequestPermit{Name: "m1", Incarnation: 1}}); !errors.Is(err, ErrUnsure) {
 		t.Errorf("the side without a majority says %v", err)
 	}
 	next := w.leader(lead)
 	// The leases ran out on the way: both renew in the tick in which m2 asks.
 	next.node.Propose(maintenance.Command{Renew: &maintenance.Renew{Name: "m2", Incarnation: 1, Status: maintenance.Ready}}, func(maintenance.Result, error) {})
 	next.node.Propose(maintenance.Command{Renew: &maintenance.Renew{Name: "m1", Incarnation: 1, Status: maintenance.Ready}}, func(maintenance.Result, error) {})
-	if err := tell(next, maintenance.Command{Ask: &maintenance.Ask{Name: "m2", Incarnation: 1}}); err != nil {
+	if err := tell(next, maintenance.Command{RequestPermit: &maintenance.RequestPermit{Name: "m2", Incarnation: 1}}); err != nil {
 		t.Errorf("the side with a majority says %v", err)
 	}
 	clear(w.cut)
