--- a/internal/raftnode/disk.go
+++ b/internal/raftnode/disk.go
@@ -39,9 +39,9 @@
 
 func number(no uint64) string { return fmt.Sprintf("%016x", no) }
 
-func (d *disk) Load() (raftlog.Kept, error) {
-	var k raftlog.Kept
-	k.Hard, _ = d.s.Get(tableVote, keyHard)
+func (d *disk) Load() (raftlog.StoredLog, error) {
+	var k raftlog.StoredLog
+	k.HardState, _ = d.s.Get(tableVote, keyHard)
 	k.Snapshot, _ = d.s.Get(tableVote, keySnapshot)
 	all := d.s.All(tableCommands)
 	for _, key := range slices.Sorted(maps.Keys(all)) {
@@ -49,42 +49,42 @@
 		if err != nil {
 			return k, fmt.Errorf("the fleet's log has a command under %.40q", key)
 		}
-		k.Entries = append(k.Entries, raftlog.Numbered{No: no, Bytes: all[key]})
+		k.Entries = append(k.Entries, raftlog.Entry{Index: no, Data: all[key]})
 	}
 	if n := len(k.Entries); n > 0 {
-		d.first, d.last = k.Entries[0].No, k.Entries[n-1].No
+		d.first, d.last = k.Entries[0].Index, k.Entries[n-1].Index
 	}
 	return k, nil
 }
 
-func (d *disk) Keep(c raftlog.Change) error {
+func (d *disk) Write(c raftlog.WriteBatch) error {
 	var ops []store.Op
 	put := func(t store.Table, key string, v []byte) { ops = append(ops, store.Op{Table: t, Key: key, Value: v}) }
 	drop := func(no uint64) { ops = append(ops, store.Op{Table: tableCommands, Key: number(no), Delete: true}) }
-	if c.Hard != nil {
-		put(tableVote, keyHard, c.Hard)
+	if c.HardState != nil {
+		put(tableVote, keyHard, c.HardState)
 	}
 	if c.Snapshot != nil {
 		put(tableVote, keySnapshot, c.Snapshot)
 	}
 	first, last := d.first, d.last
 	if first > 0 {
-		for ; first <= last && first <= c.UpTo; first++ {
+		for ; first <= last && first <= c.CompactTo; first++ {
 			drop(first)
 		}
-		for ; c.From > 0 && last >= max(c.From, first); last-- {
+		for ; c.TruncateFrom > 0 && last >= max(c.TruncateFrom, first); last-- {
 			drop(last)
 		}
 		if first > last {
 			first, last = 0, 0
 		}
 	}
-	for _, e := range c.Put {
-		put(tableCommands, number(e.No), e.Bytes)
+	for _, e := range c.Entries {
+		put(tableCommands, number(e.Index), e.Data)
 		if first == 0 {
-			first = e.No
+			first = e.Index
 		}
-		last = e.No
+		last = e.Index
 	}
 	if err := d.s.Commit(ops...); err != nil {
 		return err
--- a/internal/raftnode/steward.go
+++ b/internal/raftnode/steward.go
@@ -113,9 +113,9 @@
 	for i := range f.Stewards {
 		ids = append(ids, raftlog.ID(i+1))
 	}
-	if s.node, err = raftlog.New(raftlog.Setup{ID: s.id, Stewards: ids, Limits: f.Limits, Disk: s.disk, Found: found}); err != nil {
+	if s.node, err = raftlog.New(raftlog.Config{ID: s.id, Voters: ids, Limits: f.Limits, Storage: s.disk, Bootstrap: found}); err != nil {
 		s.disk.s.Close()
-		if errors.Is(err, raftlog.ErrEmpty) {
+		if errors.Is(err, raftlog.ErrNoLog) {
 			return nil, fmt.Errorf("%w: 'serve --found-fleet' on every steward, once, makes it", err)
 		}
 		return nil, err
@@ -177,7 +177,7 @@
 		case <-tick.C:
 			ticks++
 			s.node.Tick(maintenance.Time(time.Since(s.since).Milliseconds()))
-			if s.node.Leads() && ticks%turnEvery == 0 {
+			if s.node.IsLeader() && ticks%turnEvery == 0 {
 				s.node.Propose(maintenance.Command{AdvanceTime: &maintenance.AdvanceTime{}}, func(maintenance.Result, error) {})
 			}
 		case m := <-s.box:
@@ -186,15 +186,15 @@
 				s.take(<-s.box)
 			}
 		}
-		for _, m := range s.node.Turn() {
+		for _, m := range s.node.Process() {
 			s.send(m)
 		}
-		if leads := s.node.Leads(); leads != led {
+		if leads := s.node.IsLeader(); leads != led {
 			led = leads
 			clear(s.done)
 			slog.Info("fleet_leader", "name", s.f.Name, "leads", leads, "applied", s.node.State().Applied)
 		}
-		if err := s.node.Dead(); err != nil {
+		if err := s.node.Err(); err != nil {
 			// It must say nothing more; the gatherer goes on serving, and the other stewards go on without it.
 			slog.Error("fleet_steward_stopped", "name", s.f.Name, "error", err)
 			s.drain()
@@ -250,7 +250,7 @@
 	case question:
 		if m.Command == nil {
 			a := answer{Leader: s.leader()}
-			if a.NotMe = !s.node.Leads(); !a.NotMe || a.Leader == "" {
+			if a.NotMe = !s.node.IsLeader(); !a.NotMe || a.Leader == "" {
 				a.State = s.copied()
 			}
 			m.reply <- a
@@ -260,7 +260,7 @@
 			a := answer{Leader: s.leader(), Permit: r.Permit}
 			if err != nil {
 				a.Error, a.Refused, a.Stale = err.Error(), errors.Is(err, maintenance.ErrRefused), errors.Is(err, maintenance.ErrStale)
-				a.NotMe, a.Unsure = errors.Is(err, raftlog.ErrNotLeading), errors.Is(err, raftlog.ErrUnsure)
+				a.NotMe, a.Unsure = errors.Is(err, raftlog.ErrNotLeader), errors.Is(err, raftlog.ErrOutcomeUnknown)
 			} else if c := m.Command.Renew; c != nil {
 				if member := s.node.State().Members[c.Name]; member != nil {
 					a.Permit = member.ActivePermit()
--- a/internal/raftnode/steward_test.go
+++ b/internal/raftnode/steward_test.go
@@ -140,7 +140,7 @@
 		var p *maintenance.Permit
 		var err error
 		for end := time.Now().Add(20 * time.Second); time.Now().Before(end); {
-			if p, err = c.Do(ctx, command); !errors.Is(err, ErrNobody) && !strings.Contains(fmt.Sprint(err), raftlog.ErrUnsure.Error()) {
+			if p, err = c.Do(ctx, command); !errors.Is(err, ErrNobody) && !strings.Contains(fmt.Sprint(err), raftlog.ErrOutcomeUnknown.Error()) {
 				break
 			}
 		}
--- a/raftlog/agree_test.go
+++ b/raftlog/node_test.go
@@ -27,92 +27,92 @@
 	os.Exit(m.Run())
 }
 
-// disk is one in memory that fails when told to; a failing Keep may have kept or not.
-type disk struct {
-	hard, snap []byte
-	entries    map[uint64][]byte
-	fails      int // 1 = keeps and says it did not, 2 = does not keep
+// memoryStorage is one in memory that fails when told to; a failing Keep may have kept or not.
+type memoryStorage struct {
+	hardState, snapshot []byte
+	entries             map[uint64][]byte
+	failure             int // 1 = keeps and says it did not, 2 = does not keep
 }
 
-func (d *disk) Load() (Kept, error) {
-	k := Kept{Hard: d.hard, Snapshot: d.snap}
+func (d *memoryStorage) Load() (StoredLog, error) {
+	k := StoredLog{HardState: d.hardState, Snapshot: d.snapshot}
 	for _, no := range slices.Sorted(maps.Keys(d.entries)) {
-		k.Entries = append(k.Entries, Numbered{no, d.entries[no]})
+		k.Entries = append(k.Entries, Entry{no, d.entries[no]})
 	}
 	return k, nil
 }
 
-func (d *disk) Keep(c Change) error {
-	if d.fails == 2 {
+func (d *memoryStorage) Write(c WriteBatch) error {
+	if d.failure == 2 {
 		return errors.New("the disk is gone")
 	}
-	if c.Hard != nil {
-		d.hard = c.Hard
+	if c.HardState != nil {
+		d.hardState = c.HardState
 	}
 	if c.Snapshot != nil {
-		d.snap = c.Snapshot
+		d.snapshot = c.Snapshot
 	}
-	if c.From > 0 {
-		maps.DeleteFunc(d.entries, func(no uint64, _ []byte) bool { return no >= c.From })
+	if c.TruncateFrom > 0 {
+		maps.DeleteFunc(d.entries, func(no uint64, _ []byte) bool { return no >= c.TruncateFrom })
 	}
-	maps.DeleteFunc(d.entries, func(no uint64, _ []byte) bool { return no <= c.UpTo })
-	for _, e := range c.Put {
-		d.entries[e.No] = e.Bytes
+	maps.DeleteFunc(d.entries, func(no uint64, _ []byte) bool { return no <= c.CompactTo })
+	for _, e := range c.Entries {
+		d.entries[e.Index] = e.Data
 	}
-	if d.fails == 1 {
+	if d.failure == 1 {
 		return errors.New("the disk did not say that it kept this")
 	}
 	return nil
 }
 
-type steward struct {
-	id     ID
-	node   *Node // nil = dead
-	disk   *disk
-	frozen bool
-	clock  maintenance.Time // its own is so much ahead
+type simNode struct {
+	id      ID
+	node    *Node // nil = dead
+	storage *memoryStorage
+	frozen  bool
+	clock   maintenance.Time // its own is so much ahead
 }
 
-type letter struct {
+type message struct {
 	at   int
 	to   ID
 	from ID
-	b    []byte
+	data []byte
 }
 
 // world is a few stewards, a network that loses, repeats, delays and cuts, one way too, and what they acknowledged.
 type world struct {
-	t       interface{ Fatalf(string, ...any) }
-	rand    *rand.Rand
-	tick    int
-	all     []*steward
-	ids     []ID
-	letters []letter
-	cut     map[[2]ID]bool
-	loss    float64
-	names   int
-	acked   []maintenance.MemberName
-	at      map[maintenance.Epoch][]byte // the state after each command, as the first steward to be seen there had it
+	t            interface{ Fatalf(string, ...any) }
+	rand         *rand.Rand
+	tick         int
+	nodes        []*simNode
+	ids          []ID
+	messages     []message
+	partitioned  map[[2]ID]bool
+	loss         float64
+	proposals    int
+	acknowledged []maintenance.MemberName
+	stateAt      map[maintenance.Epoch][]byte // the state after each command, as the first steward to be seen there had it
 }
 
 var limits = maintenance.Limits{MaxGatherers: 1, LeaseDuration: 3000}
 
 func newWorld(t interface{ Fatalf(string, ...any) }, seed uint64, n int, loss float64) *world {
-	w := &world{t: t, rand: rand.New(rand.NewPCG(seed, 3)), cut: map[[2]ID]bool{}, loss: loss, at: map[maintenance.Epoch][]byte{}}
+	w := &world{t: t, rand: rand.New(rand.NewPCG(seed, 3)), partitioned: map[[2]ID]bool{}, loss: loss, stateAt: map[maintenance.Epoch][]byte{}}
 	for i := range n {
 		w.ids = append(w.ids, ID(i+1))
 	}
 	for _, id := range w.ids {
-		s := &steward{id: id, disk: &disk{entries: map[uint64][]byte{}}}
-		w.all = append(w.all, s)
-		w.run(s, true)
+		s := &simNode{id: id, storage: &memoryStorage{entries: map[uint64][]byte{}}}
+		w.nodes = append(w.nodes, s)
+		w.start(s, true)
 	}
 	return w
 }
 
-func (w *world) run(s *steward, found bool) {
-	s.disk.fails = 0
-	node, err := New(Setup{ID: s.id, Stewards: w.ids, Limits: limits, Disk: s.disk, Found: found, Compact: 6})
+func (w *world) start(s *simNode, found bool) {
+	s.storage.failure = 0
+	node, err := New(Config{ID: s.id, Voters: w.ids, Limits: limits, Storage: s.storage, Bootstrap: found, CompactAfter: 6})
 	if err != nil {
 		w.t.Fatalf("steward %d does not start: %v", s.id, err)
 	}
@@ -120,13 +120,13 @@
 	s.node, s.frozen, s.clock = node, false, maintenance.Time(w.rand.IntN(864_000_000))
 }
 
-// leader passes time until one leads that is not the one left out. Elections that split are held again, at waits that the library
+// awaitLeader passes time until one leads that is not the one left out. Elections that split are held again, at waits that the library
 // draws from a source of its own: how many it takes is not the seed's to say.
-func (w *world) leader(not *steward) *steward {
+func (w *world) awaitLeader(not *simNode) *simNode {
 	for range 100 {
 		w.pass(10)
-		for _, s := range w.all {
-			if s != not && s.node != nil && s.node.Leads() {
+		for _, s := range w.nodes {
+			if s != not && s.node != nil && s.node.IsLeader() {
 				return s
 			}
 		}
@@ -138,8 +138,8 @@
 func (w *world) pass(ticks int) {
 	for range ticks {
 		w.tick++
-		var due []letter
-		w.letters = slices.DeleteFunc(w.letters, func(l letter) bool {
+		var due []message
+		w.messages = slices.DeleteFunc(w.messages, func(l message) bool {
 			if l.at <= w.tick {
 				due = append(due, l)
 			}
@@ -147,41 +147,41 @@
 		})
 		w.rand.Shuffle(len(due), func(i, j int) { due[i], due[j] = due[j], due[i] })
 		for _, l := range due {
-			if s := w.all[l.to-1]; s.node != nil && !s.frozen && !w.cut[[2]ID{l.from, l.to}] {
+			if s := w.nodes[l.to-1]; s.node != nil && !s.frozen && !w.partitioned[[2]ID{l.from, l.to}] {
 				m := &pb.Message{}
-				if err := proto.Unmarshal(l.b, m); err != nil {
+				if err := proto.Unmarshal(l.data, m); err != nil {
 					w.t.Fatalf("message: %v", err)
 				}
 				_ = s.node.Step(m) // an old term's word is turned away
-				w.turn(s)
+				w.process(s)
 			}
 		}
-		for _, s := range w.all {
+		for _, s := range w.nodes {
 			if s.node != nil && !s.frozen {
 				s.node.Tick(maintenance.Time(100*w.tick) + s.clock)
-				w.turn(s)
+				w.process(s)
 			}
 		}
 	}
 }
 
-func (w *world) turn(s *steward) {
-	for _, m := range s.node.Turn() {
+func (w *world) process(s *simNode) {
+	for _, m := range s.node.Process() {
 		b, err := proto.Marshal(m)
 		if err != nil {
 			w.t.Fatalf("message: %v", err)
 		}
 		for range 2 {
 			if w.rand.Float64() >= w.loss {
-				w.letters = append(w.letters, letter{w.tick + w.rand.IntN(3), ID(m.GetTo()), s.id, b})
+				w.messages = append(w.messages, message{w.tick + w.rand.IntN(3), ID(m.GetTo()), s.id, b})
 			}
 			if w.rand.Float64() >= w.loss {
 				break
 			}
 		}
 	}
-	if s.node.Dead() == nil {
-		w.kept(s)
+	if s.node.Err() == nil {
+		w.checkStorage(s)
 	}
 	st := s.node.State()
 	if limit := maintenance.Time(100 * w.tick); st.Now > limit {
@@ -191,31 +191,31 @@
 	if err != nil {
 		w.t.Fatalf("snapshot: %v", err)
 	}
-	if seen, there := w.at[st.Applied]; !there {
-		w.at[st.Applied] = b
+	if seen, there := w.stateAt[st.Applied]; !there {
+		w.stateAt[st.Applied] = b
 	} else if !bytes.Equal(seen, b) {
 		w.t.Fatalf("after command %d steward %d has another state than one before:\n%s\n%s", st.Applied, s.id, b, seen)
 	}
 }
 
-// kept holds the disk against the log that the core reads: an entry too many would be a command that was never in force.
-func (w *world) kept(s *steward) {
-	last, err := s.node.mem.LastIndex()
+// checkStorage holds the disk against the log that the core reads: an entry too many would be a command that was never in force.
+func (w *world) checkStorage(s *simNode) {
+	last, err := s.node.memory.LastIndex()
 	if err != nil {
 		w.t.Fatalf("last index: %v", err)
 	}
-	first, err := s.node.mem.FirstIndex()
+	first, err := s.node.memory.FirstIndex()
 	if err != nil {
 		w.t.Fatalf("first index: %v", err)
 	}
-	for no, b := range s.disk.entries {
+	for no, b := range s.storage.entries {
 		if no > last {
 			w.t.Fatalf("steward %d keeps command %d, its log ends at %d", s.id, no, last)
 		}
 		if no < first {
 			continue
 		}
-		e, err := s.node.mem.Entries(no, no+1, 1<<30)
+		e, err := s.node.memory.Entries(no, no+1, 1<<30)
 		if err != nil {
 			w.t.Fatalf("entry %d: %v", no, err)
 		}
@@ -227,38 +227,38 @@
 
 // propose asks whoever holds itself for the leader to take a new member, and notes what was acknowledged.
 func (w *world) propose() {
-	for _, s := range w.all {
-		if s.node == nil || s.frozen || !s.node.Leads() {
+	for _, s := range w.nodes {
+		if s.node == nil || s.frozen || !s.node.IsLeader() {
 			continue
 		}
-		w.names++
-		n := maintenance.MemberName(fmt.Sprintf("m%04d", w.names))
+		w.proposals++
+		n := maintenance.MemberName(fmt.Sprintf("m%04d", w.proposals))
 		s.node.Propose(maintenance.Command{Join: &maintenance.Join{Name: n, Zone: "a", Version: "v1", Incarnation: 1}}, func(_ maintenance.Result, err error) {
 			if err == nil {
-				w.acked = append(w.acked, n)
+				w.acknowledged = append(w.acknowledged, n)
 			}
 		})
-		w.turn(s)
+		w.process(s)
 	}
 }
 
-// where tells how far each steward is.
-func (w *world) where() (out string) {
-	for _, s := range w.all {
+// describe tells how far each steward is.
+func (w *world) describe() (out string) {
+	for _, s := range w.nodes {
 		if s.node == nil {
 			out += fmt.Sprintf(" %d dead;", s.id)
 			continue
 		}
 		st := s.node.raw.BasicStatus()
 		out += fmt.Sprintf(" %d: %v term %d lead %d commit %d applied %d cut at %d, %v;", s.id, st.RaftState, st.GetTerm(), st.Lead,
-			st.GetCommit(), s.node.State().Applied, s.node.cutAt, s.node.Dead())
+			st.GetCommit(), s.node.State().Applied, s.node.compactedAt, s.node.Err())
 	}
 	return out
 }
 
-func (w *world) leading() (n int) {
-	for _, s := range w.all {
-		if s.node != nil && !s.frozen && s.node.Leads() {
+func (w *world) leaders() (n int) {
+	for _, s := range w.nodes {
+		if s.node != nil && !s.frozen && s.node.IsLeader() {
 			n++
 		}
 	}
@@ -266,33 +266,33 @@
 }
 
 func (w *world) fault(kind, i, j int) {
-	s := w.all[i%len(w.all)]
+	s := w.nodes[i%len(w.nodes)]
 	other := w.ids[j%len(w.ids)]
 	switch kind {
 	case 0, 1:
 		s.node = nil // killed; what it had proposed is told to nobody
 	case 2, 3, 4:
-		if s.node == nil || s.node.Dead() != nil {
-			w.run(s, false)
+		if s.node == nil || s.node.Err() != nil {
+			w.start(s, false)
 		}
 	case 5:
 		s.frozen = !s.frozen
 	case 6:
-		w.cut[[2]ID{s.id, other}] = !w.cut[[2]ID{s.id, other}]
+		w.partitioned[[2]ID{s.id, other}] = !w.partitioned[[2]ID{s.id, other}]
 	case 7:
 		for _, id := range w.ids {
-			w.cut[[2]ID{s.id, id}], w.cut[[2]ID{id, s.id}] = true, true
+			w.partitioned[[2]ID{s.id, id}], w.partitioned[[2]ID{id, s.id}] = true, true
 		}
 	case 8:
-		clear(w.cut)
+		clear(w.partitioned)
 	case 9:
-		s.disk.fails = 1 + j%2
+		s.storage.failure = 1 + j%2
 	default:
 		w.propose()
 	}
 }
 
-func TestWhatIsAcknowledgedStays(t *testing.T) {
+func TestAcknowledgedCommandsAreKept(t *testing.T) {
 	acked := 0
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(t, rapid.Uint64().Draw(t, "seed"), rapid.SampledFrom([]int{3, 3, 5}).Draw(t, "stewards"),
@@ -303,35 +303,35 @@
 			w.propose()
 			w.pass(rapid.SampledFrom([]int{0, 1, 5, 40}).Draw(t, "ticks"))
 		}
-		clear(w.cut)
+		clear(w.partitioned)
 		w.loss = 0
-		for _, s := range w.all {
-			s.disk.fails = 0
-			if s.frozen = false; s.node == nil || s.node.Dead() != nil {
-				w.run(s, false)
+		for _, s := range w.nodes {
+			s.storage.failure = 0
+			if s.frozen = false; s.node == nil || s.node.Err() != nil {
+				w.start(s, false)
 			}
 		}
 		w.pass(80)
-		w.leader(nil)
-		if n := w.leading(); n != 1 {
+		w.awaitLeader(nil)
+		if n := w.leaders(); n != 1 {
 			t.Fatalf("%d stewards lead once all is well", n)
 		}
 		w.propose()
 		w.pass(20)
-		for _, s := range w.all {
-			for _, n := range w.acked {
+		for _, s := range w.nodes {
+			for _, n := range w.acknowledged {
 				if s.node.State().Members[n] == nil {
-					t.Fatalf("steward %d does not know of %s, which was acknowledged: %s", s.id, n, w.where())
+					t.Fatalf("steward %d does not know of %s, which was acknowledged: %s", s.id, n, w.describe())
 				}
 			}
-			if s.node.State().Applied != w.all[0].node.State().Applied {
-				t.Fatalf("stewards stand at %d and %d", s.node.State().Applied, w.all[0].node.State().Applied)
+			if s.node.State().Applied != w.nodes[0].node.State().Applied {
+				t.Fatalf("stewards stand at %d and %d", s.node.State().Applied, w.nodes[0].node.State().Applied)
 			}
-			if s.node.Dead() != nil {
-				t.Fatalf("steward %d stopped: %v", s.id, s.node.Dead())
+			if s.node.Err() != nil {
+				t.Fatalf("steward %d stopped: %v", s.id, s.node.Err())
 			}
 		}
-		acked += len(w.acked)
+		acked += len(w.acknowledged)
 	})
 	if acked < 200 {
 		t.Errorf("only %d commands were acknowledged: the faults leave nothing to check", acked)
@@ -339,58 +339,58 @@
 	t.Logf("%d commands acknowledged", acked)
 }
 
-func TestNothingIsGrantedWithoutAMajority(t *testing.T) {
+func TestNoCommitWithoutQuorum(t *testing.T) {
 	w := newWorld(t, 1, 3, 0)
-	w.leader(nil)
-	for _, s := range w.all {
-		if !s.node.Leads() {
+	w.awaitLeader(nil)
+	for _, s := range w.nodes {
+		if !s.node.IsLeader() {
 			s.node = nil
 		}
 	}
 	var got error
-	lead := w.all[slices.IndexFunc(w.all, func(s *steward) bool { return s.node != nil })]
+	lead := w.nodes[slices.IndexFunc(w.nodes, func(s *simNode) bool { return s.node != nil })]
 	lead.node.Propose(maintenance.Command{AdvanceTime: &maintenance.AdvanceTime{}}, func(_ maintenance.Result, err error) { got = err })
 	w.pass(60)
-	if !errors.Is(got, ErrUnsure) || lead.node.Leads() {
-		t.Errorf("without a majority: %v, leads %v", got, lead.node.Leads())
+	if !errors.Is(got, ErrOutcomeUnknown) || lead.node.IsLeader() {
+		t.Errorf("without a majority: %v, leads %v", got, lead.node.IsLeader())
 	}
 	lead.node.Propose(maintenance.Command{AdvanceTime: &maintenance.AdvanceTime{}}, func(_ maintenance.Result, err error) { got = err })
-	if !errors.Is(got, ErrNotLeading) {
+	if !errors.Is(got, ErrNotLeader) {
 		t.Errorf("asked again: %v", got)
 	}
 }
 
-func TestAStewardWithoutItsLogIsRefused(t *testing.T) {
+func TestNodeWithoutLogIsRejected(t *testing.T) {
 	w := newWorld(t, 1, 3, 0)
-	w.leader(nil)
-	_, err := New(Setup{ID: 1, Stewards: w.ids, Limits: limits, Disk: &disk{entries: map[uint64][]byte{}}})
-	if !errors.Is(err, ErrEmpty) {
+	w.awaitLeader(nil)
+	_, err := New(Config{ID: 1, Voters: w.ids, Limits: limits, Storage: &memoryStorage{entries: map[uint64][]byte{}}})
+	if !errors.Is(err, ErrNoLog) {
 		t.Errorf("a steward without a log: %v", err)
 	}
-	if _, err := New(Setup{ID: 9, Stewards: w.ids, Limits: limits, Disk: w.all[0].disk}); err == nil {
+	if _, err := New(Config{ID: 9, Voters: w.ids, Limits: limits, Storage: w.nodes[0].storage}); err == nil {
 		t.Error("a steward that is none starts")
 	}
-	d := w.all[0].disk
+	d := w.nodes[0].storage
 	w.propose()
 	w.pass(10)
 	if len(d.entries) < 2 {
 		t.Fatalf("%d entries kept", len(d.entries))
 	}
 	delete(d.entries, slices.Min(slices.Collect(maps.Keys(d.entries)))) // a hole is told, not stepped over
-	if _, err := New(Setup{ID: 1, Stewards: w.ids, Limits: limits, Disk: d}); err == nil {
+	if _, err := New(Config{ID: 1, Voters: w.ids, Limits: limits, Storage: d}); err == nil {
 		t.Error("a log with a hole is taken")
 	}
 }
 
 // Both halves of a cut fleet are asked for the one permit there is: the side without a majority can't say, the other grants it, and once
 // healed there is that one.
-func TestBothHalvesOfACutFleetAreAsked(t *testing.T) {
+func TestPartitionCommitsOnMajoritySideOnly(t *testing.T) {
 	w := newWorld(t, 5, 3, 0)
-	lead := w.leader(nil)
-	tell := func(s *steward, c maintenance.Command) (err error) {
+	lead := w.awaitLeader(nil)
+	tell := func(s *simNode, c maintenance.Command) (err error) {
 		err = errors.New("not told yet")
 		s.node.Propose(c, func(_ maintenance.Result, e error) { err = e })
-		w.turn(s)
+		w.process(s)
 		w.pass(40)
 		return err
 	}
@@ -403,19 +403,19 @@
 		}
 	}
 	w.fault(7, int(lead.id)-1, 0) // it hears and is heard by nobody
-	if err := tell(lead, maintenance.Command{RequestPermit: &maintenance.RequestPermit{Name: "m1", Incarnation: 1}}); !errors.Is(err, ErrUnsure) {
+	if err := tell(lead, maintenance.Command{RequestPermit: &maintenance.RequestPermit{Name: "m1", Incarnation: 1}}); !errors.Is(err, ErrOutcomeUnknown) {
 		t.Errorf("the side without a majority says %v", err)
 	}
-	next := w.leader(lead)
+	next := w.awaitLeader(lead)
 	// The leases ran out on the way: both renew in the tick in which m2 asks.
 	next.node.Propose(maintenance.Command{Renew: &maintenance.Renew{Name: "m2", Incarnation: 1, Status: maintenance.Ready}}, func(maintenance.Result, error) {})
 	next.node.Propose(maintenance.Command{Renew: &maintenance.Renew{Name: "m1", Incarnation: 1, Status: maintenance.Ready}}, func(maintenance.Result, error) {})
 	if err := tell(next, maintenance.Command{RequestPermit: &maintenance.RequestPermit{Name: "m2", Incarnation: 1}}); err != nil {
 		t.Errorf("the side with a majority says %v", err)
 	}
-	clear(w.cut)
+	clear(w.partitioned)
 	w.pass(60)
-	for _, s := range w.all {
+	for _, s := range w.nodes {
 		m := s.node.State().Members
 		if m["m1"].Permit != nil || m["m2"].Permit == nil {
 			t.Errorf("steward %d: permits %v and %v", s.id, m["m1"].Permit, m["m2"].Permit)
--- a/raftlog/seal.go
+++ b/raftlog/proposal.go
@@ -5,16 +5,16 @@
 	"errors"
 )
 
-// seal puts before a command who proposed it, in which term, and its number there, so that its proposer is told its result and no
+// wrapProposal puts before a command who proposed it, in which term, and its number there, so that its proposer is told its result and no
 // other's.
-func seal(by, term, seq uint64, b []byte) []byte {
+func wrapProposal(by, term, seq uint64, b []byte) []byte {
 	out := binary.AppendUvarint(nil, by)
 	out = binary.AppendUvarint(out, term)
 	out = binary.AppendUvarint(out, seq)
 	return append(out, b...)
 }
 
-func unseal(b []byte) (by, term, seq uint64, rest []byte, err error) {
+func unwrapProposal(b []byte) (by, term, seq uint64, rest []byte, err error) {
 	for _, v := range []*uint64{&by, &term, &seq} {
 		var n int
 		if *v, n = binary.Uvarint(b); n <= 0 {
