--- a/gatherer/config.go
+++ b/gatherer/config.go
@@ -106,7 +106,7 @@
 
 func (c Config) validateFleet(d balancerconfig.Deployment) error {
 	fleet, isSteward := c.Operator.Fleet, false
-	for _, steward := range fleet.Stewards {
+	for _, steward := range fleet.Voters {
 		isSteward = isSteward || steward.Name == c.Name
 	}
 	switch {
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -33,13 +33,13 @@
 	}
 	f := *setup.Operator.Fleet
 	f.Name, f.Version = setup.Name, cmp.Or(os.Getenv("OXBOWSPAN_VERSION"), version())
-	var log *raftnode.Steward
-	if slices.ContainsFunc(f.Stewards, func(a raftnode.Address) bool { return a.Name == f.Name }) {
+	var log *raftnode.Node
+	if slices.ContainsFunc(f.Voters, func(a raftnode.Voter) bool { return a.Name == f.Name }) {
 		if log, err = raftnode.Start(f, found); err != nil {
 			return nil, nil, err
 		}
 	}
-	agent := raftnode.Join(f, node.Ready, func() maintenance.RequestCounts {
+	agent := raftnode.StartAgent(f, node.Ready, func() maintenance.RequestCounts {
 		c := node.Counts()
 		return maintenance.RequestCounts{Answered: c.Answered, Shed: c.Shed, Errored: c.Errored}
 	})
@@ -47,17 +47,17 @@
 		var agreed bool
 		select {
 		case agreed = <-agent.Drain():
-		case <-agent.Gone():
+		case <-agent.Done():
 			return
 		}
 		if agreed {
 			slog.Info("fleet_drain", "name", f.Name, "agreed", true)
 		} else {
-			slog.Warn("fleet_drain", "name", f.Name, "agreed", false, "waited", f.Wait.String())
+			slog.Warn("fleet_drain", "name", f.Name, "agreed", false, "waited", f.DrainTimeout.String())
 		}
 		drain()
 	}()
-	return agent.End, func() {
+	return agent.RequestDrain, func() {
 		agent.Close()
 		if log != nil {
 			log.Close()
--- a/internal/operatorconfig/fleet.go
+++ b/internal/operatorconfig/fleet.go
@@ -13,7 +13,7 @@
 )
 
 // Fleet is what the section on the fleet says. Its name and version are the program's to fill in.
-type Fleet = raftnode.Figures
+type Fleet = raftnode.Options
 
 // fleet reads the section; nil = there is none.
 func (r *reading) fleet(path string) *Fleet {
@@ -21,7 +21,7 @@
 	if s == nil {
 		return nil
 	}
-	f := &Fleet{Wait: s.span("wait", 10*time.Second, 0, 10*time.Minute)}
+	f := &Fleet{DrainTimeout: s.span("wait", 10*time.Second, 0, 10*time.Minute)}
 	f.Zone, _ = s.text("zone")
 	f.Listen, _ = s.text("listen")
 	f.Hook, _ = s.text("hook")
@@ -33,9 +33,9 @@
 			continue
 		}
 		seen[name], seen[addr] = true, true
-		f.Stewards = append(f.Stewards, raftnode.Address{Name: name, Addr: addr})
+		f.Voters = append(f.Voters, raftnode.Voter{Name: name, Addr: addr})
 	}
-	if n := len(f.Stewards); n != 1 && n != 3 && n != 5 {
+	if n := len(f.Voters); n != 1 && n != 3 && n != 5 {
 		s.wrong("stewards", "names %d, and a majority is had best of 3 or 5; 1 is for a trial", n)
 	}
 	keys, given := s.text("keys")
--- a/internal/raftnode/client.go
+++ b/internal/raftnode/client.go
@@ -15,67 +15,67 @@
 // Client asks the stewards, whoever leads.
 type Client struct {
 	from     string
-	stewards []Address
+	voters   []Voter
 	keys     *keyring.Ring
 	http     *http.Client
-	no       numbers
+	sequence sequence
 	next     int // the steward that is asked first: the last one known to lead
 }
 
 // NewClient speaks as from. It is used by one goroutine.
-func NewClient(from string, f Figures) *Client {
-	return &Client{from: from, stewards: f.Stewards, keys: f.Keys, http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}}}
+func NewClient(from string, f Options) *Client {
+	return &Client{from: from, voters: f.Voters, keys: f.Keys, http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}}}
 }
 
 // Close ends its connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// oneAsk is how long one steward is waited for: three of them fit into a lease.
-const oneAsk = 700 * time.Millisecond
+// requestTimeout is how long one steward is waited for: three of them fit into a lease.
+const requestTimeout = 700 * time.Millisecond
 
-// ErrNobody says that no steward could answer for the fleet.
-var ErrNobody = errors.New("no steward that leads could be reached")
+// ErrNoLeader says that no steward could answer for the fleet.
+var ErrNoLeader = errors.New("no steward that leads could be reached")
 
-func (c *Client) ask(ctx context.Context, q said) (answer, error) {
+func (c *Client) roundTrip(ctx context.Context, q request) (response, error) {
 	body, err := json.Marshal(q)
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
-	last := error(ErrNobody)
-	for range 2 * (len(c.stewards) + 1) {
-		one, cancel := context.WithTimeout(ctx, oneAsk)
-		b, err := post(one, c.http, c.keys, c.stewards[c.next].Addr, pathSay, c.from, c.no.next(), body)
+	last := error(ErrNoLeader)
+	for range 2 * (len(c.voters) + 1) {
+		one, cancel := context.WithTimeout(ctx, requestTimeout)
+		b, err := post(one, c.http, c.keys, c.voters[c.next].Addr, pathCommand, c.from, c.sequence.next(), body)
 		cancel()
-		var a answer
+		var a response
 		if err == nil {
 			err = json.Unmarshal(b, &a)
 		}
 		switch {
 		case err != nil:
-			last = fmt.Errorf("%w: %w", ErrNobody, err)
-		case a.Least > 0:
-			c.no.above(a.Least)
-			last = ErrNobody
+			last = fmt.Errorf("%w: %w", ErrNoLeader, err)
+		case a.MinSequence > 0:
+			c.sequence.raise(a.MinSequence)
+			last = ErrNoLeader
 			continue // the same one again
-		case !a.NotMe:
+		case !a.NotLeader:
 			return a, nil
 		default:
-			last = ErrNobody
-			if at := c.place(a.Leader); at >= 0 && at != c.next {
+			last = ErrNoLeader
+			if at := c.voterIndex(a.Leader); at >= 0 && at != c.next {
 				c.next = at
 				continue
 			}
 		}
 		if ctx.Err() != nil {
-			return answer{}, ctx.Err()
+			return response{}, ctx.Err()
 		}
-		c.next = (c.next + 1) % len(c.stewards)
+		c.next = (c.next + 1) % len(c.voters)
 	}
-	return answer{}, last
+	return response{}, last
 }
 
-func (c *Client) place(name string) int {
-	for i, s := range c.stewards {
+func (c *Client) voterIndex(name string) int {
+	for i, s := range c.voters {
 		if s.Name == name {
 			return i
 		}
@@ -85,14 +85,14 @@
 
 // Do has a command carried out. Its error says in a sentence why nothing changed, or that nobody knows.
 func (c *Client) Do(ctx context.Context, command maintenance.Command) (*maintenance.Permit, error) {
-	a, err := c.ask(ctx, said{Command: &command})
+	a, err := c.roundTrip(ctx, request{Command: &command})
 	switch {
 	case err != nil:
 		return nil, err
 	case a.Refused:
-		return nil, &told{a.Error, maintenance.ErrRefused}
+		return nil, &remoteError{a.Error, maintenance.ErrRefused}
 	case a.Stale:
-		return nil, &told{a.Error, maintenance.ErrStale}
+		return nil, &remoteError{a.Error, maintenance.ErrStale}
 	case a.Error != "":
 		return nil, errors.New(a.Error)
 	}
@@ -101,29 +101,29 @@
 
 // State is the fleet's state, and who leads. Without a leader it is what one steward knew last, and leader is "".
 func (c *Client) State(ctx context.Context) (s *maintenance.State, leader string, err error) {
-	a, err := c.ask(ctx, said{State: true})
+	a, err := c.roundTrip(ctx, request{State: true})
 	if err == nil && a.State != nil {
 		return a.State, a.Leader, nil
 	}
-	for _, st := range c.stewards { // nobody leads: what any of them knows
-		one, cancel := context.WithTimeout(ctx, oneAsk)
-		b, perr := post(one, c.http, c.keys, st.Addr, pathSay, c.from, c.no.next(), []byte(`{"state":true}`))
+	for _, st := range c.voters { // nobody leads: what any of them knows
+		one, cancel := context.WithTimeout(ctx, requestTimeout)
+		b, perr := post(one, c.http, c.keys, st.Addr, pathCommand, c.from, c.sequence.next(), []byte(`{"state":true}`))
 		cancel()
 		if perr == nil && json.Unmarshal(b, &a) == nil && a.State != nil {
 			return a.State, "", nil
 		}
 	}
 	if err == nil {
-		err = ErrNobody
+		err = ErrNoLeader
 	}
 	return nil, "", err
 }
 
-// told is an error of the machine, in its words.
-type told struct {
-	text string
-	is   error
+// remoteError is an error of the machine, in its words.
+type remoteError struct {
+	text  string
+	cause error
 }
 
-func (t *told) Error() string { return t.text }
-func (t *told) Unwrap() error { return t.is }
+func (t *remoteError) Error() string { return t.text }
+func (t *remoteError) Unwrap() error { return t.cause }
--- a/internal/raftnode/steward_test.go
+++ b/internal/raftnode/node_test.go
@@ -18,7 +18,7 @@
 	"oxbowspan/raftlog"
 )
 
-func ring(t *testing.T, digit string) *keyring.Ring {
+func testRing(t *testing.T, digit string) *keyring.Ring {
 	k, err := keyring.Parse("k1 " + strings.Repeat(digit, 64))
 	if err != nil {
 		t.Fatal(err)
@@ -26,19 +26,19 @@
 	return k
 }
 
-// three starts a fleet's stewards in this process and waits until one leads.
-func three(t *testing.T) (all []*Steward, f Figures) {
+// startVoters starts a fleet's stewards in this process and waits until one leads.
+func startVoters(t *testing.T) (all []*Node, f Options) {
 	dir := t.TempDir()
-	f = Figures{Keys: ring(t, "a"), Limits: maintenance.Limits{MaxGatherers: 1, LeaseDuration: 6000}}
+	f = Options{Keys: testRing(t, "a"), Limits: maintenance.Limits{MaxGatherers: 1, LeaseDuration: 6000}}
 	for i := range 3 {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.Stewards = append(f.Stewards, Address{fmt.Sprintf("n%d", i), l.Addr().String()})
+		f.Voters = append(f.Voters, Voter{fmt.Sprintf("n%d", i), l.Addr().String()})
 		l.Close()
 	}
-	for i, a := range f.Stewards {
+	for i, a := range f.Voters {
 		own := f
 		own.Name, own.Listen, own.Path = a.Name, a.Addr, filepath.Join(dir, fmt.Sprint(i))
 		s, err := Start(own, true)
@@ -59,32 +59,32 @@
 	return nil, f
 }
 
-func TestStrangersAndRecordingsAreTurnedAway(t *testing.T) {
-	_, f := three(t)
+func TestUnauthenticatedAndReplayedRequestsAreRejected(t *testing.T) {
+	_, f := startVoters(t)
 	ctx, body := context.Background(), []byte(`{"state":true}`)
-	for _, a := range f.Stewards {
-		if _, err := post(ctx, http.DefaultClient, ring(t, "b"), a.Addr, pathSay, "x", uint64(time.Now().UnixNano()), body); err == nil {
+	for _, a := range f.Voters {
+		if _, err := post(ctx, http.DefaultClient, testRing(t, "b"), a.Addr, pathCommand, "x", uint64(time.Now().UnixNano()), body); err == nil {
 			t.Errorf("%s answers somebody without the fleet's keys", a.Name)
 		}
 		no := uint64(time.Now().UnixNano())
-		if _, err := post(ctx, http.DefaultClient, f.Keys, a.Addr, pathSay, "x", no, body); err != nil {
+		if _, err := post(ctx, http.DefaultClient, f.Keys, a.Addr, pathCommand, "x", no, body); err != nil {
 			t.Fatal(err)
 		}
-		got, err := post(ctx, http.DefaultClient, f.Keys, a.Addr, pathSay, "x", no, body)
-		var said answer
-		if err != nil || json.Unmarshal(got, &said) != nil || said.State != nil || said.Least != no {
+		got, err := post(ctx, http.DefaultClient, f.Keys, a.Addr, pathCommand, "x", no, body)
+		var said response
+		if err != nil || json.Unmarshal(got, &said) != nil || said.State != nil || said.MinSequence != no {
 			t.Errorf("%s took a word twice: %s %v", a.Name, got, err)
 		}
 	}
 }
 
 // A speaker whose clock is an hour behind is told what its numbers must be above, and a steward that does not lead names the one that does.
-func TestAClockBehindAndAStewardThatLags(t *testing.T) {
-	all, f := three(t)
+func TestClientClockBehindAndFollowerRedirect(t *testing.T) {
+	all, f := startVoters(t)
 	for i := range all {
 		c := NewClient("late", f)
 		c.next = i
-		c.no.last.Store(uint64(time.Now().Add(-time.Hour).UnixNano()))
+		c.sequence.last.Store(uint64(time.Now().Add(-time.Hour).UnixNano()))
 		if _, err := c.Do(context.Background(), maintenance.Command{Join: &maintenance.Join{Name: maintenance.MemberName(fmt.Sprint("m", i)), Zone: "a", Version: "v", Incarnation: 1}}); err != nil {
 			t.Errorf("asked of steward %d first: %v", i, err)
 		}
@@ -96,8 +96,8 @@
 	}
 }
 
-func TestThreeHundredMembersInOneTick(t *testing.T) {
-	_, f := three(t)
+func TestThreeHundredMembersJoinAndRenew(t *testing.T) {
+	_, f := startVoters(t)
 	began := time.Now()
 	var wg sync.WaitGroup
 	for i := range 300 {
@@ -131,8 +131,8 @@
 
 // What was granted is on the disk of whoever leads next: the steward that granted it is gone before it could tell, and asked again the
 // fleet gives the same permit, and no second one.
-func TestAGrantOutlivesTheStewardThatGaveIt(t *testing.T) {
-	all, f := three(t)
+func TestPermitSurvivesLeaderLoss(t *testing.T) {
+	all, f := startVoters(t)
 	c := NewClient("test", f)
 	defer c.Close()
 	ctx := context.Background()
@@ -140,7 +140,7 @@
 		var p *maintenance.Permit
 		var err error
 		for end := time.Now().Add(20 * time.Second); time.Now().Before(end); {
-			if p, err = c.Do(ctx, command); !errors.Is(err, ErrNobody) && !strings.Contains(fmt.Sprint(err), raftlog.ErrOutcomeUnknown.Error()) {
+			if p, err = c.Do(ctx, command); !errors.Is(err, ErrNoLeader) && !strings.Contains(fmt.Sprint(err), raftlog.ErrOutcomeUnknown.Error()) {
 				break
 			}
 		}
@@ -160,9 +160,9 @@
 	}
 	_, leader, _ := c.State(ctx)
 	for _, s := range all {
-		if s.f.Name == leader {
-			s.http.Close() // nothing it says arrives any more
-			s.stop()
+		if s.options.Name == leader {
+			s.server.Close() // nothing it says arrives any more
+			s.cancel()
 		}
 	}
 	again, err := do(maintenance.Command{RequestPermit: &maintenance.RequestPermit{Name: "m1", Incarnation: 1}})
--- a/internal/raftnode/disk.go
+++ b/internal/raftnode/storage.go
@@ -12,20 +12,20 @@
 
 // Tables of a steward's store.
 const (
-	tableVote     store.Table = 10 // the vote and the snapshot, under these keys
-	tableCommands store.Table = 11 // the log, by number in hex
-	keyHard                   = "hard"
-	keySnapshot               = "snapshot"
+	tableState   store.Table = 10 // the vote and the snapshot, under these keys
+	tableEntries store.Table = 11 // the log, by number in hex
+	keyHardState             = "hard"
+	keySnapshot              = "snapshot"
 )
 
-// disk keeps a steward's log in a store: a Change is one commit, which is in force whole or not at all, in both lanes.
-type disk struct {
-	s     *store.Store
+// logStorage keeps a steward's log in a store: a Change is one commit, which is in force whole or not at all, in both lanes.
+type logStorage struct {
+	store *store.Store
 	first uint64 // numbers of the log that is kept; 0, 0 = none is
 	last  uint64
 }
 
-func openDisk(path string) (*disk, error) {
+func openStorage(path string) (*logStorage, error) {
 	files, err := store.OpenDisk(path)
 	if err != nil {
 		return nil, fmt.Errorf("the fleet's log at %s: %w", path, err)
@@ -34,16 +34,16 @@
 	if err != nil {
 		return nil, fmt.Errorf("the fleet's log at %s: %w", path, err)
 	}
-	return &disk{s: s}, nil
+	return &logStorage{store: s}, nil
 }
 
-func number(no uint64) string { return fmt.Sprintf("%016x", no) }
+func entryKey(no uint64) string { return fmt.Sprintf("%016x", no) }
 
-func (d *disk) Load() (raftlog.StoredLog, error) {
+func (d *logStorage) Load() (raftlog.StoredLog, error) {
 	var k raftlog.StoredLog
-	k.HardState, _ = d.s.Get(tableVote, keyHard)
-	k.Snapshot, _ = d.s.Get(tableVote, keySnapshot)
-	all := d.s.All(tableCommands)
+	k.HardState, _ = d.store.Get(tableState, keyHardState)
+	k.Snapshot, _ = d.store.Get(tableState, keySnapshot)
+	all := d.store.All(tableEntries)
 	for _, key := range slices.Sorted(maps.Keys(all)) {
 		no, err := strconv.ParseUint(key, 16, 64)
 		if err != nil {
@@ -57,15 +57,15 @@
 	return k, nil
 }
 
-func (d *disk) Write(c raftlog.WriteBatch) error {
+func (d *logStorage) Write(c raftlog.WriteBatch) error {
 	var ops []store.Op
 	put := func(t store.Table, key string, v []byte) { ops = append(ops, store.Op{Table: t, Key: key, Value: v}) }
-	drop := func(no uint64) { ops = append(ops, store.Op{Table: tableCommands, Key: number(no), Delete: true}) }
+	drop := func(no uint64) { ops = append(ops, store.Op{Table: tableEntries, Key: entryKey(no), Delete: true}) }
 	if c.HardState != nil {
-		put(tableVote, keyHard, c.HardState)
+		put(tableState, keyHardState, c.HardState)
 	}
 	if c.Snapshot != nil {
-		put(tableVote, keySnapshot, c.Snapshot)
+		put(tableState, keySnapshot, c.Snapshot)
 	}
 	first, last := d.first, d.last
 	if first > 0 {
@@ -80,13 +80,13 @@
 		}
 	}
 	for _, e := range c.Entries {
-		put(tableCommands, number(e.Index), e.Data)
+		put(tableEntries, entryKey(e.Index), e.Data)
 		if first == 0 {
 			first = e.Index
 		}
 		last = e.Index
 	}
-	if err := d.s.Commit(ops...); err != nil {
+	if err := d.store.Commit(ops...); err != nil {
 		return err
 	}
 	d.first, d.last = first, last
--- a/internal/raftnode/wire.go
+++ b/internal/raftnode/wire.go
@@ -20,70 +20,70 @@
 // number and the body. A number is larger than all before of the same speaker; an answer's MAC holds the question's number, so that no
 // old answer passes for a new one.
 const (
-	pathRaft = "/fleet/v1/raft"
-	pathSay  = "/fleet/v1/say"
+	pathRaft    = "/fleet/v1/raft"
+	pathCommand = "/fleet/v1/say"
 
-	headKey    = "Fleet-Key"
-	headMAC    = "Fleet-Mac"
-	headFrom   = "Fleet-From"
-	headNumber = "Fleet-Number"
+	headerKey    = "Fleet-Key"
+	headerMAC    = "Fleet-Mac"
+	headerFrom   = "Fleet-From"
+	headerNumber = "Fleet-Number"
 
-	use = "fleet"
-	// mostBody bounds what is read of a stranger: a snapshot of a thousand members is a third of it.
-	mostBody = 1 << 20
+	macPurpose = "fleet"
+	// maxBody bounds what is read of a stranger: a snapshot of a thousand members is a third of it.
+	maxBody = 1 << 20
 )
 
-// errStranger says that a message does not bear the fleet's mark. It is told to nobody but the log, once a minute at most.
-var errStranger = errors.New("a message does not bear a mark of the fleet's keys")
+// errUnauthenticated says that a message does not bear the fleet's mark. It is told to nobody but the log, once a minute at most.
+var errUnauthenticated = errors.New("a message does not bear a mark of the fleet's keys")
 
-func signed(keys *keyring.Ring, h http.Header, path, from string, no uint64, body []byte) {
-	id, mac := keys.Sign(use, text(path, from, no, body))
-	h.Set(headKey, id)
-	h.Set(headMAC, base64.StdEncoding.EncodeToString(mac))
-	h.Set(headFrom, from)
-	h.Set(headNumber, strconv.FormatUint(no, 10))
+func sign(keys *keyring.Ring, h http.Header, path, from string, no uint64, body []byte) {
+	id, mac := keys.Sign(macPurpose, signedText(path, from, no, body))
+	h.Set(headerKey, id)
+	h.Set(headerMAC, base64.StdEncoding.EncodeToString(mac))
+	h.Set(headerFrom, from)
+	h.Set(headerNumber, strconv.FormatUint(no, 10))
 }
 
-func text(path, from string, no uint64, body []byte) []byte {
+func signedText(path, from string, no uint64, body []byte) []byte {
 	return append(fmt.Appendf(nil, "%s\n%s\n%d\n", path, from, no), body...)
 }
 
-// genuine reads who says a message and its number; an error where its mark is not the fleet's.
-func genuine(keys *keyring.Ring, h http.Header, path string, body []byte) (from string, no uint64, err error) {
-	from = h.Get(headFrom)
-	if no, err = strconv.ParseUint(h.Get(headNumber), 10, 64); err != nil {
-		return "", 0, errStranger
+// verify reads who says a message and its number; an error where its mark is not the fleet's.
+func verify(keys *keyring.Ring, h http.Header, path string, body []byte) (from string, no uint64, err error) {
+	from = h.Get(headerFrom)
+	if no, err = strconv.ParseUint(h.Get(headerNumber), 10, 64); err != nil {
+		return "", 0, errUnauthenticated
 	}
-	mac, err := base64.StdEncoding.DecodeString(h.Get(headMAC))
-	if err != nil || !keys.Verify(use, h.Get(headKey), text(path, from, no, body), mac) {
-		return "", 0, errStranger
+	mac, err := base64.StdEncoding.DecodeString(h.Get(headerMAC))
+	if err != nil || !keys.Verify(macPurpose, h.Get(headerKey), signedText(path, from, no, body), mac) {
+		return "", 0, errUnauthenticated
 	}
 	return from, no, nil
 }
 
 // said is a question to a steward, and answer what comes back.
 type (
-	said struct {
+	request struct {
 		Command *maintenance.Command `json:"command,omitempty"`
 		State   bool                 `json:"state,omitempty"` // the state is asked for
 	}
-	answer struct {
-		Leader  string              `json:"leader,omitempty"` // who leads, as far as is known
-		NotMe   bool                `json:"not_me,omitempty"` // that one is to be asked
-		Error   string              `json:"error,omitempty"`
-		Refused bool                `json:"refused,omitempty"` // a limit holds: asking again later may do
-		Stale   bool                `json:"stale,omitempty"`
-		Unsure  bool                `json:"unsure,omitempty"`
-		Least   uint64              `json:"least,omitempty"`  // the speaker's next number must be above it
-		Permit  *maintenance.Permit `json:"permit,omitempty"` // of the member that asked or renewed
-		State   *maintenance.State  `json:"state,omitempty"`
+	response struct {
+		Leader         string              `json:"leader,omitempty"` // who leads, as far as is known
+		NotLeader      bool                `json:"not_me,omitempty"` // that one is to be asked
+		Error          string              `json:"error,omitempty"`
+		Refused        bool                `json:"refused,omitempty"` // a limit holds: asking again later may do
+		Stale          bool                `json:"stale,omitempty"`
+		OutcomeUnknown bool                `json:"unsure,omitempty"`
+		MinSequence    uint64              `json:"least,omitempty"`  // the speaker's next number must be above it
+		Permit         *maintenance.Permit `json:"permit,omitempty"` // of the member that asked or renewed
+		State          *maintenance.State  `json:"state,omitempty"`
 	}
 )
 
-// numbers are a speaker's: they grow over restarts, as they begin with the time.
-type numbers struct{ last atomic.Uint64 }
+// sequence are a speaker's: they grow over restarts, as they begin with the time.
+type sequence struct{ last atomic.Uint64 }
 
-func (n *numbers) next() uint64 {
+func (n *sequence) next() uint64 {
 	for {
 		was := n.last.Load()
 		now := max(was+1, uint64(time.Now().UnixNano()))
@@ -93,8 +93,8 @@
 	}
 }
 
-// above lets the next number be above one that a steward holds for the last.
-func (n *numbers) above(least uint64) {
+// raise lets the next number be above one that a steward holds for the last.
+func (n *sequence) raise(least uint64) {
 	for was := n.last.Load(); was < least && !n.last.CompareAndSwap(was, least); was = n.last.Load() {
 	}
 }
@@ -105,21 +105,21 @@
 	if err != nil {
 		return nil, err
 	}
-	signed(keys, req.Header, path, from, no, body)
+	sign(keys, req.Header, path, from, no, body)
 	res, err := c.Do(req)
 	if err != nil {
 		return nil, err
 	}
 	defer res.Body.Close()
-	got, err := io.ReadAll(io.LimitReader(res.Body, 8*mostBody))
+	got, err := io.ReadAll(io.LimitReader(res.Body, 8*maxBody))
 	if err != nil {
 		return nil, err
 	}
 	if res.StatusCode != http.StatusOK {
 		return nil, fmt.Errorf("%s answers %s", addr, res.Status)
 	}
-	if _, answered, err := genuine(keys, res.Header, path, got); err != nil || answered != no {
-		return nil, fmt.Errorf("the answer of %s: %w", addr, errStranger)
+	if _, answered, err := verify(keys, res.Header, path, got); err != nil || answered != no {
+		return nil, fmt.Errorf("the answer of %s: %w", addr, errUnauthenticated)
 	}
 	return got, nil
 }
