--- a/gatherer/config.go
+++ b/gatherer/config.go
@@ -92,7 +92,7 @@
 // validateOperator checks the operator's file against the configuration.
 func (c Config) validateOperator(d balancerconfig.Deployment) error {
 	if levels := c.levelsConfig(); levels != nil {
-		if _, err := levels.For(d.QueryTypes); err != nil {
+		if _, err := levels.ConfigFor(d.QueryTypes); err != nil {
 			return err
 		}
 	}
@@ -111,9 +111,9 @@
 	}
 	switch {
 	case !d.AllowPeers:
-		return c.Operator.FleetFault("gatherers may not talk to each other here (limits.peers of the settings is not true)")
+		return c.Operator.FleetError("gatherers may not talk to each other here (limits.peers of the settings is not true)")
 	case isSteward && (fleet.Listen == "" || fleet.Path == ""):
-		return c.Operator.FleetFault("this gatherer is a steward, and needs listen, its address for the fleet, and path, where its log is kept")
+		return c.Operator.FleetError("this gatherer is a steward, and needs listen, its address for the fleet, and path, where its log is kept")
 	}
 	return nil
 }
@@ -127,14 +127,14 @@
 	for name, allowed := range merging.Types {
 		switch at := slices.Index(d.QueryTypes, name); {
 		case at < 0:
-			errs = append(errs, c.Operator.TypeFault(name, "is no query type of the settings"))
+			errs = append(errs, c.Operator.QueryTypeError(name, "is no query type of the settings"))
 		case d.Balancer.QueryTypes[at].Idempotency != balancer.Idempotent:
-			errs = append(errs, c.Operator.TypeFault(name, "is not idempotent: a merge past its limits is shed, which says that asking again is harmless"))
+			errs = append(errs, c.Operator.QueryTypeError(name, "is not idempotent: a merge past its limits is shed, which says that asking again is harmless"))
 		case slices.Contains(allowed.Kinds, merge.Paged) && d.Balancer.QueryTypes[at].CompleteCoverage < 1:
-			errs = append(errs, c.Operator.TypeFault(name, "counts as whole short of a part (domain.wholeAt): pages would never wait for the last segment, and no walk would end"))
+			errs = append(errs, c.Operator.QueryTypeError(name, "counts as whole short of a part (domain.wholeAt): pages would never wait for the last segment, and no walk would end"))
 		}
 	}
-	return operatorconfig.Join(errs...)
+	return operatorconfig.JoinErrors(errs...)
 }
 
 // fleetConfig returns the section on the fleet of the operator's file; nil = there is none.
--- a/gatherer/degradation.go
+++ b/gatherer/degradation.go
@@ -41,7 +41,7 @@
 }
 
 func newDegradation(d *dispatcher, levels *operatorconfig.Levels) (*degradationState, error) {
-	config, err := levels.For(d.deployment.QueryTypes)
+	config, err := levels.ConfigFor(d.deployment.QueryTypes)
 	if err != nil {
 		return nil, err
 	}
--- a/gatherer/frontend.go
+++ b/gatherer/frontend.go
@@ -261,8 +261,8 @@
 func (f *frontend) serve(ctx context.Context, nl net.Listener, descriptors int, maxClientTimeout time.Duration) error {
 	l := newListener(nl, listenerConfig{descriptors: descriptors, quotas: f.quotas, maxActiveConns: f.maxActiveConns,
 		memory: f.memory, connections: f.connections})
-	if f.connections.Park {
-		l.enableParking(f.retryAfter, f.connections.Idle)
+	if f.connections.ReleaseIdle {
+		l.enableParking(f.retryAfter, f.connections.IdleTimeout)
 	}
 	srv := f.newServer(l)
 	failed := make(chan error, 2)
--- a/gatherer/gatherer.go
+++ b/gatherer/gatherer.go
@@ -61,7 +61,7 @@
 	g.applyOperatorConfig(config)
 	g.frontend = newFrontend(g.transport, duration(deployment.MaxClientTimeout), g.memory)
 	g.frontend.connections = config.connectionsConfig()
-	g.frontend.maxActiveConns = cmp.Or(g.frontend.connections.Awake, config.Limits.maxActiveConns())
+	g.frontend.maxActiveConns = cmp.Or(g.frontend.connections.MaxActive, config.Limits.maxActiveConns())
 	g.dispatcher.onListReady = func() { g.frontend.hasServers.Store(true) }
 	return g, nil
 }
@@ -118,7 +118,7 @@
 func (g *Gatherer) setMergeLimits(share float64) {
 	if m := g.transport.merging.Load(); m != nil {
 		part := func(n int64) int64 { return int64(float64(n) * share) }
-		g.dispatcher.merges.Limit(part(m.MostBytes), part(m.MostRows), part(m.MostOpen))
+		g.dispatcher.merges.Limit(part(m.MaxBytes), part(m.MaxRows), part(m.MaxOpen))
 	}
 }
 
@@ -151,8 +151,8 @@
 		defer socket.Close()
 	}
 	stop := make(chan struct{})
-	if memory := g.config.memoryConfig(); memory != nil && memory.Report > 0 {
-		go reportMemory(g.memory, memory.Report, stop)
+	if memory := g.config.memoryConfig(); memory != nil && memory.ReportInterval > 0 {
+		go reportMemory(g.memory, memory.ReportInterval, stop)
 	}
 	d.applyServerList(balancer.ListCached, g.knownServers)
 	if d.persistence != nil {
@@ -202,7 +202,7 @@
 	g.config.Operator = config.Operator
 	g.applyOperatorConfig(config)
 	if levels := config.levelsConfig(); levels != nil && g.dispatcher.degradation != nil {
-		if figures, err := levels.For(g.deployment.QueryTypes); err == nil { // always, as it is validated
+		if figures, err := levels.ConfigFor(g.deployment.QueryTypes); err == nil { // always, as it is validated
 			g.dispatcher.send(levelsReplaced{figures})
 		}
 	}
--- a/gatherer/listener.go
+++ b/gatherer/listener.go
@@ -98,11 +98,11 @@
 	if l.memory == nil {
 		l.memory = memorybudget.New(memorybudget.Options{}, nil)
 	}
-	grace := millis(config.connections.Grace)
+	grace := millis(config.connections.RateGrace)
 	l.minRates = [phaseCount]connadmission.MinRate{
-		readingHead:   {BytesPerSecond: config.connections.HeadRate, Grace: grace},
-		readingBody:   {BytesPerSecond: config.connections.BodyRate, Grace: grace},
-		writingAnswer: {BytesPerSecond: config.connections.AnswerRate, Grace: grace},
+		readingHead:   {BytesPerSecond: config.connections.MinHeaderRate, Grace: grace},
+		readingBody:   {BytesPerSecond: config.connections.MinBodyRate, Grace: grace},
+		writingAnswer: {BytesPerSecond: config.connections.MinResponseRate, Grace: grace},
 	}
 	if l.enforcesMinRate() {
 		l.startWheel()
--- a/gatherer/parse.go
+++ b/gatherer/parse.go
@@ -210,8 +210,8 @@
 		segments = append(segments, merge.Asked{Segment: merge.Segment(spec.shard), Weight: spec.weight})
 	}
 	completeOnly := t.deployment.Balancer.QueryTypes[req.queryType].MinCoverage >= 1
-	return allowed.Query(terms, segments, completeOnly, merge.Paging{Keys: m.Keys, Life: m.CursorLife.Milliseconds(),
-		Most: m.MostCursor, Now: time.Now().UnixMilli(), Type: kind, Customer: r.Header.Get(headerOwner),
+	return allowed.Query(terms, segments, completeOnly, merge.Paging{Keys: m.Keys, Life: m.CursorLifetime.Milliseconds(),
+		Most: m.MaxCursorBytes, Now: time.Now().UnixMilli(), Type: kind, Customer: r.Header.Get(headerOwner),
 		Statement: req.text})
 }
 
--- a/gatherer/persistence.go
+++ b/gatherer/persistence.go
@@ -46,7 +46,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("store %s: %w", o.Path, err)
 	}
-	s, report, err := store.Open(disk, store.Options{Most: o.Size, Linger: o.Linger})
+	s, report, err := store.Open(disk, store.Options{Most: o.MaxLaneBytes, Linger: o.Linger})
 	for _, damage := range report.Damage {
 		slog.Warn("store_damage", "path", o.Path, "what", damage, "mended", report.Mended)
 	}
@@ -55,9 +55,9 @@
 	}
 	p := &persistence{
 		store: s,
-		disk:  idempotency.DiskGuard{SlowAfter: idempotency.Time(o.Slow.Milliseconds())},
-		table: idempotency.New(idempotency.Config{Retention: idempotency.Time(o.Keep.Milliseconds()), MaxRequests: o.Searches,
-			MaxAnswerBytes: int(o.Answers)}),
+		disk:  idempotency.DiskGuard{SlowAfter: idempotency.Time(o.SlowAfter.Milliseconds())},
+		table: idempotency.New(idempotency.Config{Retention: idempotency.Time(o.Retention.Milliseconds()), MaxRequests: o.MaxRequests,
+			MaxAnswerBytes: int(o.MaxAnswerBytes)}),
 	}
 	unreadable := 0
 	for key, value := range s.All(TableRequests) {
--- a/gatherer/slowclient_test.go
+++ b/gatherer/slowclient_test.go
@@ -50,7 +50,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	connections.Grace = 300 * time.Millisecond
+	connections.RateGrace = 300 * time.Millisecond
 	return startHarnessOn(t, nl, listenerConfig{descriptors: 200, connections: connections}, 0)
 }
 
@@ -83,7 +83,7 @@
 // parked connections; others are served meanwhile.
 func TestSlowHeadIsClosed(t *testing.T) {
 	lines := logged(t)
-	r := slowClientHarness(t, operatorconfig.Connections{HeadRate: 200})
+	r := slowClientHarness(t, operatorconfig.Connections{MinHeaderRate: 200})
 	usual := r.dial()
 	fresh, kept := r.dial(), r.dial()
 	kept.send(post("/kept", ""))
@@ -168,7 +168,7 @@
 
 // The minimum rate is of bytes, not of packets.
 func TestClientAboveMinRateIsServed(t *testing.T) {
-	r := slowClientHarness(t, operatorconfig.Connections{HeadRate: 200, AnswerRate: 200})
+	r := slowClientHarness(t, operatorconfig.Connections{MinHeaderRate: 200, MinResponseRate: 200})
 	c := r.dial()
 	text := post("/steady", strings.Repeat("b", 200))
 	tick := time.NewTicker(20 * time.Millisecond)
@@ -191,7 +191,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l := newListener(nl, listenerConfig{descriptors: 200, connections: operatorconfig.Connections{AnswerRate: 50_000, Grace: 300 * time.Millisecond, SendBuffer: 8 << 10}})
+	l := newListener(nl, listenerConfig{descriptors: 200, connections: operatorconfig.Connections{MinResponseRate: 50_000, RateGrace: 300 * time.Millisecond, SendBuffer: 8 << 10}})
 	answer := bytes.Repeat([]byte("x"), 1<<20)
 	srv := &http.Server{WriteTimeout: testTimeout, ConnState: l.connStateChanged, Handler: http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		w.Write(answer)
--- a/internal/cli/level.go
+++ b/internal/cli/level.go
@@ -92,7 +92,7 @@
 				return err
 			}
 			defer f.Close()
-			return replayLevels(o.Levels.Figures, f, stdout)
+			return replayLevels(o.Levels.Config, f, stdout)
 		}}
 	replay.Flags().StringVar(&operator, "operator", "", "the operator's file")
 	c.AddCommand(show, explain, pin, unpin, replay)
--- a/internal/operatorconfig/operator_test.go
+++ b/internal/operatorconfig/file_test.go
@@ -40,21 +40,21 @@
 	return Load(filepath.Join(dir, "operator.ini"))
 }
 
-func TestAGoodFileIsReadWhole(t *testing.T) {
+func TestLoadValidFile(t *testing.T) {
 	f, err := load(t, good)
 	if err != nil {
 		t.Fatal(err)
 	}
 	m := f.Merging
 	a := m.Types["report"]
-	if m.MostBytes != 2<<20 || m.CursorLife != 90*time.Second || m.MostOpen != 1000 || m.Keys == nil || a == nil {
+	if m.MaxBytes != 2<<20 || m.CursorLifetime != 90*time.Second || m.MaxOpen != 1000 || m.Keys == nil || a == nil {
 		t.Fatalf("read as %+v", m)
 	}
 	if a.MostRows != 50 || len(a.Orders) != 2 || a.Schema.Columns[2].Scale != 3 || !a.Schema.Columns[3].Unsigned || a.Schema.Account != 0 {
 		t.Errorf("read as %+v of %+v", a, a.Schema)
 	}
 	f, err = load(t, "[connections]\nidle = 10m\nawake = 300\n")
-	if err != nil || f.Connections == nil || !f.Connections.Park || f.Connections.Idle != 10*time.Minute || f.Connections.Awake != 300 {
+	if err != nil || f.Connections == nil || !f.Connections.ReleaseIdle || f.Connections.IdleTimeout != 10*time.Minute || f.Connections.MaxActive != 300 {
 		t.Errorf("read as %+v, %v", f, err)
 	}
 	if _, err := load(t, "[connections]\npark = perhaps\nidle = 1ms\n"); err == nil || !strings.Contains(err.Error(), ":2: [connections] park") ||
@@ -66,7 +66,7 @@
 	}
 }
 
-func TestTheFileInDeployIsGood(t *testing.T) {
+func TestLoadDeployFile(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/operator.ini")
 	if err != nil {
 		t.Fatal(err)
@@ -77,7 +77,7 @@
 }
 
 // Each fault is named with its line, and all of them at once.
-func TestAllFaultsAreNamedAtOnceWithTheirLines(t *testing.T) {
+func TestLoadReportsAllProblemsWithLines(t *testing.T) {
 	text := `stray = 1
 [merging]
 memory = 2 pounds
@@ -99,7 +99,7 @@
 [merg x]
 `
 	_, err := load(t, text)
-	var f *Faults
+	var f *ConfigError
 	if !errors.As(err, &f) {
 		t.Fatalf("got %v", err)
 	}
@@ -115,7 +115,7 @@
 		}
 	}
 	last := 0
-	for _, x := range f.All {
+	for _, x := range f.Problems {
 		if x.Line < last {
 			t.Errorf("line %d is named behind line %d", x.Line, last)
 		}
@@ -123,7 +123,7 @@
 	}
 }
 
-func TestSingleFaults(t *testing.T) {
+func TestLoadRejectsSingleProblems(t *testing.T) {
 	for what, c := range map[string]struct{ from, to, want string }{
 		"no such key file":       {"= cursor.keys", "= missing.keys", ":4: [merging] cursor_keys: "},
 		"no section for all":     {"[merging]", "[merge other]\nschema = arrears/1\nkinds = ranked\norder = due\n[schema x]\ncolumns = a:text\naccount = a", "needs a section [merging]"},
@@ -145,12 +145,12 @@
 	}
 }
 
-func TestDoorsAndMemory(t *testing.T) {
+func TestConnectionsAndMemory(t *testing.T) {
 	f, err := load(t, "[connections]\nhead_rate = 200\nbody_rate = 2000\nanswer_rate = 4KiB\ngrace = 2s\nkeep_alive = 30s\nsend_buffer = 64KiB\ncrowd = off\n[memory]\nlimit = 32MiB\nreport = 10s\n")
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := Connections{Park: true, HeadRate: 200, BodyRate: 2000, AnswerRate: 4096, Grace: 2 * time.Second, KeepAlive: 30 * time.Second, SendBuffer: 64 << 10, IdleThreshold: Never}
+	want := Connections{ReleaseIdle: true, MinHeaderRate: 200, MinBodyRate: 2000, MinResponseRate: 4096, RateGrace: 2 * time.Second, KeepAlive: 30 * time.Second, SendBuffer: 64 << 10, IdleThreshold: Unlimited}
 	if *f.Connections != want || *f.Memory != (Memory{32 << 20, 10 * time.Second}) {
 		t.Errorf("got %+v, %+v", *f.Connections, *f.Memory)
 	}
@@ -162,12 +162,12 @@
 	}
 }
 
-func TestLevelsOfService(t *testing.T) {
+func TestLevels(t *testing.T) {
 	f, err := load(t, "[levels]\nsocket = s.sock\nexit_for = 3s\n[level trimmed]\nenter = lost 0.2 load 0.9\nexit = lost 0.1\nshare = report 0.5\nretry_after = 2s\nmerge = 0.5\n[level closed]\nenter = lost 0.9\nshare = lookup 0\n")
 	if err != nil {
 		t.Fatal(err)
 	}
-	x, err := f.Levels.For([]string{"lookup", "report"})
+	x, err := f.Levels.ConfigFor([]string{"lookup", "report"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -175,7 +175,7 @@
 		x.Levels[1].Policy.RetryAfter != 2000 || x.Levels[1].Policy.ServedShares[1] != 0.5 || x.Levels[2].Policy.ServedShares[1] != 0.5 || x.Levels[2].Policy.ServedShares[0] != 0 || x.ExitAfter != 3000 {
 		t.Errorf("got %+v", x)
 	}
-	if _, err := f.Levels.For([]string{"lookup"}); err == nil || !strings.Contains(err.Error(), ":4: [level trimmed] share: report is no query type") {
+	if _, err := f.Levels.ConfigFor([]string{"lookup"}); err == nil || !strings.Contains(err.Error(), ":4: [level trimmed] share: report is no query type") {
 		t.Errorf("a type that is not there: %v", err)
 	}
 	for text, want := range map[string]string{
