--- a/gatherer/adminstate.go
+++ b/gatherer/adminstate.go
@@ -42,19 +42,19 @@
 // state returns what operators see.
 func (s *degradationState) state() admin.State {
 	state := admin.State{
-		At:       time.Now(),
-		Level:    s.machine.Level().Name,
-		Rank:     int(s.machine.Rank()),
-		For:      seconds(s.now() - s.machine.Since()),
-		Searches: len(s.dispatcher.requests),
-		Types:    s.typeStates(),
-		Servers:  s.serverStates(),
+		At:           time.Now(),
+		Level:        s.machine.Level().Name,
+		Rank:         int(s.machine.Rank()),
+		LevelSeconds: seconds(s.now() - s.machine.Since()),
+		OpenRequests: len(s.dispatcher.requests),
+		Types:        s.typeStates(),
+		Servers:      s.serverStates(),
 	}
 	for _, level := range s.config.Levels {
 		state.Levels = append(state.Levels, level.Name)
 	}
 	if pin, pinned := s.machine.Pinned(); pinned {
-		state.Pinned = seconds(pin.Until - s.now())
+		state.PinSecondsLeft = seconds(pin.Until - s.now())
 	}
 	readings := s.machine.Readings()
 	for signal := range degradation.NumSignals {
@@ -68,7 +68,7 @@
 	}
 	for _, change := range s.changes {
 		state.Changes = append(state.Changes, admin.Change{At: time.UnixMilli(int64(change.At)),
-			From: s.levelName(change.From), To: s.levelName(change.To), Why: change.Reason})
+			From: s.levelName(change.From), To: s.levelName(change.To), Reason: change.Reason})
 	}
 	return state
 }
@@ -107,10 +107,10 @@
 			continue
 		}
 		record := records[server.id]
-		state := admin.Server{Host: server.host, Zone: server.zone, Cell: server.cell, Out: server.inFlight,
-			Failing: record.FailureRate, State: serverReady}
+		state := admin.Server{Host: server.host, Zone: server.zone, Cell: server.cell, InFlight: server.inFlight,
+			FailureRatio: record.FailureRate, State: serverReady}
 		if record.Work > 0 {
-			state.Millis = record.Latency / record.Work / float64(balancer.Millisecond)
+			state.LatencyMillis = record.Latency / record.Work / float64(balancer.Millisecond)
 		}
 		switch {
 		case server.draining:
--- a/gatherer/degradation.go
+++ b/gatherer/degradation.go
@@ -201,8 +201,8 @@
 }
 
 // handleQuestion answers a question of the admin socket.
-func (s *degradationState) handleQuestion(q admin.Question) {
-	answer := admin.Answer{}
+func (s *degradationState) handleQuestion(q admin.Request) {
+	answer := admin.Response{}
 	switch q.Verb {
 	case admin.Show:
 		state := s.state()
@@ -217,7 +217,7 @@
 		answer.Lines = []string{"the signals decide again"}
 	case admin.Watch:
 		s.watchers = append(s.watchers, q.Stream)
-	case admin.Leave:
+	case admin.Unwatch:
 		s.watchers = slices.DeleteFunc(s.watchers, func(w chan<- []byte) bool { return w == q.Stream })
 	}
 	if q.Reply != nil {
@@ -238,15 +238,15 @@
 }
 
 // pin pins the level for a time.
-func (s *degradationState) pin(q admin.Question) admin.Answer {
+func (s *degradationState) pin(q admin.Request) admin.Response {
 	rank := slices.IndexFunc(s.config.Levels, func(l degradation.Level) bool { return l.Name == q.Level })
 	switch {
 	case rank < 0:
-		return admin.Answer{Error: fmt.Sprintf("there is no level %.40q", q.Level)}
-	case q.Seconds <= 0 || q.Seconds > admin.LongestPin.Seconds():
-		return admin.Answer{Error: fmt.Sprintf("a pin is for 0 to %s", admin.LongestPin)}
+		return admin.Response{Error: fmt.Sprintf("there is no level %.40q", q.Level)}
+	case q.Seconds <= 0 || q.Seconds > admin.MaxPinDuration.Seconds():
+		return admin.Response{Error: fmt.Sprintf("a pin is for 0 to %s", admin.MaxPinDuration)}
 	}
 	s.machine.Pin(degradation.Rank(rank), s.now()+degradation.Time(q.Seconds*1000))
 	slog.Warn("level_pinned", "level", q.Level, "seconds", q.Seconds)
-	return admin.Answer{Lines: []string{fmt.Sprintf("pinned to %s for %g s", q.Level, q.Seconds)}}
+	return admin.Response{Lines: []string{fmt.Sprintf("pinned to %s for %g s", q.Level, q.Seconds)}}
 }
--- a/gatherer/degradation_test.go
+++ b/gatherer/degradation_test.go
@@ -47,7 +47,7 @@
 
 func queryState(t *testing.T, c *admin.Client) admin.State {
 	t.Helper()
-	a, err := c.Ask(admin.Question{Verb: admin.Show})
+	a, err := c.Do(admin.Request{Verb: admin.Show})
 	if err != nil || a.State == nil {
 		t.Fatalf("show: %+v, %v", a, err)
 	}
@@ -120,7 +120,7 @@
 	if len(s.Servers) != 3 || len(s.Changes) != 1 || s.Types[1].Name != "post" || s.Types[1].Share != 0 || len(s.Types[1].Customers) != 1 || s.Types[1].Customers[0].Shed != 1 {
 		t.Errorf("state %+v", s)
 	}
-	if a, err := c.Ask(admin.Question{Verb: admin.Explain}); err != nil || !strings.Contains(strings.Join(a.Lines, "\n"), "trimmed: lost 0.25, enters at 0.2, left under 0.1: enters") {
+	if a, err := c.Do(admin.Request{Verb: admin.Explain}); err != nil || !strings.Contains(strings.Join(a.Lines, "\n"), "trimmed: lost 0.25, enters at 0.2, left under 0.1: enters") {
 		t.Errorf("explanation %v, %v", a.Lines, err)
 	}
 	// An operator who watches sees it recover.
@@ -144,15 +144,15 @@
 	}
 	want("c1", "post", 200)
 	// A pin to an unknown level, a pin, and its end.
-	if _, err := c.Ask(admin.Question{Verb: admin.Pin, Level: "nowhere", Seconds: 1}); err == nil {
+	if _, err := c.Do(admin.Request{Verb: admin.Pin, Level: "nowhere", Seconds: 1}); err == nil {
 		t.Error("pinned to an unknown level")
 	}
-	if _, err := c.Ask(admin.Question{Verb: admin.Pin, Level: "closed", Seconds: 3600}); err != nil {
+	if _, err := c.Do(admin.Request{Verb: admin.Pin, Level: "closed", Seconds: 3600}); err != nil {
 		t.Error(err)
 	}
 	awaitLevel(t, c, "closed")
 	want("d1", "lookup", 503)
-	if _, err := c.Ask(admin.Question{Verb: admin.Unpin}); err != nil {
+	if _, err := c.Do(admin.Request{Verb: admin.Unpin}); err != nil {
 		t.Error(err)
 	}
 	awaitLevel(t, c, "full")
--- a/gatherer/gatherer.go
+++ b/gatherer/gatherer.go
@@ -185,7 +185,7 @@
 	if levels == nil || levels.Socket == "" {
 		return nil, nil
 	}
-	return admin.Listen(levels.Socket, func(q admin.Question) bool { return g.dispatcher.send(operatorQuestion{q}) })
+	return admin.Listen(levels.Socket, func(q admin.Request) bool { return g.dispatcher.send(operatorQuestion{q}) })
 }
 
 // Reload applies a configuration that was read anew. It may be called at any time. A changed address of the list service
--- a/gatherer/mailbox.go
+++ b/gatherer/mailbox.go
@@ -26,7 +26,7 @@
 	// levelsReplaced carries a new configuration of degradation.
 	levelsReplaced struct{ config degradation.Config }
 	// operatorQuestion carries a question of the admin socket.
-	operatorQuestion struct{ question admin.Question }
+	operatorQuestion struct{ question admin.Request }
 	// intentWritten says that the intent of a request is durable, or why it could not be written.
 	intentWritten struct {
 		request *clientRequest
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -26,23 +26,23 @@
 	Pin     Verb = "pin"
 	Unpin   Verb = "unpin"
 	Watch   Verb = "watch"
-	Leave   Verb = "leave"
+	Unwatch Verb = "leave"
 )
 
-// LongestPin is the most that a level may be pinned for: a pin left over ends by itself.
-const LongestPin = 24 * time.Hour
+// MaxPinDuration is the most that a level may be pinned for: a pin left over ends by itself.
+const MaxPinDuration = 24 * time.Hour
 
-// Question is one question. Reply, where it is set, takes one answer without waiting; Stream takes states.
-type Question struct {
+// Request is one question. Reply, where it is set, takes one answer without waiting; Stream takes states.
+type Request struct {
 	Verb    Verb          `json:"verb"`
 	Level   string        `json:"level,omitempty"`
 	Seconds float64       `json:"seconds,omitempty"`
-	Reply   chan Answer   `json:"-"`
+	Reply   chan Response `json:"-"`
 	Stream  chan<- []byte `json:"-"`
 }
 
-// Answer is what comes back.
-type Answer struct {
+// Response is what comes back.
+type Response struct {
 	Error string   `json:"error,omitempty"`
 	Lines []string `json:"lines,omitempty"`
 	State *State   `json:"state,omitempty"`
@@ -50,18 +50,18 @@
 
 // State is what operators see of a gatherer.
 type State struct {
-	At       time.Time   `json:"at"`
-	Level    string      `json:"level"`
-	Rank     int         `json:"rank"`
-	For      float64     `json:"for"`              // seconds
-	Pinned   float64     `json:"pinned,omitempty"` // seconds that are left
-	Levels   []string    `json:"levels"`
-	Searches int         `json:"searches"` // open
-	Signals  []Signal    `json:"signals"`
-	Segments []Segment   `json:"segments,omitempty"` // those with a level of their own
-	Types    []QueryType `json:"types"`
-	Servers  []Server    `json:"servers"`
-	Changes  []Change    `json:"changes,omitempty"`
+	At             time.Time   `json:"at"`
+	Level          string      `json:"level"`
+	Rank           int         `json:"rank"`
+	LevelSeconds   float64     `json:"for"`              // seconds
+	PinSecondsLeft float64     `json:"pinned,omitempty"` // seconds that are left
+	Levels         []string    `json:"levels"`
+	OpenRequests   int         `json:"searches"` // open
+	Signals        []Signal    `json:"signals"`
+	Segments       []Segment   `json:"segments,omitempty"` // those with a level of their own
+	Types          []QueryType `json:"types"`
+	Servers        []Server    `json:"servers"`
+	Changes        []Change    `json:"changes,omitempty"`
 }
 
 // Signal is a smoothed input of the level decision.
@@ -93,37 +93,37 @@
 
 // Server is a shard server as the gatherer sees it.
 type Server struct {
-	Host    string  `json:"host"`
-	Zone    string  `json:"zone"`
-	Cell    int     `json:"cell"`
-	State   string  `json:"state"`  // ready, cold, out, draining
-	Out     int     `json:"out"`    // sub-requests that have not ended
-	Millis  float64 `json:"millis"` // a part of size one takes
-	Failing float64 `json:"failing"`
+	Host          string  `json:"host"`
+	Zone          string  `json:"zone"`
+	Cell          int     `json:"cell"`
+	State         string  `json:"state"`  // ready, cold, out, draining
+	InFlight      int     `json:"out"`    // sub-requests that have not ended
+	LatencyMillis float64 `json:"millis"` // a part of size one takes
+	FailureRatio  float64 `json:"failing"`
 }
 
 // Change is one change of the level.
 type Change struct {
-	At   time.Time `json:"at"`
-	From string    `json:"from"`
-	To   string    `json:"to"`
-	Why  string    `json:"why"`
+	At     time.Time `json:"at"`
+	From   string    `json:"from"`
+	To     string    `json:"to"`
+	Reason string    `json:"why"`
 }
 
 // Socket listens for operators.
 type Socket struct {
-	l     net.Listener
-	ask   func(Question) bool
-	mu    sync.Mutex
-	conns map[net.Conn]struct{} // emptied as they end
-	all   sync.WaitGroup
+	listener net.Listener
+	submit   func(Request) bool
+	mu       sync.Mutex
+	conns    map[net.Conn]struct{} // emptied as they end
+	tasks    sync.WaitGroup
 }
 
-// mostConns bounds how many operators are listened to at once.
-const mostConns = 16
+// maxConns bounds how many operators are listened to at once.
+const maxConns = 16
 
 // Listen opens the socket. ask hands a question to the gatherer; false = it is gone.
-func Listen(path string, ask func(Question) bool) (*Socket, error) {
+func Listen(path string, ask func(Request) bool) (*Socket, error) {
 	if s, err := os.Lstat(path); err == nil {
 		if s.Mode()&fs.ModeSocket == 0 {
 			return nil, fmt.Errorf("admin socket %s: something else is there", path)
@@ -140,27 +140,27 @@
 	if err != nil {
 		return nil, fmt.Errorf("admin socket %s: %w", path, err)
 	}
-	s := &Socket{l: l, ask: ask, conns: map[net.Conn]struct{}{}}
-	s.all.Add(1)
+	s := &Socket{listener: l, submit: ask, conns: map[net.Conn]struct{}{}}
+	s.tasks.Add(1)
 	go s.accept()
 	return s, nil
 }
 
 // Close ends the socket and all who are on it.
 func (s *Socket) Close() {
-	s.l.Close()
+	s.listener.Close()
 	s.mu.Lock()
 	for c := range s.conns {
 		c.Close()
 	}
 	s.mu.Unlock()
-	s.all.Wait()
+	s.tasks.Wait()
 }
 
 func (s *Socket) accept() {
-	defer s.all.Done()
+	defer s.tasks.Done()
 	for {
-		c, err := s.l.Accept()
+		c, err := s.listener.Accept()
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) {
 				return
@@ -169,13 +169,13 @@
 			continue
 		}
 		s.mu.Lock()
-		if len(s.conns) >= mostConns {
+		if len(s.conns) >= maxConns {
 			s.mu.Unlock()
 			c.Close()
 			continue
 		}
 		s.conns[c] = struct{}{}
-		s.all.Add(1)
+		s.tasks.Add(1)
 		s.mu.Unlock()
 		go s.serve(c)
 	}
@@ -183,12 +183,12 @@
 
 // Times that an operator's tool may take.
 const (
-	readWait  = time.Minute
-	writeWait = 5 * time.Second
+	readTimeout  = time.Minute
+	writeTimeout = 5 * time.Second
 )
 
 func (s *Socket) serve(c net.Conn) {
-	defer s.all.Done()
+	defer s.tasks.Done()
 	defer func() {
 		c.Close()
 		s.mu.Lock()
@@ -196,9 +196,9 @@
 		s.mu.Unlock()
 	}()
 	lines := bufio.NewScanner(c)
-	for c.SetReadDeadline(time.Now().Add(readWait)); lines.Scan(); c.SetReadDeadline(time.Now().Add(readWait)) {
-		var q Question
-		a := Answer{}
+	for c.SetReadDeadline(time.Now().Add(readTimeout)); lines.Scan(); c.SetReadDeadline(time.Now().Add(readTimeout)) {
+		var q Request
+		a := Response{}
 		err := json.Unmarshal(lines.Bytes(), &q)
 		switch {
 		case err != nil:
@@ -207,13 +207,13 @@
 			s.stream(c)
 			return
 		case q.Verb == Show, q.Verb == Explain, q.Verb == Pin, q.Verb == Unpin:
-			q.Reply = make(chan Answer, 1)
-			if !s.ask(q) {
+			q.Reply = make(chan Response, 1)
+			if !s.submit(q) {
 				return
 			}
 			select {
 			case a = <-q.Reply:
-			case <-time.After(writeWait):
+			case <-time.After(writeTimeout):
 				a.Error = "the gatherer does not answer"
 			}
 		default:
@@ -227,7 +227,7 @@
 }
 
 func (s *Socket) write(c net.Conn, b []byte) error {
-	c.SetWriteDeadline(time.Now().Add(writeWait))
+	c.SetWriteDeadline(time.Now().Add(writeTimeout))
 	_, err := c.Write(append(b, '\n'))
 	return err
 }
@@ -235,10 +235,10 @@
 // stream sends states until the watcher leaves.
 func (s *Socket) stream(c net.Conn) {
 	states := make(chan []byte, 4)
-	if !s.ask(Question{Verb: Watch, Stream: states}) {
+	if !s.submit(Request{Verb: Watch, Stream: states}) {
 		return
 	}
-	defer s.ask(Question{Verb: Leave, Stream: states})
+	defer s.submit(Request{Verb: Unwatch, Stream: states})
 	left := make(chan struct{})
 	go func() {
 		defer close(left)
@@ -263,7 +263,7 @@
 
 // Client is an operator's tool.
 type Client struct {
-	c     net.Conn
+	conn  net.Conn
 	lines *bufio.Reader
 }
 
@@ -277,16 +277,16 @@
 }
 
 // Close ends it.
-func (c *Client) Close() { c.c.Close() }
+func (c *Client) Close() { c.conn.Close() }
 
-// Ask asks one question.
-func (c *Client) Ask(q Question) (a Answer, err error) {
+// Do asks one question.
+func (c *Client) Do(q Request) (a Response, err error) {
 	b, err := json.Marshal(q)
 	if err != nil {
 		return a, err
 	}
-	c.c.SetDeadline(time.Now().Add(2 * writeWait))
-	if _, err := c.c.Write(append(b, '\n')); err != nil {
+	c.conn.SetDeadline(time.Now().Add(2 * writeTimeout))
+	if _, err := c.conn.Write(append(b, '\n')); err != nil {
 		return a, err
 	}
 	line, err := c.lines.ReadBytes('\n')
@@ -304,14 +304,14 @@
 
 // Watch begins a stream of states; Next gives them.
 func (c *Client) Watch() error {
-	b, _ := json.Marshal(Question{Verb: Watch})
-	_, err := c.c.Write(append(b, '\n'))
+	b, _ := json.Marshal(Request{Verb: Watch})
+	_, err := c.conn.Write(append(b, '\n'))
 	return err
 }
 
 // Next is the next state of a stream.
 func (c *Client) Next() (s State, err error) {
-	c.c.SetDeadline(time.Now().Add(readWait))
+	c.conn.SetDeadline(time.Now().Add(readTimeout))
 	line, err := c.lines.ReadBytes('\n')
 	if err != nil {
 		return s, err
@@ -325,8 +325,8 @@
 	Out io.Writer
 }
 
-// Recorded is a line of a record.
-type Recorded struct {
+// Record is a line of a record.
+type Record struct {
 	At      time.Time          `json:"at"`
 	Signals map[string]float64 `json:"signals"` // those that were known
 }
@@ -337,7 +337,7 @@
 	if err != nil {
 		return s, err
 	}
-	line := Recorded{At: s.At, Signals: map[string]float64{}}
+	line := Record{At: s.At, Signals: map[string]float64{}}
 	for _, x := range s.Signals {
 		if x.Known {
 			line.Signals[x.Name] = x.Value
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -21,7 +21,7 @@
 }
 
 func newRoot(stdout, stderr io.Writer) *cobra.Command {
-	root := command.Root(&cobra.Command{
+	root := command.NewRoot(&cobra.Command{
 		Use:   "oxbowspan",
 		Short: "A gatherer: reads many shards for one request",
 		Long: "oxbowspan takes a search, asks the shard servers that hold its parts, and answers from what comes back.\n" +
--- a/internal/cli/level.go
+++ b/internal/cli/level.go
@@ -29,21 +29,21 @@
 	var socket string
 	c := &cobra.Command{Use: "level", Short: "Look at and pin a running gatherer's level of service", Args: command.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error { return c.Help() }}
-	ask := func(q admin.Question, out func(admin.Answer)) error {
+	ask := func(q admin.Request, out func(admin.Response)) error {
 		a, err := askGatherer(socket, q)
 		if err == nil {
 			out(a)
 		}
 		return err
 	}
-	lines := func(a admin.Answer) {
+	lines := func(a admin.Response) {
 		for _, l := range a.Lines {
 			fmt.Fprintln(stdout, l)
 		}
 	}
 	show := &cobra.Command{Use: "show", Short: "Print level, signals, shares and servers", Args: command.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			return ask(admin.Question{Verb: admin.Show}, func(a admin.Answer) {
+			return ask(admin.Request{Verb: admin.Show}, func(a admin.Response) {
 				fmt.Fprintln(stdout, plainState(*a.State))
 				for _, t := range a.State.Types {
 					for _, x := range t.Customers {
@@ -51,24 +51,24 @@
 					}
 				}
 				for _, x := range a.State.Servers {
-					fmt.Fprintf(stdout, "server %s zone %s %s out %d latency_ms %.1f failing %.2f\n", x.Host, x.Zone, x.State, x.Out, x.Millis, x.Failing)
+					fmt.Fprintf(stdout, "server %s zone %s %s out %d latency_ms %.1f failing %.2f\n", x.Host, x.Zone, x.State, x.InFlight, x.LatencyMillis, x.FailureRatio)
 				}
 				for _, x := range a.State.Changes {
-					fmt.Fprintf(stdout, "%s %s > %s: %s\n", x.At.Format(time.RFC3339), x.From, x.To, x.Why)
+					fmt.Fprintf(stdout, "%s %s > %s: %s\n", x.At.Format(time.RFC3339), x.From, x.To, x.Reason)
 				}
 			})
 		}}
 	explain := &cobra.Command{Use: "explain", Short: "Print how each condition of each level stands", Args: command.NoArgs,
-		RunE: func(*cobra.Command, []string) error { return ask(admin.Question{Verb: admin.Explain}, lines) }}
+		RunE: func(*cobra.Command, []string) error { return ask(admin.Request{Verb: admin.Explain}, lines) }}
 	var span time.Duration
-	pin := &cobra.Command{Use: "pin LEVEL", Short: "Hold a level for some time, whatever the signals say", Args: command.Words(1, "LEVEL"),
+	pin := &cobra.Command{Use: "pin LEVEL", Short: "Hold a level for some time, whatever the signals say", Args: command.ExactArgs(1, "LEVEL"),
 		Example: "  oxbowspan level pin trimmed --for 10m --socket oxbowspan.sock",
 		RunE: func(_ *cobra.Command, args []string) error {
-			return ask(admin.Question{Verb: admin.Pin, Level: args[0], Seconds: span.Seconds()}, lines)
+			return ask(admin.Request{Verb: admin.Pin, Level: args[0], Seconds: span.Seconds()}, lines)
 		}}
 	pin.Flags().DurationVar(&span, "for", 10*time.Minute, "the pin ends after so long by itself, 24h at most")
 	unpin := &cobra.Command{Use: "unpin", Short: "Let the signals decide again", Args: command.NoArgs,
-		RunE: func(*cobra.Command, []string) error { return ask(admin.Question{Verb: admin.Unpin}, lines) }}
+		RunE: func(*cobra.Command, []string) error { return ask(admin.Request{Verb: admin.Unpin}, lines) }}
 	for _, x := range []*cobra.Command{show, explain, pin, unpin} {
 		socketFlag(x, &socket)
 	}
@@ -76,9 +76,9 @@
 	replay := &cobra.Command{Use: "replay FILE", Short: "Play recorded signals through an operator's file, and print what would have happened",
 		Long: "replay reads what 'oxbowspan watch --record' wrote and plays it through the levels of an operator's file, without any\n" +
 			"gatherer: each change with its condition, and a line of the levels over time.",
-		Args: command.Words(1, "FILE"), RunE: func(_ *cobra.Command, args []string) error {
+		Args: command.ExactArgs(1, "FILE"), RunE: func(_ *cobra.Command, args []string) error {
 			if operator == "" {
-				return command.Wrong("--operator is missing")
+				return command.Usagef("--operator is missing")
 			}
 			o, err := gatherer.LoadOperator(operator)
 			if err != nil {
@@ -103,16 +103,16 @@
 	c.Flags().StringVar(socket, "socket", os.Getenv("OXBOWSPAN_SOCKET"), "the gatherer's admin socket, [levels] socket (OXBOWSPAN_SOCKET)")
 }
 
-func askGatherer(socket string, q admin.Question) (admin.Answer, error) {
+func askGatherer(socket string, q admin.Request) (admin.Response, error) {
 	if socket == "" {
-		return admin.Answer{}, errors.New("no socket: give --socket or set OXBOWSPAN_SOCKET")
+		return admin.Response{}, errors.New("no socket: give --socket or set OXBOWSPAN_SOCKET")
 	}
 	c, err := admin.Dial(socket)
 	if err != nil {
-		return admin.Answer{}, err
+		return admin.Response{}, err
 	}
 	defer c.Close()
-	return c.Ask(q)
+	return c.Do(q)
 }
 
 // newWatch shows a running gatherer on the terminal.
@@ -184,9 +184,9 @@
 
 func plainState(s admin.State) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s level=%s for=%.1f searches=%d", s.At.Format(time.RFC3339), s.Level, s.For, s.Searches)
-	if s.Pinned > 0 {
-		fmt.Fprintf(&b, " pinned=%.0f", s.Pinned)
+	fmt.Fprintf(&b, "%s level=%s for=%.1f searches=%d", s.At.Format(time.RFC3339), s.Level, s.LevelSeconds, s.OpenRequests)
+	if s.PinSecondsLeft > 0 {
+		fmt.Fprintf(&b, " pinned=%.0f", s.PinSecondsLeft)
 	}
 	for _, x := range s.Signals {
 		if x.Known {
@@ -210,7 +210,7 @@
 	}
 	lines := bufio.NewScanner(in)
 	for n := 1; lines.Scan(); n++ {
-		var x admin.Recorded
+		var x admin.Record
 		if err := json.Unmarshal(lines.Bytes(), &x); err != nil {
 			return fmt.Errorf("line %d is not of a record: %w", n, err)
 		}
--- a/internal/cli/level_test.go
+++ b/internal/cli/level_test.go
@@ -19,8 +19,8 @@
 	}
 	t.Cleanup(func() { os.RemoveAll(dir) })
 	socket := filepath.Join(dir, "s")
-	listening, err := admin.Listen(socket, func(q admin.Question) bool {
-		a := admin.Answer{Lines: []string{string(q.Verb) + " " + q.Level}}
+	listening, err := admin.Listen(socket, func(q admin.Request) bool {
+		a := admin.Response{Lines: []string{string(q.Verb) + " " + q.Level}}
 		if q.Verb == admin.Show {
 			a.State = &admin.State{Level: "trimmed", Signals: []admin.Signal{{Name: "lost", Value: 0.25, Known: true}, {Name: "cold"}},
 				Types: []admin.QueryType{{Name: "report", Share: 0.5, Customers: []admin.Customer{{Name: "acme", Served: 3, Shed: 2}}}}}
--- a/internal/cli/store.go
+++ b/internal/cli/store.go
@@ -23,7 +23,7 @@
 		Long: "store works on the directory that [store] path names, while no gatherer uses it. check, dump and stats change nothing.\n" +
 			"They end with 1 where the store is damaged, cannot be read or is in use."}
 	one := func(use, short, long string, do func(dir string) error) *cobra.Command {
-		return &cobra.Command{Use: use + " DIR", Short: short, Long: long, Args: command.Words(1, "DIR"),
+		return &cobra.Command{Use: use + " DIR", Short: short, Long: long, Args: command.ExactArgs(1, "DIR"),
 			RunE: func(_ *cobra.Command, args []string) error {
 				if err := do(args[0]); err != nil {
 					return fmt.Errorf("store %s: %w", args[0], err)
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -13,49 +13,49 @@
 // ExitUsage is the exit code where the command line is wrong.
 const ExitUsage = 2
 
-// Usage is an error in the command line, not in what was to be done.
-type Usage struct{ error }
+// UsageError is an error in the command line, not in what was to be done.
+type UsageError struct{ error }
 
-func (u Usage) Unwrap() error { return u.error }
+func (u UsageError) Unwrap() error { return u.error }
 
-// Wrong makes a Usage.
-func Wrong(form string, args ...any) error { return Usage{fmt.Errorf(form, args...)} }
+// Usagef makes a Usage.
+func Usagef(form string, args ...any) error { return UsageError{fmt.Errorf(form, args...)} }
 
 // NoArgs takes flags alone.
 func NoArgs(_ *cobra.Command, args []string) error {
 	if len(args) > 0 {
-		return Wrong("unexpected argument %q", args[0])
+		return Usagef("unexpected argument %q", args[0])
 	}
 	return nil
 }
 
-// Words takes so many words beside the flags.
-func Words(n int, what string) cobra.PositionalArgs {
+// ExactArgs takes so many words beside the flags.
+func ExactArgs(n int, what string) cobra.PositionalArgs {
 	return func(_ *cobra.Command, args []string) error {
 		if len(args) != n {
-			return Wrong("%d words were given, wanted: %s", len(args), what)
+			return Usagef("%d words were given, wanted: %s", len(args), what)
 		}
 		return nil
 	}
 }
 
-// Root makes a root command of one: alone it shows its help and is an error, and so is a word that it does not know.
-func Root(root *cobra.Command, stdout, stderr io.Writer) *cobra.Command {
+// NewRoot makes a root command of one: alone it shows its help and is an error, and so is a word that it does not know.
+func NewRoot(root *cobra.Command, stdout, stderr io.Writer) *cobra.Command {
 	root.SilenceErrors, root.SilenceUsage = true, true
 	root.Args = func(_ *cobra.Command, args []string) error {
 		if len(args) > 0 {
-			return Wrong("unknown command %q", args[0])
+			return Usagef("unknown command %q", args[0])
 		}
 		return nil
 	}
 	root.RunE = func(c *cobra.Command, _ []string) error {
 		c.SetOut(stderr)
 		c.Help()
-		return Wrong("no command was given")
+		return Usagef("no command was given")
 	}
 	root.SetOut(stdout)
 	root.SetErr(stderr)
-	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return Usage{err} })
+	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return UsageError{err} })
 	return root
 }
 
@@ -64,7 +64,7 @@
 func Run(root *cobra.Command, args []string, stderr io.Writer, code func(error) int) int {
 	root.SetArgs(args)
 	err := root.Execute()
-	var wrong Usage
+	var wrong UsageError
 	switch {
 	case err == nil:
 		return 0
--- a/internal/dashboard/main.go
+++ b/internal/dashboard/main.go
@@ -21,7 +21,7 @@
 // Main runs the dashboard as a program and returns its exit code.
 func Main(args []string, stdout, stderr io.Writer) int {
 	var socket, record string
-	root := command.Root(&cobra.Command{
+	root := command.NewRoot(&cobra.Command{
 		Use:   "oxbowwatch",
 		Short: "Show a running gatherer on a terminal",
 		Long:  "oxbowwatch is the dashboard that 'oxbowspan watch' starts.",
--- a/internal/dashboard/model.go
+++ b/internal/dashboard/model.go
@@ -95,7 +95,7 @@
 		}
 	}
 	for _, server := range state.Servers {
-		add(serverSeries(server.Host), server.Millis)
+		add(serverSeries(server.Host), server.LatencyMillis)
 	}
 	for series := range m.history {
 		if !current[series] {
--- a/internal/dashboard/model_test.go
+++ b/internal/dashboard/model_test.go
@@ -32,23 +32,23 @@
 func testState(n int) admin.State {
 	acme := admin.Customer{Name: "acme", Served: int64(100 * n), Shed: int64(20 * n)}
 	state := admin.State{
-		At:       time.Unix(int64(n), 0),
-		Level:    "trimmed",
-		Rank:     1,
-		For:      3,
-		Levels:   []string{"full", "trimmed"},
-		Pinned:   30,
-		Signals:  []admin.Signal{{Name: "lost", Value: float64(n) / 10, Known: true}, {Name: "cold"}},
-		Types:    []admin.QueryType{{Name: "report", Share: 0.5, Customers: []admin.Customer{acme}}},
-		Segments: []admin.Segment{{Segment: 7, Level: "gone"}},
-		Changes:  []admin.Change{{From: "full", To: "trimmed", Why: "lost 0.25 >= 0.2"}},
+		At:             time.Unix(int64(n), 0),
+		Level:          "trimmed",
+		Rank:           1,
+		LevelSeconds:   3,
+		Levels:         []string{"full", "trimmed"},
+		PinSecondsLeft: 30,
+		Signals:        []admin.Signal{{Name: "lost", Value: float64(n) / 10, Known: true}, {Name: "cold"}},
+		Types:          []admin.QueryType{{Name: "report", Share: 0.5, Customers: []admin.Customer{acme}}},
+		Segments:       []admin.Segment{{Segment: 7, Level: "gone"}},
+		Changes:        []admin.Change{{From: "full", To: "trimmed", Reason: "lost 0.25 >= 0.2"}},
 	}
 	for i := range 30 {
 		state.Servers = append(state.Servers, admin.Server{
-			Host:   fmt.Sprintf("s-%02d", i),
-			Zone:   string(rune('a' + i/20)),
-			State:  []string{stateReady, stateOut}[i%2],
-			Millis: float64(i),
+			Host:          fmt.Sprintf("s-%02d", i),
+			Zone:          string(rune('a' + i/20)),
+			State:         []string{stateReady, stateOut}[i%2],
+			LatencyMillis: float64(i),
 		})
 	}
 	return state
--- a/internal/dashboard/view.go
+++ b/internal/dashboard/view.go
@@ -57,9 +57,9 @@
 func (m Model) writeLevel(b *strings.Builder) {
 	state := m.state
 	fmt.Fprintf(b, "%s %s for %s   %d searches open   %s\n", boldStyle.Render("level"), levelStyle(state.Rank).Render(state.Level),
-		formatSeconds(state.For), state.Searches, dimStyle.Render(state.At.Format(clockFormat)))
-	if state.Pinned > 0 {
-		fmt.Fprintf(b, "%s for %s more\n", errorStyle.Render("pinned"), formatSeconds(state.Pinned))
+		formatSeconds(state.LevelSeconds), state.OpenRequests, dimStyle.Render(state.At.Format(clockFormat)))
+	if state.PinSecondsLeft > 0 {
+		fmt.Fprintf(b, "%s for %s more\n", errorStyle.Render("pinned"), formatSeconds(state.PinSecondsLeft))
 	}
 	fmt.Fprintf(b, "%s\n", dimStyle.Render("levels: "+strings.Join(state.Levels, " > ")))
 }
@@ -130,7 +130,7 @@
 		style = okStyle
 	}
 	fmt.Fprintf(b, "    %-*s %s out %3d  %7.1f ms  failing %.2f  %s\n", hostWidth, truncate(server.Host, hostWidth),
-		style.Render(fmt.Sprintf("%-8s", server.State)), server.Out, server.Millis, server.Failing,
+		style.Render(fmt.Sprintf("%-8s", server.State)), server.InFlight, server.LatencyMillis, server.FailureRatio,
 		sparkline.Line(m.history[serverSeries(server.Host)]))
 }
 
@@ -155,7 +155,7 @@
 func (m Model) writeChanges(b *strings.Builder) {
 	changes := m.state.Changes
 	for _, change := range changes[max(0, len(changes)-changesShown):] {
-		line := fmt.Sprintf("%s %s > %s: %s", change.At.Format(clockFormat), change.From, change.To, change.Why)
+		line := fmt.Sprintf("%s %s > %s: %s", change.At.Format(clockFormat), change.From, change.To, change.Reason)
 		b.WriteString(dimStyle.Render(line) + "\n")
 	}
 }
--- a/internal/testing/experiment/cli.go
+++ b/internal/testing/experiment/cli.go
@@ -42,7 +42,7 @@
 
 func newRootCommand(stdout, stderr io.Writer) *cobra.Command {
 	var path string
-	root := command.Root(&cobra.Command{Use: "oxbowlab", Short: "Plays experiments on the built gatherer and keeps their results",
+	root := command.NewRoot(&cobra.Command{Use: "oxbowlab", Short: "Plays experiments on the built gatherer and keeps their results",
 		Long: "oxbowlab starts built gatherers and stand-ins on loopback, plays an experiment on them, checks what comes back\n" +
 			"and keeps the results in an archive.",
 		Example: "  oxbowlab run merge --quick\n  oxbowlab list\n  oxbowlab table merge --markdown\n  oxbowlab chart merge latency > latency.svg",
@@ -58,10 +58,10 @@
 	}
 	root.AddCommand(newRunCommand(stdout, stderr, with))
 	root.AddCommand(newClusterCommand(stdout, stderr))
-	root.AddCommand(&cobra.Command{Use: "holder ADDR SOURCE NUMBER", Hidden: true, Args: command.Words(3, "ADDR SOURCE NUMBER"),
+	root.AddCommand(&cobra.Command{Use: "holder ADDR SOURCE NUMBER", Hidden: true, Args: command.ExactArgs(3, "ADDR SOURCE NUMBER"),
 		RunE: func(_ *cobra.Command, args []string) error { return runConnectionHolder(args, os.Stdin, stdout) }})
 	root.AddCommand(&cobra.Command{Use: "bench NAME FILE", Short: "Keep what 'go test -bench' printed as a run, with tables and charts",
-		Args: command.Words(2, "NAME FILE"), Example: "  go test -run xxx -bench Merge -benchmem ./merge > b.txt && oxbowlab bench merge-ways b.txt",
+		Args: command.ExactArgs(2, "NAME FILE"), Example: "  go test -run xxx -bench Merge -benchmem ./merge > b.txt && oxbowlab bench merge-ways b.txt",
 		RunE: func(_ *cobra.Command, args []string) error {
 			f, err := os.Open(args[1])
 			if err != nil {
@@ -74,13 +74,13 @@
 			}
 			return with(func(a *Archive) error { return a.Put(r) })
 		}})
-	root.AddCommand(&cobra.Command{Use: "experiments", Short: "List the experiments", Args: command.Words(0, "none"),
+	root.AddCommand(&cobra.Command{Use: "experiments", Short: "List the experiments", Args: command.ExactArgs(0, "none"),
 		Run: func(*cobra.Command, []string) {
 			for _, name := range Names() {
 				fmt.Fprintf(stdout, "%-12s %s\n", name, experiments[name].Short)
 			}
 		}})
-	root.AddCommand(&cobra.Command{Use: "list", Short: "List the runs in the archive", Args: command.Words(0, "none"),
+	root.AddCommand(&cobra.Command{Use: "list", Short: "List the runs in the archive", Args: command.ExactArgs(0, "none"),
 		RunE: func(*cobra.Command, []string) error {
 			return with(func(a *Archive) error {
 				all, err := a.All()
@@ -94,7 +94,7 @@
 				return err
 			})
 		}})
-	root.AddCommand(&cobra.Command{Use: "show RUN", Short: "Show a run whole, by its id or the newest of an experiment", Args: command.Words(1, "RUN"),
+	root.AddCommand(&cobra.Command{Use: "show RUN", Short: "Show a run whole, by its id or the newest of an experiment", Args: command.ExactArgs(1, "RUN"),
 		RunE: func(_ *cobra.Command, args []string) error {
 			return with(func(a *Archive) error {
 				r, err := a.Find(args[0])
@@ -114,7 +114,7 @@
 			})
 		}})
 	var markdown bool
-	tables := &cobra.Command{Use: "table RUN", Short: "Print a run's tables", Args: command.Words(1, "RUN"),
+	tables := &cobra.Command{Use: "table RUN", Short: "Print a run's tables", Args: command.ExactArgs(1, "RUN"),
 		RunE: func(_ *cobra.Command, args []string) error {
 			return with(func(a *Archive) error {
 				r, err := a.Find(args[0])
@@ -126,7 +126,7 @@
 		}}
 	tables.Flags().BoolVar(&markdown, "markdown", false, "as Markdown")
 	root.AddCommand(tables)
-	root.AddCommand(&cobra.Command{Use: "chart RUN CHART", Short: "Print one of a run's charts as SVG", Args: command.Words(2, "RUN CHART"),
+	root.AddCommand(&cobra.Command{Use: "chart RUN CHART", Short: "Print one of a run's charts as SVG", Args: command.ExactArgs(2, "RUN CHART"),
 		RunE: func(_ *cobra.Command, args []string) error {
 			return with(func(a *Archive) error {
 				r, err := a.Find(args[0])
@@ -149,7 +149,7 @@
 	var quick bool
 	var seed uint64
 	var program, sizes string
-	c := &cobra.Command{Use: "run EXPERIMENT", Short: "Play an experiment", Args: command.Words(1, "EXPERIMENT"), ValidArgs: Names(),
+	c := &cobra.Command{Use: "run EXPERIMENT", Short: "Play an experiment", Args: command.ExactArgs(1, "EXPERIMENT"), ValidArgs: Names(),
 		Long: "run plays an experiment and keeps its results. It ends with 1 at the first thing that the program did wrong,\n" +
 			"with 3 if the experiment itself could not be played.",
 		Example: "  oxbowlab run merge --quick --seed 7"}
@@ -160,7 +160,7 @@
 	c.RunE = func(_ *cobra.Command, args []string) error {
 		x, known := experiments[args[0]]
 		if !known {
-			return command.Wrong("unknown experiment %q", args[0])
+			return command.Usagef("unknown experiment %q", args[0])
 		}
 		if program == "" {
 			own, err := os.Executable()
--- a/internal/testing/experiment/cluster.go
+++ b/internal/testing/experiment/cluster.go
@@ -24,7 +24,7 @@
 	var bin string
 	var last time.Duration
 	cmd := &cobra.Command{Use: "colony DIR", Short: "Surround a local system with servers, an operator and clients, and check what comes back",
-		Args: command.Words(1, "DIR"), Example: "  oxbowlab colony --bin target --for 20s /tmp/colony",
+		Args: command.ExactArgs(1, "DIR"), Example: "  oxbowlab colony --bin target --for 20s /tmp/colony",
 		RunE: func(_ *cobra.Command, args []string) error {
 			ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 			defer stop()
--- a/internal/testing/experiment/connection_holder.go
+++ b/internal/testing/experiment/connection_holder.go
@@ -81,12 +81,12 @@
 // runConnectionHolder is the holder's side.
 func runConnectionHolder(args []string, in io.Reader, out io.Writer) error {
 	if len(args) != 3 {
-		return command.Wrong("a holder is started by the tool alone")
+		return command.Usagef("a holder is started by the tool alone")
 	}
 	addr, source := args[0], args[1]
 	number, err := strconv.Atoi(args[2])
 	if err != nil {
-		return command.Wrong("a holder's number: %w", err)
+		return command.Usagef("a holder's number: %w", err)
 	}
 	var conns []*clientConn
 	var lastID atomic.Uint64
