--- a/controlplane/api_test.go
+++ b/controlplane/api_test.go
@@ -12,39 +12,38 @@
 	"oxbowspan/internal/testing/simnet"
 )
 
-// What was not written down is not acknowledged: a hive whose owner has ended says so.
+// What was not stored is not acknowledged: a controller whose event loop has stopped says so. Requests that can't be read are
+// rejected before.
 func TestStoppedControllerRejectsRequests(t *testing.T) {
-	set := &settings.Settings{IPAddress: "10.0.1.1", InternalPorts: []int{7100, 7109}, SeedAddresses: []string{"10.0.1.1:8700"}, FirstStart: true,
+	s := &settings.Settings{IPAddress: "10.0.1.1", InternalPorts: []int{7100, 7109}, SeedAddresses: []string{"10.0.1.1:8700"}, FirstStart: true,
 		DataDirectory: t.TempDir(), HeartbeatIntervalMS: 1000}
-	set.Listen.Control = "10.0.1.1:8700"
-	h, err := New(set, simnet.New(nil).Host("10.0.1.1"), zerolog.Nop())
+	s.Listen.Control = "10.0.1.1:8700"
+	c, err := New(s, simnet.New(nil).Host("10.0.1.1"), zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	h.loop.stop()
-	calls := h.handler()
-	for call, body := range map[string]string{
-		"/-/instances/i-1/heartbeat": `{"service":"s","address":"10.0.3.1:80","state":"draining","call_sequence":4}`,
-		"/-/instances/i-1/sign-off":  "",
-		"/-/configuration/replace":   `{"version":1}`,
+	defer c.store.Close()
+	c.loop.stop()
+	handler := c.handler()
+	for _, test := range []struct {
+		name, path, body string
+		status           int
+		message          string // that the body contains
+	}{
+		{"heartbeat", "/-/instances/i-1/heartbeat", `{"service":"s","address":"10.0.3.1:80","state":"draining","call_sequence":4}`, http.StatusServiceUnavailable, ""},
+		{"sign-off", "/-/instances/i-1/sign-off", "", http.StatusServiceUnavailable, ""},
+		{"replacement", "/-/configuration/replace", `{"version":1}`, http.StatusServiceUnavailable, ""},
+		{"heartbeat that is no JSON", "/-/instances/i-1/heartbeat", `{"service":`, http.StatusBadRequest, "error"},
+		{"heartbeat without an address", "/-/instances/i-2/heartbeat", `{"service":"s"}`, http.StatusBadRequest, "error"},
+		{"invalid configuration", "/-/configuration/replace", `{"version":1,"routes":[{}]}`, http.StatusBadRequest, "error"},
 	} {
-		w, r := httptest.NewRecorder(), httptest.NewRequest("POST", call, strings.NewReader(body))
-		r.Header.Set(basedOnHeader, "0")
-		if calls.ServeHTTP(w, r); w.Code != http.StatusServiceUnavailable {
-			t.Errorf("%s is answered %d", call, w.Code)
-		}
+		t.Run(test.name, func(t *testing.T) {
+			w, r := httptest.NewRecorder(), httptest.NewRequest("POST", test.path, strings.NewReader(test.body))
+			r.Header.Set(basedOnHeader, "0")
+			handler.ServeHTTP(w, r)
+			if w.Code != test.status || !strings.Contains(w.Body.String(), test.message) {
+				t.Errorf("answered %d %s, want %d", w.Code, w.Body, test.status)
+			}
+		})
 	}
-	// What can't be read is refused in a sentence, before anything else.
-	for call, body := range map[string]string{
-		"/-/instances/i-1/heartbeat": `{"service":`,
-		"/-/instances/i-2/heartbeat": `{"service":"s"}`,
-		"/-/configuration/replace":   `{"version":1,"routes":[{}]}`,
-	} {
-		w, r := httptest.NewRecorder(), httptest.NewRequest("POST", call, strings.NewReader(body))
-		r.Header.Set(basedOnHeader, "0")
-		if calls.ServeHTTP(w, r); w.Code != http.StatusBadRequest || !strings.Contains(w.Body.String(), "error") {
-			t.Errorf("%s with %s is answered %d %s", call, body, w.Code, w.Body)
-		}
-	}
-	h.store.Close()
 }
--- a/controlplane/change_bench_test.go
+++ b/controlplane/change_bench_test.go
@@ -25,7 +25,7 @@
 	"oxbowspan/internal/settings"
 )
 
-// countingNetwork is loopback, and counts what is written to connections.
+// countingNetwork is the loopback network. It counts the bytes written to connections.
 type countingNetwork struct {
 	network.TCP
 	bytes atomic.Int64
@@ -68,7 +68,7 @@
 	return n, err
 }
 
-// benchCluster is three control machines on loopback, for measurements.
+// benchCluster is three controllers on the loopback network.
 type benchCluster struct {
 	network     *countingNetwork
 	dir         string
@@ -78,7 +78,7 @@
 }
 
 func startBenchCluster(b *testing.B) *benchCluster {
-	dir, err := os.MkdirTemp("/dev/shm", "core") // in memory: the disk's own time is another measurement
+	dir, err := os.MkdirTemp("/dev/shm", "controlplane") // in memory: the disk's latency is not measured
 	if err != nil {
 		dir = b.TempDir()
 	}
@@ -92,16 +92,16 @@
 	ended := make(chan struct{}, 3)
 	for i, control := range seeds {
 		ip, _, _ := net.SplitHostPort(control)
-		set := &settings.Settings{IPAddress: ip, InternalPorts: []int{7100, 7109}, SeedAddresses: seeds, FirstStart: true,
+		s := &settings.Settings{IPAddress: ip, InternalPorts: []int{7100, 7109}, SeedAddresses: seeds, FirstStart: true,
 			DataDirectory: filepath.Join(dir, fmt.Sprint(i)), HeartbeatIntervalMS: 1000}
-		set.ToleratedLosses.Machines = 1
-		set.Listen.Control = control
-		h, err := New(set, c.network, zerolog.Nop())
+		s.ToleratedLosses.Machines = 1
+		s.Listen.Control = control
+		controller, err := New(s, c.network, zerolog.Nop())
 		if err != nil {
 			b.Fatal(err)
 		}
-		go func() { h.Run(ctx); ended <- struct{}{} }()
-		c.controllers, c.handlers = append(c.controllers, h), append(c.handlers, h.handler())
+		go func() { controller.Run(ctx); ended <- struct{}{} }()
+		c.controllers, c.handlers = append(c.controllers, controller), append(c.handlers, controller.handler())
 	}
 	b.Cleanup(func() {
 		stop()
@@ -113,7 +113,7 @@
 	return c
 }
 
-// change has one more version agreed, and waits until all machines know of it.
+// change has one more version decided, and waits until all controllers know it.
 func (c *benchCluster) change(b *testing.B, body func(version uint64) []byte) {
 	text := body(c.version + 1)
 	for range 100 {
@@ -127,13 +127,14 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	b.Fatalf("version %d is not agreed", c.version+1)
+	b.Fatalf("version %d is not decided", c.version+1)
 }
 
+// await waits until all controllers know the newest version, a second each at most.
 func (c *benchCluster) await() {
-	for _, h := range c.controllers {
+	for _, controller := range c.controllers {
 		for range 1000 {
-			if _, at := h.Committed(); uint64(at) >= c.version {
+			if _, version := controller.Committed(); uint64(version) >= c.version {
 				break
 			}
 			time.Sleep(time.Millisecond)
@@ -141,16 +142,16 @@
 	}
 }
 
-// read has one machine make sure of the newest version.
+// read reads the newest version from one controller.
 func (c *benchCluster) read(b *testing.B) {
 	w := httptest.NewRecorder()
 	c.handlers[1].ServeHTTP(w, httptest.NewRequest("GET", "/-/configuration/read", nil))
 	if w.Code != http.StatusOK {
-		b.Fatalf("a read is answered %d", w.Code)
+		b.Fatalf("read: status %d", w.Code)
 	}
 }
 
-// configurationWithRoutes makes configurations with so many routes.
+// configurationWithRoutes returns a function that makes configurations with a number of routes.
 func configurationWithRoutes(n int) func(version uint64) []byte {
 	c := config.Configuration{Limits: config.Limits{HeaderBytes: 16384, BodyBytes: 1 << 18, HeaderTimeoutMS: 3000, IdleTimeoutMS: 15000},
 		Services: []config.Service{{Name: "one", HealthPath: "/health", ConnectionLimit: 60, Protocol: "h1"}}}
@@ -164,13 +165,14 @@
 	}
 }
 
+// cpuTime returns the processor time that this process has used.
 func cpuTime() time.Duration {
 	var u syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// bytesWritten is what this process has written, to files and connections.
+// bytesWritten returns how much this process has written to files and connections.
 func bytesWritten() (n int64) {
 	text, _ := os.ReadFile("/proc/self/io")
 	for _, line := range strings.Split(string(text), "\n") {
@@ -181,17 +183,18 @@
 	return n
 }
 
-func (c *benchCluster) measure(b *testing.B, act func()) {
-	wire, all, busy := c.network.bytes.Load(), bytesWritten(), cpuTime()
+// measure runs an action b.N times and reports what it cost in bytes and processor time.
+func (c *benchCluster) measure(b *testing.B, action func()) {
+	sent, written, busy := c.network.bytes.Load(), bytesWritten(), cpuTime()
 	b.ResetTimer()
 	for range b.N {
-		act()
+		action()
 	}
 	b.StopTimer()
 	n := float64(b.N)
-	wire, all, busy = c.network.bytes.Load()-wire, bytesWritten()-all, cpuTime()-busy
-	b.ReportMetric(float64(wire)/n, "wire-B/op")
-	b.ReportMetric(float64(all-wire)/n, "disk-B/op")
+	sent, written, busy = c.network.bytes.Load()-sent, bytesWritten()-written, cpuTime()-busy
+	b.ReportMetric(float64(sent)/n, "wire-B/op")
+	b.ReportMetric(float64(written-sent)/n, "disk-B/op")
 	b.ReportMetric(float64(busy)/n/1e6, "cpu-ms/op")
 	info, err := os.Stat(filepath.Join(c.dir, "0", "hive.db"))
 	if err != nil {
@@ -204,7 +207,7 @@
 	b.ReportMetric(float64(m.HeapAlloc)/1024, "heap-KiB")
 }
 
-// BenchmarkChange tells what a change costs three control machines together, after so many before it and with so many routes.
+// BenchmarkChange measures what a change costs three controllers together, by the number of versions before it and of routes.
 func BenchmarkChange(b *testing.B) {
 	for _, n := range []int{10, 1000, 10000} {
 		for _, versions := range []uint64{1, 100, 1000, 10000} {
@@ -224,7 +227,7 @@
 	}
 }
 
-// BenchmarkRead tells what making sure of the newest version costs.
+// BenchmarkRead measures a linearizable read of the configuration, by its number of routes.
 func BenchmarkRead(b *testing.B) {
 	for _, n := range []int{10, 1000, 10000} {
 		b.Run(fmt.Sprintf("routes=%d", n), func(b *testing.B) {
--- a/controlplane/controller.go
+++ b/controlplane/controller.go
@@ -1,13 +1,7 @@
-// Package controlplane is the control plane as a library: one core machine, which takes the servers' calls and the operator's,
-// agrees with the other core machines on the configuration, and brings all of it to the foragers that ask.
-//
-// One goroutine, the owner, holds every table of the package and works through a queue of commands; those that speak on
-// sockets hand it commands. Decisions are made by swarm (ballots), waggle (reports) and seats.go (who should vote).
 package controlplane
 
 import (
 	"context"
-	"math/rand/v2"
 	"net/http"
 	"sync"
 	"time"
@@ -23,302 +17,253 @@
 	"oxbowspan/rpc"
 )
 
-// Rhythm of the hive's own talk.
 const (
 	housekeepingInterval = 400 * time.Millisecond
+
+	// maxFirstHousekeeping bounds the random delay of the first housekeeping, so that controllers that start together don't
+	// propose together.
+	maxFirstHousekeeping = 60 * time.Millisecond
+
+	apiHeaderTimeout = 3 * time.Second  // for the header of a request
+	apiIdleTimeout   = 30 * time.Second // of a connection
+	apiCloseTimeout  = time.Second      // for requests in flight when the controller ends
 )
 
-// Controller is one core machine's process.
+// Controller is one machine's process of the control plane.
 type Controller struct {
 	settings *settings.Settings
 	network  network.Network
 	log      zerolog.Logger
 	store    *acceptorstore.Store
 	self     identity
-	learner  *learner
-	acceptor *acceptorEndpoint
 	clock    *steadyClock
 	loop     *eventLoop
 	killed   chan struct{}
-	wg       sync.WaitGroup
+	routines sync.WaitGroup
+
+	table         *registry.Table
+	events        *eventLog
+	serverChanges *serverChangeLog
+	hints         *hintSaver
+	updates       *updateSchedule
+	acceptor      *acceptorEndpoint
+	learner       *learner
+	contact       *contactMonitor
+	verifier      *contactVerifier
+	peers         *peerSet
+	gossip        *gossiper
+	gateways      *gatewayDirectory
+	polls         *pollService
+	heartbeats    *heartbeatService
+	membership    *membershipManager
+	completion    *replicaCompletion
+	proposer      *proposer
+	scheduler     *proposalScheduler
+	drainer       *drainer
 
-	// The owner's.
-	contact        *contactMonitor
-	verifier       *contactVerifier
-	table          *registry.Table
-	gateways       *gatewayDirectory
-	polls          *pollService
-	heartbeats     *heartbeatService
-	hints          *hintSaver
-	membership     *membershipManager
-	completion     *replicaCompletion
-	proposer       *proposer
-	scheduler      *proposalScheduler
-	drainer        *drainer
-	gossip         *gossiper
-	updates        *updateSchedule
-	peers          *peerSet
-	events         *eventLog
-	serverChanges  *serverChangeLog
-	housekeepingAt time.Duration
+	housekeepingAt time.Duration // the event loop's
 }
 
-// New opens the state and makes a hive that does nothing yet.
-func New(set *settings.Settings, on network.Network, log zerolog.Logger) (*Controller, error) {
-	members, id := genesisMembers(set)
-	if !set.FirstStart {
-		id = 0
+// New opens the state in the data directory and returns a controller that does nothing until Run. The settings must be valid.
+func New(s *settings.Settings, on network.Network, log zerolog.Logger) (*Controller, error) {
+	members, genesisID := genesisMembers(s)
+	if !s.FirstStart {
+		genesisID = 0
 	}
-	store, setAside, err := acceptorstore.Open(set.DataDirectory, id)
+	store, setAside, err := acceptorstore.Open(s.DataDirectory, genesisID)
 	if err != nil {
 		return nil, err
 	}
 	if setAside != "" {
-		log.Warn().Str("file", setAside).Msg("state: damaged file set aside, coming back as a stranger")
+		log.Warn().Str("file", setAside).Msg("state: damaged file set aside, starting with a new identity")
 	}
 	state := store.State()
-	h := &Controller{settings: set, network: on, log: log, store: store,
-		clock: newSteadyClock(), loop: newEventLoop(), killed: make(chan struct{}),
-		table: registry.NewTable(set.HeartbeatInterval())}
-	h.self = identity{id: state.ID, incarnation: uint64(acceptorstore.NewAcceptorID()), address: set.InternalAddress(settings.ControllerPort),
-		controlAddress: set.Listen.Control, zone: set.Zone}
-	h.events = newEventLog(h.clock)
-	h.serverChanges = newServerChangeLog(h.table, h.events)
 	base := consensus.Genesis(members)
 	if state.Value != nil {
 		base = consensus.RecoveryBase(state.Value)
 	}
-	h.learner = newLearner(base, h.clock, h.events, h, log)
-	h.acceptor = newAcceptorEndpoint(store, h.loop, h.clock, h, log)
-	h.contact = newContactMonitor(h.self, h.acceptor, h.learner)
-	h.peers = newPeerSet(h.self, set.SeedControllers(), on, h.clock, h.startGossip)
-	h.verifier = newContactVerifier(h.contact, h.peers)
-	h.updates = newUpdateSchedule(h.clock)
-	h.gateways = newGatewayDirectory(h.clock, h.events, h.updates)
-	h.polls = &pollService{
-		self:              h.self,
-		heartbeatInterval: set.HeartbeatInterval(),
-		inForceWithin:     settings.Milliseconds(set.Bounds.ConfigApplyMS),
-		clock:             h.clock,
-		learner:           h.learner,
-		contact:           h.contact,
-		verifier:          h.verifier,
-		peers:             h.peers,
-		gateways:          h.gateways,
-		table:             h.table,
-		updates:           h.updates,
+	c := &Controller{settings: s, network: on, log: log, store: store, clock: newSteadyClock(), loop: newEventLoop(), killed: make(chan struct{})}
+	c.self = identity{
+		id:             state.ID,
+		incarnation:    uint64(acceptorstore.NewAcceptorID()),
+		address:        s.InternalAddress(settings.ControllerPort),
+		controlAddress: s.Listen.Control,
+		zone:           s.Zone,
+	}
+	c.wireRegister(base)
+	c.wireServices()
+	c.wireProposals(state.Promised.Number)
+	c.hints.restore()
+	return c, nil
+}
+
+// wireRegister makes the components that hold the replicated register and the contact with its acceptors.
+func (c *Controller) wireRegister(base *consensus.Value) {
+	c.table = registry.NewTable(c.settings.HeartbeatInterval())
+	c.events = newEventLog(c.clock)
+	c.serverChanges = newServerChangeLog(c.table, c.events)
+	c.hints = newHintSaver(c.store, c.table, c.loop, c.clock)
+	c.updates = newUpdateSchedule(c.clock)
+	c.learner = newLearner(base, c.clock, c.events, c, c.log)
+	c.acceptor = newAcceptorEndpoint(c.store, c.loop, c.clock, c, c.log)
+	c.contact = newContactMonitor(c.self, c.acceptor, c.learner)
+	c.peers = newPeerSet(c.self, c.settings.SeedControllers(), c.network, c.clock, c.startGossip)
+	c.verifier = newContactVerifier(c.contact, c.peers)
+	c.membership = newMembershipManager(c.self, c.settings.ToleratedLosses.Machines, c.learner, c.contact, c.peers)
+	c.completion = newReplicaCompletion(c.self, c.learner, c.acceptor, c.contact, c.peers)
+}
+
+// wireServices makes the components that talk with servers, gateways and peers.
+func (c *Controller) wireServices() {
+	c.gateways = newGatewayDirectory(c.clock, c.events, c.updates)
+	c.heartbeats = newHeartbeatService(c.clock, c.table, c.learner, c.contact, c.peers, c.updates)
+	c.polls = &pollService{
+		self:              c.self,
+		heartbeatInterval: c.settings.HeartbeatInterval(),
+		inForceWithin:     settings.Milliseconds(c.settings.Bounds.ConfigApplyMS),
+		clock:             c.clock,
+		learner:           c.learner,
+		contact:           c.contact,
+		verifier:          c.verifier,
+		peers:             c.peers,
+		gateways:          c.gateways,
+		table:             c.table,
+		updates:           c.updates,
 		waiters:           map[*pollWaiter]bool{},
 	}
-	h.heartbeats = newHeartbeatService(h.clock, h.table, h.learner, h.contact, h.peers, h.updates)
-	h.gossip = &gossiper{
-		self:       h.self,
-		loop:       h.loop,
-		clock:      h.clock,
-		table:      h.table,
-		acceptor:   h.acceptor,
-		learner:    h.learner,
-		contact:    h.contact,
-		verifier:   h.verifier,
-		peers:      h.peers,
-		gateways:   h.gateways,
-		heartbeats: h.heartbeats,
-		updates:    h.updates,
+	c.gossip = &gossiper{
+		self:       c.self,
+		loop:       c.loop,
+		clock:      c.clock,
+		table:      c.table,
+		acceptor:   c.acceptor,
+		learner:    c.learner,
+		contact:    c.contact,
+		verifier:   c.verifier,
+		peers:      c.peers,
+		gateways:   c.gateways,
+		membership: c.membership,
+		heartbeats: c.heartbeats,
+		updates:    c.updates,
 	}
-	h.hints = newHintSaver(store, h.table, h.loop, h.clock)
-	h.membership = newMembershipManager(h.self, set.ToleratedLosses.Machines, h.learner, h.contact, h.peers)
-	h.gossip.membership = h.membership
-	h.completion = newReplicaCompletion(h.self, h.learner, h.acceptor, h.contact, h.peers)
-	h.proposer = newProposer(consensus.ProposerID(acceptorstore.NewAcceptorID()), state.Promised.Number, h.loop, h.learner, h.acceptor, h.peers)
-	h.scheduler = &proposalScheduler{
-		firstStart: set.FirstStart,
-		loop:       h.loop,
-		clock:      h.clock,
-		learner:    h.learner,
-		acceptor:   h.acceptor,
-		membership: h.membership,
-		completion: h.completion,
-		proposer:   h.proposer,
+}
+
+// wireProposals makes the components that have values decided.
+func (c *Controller) wireProposals(highestBallot uint64) {
+	id := consensus.ProposerID(acceptorstore.NewAcceptorID())
+	c.proposer = newProposer(id, highestBallot, c.loop, c.learner, c.acceptor, c.peers)
+	c.scheduler = &proposalScheduler{
+		firstStart: c.settings.FirstStart,
+		loop:       c.loop,
+		clock:      c.clock,
+		learner:    c.learner,
+		acceptor:   c.acceptor,
+		membership: c.membership,
+		completion: c.completion,
+		proposer:   c.proposer,
 	}
-	h.drainer = &drainer{
-		self:       h.self,
-		timeout:    drainTimeout(set.Bounds.GracePeriodS),
-		loop:       h.loop,
-		clock:      h.clock,
-		learner:    h.learner,
-		acceptor:   h.acceptor,
-		peers:      h.peers,
-		membership: h.membership,
-		completion: h.completion,
-		proposer:   h.proposer,
-		killed:     h.killed,
-		log:        h.log,
+	c.drainer = &drainer{
+		self:       c.self,
+		timeout:    drainTimeout(c.settings.Bounds.GracePeriodS),
+		loop:       c.loop,
+		clock:      c.clock,
+		learner:    c.learner,
+		acceptor:   c.acceptor,
+		peers:      c.peers,
+		membership: c.membership,
+		completion: c.completion,
+		proposer:   c.proposer,
+		killed:     c.killed,
+		log:        c.log,
 	}
-	h.hints.restore()
-	return h, nil
 }
 
 // valueLearned implements learnListener.
-func (h *Controller) valueLearned(v *consensus.Value) {
+func (c *Controller) valueLearned(v *consensus.Value) {
 	for _, m := range v.Acceptors() {
-		h.peers.add(m.Address)
+		c.peers.add(m.Address)
 	}
-	h.updates.request(true)
-	h.peers.gossipNow()
-}
-
-func (h *Controller) startGossip(ctx context.Context, p *peer) {
-	h.gossip.start(ctx, p)
+	c.updates.request(true)
+	c.peers.gossipNow()
 }
 
 // observeBallot implements ballotObserver.
-func (h *Controller) observeBallot(number uint64) { h.proposer.observeBallot(number) }
+func (c *Controller) observeBallot(number uint64) { c.proposer.observeBallot(number) }
 
-// Run serves until the context is done.
-func (h *Controller) Run(ctx context.Context) error {
-	control, err := h.network.Listen(h.settings.Listen.Control)
+func (c *Controller) startGossip(ctx context.Context, p *peer) { c.gossip.start(ctx, p) }
+
+// Run serves until the context is done and the controller has drained, or until Kill.
+func (c *Controller) Run(ctx context.Context) error {
+	control, err := c.network.Listen(c.settings.Listen.Control)
 	if err != nil {
-		return eris.Errorf("the control address can't be listened on: %v", err)
+		return eris.Wrap(err, "listening on the control address")
 	}
-	inner, err := h.network.Listen(h.self.address)
+	internal, err := c.network.Listen(c.self.address)
 	if err != nil {
 		control.Close()
-		return eris.Errorf("the internal address can't be listened on: %v", err)
+		return eris.Wrap(err, "listening on the internal address")
 	}
-	talk := &rpc.Server{Handle: h.handleFrame, OnClose: func(c *rpc.Conn) { h.loop.post(func() { h.polls.drop(c) }) }}
-	web := &http.Server{Handler: h.handler(), ReadHeaderTimeout: 3 * time.Second, IdleTimeout: 30 * time.Second}
-	h.wg.Go(func() { talk.Serve(inner) })
-	h.wg.Go(func() { web.Serve(control) })
-	h.wg.Go(h.runLoop)
-	h.loop.post(func() {
-		for _, a := range h.settings.SeedControllers() {
-			h.peers.add(a)
-		}
-		h.housekeepingAt = h.clock.now() + time.Duration(rand.Int64N(int64(60*time.Millisecond))) // who begins is left to chance
-		h.log.Info().Uint64("identity", uint64(h.self.id)).Uint64("turn", uint64(h.acceptor.newestSlot)).Msg("hive: started")
-	})
+	server := &rpc.Server{Handle: c.handleFrame, OnClose: func(conn *rpc.Conn) { c.loop.post(func() { c.polls.drop(conn) }) }}
+	api := &http.Server{Handler: c.handler(), ReadHeaderTimeout: apiHeaderTimeout, IdleTimeout: apiIdleTimeout}
+	c.routines.Go(func() { server.Serve(internal) })
+	c.routines.Go(func() { api.Serve(control) })
+	c.routines.Go(c.runLoop)
+	c.loop.post(c.begin)
 	select {
 	case <-ctx.Done():
-		h.log.Info().Msg("hive: leaving")
-		h.drainer.drain()
-		end, cancel := context.WithTimeout(context.Background(), time.Second)
+		c.log.Info().Msg("controller: draining")
+		c.drainer.drain()
+		end, cancel := context.WithTimeout(context.Background(), apiCloseTimeout)
 		defer cancel()
 		control.Close()
-		web.Shutdown(end)
-	case <-h.killed:
+		api.Shutdown(end)
+	case <-c.killed:
 	}
-	web.Close()
-	inner.Close()
-	h.loop.stop()
-	h.wg.Wait()
-	h.gossip.loops.Wait()
-	return h.store.Close()
+	api.Close()
+	internal.Close()
+	c.loop.stop()
+	c.routines.Wait()
+	c.gossip.loops.Wait()
+	return c.store.Close()
 }
 
-// Kill has Run return at once, in no order, as a kill of the process would. It must be called once at most.
-func (h *Controller) Kill() { close(h.killed) }
+// Kill has Run return at once and without draining, as when the process is killed. It must be called once at most.
+func (c *Controller) Kill() { close(c.killed) }
 
-// StallDisk has the disk answer nothing for a time, as one that stalls. For tests and the emulator.
-func (h *Controller) StallDisk(d time.Duration) { h.acceptor.stall(d) }
+// StallDisk keeps the disk busy for a while. For tests.
+func (c *Controller) StallDisk(d time.Duration) { c.acceptor.stall(d) }
 
-// Freeze has the owner stand still for a time, as in a process that is frozen: what comes meanwhile is worked on afterwards.
-// With clock, the steady clock stands still as long, as on a machine that is suspended. For tests.
-func (h *Controller) Freeze(d time.Duration, clock bool) {
-	h.loop.post(func() {
+// Freeze stops the event loop for a while, as in a process that is frozen: what arrives meanwhile is handled afterwards. With
+// clock, the steady clock stands still as long, as on a machine that is suspended. For tests.
+func (c *Controller) Freeze(d time.Duration, clock bool) {
+	c.loop.post(func() {
 		select {
 		case <-time.After(d):
-		case <-h.loop.stopped:
+		case <-c.loop.stopped:
 		}
 		if clock {
-			h.clock.setBack(d)
+			c.clock.setBack(d)
 		}
 	})
 }
 
-// Committed is the newest turn and version that this hive knows to be agreed.
-func (h *Controller) Committed() (slot consensus.Slot, version consensus.Version) {
-	known := h.CommittedValue()
-	if known == nil {
+// Committed returns the slot and the configuration's version of CommittedValue; zeros = none.
+func (c *Controller) Committed() (slot consensus.Slot, version consensus.Version) {
+	v := c.CommittedValue()
+	if v == nil {
 		return 0, 0
 	}
-	return known.Slot, known.Version
-}
-
-// runLoop is the event loop's goroutine.
-func (h *Controller) runLoop() {
-	h.loop.run(housekeepingInterval, func() time.Duration {
-		next := h.advance(h.clock.now())
-		return next - h.clock.now()
-	})
-	h.peers.closeAll()
+	return v.Slot, v.Version
 }
 
-// advance does what is due and returns when the next thing is.
-func (h *Controller) advance(now time.Duration) time.Duration {
-	if now >= h.housekeepingAt {
-		h.housekeepingAt = now + housekeepingInterval
-		h.housekeep(now)
-	}
-	contactLost, checkAt := h.contact.check(now)
-	if contactLost {
-		h.polls.respondAll(now) // gateways must learn at once that this controller may be out of date
-	}
-	next := min(h.housekeepingAt, checkAt, h.verifier.check(now))
-	if due, at := h.updates.due(now); due {
-		h.polls.notify(now)
-	} else if at != 0 {
-		next = min(next, at)
-	}
-	return h.polls.expire(now, next)
-}
-
-// housekeep forgets what is over and starts the rounds that this hive owes.
-func (h *Controller) housekeep(now time.Duration) {
-	if h.table.Expire(now) {
-		h.updates.request(false)
-	}
-	h.serverChanges.record(now)
-	h.gateways.expire(now)
-	// Foragers are told whom they may ask: also when no forager has come or gone.
-	for _, p := range h.peers.updateListed(now) {
-		h.events.add(eventController, "hive "+p.address+map[bool]string{true: " is heard", false: " is not heard any more"}[p.listed])
-		h.gateways.listChanged()
-	}
-	h.peers.forget(now, h.learner.isMemberAddress)
-	h.heartbeats.expireWaits(now)
-	h.contact.prune(now)
-	h.scheduler.startDue(now)
-	h.hints.save(now)
-}
-
-// handleFrame takes a frame of another process, in the goroutine of its connection.
-func (h *Controller) handleFrame(c *rpc.Conn, f *rpc.Frame) {
-	switch b := f.Body.(type) {
-	case *rpc.Frame_Prepare:
-		h.acceptor.handlePrepare(b.Prepare, func(p *rpc.PrepareReply) {
-			c.Respond(f.Id, &rpc.Frame{Body: &rpc.Frame_PrepareReply{PrepareReply: p}})
-		})
-	case *rpc.Frame_Accept:
-		h.acceptor.handleAccept(b.Accept, func(a *rpc.AcceptReply) {
-			c.Respond(f.Id, &rpc.Frame{Body: &rpc.Frame_AcceptReply{AcceptReply: a}})
-		})
-	case *rpc.Frame_Gossip:
-		back, ok := query(h.loop, func() *rpc.GossipReply { return h.gossip.receive(b.Gossip) })
-		if ok {
-			c.Respond(f.Id, &rpc.Frame{Body: &rpc.Frame_GossipReply{GossipReply: back}})
-		}
-	case *rpc.Frame_Poll:
-		h.loop.post(func() { h.polls.receive(c, f.Id, b.Poll) })
-	}
+// CommittedValue returns the newest value that this controller knows to be decided; nil = none, or the controller has ended.
+func (c *Controller) CommittedValue() *consensus.Value {
+	v, _ := query(c.loop, c.learner.decided)
+	return v
 }
 
 // StoredState returns what the disk holds, after all that is queued for it; ok is false when the disk doesn't answer within a
 // second. For tests.
-func (h *Controller) StoredState() (state consensus.AcceptorState, ok bool) {
-	return h.acceptor.storedState()
-}
-
-// CommittedValue returns the newest value that this controller knows to be decided; nil = none, or the controller has ended.
-func (h *Controller) CommittedValue() *consensus.Value {
-	v, _ := query(h.loop, h.learner.decided)
-	return v
+func (c *Controller) StoredState() (state consensus.AcceptorState, ok bool) {
+	return c.acceptor.storedState()
 }
--- a/controlplane/status_api.go
+++ b/controlplane/status_api.go
@@ -3,116 +3,53 @@
 import (
 	"context"
 	"encoding/hex"
-	"encoding/json"
 	"net/http"
+	"slices"
 	"strconv"
 	"time"
 
 	"oxbowspan/consensus"
+	"oxbowspan/registry"
 )
 
-// What operators may look at. Each hive tells what it knows; whoever wants all asks all hives. Lists of gatherers and servers
-// and what gatherers say of themselves are told by a hive in contact with a majority only: they would be old. Members and
-// events are what a hive itself saw, with their ages, and are told always: they are what there is to see of a core cut in two.
-
-// statusAPI are an operator's looks.
-type statusAPI struct{ h *Controller }
-
-// HistoryEntry is the versions of the configuration that the agreed value remembers, the oldest first.
+// HistoryEntry is a version of the configuration that the newest value remembers.
 type HistoryEntry struct {
 	Version uint64 `json:"version"`
 	BasedOn uint64 `json:"based_on"`
-	Digest  string `json:"digest"`
+	Digest  string `json:"digest"` // SHA-256, in hexadecimal
 }
 
-// history makes sure of the newest value by a round, as a read of the configuration does.
-func (c *statusAPI) history(w http.ResponseWriter, r *http.Request) {
-	ctx, cancel := context.WithTimeout(r.Context(), consensusTimeout)
-	defer cancel()
-	v, err := c.h.proposer.propose(ctx, func(v *consensus.Value) *consensus.Value { return v })
-	if err != nil {
-		writeError(w, http.StatusServiceUnavailable, "the core could not make sure of the newest version in time")
-		return
-	}
-	out := []HistoryEntry{}
-	for _, p := range append(append([]consensus.Revision{}, v.PriorRevisions...), consensus.Revision{Version: v.Version, BasedOn: v.BasedOn, Digest: v.Digest}) {
-		if p.Digest != "" {
-			out = append(out, HistoryEntry{uint64(p.Version), uint64(p.BasedOn), hex.EncodeToString([]byte(p.Digest))})
-		}
-	}
-	writeJSON(w, out)
-}
-
-// MembershipStatus is who votes, and what loss is borne now, as one hive sees it.
+// MembershipStatus is who votes, and which losses are tolerated now, as one controller sees it.
 type MembershipStatus struct {
-	Controller      string         `json:"hive"`
+	Controller      string         `json:"hive"` // its address
 	Slot            uint64         `json:"turn"`
 	Version         uint64         `json:"version"`
-	HasQuorum       bool           `json:"settled"` // in contact with a majority
-	Stable          bool           `json:"whole"`   // no change of the acceptors is under way
-	TolerableLosses int            `json:"bears"`   // disks that may be lost now, with a majority left that hears each other and holds what is agreed
+	HasQuorum       bool           `json:"settled"` // it is in contact with a majority
+	Stable          bool           `json:"whole"`   // no change of the members is in progress
+	TolerableLosses int            `json:"bears"`   // disks whose loss leaves a majority in contact that holds the newest value
 	Members         []MemberStatus `json:"members"`
 }
 
-// MemberStatus is an acceptor.
+// MemberStatus is an acceptor that votes.
 type MemberStatus struct {
-	Identity      string  `json:"identity"`
+	Identity      string  `json:"identity"` // in hexadecimal
 	Address       string  `json:"address"`
 	SilentSeconds float64 `json:"silent_s"`
-	Complete      bool    `json:"complete"` // it said that its disk holds what is agreed
-}
-
-func (c *statusAPI) members(w http.ResponseWriter, _ *http.Request) {
-	serveLocal(c.h, w, func() MembershipStatus {
-		h := c.h
-		now := h.clock.now()
-		out := MembershipStatus{Controller: h.self.address, Slot: uint64(h.learner.value.Slot), Version: uint64(h.learner.value.Version), HasQuorum: h.learner.confirmed && h.contact.hasQuorum(now), Stable: h.learner.value.Confirmed()}
-		proven := 0
-		lacking := h.learner.decision.Unreplicated(h.peers.replicas(now, h.acceptor.replica))
-		for _, m := range h.learner.value.Members {
-			silent := time.Duration(0)
-			if m.ID != h.self.id {
-				silent = now
-				if p := h.peers.byAddress[m.Address]; p != nil && p.id == m.ID && p.lastSeen > 0 {
-					silent = now - p.lastSeen
-				}
-			}
-			complete := h.learner.confirmed && !consensus.Contains(lacking, m.ID)
-			if complete && silent < peerLivenessTimeout {
-				proven++
-			}
-			out.Members = append(out.Members, MemberStatus{strconv.FormatUint(uint64(m.ID), 16), m.Address, silent.Seconds(), complete})
-		}
-		if out.Stable {
-			out.TolerableLosses = max(proven-(len(h.learner.value.Members)/2+1), 0)
-		}
-		return out
-	})
+	Complete      bool    `json:"complete"` // its disk is known to hold the newest value
 }
 
-// GatewayStatus is a gatherer, as one hive knows it.
+// GatewayStatus is a gateway, as one controller sees it.
 type GatewayStatus struct {
 	Address     string  `json:"address"`
 	Zone        string  `json:"zone"`
-	Incarnation string  `json:"life"`
+	Incarnation string  `json:"life"` // in hexadecimal
 	AgeSeconds  float64 `json:"heard_s_ago"`
 	PollsHere   bool    `json:"asks_this_hive"`
-	Slot        uint64  `json:"turn"` // in force there, of those that ask this hive
-	UpToDate    bool    `json:"newest"`
+	Slot        uint64  `json:"turn"`   // in force there, if it polls this controller
+	UpToDate    bool    `json:"newest"` // that slot is the newest
 }
 
-func (c *statusAPI) nodes(w http.ResponseWriter, _ *http.Request) {
-	serveVerified(c.h, w, func() []GatewayStatus {
-		out := []GatewayStatus{}
-		now := c.h.clock.now()
-		for _, f := range c.h.gateways.byIncarnation {
-			out = append(out, GatewayStatus{f.address, f.zone, strconv.FormatUint(f.incarnation, 16), (now - f.lastSeen).Seconds(), f.pollsHere(now), f.slot, f.pollsHere(now) && f.slot >= uint64(c.h.learner.value.Slot)})
-		}
-		return out
-	})
-}
-
-// ServerStatus is a server, as one hive knows it.
+// ServerStatus is a server, as one controller sees it.
 type ServerStatus struct {
 	Instance         string  `json:"instance"`
 	Service          string  `json:"service"`
@@ -124,65 +61,130 @@
 	Unresponsive     bool    `json:"silent"`
 	HeartbeatMissed  bool    `json:"unheard"`
 	AgeSeconds       float64 `json:"heard_s_ago"`
-	SlowStartSeconds float64 `json:"cold_for_s"`
+	SlowStartSeconds float64 `json:"cold_for_s"` // remaining
 }
 
-func (c *statusAPI) servers(w http.ResponseWriter, _ *http.Request) {
-	serveVerified(c.h, w, func() []ServerStatus {
-		out := []ServerStatus{}
-		now := c.h.clock.now()
-		for _, r := range c.h.table.ChangesAfter(0) {
-			out = append(out, ServerStatus{string(r.Instance), string(r.Service), r.Address, r.Zone, r.Version, r.Slots, r.State.String(), r.Unresponsive, r.HeartbeatMissed,
-				(now - r.HeartbeatAt).Seconds(), max(r.SlowStartEndsAt-now, 0).Seconds()})
-		}
-		return out
-	})
+// statusAPI shows operators what this controller knows; an operator who wants all asks all controllers. Lists of gateways and
+// servers are shown only by a controller in contact with a majority, as they would be out of date. Members and events are what a
+// controller itself saw, with their ages, and are shown always: they are what there is to see of a partitioned control plane.
+type statusAPI struct {
+	self       identity
+	loop       *eventLoop
+	clock      *steadyClock
+	learner    *learner
+	proposer   *proposer
+	contact    *contactMonitor
+	verifier   *contactVerifier
+	completion *replicaCompletion
+	peers      *peerSet
+	gateways   *gatewayDirectory
+	table      *registry.Table
+	events     *eventLog
 }
 
-func (c *statusAPI) events(w http.ResponseWriter, _ *http.Request) {
-	serveLocal(c.h, w, func() []Event { return c.h.events.list(c.h.self.address) })
-}
-
-// serveLocal answers a look with what the owner says.
-func serveLocal[T any](h *Controller, w http.ResponseWriter, look func() T) {
-	out, ok := query(h.loop, look)
-	if !ok {
-		writeError(w, http.StatusServiceUnavailable, "this machine is leaving")
+// history shows the versions of the configuration, the oldest first, as of the request.
+func (a *statusAPI) history(w http.ResponseWriter, r *http.Request) {
+	ctx, cancel := context.WithTimeout(r.Context(), consensusTimeout)
+	defer cancel()
+	v, err := a.proposer.read(ctx)
+	if err != nil {
+		writeError(w, errNotVerified)
 		return
 	}
+	out := []HistoryEntry{}
+	newest := consensus.Revision{Version: v.Version, BasedOn: v.BasedOn, Digest: v.Digest}
+	for _, revision := range append(slices.Clone(v.PriorRevisions), newest) {
+		if revision.Digest != "" {
+			out = append(out, HistoryEntry{uint64(revision.Version), uint64(revision.BasedOn), hex.EncodeToString([]byte(revision.Digest))})
+		}
+	}
 	writeJSON(w, out)
 }
 
-// isolatedMessage says that what this machine knows may be old.
-const isolatedMessage = "this machine is cut off from the core: ask another"
+func (a *statusAPI) members(w http.ResponseWriter, _ *http.Request) {
+	serveLocal(a.loop, w, a.membership)
+}
 
-// serveVerified answers a look with what the owner says, once a majority has answered what it was asked after the look came.
-func serveVerified[T any](h *Controller, w http.ResponseWriter, look func() T) {
-	answers := make(chan func(), 1)
-	h.loop.post(func() {
-		h.verifier.verify(h.clock.now(), func(verified bool) {
-			if !verified {
-				answers <- func() { writeError(w, http.StatusServiceUnavailable, isolatedMessage) }
-				return
-			}
-			out := look()
-			answers <- func() { writeJSON(w, out) }
-		})
-	})
-	select {
-	case answer := <-answers:
-		answer()
-	case <-h.loop.stopped:
-		writeError(w, http.StatusServiceUnavailable, "this machine is leaving")
+func (a *statusAPI) membership() MembershipStatus {
+	now, v := a.clock.now(), a.learner.value
+	out := MembershipStatus{Controller: a.self.address, Slot: uint64(v.Slot), Version: uint64(v.Version),
+		HasQuorum: a.contact.isCurrent(now), Stable: v.Confirmed()}
+	complete := 0
+	incomplete := a.completion.incomplete(now)
+	for _, m := range v.Members {
+		silence := a.silence(m, now)
+		status := MemberStatus{
+			Identity:      strconv.FormatUint(uint64(m.ID), 16),
+			Address:       m.Address,
+			SilentSeconds: silence.Seconds(),
+			Complete:      a.learner.confirmed && !consensus.Contains(incomplete, m.ID),
+		}
+		if status.Complete && silence < peerLivenessTimeout {
+			complete++
+		}
+		out.Members = append(out.Members, status)
+	}
+	if out.Stable {
+		majority := len(v.Members)/2 + 1
+		out.TolerableLosses = max(complete-majority, 0)
 	}
+	return out
 }
 
-func writeJSON(w http.ResponseWriter, out any) {
-	text, err := json.Marshal(out)
-	if err != nil {
-		writeError(w, http.StatusInternalServerError, err.Error())
-		return
+// silence is how long a member was not heard; as long as this controller runs if it never was.
+func (a *statusAPI) silence(m consensus.Member, now time.Duration) time.Duration {
+	if m.ID == a.self.id {
+		return 0
+	}
+	if p := a.peers.byAddress[m.Address]; p != nil && p.id == m.ID && p.lastSeen > 0 {
+		return now - p.lastSeen
 	}
-	w.Header().Set("Content-Type", "application/json")
-	w.Write(text)
+	return now
+}
+
+func (a *statusAPI) listGateways(w http.ResponseWriter, _ *http.Request) {
+	serveVerified(a.loop, a.clock, a.verifier, w, func() []GatewayStatus {
+		out := []GatewayStatus{}
+		now := a.clock.now()
+		for _, g := range a.gateways.byIncarnation {
+			pollsHere := g.pollsHere(now)
+			out = append(out, GatewayStatus{
+				Address:     g.address,
+				Zone:        g.zone,
+				Incarnation: strconv.FormatUint(g.incarnation, 16),
+				AgeSeconds:  (now - g.lastSeen).Seconds(),
+				PollsHere:   pollsHere,
+				Slot:        g.slot,
+				UpToDate:    pollsHere && g.slot >= uint64(a.learner.value.Slot),
+			})
+		}
+		return out
+	})
+}
+
+func (a *statusAPI) servers(w http.ResponseWriter, _ *http.Request) {
+	serveVerified(a.loop, a.clock, a.verifier, w, func() []ServerStatus {
+		out := []ServerStatus{}
+		now := a.clock.now()
+		for _, r := range a.table.ChangesAfter(0) {
+			out = append(out, ServerStatus{
+				Instance:         string(r.Instance),
+				Service:          string(r.Service),
+				Address:          r.Address,
+				Zone:             r.Zone,
+				Version:          r.Version,
+				Slots:            r.Slots,
+				State:            r.State.String(),
+				Unresponsive:     r.Unresponsive,
+				HeartbeatMissed:  r.HeartbeatMissed,
+				AgeSeconds:       (now - r.HeartbeatAt).Seconds(),
+				SlowStartSeconds: max(r.SlowStartEndsAt-now, 0).Seconds(),
+			})
+		}
+		return out
+	})
+}
+
+func (a *statusAPI) listEvents(w http.ResponseWriter, _ *http.Request) {
+	serveLocal(a.loop, w, func() []Event { return a.events.list(a.self.address) })
 }
