--- a/controlplane/acceptor.go
+++ b/controlplane/acceptor.go
@@ -30,7 +30,7 @@
 	log     zerolog.Logger
 	ballots ballotObserver
 
-	// Of the value that the disk holds. Both are set before any proposer is told that it was accepted.
+	// Of the value that the disk holds. Both are set before any proposer is notified that it was accepted.
 	acceptedValue atomic.Pointer[consensus.Value] // nil = none
 	acceptedSlot  atomic.Uint64                   // 0 = none
 
@@ -42,7 +42,8 @@
 
 // newAcceptorEndpoint returns the endpoint of a store's acceptor. The ballots that it accepts are passed to an observer on the
 // event loop.
-func newAcceptorEndpoint(store *acceptorstore.Store, loop *eventLoop, clock *steadyClock, ballots ballotObserver, log zerolog.Logger) *acceptorEndpoint {
+func newAcceptorEndpoint(store *acceptorstore.Store, loop *eventLoop, clock *steadyClock, ballots ballotObserver,
+	log zerolog.Logger) *acceptorEndpoint {
 	state := store.State()
 	a := &acceptorEndpoint{id: state.ID, store: store, loop: loop, clock: clock, ballots: ballots, log: log, replica: state.Replica()}
 	if v := state.Value; v != nil {
@@ -136,7 +137,7 @@
 	go a.loop.post(func() { a.recordAccepted(slot, ballot) })
 }
 
-// recordAccepted notes what the disk holds, and since when, so that an undecided value is resolved when its proposer is silent.
+// recordAccepted notes what the disk holds, and since when, so that an undecided value is resolved when its proposer does not do so.
 func (a *acceptorEndpoint) recordAccepted(slot consensus.Slot, ballot consensus.Ballot) {
 	a.ballots.observeBallot(ballot.Number)
 	if ballot.Compare(a.replica.Ballot) > 0 {
--- a/controlplane/change_service.go
+++ b/controlplane/change_service.go
@@ -86,10 +86,11 @@
 	case consensus.OutcomeConflict:
 		return &apiError{http.StatusPreconditionFailed, fmt.Sprintf("version %d is in place", r.current)}
 	}
+	message := fmt.Sprintf("whether it was committed is no longer known: version %d is in place", r.current)
 	if c.basedOn() > r.current {
-		return &apiError{http.StatusServiceUnavailable, fmt.Sprintf("version %d, on which it is based, is not in place yet: version %d is", c.basedOn(), r.current)}
+		message = fmt.Sprintf("version %d, on which it is based, is not in place yet: version %d is", c.basedOn(), r.current)
 	}
-	return &apiError{http.StatusServiceUnavailable, fmt.Sprintf("whether it was committed is no longer known: version %d is in place", r.current)}
+	return &apiError{http.StatusServiceUnavailable, message}
 }
 
 func formatVersion(v consensus.Version) string { return strconv.FormatUint(uint64(v), 10) }
--- a/controlplane/clock.go
+++ b/controlplane/clock.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// steadyClock tells the time since the process started. It belongs to the event loop.
+// steadyClock returns the time since the process started. It belongs to the event loop.
 type steadyClock struct{ startedAt time.Time }
 
 func newSteadyClock() *steadyClock { return &steadyClock{startedAt: time.Now()} }
--- a/controlplane/contact_monitor.go
+++ b/controlplane/contact_monitor.go
@@ -11,7 +11,7 @@
 // answered. docs/design/control-safety.md has the argument.
 const contactLifetime = 2 * time.Second
 
-// contactMonitor tells whether this controller was in contact with a majority of the acceptors of late. It belongs to the event
+// contactMonitor determines whether this controller was in contact with a majority of the acceptors of late. It belongs to the event
 // loop.
 type contactMonitor struct {
 	self      identity
--- a/controlplane/controller.go
+++ b/controlplane/controller.go
@@ -117,7 +117,7 @@
 func (c *Controller) wireServices() {
 	c.gateways = newGatewayDirectory(c.clock, c.events, c.updates)
 	c.heartbeats = newHeartbeatService(c.clock, c.table, c.learner, c.contact, c.peers, c.updates)
-	c.polls = &pollService{
+	c.polls = newPollService(pollDependencies{
 		self:              c.self,
 		heartbeatInterval: c.settings.HeartbeatInterval(),
 		inForceWithin:     settings.Milliseconds(c.settings.Bounds.ConfigApplyMS),
@@ -129,9 +129,8 @@
 		gateways:          c.gateways,
 		table:             c.table,
 		updates:           c.updates,
-		waiters:           map[*pollWaiter]bool{},
-	}
-	c.gossip = &gossiper{
+	})
+	c.gossip = newGossiper(gossipDependencies{
 		self:       c.self,
 		loop:       c.loop,
 		clock:      c.clock,
@@ -145,14 +144,14 @@
 		membership: c.membership,
 		heartbeats: c.heartbeats,
 		updates:    c.updates,
-	}
+	})
 }
 
 // wireProposals makes the components that have values decided.
 func (c *Controller) wireProposals(highestBallot uint64) {
 	id := consensus.ProposerID(acceptorstore.NewAcceptorID())
 	c.proposer = newProposer(id, highestBallot, c.loop, c.learner, c.acceptor, c.peers)
-	c.scheduler = &proposalScheduler{
+	c.scheduler = newProposalScheduler(schedulerDependencies{
 		firstStart: c.settings.FirstStart,
 		loop:       c.loop,
 		clock:      c.clock,
@@ -161,7 +160,7 @@
 		membership: c.membership,
 		completion: c.completion,
 		proposer:   c.proposer,
-	}
+	})
 	c.drainer = &drainer{
 		self:       c.self,
 		timeout:    drainTimeout(c.settings.Bounds.GracePeriodS),
--- /dev/null
+++ b/controlplane/event_loop.go
@@ -0,0 +1,77 @@
+package controlplane
+
+import "time"
+
+// commandBacklog is how many posted functions may wait for the loop before a poster blocks.
+const commandBacklog = 1024
+
+// minLoopWait is the shortest time that the loop waits for its next deadline.
+const minLoopWait = time.Millisecond
+
+// eventLoop runs functions one at a time on a single goroutine. That goroutine owns the state of every component of the
+// controller, so none of it needs a lock: goroutines that wait for sockets or the disk post functions to the loop, and the loop
+// itself never waits for any of them.
+type eventLoop struct {
+	commands chan func()
+	stopped  chan struct{} // closed when the controller ends
+}
+
+func newEventLoop() *eventLoop {
+	return &eventLoop{commands: make(chan func(), commandBacklog), stopped: make(chan struct{})}
+}
+
+// post queues a function. It reports whether the loop still runs.
+func (l *eventLoop) post(f func()) bool {
+	select {
+	case l.commands <- f:
+		return true
+	case <-l.stopped:
+		return false
+	}
+}
+
+// execute queues a function and waits until it has run. It reports whether it has. A caller that is released because the loop
+// stopped doesn't wait for the function, which may still run: the function must not write what the caller reads. Use query for
+// a function with a result.
+func (l *eventLoop) execute(f func()) bool {
+	_, done := query(l, func() struct{} { f(); return struct{}{} })
+	return done
+}
+
+// query queues a function and waits for its result; ok is false when the loop stopped first. The result travels through a
+// channel, so a caller that is released by the stop shares no variable with a function that still runs.
+func query[T any](l *eventLoop, f func() T) (result T, ok bool) {
+	results := make(chan T, 1) // the loop must not wait for the caller
+	if !l.post(func() { results <- f() }) {
+		return result, false
+	}
+	select {
+	case result = <-results:
+		return result, true
+	case <-l.stopped:
+		return result, false
+	}
+}
+
+// run executes posted functions until the loop is stopped. After each batch it calls advance, which handles the timers that are
+// due and returns the time until the next one.
+func (l *eventLoop) run(firstWait time.Duration, advance func() time.Duration) {
+	timer := time.NewTimer(firstWait)
+	defer timer.Stop()
+	for {
+		select {
+		case f := <-l.commands:
+			f()
+		case <-timer.C:
+		case <-l.stopped:
+			return
+		}
+		for range len(l.commands) {
+			(<-l.commands)()
+		}
+		timer.Reset(max(advance(), minLoopWait))
+	}
+}
+
+// stop ends the loop and releases all who wait for it. It must be called once.
+func (l *eventLoop) stop() { close(l.stopped) }
--- a/controlplane/gateways.go
+++ b/controlplane/gateways.go
@@ -15,8 +15,8 @@
 	address     string
 	zone        string
 	lastSeen    time.Duration
-	direct      bool   // it polled this controller, which tells the others of it
-	sequence    uint64 // of the last change that the other controllers are to be told
+	direct      bool   // it polled this controller, which reports it to the others
+	sequence    uint64 // of the last change that is to be reported to the other controllers
 
 	// Of its polls to this controller.
 	stats     *rpc.GatewayStats
@@ -37,21 +37,21 @@
 	events        *eventLog
 	updates       *updateSchedule
 	byIncarnation map[uint64]*gatewayState
-	epoch         uint64 // of the list of gateways and controllers that gateways are told
-	sequence      uint64 // of the last change that the other controllers are to be told
+	epoch         uint64 // of the list of gateways and controllers that is sent to gateways
+	sequence      uint64 // of the last change that is to be reported to the other controllers
 }
 
 func newGatewayDirectory(clock *steadyClock, events *eventLog, updates *updateSchedule) *gatewayDirectory {
 	return &gatewayDirectory{clock: clock, events: events, updates: updates, byIncarnation: map[uint64]*gatewayState{}}
 }
 
-// listChanged has all gateways told of the gateways and controllers anew.
+// listChanged has the list of gateways and controllers sent to all gateways anew.
 func (d *gatewayDirectory) listChanged() {
 	d.epoch++
 	d.updates.request(false)
 }
 
-// observe notes that a gateway lived at a time. Direct says that it polled this controller, else another one reported it. An
+// observe notes that a gateway was alive at a time. Direct says that it polled this controller, else another one reported it. An
 // incarnation ends those before it at its address.
 func (d *gatewayDirectory) observe(m *rpc.Gateway, at time.Duration, direct bool) {
 	known := d.byIncarnation[m.Incarnation]
@@ -99,11 +99,18 @@
 	d.events.add(eventGateway, "gateway "+m.Address+" in "+m.Zone+" joined")
 	d.epoch++
 	d.sequence++
-	d.byIncarnation[m.Incarnation] = &gatewayState{incarnation: m.Incarnation, address: m.Address, zone: m.Zone, lastSeen: at, direct: direct, sequence: d.sequence}
+	d.byIncarnation[m.Incarnation] = &gatewayState{
+		incarnation: m.Incarnation,
+		address:     m.Address,
+		zone:        m.Zone,
+		lastSeen:    at,
+		direct:      direct,
+		sequence:    d.sequence,
+	}
 	d.updates.request(false)
 }
 
-// expire drops the gateways that were not heard for gatewayTimeout.
+// expire drops the gateways that were not seen for gatewayTimeout.
 func (d *gatewayDirectory) expire(now time.Duration) {
 	for incarnation, g := range d.byIncarnation {
 		if now-g.lastSeen > gatewayTimeout {
@@ -125,7 +132,7 @@
 	return out
 }
 
-// listed returns the gateways as other gateways are told of them.
+// listed returns the gateways as they are described to other gateways.
 func (d *gatewayDirectory) listed() []*rpc.Gateway {
 	var out []*rpc.Gateway
 	for _, g := range d.byIncarnation {
--- a/controlplane/gossip.go
+++ b/controlplane/gossip.go
@@ -23,6 +23,12 @@
 // gossiper exchanges with each peer what is new: the newest value, servers' reports, gateways, and which controllers are alive.
 // Its loops run on goroutines of their own, all other methods on the event loop.
 type gossiper struct {
+	gossipDependencies
+	loops sync.WaitGroup
+}
+
+// gossipDependencies is what a gossiper works with.
+type gossipDependencies struct {
 	self       identity
 	loop       *eventLoop
 	clock      *steadyClock
@@ -36,9 +42,10 @@
 	membership *membershipManager
 	heartbeats *heartbeatService
 	updates    *updateSchedule
-	loops      sync.WaitGroup
 }
 
+func newGossiper(d gossipDependencies) *gossiper { return &gossiper{gossipDependencies: d} }
+
 // outgoingGossip is a message, when it was made, and up to which cursor its receiver will have this controller's reports.
 type outgoingGossip struct {
 	message *rpc.Gossip
@@ -88,7 +95,7 @@
 	return gossipInterval
 }
 
-// describeSelf returns what this controller tells its peers of itself: what its disk holds, and the ballots at which the newest
+// describeSelf returns how this controller describes itself to its peers: what its disk holds, and the ballots at which the newest
 // value is known to be decided.
 func (g *gossiper) describeSelf() *rpc.Controller {
 	m := g.self.describe(g.learner.isMember(g.self.id))
@@ -229,7 +236,7 @@
 	g.heartbeats.completeWaits()
 }
 
-// receiveControllers takes which controllers a peer knows, and makes those known that it has heard of late or that are members.
+// receiveControllers takes which controllers a peer knows, and adds those that the peer saw of late or that are members.
 func (g *gossiper) receiveControllers(p *peer, controllers []*rpc.Controller) {
 	for _, m := range controllers {
 		if m.AgeMs < milliseconds(peerForgetTimeout) || g.learner.isMemberAddress(m.Address) {
@@ -239,7 +246,7 @@
 	}
 }
 
-// receiveReports enters servers' reports into the table. Gateways are told at once where one takes a server out of service.
+// receiveReports enters servers' reports into the table. Gateways are notified at once where one takes a server out of service.
 func (g *gossiper) receiveReports(p *peer, reports []*rpc.ServerReport, now time.Duration) {
 	urgent, before := false, g.table.Cursor()
 	for _, m := range reports {
--- a/controlplane/heartbeat_service.go
+++ b/controlplane/heartbeat_service.go
@@ -33,7 +33,8 @@
 	isolated bool             // this controller is not in contact with a majority
 }
 
-func newHeartbeatService(clock *steadyClock, table *registry.Table, learner *learner, contact *contactMonitor, peers *peerSet, updates *updateSchedule) *heartbeatService {
+func newHeartbeatService(clock *steadyClock, table *registry.Table, learner *learner, contact *contactMonitor, peers *peerSet,
+	updates *updateSchedule) *heartbeatService {
 	return &heartbeatService{clock: clock, table: table, learner: learner, contact: contact, peers: peers, updates: updates}
 }
 
--- a/controlplane/identity.go
+++ b/controlplane/identity.go
@@ -17,9 +17,16 @@
 	zone           string
 }
 
-// describe returns the identity as other processes are told of it. Voter says whether it is a member.
+// describe returns the identity as it is described to other processes. Voter says whether it is a member.
 func (i identity) describe(voter bool) *rpc.Controller {
-	return &rpc.Controller{Id: uint64(i.id), Address: i.address, ControlAddress: i.controlAddress, Zone: i.zone, Voter: voter, RestoresBodies: true}
+	return &rpc.Controller{
+		Id:             uint64(i.id),
+		Address:        i.address,
+		ControlAddress: i.controlAddress,
+		Zone:           i.zone,
+		Voter:          voter,
+		RestoresBodies: true,
+	}
 }
 
 // genesisMembers returns the first members, and this controller's identifier among them, 0 = none. At the first start all
--- a/controlplane/learner.go
+++ b/controlplane/learner.go
@@ -10,7 +10,7 @@
 	"oxbowspan/rpc"
 )
 
-// learnListener is told of each newly decided value, on the event loop.
+// learnListener is notified of each newly decided value, on the event loop.
 type learnListener interface {
 	valueLearned(v *consensus.Value)
 }
--- a/controlplane/loop.go
+++ b/controlplane/loop.go
@@ -1,77 +1,86 @@
 package controlplane
 
-import "time"
+import (
+	"time"
 
-// commandBacklog is how many posted functions may wait for the loop before a poster blocks.
-const commandBacklog = 1024
+	"oxbowspan/rpc"
+)
 
-// minLoopWait is the shortest time that the loop waits for its next deadline.
-const minLoopWait = time.Millisecond
-
-// eventLoop runs functions one at a time on a single goroutine. That goroutine owns the state of every component of the
-// controller, so none of it needs a lock: goroutines that wait for sockets or the disk post functions to the loop, and the loop
-// itself never waits for any of them.
-type eventLoop struct {
-	commands chan func()
-	stopped  chan struct{} // closed when the controller ends
+// handleFrame routes a message of another process. It runs on the goroutine of its connection.
+func (c *Controller) handleFrame(conn *rpc.Conn, f *rpc.Frame) {
+	switch b := f.Body.(type) {
+	case *rpc.Frame_Prepare:
+		c.acceptor.handlePrepare(b.Prepare, func(reply *rpc.PrepareReply) { conn.Respond(f.Id, prepareReplyFrame(reply)) })
+	case *rpc.Frame_Accept:
+		c.acceptor.handleAccept(b.Accept, func(reply *rpc.AcceptReply) { conn.Respond(f.Id, acceptReplyFrame(reply)) })
+	case *rpc.Frame_Gossip:
+		reply, ok := query(c.loop, func() *rpc.GossipReply { return c.gossip.receive(b.Gossip) })
+		if ok {
+			conn.Respond(f.Id, &rpc.Frame{Body: &rpc.Frame_GossipReply{GossipReply: reply}})
+		}
+	case *rpc.Frame_Poll:
+		c.loop.post(func() { c.polls.receive(conn, f.Id, b.Poll) })
+	}
 }
 
-func newEventLoop() *eventLoop {
-	return &eventLoop{commands: make(chan func(), commandBacklog), stopped: make(chan struct{})}
+// runLoop is the event loop's goroutine.
+func (c *Controller) runLoop() {
+	c.loop.run(housekeepingInterval, func() time.Duration {
+		next := c.advance(c.clock.now())
+		return next - c.clock.now()
+	})
+	c.peers.closeAll()
 }
 
-// post queues a function. It reports whether the loop still runs.
-func (l *eventLoop) post(f func()) bool {
-	select {
-	case l.commands <- f:
-		return true
-	case <-l.stopped:
-		return false
+// begin is the first that runs on the event loop.
+func (c *Controller) begin() {
+	for _, address := range c.settings.SeedControllers() {
+		c.peers.add(address)
 	}
+	c.housekeepingAt = c.clock.now() + randomDuration(maxFirstHousekeeping)
+	c.log.Info().Uint64("identity", uint64(c.self.id)).Uint64("slot", uint64(c.acceptor.newestSlot)).Msg("controller: started")
 }
 
-// execute queues a function and waits until it has run. It reports whether it has. A caller that is released because the loop
-// stopped doesn't wait for the function, which may still run: the function must not write what the caller reads. Use query for
-// a function with a result.
-func (l *eventLoop) execute(f func()) bool {
-	_, done := query(l, func() struct{} { f(); return struct{}{} })
-	return done
+// advance handles what is due and returns when the next thing is.
+func (c *Controller) advance(now time.Duration) (next time.Duration) {
+	if now >= c.housekeepingAt {
+		c.housekeepingAt = now + housekeepingInterval
+		c.housekeep(now)
+	}
+	contactLost, checkAt := c.contact.check(now)
+	if contactLost {
+		c.polls.respondAll(now) // gateways must learn at once that this controller may be out of date
+	}
+	next = min(c.housekeepingAt, checkAt, c.verifier.check(now))
+	if due, at := c.updates.due(now); due {
+		c.polls.notify(now)
+	} else if at != 0 {
+		next = min(next, at)
+	}
+	return c.polls.expire(now, next)
 }
 
-// query queues a function and waits for its result; ok is false when the loop stopped first. The result travels through a
-// channel, so a caller that is released by the stop shares no variable with a function that still runs.
-func query[T any](l *eventLoop, f func() T) (result T, ok bool) {
-	results := make(chan T, 1) // the loop must not wait for the caller
-	if !l.post(func() { results <- f() }) {
-		return result, false
+// housekeep drops what has expired and starts the proposals that are due.
+func (c *Controller) housekeep(now time.Duration) {
+	if c.table.Expire(now) {
+		c.updates.request(false)
 	}
-	select {
-	case result = <-results:
-		return result, true
-	case <-l.stopped:
-		return result, false
+	c.serverChanges.record(now)
+	c.gateways.expire(now)
+	for _, p := range c.peers.updateListed(now) {
+		c.events.add(eventController, peerEvent(p))
+		c.gateways.listChanged() // gateways need to know which controllers they may poll
 	}
+	c.peers.forget(now, c.learner.isMemberAddress)
+	c.heartbeats.expireWaits(now)
+	c.contact.prune(now)
+	c.scheduler.startDue(now)
+	c.hints.save(now)
 }
 
-// run executes posted functions until the loop is stopped. After each batch it calls advance, which handles the timers that are
-// due and returns the time until the next one.
-func (l *eventLoop) run(firstWait time.Duration, advance func() time.Duration) {
-	timer := time.NewTimer(firstWait)
-	defer timer.Stop()
-	for {
-		select {
-		case f := <-l.commands:
-			f()
-		case <-timer.C:
-		case <-l.stopped:
-			return
-		}
-		for range len(l.commands) {
-			(<-l.commands)()
-		}
-		timer.Reset(max(advance(), minLoopWait))
+func peerEvent(p *peer) string {
+	if p.listed {
+		return "controller " + p.address + " is alive"
 	}
+	return "controller " + p.address + " timed out"
 }
-
-// stop ends the loop and releases all who wait for it. It must be called once.
-func (l *eventLoop) stop() { close(l.stopped) }
--- a/controlplane/membership.go
+++ b/controlplane/membership.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// memberLossTimeout is how long a member must not be heard, by any controller that is heard itself, before another controller
+	// memberLossTimeout is how long a member must not have been seen, by any controller that is alive itself, before another controller
 	// may replace it.
 	memberLossTimeout = 2200 * time.Millisecond
 
@@ -21,7 +21,7 @@
 type membershipRequest struct {
 	self       consensus.Member
 	targetSize int                                // members that there should be
-	silence    func(address string) time.Duration // the shortest for which any controller that is heard has not heard a member
+	silence    func(address string) time.Duration // the shortest time for which any controller that is alive has not seen a member
 }
 
 // apply makes the requester a member where it may be: in place of the member at its own address, whose disk it replaces, as a
@@ -52,7 +52,7 @@
 	return v.WithMembers(members)
 }
 
-// membershipManager tells when this controller should become a member, and who could take its place. It belongs to the event
+// membershipManager determines when this controller should become a member, and who could take its place. It belongs to the event
 // loop.
 type membershipManager struct {
 	self       identity
@@ -83,8 +83,8 @@
 	return membershipRequest{m.member(), m.targetSize, func(address string) time.Duration { return silences[address] }}
 }
 
-// silence returns the shortest time for which this controller, or any that it hears, has not heard a member. It is 0 when no
-// other controller is heard that could tell: it may be this one that is isolated.
+// silence returns the shortest time for which this controller, or any peer that is alive, has not seen a member. It is 0 when no
+// peer that is alive reports on it: it may be this controller that is isolated.
 func (m *membershipManager) silence(address string, now time.Duration) time.Duration {
 	reported, known := m.reportedSilence(address, now)
 	if !known {
@@ -94,13 +94,13 @@
 	switch {
 	case p == nil:
 		return 0
-	case p.lastSeen == 0: // this controller is new and never heard it: the reports of the others decide
+	case p.lastSeen == 0: // this controller is new and never saw it: the reports of the others decide
 		return reported
 	}
 	return min(p.silence(now), reported)
 }
 
-// reportedSilence returns the shortest time for which the peers that are alive report not to have heard a member.
+// reportedSilence returns the shortest time for which the peers that are alive report not to have seen a member.
 func (m *membershipManager) reportedSilence(address string, now time.Duration) (shortest time.Duration, known bool) {
 	for _, p := range m.peers.byAddress {
 		if p.address == address || !p.alive(now) {
--- a/controlplane/peers.go
+++ b/controlplane/peers.go
@@ -33,11 +33,11 @@
 	reportsReplica bool                     // if it says so
 	restoresBodies bool                     // it fills in bodies that a value omits
 	draining       bool                     // it is shutting down
-	silences       map[string]time.Duration // since it heard from other controllers, by address
+	silences       map[string]time.Duration // since it last saw other controllers, by their address
 
 	addedAt  time.Duration
 	lastSeen time.Duration // 0 = never
-	listed   bool          // among the controllers that gateways are told of
+	listed   bool          // among the controllers that are listed to gateways
 
 	// Of the gossip to it.
 	ackedCursor      registry.Cursor // up to which it has this controller's reports
@@ -50,15 +50,15 @@
 	requestFullValue bool // this controller lacks a body of the value that the peer sent
 }
 
-// alive reports whether the peer was heard of late.
+// alive reports whether the peer was seen of late.
 func (p *peer) alive(now time.Duration) bool {
 	return p.lastSeen > 0 && now-p.lastSeen < peerLivenessTimeout
 }
 
-// silence is how long the peer was not heard, counted from when it was added where it never was.
+// silence is how long the peer was not seen, counted from when it was added where it never was.
 func (p *peer) silence(now time.Duration) time.Duration { return now - max(p.lastSeen, p.addedAt) }
 
-// describe returns the peer as gateways are told of it.
+// describe returns the peer as it is described to gateways.
 func (p *peer) describe(now time.Duration, voter bool) *rpc.Controller {
 	return &rpc.Controller{Id: uint64(p.id), Address: p.address, ControlAddress: p.controlAddress, Zone: p.zone, Voter: voter,
 		AgeMs: milliseconds(p.silence(now))}
@@ -115,7 +115,7 @@
 	}
 }
 
-// updateListed returns the peers that came alive or fell silent since the last call.
+// updateListed returns the peers that came alive or timed out since the last call.
 func (s *peerSet) updateListed(now time.Duration) (changed []*peer) {
 	for _, p := range s.byAddress {
 		if alive := p.alive(now); alive != p.listed {
@@ -126,7 +126,7 @@
 	return changed
 }
 
-// forget drops the peers that were not heard for long, except seeds and those to be kept.
+// forget drops the peers that were not seen for long, except seeds and those to be kept.
 func (s *peerSet) forget(now time.Duration, keep func(address string) bool) {
 	for address, p := range s.byAddress {
 		if now-p.lastSeen > peerForgetTimeout && !keep(address) && !slices.Contains(s.seeds, address) {
--- a/controlplane/poll_service.go
+++ b/controlplane/poll_service.go
@@ -21,8 +21,14 @@
 
 // pollService answers the long polls of gateways. It belongs to the event loop.
 type pollService struct {
+	pollDependencies
+	waiters map[*pollWaiter]bool
+}
+
+// pollDependencies is what a pollService works with.
+type pollDependencies struct {
 	self              identity
-	heartbeatInterval time.Duration
+	heartbeatInterval time.Duration // of servers
 	inForceWithin     time.Duration // the time in which a version must be in force everywhere
 	clock             *steadyClock
 	learner           *learner
@@ -32,7 +38,10 @@
 	gateways          *gatewayDirectory
 	table             *registry.Table
 	updates           *updateSchedule
-	waiters           map[*pollWaiter]bool
+}
+
+func newPollService(d pollDependencies) *pollService {
+	return &pollService{pollDependencies: d, waiters: map[*pollWaiter]bool{}}
 }
 
 // receive takes a poll. It is answered at once where there is an update or the gateway doesn't want to wait. The first one to
--- a/controlplane/proposal_run.go
+++ b/controlplane/proposal_run.go
@@ -23,7 +23,8 @@
 }
 
 func newProposalRun(p *proposer, proposal *consensus.Proposal) *proposalRun {
-	return &proposalRun{proposer: p, proposal: proposal, replies: make(chan *rpc.Frame, replyBacklog), knownBodies: map[consensus.AcceptorID][]string{}}
+	return &proposalRun{proposer: p, proposal: proposal, replies: make(chan *rpc.Frame, replyBacklog),
+		knownBodies: map[consensus.AcceptorID][]string{}}
 }
 
 // run returns the value once it is decided, or errNoQuorum.
--- a/controlplane/proposal_scheduler.go
+++ b/controlplane/proposal_scheduler.go
@@ -18,7 +18,14 @@
 
 // proposalScheduler starts the proposals that the state of the register calls for, one at a time. It belongs to the event loop.
 type proposalScheduler struct {
-	firstStart bool // the control plane starts for the first time: there is nothing to learn
+	schedulerDependencies
+	proposing bool
+	notBefore time.Duration // of the next proposal
+}
+
+// schedulerDependencies is what a proposalScheduler works with.
+type schedulerDependencies struct {
+	firstStart bool // the control plane starts for the first time: there is no earlier value to learn
 	loop       *eventLoop
 	clock      *steadyClock
 	learner    *learner
@@ -26,8 +33,10 @@
 	membership *membershipManager
 	completion *replicaCompletion
 	proposer   *proposer
-	proposing  bool
-	notBefore  time.Duration // of the next proposal
+}
+
+func newProposalScheduler(d schedulerDependencies) *proposalScheduler {
+	return &proposalScheduler{schedulerDependencies: d}
 }
 
 // startDue starts a proposal if one is due: to learn whether an accepted value was decided, to become a member, to confirm a
--- a/controlplane/proposer.go
+++ b/controlplane/proposer.go
@@ -32,8 +32,10 @@
 }
 
 // newProposer returns a proposer. HighestBallot is the highest ballot number that its acceptor has promised.
-func newProposer(id consensus.ProposerID, highestBallot uint64, loop *eventLoop, learner *learner, acceptor *acceptorEndpoint, peers *peerSet) *proposer {
-	p := &proposer{id: id, loop: loop, learner: learner, acceptor: acceptor, peers: peers, token: make(chan struct{}, 1), highestBallot: highestBallot}
+func newProposer(id consensus.ProposerID, highestBallot uint64, loop *eventLoop, learner *learner, acceptor *acceptorEndpoint,
+	peers *peerSet) *proposer {
+	p := &proposer{id: id, loop: loop, learner: learner, acceptor: acceptor, peers: peers, highestBallot: highestBallot,
+		token: make(chan struct{}, 1)}
 	p.token <- struct{}{}
 	return p
 }
--- a/controlplane/replica_completion.go
+++ b/controlplane/replica_completion.go
@@ -15,7 +15,7 @@
 	repairDelay     = 1600 * time.Millisecond
 )
 
-// replicaCompletion tells when members lack the newest value on their disks, and completes this controller's own replica. It
+// replicaCompletion determines when members lack the newest value on their disks, and completes this controller's own replica. It
 // belongs to the event loop.
 type replicaCompletion struct {
 	self       identity
--- a/controlplane/resource_api.go
+++ b/controlplane/resource_api.go
@@ -63,7 +63,8 @@
 		return
 	}
 	if problem := result.problem(c); problem != nil {
-		log.Info().Uint64("based_on", uint64(basedOn)).Uint64("current", uint64(result.current)).Stringer("outcome", result.outcome).Msg("change: rejected")
+		log.Info().Uint64("based_on", uint64(basedOn)).Uint64("current", uint64(result.current)).Stringer("outcome", result.outcome).
+			Msg("change: rejected")
 		writeError(w, problem)
 		return
 	}
--- a/controlplane/resources.go
+++ b/controlplane/resources.go
@@ -50,7 +50,8 @@
 	if err := joinProblems(c.Validate()); err != nil {
 		return nil, err
 	}
-	return &configurationChange{consensus.ChangeRequest{Version: consensus.Version(c.Version), BasedOn: basedOn, Digest: digest(body), Body: body}}, nil
+	request := consensus.ChangeRequest{Version: consensus.Version(c.Version), BasedOn: basedOn, Digest: digest(body), Body: body}
+	return &configurationChange{request}, nil
 }
 
 // documentChange is a new version of a document beside the configuration. Its version is the one after its base.
--- a/controlplane/shutdown.go
+++ b/controlplane/shutdown.go
@@ -23,7 +23,7 @@
 	successor  *consensus.Member  // who may become a member in place of this controller; nil = nobody, or it is none
 }
 
-// drainer keeps a controller that is told to end running until its end loses nothing.
+// drainer keeps a controller that is to end running until its end loses nothing.
 type drainer struct {
 	self       identity
 	timeout    time.Duration
@@ -69,7 +69,7 @@
 		select {
 		case <-time.After(shutdownPollInterval):
 		case <-ctx.Done():
-			d.log.Warn().Str("reason", status.reason.String()).Interface("incomplete", status.incomplete).Msg("controller: ends at its timeout though it is needed")
+			d.log.Warn().Stringer("reason", status.reason).Interface("incomplete", status.incomplete).Msg("controller: drain timed out")
 			return
 		case <-d.killed:
 			return
--- a/controlplane/status_api.go
+++ b/controlplane/status_api.go
@@ -131,7 +131,7 @@
 	return out
 }
 
-// silence is how long a member was not heard; as long as this controller runs if it never was.
+// silence is how long a member was not seen; as long as this controller runs if it never was.
 func (a *statusAPI) silence(m consensus.Member, now time.Duration) time.Duration {
 	if m.ID == a.self.id {
 		return 0
--- a/controlplane/update_schedule.go
+++ b/controlplane/update_schedule.go
@@ -5,7 +5,7 @@
 // updateDelay is how long changes that are not urgent are gathered before gateways are sent them.
 const updateDelay = 60 * time.Millisecond
 
-// updateSchedule tells when the waiting gateways are to be looked at for updates. It belongs to the event loop.
+// updateSchedule holds the time at which the waiting gateways are to be checked for updates. It belongs to the event loop.
 type updateSchedule struct {
 	clock *steadyClock
 	at    time.Duration // 0 = nothing is new
--- a/quorum/quorum.go
+++ b/quorum/quorum.go
@@ -1,5 +1,5 @@
-// Package quorum tells since when a process knows that nothing newer was decided than what it knows: the time of its last contact
-// with a majority of the acceptors. Contact counts from when a request was sent, never from when its reply was received or read: a
+// Package quorum determines since when a process knows that nothing newer was decided than what it knows: the time of its last
+// contact with a majority of the acceptors. Contact counts from when a request was sent, never from when its reply was received or read: a
 // process that was frozen, or that its peers reach while it reaches none of them, has no contact. The package has no I/O, clock or
 // goroutine; times are those of the caller's steady clock.
 package quorum
