--- /dev/null
+++ b/controlplane/membership_test.go
@@ -0,0 +1,103 @@
+package controlplane
+
+import (
+	"slices"
+	"testing"
+	"time"
+
+	"oxbowspan/consensus"
+)
+
+func TestMembershipRequest(t *testing.T) {
+	member := func(id consensus.AcceptorID, address string) consensus.Member {
+		return consensus.Member{ID: id, Address: address}
+	}
+	three := []consensus.Member{member(1, "a"), member(2, "b"), member(3, "c")}
+	for _, test := range []struct {
+		name     string
+		self     consensus.Member
+		members  []consensus.Member
+		silences map[string]time.Duration
+		want     []consensus.Member // nil = no change
+	}{
+		{"already a member", member(2, "b"), three, nil, nil},
+		{"no members", member(4, "d"), nil, nil, nil},
+		{"new disk at a member's address", member(4, "b"), three, nil, []consensus.Member{member(1, "a"), member(4, "b"), member(3, "c")}},
+		{"too few members", member(4, "d"), three[:2], nil, []consensus.Member{member(1, "a"), member(2, "b"), member(4, "d")}},
+		{"all members alive", member(4, "d"), three, map[string]time.Duration{"a": time.Second}, nil},
+		{"silent for just the time-out", member(4, "d"), three, map[string]time.Duration{"a": memberLossTimeout}, nil},
+		{"longest silent is replaced", member(4, "d"), three, map[string]time.Duration{"a": 3 * time.Second, "c": 4 * time.Second},
+			[]consensus.Member{member(1, "a"), member(2, "b"), member(4, "d")}},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			v := &consensus.Value{Slot: 5, Members: test.members, PriorMembers: test.members}
+			request := membershipRequest{test.self, 3, func(address string) time.Duration { return test.silences[address] }}
+			next := request.apply(v)
+			switch {
+			case test.want == nil && next != v:
+				t.Errorf("members become %v", next.Members)
+			case test.want != nil && !slices.Equal(next.Members, test.want):
+				t.Errorf("members become %v, want %v", next.Members, test.want)
+			}
+		})
+	}
+}
+
+// A member counts as silent for the shortest time that any controller which is alive reports.
+func TestMemberSilence(t *testing.T) {
+	const now = 10 * time.Second
+	for _, test := range []struct {
+		name     string
+		lastSeen time.Duration            // of the member; 0 = never
+		reports  map[string]time.Duration // of the peers that are alive, on the member
+		want     time.Duration
+	}{
+		{"nobody else reports", 4 * time.Second, nil, 0},
+		{"a peer saw it later", 4 * time.Second, map[string]time.Duration{"b": time.Second}, time.Second},
+		{"this controller saw it later", 9 * time.Second, map[string]time.Duration{"b": 5 * time.Second}, time.Second},
+		{"several peers report", 2 * time.Second, map[string]time.Duration{"b": 7 * time.Second, "c": 6 * time.Second}, 6 * time.Second},
+		{"never seen here", 0, map[string]time.Duration{"b": 12 * time.Second}, 12 * time.Second},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			peers := &peerSet{byAddress: map[string]*peer{"m": {address: "m", lastSeen: test.lastSeen}}}
+			for address, silence := range test.reports {
+				peers.byAddress[address] = &peer{address: address, lastSeen: now, silences: map[string]time.Duration{"m": silence}}
+			}
+			peers.byAddress["dead"] = &peer{address: "dead", lastSeen: time.Second, silences: map[string]time.Duration{"m": 0}}
+			m := &membershipManager{peers: peers}
+			if got := m.silence("m", now); got != test.want {
+				t.Errorf("silent for %v, want %v", got, test.want)
+			}
+		})
+	}
+}
+
+func TestSuccessor(t *testing.T) {
+	const now = 10 * time.Second
+	members := []consensus.Member{{ID: 1, Address: "self"}, {ID: 2, Address: "b"}}
+	alive := peer{address: "d", id: 4, lastSeen: now}
+	for _, test := range []struct {
+		name   string
+		change func(p *peer, m *membershipManager)
+		want   bool
+	}{
+		{"alive and no member", func(*peer, *membershipManager) {}, true},
+		{"never seen", func(p *peer, _ *membershipManager) { p.lastSeen = 0 }, false},
+		{"timed out", func(p *peer, _ *membershipManager) { p.lastSeen = now - peerLivenessTimeout }, false},
+		{"draining", func(p *peer, _ *membershipManager) { p.draining = true }, false},
+		{"unknown identity", func(p *peer, _ *membershipManager) { p.id = 0 }, false},
+		{"member", func(p *peer, _ *membershipManager) { p.id = 2 }, false},
+		{"new disk at a member's address", func(p *peer, _ *membershipManager) { p.address = "b" }, false},
+		{"this controller is no member", func(_ *peer, m *membershipManager) { m.self.id = 9 }, false},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			p := alive
+			m := &membershipManager{self: identity{id: 1, address: "self"}, learner: &learner{value: &consensus.Value{Members: members}},
+				peers: &peerSet{byAddress: map[string]*peer{"d": &p}}}
+			test.change(&p, m)
+			if got := m.successor(now); (got != nil) != test.want {
+				t.Errorf("successor %v, want one: %v", got, test.want)
+			}
+		})
+	}
+}
