--- a/internal/acceptorstore/store_test.go
+++ b/internal/acceptorstore/store_test.go
@@ -174,9 +174,30 @@
 	})
 }
 
+// loseWrites returns what a file may hold after power was lost while it was written.
+func loseWrites(r *rand.Rand, before, after []byte) []byte {
+	const page = 4096
+	content := append(append([]byte(nil), before...), after[len(before):]...) // bbolt syncs the length first
+	first := r.IntN(3)                                                        // lost among the data, in the meta pages, or after both
+	for at := 0; at < len(after); at += page {
+		meta := at < 2*page // bbolt writes these two pages once all others are synced
+		switch keep := r.IntN(3); {
+		case meta && first == 0, !meta && first == 0 && keep == 0:
+		case meta && first == 1:
+			cut := at + r.IntN(page/8)*8
+			copy(content[at:cut], after[at:cut])
+		case !meta && first == 0 && keep == 1:
+			cut := at + r.IntN(page)
+			copy(content[at:cut], after[at:cut])
+		default:
+			copy(content[at:at+page], after[at:at+page])
+		}
+	}
+	return content
+}
+
 // testPowerLoss stores one state after another, loses power during each write, and checks what is read afterwards.
 func testPowerLoss(t *testing.T, writes uint64, step func(n uint64) StepFunc, complete func(v *consensus.Value) bool) {
-	const page = 4096
 	dir := t.TempDir()
 	path := filepath.Join(dir, fileName)
 	read := func() []byte {
@@ -200,23 +221,7 @@
 		}
 		after := read()
 		lost := filepath.Join(t.TempDir(), fileName)
-		content := append(append([]byte(nil), before...), after[len(before):]...) // bbolt syncs the length first
-		first := r.IntN(3)                                                        // lost among the data, in the meta pages, or after both
-		for at := 0; at < len(after); at += page {
-			meta := at < 2*page // bbolt writes these two pages once all others are synced
-			switch keep := r.IntN(3); {
-			case meta && first == 0, !meta && first == 0 && keep == 0:
-			case meta && first == 1:
-				cut := at + r.IntN(page/8)*8
-				copy(content[at:cut], after[at:cut])
-			case !meta && first == 0 && keep == 1:
-				cut := at + r.IntN(page)
-				copy(content[at:cut], after[at:cut])
-			default:
-				copy(content[at:at+page], after[at:at+page])
-			}
-		}
-		if err := os.WriteFile(lost, content, 0o644); err != nil {
+		if err := os.WriteFile(lost, loseWrites(r, before, after), 0o644); err != nil {
 			t.Fatal(err)
 		}
 		reopened, setAsidePath, err := Open(filepath.Dir(lost), 1)
