--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -12,12 +12,12 @@
 	"oxbowspan/internal/command"
 )
 
-// exitBad is the exit code where the program could not start, or not finish what was open.
-const exitBad = 1
+// exitFailure is the exit code where the program could not start, or not finish what was open.
+const exitFailure = 1
 
 // Main runs the program and returns its exit code.
 func Main(args []string, stdout, stderr io.Writer) int {
-	return command.Run(newRoot(stdout, stderr), args, stderr, func(error) int { return exitBad })
+	return command.Run(newRoot(stdout, stderr), args, stderr, func(error) int { return exitFailure })
 }
 
 func newRoot(stdout, stderr io.Writer) *cobra.Command {
@@ -31,7 +31,7 @@
 		Version: version(),
 	}, stdout, stderr)
 	root.SetVersionTemplate("oxbowspan {{.Version}}\n")
-	root.AddCommand(newServe(stderr), newCheck(stdout), newKeys(stdout), newStore(stdout), newLevel(stdout), newWatch(stdout), newFleet(stdout), &cobra.Command{
+	root.AddCommand(newServeCommand(stderr), newCheckCommand(stdout), newKeysCommand(stdout), newStoreCommand(stdout), newLevelCommand(stdout), newWatchCommand(stdout), newFleetCommand(stdout), &cobra.Command{
 		Use: "version", Short: "Print the version", Args: command.NoArgs,
 		Run: func(*cobra.Command, []string) { fmt.Fprintln(stdout, "oxbowspan", version()) },
 	})
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -11,7 +11,7 @@
 	"oxbowspan/internal/command"
 )
 
-func TestExitCodesAndWords(t *testing.T) {
+func TestExitCodesAndMessages(t *testing.T) {
 	t.Setenv("PROXY_CONFIG", "")
 	broken := filepath.Join(t.TempDir(), "broken.json")
 	if err := os.WriteFile(broken, []byte(`{"listen":`), 0o600); err != nil {
@@ -26,9 +26,9 @@
 		{"sreve", command.ExitUsage, "", `unknown command "sreve"`},
 		{"serve --lisen x", command.ExitUsage, "", "unknown flag: --lisen"},
 		{"check more", command.ExitUsage, "", `unexpected argument "more"`},
-		{"check", exitBad, "", "no configuration: give --config or set PROXY_CONFIG"},
-		{"serve", exitBad, "", "no configuration: give --config or set PROXY_CONFIG"},
-		{"check --config " + broken, exitBad, "", "broken.json"},
+		{"check", exitFailure, "", "no configuration: give --config or set PROXY_CONFIG"},
+		{"serve", exitFailure, "", "no configuration: give --config or set PROXY_CONFIG"},
+		{"check --config " + broken, exitFailure, "", "broken.json"},
 		{"version", 0, "oxbowspan ", ""},
 		{"--version", 0, "oxbowspan ", ""},
 		{"help", 0, "check       Read the configuration", ""},
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestCheckNamesAllFaultsOfTheOperatorsFile(t *testing.T) {
+func TestCheckReportsAllOperatorFileProblems(t *testing.T) {
 	dir := t.TempDir()
 	config, ini := filepath.Join(dir, "config.json"), filepath.Join(dir, "operator.ini")
 	for path, text := range map[string]string{config: `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","settings":{"classes":[
@@ -66,7 +66,7 @@
 	}
 	code, says := check()
 	for _, want := range []string{"operator.ini:2: ", "operator.ini:4: ", "kinds: is missing", "schema: there is no section"} {
-		if code != exitBad || !strings.Contains(says, want) {
+		if code != exitFailure || !strings.Contains(says, want) {
 			t.Errorf("it ends with %d and says %s, want %q in it", code, says, want)
 		}
 	}
@@ -79,7 +79,7 @@
 	os.WriteFile(filepath.Join(dir, "k"), []byte("k "+strings.Repeat("0f", 32)+"\n"), 0o600)
 	code, says = check()
 	for _, want := range []string{"[merge post]: is not idempotent", "[merge lookup]: counts as whole short of a part", "[merge other]: is no query type"} {
-		if code != exitBad || !strings.Contains(says, want) {
+		if code != exitFailure || !strings.Contains(says, want) {
 			t.Errorf("it ends with %d and says %s, want %q in it", code, says, want)
 		}
 	}
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -65,8 +65,8 @@
 	}, nil
 }
 
-// newFleet is the operators' way to the fleet's agreed state.
-func newFleet(stdout io.Writer) *cobra.Command {
+// newFleetCommand is the operators' way to the fleet's agreed state.
+func newFleetCommand(stdout io.Writer) *cobra.Command {
 	var file string
 	c := &cobra.Command{Use: "fleet", Short: "Look at the fleet, let members go out, and run releases", Args: command.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error { return c.Help() }}
@@ -121,11 +121,11 @@
 		one("forget NAME", "Say that a member will not come back", func(n string) maintenance.Command {
 			return maintenance.Command{Forget: &maintenance.Forget{Name: maintenance.MemberName(n)}}
 		}, "is forgotten"),
-		newRelease(stdout, with, one))
+		newReleaseCommand(stdout, with, one))
 	return c
 }
 
-func newRelease(stdout io.Writer, with func(func(context.Context, *raftnode.Client) error) error,
+func newReleaseCommand(stdout io.Writer, with func(func(context.Context, *raftnode.Client) error) error,
 	one func(string, string, func(string) maintenance.Command, string) *cobra.Command) *cobra.Command {
 	c := &cobra.Command{Use: "release", Short: "Change the fleet's version in steps", Args: command.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error { return c.Help() }}
--- a/internal/cli/fleet_test.go
+++ b/internal/cli/fleet_test.go
@@ -19,34 +19,34 @@
 	"oxbowspan/internal/testing/standin"
 )
 
-// site is a fleet of built gatherers as processes of their own, with a stand-in list and shard server, and what is seen of them from
+// testFleet is a fleet of built gatherers as processes of their own, with a stand-in list and shard server, and what is seen of them from
 // outside: who is ready, by asking each over and over, and what became of every search.
-type site struct {
-	t       *testing.T
-	bin     string
-	dir     string
-	list    *standin.DiscoveryService
-	ini     string
-	mu      sync.Mutex
-	nodes   []*node
-	over    chan struct{}
-	all     sync.WaitGroup
-	most    int // gatherers that were out at once, killed ones apart
-	asked   atomic.Int64
-	served  atomic.Int64 // answered 200
-	unended atomic.Int64 // searches that a gatherer had taken and gave no final answer
+type testFleet struct {
+	t            *testing.T
+	bin          string
+	dir          string
+	discovery    *standin.DiscoveryService
+	fleetSection string
+	mu           sync.Mutex
+	nodes        []*process
+	stopped      chan struct{}
+	tasks        sync.WaitGroup
+	maxOut       int // gatherers that were out at once, killed ones apart
+	sent         atomic.Int64
+	succeeded    atomic.Int64 // answered 200
+	unanswered   atomic.Int64 // searches that a gatherer had taken and gave no final answer
 }
 
-type node struct {
-	name   string
-	port   string
-	args   []string
-	p      *standin.Program // nil = it is being started
-	out    bool
-	killed bool
-	ready  bool     // at the front's last look
-	drains []string // its log's lines on that
-	starts int
+type process struct {
+	name    string
+	port    string
+	args    []string
+	program *standin.Program // nil = it is being started
+	out     bool
+	killed  bool
+	ready   bool     // at the front's last look
+	drains  []string // its log's lines on that
+	starts  int
 }
 
 const fleetSettings = `{"classes":[{"name":"lookup","effect":"free","slo":1000,"hardLimit":3000,"lateWorth":0.3}],"membershipMode":"pushed","instances":7,"tick":5,
@@ -78,8 +78,8 @@
 	return path
 }
 
-func (s *site) config(name, listen string, peers bool) string {
-	b, err := json.Marshal(map[string]any{"name": name, "listen": listen, "discovery": s.list.Addr(), "seed": "7",
+func (s *testFleet) config(name, listen string, peers bool) string {
+	b, err := json.Marshal(map[string]any{"name": name, "listen": listen, "discovery": s.discovery.Addr(), "seed": "7",
 		"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": 256}, "settings": json.RawMessage(fmt.Sprintf(fleetSettings, peers))})
 	if err != nil {
 		s.t.Fatal(err)
@@ -87,8 +87,8 @@
 	return write(s.t, filepath.Join(s.dir, name+".json"), string(b))
 }
 
-func newSite(t *testing.T, n int, limits string) *site {
-	s := &site{t: t, dir: t.TempDir(), over: make(chan struct{})}
+func newTestFleet(t *testing.T, n int, limits string) *testFleet {
+	s := &testFleet{t: t, dir: t.TempDir(), stopped: make(chan struct{})}
 	s.bin = filepath.Join(s.dir, "oxbowspan")
 	build := exec.Command("go", "build", "-o", s.bin, "oxbowspan/cmd/oxbowspan")
 	build.Env = append(os.Environ(), "CGO_ENABLED=0")
@@ -100,26 +100,26 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(shard.Stop)
-	if s.list, err = standin.StartDiscoveryService(shard); err != nil {
+	if s.discovery, err = standin.StartDiscoveryService(shard); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(s.list.Stop)
+	t.Cleanup(s.discovery.Stop)
 	write(t, filepath.Join(s.dir, "keys"), "k1 "+strings.Repeat("0f", 32)+"\n")
 	var stewards []string
 	for i := range 3 {
 		stewards = append(stewards, fmt.Sprintf("n%d=%s", i, freePort(t)))
 	}
-	s.ini = "[fleet]\nkeys = keys\nlease = 3s\nwait = 60s\nstewards = " + strings.Join(stewards, " ") + "\n" + limits
+	s.fleetSection = "[fleet]\nkeys = keys\nlease = 3s\nwait = 60s\nstewards = " + strings.Join(stewards, " ") + "\n" + limits
 	for i := range n {
 		name := fmt.Sprintf("n%d", i)
-		text := s.ini
+		text := s.fleetSection
 		if i < 3 {
 			_, addr, _ := strings.Cut(stewards[i], "=")
 			text += "listen = " + addr + "\npath = log-" + name + "\n"
 		}
 		ini := write(t, filepath.Join(s.dir, name+".ini"), text)
 		port := freePort(t)
-		s.nodes = append(s.nodes, &node{name: name, port: port, args: []string{"serve", "--config", s.config(name, port, true), "--operator", ini}})
+		s.nodes = append(s.nodes, &process{name: name, port: port, args: []string{"serve", "--config", s.config(name, port, true), "--operator", ini}})
 	}
 	var ready sync.WaitGroup
 	for i, x := range s.nodes {
@@ -135,14 +135,14 @@
 	if t.Failed() {
 		t.FailNow()
 	}
-	s.all.Go(s.watch)
-	s.all.Go(s.clients)
+	s.tasks.Go(s.watchReadiness)
+	s.tasks.Go(s.sendRequests)
 	t.Cleanup(s.stop)
 	return s
 }
 
 // start runs a gatherer, and runs it again whenever it has ended, as a platform would.
-func (s *site) start(x *node, extra ...string) {
+func (s *testFleet) start(x *process, extra ...string) {
 	cmd := exec.Command(s.bin, append(x.args, extra...)...)
 	cmd.Env = append(os.Environ(), "OXBOWSPAN_VERSION="+s.version(x))
 	p, err := standin.StartProgram(cmd, func(line string) {
@@ -158,16 +158,16 @@
 	}
 	write(s.t, filepath.Join(s.dir, x.name+".pid"), fmt.Sprint(p.PID()))
 	s.mu.Lock()
-	x.p, x.out, x.killed = p, false, false
+	x.program, x.out, x.killed = p, false, false
 	x.starts++
 	s.mu.Unlock()
-	s.all.Go(func() {
+	s.tasks.Go(func() {
 		<-p.Exited
 		s.mu.Lock()
-		x.p, x.out = nil, true
+		x.program, x.out = nil, true
 		s.mu.Unlock()
 		select {
-		case <-s.over:
+		case <-s.stopped:
 		default:
 			s.start(x)
 		}
@@ -175,7 +175,7 @@
 }
 
 // version is what is installed for a gatherer: what the hook wrote last.
-func (s *site) version(x *node) string {
+func (s *testFleet) version(x *process) string {
 	b, err := os.ReadFile(filepath.Join(s.dir, x.name+".version"))
 	if err != nil {
 		return "v1"
@@ -184,7 +184,7 @@
 }
 
 // hook writes the command that carries out a release: it installs a version and tells the gatherer to end, once for each epoch.
-func (s *site) hook(install string) string {
+func (s *testFleet) hook(install string) string {
 	script := "#!/bin/sh\ncd " + s.dir + "\n[ -e $1.$3 ] && exit 0\ntouch $1.$3\n" + install + "\nkill -TERM $(cat $1.pid)\n"
 	path := write(s.t, filepath.Join(s.dir, "hook.sh"), script)
 	if err := os.Chmod(path, 0o700); err != nil {
@@ -193,26 +193,26 @@
 	return path
 }
 
-func (s *site) status() string {
+func (s *testFleet) status() string {
 	s.mu.Unlock()
 	defer s.mu.Lock()
 	out, _ := s.fleet("status")
 	return out
 }
 
-// watch asks each gatherer whether it is ready, over and over, and counts those that are not, killed ones apart.
-func (s *site) watch() {
+// watchReadiness asks each gatherer whether it is ready, over and over, and counts those that are not, killed ones apart.
+func (s *testFleet) watchReadiness() {
 	client := &http.Client{Timeout: time.Second}
 	for {
 		select {
-		case <-s.over:
+		case <-s.stopped:
 			return
 		case <-time.After(5 * time.Millisecond): // a front's look, not a wait for anything
 		}
 		out := 0
 		for _, x := range s.nodes {
 			s.mu.Lock()
-			p, killed := x.p, x.killed
+			p, killed := x.program, x.killed
 			s.mu.Unlock()
 			if killed {
 				continue
@@ -234,63 +234,63 @@
 			}
 		}
 		s.mu.Lock()
-		s.most = max(s.most, out)
+		s.maxOut = max(s.maxOut, out)
 		s.mu.Unlock()
 	}
 }
 
-// clients ask all gatherers in turn. A search that was taken, its connection being there, needs one final answer.
-func (s *site) clients() {
+// sendRequests ask all gatherers in turn. A search that was taken, its connection being there, needs one final answer.
+func (s *testFleet) sendRequests() {
 	client := &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for i := 0; ; i++ {
 		select {
-		case <-s.over:
+		case <-s.stopped:
 			return
 		case <-time.After(3 * time.Millisecond): // the rate of the load
 		}
 		x := s.nodes[i%len(s.nodes)]
 		s.mu.Lock()
-		away := x.killed || !x.ready || x.p == nil
+		away := x.killed || !x.ready || x.program == nil
 		s.mu.Unlock()
 		if away {
 			continue // a front has noticed
 		}
 		q := standin.Request{ID: fmt.Sprintf("%016x", i+1), QueryType: "lookup", Timeout: 2 * time.Second, Shards: []int{0, 1}, Statement: "t"}
 		got, err := q.Send(context.Background(), client, x.port)
-		if s.asked.Add(1); err == nil && got.Status == 200 {
-			s.served.Add(1)
+		if s.sent.Add(1); err == nil && got.Status == 200 {
+			s.succeeded.Add(1)
 		}
 		s.mu.Lock()
 		killed := x.killed
 		s.mu.Unlock()
 		if err != nil && !killed && !strings.Contains(err.Error(), "refused") && !strings.Contains(err.Error(), "reset by peer") {
-			s.unended.Add(1)
+			s.unanswered.Add(1)
 			s.t.Logf("search %d at %s: %v", i, x.name, err)
 		}
 	}
 }
 
-func (s *site) stop() {
-	close(s.over)
+func (s *testFleet) stop() {
+	close(s.stopped)
 	s.mu.Lock()
 	for _, x := range s.nodes {
-		if x.p != nil {
-			x.p.Signal(syscall.SIGCONT)
-			x.p.Kill()
+		if x.program != nil {
+			x.program.Signal(syscall.SIGCONT)
+			x.program.Kill()
 		}
 	}
 	s.mu.Unlock()
-	s.all.Wait()
+	s.tasks.Wait()
 }
 
 // fleet runs an operator's command.
-func (s *site) fleet(args ...string) (string, error) {
+func (s *testFleet) fleet(args ...string) (string, error) {
 	out, err := exec.Command(s.bin, append([]string{"fleet", "--operator", filepath.Join(s.dir, "n6.ini")}, args...)...).CombinedOutput()
 	return string(out), err
 }
 
-// until waits until the harness sees something, looked at again and again.
-func (s *site) until(what string, limit time.Duration, seen func() bool) {
+// await waits until the harness sees something, looked at again and again.
+func (s *testFleet) await(what string, limit time.Duration, seen func() bool) {
 	s.t.Helper()
 	for end := time.Now().Add(limit); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		s.mu.Lock()
@@ -304,18 +304,18 @@
 	s.t.Fatalf("not within %s: %s\n%s%v", limit, what, out, err)
 }
 
-func (s *site) signal(x *node, sig syscall.Signal) {
+func (s *testFleet) signal(x *process, sig syscall.Signal) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if x.p != nil {
+	if x.program != nil {
 		x.killed = sig != syscall.SIGCONT && (x.killed || sig == syscall.SIGKILL || sig == syscall.SIGSTOP)
-		x.p.Signal(sig)
+		x.program.Signal(sig)
 	}
 }
 
-func (s *site) members(in int) {
+func (s *testFleet) awaitMembers(in int) {
 	s.t.Helper()
-	s.until(fmt.Sprintf("%d members are in", in), 30*time.Second, func() bool {
+	s.await(fmt.Sprintf("%d members are in", in), 30*time.Second, func() bool {
 		s.mu.Unlock()
 		defer s.mu.Lock()
 		out, _ := s.fleet("status")
@@ -323,10 +323,10 @@
 	})
 }
 
-// leader waits until the status names the steward that leads: between two terms there is none.
-func (s *site) leader() (leader *node) {
+// awaitLeader waits until the status names the steward that leads: between two terms there is none.
+func (s *testFleet) awaitLeader() (leader *process) {
 	s.t.Helper()
-	s.until("a steward leads", 30*time.Second, func() bool {
+	s.await("a steward leads", 30*time.Second, func() bool {
 		_, name, found := strings.Cut(s.status(), "leader ")
 		name, _, _ = strings.Cut(name, ",")
 		for _, x := range s.nodes {
@@ -339,15 +339,15 @@
 	return leader
 }
 
-func (s *site) check(most int) {
+func (s *testFleet) checkLimits(most int) {
 	s.t.Helper()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.most > most {
-		s.t.Errorf("%d gatherers were out at once, at most %d may be", s.most, most)
+	if s.maxOut > most {
+		s.t.Errorf("%d gatherers were out at once, at most %d may be", s.maxOut, most)
 	}
-	if n := s.unended.Load(); n > 0 || s.asked.Load() < 100 {
-		s.t.Errorf("%d of %d searches had no final answer", n, s.asked.Load())
+	if n := s.unanswered.Load(); n > 0 || s.sent.Load() < 100 {
+		s.t.Errorf("%d of %d searches had no final answer", n, s.sent.Load())
 	}
 	for _, x := range s.nodes {
 		for _, l := range x.drains {
@@ -360,14 +360,14 @@
 
 // Seven gatherers get SIGTERM at once, and the leading steward is killed while they wait for each other: never more than two are out
 // at once, as a front sees it, and each comes back.
-func TestGatherersShutDownTwoAtATime(t *testing.T) {
-	s := newSite(t, 7, "most_gatherers = 2\n")
-	s.members(7)
-	leader := s.leader()
+func TestShutdownStaysWithinLimit(t *testing.T) {
+	s := newTestFleet(t, 7, "most_gatherers = 2\n")
+	s.awaitMembers(7)
+	leader := s.awaitLeader()
 	for _, x := range s.nodes {
 		s.signal(x, syscall.SIGTERM)
 	}
-	s.until("two have gone and come back", 30*time.Second, func() bool {
+	s.await("two have gone and come back", 30*time.Second, func() bool {
 		n := 0
 		for _, x := range s.nodes {
 			n += x.starts - 1
@@ -375,7 +375,7 @@
 		return n >= 2
 	})
 	s.signal(leader, syscall.SIGKILL)
-	s.until("all have run anew", 60*time.Second, func() bool {
+	s.await("all have run anew", 60*time.Second, func() bool {
 		for _, x := range s.nodes {
 			if x.starts < 2 {
 				return false
@@ -383,20 +383,20 @@
 		}
 		return true
 	})
-	s.members(7)
-	s.check(2)
+	s.awaitMembers(7)
+	s.checkLimits(2)
 }
 
 // A gatherer that may go out is frozen for longer than its lease before it does: nobody goes in its place, and when it wakes it goes.
-func TestAFrozenHolderKeepsItsPermit(t *testing.T) {
-	s := newSite(t, 7, "most_gatherers = 1\n")
-	s.members(7)
+func TestFrozenGathererKeepsItsPermit(t *testing.T) {
+	s := newTestFleet(t, 7, "most_gatherers = 1\n")
+	s.awaitMembers(7)
 	frozen, other := s.nodes[5], s.nodes[6]
 	s.signal(frozen, syscall.SIGSTOP)
 	if out, err := s.fleet("drain", frozen.name); err != nil {
 		t.Fatalf("%s %v", out, err)
 	}
-	s.until("its lease has run out", 20*time.Second, func() bool {
+	s.await("its lease has run out", 20*time.Second, func() bool {
 		s.mu.Unlock()
 		defer s.mu.Lock()
 		out, err := s.fleet("drain", other.name)
@@ -412,23 +412,23 @@
 			state.Members[frozen.name].Until < state.Now
 	})
 	s.signal(frozen, syscall.SIGCONT)
-	s.until("it wakes, drains as agreed and comes back", 30*time.Second, func() bool { return frozen.starts == 2 && len(frozen.drains) == 1 })
-	s.members(7)
+	s.await("it wakes, drains as agreed and comes back", 30*time.Second, func() bool { return frozen.starts == 2 && len(frozen.drains) == 1 })
+	s.awaitMembers(7)
 	if out, err := s.fleet("drain", other.name); err != nil {
 		t.Fatalf("%s %v", out, err)
 	}
-	s.until("the other goes then", 30*time.Second, func() bool { return other.starts == 2 })
-	s.check(1)
+	s.await("the other goes then", 30*time.Second, func() bool { return other.starts == 2 })
+	s.checkLimits(1)
 }
 
 // Without a majority of the stewards nothing is granted, and serving goes on; a steward whose log is gone is refused.
-func TestWithoutAMajorityNothingIsGranted(t *testing.T) {
-	s := newSite(t, 7, "most_gatherers = 2\n")
-	s.members(7)
+func TestNoPermitWithoutQuorum(t *testing.T) {
+	s := newTestFleet(t, 7, "most_gatherers = 2\n")
+	s.awaitMembers(7)
 	for _, x := range s.nodes[:2] {
 		s.signal(x, syscall.SIGSTOP)
 	}
-	s.until("it is refused", 30*time.Second, func() bool {
+	s.await("it is refused", 30*time.Second, func() bool {
 		s.mu.Unlock()
 		defer s.mu.Lock()
 		out, err := s.fleet("drain", "n6")
@@ -437,33 +437,33 @@
 		}
 		return strings.Contains(out, "no steward that leads")
 	})
-	before := s.served.Load()
-	s.until("searches go on", 10*time.Second, func() bool { return s.served.Load() > before+50 })
+	before := s.succeeded.Load()
+	s.await("searches go on", 10*time.Second, func() bool { return s.succeeded.Load() > before+50 })
 	for _, x := range s.nodes[:2] {
 		s.signal(x, syscall.SIGCONT)
 	}
-	s.members(7)
-	empty := strings.Replace(s.ini, "[fleet]", "[fleet]\nlisten = "+freePort(t)+"\npath = elsewhere", 1)
+	s.awaitMembers(7)
+	empty := strings.Replace(s.fleetSection, "[fleet]", "[fleet]\nlisten = "+freePort(t)+"\npath = elsewhere", 1)
 	ini := write(t, filepath.Join(s.dir, "empty.ini"), empty)
 	out, err := exec.Command(s.bin, "serve", "--config", s.config("n0", freePort(t), true), "--operator", ini).CombinedOutput()
 	if err == nil || !strings.Contains(string(out), "no log of this steward") {
 		t.Errorf("a steward without its log: %v %s", err, out)
 	}
-	s.check(2)
+	s.checkLimits(2)
 }
 
 // Where gatherers may not talk, and where the section is wrong, check says so with its line and nothing starts.
 func TestFleetSectionIsChecked(t *testing.T) {
-	s := &site{t: t, dir: t.TempDir()}
+	s := &testFleet{t: t, dir: t.TempDir()}
 	shard, err := standin.StartShardServer("s-1", nil, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer shard.Stop()
-	if s.list, err = standin.StartDiscoveryService(shard); err != nil {
+	if s.discovery, err = standin.StartDiscoveryService(shard); err != nil {
 		t.Fatal(err)
 	}
-	defer s.list.Stop()
+	defer s.discovery.Stop()
 	write(t, filepath.Join(s.dir, "keys"), "k1 "+strings.Repeat("0f", 32)+"\n")
 	good := "[fleet]\nkeys = keys\nstewards = n0=127.0.0.1:1 n1=127.0.0.1:2 n2=127.0.0.1:3\nmost_gatherers = 1\n"
 	for want, c := range map[string]struct {
@@ -492,19 +492,19 @@
 	}
 }
 
-// onItsOwn skips what needs the cores to itself: beside other packages' tests gatherers come back later than a release waits for them.
-func onItsOwn(t *testing.T) {
+// requireExclusiveRun skips what needs the cores to itself: beside other packages' tests gatherers come back later than a release waits for them.
+func requireExclusiveRun(t *testing.T) {
 	if os.Getenv("OXBOWSPAN_FLEET") == "" {
 		t.Skip("set OXBOWSPAN_FLEET=1 and run this package alone")
 	}
 }
 
 // A release changes seven gatherers, two at a time, while searches go on, and the steward that leads is killed in the middle of it.
-func TestReleaseGoesOnAfterItsLeaderWasKilled(t *testing.T) {
-	onItsOwn(t)
-	s := newSite(t, 7, "most_gatherers = 2\nhook = hook.sh\n")
+func TestReleaseContinuesAfterLeaderLoss(t *testing.T) {
+	requireExclusiveRun(t)
+	s := newTestFleet(t, 7, "most_gatherers = 2\nhook = hook.sh\n")
 	s.hook("echo $2 > $1.version")
-	s.members(7)
+	s.awaitMembers(7)
 	args := []string{"release", "start", "r1", "--from", "v1", "--to", "v2", "--steps", "0.3,1", "--dwell", "1s", "--within", "30s", "--least", "1"}
 	if out, err := s.fleet(append(args, "--dry-run")...); err != nil || !strings.Contains(out, "step 1: 3:") || !strings.Contains(out, "step 2: 4:") {
 		t.Fatalf("dry run: %s %v", out, err)
@@ -512,11 +512,11 @@
 	if out, err := s.fleet(args...); err != nil {
 		t.Fatalf("%s %v", out, err)
 	}
-	s.until("a first one is changed", 30*time.Second, func() bool {
+	s.await("a first one is changed", 30*time.Second, func() bool {
 		return strings.Contains(s.status(), "1 changed") || strings.Contains(s.status(), "3 changed")
 	})
-	s.signal(s.leader(), syscall.SIGKILL)
-	s.until("the release is done", 90*time.Second, func() bool {
+	s.signal(s.awaitLeader(), syscall.SIGKILL)
+	s.await("the release is done", 90*time.Second, func() bool {
 		out := s.status()
 		if strings.Contains(out, "halted") && strings.Contains(out, "is out: gone") { // its kill was seen as what it was
 			s.mu.Unlock()
@@ -532,31 +532,31 @@
 			t.Errorf("%s has version %s", x.name, v)
 		}
 	}
-	s.members(7)
-	s.check(2)
+	s.awaitMembers(7)
+	s.checkLimits(2)
 }
 
 // A hook that installs another version than it was told halts the release with the reason; the way back brings all to where they were.
-func TestReleaseWhoseHookLiesHaltsAndGoesBack(t *testing.T) {
-	onItsOwn(t)
-	s := newSite(t, 7, "most_gatherers = 1\nhook = hook.sh\n")
+func TestReleaseHaltsOnWrongVersionAndRollsBack(t *testing.T) {
+	requireExclusiveRun(t)
+	s := newTestFleet(t, 7, "most_gatherers = 1\nhook = hook.sh\n")
 	s.hook("if [ $2 = v2 ]; then echo v9 > $1.version; else echo $2 > $1.version; fi")
-	s.members(7)
+	s.awaitMembers(7)
 	if out, err := s.fleet("release", "start", "r1", "--from", "v1", "--to", "v2", "--steps", "0.3,1", "--dwell", "500ms", "--within", "30s", "--least", "1"); err != nil {
 		t.Fatalf("%s %v", out, err)
 	}
-	s.until("it halts with the reason", 30*time.Second, func() bool {
+	s.await("it halts with the reason", 30*time.Second, func() bool {
 		return strings.Contains(s.status(), "release r1: halted") && strings.Contains(s.status(), "came back with version v9, though it was to be v2")
 	})
 	if out, err := s.fleet("release", "back", "r1"); err != nil {
 		t.Fatalf("%s %v", out, err)
 	}
-	s.until("it has gone back", 60*time.Second, func() bool { return strings.Contains(s.status(), "release r1: went-back") })
+	s.await("it has gone back", 60*time.Second, func() bool { return strings.Contains(s.status(), "release r1: went-back") })
 	for _, x := range s.nodes {
 		if v := s.version(x); v != "v1" {
 			t.Errorf("%s has version %s", x.name, v)
 		}
 	}
-	s.members(7)
-	s.check(1)
+	s.awaitMembers(7)
+	s.checkLimits(1)
 }
--- a/internal/cli/keys.go
+++ b/internal/cli/keys.go
@@ -11,8 +11,8 @@
 	"oxbowspan/internal/command"
 )
 
-// newKeys makes the keys that sign cursors. They are printed, never written: where secrets lie is the operator's.
-func newKeys(stdout io.Writer) *cobra.Command {
+// newKeysCommand makes the keys that sign cursors. They are printed, never written: where secrets lie is the operator's.
+func newKeysCommand(stdout io.Writer) *cobra.Command {
 	keys := &cobra.Command{Use: "keys", Short: "Make keys for the operator's file", Args: command.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error { return c.Help() }}
 	var id string
--- a/internal/cli/level.go
+++ b/internal/cli/level.go
@@ -24,13 +24,13 @@
 	"oxbowspan/internal/sparkline"
 )
 
-// newLevel looks at and pins the level of a running gatherer, and plays levels on recorded signals.
-func newLevel(stdout io.Writer) *cobra.Command {
+// newLevelCommand looks at and pins the level of a running gatherer, and plays levels on recorded signals.
+func newLevelCommand(stdout io.Writer) *cobra.Command {
 	var socket string
 	c := &cobra.Command{Use: "level", Short: "Look at and pin a running gatherer's level of service", Args: command.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error { return c.Help() }}
 	ask := func(q admin.Request, out func(admin.Response)) error {
-		a, err := askGatherer(socket, q)
+		a, err := sendAdminRequest(socket, q)
 		if err == nil {
 			out(a)
 		}
@@ -44,7 +44,7 @@
 	show := &cobra.Command{Use: "show", Short: "Print level, signals, shares and servers", Args: command.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			return ask(admin.Request{Verb: admin.Show}, func(a admin.Response) {
-				fmt.Fprintln(stdout, plainState(*a.State))
+				fmt.Fprintln(stdout, formatState(*a.State))
 				for _, t := range a.State.Types {
 					for _, x := range t.Customers {
 						fmt.Fprintf(stdout, "type %s share %.2f customer %s served %d shed %d\n", t.Name, t.Share, x.Name, x.Served, x.Shed)
@@ -70,7 +70,7 @@
 	unpin := &cobra.Command{Use: "unpin", Short: "Let the signals decide again", Args: command.NoArgs,
 		RunE: func(*cobra.Command, []string) error { return ask(admin.Request{Verb: admin.Unpin}, lines) }}
 	for _, x := range []*cobra.Command{show, explain, pin, unpin} {
-		socketFlag(x, &socket)
+		addSocketFlag(x, &socket)
 	}
 	var operator string
 	replay := &cobra.Command{Use: "replay FILE", Short: "Play recorded signals through an operator's file, and print what would have happened",
@@ -99,11 +99,11 @@
 	return c
 }
 
-func socketFlag(c *cobra.Command, socket *string) {
+func addSocketFlag(c *cobra.Command, socket *string) {
 	c.Flags().StringVar(socket, "socket", os.Getenv("OXBOWSPAN_SOCKET"), "the gatherer's admin socket, [levels] socket (OXBOWSPAN_SOCKET)")
 }
 
-func askGatherer(socket string, q admin.Request) (admin.Response, error) {
+func sendAdminRequest(socket string, q admin.Request) (admin.Response, error) {
 	if socket == "" {
 		return admin.Response{}, errors.New("no socket: give --socket or set OXBOWSPAN_SOCKET")
 	}
@@ -115,8 +115,8 @@
 	return c.Do(q)
 }
 
-// newWatch shows a running gatherer on the terminal.
-func newWatch(stdout io.Writer) *cobra.Command {
+// newWatchCommand shows a running gatherer on the terminal.
+func newWatchCommand(stdout io.Writer) *cobra.Command {
 	var socket, record string
 	var plain bool
 	c := &cobra.Command{Use: "watch", Short: "Show a running gatherer: level, what is shed, servers", Args: command.NoArgs,
@@ -126,7 +126,7 @@
 				return errors.New("no socket: give --socket or set OXBOWSPAN_SOCKET")
 			}
 			if !plain {
-				return screen("--socket", socket, "--record", record)
+				return execDashboard("--socket", socket, "--record", record)
 			}
 			source, err := admin.Dial(socket)
 			if err != nil {
@@ -159,18 +159,18 @@
 				if err != nil {
 					return err
 				}
-				fmt.Fprintln(stdout, plainState(s))
+				fmt.Fprintln(stdout, formatState(s))
 			}
 		}}
-	socketFlag(c, &socket)
+	addSocketFlag(c, &socket)
 	c.Flags().BoolVar(&plain, "plain", false, "a line for each state, for a pipe")
 	c.Flags().StringVar(&record, "record", "", "also append the signals to this file, for 'oxbowspan level replay'")
 	return c
 }
 
-// screen runs the terminal's program, which is one of its own beside this one: what it is built of would else lie in the memory
+// execDashboard runs the terminal's program, which is one of its own beside this one: what it is built of would else lie in the memory
 // of each gatherer.
-func screen(args ...string) error {
+func execDashboard(args ...string) error {
 	own, err := os.Executable()
 	if err != nil {
 		return err
@@ -182,7 +182,7 @@
 	return nil
 }
 
-func plainState(s admin.State) string {
+func formatState(s admin.State) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s level=%s for=%.1f searches=%d", s.At.Format(time.RFC3339), s.Level, s.LevelSeconds, s.OpenRequests)
 	if s.PinSecondsLeft > 0 {
--- a/internal/cli/level_test.go
+++ b/internal/cli/level_test.go
@@ -49,12 +49,12 @@
 	want(0, "type report share 0.50 customer acme served 3 shed 2", "level", "show", "--socket", socket)
 	want(0, "explain", "level", "explain", "--socket", socket)
 	want(0, "pin closed", "level", "pin", "closed", "--for", "2m", "--socket", socket)
-	want(exitBad, "for how long?", "level", "pin", "closed", "--socket", socket)
+	want(exitFailure, "for how long?", "level", "pin", "closed", "--socket", socket)
 	want(0, "unpin", "level", "unpin", "--socket", socket)
-	want(exitBad, "no socket", "level", "show")
-	want(exitBad, "no socket", "watch", "--plain")
+	want(exitFailure, "no socket", "level", "show")
+	want(exitFailure, "no socket", "watch", "--plain")
 	listening.Close()
-	want(exitBad, "no such file", "level", "show", "--socket", socket)
+	want(exitFailure, "no such file", "level", "show", "--socket", socket)
 	// What a killed process left is taken over; what is no socket is not.
 	if err := os.WriteFile(filepath.Join(dir, "file"), nil, 0o600); err != nil {
 		t.Fatal(err)
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestLevelsArePlayedOnARecord(t *testing.T) {
+func TestLevelReplay(t *testing.T) {
 	dir := t.TempDir()
 	operator, record := filepath.Join(dir, "o.ini"), filepath.Join(dir, "r.txt")
 	os.WriteFile(operator, []byte("[levels]\nsmooth = 0s\n[level trimmed]\nenter = lost 0.2\nexit = lost 0.1\nshare = report 0\n"), 0o600)
@@ -84,7 +84,7 @@
 	}
 	for text, want := range map[string]string{"nonsense\n": "line 1 is not of a record", `{"signals":{"weather":1}}` + "\n": "is no signal", "": "is empty"} {
 		os.WriteFile(record, []byte(text), 0o600)
-		if code, out := run("level", "replay", record, "--operator", operator); code != exitBad || !strings.Contains(out, want) {
+		if code, out := run("level", "replay", record, "--operator", operator); code != exitFailure || !strings.Contains(out, want) {
 			t.Errorf("%q: %d, %s", text, code, out)
 		}
 	}
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -18,43 +18,43 @@
 	"oxbowspan/internal/command"
 )
 
-// given is what flags and environment say of where the configuration is and what goes before it.
-type given struct {
-	flags                                     *pflag.FlagSet
-	config, name, listen, discovery, operator string
-	found                                     bool // the fleet is founded
+// serveOptions is what flags and environment say of where the configuration is and what goes before it.
+type serveOptions struct {
+	flags                                             *pflag.FlagSet
+	configPath, name, listen, discovery, operatorPath string
+	foundFleet                                        bool // the fleet is founded
 }
 
-func (g *given) register(flags *pflag.FlagSet) {
+func (g *serveOptions) register(flags *pflag.FlagSet) {
 	g.flags = flags
-	flags.StringVar(&g.config, "config", os.Getenv("PROXY_CONFIG"), "configuration file (PROXY_CONFIG)")
+	flags.StringVar(&g.configPath, "config", os.Getenv("PROXY_CONFIG"), "configuration file (PROXY_CONFIG)")
 	flags.StringVar(&g.name, "name", os.Getenv("PROXY_NAME"), "this gatherer's name (PROXY_NAME)")
 	flags.StringVar(&g.listen, "listen", os.Getenv("PROXY_LISTEN"), "address for clients (PROXY_LISTEN)")
-	flags.StringVar(&g.operator, "operator", os.Getenv("OXBOWSPAN_OPERATOR"), "the operator's own file, in INI (OXBOWSPAN_OPERATOR)")
+	flags.StringVar(&g.operatorPath, "operator", os.Getenv("OXBOWSPAN_OPERATOR"), "the operator's own file, in INI (OXBOWSPAN_OPERATOR)")
 	flags.StringVar(&g.discovery, "discovery", os.Getenv("PROXY_DISCOVERY"), "address of discovery (PROXY_DISCOVERY)")
 }
 
 // load reads the file, as it stands and with what goes before it.
-func (g *given) load() (file, setup gatherer.Config, err error) {
-	if g.config == "" {
+func (g *serveOptions) load() (file, setup gatherer.Config, err error) {
+	if g.configPath == "" {
 		return file, setup, errors.New("no configuration: give --config or set PROXY_CONFIG")
 	}
-	if file, err = gatherer.LoadConfig(g.config); err != nil {
+	if file, err = gatherer.LoadConfig(g.configPath); err != nil {
 		return file, setup, err
 	}
 	setup = file
 	setup.Name, setup.Listen = cmp.Or(g.name, file.Name), cmp.Or(g.listen, file.Listen)
 	setup.Discovery = cmp.Or(g.discovery, file.Discovery)
-	if g.operator != "" {
-		if setup.Operator, err = gatherer.LoadOperator(g.operator); err != nil {
+	if g.operatorPath != "" {
+		if setup.Operator, err = gatherer.LoadOperator(g.operatorPath); err != nil {
 			return file, setup, err
 		}
 	}
 	return file, setup, nil
 }
 
-// again reads the file anew. What it newly says of discovery goes before the environment, though not before the flag.
-func (g *given) again(was, inForce gatherer.Config) (file, setup gatherer.Config, err error) {
+// reload reads the file anew. What it newly says of discovery goes before the environment, though not before the flag.
+func (g *serveOptions) reload(was, inForce gatherer.Config) (file, setup gatherer.Config, err error) {
 	if file, setup, err = g.load(); err != nil {
 		return file, setup, err
 	}
@@ -65,8 +65,8 @@
 	return file, setup, nil
 }
 
-func newCheck(stdout io.Writer) *cobra.Command {
-	var g given
+func newCheckCommand(stdout io.Writer) *cobra.Command {
+	var g serveOptions
 	c := &cobra.Command{
 		Use: "check", Short: "Read the configuration, say all that is wrong with it, and exit", Args: command.NoArgs,
 		Example: "  oxbowspan check --config config.json\n" +
@@ -87,8 +87,8 @@
 	return c
 }
 
-func newServe(stderr io.Writer) *cobra.Command {
-	var g given
+func newServeCommand(stderr io.Writer) *cobra.Command {
+	var g serveOptions
 	c := &cobra.Command{
 		Use: "serve", Short: "Run a gatherer in the foreground", Args: command.NoArgs,
 		Long: "serve runs a gatherer in the foreground. SIGTERM drains and exits, a second one ends at once;\n" +
@@ -98,11 +98,11 @@
 		RunE: func(*cobra.Command, []string) error { return serve(&g, stderr) },
 	}
 	g.register(c.Flags())
-	c.Flags().BoolVar(&g.found, "found-fleet", false, "begin the fleet's log here; on each steward, once")
+	c.Flags().BoolVar(&g.foundFleet, "found-fleet", false, "begin the fleet's log here; on each steward, once")
 	return c
 }
 
-func serve(g *given, stderr io.Writer) error {
+func serve(g *serveOptions, stderr io.Writer) error {
 	// A SIGHUP that comes before all is set up is heard once it is, and never ends the program.
 	reloads := make(chan os.Signal, 1)
 	signal.Notify(reloads, syscall.SIGHUP)
@@ -121,7 +121,7 @@
 	defer cancel()
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
-	ends, leave, err := joinFleet(setup, node, g.found, cancel)
+	ends, leave, err := joinFleet(setup, node, g.foundFleet, cancel)
 	if err != nil {
 		return err
 	}
@@ -132,12 +132,12 @@
 		ends()
 		s = <-signals
 		slog.Info("signal", "signal", s.String(), "second", true)
-		os.Exit(exitBad)
+		os.Exit(exitFailure)
 	}()
 	slog.Info("start", "name", setup.Name, "listen", setup.Listen, "discovery", setup.Discovery, "version", version())
 	go func() {
 		for range reloads {
-			again, next, err := g.again(file, setup)
+			again, next, err := g.reload(file, setup)
 			if err == nil {
 				err = node.Reload(next)
 			}
--- a/internal/cli/store.go
+++ b/internal/cli/store.go
@@ -18,7 +18,7 @@
 	"oxbowspan/store"
 )
 
-func newStore(stdout io.Writer) *cobra.Command {
+func newStoreCommand(stdout io.Writer) *cobra.Command {
 	c := &cobra.Command{Use: "store", Short: "Look at and mend the store that a gatherer keeps across restarts",
 		Long: "store works on the directory that [store] path names, while no gatherer uses it. check, dump and stats change nothing.\n" +
 			"They end with 1 where the store is damaged, cannot be read or is in use."}
@@ -32,18 +32,18 @@
 			}}
 	}
 	c.AddCommand(one("check", "Say whether a store is whole", "", func(dir string) error {
-		report, err := look(dir)
-		tellReport(stdout, report)
+		report, err := checkStore(dir)
+		printReport(stdout, report)
 		if err != nil {
 			return err
 		}
-		return verdict(stdout, report)
+		return reportError(stdout, report)
 	}))
 	c.AddCommand(one("stats", "Print a store's figures", "", func(dir string) error { return storeStats(dir, stdout) }))
 	c.AddCommand(one("dump", "Print what a store holds, a line each", "", func(dir string) error { return storeDump(dir, stdout) }))
 	c.AddCommand(one("compact", "Write a store anew with nothing in it but what lives", "", func(dir string) error {
-		s, report, err := openDir(dir, false)
-		tellReport(stdout, report)
+		s, report, err := openStore(dir, false)
+		printReport(stdout, report)
 		if err != nil {
 			return err
 		}
@@ -59,8 +59,8 @@
 	var accept bool
 	repair := one("repair", "Mend a damaged store", "repair writes both lanes anew, whole, from what either holds. Where records are in neither it changes nothing,\n"+
 		"unless --accept-loss says that the store is to go on without them.", func(dir string) error {
-		s, report, err := openDir(dir, accept)
-		tellReport(stdout, report)
+		s, report, err := openStore(dir, accept)
+		printReport(stdout, report)
 		if err != nil {
 			return err
 		}
@@ -82,8 +82,8 @@
 	return c
 }
 
-// look reads a store without changing it. A lock is taken meanwhile, so that nobody writes.
-func look(dir string) (store.Report, error) {
+// checkStore reads a store without changing it. A lock is taken meanwhile, so that nobody writes.
+func checkStore(dir string) (store.Report, error) {
 	disk, err := store.LookDisk(dir)
 	if err != nil {
 		return store.Report{}, err
@@ -96,7 +96,7 @@
 	return store.Check(disk)
 }
 
-func openDir(dir string, accept bool) (*store.Store, store.Report, error) {
+func openStore(dir string, accept bool) (*store.Store, store.Report, error) {
 	if _, err := store.LookDisk(dir); err != nil {
 		return nil, store.Report{}, err
 	}
@@ -107,7 +107,7 @@
 	return store.Open(disk, store.Options{AcceptLoss: accept})
 }
 
-func tellReport(out io.Writer, r store.Report) {
+func printReport(out io.Writer, r store.Report) {
 	for _, d := range r.Damage {
 		fmt.Fprintln(out, "damaged:", d)
 	}
@@ -116,8 +116,8 @@
 	}
 }
 
-// verdict says in one sentence how a store is; one that is not whole is an error.
-func verdict(out io.Writer, r store.Report) error {
+// reportError says in one sentence how a store is; one that is not whole is an error.
+func reportError(out io.Writer, r store.Report) error {
 	switch {
 	case len(r.Lost) > 0:
 		return &store.LossError{Lost: r.Lost}
@@ -129,7 +129,7 @@
 }
 
 func storeStats(dir string, out io.Writer) error {
-	contents, report, err := contentsOf(dir)
+	contents, report, err := readContents(dir)
 	if err != nil {
 		return err
 	}
@@ -141,24 +141,24 @@
 		}
 		fmt.Fprintf(out, "%s %d keys, %d bytes\n", tableName(t), len(contents[t]), bytes)
 	}
-	return verdict(out, report)
+	return reportError(out, report)
 }
 
 func storeDump(dir string, out io.Writer) error {
-	contents, report, err := contentsOf(dir)
+	contents, report, err := readContents(dir)
 	if err != nil {
 		return err
 	}
 	for _, t := range slices.Sorted(maps.Keys(contents)) {
 		for _, k := range slices.Sorted(maps.Keys(contents[t])) {
-			fmt.Fprintf(out, "%s %s: %s\n", tableName(t), strconv.Quote(k), describe(t, contents[t][k]))
+			fmt.Fprintf(out, "%s %s: %s\n", tableName(t), strconv.Quote(k), describeValue(t, contents[t][k]))
 		}
 	}
-	tellReport(out, report)
+	printReport(out, report)
 	return nil
 }
 
-func contentsOf(dir string) (map[store.Table]map[string][]byte, store.Report, error) {
+func readContents(dir string) (map[store.Table]map[string][]byte, store.Report, error) {
 	disk, err := store.LookDisk(dir)
 	if err != nil {
 		return nil, store.Report{}, err
@@ -183,7 +183,7 @@
 	return fmt.Sprintf("table-%d", t)
 }
 
-func describe(t store.Table, v []byte) string {
+func describeValue(t store.Table, v []byte) string {
 	if t == gatherer.TableRequests {
 		if text, err := idempotency.Describe(v); err == nil {
 			return text
--- a/internal/cli/store_test.go
+++ b/internal/cli/store_test.go
@@ -41,8 +41,8 @@
 			t.Errorf("%v: exit code %d, want %d and %q in\n%s", args, got, code, words, out)
 		}
 	}
-	want(exitBad, "in use by another process", "store", "check", dir)
-	want(exitBad, "in use by another process", "store", "repair", dir)
+	want(exitFailure, "in use by another process", "store", "check", dir)
+	want(exitFailure, "in use by another process", "store", "repair", dir)
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -60,8 +60,8 @@
 			t.Fatal(err)
 		}
 	}
-	want(exitBad, "damaged: a/", "store", "check", dir)
-	want(exitBad, "nothing is lost", "store", "check", dir)
+	want(exitFailure, "damaged: a/", "store", "check", dir)
+	want(exitFailure, "nothing is lost", "store", "check", dir)
 	want(0, "mended: nothing is lost", "store", "repair", dir)
 	want(0, "2 live keys", "store", "check", dir)
 
@@ -72,17 +72,17 @@
 			os.Truncate(f, 10)
 		}
 	}
-	want(exitBad, "lost: records 1 to 3", "store", "check", dir)
-	want(exitBad, "--accept-loss", "store", "repair", dir)
+	want(exitFailure, "lost: records 1 to 3", "store", "check", dir)
+	want(exitFailure, "--accept-loss", "store", "repair", dir)
 	want(0, "searches that it held may be sent again", "store", "repair", "--accept-loss", dir)
 	want(0, "whole: 3 records, 0 live keys", "store", "check", dir)
 
 	// What is no store is not touched.
 	foreign := t.TempDir()
 	os.WriteFile(filepath.Join(foreign, "letters.txt"), nil, 0o600)
-	want(exitBad, "letters.txt lies in it", "store", "check", foreign)
-	want(exitBad, "no such file", "store", "check", filepath.Join(foreign, "none"))
-	want(exitBad, "no such file", "store", "compact", filepath.Join(foreign, "none"))
+	want(exitFailure, "letters.txt lies in it", "store", "check", foreign)
+	want(exitFailure, "no such file", "store", "check", filepath.Join(foreign, "none"))
+	want(exitFailure, "no such file", "store", "compact", filepath.Join(foreign, "none"))
 	if left, _ := os.ReadDir(foreign); len(left) != 1 {
 		t.Errorf("check left %v", left)
 	}
