--- a/internal/controlcli/commands_test.go
+++ b/internal/controlcli/commands_test.go
@@ -5,9 +5,12 @@
 	"os"
 	"os/exec"
 	"path/filepath"
+	"slices"
 	"strings"
 	"testing"
+	"time"
 
+	"oxbowspan/controlplane"
 	"oxbowspan/internal/testing/simcluster"
 )
 
@@ -37,7 +40,8 @@
 
 func runLocalCommands(t *testing.T, p *programs) {
 	p.expect(t, exitOK, "is valid", "check", "boot")
-	script := "source <(" + p.binaries + "/oxbowspan-control completion); COMP_WORDS=(oxbowspan-control judgement p); COMP_CWORD=2; _oxbowspan-control; echo ${COMPREPLY[*]}"
+	script := "source <(" + filepath.Join(p.binaries, controllerName) + " completion)\n" +
+		"COMP_WORDS=(oxbowspan-control judgement p); COMP_CWORD=2; _oxbowspan-control; echo ${COMPREPLY[*]}"
 	if out, err := exec.Command("bash", "-c", script).CombinedOutput(); err != nil || strings.TrimSpace(string(out)) != "pin" {
 		t.Errorf("completion of 'oxbowspan-control judgement p': %q, %v", out, err)
 	}
@@ -46,7 +50,9 @@
 	p.expectAlone(t, exitFailed, "does not respond", "config", "get", "--control", "127.0.0.1:1")
 }
 
-const invalidConfiguration = `{"version":9,"routes":[{"name":"x","hostname":"h","path_prefix":"nope","route_kind":"never","service":"every gatherer"}]}`
+const invalidConfiguration = `{"version":9,"routes":[
+	{"name":"x","hostname":"h","path_prefix":"nope","route_kind":"never","service":"no such service"}
+]}`
 
 func runConfigCommands(t *testing.T, p *programs) {
 	first := p.writeFile(t, "first.json", string(simcluster.ExampleConfiguration(1, simcluster.FirstSharding)))
@@ -57,7 +63,7 @@
 	p.expect(t, exitOK, "1 changes", "config", "diff", second) // the route with other shards
 	p.expect(t, exitFailed, "version 1 is in place", "config", "put", "--based-on", "7", second)
 	p.expect(t, exitOK, "version 5 is committed, based on 1", "config", "put", second)
-	p.expect(t, exitFailed, "every gatherer", "config", "put", p.writeFile(t, "invalid.json", invalidConfiguration))
+	p.expect(t, exitFailed, "no such service", "config", "put", p.writeFile(t, "invalid.json", invalidConfiguration))
 	p.expect(t, exitOK, "VERSION", "config", "history")
 	p.eventually(t, exitOK, "in force on 2 gateways", "config", "explain", "h.example/all/x")
 	p.eventually(t, exitOK, "404", "config", "explain", "nowhere.example/x")
@@ -100,30 +106,44 @@
 
 // runControllerLoss kills a controller, removes its disk and starts it without.
 func runControllerLoss(t *testing.T, p *programs) {
-	kill(p.controllers[2])
-	p.removeData(t, 2)
-	p.eventually(t, exitOK, "is not heard any more", "events")
+	const lost = 2
+	killed := time.Now()
+	kill(p.controllers[lost])
+	p.removeData(t, lost)
+	p.eventuallyEvent(t, "loss of a controller", func(e controlplane.Event) bool {
+		recent := e.AgeSeconds < time.Since(killed).Seconds()
+		return e.Kind == "hive" && recent && strings.Contains(e.Text, p.cluster.Controllers[lost].IP)
+	})
 	p.eventually(t, exitOK, "no response from", "members")
-	text, err := os.ReadFile(p.settings[2])
+	text, err := os.ReadFile(p.settings[lost])
 	if err != nil {
 		t.Fatal(err)
 	}
 	restarted := strings.Replace(string(text), "first_start = true", "first_start = false", 1)
+	started := time.Now()
 	p.startController(p.writeFile(t, "restarted.toml", restarted))
-	p.eventually(t, exitOK, "the acceptors are at", "events")
+	p.eventuallyEvent(t, "membership of all controllers", func(e controlplane.Event) bool {
+		recent := e.AgeSeconds < time.Since(started).Seconds()
+		missing := slices.ContainsFunc(p.cluster.Controllers, func(c *simcluster.ControllerNode) bool {
+			return !strings.Contains(e.Text, c.IP)
+		})
+		return e.Kind == "members" && recent && !missing
+	})
 	p.poll(t, "tolerable loss at three controllers", func(output string, code int) bool {
 		return code == exitOK && strings.Count(output, "tolerable disk losses: 1") == 3
 	}, "members")
 	if t.Failed() {
 		t.FailNow()
 	}
-	p.eventually(t, exitOK, "version 5 is agreed", "events")
+	p.eventuallyEvent(t, "decision of version 5", func(e controlplane.Event) bool {
+		return e.Kind == "config" && strings.HasPrefix(e.Text, "version 5 ")
+	})
 }
 
 // runMajorityLoss exports the state of a remaining controller and restores it on a cluster that starts anew.
 func runMajorityLoss(t *testing.T, p *programs) {
 	export := filepath.Join(p.cluster.Dir, "export.json")
-	p.expectAlone(t, exitFailed, "machine runs", "state", "--dir", p.dataDirectory(0), "export", export)
+	p.expectAlone(t, exitFailed, "a running controller", "state", "--dir", p.dataDirectory(0), "export", export)
 	p.killControllers()
 	p.expectAlone(t, exitOK, "version 5 and 2 documents", "state", "--dir", p.dataDirectory(0), "export", export)
 	for i := range p.cluster.Controllers {
