--- a/internal/testing/simcluster/race_on_test.go
+++ b/internal/testing/simcluster/race_on_test.go
@@ -1,5 +1,5 @@
 //go:build race
 
-package colony
+package simcluster
 
 const raceDetector = true
--- a/internal/testing/simcluster/server.go
+++ b/internal/testing/simcluster/server.go
@@ -35,7 +35,7 @@
 	background     sync.WaitGroup
 	hung           atomic.Bool
 
-	mu                  sync.Mutex // guards Instance, ServiceTime and what follows
+	mu                  sync.Mutex // guards ServiceTime, what follows, and Instance against handlers of an earlier run
 	semaphore           chan struct{}
 	draining            bool
 	healthChecks        int
--- a/internal/testing/simcluster/tenant_isolation_test.go
+++ b/internal/testing/simcluster/tenant_isolation_test.go
@@ -156,7 +156,7 @@
 		connectionLimit = 30
 		manyHost        = "many.example"
 		routes          = 1000
-		tenants         = `{"tenants":[{"name":"one","routes":[{"hostname":"h.example","path_prefix":"/letters/"}]},` +
+		tenants         = `{"tenants":[{"name":"one","routes":[{"hostname":"h.example","path_prefix":"/batch/"}]},` +
 			`{"name":"many","routes":[{"hostname":"many.example","path_prefix":"/"}]}]}`
 	)
 	runCluster(t, 32, 3, 3, func(t *testing.T, cluster *Cluster) {
@@ -188,7 +188,7 @@
 				})
 			}
 		}
-		runClients(60, exampleHost, func(int) string { return "/letters/x" }, &oneServed)
+		runClients(60, exampleHost, func(int) string { return "/batch/x" }, &oneServed)
 		runClients(120, manyHost, func(n int) string { return fmt.Sprintf("/m%d/x", n%routes) }, &manyServed)
 		pending.Wait()
 		one, many := float64(oneServed.Load()), float64(manyServed.Load())
@@ -266,7 +266,7 @@
 		for i := range 60 {
 			connection := dialGateway(t, cluster, cluster.Gateways[i%2])
 			defer connection.Close()
-			connection.send(t, requestHead(http.MethodGet, "/letters/x", fmt.Sprint("r", i), clientDeadline)+"\r\n")
+			connection.send(t, requestHead(http.MethodGet, "/batch/x", fmt.Sprint("r", i), clientDeadline)+"\r\n")
 		}
 		time.Sleep(500 * time.Millisecond) // their responses are complete, and not read
 		served := 0
--- a/internal/testing/simcluster/tenants_test.go
+++ b/internal/testing/simcluster/tenants_test.go
@@ -22,8 +22,8 @@
 
 // batchTenants gives the batch one share and the interactive routes two.
 const batchTenants = `{"tenants":[
- {"name":"letters","weight":1,"routes":[{"hostname":"h.example","path_prefix":"/letters/"}]},
- {"name":"counter","weight":2,"routes":[{"hostname":"h.example","path_prefix":"/counter/"},{"hostname":"h.example","path_prefix":"/post/"}]}]}`
+ {"name":"batch","weight":1,"routes":[{"hostname":"h.example","path_prefix":"/batch/"}]},
+ {"name":"lookup","weight":2,"routes":[{"hostname":"h.example","path_prefix":"/lookup/"},{"hostname":"h.example","path_prefix":"/post/"}]}]}`
 
 // batchConfiguration has a gathered batch route, an interactive look-up route and a non-retryable post route, all over the
 // same servers, and one connection limit for all services.
@@ -34,9 +34,9 @@
 			c.Services[i].ConnectionLimit = connectionLimit
 		}
 		c.Routes = append(c.Routes,
-			batchRoute("letters", exampleHost, "/letters/"),
+			batchRoute("batch", exampleHost, "/batch/"),
 			config.Route{
-				Name: "counter", Hostname: exampleHost, PathPrefix: "/counter/", RouteKind: config.Retryable,
+				Name: "lookup", Hostname: exampleHost, PathPrefix: "/lookup/", RouteKind: config.Retryable,
 				TimeoutMS: 2000, TargetMS: 200, Attempts: 2, Service: lookupService,
 			},
 			config.Route{
@@ -56,11 +56,11 @@
 }
 
 func sendBatch(cluster *Cluster, gateway *GatewayNode, requestID string, timeout time.Duration) Response {
-	return cluster.SendRequest(gateway, http.MethodGet, exampleHost, "/letters/x", requestID, timeout)
+	return cluster.SendRequest(gateway, http.MethodGet, exampleHost, "/batch/x", requestID, timeout)
 }
 
 func sendLookup(cluster *Cluster, gateway *GatewayNode, requestID string, timeout time.Duration) Response {
-	return cluster.SendRequest(gateway, http.MethodGet, exampleHost, "/counter/x", requestID, timeout)
+	return cluster.SendRequest(gateway, http.MethodGet, exampleHost, "/lookup/x", requestID, timeout)
 }
 
 func sendPost(cluster *Cluster, gateway *GatewayNode, requestID string, timeout time.Duration) Response {
