--- /dev/null
+++ b/balancer/stats_test.go
@@ -0,0 +1,67 @@
+package balancer
+
+import (
+	"encoding/json"
+	"slices"
+	"testing"
+)
+
+// Records of an earlier run lose weight with age, and are ignored when they are too old, from the future, or of another
+// incarnation of their server.
+func TestRestoredRecordsAge(t *testing.T) {
+	before := newHarness(2, nil)
+	for range 40 { // server 1 is fast, server 2 slow
+		s := before.arrive(1)[0]
+		before.finish(s, Time(100*s.Server*s.Server*s.Server), Answered)
+	}
+	records := before.ServerRecords()
+	failIf(t, len(records) != 2, "records of %d servers", len(records))
+	start := func(later Time, change func(*ServerRecord)) *harness {
+		b := newHarness(2, nil)
+		b.at = before.at + later
+		b.Handle(b.at, TimerFired{})
+		all := slices.Clone(records)
+		for i := range all {
+			if change != nil {
+				change(&all[i])
+			}
+		}
+		b.do(RecordsRestored{all})
+		return b
+	}
+	ratio := func(b *harness) float64 {
+		call := &shardCall{req: &request{policy: b.types[0]}, size: 1}
+		b.surveyServers()
+		return float64(b.predict(b.servers[2], call)) / float64(b.predict(b.servers[1], call))
+	}
+	now, soon, old := ratio(start(0, nil)), ratio(start(latencyMaxAge/2, nil)), ratio(start(2*latencyMaxAge, nil))
+	failIf(t, now < 4 || soon >= now || soon <= 1 || old != 1, "slow over fast: %.2f at once, %.2f later, %.2f when old", now, soon, old)
+	for what, change := range map[string]func(*ServerRecord){
+		"from the future":     func(r *ServerRecord) { r.MeasuredAt += 1000 },
+		"another incarnation": func(r *ServerRecord) { r.StartedAt = 77 },
+		"invalid":             func(r *ServerRecord) { r.Work = 0 },
+	} {
+		if got := ratio(start(0, change)); got != 1 {
+			t.Errorf("%s: %.2f", what, got)
+		}
+	}
+	b := start(0, func(r *ServerRecord) {
+		if r.ID == 1 {
+			r.EjectedUntil = before.at + 1<<40
+		}
+	})
+	failIf(t, b.servers[1].ejectedUntil > b.now+maxEjectionFactor*b.baseEjection, "ejected for longer than any failure ejects it")
+}
+
+// Records that earlier versions stored must stay readable: their keys are older than the names of the fields.
+func TestServerRecordJSON(t *testing.T) {
+	const stored = `{"ID":3,"UpSince":10,"Took":2.5,"Size":40,"TaughtAt":20,"OutUntil":30,"Failing":0.25}`
+	want := ServerRecord{ID: 3, StartedAt: 10, Latency: 2.5, Work: 40, MeasuredAt: 20, EjectedUntil: 30, FailureRate: 0.25}
+	var record ServerRecord
+	if err := json.Unmarshal([]byte(stored), &record); err != nil || record != want {
+		t.Errorf("read %+v, %v, want %+v", record, err, want)
+	}
+	if raw, err := json.Marshal(want); err != nil || string(raw) != stored {
+		t.Errorf("wrote %s, %v, want %s", raw, err, stored)
+	}
+}
--- a/gatherer/slowclient_test.go
+++ b/gatherer/slowclient_test.go
@@ -21,7 +21,6 @@
 
 	"oxbowspan/internal/operatorconfig"
 	"oxbowspan/internal/testing/standin"
-	"oxbowspan/memorybudget"
 )
 
 // logLines receives the lines that are logged.
@@ -324,98 +323,3 @@
 	there.send(post("/still", "x"))
 	there.expect("/still x")
 }
-
-// memoryHarness starts a listener with a memory budget of its own.
-func memoryHarness(t *testing.T, options memorybudget.Options, park bool) (*listenerHarness, *memorybudget.Budget) {
-	t.Helper()
-	nl, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	budget := memorybudget.New(options, nil)
-	config := listenerConfig{descriptors: 400, memory: budget}
-	if park {
-		return startHarnessOn(t, nl, config, 0), budget
-	}
-	return startUnparkedHarness(t, nl, config), budget
-}
-
-// If all connections have a request and memory suffices for few, the others are shed at once, and the limit is kept.
-func TestWakeupsStayWithinMemoryLimit(t *testing.T) {
-	const n, room = 60, 10
-	f := memorybudget.Options{MaxTotal: room*activeConnMemory + n*idleConnMemory}
-	r, budget := memoryHarness(t, f, true)
-	var all []*harnessClient
-	for range n {
-		c := r.dial()
-		c.send(post("/", ""))
-		c.expect("/ ")
-		if all = append(all, c); len(all)%(room/2) == 0 {
-			r.awaitParked(len(all)) // those being parked use memory as well
-		}
-	}
-	r.awaitParked(n)
-	if s := budget.Snapshot(); s.Used[memorybudget.ActiveConns] != 0 || s.Used[memorybudget.ParkedConns] != n*idleConnMemory {
-		t.Errorf("memory with all parked: %+v", s)
-	}
-	var mu sync.Mutex
-	got := map[int]int{}
-	var both sync.WaitGroup
-	for _, c := range all {
-		both.Add(1)
-		go func() {
-			defer both.Done()
-			io.WriteString(c, post("/wait", "x"))
-			status, _, err := c.answer()
-			if err != nil {
-				t.Errorf("a request got no response: %v", err)
-			}
-			mu.Lock()
-			got[status]++
-			mu.Unlock()
-		}()
-	}
-	r.until("requests are shed", func() bool { mu.Lock(); defer mu.Unlock(); return got[503] >= n-room-1 })
-	if s := budget.Snapshot(); s.Peak > f.MaxTotal || s.MaxOvercommit > 0 || s.Rejections[memorybudget.ActiveConns] == 0 {
-		t.Errorf("memory during the requests: %+v", s)
-	}
-	close(r.gate)
-	both.Wait()
-	if got[200]+got[503] != n || got[200] < room-1 {
-		t.Errorf("responses by status: %v", got)
-	}
-	for _, c := range all {
-		c.Close()
-	}
-	r.until("memory released", func() bool { return budget.Snapshot().Total == 0 })
-}
-
-// Without parking, connections above the memory limit are shed, and idle ones are closed under pressure.
-func TestKeepAliveConnectionsStayWithinMemoryLimit(t *testing.T) {
-	const room = 10
-	r, budget := memoryHarness(t, memorybudget.Options{MaxTotal: room * activeConnMemory}, false)
-	var closing, overLimit int
-	for range room + 3 {
-		c := r.dial()
-		c.send(post("/", ""))
-		c.SetReadDeadline(time.Now().Add(testTimeout))
-		res, err := http.ReadResponse(c.r, nil)
-		if err != nil {
-			t.Fatal(err)
-		}
-		io.Copy(io.Discard, res.Body)
-		r.listener.mu.Lock()
-		for _, h := range r.listener.conns {
-			if h.conn != nil && h.conn.overLimit {
-				overLimit++
-			}
-		}
-		r.listener.mu.Unlock()
-		if c := r.last(); c != nil && r.listener.shouldClose(c) {
-			closing++
-		}
-	}
-	if closing == 0 || overLimit == 0 {
-		t.Errorf("%d would be closed, %d are above the memory limit; %+v", closing, overLimit, budget.Snapshot())
-	}
-}
--- a/internal/shardconn/client_test.go
+++ b/internal/shardconn/client_test.go
@@ -3,7 +3,6 @@
 import (
 	"io"
 	"net"
-	"sync/atomic"
 	"testing"
 	"time"
 
@@ -11,100 +10,6 @@
 	"oxbowspan/internal/frame"
 )
 
-// harness is a client whose connections are pipes, with a manual clock. It records what the client reports.
-type harness struct {
-	t           *testing.T
-	client      *Client
-	at          atomic.Int64
-	ends        chan AttemptEnded
-	checks      chan balancer.HealthCheckEnded
-	dials       chan net.Conn // the server's ends of the pipes
-	refuse      atomic.Bool
-	descriptors atomic.Int64 // in use
-	next        uint64
-}
-
-func (r *harness) AttemptEnded(e AttemptEnded)                  { r.ends <- e }
-func (r *harness) HealthCheckEnded(e balancer.HealthCheckEnded) { r.checks <- e }
-func (r *harness) Acquire() bool {
-	return r.descriptors.Add(1) <= maxDescriptors || r.descriptors.Add(-1) < 0
-}
-func (r *harness) Release()                { r.descriptors.Add(-1) }
-func (r *harness) now() balancer.Time      { return balancer.Time(r.at.Load()) }
-func (r *harness) advance(d balancer.Time) { r.at.Add(int64(d)) }
-
-func newHarness(t *testing.T) *harness {
-	r := &harness{t: t, ends: make(chan AttemptEnded, 100), checks: make(chan balancer.HealthCheckEnded, 100), dials: make(chan net.Conn, 100)}
-	r.at.Store(1e9)
-	r.client = start(1, "s-a", "a:1", Config{ConnectTimeout: 2500, IdleTimeout: 300000, StreamsPerConn: 4, CallsPerFrame: 2, LoadReports: true},
-		r.now, r, r, func(string, time.Duration) (net.Conn, error) {
-			if r.refuse.Load() {
-				return nil, io.ErrClosedPipe
-			}
-			ours, theirs := net.Pipe()
-			r.dials <- theirs
-			return ours, nil
-		})
-	t.Cleanup(r.client.Stop)
-	return r
-}
-
-// maxDescriptors is how many connections the harness allows.
-const maxDescriptors = 4
-
-// testTimeout is for whatever should happen by itself.
-const testTimeout = 10 * time.Second
-
-func receive[T any](t *testing.T, c <-chan T) T {
-	t.Helper()
-	select {
-	case v := <-c:
-		return v
-	case <-time.After(testTimeout):
-		t.Fatal("timeout")
-		panic("unreachable")
-	}
-}
-
-// dispatch sends attempts with these wire ids and a time limit of a second.
-func (r *harness) dispatch(wireIDs ...string) []Attempt {
-	r.t.Helper()
-	var attempts []Attempt
-	for _, id := range wireIDs {
-		r.next++
-		attempts = append(attempts, Attempt{ID: balancer.ShardCallID(r.next), WireID: id, Text: []byte("text"), SentAt: r.now(), Deadline: r.now() + 10000})
-	}
-	if !r.client.TrySubmit(Dispatch{attempts}) {
-		r.t.Fatal("the mailbox is full")
-	}
-	return attempts
-}
-
-func (r *harness) cancel(a Attempt) { r.client.TrySubmit(Cancel{a.ID, a.Number}) }
-
-// wakeUp makes the client look at its clock.
-func (r *harness) wakeUp() { r.cancel(Attempt{}) }
-
-// readFrame reads one frame as the server.
-func (r *harness) readFrame(c net.Conn) string {
-	r.t.Helper()
-	c.SetReadDeadline(time.Now().Add(testTimeout))
-	letter, content, _, err := frame.Read(c, nil)
-	if err != nil {
-		r.t.Fatal(err)
-	}
-	return string(letter) + string(content)
-}
-
-func (r *harness) expectOutcome(id balancer.ShardCallID, want balancer.Outcome) AttemptEnded {
-	r.t.Helper()
-	e := receive(r.t, r.ends)
-	if e.ID != id || e.Outcome != want {
-		r.t.Errorf("call %d ended with outcome %d, want call %d with %d", e.ID, e.Outcome, id, want)
-	}
-	return e
-}
-
 func TestAttemptsOfOneDispatchShareAFrame(t *testing.T) {
 	r := newHarness(t)
 	attempts := r.dispatch("a.0", "a.1", "a.2")
@@ -212,15 +117,6 @@
 	r.readFrame(c)
 }
 
-// expectClosed waits until the client has closed a connection.
-func (r *harness) expectClosed(c net.Conn) {
-	r.t.Helper()
-	c.SetReadDeadline(time.Now().Add(testTimeout))
-	if _, err := c.Read(make([]byte, 1)); err != io.EOF {
-		r.t.Errorf("reading a connection that should be closed: %v", err)
-	}
-}
-
 // During a rolling restart the connections to draining servers must not use up the descriptors for the new ones.
 func TestDrainClosesConnectionsAfterPendingAttempts(t *testing.T) {
 	r := newHarness(t)
@@ -280,95 +176,6 @@
 	}
 }
 
-func TestHealthCheck(t *testing.T) {
-	r := newHarness(t)
-	attempts := r.dispatch("a.0")
-	c := receive(t, r.dials)
-	r.readFrame(c)
-	r.client.TrySubmit(HealthCheck{})
-	if got := r.readFrame(c); got != "p" {
-		t.Errorf("got %q", got)
-	}
-	c.Write(frame.New(frame.HealthCheckFrame, "broke"))
-	if e := receive(t, r.checks); e.Outcome != balancer.Errored {
-		t.Errorf("got %+v", e)
-	}
-	r.client.TrySubmit(HealthCheck{})
-	r.readFrame(c)
-	c.Close()
-	if e := receive(t, r.checks); e.Outcome != balancer.Reset {
-		t.Errorf("got %+v", e)
-	}
-	r.expectOutcome(attempts[0].ID, balancer.Reset)
-}
-
-// A malformed answer fails its attempt; the attempts beside it are not failures of the server.
-func TestMalformedAnswerFailsOnlyItsAttempt(t *testing.T) {
-	for text, failed := range map[string]int{
-		string(frame.New(frame.AnswerFrame, "b.0 served? 5 -\nv")): 1, // names its call
-		string(frame.New(frame.AnswerFrame, "b.0 served")):         1,
-		string(frame.New(frame.AnswerFrame, "ff.0 served 5 -\nv")): 0, // unknown id: the oldest attempt fails
-		string(frame.New('z', "b.0 served 5 -\nv")):                0,
-		"\xb2\xd0\x5e\x00a":          0, // 3 GB
-		"\xff\xff\xff\xfca.0 served": 0,
-	} {
-		r := newHarness(t)
-		attempts := r.dispatch("a.0")
-		r.advance(1)
-		attempts = append(attempts, r.dispatch("b.0")...)
-		c := receive(t, r.dials)
-		for range 2 {
-			r.readFrame(c)
-		}
-		c.Write([]byte(text))
-		r.expectOutcome(attempts[failed].ID, balancer.Errored)
-		r.expectOutcome(attempts[1-failed].ID, balancer.Cancelled)
-		if _, err := c.Read(make([]byte, 1)); err != io.EOF {
-			t.Errorf("after %q reading the connection gives %v", text, err)
-		}
-	}
-}
-
-// A good answer is used whatever follows it, but nothing new is sent on its connection.
-func TestTrailingBytesEndOnlyTheConnection(t *testing.T) {
-	answer := "a.0 served 5 queue=zz,inflight=1e300\nv"
-	for _, trailing := range []string{string(frame.New(frame.AnswerFrame, answer)), "\xde\xad", "\x00\x00\x00\x05zzzzz"} {
-		r := newHarness(t)
-		attempts := r.dispatch("a.0")
-		c := receive(t, r.dials)
-		r.readFrame(c)
-		c.Write(append(frame.New(frame.AnswerFrame, answer), trailing...))
-		if e := r.expectOutcome(attempts[0].ID, balancer.Answered); e.Value != "v" || e.Report != nil {
-			t.Errorf("got %+v", e)
-		}
-		if _, err := c.Read(make([]byte, 1)); err != io.EOF {
-			t.Errorf("after %q reading the connection gives %v", trailing, err)
-		}
-		next := r.dispatch("b.0")
-		d := receive(t, r.dials)
-		r.readFrame(d)
-		d.Write(frame.New(frame.AnswerFrame, "b.0 served 5 -\nv"))
-		r.expectOutcome(next[0].ID, balancer.Answered)
-	}
-}
-
-// A frame that is never completed fails its attempt after the connect timeout, and nothing new is sent behind it.
-func TestIncompleteFrameTimesOut(t *testing.T) {
-	r := newHarness(t)
-	attempts := r.dispatch("a.0", "a.1")
-	c := receive(t, r.dials)
-	r.readFrame(c)
-	c.Write(append(frame.New(frame.AnswerFrame, "a.0 served 5 -\nv"), "\x00\x00\x10\x00aa.1 served 5 -\nv"...))
-	r.expectOutcome(attempts[0].ID, balancer.Answered)
-	next := r.dispatch("b.0")
-	r.readFrame(receive(t, r.dials)) // on another connection
-	r.advance(2500)
-	r.wakeUp()
-	r.expectOutcome(attempts[1].ID, balancer.Errored)
-	r.cancel(next[0])
-	r.expectOutcome(next[0].ID, balancer.Cancelled)
-}
-
 // stuckConn is a connection whose goroutines do not end when it is closed.
 type stuckConn struct{ net.Conn }
 
@@ -395,36 +202,6 @@
 	}
 }
 
-// A health check opens a connection where none has capacity, and times out if it is not answered.
-func TestHealthCheckOpensConnectionAndTimesOut(t *testing.T) {
-	r := newHarness(t)
-	r.client.TrySubmit(HealthCheck{})
-	c := receive(t, r.dials)
-	if got := r.readFrame(c); got != "p" {
-		t.Errorf("got %q", got)
-	}
-	r.advance(2500)
-	r.client.TrySubmit(CloseIdle{}) // wakes the client up, and must not close a connection with a health check in flight
-	if e := receive(t, r.checks); e.Outcome != balancer.TimedOut {
-		t.Errorf("got %+v", e)
-	}
-	// The next one opens a new connection, as the silent one proves nothing. A late answer on the old one is accepted.
-	r.client.TrySubmit(HealthCheck{})
-	d := receive(t, r.dials)
-	r.readFrame(d)
-	go c.Write(frame.New(frame.HealthCheckFrame, "served"))
-	d.Write(frame.New(frame.HealthCheckFrame, "served"))
-	if e := receive(t, r.checks); e.Outcome != balancer.Answered {
-		t.Errorf("got %+v", e)
-	}
-	r.refuse.Store(true)
-	r.client.TrySubmit(CloseAll{})
-	r.client.TrySubmit(HealthCheck{})
-	if e := receive(t, r.checks); e.Outcome != balancer.ConnectFailed && e.Outcome != balancer.Reset {
-		t.Errorf("got %+v", e)
-	}
-}
-
 // Attempts after CloseIdle open a new connection; connections with attempts in flight stay.
 func TestCloseIdle(t *testing.T) {
 	r := newHarness(t)
