--- a/balancer/completion_test.go
+++ b/balancer/completion_test.go
@@ -24,7 +24,8 @@
 			b.finish(s, Time(300+i%7), Answered)
 		}
 	}
-	failIf(t, len(b.requests)+len(b.requestsByNumber)+len(b.inFlight) != 0, "left over: %v, %v, %v", b.requests, b.requestsByNumber, b.inFlight)
+	failIf(t, len(b.requests)+len(b.requestsByNumber)+len(b.inFlight) != 0,
+		"left over: %v, %v, %v", b.requests, b.requestsByNumber, b.inFlight)
 }
 
 // Clients that do not mark their retries would retry a request shed at the target as a whole.
--- a/balancer/gateway_test.go
+++ b/balancer/gateway_test.go
@@ -163,7 +163,8 @@
 	for range 400 {
 		request()
 	}
-	failIf(t, got[2] != 0 || got[0] < 250 || got[0] > 350 || got[0]+got[1] != 400, "400 requests with weights 3, 1 and 0: %v", got)
+	failIf(t, got[2] != 0 || got[0] < 250 || got[0] > 350 || got[0]+got[1] != 400,
+		"400 requests with weights 3, 1 and 0: %v", got)
 	b.do(ServerList{ListDelta, []Server{{ID: 1, State: Removed}, {ID: 2, State: Removed}, {ID: 3, State: Removed}}})
 	clear(got)
 	for range 20 {
--- a/balancer/health_test.go
+++ b/balancer/health_test.go
@@ -10,7 +10,8 @@
 	for target, want := range map[Time]Time{2500: 1250, 25000: firstBackoff} {
 		b := newHarness(2, func(c *Config) { c.QueryTypes[0].LatencyTarget = target })
 		b.recordFailure(b.servers[1], lossWeight)
-		failIf(t, b.servers[1].ejectedUntil != b.now+want, "ejected for %v at a target of %v", b.servers[1].ejectedUntil-b.now, target)
+		failIf(t, b.servers[1].ejectedUntil != b.now+want,
+			"ejected for %v at a target of %v", b.servers[1].ejectedUntil-b.now, target)
 	}
 }
 
@@ -33,7 +34,8 @@
 		if len(out) == 2 {
 			failIf(t, out[1].Server != 1, "the hedge went to server %d", out[1].Server)
 			b.finish(out[0], 100, Answered)
-			failIf(t, slices.ContainsFunc(b.last, func(a Action) bool { _, ok := a.(Cancel); return ok }), "the probation attempt was cancelled")
+			failIf(t, slices.ContainsFunc(b.last, func(a Action) bool { _, ok := a.(Cancel); return ok }),
+				"the probation attempt was cancelled")
 			b.at += 100
 			b.do(AttemptEnded{Call: out[1].Call, Attempt: 1, Server: 1, Elapsed: 200, Outcome: Answered})
 			failIf(t, s.probation, "its answer did not end the probation")
--- a/balancer/invariants_test.go
+++ b/balancer/invariants_test.go
@@ -88,7 +88,8 @@
 		}
 	}
 	for _, req := range w.requests {
-		if !req.ended && req.phase == 2 && !slices.ContainsFunc(req.calls, func(call *modelCall) bool { return call.phase == 2 }) {
+		if !req.ended && req.phase == 2 &&
+			!slices.ContainsFunc(req.calls, func(call *modelCall) bool { return call.phase == 2 }) {
 			w.event(SecondPhaseArrived{req.number, w.addCalls(req, 2)})
 		}
 	}
@@ -158,7 +159,8 @@
 			}
 		}
 		for _, req := range w.requests {
-			w.failIf(!req.ended && w.now > req.arrivedAt+req.timeout, "one outcome in time: request %d has no outcome in time", req.id)
+			w.failIf(!req.ended && w.now > req.arrivedAt+req.timeout,
+				"one outcome in time: request %d has no outcome in time", req.id)
 		}
 	}
 }
--- a/balancer/limit_test.go
+++ b/balancer/limit_test.go
@@ -9,7 +9,8 @@
 	calls := []ShardCall{{ID: 1, Weight: 1}}
 	b.do(RequestArrived{Request: 1, Number: 1, Timeout: 50000, Calls: calls})
 	got := b.do(RequestArrived{Request: 2, Number: 2, Timeout: 30000, Retry: true, Calls: calls})
-	failIf(t, len(got) != 1 || got[0] != (Shed{Request: 2}), "a retry 30000 after the first attempt, with a target of 25000: %v", got)
+	failIf(t, len(got) != 1 || got[0] != (Shed{Request: 2}),
+		"a retry 30000 after the first attempt, with a target of 25000: %v", got)
 }
 
 func TestSlowReplicaDoesNotCauseShedding(t *testing.T) {
@@ -42,7 +43,8 @@
 	b.answer(20, 1000)
 	for i := range 8 {
 		got := len(b.arrive(1))
-		failIf(t, (got == 1) != (i < 5), "request %d above the quota: %d calls sent with %d in flight of %v", i, got, len(b.inFlight), b.limit)
+		failIf(t, (got == 1) != (i < 5),
+			"request %d above the quota: %d calls sent with %d in flight of %v", i, got, len(b.inFlight), b.limit)
 	}
 }
 
@@ -51,7 +53,8 @@
 	full := len(b.arrive(1))+len(b.arrive(1))+len(b.arrive(1)) == 3 && len(b.arrive(1)) == 0
 	b.at += 15000
 	b.servers[1].unitLatency, b.servers[1].measuredAt = 100, b.at
-	failIf(t, !full || len(b.arrive(1)) != 1, "full: %v; later shed with %d in flight, %d stuck", full, len(b.inFlight), b.stuckCalls)
+	failIf(t, !full || len(b.arrive(1)) != 1,
+		"full: %v; later shed with %d in flight, %d stuck", full, len(b.inFlight), b.stuckCalls)
 }
 
 // A request whose calls may have run under the same idempotency key is neither sent nor shed, unless it is idempotent.
@@ -70,7 +73,8 @@
 			}
 		}
 		failIf(t, got != want, "idempotency %d: %q, want %q", idempotency, got, want)
-		failIf(t, idempotency != Idempotent && (len(b.requests) > 0 || len(b.requestsByNumber) > 0), "idempotency %d: the request is still open", idempotency)
+		failIf(t, idempotency != Idempotent && (len(b.requests) > 0 || len(b.requestsByNumber) > 0),
+			"idempotency %d: the request is still open", idempotency)
 	}
 }
 
@@ -83,7 +87,8 @@
 			Calls: []ShardCall{{ID: ShardCallID(b.next * 100), Weight: 1}}})
 		return b.requests[RequestID(b.next)].targetAt - b.at
 	}
-	failIf(t, target(45000) < 24000, "a first attempt with a shorter timeout is taken for a retry though no request was abandoned")
+	failIf(t, target(45000) < 24000,
+		"a first attempt with a shorter timeout is taken for a retry though no request was abandoned")
 	b.at += 40000
 	b.types[0].abandonedAt = b.at - 1000
 	failIf(t, target(45000) > 10000, "a request with 15000 less time after one was abandoned is taken for a first attempt")
--- a/balancer/model_test.go
+++ b/balancer/model_test.go
@@ -114,7 +114,8 @@
 		for _, call := range req.calls {
 			for _, s := range call.attempts {
 				mayHaveRun := !(s.ended && s.outcome.NeverRan())
-				m.failIf(req.queryType.Idempotency == NonIdempotent && mayHaveRun, "no unsafe retry: request %d shed, but call %d may have run", req.id, call.ID)
+				m.failIf(req.queryType.Idempotency == NonIdempotent && mayHaveRun,
+					"no unsafe retry: request %d shed, but call %d may have run", req.id, call.ID)
 			}
 		}
 		m.finish(req)
@@ -122,7 +123,8 @@
 		m.finish(m.request(a.Request))
 	case Cancel:
 		_, call := m.call(a.Call)
-		m.failIf(!m.config.AllowCancel || int(a.Attempt) >= len(call.attempts), "cancel of call %d, attempt %d is not allowed", a.Call, a.Attempt)
+		m.failIf(!m.config.AllowCancel || int(a.Attempt) >= len(call.attempts),
+			"cancel of call %d, attempt %d is not allowed", a.Call, a.Attempt)
 	case SetTimer:
 		m.failIf(a.At <= m.now, "timer set for %d at %d", a.At, m.now)
 	}
@@ -159,7 +161,8 @@
 
 func (m *referenceModel) checkSend(a Send) {
 	req, call := m.call(a.Call)
-	m.failIf(req.ended || call.phase != req.phase || call.answered, "one outcome in time: call %d sent after it had ended", call.ID)
+	m.failIf(req.ended || call.phase != req.phase || call.answered,
+		"one outcome in time: call %d sent after it had ended", call.ID)
 	m.failIf(len(call.attempts) >= m.config.MaxAttempts, "call %d sent %d times", call.ID, len(call.attempts)+1)
 	s := m.servers[a.Server]
 	cells := m.config.Cells
@@ -199,7 +202,8 @@
 	for i := len(m.admitted) - 1; i >= 0 && m.admitted[i] > m.now-m.config.RetryBudgetWindow; i-- {
 		admitted++
 	}
-	m.failIf(retries > m.config.RetryBudgetBase+m.config.RetryBudgetRatio*admitted, "retry budget: %v retries with %v admitted", retries, admitted)
+	m.failIf(retries > m.config.RetryBudgetBase+m.config.RetryBudgetRatio*admitted,
+		"retry budget: %v retries with %v admitted", retries, admitted)
 }
 
 // checkSlowStart takes the most work that a warm server was sent in any window as the capacity of one.
@@ -220,5 +224,6 @@
 	capacity := m.config.SlowStartShare + (1-m.config.SlowStartShare)*float64(age)/float64(m.config.SlowStartDuration)
 	sent := load(s, m.config.OverloadWindow)
 	allowed := max(s.attempts[len(s.attempts)-1].size, m.config.OverloadMultiple*capacity*m.maxWarmWork+1e-9)
-	m.failIf(sent > allowed, "slow start: cold server %d was sent %v, warm ones bear %v, its capacity is %v", s.ID, sent, m.maxWarmWork, capacity)
+	m.failIf(sent > allowed,
+		"slow start: cold server %d was sent %v, warm ones bear %v, its capacity is %v", s.ID, sent, m.maxWarmWork, capacity)
 }
--- a/balancer/prediction_test.go
+++ b/balancer/prediction_test.go
@@ -9,7 +9,8 @@
 	b.answer(20, 1000)
 	before := b.servers[1].unitLatency
 	b.finish(b.sendTo(t, 1, 1000), 10, Errored)
-	failIf(t, b.servers[1].unitLatency < before, "unit latency fell from %v to %v after an error", before, b.servers[1].unitLatency)
+	failIf(t, b.servers[1].unitLatency < before,
+		"unit latency fell from %v to %v after an error", before, b.servers[1].unitLatency)
 	b.finish(b.sendTo(t, 1, 1000), 10, Errored)
 	for range 4 {
 		s := b.arrive(1)[0]
@@ -25,7 +26,8 @@
 	due := b.predict(b.servers[1], call)
 	b.now += 15 * b.inFlight[s.Call].attempts[0].predicted
 	late := b.predict(b.servers[1], call)
-	failIf(t, late < 4*due || b.isHealthyFor(b.servers[1], call), "predicted %d while the oldest attempt is 15 times overdue, %d before, or still healthy", late, due)
+	failIf(t, late < 4*due || b.isHealthyFor(b.servers[1], call),
+		"predicted %d while the oldest attempt is 15 times overdue, %d before, or still healthy", late, due)
 }
 
 func TestTimeoutUpdatesUnitLatency(t *testing.T) {
@@ -37,7 +39,8 @@
 	b.finish(second, 9000, Answered) // a response: the first attempt is slow, not lost
 	learned := b.servers[1].unitLatency
 	b.finish(first, 10000, TimedOut)
-	failIf(t, b.servers[1].unitLatency < learned+before, "unit latency %v after a time-out at ten times %v, %v before it", b.servers[1].unitLatency, before, learned)
+	failIf(t, b.servers[1].unitLatency < learned+before,
+		"unit latency %v after a time-out at ten times %v, %v before it", b.servers[1].unitLatency, before, learned)
 }
 
 // Attempts lost with their connections must not make servers look slow, or requests are shed while servers are idle.
@@ -46,7 +49,8 @@
 	b.finish(b.arrive(1)[0], 1000, Answered)
 	before := b.servers[1].unitLatency
 	b.finish(b.arrive(1)[0], 20000, TimedOut)
-	failIf(t, b.servers[1].unitLatency != before, "unit latency %v after a silent loss, %v before", b.servers[1].unitLatency, before)
+	failIf(t, b.servers[1].unitLatency != before,
+		"unit latency %v after a silent loss, %v before", b.servers[1].unitLatency, before)
 	failIf(t, b.servers[1].failureRate == 0, "a silent loss is not counted as a failure")
 }
 
@@ -78,9 +82,11 @@
 	b.arrive(1)
 	b.finish(Send{Call: ShardCallID(b.next * 100), Server: 2}, 20000, Answered)
 	s, call := b.servers[2], &shardCall{req: &request{policy: b.types[0]}, size: 1}
-	failIf(t, b.meanLatency != 1000 || s.unitLatency > 6000, "unit latency %v after a first answer at 20000, the mean is %v", s.unitLatency, b.meanLatency)
+	failIf(t, b.meanLatency != 1000 || s.unitLatency > 6000,
+		"unit latency %v after a first answer at 20000, the mean is %v", s.unitLatency, b.meanLatency)
 	b.arrive(1)
-	failIf(t, b.meanLatency < 1000 || b.meanLatency > 2000, "mean %v with one server at 1000 and one at %v", b.meanLatency, s.unitLatency)
+	failIf(t, b.meanLatency < 1000 || b.meanLatency > 2000,
+		"mean %v with one server at 1000 and one at %v", b.meanLatency, s.unitLatency)
 	s.unitLatency, s.measuredAt, s.reportedQueue, s.reportedAt = 1e5, b.now, 9, b.now
 	slow := b.predict(s, call)
 	b.now += latencyMaxAge
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -95,7 +95,8 @@
 	first := b.inFlight[s.Call].attempts[0]
 	b.at = first.sentAt + first.overdueAfter
 	actions := b.do(TimerFired{TimerID(b.next)})
-	failIf(t, !slices.Contains(actions, Action(Cancel{s.Call, 0})), "overdue without hedging: got %v, want it cancelled", actions)
+	failIf(t, !slices.Contains(actions, Action(Cancel{s.Call, 0})),
+		"overdue without hedging: got %v, want it cancelled", actions)
 	for _, a := range actions {
 		_, sent := a.(Send)
 		failIf(t, sent, "retried before the first attempt has ended: %v", actions)
--- a/balancer/stats_test.go
+++ b/balancer/stats_test.go
@@ -35,7 +35,8 @@
 		return float64(b.predict(b.servers[2], call)) / float64(b.predict(b.servers[1], call))
 	}
 	now, soon, old := ratio(start(0, nil)), ratio(start(latencyMaxAge/2, nil)), ratio(start(2*latencyMaxAge, nil))
-	failIf(t, now < 4 || soon >= now || soon <= 1 || old != 1, "slow over fast: %.2f at once, %.2f later, %.2f when old", now, soon, old)
+	failIf(t, now < 4 || soon >= now || soon <= 1 || old != 1,
+		"slow over fast: %.2f at once, %.2f later, %.2f when old", now, soon, old)
 	for what, change := range map[string]func(*ServerRecord){
 		"from the future":     func(r *ServerRecord) { r.MeasuredAt += 1000 },
 		"another incarnation": func(r *ServerRecord) { r.StartedAt = 77 },
@@ -50,7 +51,8 @@
 			r.EjectedUntil = before.at + 1<<40
 		}
 	})
-	failIf(t, b.servers[1].ejectedUntil > b.now+maxEjectionFactor*b.baseEjection, "ejected for longer than any failure ejects it")
+	failIf(t, b.servers[1].ejectedUntil > b.now+maxEjectionFactor*b.baseEjection,
+		"ejected for longer than any failure ejects it")
 }
 
 // Records that earlier versions stored must stay readable: their keys are older than the names of the fields.
--- a/gatherer/clientconn.go
+++ b/gatherer/clientconn.go
@@ -57,7 +57,7 @@
 	resumed   bool // it was parked, and the head of its next request is incomplete
 	phase     ioPhase
 	slowAt    connadmission.Millis // in a phase, when the client is too slow unless more bytes are transferred
-	graceLeft connadmission.Millis // between two writes of an answer, the time that was left until slowAt; 0 = nothing of it is written
+	graceLeft connadmission.Millis // between two writes of an answer: what was left until slowAt; 0 = none is written
 }
 
 // Read implements net.Conn.
--- a/gatherer/config.go
+++ b/gatherer/config.go
@@ -113,7 +113,8 @@
 	case !d.AllowPeers:
 		return c.Operator.FleetFault("gatherers may not talk to each other here (limits.peers of the settings is not true)")
 	case isSteward && (fleet.Listen == "" || fleet.Path == ""):
-		return c.Operator.FleetFault("this gatherer is a steward, and needs listen, its address for the fleet, and path, where its log is kept")
+		return c.Operator.FleetFault(
+			"this gatherer is a steward, and needs listen, its address for the fleet, and path, where its log is kept")
 	}
 	return nil
 }
@@ -129,9 +130,11 @@
 		case at < 0:
 			errs = append(errs, c.Operator.TypeFault(name, "is no query type of the settings"))
 		case d.Balancer.QueryTypes[at].Idempotency != balancer.Idempotent:
-			errs = append(errs, c.Operator.TypeFault(name, "is not idempotent: a merge past its limits is shed, which says that asking again is harmless"))
+			errs = append(errs, c.Operator.TypeFault(name,
+				"is not idempotent: a merge past its limits is shed, which says that asking again is harmless"))
 		case slices.Contains(allowed.Kinds, merge.Paged) && d.Balancer.QueryTypes[at].CompleteCoverage < 1:
-			errs = append(errs, c.Operator.TypeFault(name, "counts as whole short of a part (domain.wholeAt): pages would never wait for the last segment, and no walk would end"))
+			errs = append(errs, c.Operator.TypeFault(name, "counts as whole short of a part (domain.wholeAt): "+
+				"pages would never wait for the last segment, and no walk would end"))
 		}
 	}
 	return operatorconfig.Join(errs...)
--- a/gatherer/connmemory_test.go
+++ b/gatherer/connmemory_test.go
@@ -148,7 +148,8 @@
 		}
 	}
 	r.awaitParked(n)
-	if s := budget.Snapshot(); s.Used[memorybudget.ActiveConns] != 0 || s.Used[memorybudget.ParkedConns] != n*idleConnMemory {
+	if s := budget.Snapshot(); s.Used[memorybudget.ActiveConns] != 0 ||
+		s.Used[memorybudget.ParkedConns] != n*idleConnMemory {
 		t.Errorf("memory with all parked: %+v", s)
 	}
 	var mu sync.Mutex
--- a/gatherer/degradation_test.go
+++ b/gatherer/degradation_test.go
@@ -88,7 +88,8 @@
 	client := &http.Client{Timeout: testTimeout}
 	ask := func(id, kind string) (int, string) {
 		t.Helper()
-		s := standin.Request{ID: id, QueryType: kind, Customer: "acme", Timeout: 1500 * time.Millisecond, Shards: []int{1, 5}, Statement: "c41e77d0"}
+		s := standin.Request{ID: id, QueryType: kind, Customer: "acme",
+			Timeout: 1500 * time.Millisecond, Shards: []int{1, 5}, Statement: "c41e77d0"}
 		r, err := s.Send(t.Context(), client, p.addr)
 		if err != nil {
 			t.Fatal(err)
@@ -109,7 +110,8 @@
 	gone.Health = "removed"
 	l.Update(gone)
 	line := p.line("event=level ", "to=trimmed")
-	if !strings.Contains(line, "scope=all") || !strings.Contains(line, "from=full") || !strings.Contains(line, "lost 0.25") {
+	if !strings.Contains(line, "scope=all") || !strings.Contains(line, "from=full") ||
+		!strings.Contains(line, "lost 0.25") {
 		t.Errorf("log line %q", line)
 	}
 	if after := want("b1", "post", 503); after != "0.5" && after != "0.4" && !strings.HasPrefix(after, "0.") {
@@ -117,10 +119,12 @@
 	}
 	want("b2", "lookup", 200)
 	s := awaitLevel(t, c, "trimmed")
-	if len(s.Servers) != 3 || len(s.Changes) != 1 || s.Types[1].Name != "post" || s.Types[1].Share != 0 || len(s.Types[1].Customers) != 1 || s.Types[1].Customers[0].Shed != 1 {
+	if len(s.Servers) != 3 || len(s.Changes) != 1 || s.Types[1].Name != "post" || s.Types[1].Share != 0 ||
+		len(s.Types[1].Customers) != 1 || s.Types[1].Customers[0].Shed != 1 {
 		t.Errorf("state %+v", s)
 	}
-	if a, err := c.Ask(admin.Question{Verb: admin.Explain}); err != nil || !strings.Contains(strings.Join(a.Lines, "\n"), "trimmed: lost 0.25, enters at 0.2, left under 0.1: enters") {
+	if a, err := c.Ask(admin.Question{Verb: admin.Explain}); err != nil ||
+		!strings.Contains(strings.Join(a.Lines, "\n"), "trimmed: lost 0.25, enters at 0.2, left under 0.1: enters") {
 		t.Errorf("explanation %v, %v", a.Lines, err)
 	}
 	// An operator who watches sees it recover.
@@ -190,7 +194,8 @@
 	}, "--operator", file)
 	client := &http.Client{Timeout: testTimeout}
 	ask := func(id string, segment int) int {
-		s := standin.Request{ID: id, QueryType: "lookup", Customer: "acme", Timeout: 1500 * time.Millisecond, Shards: []int{segment}, Statement: "c41e77d0"}
+		s := standin.Request{ID: id, QueryType: "lookup", Customer: "acme",
+			Timeout: 1500 * time.Millisecond, Shards: []int{segment}, Statement: "c41e77d0"}
 		r, err := s.Send(t.Context(), client, p.addr)
 		if err != nil {
 			t.Fatal(err)
--- a/gatherer/descriptors_test.go
+++ b/gatherer/descriptors_test.go
@@ -113,7 +113,8 @@
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}, Timeout: testTimeout}
 	ask := func(id string) (int, time.Duration) {
 		t.Helper()
-		s := standin.Request{ID: id, QueryType: "lookup", Customer: "acme", Timeout: 1500 * time.Millisecond, Shards: []int{1}, Statement: "c41e77d0"}
+		s := standin.Request{ID: id, QueryType: "lookup", Customer: "acme",
+			Timeout: 1500 * time.Millisecond, Shards: []int{1}, Statement: "c41e77d0"}
 		r, err := s.Send(t.Context(), client, p.addr)
 		if err != nil { // its connection was evicted: by the protocol the client retries once on a new one
 			r, err = s.Send(t.Context(), client, p.addr)
--- a/gatherer/limits_test.go
+++ b/gatherer/limits_test.go
@@ -90,7 +90,8 @@
 			t.Fatal(err)
 		}
 		b, _ := io.ReadAll(res.Body)
-		if res.StatusCode != http.StatusServiceUnavailable || !res.Close || !strings.Contains(string(b), "too many connections") {
+		if res.StatusCode != http.StatusServiceUnavailable || !res.Close ||
+			!strings.Contains(string(b), "too many connections") {
 			t.Errorf("above the limit a client got %d %s, close %v", res.StatusCode, b, res.Close)
 		}
 	}
@@ -108,7 +109,8 @@
 	for range clients + 3 {
 		c := dial()
 		fmt.Fprintf(c, "GET /-/healthy HTTP/1.1\r\nHost: x\r\n\r\n")
-		if res, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || res.StatusCode != 200 && res.StatusCode != 503 {
+		if res, err := http.ReadResponse(bufio.NewReader(c), nil); err != nil || res.StatusCode != 200 &&
+			res.StatusCode != 503 {
 			t.Fatalf("got %v, %v", res, err)
 		}
 		if idle == nil {
@@ -160,7 +162,8 @@
 		}
 	}
 	if kept > clients/crowdDivisor+1 || released == 0 {
-		t.Errorf("%d connections with one request are kept, %d closed, %d may be idle", kept, released, clients/crowdDivisor)
+		t.Errorf("%d connections with one request are kept, %d closed, %d may be idle",
+			kept, released, clients/crowdDivisor)
 	}
 	if ask(steady) {
 		t.Error("a connection with many requests is closed")
@@ -180,7 +183,8 @@
 	for _, c := range []struct{ sockets, hosts int }{{512, 200}, {640, 200}, {256, 100}, {1024, 400}} {
 		clients, servers := Limits{Sockets: float64(c.sockets)}.splitDescriptors()
 		if servers < c.hosts || clients < c.sockets/3 || clients+servers > c.sockets-reservedDescriptors {
-			t.Errorf("of %d descriptors clients get %d, servers %d; want a third and %d", c.sockets, clients, servers, c.hosts)
+			t.Errorf("of %d descriptors clients get %d, servers %d; want a third and %d",
+				c.sockets, clients, servers, c.hosts)
 		}
 	}
 }
--- a/gatherer/memory.go
+++ b/gatherer/memory.go
@@ -15,7 +15,8 @@
 	if to == memorybudget.PressureCritical {
 		level = slog.LevelWarn
 	}
-	slog.Log(context.Background(), level, "memory_pressure", append([]any{"from", from.String(), "to", to.String()}, memoryFields(s)...)...)
+	fields := append([]any{"from", from.String(), "to", to.String()}, memoryFields(s)...)
+	slog.Log(context.Background(), level, "memory_pressure", fields...)
 }
 
 // memoryFields returns the log fields of a snapshot, in bytes.
@@ -35,8 +36,13 @@
 func reportMemory(budget *memorybudget.Budget, interval time.Duration, done <-chan struct{}) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
-	samples := []metrics.Sample{{Name: "/memory/classes/heap/objects:bytes"}, {Name: "/memory/classes/heap/stacks:bytes"},
-		{Name: "/memory/classes/total:bytes"}, {Name: "/memory/classes/heap/released:bytes"}, {Name: "/sched/goroutines:goroutines"}}
+	samples := []metrics.Sample{
+		{Name: "/memory/classes/heap/objects:bytes"},
+		{Name: "/memory/classes/heap/stacks:bytes"},
+		{Name: "/memory/classes/total:bytes"},
+		{Name: "/memory/classes/heap/released:bytes"},
+		{Name: "/sched/goroutines:goroutines"},
+	}
 	for {
 		select {
 		case <-done:
--- a/gatherer/merge_test.go
+++ b/gatherer/merge_test.go
@@ -27,7 +27,8 @@
 					}
 				}
 				if w := s.walk("report", order, 7, nil); w.Rows != shape.Accounts || w.Late > 0 {
-					t.Errorf("a walk of %v gave %d rows, %d late, the data set has %d", order, w.Rows, w.Late, shape.Accounts)
+					t.Errorf("a walk of %v gave %d rows, %d late, the data set has %d",
+						order, w.Rows, w.Late, shape.Accounts)
 				}
 			}
 			for _, terms := range []merge.Terms{
@@ -63,7 +64,8 @@
 		"goes on by its cursor": {Kind: "paged", Order: []string{"due"}, Limit: 5, Offset: 3},
 	} {
 		r, err := s.search("report", terms).Send(context.Background(), http.DefaultClient, s.addr)
-		if err != nil || r.Status != http.StatusBadRequest || !strings.Contains(string(r.Body), want) || strings.Count(string(r.Body), "\n") != 1 {
+		if err != nil || r.Status != http.StatusBadRequest || !strings.Contains(string(r.Body), want) ||
+			strings.Count(string(r.Body), "\n") != 1 {
 			t.Errorf("%+v: got %d %q, error %v, want 400 with %q", terms, r.Status, r.Body, err, want)
 		}
 	}
@@ -88,7 +90,8 @@
 		c.Respond(p.ID, "served", "value of "+string(p.Query))
 	})
 	p := start(t, startList(t, a), nil)
-	q := standin.Request{ID: "ab01", QueryType: "lookup", Customer: "acme", Timeout: time.Second, Shards: []int{0, 1}, Statement: "c41e77d0",
+	q := standin.Request{ID: "ab01", QueryType: "lookup", Customer: "acme",
+		Timeout: time.Second, Shards: []int{0, 1}, Statement: "c41e77d0",
 		Merge: map[string]any{"kind": "ranked"}}
 	r, err := q.Send(context.Background(), http.DefaultClient, p.addr)
 	if err != nil || r.Status != 200 || string(r.Body) != completeAnswer(0, 1) {
@@ -99,15 +102,16 @@
 // Merges that wait for one segment reach their common limit: requests above it are shed at once.
 func TestMergeMemoryLimit(t *testing.T) {
 	release := make(chan struct{})
-	s := startMergeEnv(t, standin.DatasetShape{Segments: 4, Accounts: 2000}, func(c *standin.ShardConn, p standin.ShardCall, rows string) bool {
-		if p.Shard == 3 {
-			go func() {
-				<-release
-				c.Respond(p.ID, "served", rows)
-			}()
-		}
-		return p.Shard == 3
-	}, func(f string) string { return strings.Replace(f, "memory = 4MiB", "memory = 400KiB", 1) })
+	s := startMergeEnv(t, standin.DatasetShape{Segments: 4, Accounts: 2000},
+		func(c *standin.ShardConn, p standin.ShardCall, rows string) bool {
+			if p.Shard == 3 {
+				go func() {
+					<-release
+					c.Respond(p.ID, "served", rows)
+				}()
+			}
+			return p.Shard == 3
+		}, func(f string) string { return strings.Replace(f, "memory = 4MiB", "memory = 400KiB", 1) })
 	const n = 16
 	replies := make(chan standin.Response, n)
 	for range n {
@@ -144,9 +148,10 @@
 func TestClientGoneDuringMergeReleasesMemory(t *testing.T) {
 	var hold atomic.Bool
 	hold.Store(true)
-	s := startMergeEnv(t, standin.DatasetShape{Segments: 4, Accounts: 400}, func(c *standin.ShardConn, p standin.ShardCall, rows string) bool {
-		return p.Shard == 3 && hold.Load()
-	}, func(f string) string { return strings.Replace(f, "open = 200", "open = 3", 1) })
+	s := startMergeEnv(t, standin.DatasetShape{Segments: 4, Accounts: 400},
+		func(c *standin.ShardConn, p standin.ShardCall, rows string) bool {
+			return p.Shard == 3 && hold.Load()
+		}, func(f string) string { return strings.Replace(f, "open = 200", "open = 3", 1) })
 	for range 9 { // three times as many as may be open
 		ctx, leave := context.WithCancel(context.Background())
 		q := s.search("report", merge.Terms{Kind: "ranked", Order: []string{"due"}, Limit: 100})
@@ -201,7 +206,8 @@
 	}
 	s.write("cursor.keys", newKey)
 	hup("event=reload ")
-	if r, _ := page(first.Result.Next); r.Status != http.StatusBadRequest || !strings.Contains(string(r.Body), "key is no longer") {
+	if r, _ := page(first.Result.Next); r.Status != http.StatusBadRequest ||
+		!strings.Contains(string(r.Body), "key is no longer") {
 		t.Errorf("a cursor of a removed key: %d %s", r.Status, r.Body)
 	}
 	if r, _ := page(second.Result.Next); r.Status != http.StatusOK {
--- a/gatherer/mergeenv_test.go
+++ b/gatherer/mergeenv_test.go
@@ -56,7 +56,8 @@
 
 // startMergeEnv starts a mergeEnv of four cells, two of them for each segment. If meet returns true it has answered a call
 // itself, otherwise the rows are sent.
-func startMergeEnv(t *testing.T, shape standin.DatasetShape, meet func(c *standin.ShardConn, p standin.ShardCall, rows string) bool, edit func(string) string) *mergeEnv {
+func startMergeEnv(t *testing.T, shape standin.DatasetShape,
+	meet func(c *standin.ShardConn, p standin.ShardCall, rows string) bool, edit func(string) string) *mergeEnv {
 	t.Helper()
 	s := &mergeEnv{t: t, dataset: standin.NewDataset(11, shape)}
 	for cell := range 4 {
@@ -93,8 +94,9 @@
 }
 
 func (s *mergeEnv) search(kind string, terms merge.Terms) standin.Request {
-	return standin.Request{ID: fmt.Sprintf("%016x", 1<<40+s.last.Add(1)), QueryType: kind, Customer: "acme", Timeout: 2900 * time.Millisecond,
-		Shards: []int{0, 1, 2, 3}, Statement: "c41e77d0", Merge: wire(terms)}
+	return standin.Request{ID: fmt.Sprintf("%016x", 1<<40+s.last.Add(1)), QueryType: kind, Customer: "acme",
+		Timeout: 2900 * time.Millisecond,
+		Shards:  []int{0, 1, 2, 3}, Statement: "c41e77d0", Merge: wire(terms)}
 }
 
 // wire returns the terms as a client sends them, without those that are not set.
--- a/gatherer/mergefault_test.go
+++ b/gatherer/mergefault_test.go
@@ -41,13 +41,14 @@
 	} {
 		t.Run(what, func(t *testing.T) {
 			once := &corruptor{left: map[string]int{what: 2}}
-			s := startMergeEnv(t, standin.DatasetShape{Segments: 4, Accounts: 120}, func(c *standin.ShardConn, p standin.ShardCall, rows string) bool {
-				if !once.take(what) {
-					return false
-				}
-				c.Respond(p.ID, "served", corrupt(rows))
-				return true
-			}, nil)
+			s := startMergeEnv(t, standin.DatasetShape{Segments: 4, Accounts: 120},
+				func(c *standin.ShardConn, p standin.ShardCall, rows string) bool {
+					if !once.take(what) {
+						return false
+					}
+					c.Respond(p.ID, "served", corrupt(rows))
+					return true
+				}, nil)
 			order := []string{"due", "amount"}
 			m := s.merged("report", merge.Terms{Kind: "ranked", Order: order, Limit: 60})
 			if err := s.expected(true).CheckRanked(m, order, 0, 60, true); err != nil || !m.Full {
@@ -60,12 +61,13 @@
 
 // With only corrupt rows from one segment a type that requires complete answers fails, another reports what is missing.
 func TestCorruptSegmentIsNeverMerged(t *testing.T) {
-	s := startMergeEnv(t, standin.DatasetShape{Segments: 4, Accounts: 120}, func(c *standin.ShardConn, p standin.ShardCall, rows string) bool {
-		if p.Shard == 2 {
-			c.Respond(p.ID, "served", rows[:len(rows)-9])
-		}
-		return p.Shard == 2
-	}, nil)
+	s := startMergeEnv(t, standin.DatasetShape{Segments: 4, Accounts: 120},
+		func(c *standin.ShardConn, p standin.ShardCall, rows string) bool {
+			if p.Shard == 2 {
+				c.Respond(p.ID, "served", rows[:len(rows)-9])
+			}
+			return p.Shard == 2
+		}, nil)
 	order := []string{"due"}
 	terms := merge.Terms{Kind: "ranked", Order: order, Limit: 60}
 	q := s.search("report", terms)
@@ -86,13 +88,14 @@
 // Both replicas of a segment are silent during the first pages, and then recover.
 func TestSegmentMissingOnOnePage(t *testing.T) {
 	var out atomic.Bool
-	s := startMergeEnv(t, standin.DatasetShape{Segments: 4, Accounts: 90}, func(c *standin.ShardConn, p standin.ShardCall, rows string) bool {
-		if p.Shard == 1 && out.Load() {
-			c.Respond(p.ID, "broke", "")
-			return true
-		}
-		return false
-	}, nil)
+	s := startMergeEnv(t, standin.DatasetShape{Segments: 4, Accounts: 90},
+		func(c *standin.ShardConn, p standin.ShardCall, rows string) bool {
+			if p.Shard == 1 && out.Load() {
+				c.Respond(p.ID, "broke", "")
+				return true
+			}
+			return false
+		}, nil)
 	w := s.walk("loose", []string{"due"}, 10, func(page int) { out.Store(page < 3) })
 	if w.Late == 0 || w.Rows != 90 {
 		t.Errorf("%d rows, %d of them late, the data set has 90", w.Rows, w.Late)
@@ -117,7 +120,8 @@
 	first := s.merged("report", merge.Terms{Kind: "paged", Order: []string{"due"}, Limit: 10})
 	s.dataset.Advance(2)
 	second := s.merged("report", merge.Terms{Kind: "paged", Order: []string{"due"}, Limit: 10, Cursor: first.Result.Next})
-	if !first.Full || second.Full || !second.Result.Moved || !second.Result.Complete.Segments[2].Moved || second.Result.Complete.Segments[1].Moved {
+	if !first.Full || second.Full || !second.Result.Moved || !second.Result.Complete.Segments[2].Moved ||
+		second.Result.Complete.Segments[1].Moved {
 		t.Errorf("full %t, moved %t, segments %+v", second.Full, second.Result.Moved, second.Result.Complete.Segments)
 	}
 	third := s.merged("report", merge.Terms{Kind: "paged", Order: []string{"due"}, Limit: 10, Cursor: second.Result.Next})
@@ -129,17 +133,18 @@
 // The first attempt is late and hedged, and then both answer: the segment counts once.
 func TestHedgeAndOriginalBothAnswer(t *testing.T) {
 	var held sync.Map
-	s := startMergeEnv(t, standin.DatasetShape{Segments: 4, Accounts: 120}, func(c *standin.ShardConn, p standin.ShardCall, rows string) bool {
-		first, copied := held.LoadOrStore(p.ID, func() { c.Respond(p.ID, "served", rows) })
-		if p.Shard != 3 {
-			return false
-		}
-		if copied { // the first attempt answers just before the hedge does
-			first.(func())()
-			c.Respond(p.ID, "served", rows)
-		}
-		return true
-	}, nil)
+	s := startMergeEnv(t, standin.DatasetShape{Segments: 4, Accounts: 120},
+		func(c *standin.ShardConn, p standin.ShardCall, rows string) bool {
+			first, copied := held.LoadOrStore(p.ID, func() { c.Respond(p.ID, "served", rows) })
+			if p.Shard != 3 {
+				return false
+			}
+			if copied { // the first attempt answers just before the hedge does
+				first.(func())()
+				c.Respond(p.ID, "served", rows)
+			}
+			return true
+		}, nil)
 	terms := merge.Terms{Kind: "aggregated", Limit: 1, Figures: []string{"count", "sum(amount)"}}
 	m := s.merged("report", terms)
 	if err := s.expected(true).CheckAggregated(m, terms, true); err != nil || !m.Full {
@@ -150,13 +155,14 @@
 // One segment answers before, at and after the latency target, when this type is answered.
 func TestLateSegmentIsMergedOrReportedMissing(t *testing.T) {
 	var wait atomic.Int64
-	s := startMergeEnv(t, standin.DatasetShape{Segments: 4, Accounts: 120}, func(c *standin.ShardConn, p standin.ShardCall, rows string) bool {
-		if p.Shard != 0 || wait.Load() == 0 {
-			return false
-		}
-		time.AfterFunc(time.Duration(wait.Load())*time.Millisecond, func() { c.Respond(p.ID, "served", rows) })
-		return true
-	}, nil)
+	s := startMergeEnv(t, standin.DatasetShape{Segments: 4, Accounts: 120},
+		func(c *standin.ShardConn, p standin.ShardCall, rows string) bool {
+			if p.Shard != 0 || wait.Load() == 0 {
+				return false
+			}
+			time.AfterFunc(time.Duration(wait.Load())*time.Millisecond, func() { c.Respond(p.ID, "served", rows) })
+			return true
+		}, nil)
 	terms := merge.Terms{Kind: "aggregated", Limit: 100, Group: []string{"customer"}, Figures: []string{"count", "sum(amount)", "min(due)"}}
 	states := map[string]bool{}
 	for _, ms := range []int64{0, 60, 270, 285, 290, 295, 300, 310, 700} {
--- a/gatherer/persistence_test.go
+++ b/gatherer/persistence_test.go
@@ -263,7 +263,8 @@
 		t.Errorf("%d posts were shed, ten fit the store", refused)
 	}
 	client := &http.Client{Timeout: testTimeout}
-	s := standin.Request{ID: "ff", QueryType: "lookup", Customer: "acme", Timeout: time.Second, Shards: []int{1}, Statement: "c41e77d0"}
+	s := standin.Request{ID: "ff", QueryType: "lookup", Customer: "acme",
+		Timeout: time.Second, Shards: []int{1}, Statement: "c41e77d0"}
 	if r, err := s.Send(t.Context(), client, p.addr); err != nil || r.Status != 200 {
 		t.Errorf("a lookup: %d, %v", r.Status, err)
 	}
--- a/gatherer/program_test.go
+++ b/gatherer/program_test.go
@@ -127,7 +127,8 @@
 	if _, err := New(odd); err != nil {
 		t.Error(err)
 	}
-	if err := json.Unmarshal([]byte(`{"cores":1,"memory_mb":192.0,"sockets":1e3}`), &odd.Limits); err != nil || odd.Limits.Sockets != 1000 {
+	if err := json.Unmarshal([]byte(`{"cores":1,"memory_mb":192.0,"sockets":1e3}`), &odd.Limits); err != nil ||
+		odd.Limits.Sockets != 1000 {
 		t.Errorf("got %+v, %v", odd.Limits, err)
 	}
 	tokened := good
@@ -207,7 +208,8 @@
 	}
 	m := g.dispatcher
 	if len(m.requests) > 0 || m.pending != 0 || m.descriptors.available.Load() != int64(serversOf(Limits{})) {
-		t.Errorf("%d requests, %d pending, %d descriptors available of %d", len(m.requests), m.pending, m.descriptors.available.Load(), serversOf(Limits{}))
+		t.Errorf("%d requests, %d pending, %d descriptors available of %d",
+			len(m.requests), m.pending, m.descriptors.available.Load(), serversOf(Limits{}))
 	}
 	for end := time.Now().Add(testTimeout); runtime.NumGoroutine() > before+4 || g.memory.Snapshot().Total != 0; { // the stand-ins have some
 		if time.Now().After(end) {
--- a/gatherer/servers_test.go
+++ b/gatherer/servers_test.go
@@ -110,7 +110,8 @@
 	p := start(t, l, func(s *Config) {
 		s.KnownServers, _ = json.Marshal(discovery.ServerList{Version: 7, Complete: true, Servers: []discovery.Server{dead.Entry()}})
 	})
-	if call := await(t, l.Requests, func(string) bool { return true }); !strings.Contains(call, "after=7") || !strings.Contains(call, "watch=1") {
+	if call := await(t, l.Requests, func(string) bool { return true }); !strings.Contains(call, "after=7") ||
+		!strings.Contains(call, "watch=1") {
 		t.Errorf("the list service got %s", call)
 	}
 	p.line("event=list_entry_left_out", "block 9")
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -58,7 +58,8 @@
 		<-req.Context().Done()
 	})
 	w.Subscribe()
-	if l := receive(t, handler.lists); l.Version != 8 || !l.Complete || len(l.Servers) != 1 || l.Servers[0] != (Server{"s-1", "127.0.0.1:9", "a", 3, Up, 5}) {
+	if l := receive(t, handler.lists); l.Version != 8 || !l.Complete || len(l.Servers) != 1 ||
+		l.Servers[0] != (Server{"s-1", "127.0.0.1:9", "a", 3, Up, 5}) {
 		t.Errorf("got %+v", l)
 	}
 	receive(t, handler.failed)
--- a/internal/shardconn/client_test.go
+++ b/internal/shardconn/client_test.go
@@ -22,7 +22,8 @@
 	}
 	r.advance(50)
 	c.Write(frame.New(frame.AnswerFrame, "a.1 served 5 queue=3,util=0.5\nthe value"))
-	if e := r.expectOutcome(attempts[1].ID, balancer.Answered); e.Value != "the value" || e.Elapsed != 50 || *e.Report != (balancer.LoadReport{Queued: 3, InFlight: -1}) {
+	if e := r.expectOutcome(attempts[1].ID, balancer.Answered); e.Value != "the value" || e.Elapsed != 50 ||
+		*e.Report != (balancer.LoadReport{Queued: 3, InFlight: -1}) {
 		t.Errorf("got %+v, %+v", e, e.Report)
 	}
 	c.Write(frame.New(frame.AnswerFrame, "a.0 skipped 0 -\n"))
@@ -50,7 +51,8 @@
 		e := receive(t, r.ends)
 		got[e.ID] = e.Outcome
 	}
-	if got[written[0].ID] != balancer.Reset || got[partial[0].ID] != balancer.ConnectFailed || got[queued[0].ID] != balancer.ConnectFailed {
+	if got[written[0].ID] != balancer.Reset || got[partial[0].ID] != balancer.ConnectFailed ||
+		got[queued[0].ID] != balancer.ConnectFailed {
 		t.Errorf("got %v", got)
 	}
 }
