--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -1,4 +1,5 @@
-// Command benchlink runs the decision module on the simulator's wire, on standard input and output.
+// Command benchlink runs balancers for the simulator: it reads batches of events from standard input and writes replies to
+// standard output.
 package main
 
 import (
--- a/cmd/oxbowspan/main.go
+++ b/cmd/oxbowspan/main.go
@@ -1,4 +1,4 @@
-// Command oxbowspan is the gatherer.
+// Command oxbowspan runs a gatherer and the tools for its operators.
 package main
 
 import (
