--- /dev/null
+++ b/degradation/signal.go
@@ -0,0 +1,46 @@
+package degradation
+
+import (
+	"fmt"
+	"slices"
+)
+
+// Signal is an input of the level decision. For every signal a higher value is worse.
+type Signal uint8
+
+// The signals.
+const (
+	LostCapacity        Signal = iota // share of the servers' usual capacity that is missing, from 0 to 1
+	LoadRatio                         // shard calls in flight divided by the in-flight limit
+	LateRatio                         // share of requests that were late or unanswered, of the worst query type
+	ServerListAge                     // seconds since the discovery service last answered
+	WarmingUp                         // share of the ready servers that have just started
+	StoreUnavailable                  // 1 = the store accepts no writes, 0 = it does
+	SegmentLostCapacity               // of one segment: share of its replicas' usual capacity that is missing; known only in the segment's own machine
+	NumSignals                        // the number of signals
+)
+
+var signalNames = [NumSignals]string{"lost", "load", "late", "list_age", "cold", "store", "segment_lost"}
+
+// String returns the signal's name in configuration files and log lines.
+func (s Signal) String() string {
+	if s >= NumSignals {
+		return fmt.Sprintf("signal(%d)", uint8(s))
+	}
+	return signalNames[s]
+}
+
+// ParseSignal returns the signal with a name, and whether there is one.
+func ParseSignal(name string) (Signal, bool) {
+	i := slices.Index(signalNames[:], name)
+	return Signal(max(i, 0)), i >= 0
+}
+
+// Reading is the value of one signal. An unknown reading neither enters nor holds a level.
+type Reading struct {
+	Value float64
+	Known bool
+}
+
+// Readings holds one reading of each signal.
+type Readings [NumSignals]Reading
