--- a/internal/testing/experiment/archive.go
+++ b/internal/testing/experiment/archive.go
@@ -10,27 +10,29 @@
 	"time"
 
 	"go.etcd.io/bbolt"
+	bbolterrors "go.etcd.io/bbolt/errors"
 )
 
-// Archive keeps the records of runs in one file.
-type Archive struct{ db *bbolt.DB }
-
-var runsBucket = []byte("runs") // records as JSON, by id; ids grow with time
+// runsBucket holds the records as JSON by id. Ids sort by time.
+var runsBucket = []byte("runs")
 
-// lockTimeout is how long another run may hold the archive.
+// lockTimeout is how long to wait for another process that has the archive open.
 const lockTimeout = 5 * time.Second
 
-// OpenArchive opens an archive, making it where there is none.
+// Archive keeps the records of runs in a file.
+type Archive struct{ db *bbolt.DB }
+
+// OpenArchive opens an archive and creates it if it does not exist.
 func OpenArchive(path string) (*Archive, error) {
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
 		return nil, err
 	}
 	db, err := bbolt.Open(path, 0o644, &bbolt.Options{Timeout: lockTimeout})
-	if errors.Is(err, bbolt.ErrTimeout) {
-		return nil, fmt.Errorf("archive %s is held by another run", path)
+	if errors.Is(err, bbolterrors.ErrTimeout) {
+		return nil, fmt.Errorf("archive %s is in use by another run", path)
 	}
 	if err != nil {
-		return nil, fmt.Errorf("archive %s: %w", path, err)
+		return nil, fmt.Errorf("open archive %s: %w", path, err)
 	}
 	err = db.Update(func(tx *bbolt.Tx) error {
 		_, err := tx.CreateBucketIfNotExists(runsBucket)
@@ -38,60 +40,71 @@
 	})
 	if err != nil {
 		db.Close()
-		return nil, err
+		return nil, fmt.Errorf("create archive %s: %w", path, err)
 	}
 	return &Archive{db}, nil
 }
 
-// Close closes it.
+// Close closes the archive.
 func (a *Archive) Close() error { return a.db.Close() }
 
-// Put keeps a record under its id.
+// Put stores a record under its id.
 func (a *Archive) Put(r *Record) error {
-	b, err := json.Marshal(r)
+	text, err := json.Marshal(r)
 	if err != nil {
-		return err
+		return fmt.Errorf("encode record %s: %w", r.ID, err)
 	}
-	return a.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(runsBucket).Put([]byte(r.ID), b) })
+	return a.db.Update(func(tx *bbolt.Tx) error { return tx.Bucket(runsBucket).Put([]byte(r.ID), text) })
 }
 
-// All lists the records, oldest first.
-func (a *Archive) All() (out []*Record, err error) {
-	err = a.db.View(func(tx *bbolt.Tx) error {
-		return tx.Bucket(runsBucket).ForEach(func(id, b []byte) error {
+// All returns the records, oldest first.
+func (a *Archive) All() ([]*Record, error) {
+	var records []*Record
+	err := a.db.View(func(tx *bbolt.Tx) error {
+		return tx.Bucket(runsBucket).ForEach(func(id, text []byte) error {
 			r := &Record{}
-			if err := json.Unmarshal(b, r); err != nil {
-				return fmt.Errorf("record %s: %w", id, err)
+			if err := json.Unmarshal(text, r); err != nil {
+				return fmt.Errorf("decode record %s: %w", id, err)
 			}
-			out = append(out, r)
+			records = append(records, r)
 			return nil
 		})
 	})
-	return out, err
+	return records, err
 }
 
-// Find finds a record by its id or the beginning of one, or the newest of an experiment by its name.
+// Find returns the record whose id is or begins with name, or the newest record of the experiment of that name.
 func (a *Archive) Find(name string) (*Record, error) {
 	all, err := a.All()
 	if err != nil {
 		return nil, err
 	}
-	var found []*Record
+	var byID []*Record
 	for _, r := range all {
 		if strings.HasPrefix(r.ID, name) {
-			found = append(found, r)
+			byID = append(byID, r)
 		}
 	}
-	if len(found) == 1 {
-		return found[0], nil
+	if len(byID) == 1 {
+		return byID[0], nil
 	}
+	experiment := currentName(name)
 	for i := len(all) - 1; i >= 0; i-- {
-		if all[i].Experiment == name {
+		if currentName(all[i].Experiment) == experiment {
 			return all[i], nil
 		}
 	}
-	if len(found) > 1 {
-		return nil, fmt.Errorf("%d runs begin with %q", len(found), name)
+	if len(byID) > 1 {
+		return nil, fmt.Errorf("%d runs begin with %q", len(byID), name)
+	}
+	return nil, fmt.Errorf("there is no run %q; 'oxbowlab list' shows the runs", name)
+}
+
+// currentName returns the name of the experiment that has or had the given one. Records may bear former names, and names that
+// are not experiments'.
+func currentName(name string) string {
+	if x, ok := lookUp(name); ok {
+		return x.Name
 	}
-	return nil, fmt.Errorf("there is no run %q; 'oxbowlab list' shows those there are", name)
+	return name
 }
--- a/internal/testing/experiment/bench.go
+++ b/internal/testing/experiment/bench.go
@@ -2,58 +2,91 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"strconv"
 	"strings"
 )
 
-// ReadBenchmarks takes what `go test -bench` printed into a record: a table of all, and for each metric a chart. In a name
-// such as Merge/page=50/segments=8/tree the last part with a number is the chart's x, the others name the line.
+// errNoBenchmark is the error of a text without benchmark results.
+var errNoBenchmark = errors.New("there are no benchmark results")
+
+// benchmarkPrefix begins each line of results.
+const benchmarkPrefix = "Benchmark"
+
+// ReadBenchmarks adds the results that 'go test -bench' has printed: a table of all, and a chart for each metric. In a name such
+// as Merge/page=50/segments=8/tree the last part with a number is the value on the x axis, the other parts name the line.
 func (r *Record) ReadBenchmarks(in io.Reader) error {
-	n := 0
-	for s := bufio.NewScanner(in); s.Scan(); {
-		words := strings.Fields(s.Text())
-		if len(words) < 4 || !strings.HasPrefix(words[0], "Benchmark") {
+	count := 0
+	scanner := bufio.NewScanner(in)
+	for scanner.Scan() {
+		fields := strings.Fields(scanner.Text())
+		if len(fields) < 4 || !strings.HasPrefix(fields[0], benchmarkPrefix) {
 			continue
 		}
-		name := strings.TrimPrefix(words[0], "Benchmark")
-		if at := strings.LastIndexByte(name, '-'); at > 0 {
-			if _, err := strconv.Atoi(name[at+1:]); err == nil {
-				name = name[:at] // the number of processors
-			}
+		if err := r.addBenchmark(fields); err != nil {
+			return err
 		}
-		x, label, line := 0.0, "", []string{}
-		for _, part := range strings.Split(name, "/") {
-			key, value, ok := strings.Cut(part, "=")
-			v, err := strconv.ParseFloat(value, 64)
-			if ok && err == nil {
-				if label != "" {
-					line = append(line, fmt.Sprintf("%s %g", label, x))
-				}
-				x, label = v, key
-				continue
-			}
-			line = append(line, part)
+		count++
+	}
+	if err := scanner.Err(); err != nil {
+		return err
+	}
+	if count == 0 {
+		return errNoBenchmark
+	}
+	return nil
+}
+
+// addBenchmark adds one line of results: the name, the number of iterations, and pairs of a value and its unit.
+func (r *Record) addBenchmark(fields []string) error {
+	name := parseBenchmarkName(fields[0])
+	header, row := []string{"benchmark"}, []string{name.text}
+	for i := 2; i+1 < len(fields); i += 2 {
+		value, err := strconv.ParseFloat(fields[i], 64)
+		if err != nil {
+			return fmt.Errorf("benchmark %s: malformed value %q", name.text, fields[i])
 		}
-		row := []string{name}
-		head := []string{"benchmark"}
-		for i := 2; i+1 < len(words); i += 2 {
-			v, err := strconv.ParseFloat(words[i], 64)
-			if err != nil {
-				return fmt.Errorf("benchmark %s: %q is no number", name, words[i])
-			}
-			unit := words[i+1]
-			head, row = append(head, unit), append(row, strconv.FormatFloat(v, 'f', -1, 64))
-			if label != "" {
-				r.AddPoint(unit, label, unit, strings.Join(line, " "), x, v)
-			}
+		unit := fields[i+1]
+		header = append(header, unit)
+		row = append(row, strconv.FormatFloat(value, 'f', -1, 64))
+		if name.xLabel != "" {
+			r.AddPoint(unit, name.xLabel, unit, name.line, name.x, value)
 		}
-		r.AddRow(fmt.Sprintf("Benchmarks (%s)", strings.Join(head[1:], ", ")), head, row...)
-		n++
-	}
-	if n == 0 {
-		return fmt.Errorf("there is no benchmark in it")
 	}
+	r.AddRow(fmt.Sprintf("Benchmarks (%s)", strings.Join(header[1:], ", ")), header, row...)
 	return nil
 }
+
+// benchmarkName is the name of a benchmark and its place in a chart.
+type benchmarkName struct {
+	text   string
+	line   string
+	xLabel string // "" if no part has a number
+	x      float64
+}
+
+func parseBenchmarkName(text string) benchmarkName {
+	name := benchmarkName{text: strings.TrimPrefix(text, benchmarkPrefix)}
+	if i := strings.LastIndexByte(name.text, '-'); i > 0 {
+		if _, err := strconv.Atoi(name.text[i+1:]); err == nil {
+			name.text = name.text[:i] // without the number of processors
+		}
+	}
+	var line []string
+	for _, part := range strings.Split(name.text, "/") {
+		key, number, ok := strings.Cut(part, "=")
+		x, err := strconv.ParseFloat(number, 64)
+		if !ok || err != nil {
+			line = append(line, part)
+			continue
+		}
+		if name.xLabel != "" {
+			line = append(line, fmt.Sprintf("%s %g", name.xLabel, name.x))
+		}
+		name.xLabel, name.x = key, x
+	}
+	name.line = strings.Join(line, " ")
+	return name
+}
--- a/internal/testing/experiment/chart.go
+++ b/internal/testing/experiment/chart.go
@@ -11,147 +11,129 @@
 	"gonum.org/v1/plot/plotter"
 	"gonum.org/v1/plot/plotutil"
 	"gonum.org/v1/plot/vg"
+)
+
+const (
+	// latencyChart is the name of the chart of a record's latencies.
+	latencyChart = "latency"
+	// logScaleRatio is the ratio of the greatest to the least value from which an axis is logarithmic.
+	logScaleRatio = 30
 
-	"github.com/jedib0t/go-pretty/v6/table"
+	chartWidth  = 20 * vg.Centimeter
+	chartHeight = 12 * vg.Centimeter
 )
 
-// ChartNames lists the charts of a record: its own, and "latency" where latencies were recorded.
-func (r *Record) ChartNames() (out []string) {
+// ChartNames returns the names of the record's charts.
+func (r *Record) ChartNames() []string {
+	var names []string
 	if len(r.Latencies) > 0 {
-		out = append(out, "latency")
+		names = append(names, latencyChart)
 	}
 	for _, s := range r.Series {
-		if !slices.Contains(out, s.Chart) {
-			out = append(out, s.Chart)
+		if !slices.Contains(names, s.Chart) {
+			names = append(names, s.Chart)
 		}
 	}
-	return out
+	return names
 }
 
-// WriteChart draws one as SVG.
+// WriteChart draws a chart as SVG.
 func (r *Record) WriteChart(name string, w io.Writer) error {
-	lines := []Series{}
-	for _, s := range r.Series {
-		if s.Chart == name {
-			lines = append(lines, s)
-		}
+	lines := r.chartLines(name)
+	if len(lines) == 0 {
+		return fmt.Errorf("run %s has no chart %q; it has %s", r.ID, name, strings.Join(r.ChartNames(), ", "))
 	}
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("%s: %s (run %s)", r.Experiment, name, r.ID)
-	if name == "latency" {
-		for _, l := range r.Latencies {
-			s := Series{Name: l.Name, X: "share of searches that took longer", Y: "milliseconds"}
-			for _, point := range l.Points {
-				// One in how many searches took longer: what is rare gets as much room as what is usual.
-				if rest := 100 - point[0]; rest < 100 {
-					s.Points = append(s.Points, [2]float64{100 / rest, point[1]})
-				}
-			}
-			lines = append(lines, s)
-		}
-		p.X.Label.Text = "one search in so many took longer"
-	}
-	if len(lines) == 0 {
-		return fmt.Errorf("run %s has no chart %q: %s are there", r.ID, name, strings.Join(r.ChartNames(), ", "))
-	}
-	if p.X.Label.Text == "" {
-		p.X.Label.Text = lines[0].X
-	}
+	p.X.Label.Text = lines[0].X
 	p.Y.Label.Text = lines[0].Y
 	p.Add(plotter.NewGrid())
-	wideX, wideY := needLogScale(lines)
-	if wideX {
-		p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
+	logX, logY := needLogScale(lines)
+	if logX {
+		setLogScale(&p.X)
 	}
-	if wideY {
-		p.Y.Scale, p.Y.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: -1}
+	if logY {
+		setLogScale(&p.Y)
 	}
-	for i, s := range lines {
-		var points plotter.XYs
-		for _, xy := range s.Points {
-			if (!wideX || xy[0] > 0) && (!wideY || xy[1] > 0) {
-				points = append(points, plotter.XY{X: xy[0], Y: xy[1]})
-			}
+	for i, line := range lines {
+		if err := addLine(p, i, line, logX, logY); err != nil {
+			return fmt.Errorf("line %s: %w", line.Name, err)
 		}
-		line, marks, err := plotter.NewLinePoints(points)
-		if err != nil {
-			return fmt.Errorf("line %s: %w", s.Name, err)
-		}
-		line.Color, marks.Color = plotutil.Color(i), plotutil.Color(i)
-		line.Dashes, marks.Shape = plotutil.Dashes(i), plotutil.Shape(i)
-		p.Add(line, marks)
-		p.Legend.Add(s.Name, line, marks)
 	}
 	p.Legend.Top, p.Legend.Left = true, true
-	out, err := p.WriterTo(20*vg.Centimeter, 12*vg.Centimeter, "svg")
+	svg, err := p.WriterTo(chartWidth, chartHeight, "svg")
 	if err != nil {
 		return err
 	}
-	_, err = out.WriteTo(w)
+	_, err = svg.WriteTo(w)
 	return err
 }
 
-// needLogScale tells which axes hold figures so far apart that only a logarithm shows them.
-func needLogScale(lines []Series) (x, y bool) {
-	var least, most [2]float64
-	least = [2]float64{math.Inf(1), math.Inf(1)}
-	for _, s := range lines {
-		for _, p := range s.Points {
-			for i := range 2 {
-				if p[i] > 0 {
-					least[i] = min(least[i], p[i])
-				}
-				most[i] = max(most[i], p[i])
-			}
+// chartLines returns the lines of a chart; none if there is no such chart.
+func (r *Record) chartLines(name string) []Series {
+	var lines []Series
+	for _, s := range r.Series {
+		if s.Chart == name {
+			lines = append(lines, s)
+		}
+	}
+	if name == latencyChart {
+		for _, l := range r.Latencies {
+			lines = append(lines, latencyLine(l))
 		}
 	}
-	return most[0] > 30*least[0], most[1] > 30*least[1]
+	return lines
 }
 
-// WriteText writes a record's tables: for a terminal, or as Markdown.
-func (r *Record) WriteText(w io.Writer, markdown bool) {
-	show := func(name string, head []string, rows [][]string) {
-		t := table.NewWriter()
-		t.SetStyle(table.StyleLight)
-		var h table.Row
-		for _, x := range head {
-			h = append(h, x)
-		}
-		t.AppendHeader(h)
-		for _, row := range rows {
-			var cells table.Row
-			for _, x := range row {
-				cells = append(cells, x)
-			}
-			t.AppendRow(cells)
+// latencyLine returns the line of a latency summary. The x axis shows one in how many requests took longer, so that rare
+// latencies have as much room as common ones.
+func latencyLine(l LatencySummary) Series {
+	line := Series{Name: l.Name, X: "one in so many requests took longer", Y: "milliseconds"}
+	for _, point := range l.Points {
+		if above := 100 - point[0]; above < 100 {
+			line.Points = append(line.Points, [2]float64{100 / above, point[1]})
 		}
-		if markdown {
-			fmt.Fprintf(w, "\n%s\n\n%s\n", name, t.RenderMarkdown())
-		} else {
-			fmt.Fprintf(w, "\n%s\n%s\n", name, t.Render())
-		}
-	}
-	var rows [][]string
-	for _, l := range r.Latencies {
-		f := func(v float64) string { return fmt.Sprintf("%.2f", v) }
-		rows = append(rows, []string{l.Name, fmt.Sprint(l.Count), f(l.P50), f(l.P90), f(l.P99), f(l.P999), f(l.Max)})
-	}
-	if len(rows) > 0 {
-		show("Latency, milliseconds", []string{"what", "count", "p50", "p90", "p99", "p99.9", "most"}, rows)
 	}
-	for _, t := range r.Tables {
-		show(t.Name, t.Header, t.Rows)
-	}
-	rows = nil
-	var names []string
-	for name := range r.Metrics {
-		names = append(names, name)
+	return line
+}
+
+// addLine adds a line and its legend to a plot. Points that a logarithmic axis cannot show are left out.
+func addLine(p *plot.Plot, index int, s Series, logX, logY bool) error {
+	var points plotter.XYs
+	for _, xy := range s.Points {
+		if (!logX || xy[0] > 0) && (!logY || xy[1] > 0) {
+			points = append(points, plotter.XY{X: xy[0], Y: xy[1]})
+		}
 	}
-	slices.Sort(names)
-	for _, name := range names {
-		rows = append(rows, []string{name, fmt.Sprintf("%.6g", r.Metrics[name])})
+	line, marks, err := plotter.NewLinePoints(points)
+	if err != nil {
+		return err
 	}
-	if len(rows) > 0 {
-		show("Figures", []string{"figure", "value"}, rows)
+	line.Color, marks.Color = plotutil.Color(index), plotutil.Color(index)
+	line.Dashes, marks.Shape = plotutil.Dashes(index), plotutil.Shape(index)
+	p.Add(line, marks)
+	p.Legend.Add(s.Name, line, marks)
+	return nil
+}
+
+func setLogScale(axis *plot.Axis) {
+	axis.Scale = plot.LogScale{}
+	axis.Tick.Marker = plot.LogTicks{Prec: -1}
+}
+
+// needLogScale reports which axes have values so far apart that they need a logarithmic scale.
+func needLogScale(lines []Series) (x, y bool) {
+	least := [2]float64{math.Inf(1), math.Inf(1)} // of the positive values
+	var greatest [2]float64
+	for _, line := range lines {
+		for _, point := range line.Points {
+			for i, value := range point {
+				if value > 0 {
+					least[i] = min(least[i], value)
+				}
+				greatest[i] = max(greatest[i], value)
+			}
+		}
 	}
+	return greatest[0] > logScaleRatio*least[0], greatest[1] > logScaleRatio*least[1]
 }
--- a/internal/testing/experiment/cluster.go
+++ b/internal/testing/experiment/cluster.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"net/http"
@@ -19,91 +20,119 @@
 	"oxbowspan/internal/testing/simcluster"
 )
 
-// newClusterCommand is the command that surrounds three hives and two foragers on loopback with servers, an operator and clients.
-func newClusterCommand(out, errs io.Writer) *cobra.Command {
-	var bin string
-	var last time.Duration
-	cmd := &cobra.Command{Use: "colony DIR", Short: "Surround a local system with servers, an operator and clients, and check what comes back",
-		Args: command.Words(1, "DIR"), Example: "  oxbowlab colony --bin target --for 20s /tmp/colony",
+// Size and load of the cluster that the cluster command runs.
+const (
+	demoControllers       = 3
+	demoGateways          = 2
+	demoServiceTime       = 10 * time.Millisecond
+	demoRequestInterval   = 20 * time.Millisecond
+	demoReportInterval    = 2 * time.Second
+	demoRequestsPerChange = 300 // of the configuration
+)
+
+// Names of the built programs of a cluster.
+const (
+	controllerProgram = "oxbowspan-control"
+	gatewayProgram    = "oxbowspan-gateway"
+)
+
+// newClusterCommand returns the command that puts three controllers and two gateways on loopback among servers, an operator and
+// clients.
+func newClusterCommand(stdout, stderr io.Writer) *cobra.Command {
+	var programDir string
+	var duration time.Duration
+	cmd := &cobra.Command{
+		Use:     "cluster DIR",
+		Short:   "Run servers, an operator and clients around a local cluster and check the responses",
+		Args:    command.Words(1, "DIR"),
+		Example: "  oxbowlab cluster --bin target --for 20s /tmp/cluster",
 		RunE: func(_ *cobra.Command, args []string) error {
 			ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 			defer stop()
-			ctx, cancel := context.WithTimeout(ctx, last)
+			ctx, cancel := context.WithTimeout(ctx, duration)
 			defer cancel()
-			return runCluster(ctx, args[0], bin, out, errs)
-		}}
-	cmd.Flags().StringVar(&bin, "bin", "", "folder of the built hive and forager, which are then started too; else they are started by hand")
-	cmd.Flags().DurationVar(&last, "for", time.Minute, "how long")
+			return runCluster(ctx, args[0], programDir, stdout, stderr)
+		},
+	}
+	cmd.Flags().StringVar(&programDir, "bin", "", "directory of the built programs, which are then started too; else they are started by hand")
+	cmd.Flags().DurationVar(&duration, "for", time.Minute, "how long")
 	return cmd
 }
 
-func runCluster(ctx context.Context, dir, bin string, out, errs io.Writer) error {
+// runCluster writes the settings of a cluster to dir, starts its servers and, with a programDir, its programs, and sends changes
+// and requests until the context ends.
+func runCluster(ctx context.Context, dir, programDir string, stdout, stderr io.Writer) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
 	}
-	c := simcluster.NewLocal(dir, 3, 2)
-	hives, foragers, err := c.WriteSettings()
+	cluster := simcluster.NewLocal(dir, demoControllers, demoGateways)
+	controllers, gateways, err := cluster.WriteSettings()
 	if err != nil {
 		return err
 	}
-	for i, path := range append(hives, foragers...) {
-		name := "oxbowspan-control"
-		if i >= len(hives) {
-			name = "oxbowspan-gateway"
+	for i, path := range append(controllers, gateways...) {
+		name := controllerProgram
+		if i >= len(controllers) {
+			name = gatewayProgram
 		}
-		if bin == "" {
-			fmt.Fprintf(out, "%s=%s target/%s serve\n", settings.PathVariable, path, name)
+		if programDir == "" {
+			fmt.Fprintf(stdout, "%s=%s target/%s serve\n", settings.PathVariable, path, name)
 			continue
 		}
-		p := exec.Command(filepath.Join(bin, name), "--boot", path, "serve")
-		p.Stderr = errs
-		if err := p.Start(); err != nil {
-			return fmt.Errorf("%s can't be started: %w", name, err)
+		program := exec.Command(filepath.Join(programDir, name), "--boot", path, "serve")
+		program.Stderr = stderr
+		if err := program.Start(); err != nil {
+			return fmt.Errorf("start %s: %w", name, err)
 		}
-		defer p.Wait()
-		defer p.Process.Signal(syscall.SIGTERM)
+		defer program.Wait()
+		defer program.Process.Signal(syscall.SIGTERM)
 	}
-	for _, service := range simcluster.ExampleServices {
-		for range 3 {
-			s := c.AddServer(service, 10*time.Millisecond)
-			if err := s.Start(); err != nil {
-				return err
-			}
-			defer s.Crash(false)
+	addExampleServers(demoServiceTime)(cluster)
+	for _, server := range cluster.Servers {
+		if err := server.Start(); err != nil {
+			return err
 		}
+		defer server.Crash(false)
 	}
-	version, cuts := uint64(0), [][]string{simcluster.FirstSharding, simcluster.SecondSharding}
-	asked, served := 0, 0
-	tell := time.Now()
+	return sendDemoLoad(ctx, cluster, stdout)
+}
+
+// sendDemoLoad sends example requests and changes of the configuration and checks the responses. A violated guarantee is a
+// finding.
+func sendDemoLoad(ctx context.Context, cluster *simcluster.Cluster, stdout io.Writer) error {
+	shardings := [][]string{simcluster.FirstSharding, simcluster.SecondSharding}
+	version := uint64(0)
+	sent, served := 0, 0
+	lastReport := time.Now()
 	for ctx.Err() == nil {
-		if version == 0 || asked%300 == 299 { // now and then the operator cuts the index anew
-			if c.ReplaceConfiguration(c.Controllers[asked%len(c.Controllers)], version, simcluster.ExampleConfiguration(version+1, cuts[version%2])) == http.StatusOK {
+		if version == 0 || sent%demoRequestsPerChange == demoRequestsPerChange-1 { // the operator changes the sharding
+			body := simcluster.ExampleConfiguration(version+1, shardings[version%2])
+			controller := cluster.Controllers[sent%len(cluster.Controllers)]
+			if cluster.ReplaceConfiguration(controller, version, body) == http.StatusOK {
 				version++
-				fmt.Fprintf(out, "version %d is acknowledged\n", version)
+				fmt.Fprintf(stdout, "version %d is acknowledged\n", version)
 			}
 		}
 		if version > 0 {
-			asked++
-			ok, fault := c.SendExample(c.Gateways[asked%len(c.Gateways)], asked/2, fmt.Sprintf("%x-%d", os.Getpid(), asked))
-			if fault != "" {
-				return findingError{fmt.Errorf("%s", fault)}
+			sent++
+			gateway := cluster.Gateways[sent%len(cluster.Gateways)]
+			ok, violation := cluster.SendExample(gateway, sent/2, fmt.Sprintf("%x-%d", os.Getpid(), sent))
+			if violation != "" {
+				return findingError{errors.New(violation)}
 			}
 			if ok {
 				served++
 			}
 		}
-		if time.Since(tell) > 2*time.Second {
-			tell = time.Now()
-			fmt.Fprintf(out, "%d requests, %d served\n", asked, served)
-		}
-		select {
-		case <-ctx.Done():
-		case <-time.After(20 * time.Millisecond):
+		if time.Since(lastReport) > demoReportInterval {
+			lastReport = time.Now()
+			fmt.Fprintf(stdout, "%d requests, %d served\n", sent, served)
 		}
+		sleep(ctx, demoRequestInterval)
 	}
-	fmt.Fprintf(out, "%d requests, %d served, no rule broken\n", asked, served)
-	if 2*served < asked {
-		return findingError{fmt.Errorf("only %d of %d requests were served", served, asked)}
+	fmt.Fprintf(stdout, "%d requests, %d served, no guarantee violated\n", sent, served)
+	if 2*served < sent {
+		return findingError{fmt.Errorf("only %d of %d requests were served", served, sent)}
 	}
 	return nil
 }
--- a/internal/testing/experiment/deployment.go
+++ b/internal/testing/experiment/deployment.go
@@ -8,115 +8,130 @@
 	"oxbowspan/internal/testing/standin"
 )
 
-// Deployment is one gatherer, as a process of its own, over shard servers in cells and a list service.
+const (
+	// drainTimeout is how long a gatherer may take for a graceful shutdown.
+	drainTimeout = 10 * time.Second
+	// minimumMemoryMB and minimumDescriptors are the least limits that a gatherer is given.
+	minimumMemoryMB    = 64
+	minimumDescriptors = 1024
+)
+
+// Deployment is one gatherer, running as a process, with shard servers and a discovery service in this process.
 type Deployment struct {
 	Gatherer           *standin.Program
 	ShardServers       []*standin.ShardServer
 	Discovery          *standin.DiscoveryService
-	ConfigPath         string // its configuration file
-	OperatorConfigPath string // the operator's file; "" = none
+	ConfigPath         string // of the gatherer's configuration
+	OperatorConfigPath string // of the operator's configuration; "" = none
 }
 
-// DeploymentOptions says what a site is made of.
+// DeploymentOptions describe a Deployment.
 type DeploymentOptions struct {
 	Name            string
-	Servers         int // servers; each segment lies in two neighbouring ones
+	Servers         int // shard servers; each segment is on two adjacent ones
 	Segments        int
 	Types           []QueryType
-	OperatorConfig  string            // the operator's file, as text; "" = none
-	Files           map[string]string // what else lies beside it
-	MemoryMB        int
-	MaxDescriptors  int // descriptors of the gatherer; 0 = 1,024
-	Handle          func(c *standin.ShardConn, p standin.ShardCall)
-	OnProtocolError func(what string)
-	OnLogLine       func(line string) // of the gatherer's log
+	OperatorConfig  string            // text of the operator's configuration; "" = none
+	Files           map[string]string // further files in the directory of the configuration, by name
+	MemoryMB        int               // memory limit of the gatherer, at least 64
+	MaxDescriptors  int               // of the gatherer, at least 1,024
+	Handle          func(c *standin.ShardConn, call standin.ShardCall)
+	OnProtocolError func(problem string)
+	OnLogLine       func(line string) // called for each line of the gatherer's log
 }
 
-// QueryType is one query type of a site.
+// Effects of a query type.
+const (
+	effectFree       = "free"        // may be executed several times
+	effectSingleShot = "single_shot" // must not be executed twice
+)
+
+// QueryType is a query type of a deployment.
 type QueryType struct {
 	Name          string
-	Effect        string // free or single_shot
+	Effect        string
 	LatencyTarget time.Duration
 	Timeout       time.Duration
-	MinimumShare  float64
-	CompleteAt    float64
+	MinimumShare  float64 // of the segments, below which a response has no value
+	CompleteAt    float64 // share of the segments from which a response has its full value
+}
+
+// lookupType is the query type of experiments with plain look-ups.
+var lookupType = QueryType{
+	Name:          "lookup",
+	Effect:        effectFree,
+	LatencyTarget: time.Second,
+	Timeout:       2 * time.Second,
+	MinimumShare:  1,
+	CompleteAt:    1,
+}
+
+// StartDeployment starts a deployment and waits until its gatherer is ready.
+func (e *Env) StartDeployment(options DeploymentOptions) (*Deployment, error) {
+	d := &Deployment{}
+	if err := d.start(e, options); err != nil {
+		d.Stop()
+		return nil, err
+	}
+	return d, nil
 }
 
-// StartDeployment starts a site and waits until its gatherer is ready.
-func (e *Env) StartDeployment(s DeploymentOptions) (*Deployment, error) {
-	site := &Deployment{}
-	for cell := range s.Servers {
-		shard, err := standin.StartShardServer(fmt.Sprintf("s-%d", cell), s.Handle, s.OnProtocolError)
+func (d *Deployment) start(e *Env, options DeploymentOptions) error {
+	for cell := range options.Servers {
+		server, err := standin.StartShardServer(fmt.Sprintf("s-%d", cell), options.Handle, options.OnProtocolError)
 		if err != nil {
-			site.Stop()
-			return nil, err
+			return err
 		}
-		shard.Cell = cell
-		site.ShardServers = append(site.ShardServers, shard)
+		server.Cell = cell
+		d.ShardServers = append(d.ShardServers, server)
 	}
 	var err error
-	if site.Discovery, err = standin.StartDiscoveryService(site.ShardServers...); err != nil {
-		site.Stop()
-		return nil, err
+	if d.Discovery, err = standin.StartDiscoveryService(d.ShardServers...); err != nil {
+		return err
 	}
-	var classes []map[string]any
-	var least, whole, short []float64
-	for _, t := range s.Types {
-		classes = append(classes, map[string]any{"name": t.Name, "effect": t.Effect, "slo": t.LatencyTarget.Milliseconds(),
-			"hardLimit": t.Timeout.Milliseconds(), "lateWorth": 0.3})
-		least, whole, short = append(least, t.MinimumShare), append(whole, t.CompleteAt), append(short, 0.9)
+	args, err := d.writeFiles(e, options)
+	if err != nil {
+		return err
 	}
-	settings := map[string]any{"classes": classes, "tenants": []any{map[string]any{"name": "acme", "quotaPerS": 100_000}},
-		"membershipMode": "on_request", "instances": 1, "tick": 5,
-		"domain": map[string]any{"positions": s.Servers, "slices": s.Segments, "reach": 2, "perCall": 4, "leastShare": least,
-			"wholeAt": whole, "shortWorth": short},
-		"limits": map[string]any{"attemptsCap": 4, "cancel": true, "secondCopies": true, "dialTimeout": 250, "idleClose": 30000,
-			"maxStreams": 64, "retryAfter": true, "maxRetryAfter": 1000},
-		"feedback":   map[string]any{"how": "answers", "names": []string{"queue", "inflight"}},
-		"guarantees": map[string]any{"askWithin": 10000, "stopSendingWithin": 500}}
-	config, err := json.Marshal(map[string]any{"name": s.Name, "listen": "127.0.0.1:0", "discovery": site.Discovery.Addr(),
-		"seed": fmt.Sprintf("%x", e.Seed), "limits": map[string]any{"cores": 4, "memory_mb": max(s.MemoryMB, 64), "sockets": max(s.MaxDescriptors, 1024)},
-		"settings": settings})
+	d.Gatherer, err = standin.StartProgram(e.Command(args...), options.OnLogLine)
+	return err
+}
+
+// writeFiles writes the gatherer's files and returns its arguments.
+func (d *Deployment) writeFiles(e *Env, options DeploymentOptions) (args []string, err error) {
+	text, err := json.Marshal(newGathererConfig(e.Seed, d.Discovery.Addr(), options))
 	if err != nil {
-		site.Stop()
 		return nil, err
 	}
-	if site.ConfigPath, err = e.WriteFile(s.Name+"/config.json", string(config)); err != nil {
-		site.Stop()
+	if d.ConfigPath, err = e.WriteFile(options.Name+"/config.json", string(text)); err != nil {
 		return nil, err
 	}
-	args := []string{"serve", "--config", site.ConfigPath}
-	if s.OperatorConfig != "" {
-		if site.OperatorConfigPath, err = e.WriteFile(s.Name+"/operator.ini", s.OperatorConfig); err != nil {
-			site.Stop()
+	args = []string{"serve", "--config", d.ConfigPath}
+	if options.OperatorConfig != "" {
+		if d.OperatorConfigPath, err = e.WriteFile(options.Name+"/operator.ini", options.OperatorConfig); err != nil {
 			return nil, err
 		}
-		args = append(args, "--operator", site.OperatorConfigPath)
+		args = append(args, "--operator", d.OperatorConfigPath)
 	}
-	for name, text := range s.Files {
-		if _, err := e.WriteFile(s.Name+"/"+name, text); err != nil {
-			site.Stop()
+	for name, text := range options.Files {
+		if _, err := e.WriteFile(options.Name+"/"+name, text); err != nil {
 			return nil, err
 		}
 	}
-	if site.Gatherer, err = standin.StartProgram(e.Command(args...), s.OnLogLine); err != nil {
-		site.Stop()
-		return nil, err
-	}
-	return site, nil
+	return args, nil
 }
 
-// Stop drains the gatherer and ends the stand-ins. An error says that the gatherer did not end well.
-func (s *Deployment) Stop() error {
+// Stop shuts down the gatherer gracefully and stops the stand-ins. The error is that of the gatherer's shutdown.
+func (d *Deployment) Stop() error {
 	var err error
-	if s.Gatherer != nil {
-		err = s.Gatherer.Drain(10 * time.Second)
+	if d.Gatherer != nil {
+		err = d.Gatherer.Drain(drainTimeout)
 	}
-	for _, shard := range s.ShardServers {
-		shard.Stop()
+	for _, server := range d.ShardServers {
+		server.Stop()
 	}
-	if s.Discovery != nil {
-		s.Discovery.Stop()
+	if d.Discovery != nil {
+		d.Discovery.Stop()
 	}
 	return err
 }
--- a/internal/testing/experiment/experiment.go
+++ b/internal/testing/experiment/experiment.go
@@ -1,9 +1,9 @@
-// Package experiment is the load and experiment tool: it starts built gatherers and stand-ins on loopback, plays an experiment
-// on them, checks what comes back, and keeps the results.
+// Package experiment is the load and experiment tool oxbowlab. It starts built programs and stand-ins for the systems around
+// them on loopback, runs an experiment on them, checks the responses and keeps the results in an archive.
 //
-// An experiment is a Run function in a file of its own, registered in its init; see merge.go. It gets an Env: seed,
-// scale, progress, and a Record to put figures, latencies and series into. What it returns as an error is a finding
-// against the program and ends the tool with a code of its own.
+// An experiment is a Run function in a file of its own that an init function registers; see merge.go. It is given an Env with
+// the seed, the scale and a Record for metrics, latencies, tables and charts. An error that it returns is a finding: the programs
+// under test are at fault.
 package experiment
 
 import (
@@ -14,56 +14,70 @@
 	"os/exec"
 	"path/filepath"
 	"slices"
-	"sort"
 	"sync"
 	"time"
 
-	"github.com/HdrHistogram/hdrhistogram-go"
 	"github.com/schollz/progressbar/v3"
 )
 
-// Experiment is one that can be run by name.
+// Experiment can be run by its name.
 type Experiment struct {
-	Name  string
-	Short string // one line
-	Long  string // what it does, checks and records
-	Run   func(ctx context.Context, e *Env) error
+	Name    string
+	Aliases []string // former names
+	Short   string   // one line
+	Long    string   // what it does, checks and records
+	Run     func(ctx context.Context, e *Env) error
 }
 
-var experiments = map[string]Experiment{} // filled by init functions alone
+// experiments holds the registered experiments by name. Only init functions change it.
+var experiments = map[string]Experiment{}
 
-// Register makes an experiment known. Each has a name of its own.
+// Register adds an experiment. It panics if the name is taken.
 func Register(x Experiment) {
-	if _, twice := experiments[x.Name]; twice {
+	if _, duplicate := lookUp(x.Name); duplicate {
 		panic("experiment " + x.Name + " is registered twice")
 	}
 	experiments[x.Name] = x
 }
 
-// Names lists the experiments.
-func Names() (out []string) {
+// lookUp finds an experiment by its name or an alias.
+func lookUp(name string) (x Experiment, ok bool) {
+	if x, ok := experiments[name]; ok {
+		return x, true
+	}
+	for _, x := range experiments {
+		if slices.Contains(x.Aliases, name) {
+			return x, true
+		}
+	}
+	return Experiment{}, false
+}
+
+// Names returns the names of the experiments in alphabetical order.
+func Names() []string {
+	var names []string
 	for name := range experiments {
-		out = append(out, name)
+		names = append(names, name)
 	}
-	sort.Strings(out)
-	return out
+	slices.Sort(names)
+	return names
 }
 
-// Env is what an experiment is given.
+// Env is the environment of one run of an experiment.
 type Env struct {
 	Seed         uint64
-	Quick        bool   // a scale that ends within 40 s
-	Sizes        string // sizes of one's own, for experiments that take any; "" = the experiment's
-	GathererPath string // the built gatherer
-	Dir          string // for files; it goes when the run ends
-	Record       *Record
-	Out          io.Writer // for the experiment's own words
+	Quick        bool      // run at a scale that ends within 40 s
+	Sizes        string    // sizes given by the user, for experiments that take them; "" = the experiment's own
+	GathererPath string    // the built gatherer; the other programs are in the same directory
+	Dir          string    // for files; removed after the run
+	Record       *Record   // results
+	Out          io.Writer // progress and messages
 
 	mu  sync.Mutex
 	bar *progressbar.ProgressBar
 }
 
-// Scale picks a size: small with Quick, else full.
+// Scale returns small for a quick run and full otherwise.
 func (e *Env) Scale(small, full int) int {
 	if e.Quick {
 		return small
@@ -71,19 +85,34 @@
 	return full
 }
 
-// Progress begins a bar of so many steps.
+// scaleMillis returns a duration in milliseconds: small for a quick run and full otherwise.
+func (e *Env) scaleMillis(small, full int) time.Duration {
+	return time.Duration(e.Scale(small, full)) * time.Millisecond
+}
+
+// scaleSeconds returns a duration in seconds: small for a quick run and full otherwise.
+func (e *Env) scaleSeconds(small, full int) time.Duration {
+	return time.Duration(e.Scale(small, full)) * time.Second
+}
+
+// Progress starts a progress bar of a number of steps.
 func (e *Env) Progress(what string, steps int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.bar != nil {
 		e.bar.Finish()
 	}
-	e.bar = progressbar.NewOptions(steps, progressbar.OptionSetWriter(e.Out), progressbar.OptionSetDescription(fmt.Sprintf("%-28s", what)),
-		progressbar.OptionShowCount(), progressbar.OptionSetWidth(30), progressbar.OptionThrottle(200*time.Millisecond),
-		progressbar.OptionSetPredictTime(true), progressbar.OptionOnCompletion(func() { fmt.Fprintln(e.Out) }))
+	e.bar = progressbar.NewOptions(steps,
+		progressbar.OptionSetWriter(e.Out),
+		progressbar.OptionSetDescription(fmt.Sprintf("%-28s", what)),
+		progressbar.OptionShowCount(),
+		progressbar.OptionSetWidth(30),
+		progressbar.OptionThrottle(200*time.Millisecond),
+		progressbar.OptionSetPredictTime(true),
+		progressbar.OptionOnCompletion(func() { fmt.Fprintln(e.Out) }))
 }
 
-// Step moves the bar.
+// Step advances the progress bar.
 func (e *Env) Step() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -92,14 +121,19 @@
 	}
 }
 
-// Command makes a command that runs the built gatherer. Nothing of the environment reaches it but what it needs to run.
+// Command returns a command that runs the built gatherer. Of the environment it inherits only what it needs to run.
 func (e *Env) Command(args ...string) *exec.Cmd {
-	c := exec.Command(e.GathererPath, args...)
-	c.Env = []string{"PATH=" + os.Getenv("PATH"), "TMPDIR=" + e.Dir}
-	return c
+	cmd := exec.Command(e.GathererPath, args...)
+	cmd.Env = []string{"PATH=" + os.Getenv("PATH"), "TMPDIR=" + e.Dir}
+	return cmd
+}
+
+// programPath returns the path of a built program beside the gatherer.
+func (e *Env) programPath(name string) string {
+	return filepath.Join(filepath.Dir(e.GathererPath), name)
 }
 
-// WriteFile writes a file into the run's directory.
+// WriteFile writes a file into the run's directory and returns its path.
 func (e *Env) WriteFile(name, text string) (string, error) {
 	path := filepath.Join(e.Dir, name)
 	if err := os.MkdirAll(filepath.Dir(path), 0o700); err != nil {
@@ -108,139 +142,10 @@
 	return path, os.WriteFile(path, []byte(text), 0o600)
 }
 
-// LatencyRecorder is a latency record that several goroutines may add to: microseconds up to a minute, three digits.
-type LatencyRecorder struct {
-	mu        sync.Mutex
-	histogram *hdrhistogram.Histogram
-}
-
-// NewLatencyRecorder makes an empty one.
-func NewLatencyRecorder() *LatencyRecorder {
-	return &LatencyRecorder{histogram: hdrhistogram.New(1, time.Minute.Microseconds(), 3)}
-}
-
-// Add adds one.
-func (l *LatencyRecorder) Add(d time.Duration) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.histogram.RecordValue(min(max(d.Microseconds(), 1), time.Minute.Microseconds()))
-}
-
-// reset forgets what was added.
-func (l *LatencyRecorder) reset() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.histogram.Reset()
-}
-
-// Record is what a run leaves in the archive.
-type Record struct {
-	ID         string             `json:"id"`
-	Experiment string             `json:"experiment"`
-	StartedAt  time.Time          `json:"began"`
-	Seconds    float64            `json:"seconds"`
-	Seed       uint64             `json:"seed"`
-	Quick      bool               `json:"quick"`
-	Program    string             `json:"program"` // its version, as it says
-	Machine    string             `json:"machine"`
-	Finding    string             `json:"failed,omitempty"` // the finding that ended it
-	Metrics    map[string]float64 `json:"figures"`
-	Latencies  []LatencySummary   `json:"latencies,omitempty"`
-	Tables     []Table            `json:"tables,omitempty"`
-	Series     []Series           `json:"series,omitempty"`
-
-	mu sync.Mutex
-}
-
-// LatencySummary is one latency record of a run, in milliseconds.
-type LatencySummary struct {
-	Name   string       `json:"name"`
-	Count  int64        `json:"count"`
-	P50    float64      `json:"p50"`
-	P90    float64      `json:"p90"`
-	P99    float64      `json:"p99"`
-	P999   float64      `json:"p999"`
-	Max    float64      `json:"max"`
-	Points [][2]float64 `json:"points"` // percentile, milliseconds
-}
-
-// Table is rows of text under a head.
-type Table struct {
-	Name   string     `json:"name"`
-	Header []string   `json:"head"`
-	Rows   [][]string `json:"rows"`
-}
-
-// Series is points of one line of a chart.
-type Series struct {
-	Chart  string       `json:"chart"`
-	Name   string       `json:"name"`
-	X      string       `json:"x"`
-	Y      string       `json:"y"`
-	Points [][2]float64 `json:"points"`
-}
-
-// SetMetric sets a figure of the run.
-func (r *Record) SetMetric(name string, v float64) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.Metrics[name] = v
-}
-
-// AddToMetric adds to a figure of the run.
-func (r *Record) AddToMetric(name string, v float64) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.Metrics[name] += v
-}
-
-// Metric is a figure of the run; 0 where there is none.
-func (r *Record) Metric(name string) float64 {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	return r.Metrics[name]
-}
-
-// AddLatency keeps a latency record under a name.
-func (r *Record) AddLatency(name string, l *LatencyRecorder) {
-	row := l.summary(name)
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.Latencies = append(r.Latencies, row)
-}
-
-// summary sums up what was added.
-func (l *LatencyRecorder) summary(name string) LatencySummary {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	ms := func(q float64) float64 { return float64(l.histogram.ValueAtQuantile(q)) / 1000 }
-	row := LatencySummary{Name: name, Count: l.histogram.TotalCount(), P50: ms(50), P90: ms(90), P99: ms(99), P999: ms(99.9), Max: float64(l.histogram.Max()) / 1000}
-	for _, q := range []float64{0, 10, 25, 50, 75, 90, 95, 99, 99.5, 99.9, 99.99} {
-		row.Points = append(row.Points, [2]float64{q, ms(q)})
-	}
-	return row
-}
-
-// AddRow adds a row to a table, which it makes where there is none yet.
-func (r *Record) AddRow(table string, head []string, row ...string) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	at := slices.IndexFunc(r.Tables, func(t Table) bool { return t.Name == table })
-	if at < 0 {
-		at = len(r.Tables)
-		r.Tables = append(r.Tables, Table{Name: table, Header: head})
-	}
-	r.Tables[at].Rows = append(r.Tables[at].Rows, row)
-}
-
-// AddPoint adds a point to a line of a chart.
-func (r *Record) AddPoint(chart, x, y, line string, px, py float64) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	at := slices.IndexFunc(r.Series, func(s Series) bool { return s.Chart == chart && s.Name == line })
-	if at < 0 {
-		at = len(r.Series)
-		r.Series = append(r.Series, Series{Chart: chart, Name: line, X: x, Y: y})
+// sleep waits for a duration or the end of the context.
+func sleep(ctx context.Context, d time.Duration) {
+	select {
+	case <-ctx.Done():
+	case <-time.After(d):
 	}
-	r.Series[at].Points = append(r.Series[at].Points, [2]float64{px, py})
 }
--- a/internal/testing/experiment/fair_shares.go
+++ b/internal/testing/experiment/fair_shares.go
@@ -2,13 +2,8 @@
 
 import (
 	"context"
-	"encoding/json"
 	"fmt"
-	"math/rand/v2"
 	"net/http"
-	"slices"
-	"sync"
-	"sync/atomic"
 	"time"
 
 	"oxbowspan/config"
@@ -16,243 +11,220 @@
 )
 
 func init() {
-	Register(Experiment{Name: "fair-shares", Short: "Connections shared among tenants: a full letter run beside counter look-ups, the finder and posts",
-		Long: `fair-shares starts three hives and five foragers, with servers that take so many connections from all together and count the
-ids that they run. It plays counter look-ups, the place-name finder and posts that must not run twice on a quiet morning, then a
-full letter run (gathers over all shards) alone, then both: without shares as before, with strict halves, and with shares; the last
-once more with a gatherer killed and begun anew, another frozen, and a hive frozen in the middle. It records the short requests'
-times and how many letters were sent. It ends with a finding if with shares p50 or p99 of short requests is over 1.25 of the quiet
-morning's, the run sends less than 0.9 of what it sends alone with the rest's traffic taken off, or an id ran twice.`, Run: runFairShares})
+	Register(Experiment{
+		Name:  "fair-shares",
+		Short: "Connections shared among tenants: a full batch run beside interactive requests and posts",
+		Long: `fair-shares starts three controllers and five gateways, with servers that accept a limited number of connections from all
+together and count the ids that they execute. It sends interactive requests of two tenants and posts that must not be executed
+twice, alone; then a full batch run (requests over all shards) alone; then both: without shares, with strict limits, and with
+shares; the last once more while a gateway is killed and restarted, another is suspended, and a controller is suspended. It
+records the latency of interactive requests and the number of batch requests. It ends with a finding if with shares p50 or p99 of
+interactive requests exceeds 1.25 times that without the batch run, if the batch run completes less than 0.9 of what it does
+alone, less the capacity that the others take, or if an id was executed twice.`,
+		Run: runFairShares,
+	})
 }
 
 const (
-	fairSharesConnectionLimit = 40                    // connections that each server takes
+	fairSharesControllers     = 3
+	fairSharesGateways        = 5
+	fairSharesServers         = 3                     // of each service
+	fairSharesConnectionLimit = 40                    // of a server
 	fairSharesServiceTime     = 80 * time.Millisecond // of any request
+	fairSharesConcurrency     = 1000                  // of a server: the connections are the bottleneck
+	// fairSharesSettleTime is how long the cluster is given to start.
+	fairSharesSettleTime = 4 * time.Second
+	// tenantsSettleTime is how long a document of tenants is given to reach all gateways.
+	tenantsSettleTime = 3 * time.Second
+	// faultyPhaseExtra is the additional duration of the phase with faults.
+	faultyPhaseExtra = 4 * time.Second
+	// latencyRatioLimit is the latency of interactive requests beside the batch run over that without it, at most.
+	latencyRatioLimit = 1.25
+	// batchShareLimit is the share of the remaining capacity that the batch run must use.
+	batchShareLimit = 0.9
+)
+
+// exampleHost is the host of the experiments' routes.
+const exampleHost = "h.example"
+
+// Path prefixes of the experiment's routes.
+const (
+	batchPath       = "/batch/"
+	interactivePath = "/interactive/"
+	finderPath      = "/finder/"
+	postPath        = "/post/"
 )
 
+// postService is the service that executes posts.
+const postService = "a2"
+
+// fairSharesConfig returns the configuration.
 func fairSharesConfig() []byte {
-	var c config.Configuration
-	json.Unmarshal(simcluster.ExampleConfiguration(1, simcluster.FirstSharding), &c)
+	c := exampleConfiguration(1)
 	for i := range c.Services {
 		c.Services[i].ConnectionLimit = fairSharesConnectionLimit
 	}
-	c.Routes = []config.Route{
-		{Name: "letters", Hostname: "h.example", PathPrefix: "/letters/", RouteKind: config.Retryable, TimeoutMS: 6000, TargetMS: 3000, GatheredServices: simcluster.FirstSharding, Attempts: 1, TopRecords: 30, MinimumShare: 1},
-		{Name: "counter", Hostname: "h.example", PathPrefix: "/counter/", RouteKind: config.Retryable, TimeoutMS: 3000, TargetMS: 300, Service: "a0", Attempts: 2},
-		{Name: "finder", Hostname: "h.example", PathPrefix: "/finder/", RouteKind: config.Retryable, TimeoutMS: 3000, TargetMS: 300, Service: "a1", Attempts: 2},
-		{Name: "post", Hostname: "h.example", PathPrefix: "/post/", RouteKind: config.NonRetryable, TimeoutMS: 3000, TargetMS: 600, Service: "a2", Attempts: 2}}
-	text, _ := json.Marshal(c)
-	return text
+	batch := config.Route{Name: "batch", PathPrefix: batchPath, RouteKind: config.Retryable, TimeoutMS: 6000, TargetMS: 3000,
+		GatheredServices: simcluster.FirstSharding, Attempts: 1, TopRecords: 30, MinimumShare: 1}
+	interactive := config.Route{Name: "interactive", PathPrefix: interactivePath, RouteKind: config.Retryable, TimeoutMS: 3000, TargetMS: 300, Service: "a0", Attempts: 2}
+	finder := config.Route{Name: "finder", PathPrefix: finderPath, RouteKind: config.Retryable, TimeoutMS: 3000, TargetMS: 300, Service: "a1", Attempts: 2}
+	post := config.Route{Name: "post", PathPrefix: postPath, RouteKind: config.NonRetryable, TimeoutMS: 3000, TargetMS: 600, Service: postService, Attempts: 2}
+	c.Routes = []config.Route{batch, interactive, finder, post}
+	for i := range c.Routes {
+		c.Routes[i].Hostname = exampleHost
+	}
+	return encodeDocument(c)
 }
 
+// fairSharesTenants returns the document of tenants: with shares, or with strict limits of half the connections each.
 func fairSharesTenants(strict bool) []byte {
-	route := func(paths ...string) (out []config.TenantRoute) {
-		for _, p := range paths {
-			out = append(out, config.TenantRoute{Hostname: "h.example", PathPrefix: p})
+	routes := func(paths ...string) (routes []config.TenantRoute) {
+		for _, path := range paths {
+			routes = append(routes, config.TenantRoute{Hostname: exampleHost, PathPrefix: path})
 		}
-		return out
+		return routes
 	}
-	doc := config.TenantDocument{Tenants: []config.Tenant{{Name: "letters", Weight: 1, Routes: route("/letters/")},
-		{Name: "counter", Weight: 2, Routes: route("/counter/", "/post/")}, {Name: "finder", Weight: 2, Routes: route("/finder/")}}}
+	document := config.TenantDocument{Tenants: []config.Tenant{
+		{Name: "batch", Weight: 1, Routes: routes(batchPath)},
+		{Name: "interactive", Weight: 2, Routes: routes(interactivePath, postPath)},
+		{Name: "finder", Weight: 2, Routes: routes(finderPath)},
+	}}
 	if strict {
 		none := 0
-		for i := range doc.Tenants {
-			doc.Tenants[i].Weight, doc.Tenants[i].MaxConnections, doc.Tenants[i].MaxBorrowed = 1, fairSharesConnectionLimit/2, &none
-		}
-	}
-	text, _ := json.Marshal(doc)
-	return text
-}
-
-// phaseResult is what came of one phase.
-type phaseResult struct {
-	batch, failed, interrupted, executedTwice atomic.Int64
-	interactive                               *LatencyRecorder
-	latencies                                 []time.Duration
-	mu                                        sync.Mutex
-}
-
-func (m *phaseResult) quantile(q float64) float64 {
-	slices.Sort(m.latencies)
-	if len(m.latencies) == 0 {
-		return 0
-	}
-	return float64(m.latencies[min(int(q*float64(len(m.latencies))), len(m.latencies)-1)]) / float64(time.Millisecond)
-}
-
-// countAbove counts what took longer than a bound.
-func (m *phaseResult) countAbove(ms float64) (n int) {
-	for _, t := range m.latencies {
-		if float64(t)/float64(time.Millisecond) > ms {
-			n++
+		for i := range document.Tenants {
+			document.Tenants[i].Weight = 1
+			document.Tenants[i].MaxConnections = fairSharesConnectionLimit / 2
+			document.Tenants[i].MaxBorrowed = &none
 		}
 	}
-	return n
+	return encodeDocument(document)
 }
 
-// phase plays a time with or without the letter run and the short requests. Away tells which foragers clients do not go to now.
-func (s *localCluster) phase(name string, letters, short bool, last time.Duration, away func(i int) bool) *phaseResult {
-	m := &phaseResult{interactive: NewLatencyRecorder()}
-	until := time.Now().Add(last)
-	var all sync.WaitGroup
-	if letters {
-		for i := range 45 * len(s.cluster.Gateways) { // all in one tick
-			all.Go(func() {
-				for n := 0; time.Now().Before(until); n++ {
-					at := (i + n) % len(s.cluster.Gateways)
-					if away(at) {
-						continue
-					}
-					a := s.cluster.SendRequest(s.cluster.Gateways[at], "GET", "h.example", "/letters/x", fmt.Sprint(name, "l", i, "-", n), 6*time.Second)
-					if a.Status == http.StatusOK {
-						m.batch.Add(1)
-					} else {
-						time.Sleep(50 * time.Millisecond)
-					}
-				}
-			})
-		}
-	}
-	for n := 0; short && time.Now().Before(until); n++ {
-		time.Sleep(time.Duration(4+rand.IntN(8)) * time.Millisecond)
-		all.Go(func() {
-			at := n % len(s.cluster.Gateways)
-			for away(at) {
-				at = (at + 1) % len(s.cluster.Gateways)
-			}
-			id := fmt.Sprint(name, "s", n)
-			began := time.Now()
-			var a simcluster.Response
-			switch n % 5 {
-			case 0:
-				a = s.cluster.SendRequest(s.cluster.Gateways[at], "POST", "h.example", "/post/x", id, 3*time.Second)
-				if s.cluster.RequestLog.Executions("a2", id) > 1 {
-					m.executedTwice.Add(1)
-				}
-				if a.Status == 0 && !away(at) {
-					m.interrupted.Add(1)
-				}
-			case 1, 2:
-				a = s.cluster.SendRequest(s.cluster.Gateways[at], "GET", "h.example", "/finder/x", id, 3*time.Second)
-			default:
-				a = s.cluster.SendRequest(s.cluster.Gateways[at], "GET", "h.example", "/counter/x", id, 3*time.Second)
-			}
-			took := time.Since(began)
-			if away(at) && a.Status != http.StatusOK {
-				return // it met a gatherer that went away meanwhile: its client goes elsewhere
-			}
-			if a.Status != http.StatusOK {
-				m.failed.Add(1)
-			}
-			m.interactive.Add(took)
-			m.mu.Lock()
-			m.latencies = append(m.latencies, took)
-			m.mu.Unlock()
-		})
-	}
-	all.Wait()
-	return m
+// fairSharesRun is the state of the experiment.
+type fairSharesRun struct {
+	env      *Env
+	cluster  *localCluster
+	duration time.Duration // of a phase
+	version  uint64        // of the document of tenants
+	away     awayGateways
+	phases   []*fairSharesPhase
 }
 
-func runFairShares(ctx context.Context, e *Env) error {
-	s, err := e.startCluster("fair", 3, 5, false, fairSharesConfig(), func(c *simcluster.Cluster) {
-		for _, service := range simcluster.FirstSharding {
-			for range 3 {
-				srv := c.AddServer(service, fairSharesServiceTime)
-				srv.Concurrency, srv.ConnectionLimit = 1000, fairSharesConnectionLimit
-			}
-		}
+func runFairShares(_ context.Context, e *Env) error {
+	addLimited := func(c *simcluster.Cluster, service string) {
+		server := c.AddServer(service, fairSharesServiceTime)
+		server.Concurrency, server.ConnectionLimit = fairSharesConcurrency, fairSharesConnectionLimit
+	}
+	cluster, err := e.startCluster(localClusterOptions{
+		name:          "fair",
+		controllers:   fairSharesControllers,
+		gateways:      fairSharesGateways,
+		configuration: fairSharesConfig(),
+		addServers:    addServers(simcluster.FirstSharding, fairSharesServers, addLimited),
 	})
 	if err != nil {
 		return err
 	}
-	defer s.stop()
-	time.Sleep(4 * time.Second)
-	last := time.Duration(e.Scale(5, 15)) * time.Second
-	here := func(int) bool { return false }
-	version := uint64(0)
-	set := func(strict bool) error {
-		if got := s.cluster.ReplaceDocument(s.cluster.Controllers[1], config.TenantsDocumentName, version, fairSharesTenants(strict)); got != http.StatusOK {
-			return fmt.Errorf("a document of tenants is not agreed on: %d", got)
-		}
-		version++
-		time.Sleep(3 * time.Second)
-		return nil
-	}
+	defer cluster.stop()
+	time.Sleep(fairSharesSettleTime)
+	r := &fairSharesRun{env: e, cluster: cluster, duration: e.scaleSeconds(5, 15)}
 	e.Progress("fair shares", 6)
-	all := map[string]*phaseResult{}
-	names := []string{"quiet morning", "letters alone", "both, no shares", "both, strict halves", "both, shares", "the same, kill and freezes"}
-	play := func(name string, letters, short bool, last time.Duration, away func(int) bool) {
-		all[name] = s.phase(name, letters, short, last, away)
-		e.Record.AddLatency(name+": short requests", all[name].interactive)
-		e.Step()
-	}
-	s.phase("warm", true, true, 2*time.Second, here)
-	time.Sleep(time.Second)
-	play(names[0], false, true, last, here)
-	play(names[1], true, false, last, here)
-	play(names[2], true, true, last, here)
-	if err := set(true); err != nil {
+	quiet, batchAlone, shared, faulty, err := r.runPhases()
+	if err != nil {
 		return err
 	}
-	play(names[3], true, true, last, here)
-	if err := set(false); err != nil {
-		return err
+	r.record(quiet)
+	return r.check(quiet, batchAlone, shared, faulty)
+}
+
+// runPhases runs all phases and returns those that are checked: interactive requests alone, the batch run alone, both with
+// shares, and the same with faults.
+func (r *fairSharesRun) runPhases() (quiet, batchAlone, shared, faulty *fairSharesPhase, err error) {
+	r.warmUp("warm-up", 2*time.Second)
+	time.Sleep(time.Second)
+	quiet = r.run("interactive alone", false, true, r.duration)
+	batchAlone = r.run("batch alone", true, false, r.duration)
+	r.run("both, no shares", true, true, r.duration)
+	if err := r.replaceTenants(true); err != nil {
+		return nil, nil, nil, nil, err
+	}
+	r.run("both, strict halves", true, true, r.duration)
+	if err := r.replaceTenants(false); err != nil {
+		return nil, nil, nil, nil, err
+	}
+	r.warmUp("second warm-up", time.Second)
+	shared = r.run("both, shares", true, true, r.duration)
+	go r.injectFaults()
+	faulty = r.run("the same, kill and suspensions", true, true, r.duration+faultyPhaseExtra)
+	return quiet, batchAlone, shared, faulty, nil
+}
+
+// replaceTenants commits a document of tenants and waits until it has reached the gateways.
+func (r *fairSharesRun) replaceTenants(strict bool) error {
+	controller := r.cluster.cluster.Controllers[1]
+	status := r.cluster.cluster.ReplaceDocument(controller, config.TenantsDocumentName, r.version, fairSharesTenants(strict))
+	if status != http.StatusOK {
+		return fmt.Errorf("a document of tenants was not committed: status %d", status)
+	}
+	r.version++
+	time.Sleep(tenantsSettleTime)
+	return nil
+}
+
+// injectFaults kills a gateway and restarts it, then suspends another one and a controller. Clients avoid the gateways.
+func (r *fairSharesRun) injectFaults() {
+	const killed, suspended = 2, 3
+	time.Sleep(r.duration / 4)
+	r.away.set(killed, true)
+	r.cluster.killGateway(killed)
+	time.Sleep(300 * time.Millisecond)
+	r.cluster.restartGateway(killed)
+	time.Sleep(1500 * time.Millisecond)
+	r.away.set(killed, false)
+	r.away.set(suspended, true)
+	suspend(r.cluster.gateways[suspended], 1500*time.Millisecond)
+	suspend(r.cluster.controllers[0], 2*time.Second)
+	time.Sleep(2 * time.Second)
+	r.away.set(suspended, false)
+}
+
+// record records a row for each phase.
+func (r *fairSharesRun) record(quiet *fairSharesPhase) {
+	bound := latencyRatioLimit * quiet.quantile(0.99)
+	for i, p := range r.phases {
+		r.env.Record.AddRow("Interactive requests and the batch run",
+			[]string{"phase", "p50 ms", "p99 ms", "over 1.25 of p99 alone", "of", "failed", "batch requests per second", "ids executed twice", "posts interrupted"},
+			p.name, formatCell(p.quantile(0.5), 1), formatCell(p.quantile(0.99), 1), fmt.Sprint(p.countAbove(bound)), fmt.Sprint(len(p.latencies)),
+			fmt.Sprint(p.failed.Load()), formatCell(float64(p.batch.Load())/p.duration.Seconds(), 0), fmt.Sprint(p.executedTwice.Load()),
+			fmt.Sprint(p.interrupted.Load()))
+		r.env.Record.AddPoint("p99", "phase", "p99 of interactive requests, ms", "p99", float64(i+1), p.quantile(0.99))
 	}
-	s.phase("warm again", true, true, time.Second, here)
-	play(names[4], true, true, last, here)
-	var gone atomic.Int64
-	gone.Store(-1)
-	var frozen atomic.Int64
-	frozen.Store(-1)
-	go func() {
-		time.Sleep(last / 4)
-		gone.Store(2)
-		s.killGateway(2)
-		time.Sleep(300 * time.Millisecond)
-		s.restartGateway(2)
-		time.Sleep(1500 * time.Millisecond)
-		gone.Store(-1)
-		frozen.Store(3)
-		suspend(s.gateways[3], 1500*time.Millisecond)
-		suspend(s.controllers[0], 2*time.Second)
-		time.Sleep(2 * time.Second)
-		frozen.Store(-1)
-	}()
-	play(names[5], true, true, last+4*time.Second, func(i int) bool { return int64(i) == gone.Load() || int64(i) == frozen.Load() })
-	quiet, alone := all[names[0]], all[names[1]]
-	bound := 1.25 * quiet.quantile(0.99)
-	for i, name := range names {
-		m := all[name]
-		seconds := last.Seconds()
-		if i == 5 {
-			seconds += 4
+}
+
+// check returns the finding, if any.
+func (r *fairSharesRun) check(quiet, batchAlone, shared, faulty *fairSharesPhase) error {
+	// Each interactive request takes one connection for as long as a shard call of the batch run does.
+	servers := float64(len(simcluster.FirstSharding) * fairSharesServers)
+	capacity := servers * batchShareLimit * fairSharesConnectionLimit
+	taken := float64(len(shared.latencies)) / r.duration.Seconds() * fairSharesServiceTime.Seconds() / capacity
+	wanted := batchShareLimit * (1 - taken) * float64(batchAlone.batch.Load())
+	r.env.Record.SetMetric("batch requests beside the others, of those alone", float64(shared.batch.Load())/max(float64(batchAlone.batch.Load()), 1))
+	r.env.Record.SetMetric("connections that interactive requests take, of all", taken)
+	for _, p := range r.phases {
+		if n := p.executedTwice.Load(); n > 0 {
+			return fmt.Errorf("%d posts were executed twice", n)
 		}
-		e.Record.AddRow("short requests and letters", []string{"phase", "p50 ms", "p99 ms", "over 1.25 of quiet p99", "of", "lost", "letters a second", "ids twice", "posts cut off"},
-			name, fmt.Sprintf("%.1f", m.quantile(0.5)), fmt.Sprintf("%.1f", m.quantile(0.99)), fmt.Sprint(m.countAbove(bound)), fmt.Sprint(len(m.latencies)), fmt.Sprint(m.failed.Load()),
-			fmt.Sprintf("%.0f", float64(m.batch.Load())/seconds), fmt.Sprint(m.executedTwice.Load()), fmt.Sprint(m.interrupted.Load()))
-		e.Record.AddPoint("p99", "phase", "p99 of short requests, ms", "p99", float64(i+1), m.quantile(0.99))
 	}
-	both := all[names[4]]
-	// What the rest takes: each of its requests one connection for as long as a letter's part.
-	rest := float64(len(both.latencies)) / last.Seconds() * fairSharesServiceTime.Seconds() / (9 * 0.9 * fairSharesConnectionLimit)
-	want := 0.9 * (1 - rest) * float64(alone.batch.Load())
-	e.Record.SetMetric("letters beside the rest, of those alone", float64(both.batch.Load())/max(float64(alone.batch.Load()), 1))
-	e.Record.SetMetric("connections that the rest takes, of all", rest)
-	for _, m := range all {
-		if m.executedTwice.Load() > 0 {
-			return fmt.Errorf("%d posts ran twice", m.executedTwice.Load())
-		}
+	if n := faulty.interrupted.Load() + shared.interrupted.Load(); n > 0 {
+		return fmt.Errorf("%d posts were interrupted at healthy gateways", n)
 	}
-	if n := all[names[5]].interrupted.Load() + both.interrupted.Load(); n > 0 {
-		return fmt.Errorf("%d posts were cut off at gatherers that were well", n)
+	p50, p99 := shared.quantile(0.5), shared.quantile(0.99)
+	if p50 > latencyRatioLimit*quiet.quantile(0.5) || p99 > latencyRatioLimit*quiet.quantile(0.99) {
+		return fmt.Errorf("interactive requests take %.1f ms (p50) and %.1f ms (p99) beside the batch run, %.1f and %.1f alone",
+			p50, p99, quiet.quantile(0.5), quiet.quantile(0.99))
 	}
-	switch {
-	case both.quantile(0.5) > 1.25*quiet.quantile(0.5) || both.quantile(0.99) > bound:
-		return fmt.Errorf("short requests beside the run take %.1f and %.1f ms, on a quiet morning %.1f and %.1f", both.quantile(0.5), both.quantile(0.99),
-			quiet.quantile(0.5), quiet.quantile(0.99))
-	case float64(both.batch.Load()) < want:
-		return fmt.Errorf("the run sends %d letters, at least %.0f are wanted", both.batch.Load(), want)
+	if float64(shared.batch.Load()) < wanted {
+		return fmt.Errorf("the batch run completes %d requests, want %.0f", shared.batch.Load(), wanted)
 	}
 	return nil
 }
--- a/internal/testing/experiment/hollow_test.go
+++ b/internal/testing/experiment/hollow_test.go
@@ -12,8 +12,11 @@
 	"oxbowspan/rpc"
 )
 
-// runHollowCluster is three control machines on a simulated network, with hollow servers and gatherers round them.
-func runHollowCluster(t *testing.T, servers, gatherers int, play func(c *simcluster.Cluster, f *hollowFleet)) {
+// simulatedInternalPort is the port that gateways reach the controllers of a simulated cluster at.
+const simulatedInternalPort = "7100"
+
+// runHollowCluster calls test with three controllers on a simulated network and hollow servers and gateways around them.
+func runHollowCluster(t *testing.T, servers, gateways int, test func(t *testing.T, c *simcluster.Cluster, fleet *hollowFleet)) {
 	t.Helper()
 	dir := t.TempDir()
 	synctest.Test(t, func(t *testing.T) {
@@ -25,78 +28,79 @@
 			c.Stop()
 			time.Sleep(5 * time.Second)
 		}()
-		var control, inner []string
-		for _, m := range c.Controllers {
-			control, inner = append(control, m.ControlAddress()), append(inner, net.JoinHostPort(m.IP, "7100"))
+		var controlAddresses, internalAddresses []string
+		for _, controller := range c.Controllers {
+			controlAddresses = append(controlAddresses, controller.ControlAddress())
+			internalAddresses = append(internalAddresses, net.JoinHostPort(controller.IP, simulatedInternalPort))
 		}
-		f := newHollowFleet(context.Background(), c.Network.Host("10.0.9.5"), control, inner, c.HeartbeatInterval)
-		defer f.close()
+		fleet := newHollowFleet(context.Background(), c.Network.Host("10.0.9.5"), controlAddresses, internalAddresses, c.HeartbeatInterval)
+		defer fleet.close()
 		for c.ReplaceConfiguration(c.Controllers[0], 0, hollowConfig(1, 5)) != http.StatusOK {
 			time.Sleep(100 * time.Millisecond)
 		}
-		f.addServers(servers, 5)
+		fleet.addServers(servers, 5)
 		time.Sleep(3 * c.HeartbeatInterval)
-		f.addGateways(gatherers, time.Second)
+		fleet.addGateways(gateways, time.Second)
 		time.Sleep(3 * c.HeartbeatInterval)
-		play(c, f)
+		test(t, c, fleet)
 	})
 }
 
-// Hollow servers are heard and hollow gatherers are told: all servers, each change, each draining, each silence.
+// Hollow servers are acknowledged and hollow gateways receive all servers, each change, each drain and each loss of a server.
 func TestHollowNodesReceiveAllUpdates(t *testing.T) {
-	const servers, gatherers = 12, 7
-	runHollowCluster(t, servers, gatherers, func(c *simcluster.Cluster, f *hollowFleet) {
-		if n := f.serverListLength.Load(); n != servers {
-			t.Errorf("the longest list holds %d servers of %d", n, servers)
+	const servers, gateways = 12, 7
+	runHollowCluster(t, servers, gateways, func(t *testing.T, c *simcluster.Cluster, fleet *hollowFleet) {
+		if n := fleet.serverListLength.Load(); n != servers {
+			t.Errorf("the longest list has %d servers, want %d", n, servers)
 		}
-		if f.gatewayListBytes.Load() == 0 {
-			t.Error("no list of all gatherers came")
+		if fleet.gatewayListBytes.Load() == 0 {
+			t.Error("no list of all gateways was received")
 		}
-		if f.unacknowledged.Load() > 0 || f.pollsTimedOut.Load() > 0 {
-			t.Errorf("%d heartbeats were not acknowledged and %d questions given up on a calm system", f.unacknowledged.Load(), f.pollsTimedOut.Load())
+		if fleet.unacknowledged.Load() > 0 || fleet.pollsTimedOut.Load() > 0 {
+			t.Errorf("without faults %d heartbeats were not acknowledged and %d polls timed out", fleet.unacknowledged.Load(), fleet.pollsTimedOut.Load())
 		}
-		m := &hollowResult{}
-		m.measurePropagation(f, func(version uint64) bool {
+		r := &hollowResult{}
+		r.measurePropagation(fleet, func(version uint64) bool {
 			return c.ReplaceConfiguration(c.Controllers[version%3], version-1, hollowConfig(version, 5)) == http.StatusOK
 		})
-		for what, r := range map[string]propagation{"change": m.configChange, "draining": m.drain, "silence": m.unresponsive} {
-			if r.missing > 0 || r.failed > 0 {
-				t.Errorf("%s: %s", what, r)
+		for name, p := range map[string]propagation{"change": r.configChange, "drain": r.drain, "loss": r.unresponsive} {
+			if p.missing > 0 || p.failed > 0 {
+				t.Errorf("%s: %s", name, p)
 			}
 		}
-		if m.configChange.all > 100 || m.drain.all > 100 {
-			t.Errorf("a change takes %v ms and a draining %v ms on a simulated network", m.configChange.all, m.drain.all)
+		if r.configChange.all > 100 || r.drain.all > 100 {
+			t.Errorf("a change takes %v ms and a drain %v ms on a simulated network, want 100 at most", r.configChange.all, r.drain.all)
 		}
-		beat := float64(c.HeartbeatInterval / time.Millisecond)
-		if m.unresponsive.all < 3*beat || m.unresponsive.all > 5*beat {
-			t.Errorf("a silence is everywhere after %v ms", m.unresponsive.all)
+		interval := milliseconds(c.HeartbeatInterval)
+		if r.unresponsive.all < 3*interval || r.unresponsive.all > 5*interval {
+			t.Errorf("all gateways know of a loss after %v ms, want 3 to 5 intervals of %v", r.unresponsive.all, interval)
 		}
-		if m.configIn < float64(len(hollowConfig(2, 5))) || m.drainIn < 30 {
-			t.Errorf("a gatherer is sent %v bytes for a change and %v for a draining", m.configIn, m.drainIn)
+		if r.configIn < float64(len(hollowConfig(2, 5))) || r.drainIn < 30 {
+			t.Errorf("a gateway receives %v bytes for a change and %v for a drain", r.configIn, r.drainIn)
 		}
 	})
 }
 
-// A control machine that dies costs no hollow node its work.
+// The crash of a controller does not keep hollow nodes from their work.
 func TestHollowNodesFailOver(t *testing.T) {
-	runHollowCluster(t, 9, 6, func(c *simcluster.Cluster, f *hollowFleet) {
+	runHollowCluster(t, 9, 6, func(t *testing.T, c *simcluster.Cluster, fleet *hollowFleet) {
 		c.Controllers[0].Kill(true)
 		time.Sleep(5 * time.Second)
-		a := f.expectUpdate(func(n *rpc.Update) bool { return n.Version >= 2 })
-		if got := c.ReplaceConfiguration(c.Controllers[1], 1, hollowConfig(2, 5)); got != http.StatusOK {
-			t.Fatalf("the change is answered %d", got)
+		waiter := fleet.expectUpdate(func(u *rpc.Update) bool { return u.Version >= 2 })
+		if status := c.ReplaceConfiguration(c.Controllers[1], 1, hollowConfig(2, 5)); status != http.StatusOK {
+			t.Fatalf("the change got status %d", status)
 		}
-		at := time.Now()
-		f.waitForUpdate(a, 5*time.Second)
-		if took, missing := a.since(at); missing > 0 {
-			t.Errorf("the change came to %d gatherers of %d", len(took), len(f.gateways))
+		start := time.Now()
+		fleet.waitForUpdate(waiter, 5*time.Second)
+		if _, missing := waiter.since(start); missing > 0 {
+			t.Errorf("the change did not reach %d of %d gateways", missing, len(fleet.gateways))
 		}
-		for _, s := range f.servers {
-			s.lock.Lock()
-			if old := time.Since(s.acknowledgedAt); old > 2*c.HeartbeatInterval {
-				t.Errorf("server %s was last acknowledged %v ago", s.id, old)
+		for _, server := range fleet.servers {
+			server.lock.Lock()
+			if age := time.Since(server.acknowledgedAt); age > 2*c.HeartbeatInterval {
+				t.Errorf("server %s was last acknowledged %v ago", server.id, age)
 			}
-			s.lock.Unlock()
+			server.lock.Unlock()
 		}
 	})
 }
@@ -104,9 +108,9 @@
 func TestParseSizes(t *testing.T) {
 	got, err := parseSizes("3/300/30/50,5/1000/100/10")
 	if err != nil || len(got) != 2 || got[1] != (hollowSize{5, 1000, 100, 10}) {
-		t.Errorf("%v, %v", got, err)
+		t.Errorf("got %v, %v", got, err)
 	}
 	if _, err := parseSizes("3/300"); err == nil {
-		t.Error("a size that is cut short is read")
+		t.Error("an incomplete size is parsed")
 	}
 }
--- a/internal/testing/experiment/levels.go
+++ b/internal/testing/experiment/levels.go
@@ -15,37 +15,52 @@
 )
 
 func init() {
-	Register(Experiment{Name: "levels", Short: "Reduced service: a quarter of the servers dies under load, and comes back cold",
-		Long: `levels plays account look-ups and reports on servers that do one part at a time, at a load that all of them bear and
-three quarters do not; a quarter then hangs for a while, comes back, and goes once more, and the load swings. It plays that
-without levels (the decisions alone), with plain thresholds (no dwell, no band), and with levels, and records look-ups and
-reports answered and shed by phase, and changes of level. It ends with a finding if with levels look-ups are answered less
-than promised while a quarter is dead, if there are more changes than stated, or if a search gets no final answer.`, Run: runLevels})
+	Register(Experiment{
+		Name:  "levels",
+		Short: "Degradation: a quarter of the servers hangs under load and returns with a slow start",
+		Long: `levels sends look-ups and reports to servers that handle one call at a time, at a load that all of them can bear and three
+quarters cannot. A quarter then hangs for a while, returns, and hangs once more, and the load swings. It does so without
+degradation levels (admission control alone), with plain thresholds (no dwell time, no hysteresis), and with levels, and records
+look-ups and reports answered and shed by phase, and changes of level. It ends with a finding if with levels fewer look-ups are
+answered than promised while a quarter hangs, if there are more changes than stated, or if a request gets no final response.`,
+		Run: runLevels,
+	})
 }
 
-// serialServer is a shard server that does one part after another, each in so long, and can be hung.
-type serialServer struct {
-	mu          sync.Mutex
-	hung        atomic.Bool
-	serviceTime time.Duration
-}
+const (
+	levelsServers     = 8
+	levelsServiceTime = 8 * time.Millisecond // of a call: 125 calls per second and server, 1,000 in all
+	levelsMemoryMB    = 128
+	levelsTimeout     = 550 * time.Millisecond // of a client
+	// levelsTick is the interval at which requests are due.
+	levelsTick = 2 * time.Millisecond
+	// levelsMaxChanges is the number of changes of level per minute that the configuration allows.
+	levelsMaxChanges = 2*4 + 2
+	// levelsMinAnswered is the share of look-ups that must be answered while a quarter of the servers hangs.
+	levelsMinAnswered = 0.95
+	// levelChangeEvent and levelScope mark the gatherer's log lines about changes of the level of all segments.
+	levelChangeEvent = "event=level "
+	levelScope       = "scope=all"
+)
 
-func (o *serialServer) handle(c *standin.ShardConn, p standin.ShardCall) {
-	if o.hung.Load() {
-		return // no word
-	}
-	go func() {
-		o.mu.Lock()
-		defer o.mu.Unlock()
-		time.Sleep(o.serviceTime)
-		c.Respond(p.ID, "served", "x")
-	}()
-}
+// levelsHung are the servers that hang: a quarter.
+var levelsHung = []int{1, 5}
+
+// Variants of the experiment.
+const (
+	levelsNone  = "no levels"
+	levelsPlain = "plain thresholds"
+	levelsFull  = "levels"
+)
 
-// levelsConfig is the operator's file: the same levels with bands and dwell times, or with plain thresholds.
-func levelsConfig(plain bool) string {
-	times, exits := "smooth = 500ms\nenter_for = 300ms\nexit_for = 1s\nswing = 10s\nramp = 1s\n", [2]string{"lost 0.05 load 0.6 late 0.05", "late 0.1 load 0.7"}
-	if plain {
+// levelsConfig returns the operator's configuration of a variant.
+func levelsConfig(variant string) string {
+	if variant == levelsNone {
+		return ""
+	}
+	times := "smooth = 500ms\nenter_for = 300ms\nexit_for = 1s\nswing = 10s\nramp = 1s\n"
+	exits := [2]string{"lost 0.05 load 0.6 late 0.05", "late 0.1 load 0.7"}
+	if variant == levelsPlain {
 		times = "smooth = 0s\nenter_for = 0s\nexit_for = 100ms\nramp = 0s\nups = 60\nlongest = 1\n"
 		exits = [2]string{"lost 0.1499 load 0.8499 late 0.1499", "late 0.2999 load 1.0999"}
 	}
@@ -54,152 +69,249 @@
 		"[level essential]\nenter = late 0.3 load 1.1\nexit = " + exits[1] + "\nshare = report 0\nretry_after = 1s\n"
 }
 
-// levelsPhase is what became of the searches of one phase.
-type levelsPhase struct {
-	sent, answered, shed, timedOut [2]atomic.Int64 // look-ups, reports
+// runLevels runs all variants at the same time: they wait far more than they compute, and the machine is the same for all.
+func runLevels(ctx context.Context, e *Env) error {
+	variants := []string{levelsNone, levelsPlain, levelsFull}
+	errs := make([]error, len(variants))
+	e.Progress("levels", 6*len(variants))
+	runConcurrently(len(variants), func(i int) {
+		if err := e.measureLevels(ctx, variants[i]); err != nil {
+			errs[i] = fmt.Errorf("%s: %w", variants[i], err)
+		}
+	})
+	return errors.Join(errs...)
 }
 
-func runLevels(ctx context.Context, e *Env) error {
-	// All three at the same time: each waits far more than it works, and the machine is the same for all.
-	ways := []string{"no levels", "plain thresholds", "levels"}
-	errs := make([]error, len(ways))
-	e.Progress("levels", 6*len(ways))
-	var all sync.WaitGroup
-	for i, way := range ways {
-		all.Add(1)
-		go func() {
-			defer all.Done()
-			if err := e.measureLevels(ctx, way); err != nil {
-				errs[i] = fmt.Errorf("%s: %w", way, err)
-			}
-		}()
+// serialServer is a shard server that handles one call after another and can be hung.
+type serialServer struct {
+	mu   sync.Mutex
+	hung atomic.Bool
+}
+
+func (s *serialServer) handle(conn *standin.ShardConn, call standin.ShardCall) {
+	if s.hung.Load() {
+		return
 	}
-	all.Wait()
-	return errors.Join(errs...)
+	go func() {
+		s.mu.Lock()
+		defer s.mu.Unlock()
+		time.Sleep(levelsServiceTime)
+		conn.Respond(call.ID, standin.Served, "x")
+	}()
+}
+
+// levelsRequest is one of the two kinds of requests.
+type levelsRequest int
+
+const (
+	levelsLookup levelsRequest = iota
+	levelsReport
+	levelsRequests // number of kinds
+)
+
+// queryType returns the name of the kind's query type.
+func (k levelsRequest) queryType() string { return [levelsRequests]string{"lookup", "report"}[k] }
+
+// levelsCount counts the responses of one kind of requests in a phase.
+type levelsCount struct {
+	sent, answered, shed, timedOut atomic.Int64
 }
 
-func (e *Env) measureLevels(ctx context.Context, way string) error {
-	operator := map[string]string{"no levels": "", "plain thresholds": levelsConfig(true), "levels": levelsConfig(false)}[way]
-	const servers = 8
-	work := make([]*serialServer, servers)
-	byHost := map[string]*serialServer{}
-	for i := range work {
-		work[i] = &serialServer{serviceTime: 8 * time.Millisecond} // 125 parts a second each, 1,000 in all
-		byHost[fmt.Sprintf("s-%d", i)] = work[i]
+func (c *levelsCount) answeredShare() float64 { return share(&c.answered, &c.sent) }
+
+// cells returns the cells of a table's row.
+func (c *levelsCount) cells() []string {
+	return []string{
+		fmt.Sprint(c.sent.Load()),
+		formatCell(share(&c.answered, &c.sent), 3),
+		formatCell(share(&c.shed, &c.sent), 3),
+		formatCell(share(&c.timedOut, &c.sent), 3),
 	}
-	var mu sync.Mutex
-	var changes []string
-	site, err := e.StartDeployment(DeploymentOptions{Name: "levels " + way, Servers: servers, Segments: servers, MemoryMB: 128, OperatorConfig: operator,
-		Types:  []QueryType{{"lookup", "free", 300 * time.Millisecond, 600 * time.Millisecond, 1, 1}, {"report", "free", 300 * time.Millisecond, 600 * time.Millisecond, 1, 1}},
-		Handle: func(c *standin.ShardConn, p standin.ShardCall) { byHost[c.Server.Host].handle(c, p) },
-		OnLogLine: func(line string) {
-			if strings.Contains(line, "event=level ") && strings.Contains(line, "scope=all") {
-				mu.Lock()
-				defer mu.Unlock()
-				changes = append(changes, line)
-			}
-		}})
+}
+
+func share(part, all *atomic.Int64) float64 {
+	return float64(part.Load()) / float64(max(all.Load(), 1))
+}
+
+// levelsPhase is the counts of one phase by kind.
+type levelsPhase [levelsRequests]levelsCount
+
+// levelsRun is the state of one variant.
+type levelsRun struct {
+	env        *Env
+	ctx        context.Context
+	variant    string
+	deployment *Deployment
+	servers    map[string]*serialServer // by host
+	client     *http.Client
+	lastID     atomic.Int64
+	inFlight   sync.WaitGroup
+
+	mu      sync.Mutex
+	changes int // of the level
+}
+
+func (e *Env) measureLevels(ctx context.Context, variant string) error {
+	r := &levelsRun{env: e, ctx: ctx, variant: variant, servers: map[string]*serialServer{}, client: newHTTPClient(256, 3*time.Second)}
+	for i := range levelsServers {
+		r.servers[fmt.Sprintf("s-%d", i)] = &serialServer{}
+	}
+	lookup, report := lookupType, lookupType
+	lookup.LatencyTarget, lookup.Timeout = 300*time.Millisecond, 600*time.Millisecond
+	report.LatencyTarget, report.Timeout = lookup.LatencyTarget, lookup.Timeout
+	report.Name = levelsReport.queryType()
+	var err error
+	r.deployment, err = e.StartDeployment(DeploymentOptions{
+		Name:           "levels " + variant,
+		Servers:        levelsServers,
+		Segments:       levelsServers,
+		MemoryMB:       levelsMemoryMB,
+		OperatorConfig: levelsConfig(variant),
+		Types:          []QueryType{lookup, report},
+		Handle:         func(conn *standin.ShardConn, call standin.ShardCall) { r.servers[conn.Server.Host].handle(conn, call) },
+		OnLogLine:      r.observeLine,
+	})
 	if err != nil {
 		return err
 	}
-	defer site.Stop()
-	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 256}, Timeout: 3 * time.Second}
-	var next atomic.Int64
-	var open sync.WaitGroup
-	one := func(r *levelsPhase, kind int) {
-		defer open.Done()
-		n := next.Add(1)
-		s := standin.Request{ID: fmt.Sprintf("%016x", n), QueryType: []string{"lookup", "report"}[kind], Customer: "acme", Timeout: 550 * time.Millisecond,
-			Shards: []int{int(n) % servers}, Statement: strconv.FormatInt(n, 16)}
-		if kind == 1 { // a report asks three segments
-			s.Shards = []int{int(n) % servers, int(n+3) % servers, int(n+5) % servers}
-		}
-		r.sent[kind].Add(1)
-		a, err := s.Send(ctx, client, site.Gatherer.Addr)
-		switch {
-		case err == nil && a.Status == http.StatusOK:
-			r.answered[kind].Add(1)
-		case err == nil && a.Status == http.StatusServiceUnavailable:
-			r.shed[kind].Add(1)
-		case err == nil && a.Status == http.StatusGatewayTimeout:
-			r.timedOut[kind].Add(1)
-		default:
-			e.Record.AddToMetric(way+": searches without a final answer", 1)
-		}
+	defer r.deployment.Stop()
+	start := time.Now()
+	oneHung := r.runPhases()
+	return r.check(oneHung, time.Since(start))
+}
+
+// observeLine counts changes of the level.
+func (r *levelsRun) observeLine(line string) {
+	if strings.Contains(line, levelChangeEvent) && strings.Contains(line, levelScope) {
+		r.mu.Lock()
+		defer r.mu.Unlock()
+		r.changes++
 	}
-	// phase plays look-ups and reports a second for some time.
-	phase := func(d time.Duration, lookups, reports func(at time.Duration) float64) *levelsPhase {
-		r := &levelsPhase{}
-		tick := time.NewTicker(2 * time.Millisecond)
-		defer tick.Stop()
-		due := [2]float64{}
-		began := time.Now()
-		last := began
-		for now := range tick.C {
-			if now.Sub(began) >= d || ctx.Err() != nil {
-				break
-			}
-			for kind, rate := range []func(time.Duration) float64{lookups, reports} {
-				for due[kind] += rate(now.Sub(began)) * now.Sub(last).Seconds(); due[kind] >= 1; due[kind]-- {
-					open.Add(1)
-					go one(r, kind)
-				}
+}
+
+// runPhases runs the phases and returns the counts of the one in which a quarter hangs for the first time.
+func (r *levelsRun) runPhases() *levelsPhase {
+	span := r.env.scaleMillis(2000, 20_000)
+	lookups, reports := steadyRate(400), steadyRate(120)
+	phase := func(name string, duration time.Duration, reports requestRate) *levelsPhase {
+		p := r.send(duration, lookups, reports)
+		r.record(name, p)
+		return p
+	}
+	r.send(span/2, steadyRate(300), steadyRate(80)) // warming up
+	phase("all servers", span, reports)
+	r.setHung(true)
+	r.send(time.Second, lookups, reports) // the transition is not part of the phase
+	hung := phase("a quarter hung", span, reports)
+	r.setHung(false)
+	phase("back", span, reports)
+	phase("reports swing", 2*span, func(at time.Duration) float64 { // around what the servers can bear
+		return 80 + 160*float64(int(at/(700*time.Millisecond))%2)
+	})
+	r.setHung(true)
+	phase("hung once more", span, reports)
+	r.setHung(false)
+	phase("back once more", span, reports)
+	return hung
+}
+
+func (r *levelsRun) setHung(hung bool) {
+	for _, i := range levelsHung {
+		r.servers[fmt.Sprintf("s-%d", i)].hung.Store(hung)
+	}
+}
+
+// requestRate returns the requests per second at a time after the start of a phase.
+type requestRate func(at time.Duration) float64
+
+func steadyRate(perSecond float64) requestRate {
+	return func(time.Duration) float64 { return perSecond }
+}
+
+// send sends look-ups and reports at their rates for a duration and waits for the responses.
+func (r *levelsRun) send(duration time.Duration, lookups, reports requestRate) *levelsPhase {
+	p := &levelsPhase{}
+	tick := time.NewTicker(levelsTick)
+	defer tick.Stop()
+	rates := [levelsRequests]requestRate{levelsLookup: lookups, levelsReport: reports}
+	var due [levelsRequests]float64
+	start := time.Now()
+	last := start
+	for now := range tick.C {
+		if now.Sub(start) >= duration || r.ctx.Err() != nil {
+			break
+		}
+		for kind, rate := range rates {
+			due[kind] += rate(now.Sub(start)) * now.Sub(last).Seconds()
+			for ; due[kind] >= 1; due[kind]-- {
+				r.inFlight.Go(func() { r.sendOne(&p[kind], levelsRequest(kind)) })
 			}
-			last = now
 		}
-		open.Wait()
-		return r
+		last = now
 	}
-	steady := func(v float64) func(time.Duration) float64 { return func(time.Duration) float64 { return v } }
-	hang := func(on bool) {
-		work[1].hung.Store(on)
-		work[5].hung.Store(on)
+	r.inFlight.Wait()
+	return p
+}
+
+// sendOne sends one request, a look-up in one segment or a report over three, and counts the response.
+func (r *levelsRun) sendOne(count *levelsCount, kind levelsRequest) {
+	n := r.lastID.Add(1)
+	request := standin.Request{
+		ID:        formatID(uint64(n)),
+		QueryType: kind.queryType(),
+		Customer:  customer,
+		Timeout:   levelsTimeout,
+		Shards:    []int{int(n) % levelsServers},
+		Statement: strconv.FormatInt(n, 16),
 	}
-	span := e.scaleMillis(2000, 20_000)
-	began := time.Now()
-	row := func(name string, r *levelsPhase) {
-		part := func(n, of int64) string { return fmt.Sprintf("%.3f", float64(n)/float64(max(of, 1))) }
-		e.Record.AddRow("Answered by phase", []string{"way", "phase", "look-ups", "answered", "shed", "errored", "reports", "answered", "shed", "errored"}, way, name,
-			fmt.Sprint(r.sent[0].Load()), part(r.answered[0].Load(), r.sent[0].Load()), part(r.shed[0].Load(), r.sent[0].Load()), part(r.timedOut[0].Load(), r.sent[0].Load()),
-			fmt.Sprint(r.sent[1].Load()), part(r.answered[1].Load(), r.sent[1].Load()), part(r.shed[1].Load(), r.sent[1].Load()), part(r.timedOut[1].Load(), r.sent[1].Load()))
-		e.Step()
+	if kind == levelsReport {
+		request.Shards = append(request.Shards, int(n+3)%levelsServers, int(n+5)%levelsServers)
 	}
-	phase(span/2, steady(300), steady(80)) // warms up
-	whole := phase(span, steady(400), steady(120))
-	row("all servers", whole)
-	hang(true)
-	phase(time.Second, steady(400), steady(120)) // the moment of it is looked at apart
-	dead := phase(span, steady(400), steady(120))
-	row("a quarter dead", dead)
-	hang(false)
-	row("back", phase(span, steady(400), steady(120)))
-	swing := phase(2*span, steady(400), func(at time.Duration) float64 { // reports swing over what is borne
-		return 80 + 160*float64(int(at/(700*time.Millisecond))%2)
-	})
-	row("reports swing", swing)
-	hang(true)
-	row("dead once more", phase(span, steady(400), steady(120)))
-	hang(false)
-	row("back once more", phase(span, steady(400), steady(120)))
-	mu.Lock()
-	n := len(changes)
-	mu.Unlock()
-	minutes := time.Since(began).Minutes()
-	e.Record.AddRow("Changes of level", []string{"way", "changes", "minutes"}, way, fmt.Sprint(n), fmt.Sprintf("%.1f", minutes))
-	if way != "levels" {
-		return nil
+	count.sent.Add(1)
+	response, err := request.Send(r.ctx, r.client, r.deployment.Gatherer.Addr)
+	switch {
+	case err == nil && response.Status == http.StatusOK:
+		count.answered.Add(1)
+	case err == nil && response.Status == http.StatusServiceUnavailable:
+		count.shed.Add(1)
+	case err == nil && response.Status == http.StatusGatewayTimeout:
+		count.timedOut.Add(1)
+	default:
+		r.env.Record.AddToMetric(r.lostMetric(), 1)
 	}
-	mostChanges := 2*4 + 2
-	switch kept := float64(dead.answered[0].Load()) / float64(max(dead.sent[0].Load(), 1)); {
-	case kept < 0.95:
-		return fmt.Errorf("%.3f of the look-ups are answered while a quarter is dead", kept)
-	case float64(n) > float64(mostChanges)*max(minutes, 1):
-		return fmt.Errorf("%d changes in %.1f minutes, %d a minute are stated", n, minutes, mostChanges)
-	case n == 0:
-		return fmt.Errorf("no change of level, with a quarter dead")
+}
+
+// lostMetric is the name of the metric of requests without a final response.
+func (r *levelsRun) lostMetric() string { return r.variant + ": requests without a final response" }
+
+func (r *levelsRun) record(name string, p *levelsPhase) {
+	row := append([]string{r.variant, name}, p[levelsLookup].cells()...)
+	r.env.Record.AddRow("Answered by phase",
+		[]string{"variant", "phase", "look-ups", "answered", "shed", "timed out", "reports", "answered", "shed", "timed out"},
+		append(row, p[levelsReport].cells()...)...)
+	r.env.Step()
+}
+
+// check records the changes of level and returns the finding, if any, of the variant with levels.
+func (r *levelsRun) check(hung *levelsPhase, elapsed time.Duration) error {
+	r.mu.Lock()
+	changes := r.changes
+	r.mu.Unlock()
+	minutes := elapsed.Minutes()
+	r.env.Record.AddRow("Changes of level", []string{"variant", "changes", "minutes"}, r.variant, fmt.Sprint(changes), formatCell(minutes, 1))
+	if r.variant != levelsFull {
+		return nil
 	}
-	if lost := e.Record.Metric(way + ": searches without a final answer"); lost > 0 {
-		return fmt.Errorf("%.0f searches got no final answer", lost)
+	lost := r.env.Record.Metric(r.lostMetric())
+	switch answered := hung[levelsLookup].answeredShare(); {
+	case answered < levelsMinAnswered:
+		return fmt.Errorf("a share of %.3f of the look-ups is answered while a quarter of the servers hangs", answered)
+	case float64(changes) > levelsMaxChanges*max(minutes, 1):
+		return fmt.Errorf("%d changes of level in %.1f minutes, %d per minute are allowed", changes, minutes, levelsMaxChanges)
+	case changes == 0:
+		return errors.New("the level did not change while a quarter of the servers hung")
+	case lost > 0:
+		return fmt.Errorf("%.0f requests got no final response", lost)
 	}
 	return nil
 }
--- a/internal/testing/experiment/local_cluster.go
+++ b/internal/testing/experiment/local_cluster.go
@@ -1,6 +1,8 @@
 package experiment
 
 import (
+	"encoding/json"
+	"errors"
 	"fmt"
 	"net/http"
 	"os"
@@ -9,110 +11,187 @@
 	"syscall"
 	"time"
 
+	"oxbowspan/config"
 	"oxbowspan/internal/testing/simcluster"
 )
 
-// localCluster is a built system on loopback: hives and foragers as processes, servers and clients of this one.
+const (
+	// firstConfigurationTimeout is how long a new cluster may take to commit its first configuration.
+	firstConfigurationTimeout = 10 * time.Second
+	// firstConfigurationInterval is the time between two attempts.
+	firstConfigurationInterval = 100 * time.Millisecond
+	// exampleServersPerService is the number of servers of each service of the example configuration.
+	exampleServersPerService = 3
+)
+
+// errNoConfiguration is the error of a cluster that does not commit its first configuration.
+var errNoConfiguration = errors.New("no configuration was committed")
+
+// localCluster is a cluster of built programs on loopback. Controllers and gateways are processes, servers and clients run in
+// this one.
 type localCluster struct {
-	cluster       *simcluster.Cluster
-	controllers   []*exec.Cmd
-	gateways      []*exec.Cmd
+	cluster     *simcluster.Cluster
+	controllers []*exec.Cmd
+	gateways    []*exec.Cmd
+
+	env           *Env
 	settingsPaths map[*exec.Cmd]string
-	startProgram  func(boot, name string) (*exec.Cmd, error)
 }
 
-// startCluster starts the programs beside the gatherer, adds servers by fill, and has a configuration agreed on.
-func (e *Env) startCluster(name string, hives, foragers int, alone bool, conf []byte, fill func(c *simcluster.Cluster)) (*localCluster, error) {
-	dir := filepath.Join(e.Dir, name)
+// localClusterOptions describe a localCluster.
+type localClusterOptions struct {
+	name                  string // of its directory
+	controllers, gateways int
+	localOutlierDetection bool                        // gateways do not exchange observations
+	configuration         []byte                      // the first one
+	addServers            func(c *simcluster.Cluster) // nil = no servers
+}
+
+// startCluster starts the programs and servers of a cluster and commits its first configuration.
+func (e *Env) startCluster(options localClusterOptions) (*localCluster, error) {
+	dir := filepath.Join(e.Dir, options.name)
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, err
 	}
-	s := &localCluster{cluster: simcluster.NewLocal(dir, hives, foragers), settingsPaths: map[*exec.Cmd]string{}}
-	s.cluster.LocalOutlierDetection = alone
-	atHive, atForager, err := s.cluster.WriteSettings()
-	if err != nil {
+	c := &localCluster{
+		cluster:       simcluster.NewLocal(dir, options.controllers, options.gateways),
+		env:           e,
+		settingsPaths: map[*exec.Cmd]string{},
+	}
+	c.cluster.LocalOutlierDetection = options.localOutlierDetection
+	if err := c.start(options); err != nil {
+		c.stop()
 		return nil, err
 	}
-	s.startProgram = func(boot, name string) (*exec.Cmd, error) {
-		p := exec.Command(filepath.Join(filepath.Dir(e.GathererPath), name), "--boot", boot, "--log-level", "warn", "serve")
-		p.Stderr = e.Out
-		if err := p.Start(); err != nil {
-			return nil, fmt.Errorf("%s can't be started: %w", name, err)
-		}
-		s.settingsPaths[p] = boot
-		return p, nil
+	return c, nil
+}
+
+func (c *localCluster) start(options localClusterOptions) error {
+	controllerSettings, gatewaySettings, err := c.cluster.WriteSettings()
+	if err != nil {
+		return err
 	}
-	for _, path := range atHive {
-		p, err := s.startProgram(path, "oxbowspan-control")
+	for _, path := range controllerSettings {
+		process, err := c.startProgram(controllerProgram, path)
 		if err != nil {
-			s.stop()
-			return nil, err
+			return err
 		}
-		s.controllers = append(s.controllers, p)
+		c.controllers = append(c.controllers, process)
 	}
-	for _, path := range atForager {
-		p, err := s.startProgram(path, "oxbowspan-gateway")
+	for _, path := range gatewaySettings {
+		process, err := c.startProgram(gatewayProgram, path)
 		if err != nil {
-			s.stop()
-			return nil, err
+			return err
 		}
-		s.gateways = append(s.gateways, p)
+		c.gateways = append(c.gateways, process)
 	}
-	fill(s.cluster)
-	for _, srv := range s.cluster.Servers {
-		if err := srv.Start(); err != nil {
-			s.stop()
-			return nil, err
+	if options.addServers != nil {
+		options.addServers(c.cluster)
+	}
+	for _, server := range c.cluster.Servers {
+		if err := server.Start(); err != nil {
+			return err
 		}
 	}
-	for until := time.Now().Add(10 * time.Second); s.cluster.ReplaceConfiguration(s.cluster.Controllers[0], 0, conf) != http.StatusOK; {
-		if time.Now().After(until) {
-			s.stop()
-			return nil, fmt.Errorf("no configuration is agreed on")
+	return c.commitFirst(options.configuration)
+}
+
+// commitFirst submits the first configuration until it is committed.
+func (c *localCluster) commitFirst(configuration []byte) error {
+	deadline := time.Now().Add(firstConfigurationTimeout)
+	for c.cluster.ReplaceConfiguration(c.cluster.Controllers[0], 0, configuration) != http.StatusOK {
+		if time.Now().After(deadline) {
+			return errNoConfiguration
 		}
-		time.Sleep(100 * time.Millisecond)
+		time.Sleep(firstConfigurationInterval)
 	}
-	return s, nil
+	return nil
 }
 
-// stop kills what this system started.
-func (s *localCluster) stop() {
-	for _, p := range append(s.controllers, s.gateways...) {
-		p.Process.Signal(syscall.SIGKILL)
-		p.Wait()
+func (c *localCluster) startProgram(name, settingsPath string) (*exec.Cmd, error) {
+	process := exec.Command(c.env.programPath(name), "--boot", settingsPath, "--log-level", "warn", "serve")
+	process.Stderr = c.env.Out
+	if err := process.Start(); err != nil {
+		return nil, fmt.Errorf("start %s: %w", name, err)
 	}
-	for _, srv := range s.cluster.Servers {
-		srv.Crash(false)
+	c.settingsPaths[process] = settingsPath
+	return process, nil
+}
+
+// stop kills the cluster's processes and stops its servers.
+func (c *localCluster) stop() {
+	for _, process := range append(c.controllers, c.gateways...) {
+		process.Process.Signal(syscall.SIGKILL)
+		process.Wait()
+	}
+	for _, server := range c.cluster.Servers {
+		server.Crash(false)
 	}
 }
 
-// killGateway kills a forager, begin starts it anew.
-func (s *localCluster) killGateway(i int) {
-	s.gateways[i].Process.Signal(syscall.SIGKILL)
-	s.gateways[i].Wait()
+// killGateway kills the process of a gateway.
+func (c *localCluster) killGateway(index int) {
+	c.gateways[index].Process.Signal(syscall.SIGKILL)
+	c.gateways[index].Wait()
+}
+
+// restartGateway starts a gateway that was killed.
+func (c *localCluster) restartGateway(index int) error {
+	process, err := c.startProgram(gatewayProgram, c.settingsPaths[c.gateways[index]])
+	if err != nil {
+		return err
+	}
+	c.gateways[index] = process
+	return nil
 }
 
-func (s *localCluster) restartGateway(i int) error {
-	p, err := s.startProgram(s.settingsPaths[s.gateways[i]], "oxbowspan-gateway")
-	if err == nil {
-		s.gateways[i] = p
+// pids returns the process ids of some processes.
+func pids(processes []*exec.Cmd) []int {
+	var ids []int
+	for _, process := range processes {
+		ids = append(ids, process.Process.Pid)
 	}
-	return err
+	return ids
+}
+
+// suspend stops a process and lets it continue after a duration. It returns at once.
+func suspend(process *exec.Cmd, d time.Duration) {
+	process.Process.Signal(syscall.SIGSTOP)
+	time.AfterFunc(d, func() { process.Process.Signal(syscall.SIGCONT) })
 }
 
-// suspend stops a process for a time.
-func suspend(p *exec.Cmd, d time.Duration) {
-	p.Process.Signal(syscall.SIGSTOP)
-	time.AfterFunc(d, func() { p.Process.Signal(syscall.SIGCONT) })
+// addExampleServers returns a function that adds the servers of the example configuration.
+func addExampleServers(serviceTime time.Duration) func(c *simcluster.Cluster) {
+	return addServers(simcluster.ExampleServices, exampleServersPerService, func(c *simcluster.Cluster, service string) {
+		c.AddServer(service, serviceTime)
+	})
 }
 
-// addExampleServers adds the example's servers.
-func addExampleServers(work time.Duration) func(c *simcluster.Cluster) {
+// addServers returns a function that calls add count times for each service.
+func addServers(services []string, count int, add func(c *simcluster.Cluster, service string)) func(c *simcluster.Cluster) {
 	return func(c *simcluster.Cluster) {
-		for _, service := range simcluster.ExampleServices {
-			for range 3 {
-				c.AddServer(service, work)
+		for _, service := range services {
+			for range count {
+				add(c, service)
 			}
 		}
 	}
 }
+
+// exampleConfiguration returns the example configuration of a version.
+func exampleConfiguration(version uint64) config.Configuration {
+	var c config.Configuration
+	if err := json.Unmarshal(simcluster.ExampleConfiguration(version, simcluster.FirstSharding), &c); err != nil {
+		panic(err) // the example is part of the program
+	}
+	return c
+}
+
+// encodeDocument encodes a configuration or another document that controllers commit.
+func encodeDocument(document any) []byte {
+	text, err := json.Marshal(document)
+	if err != nil {
+		panic(err) // documents consist of plain values
+	}
+	return text
+}
--- a/internal/testing/experiment/message_bench_test.go
+++ b/internal/testing/experiment/message_bench_test.go
@@ -11,10 +11,10 @@
 	"oxbowspan/rpc"
 )
 
-// BenchmarkAcceptRequest tells the bytes and the processor's time of the request for a vote that carries a configuration, by versions
+// BenchmarkAcceptRequest measures the size and the encoding time of an accept request that carries a configuration, by versions
 // before it and by routes, for docs/CAPACITY.md:
 //
-//	go test -run xxx -bench Vote -benchmem ./internal/lab
+//	go test -run xxx -bench AcceptRequest -benchmem ./internal/testing/experiment
 func BenchmarkAcceptRequest(b *testing.B) {
 	for _, routes := range []int{10, 1000, 10_000} {
 		body := hollowConfig(1, routes)
@@ -40,9 +40,9 @@
 	}
 }
 
-// BenchmarkLoadReport tells the bytes of one telling of unfinished parts from a gatherer to one that watches it, by servers that had any:
+// BenchmarkLoadReport measures the size of one report of pending shard calls from a gateway to a subscriber, by servers that had any:
 //
-//	go test -run xxx -bench Loads -benchmem ./internal/lab
+//	go test -run xxx -bench LoadReport -benchmem ./internal/testing/experiment
 func BenchmarkLoadReport(b *testing.B) {
 	for _, servers := range []int{10, 100, 1000, 16_900} {
 		m := &rpc.LoadReport{Incarnation: 1 << 60}
--- a/internal/testing/experiment/ordinary.go
+++ b/internal/testing/experiment/ordinary.go
@@ -4,7 +4,6 @@
 	"context"
 	"fmt"
 	"net/http"
-	"sync"
 	"sync/atomic"
 	"time"
 
@@ -12,92 +11,102 @@
 )
 
 func init() {
-	Register(Experiment{Name: "ordinary", Short: "What an ordinary search costs: processor time, memory, latency",
-		Long: `ordinary plays plain account look-ups, which nothing is merged for, through a built gatherer over quick stand-ins, and
-records processor time a search, memory at rest and under load, and latency. Two versions of the program are compared by
-running it twice with --program.`, Run: runOrdinary})
+	Register(Experiment{
+		Name:  "ordinary",
+		Short: "What an ordinary request costs: processor time, memory, latency",
+		Long: `ordinary sends plain look-ups, whose results are not merged, through a built gatherer over fast stand-ins, and records
+processor time per request, memory at rest and under load, and latency. Two versions of the program are compared by running
+it twice with --program.`,
+		Run: runOrdinary,
+	})
+}
+
+// ordinaryServers is the number of shard servers, and of segments.
+const ordinaryServers = 8
+
+// ordinaryRun is the state of the experiment.
+type ordinaryRun struct {
+	env        *Env
+	deployment *Deployment
+	client     *http.Client
+	lastID     atomic.Uint64
 }
 
 func runOrdinary(ctx context.Context, e *Env) error {
-	const cells = 8
-	site, err := e.StartDeployment(DeploymentOptions{Name: "ordinary", Servers: cells, Segments: cells, MemoryMB: 64,
-		Types: []QueryType{{"lookup", "free", time.Second, 2 * time.Second, 1, 1}}})
+	deployment, err := e.StartDeployment(DeploymentOptions{
+		Name:     "ordinary",
+		Servers:  ordinaryServers,
+		Segments: ordinaryServers,
+		MemoryMB: 64,
+		Types:    []QueryType{lookupType},
+	})
 	if err != nil {
 		return err
 	}
-	defer site.Stop()
-	pid := site.Gatherer.PID()
-	rest, err := ReadUsage(pid)
+	defer deployment.Stop()
+	atRest, err := ReadUsage(deployment.Gatherer.PID())
 	if err != nil {
 		return err
 	}
-	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: concurrentClients}, Timeout: 20 * time.Second}
-	var next atomic.Int64
-	one := func(l *LatencyRecorder) error {
-		n := next.Add(1)
-		s := standin.Request{ID: fmt.Sprintf("%016x", n), QueryType: "lookup", Customer: "acme", Timeout: 1900 * time.Millisecond,
-			Shards: []int{int(n) % cells, int(n+3) % cells}, Statement: "c41e77d0"}
-		r, err := s.Send(ctx, client, site.Gatherer.Addr)
-		if err != nil {
-			return err
-		}
-		want := fmt.Sprintf(`{"full":true,"pieces":[{"tablet":%d,"cell":"value of c41e77d0"},{"tablet":%d,"cell":"value of c41e77d0"}]}`, s.Shards[0], s.Shards[1])
-		if r.Status != http.StatusOK || string(r.Body) != want {
-			return fmt.Errorf("a search was answered %d %.200s", r.Status, r.Body)
-		}
-		l.Add(r.Elapsed)
-		return nil
+	e.Record.SetMetric("at rest: MiB", toMiB(atRest.RSS))
+	r := &ordinaryRun{env: e, deployment: deployment, client: newHTTPClient(concurrentClients, 20*time.Second)}
+	if err := r.measure(ctx, "warming up", e.Scale(2000, 10_000)); err != nil {
+		return err
 	}
-	play := func(name string, times int) error {
-		l := NewLatencyRecorder()
-		e.Progress(name, times)
-		before, err := ReadUsage(pid)
-		if err != nil {
-			return err
-		}
-		began := time.Now()
-		var all sync.WaitGroup
-		var left atomic.Int64
-		left.Store(int64(times))
-		failed := make(chan error, concurrentClients)
-		for range concurrentClients {
-			all.Add(1)
-			go func() {
-				defer all.Done()
-				for left.Add(-1) >= 0 && ctx.Err() == nil {
-					if err := one(l); err != nil {
-						failed <- err
-						return
-					}
-					e.Step()
-				}
-			}()
-		}
-		all.Wait()
-		select {
-		case err := <-failed:
-			return err
-		default:
-		}
-		after, err := ReadUsage(pid)
-		if err != nil {
+	for i := range e.Scale(3, 10) {
+		if err := r.measure(ctx, fmt.Sprintf("round %d", i+1), e.Scale(8000, 40_000)); err != nil {
 			return err
 		}
-		took := time.Since(began)
-		e.Record.AddLatency(name, l)
-		e.Record.SetMetric(name+": processor microseconds a search", float64((after.CPU-before.CPU).Microseconds())/float64(times))
-		e.Record.SetMetric(name+": searches a second", float64(times)/took.Seconds())
-		e.Record.SetMetric(name+": MiB at most", float64(after.Peak)/(1<<20))
-		return nil
 	}
-	e.Record.SetMetric("at rest: MiB", float64(rest.RSS)/(1<<20))
-	if err := play("warming up", e.Scale(2000, 10_000)); err != nil {
+	return nil
+}
+
+// measure sends a number of look-ups and records what they cost.
+func (r *ordinaryRun) measure(ctx context.Context, name string, times int) error {
+	latency := NewLatencyRecorder()
+	r.env.Progress(name, times)
+	pid := r.deployment.Gatherer.PID()
+	before, err := ReadUsage(pid)
+	if err != nil {
+		return err
+	}
+	start := time.Now()
+	err = runClients(ctx, concurrentClients, times, func(ctx context.Context, _ int) error {
+		defer r.env.Step()
+		return r.lookUp(ctx, latency)
+	})
+	if err != nil {
 		return err
 	}
-	for i := range e.Scale(3, 10) {
-		if err := play(fmt.Sprintf("round %d", i+1), e.Scale(8000, 40_000)); err != nil {
-			return err
-		}
+	after, err := ReadUsage(pid)
+	if err != nil {
+		return err
 	}
+	elapsed := time.Since(start)
+	r.env.Record.AddLatency(name, latency)
+	r.env.Record.SetMetric(name+": processor microseconds per request", float64((after.CPU-before.CPU).Microseconds())/float64(times))
+	r.env.Record.SetMetric(name+": requests per second", float64(times)/elapsed.Seconds())
+	r.env.Record.SetMetric(name+": peak MiB", toMiB(after.Peak))
 	return nil
 }
+
+// lookUp sends one look-up in two segments and checks the response.
+func (r *ordinaryRun) lookUp(ctx context.Context, latency *LatencyRecorder) error {
+	id := r.lastID.Add(1)
+	request := newLookup(id, int(id)%ordinaryServers, int(id+3)%ordinaryServers)
+	response, err := request.Send(ctx, r.client, r.deployment.Gatherer.Addr)
+	if err != nil {
+		return err
+	}
+	if want := ordinaryBody(request); response.Status != http.StatusOK || string(response.Body) != want {
+		return fmt.Errorf("a request got status %d and %.200s, want %s", response.Status, response.Body, want)
+	}
+	latency.Add(response.Elapsed)
+	return nil
+}
+
+// ordinaryBody returns the body of the correct response to a look-up in two segments.
+func ordinaryBody(r standin.Request) string {
+	return fmt.Sprintf(`{"full":true,"pieces":[{"tablet":%d,"cell":"value of %s"},{"tablet":%d,"cell":"value of %s"}]}`,
+		r.Shards[0], r.Statement, r.Shards[1], r.Statement)
+}
--- a/internal/testing/experiment/outlier.go
+++ b/internal/testing/experiment/outlier.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"encoding/json"
 	"fmt"
 	"math/rand/v2"
 	"net/http"
@@ -15,179 +14,300 @@
 )
 
 func init() {
-	Register(Experiment{Name: "judgement", Short: "One judgement of replicas: a replica slowed tenfold, hung and killed, judged together and by each alone",
-		Long: `judgement starts three hives and many foragers, each with little traffic: counter look-ups, gathers and posts that must not run
-twice, over three shards of four servers. One server is slowed tenfold, another takes requests and answers none, another is killed; each
-recovers. In the middle a gatherer is killed and another frozen. It plays that with the judgement and with each gatherer's own records alone,
-and records how many look-ups took longer than a bound after each beginning, how many requests met the server, and how long until it has its part
-again. It ends with a finding if an id ran twice, or look-ups over the bound are more with the judgement than alone.`, Run: runOutlierDetection})
+	Register(Experiment{
+		Name:    "outlier-detection",
+		Aliases: []string{"judgement"},
+		Short:   "Outlier detection: a replica slowed tenfold, hung and killed, detected together and by each gateway alone",
+		Long: `outlier-detection starts three controllers and many gateways, each with little traffic: look-ups, requests over all shards and
+posts that must not be executed twice, over three shards of four servers. One server is slowed tenfold, another accepts requests
+and answers none, another is killed; each recovers. In the middle a gateway is killed and another suspended. It runs with
+gateways that exchange their observations and with gateways that use their own alone, and records how many look-ups took longer
+than a bound after each fault, how many requests reached the faulty server, and how long it took until it had its share of the
+traffic again. It ends with a finding if an id was executed twice, or if more look-ups exceed the bound with the exchange than
+without.`,
+		Run: runOutlierDetection,
+	})
 }
 
 const (
-	outlierServiceTime  = 15 * time.Millisecond
-	outlierLatencyBound = 50 * time.Millisecond
+	outlierControllers       = 3
+	outlierServers           = 4 // of each service
+	outlierServerConcurrency = 4
+	outlierServiceTime       = 15 * time.Millisecond
+	outlierLatencyBound      = 50 * time.Millisecond
+	outlierTimeout           = 3 * time.Second
+	outlierSettleTime        = 5 * time.Second
+	outlierWarmUpTime        = 3 * time.Second
+	// outlierDetectionTime is how long after a fault requests to the faulty server are not counted.
+	outlierDetectionTime = time.Second
+	// Recovery: the server must receive half of its share of the look-ups' traffic, counted in intervals.
+	outlierMaxRecovery      = 12 * time.Second
+	outlierRecoveryInterval = 500 * time.Millisecond
+	outlierLookupRate       = 125 // requests per second to the look-ups' service
+	outlierRecoveredShare   = 0.5
+)
+
+// Services and paths of the experiment's routes.
+const (
+	outlierLookupService = "a0"
+	outlierPostService   = "a1"
+	outlierLookupPath    = "/counter/"
+	outlierGatherPath    = "/all/"
+	outlierPostPath      = "/post/"
 )
 
+// outlierConfig returns the configuration.
 func outlierConfig() []byte {
-	var c config.Configuration
-	json.Unmarshal(simcluster.ExampleConfiguration(1, simcluster.FirstSharding), &c)
+	c := exampleConfiguration(1)
 	c.Routes = append(c.Routes,
-		config.Route{Name: "counter", Hostname: "h.example", PathPrefix: "/counter/", RouteKind: config.Retryable, TimeoutMS: 3000, TargetMS: 100, Service: "a0", Attempts: 2},
-		config.Route{Name: "post", Hostname: "h.example", PathPrefix: "/post/", RouteKind: config.NonRetryable, TimeoutMS: 3000, TargetMS: 400, Service: "a1", Attempts: 2})
-	text, _ := json.Marshal(c)
-	return text
-}
-
-func runOutlierDetection(ctx context.Context, e *Env) error {
-	foragers := e.Scale(40, 60)
-	e.Progress("judgement", 2)
-	over := map[bool]int64{}
-	for _, alone := range []bool{true, false} {
-		n, err := e.measureOutlierDetection(foragers, alone)
-		if err != nil {
-			return err
-		}
-		over[alone] = n
-		e.Step()
+		config.Route{Name: "counter", Hostname: exampleHost, PathPrefix: outlierLookupPath, RouteKind: config.Retryable, TimeoutMS: 3000,
+			TargetMS: 100, Service: outlierLookupService, Attempts: 2},
+		config.Route{Name: "post", Hostname: exampleHost, PathPrefix: outlierPostPath, RouteKind: config.NonRetryable, TimeoutMS: 3000,
+			TargetMS: 400, Service: outlierPostService, Attempts: 2})
+	return encodeDocument(c)
+}
+
+func runOutlierDetection(_ context.Context, e *Env) error {
+	e.Progress("outlier detection", 2)
+	alone, err := e.measureOutlierDetection(true)
+	if err != nil {
+		return err
+	}
+	e.Step()
+	together, err := e.measureOutlierDetection(false)
+	if err != nil {
+		return err
 	}
-	if over[false] > over[true]+over[true]/4+5 {
-		return fmt.Errorf("%d look-ups took longer than %v with the judgement, %d with each alone", over[false], outlierLatencyBound, over[true])
+	e.Step()
+	if together > alone+alone/4+5 {
+		return fmt.Errorf("%d look-ups took longer than %v with detection together, %d with each gateway alone", together, outlierLatencyBound, alone)
 	}
 	return nil
 }
 
-// measureOutlierDetection plays one way and returns how many look-ups took longer than the bound.
-func (e *Env) measureOutlierDetection(foragers int, alone bool) (int64, error) {
-	way := "together"
+// outlierRun is the state of one variant.
+type outlierRun struct {
+	env      *Env
+	variant  string
+	gateways int
+	cluster  *localCluster
+	servers  []*simcluster.Server // of look-ups; each has a fault in turn
+
+	away          atomic.Int64 // gateway that clients avoid, -1 = none
+	fault         atomic.Pointer[outlierFault]
+	requests      atomic.Int64
+	posts         atomic.Int64
+	executedTwice atomic.Int64 // posts
+	running       sync.WaitGroup
+	done          chan struct{} // closed when clients must stop
+}
+
+// noGateway is the value of outlierRun.away if clients avoid no gateway.
+const noGateway = -1
+
+// measureOutlierDetection runs one variant and returns how many look-ups took longer than the bound.
+func (e *Env) measureOutlierDetection(alone bool) (overBound int64, err error) {
+	r := &outlierRun{env: e, variant: "together", gateways: e.Scale(40, 60), done: make(chan struct{})}
 	if alone {
-		way = "each alone"
-	}
-	var watched []*simcluster.Server
-	s, err := e.startCluster("judge-"+fmt.Sprint(alone), 3, foragers, alone, outlierConfig(), func(c *simcluster.Cluster) {
-		for _, service := range simcluster.FirstSharding {
-			for range 4 {
-				srv := c.AddServer(service, outlierServiceTime)
-				srv.Concurrency = 4
-				if service == "a0" {
-					watched = append(watched, srv)
-				}
-			}
-		}
+		r.variant = "each alone"
+	}
+	r.away.Store(noGateway)
+	r.cluster, err = e.startCluster(localClusterOptions{
+		name:                  fmt.Sprint("outlier-", alone),
+		controllers:           outlierControllers,
+		gateways:              r.gateways,
+		localOutlierDetection: alone,
+		configuration:         outlierConfig(),
+		addServers:            addServers(simcluster.FirstSharding, outlierServers, r.addServer),
 	})
 	if err != nil {
 		return 0, err
 	}
-	defer s.stop()
-	time.Sleep(5 * time.Second)
-	type phase struct {
-		name          string
-		asked, over   atomic.Int64
-		lost          atomic.Int64
-		met           atomic.Int64 // requests that came to the server while it was ill, after the first second
-		back          time.Duration
-		illAt, wellAt time.Time
-	}
-	var now atomic.Pointer[phase]
-	var twice, ran atomic.Int64
-	var away atomic.Int64
-	away.Store(-1)
-	quit := make(chan struct{})
-	var all sync.WaitGroup
-	var n atomic.Int64
-	client := func(every time.Duration, path string, kind int) {
-		for {
-			select {
-			case <-quit:
-				return
-			case <-time.After(every/2 + time.Duration(rand.Int64N(int64(every)))):
-			}
-			all.Go(func() {
-				at := rand.IntN(foragers)
-				for int64(at) == away.Load() {
-					at = rand.IntN(foragers)
-				}
-				id := fmt.Sprint(path, n.Add(1))
-				method := "GET"
-				if kind == 2 {
-					method = "POST"
-				}
-				p := now.Load()
-				a := s.cluster.SendRequest(s.cluster.Gateways[at], method, "h.example", path+"x", id, 3*time.Second)
-				switch {
-				case int64(at) == away.Load() && a.Status != http.StatusOK:
-				case kind == 2:
-					if ran.Add(1); s.cluster.RequestLog.Executions("a1", id) > 1 {
-						twice.Add(1)
-					}
-				case kind == 0 && p != nil:
-					p.asked.Add(1)
-					if a.Status != http.StatusOK {
-						p.lost.Add(1)
-					}
-					if a.Status != http.StatusOK || a.Elapsed > outlierLatencyBound {
-						p.over.Add(1)
-					}
-				}
-			})
+	defer r.cluster.stop()
+	time.Sleep(outlierSettleTime)
+	r.startClients()
+	time.Sleep(outlierWarmUpTime)
+	for i, fault := range r.faults() {
+		r.inject(i, fault)
+		overBound += fault.overBound.Load()
+		r.record(i, fault)
+		time.Sleep(time.Second)
+	}
+	close(r.done)
+	r.running.Wait()
+	e.Record.SetMetric(r.variant+": posts", float64(r.posts.Load()))
+	e.Record.SetMetric(r.variant+": ids executed twice", float64(r.executedTwice.Load()))
+	if n := r.executedTwice.Load(); n > 0 {
+		return overBound, fmt.Errorf("%d posts were executed twice", n)
+	}
+	return overBound, nil
+}
+
+func (r *outlierRun) addServer(c *simcluster.Cluster, service string) {
+	server := c.AddServer(service, outlierServiceTime)
+	server.Concurrency = outlierServerConcurrency
+	if service == outlierLookupService {
+		r.servers = append(r.servers, server)
+	}
+}
+
+// outlierFault is a fault of a server and what came of it.
+type outlierFault struct {
+	name          string
+	begin, end    func(server *simcluster.Server)
+	whileFaulty   func()       // nil = nothing
+	sent          atomic.Int64 // look-ups during the fault
+	overBound     atomic.Int64 // of these, or failed
+	failed        atomic.Int64 // of these
+	reachedFaulty atomic.Int64 // requests to the server during the fault, after outlierDetectionTime
+	recoveryTime  time.Duration
+	startedAt     time.Time
+	ended         atomic.Bool
+}
+
+// faults returns the faults in the order of the servers that they befall.
+func (r *outlierRun) faults() []*outlierFault {
+	return []*outlierFault{
+		{
+			name:  "slowed tenfold",
+			begin: func(server *simcluster.Server) { server.SetServiceTime(10 * outlierServiceTime) },
+			end:   func(server *simcluster.Server) { server.SetServiceTime(outlierServiceTime) },
+		},
+		{
+			name:        "hung",
+			begin:       func(server *simcluster.Server) { server.SetHung(true) },
+			end:         func(server *simcluster.Server) { server.SetHung(false) },
+			whileFaulty: r.disturbGateways,
+		},
+		{
+			name:  "killed",
+			begin: func(server *simcluster.Server) { server.Crash(false) },
+			end:   func(server *simcluster.Server) { server.Start() },
+		},
+	}
+}
+
+// disturbGateways kills a gateway and restarts it, then suspends another one. Clients avoid them.
+func (r *outlierRun) disturbGateways() {
+	const killed, suspended = 3, 5
+	r.away.Store(killed)
+	r.cluster.killGateway(killed)
+	r.cluster.restartGateway(killed)
+	time.Sleep(2 * time.Second)
+	r.away.Store(suspended)
+	suspend(r.cluster.gateways[suspended], time.Second)
+	time.Sleep(1500 * time.Millisecond)
+	r.away.Store(noGateway)
+}
+
+// inject makes a server faulty for a while and waits until it has recovered.
+func (r *outlierRun) inject(index int, fault *outlierFault) {
+	server := r.servers[index]
+	var received atomic.Int64
+	fault.startedAt = time.Now()
+	server.SetOnRequest(func(at time.Time) {
+		received.Add(1)
+		if !fault.ended.Load() && at.Sub(fault.startedAt) > outlierDetectionTime {
+			fault.reachedFaulty.Add(1)
 		}
+	})
+	r.fault.Store(fault)
+	fault.begin(server)
+	if fault.whileFaulty != nil {
+		fault.whileFaulty()
 	}
-	all.Go(func() { client(10*time.Millisecond, "/counter/", 0) })
-	all.Go(func() { client(40*time.Millisecond, "/all/", 1) })
-	all.Go(func() { client(50*time.Millisecond, "/post/", 2) })
-	time.Sleep(3 * time.Second)
-	var sum int64
-	ill := time.Duration(e.Scale(4, 8)) * time.Second
-	for i, c := range []struct {
-		name       string
-		begin, end func(srv *simcluster.Server)
-	}{{"slowed tenfold", func(srv *simcluster.Server) { srv.SetServiceTime(10 * outlierServiceTime) }, func(srv *simcluster.Server) { srv.SetServiceTime(outlierServiceTime) }},
-		{"hung", func(srv *simcluster.Server) { srv.SetHung(true) }, func(srv *simcluster.Server) { srv.SetHung(false) }},
-		{"killed", func(srv *simcluster.Server) { srv.Crash(false) }, func(srv *simcluster.Server) { srv.Start() }}} {
-		srv, p := watched[i], &phase{name: c.name, illAt: time.Now()}
-		var came atomic.Int64
-		srv.SetOnRequest(func(t time.Time) {
-			if came.Add(1); p.wellAt.IsZero() && t.Sub(p.illAt) > time.Second {
-				p.met.Add(1)
-			}
-		})
-		now.Store(p)
-		c.begin(srv)
-		if i == 1 { // a gatherer goes and comes, another freezes
-			away.Store(3)
-			s.killGateway(3)
-			s.restartGateway(3)
-			time.Sleep(2 * time.Second)
-			away.Store(5)
-			suspend(s.gateways[5], time.Second)
-			time.Sleep(1500 * time.Millisecond)
-			away.Store(-1)
+	time.Sleep(r.env.scaleSeconds(4, 8))
+	r.fault.Store(nil)
+	fault.ended.Store(true)
+	end := time.Now()
+	fault.end(server)
+	recovered := outlierRecoveryInterval.Seconds() * outlierRecoveredShare * outlierLookupRate / outlierServers
+	for time.Since(end) < outlierMaxRecovery {
+		before := received.Load()
+		time.Sleep(outlierRecoveryInterval)
+		if float64(received.Load()-before) > recovered {
+			break
 		}
-		time.Sleep(ill)
-		now.Store(nil)
-		p.wellAt = time.Now()
-		c.end(srv)
-		// Back: in one second it takes half of its part of the look-ups' servers.
-		for time.Since(p.wellAt) < 12*time.Second {
-			before := came.Load()
-			time.Sleep(500 * time.Millisecond)
-			if float64(came.Load()-before) > 0.5*0.5*125/4 {
-				break
-			}
+	}
+	fault.recoveryTime = time.Since(end)
+	server.SetOnRequest(nil)
+}
+
+func (r *outlierRun) record(index int, fault *outlierFault) {
+	r.env.Record.AddRow("A faulty replica",
+		[]string{"replica", "detection", "look-ups", "over " + outlierLatencyBound.String(), "failed", "requests that reached it after the first second",
+			"recovery, s"},
+		fault.name, r.variant, fmt.Sprint(fault.sent.Load()), fmt.Sprint(fault.overBound.Load()), fmt.Sprint(fault.failed.Load()),
+		fmt.Sprint(fault.reachedFaulty.Load()), formatCell(fault.recoveryTime.Seconds(), 1))
+	r.env.Record.AddPoint("look-ups over the bound", "1 slowed, 2 hung, 3 killed", "look-ups", r.variant, float64(index+1), float64(fault.overBound.Load()))
+}
+
+// outlierRequests is one kind of requests.
+type outlierRequests struct {
+	method   string
+	path     string
+	interval time.Duration // between two requests, on average
+	observe  func(id string, fault *outlierFault, response simcluster.Response)
+}
+
+// startClients starts sending all kinds of requests.
+func (r *outlierRun) startClients() {
+	for _, kind := range []outlierRequests{
+		{http.MethodGet, outlierLookupPath, 10 * time.Millisecond, r.observeLookup},
+		{http.MethodGet, outlierGatherPath, 40 * time.Millisecond, nil},
+		{http.MethodPost, outlierPostPath, 50 * time.Millisecond, r.observePost},
+	} {
+		r.running.Go(func() { r.sendRequests(kind) })
+	}
+}
+
+// sendRequests sends requests of a kind at random intervals until the clients must stop.
+func (r *outlierRun) sendRequests(kind outlierRequests) {
+	for {
+		interval := kind.interval/2 + time.Duration(rand.Int64N(int64(kind.interval)))
+		select {
+		case <-r.done:
+			return
+		case <-time.After(interval):
 		}
-		p.back = time.Since(p.wellAt)
-		srv.SetOnRequest(nil)
-		sum += p.over.Load()
-		e.Record.AddRow("a replica in trouble", []string{"replica", "judged", "look-ups", "over " + outlierLatencyBound.String(), "lost", "requests that met it after the first second", "back after, s"},
-			p.name, way, fmt.Sprint(p.asked.Load()), fmt.Sprint(p.over.Load()), fmt.Sprint(p.lost.Load()), fmt.Sprint(p.met.Load()), fmt.Sprintf("%.1f", p.back.Seconds()))
-		e.Record.AddPoint("look-ups over the bound", "1 slowed, 2 hung, 3 killed", "look-ups", way, float64(i+1), float64(p.over.Load()))
-		time.Sleep(time.Second)
+		r.running.Go(func() { r.sendRequest(kind) })
 	}
-	close(quit)
-	all.Wait()
-	e.Record.SetMetric(way+": posts", float64(ran.Load()))
-	e.Record.SetMetric(way+": ids that ran twice", float64(twice.Load()))
-	if twice.Load() > 0 {
-		return sum, fmt.Errorf("%d posts ran twice", twice.Load())
+}
+
+func (r *outlierRun) sendRequest(kind outlierRequests) {
+	gateway := rand.IntN(r.gateways)
+	for int64(gateway) == r.away.Load() {
+		gateway = rand.IntN(r.gateways)
+	}
+	id := fmt.Sprint(kind.path, r.requests.Add(1))
+	fault := r.fault.Load()
+	c := r.cluster.cluster
+	response := c.SendRequest(c.Gateways[gateway], kind.method, exampleHost, kind.path+"x", id, outlierTimeout)
+	wentAway := int64(gateway) == r.away.Load() && response.Status != http.StatusOK
+	if kind.observe != nil && !wentAway {
+		kind.observe(id, fault, response)
+	}
+}
+
+// observeLookup counts a look-up that was sent during a fault.
+func (r *outlierRun) observeLookup(_ string, fault *outlierFault, response simcluster.Response) {
+	if fault == nil {
+		return
+	}
+	fault.sent.Add(1)
+	failed := response.Status != http.StatusOK
+	if failed {
+		fault.failed.Add(1)
+	}
+	if failed || response.Elapsed > outlierLatencyBound {
+		fault.overBound.Add(1)
+	}
+}
+
+// observePost counts a post and checks that it was not executed twice.
+func (r *outlierRun) observePost(id string, _ *outlierFault, _ simcluster.Response) {
+	r.posts.Add(1)
+	if r.cluster.cluster.RequestLog.Executions(outlierPostService, id) > 1 {
+		r.executedTwice.Add(1)
 	}
-	return sum, nil
 }
--- a/internal/testing/experiment/process.go
+++ b/internal/testing/experiment/process.go
@@ -1,65 +1,174 @@
 package experiment
 
 import (
+	"bufio"
 	"fmt"
 	"os"
+	"path/filepath"
 	"strconv"
 	"strings"
 	"time"
 )
 
-// clockTicks is the kernel's unit of processor time on every Linux that Go runs on: a hundredth of a second.
+// clockTicks is the number of units of processor time per second in /proc, on every Linux that Go supports.
 const clockTicks = 100
 
-// Usage is what a process has used so far, and holds now.
+// Fields of /proc/PID/stat after the command's name; see proc(5).
+const (
+	statUserTime   = 11
+	statSystemTime = 12
+	statThreads    = 17
+)
+
+// Usage is the resources that a process has used so far and holds now.
 type Usage struct {
 	CPU         time.Duration
-	RSS, Peak   int64 // bytes of memory: now, and at most
+	RSS, Peak   int64 // bytes of resident memory: now and at most
 	Descriptors int
 	Threads     int
 }
 
-// ReadUsage reads a process's figures from /proc.
+// ReadUsage reads a process's usage from /proc.
 func ReadUsage(pid int) (u Usage, err error) {
-	stat, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
-	if err != nil {
+	if err := u.readStat(pid); err != nil {
 		return u, err
 	}
-	// The second field is the command's name in brackets, which may hold spaces.
-	_, rest, _ := strings.Cut(string(stat), ") ")
-	words := strings.Fields(rest)
-	if len(words) < 18 {
-		return u, fmt.Errorf("/proc/%d/stat has %d fields", pid, len(words))
+	if err := u.readStatus(pid); err != nil {
+		return u, err
 	}
-	for _, i := range []int{11, 12} { // user and system time
-		n, err := strconv.ParseInt(words[i], 10, 64)
+	descriptors, err := os.ReadDir(procPath(pid, "fd"))
+	u.Descriptors = len(descriptors)
+	return u, err
+}
+
+// readStat reads processor time and threads.
+func (u *Usage) readStat(pid int) error {
+	path := procPath(pid, "stat")
+	text, err := os.ReadFile(path)
+	if err != nil {
+		return err
+	}
+	// The second field is the command's name in parentheses, which may contain spaces.
+	_, rest, _ := strings.Cut(string(text), ") ")
+	fields := strings.Fields(rest)
+	if len(fields) <= statThreads {
+		return fmt.Errorf("%s has %d fields after the name", path, len(fields))
+	}
+	for _, i := range []int{statUserTime, statSystemTime} {
+		ticks, err := strconv.ParseInt(fields[i], 10, 64)
 		if err != nil {
-			return u, err
+			return fmt.Errorf("%s: %w", path, err)
 		}
-		u.CPU += time.Duration(n) * time.Second / clockTicks
+		u.CPU += time.Duration(ticks) * time.Second / clockTicks
 	}
-	u.Threads, _ = strconv.Atoi(words[17])
-	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
+	u.Threads, _ = strconv.Atoi(fields[statThreads])
+	return nil
+}
+
+// readStatus reads memory.
+func (u *Usage) readStatus(pid int) error {
+	path := procPath(pid, "status")
+	text, err := os.ReadFile(path)
 	if err != nil {
-		return u, err
+		return err
 	}
-	for _, line := range strings.Split(string(status), "\n") {
+	for _, line := range strings.Split(string(text), "\n") {
 		name, value, _ := strings.Cut(line, ":")
-		words := strings.Fields(value)
-		if len(words) != 2 || words[1] != "kB" {
+		fields := strings.Fields(value)
+		if len(fields) != 2 || fields[1] != "kB" {
 			continue
 		}
-		n, err := strconv.ParseInt(words[0], 10, 64)
+		kib, err := strconv.ParseInt(fields[0], 10, 64)
 		switch {
 		case err != nil:
-			return u, err
+			return fmt.Errorf("%s: %w", path, err)
 		case name == "VmRSS":
-			u.RSS = n << 10
+			u.RSS = kib << 10
 		case name == "VmHWM":
-			u.Peak = n << 10
+			u.Peak = kib << 10
 		}
 	}
-	fds, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
-	u.Descriptors = len(fds)
-	return u, err
+	return nil
+}
+
+// processCost is what a process has cost the system so far.
+type processCost struct {
+	cpu     float64 // seconds
+	wakeups float64 // voluntary context switches of all threads
+	calls   float64 // of read and write
+	in, out float64 // bytes read and written
+}
+
+// readProcessCost reads a process's cost from /proc.
+func readProcessCost(pid int) (cost processCost, err error) {
+	usage, err := ReadUsage(pid)
+	if err != nil {
+		return cost, err
+	}
+	cost.cpu = usage.CPU.Seconds()
+	threads, err := filepath.Glob(procPath(pid, "task/*/status"))
+	if err != nil {
+		return cost, err
+	}
+	for _, path := range threads {
+		cost.wakeups += readProcField(path, "voluntary_ctxt_switches")
+	}
+	io := procPath(pid, "io")
+	cost.calls = readProcField(io, "syscr") + readProcField(io, "syscw")
+	cost.in = readProcField(io, "rchar")
+	cost.out = readProcField(io, "wchar")
+	return cost, nil
+}
+
+func (c processCost) plus(d processCost) processCost {
+	return processCost{
+		cpu:     c.cpu + d.cpu,
+		wakeups: c.wakeups + d.wakeups,
+		calls:   c.calls + d.calls,
+		in:      c.in + d.in,
+		out:     c.out + d.out,
+	}
+}
+
+// times returns a multiple of the cost.
+func (c processCost) times(factor float64) processCost {
+	return processCost{
+		cpu:     c.cpu * factor,
+		wakeups: c.wakeups * factor,
+		calls:   c.calls * factor,
+		in:      c.in * factor,
+		out:     c.out * factor,
+	}
+}
+
+// since returns the cost after an earlier one.
+func (c processCost) since(earlier processCost) processCost { return c.plus(earlier.times(-1)) }
+
+func procPath(pid int, name string) string { return filepath.Join("/proc", strconv.Itoa(pid), name) }
+
+// readProcField returns a number from a file of lines "NAME: NUMBER"; 0 if the file has gone, as that of a thread that has ended.
+func readProcField(path, name string) float64 {
+	file, err := os.Open(path)
+	if err != nil {
+		return 0
+	}
+	defer file.Close()
+	for scanner := bufio.NewScanner(file); scanner.Scan(); {
+		if rest, ok := strings.CutPrefix(scanner.Text(), name+":"); ok {
+			value, _ := strconv.ParseFloat(strings.TrimSpace(rest), 64)
+			return value
+		}
+	}
+	return 0
+}
+
+// readLoadAverage returns the machine's load average over the last minute; 0 if it cannot be read.
+func readLoadAverage() float64 {
+	text, err := os.ReadFile("/proc/loadavg")
+	if err != nil {
+		return 0
+	}
+	first, _, _ := strings.Cut(string(text), " ")
+	load, _ := strconv.ParseFloat(first, 64)
+	return load
 }
--- a/internal/testing/standin/request.go
+++ b/internal/testing/standin/request.go
@@ -12,11 +12,12 @@
 
 // Headers of requests and responses.
 const (
-	headerID         = "Req-Id"
-	headerQueryType  = "Req-Kind"
-	headerCustomer   = "Req-Owner"
-	headerDeadline   = "Req-Deadline-Ms" // milliseconds that the client waits
-	headerRetryAfter = "Retry-After"     // seconds
+	headerID          = "Req-Id"
+	headerQueryType   = "Req-Kind"
+	headerCustomer    = "Req-Owner"
+	headerDeadline    = "Req-Deadline-Ms" // milliseconds that the client waits
+	headerIdempotency = "Idempotency-Key"
+	headerRetryAfter  = "Retry-After" // seconds
 )
 
 // Request is a client's search request.
@@ -29,6 +30,8 @@
 	Weights   []float64 // of the shards; nil = equal
 	Statement string
 	Merge     any // encoded as JSON; nil = none
+	// IdempotencyKey identifies a request that is sent again; "" = none.
+	IdempotencyKey string
 }
 
 // requestBody is a request's body on the wire.
@@ -78,6 +81,9 @@
 	req.Header.Set(headerQueryType, r.QueryType)
 	req.Header.Set(headerCustomer, r.Customer)
 	req.Header.Set(headerDeadline, fmt.Sprint(r.Timeout.Milliseconds()))
+	if r.IdempotencyKey != "" {
+		req.Header.Set(headerIdempotency, r.IdempotencyKey)
+	}
 	start := time.Now()
 	res, err := client.Do(req)
 	if err != nil {
