--- /dev/null
+++ b/controlapi/gateway_stats.go
@@ -0,0 +1,61 @@
+package controlapi
+
+// GatewayTenants is what tenants use at one gateway.
+type GatewayTenants struct {
+	Gateway        string            `json:"node"` // its address
+	Zone           string            `json:"zone"`
+	Version        uint64            `json:"version"`         // of the configuration in force there
+	TenantsVersion uint64            `json:"tenants_version"` // of the tenants in force there
+	Connections    []ConnectionUsage `json:"holdings"`
+	Waits          []WaitStats       `json:"waits"`
+}
+
+// ConnectionUsage is a tenant's use of one server's connections.
+type ConnectionUsage struct {
+	Tenant    string  `json:"tenant"`
+	Service   string  `json:"service"`
+	Instance  string  `json:"instance"`
+	InUse     uint32  `json:"held"`  // connections at present
+	Borrowed  uint32  `json:"lent"`  // of these, beyond the tenant's share
+	Limit     uint32  `json:"part"`  // of the gateway at this server; 0 = no limit
+	Share     float64 `json:"own"`   // the tenant's share of the limit, in connections
+	WantsMore bool    `json:"wants"` // it was denied another
+}
+
+// WaitStats is how long a tenant's shard calls waited for connections in the last minute.
+type WaitStats struct {
+	Tenant   string  `json:"tenant"`
+	Requests uint64  `json:"requests"`
+	Waited   uint64  `json:"waited"`  // of the requests
+	Waiting  uint32  `json:"waiting"` // at present
+	P50MS    float64 `json:"p50_ms"`
+	P99MS    float64 `json:"p99_ms"`
+	MaxMS    float64 `json:"most_ms"`
+}
+
+// GatewayOutliers is one gateway's verdicts on servers that are not simply healthy.
+type GatewayOutliers struct {
+	Gateway string           `json:"node"` // its address
+	Zone    string           `json:"zone"`
+	Servers []OutlierVerdict `json:"servers"`
+}
+
+// OutlierVerdict is a gateway's verdict on one server.
+type OutlierVerdict struct {
+	Instance     string        `json:"instance"`
+	Service      string        `json:"service"`
+	State        string        `json:"stance"`
+	Reason       string        `json:"why"`
+	SinceSeconds float64       `json:"since_s"`
+	Factor       float64       `json:"factor"` // by which it is predicted to be slower than others
+	Pinned       bool          `json:"pinned,omitempty"`
+	Observations []Observation `json:"words,omitempty"`
+}
+
+// Observation is what one gateway observed of a server.
+type Observation struct {
+	Observer   string  `json:"observer"` // the gateway's incarnation, in hexadecimal
+	Kind       string  `json:"kind"`
+	Ratio      float64 `json:"ratio,omitempty"` // of its response times to those expected
+	AgeSeconds float64 `json:"age_s"`
+}
--- a/controlplane/event_log.go
+++ b/controlplane/event_log.go
@@ -5,6 +5,7 @@
 
 	"github.com/emirpasic/gods/v2/queues/circularbuffer"
 
+	"oxbowspan/controlapi"
 	"oxbowspan/registry"
 )
 
@@ -25,15 +26,6 @@
 	eventServer        eventKind = "server"
 )
 
-// Event is something that the system did or saw, as one controller recorded it.
-type Event struct {
-	Controller string  `json:"hive"`
-	Sequence   uint64  `json:"no"`
-	AgeSeconds float64 `json:"age_s"` // by that controller's steady clock
-	Kind       string  `json:"kind"`
-	Text       string  `json:"text"`
-}
-
 type eventRecord struct {
 	sequence uint64
 	at       time.Duration
@@ -58,11 +50,17 @@
 }
 
 // list returns the retained events, the oldest first, as those of a controller.
-func (l *eventLog) list(controller string) []Event {
-	out := []Event{}
+func (l *eventLog) list(controller string) []controlapi.Event {
+	out := []controlapi.Event{}
 	now := l.clock.now()
 	for _, e := range l.records.Values() {
-		out = append(out, Event{controller, e.sequence, (now - e.at).Seconds(), string(e.kind), e.text})
+		out = append(out, controlapi.Event{
+			Controller: controller,
+			Sequence:   e.sequence,
+			AgeSeconds: (now - e.at).Seconds(),
+			Kind:       string(e.kind),
+			Text:       e.text,
+		})
 	}
 	return out
 }
--- a/controlplane/status_api.go
+++ b/controlplane/status_api.go
@@ -9,61 +9,10 @@
 	"time"
 
 	"oxbowspan/consensus"
+	"oxbowspan/controlapi"
 	"oxbowspan/registry"
 )
 
-// HistoryEntry is a version of the configuration that the newest value remembers.
-type HistoryEntry struct {
-	Version uint64 `json:"version"`
-	BasedOn uint64 `json:"based_on"`
-	Digest  string `json:"digest"` // SHA-256, in hexadecimal
-}
-
-// MembershipStatus is who votes, and which losses are tolerated now, as one controller sees it.
-type MembershipStatus struct {
-	Controller      string         `json:"hive"` // its address
-	Slot            uint64         `json:"turn"`
-	Version         uint64         `json:"version"`
-	HasQuorum       bool           `json:"settled"` // it is in contact with a majority
-	Stable          bool           `json:"whole"`   // no change of the members is in progress
-	TolerableLosses int            `json:"bears"`   // disks whose loss leaves a majority in contact that holds the newest value
-	Members         []MemberStatus `json:"members"`
-}
-
-// MemberStatus is an acceptor that votes.
-type MemberStatus struct {
-	Identity      string  `json:"identity"` // in hexadecimal
-	Address       string  `json:"address"`
-	SilentSeconds float64 `json:"silent_s"`
-	Complete      bool    `json:"complete"` // its disk is known to hold the newest value
-}
-
-// GatewayStatus is a gateway, as one controller sees it.
-type GatewayStatus struct {
-	Address     string  `json:"address"`
-	Zone        string  `json:"zone"`
-	Incarnation string  `json:"life"` // in hexadecimal
-	AgeSeconds  float64 `json:"heard_s_ago"`
-	PollsHere   bool    `json:"asks_this_hive"`
-	Slot        uint64  `json:"turn"`   // in force there, if it polls this controller
-	UpToDate    bool    `json:"newest"` // that slot is the newest
-}
-
-// ServerStatus is a server, as one controller sees it.
-type ServerStatus struct {
-	Instance         string  `json:"instance"`
-	Service          string  `json:"service"`
-	Address          string  `json:"address"`
-	Zone             string  `json:"zone"`
-	Version          string  `json:"version"`
-	Slots            int     `json:"capacity_slots"`
-	State            string  `json:"state"`
-	Unresponsive     bool    `json:"silent"`
-	HeartbeatMissed  bool    `json:"unheard"`
-	AgeSeconds       float64 `json:"heard_s_ago"`
-	SlowStartSeconds float64 `json:"cold_for_s"` // remaining
-}
-
 // statusAPI shows operators what this controller knows; an operator who wants all asks all controllers. Lists of gateways and
 // servers are shown only by a controller in contact with a majority, as they would be out of date. Members and events are what a
 // controller itself saw, with their ages, and are shown always: they are what there is to see of a partitioned control plane.
@@ -91,11 +40,15 @@
 		writeError(w, errNotVerified)
 		return
 	}
-	out := []HistoryEntry{}
+	out := []controlapi.HistoryEntry{}
 	newest := consensus.Revision{Version: v.Version, BasedOn: v.BasedOn, Digest: v.Digest}
 	for _, revision := range append(slices.Clone(v.PriorRevisions), newest) {
 		if revision.Digest != "" {
-			out = append(out, HistoryEntry{uint64(revision.Version), uint64(revision.BasedOn), hex.EncodeToString([]byte(revision.Digest))})
+			out = append(out, controlapi.HistoryEntry{
+				Version: uint64(revision.Version),
+				BasedOn: uint64(revision.BasedOn),
+				Digest:  hex.EncodeToString([]byte(revision.Digest)),
+			})
 		}
 	}
 	writeJSON(w, out)
@@ -105,15 +58,15 @@
 	serveLocal(a.loop, w, a.membership)
 }
 
-func (a *statusAPI) membership() MembershipStatus {
+func (a *statusAPI) membership() controlapi.MembershipStatus {
 	now, v := a.clock.now(), a.learner.value
-	out := MembershipStatus{Controller: a.self.address, Slot: uint64(v.Slot), Version: uint64(v.Version),
+	out := controlapi.MembershipStatus{Controller: a.self.address, Slot: uint64(v.Slot), Version: uint64(v.Version),
 		HasQuorum: a.contact.isCurrent(now), Stable: v.Confirmed()}
 	complete := 0
 	incomplete := a.completion.incomplete(now)
 	for _, m := range v.Members {
 		silence := a.silence(m, now)
-		status := MemberStatus{
+		status := controlapi.MemberStatus{
 			Identity:      strconv.FormatUint(uint64(m.ID), 16),
 			Address:       m.Address,
 			SilentSeconds: silence.Seconds(),
@@ -143,12 +96,12 @@
 }
 
 func (a *statusAPI) listGateways(w http.ResponseWriter, _ *http.Request) {
-	serveVerified(a.loop, a.clock, a.verifier, w, func() []GatewayStatus {
-		out := []GatewayStatus{}
+	serveVerified(a.loop, a.clock, a.verifier, w, func() []controlapi.GatewayStatus {
+		out := []controlapi.GatewayStatus{}
 		now := a.clock.now()
 		for _, g := range a.gateways.byIncarnation {
 			pollsHere := g.pollsHere(now)
-			out = append(out, GatewayStatus{
+			out = append(out, controlapi.GatewayStatus{
 				Address:     g.address,
 				Zone:        g.zone,
 				Incarnation: strconv.FormatUint(g.incarnation, 16),
@@ -163,11 +116,11 @@
 }
 
 func (a *statusAPI) servers(w http.ResponseWriter, _ *http.Request) {
-	serveVerified(a.loop, a.clock, a.verifier, w, func() []ServerStatus {
-		out := []ServerStatus{}
+	serveVerified(a.loop, a.clock, a.verifier, w, func() []controlapi.ServerStatus {
+		out := []controlapi.ServerStatus{}
 		now := a.clock.now()
 		for _, r := range a.table.ChangesAfter(0) {
-			out = append(out, ServerStatus{
+			out = append(out, controlapi.ServerStatus{
 				Instance:         string(r.Instance),
 				Service:          string(r.Service),
 				Address:          r.Address,
@@ -186,5 +139,5 @@
 }
 
 func (a *statusAPI) listEvents(w http.ResponseWriter, _ *http.Request) {
-	serveLocal(a.loop, w, func() []Event { return a.events.list(a.self.address) })
+	serveLocal(a.loop, w, func() []controlapi.Event { return a.events.list(a.self.address) })
 }
--- a/internal/controlcli/commands_test.go
+++ b/internal/controlcli/commands_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"oxbowspan/controlplane"
+	"oxbowspan/controlapi"
 	"oxbowspan/internal/testing/simcluster"
 )
 
@@ -110,7 +110,7 @@
 	killed := time.Now()
 	kill(p.controllers[lost])
 	p.removeData(t, lost)
-	p.eventuallyEvent(t, "loss of a controller", func(e controlplane.Event) bool {
+	p.eventuallyEvent(t, "loss of a controller", func(e controlapi.Event) bool {
 		recent := e.AgeSeconds < time.Since(killed).Seconds()
 		return e.Kind == "hive" && recent && strings.Contains(e.Text, p.cluster.Controllers[lost].IP)
 	})
@@ -122,7 +122,7 @@
 	restarted := strings.Replace(string(text), "first_start = true", "first_start = false", 1)
 	started := time.Now()
 	p.startController(p.writeFile(t, "restarted.toml", restarted))
-	p.eventuallyEvent(t, "membership of all controllers", func(e controlplane.Event) bool {
+	p.eventuallyEvent(t, "membership of all controllers", func(e controlapi.Event) bool {
 		recent := e.AgeSeconds < time.Since(started).Seconds()
 		missing := slices.ContainsFunc(p.cluster.Controllers, func(c *simcluster.ControllerNode) bool {
 			return !strings.Contains(e.Text, c.IP)
@@ -135,7 +135,7 @@
 	if t.Failed() {
 		t.FailNow()
 	}
-	p.eventuallyEvent(t, "decision of version 5", func(e controlplane.Event) bool {
+	p.eventuallyEvent(t, "decision of version 5", func(e controlapi.Event) bool {
 		return e.Kind == "config" && strings.HasPrefix(e.Text, "version 5 ")
 	})
 }
--- a/internal/controlcli/config.go
+++ b/internal/controlcli/config.go
@@ -11,7 +11,7 @@
 
 	"github.com/peterbourgon/ff/v3/ffcli"
 
-	"oxbowspan/controlplane"
+	"oxbowspan/controlapi"
 	"oxbowspan/internal/controlclient"
 )
 
@@ -84,10 +84,10 @@
 	})
 }
 
-var historyColumns = []column[controlplane.HistoryEntry]{
-	{"VERSION", func(e controlplane.HistoryEntry) string { return fmt.Sprint(e.Version) }},
-	{"BASED ON", func(e controlplane.HistoryEntry) string { return fmt.Sprint(e.BasedOn) }},
-	{"DIGEST", func(e controlplane.HistoryEntry) string { return fmt.Sprintf("%.16s", e.Digest) }},
+var historyColumns = []column[controlapi.HistoryEntry]{
+	{"VERSION", func(e controlapi.HistoryEntry) string { return fmt.Sprint(e.Version) }},
+	{"BASED ON", func(e controlapi.HistoryEntry) string { return fmt.Sprint(e.BasedOn) }},
+	{"DIGEST", func(e controlapi.HistoryEntry) string { return fmt.Sprintf("%.16s", e.Digest) }},
 }
 
 func (e *environment) configHistory(ctx context.Context, client *controlclient.Client, _ []string) error {
@@ -96,6 +96,6 @@
 		return err
 	}
 	versions := listing.Items
-	slices.SortFunc(versions, func(a, b controlplane.HistoryEntry) int { return cmp.Compare(a.Version, b.Version) })
+	slices.SortFunc(versions, func(a, b controlapi.HistoryEntry) int { return cmp.Compare(a.Version, b.Version) })
 	return e.printListing(versions, listing.Unreachable, func(w io.Writer) { writeTable(w, historyColumns, versions) })
 }
--- a/internal/controlcli/outlier.go
+++ b/internal/controlcli/outlier.go
@@ -15,7 +15,7 @@
 	"github.com/peterbourgon/ff/v3/ffcli"
 
 	"oxbowspan/config"
-	"oxbowspan/controlplane"
+	"oxbowspan/controlapi"
 	"oxbowspan/internal/controlclient"
 )
 
@@ -111,7 +111,7 @@
 	})
 }
 
-func summarizeVerdicts(gateways []controlplane.GatewayOutliers) []*verdictSummary {
+func summarizeVerdicts(gateways []controlapi.GatewayOutliers) []*verdictSummary {
 	byInstance := map[string]*verdictSummary{}
 	summaries := []*verdictSummary{}
 	for _, gateway := range gateways {
@@ -141,11 +141,11 @@
 		return err
 	}
 	instance, gateways := args[0], listing.Items
-	slices.SortFunc(gateways, func(a, b controlplane.GatewayOutliers) int { return cmp.Compare(a.Gateway, b.Gateway) })
+	slices.SortFunc(gateways, func(a, b controlapi.GatewayOutliers) int { return cmp.Compare(a.Gateway, b.Gateway) })
 	for i := range gateways {
-		gateways[i].Servers = slices.DeleteFunc(gateways[i].Servers, func(v controlplane.OutlierVerdict) bool { return v.Instance != instance })
+		gateways[i].Servers = slices.DeleteFunc(gateways[i].Servers, func(v controlapi.OutlierVerdict) bool { return v.Instance != instance })
 	}
-	gateways = slices.DeleteFunc(gateways, func(g controlplane.GatewayOutliers) bool { return len(g.Servers) == 0 })
+	gateways = slices.DeleteFunc(gateways, func(g controlapi.GatewayOutliers) bool { return len(g.Servers) == 0 })
 	return e.printListing(gateways, listing.Unreachable, func(w io.Writer) {
 		if len(gateways) == 0 {
 			fmt.Fprintf(w, "all gateways find %s healthy\n", instance)
@@ -156,7 +156,7 @@
 	})
 }
 
-func writeVerdict(w io.Writer, gateway controlplane.GatewayOutliers, verdict controlplane.OutlierVerdict) {
+func writeVerdict(w io.Writer, gateway controlapi.GatewayOutliers, verdict controlapi.OutlierVerdict) {
 	fmt.Fprintf(w, "%s in %s\t%s for %.1f s\tpredicted %.2f times slower\t%s\n",
 		gateway.Gateway, gateway.Zone, verdict.State, verdict.SinceSeconds, verdict.Factor, verdict.Reason)
 	for _, observation := range verdict.Observations {
--- a/internal/controlcli/output_test.go
+++ b/internal/controlcli/output_test.go
@@ -9,7 +9,7 @@
 	"testing"
 
 	"oxbowspan/config"
-	"oxbowspan/controlplane"
+	"oxbowspan/controlapi"
 )
 
 func TestParseInterspersed(t *testing.T) {
@@ -87,9 +87,9 @@
 }
 
 func TestSummarizeVerdicts(t *testing.T) {
-	got := summarizeVerdicts([]controlplane.GatewayOutliers{
-		{Gateway: "a", Servers: []controlplane.OutlierVerdict{{Instance: "i", Service: "s", State: "out", Reason: "recent", SinceSeconds: 1}}},
-		{Gateway: "b", Servers: []controlplane.OutlierVerdict{
+	got := summarizeVerdicts([]controlapi.GatewayOutliers{
+		{Gateway: "a", Servers: []controlapi.OutlierVerdict{{Instance: "i", Service: "s", State: "out", Reason: "recent", SinceSeconds: 1}}},
+		{Gateway: "b", Servers: []controlapi.OutlierVerdict{
 			{Instance: "i", Service: "s", State: "out", Reason: "longest", SinceSeconds: 3, Pinned: true},
 			{Instance: "h", Service: "s", State: "avoided", Reason: "only", SinceSeconds: 2},
 		}},
--- a/internal/controlcli/programs_test.go
+++ b/internal/controlcli/programs_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"oxbowspan/controlplane"
+	"oxbowspan/controlapi"
 	"oxbowspan/internal/testing/simcluster"
 )
 
@@ -177,23 +177,23 @@
 }
 
 // eventuallyEvent waits until a controller has recorded an event that passes.
-func (p *programs) eventuallyEvent(t *testing.T, want string, pass func(controlplane.Event) bool) {
+func (p *programs) eventuallyEvent(t *testing.T, want string, pass func(controlapi.Event) bool) {
 	t.Helper()
 	p.poll(t, "event of the "+want, func(output string, code int) bool {
-		var events []controlplane.Event
+		var events []controlapi.Event
 		return code == exitOK && json.Unmarshal([]byte(output), &events) == nil && slices.ContainsFunc(events, pass)
 	}, "events", "--json")
 }
 
 // allServers waits until a number of servers is listed, all ready and with recent heartbeats, and returns them.
-func (p *programs) allServers(t *testing.T, count int) (servers []controlplane.ServerStatus) {
+func (p *programs) allServers(t *testing.T, count int) (servers []controlapi.ServerStatus) {
 	t.Helper()
 	p.poll(t, fmt.Sprintf("list of %d ready servers", count), func(output string, code int) bool {
 		servers = nil
 		if code != 0 || json.Unmarshal([]byte(output), &servers) != nil || len(servers) != count {
 			return false
 		}
-		return !slices.ContainsFunc(servers, func(s controlplane.ServerStatus) bool { return s.State != serverReady || s.Unresponsive })
+		return !slices.ContainsFunc(servers, func(s controlapi.ServerStatus) bool { return s.State != serverReady || s.Unresponsive })
 	}, "servers", "--json")
 	if t.Failed() {
 		t.FailNow()
--- a/internal/controlcli/status.go
+++ b/internal/controlcli/status.go
@@ -9,7 +9,7 @@
 
 	"github.com/peterbourgon/ff/v3/ffcli"
 
-	"oxbowspan/controlplane"
+	"oxbowspan/controlapi"
 	"oxbowspan/internal/controlclient"
 )
 
@@ -30,17 +30,17 @@
 
 func seconds(s float64) string { return fmt.Sprintf("%.1f", s) }
 
-var gatewayColumns = []column[controlplane.GatewayStatus]{
-	{"ADDRESS", func(g controlplane.GatewayStatus) string { return g.Address }},
-	{"ZONE", func(g controlplane.GatewayStatus) string { return g.Zone }},
-	{"LAST CONTACT S AGO", func(g controlplane.GatewayStatus) string { return seconds(g.AgeSeconds) }},
-	{"SLOT IN FORCE", func(g controlplane.GatewayStatus) string {
+var gatewayColumns = []column[controlapi.GatewayStatus]{
+	{"ADDRESS", func(g controlapi.GatewayStatus) string { return g.Address }},
+	{"ZONE", func(g controlapi.GatewayStatus) string { return g.Zone }},
+	{"LAST CONTACT S AGO", func(g controlapi.GatewayStatus) string { return seconds(g.AgeSeconds) }},
+	{"SLOT IN FORCE", func(g controlapi.GatewayStatus) string {
 		if !g.PollsHere {
 			return "not known"
 		}
 		return fmt.Sprint(g.Slot)
 	}},
-	{"NEWEST", func(g controlplane.GatewayStatus) string {
+	{"NEWEST", func(g controlapi.GatewayStatus) string {
 		switch {
 		case !g.PollsHere:
 			return ""
@@ -57,22 +57,22 @@
 		return err
 	}
 	gateways := listing.Items
-	slices.SortFunc(gateways, func(a, b controlplane.GatewayStatus) int { return cmp.Compare(a.Address, b.Address) })
+	slices.SortFunc(gateways, func(a, b controlapi.GatewayStatus) int { return cmp.Compare(a.Address, b.Address) })
 	return e.printListing(gateways, listing.Unreachable, func(w io.Writer) { writeTable(w, gatewayColumns, gateways) })
 }
 
-var serverColumns = []column[controlplane.ServerStatus]{
-	{"SERVICE", func(s controlplane.ServerStatus) string { return s.Service }},
-	{"INSTANCE", func(s controlplane.ServerStatus) string { return s.Instance }},
-	{"ADDRESS", func(s controlplane.ServerStatus) string { return s.Address }},
-	{"ZONE", func(s controlplane.ServerStatus) string { return s.Zone }},
-	{"VERSION", func(s controlplane.ServerStatus) string { return s.Version }},
-	{"SLOTS", func(s controlplane.ServerStatus) string { return fmt.Sprint(s.Slots) }},
+var serverColumns = []column[controlapi.ServerStatus]{
+	{"SERVICE", func(s controlapi.ServerStatus) string { return s.Service }},
+	{"INSTANCE", func(s controlapi.ServerStatus) string { return s.Instance }},
+	{"ADDRESS", func(s controlapi.ServerStatus) string { return s.Address }},
+	{"ZONE", func(s controlapi.ServerStatus) string { return s.Zone }},
+	{"VERSION", func(s controlapi.ServerStatus) string { return s.Version }},
+	{"SLOTS", func(s controlapi.ServerStatus) string { return fmt.Sprint(s.Slots) }},
 	{"STATE", serverState},
-	{"LAST HEARTBEAT S AGO", func(s controlplane.ServerStatus) string { return seconds(s.AgeSeconds) }},
+	{"LAST HEARTBEAT S AGO", func(s controlapi.ServerStatus) string { return seconds(s.AgeSeconds) }},
 }
 
-func serverState(s controlplane.ServerStatus) string {
+func serverState(s controlapi.ServerStatus) string {
 	state := s.State
 	if s.Unresponsive {
 		state += ", heartbeat overdue"
@@ -90,9 +90,9 @@
 	}
 	servers := listing.Items
 	if len(args) == 1 {
-		servers = slices.DeleteFunc(servers, func(s controlplane.ServerStatus) bool { return s.Service != args[0] })
+		servers = slices.DeleteFunc(servers, func(s controlapi.ServerStatus) bool { return s.Service != args[0] })
 	}
-	slices.SortFunc(servers, func(a, b controlplane.ServerStatus) int {
+	slices.SortFunc(servers, func(a, b controlapi.ServerStatus) int {
 		return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.Instance, b.Instance))
 	})
 	return e.printListing(servers, listing.Unreachable, func(w io.Writer) { writeTable(w, serverColumns, servers) })
@@ -110,7 +110,7 @@
 	})
 }
 
-func writeMembership(w io.Writer, status controlplane.MembershipStatus) {
+func writeMembership(w io.Writer, status controlapi.MembershipStatus) {
 	state := "in contact with a majority"
 	if !status.HasQuorum {
 		state = "not in contact with a majority"
@@ -135,7 +135,7 @@
 		return err
 	}
 	events := listing.Items
-	slices.SortFunc(events, func(a, b controlplane.Event) int {
+	slices.SortFunc(events, func(a, b controlapi.Event) int {
 		return cmp.Or(cmp.Compare(b.AgeSeconds, a.AgeSeconds), cmp.Compare(a.Controller, b.Controller), cmp.Compare(a.Sequence, b.Sequence))
 	})
 	return e.printListing(events, listing.Unreachable, func(w io.Writer) {
--- a/internal/controlcli/tenant.go
+++ b/internal/controlcli/tenant.go
@@ -12,7 +12,7 @@
 	"github.com/peterbourgon/ff/v3/ffcli"
 
 	"oxbowspan/config"
-	"oxbowspan/controlplane"
+	"oxbowspan/controlapi"
 	"oxbowspan/internal/controlclient"
 )
 
@@ -114,7 +114,7 @@
 }
 
 // summarizeTenants lists the document's tenants, and then a tenant for each route that belongs to none of them.
-func summarizeTenants(configuration *config.Configuration, document *config.TenantDocument, gateways []controlplane.GatewayTenants) []*tenantSummary {
+func summarizeTenants(configuration *config.Configuration, document *config.TenantDocument, gateways []controlapi.GatewayTenants) []*tenantSummary {
 	var summaries []*tenantSummary
 	byName := map[string]*tenantSummary{}
 	add := func(summary *tenantSummary) {
@@ -142,7 +142,7 @@
 }
 
 // addUsage adds a gateway's figures to the summaries. Tenants that are no longer configured are skipped.
-func addUsage(byName map[string]*tenantSummary, gateway controlplane.GatewayTenants) {
+func addUsage(byName map[string]*tenantSummary, gateway controlapi.GatewayTenants) {
 	for _, usage := range gateway.Connections {
 		if summary := byName[usage.Tenant]; summary != nil {
 			summary.InUse += usage.InUse
@@ -170,7 +170,7 @@
 			selectTenant(&gateways[i], args[0])
 		}
 	}
-	slices.SortFunc(gateways, func(a, b controlplane.GatewayTenants) int { return strings.Compare(a.Gateway, b.Gateway) })
+	slices.SortFunc(gateways, func(a, b controlapi.GatewayTenants) int { return strings.Compare(a.Gateway, b.Gateway) })
 	return e.printListing(gateways, listing.Unreachable, func(w io.Writer) {
 		for _, gateway := range gateways {
 			writeGatewayTenants(w, gateway)
@@ -179,12 +179,12 @@
 }
 
 // selectTenant drops the figures of other tenants.
-func selectTenant(gateway *controlplane.GatewayTenants, tenant string) {
-	gateway.Connections = slices.DeleteFunc(gateway.Connections, func(u controlplane.ConnectionUsage) bool { return u.Tenant != tenant })
-	gateway.Waits = slices.DeleteFunc(gateway.Waits, func(w controlplane.WaitStats) bool { return w.Tenant != tenant })
+func selectTenant(gateway *controlapi.GatewayTenants, tenant string) {
+	gateway.Connections = slices.DeleteFunc(gateway.Connections, func(u controlapi.ConnectionUsage) bool { return u.Tenant != tenant })
+	gateway.Waits = slices.DeleteFunc(gateway.Waits, func(w controlapi.WaitStats) bool { return w.Tenant != tenant })
 }
 
-func writeGatewayTenants(w io.Writer, gateway controlplane.GatewayTenants) {
+func writeGatewayTenants(w io.Writer, gateway controlapi.GatewayTenants) {
 	fmt.Fprintf(w, "gateway %s in %s, tenants of version %d\n", gateway.Gateway, gateway.Zone, gateway.TenantsVersion)
 	for _, u := range gateway.Connections {
 		wantsMore := ""
--- a/internal/controlclient/listing.go
+++ b/internal/controlclient/listing.go
@@ -6,7 +6,7 @@
 	"fmt"
 	"net/http"
 
-	"oxbowspan/controlplane"
+	"oxbowspan/controlapi"
 )
 
 // Listing is what all controllers that responded know together.
@@ -19,55 +19,55 @@
 type Preference[T any] func(a, b T) bool
 
 // PreferPolling prefers the state of a gateway at a controller that it polls.
-func PreferPolling(a, b controlplane.GatewayStatus) bool { return a.PollsHere && !b.PollsHere }
+func PreferPolling(a, b controlapi.GatewayStatus) bool { return a.PollsHere && !b.PollsHere }
 
 // PreferPollingThenRecent prefers the state at a controller that the gateway polls, and the more recent one of two such.
-func PreferPollingThenRecent(a, b controlplane.GatewayStatus) bool {
+func PreferPollingThenRecent(a, b controlapi.GatewayStatus) bool {
 	return PreferPolling(a, b) || a.PollsHere == b.PollsHere && a.AgeSeconds < b.AgeSeconds
 }
 
 // Gateways lists the gateways.
-func (c *Client) Gateways(ctx context.Context, preference Preference[controlplane.GatewayStatus]) (Listing[controlplane.GatewayStatus], error) {
-	key := func(g controlplane.GatewayStatus) string { return g.Address }
+func (c *Client) Gateways(ctx context.Context, preference Preference[controlapi.GatewayStatus]) (Listing[controlapi.GatewayStatus], error) {
+	key := func(g controlapi.GatewayStatus) string { return g.Address }
 	return list(ctx, c, "/-/nodes/read", key, preference)
 }
 
 // Servers lists the servers, each by its most recent heartbeat.
-func (c *Client) Servers(ctx context.Context) (Listing[controlplane.ServerStatus], error) {
-	key := func(s controlplane.ServerStatus) string { return s.Instance }
-	recent := func(a, b controlplane.ServerStatus) bool { return a.AgeSeconds < b.AgeSeconds }
+func (c *Client) Servers(ctx context.Context) (Listing[controlapi.ServerStatus], error) {
+	key := func(s controlapi.ServerStatus) string { return s.Instance }
+	recent := func(a, b controlapi.ServerStatus) bool { return a.AgeSeconds < b.AgeSeconds }
 	return list(ctx, c, "/-/servers/read", key, recent)
 }
 
 // Events lists the events of all controllers.
-func (c *Client) Events(ctx context.Context) (Listing[controlplane.Event], error) {
-	key := func(e controlplane.Event) string { return fmt.Sprint(e.Controller, " ", e.Sequence) }
+func (c *Client) Events(ctx context.Context) (Listing[controlapi.Event], error) {
+	key := func(e controlapi.Event) string { return fmt.Sprint(e.Controller, " ", e.Sequence) }
 	return list(ctx, c, "/-/events/read", key, nil)
 }
 
 // History lists the retained versions of the configuration.
-func (c *Client) History(ctx context.Context) (Listing[controlplane.HistoryEntry], error) {
-	key := func(e controlplane.HistoryEntry) string { return fmt.Sprint(e.Version) }
+func (c *Client) History(ctx context.Context) (Listing[controlapi.HistoryEntry], error) {
+	key := func(e controlapi.HistoryEntry) string { return fmt.Sprint(e.Version) }
 	return list(ctx, c, "/-/configuration/history", key, nil)
 }
 
 // Tenants lists what tenants use at each gateway.
-func (c *Client) Tenants(ctx context.Context) (Listing[controlplane.GatewayTenants], error) {
-	key := func(g controlplane.GatewayTenants) string { return g.Gateway }
+func (c *Client) Tenants(ctx context.Context) (Listing[controlapi.GatewayTenants], error) {
+	key := func(g controlapi.GatewayTenants) string { return g.Gateway }
 	return list(ctx, c, "/-/tenants/explain", key, nil)
 }
 
 // OutlierVerdicts lists each gateway's verdicts on servers that are not simply healthy.
-func (c *Client) OutlierVerdicts(ctx context.Context) (Listing[controlplane.GatewayOutliers], error) {
-	key := func(g controlplane.GatewayOutliers) string { return g.Gateway }
+func (c *Client) OutlierVerdicts(ctx context.Context) (Listing[controlapi.GatewayOutliers], error) {
+	key := func(g controlapi.GatewayOutliers) string { return g.Gateway }
 	return list(ctx, c, "/-/judgement/explain", key, nil)
 }
 
 // Memberships returns each controller's view of the membership.
-func (c *Client) Memberships(ctx context.Context) (Listing[controlplane.MembershipStatus], error) {
-	listing := Listing[controlplane.MembershipStatus]{Items: []controlplane.MembershipStatus{}}
+func (c *Client) Memberships(ctx context.Context) (Listing[controlapi.MembershipStatus], error) {
+	listing := Listing[controlapi.MembershipStatus]{Items: []controlapi.MembershipStatus{}}
 	err := c.callAll(ctx, "/-/members/read", &listing.Unreachable, func(body []byte) error {
-		var status controlplane.MembershipStatus
+		var status controlapi.MembershipStatus
 		if err := json.Unmarshal(body, &status); err != nil {
 			return err
 		}
--- a/internal/testing/simcluster/change_log_test.go
+++ b/internal/testing/simcluster/change_log_test.go
@@ -11,7 +11,7 @@
 	"testing"
 
 	"oxbowspan/config"
-	"oxbowspan/controlplane"
+	"oxbowspan/controlapi"
 )
 
 // changeDocuments are the documents that operators change; the configuration as often as the others together.
@@ -169,7 +169,7 @@
 
 // recordHistory records a controller's history and reports whether it is one.
 func (l *changeLog) recordHistory(text []byte) bool {
-	var history []controlplane.HistoryEntry
+	var history []controlapi.HistoryEntry
 	if json.Unmarshal(text, &history) != nil {
 		return false
 	}
--- a/internal/testing/simcluster/outlier_test.go
+++ b/internal/testing/simcluster/outlier_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"oxbowspan/config"
-	"oxbowspan/controlplane"
+	"oxbowspan/controlapi"
 )
 
 // stateEjected is how an ejected server is named on the wire.
@@ -142,7 +142,7 @@
 // respond has no reports.
 func (o *outlierTest) pinReports() (count int) {
 	for _, controller := range o.cluster.Controllers {
-		var gateways []controlplane.GatewayOutliers
+		var gateways []controlapi.GatewayOutliers
 		if json.Unmarshal(o.cluster.ReadResource(controller, "/-/judgement/explain"), &gateways) != nil {
 			continue
 		}
@@ -155,7 +155,7 @@
 	return count
 }
 
-func (o *outlierTest) isPinned(verdicts []controlplane.OutlierVerdict) bool {
+func (o *outlierTest) isPinned(verdicts []controlapi.OutlierVerdict) bool {
 	for _, verdict := range verdicts {
 		if verdict.Instance == o.server.Instance && verdict.Pinned && verdict.State == stateEjected {
 			return true
--- a/internal/testing/simcluster/repair_helpers_test.go
+++ b/internal/testing/simcluster/repair_helpers_test.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"oxbowspan/consensus"
-	"oxbowspan/controlplane"
+	"oxbowspan/controlapi"
 )
 
 // acceptors returns the acceptors of the newest committed value that any running controller knows, and its slot.
@@ -87,7 +87,7 @@
 // tolerableLosses returns how many disks may be lost, as a controller reports to operators.
 func tolerableLosses(t *testing.T, cluster *Cluster, controller *ControllerNode) int {
 	t.Helper()
-	var status controlplane.MembershipStatus
+	var status controlapi.MembershipStatus
 	readJSON(t, cluster, controller, "/-/members/read", &status)
 	return status.TolerableLosses
 }
--- a/internal/testing/simcluster/tenants_test.go
+++ b/internal/testing/simcluster/tenants_test.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"oxbowspan/config"
-	"oxbowspan/controlplane"
+	"oxbowspan/controlapi"
 )
 
 // Services of the routes that batchConfiguration adds. They hold shards of the batch as well.
@@ -261,10 +261,10 @@
 }
 
 // reportedTenants returns the last reports of all gateways on their tenants, from all controllers.
-func reportedTenants(t *testing.T, cluster *Cluster) (reports []controlplane.GatewayTenants) {
+func reportedTenants(t *testing.T, cluster *Cluster) (reports []controlapi.GatewayTenants) {
 	t.Helper()
 	for _, controller := range cluster.Controllers {
-		var gateways []controlplane.GatewayTenants
+		var gateways []controlapi.GatewayTenants
 		readJSON(t, cluster, controller, "/-/tenants/explain", &gateways)
 		reports = append(reports, gateways...)
 	}
