--- a/internal/tools/layercheck/main.go
+++ b/internal/tools/layercheck/main.go
@@ -13,6 +13,8 @@
 	"os"
 	"os/exec"
 	"strings"
+
+	"oxbowspan/internal/tools/checker"
 )
 
 // Findings of a check.
@@ -23,30 +25,10 @@
 	errTwice     = errors.New("is in the order twice")
 )
 
-func main() {
-	if len(os.Args) < 2 || len(os.Args) > 3 {
-		fmt.Fprintln(os.Stderr, "usage: layercheck ORDER [ROOT]")
-		os.Exit(2)
-	}
-	root := "."
-	if len(os.Args) == 3 {
-		root = os.Args[2]
-	}
-	findings, err := run(os.Args[1], root)
-	if err != nil {
-		fmt.Fprintln(os.Stderr, "layercheck:", err)
-		os.Exit(2)
-	}
-	for _, finding := range findings {
-		fmt.Println(finding)
-	}
-	if len(findings) > 0 {
-		os.Exit(1)
-	}
-}
+func main() { checker.Main("layercheck", run) }
 
 // run checks the module below root against the order in a file.
-func run(orderFile, root string) ([]error, error) {
+func run(orderFile, root string) (findings []string, err error) {
 	file, err := os.Open(orderFile)
 	if err != nil {
 		return nil, err
@@ -60,7 +42,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return check(order, packages), nil
+	for _, finding := range check(order, packages) {
+		findings = append(findings, finding.Error())
+	}
+	return findings, nil
 }
 
 // readOrder reads the paths of packages below the module, one a line. A line that begins with # is a comment.
--- a/internal/tools/namecheck/main.go
+++ b/internal/tools/namecheck/main.go
@@ -16,29 +16,11 @@
 	"path/filepath"
 	"strings"
 	"unicode"
+
+	"oxbowspan/internal/tools/checker"
 )
 
-func main() {
-	if len(os.Args) < 2 || len(os.Args) > 3 {
-		fmt.Fprintln(os.Stderr, "usage: namecheck WORDS [ROOT]")
-		os.Exit(2)
-	}
-	root := "."
-	if len(os.Args) == 3 {
-		root = os.Args[2]
-	}
-	findings, err := run(os.Args[1], root)
-	if err != nil {
-		fmt.Fprintln(os.Stderr, "namecheck:", err)
-		os.Exit(2)
-	}
-	for _, f := range findings {
-		fmt.Println(f)
-	}
-	if len(findings) > 0 {
-		os.Exit(1)
-	}
-}
+func main() { checker.Main("namecheck", run) }
 
 // run checks all Go files below root against the words in a file.
 func run(wordsFile, root string) ([]string, error) {
