--- a/internal/tools/namecheck/main.go
+++ b/internal/tools/namecheck/main.go
@@ -33,7 +33,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("read %s: %w", wordsFile, err)
 	}
-	c := &checker{words: words, files: token.NewFileSet(), folders: map[string]bool{}}
+	c := &scan{words: words, files: token.NewFileSet(), folders: map[string]bool{}}
 	err = filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
 		switch {
 		case err != nil:
@@ -67,15 +67,15 @@
 	return words, lines.Err()
 }
 
-// checker collects findings over the files of one module.
-type checker struct {
+// scan collects findings over the files of one module.
+type scan struct {
 	words    map[string]string // withdrawn word, in lower case, to its replacement
 	files    *token.FileSet
 	folders  map[string]bool // checked already
 	findings []string
 }
 
-func (c *checker) checkFile(root, path string) error {
+func (c *scan) checkFile(root, path string) error {
 	parsed, err := parser.ParseFile(c.files, path, nil, parser.ParseComments|parser.SkipObjectResolution)
 	if err != nil {
 		return err
@@ -98,7 +98,7 @@
 }
 
 // checkDeclarations checks the exported names of package-level declarations and methods, and of all struct fields and interface methods.
-func (c *checker) checkDeclarations(file *ast.File) {
+func (c *scan) checkDeclarations(file *ast.File) {
 	for _, declaration := range file.Decls {
 		switch d := declaration.(type) {
 		case *ast.FuncDecl:
@@ -128,7 +128,7 @@
 	})
 }
 
-func (c *checker) checkSpec(spec ast.Spec) {
+func (c *scan) checkSpec(spec ast.Spec) {
 	switch s := spec.(type) {
 	case *ast.TypeSpec:
 		c.checkIdentifier("type", s.Name)
@@ -139,13 +139,13 @@
 	}
 }
 
-func (c *checker) checkIdentifier(kind string, name *ast.Ident) {
+func (c *scan) checkIdentifier(kind string, name *ast.Ident) {
 	if name.IsExported() {
 		c.checkName(c.files.Position(name.Pos()).String(), kind, name.Name)
 	}
 }
 
-func (c *checker) checkName(place, kind, name string) {
+func (c *scan) checkName(place, kind, name string) {
 	for _, word := range split(name) {
 		if withdrawn, instead, found := c.lookup(word); found {
 			c.findings = append(c.findings, fmt.Sprintf("%s: %s %s bears the withdrawn word %q; say: %s", place, kind, name, withdrawn, instead))
@@ -154,7 +154,7 @@
 }
 
 // lookup finds a word or its singular among the withdrawn ones.
-func (c *checker) lookup(word string) (withdrawn, instead string, found bool) {
+func (c *scan) lookup(word string) (withdrawn, instead string, found bool) {
 	for _, form := range []string{word, strings.TrimSuffix(word, "s")} {
 		if instead, found = c.words[form]; found {
 			return form, instead, true
