--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -208,12 +208,12 @@
 		fmt.Fprintf(w, "%s %s zone %s version %s: %s\n", m.Kind, n, m.Zone, m.Version, cmp.Or(s.OutReason(m), "in"))
 	}
 	for _, r := range s.Releases {
-		count := map[string]int{}
+		count := map[maintenance.TargetState]int{}
 		for _, t := range r.Targets {
 			count[t.State]++
 		}
 		fmt.Fprintf(w, "release %s: %s, step %d of %d, %d changed, %d changing, %d to do", r.Plan.ID, r.Phase, min(r.Step+1, len(r.Plan.Steps)), len(r.Plan.Steps),
-			count["changed"], count["changing"], count["todo"])
+			count[maintenance.TargetChanged], count[maintenance.TargetChanging], count[maintenance.TargetPending])
 		if r.HaltReason != "" {
 			fmt.Fprintf(w, ": %s", r.HaltReason)
 		}
--- a/maintenance/drainer.go
+++ b/maintenance/drainer.go
@@ -1,78 +1,80 @@
 package maintenance
 
-// Drainer is the side of the one who may be out: it decides when a gatherer that is to end may begin to drain. Time is its own
-// monotonic clock's. It holds one permit at most.
+// Drainer decides when a gatherer that is to shut down may begin to drain: once it has a permit, or after a time-out. Times are of the
+// gatherer's own monotonic clock. It holds at most one permit.
 type Drainer struct {
-	timeout     Duration // the longest that an end waits for a permit
+	timeout     Duration // the longest wait for a permit
 	requested   bool
-	requestedAt Time // when the end was wanted
+	requestedAt Time // when the shutdown was requested
 	permit      *Permit
-	returned    Epoch // permits up to this one were given back: their answers may still be on the way
+	returned    Epoch // permits up to this epoch were returned; late replies may still bring them
 	draining    bool
 	nextRequest Time
 	backoff     Duration
 }
 
-// DrainAction is what a Holder wants done now.
+// DrainAction is what is to be done now.
 type DrainAction struct {
-	RequestPermit bool // ask a steward for a permit
-	Drain         bool // begin to drain; once
-	// Permitted tells of a Drain whether a permit was had. One that was not is to be logged.
-	Permitted bool
-	PollAt    Time // look again then; 0 = nothing to wait for
+	RequestPermit bool // request a permit, and pass the reply to HandleReply
+	Drain         bool // begin to drain; set once
+	Permitted     bool // with Drain: a permit was granted. Draining without one is to be logged
+	PollAt        Time // call Poll then; 0 = nothing to wait for
 }
 
-// initialBackoff is the pause after a first refusal or a lost answer; it doubles up to an eighth of the wait.
+// initialBackoff is the delay after the first refusal or lost reply. It doubles up to an eighth of the time-out.
 const initialBackoff Duration = 50
 
-// NewDrainer is for a gatherer that waits for a permit for at most so long once it is told to end.
-func NewDrainer(wait Duration) *Drainer { return &Drainer{timeout: wait, backoff: initialBackoff} }
+// NewDrainer returns a drainer that waits for a permit for at most timeout.
+func NewDrainer(timeout Duration) *Drainer {
+	return &Drainer{timeout: timeout, backoff: initialBackoff}
+}
 
-// Begin says that the gatherer was told to end: it asks first, and ends in any case.
-func (h *Drainer) Begin(now Time) DrainAction {
-	if !h.requested {
-		h.requested, h.requestedAt, h.nextRequest = true, now, now
+// Begin requests the shutdown. Repeated calls are harmless.
+func (d *Drainer) Begin(now Time) DrainAction {
+	if !d.requested {
+		d.requested, d.requestedAt, d.nextRequest = true, now, now
 	}
-	return h.Poll(now)
+	return d.Poll(now)
 }
 
-// HandleReply takes the answer to an Ask; nil is a refusal, or that no steward could say.
-func (h *Drainer) HandleReply(now Time, p *Permit) DrainAction {
-	// A permit that was given back already is out of its time: the answer was late, and the machine may have let another go since.
-	if p != nil && p.Epoch > h.returned && h.requested {
-		h.permit = p
+// HandleReply takes the reply to a request for a permit; nil is a refusal or a lost reply.
+func (d *Drainer) HandleReply(now Time, p *Permit) DrainAction {
+	// A permit that was returned already is void: its reply was late, and another member may have been granted one since.
+	if p != nil && p.Epoch > d.returned && d.requested {
+		d.permit = p
 	}
-	return h.Poll(now)
+	return d.Poll(now)
 }
 
-// Poll tells what to do as time passes.
-func (h *Drainer) Poll(now Time) DrainAction {
+// Poll returns what is to be done at a point in time.
+func (d *Drainer) Poll(now Time) DrainAction {
+	deadline := d.requestedAt + Time(d.timeout)
 	switch {
-	case !h.requested || h.draining:
+	case !d.requested || d.draining:
 		return DrainAction{}
-	case h.permit != nil:
-		h.draining = true
+	case d.permit != nil:
+		d.draining = true
 		return DrainAction{Drain: true, Permitted: true}
-	case now-h.requestedAt >= Time(h.timeout):
-		h.draining = true // an end is never refused: the platform ends it a moment later anyway
+	case now >= deadline:
+		d.draining = true // a shutdown is never refused: the platform would kill the process soon anyway
 		return DrainAction{Drain: true}
-	case now >= h.nextRequest:
-		h.nextRequest = now + Time(h.backoff)
-		h.backoff = min(2*h.backoff, max(h.timeout/8, initialBackoff))
-		return DrainAction{RequestPermit: true, PollAt: min(h.nextRequest, h.requestedAt+Time(h.timeout))}
+	case now >= d.nextRequest:
+		d.nextRequest = now + Time(d.backoff)
+		d.backoff = min(2*d.backoff, max(d.timeout/8, initialBackoff))
+		return DrainAction{RequestPermit: true, PollAt: min(d.nextRequest, deadline)}
 	}
-	return DrainAction{PollAt: min(h.nextRequest, h.requestedAt+Time(h.timeout))}
+	return DrainAction{PollAt: min(d.nextRequest, deadline)}
 }
 
-// Cancel says that the end is called off before the drain began. It returns the permit to be given back, if one was had.
-func (h *Drainer) Cancel() *Permit {
-	if h.draining {
+// Cancel calls the shutdown off, unless draining has begun. It returns the permit that is to be returned, if there is one.
+func (d *Drainer) Cancel() *Permit {
+	if d.draining {
 		return nil
 	}
-	p := h.permit
+	p := d.permit
 	if p != nil {
-		h.returned = p.Epoch
+		d.returned = p.Epoch
 	}
-	h.requested, h.permit, h.backoff = false, nil, initialBackoff
+	d.requested, d.permit, d.backoff = false, nil, initialBackoff
 	return p
 }
--- /dev/null
+++ b/maintenance/limits.go
@@ -0,0 +1,127 @@
+package maintenance
+
+import (
+	"cmp"
+	"fmt"
+)
+
+// OutReason returns why a member counts as out; "" = it is in. The text becomes part of the state; see the package's comment.
+func (s *State) OutReason(m *Member) string {
+	switch {
+	case m.Permit != nil:
+		return "agreed: " + m.Permit.Reason
+	case !m.alive(s.Now):
+		return "gone"
+	case m.Status != Ready:
+		return string(m.Status)
+	case s.suspected(m):
+		return "suspected by most gatherers"
+	}
+	return ""
+}
+
+const defaultSuspicionShare = 0.5
+
+// suspected reports whether a member is suspected by so many live gatherers that it counts as out.
+func (s *State) suspected(m *Member) bool {
+	if s.suspicions == nil {
+		s.countSuspicions()
+	}
+	voters := s.liveGatherers
+	if m.Kind == Gatherer && m.alive(s.Now) {
+		voters-- // it has no vote on itself
+	}
+	votes := s.suspicions[m.Name]
+	return votes > 0 && float64(votes) > cmp.Or(s.Limits.SuspicionShare, defaultSuspicionShare)*float64(voters)
+}
+
+// countSuspicions counts by how many live gatherers each member is suspected. A gatherer that suspects more than half of a kind is
+// probably faulty itself, and its suspicions of that kind are ignored.
+func (s *State) countSuspicions() {
+	s.suspicions, s.liveGatherers = map[MemberName]int{}, 0
+	members := map[Kind]int{}
+	for _, m := range s.Members {
+		members[m.Kind]++
+	}
+	for _, g := range s.Members {
+		if g.Kind != Gatherer || !g.alive(s.Now) {
+			continue
+		}
+		s.liveGatherers++
+		suspects := map[Kind]int{}
+		for _, name := range g.Suspects {
+			if m := s.Members[name]; m != nil {
+				suspects[m.Kind]++
+			}
+		}
+		for _, name := range g.Suspects {
+			if m := s.Members[name]; m != nil && m != g && 2*suspects[m.Kind] <= members[m.Kind] {
+				s.suspicions[name]++
+			}
+		}
+	}
+}
+
+// outage counts the members of one kind that would be out, one given member among them.
+type outage struct {
+	members       int             // of the kind
+	out           int             // with the given member
+	outInZone     int             // of those, in the given member's zone
+	readyReplicas map[Segment]int // of servers: on those that remain in
+}
+
+func (s *State) outageWith(m *Member) outage {
+	o := outage{out: 1, outInZone: 1, readyReplicas: map[Segment]int{}}
+	for _, other := range s.sortedMembers(m.Kind) {
+		o.members++
+		if other == m {
+			continue
+		}
+		if s.OutReason(other) == "" {
+			for _, segment := range other.Segments {
+				o.readyReplicas[segment]++
+			}
+			continue
+		}
+		o.out++
+		if other.Zone == m.Zone {
+			o.outInZone++
+		}
+	}
+	return o
+}
+
+// violatedLimit describes the limit that would be exceeded if a member were out, too; "" = none.
+func (s *State) violatedLimit(m *Member) string {
+	o := s.outageWith(m)
+	maxOut, maxInZone, plural := s.Limits.MaxServers, s.Limits.MaxServersPerZone, "servers"
+	if m.Kind == Gatherer {
+		maxOut, maxInZone, plural = s.Limits.MaxGatherers, s.Limits.MaxGatherersPerZone, "gatherers"
+		if share := s.Limits.MaxGathererShare; share > 0 {
+			maxByShare := int(share * float64(o.members))
+			if maxByShare < 1 {
+				return fmt.Sprintf("as a share of %v of %d gatherers is less than one", share, o.members)
+			}
+			maxOut = min(cmp.Or(maxOut, maxByShare), maxByShare)
+		}
+	}
+	if maxOut > 0 && o.out > maxOut {
+		return fmt.Sprintf("as %d of at most %d %s are out", o.out-1, maxOut, plural)
+	}
+	if maxInZone > 0 && o.outInZone > maxInZone {
+		return fmt.Sprintf("as %d of at most %d %s of zone %s are out", o.outInZone-1, maxInZone, plural, m.Zone)
+	}
+	if m.Kind == Server {
+		return s.violatedMinReplicas(m, o)
+	}
+	return ""
+}
+
+func (s *State) violatedMinReplicas(m *Member, o outage) string {
+	for _, segment := range m.Segments {
+		if ready := o.readyReplicas[segment]; ready < s.Limits.MinReplicas {
+			return fmt.Sprintf("as segment %d would have %d ready replicas of at least %d", segment, ready, s.Limits.MinReplicas)
+		}
+	}
+	return ""
+}
