--- a/internal/deadlineheap/heap_test.go
+++ b/internal/deadlineheap/heap_test.go
@@ -16,7 +16,7 @@
 	index    int // in the reference
 }
 
-func (i *item) Deadline() int64 { return i.deadline }
+func (i *item) DueAt() int64 { return i.deadline }
 
 func (r reference) Len() int           { return len(r) }
 func (r reference) Less(i, j int) bool { return r[i].deadline < r[j].deadline }
--- a/internal/deadlineheap/indexed.go
+++ b/internal/deadlineheap/indexed.go
@@ -4,8 +4,8 @@
 
 // Element is what an Indexed heap holds: a pointer to a struct that embeds Position.
 type Element interface {
-	// Deadline orders the heap. Where it changes while the element is in a heap, Fix must be called before anything else.
-	Deadline() int64
+	// DueAt returns the deadline. If it changes while the element is in a heap, Fix must be called before anything else.
+	DueAt() int64
 
 	position() *int
 }
@@ -50,7 +50,7 @@
 type elements[E Element] []E
 
 func (e elements[E]) Len() int           { return len(e) }
-func (e elements[E]) Less(i, j int) bool { return e[i].Deadline() < e[j].Deadline() }
+func (e elements[E]) Less(i, j int) bool { return e[i].DueAt() < e[j].DueAt() }
 
 func (e elements[E]) Swap(i, j int) {
 	e[i], e[j] = e[j], e[i]
--- a/internal/shardconn/attempts.go
+++ b/internal/shardconn/attempts.go
@@ -1,9 +1,8 @@
 package shardconn
 
 import (
-	"container/heap"
-
 	"oxbowspan/balancer"
+	"oxbowspan/internal/deadlineheap"
 	"oxbowspan/internal/frame"
 )
 
@@ -18,10 +17,14 @@
 // pendingAttempt is an attempt that has not ended.
 type pendingAttempt struct {
 	Attempt
-	batch     *batch
-	heapIndex int // in Client.deadlines
+	batch *batch
+
+	deadlineheap.Position // in Client.deadlines
 }
 
+// DueAt implements deadlineheap.Element.
+func (a *pendingAttempt) DueAt() int64 { return int64(a.Deadline) }
+
 // batch is the attempts of one frame.
 type batch struct {
 	attempts    []*pendingAttempt
@@ -47,7 +50,7 @@
 			a := &pendingAttempt{Attempt: attempt, batch: b}
 			b.attempts = append(b.attempts, a)
 			p.pending[attemptKey{attempt.ID, attempt.Number}] = a
-			heap.Push(&p.deadlines, a)
+			p.deadlines.Push(a)
 		}
 		attempts = attempts[n:]
 		p.queued = append(p.queued, b)
@@ -116,7 +119,7 @@
 // report forgets an attempt and reports its end.
 func (p *Client) report(a *pendingAttempt, e AttemptEnded) {
 	delete(p.pending, attemptKey{a.ID, a.Number})
-	heap.Remove(&p.deadlines, a.heapIndex)
+	p.deadlines.Remove(a)
 	if c := a.batch.conn; c != nil {
 		c.inFlight--
 		c.usedAt = p.now()
--- a/internal/shardconn/client.go
+++ b/internal/shardconn/client.go
@@ -1,12 +1,12 @@
 package shardconn
 
 import (
-	"container/heap"
 	"net"
 	"slices"
 	"time"
 
 	"oxbowspan/balancer"
+	"oxbowspan/internal/deadlineheap"
 )
 
 // mailboxSize is how many commands, and how many events of connections, may wait.
@@ -36,10 +36,10 @@
 	dialing       int      // connections being opened
 	queued        []*batch // batches that wait for a connection
 	pending       map[attemptKey]*pendingAttempt
-	deadlines     deadlineHeap  // the same, by deadline
-	healthChecks  []*conn       // connections with a health check in flight, in order
-	checkDeadline balancer.Time // of the requested health check; 0 = none is requested
-	checkQueued   bool          // it waits for a connection
+	deadlines     deadlineheap.Indexed[*pendingAttempt] // the same, by deadline
+	healthChecks  []*conn                               // connections with a health check in flight, in order
+	checkDeadline balancer.Time                         // of the requested health check; 0 = none is requested
+	checkQueued   bool                                  // it waits for a connection
 }
 
 type dialFunc func(addr string, timeout time.Duration) (net.Conn, error)
@@ -120,8 +120,8 @@
 // untilNext returns the time until the next deadline or idle timeout.
 func (p *Client) untilNext() time.Duration {
 	next := p.now() + balancer.Time(time.Hour/tick)
-	if len(p.deadlines) > 0 {
-		next = p.deadlines[0].Deadline
+	if first, ok := p.deadlines.First(); ok {
+		next = first.Deadline
 	}
 	if p.checkDeadline != 0 {
 		next = min(next, p.checkDeadline)
@@ -154,8 +154,8 @@
 // expire ends attempts past their deadline, an overdue health check, and connections past a timeout.
 func (p *Client) expire() {
 	now := p.now()
-	for len(p.deadlines) > 0 && p.deadlines[0].Deadline <= now {
-		p.abandon(p.deadlines[0], balancer.TimedOut)
+	for first, ok := p.deadlines.First(); ok && first.Deadline <= now; first, ok = p.deadlines.First() {
+		p.abandon(first, balancer.TimedOut)
 	}
 	if p.checkDeadline != 0 && now >= p.checkDeadline {
 		for _, c := range p.healthChecks {
@@ -224,31 +224,3 @@
 	}
 	p.addr = command.Addr
 }
-
-// deadlineHeap orders pending attempts by deadline.
-type deadlineHeap []*pendingAttempt
-
-var _ heap.Interface = (*deadlineHeap)(nil)
-
-func (h deadlineHeap) Len() int           { return len(h) }
-func (h deadlineHeap) Less(i, j int) bool { return h[i].Deadline < h[j].Deadline }
-func (h deadlineHeap) Swap(i, j int) {
-	h[i], h[j] = h[j], h[i]
-	h[i].heapIndex, h[j].heapIndex = i, j
-}
-
-// Push implements heap.Interface.
-func (h *deadlineHeap) Push(x any) {
-	a := x.(*pendingAttempt)
-	a.heapIndex = len(*h)
-	*h = append(*h, a)
-}
-
-// Pop implements heap.Interface.
-func (h *deadlineHeap) Pop() any {
-	old := *h
-	a := old[len(old)-1]
-	old[len(old)-1] = nil
-	*h = old[:len(old)-1]
-	return a
-}
--- a/internal/shardconn/receive.go
+++ b/internal/shardconn/receive.go
@@ -155,7 +155,7 @@
 func (p *Client) handleMalformed(c *conn, id string, violation error, wasAnswer bool) {
 	failed := p.findAttempt(c, id)
 	if failed == nil && wasAnswer {
-		for _, a := range p.deadlines {
+		for _, a := range p.deadlines.Elements() {
 			if a.batch.conn == c && (failed == nil || a.SentAt < failed.SentAt) {
 				failed = a
 			}
@@ -173,7 +173,7 @@
 
 // findAttempt returns the first attempt of a call on a connection.
 func (p *Client) findAttempt(c *conn, wireID string) (found *pendingAttempt) {
-	for _, a := range p.deadlines {
+	for _, a := range p.deadlines.Elements() {
 		if a.batch.conn == c && a.WireID == wireID && (found == nil || a.Number < found.Number) {
 			found = a
 		}
@@ -187,7 +187,7 @@
 	p.openConns--
 	p.config.Memory.Release(connBytes)
 	p.budget.Release()
-	for _, a := range append([]*pendingAttempt(nil), p.deadlines...) {
+	for _, a := range append([]*pendingAttempt(nil), p.deadlines.Elements()...) {
 		if a.batch.conn == c {
 			p.finish(a, c.outcomeOfLoss(a.batch.frameNumber), nil)
 		}
