--- a/cmd/oxbowlab/main.go
+++ b/cmd/oxbowlab/main.go
@@ -1,4 +1,4 @@
-// Command oxbowlab plays experiments on the built gatherer and keeps their results.
+// Command oxbowlab runs experiments on the built programs and keeps their results.
 package main
 
 import (
--- a/internal/testing/experiment/holder_test.go
+++ b/internal/testing/experiment/holder_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// The holder's commands are played against a server that accepts connections and never responds.
+// The holder's commands run against a server that accepts connections and never responds.
 func TestHolderProcessCommands(t *testing.T) {
 	server, err := standin.StartShardServer("s-0", nil, nil)
 	if err != nil {
--- a/internal/testing/experiment/latency.go
+++ b/internal/testing/experiment/latency.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// maxLatency is the greatest latency that is told apart from greater ones.
+	// maxLatency is the greatest latency; greater ones are recorded as this.
 	maxLatency = time.Minute
 	// latencyDigits is the number of significant decimal digits of a recorded latency.
 	latencyDigits = 3
--- a/internal/testing/experiment/runtime_metrics.go
+++ b/internal/testing/experiment/runtime_metrics.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// memoryEvent marks the log lines in which a gatherer reports figures of its runtime and memory budget.
+	// memoryEvent marks the log lines in which a gatherer reports metrics of its runtime and memory budget.
 	memoryEvent = "event=memory "
 	// reportPollInterval is the time between two looks for a new report.
 	reportPollInterval = 20 * time.Millisecond
 )
 
-// runtimeReport is the numbers of one report by name; sizes are in bytes.
+// runtimeReport is the numbers of one report by the name of the log field; sizes are in bytes.
 type runtimeReport map[string]int64
 
 // used returns the bytes of heap and stacks.
@@ -46,7 +46,7 @@
 	m.reports++
 }
 
-// next waits for the second next report, whose figures are all from after the call.
+// next waits for the second next report, whose values are all from after the call.
 func (m *runtimeMetrics) next(ctx context.Context) runtimeReport {
 	_, first := m.latest()
 	tick := time.NewTicker(reportPollInterval)
--- a/internal/testing/experiment/store.go
+++ b/internal/testing/experiment/store.go
@@ -18,7 +18,7 @@
 		Long: `store sends payment posts from clients that repeat what they got no response to, under the same key, to a gatherer with a
 store, and kills it at random moments, hundreds of times; now and then a file of its store is truncated at a random byte before the
 restart. The shard servers count the posts that they execute. It ends with a finding if a post was executed twice, if one was
-answered that was not executed, if a client was told that a retry is harmless after a post was executed, or if a request got no
+answered that was not executed, if a retry was called harmless after a post was executed, or if a request got no
 final response. Before that it measures what the store adds to posts and look-ups.`,
 		Run: runStore,
 	})
--- a/internal/testing/standin/account.go
+++ b/internal/testing/standin/account.go
@@ -22,13 +22,13 @@
 // centsPerUnit is the number of cents in one unit of an amount.
 const centsPerUnit = 100
 
-// Account is one row of the dataset: what one account owes. Missing values are nil.
+// Account is one row of the dataset: the debt of one account. Missing values are nil.
 type Account struct {
 	Segment  int
 	Account  string
 	Customer *string
 	Due      *string // date, YYYY-MM-DD
-	Cents    *int64  // owed; negative for a credit
+	Cents    *int64  // of debt; negative for a credit
 	Bills    *int64
 }
 
@@ -175,7 +175,7 @@
 	return amount.Num().Int64(), nil
 }
 
-// toFloat converts a value of a numeric column to the unit that figures have: units of currency for amounts.
+// toFloat converts a value of a numeric column to the unit of aggregates: units of currency for amounts.
 func toFloat(column string, value any) float64 {
 	n := float64(value.(int64))
 	if column == columnAmount {
--- a/internal/testing/standin/aggregate.go
+++ b/internal/testing/standin/aggregate.go
@@ -42,11 +42,11 @@
 }
 
 func (c aggregateCheck) check() error {
-	if c.got.Is == isExact && !c.complete {
+	if c.got.Precision == precisionExact && !c.complete {
 		return fmt.Errorf("%s is stated as exact although segments are missing", c.aggregate.text)
 	}
-	if c.untruncated && c.complete && c.got.Is != isExact && c.got.Is != isApproximate {
-		return fmt.Errorf("%s is stated as %s although nothing is missing", c.aggregate.text, c.got.Is)
+	if c.untruncated && c.complete && c.got.Precision != precisionExact && c.got.Precision != precisionApproximate {
+		return fmt.Errorf("%s is stated as %s although nothing is missing", c.aggregate.text, c.got.Precision)
 	}
 	switch c.aggregate.kind {
 	case "count", "sum":
@@ -63,7 +63,7 @@
 
 // wrong returns the error for a value that should be want.
 func (c aggregateCheck) wrong(want any) error {
-	return fmt.Errorf("%s is %s %s (%s to %s), want %v", c.aggregate.text, c.got.Is, c.got.Value, c.got.Low, c.got.High, want)
+	return fmt.Errorf("%s is %s %s (%s to %s), want %v", c.aggregate.text, c.got.Precision, c.got.Value, c.got.Low, c.got.High, want)
 }
 
 // units parses a value in whole units: cents for amounts.
@@ -79,14 +79,14 @@
 	}
 	got := c.units(c.got.Value)
 	right := false
-	switch c.got.Is {
-	case isExact:
+	switch c.got.Precision {
+	case precisionExact:
 		right = got.Cmp(want) == 0
-	case isLowerBound:
+	case precisionLowerBound:
 		right = got.Cmp(want) <= 0
-	case isBetween:
+	case precisionBetween:
 		right = c.units(c.got.Low).Cmp(want) <= 0 && c.units(c.got.High).Cmp(want) >= 0
-	case isPartial:
+	case precisionPartial:
 		right = true
 	}
 	if !right {
@@ -103,14 +103,14 @@
 	best := Extreme(c.all.Values(c.aggregate.column), c.aggregate.kind == "max")
 	want := formatValue(c.aggregate.column, best)
 	got := string(c.got.Value)
-	if c.got.Is == isExact {
+	if c.got.Precision == precisionExact {
 		if got != want {
 			return c.wrong(want)
 		}
 		return nil
 	}
 	if got == "null" {
-		if c.got.Is != isPartial {
+		if c.got.Precision != precisionPartial {
 			return c.wrong(want)
 		}
 		return nil
@@ -120,9 +120,9 @@
 		return err
 	}
 	d := compareValues(value, best)
-	right := c.got.Is == isUpperBound && d >= 0
+	right := c.got.Precision == precisionUpperBound && d >= 0
 	if c.aggregate.kind == "max" {
-		right = c.got.Is == isLowerBound && d <= 0
+		right = c.got.Precision == precisionLowerBound && d <= 0
 	}
 	if !right {
 		return c.wrong(want)
@@ -132,7 +132,7 @@
 
 // checkMean checks a mean over all segments.
 func (c aggregateCheck) checkMean() error {
-	if c.got.Is == isPartial {
+	if c.got.Precision == precisionPartial {
 		return nil
 	}
 	values := c.all.Values(c.aggregate.column)
@@ -153,7 +153,7 @@
 	difference := new(big.Rat).Sub(got, want)
 	difference.Abs(difference)
 	allowed := new(big.Rat)
-	if c.got.Is == isApproximate {
+	if c.got.Precision == precisionApproximate {
 		allowed.SetFloat64(c.got.Error)
 	}
 	rounding := big.NewRat(1, int64(1/meanTolerance))
--- a/internal/testing/standin/aggregated.go
+++ b/internal/testing/standin/aggregated.go
@@ -17,8 +17,8 @@
 		return err
 	}
 	result := m.Result
-	if result.Kind != kindAggregated || !slices.Equal(result.Figures, terms.Figures) || len(result.Group) != len(terms.Group) {
-		return fmt.Errorf("got a %s result of %v by %v, want aggregates %v by %v", result.Kind, result.Figures, result.Group, terms.Figures, terms.Group)
+	if result.Kind != kindAggregated || !slices.Equal(result.Aggregates, terms.Figures) || len(result.Group) != len(terms.Group) {
+		return fmt.Errorf("got a %s result of %v by %v, want aggregates %v by %v", result.Kind, result.Aggregates, result.Group, terms.Figures, terms.Group)
 	}
 	check := newAggregatedCheck(m, terms, cover, untruncated)
 	if err := check.checkGroups(); err != nil {
@@ -116,7 +116,7 @@
 			if err := value.check(); err != nil {
 				return fmt.Errorf("group %s: %w", key, err)
 			}
-			c.precise = c.precise && (value.got.Is == isExact || value.got.Is == isApproximate)
+			c.precise = c.precise && (value.got.Precision == precisionExact || value.got.Precision == precisionApproximate)
 		}
 	}
 	return nil
--- a/internal/testing/standin/merged.go
+++ b/internal/testing/standin/merged.go
@@ -22,12 +22,12 @@
 
 // Precisions of an aggregate's value.
 const (
-	isExact       = "exact"
-	isApproximate = "approximate"
-	isLowerBound  = "lower_bound"
-	isUpperBound  = "upper_bound"
-	isBetween     = "between"
-	isPartial     = "partial"
+	precisionExact       = "exact"
+	precisionApproximate = "approximate"
+	precisionLowerBound  = "lower_bound"
+	precisionUpperBound  = "upper_bound"
+	precisionBetween     = "between"
+	precisionPartial     = "partial"
 )
 
 // MergedResponse is the body of a merged response, as a client reads it.
@@ -54,15 +54,15 @@
 	Next    string            `json:"next"` // cursor
 
 	// Aggregated results.
-	Group   []string         `json:"group"`
-	Figures []string         `json:"figures"`
-	Groups  []AggregateGroup `json:"groups"`
-	Unseen  string           `json:"unseen_at_most"` // bound for groups that no segment returned
+	Group      []string         `json:"group"`
+	Aggregates []string         `json:"figures"`
+	Groups     []AggregateGroup `json:"groups"`
+	Unseen     string           `json:"unseen_at_most"` // bound for groups that no segment returned
 
 	Complete Completeness `json:"complete"`
 }
 
-// AggregateGroup is the aggregates of one group, in the order of MergedResult.Figures.
+// AggregateGroup is the aggregates of one group, in the order of MergedResult.Aggregates.
 type AggregateGroup struct {
 	Key    []any       `json:"key"`
 	Values []Aggregate `json:"values"`
@@ -70,29 +70,29 @@
 
 // Aggregate is an aggregate with its precision.
 type Aggregate struct {
-	Value json.RawMessage `json:"value"`
-	Is    string          `json:"is"`
-	Low   json.RawMessage `json:"low"`
-	High  json.RawMessage `json:"high"`
-	Error float64         `json:"error"`
+	Value     json.RawMessage `json:"value"`
+	Precision string          `json:"is"`
+	Low       json.RawMessage `json:"low"`
+	High      json.RawMessage `json:"high"`
+	Error     float64         `json:"error"`
 }
 
 // Completeness states which segments a result covers.
 type Completeness struct {
-	Asked    int             `json:"asked"`
-	In       int             `json:"in"`
-	Share    float64         `json:"share"`
-	Segments []SegmentStatus `json:"segments"`
+	Requested int             `json:"asked"`
+	Included  int             `json:"in"`
+	Share     float64         `json:"share"`
+	Segments  []SegmentStatus `json:"segments"`
 }
 
 // SegmentStatus is what a response states about one segment.
 type SegmentStatus struct {
-	Tablet int    `json:"tablet"`
-	State  string `json:"state"`
-	AsOf   uint64 `json:"as_of"` // version of its data
-	Rows   int    `json:"rows"`
-	More   bool   `json:"more"`
-	Moved  bool   `json:"moved"`
+	Segment int    `json:"tablet"`
+	State   string `json:"state"`
+	Version uint64 `json:"as_of"` // version of its data
+	Rows    int    `json:"rows"`
+	More    bool   `json:"more"`
+	Moved   bool   `json:"moved"`
 }
 
 // ParseMergedResponse parses a body strictly: unknown fields are errors.
--- a/internal/testing/standin/oracle.go
+++ b/internal/testing/standin/oracle.go
@@ -32,11 +32,11 @@
 
 // checkCompleteness checks the statement of completeness and collects the rows that it covers.
 func (o Oracle) checkCompleteness(m MergedResponse) (coverage, error) {
-	cover, err := o.collectSegments(m.Result.Complete.Segments, m.Result.Complete.Asked)
+	cover, err := o.collectSegments(m.Result.Complete.Segments, m.Result.Complete.Requested)
 	if err != nil {
 		return cover, err
 	}
-	if in := m.Result.Complete.In; in != len(cover.included) {
+	if in := m.Result.Complete.Included; in != len(cover.included) {
 		return cover, fmt.Errorf("%d segments are stated as in, want %d", in, len(cover.included))
 	}
 	want := float64(len(cover.included)) / float64(len(o.Segments))
@@ -63,24 +63,24 @@
 	sort.Ints(want)
 	cover.included = map[int]uint64{}
 	for i, segment := range stated {
-		if segment.Tablet != want[i] {
-			return cover, fmt.Errorf("segment %d is stated, want %d", segment.Tablet, want[i])
+		if segment.Segment != want[i] {
+			return cover, fmt.Errorf("segment %d is stated, want %d", segment.Segment, want[i])
 		}
-		current, _ := o.Dataset.Rows(segment.Tablet)
+		current, _ := o.Dataset.Rows(segment.Segment)
 		switch segment.State {
 		case segmentIn:
-			rows, ok := o.Dataset.RowsAt(segment.Tablet, segment.AsOf)
+			rows, ok := o.Dataset.RowsAt(segment.Segment, segment.Version)
 			if !ok {
-				return cover, fmt.Errorf("segment %d has had no version %d", segment.Tablet, segment.AsOf)
+				return cover, fmt.Errorf("segment %d has had no version %d", segment.Segment, segment.Version)
 			}
-			cover.included[segment.Tablet] = segment.AsOf
+			cover.included[segment.Segment] = segment.Version
 			cover.rows = append(cover.rows, rows...)
 			cover.all = append(cover.all, rows...)
 		case segmentMissing, segmentUnusable:
-			cover.missing = append(cover.missing, segment.Tablet)
+			cover.missing = append(cover.missing, segment.Segment)
 			cover.all = append(cover.all, current...)
 		default:
-			return cover, fmt.Errorf("segment %d has unknown state %q", segment.Tablet, segment.State)
+			return cover, fmt.Errorf("segment %d has unknown state %q", segment.Segment, segment.State)
 		}
 	}
 	return cover, nil
--- a/internal/testing/standin/paged.go
+++ b/internal/testing/standin/paged.go
@@ -62,18 +62,18 @@
 // checkMoved checks what the page states about changes of the data since the first page.
 func (p *PagedCheck) checkMoved(m MergedResponse) error {
 	for _, segment := range m.Result.Complete.Segments {
-		previous, known := p.versions[segment.Tablet]
+		previous, known := p.versions[segment.Segment]
 		if segment.State != segmentIn {
 			if segment.Moved {
-				return fmt.Errorf("segment %d is %s and stated as moved", segment.Tablet, segment.State)
+				return fmt.Errorf("segment %d is %s and stated as moved", segment.Segment, segment.State)
 			}
 			continue
 		}
-		if moved := known && previous != segment.AsOf; moved != segment.Moved {
-			return fmt.Errorf("segment %d: moved is %t, want %t; its version was %d and is %d", segment.Tablet, segment.Moved, moved, previous, segment.AsOf)
+		if moved := known && previous != segment.Version; moved != segment.Moved {
+			return fmt.Errorf("segment %d: moved is %t, want %t; its version was %d and is %d", segment.Segment, segment.Moved, moved, previous, segment.Version)
 		}
 		p.moved = p.moved || segment.Moved
-		p.versions[segment.Tablet] = segment.AsOf
+		p.versions[segment.Segment] = segment.Version
 	}
 	if m.Result.Moved != p.moved {
 		return fmt.Errorf("moved is %t, want %t", m.Result.Moved, p.moved)
--- a/internal/testing/standin/shardserver.go
+++ b/internal/testing/standin/shardserver.go
@@ -46,7 +46,7 @@
 	Host          string
 	Zone          string
 	Cell          int
-	StartedMillis float64 // Unix time, as the discovery service tells it; 0 = long ago
+	StartedMillis float64 // Unix time, as the discovery service lists it; 0 = long ago
 	// Handle handles a call. By default calls are served with "value of QUERY". It is called by the goroutine of the
 	// connection, so that a Handle which waits delays the calls behind it on that connection.
 	Handle func(conn *ShardConn, call ShardCall)
@@ -156,11 +156,11 @@
 		c.Server.mu.Unlock()
 	}()
 	for {
-		letter, body, ok := c.readFrame()
+		frameType, body, ok := c.readFrame()
 		if !ok {
 			return
 		}
-		switch letter {
+		switch frameType {
 		case frame.CancelFrame:
 			c.Server.record(cancelPrefix + string(body))
 		case frame.CallFrame:
@@ -168,14 +168,14 @@
 				return
 			}
 		default:
-			c.Server.protocolError("unexpected frame type %q", letter)
+			c.Server.protocolError("unexpected frame type %q", frameType)
 			return
 		}
 	}
 }
 
 // readFrame reads the next frame; ok is false if there is none or its length is not allowed.
-func (c *ShardConn) readFrame() (letter byte, body []byte, ok bool) {
+func (c *ShardConn) readFrame() (frameType byte, body []byte, ok bool) {
 	header := make([]byte, frameLengthBytes)
 	if _, err := io.ReadFull(c, header); err != nil {
 		return 0, nil, false
--- a/internal/testing/standin/standin_test.go
+++ b/internal/testing/standin/standin_test.go
@@ -59,9 +59,9 @@
 	if _, err := conn.Write(frame.End(call, 0)); err != nil {
 		t.Fatal(err)
 	}
-	letter, body, _, err := frame.Read(conn, nil)
-	if err != nil || letter != frame.AnswerFrame || string(body) != "p1 served 7 queue=1,inflight=2\nvalue of query" {
-		t.Errorf("got frame %q with %q, %v", letter, body, err)
+	frameType, body, _, err := frame.Read(conn, nil)
+	if err != nil || frameType != frame.AnswerFrame || string(body) != "p1 served 7 queue=1,inflight=2\nvalue of query" {
+		t.Errorf("got frame %q with %q, %v", frameType, body, err)
 	}
 	if got := <-server.Received; got != "p1" {
 		t.Errorf("call %q is recorded, want p1", got)
@@ -156,11 +156,11 @@
 	var rows []Account
 	response := MergedResponse{Full: true}
 	result := &response.Result
-	result.Complete = Completeness{Asked: len(segments), In: len(segments), Share: 1}
+	result.Complete = Completeness{Requested: len(segments), Included: len(segments), Share: 1}
 	for _, segment := range segments {
 		accounts, version := dataset.Rows(segment)
 		rows = append(rows, accounts...)
-		result.Complete.Segments = append(result.Complete.Segments, SegmentStatus{Tablet: segment, State: segmentIn, AsOf: version})
+		result.Complete.Segments = append(result.Complete.Segments, SegmentStatus{Segment: segment, State: segmentIn, Version: version})
 	}
 	rows = sortedRows(rows, order)
 	result.Kind, result.Columns, result.More = kindRanked, DatasetColumns, len(rows) > limit
@@ -195,10 +195,10 @@
 		{"no more", func(m *MergedResponse) { m.Result.More = false }, "more is false"},
 		{"not full", func(m *MergedResponse) { m.Full = false }, "full is false"},
 		{"wrong kind", func(m *MergedResponse) { m.Result.Kind = kindPaged }, "want a ranked one"},
-		{"unknown version", func(m *MergedResponse) { m.Result.Complete.Segments[1].AsOf++ }, "has had no version"},
+		{"unknown version", func(m *MergedResponse) { m.Result.Complete.Segments[1].Version++ }, "has had no version"},
 		{"missing segment and full", func(m *MergedResponse) {
 			m.Result.Complete.Segments[1].State = segmentMissing
-			m.Result.Complete.In, m.Result.Complete.Share = 1, 0.5
+			m.Result.Complete.Included, m.Result.Complete.Share = 1, 0.5
 		}, "claims to be full"},
 		{"wrong share", func(m *MergedResponse) { m.Result.Complete.Share = 0.5 }, "the stated share"},
 	} {
@@ -221,15 +221,15 @@
 	terms := merge.Terms{Kind: merge.Aggregated, Limit: 1, Figures: []string{"count", "sum(amount)", "max(due)"}}
 	response := func() MergedResponse {
 		return MergedResponse{Full: true, Result: MergedResult{
-			Kind:    kindAggregated,
-			Figures: terms.Figures,
-			Certain: 1,
+			Kind:       kindAggregated,
+			Aggregates: terms.Figures,
+			Certain:    1,
 			Groups: []AggregateGroup{{Values: []Aggregate{
-				{Value: []byte("40"), Is: isExact},
-				{Value: []byte(`"` + FormatSum(columnAmount, group.Sum(columnAmount)) + `"`), Is: isExact},
-				{Value: []byte(formatValue(columnDue, Extreme(group.Values(columnDue), true))), Is: isExact},
+				{Value: []byte("40"), Precision: precisionExact},
+				{Value: []byte(`"` + FormatSum(columnAmount, group.Sum(columnAmount)) + `"`), Precision: precisionExact},
+				{Value: []byte(formatValue(columnDue, Extreme(group.Values(columnDue), true))), Precision: precisionExact},
 			}}},
-			Complete: Completeness{Asked: 1, In: 1, Share: 1, Segments: []SegmentStatus{{State: segmentIn, AsOf: version}}},
+			Complete: Completeness{Requested: 1, Included: 1, Share: 1, Segments: []SegmentStatus{{State: segmentIn, Version: version}}},
 		}}
 	}
 	for _, test := range []struct {
@@ -241,7 +241,7 @@
 		{"wrong count", func(v []Aggregate) { v[0].Value = []byte("39") }, "count is exact 39"},
 		{"wrong sum", func(v []Aggregate) { v[1].Value = []byte(`"0.01"`) }, "sum(amount) is exact"},
 		{"wrong maximum", func(v []Aggregate) { v[2].Value = []byte(`"2026-01-01"`) }, "max(due) is exact"},
-		{"less than exact", func(v []Aggregate) { v[1].Is = isPartial }, "although nothing is missing"},
+		{"less than exact", func(v []Aggregate) { v[1].Precision = precisionPartial }, "although nothing is missing"},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			m := response()
--- a/merge/merge_test.go
+++ b/merge/merge_test.go
@@ -364,7 +364,7 @@
 	none := func(int) int { return 0 }
 	m := give(t, q, l, []int{0}, none)
 	before, _ := answer(t, m, false)
-	if before.Full || before.Result.Groups[0].Values[0].Is != "lower_bound" || before.Result.Groups[0].Values[1].Is != "partial" {
+	if before.Full || before.Result.Groups[0].Values[0].Precision != "lower_bound" || before.Result.Groups[0].Values[1].Precision != "partial" {
 		t.Errorf("with one of two segments it says %+v", before)
 	}
 	if got, _ := answer(t, m, true); got.Full {
@@ -427,13 +427,13 @@
 	}
 	const most = "9999999999999999.99"
 	got := sum(`"`+most+`",9223372036854775806,1`, `"0.00",1,0`, `"-0.01",0,1`).Result.Groups[0].Values
-	if string(got[0].Value) != `"9999999999999999.98"` || got[0].Is != "exact" || string(got[1].Value) != "9223372036854775807" {
-		t.Errorf("at the edge: %s %s, count %s", got[0].Value, got[0].Is, got[1].Value)
+	if string(got[0].Value) != `"9999999999999999.98"` || got[0].Precision != "exact" || string(got[1].Value) != "9223372036854775807" {
+		t.Errorf("at the edge: %s %s, count %s", got[0].Value, got[0].Precision, got[1].Value)
 	}
 	over := sum(`"`+most+`",9223372036854775807,1`, `"0.01",1,1`, `"0.00",0,1`)
 	for i, v := range over.Result.Groups[0].Values[:2] {
-		if string(v.Value) != "null" || v.Is != "overflow" {
-			t.Errorf("figure %d past the edge: %s %s", i, v.Value, v.Is)
+		if string(v.Value) != "null" || v.Precision != "overflow" {
+			t.Errorf("figure %d past the edge: %s %s", i, v.Value, v.Precision)
 		}
 	}
 	if over.Full {
@@ -441,8 +441,8 @@
 	}
 	// In between it may pass the edge, whatever the order of arrival.
 	back := sum(`"`+most+`",1,1`, `"1.00",1,1`, `"-1.00",1,1`).Result.Groups[0].Values
-	if string(back[0].Value) != `"`+most+`"` || back[0].Is != "exact" {
-		t.Errorf("past the edge and back: %s %s", back[0].Value, back[0].Is)
+	if string(back[0].Value) != `"`+most+`"` || back[0].Precision != "exact" {
+		t.Errorf("past the edge and back: %s %s", back[0].Value, back[0].Precision)
 	}
 }
 
