--- a/internal/cli/level.go
+++ b/internal/cli/level.go
@@ -24,61 +24,61 @@
 	"oxbowspan/internal/sparkline"
 )
 
-// newLevel looks at and pins the level of a running gatherer, and plays levels on recorded signals.
-func newLevel(stdout io.Writer) *cobra.Command {
+// newLevelCommand looks at and pins the level of a running gatherer, and plays levels on recorded signals.
+func newLevelCommand(stdout io.Writer) *cobra.Command {
 	var socket string
 	c := &cobra.Command{Use: "level", Short: "Look at and pin a running gatherer's level of service", Args: command.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error { return c.Help() }}
-	ask := func(q admin.Question, out func(admin.Answer)) error {
-		a, err := askGatherer(socket, q)
+	ask := func(q admin.Request, out func(admin.Response)) error {
+		a, err := sendAdminRequest(socket, q)
 		if err == nil {
 			out(a)
 		}
 		return err
 	}
-	lines := func(a admin.Answer) {
+	lines := func(a admin.Response) {
 		for _, l := range a.Lines {
 			fmt.Fprintln(stdout, l)
 		}
 	}
 	show := &cobra.Command{Use: "show", Short: "Print level, signals, shares and servers", Args: command.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			return ask(admin.Question{Verb: admin.Show}, func(a admin.Answer) {
-				fmt.Fprintln(stdout, plainState(*a.State))
+			return ask(admin.Request{Verb: admin.Show}, func(a admin.Response) {
+				fmt.Fprintln(stdout, formatState(*a.State))
 				for _, t := range a.State.Types {
 					for _, x := range t.Customers {
 						fmt.Fprintf(stdout, "type %s share %.2f customer %s served %d shed %d\n", t.Name, t.Share, x.Name, x.Served, x.Shed)
 					}
 				}
 				for _, x := range a.State.Servers {
-					fmt.Fprintf(stdout, "server %s zone %s %s out %d latency_ms %.1f failing %.2f\n", x.Host, x.Zone, x.State, x.Out, x.Millis, x.Failing)
+					fmt.Fprintf(stdout, "server %s zone %s %s out %d latency_ms %.1f failing %.2f\n", x.Host, x.Zone, x.State, x.InFlight, x.LatencyMillis, x.FailureRatio)
 				}
 				for _, x := range a.State.Changes {
-					fmt.Fprintf(stdout, "%s %s > %s: %s\n", x.At.Format(time.RFC3339), x.From, x.To, x.Why)
+					fmt.Fprintf(stdout, "%s %s > %s: %s\n", x.At.Format(time.RFC3339), x.From, x.To, x.Reason)
 				}
 			})
 		}}
 	explain := &cobra.Command{Use: "explain", Short: "Print how each condition of each level stands", Args: command.NoArgs,
-		RunE: func(*cobra.Command, []string) error { return ask(admin.Question{Verb: admin.Explain}, lines) }}
+		RunE: func(*cobra.Command, []string) error { return ask(admin.Request{Verb: admin.Explain}, lines) }}
 	var span time.Duration
-	pin := &cobra.Command{Use: "pin LEVEL", Short: "Hold a level for some time, whatever the signals say", Args: command.Words(1, "LEVEL"),
+	pin := &cobra.Command{Use: "pin LEVEL", Short: "Hold a level for some time, whatever the signals say", Args: command.ExactArgs(1, "LEVEL"),
 		Example: "  oxbowspan level pin trimmed --for 10m --socket oxbowspan.sock",
 		RunE: func(_ *cobra.Command, args []string) error {
-			return ask(admin.Question{Verb: admin.Pin, Level: args[0], Seconds: span.Seconds()}, lines)
+			return ask(admin.Request{Verb: admin.Pin, Level: args[0], Seconds: span.Seconds()}, lines)
 		}}
 	pin.Flags().DurationVar(&span, "for", 10*time.Minute, "the pin ends after so long by itself, 24h at most")
 	unpin := &cobra.Command{Use: "unpin", Short: "Let the signals decide again", Args: command.NoArgs,
-		RunE: func(*cobra.Command, []string) error { return ask(admin.Question{Verb: admin.Unpin}, lines) }}
+		RunE: func(*cobra.Command, []string) error { return ask(admin.Request{Verb: admin.Unpin}, lines) }}
 	for _, x := range []*cobra.Command{show, explain, pin, unpin} {
-		socketFlag(x, &socket)
+		addSocketFlag(x, &socket)
 	}
 	var operator string
 	replay := &cobra.Command{Use: "replay FILE", Short: "Play recorded signals through an operator's file, and print what would have happened",
 		Long: "replay reads what 'oxbowspan watch --record' wrote and plays it through the levels of an operator's file, without any\n" +
 			"gatherer: each change with its condition, and a line of the levels over time.",
-		Args: command.Words(1, "FILE"), RunE: func(_ *cobra.Command, args []string) error {
+		Args: command.ExactArgs(1, "FILE"), RunE: func(_ *cobra.Command, args []string) error {
 			if operator == "" {
-				return command.Wrong("--operator is missing")
+				return command.Usagef("--operator is missing")
 			}
 			o, err := gatherer.LoadOperator(operator)
 			if err != nil {
@@ -92,31 +92,31 @@
 				return err
 			}
 			defer f.Close()
-			return replayLevels(o.Levels.Figures, f, stdout)
+			return replayLevels(o.Levels.Config, f, stdout)
 		}}
 	replay.Flags().StringVar(&operator, "operator", "", "the operator's file")
 	c.AddCommand(show, explain, pin, unpin, replay)
 	return c
 }
 
-func socketFlag(c *cobra.Command, socket *string) {
+func addSocketFlag(c *cobra.Command, socket *string) {
 	c.Flags().StringVar(socket, "socket", os.Getenv("OXBOWSPAN_SOCKET"), "the gatherer's admin socket, [levels] socket (OXBOWSPAN_SOCKET)")
 }
 
-func askGatherer(socket string, q admin.Question) (admin.Answer, error) {
+func sendAdminRequest(socket string, q admin.Request) (admin.Response, error) {
 	if socket == "" {
-		return admin.Answer{}, errors.New("no socket: give --socket or set OXBOWSPAN_SOCKET")
+		return admin.Response{}, errors.New("no socket: give --socket or set OXBOWSPAN_SOCKET")
 	}
 	c, err := admin.Dial(socket)
 	if err != nil {
-		return admin.Answer{}, err
+		return admin.Response{}, err
 	}
 	defer c.Close()
-	return c.Ask(q)
+	return c.Do(q)
 }
 
-// newWatch shows a running gatherer on the terminal.
-func newWatch(stdout io.Writer) *cobra.Command {
+// newWatchCommand shows a running gatherer on the terminal.
+func newWatchCommand(stdout io.Writer) *cobra.Command {
 	var socket, record string
 	var plain bool
 	c := &cobra.Command{Use: "watch", Short: "Show a running gatherer: level, what is shed, servers", Args: command.NoArgs,
@@ -126,7 +126,7 @@
 				return errors.New("no socket: give --socket or set OXBOWSPAN_SOCKET")
 			}
 			if !plain {
-				return screen("--socket", socket, "--record", record)
+				return execDashboard("--socket", socket, "--record", record)
 			}
 			source, err := admin.Dial(socket)
 			if err != nil {
@@ -159,18 +159,18 @@
 				if err != nil {
 					return err
 				}
-				fmt.Fprintln(stdout, plainState(s))
+				fmt.Fprintln(stdout, formatState(s))
 			}
 		}}
-	socketFlag(c, &socket)
+	addSocketFlag(c, &socket)
 	c.Flags().BoolVar(&plain, "plain", false, "a line for each state, for a pipe")
 	c.Flags().StringVar(&record, "record", "", "also append the signals to this file, for 'oxbowspan level replay'")
 	return c
 }
 
-// screen runs the terminal's program, which is one of its own beside this one: what it is built of would else lie in the memory
+// execDashboard runs the terminal's program, which is one of its own beside this one: what it is built of would else lie in the memory
 // of each gatherer.
-func screen(args ...string) error {
+func execDashboard(args ...string) error {
 	own, err := os.Executable()
 	if err != nil {
 		return err
@@ -182,11 +182,11 @@
 	return nil
 }
 
-func plainState(s admin.State) string {
+func formatState(s admin.State) string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%s level=%s for=%.1f searches=%d", s.At.Format(time.RFC3339), s.Level, s.For, s.Searches)
-	if s.Pinned > 0 {
-		fmt.Fprintf(&b, " pinned=%.0f", s.Pinned)
+	fmt.Fprintf(&b, "%s level=%s for=%.1f searches=%d", s.At.Format(time.RFC3339), s.Level, s.LevelSeconds, s.OpenRequests)
+	if s.PinSecondsLeft > 0 {
+		fmt.Fprintf(&b, " pinned=%.0f", s.PinSecondsLeft)
 	}
 	for _, x := range s.Signals {
 		if x.Known {
@@ -210,7 +210,7 @@
 	}
 	lines := bufio.NewScanner(in)
 	for n := 1; lines.Scan(); n++ {
-		var x admin.Recorded
+		var x admin.Record
 		if err := json.Unmarshal(lines.Bytes(), &x); err != nil {
 			return fmt.Errorf("line %d is not of a record: %w", n, err)
 		}
--- a/internal/testing/experiment/holder_process.go
+++ b/internal/testing/experiment/holder_process.go
@@ -32,11 +32,11 @@
 	return &cobra.Command{
 		Use:    holderProgram + " ADDR SOURCE NUMBER",
 		Hidden: true,
-		Args:   command.Words(3, "ADDR SOURCE NUMBER"),
+		Args:   command.ExactArgs(3, "ADDR SOURCE NUMBER"),
 		RunE: func(_ *cobra.Command, args []string) error {
 			number, err := strconv.Atoi(args[2])
 			if err != nil {
-				return command.Wrong("the number of a holder: %w", err)
+				return command.Usagef("the number of a holder: %w", err)
 			}
 			newHolderProcess(args[0], args[1], number).run(os.Stdin, stdout)
 			return nil
