--- a/balancer/completion.go
+++ b/balancer/completion.go
@@ -87,7 +87,7 @@
 			}
 		}
 		// Spread over the time left: servers that return errors would use up all retries at once.
-		p.retryFrom = a.sentAt + (call.req.deadline-a.sentAt)/4
+		p.retryFrom = a.sentAt + (call.req.deadline-a.sentAt)/retrySpread
 	}
 	return p
 }
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -104,7 +104,7 @@
 
 // idleConnsUnsafe reports whether idle connections are too often found dead to be reused.
 func (b *Balancer) idleConnsUnsafe() bool {
-	return b.deadIdleShare*b.freshness(b.deadIdleAt, 6*latencyMaxAge) > deadIdleLimit
+	return b.deadIdleShare*b.freshness(b.deadIdleAt, deadIdleAge) > deadIdleLimit
 }
 
 // silenceRatio returns how long the first of some attempts has been out without any response from its server,
--- a/balancer/limit.go
+++ b/balancer/limit.go
@@ -82,7 +82,7 @@
 	}
 	b.currentLatency *= 1 + math.Copysign(medianStep, unitLatency-b.currentLatency)
 	b.baseLatency = min(b.baseLatency*(1+baseLatencyGrowth), b.currentLatency)
-	gradient := min(1, max(0.5, latencyTolerance*b.baseLatency/b.currentLatency))
+	gradient := min(1, max(minGradient, latencyTolerance*b.baseLatency/b.currentLatency))
 	if gradient < 1 || b.activeCalls() > b.limit/2 {
 		b.limit += (b.limit*gradient + math.Sqrt(b.limit) - b.limit) * limitWeight
 	}
--- a/balancer/parameters.go
+++ b/balancer/parameters.go
@@ -10,7 +10,9 @@
 	queueMaxAge   = 1000 * Millisecond  // and its reported queue over this one
 	idleAfter     = 500 * Millisecond   // a connection unused for this long counts as idle
 	deadIdleLimit = 0.25                // share of idle connections found dead above which none is reused
+	deadIdleAge   = 6 * latencyMaxAge   // over which that share loses weight
 	silenceWeight = 4.0                 // slowdown added per overdue interval without a response
+	maxFailRate   = 0.99                // bound of the failure rate in predictions
 
 	// Outlier ejection, and backoff of server list requests.
 	ejectionThreshold = 0.3               // smoothed failure rate that ejects a server
@@ -22,6 +24,7 @@
 	backoffDivisor    = 2                 // base ejection time: at most the shortest target / backoffDivisor
 	maxEjectionFactor = 8                 // ejection time doubles up to this multiple of the base
 	slowStartSafety   = 0.6               // of the overload multiple: other instances send as well
+	minCapacity       = 0.01              // bound of the capacity share during slow start
 
 	// Retry budget.
 	defaultRetryRatio  = 0.2 // retries per request, where the configuration states no budget
@@ -33,6 +36,7 @@
 	medianStep        = 0.01               // relative step of the running median of unit latency
 	warmupSamples     = 100                // answers averaged before the median is tracked
 	limitWeight       = 0.02               // smoothing of the in-flight limit
+	minGradient       = 0.5                // bound of the factor by which latency lowers the limit
 	latencyTolerance  = 1.5                // current over base latency that does not lower the limit
 	minLimitPerServer = 9.0                // calls in flight per ready server, over all instances
 	minLimitWidest    = 3                  // minimum limit, in requests as wide as the widest
@@ -47,5 +51,6 @@
 	retryAfterDivisor  = 8                // Retry-After of a shed request: target / retryAfterDivisor
 	localPreference    = 0.7              // a local server is good enough within this share of the target
 	weightTolerance    = 5e-5             // rounding error allowed in sums of weights
+	retrySpread        = 4                // a retry at unhealthy servers waits for the time left / retrySpread
 	reviewDivisor      = 25               // late calls are reviewed every base ejection time / reviewDivisor
 )
--- a/balancer/plan.go
+++ b/balancer/plan.go
@@ -29,8 +29,7 @@
 	b.review(req)
 }
 
-// addCalls adds the calls of a phase to a request. It returns the shortest latency target among the recent
-// requests of the same shards.
+// addCalls adds the calls of a phase. It returns the shortest recent latency target for the same shards.
 func (b *Balancer) addCalls(req *request, calls []ShardCall) Time {
 	shortest := req.policy.target
 	for _, call := range calls {
@@ -44,8 +43,7 @@
 	return shortest
 }
 
-// choosePlan draws two plans at random offsets and returns the one whose slowest call is predicted to finish
-// first, in order of predicted finish.
+// choosePlan draws two plans at random offsets. It returns that which finishes first, in order of finish.
 func (b *Balancer) choosePlan(req *request) (best []placement) {
 	slowest := Time(math.MaxInt64)
 	for range 2 {
@@ -201,13 +199,13 @@
 
 // predict returns how long a call would take at a server, with the work ahead of it there.
 func (b *Balancer) predict(s *server, call *shardCall) Time {
-	rate := b.meanLatency
-	if rate == 0 {
-		rate = float64(call.req.policy.target) / initialShare / call.size
+	unit := b.meanLatency
+	if unit == 0 {
+		unit = float64(call.req.policy.target) / initialShare / call.size
 	}
-	rate /= b.capacityShare(s)
+	unit /= b.capacityShare(s)
 	if s.unitLatency > 0 {
-		rate += (s.unitLatency - rate) * b.freshness(s.measuredAt, latencyMaxAge)
+		unit += (s.unitLatency - unit) * b.freshness(s.measuredAt, latencyMaxAge)
 	}
 	failing := s.failureRate
 	if s.respondedAt <= s.zone.failedAt { // no evidence yet that it is better than its zone
@@ -215,9 +213,10 @@
 	}
 	// Silence counts before any outcome does, so that a stall shows at once. The cost: one call that takes
 	// unusually long makes a healthy server look slow.
-	rate *= max(s.slowdown, 1) * (1 + silenceWeight*b.silenceRatio(s.inFlight...)) / (1 - min(failing, 0.99))
+	success := 1 - min(failing, maxFailRate)
+	unit *= max(s.slowdown, 1) * (1 + silenceWeight*b.silenceRatio(s.inFlight...)) / success
 	ahead := s.backlog + b.queueLength(s)*b.meanSize + b.plannedWork[s]
-	return Time(min(rate*(ahead+call.size), float64(Never-1)))
+	return Time(min(unit*(ahead+call.size), float64(Never-1)))
 }
 
 // queueLength returns the queue that a server reported, fading to the mean report with age.
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -7,7 +7,7 @@
 	}
 	age := float64(b.now - s.startedAt)
 	share := b.slowStartShare + (1-b.slowStartShare)*age/float64(b.slowStartDuration)
-	return max(0.01, min(1, share))
+	return max(minCapacity, min(1, share))
 }
 
 // slowStartAllows reports whether a server that is warming up may be sent a call of a size. It gets its
--- a/internal/shardconn/attempts.go
+++ b/internal/shardconn/attempts.go
@@ -39,44 +39,44 @@
 }
 
 // dispatch queues attempts in batches and assigns them to connections.
-func (p *Client) dispatch(attempts []Attempt) {
+func (cl *Client) dispatch(attempts []Attempt) {
 	for len(attempts) > 0 {
-		n := min(len(attempts), p.config.CallsPerFrame, p.config.StreamsPerConn)
+		n := min(len(attempts), cl.config.CallsPerFrame, cl.config.StreamsPerConn)
 		b := &batch{}
 		for _, attempt := range attempts[:n] {
 			a := &pendingAttempt{Attempt: attempt, batch: b}
 			b.attempts = append(b.attempts, a)
-			p.pending[attemptKey{attempt.ID, attempt.Number}] = a
-			heap.Push(&p.deadlines, a)
+			cl.pending[attemptKey{attempt.ID, attempt.Number}] = a
+			heap.Push(&cl.deadlines, a)
 		}
 		attempts = attempts[n:]
-		p.queued = append(p.queued, b)
+		cl.queued = append(cl.queued, b)
 	}
-	p.assignQueued()
+	cl.assignQueued()
 }
 
 // assignQueued writes queued batches and a queued health check to connections with capacity, and opens
 // connections for the others.
-func (p *Client) assignQueued() {
-	defer p.sendHealthCheck()
-	kept := p.queued[:0]
-	for _, b := range p.queued {
-		if c := p.availableConn(len(b.attempts)); c != nil {
-			p.writeBatch(c, b)
+func (cl *Client) assignQueued() {
+	defer cl.sendHealthCheck()
+	kept := cl.queued[:0]
+	for _, b := range cl.queued {
+		if c := cl.availableConn(len(b.attempts)); c != nil {
+			cl.writeBatch(c, b)
 		} else {
 			kept = append(kept, b)
 		}
 	}
-	clear(p.queued[len(kept):])
-	p.queued = kept
+	clear(cl.queued[len(kept):])
+	cl.queued = kept
 	waiting := 0
-	for _, b := range p.queued {
+	for _, b := range cl.queued {
 		waiting += len(b.attempts)
 	}
-	for waiting > p.dialing*p.config.StreamsPerConn {
-		if !p.dial() {
-			if p.dialing == 0 {
-				p.failQueued()
+	for waiting > cl.dialing*cl.config.StreamsPerConn {
+		if !cl.dial() {
+			if cl.dialing == 0 {
+				cl.failQueued()
 			}
 			return
 		}
@@ -86,18 +86,18 @@
 // availableConn returns a connection with capacity for n more attempts. A silent connection has none, as its
 // server may be partitioned, which only a new connection shows. Nor has one with an incomplete frame, which may
 // never be completed.
-func (p *Client) availableConn(n int) *conn {
-	for _, c := range p.conns {
+func (cl *Client) availableConn(n int) *conn {
+	for _, c := range cl.conns {
 		if !c.closed && c.drainReason == "" && !c.silent && c.partialSince == 0 &&
-			c.inFlight+n <= p.config.StreamsPerConn {
+			c.inFlight+n <= cl.config.StreamsPerConn {
 			return c
 		}
 	}
 	return nil
 }
 
-func (p *Client) writeBatch(c *conn, b *batch) {
-	now := p.now()
+func (cl *Client) writeBatch(c *conn, b *batch) {
+	now := cl.now()
 	buf := frame.Begin(nil, frame.CallFrame)
 	for _, a := range b.attempts {
 		millis := max(1, int64((a.Deadline-now+balancer.Millisecond-1)/balancer.Millisecond))
@@ -109,35 +109,35 @@
 }
 
 // finish ends an attempt with an outcome.
-func (p *Client) finish(a *pendingAttempt, outcome balancer.Outcome, report *balancer.LoadReport) {
-	p.report(a, AttemptEnded{Outcome: outcome, Report: report})
+func (cl *Client) finish(a *pendingAttempt, outcome balancer.Outcome, report *balancer.LoadReport) {
+	cl.report(a, AttemptEnded{Outcome: outcome, Report: report})
 }
 
 // report forgets an attempt and reports its end.
-func (p *Client) report(a *pendingAttempt, e AttemptEnded) {
-	delete(p.pending, attemptKey{a.ID, a.Number})
-	heap.Remove(&p.deadlines, a.heapIndex)
+func (cl *Client) report(a *pendingAttempt, e AttemptEnded) {
+	delete(cl.pending, attemptKey{a.ID, a.Number})
+	heap.Remove(&cl.deadlines, a.heapIndex)
 	if c := a.batch.conn; c != nil {
 		c.inFlight--
-		c.usedAt = p.now()
+		c.usedAt = cl.now()
 	}
-	e.ID, e.Number, e.Server, e.Elapsed = a.ID, a.Number, p.id, p.now()-a.SentAt
-	p.handler.AttemptEnded(e)
+	e.ID, e.Number, e.Server, e.Elapsed = a.ID, a.Number, cl.id, cl.now()-a.SentAt
+	cl.handler.AttemptEnded(e)
 }
 
 // abandon ends an attempt that is cancelled or past its deadline. One that was never written cannot have run, nor
 // can one that is withdrawn before its first byte is written.
-func (p *Client) abandon(a *pendingAttempt, outcome balancer.Outcome) {
+func (cl *Client) abandon(a *pendingAttempt, outcome balancer.Outcome) {
 	c := a.batch.conn
 	if c == nil {
 		a.batch.remove(a)
 		if len(a.batch.attempts) == 0 {
-			p.dequeue(a.batch)
+			cl.dequeue(a.batch)
 		}
-		if outcome = balancer.NotDispatched; a.Deadline <= p.now() {
+		if outcome = balancer.NotDispatched; a.Deadline <= cl.now() {
 			outcome = balancer.ConnectFailed
 		}
-		p.finish(a, outcome, nil)
+		cl.finish(a, outcome, nil)
 		return
 	}
 	if len(a.batch.attempts) == 1 && c.withdraw(a.batch.frameNumber) {
@@ -146,21 +146,21 @@
 		c.enqueue(frame.New(frame.CancelFrame, a.WireID))
 		c.recordFinished(a.WireID, false)
 		if c.receivedAt <= a.SentAt {
-			p.markSilent(c)
+			cl.markSilent(c)
 		}
 	}
 	a.batch.remove(a)
-	p.finish(a, outcome, nil)
+	cl.finish(a, outcome, nil)
 	c.closeIfDone()
 }
 
 // markSilent marks a connection on which an attempt was abandoned while nothing was received. It closes the oldest
 // silent connections above maxSilentConns.
-func (p *Client) markSilent(c *conn) {
+func (cl *Client) markSilent(c *conn) {
 	c.silent = true
 	n := 0
-	for i := len(p.conns) - 1; i >= 0; i-- {
-		if other := p.conns[i]; other.silent && !other.closed {
+	for i := len(cl.conns) - 1; i >= 0; i-- {
+		if other := cl.conns[i]; other.silent && !other.closed {
 			if n++; n > maxSilentConns {
 				other.close(endSilent)
 			}
@@ -168,21 +168,21 @@
 	}
 }
 
-func (p *Client) dequeue(b *batch) {
-	for i, other := range p.queued {
+func (cl *Client) dequeue(b *batch) {
+	for i, other := range cl.queued {
 		if other == b {
-			p.queued = append(p.queued[:i], p.queued[i+1:]...)
+			cl.queued = append(cl.queued[:i], cl.queued[i+1:]...)
 			return
 		}
 	}
 }
 
 // failQueued fails all attempts that wait for a connection.
-func (p *Client) failQueued() {
-	for _, b := range p.queued {
+func (cl *Client) failQueued() {
+	for _, b := range cl.queued {
 		for _, a := range b.attempts {
-			p.finish(a, balancer.ConnectFailed, nil)
+			cl.finish(a, balancer.ConnectFailed, nil)
 		}
 	}
-	p.queued = nil
+	cl.queued = nil
 }
--- a/internal/shardconn/client.go
+++ b/internal/shardconn/client.go
@@ -53,9 +53,9 @@
 
 func start(id balancer.ServerID, host, addr string, config Config, now func() balancer.Time,
 	handler EventHandler, budget DescriptorBudget, dial dialFunc) *Client {
-	p := newClient(id, host, addr, config, now, handler, budget, dial)
-	go p.run()
-	return p
+	cl := newClient(id, host, addr, config, now, handler, budget, dial)
+	go cl.run()
+	return cl
 }
 
 func newClient(id balancer.ServerID, host, addr string, config Config, now func() balancer.Time,
@@ -71,9 +71,9 @@
 }
 
 // TrySubmit hands over a command without blocking. It reports false if the mailbox is full.
-func (p *Client) TrySubmit(c Command) bool {
+func (cl *Client) TrySubmit(c Command) bool {
 	select {
-	case p.mailbox <- c:
+	case cl.mailbox <- c:
 		return true
 	default:
 		return false
@@ -81,36 +81,36 @@
 }
 
 // Stop lets the client end once nothing is in flight. No command may follow.
-func (p *Client) Stop() { close(p.mailbox) }
+func (cl *Client) Stop() { close(cl.mailbox) }
 
 // Done is closed once the client has ended and its connections are closed.
-func (p *Client) Done() <-chan struct{} { return p.done }
+func (cl *Client) Done() <-chan struct{} { return cl.done }
 
-func (p *Client) run() {
-	defer close(p.done)
+func (cl *Client) run() {
+	defer close(cl.done)
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
-	mailbox := p.mailbox
+	mailbox := cl.mailbox
 	for {
-		timer.Reset(p.untilNext())
+		timer.Reset(cl.untilNext())
 		select {
 		case c, ok := <-mailbox:
 			if !ok {
 				mailbox = nil
 			} else {
-				p.execute(c)
+				cl.execute(c)
 			}
-		case e := <-p.events:
-			p.handleEvent(e)
+		case e := <-cl.events:
+			cl.handleEvent(e)
 		case <-timer.C:
 		}
-		p.expire()
-		if mailbox == nil && len(p.pending) == 0 {
-			for _, c := range p.conns {
+		cl.expire()
+		if mailbox == nil && len(cl.pending) == 0 {
+			for _, c := range cl.conns {
 				c.close(endUnlisted)
 			}
-			if p.openConns+p.dialing == 0 {
-				p.finishHealthCheck(balancer.HealthCheckEnded{Outcome: balancer.NotDispatched})
+			if cl.openConns+cl.dialing == 0 {
+				cl.finishHealthCheck(balancer.HealthCheckEnded{Outcome: balancer.NotDispatched})
 				return
 			}
 		}
@@ -118,94 +118,94 @@
 }
 
 // untilNext returns the time until the next deadline or idle timeout.
-func (p *Client) untilNext() time.Duration {
-	next := p.now() + balancer.Time(time.Hour/tick)
-	if len(p.deadlines) > 0 {
-		next = p.deadlines[0].Deadline
+func (cl *Client) untilNext() time.Duration {
+	next := cl.now() + balancer.Time(time.Hour/tick)
+	if len(cl.deadlines) > 0 {
+		next = cl.deadlines[0].Deadline
 	}
-	if p.checkDeadline != 0 {
-		next = min(next, p.checkDeadline)
+	if cl.checkDeadline != 0 {
+		next = min(next, cl.checkDeadline)
 	}
-	for _, c := range p.conns {
+	for _, c := range cl.conns {
 		// A closed connection stays until its goroutines have ended. If it counted here the client would spin until
 		// then, and on a single core keep those goroutines from running.
 		if c.closed {
 			continue
 		}
 		if c.inFlight == 0 {
-			next = min(next, c.usedAt+p.idleTimeout())
+			next = min(next, c.usedAt+cl.idleTimeout())
 		}
 		if c.partialSince > 0 {
-			next = min(next, c.partialSince+p.config.ConnectTimeout)
+			next = min(next, c.partialSince+cl.config.ConnectTimeout)
 		}
 	}
-	return max(0, time.Duration(next-p.now())*tick)
+	return max(0, time.Duration(next-cl.now())*tick)
 }
 
 // idleTimeout returns how long a connection may be idle: a quarter less than the server allows, for the time that
 // our last bytes were on their way.
-func (p *Client) idleTimeout() balancer.Time {
-	if p.config.IdleTimeout <= 0 {
+func (cl *Client) idleTimeout() balancer.Time {
+	if cl.config.IdleTimeout <= 0 {
 		return balancer.Time(time.Hour / tick)
 	}
-	return p.config.IdleTimeout * 3 / 4
+	return cl.config.IdleTimeout * 3 / 4
 }
 
 // expire ends attempts past their deadline, an overdue health check, and connections past a timeout.
-func (p *Client) expire() {
-	now := p.now()
-	for len(p.deadlines) > 0 && p.deadlines[0].Deadline <= now {
-		p.abandon(p.deadlines[0], balancer.TimedOut)
+func (cl *Client) expire() {
+	now := cl.now()
+	for len(cl.deadlines) > 0 && cl.deadlines[0].Deadline <= now {
+		cl.abandon(cl.deadlines[0], balancer.TimedOut)
 	}
-	if p.checkDeadline != 0 && now >= p.checkDeadline {
-		for _, c := range p.healthChecks {
-			p.markSilent(c) // the next attempt opens a new connection, which shows whether the machine is reachable
+	if cl.checkDeadline != 0 && now >= cl.checkDeadline {
+		for _, c := range cl.healthChecks {
+			cl.markSilent(c) // the next attempt opens a new connection, which shows whether the machine is reachable
 		}
-		p.finishHealthCheck(balancer.HealthCheckEnded{Outcome: balancer.TimedOut})
+		cl.finishHealthCheck(balancer.HealthCheckEnded{Outcome: balancer.TimedOut})
 	}
-	for _, c := range p.conns {
-		if c.inFlight == 0 && now >= c.usedAt+p.idleTimeout() {
+	for _, c := range cl.conns {
+		if c.inFlight == 0 && now >= c.usedAt+cl.idleTimeout() {
 			c.close(endIdle)
 		}
-		if c.partialSince > 0 && !c.closed && now >= c.partialSince+p.config.ConnectTimeout {
-			p.handleMalformed(c, "", errIncompleteFrame, true)
+		if c.partialSince > 0 && !c.closed && now >= c.partialSince+cl.config.ConnectTimeout {
+			cl.handleMalformed(c, "", errIncompleteFrame, true)
 		}
 	}
 }
 
-func (p *Client) execute(command Command) {
+func (cl *Client) execute(command Command) {
 	switch c := command.(type) {
 	case Dispatch:
-		p.dispatch(c.Attempts)
+		cl.dispatch(c.Attempts)
 	case Cancel:
-		if a := p.pending[attemptKey{c.ID, c.Number}]; a != nil {
-			p.abandon(a, balancer.Cancelled)
+		if a := cl.pending[attemptKey{c.ID, c.Number}]; a != nil {
+			cl.abandon(a, balancer.Cancelled)
 		}
 	case HealthCheck:
-		p.startHealthCheck()
+		cl.startHealthCheck()
 	case CloseIdle:
-		for _, c := range p.conns {
-			if c.inFlight == 0 && !slices.Contains(p.healthChecks, c) {
+		for _, c := range cl.conns {
+			if c.inFlight == 0 && !slices.Contains(cl.healthChecks, c) {
 				c.close(endIdleUnsafe)
 			}
 		}
 	case CloseAll:
-		for _, c := range p.conns {
+		for _, c := range cl.conns {
 			c.close(endStopped)
 		}
-		p.failQueued()
+		cl.failQueued()
 	case Drain:
-		p.drain()
+		cl.drain()
 	case AddressChanged:
-		p.changeAddress(c)
+		cl.changeAddress(c)
 	}
 }
 
 // drain closes connections as they become idle. During a rolling restart they would otherwise hold descriptors
 // that the connections to the new servers need. Batches that wait for a connection never ran and may go elsewhere.
-func (p *Client) drain() {
-	p.failQueued()
-	for _, c := range p.conns {
+func (cl *Client) drain() {
+	cl.failQueued()
+	for _, c := range cl.conns {
 		c.drainReason = endDraining
 		c.closeIfDone()
 	}
@@ -213,16 +213,16 @@
 
 // changeAddress adopts a new address or incarnation of the server. Connections opened before its start lead to a
 // process that is gone. Those to an old address finish what is in flight.
-func (p *Client) changeAddress(command AddressChanged) {
-	for _, c := range p.conns {
+func (cl *Client) changeAddress(command AddressChanged) {
+	for _, c := range cl.conns {
 		if command.StartedAt > c.openedAt {
 			c.close(endRestarted)
-		} else if command.Addr != p.addr {
+		} else if command.Addr != cl.addr {
 			c.drainReason = endMoved
 			c.closeIfDone()
 		}
 	}
-	p.addr = command.Addr
+	cl.addr = command.Addr
 }
 
 // deadlineHeap orders pending attempts by deadline.
--- a/internal/shardconn/client_test.go
+++ b/internal/shardconn/client_test.go
@@ -11,44 +11,44 @@
 )
 
 func TestAttemptsOfOneDispatchShareAFrame(t *testing.T) {
-	r := newHarness(t)
-	attempts := r.dispatch("a.0", "a.1", "a.2")
-	c := receive(t, r.dials)
-	if got := r.readFrame(c); got != "qa.0 0 d=1000 4\ntexta.1 0 d=1000 4\ntext" {
+	h := newHarness(t)
+	attempts := h.dispatch("a.0", "a.1", "a.2")
+	c := receive(t, h.dials)
+	if got := h.readFrame(c); got != "qa.0 0 d=1000 4\ntexta.1 0 d=1000 4\ntext" {
 		t.Errorf("got %q", got)
 	}
-	if got := r.readFrame(c); got != "qa.2 0 d=1000 4\ntext" {
+	if got := h.readFrame(c); got != "qa.2 0 d=1000 4\ntext" {
 		t.Errorf("got %q", got)
 	}
-	r.advance(50)
+	h.advance(50)
 	c.Write(frame.New(frame.AnswerFrame, "a.1 served 5 queue=3,util=0.5\nthe value"))
-	if e := r.expectOutcome(attempts[1].ID, balancer.Answered); e.Value != "the value" || e.Elapsed != 50 ||
+	if e := h.expectOutcome(attempts[1].ID, balancer.Answered); e.Value != "the value" || e.Elapsed != 50 ||
 		*e.Report != (balancer.LoadReport{Queued: 3, InFlight: -1}) {
 		t.Errorf("got %+v, %+v", e, e.Report)
 	}
 	c.Write(frame.New(frame.AnswerFrame, "a.0 skipped 0 -\n"))
-	if e := r.expectOutcome(attempts[0].ID, balancer.Rejected); e.Report != nil {
+	if e := h.expectOutcome(attempts[0].ID, balancer.Rejected); e.Report != nil {
 		t.Errorf("got report %+v", e.Report)
 	}
 }
 
 // A frame that was written partly never ran; one that was written completely may have.
 func TestOutcomeWhenConnectionBreaksDuringWrite(t *testing.T) {
-	r := newHarness(t)
-	written := r.dispatch("a.0")
-	c := receive(t, r.dials)
-	r.readFrame(c)
-	partial := r.dispatch("a.1")
+	h := newHarness(t)
+	written := h.dispatch("a.0")
+	c := receive(t, h.dials)
+	h.readFrame(c)
+	partial := h.dispatch("a.1")
 	if _, err := io.ReadFull(c, make([]byte, 7)); err != nil { // not the whole frame
 		t.Fatal(err)
 	}
-	queued := r.dispatch("a.2")
-	for len(r.client.mailbox) > 0 { // until the last one is queued behind the partly written one
+	queued := h.dispatch("a.2")
+	for len(h.client.mailbox) > 0 { // until the last one is queued behind the partly written one
 	}
 	c.Close()
 	got := map[balancer.ShardCallID]balancer.Outcome{}
 	for range 3 {
-		e := receive(t, r.ends)
+		e := receive(t, h.ends)
 		got[e.ID] = e.Outcome
 	}
 	if got[written[0].ID] != balancer.Reset || got[partial[0].ID] != balancer.ConnectFailed ||
@@ -58,29 +58,29 @@
 }
 
 func TestConnectFailure(t *testing.T) {
-	r := newHarness(t)
-	r.refuse.Store(true)
-	attempts := r.dispatch("a.0", "a.1")
-	r.expectOutcome(attempts[0].ID, balancer.ConnectFailed)
-	r.expectOutcome(attempts[1].ID, balancer.ConnectFailed)
-	if n := r.descriptors.Load(); n != 0 {
+	h := newHarness(t)
+	h.refuse.Store(true)
+	attempts := h.dispatch("a.0", "a.1")
+	h.expectOutcome(attempts[0].ID, balancer.ConnectFailed)
+	h.expectOutcome(attempts[1].ID, balancer.ConnectFailed)
+	if n := h.descriptors.Load(); n != 0 {
 		t.Errorf("%d descriptors are still in use", n)
 	}
 }
 
 // Deadlines are kept though the server reads nothing, and a frame that is withdrawn before it is written never ran.
 func TestDeadlineWhileServerDoesNotRead(t *testing.T) {
-	r := newHarness(t)
-	stuck := r.dispatch("a.0")
-	if _, err := io.ReadFull(receive(t, r.dials), make([]byte, 7)); err != nil { // not the whole frame
+	h := newHarness(t)
+	stuck := h.dispatch("a.0")
+	if _, err := io.ReadFull(receive(t, h.dials), make([]byte, 7)); err != nil { // not the whole frame
 		t.Fatal(err)
 	}
-	behind := r.dispatch("a.1")
-	r.advance(10000)
-	r.wakeUp()
+	behind := h.dispatch("a.1")
+	h.advance(10000)
+	h.wakeUp()
 	got := map[balancer.ShardCallID]balancer.Outcome{}
 	for range 2 {
-		e := receive(t, r.ends)
+		e := receive(t, h.ends)
 		got[e.ID] = e.Outcome
 	}
 	if got[stuck[0].ID] != balancer.TimedOut || got[behind[0].ID] != balancer.ConnectFailed {
@@ -89,91 +89,91 @@
 }
 
 func TestSilentConnectionGetsNoNewAttempts(t *testing.T) {
-	r := newHarness(t)
-	first := r.dispatch("a.0", "a.1")
-	c := receive(t, r.dials)
-	r.readFrame(c)
-	r.advance(100)
-	r.cancel(first[0])
-	if got := r.readFrame(c); got != "ca.0" {
+	h := newHarness(t)
+	first := h.dispatch("a.0", "a.1")
+	c := receive(t, h.dials)
+	h.readFrame(c)
+	h.advance(100)
+	h.cancel(first[0])
+	if got := h.readFrame(c); got != "ca.0" {
 		t.Errorf("got %q", got)
 	}
-	r.expectOutcome(first[0].ID, balancer.Cancelled)
-	second := r.dispatch("b.0")
-	d := receive(t, r.dials) // a new connection
-	r.readFrame(d)
+	h.expectOutcome(first[0].ID, balancer.Cancelled)
+	second := h.dispatch("b.0")
+	d := receive(t, h.dials) // a new connection
+	h.readFrame(d)
 	// A response on the old connection makes it available again; the answer to the cancelled call is ignored.
-	r.advance(100)
+	h.advance(100)
 	c.Write(frame.New(frame.AnswerFrame, "a.0 served 5 -\nlate"))
 	c.Write(frame.New(frame.AnswerFrame, "a.1 served 5 -\nv"))
-	r.expectOutcome(first[1].ID, balancer.Answered)
-	third := r.dispatch("c.0")
-	r.readFrame(c)
+	h.expectOutcome(first[1].ID, balancer.Answered)
+	third := h.dispatch("c.0")
+	h.readFrame(c)
 	// One of the two suffices now; the other would hold a descriptor until its idle timeout.
 	d.Write(frame.New(frame.AnswerFrame, "b.0 served 5 -\nv"))
-	r.expectOutcome(second[0].ID, balancer.Answered)
+	h.expectOutcome(second[0].ID, balancer.Answered)
 	c.Write(frame.New(frame.AnswerFrame, "c.0 served 5 -\nv"))
-	r.expectOutcome(third[0].ID, balancer.Answered)
-	r.expectClosed(d)
-	r.dispatch("d.0")
-	r.readFrame(c)
+	h.expectOutcome(third[0].ID, balancer.Answered)
+	h.expectClosed(d)
+	h.dispatch("d.0")
+	h.readFrame(c)
 }
 
 // During a rolling restart the connections to draining servers must not use up the descriptors for the new ones.
 func TestDrainClosesConnectionsAfterPendingAttempts(t *testing.T) {
-	r := newHarness(t)
-	attempts := r.dispatch("a.0")
-	c := receive(t, r.dials)
-	r.readFrame(c)
-	r.client.TrySubmit(Drain{})
-	r.refuse.Store(true)
-	late := r.dispatch("b.0") // dispatched before the drain was known: fails, as it would need a new connection
-	r.expectOutcome(late[0].ID, balancer.ConnectFailed)
+	h := newHarness(t)
+	attempts := h.dispatch("a.0")
+	c := receive(t, h.dials)
+	h.readFrame(c)
+	h.client.TrySubmit(Drain{})
+	h.refuse.Store(true)
+	late := h.dispatch("b.0") // dispatched before the drain was known: fails, as it would need a new connection
+	h.expectOutcome(late[0].ID, balancer.ConnectFailed)
 	c.Write(frame.New(frame.AnswerFrame, "a.0 served 5 -\nv"))
-	r.expectOutcome(attempts[0].ID, balancer.Answered)
-	r.expectClosed(c)
+	h.expectOutcome(attempts[0].ID, balancer.Answered)
+	h.expectClosed(c)
 }
 
 func TestIdleTimeoutPrecedesServerTimeout(t *testing.T) {
-	r := newHarness(t)
-	attempts := r.dispatch("a.0")
-	c := receive(t, r.dials)
-	r.readFrame(c)
-	r.advance(299999)
+	h := newHarness(t)
+	attempts := h.dispatch("a.0")
+	c := receive(t, h.dials)
+	h.readFrame(c)
+	h.advance(299999)
 	c.Write(frame.New(frame.AnswerFrame, "a.0 served 5 -\nv"))
-	r.expectOutcome(attempts[0].ID, balancer.Answered)
-	r.advance(225000)
-	r.wakeUp()
-	r.expectClosed(c)
+	h.expectOutcome(attempts[0].ID, balancer.Answered)
+	h.advance(225000)
+	h.wakeUp()
+	h.expectClosed(c)
 }
 
 func TestServerRestartClosesConnections(t *testing.T) {
-	r := newHarness(t)
-	attempts := r.dispatch("a.0")
-	c := receive(t, r.dials)
-	r.readFrame(c)
-	r.client.TrySubmit(AddressChanged{Addr: "a:2", StartedAt: r.now() - 10}) // before the connection was opened: it leads to the new process
+	h := newHarness(t)
+	attempts := h.dispatch("a.0")
+	c := receive(t, h.dials)
+	h.readFrame(c)
+	h.client.TrySubmit(AddressChanged{Addr: "a:2", StartedAt: h.now() - 10}) // before the connection was opened: it leads to the new process
 	c.Write(frame.New(frame.AnswerFrame, "a.0 served 5 -\nv"))
-	r.expectOutcome(attempts[0].ID, balancer.Answered)
-	attempts = r.dispatch("b.0")
-	d := receive(t, r.dials)
-	r.readFrame(d)
-	r.advance(100)
-	r.client.TrySubmit(AddressChanged{Addr: "a:2", StartedAt: r.now()})
-	r.expectOutcome(attempts[0].ID, balancer.Reset)
+	h.expectOutcome(attempts[0].ID, balancer.Answered)
+	attempts = h.dispatch("b.0")
+	d := receive(t, h.dials)
+	h.readFrame(d)
+	h.advance(100)
+	h.client.TrySubmit(AddressChanged{Addr: "a:2", StartedAt: h.now()})
+	h.expectOutcome(attempts[0].ID, balancer.Reset)
 }
 
 func TestDescriptorBudget(t *testing.T) {
-	r := newHarness(t)
+	h := newHarness(t)
 	for i := range 10 {
-		r.dispatch("a."+string(rune('0'+i)), "b."+string(rune('0'+i)))
+		h.dispatch("a."+string(rune('0'+i)), "b."+string(rune('0'+i)))
 	}
 	for range 4 { // five connections would be needed, four are allowed
-		if e := receive(t, r.ends); e.Outcome != balancer.ConnectFailed {
+		if e := receive(t, h.ends); e.Outcome != balancer.ConnectFailed {
 			t.Fatalf("call %d ended with outcome %d", e.ID, e.Outcome)
 		}
 	}
-	if n := r.descriptors.Load(); n > 4 {
+	if n := h.descriptors.Load(); n > 4 {
 		t.Errorf("%d descriptors are in use", n)
 	}
 }
@@ -206,17 +206,17 @@
 
 // Attempts after CloseIdle open a new connection; connections with attempts in flight stay.
 func TestCloseIdle(t *testing.T) {
-	r := newHarness(t)
-	attempts := r.dispatch("a.0")
-	c := receive(t, r.dials)
-	r.readFrame(c)
-	r.client.TrySubmit(CloseIdle{})
+	h := newHarness(t)
+	attempts := h.dispatch("a.0")
+	c := receive(t, h.dials)
+	h.readFrame(c)
+	h.client.TrySubmit(CloseIdle{})
 	c.Write(frame.New(frame.AnswerFrame, "a.0 served 1 -\nv"))
-	r.expectOutcome(attempts[0].ID, balancer.Answered)
-	r.client.TrySubmit(CloseIdle{})
-	r.dispatch("b.0")
-	d := receive(t, r.dials)
-	if got := r.readFrame(d); got != "qb.0 0 d=1000 4\ntext" {
+	h.expectOutcome(attempts[0].ID, balancer.Answered)
+	h.client.TrySubmit(CloseIdle{})
+	h.dispatch("b.0")
+	d := receive(t, h.dials)
+	if got := h.readFrame(d); got != "qb.0 0 d=1000 4\ntext" {
 		t.Errorf("got %q", got)
 	}
 	c.SetReadDeadline(time.Now().Add(testTimeout))
--- a/internal/shardconn/conn.go
+++ b/internal/shardconn/conn.go
@@ -105,18 +105,18 @@
 func (connClosed) event() {}
 
 // dial opens a connection in the background. It reports false if no descriptor is available.
-func (p *Client) dial() bool {
-	if !p.budget.Acquire() {
+func (cl *Client) dial() bool {
+	if !cl.budget.Acquire() {
 		return false
 	}
-	p.dialing++
-	addr, timeout := p.addr, time.Duration(p.config.ConnectTimeout)*tick
+	cl.dialing++
+	addr, timeout := cl.addr, time.Duration(cl.config.ConnectTimeout)*tick
 	go func() {
-		c, err := p.connect(addr, timeout)
+		c, err := cl.connect(addr, timeout)
 		if err != nil {
-			p.budget.Release()
+			cl.budget.Release()
 		}
-		p.events <- dialResult{c, addr, err}
+		cl.events <- dialResult{c, addr, err}
 	}()
 	return true
 }
@@ -138,16 +138,16 @@
 	return string(failOther)
 }
 
-func newConn(p *Client, result dialResult) *conn {
-	now := p.now()
-	c := &conn{client: p, netConn: result.netConn, addr: result.addr, openedAt: now, usedAt: now}
+func newConn(cl *Client, result dialResult) *conn {
+	now := cl.now()
+	c := &conn{client: cl, netConn: result.netConn, addr: result.addr, openedAt: now, usedAt: now}
 	c.ready.L = &c.mu
-	p.config.Memory.ForceAcquire(connBytes)
+	cl.config.Memory.ForceAcquire(connBytes)
 	var both sync.WaitGroup
 	both.Add(2)
 	go func() { defer both.Done(); c.readLoop() }()
 	go func() { defer both.Done(); c.writeLoop() }()
-	go func() { both.Wait(); p.events <- connClosed{c} }()
+	go func() { both.Wait(); cl.events <- connClosed{c} }()
 	return c
 }
 
--- a/internal/shardconn/receive_test.go
+++ b/internal/shardconn/receive_test.go
@@ -18,17 +18,17 @@
 		"\xb2\xd0\x5e\x00a":          0, // 3 GB
 		"\xff\xff\xff\xfca.0 served": 0,
 	} {
-		r := newHarness(t)
-		attempts := r.dispatch("a.0")
-		r.advance(1)
-		attempts = append(attempts, r.dispatch("b.0")...)
-		c := receive(t, r.dials)
+		h := newHarness(t)
+		attempts := h.dispatch("a.0")
+		h.advance(1)
+		attempts = append(attempts, h.dispatch("b.0")...)
+		c := receive(t, h.dials)
 		for range 2 {
-			r.readFrame(c)
+			h.readFrame(c)
 		}
 		c.Write([]byte(text))
-		r.expectOutcome(attempts[failed].ID, balancer.Errored)
-		r.expectOutcome(attempts[1-failed].ID, balancer.Cancelled)
+		h.expectOutcome(attempts[failed].ID, balancer.Errored)
+		h.expectOutcome(attempts[1-failed].ID, balancer.Cancelled)
 		if _, err := c.Read(make([]byte, 1)); err != io.EOF {
 			t.Errorf("after %q reading the connection gives %v", text, err)
 		}
@@ -39,38 +39,38 @@
 func TestTrailingBytesEndOnlyTheConnection(t *testing.T) {
 	answer := "a.0 served 5 queue=zz,inflight=1e300\nv"
 	for _, trailing := range []string{string(frame.New(frame.AnswerFrame, answer)), "\xde\xad", "\x00\x00\x00\x05zzzzz"} {
-		r := newHarness(t)
-		attempts := r.dispatch("a.0")
-		c := receive(t, r.dials)
-		r.readFrame(c)
+		h := newHarness(t)
+		attempts := h.dispatch("a.0")
+		c := receive(t, h.dials)
+		h.readFrame(c)
 		c.Write(append(frame.New(frame.AnswerFrame, answer), trailing...))
-		if e := r.expectOutcome(attempts[0].ID, balancer.Answered); e.Value != "v" || e.Report != nil {
+		if e := h.expectOutcome(attempts[0].ID, balancer.Answered); e.Value != "v" || e.Report != nil {
 			t.Errorf("got %+v", e)
 		}
 		if _, err := c.Read(make([]byte, 1)); err != io.EOF {
 			t.Errorf("after %q reading the connection gives %v", trailing, err)
 		}
-		next := r.dispatch("b.0")
-		d := receive(t, r.dials)
-		r.readFrame(d)
+		next := h.dispatch("b.0")
+		d := receive(t, h.dials)
+		h.readFrame(d)
 		d.Write(frame.New(frame.AnswerFrame, "b.0 served 5 -\nv"))
-		r.expectOutcome(next[0].ID, balancer.Answered)
+		h.expectOutcome(next[0].ID, balancer.Answered)
 	}
 }
 
 // A frame that is never completed fails its attempt after the connect timeout, and nothing new is sent behind it.
 func TestIncompleteFrameTimesOut(t *testing.T) {
-	r := newHarness(t)
-	attempts := r.dispatch("a.0", "a.1")
-	c := receive(t, r.dials)
-	r.readFrame(c)
+	h := newHarness(t)
+	attempts := h.dispatch("a.0", "a.1")
+	c := receive(t, h.dials)
+	h.readFrame(c)
 	c.Write(append(frame.New(frame.AnswerFrame, "a.0 served 5 -\nv"), "\x00\x00\x10\x00aa.1 served 5 -\nv"...))
-	r.expectOutcome(attempts[0].ID, balancer.Answered)
-	next := r.dispatch("b.0")
-	r.readFrame(receive(t, r.dials)) // on another connection
-	r.advance(2500)
-	r.wakeUp()
-	r.expectOutcome(attempts[1].ID, balancer.Errored)
-	r.cancel(next[0])
-	r.expectOutcome(next[0].ID, balancer.Cancelled)
+	h.expectOutcome(attempts[0].ID, balancer.Answered)
+	next := h.dispatch("b.0")
+	h.readFrame(receive(t, h.dials)) // on another connection
+	h.advance(2500)
+	h.wakeUp()
+	h.expectOutcome(attempts[1].ID, balancer.Errored)
+	h.cancel(next[0])
+	h.expectOutcome(next[0].ID, balancer.Cancelled)
 }
