--- a/internal/operatorconfig/fleet.go
+++ b/internal/operatorconfig/fleet.go
@@ -7,13 +7,13 @@
 	"strings"
 	"time"
 
+	"oxbowspan/internal/keyring"
 	"oxbowspan/internal/raftnode"
 	"oxbowspan/maintenance"
-	"oxbowspan/merge"
 )
 
 // Fleet is what the section on the fleet says. Its name and version are the program's to fill in.
-type Fleet = raftnode.Figures
+type Fleet = raftnode.Options
 
 // fleet reads the section; nil = there is none.
 func (r *reading) fleet(path string) *Fleet {
@@ -21,7 +21,7 @@
 	if s == nil {
 		return nil
 	}
-	f := &Fleet{Wait: s.span("wait", 10*time.Second, 0, 10*time.Minute)}
+	f := &Fleet{DrainTimeout: s.span("wait", 10*time.Second, 0, 10*time.Minute)}
 	f.Zone, _ = s.text("zone")
 	f.Listen, _ = s.text("listen")
 	f.Hook, _ = s.text("hook")
@@ -33,9 +33,9 @@
 			continue
 		}
 		seen[name], seen[addr] = true, true
-		f.Stewards = append(f.Stewards, raftnode.Address{Name: name, Addr: addr})
+		f.Voters = append(f.Voters, raftnode.Voter{Name: name, Addr: addr})
 	}
-	if n := len(f.Stewards); n != 1 && n != 3 && n != 5 {
+	if n := len(f.Voters); n != 1 && n != 3 && n != 5 {
 		s.wrong("stewards", "names %d, and a majority is had best of 3 or 5; 1 is for a trial", n)
 	}
 	keys, given := s.text("keys")
@@ -43,7 +43,7 @@
 		s.wrong("keys", "is missing: a file with the keys that gatherers know each other by; 'oxbowspan keys new' makes a line of it")
 	} else if raw, err := r.open(keys); err != nil {
 		s.wrong("keys", "%v", err)
-	} else if f.Keys, err = merge.ParseKeys(string(raw)); err != nil {
+	} else if f.Keys, err = keyring.Parse(string(raw)); err != nil {
 		s.wrong("keys", "%v", err)
 	}
 	if f.Path, _ = s.text("path"); f.Path != "" && !filepath.IsAbs(f.Path) {
@@ -53,11 +53,11 @@
 		f.Hook = filepath.Join(filepath.Dir(path), f.Hook)
 	}
 	most := func(key string) int { return int(s.count(key, 0, 1, 1<<20)) }
-	f.Limits = maintenance.Limits{MostGatherers: most("most_gatherers"), ShareGatherers: s.share("share_gatherers"), MostGatherersZone: most("most_gatherers_zone"),
-		MostServers: most("most_servers"), MostServersZone: most("most_servers_zone"), LeastReplicas: most("least_replicas"),
-		SuspectedByMost: s.share("suspected_by"), LeaseSpan: maintenance.Span(s.span("lease", 6*time.Second, 3*time.Second, time.Minute).Milliseconds()),
-		ForgetGatherersFor: maintenance.Span(s.span("forget", time.Hour, time.Minute, 30*24*time.Hour).Milliseconds())}
-	if f.Limits.MostGatherers == 0 && f.Limits.ShareGatherers == 0 {
+	f.Limits = maintenance.Limits{MaxGatherers: most("most_gatherers"), MaxGathererShare: s.share("share_gatherers"), MaxGatherersPerZone: most("most_gatherers_zone"),
+		MaxServers: most("most_servers"), MaxServersPerZone: most("most_servers_zone"), MinReplicas: most("least_replicas"),
+		SuspicionShare: s.share("suspected_by"), LeaseDuration: maintenance.Duration(s.span("lease", 6*time.Second, 3*time.Second, time.Minute).Milliseconds()),
+		ForgetAfter: maintenance.Duration(s.span("forget", time.Hour, time.Minute, 30*24*time.Hour).Milliseconds())}
+	if f.Limits.MaxGatherers == 0 && f.Limits.MaxGathererShare == 0 {
 		s.wrong("most_gatherers", "is missing, and so is share_gatherers: without either all may be out at once")
 	}
 	s.done()
