--- /dev/null
+++ b/raftlog/cluster_test.go
@@ -0,0 +1,250 @@
+package raftlog
+
+import (
+	"bytes"
+	"fmt"
+	"math/rand/v2"
+	"slices"
+
+	pb "go.etcd.io/raft/v3/raftpb"
+	"google.golang.org/protobuf/proto"
+
+	"oxbowspan/maintenance"
+)
+
+type simNode struct {
+	id        ID
+	node      *Node // nil = dead
+	storage   *memoryStorage
+	suspended bool
+	clock     maintenance.Time // offset of its clock
+}
+
+type message struct {
+	at   int
+	to   ID
+	from ID
+	data []byte
+}
+
+// testCluster is a few voters on a network that loses, duplicates, delays and partitions, also in one direction, and what they have
+// acknowledged.
+type testCluster struct {
+	t            interface{ Fatalf(string, ...any) }
+	rand         *rand.Rand
+	tick         int
+	nodes        []*simNode
+	ids          []ID
+	messages     []message
+	partitioned  map[[2]ID]bool
+	loss         float64
+	proposals    int
+	acknowledged []maintenance.MemberName
+	stateAt      map[maintenance.Epoch][]byte // the state after each command, as the first voter that got there had it
+}
+
+var testLimits = maintenance.Limits{MaxGatherers: 1, LeaseDuration: 3000}
+
+func newTestCluster(t interface{ Fatalf(string, ...any) }, seed uint64, n int, loss float64) *testCluster {
+	w := &testCluster{t: t, rand: rand.New(rand.NewPCG(seed, 3)), partitioned: map[[2]ID]bool{}, loss: loss, stateAt: map[maintenance.Epoch][]byte{}}
+	for i := range n {
+		w.ids = append(w.ids, ID(i+1))
+	}
+	for _, id := range w.ids {
+		s := &simNode{id: id, storage: &memoryStorage{entries: map[uint64][]byte{}}}
+		w.nodes = append(w.nodes, s)
+		w.start(s, true)
+	}
+	return w
+}
+
+// awaitLeader advances time until there is a leader other than not. Split elections are repeated after time-outs that the library draws
+// from a source of its own, so their number does not depend on the seed.
+func (w *testCluster) awaitLeader(not *simNode) *simNode {
+	for range 100 {
+		w.advance(10)
+		for _, s := range w.nodes {
+			if s != not && s.node != nil && s.node.IsLeader() {
+				return s
+			}
+		}
+	}
+	w.t.Fatalf("no leader after 1000 ticks")
+	return nil
+}
+
+func (w *testCluster) advance(ticks int) {
+	for range ticks {
+		w.tick++
+		var due []message
+		w.messages = slices.DeleteFunc(w.messages, func(l message) bool {
+			if l.at <= w.tick {
+				due = append(due, l)
+			}
+			return l.at <= w.tick
+		})
+		w.rand.Shuffle(len(due), func(i, j int) { due[i], due[j] = due[j], due[i] })
+		for _, l := range due {
+			if s := w.nodes[l.to-1]; s.node != nil && !s.suspended && !w.partitioned[[2]ID{l.from, l.to}] {
+				m := &pb.Message{}
+				if err := proto.Unmarshal(l.data, m); err != nil {
+					w.t.Fatalf("message: %v", err)
+				}
+				_ = s.node.Step(m) // messages of an old term are rejected
+				w.process(s)
+			}
+		}
+		for _, s := range w.nodes {
+			if s.node != nil && !s.suspended {
+				s.node.Tick(maintenance.Time(100*w.tick) + s.clock)
+				w.process(s)
+			}
+		}
+	}
+}
+
+func (w *testCluster) process(s *simNode) {
+	for _, m := range s.node.Process() {
+		b, err := proto.Marshal(m)
+		if err != nil {
+			w.t.Fatalf("message: %v", err)
+		}
+		for range 2 {
+			if w.rand.Float64() >= w.loss {
+				w.messages = append(w.messages, message{w.tick + w.rand.IntN(3), ID(m.GetTo()), s.id, b})
+			}
+			if w.rand.Float64() >= w.loss {
+				break
+			}
+		}
+	}
+	if s.node.Err() == nil {
+		w.checkStorage(s)
+	}
+	st := s.node.State()
+	if limit := maintenance.Time(100 * w.tick); st.Now > limit {
+		w.t.Fatalf("the time of voter %d is %d, but only %d have passed", s.id, st.Now, limit)
+	}
+	b, err := st.Snapshot()
+	if err != nil {
+		w.t.Fatalf("snapshot: %v", err)
+	}
+	if seen, there := w.stateAt[st.Applied]; !there {
+		w.stateAt[st.Applied] = b
+	} else if !bytes.Equal(seen, b) {
+		w.t.Fatalf("after command %d voter %d has another state than one before it:\n%s\n%s", st.Applied, s.id, b, seen)
+	}
+}
+
+// checkStorage compares the storage with the log from which the core reads: an extra entry would be a command that was never committed.
+func (w *testCluster) checkStorage(s *simNode) {
+	last, err := s.node.memory.LastIndex()
+	if err != nil {
+		w.t.Fatalf("last index: %v", err)
+	}
+	first, err := s.node.memory.FirstIndex()
+	if err != nil {
+		w.t.Fatalf("first index: %v", err)
+	}
+	for no, b := range s.storage.entries {
+		if no > last {
+			w.t.Fatalf("voter %d stores entry %d, its log ends at %d", s.id, no, last)
+		}
+		if no < first {
+			continue
+		}
+		e, err := s.node.memory.Entries(no, no+1, 1<<30)
+		if err != nil {
+			w.t.Fatalf("entry %d: %v", no, err)
+		}
+		if want, err := proto.Marshal(e[0]); err != nil || !bytes.Equal(want, b) {
+			w.t.Fatalf("voter %d stores another entry %d than its log has", s.id, no)
+		}
+	}
+}
+
+// propose proposes a new member to every voter that takes itself for the leader, and records what is acknowledged.
+func (w *testCluster) propose() {
+	for _, s := range w.nodes {
+		if s.node == nil || s.suspended || !s.node.IsLeader() {
+			continue
+		}
+		w.proposals++
+		n := maintenance.MemberName(fmt.Sprintf("m%04d", w.proposals))
+		s.node.Propose(maintenance.Command{Join: &maintenance.Join{Name: n, Zone: "a", Version: "v1", Incarnation: 1}}, func(_ maintenance.Result, err error) {
+			if err == nil {
+				w.acknowledged = append(w.acknowledged, n)
+			}
+		})
+		w.process(s)
+	}
+}
+
+// describe returns the Raft state of each voter.
+func (w *testCluster) describe() (out string) {
+	for _, s := range w.nodes {
+		if s.node == nil {
+			out += fmt.Sprintf(" %d crashed;", s.id)
+			continue
+		}
+		st := s.node.raw.BasicStatus()
+		out += fmt.Sprintf(" %d: %v term %d leader %d commit %d applied %d compacted at %d, %v;", s.id, st.RaftState, st.GetTerm(), st.Lead,
+			st.GetCommit(), s.node.State().Applied, s.node.compactedAt, s.node.Err())
+	}
+	return out
+}
+
+func (w *testCluster) leaders() (n int) {
+	for _, s := range w.nodes {
+		if s.node != nil && !s.suspended && s.node.IsLeader() {
+			n++
+		}
+	}
+	return n
+}
+
+// fault is a kind of fault.
+type fault int
+
+// The faults, and for the rest of the numbers drawn a proposal.
+const (
+	crash fault = iota
+	crashAgain
+	restart
+	restartAgain
+	restartOnceMore
+	suspendOrResume
+	partitionOrHealOneWay
+	isolate
+	healAll
+	failWrites
+	faultKinds = 15
+)
+
+// inject injects a fault at voter i, and of a one-way partition towards voter j.
+func (w *testCluster) inject(kind fault, i, j int) {
+	s := w.nodes[i%len(w.nodes)]
+	other := w.ids[j%len(w.ids)]
+	switch kind {
+	case crash, crashAgain:
+		s.node = nil // nobody learns the results of its proposals
+	case restart, restartAgain, restartOnceMore:
+		if s.node == nil || s.node.Err() != nil {
+			w.start(s, false)
+		}
+	case suspendOrResume:
+		s.suspended = !s.suspended
+	case partitionOrHealOneWay:
+		w.partitioned[[2]ID{s.id, other}] = !w.partitioned[[2]ID{s.id, other}]
+	case isolate:
+		for _, id := range w.ids {
+			w.partitioned[[2]ID{s.id, id}], w.partitioned[[2]ID{id, s.id}] = true, true
+		}
+	case healAll:
+		clear(w.partitioned)
+	case failWrites:
+		s.storage.failure = failsStored + storageFailure(j%2)
+	default:
+		w.propose()
+	}
+}
--- a/raftlog/proposal.go
+++ b/raftlog/proposal.go
@@ -5,22 +5,32 @@
 	"errors"
 )
 
-// wrapProposal puts before a command who proposed it, in which term, and its number there, so that its proposer is told its result and no
-// other's.
-func wrapProposal(by, term, seq uint64, b []byte) []byte {
-	out := binary.AppendUvarint(nil, by)
-	out = binary.AppendUvarint(out, term)
-	out = binary.AppendUvarint(out, seq)
-	return append(out, b...)
+// ErrMalformedEntry is returned for an entry of the log that does not name its proposer.
+var ErrMalformedEntry = errors.New("malformed log entry")
+
+// proposalID identifies a proposal, so that its proposer learns its result and nobody else's. It precedes the command in the log.
+type proposalID struct {
+	proposer ID
+	term     uint64 // in which the proposer was leader
+	sequence uint64 // of the proposer's proposals
+}
+
+// wrapProposal returns the data of a log entry: the three numbers as varints, and the encoded command.
+func wrapProposal(id proposalID, command []byte) []byte {
+	data := binary.AppendUvarint(nil, uint64(id.proposer))
+	data = binary.AppendUvarint(data, id.term)
+	data = binary.AppendUvarint(data, id.sequence)
+	return append(data, command...)
 }
 
-func unwrapProposal(b []byte) (by, term, seq uint64, rest []byte, err error) {
-	for _, v := range []*uint64{&by, &term, &seq} {
-		var n int
-		if *v, n = binary.Uvarint(b); n <= 0 {
-			return 0, 0, 0, nil, errors.New("an entry of the log does not say who proposed it")
+// unwrapProposal parses the data of a log entry.
+func unwrapProposal(data []byte) (id proposalID, command []byte, err error) {
+	for _, field := range []*uint64{(*uint64)(&id.proposer), &id.term, &id.sequence} {
+		v, n := binary.Uvarint(data)
+		if n <= 0 {
+			return proposalID{}, nil, ErrMalformedEntry
 		}
-		b = b[n:]
+		*field, data = v, data[n:]
 	}
-	return by, term, seq, b, nil
+	return id, data, nil
 }
