--- a/internal/cli/fleet_test.go
+++ b/internal/cli/fleet_test.go
@@ -351,7 +351,7 @@
 	}
 	for _, x := range s.nodes {
 		for _, l := range x.drains {
-			if !strings.Contains(l, "agreed=true") {
+			if !strings.Contains(l, "permitted=true") {
 				s.t.Errorf("%s: %s", x.name, l)
 			}
 		}
@@ -435,7 +435,7 @@
 		if err == nil {
 			t.Fatalf("granted without a majority: %s", out)
 		}
-		return strings.Contains(out, "no steward that leads")
+		return strings.Contains(out, "no voter that is the leader")
 	})
 	before := s.succeeded.Load()
 	s.await("searches go on", 10*time.Second, func() bool { return s.succeeded.Load() > before+50 })
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -18,139 +18,152 @@
 	"oxbowspan/internal/command"
 )
 
-// serveOptions is what flags and environment say of where the configuration is and what goes before it.
-type serveOptions struct {
-	flags                                             *pflag.FlagSet
-	configPath, name, listen, discovery, operatorPath string
-	foundFleet                                        bool // the fleet is founded
+// configSource is where the configuration is and what overrides it, by flags and environment.
+type configSource struct {
+	flags *pflag.FlagSet
+
+	configPath, operatorPath string
+	name, listen, discovery  string // override the configuration's
 }
 
-func (g *serveOptions) register(flags *pflag.FlagSet) {
-	g.flags = flags
-	flags.StringVar(&g.configPath, "config", os.Getenv("PROXY_CONFIG"), "configuration file (PROXY_CONFIG)")
-	flags.StringVar(&g.name, "name", os.Getenv("PROXY_NAME"), "this gatherer's name (PROXY_NAME)")
-	flags.StringVar(&g.listen, "listen", os.Getenv("PROXY_LISTEN"), "address for clients (PROXY_LISTEN)")
-	flags.StringVar(&g.operatorPath, "operator", os.Getenv("OXBOWSPAN_OPERATOR"), "the operator's own file, in INI (OXBOWSPAN_OPERATOR)")
-	flags.StringVar(&g.discovery, "discovery", os.Getenv("PROXY_DISCOVERY"), "address of discovery (PROXY_DISCOVERY)")
+func (s *configSource) register(flags *pflag.FlagSet) {
+	s.flags = flags
+	flags.StringVar(&s.configPath, "config", os.Getenv("PROXY_CONFIG"), "configuration file (PROXY_CONFIG)")
+	flags.StringVar(&s.name, "name", os.Getenv("PROXY_NAME"), "this gatherer's name (PROXY_NAME)")
+	flags.StringVar(&s.listen, "listen", os.Getenv("PROXY_LISTEN"), "address for clients (PROXY_LISTEN)")
+	flags.StringVar(&s.operatorPath, "operator", os.Getenv("OXBOWSPAN_OPERATOR"), "the operator's own file, in INI (OXBOWSPAN_OPERATOR)")
+	flags.StringVar(&s.discovery, "discovery", os.Getenv("PROXY_DISCOVERY"), "address of discovery (PROXY_DISCOVERY)")
 }
 
-// load reads the file, as it stands and with what goes before it.
-func (g *serveOptions) load() (file, setup gatherer.Config, err error) {
-	if g.configPath == "" {
-		return file, setup, errors.New("no configuration: give --config or set PROXY_CONFIG")
+// load reads the configuration. file is the configuration file alone, effective has the overrides and the operator's file.
+func (s *configSource) load() (file, effective gatherer.Config, err error) {
+	if s.configPath == "" {
+		return file, effective, errors.New("no configuration: give --config or set PROXY_CONFIG")
 	}
-	if file, err = gatherer.LoadConfig(g.configPath); err != nil {
-		return file, setup, err
+	if file, err = gatherer.LoadConfig(s.configPath); err != nil {
+		return file, effective, err
 	}
-	setup = file
-	setup.Name, setup.Listen = cmp.Or(g.name, file.Name), cmp.Or(g.listen, file.Listen)
-	setup.Discovery = cmp.Or(g.discovery, file.Discovery)
-	if g.operatorPath != "" {
-		if setup.Operator, err = gatherer.LoadOperator(g.operatorPath); err != nil {
-			return file, setup, err
+	effective = file
+	effective.Name = cmp.Or(s.name, file.Name)
+	effective.Listen = cmp.Or(s.listen, file.Listen)
+	effective.Discovery = cmp.Or(s.discovery, file.Discovery)
+	if s.operatorPath != "" {
+		if effective.Operator, err = gatherer.LoadOperator(s.operatorPath); err != nil {
+			return file, effective, err
 		}
 	}
-	return file, setup, nil
+	return file, effective, nil
 }
 
-// reload reads the file anew. What it newly says of discovery goes before the environment, though not before the flag.
-func (g *serveOptions) reload(was, inForce gatherer.Config) (file, setup gatherer.Config, err error) {
-	if file, setup, err = g.load(); err != nil {
-		return file, setup, err
+// reload reads the configuration again. A changed address of discovery in the file overrides the environment, though not the flag.
+func (s *configSource) reload(previous, inForce gatherer.Config) (file, effective gatherer.Config, err error) {
+	if file, effective, err = s.load(); err != nil {
+		return file, effective, err
 	}
-	setup.Discovery = file.Discovery
-	if file.Discovery == "" || file.Discovery == was.Discovery || g.flags.Changed("discovery") {
-		setup.Discovery = inForce.Discovery
+	effective.Discovery = file.Discovery
+	if file.Discovery == "" || file.Discovery == previous.Discovery || s.flags.Changed("discovery") {
+		effective.Discovery = inForce.Discovery
 	}
-	return file, setup, nil
+	return file, effective, nil
 }
 
 func newCheckCommand(stdout io.Writer) *cobra.Command {
-	var g serveOptions
+	var source configSource
 	c := &cobra.Command{
-		Use: "check", Short: "Read the configuration, say all that is wrong with it, and exit", Args: command.NoArgs,
+		Use:   "check",
+		Short: "Read the configuration, report all problems, and exit",
+		Args:  command.NoArgs,
 		Example: "  oxbowspan check --config config.json\n" +
 			"  oxbowspan check --config config.json --operator deploy/operator.ini",
 		RunE: func(*cobra.Command, []string) error {
-			_, setup, err := g.load()
+			_, config, err := source.load()
 			if err != nil {
 				return err
 			}
-			if _, err := gatherer.New(setup); err != nil {
+			if _, err := gatherer.New(config); err != nil {
 				return err
 			}
 			fmt.Fprintln(stdout, "the configuration is good")
 			return nil
 		},
 	}
-	g.register(c.Flags())
+	source.register(c.Flags())
 	return c
 }
 
 func newServeCommand(stderr io.Writer) *cobra.Command {
-	var g serveOptions
+	var source configSource
+	var foundFleet bool
 	c := &cobra.Command{
-		Use: "serve", Short: "Run a gatherer in the foreground", Args: command.NoArgs,
-		Long: "serve runs a gatherer in the foreground. SIGTERM drains and exits, a second one ends at once;\n" +
+		Use:   "serve",
+		Short: "Run a gatherer in the foreground",
+		Args:  command.NoArgs,
+		Long: "serve runs a gatherer in the foreground. SIGTERM drains and exits, a second one exits at once;\n" +
 			"SIGHUP reads the configuration again.",
 		Example: "  oxbowspan serve --config config.json\n" +
 			"  PROXY_CONFIG=config.json PROXY_LISTEN=127.0.0.1:8443 oxbowspan serve",
-		RunE: func(*cobra.Command, []string) error { return serve(&g, stderr) },
+		RunE: func(*cobra.Command, []string) error { return serve(&source, foundFleet, stderr) },
 	}
-	g.register(c.Flags())
-	c.Flags().BoolVar(&g.foundFleet, "found-fleet", false, "begin the fleet's log here; on each steward, once")
+	source.register(c.Flags())
+	c.Flags().BoolVar(&foundFleet, "found-fleet", false, "create the fleet's log here; on each steward, once")
 	return c
 }
 
-func serve(g *serveOptions, stderr io.Writer) error {
-	// A SIGHUP that comes before all is set up is heard once it is, and never ends the program.
+func serve(source *configSource, foundFleet bool, stderr io.Writer) error {
+	// Registered first: a SIGHUP during the start is handled after it and does not end the program.
 	reloads := make(chan os.Signal, 1)
 	signal.Notify(reloads, syscall.SIGHUP)
 	defer signal.Stop(reloads)
 	logTo(stderr)
-	file, setup, err := g.load()
+	file, config, err := source.load()
 	if err != nil {
 		return err
 	}
-	node, err := gatherer.New(setup)
+	g, err := gatherer.New(config)
 	if err != nil {
 		return err
 	}
-	setup.Limits.Apply()
+	config.Limits.Apply()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	signals := make(chan os.Signal, 2)
-	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
-	ends, leave, err := joinFleet(setup, node, g.foundFleet, cancel)
+	shutdowns := make(chan os.Signal, 2)
+	signal.Notify(shutdowns, syscall.SIGTERM, syscall.SIGINT)
+	fleet, err := joinFleet(config, g, foundFleet, cancel)
 	if err != nil {
 		return err
 	}
-	defer leave()
-	go func() {
-		s := <-signals
-		slog.Info("signal", "signal", s.String())
-		ends()
-		s = <-signals
-		slog.Info("signal", "signal", s.String(), "second", true)
-		os.Exit(exitFailure)
-	}()
-	slog.Info("start", "name", setup.Name, "listen", setup.Listen, "discovery", setup.Discovery, "version", version())
-	go func() {
-		for range reloads {
-			again, next, err := g.reload(file, setup)
-			if err == nil {
-				err = node.Reload(next)
-			}
-			if err != nil {
-				slog.Error("reload_failed", "error", err)
-				continue
-			}
-			file, setup.Discovery = again, next.Discovery
-		}
-	}()
-	if err := node.Run(ctx); err != nil {
+	defer fleet.leave()
+	go handleShutdowns(shutdowns, fleet)
+	slog.Info("start", "name", config.Name, "listen", config.Listen, "discovery", config.Discovery, "version", version())
+	go handleReloads(reloads, source, g, file, config)
+	if err := g.Run(ctx); err != nil {
 		return err
 	}
 	slog.Info("exit")
 	return nil
 }
+
+// handleShutdowns shuts down at the first signal and exits at the second.
+func handleShutdowns(signals <-chan os.Signal, fleet *membership) {
+	s := <-signals
+	slog.Info("signal", "signal", s.String())
+	fleet.shutDown()
+	s = <-signals
+	slog.Info("signal", "signal", s.String(), "second", true)
+	os.Exit(exitFailure)
+}
+
+// handleReloads reloads the configuration at each signal; a bad one changes nothing.
+func handleReloads(signals <-chan os.Signal, source *configSource, g *gatherer.Gatherer, file, inForce gatherer.Config) {
+	for range signals {
+		newFile, config, err := source.reload(file, inForce)
+		if err == nil {
+			err = g.Reload(config)
+		}
+		if err != nil {
+			slog.Error("reload_failed", "error", err)
+			continue
+		}
+		file, inForce.Discovery = newFile, config.Discovery
+	}
+}
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -1,5 +1,5 @@
-// Package command is what the project's command lines share: a root that says what there is, plain words for what is wrong
-// with a line, and exit codes. It knows nothing of what commands do.
+// Package command is what the project's command lines share: a root command that lists what there is, errors in the command line, and
+// exit codes. It knows nothing of what the commands do.
 package command
 
 import (
@@ -10,18 +10,19 @@
 	"github.com/spf13/cobra"
 )
 
-// ExitUsage is the exit code where the command line is wrong.
+// ExitUsage is the exit code for an error in the command line.
 const ExitUsage = 2
 
 // UsageError is an error in the command line, not in what was to be done.
 type UsageError struct{ error }
 
+// Unwrap returns the cause.
 func (u UsageError) Unwrap() error { return u.error }
 
-// Usagef makes a Usage.
-func Usagef(form string, args ...any) error { return UsageError{fmt.Errorf(form, args...)} }
+// Usagef formats a UsageError.
+func Usagef(format string, args ...any) error { return UsageError{fmt.Errorf(format, args...)} }
 
-// NoArgs takes flags alone.
+// NoArgs accepts no arguments beside the flags.
 func NoArgs(_ *cobra.Command, args []string) error {
 	if len(args) > 0 {
 		return Usagef("unexpected argument %q", args[0])
@@ -29,17 +30,22 @@
 	return nil
 }
 
-// ExactArgs takes so many words beside the flags.
-func ExactArgs(n int, what string) cobra.PositionalArgs {
+// ExactArgs accepts n arguments beside the flags; usage names them.
+func ExactArgs(n int, usage string) cobra.PositionalArgs {
 	return func(_ *cobra.Command, args []string) error {
 		if len(args) != n {
-			return Usagef("%d words were given, wanted: %s", len(args), what)
+			return Usagef("%d arguments were given, wanted: %s", len(args), usage)
 		}
 		return nil
 	}
 }
 
-// NewRoot makes a root command of one: alone it shows its help and is an error, and so is a word that it does not know.
+// NewGroup returns a command that only groups others: alone it prints its help.
+func NewGroup(use, short string) *cobra.Command {
+	return &cobra.Command{Use: use, Short: short, Args: NoArgs, RunE: func(c *cobra.Command, _ []string) error { return c.Help() }}
+}
+
+// NewRoot makes a command the root command. Alone, and with an unknown command, it is an error.
 func NewRoot(root *cobra.Command, stdout, stderr io.Writer) *cobra.Command {
 	root.SilenceErrors, root.SilenceUsage = true, true
 	root.Args = func(_ *cobra.Command, args []string) error {
@@ -59,19 +65,19 @@
 	return root
 }
 
-// Run runs a root command, says in one go what was wrong, and returns the exit code: 0, ExitUsage, or what code makes of an
+// Run runs a root command, prints its error and returns the exit code: 0, ExitUsage for a UsageError, or that of exitCode for another
 // error.
-func Run(root *cobra.Command, args []string, stderr io.Writer, code func(error) int) int {
+func Run(root *cobra.Command, args []string, stderr io.Writer, exitCode func(error) int) int {
 	root.SetArgs(args)
 	err := root.Execute()
-	var wrong UsageError
+	var usage UsageError
 	switch {
 	case err == nil:
 		return 0
-	case errors.As(err, &wrong):
+	case errors.As(err, &usage):
 		fmt.Fprintf(stderr, "%s: %v; '%s help' lists what there is\n", root.Name(), err, root.Name())
 		return ExitUsage
 	}
 	fmt.Fprintf(stderr, "%s: %v\n", root.Name(), err)
-	return code(err)
+	return exitCode(err)
 }
--- a/internal/operatorconfig/fleet.go
+++ b/internal/operatorconfig/fleet.go
@@ -2,22 +2,43 @@
 
 import (
 	"net"
-	"path/filepath"
-	"strconv"
 	"strings"
 	"time"
 
 	"oxbowspan/internal/keyring"
-	"oxbowspan/internal/raftnode"
 	"oxbowspan/maintenance"
 )
 
-// Fleet is what the section on the fleet says. Its name and version are the program's to fill in.
-type Fleet = raftnode.Options
+// Fleet is the section [fleet], on the maintenance of a fleet of gatherers.
+type Fleet struct {
+	Zone         string        // this gatherer's failure domain
+	Listen       string        // HOST:PORT of its interface for the fleet; only of a voter
+	Path         string        // directory of the log; only of a voter
+	Voters       []Voter       // key stewards; in the same order in all gatherers' files
+	Keys         *keyring.Ring // authenticate the fleet's messages
+	Hook         string        // program that carries out a release's changes; "" = there is none
+	DrainTimeout time.Duration // the longest wait for a permit before a shutdown
+	Limits       maintenance.Limits
+}
+
+// Voter is a gatherer that keeps the fleet's replicated log.
+type Voter struct {
+	Name string // of the gatherer
+	Addr string // HOST:PORT
+}
+
+// HasVoter reports whether a gatherer is a voter.
+func (f *Fleet) HasVoter(name string) bool {
+	for _, v := range f.Voters {
+		if v.Name == name {
+			return true
+		}
+	}
+	return false
+}
 
-// parseFleet reads the section; nil = there is none.
-func (r *parser) parseFleet(path string) *Fleet {
-	s := r.section("fleet")
+func (p *parser) parseFleet() *Fleet {
+	s := p.section("fleet")
 	if s == nil {
 		return nil
 	}
@@ -25,60 +46,79 @@
 	f.Zone, _ = s.text("zone")
 	f.Listen, _ = s.text("listen")
 	f.Hook, _ = s.text("hook")
+	f.Voters = s.voters()
+	f.Keys = s.fleetKeys()
+	if f.Path, _ = s.text("path"); f.Path != "" {
+		f.Path = p.resolve(f.Path)
+	}
+	if f.Hook != "" {
+		f.Hook = p.resolve(f.Hook)
+	}
+	f.Limits = s.fleetLimits()
+	s.rejectUnknownKeys()
+	return f
+}
+
+func (s *section) voters() (voters []Voter) {
+	const key = "stewards"
 	seen := map[string]bool{}
-	for _, word := range s.fields("stewards") {
-		name, addr, is := strings.Cut(word, "=")
+	for _, field := range s.fields(key) {
+		name, addr, is := strings.Cut(field, "=")
 		if _, _, err := net.SplitHostPort(addr); !is || name == "" || err != nil || seen[name] || seen[addr] {
-			s.addKeyProblem("stewards", "%.60q is no NAME=HOST:PORT, or stands twice", word)
+			s.addKeyProblem(key, "%.60q is no NAME=HOST:PORT, or stands twice", field)
 			continue
 		}
 		seen[name], seen[addr] = true, true
-		f.Voters = append(f.Voters, raftnode.Voter{Name: name, Addr: addr})
+		voters = append(voters, Voter{name, addr})
 	}
-	if n := len(f.Voters); n != 1 && n != 3 && n != 5 {
-		s.addKeyProblem("stewards", "names %d, and a majority is had best of 3 or 5; 1 is for a trial", n)
+	if n := len(voters); n != 1 && n != 3 && n != 5 {
+		s.addKeyProblem(key, "names %d, and a majority is had best of 3 or 5; 1 is for a trial", n)
 	}
-	keys, given := s.text("keys")
+	return voters
+}
+
+func (s *section) fleetKeys() *keyring.Ring {
+	const key = "keys"
+	path, given := s.text(key)
 	if !given {
-		s.addKeyProblem("keys", "is missing: a file with the keys that gatherers know each other by; 'oxbowspan keys new' makes a line of it")
-	} else if raw, err := r.readFile(keys); err != nil {
-		s.addKeyProblem("keys", "%v", err)
-	} else if f.Keys, err = keyring.Parse(string(raw)); err != nil {
-		s.addKeyProblem("keys", "%v", err)
-	}
-	if f.Path, _ = s.text("path"); f.Path != "" && !filepath.IsAbs(f.Path) {
-		f.Path = filepath.Join(filepath.Dir(path), f.Path)
-	}
-	if f.Hook != "" && !filepath.IsAbs(f.Hook) {
-		f.Hook = filepath.Join(filepath.Dir(path), f.Hook)
-	}
-	most := func(key string) int { return int(s.count(key, 0, 1, 1<<20)) }
-	f.Limits = maintenance.Limits{MaxGatherers: most("most_gatherers"), MaxGathererShare: s.share("share_gatherers"), MaxGatherersPerZone: most("most_gatherers_zone"),
-		MaxServers: most("most_servers"), MaxServersPerZone: most("most_servers_zone"), MinReplicas: most("least_replicas"),
-		SuspicionShare: s.share("suspected_by"), LeaseDuration: maintenance.Duration(s.duration("lease", 6*time.Second, 3*time.Second, time.Minute).Milliseconds()),
-		ForgetAfter: maintenance.Duration(s.duration("forget", time.Hour, time.Minute, 30*24*time.Hour).Milliseconds())}
-	if f.Limits.MaxGatherers == 0 && f.Limits.MaxGathererShare == 0 {
-		s.addKeyProblem("most_gatherers", "is missing, and so is share_gatherers: without either all may be out at once")
+		s.addKeyProblem(key, "is missing: a file with the keys that gatherers know each other by; 'oxbowspan keys new' makes a line of it")
+		return nil
 	}
-	s.rejectUnknownKeys()
-	return f
+	return s.readKeys(key, path)
 }
 
-// share reads a share from above 0 to 1; absent it is 0.
-func (s *section) share(key string) float64 {
-	text, ok := s.text(key)
-	if !ok {
-		return 0
+// readKeys reads the key file that a key names.
+func (s *section) readKeys(key, path string) *keyring.Ring {
+	raw, err := s.readFile(path)
+	if err != nil {
+		s.addKeyProblem(key, "%v", err)
+		return nil
 	}
-	v, err := strconv.ParseFloat(text, 64)
-	if err != nil || !(v > 0 && v <= 1) {
-		s.addKeyProblem(key, "%.40q is no share above 0 and up to 1", text)
-		return 0
+	keys, err := keyring.Parse(string(raw))
+	if err != nil {
+		s.addKeyProblem(key, "%v", err)
 	}
-	return v
+	return keys
 }
 
-// FleetError makes a fault of the section on the fleet, for what only the configuration can tell.
-func (f *File) FleetError(text string) error {
-	return &ConfigError{f.Path, []Problem{{f.fleetLine, "[fleet]: " + text}}}
+func (s *section) fleetLimits() maintenance.Limits {
+	members := func(key string) int { return int(s.count(key, 0, 1, 1<<20)) }
+	milliseconds := func(key string, absent, least, most time.Duration) maintenance.Duration {
+		return maintenance.Duration(s.duration(key, absent, least, most).Milliseconds())
+	}
+	l := maintenance.Limits{
+		MaxGatherers:        members("most_gatherers"),
+		MaxGathererShare:    s.share("share_gatherers"),
+		MaxGatherersPerZone: members("most_gatherers_zone"),
+		MaxServers:          members("most_servers"),
+		MaxServersPerZone:   members("most_servers_zone"),
+		MinReplicas:         members("least_replicas"),
+		SuspicionShare:      s.share("suspected_by"),
+		LeaseDuration:       milliseconds("lease", 6*time.Second, 3*time.Second, time.Minute),
+		ForgetAfter:         milliseconds("forget", time.Hour, time.Minute, 30*day),
+	}
+	if l.MaxGatherers == 0 && l.MaxGathererShare == 0 {
+		s.addKeyProblem("most_gatherers", "is missing, and so is share_gatherers: without either all may be out at once")
+	}
+	return l
 }
--- /dev/null
+++ b/internal/operatorconfig/merging.go
@@ -0,0 +1,136 @@
+package operatorconfig
+
+import (
+	"slices"
+	"time"
+
+	"oxbowspan/internal/keyring"
+	"oxbowspan/merge"
+)
+
+// Merging is the sections [merging], [schema NAME] and [merge QUERY-TYPE], on merged answers.
+type Merging struct {
+	MaxBytes       int64         // memory of all open merges
+	MaxRows        int64         // rows of all open merges
+	MaxOpen        int64         // merges open at the same time
+	Keys           *keyring.Ring // sign the cursors of paged merges; nil = none is paged
+	CursorLifetime time.Duration
+	MaxCursorBytes int
+	Types          map[string]*merge.Allowance // by query type
+	Lines          map[string]int              // of the query types' sections
+}
+
+// parseMerging reads all sections on merging; nil = no query type may merge.
+func (p *parser) parseMerging() *Merging {
+	m := &Merging{Types: map[string]*merge.Allowance{}, Lines: map[string]int{}}
+	p.sectionsOf("schema", func(name string, s *section) { p.schemas[name] = s.parseSchema(name) })
+	paged := false
+	p.sectionsOf("merge", func(name string, s *section) {
+		a := s.parseAllowance()
+		m.Types[name], m.Lines[name] = a, p.lines[sectionPosition(s.ini.Name())]
+		paged = paged || slices.Contains(a.Kinds, merge.Paged)
+	})
+	s := p.section("merging")
+	if s == nil {
+		for _, line := range m.Lines {
+			p.problems.add(line, "a [merge] section needs a section [merging] with what all merges together may hold")
+			break
+		}
+		return nil
+	}
+	m.MaxBytes = s.count("memory", 16<<20, 64<<10, 1<<40)
+	m.MaxRows = s.count("rows", 200_000, 100, 1<<40)
+	m.MaxOpen = s.count("open", 1000, 1, 1<<30)
+	m.CursorLifetime = s.duration("cursor_life", 15*time.Minute, time.Second, 30*day)
+	m.MaxCursorBytes = int(s.count("cursor_bytes", 8<<10, 256, 48<<10))
+	keys, given := s.text("cursor_keys")
+	s.rejectUnknownKeys()
+	switch {
+	case given:
+		m.Keys = s.readKeys("cursor_keys", keys)
+	case paged:
+		s.addKeyProblem("cursor_keys", "is missing, and paged merges need it: 'oxbowspan keys new' makes a line of such a file")
+	}
+	if len(m.Types) == 0 {
+		return nil
+	}
+	return m
+}
+
+func (s *section) parseSchema(name string) *merge.Schema {
+	c := &merge.Schema{Name: name, Row: -1}
+	before := len(s.problems.Problems)
+	for _, word := range s.fields("columns") {
+		column, err := merge.ParseColumn(word)
+		if err != nil {
+			s.addKeyProblem("columns", "%v", err)
+			continue
+		}
+		c.Columns = append(c.Columns, column)
+	}
+	account, _ := s.text("account")
+	c.Account = c.Place(account)
+	if row, given := s.text("row"); given {
+		if c.Row = c.Place(row); c.Row < 0 {
+			s.addKeyProblem("row", "%.60q is no column", row)
+		}
+	}
+	c.Digits = int(s.count("digits", 28, 1, merge.MostDigits))
+	s.rejectUnknownKeys()
+	if len(s.problems.Problems) == before {
+		if err := c.Check(); err != nil {
+			s.addKeyProblem("columns", "%v", err)
+		}
+	}
+	return c
+}
+
+// parseAllowance reads what a query type may merge.
+func (s *section) parseAllowance() *merge.Allowance {
+	a := &merge.Allowance{
+		Kinds:      s.fields("kinds"),
+		Orders:     s.fields("order"),
+		Groups:     s.fields("group"),
+		Figures:    s.fields("figures"),
+		MostRows:   int(s.count("limit", 100, 1, 100_000)),
+		MostOffset: int(s.count("offset", 0, 0, 1_000_000)),
+		MostGroups: int(s.count("groups", 1000, 1, 100_000)),
+		MostParts:  int(s.count("part_bytes", 64<<10, 1<<10, 64<<10)),
+		MostAnswer: int(s.count("answer_bytes", 60<<10, 1<<10, 16<<20)),
+	}
+	schema, _ := s.text("schema")
+	a.Schema = s.schemas[schema]
+	s.rejectUnknownKeys()
+	if len(a.Kinds) == 0 {
+		s.addKeyProblem("kinds", "is missing: ranked, paged and aggregated are known")
+	}
+	for _, kind := range a.Kinds {
+		if kind != merge.Ranked && kind != merge.Paged && kind != merge.Aggregated {
+			s.addKeyProblem("kinds", "%.40q is not known: ranked, paged and aggregated are", kind)
+		}
+	}
+	if a.Schema == nil {
+		s.addKeyProblem("schema", "there is no section [schema %.60s]", schema)
+		return a
+	}
+	s.checkColumns("order", a.Orders, a.Schema)
+	s.checkColumns("group", a.Groups, a.Schema)
+	for _, figure := range a.Figures {
+		if err := a.Schema.CheckFigure(figure); err != nil {
+			s.addKeyProblem("figures", "%v", err)
+		}
+	}
+	lists := slices.Contains(a.Kinds, merge.Ranked) || slices.Contains(a.Kinds, merge.Paged)
+	if lists && len(a.Orders) == 0 {
+		s.addKeyProblem("order", "is missing: lists need columns to be ordered by")
+	}
+	return a
+}
+
+func (s *section) checkColumns(key string, columns []string, schema *merge.Schema) {
+	for _, column := range columns {
+		if schema.Place(column) < 0 {
+			s.addKeyProblem(key, "%.60q is no column of schema %s", column, schema.Name)
+		}
+	}
+}
--- a/internal/raftnode/agent.go
+++ b/internal/raftnode/agent.go
@@ -7,134 +7,195 @@
 	"sync"
 	"time"
 
+	"oxbowspan/internal/keyring"
 	"oxbowspan/maintenance"
 )
 
-// Agent is a gatherer's membership: it keeps the lease, and asks before the gatherer goes out. It is an actor of its own.
+// AgentOptions configure an Agent.
+type AgentOptions struct {
+	Name          string // this gatherer's
+	Zone          string
+	Version       string
+	Voters        []Voter
+	Keys          *keyring.Ring
+	DrainTimeout  time.Duration // the longest wait for a permit before a shutdown
+	LeaseDuration time.Duration // renewed three times in it
+
+	Ready  func() bool                      // reports whether the gatherer is ready; called from the agent's goroutine
+	Counts func() maintenance.RequestCounts // returns its counters; called from the agent's goroutine
+}
+
+const renewalsPerLease = 3
+
+// Agent is a gatherer's membership in the fleet: it renews the lease, and requests a permit before the gatherer goes out.
 type Agent struct {
-	options        Options
+	options        AgentOptions
 	incarnation    maintenance.Incarnation
 	client         *Client
-	ready          func() bool
-	counts         func() maintenance.RequestCounts
-	drainRequested chan struct{}
+	startedAt      time.Time
+	drainRequested chan struct{} // closed by RequestDrain
 	drainOnce      sync.Once
-	drain          chan bool // takes one: whether the drain is agreed
+	drain          chan bool // with a buffer for the only value
 	ctx            context.Context
 	cancel         context.CancelFunc
 	done           chan struct{}
+
+	// Owned by run.
+	drainer  *maintenance.Drainer
+	joined   bool
+	renewed  bool // the last renewal reached the leader
+	draining bool // drain has its value
+	renewAt  time.Time
+	pollAt   time.Time // when to poll the drainer; zero = not at all
 }
 
-// StartAgent makes a gatherer a member for as long as it runs. ready and counted say how it does; they are called from the actor.
-func StartAgent(f Options, ready func() bool, counted func() maintenance.RequestCounts) *Agent {
-	a := &Agent{options: f, incarnation: maintenance.Incarnation(time.Now().UnixNano()), client: NewClient(f.Name, f), ready: ready, counts: counted,
-		drainRequested: make(chan struct{}), drain: make(chan bool, 1), done: make(chan struct{})}
+// StartAgent makes a gatherer a member for as long as it runs.
+func StartAgent(o AgentOptions) *Agent {
+	now := time.Now()
+	a := &Agent{
+		options:        o,
+		incarnation:    maintenance.Incarnation(now.UnixNano()),
+		client:         NewClient(o.Name, o.Voters, o.Keys),
+		startedAt:      now,
+		drainRequested: make(chan struct{}),
+		drain:          make(chan bool, 1),
+		done:           make(chan struct{}),
+		drainer:        maintenance.NewDrainer(maintenance.Duration(o.DrainTimeout.Milliseconds())),
+		renewed:        true,
+		renewAt:        now,
+	}
 	a.ctx, a.cancel = context.WithCancel(context.Background())
 	go a.run()
 	return a
 }
 
-// RequestDrain says that the gatherer was told to end. It goes on serving until Drain tells.
+// RequestDrain requests a shutdown of the gatherer. It must continue to serve until Drain has a value.
 func (a *Agent) RequestDrain() { a.drainOnce.Do(func() { close(a.drainRequested) }) }
 
 // Done is closed once the agent has ended.
 func (a *Agent) Done() <-chan struct{} { return a.done }
 
-// Drain tells once when the gatherer is to drain, and whether that is agreed: after End, or by an operator's word to the fleet.
+// Drain receives one value when the gatherer must drain, after RequestDrain or by an operator's command: whether a permit was granted.
 func (a *Agent) Drain() <-chan bool { return a.drain }
 
-// Close says that the gatherer has ended, as far as somebody hears it, and ends the actor.
+// Close ends the agent and announces to the leader, if there is one, that the gatherer leaves.
 func (a *Agent) Close() {
 	a.cancel()
 	<-a.done
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
-	_, _ = a.client.Do(ctx, maintenance.Command{Leave: &maintenance.Leave{Name: maintenance.MemberName(a.options.Name), Incarnation: a.incarnation}})
+	leave := &maintenance.Leave{Name: a.name(), Incarnation: a.incarnation}
+	_, _ = a.client.Do(ctx, maintenance.Command{Leave: leave}) // otherwise its lease expires
 	a.client.Close()
 }
 
+func (a *Agent) name() maintenance.MemberName { return maintenance.MemberName(a.options.Name) }
+
+// now returns the time by the agent's own monotonic clock.
+func (a *Agent) now() maintenance.Time {
+	return maintenance.Time(time.Since(a.startedAt).Milliseconds())
+}
+
 func (a *Agent) run() {
 	defer close(a.done)
-	h := maintenance.NewDrainer(maintenance.Duration(a.options.DrainTimeout.Milliseconds()))
-	start, joined, heard, told := time.Now(), false, true, false
-	now := func() maintenance.Time { return maintenance.Time(time.Since(start).Milliseconds()) }
-	every := time.Duration(a.options.Limits.LeaseDuration) * time.Millisecond / 3
-	renewAt, lookAt, end := time.Now(), time.Time{}, a.drainRequested
-	name := maintenance.MemberName(a.options.Name)
-	var act func(maintenance.DrainAction)
-	act = func(w maintenance.DrainAction) {
-		if lookAt = (time.Time{}); w.PollAt > 0 {
-			lookAt = start.Add(time.Duration(w.PollAt) * time.Millisecond)
-		}
-		if w.Drain && !told {
-			told = true
-			a.drain <- w.Permitted
-			renewAt = time.Now() // what drains says so at once
-		}
-		if w.RequestPermit {
-			p, err := a.client.Do(a.ctx, maintenance.Command{RequestPermit: &maintenance.RequestPermit{Name: name, Incarnation: a.incarnation, Reason: "told to end"}})
-			if err != nil && !errors.Is(err, maintenance.ErrRefused) {
-				slog.Debug("fleet_ask", "error", err)
-			}
-			act(h.HandleReply(now(), p))
-		}
-	}
+	drainRequested := a.drainRequested
 	for {
-		next := renewAt
-		if !lookAt.IsZero() && lookAt.Before(next) {
-			next = lookAt
+		next := a.renewAt
+		if !a.pollAt.IsZero() && a.pollAt.Before(next) {
+			next = a.pollAt
 		}
 		timer := time.NewTimer(time.Until(next))
 		select {
 		case <-a.ctx.Done():
 			timer.Stop()
 			return
-		case <-end:
-			end = nil
-			act(h.Begin(now()))
+		case <-drainRequested:
+			drainRequested = nil
+			a.act(a.drainer.Begin(a.now()))
 		case <-timer.C:
 		}
 		timer.Stop()
-		if !lookAt.IsZero() && !time.Now().Before(lookAt) {
-			act(h.Poll(now()))
+		if !a.pollAt.IsZero() && !time.Now().Before(a.pollAt) {
+			a.act(a.drainer.Poll(a.now()))
 		}
-		if time.Now().Before(renewAt) {
-			continue
+		if !time.Now().Before(a.renewAt) {
+			a.renewLease()
 		}
-		renewAt = time.Now().Add(every)
-		p, err := a.renew(name, &joined, told)
-		if ok := err == nil; ok != heard { // once each way, none for each lease
-			if heard = ok; ok {
-				slog.Info("fleet_heard", "name", a.options.Name)
-			} else {
-				slog.Warn("fleet_unheard", "name", a.options.Name, "error", err)
-			}
+	}
+}
+
+// act does what the drainer wants, until there is nothing to do now.
+func (a *Agent) act(action maintenance.DrainAction) {
+	for {
+		a.pollAt = time.Time{}
+		if action.PollAt > 0 {
+			a.pollAt = a.startedAt.Add(time.Duration(action.PollAt) * time.Millisecond)
+		}
+		if action.Drain && !a.draining {
+			a.draining = true
+			a.drain <- action.Permitted
+			a.renewAt = time.Now() // the new status is reported at once
 		}
-		if p != nil && p.Release == "" && !told {
-			slog.Info("fleet_told_to_drain", "name", a.options.Name, "why", p.Reason)
-			h.Begin(now())
-			act(h.HandleReply(now(), p))
+		if !action.RequestPermit {
+			return
 		}
+		action = a.drainer.HandleReply(a.now(), a.requestPermit())
 	}
 }
 
-func (a *Agent) renew(name maintenance.MemberName, joined *bool, draining bool) (*maintenance.Permit, error) {
-	if !*joined {
-		_, err := a.client.Do(a.ctx, maintenance.Command{Join: &maintenance.Join{Name: name, Zone: maintenance.Zone(a.options.Zone), Version: maintenance.Version(a.options.Version), Incarnation: a.incarnation}})
-		if err != nil {
-			return nil, err
+// requestPermit returns the granted permit; nil = it was refused or could not be requested.
+func (a *Agent) requestPermit() *maintenance.Permit {
+	command := &maintenance.RequestPermit{Name: a.name(), Incarnation: a.incarnation, Reason: "shutdown requested"}
+	p, err := a.client.Do(a.ctx, maintenance.Command{RequestPermit: command})
+	if err != nil && !errors.Is(err, maintenance.ErrRefused) {
+		slog.Debug("fleet_permit_request_failed", "name", a.options.Name, "error", err)
+	}
+	return p
+}
+
+// renewLease renews the lease and begins to drain where an operator wants that.
+func (a *Agent) renewLease() {
+	a.renewAt = time.Now().Add(a.options.LeaseDuration / renewalsPerLease)
+	p, err := a.renew()
+	if ok := err == nil; ok != a.renewed { // logged when it changes, not for each lease
+		a.renewed = ok
+		if ok {
+			slog.Info("fleet_lease_renewed", "name", a.options.Name)
+		} else {
+			slog.Warn("fleet_lease_failing", "name", a.options.Name, "error", err)
 		}
-		*joined = true
 	}
-	status := maintenance.WarmingUp
-	if draining {
-		status = maintenance.Draining
-	} else if a.ready() {
-		status = maintenance.Ready
+	if p != nil && p.Release == "" && !a.draining {
+		slog.Info("fleet_drain_ordered", "name", a.options.Name, "reason", p.Reason)
+		a.drainer.Begin(a.now()) // its request for a permit is not needed
+		a.act(a.drainer.HandleReply(a.now(), p))
 	}
-	p, err := a.client.Do(a.ctx, maintenance.Command{Renew: &maintenance.Renew{Name: name, Incarnation: a.incarnation, Status: status, Counts: a.counts()}})
+}
+
+// renew joins where necessary and renews the lease. It returns the permit on which this incarnation is to act, if there is one.
+func (a *Agent) renew() (*maintenance.Permit, error) {
+	if !a.joined {
+		join := &maintenance.Join{Name: a.name(), Zone: maintenance.Zone(a.options.Zone), Version: maintenance.Version(a.options.Version),
+			Incarnation: a.incarnation}
+		if _, err := a.client.Do(a.ctx, maintenance.Command{Join: join}); err != nil {
+			return nil, err
+		}
+		a.joined = true
+	}
+	renewal := &maintenance.Renew{Name: a.name(), Incarnation: a.incarnation, Status: a.status(), Counts: a.options.Counts()}
+	p, err := a.client.Do(a.ctx, maintenance.Command{Renew: renewal})
 	if err != nil && !errors.Is(err, ErrNoLeader) && !errors.Is(err, maintenance.ErrStale) {
-		*joined = false // forgotten meanwhile: it joins again
+		a.joined = false // the fleet has forgotten this member meanwhile: it joins again
 	}
 	return p, err
 }
+
+func (a *Agent) status() maintenance.Status {
+	switch {
+	case a.draining:
+		return maintenance.Draining
+	case a.options.Ready():
+		return maintenance.Ready
+	}
+	return maintenance.WarmingUp
+}
--- a/internal/raftnode/client.go
+++ b/internal/raftnode/client.go
@@ -6,63 +6,102 @@
 	"errors"
 	"fmt"
 	"net/http"
+	"slices"
 	"time"
 
 	"oxbowspan/internal/keyring"
 	"oxbowspan/maintenance"
+	"oxbowspan/raftlog"
 )
 
-// Client asks the stewards, whoever leads.
+// requestTimeout is how long a client waits for one voter: three such waits fit into a lease.
+const requestTimeout = 700 * time.Millisecond
+
+// ErrNoLeader is returned where no voter could be reached that is the leader.
+var ErrNoLeader = errors.New("no voter that is the leader could be reached")
+
+// Client sends commands and queries to whichever voter is the leader. It is not safe for concurrent use.
 type Client struct {
-	from     string
+	sender   string
 	voters   []Voter
 	keys     *keyring.Ring
 	http     *http.Client
 	sequence sequence
-	next     int // the steward that is asked first: the last one known to lead
+	next     int // index of the voter to ask first: the last known leader
 }
 
-// NewClient speaks as from. It is used by one goroutine.
-func NewClient(from string, f Options) *Client {
-	return &Client{from: from, voters: f.Voters, keys: f.Keys, http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}}}
+// NewClient returns a client that identifies itself as sender.
+func NewClient(sender string, voters []Voter, keys *keyring.Ring) *Client {
+	return &Client{sender: sender, voters: voters, keys: keys, http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}}}
 }
 
-// Close ends its connections.
+// Close closes the client's connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// requestTimeout is how long one steward is waited for: three of them fit into a lease.
-const requestTimeout = 700 * time.Millisecond
+// Do executes a command. The error wraps maintenance.ErrRefused or ErrStale, raftlog.ErrOutcomeUnknown or ErrNoLeader where it is one
+// of these.
+func (c *Client) Do(ctx context.Context, command maintenance.Command) (*maintenance.Permit, error) {
+	res, err := c.roundTrip(ctx, request{Command: &command})
+	switch {
+	case err != nil:
+		return nil, err
+	case res.Refused:
+		return nil, &remoteError{res.Error, maintenance.ErrRefused}
+	case res.Stale:
+		return nil, &remoteError{res.Error, maintenance.ErrStale}
+	case res.OutcomeUnknown:
+		return nil, &remoteError{res.Error, raftlog.ErrOutcomeUnknown}
+	case res.Error != "":
+		return nil, &remoteError{res.Error, nil}
+	}
+	return res.Permit, nil
+}
 
-// ErrNoLeader says that no steward could answer for the fleet.
-var ErrNoLeader = errors.New("no steward that leads could be reached")
+// State returns the fleet's state and the leader's name. Without a leader it is the last state that one of the voters knows, and the
+// name is "".
+func (c *Client) State(ctx context.Context) (s *maintenance.State, leader string, err error) {
+	query := request{State: true}
+	res, err := c.roundTrip(ctx, query)
+	if err == nil && res.State != nil {
+		return res.State, res.Leader, nil
+	}
+	if err == nil {
+		err = ErrNoLeader
+	}
+	body, marshalErr := json.Marshal(query)
+	if marshalErr != nil {
+		return nil, "", marshalErr
+	}
+	for _, voter := range c.voters {
+		if res, postErr := c.post(ctx, voter, body); postErr == nil && res.State != nil {
+			return res.State, "", nil
+		}
+	}
+	return nil, "", err
+}
 
-func (c *Client) roundTrip(ctx context.Context, q request) (response, error) {
-	body, err := json.Marshal(q)
+// roundTrip asks the voters in turn, or the one that another names as leader, until the leader responds.
+func (c *Client) roundTrip(ctx context.Context, r request) (response, error) {
+	body, err := json.Marshal(r)
 	if err != nil {
 		return response{}, err
 	}
-	last := error(ErrNoLeader)
+	lastErr := error(ErrNoLeader)
 	for range 2 * (len(c.voters) + 1) {
-		one, cancel := context.WithTimeout(ctx, requestTimeout)
-		b, err := post(one, c.http, c.keys, c.voters[c.next].Addr, pathCommand, c.from, c.sequence.next(), body)
-		cancel()
-		var a response
-		if err == nil {
-			err = json.Unmarshal(b, &a)
-		}
+		res, err := c.post(ctx, c.voters[c.next], body)
 		switch {
 		case err != nil:
-			last = fmt.Errorf("%w: %w", ErrNoLeader, err)
-		case a.MinSequence > 0:
-			c.sequence.raise(a.MinSequence)
-			last = ErrNoLeader
-			continue // the same one again
-		case !a.NotLeader:
-			return a, nil
+			lastErr = fmt.Errorf("%w: %w", ErrNoLeader, err)
+		case res.MinSequence > 0:
+			c.sequence.raise(res.MinSequence)
+			lastErr = ErrNoLeader
+			continue // with the same voter
+		case !res.NotLeader:
+			return res, nil
 		default:
-			last = ErrNoLeader
-			if at := c.voterIndex(a.Leader); at >= 0 && at != c.next {
-				c.next = at
+			lastErr = ErrNoLeader
+			if leader := c.voterIndex(res.Leader); leader >= 0 && leader != c.next {
+				c.next = leader
 				continue
 			}
 		}
@@ -71,59 +110,31 @@
 		}
 		c.next = (c.next + 1) % len(c.voters)
 	}
-	return response{}, last
+	return response{}, lastErr
 }
 
-func (c *Client) voterIndex(name string) int {
-	for i, s := range c.voters {
-		if s.Name == name {
-			return i
-		}
-	}
-	return -1
-}
-
-// Do has a command carried out. Its error says in a sentence why nothing changed, or that nobody knows.
-func (c *Client) Do(ctx context.Context, command maintenance.Command) (*maintenance.Permit, error) {
-	a, err := c.roundTrip(ctx, request{Command: &command})
-	switch {
-	case err != nil:
-		return nil, err
-	case a.Refused:
-		return nil, &remoteError{a.Error, maintenance.ErrRefused}
-	case a.Stale:
-		return nil, &remoteError{a.Error, maintenance.ErrStale}
-	case a.Error != "":
-		return nil, errors.New(a.Error)
+// post sends a request to one voter.
+func (c *Client) post(ctx context.Context, voter Voter, body []byte) (res response, err error) {
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
+	defer cancel()
+	raw, err := post(ctx, c.http, c.keys, voter.Addr, envelope{pathCommand, c.sender, c.sequence.next()}, body)
+	if err != nil {
+		return response{}, err
 	}
-	return a.Permit, nil
+	err = json.Unmarshal(raw, &res)
+	return res, err
 }
 
-// State is the fleet's state, and who leads. Without a leader it is what one steward knew last, and leader is "".
-func (c *Client) State(ctx context.Context) (s *maintenance.State, leader string, err error) {
-	a, err := c.roundTrip(ctx, request{State: true})
-	if err == nil && a.State != nil {
-		return a.State, a.Leader, nil
-	}
-	for _, st := range c.voters { // nobody leads: what any of them knows
-		one, cancel := context.WithTimeout(ctx, requestTimeout)
-		b, perr := post(one, c.http, c.keys, st.Addr, pathCommand, c.from, c.sequence.next(), []byte(`{"state":true}`))
-		cancel()
-		if perr == nil && json.Unmarshal(b, &a) == nil && a.State != nil {
-			return a.State, "", nil
-		}
-	}
-	if err == nil {
-		err = ErrNoLeader
-	}
-	return nil, "", err
+// voterIndex returns the index of a voter by name; -1 = there is none.
+func (c *Client) voterIndex(name string) int {
+	return slices.IndexFunc(c.voters, func(v Voter) bool { return v.Name == name })
 }
 
-// remoteError is an error of the machine, in its words.
+// remoteError is an error that the leader has reported, with its text and the sentinel error that it is.
 type remoteError struct {
 	text  string
 	cause error
 }
 
-func (t *remoteError) Error() string { return t.text }
-func (t *remoteError) Unwrap() error { return t.cause }
+func (e *remoteError) Error() string { return e.text }
+func (e *remoteError) Unwrap() error { return e.cause }
--- a/internal/raftnode/node.go
+++ b/internal/raftnode/node.go
@@ -1,21 +1,12 @@
-// Package raftnode joins a gatherer to its fleet: the few that are stewards keep the log (package agree) on their disks and speak to
-// each other; every gatherer holds a lease there, and asks before it goes out. It owns the fleet's listener, the steward's actor, its
-// store and the goroutines that send for it. It decides nothing about who may be out: package fleet does.
 package raftnode
 
 import (
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
-	"io"
 	"log/slog"
-	"maps"
 	"net"
 	"net/http"
-	"os/exec"
-	"slices"
-	"strconv"
 	"sync"
 	"time"
 
@@ -27,26 +18,28 @@
 	"oxbowspan/raftlog"
 )
 
-// Options are what the operator's file says of the fleet.
-type Options struct {
-	Name         string // this gatherer's
-	Zone         string
-	Version      string
-	Listen       string  // the fleet's own address here; "" = this one keeps no log
-	Voters       []Voter // all of them, in the order that every gatherer's file has
-	Keys         *keyring.Ring
-	Path         string        // of the log; only of a steward
-	DrainTimeout time.Duration // an end waits so long for a permit
-	Hook         string        // a command that carries out a release's change; "" = there are none
-	Limits       maintenance.Limits
+// Voter is a gatherer that keeps the replicated log.
+type Voter struct {
+	Name string // of the gatherer
+	Addr string // HOST:PORT of its interface for the fleet
 }
 
-// Voter is a steward's name and where it listens for the fleet.
-type Voter struct{ Name, Addr string }
-
-func (f Options) voterID() raftlog.ID {
-	for i, s := range f.Voters {
-		if s.Name == f.Name {
+// Options configure a Node.
+type Options struct {
+	Name      string        // this gatherer's, one of Voters
+	Listen    string        // HOST:PORT to listen on for the fleet
+	Voters    []Voter       // in the same order on all gatherers
+	Keys      *keyring.Ring // authenticate the fleet's messages
+	Path      string        // directory of the log
+	Hook      string        // program that carries out a release's changes; "" = there is none
+	Limits    maintenance.Limits
+	Bootstrap bool // found the fleet: create the log. Without it, a missing log is an error
+}
+
+// voterID returns the voter's number in the log; 0 = it is not a voter.
+func (o Options) voterID() raftlog.ID {
+	for i, v := range o.Voters {
+		if v.Name == o.Name {
 			return raftlog.ID(i + 1)
 		}
 	}
@@ -55,19 +48,27 @@
 
 const (
 	tickInterval    = 100 * time.Millisecond
-	ticksPerAdvance = 5 // ticks after which a leader lets time pass in the machine
-	mailboxSize     = 4096
-	outboxSize      = 256 // messages waiting for another steward; past it they are lost, as on a wire
+	ticksPerAdvance = 5    // ticks after which a leader advances the state's time
+	mailboxSize     = 4096 // events
+	outboxSize      = 256  // messages to another voter; more are dropped, as if lost on the way
 	sendTimeout     = time.Second
+	readTimeout     = 5 * time.Second
+	idleTimeout     = time.Minute
+
+	// maxSenders bounds the senders in the replay filter: more than the members of a large fleet.
+	maxSenders = 10_000
 )
 
-// Node is one that keeps the log.
+// event is handled by the node's goroutine.
+type event interface{ handle(*Node) }
+
+// Node is a voter. One goroutine owns the log and handles the events of the mailbox.
 type Node struct {
 	options   Options
 	id        raftlog.ID
-	log       *raftlog.Node // the actor's alone
+	log       *raftlog.Node // owned by run
 	storage   *logStorage
-	mailbox   chan any
+	mailbox   chan event
 	outboxes  map[raftlog.ID]chan []byte
 	listener  net.Listener
 	server    *http.Server
@@ -76,329 +77,166 @@
 	ctx       context.Context
 	cancel    context.CancelFunc
 	tasks     sync.WaitGroup
-	ordersRun map[orderKey]bool // orders given to the hook in this lead; emptied of those that are orders no more, and when the lead ends
+	ordersRun map[orderKey]bool // orders passed to the hook as leader; owned by run
 
 	mu            sync.Mutex
 	replays       *maintenance.ReplayFilter
-	lastRejection time.Time // when a stranger was last logged
+	lastRejection time.Time // when a rejected message was last logged
 }
 
-// orderKey tells one order from another: one command may begin the changes of several members, which bear its epoch alike.
-type orderKey struct {
-	name  maintenance.MemberName
-	epoch maintenance.Epoch
-}
-
-type (
-	pendingRequest struct {
-		request
-		reply chan response
-	}
-	hookResult struct {
-		order maintenance.Order
-		err   error
-	}
-)
-
-// Start begins to keep the log. found says that the fleet is founded: it begins without one.
-func Start(f Options, found bool) (*Node, error) {
-	s := &Node{options: f, id: f.voterID(), mailbox: make(chan any, mailboxSize), outboxes: map[raftlog.ID]chan []byte{}, startedAt: time.Now(),
-		ordersRun: map[orderKey]bool{}}
-	s.replays = maintenance.NewReplayFilter(uint64(s.startedAt.UnixNano()), maxSenders)
+// Start opens the log and starts a node.
+func Start(o Options) (*Node, error) {
+	n := &Node{options: o, id: o.voterID(), mailbox: make(chan event, mailboxSize), outboxes: map[raftlog.ID]chan []byte{},
+		startedAt: time.Now(), ordersRun: map[orderKey]bool{}}
+	n.replays = maintenance.NewReplayFilter(uint64(n.startedAt.UnixNano()), maxSenders)
 	var err error
-	if s.storage, err = openStorage(f.Path); err != nil {
+	if n.storage, err = openStorage(o.Path); err != nil {
 		return nil, err
 	}
-	var ids []raftlog.ID
-	for i := range f.Voters {
-		ids = append(ids, raftlog.ID(i+1))
-	}
-	if s.log, err = raftlog.New(raftlog.Config{ID: s.id, Voters: ids, Limits: f.Limits, Storage: s.storage, Bootstrap: found}); err != nil {
-		s.storage.store.Close()
-		if errors.Is(err, raftlog.ErrNoLog) {
-			return nil, fmt.Errorf("%w: 'serve --found-fleet' on every steward, once, makes it", err)
-		}
+	if err := n.openLog(); err != nil {
+		n.storage.store.Close()
 		return nil, err
 	}
-	if s.listener, err = net.Listen("tcp", f.Listen); err != nil {
-		s.storage.store.Close()
+	if n.listener, err = net.Listen("tcp", o.Listen); err != nil {
+		n.storage.store.Close()
 		return nil, err
 	}
-	s.ctx, s.cancel = context.WithCancel(context.Background())
+	n.ctx, n.cancel = context.WithCancel(context.Background())
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST "+pathRaft, s.handleRaft)
-	mux.HandleFunc("POST "+pathCommand, s.handleCommand)
-	s.server = &http.Server{Handler: mux, ReadTimeout: 5 * time.Second, IdleTimeout: time.Minute}
-	for i, a := range f.Voters {
-		if id := raftlog.ID(i + 1); id != s.id {
-			out := make(chan []byte, outboxSize)
-			s.outboxes[id] = out
-			s.tasks.Go(func() { s.deliver(a.Addr, out) })
+	mux.HandleFunc("POST "+pathRaft, n.handleRaft)
+	mux.HandleFunc("POST "+pathCommand, n.handleCommand)
+	n.server = &http.Server{Handler: mux, ReadTimeout: readTimeout, IdleTimeout: idleTimeout}
+	for i, voter := range o.Voters {
+		if id := raftlog.ID(i + 1); id != n.id {
+			outbox := make(chan []byte, outboxSize)
+			n.outboxes[id] = outbox
+			n.tasks.Go(func() { n.deliver(voter.Addr, outbox) })
 		}
 	}
-	s.tasks.Go(s.run)
-	s.tasks.Go(func() { s.server.Serve(s.listener) })
-	slog.Info("fleet_steward", "name", f.Name, "addr", s.listener.Addr().String(), "stewards", len(ids), "founded", found)
-	return s, nil
+	n.tasks.Go(n.run)
+	n.tasks.Go(func() { n.server.Serve(n.listener) })
+	slog.Info("fleet_voter_started", "name", o.Name, "addr", n.listener.Addr().String(), "voters", len(o.Voters), "bootstrap", o.Bootstrap)
+	return n, nil
+}
+
+func (n *Node) openLog() (err error) {
+	var ids []raftlog.ID
+	for i := range n.options.Voters {
+		ids = append(ids, raftlog.ID(i+1))
+	}
+	n.log, err = raftlog.New(raftlog.Config{ID: n.id, Voters: ids, Limits: n.options.Limits, Storage: n.storage, Bootstrap: n.options.Bootstrap})
+	if errors.Is(err, raftlog.ErrNoLog) {
+		return fmt.Errorf("%w: 'serve --found-fleet' on every steward, once, creates it", err)
+	}
+	return err
 }
 
-// Close ends it. What was acknowledged is on the disk.
-func (s *Node) Close() {
-	s.cancel()
-	s.server.Close()
-	s.tasks.Wait()
-	s.storage.store.Close()
+// Close stops the node. What it acknowledged is durable.
+func (n *Node) Close() {
+	n.cancel()
+	n.server.Close()
+	n.tasks.Wait()
+	n.storage.store.Close()
 }
 
-// deliver sends what is for one steward, one at a time and in order. A steward that is slow or gone loses messages and holds up nobody.
-func (s *Node) deliver(addr string, out <-chan []byte) {
+// deliver sends the messages for one voter, one at a time and in order. A voter that is slow or down loses messages and delays nobody
+// else's.
+func (n *Node) deliver(addr string, outbox <-chan []byte) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 	defer client.CloseIdleConnections()
 	for {
 		select {
-		case <-s.ctx.Done():
+		case <-n.ctx.Done():
 			return
-		case b := <-out:
-			ctx, cancel := context.WithTimeout(s.ctx, sendTimeout)
-			_, _ = post(ctx, client, s.options.Keys, addr, pathRaft, s.options.Name, s.sequence.next(), b)
+		case body := <-outbox:
+			ctx, cancel := context.WithTimeout(n.ctx, sendTimeout)
+			// A lost message is repeated by the protocol.
+			_, _ = post(ctx, client, n.options.Keys, addr, envelope{pathRaft, n.options.Name, n.sequence.next()}, body)
 			cancel()
 		}
 	}
 }
 
-func (s *Node) run() {
-	tick := time.NewTicker(tickInterval)
-	defer tick.Stop()
-	ticks, led := 0, false
+// run is the node's goroutine.
+func (n *Node) run() {
+	ticker := time.NewTicker(tickInterval)
+	defer ticker.Stop()
+	ticks, wasLeader := 0, false
 	for {
 		select {
-		case <-s.ctx.Done():
+		case <-n.ctx.Done():
 			return
-		case <-tick.C:
+		case <-ticker.C:
 			ticks++
-			s.log.Tick(maintenance.Time(time.Since(s.startedAt).Milliseconds()))
-			if s.log.IsLeader() && ticks%ticksPerAdvance == 0 {
-				s.log.Propose(maintenance.Command{AdvanceTime: &maintenance.AdvanceTime{}}, func(maintenance.Result, error) {})
-			}
-		case m := <-s.mailbox:
-			s.handle(m)
-			for n := len(s.mailbox); n > 0; n-- { // what waits goes to the disk together
-				s.handle(<-s.mailbox)
+			n.tick(ticks)
+		case e := <-n.mailbox:
+			e.handle(n)
+			for pending := len(n.mailbox); pending > 0; pending-- { // one write to disk for all that wait
+				(<-n.mailbox).handle(n)
 			}
 		}
-		for _, m := range s.log.Process() {
-			s.send(m)
+		for _, m := range n.log.Process() {
+			n.send(m)
 		}
-		if leads := s.log.IsLeader(); leads != led {
-			led = leads
-			clear(s.ordersRun)
-			slog.Info("fleet_leader", "name", s.options.Name, "leads", leads, "applied", s.log.State().Applied)
+		if isLeader := n.log.IsLeader(); isLeader != wasLeader {
+			wasLeader = isLeader
+			clear(n.ordersRun)
+			slog.Info("fleet_leader", "name", n.options.Name, "leader", isLeader, "applied", n.log.State().Applied)
 		}
-		if err := s.log.Err(); err != nil {
-			// It must say nothing more; the gatherer goes on serving, and the other stewards go on without it.
-			slog.Error("fleet_steward_stopped", "name", s.options.Name, "error", err)
-			s.rejectRequests()
+		if err := n.log.Err(); err != nil {
+			// It must send nothing more; the gatherer continues to serve, and the other voters continue without it.
+			slog.Error("fleet_voter_stopped", "name", n.options.Name, "error", err)
+			n.rejectRequests()
 			return
 		}
-		if led {
-			s.runHooks()
-		}
-	}
-}
-
-// rejectRequests answers what still comes to a steward that has stopped.
-func (s *Node) rejectRequests() {
-	for {
-		select {
-		case <-s.ctx.Done():
-			return
-		case m := <-s.mailbox:
-			if q, is := m.(pendingRequest); is {
-				q.reply <- response{Error: "this steward has stopped", NotLeader: true}
-			}
+		if wasLeader {
+			n.runHooks()
 		}
 	}
 }
 
-func (s *Node) send(m *pb.Message) {
-	b, err := proto.Marshal(m)
-	if out := s.outboxes[raftlog.ID(m.GetTo())]; err == nil && out != nil {
-		select {
-		case out <- b:
-		default:
-		}
+func (n *Node) tick(ticks int) {
+	n.log.Tick(maintenance.Time(time.Since(n.startedAt).Milliseconds()))
+	if n.log.IsLeader() && ticks%ticksPerAdvance == 0 {
+		n.log.Propose(maintenance.Command{AdvanceTime: &maintenance.AdvanceTime{}}, ignoreResult)
 	}
 }
 
-func (s *Node) leaderName() string {
-	if id := s.log.Leader(); id > 0 && int(id) <= len(s.options.Voters) {
-		return s.options.Voters[id-1].Name
-	}
-	return ""
-}
+func ignoreResult(maintenance.Result, error) {}
 
-func (s *Node) handle(m any) {
-	switch m := m.(type) {
-	case *pb.Message:
-		_ = s.log.Step(m) // one of an old term is turned away
-	case hookResult:
-		if m.err != nil {
-			slog.Error("fleet_hook", "release", m.order.Release, "name", m.order.Name, "version", m.order.Version, "error", m.err)
-			why := fmt.Sprintf("the hook for %s: %v", m.order.Name, m.err)
-			s.log.Propose(maintenance.Command{HaltRelease: &maintenance.HaltRelease{ID: m.order.Release, Reason: why}}, func(maintenance.Result, error) {})
-		}
-	case pendingRequest:
-		if m.Command == nil {
-			a := response{Leader: s.leaderName()}
-			if a.NotLeader = !s.log.IsLeader(); !a.NotLeader || a.Leader == "" {
-				a.State = s.copyState()
-			}
-			m.reply <- a
+// rejectRequests responds to the requests that still reach a node that has stopped.
+func (n *Node) rejectRequests() {
+	for {
+		select {
+		case <-n.ctx.Done():
 			return
-		}
-		s.log.Propose(*m.Command, func(r maintenance.Result, err error) {
-			a := response{Leader: s.leaderName(), Permit: r.Permit}
-			if err != nil {
-				a.Error, a.Refused, a.Stale = err.Error(), errors.Is(err, maintenance.ErrRefused), errors.Is(err, maintenance.ErrStale)
-				a.NotLeader, a.OutcomeUnknown = errors.Is(err, raftlog.ErrNotLeader), errors.Is(err, raftlog.ErrOutcomeUnknown)
-			} else if c := m.Command.Renew; c != nil {
-				if member := s.log.State().Members[c.Name]; member != nil {
-					a.Permit = member.ActivePermit()
-				}
+		case e := <-n.mailbox:
+			if r, ok := e.(pendingRequest); ok {
+				r.reply <- response{Error: "this voter has stopped", NotLeader: true}
 			}
-			m.reply <- a
-		})
+		}
 	}
 }
 
-// copyState is a copy of the state, as the state is the actor's.
-func (s *Node) copyState() *maintenance.State {
-	b, err := s.log.State().Snapshot()
-	if err != nil {
-		return nil
-	}
-	c, err := maintenance.Restore(b)
-	if err != nil {
-		return nil
+// send puts a message into its receiver's outbox, or drops it.
+func (n *Node) send(m *pb.Message) {
+	body, err := proto.Marshal(m)
+	outbox := n.outboxes[raftlog.ID(m.GetTo())]
+	if err != nil || outbox == nil {
+		return
 	}
-	return c
-}
-
-// runHooks lets the operator's command carry out what a release orders, each order once in a lead. A new leader gives the orders under way
-// again with the same epoch, as it can't know whether they were carried out.
-func (s *Node) runHooks() {
-	orders := s.log.State().Orders()
-	maps.DeleteFunc(s.ordersRun, func(k orderKey, _ bool) bool {
-		return !slices.ContainsFunc(orders, func(o maintenance.Order) bool { return k == orderKey{o.Name, o.Epoch} })
-	})
-	for _, o := range orders {
-		key := orderKey{o.Name, o.Epoch}
-		if s.ordersRun[key] {
-			continue
-		}
-		s.ordersRun[key] = true
-		slog.Info("fleet_order", "release", o.Release, "name", o.Name, "version", o.Version, "epoch", o.Epoch)
-		if s.options.Hook == "" {
-			s.enqueue(hookResult{o, errors.New("there is none, so nobody carries the change out")})
-			continue
-		}
-		within := time.Minute
-		if r := s.log.State().Release(o.Release); r != nil {
-			within = time.Duration(r.Plan.ChangeTimeout) * time.Millisecond
-		}
-		s.tasks.Go(func() {
-			ctx, cancel := context.WithTimeout(s.ctx, within)
-			defer cancel()
-			err := exec.CommandContext(ctx, s.options.Hook, string(o.Name), string(o.Version), strconv.FormatUint(uint64(o.Epoch), 10)).Run()
-			if s.ctx.Err() == nil {
-				s.enqueue(hookResult{o, err})
-			}
-		})
+	select {
+	case outbox <- body:
+	default:
 	}
 }
 
-// enqueue hands something to the actor; false = it has no room, or is gone.
-func (s *Node) enqueue(m any) bool {
+// enqueue puts an event into the mailbox; false = it is full.
+func (n *Node) enqueue(e event) bool {
 	select {
-	case s.mailbox <- m:
+	case n.mailbox <- e:
 		return true
 	default:
 		return false
 	}
 }
-
-// authenticate takes a message's body and who says it.
-func (s *Node) authenticate(w http.ResponseWriter, r *http.Request, path string) (body []byte, from string, no uint64, ok bool) {
-	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
-	if err == nil {
-		from, no, err = verify(s.options.Keys, r.Header, path, body)
-	}
-	if err != nil {
-		s.mu.Lock()
-		if time.Since(s.lastRejection) > time.Minute {
-			s.lastRejection = time.Now()
-			slog.Warn("fleet_stranger", "remote", r.RemoteAddr, "path", path, "error", err)
-		}
-		s.mu.Unlock()
-		http.Error(w, "no", http.StatusForbidden)
-		return nil, "", 0, false
-	}
-	return body, from, no, true
-}
-
-func (s *Node) handleRaft(w http.ResponseWriter, r *http.Request) {
-	body, _, no, ok := s.authenticate(w, r, pathRaft)
-	if !ok {
-		return
-	}
-	m := &pb.Message{}
-	if err := proto.Unmarshal(body, m); err != nil || raftlog.ID(m.GetTo()) != s.id {
-		http.Error(w, "no message for this steward", http.StatusBadRequest)
-		return
-	}
-	s.enqueue(m) // an old one does no harm: its term or its index says so
-	sign(s.options.Keys, w.Header(), pathRaft, s.options.Name, no, nil)
-}
-
-// maxSenders bounds whose numbers are remembered: beyond all members of a large fleet.
-const maxSenders = 10_000
-
-func (s *Node) handleCommand(w http.ResponseWriter, r *http.Request) {
-	body, from, no, ok := s.authenticate(w, r, pathCommand)
-	if !ok {
-		return
-	}
-	s.mu.Lock()
-	fresh, least := s.replays.Accept(from, no)
-	s.mu.Unlock()
-	if !fresh { // a recording, or a speaker whose clock is behind: it is told, under the mark, what its next number must be above
-		s.respond(w, no, response{MinSequence: least, NotLeader: true})
-		return
-	}
-	q := pendingRequest{reply: make(chan response, 1)}
-	if err := json.Unmarshal(body, &q.request); err != nil {
-		http.Error(w, "no question", http.StatusBadRequest)
-		return
-	}
-	a := response{Error: "this steward has too much to do", NotLeader: true}
-	if s.enqueue(q) {
-		select {
-		case a = <-q.reply:
-		case <-r.Context().Done():
-			return
-		case <-s.ctx.Done():
-			return
-		}
-	}
-	s.respond(w, no, a)
-}
-
-func (s *Node) respond(w http.ResponseWriter, no uint64, a response) {
-	b, err := json.Marshal(a)
-	if err != nil {
-		http.Error(w, err.Error(), http.StatusInternalServerError)
-		return
-	}
-	sign(s.options.Keys, w.Header(), pathCommand, s.options.Name, no, b)
-	w.Write(b)
-}
--- a/internal/raftnode/node_test.go
+++ b/internal/raftnode/node_test.go
@@ -18,7 +18,12 @@
 	"oxbowspan/raftlog"
 )
 
+// electionTimeout is how long a test waits for a leader.
+const electionTimeout = 20 * time.Second
+
+// testRing returns a key ring whose only key k1 repeats a hex digit.
 func testRing(t *testing.T, digit string) *keyring.Ring {
+	t.Helper()
 	k, err := keyring.Parse("k1 " + strings.Repeat(digit, 64))
 	if err != nil {
 		t.Fatal(err)
@@ -26,150 +31,180 @@
 	return k
 }
 
-// startVoters starts a fleet's stewards in this process and waits until one leads.
-func startVoters(t *testing.T) (all []*Node, f Options) {
+// testVoters is a fleet's voters in this process.
+type testVoters struct {
+	nodes  []*Node
+	voters []Voter
+	keys   *keyring.Ring
+}
+
+func (v *testVoters) newClient(t *testing.T, sender string) *Client {
+	t.Helper()
+	c := NewClient(sender, v.voters, v.keys)
+	t.Cleanup(c.Close)
+	return c
+}
+
+// startVoters starts three voters and waits until one of them is the leader.
+func startVoters(t *testing.T) *testVoters {
+	t.Helper()
 	dir := t.TempDir()
-	f = Options{Keys: testRing(t, "a"), Limits: maintenance.Limits{MaxGatherers: 1, LeaseDuration: 6000}}
+	v := &testVoters{keys: testRing(t, "a")}
 	for i := range 3 {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.Voters = append(f.Voters, Voter{fmt.Sprintf("n%d", i), l.Addr().String()})
+		v.voters = append(v.voters, Voter{fmt.Sprintf("n%d", i), l.Addr().String()})
 		l.Close()
 	}
-	for i, a := range f.Voters {
-		own := f
-		own.Name, own.Listen, own.Path = a.Name, a.Addr, filepath.Join(dir, fmt.Sprint(i))
-		s, err := Start(own, true)
+	for i, voter := range v.voters {
+		n, err := Start(Options{Name: voter.Name, Listen: voter.Addr, Voters: v.voters, Keys: v.keys, Path: filepath.Join(dir, fmt.Sprint(i)),
+			Limits: maintenance.Limits{MaxGatherers: 1, LeaseDuration: 6000}, Bootstrap: true})
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(s.Close)
-		all = append(all, s)
+		t.Cleanup(n.Close)
+		v.nodes = append(v.nodes, n)
 	}
-	c := NewClient("test", f)
-	defer c.Close()
-	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); {
+	c := v.newClient(t, "test")
+	for deadline := time.Now().Add(electionTimeout); time.Now().Before(deadline); {
 		if _, leader, err := c.State(context.Background()); err == nil && leader != "" {
-			return all, f
+			return v
 		}
 	}
-	t.Fatal("nobody leads")
-	return nil, f
+	t.Fatal("no leader")
+	return nil
+}
+
+func join(name maintenance.MemberName) maintenance.Command {
+	return maintenance.Command{Join: &maintenance.Join{Name: name, Zone: "a", Version: "v", Incarnation: 1}}
+}
+
+func renew(name maintenance.MemberName) maintenance.Command {
+	return maintenance.Command{Renew: &maintenance.Renew{Name: name, Incarnation: 1, Status: maintenance.Ready}}
+}
+
+func requestPermit(name maintenance.MemberName) maintenance.Command {
+	return maintenance.Command{RequestPermit: &maintenance.RequestPermit{Name: name, Incarnation: 1}}
 }
 
 func TestUnauthenticatedAndReplayedRequestsAreRejected(t *testing.T) {
-	_, f := startVoters(t)
+	v := startVoters(t)
 	ctx, body := context.Background(), []byte(`{"state":true}`)
-	for _, a := range f.Voters {
-		if _, err := post(ctx, http.DefaultClient, testRing(t, "b"), a.Addr, pathCommand, "x", uint64(time.Now().UnixNano()), body); err == nil {
-			t.Errorf("%s answers somebody without the fleet's keys", a.Name)
+	for _, voter := range v.voters {
+		e := envelope{pathCommand, "x", uint64(time.Now().UnixNano())}
+		if _, err := post(ctx, http.DefaultClient, testRing(t, "b"), voter.Addr, e, body); err == nil {
+			t.Errorf("%s responds to a request without the fleet's keys", voter.Name)
 		}
-		no := uint64(time.Now().UnixNano())
-		if _, err := post(ctx, http.DefaultClient, f.Keys, a.Addr, pathCommand, "x", no, body); err != nil {
+		e.sequence = uint64(time.Now().UnixNano())
+		if _, err := post(ctx, http.DefaultClient, v.keys, voter.Addr, e, body); err != nil {
 			t.Fatal(err)
 		}
-		got, err := post(ctx, http.DefaultClient, f.Keys, a.Addr, pathCommand, "x", no, body)
-		var said response
-		if err != nil || json.Unmarshal(got, &said) != nil || said.State != nil || said.MinSequence != no {
-			t.Errorf("%s took a word twice: %s %v", a.Name, got, err)
+		raw, err := post(ctx, http.DefaultClient, v.keys, voter.Addr, e, body)
+		var res response
+		if err != nil || json.Unmarshal(raw, &res) != nil || res.State != nil || res.MinSequence != e.sequence {
+			t.Errorf("%s accepted a replay: %s %v", voter.Name, raw, err)
 		}
 	}
 }
 
-// A speaker whose clock is an hour behind is told what its numbers must be above, and a steward that does not lead names the one that does.
+// A client whose clock is an hour behind learns what its sequence numbers must exceed, and a follower names the leader.
 func TestClientClockBehindAndFollowerRedirect(t *testing.T) {
-	all, f := startVoters(t)
-	for i := range all {
-		c := NewClient("late", f)
-		c.next = i
-		c.sequence.last.Store(uint64(time.Now().Add(-time.Hour).UnixNano()))
-		if _, err := c.Do(context.Background(), maintenance.Command{Join: &maintenance.Join{Name: maintenance.MemberName(fmt.Sprint("m", i)), Zone: "a", Version: "v", Incarnation: 1}}); err != nil {
-			t.Errorf("asked of steward %d first: %v", i, err)
-		}
-		s, leader, err := c.State(context.Background())
-		if err != nil || leader == "" || s.Members[maintenance.MemberName(fmt.Sprint("m", i))] == nil {
-			t.Errorf("state asked after it: %v, leader %q", err, leader)
-		}
-		c.Close()
+	v := startVoters(t)
+	for i, voter := range v.voters {
+		t.Run("first asks "+voter.Name, func(t *testing.T) {
+			c := v.newClient(t, "late")
+			c.next = i
+			c.sequence.last.Store(uint64(time.Now().Add(-time.Hour).UnixNano()))
+			member := maintenance.MemberName(fmt.Sprint("m", i))
+			if _, err := c.Do(context.Background(), join(member)); err != nil {
+				t.Error(err)
+			}
+			s, leader, err := c.State(context.Background())
+			if err != nil || leader == "" || s.Members[member] == nil {
+				t.Errorf("state afterwards: %v, leader %q", err, leader)
+			}
+		})
 	}
 }
 
 func TestThreeHundredMembersJoinAndRenew(t *testing.T) {
-	_, f := startVoters(t)
+	const (
+		members  = 300
+		attempts = 20 // like an agent, which repeats until it succeeds
+	)
+	v := startVoters(t)
 	began := time.Now()
 	var wg sync.WaitGroup
-	for i := range 300 {
+	for i := range members {
 		wg.Go(func() {
-			n := maintenance.MemberName(fmt.Sprintf("m%03d", i))
-			c := NewClient(string(n), f)
+			name := maintenance.MemberName(fmt.Sprintf("m%03d", i))
+			c := NewClient(string(name), v.voters, v.keys)
 			defer c.Close()
-			for _, command := range []maintenance.Command{{Join: &maintenance.Join{Name: n, Zone: "a", Version: "v", Incarnation: 1}},
-				{Renew: &maintenance.Renew{Name: n, Incarnation: 1, Status: maintenance.Ready}}} {
+			for _, command := range []maintenance.Command{join(name), renew(name)} {
 				var err error
-				for range 20 { // as an agent does, which asks again until it is heard
+				for range attempts {
 					if _, err = c.Do(context.Background(), command); err == nil {
 						break
 					}
 				}
 				if err != nil {
-					t.Errorf("%s: %v", n, err)
+					t.Errorf("%s: %v", name, err)
 				}
 			}
 		})
 	}
 	wg.Wait()
-	t.Logf("300 joined and renewed in %s", time.Since(began))
-	c := NewClient("test", f)
-	defer c.Close()
-	s, _, err := c.State(context.Background())
-	if err != nil || len(s.Members) != 300 {
+	t.Logf("%d members joined and renewed within %s", members, time.Since(began))
+	s, _, err := v.newClient(t, "test").State(context.Background())
+	if err != nil || len(s.Members) != members {
 		t.Errorf("%d members, %v", len(s.Members), err)
 	}
 }
 
-// What was granted is on the disk of whoever leads next: the steward that granted it is gone before it could tell, and asked again the
-// fleet gives the same permit, and no second one.
+// mustDo repeats a command until there is a leader and the outcome is known.
+func mustDo(c *Client, command maintenance.Command) (p *maintenance.Permit, err error) {
+	for deadline := time.Now().Add(electionTimeout); time.Now().Before(deadline); {
+		p, err = c.Do(context.Background(), command)
+		if !errors.Is(err, ErrNoLeader) && !errors.Is(err, raftlog.ErrOutcomeUnknown) {
+			break
+		}
+	}
+	return p, err
+}
+
+// A permit is durable on the next leader: after the loss of the leader that granted it, a repeated request gives the same permit, and no
+// second one is granted.
 func TestPermitSurvivesLeaderLoss(t *testing.T) {
-	all, f := startVoters(t)
-	c := NewClient("test", f)
-	defer c.Close()
-	ctx := context.Background()
-	do := func(command maintenance.Command) (*maintenance.Permit, error) {
-		var p *maintenance.Permit
-		var err error
-		for end := time.Now().Add(20 * time.Second); time.Now().Before(end); {
-			if p, err = c.Do(ctx, command); !errors.Is(err, ErrNoLeader) && !strings.Contains(fmt.Sprint(err), raftlog.ErrOutcomeUnknown.Error()) {
-				break
+	v := startVoters(t)
+	c := v.newClient(t, "test")
+	for _, name := range []maintenance.MemberName{"m1", "m2"} {
+		for _, command := range []maintenance.Command{join(name), renew(name)} {
+			if _, err := mustDo(c, command); err != nil {
+				t.Fatal(err)
 			}
 		}
-		return p, err
 	}
-	for _, n := range []maintenance.MemberName{"m1", "m2"} {
-		if _, err := do(maintenance.Command{Join: &maintenance.Join{Name: n, Zone: "a", Version: "v", Incarnation: 1}}); err != nil {
-			t.Fatal(err)
-		}
-		if _, err := do(maintenance.Command{Renew: &maintenance.Renew{Name: n, Incarnation: 1, Status: maintenance.Ready}}); err != nil {
-			t.Fatal(err)
-		}
+	first, err := mustDo(c, requestPermit("m1"))
+	if err != nil {
+		t.Fatal(err)
 	}
-	first, err := do(maintenance.Command{RequestPermit: &maintenance.RequestPermit{Name: "m1", Incarnation: 1}})
+	_, leader, err := c.State(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, leader, _ := c.State(ctx)
-	for _, s := range all {
-		if s.options.Name == leader {
-			s.server.Close() // nothing it says arrives any more
-			s.cancel()
+	for _, n := range v.nodes {
+		if n.options.Name == leader {
+			n.server.Close() // nothing that it sends arrives any more
+			n.cancel()
 		}
 	}
-	again, err := do(maintenance.Command{RequestPermit: &maintenance.RequestPermit{Name: "m1", Incarnation: 1}})
+	again, err := mustDo(c, requestPermit("m1"))
 	if err != nil || again.Epoch != first.Epoch {
-		t.Errorf("asked again: %+v %v, first %+v", again, err, first)
+		t.Errorf("repeated request: %+v %v, first %+v", again, err, first)
 	}
-	if _, err := do(maintenance.Command{RequestPermit: &maintenance.RequestPermit{Name: "m2", Incarnation: 1}}); !errors.Is(err, maintenance.ErrRefused) {
-		t.Errorf("a second one: %v", err)
+	if _, err := mustDo(c, requestPermit("m2")); !errors.Is(err, maintenance.ErrRefused) {
+		t.Errorf("second permit: %v, want ErrRefused", err)
 	}
 }
--- a/internal/raftnode/storage.go
+++ b/internal/raftnode/storage.go
@@ -10,21 +10,23 @@
 	"oxbowspan/store"
 )
 
-// Tables of a steward's store.
+// Tables and keys of a voter's store.
 const (
-	tableState   store.Table = 10 // the vote and the snapshot, under these keys
-	tableEntries store.Table = 11 // the log, by number in hex
-	keyHardState             = "hard"
-	keySnapshot              = "snapshot"
+	tableState   store.Table = 10 // the hard state and the snapshot, under the keys below
+	tableEntries store.Table = 11 // the log's entries, by index in hex
+
+	keyHardState = "hard"
+	keySnapshot  = "snapshot"
 )
 
-// logStorage keeps a steward's log in a store: a Change is one commit, which is in force whole or not at all, in both lanes.
+// logStorage is a raftlog.Storage in a store: each batch is one commit, which is stored atomically in both lanes.
 type logStorage struct {
 	store *store.Store
-	first uint64 // numbers of the log that is kept; 0, 0 = none is
+	first uint64 // index of the first stored entry; 0 = none is stored
 	last  uint64
 }
 
+// openStorage opens or creates the store in a directory.
 func openStorage(path string) (*logStorage, error) {
 	files, err := store.OpenDisk(path)
 	if err != nil {
@@ -37,58 +39,69 @@
 	return &logStorage{store: s}, nil
 }
 
-func entryKey(no uint64) string { return fmt.Sprintf("%016x", no) }
+func entryKey(index uint64) string { return fmt.Sprintf("%016x", index) }
 
-func (d *logStorage) Load() (raftlog.StoredLog, error) {
-	var k raftlog.StoredLog
-	k.HardState, _ = d.store.Get(tableState, keyHardState)
-	k.Snapshot, _ = d.store.Get(tableState, keySnapshot)
-	all := d.store.All(tableEntries)
-	for _, key := range slices.Sorted(maps.Keys(all)) {
-		no, err := strconv.ParseUint(key, 16, 64)
+// Load implements raftlog.Storage.
+func (s *logStorage) Load() (raftlog.StoredLog, error) {
+	var stored raftlog.StoredLog
+	stored.HardState, _ = s.store.Get(tableState, keyHardState)
+	stored.Snapshot, _ = s.store.Get(tableState, keySnapshot)
+	entries := s.store.All(tableEntries)
+	for _, key := range slices.Sorted(maps.Keys(entries)) {
+		index, err := strconv.ParseUint(key, 16, 64)
 		if err != nil {
-			return k, fmt.Errorf("the fleet's log has a command under %.40q", key)
+			return stored, fmt.Errorf("the fleet's log has an entry with the key %.40q", key)
 		}
-		k.Entries = append(k.Entries, raftlog.Entry{Index: no, Data: all[key]})
+		stored.Entries = append(stored.Entries, raftlog.Entry{Index: index, Data: entries[key]})
 	}
-	if n := len(k.Entries); n > 0 {
-		d.first, d.last = k.Entries[0].Index, k.Entries[n-1].Index
+	if n := len(stored.Entries); n > 0 {
+		s.first, s.last = stored.Entries[0].Index, stored.Entries[n-1].Index
 	}
-	return k, nil
+	return stored, nil
 }
 
-func (d *logStorage) Write(c raftlog.WriteBatch) error {
+// Write implements raftlog.Storage.
+func (s *logStorage) Write(batch raftlog.WriteBatch) error {
 	var ops []store.Op
-	put := func(t store.Table, key string, v []byte) { ops = append(ops, store.Op{Table: t, Key: key, Value: v}) }
-	drop := func(no uint64) { ops = append(ops, store.Op{Table: tableEntries, Key: entryKey(no), Delete: true}) }
-	if c.HardState != nil {
-		put(tableState, keyHardState, c.HardState)
-	}
-	if c.Snapshot != nil {
-		put(tableState, keySnapshot, c.Snapshot)
+	if batch.HardState != nil {
+		ops = append(ops, store.Op{Table: tableState, Key: keyHardState, Value: batch.HardState})
 	}
-	first, last := d.first, d.last
-	if first > 0 {
-		for ; first <= last && first <= c.CompactTo; first++ {
-			drop(first)
-		}
-		for ; c.TruncateFrom > 0 && last >= max(c.TruncateFrom, first); last-- {
-			drop(last)
-		}
-		if first > last {
-			first, last = 0, 0
-		}
+	if batch.Snapshot != nil {
+		ops = append(ops, store.Op{Table: tableState, Key: keySnapshot, Value: batch.Snapshot})
 	}
-	for _, e := range c.Entries {
-		put(tableEntries, entryKey(e.Index), e.Data)
+	removals, first, last := s.removals(batch)
+	ops = append(ops, removals...)
+	for _, e := range batch.Entries {
+		ops = append(ops, store.Op{Table: tableEntries, Key: entryKey(e.Index), Value: e.Data})
 		if first == 0 {
 			first = e.Index
 		}
 		last = e.Index
 	}
-	if err := d.store.Commit(ops...); err != nil {
+	if err := s.store.Commit(ops...); err != nil {
 		return err
 	}
-	d.first, d.last = first, last
+	s.first, s.last = first, last
 	return nil
 }
+
+// removals returns the removals of a batch, and the first and last index of what remains.
+func (s *logStorage) removals(batch raftlog.WriteBatch) (ops []store.Op, first, last uint64) {
+	first, last = s.first, s.last
+	if first == 0 {
+		return nil, 0, 0
+	}
+	remove := func(index uint64) {
+		ops = append(ops, store.Op{Table: tableEntries, Key: entryKey(index), Delete: true})
+	}
+	for ; first <= last && first <= batch.CompactTo; first++ {
+		remove(first)
+	}
+	for ; batch.TruncateFrom > 0 && last >= max(batch.TruncateFrom, first); last-- {
+		remove(last)
+	}
+	if first > last {
+		return ops, 0, 0
+	}
+	return ops, first, last
+}
--- a/maintenance/member.go
+++ b/maintenance/member.go
@@ -1,11 +1,16 @@
 package maintenance
 
+import "time"
+
 // Time is a point in time in milliseconds, by the clock of the replicas' leader.
 type Time int64
 
 // Duration is a length of time in milliseconds.
 type Duration int64
 
+// Std returns the duration as a time.Duration.
+func (d Duration) Std() time.Duration { return time.Duration(d) * time.Millisecond }
+
 // MemberName identifies a member; it stays the same over restarts.
 type MemberName string
 
