--- a/internal/testing/experiment/fair_shares.go
+++ b/internal/testing/experiment/fair_shares.go
@@ -66,9 +66,12 @@
 	}
 	batch := config.Route{Name: "batch", PathPrefix: batchPath, RouteKind: config.Retryable, TimeoutMS: 6000, TargetMS: 3000,
 		GatheredServices: simcluster.FirstSharding, Attempts: 1, TopRecords: 30, MinimumShare: 1}
-	interactive := config.Route{Name: "interactive", PathPrefix: interactivePath, RouteKind: config.Retryable, TimeoutMS: 3000, TargetMS: 300, Service: "a0", Attempts: 2}
-	finder := config.Route{Name: "finder", PathPrefix: finderPath, RouteKind: config.Retryable, TimeoutMS: 3000, TargetMS: 300, Service: "a1", Attempts: 2}
-	post := config.Route{Name: "post", PathPrefix: postPath, RouteKind: config.NonRetryable, TimeoutMS: 3000, TargetMS: 600, Service: postService, Attempts: 2}
+	interactive := config.Route{Name: "interactive", PathPrefix: interactivePath, RouteKind: config.Retryable, TimeoutMS: 3000, TargetMS: 300,
+		Service: "a0", Attempts: 2}
+	finder := config.Route{Name: "finder", PathPrefix: finderPath, RouteKind: config.Retryable, TimeoutMS: 3000, TargetMS: 300,
+		Service: "a1", Attempts: 2}
+	post := config.Route{Name: "post", PathPrefix: postPath, RouteKind: config.NonRetryable, TimeoutMS: 3000, TargetMS: 600,
+		Service: postService, Attempts: 2}
 	c.Routes = []config.Route{batch, interactive, finder, post}
 	for i := range c.Routes {
 		c.Routes[i].Hostname = exampleHost
@@ -193,7 +196,8 @@
 	bound := latencyRatioLimit * quiet.quantile(0.99)
 	for i, p := range r.phases {
 		r.env.Record.AddRow("Interactive requests and the batch run",
-			[]string{"phase", "p50 ms", "p99 ms", "over 1.25 of p99 alone", "of", "failed", "batch requests per second", "ids executed twice", "posts interrupted"},
+			[]string{"phase", "p50 ms", "p99 ms", "over 1.25 of p99 alone", "of", "failed", "batch requests per second", "ids executed twice",
+				"posts interrupted"},
 			p.name, formatCell(p.quantile(0.5), 1), formatCell(p.quantile(0.99), 1), fmt.Sprint(p.countAbove(bound)), fmt.Sprint(len(p.latencies)),
 			fmt.Sprint(p.failed.Load()), formatCell(float64(p.batch.Load())/p.duration.Seconds(), 0), fmt.Sprint(p.executedTwice.Load()),
 			fmt.Sprint(p.interrupted.Load()))
--- a/internal/testing/experiment/memory.go
+++ b/internal/testing/experiment/memory.go
@@ -115,7 +115,8 @@
 	}
 	unanswered := s.recordWaves()
 	e.Record.AddRow("Memory",
-		[]string{"variant", "memory MiB", "at rest MiB", "peak resident MiB", "peak accounted MiB", "limit MiB", "forced over it MiB", "refused", "background answered"},
+		[]string{"variant", "memory MiB", "at rest MiB", "peak resident MiB", "peak accounted MiB", "limit MiB", "forced over it MiB",
+			"refused", "background answered"},
 		variant, fmt.Sprint(memoryMB), formatMiB(atRest.RSS), formatMiB(after.Peak), formatMiB(last["peak"]), formatMiB(last["most"]),
 		formatMiB(last["forced"]), fmt.Sprint(last["refused"]), fmt.Sprintf("%d of %d", answered, sent))
 	if variant != memoryLimited {
--- a/internal/testing/standin/paged.go
+++ b/internal/testing/standin/paged.go
@@ -70,7 +70,8 @@
 			continue
 		}
 		if moved := known && previous != segment.Version; moved != segment.Moved {
-			return fmt.Errorf("segment %d: moved is %t, want %t; its version was %d and is %d", segment.Segment, segment.Moved, moved, previous, segment.Version)
+			return fmt.Errorf("segment %d: moved is %t, want %t; its version was %d and is %d", segment.Segment, segment.Moved, moved,
+				previous, segment.Version)
 		}
 		p.moved = p.moved || segment.Moved
 		p.versions[segment.Segment] = segment.Version
