--- a/internal/testing/experiment/cli_run.go
+++ b/internal/testing/experiment/cli_run.go
@@ -39,7 +39,7 @@
 		Long: "run runs an experiment and keeps its results. It exits with 1 at the first fault that it finds in the programs,\n" +
 			"with 3 if the experiment itself could not be run.",
 		Example:   "  oxbowlab run merge --quick --seed 7",
-		Args:      command.Words(1, "EXPERIMENT"),
+		Args:      command.ExactArgs(1, "EXPERIMENT"),
 		ValidArgs: Names(),
 		RunE:      func(_ *cobra.Command, args []string) error { return t.run(args[0], options) },
 	}
@@ -54,7 +54,7 @@
 func (t *tool) run(name string, options runOptions) error {
 	experiment, known := lookUp(name)
 	if !known {
-		return command.Wrong("unknown experiment %q", name)
+		return command.Usagef("unknown experiment %q", name)
 	}
 	gathererPath, version, err := findGatherer(options.gathererPath)
 	if err != nil {
