--- a/idempotency/table.go
+++ b/idempotency/table.go
@@ -1,6 +1,6 @@
 package idempotency
 
-import "container/heap"
+import "oxbowspan/internal/deadlineheap"
 
 // Time is a point in Unix time or a duration, in milliseconds.
 type Time int64
@@ -73,15 +73,19 @@
 	arrivedAt Time
 	expiresAt Time
 	answer    []byte // nil = none, or evicted
-	heapIndex int    // in Table.byExpiry
+
+	deadlineheap.Position // in Table.byExpiry
 }
 
+// DueAt implements deadlineheap.Element.
+func (e *entry) DueAt() int64 { return int64(e.expiresAt) }
+
 // Table holds an entry for each request whose key is in use. Entries expire Config.Retention after the request's timeout.
 type Table struct {
 	config      Config
 	now         Time // the latest time seen: a clock that steps back does not make anything younger
 	entries     map[Key]*entry
-	byExpiry    expiryHeap
+	byExpiry    deadlineheap.Indexed[*entry]
 	answerBytes int
 }
 
@@ -200,7 +204,7 @@
 	if t.config.MaxAnswerBytes <= 0 || n > t.config.MaxAnswerBytes {
 		return nil
 	}
-	for _, e := range t.byExpiry { // in heap order: the first ones are among the oldest
+	for _, e := range t.byExpiry.Elements() { // in heap order: the first ones are among the oldest
 		if t.answerBytes+n <= t.config.MaxAnswerBytes {
 			break
 		}
@@ -219,13 +223,13 @@
 // expire removes expired entries. One that is in progress in this process is kept.
 func (t *Table) expire(now Time) (changes []Change) {
 	for range maxExpiredPerArrival {
-		if len(t.byExpiry) == 0 || t.byExpiry[0].expiresAt > now {
+		e, ok := t.byExpiry.First()
+		if !ok || e.expiresAt > now {
 			break
 		}
-		e := t.byExpiry[0]
 		if e.stage.inProgress() {
 			e.expiresAt = now + t.config.Retention + 1
-			heap.Fix(&t.byExpiry, 0)
+			t.byExpiry.Fix(e)
 			continue
 		}
 		t.remove(e)
@@ -240,37 +244,11 @@
 	}
 	t.entries[e.key] = e
 	t.answerBytes += len(e.answer)
-	heap.Push(&t.byExpiry, e)
+	t.byExpiry.Push(e)
 }
 
 func (t *Table) remove(e *entry) {
 	delete(t.entries, e.key)
 	t.answerBytes -= len(e.answer)
-	heap.Remove(&t.byExpiry, e.heapIndex)
-}
-
-// expiryHeap is a heap.Interface of entries by expiry.
-type expiryHeap []*entry
-
-func (h expiryHeap) Len() int           { return len(h) }
-func (h expiryHeap) Less(i, j int) bool { return h[i].expiresAt < h[j].expiresAt }
-func (h expiryHeap) Swap(i, j int) {
-	h[i], h[j] = h[j], h[i]
-	h[i].heapIndex, h[j].heapIndex = i, j
-}
-
-// Push implements heap.Interface.
-func (h *expiryHeap) Push(x any) {
-	e := x.(*entry)
-	e.heapIndex = len(*h)
-	*h = append(*h, e)
-}
-
-// Pop implements heap.Interface.
-func (h *expiryHeap) Pop() any {
-	old := *h
-	e := old[len(old)-1]
-	old[len(old)-1] = nil
-	*h = old[:len(old)-1]
-	return e
+	t.byExpiry.Remove(e)
 }
