--- a/gatherer/dispatcher.go
+++ b/gatherer/dispatcher.go
@@ -1,11 +1,11 @@
 package gatherer
 
 import (
-	"container/heap"
 	"time"
 
 	"oxbowspan/balancer"
 	"oxbowspan/internal/balancerconfig"
+	"oxbowspan/internal/deadlineheap"
 	"oxbowspan/internal/discovery"
 	"oxbowspan/internal/shardconn"
 	"oxbowspan/memorybudget"
@@ -31,7 +31,7 @@
 	pending       int                                   // requests without result, and their calls
 	lastID        uint64                                // of requests and calls
 	lastNumber    balancer.RequestNumber
-	timers        timerHeap
+	timers        deadlineheap.Heap[balancer.TimerID]
 	deferred      []balancer.Event // results of actions, to be handled after them
 
 	servers       map[balancer.ServerID]*server // those removed from the list stay until they outnumber the others
@@ -57,8 +57,8 @@
 	defer timer.Stop()
 	for {
 		wait := time.Hour
-		if len(d.timers) > 0 {
-			wait = max(0, duration(d.timers[0].at-d.clock.now()))
+		if next, ok := d.timers.Next(); ok {
+			wait = max(0, duration(balancer.Time(next)-d.clock.now()))
 		}
 		if d.degradation != nil {
 			wait = min(wait, duration(evaluationInterval))
@@ -105,9 +105,8 @@
 	if d.degradation != nil && now-d.degradation.evaluatedAt >= evaluationInterval {
 		d.degradation.evaluate()
 	}
-	for len(d.timers) > 0 && d.timers[0].at <= now {
-		entry := heap.Pop(&d.timers).(timerEntry)
-		d.handle(balancer.TimerFired{Timer: entry.timer})
+	for next, ok := d.timers.Next(); ok && balancer.Time(next) <= now; next, ok = d.timers.Next() {
+		d.handle(balancer.TimerFired{Timer: d.timers.Pop()})
 	}
 }
 
@@ -171,7 +170,7 @@
 		case balancer.Fail:
 			d.finish(a.Request, result{kind: resultFailed})
 		case balancer.SetTimer:
-			heap.Push(&d.timers, timerEntry{a.At, a.Timer})
+			d.timers.Push(int64(a.At), a.Timer)
 		case balancer.Subscribe:
 			d.watcher.Subscribe()
 		case balancer.CloseIdle:
@@ -187,27 +186,3 @@
 	}
 	d.dispatchBatches(batches)
 }
-
-// timerEntry is a timer of the balancer.
-type timerEntry struct {
-	at    balancer.Time
-	timer balancer.TimerID
-}
-
-// timerHeap orders timers by moment.
-type timerHeap []timerEntry
-
-func (h timerHeap) Len() int           { return len(h) }
-func (h timerHeap) Less(i, j int) bool { return h[i].at < h[j].at }
-func (h timerHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
-
-// Push implements heap.Interface.
-func (h *timerHeap) Push(x any) { *h = append(*h, x.(timerEntry)) }
-
-// Pop implements heap.Interface.
-func (h *timerHeap) Pop() any {
-	old := *h
-	entry := old[len(old)-1]
-	*h = old[:len(old)-1]
-	return entry
-}
--- a/internal/timerwheel/wheel_test.go
+++ b/internal/timerwheel/wheel_test.go
@@ -1,7 +1,6 @@
 package timerwheel
 
 import (
-	"container/heap"
 	"fmt"
 	"runtime"
 	"slices"
@@ -9,6 +8,8 @@
 	"time"
 
 	"pgregory.net/rapid"
+
+	"oxbowspan/internal/deadlineheap"
 )
 
 // The wheel against a plain list: every entry fires at its tick, once, and none that was cancelled.
@@ -93,35 +94,19 @@
 	}
 }
 
-type plain []*plainEntry
-
-type plainEntry struct {
-	at    int64
-	value uint32
-	place int
+// heapEntry is an entry of the heap that the benchmark compares the wheel with.
+type heapEntry struct {
+	deadlineheap.Position
+	deadline int64
+	value    uint32
 }
 
-func (h plain) Len() int           { return len(h) }
-func (h plain) Less(i, j int) bool { return h[i].at < h[j].at }
-func (h plain) Swap(i, j int) {
-	h[i], h[j] = h[j], h[i]
-	h[i].place, h[j].place = i, j
-}
-func (h *plain) Push(x any) {
-	e := x.(*plainEntry)
-	e.place = len(*h)
-	*h = append(*h, e)
-}
-func (h *plain) Pop() any {
-	old := *h
-	e := old[len(old)-1]
-	*h = old[:len(old)-1]
-	return e
-}
+// DueAt implements deadlineheap.Element.
+func (e *heapEntry) DueAt() int64 { return e.deadline }
 
 // One operation is what an idle connection causes: its limit is cancelled and set anew, and the clock moves on.
 //
-//	go test -run xxx -bench Limits -benchmem ./internal/wheel
+//	go test -run xxx -bench Limits -benchmem ./internal/timerwheel
 func BenchmarkLimits(b *testing.B) {
 	for _, n := range []int{1000, 20_000, 100_000} {
 		b.Run(fmt.Sprintf("entries=%d/wheel", n), func(b *testing.B) {
@@ -149,31 +134,31 @@
 		})
 		b.Run(fmt.Sprintf("entries=%d/heap", n), func(b *testing.B) {
 			before := heapBytes()
-			h := plain{}
-			es := make([]*plainEntry, n)
+			var h deadlineheap.Indexed[*heapEntry]
+			es := make([]*heapEntry, n)
 			for i := range es {
-				es[i] = &plainEntry{at: int64(3000 + i%1000), value: uint32(i)}
-				heap.Push(&h, es[i])
+				es[i] = &heapEntry{deadline: int64(3000 + i%1000), value: uint32(i)}
+				h.Push(es[i])
 			}
 			bytes := heapBytes() - before
 			now, i := int64(0), 0
 			for b.Loop() {
-				heap.Remove(&h, es[i].place)
-				es[i].at = now + 3000
-				heap.Push(&h, es[i])
+				h.Remove(es[i])
+				es[i].deadline = now + 3000
+				h.Push(es[i])
 				if i++; i == n {
 					i = 0
 				}
 				if i%64 == 0 {
 					now++
-					for h[0].at <= now {
-						h[0].at = now + 3000
-						heap.Fix(&h, 0)
+					for first, _ := h.First(); first.deadline <= now; first, _ = h.First() {
+						first.deadline = now + 3000
+						h.Fix(first)
 					}
 				}
 			}
 			b.ReportMetric(float64(bytes)/float64(n), "B/entry")
-			runtime.KeepAlive(h)
+			runtime.KeepAlive(&h)
 		})
 		b.Run(fmt.Sprintf("entries=%d/runtime", n), func(b *testing.B) {
 			before := heapBytes()
