--- a/idempotency/table.go
+++ b/idempotency/table.go
@@ -77,9 +77,6 @@
 	deadlineheap.Position // in Table.byExpiry
 }
 
-// DueAt implements deadlineheap.Element.
-func (e *entry) DueAt() int64 { return int64(e.expiresAt) }
-
 // Table holds an entry for each request whose key is in use. Entries expire Config.Retention after the request's timeout.
 type Table struct {
 	config      Config
@@ -204,7 +201,7 @@
 	if t.config.MaxAnswerBytes <= 0 || n > t.config.MaxAnswerBytes {
 		return nil
 	}
-	for _, e := range t.byExpiry.Elements() { // in heap order: the first ones are among the oldest
+	for e := range t.byExpiry.All() { // in heap order: the first ones are among the oldest
 		if t.answerBytes+n <= t.config.MaxAnswerBytes {
 			break
 		}
@@ -229,7 +226,7 @@
 		}
 		if e.stage.inProgress() {
 			e.expiresAt = now + t.config.Retention + 1
-			t.byExpiry.Fix(e)
+			t.byExpiry.Reschedule(int64(e.expiresAt), e)
 			continue
 		}
 		t.remove(e)
@@ -244,7 +241,7 @@
 	}
 	t.entries[e.key] = e
 	t.answerBytes += len(e.answer)
-	t.byExpiry.Push(e)
+	t.byExpiry.Push(int64(e.expiresAt), e)
 }
 
 func (t *Table) remove(e *entry) {
--- a/internal/deadlineheap/heap_test.go
+++ b/internal/deadlineheap/heap_test.go
@@ -3,6 +3,7 @@
 import (
 	"container/heap"
 	"math/rand/v2"
+	"slices"
 	"testing"
 )
 
@@ -16,8 +17,6 @@
 	index    int // in the reference
 }
 
-func (i *item) DueAt() int64 { return i.deadline }
-
 func (r reference) Len() int           { return len(r) }
 func (r reference) Less(i, j int) bool { return r[i].deadline < r[j].deadline }
 func (r reference) Swap(i, j int) {
@@ -46,6 +45,9 @@
 	if first, ok := indexed.First(); ok || indexed.Len() != 0 {
 		t.Errorf("an empty heap has %d elements, the first is %v", indexed.Len(), first)
 	}
+	if deadline, ok := indexed.Next(); ok {
+		t.Errorf("the first element of an empty heap is due at %d", deadline)
+	}
 }
 
 func TestHeapOrder(t *testing.T) {
@@ -75,7 +77,7 @@
 		switch action := rng.IntN(10); {
 		case h.Len() == 0 || action < 5:
 			added := &item{deadline: int64(rng.IntN(50)), value: step}
-			h.Push(added)
+			h.Push(added.deadline, added)
 			heap.Push(&want, added)
 		case action < 8:
 			removed := want[rng.IntN(len(want))]
@@ -84,19 +86,19 @@
 		default:
 			moved := want[rng.IntN(len(want))]
 			moved.deadline = int64(rng.IntN(50))
-			h.Fix(moved)
+			h.Reschedule(moved.deadline, moved)
 			heap.Fix(&want, moved.index)
 		}
 		if h.Len() != len(want) {
 			t.Fatalf("step %d: the heap has %d elements, want %d", step, h.Len(), len(want))
 		}
-		for i, element := range h.Elements() {
-			if element != want[i] {
-				t.Fatalf("step %d: element %d is %d, want %d", step, i, element.value, want[i].value)
-			}
+		if got := slices.Collect(h.All()); !slices.Equal(got, want) {
+			t.Fatalf("step %d: the elements differ from the reference's", step)
 		}
-		if first, ok := h.First(); ok != (len(want) > 0) || ok && first != want[0] {
-			t.Fatalf("step %d: the first element is %v", step, first)
+		first, ok := h.First()
+		deadline, _ := h.Next()
+		if ok != (len(want) > 0) || ok && (first != want[0] || deadline != first.deadline) {
+			t.Fatalf("step %d: the first element is %v, due at %d", step, first, deadline)
 		}
 	}
 }
--- a/internal/deadlineheap/indexed.go
+++ b/internal/deadlineheap/indexed.go
@@ -1,73 +1,105 @@
 package deadlineheap
 
-import "container/heap"
+import (
+	"container/heap"
+	"iter"
+)
 
 // Element is what an Indexed heap holds: a pointer to a struct that embeds Position.
 type Element interface {
-	// DueAt returns the deadline. If it changes while the element is in a heap, Fix must be called before anything else.
-	DueAt() int64
-
-	position() *int
+	position() *Position
 }
 
-// Position is embedded in elements of an Indexed heap, which keeps the element's place in it. An element can be in one heap at
-// a time.
-type Position struct{ index int }
+// Position is embedded in the elements of an Indexed heap and keeps an element's place in it. An element can be in one heap at a
+// time.
+type Position struct {
+	index    int
+	deadline int64
+	element  any // that it is embedded in; nil outside a heap
+}
 
-func (p *Position) position() *int { return &p.index }
+func (p *Position) position() *Position { return p }
 
-// Indexed is a queue of elements that can be removed or moved at any place. The zero Indexed is empty and ready to use. It
-// must not be used concurrently.
+// Indexed is a queue of elements that can be removed or rescheduled wherever they are in it. The zero Indexed is empty and ready
+// to use. It must not be used concurrently.
 type Indexed[E Element] struct {
-	elements elements[E]
+	positions positions
+}
+
+// Push adds an element with its deadline.
+func (h *Indexed[E]) Push(deadline int64, element E) {
+	p := element.position()
+	p.deadline, p.element = deadline, element
+	heap.Push(&h.positions, p)
 }
 
-// Push adds an element.
-func (h *Indexed[E]) Push(element E) { heap.Push(&h.elements, element) }
+// Next returns the earliest deadline; ok is false if the heap is empty.
+func (h *Indexed[E]) Next() (deadline int64, ok bool) {
+	if len(h.positions) == 0 {
+		return 0, false
+	}
+	return h.positions[0].deadline, true
+}
 
 // First returns the element with the earliest deadline; ok is false if the heap is empty.
 func (h *Indexed[E]) First() (element E, ok bool) {
-	if len(h.elements) == 0 {
+	if len(h.positions) == 0 {
 		return element, false
 	}
-	return h.elements[0], true
+	return h.positions[0].element.(E), true
 }
 
 // Remove removes an element, which must be in the heap.
-func (h *Indexed[E]) Remove(element E) { heap.Remove(&h.elements, *element.position()) }
+func (h *Indexed[E]) Remove(element E) {
+	p := element.position()
+	heap.Remove(&h.positions, p.index)
+	p.element = nil
+}
 
-// Fix restores the order after the deadline of an element has changed.
-func (h *Indexed[E]) Fix(element E) { heap.Fix(&h.elements, *element.position()) }
+// Reschedule changes the deadline of an element, which must be in the heap.
+func (h *Indexed[E]) Reschedule(deadline int64, element E) {
+	p := element.position()
+	p.deadline = deadline
+	heap.Fix(&h.positions, p.index)
+}
 
 // Len returns the number of elements.
-func (h *Indexed[E]) Len() int { return len(h.elements) }
-
-// Elements returns the elements in the order of the heap: the first has the earliest deadline, the rest are sorted in part.
-// The slice is the heap's own. It must not be changed and is valid until the heap is.
-func (h *Indexed[E]) Elements() []E { return h.elements }
+func (h *Indexed[E]) Len() int { return len(h.positions) }
+
+// All returns the elements in the order of the heap: the first has the earliest deadline, the rest are sorted in part. The heap
+// must not be changed during the iteration.
+func (h *Indexed[E]) All() iter.Seq[E] {
+	return func(yield func(E) bool) {
+		for _, p := range h.positions {
+			if !yield(p.element.(E)) {
+				return
+			}
+		}
+	}
+}
 
-// elements implements heap.Interface.
-type elements[E Element] []E
+// positions implements heap.Interface. It is not generic, so that comparisons and swaps cost no more than in a heap written out
+// for one type.
+type positions []*Position
 
-func (e elements[E]) Len() int           { return len(e) }
-func (e elements[E]) Less(i, j int) bool { return e[i].DueAt() < e[j].DueAt() }
+func (p positions) Len() int           { return len(p) }
+func (p positions) Less(i, j int) bool { return p[i].deadline < p[j].deadline }
 
-func (e elements[E]) Swap(i, j int) {
-	e[i], e[j] = e[j], e[i]
-	*e[i].position(), *e[j].position() = i, j
+func (p positions) Swap(i, j int) {
+	p[i], p[j] = p[j], p[i]
+	p[i].index, p[j].index = i, j
 }
 
-func (e *elements[E]) Push(x any) {
-	element := x.(E)
-	*element.position() = len(*e)
-	*e = append(*e, element)
+func (p *positions) Push(x any) {
+	position := x.(*Position)
+	position.index = len(*p)
+	*p = append(*p, position)
 }
 
-func (e *elements[E]) Pop() any {
-	old := *e
+func (p *positions) Pop() any {
+	old := *p
 	last := old[len(old)-1]
-	var none E
-	old[len(old)-1] = none // so that the element can be collected
-	*e = old[:len(old)-1]
+	old[len(old)-1] = nil // so that the element can be collected
+	*p = old[:len(old)-1]
 	return last
 }
--- a/internal/shardconn/attempts.go
+++ b/internal/shardconn/attempts.go
@@ -22,9 +22,6 @@
 	deadlineheap.Position // in Client.deadlines
 }
 
-// DueAt implements deadlineheap.Element.
-func (a *pendingAttempt) DueAt() int64 { return int64(a.Deadline) }
-
 // batch is the attempts of one frame.
 type batch struct {
 	attempts    []*pendingAttempt
@@ -50,7 +47,7 @@
 			a := &pendingAttempt{Attempt: attempt, batch: b}
 			b.attempts = append(b.attempts, a)
 			cl.pending[attemptKey{attempt.ID, attempt.Number}] = a
-			cl.deadlines.Push(a)
+			cl.deadlines.Push(int64(a.Deadline), a)
 		}
 		attempts = attempts[n:]
 		cl.queued = append(cl.queued, b)
--- a/internal/shardconn/receive.go
+++ b/internal/shardconn/receive.go
@@ -155,7 +155,7 @@
 func (cl *Client) handleMalformed(c *conn, id string, violation error, wasAnswer bool) {
 	failed := cl.findAttempt(c, id)
 	if failed == nil && wasAnswer {
-		for _, a := range cl.deadlines.Elements() {
+		for a := range cl.deadlines.All() {
 			if a.batch.conn == c && (failed == nil || a.SentAt < failed.SentAt) {
 				failed = a
 			}
@@ -173,7 +173,7 @@
 
 // findAttempt returns the first attempt of a call on a connection.
 func (cl *Client) findAttempt(c *conn, wireID string) (found *pendingAttempt) {
-	for _, a := range cl.deadlines.Elements() {
+	for a := range cl.deadlines.All() {
 		if a.batch.conn == c && a.WireID == wireID && (found == nil || a.Number < found.Number) {
 			found = a
 		}
@@ -187,7 +187,7 @@
 	cl.openConns--
 	cl.config.Memory.Release(connBytes)
 	cl.budget.Release()
-	for _, a := range append([]*pendingAttempt(nil), cl.deadlines.Elements()...) {
+	for _, a := range slices.Collect(cl.deadlines.All()) {
 		if a.batch.conn == c {
 			cl.finish(a, c.outcomeOfLoss(a.batch.frameNumber), nil)
 		}
--- a/internal/timerwheel/wheel_test.go
+++ b/internal/timerwheel/wheel_test.go
@@ -97,13 +97,9 @@
 // heapEntry is an entry of the heap that the benchmark compares the wheel with.
 type heapEntry struct {
 	deadlineheap.Position
-	deadline int64
-	value    uint32
+	value uint32
 }
 
-// DueAt implements deadlineheap.Element.
-func (e *heapEntry) DueAt() int64 { return e.deadline }
-
 // One operation is what an idle connection causes: its limit is cancelled and set anew, and the clock moves on.
 //
 //	go test -run xxx -bench Limits -benchmem ./internal/timerwheel
@@ -137,23 +133,22 @@
 			var h deadlineheap.Indexed[*heapEntry]
 			es := make([]*heapEntry, n)
 			for i := range es {
-				es[i] = &heapEntry{deadline: int64(3000 + i%1000), value: uint32(i)}
-				h.Push(es[i])
+				es[i] = &heapEntry{value: uint32(i)}
+				h.Push(int64(3000+i%1000), es[i])
 			}
 			bytes := heapBytes() - before
 			now, i := int64(0), 0
 			for b.Loop() {
 				h.Remove(es[i])
-				es[i].deadline = now + 3000
-				h.Push(es[i])
+				h.Push(now+3000, es[i])
 				if i++; i == n {
 					i = 0
 				}
 				if i%64 == 0 {
 					now++
-					for first, _ := h.First(); first.deadline <= now; first, _ = h.First() {
-						first.deadline = now + 3000
-						h.Fix(first)
+					for next, _ := h.Next(); next <= now; next, _ = h.Next() {
+						first, _ := h.First()
+						h.Reschedule(now+3000, first)
 					}
 				}
 			}
