--- a/internal/testing/experiment/idle.go
+++ b/internal/testing/experiment/idle.go
@@ -256,8 +256,8 @@
 		[]string{"variant", "connections", "empty MiB", "holding MiB", "bytes each, resident", "bytes each, heap and stacks", "additional goroutines",
 			"descriptors", "cores", "threads", "peak MiB", "peak accounted MiB"},
 		m.variant, fmt.Sprint(m.connections), formatMiB(m.before.RSS), formatMiB(m.during.RSS), formatCell(m.residentBytes, 0),
-		formatCell(m.heapBytes, 0), fmt.Sprint(m.duringReport["goroutines"]-m.beforeReport["goroutines"]),
-		fmt.Sprint(m.during.Descriptors), formatCell(m.cpu, 4), fmt.Sprint(m.during.Threads), formatMiB(after.Peak), formatMiB(last["peak"]))
+		formatCell(m.heapBytes, 0), fmt.Sprint(m.duringReport.goroutines-m.beforeReport.goroutines),
+		fmt.Sprint(m.during.Descriptors), formatCell(m.cpu, 4), fmt.Sprint(m.during.Threads), formatMiB(after.Peak), formatMiB(last.peak))
 	p99Ratio := tenth.percentile(99) / m.empty.percentile(99)
 	s.env.Record.SetMetric(s.name+": p99 while a tenth wakes over that of the empty gatherer", p99Ratio)
 	if m.variant != idleParked {
--- a/internal/testing/experiment/memory.go
+++ b/internal/testing/experiment/memory.go
@@ -117,15 +117,15 @@
 	e.Record.AddRow("Memory",
 		[]string{"variant", "memory MiB", "at rest MiB", "peak resident MiB", "peak accounted MiB", "limit MiB", "forced over it MiB",
 			"refused", "background answered"},
-		variant, fmt.Sprint(memoryMB), formatMiB(atRest.RSS), formatMiB(after.Peak), formatMiB(last["peak"]), formatMiB(last["most"]),
-		formatMiB(last["forced"]), fmt.Sprint(last["refused"]), fmt.Sprintf("%d of %d", answered, sent))
+		variant, fmt.Sprint(memoryMB), formatMiB(atRest.RSS), formatMiB(after.Peak), formatMiB(last.peak), formatMiB(last.limit),
+		formatMiB(last.forced), fmt.Sprint(last.refused), fmt.Sprintf("%d of %d", answered, sent))
 	if variant != memoryLimited {
 		return nil
 	}
 	switch {
 	case after.Peak > memoryMB<<20:
 		return fmt.Errorf("the gatherer held %s MiB, its limit is %d", formatMiB(after.Peak), memoryMB)
-	case last["refused"] == 0:
+	case last.refused == 0:
 		return errors.New("nothing was refused: the waves needed too little memory")
 	case unanswered > 0:
 		return fmt.Errorf("%d requests got no final response", unanswered)
--- a/internal/testing/experiment/runtime_metrics.go
+++ b/internal/testing/experiment/runtime_metrics.go
@@ -6,6 +6,8 @@
 	"strings"
 	"sync"
 	"time"
+
+	"oxbowspan/internal/testing/standin"
 )
 
 const (
@@ -15,11 +17,35 @@
 	reportPollInterval = 20 * time.Millisecond
 )
 
-// runtimeReport is the numbers of one report by the name of the log field; sizes are in bytes.
-type runtimeReport map[string]int64
+// runtimeReport is one report. Sizes are in bytes. Those of the memory budget are 0 where there is none.
+type runtimeReport struct {
+	heap, stacks int64
+	goroutines   int64
+	peak         int64 // of what is accounted for
+	limit        int64 // of what is accounted for
+	forced       int64 // beyond the limit, because it could not be refused
+	refused      int64 // number of requests
+}
 
 // used returns the bytes of heap and stacks.
-func (r runtimeReport) used() int64 { return r["heap"] + r["stacks"] }
+func (r runtimeReport) used() int64 { return r.heap + r.stacks }
+
+// parseRuntimeReport parses a line of the log. Fields that are missing or not numbers are 0.
+func parseRuntimeReport(line string) runtimeReport {
+	number := func(field string) int64 {
+		value, _ := strconv.ParseInt(standin.LogField(line, field), 10, 64)
+		return value
+	}
+	return runtimeReport{
+		heap:       number("heap"),
+		stacks:     number("stacks"),
+		goroutines: number("goroutines"),
+		peak:       number("peak"),
+		limit:      number("most"),
+		forced:     number("forced"),
+		refused:    number("refused"),
+	}
+}
 
 // runtimeMetrics collects the reports in a gatherer's log. Its methods may be called concurrently.
 type runtimeMetrics struct {
@@ -33,13 +59,7 @@
 	if !strings.Contains(line, memoryEvent) {
 		return
 	}
-	report := runtimeReport{}
-	for _, field := range strings.Fields(line) {
-		name, text, _ := strings.Cut(field, "=")
-		if value, err := strconv.ParseInt(text, 10, 64); err == nil {
-			report[name] = value
-		}
-	}
+	report := parseRuntimeReport(line)
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.last = report
--- a/internal/testing/faultdisk/file.go
+++ b/internal/testing/faultdisk/file.go
@@ -20,7 +20,7 @@
 	fault := f.disk.begin(OpWrite, f.name)
 	if errors.Is(fault.Err, ErrCrashed) {
 		// The write that the crash interrupts may still have reached the disk, in part or whole.
-		f.append(b)
+		f.appendData(b)
 		return 0, fault.Err
 	}
 	if free, limited := f.disk.freeBytes(); fault.Err == nil && limited && free < len(b) {
@@ -28,14 +28,14 @@
 	}
 	if fault.Err != nil {
 		n := min(fault.ShortWrite, len(b))
-		f.append(b[:n])
+		f.appendData(b[:n])
 		return n, fault.Err
 	}
-	f.append(b)
+	f.appendData(b)
 	return len(b), nil
 }
 
-func (f *file) append(b []byte) { f.inode.data = append(f.inode.data, b...) }
+func (f *file) appendData(b []byte) { f.inode.data = append(f.inode.data, b...) }
 
 // freeBytes returns the capacity that is left; limited is false if there is no limit. The caller holds the lock.
 func (d *Disk) freeBytes() (free int, limited bool) {
