--- a/balancer/window.go
+++ b/balancer/window.go
@@ -3,7 +3,8 @@
 // counterSlots is the number of slots of a windowCounter, beside the one in progress.
 const counterSlots = 16
 
-// windowCounter is a sum over a sliding window, kept in slots.
+// windowCounter is a sum over a sliding window, kept in slots. The window is rounded up to a multiple of
+// counterSlots.
 type windowCounter struct {
 	slotLength Time
 	current    Time // number of the slot in progress
--- a/gatherer/degradation_test.go
+++ b/gatherer/degradation_test.go
@@ -10,9 +10,11 @@
 	"time"
 
 	"oxbowspan/internal/admin"
+	"oxbowspan/internal/discovery"
 	"oxbowspan/internal/testing/standin"
 )
 
+// levelsConfig sheds posts when a fifth of the servers is lost, and lookups when most are.
 const levelsConfig = `[levels]
 socket = admin.sock
 smooth = 0s
@@ -31,6 +33,7 @@
 share = lookup 0
 `
 
+// writeLevelsFile writes an operator's file. It returns its path and that of the admin socket.
 func writeLevelsFile(t *testing.T, text string) (file, socket string) {
 	t.Helper()
 	dir, err := os.MkdirTemp("", "levels") // the path of a socket must be short
@@ -45,6 +48,7 @@
 	return file, filepath.Join(dir, "admin.sock")
 }
 
+// queryState returns the state that operators see.
 func queryState(t *testing.T, c *admin.Client) admin.State {
 	t.Helper()
 	a, err := c.Ask(admin.Question{Verb: admin.Show})
@@ -66,79 +70,120 @@
 	}
 }
 
-// With a quarter of the servers lost posts are shed with a Retry-After and lookups are served, which is logged and shown to
-// operators; and service recovers, also after a reload of the levels and a pin.
-func TestDegradationShedsLowPriorityFirst(t *testing.T) {
-	var shards []*standin.ShardServer
-	for _, host := range []string{"s-a", "s-b", "s-c", "s-d"} {
-		shards = append(shards, startShard(t, host, nil))
-	}
-	l := startList(t, shards...)
-	file, socket := writeLevelsFile(t, levelsConfig)
-	p := start(t, l, nil, "--operator", file)
-	if s, err := os.Stat(socket); err != nil || s.Mode().Perm() != 0o600 {
-		t.Errorf("mode of the socket: %v, %v", s.Mode(), err)
+// degradationEnv is a program with four servers and levels, and the connection of an operator.
+type degradationEnv struct {
+	t            *testing.T
+	file, socket string
+	shards       []*standin.ShardServer
+	list         *standin.DiscoveryService
+	program      *program
+	admin        *admin.Client
+}
+
+// startDegradationEnv starts a program with levels and servers in so many cells, and waits until it knows all of them.
+func startDegradationEnv(t *testing.T, levels string, cells int, edit func(*Config)) *degradationEnv {
+	t.Helper()
+	e := &degradationEnv{t: t}
+	for i, host := range []string{"s-a", "s-b", "s-c", "s-d"} {
+		shard := startShard(t, host, nil)
+		shard.Cell = i % cells
+		e.shards = append(e.shards, shard)
+	}
+	e.list = startList(t, e.shards...)
+	e.file, e.socket = writeLevelsFile(t, levels)
+	e.program = start(t, e.list, edit, "--operator", e.file)
+	e.admin = e.dial()
+	awaitLevel(t, e.admin, "full")
+	for end := time.Now().Add(testTimeout); len(queryState(t, e.admin).Servers) < len(e.shards); {
+		if time.Now().After(end) {
+			t.Fatal("timeout: not all servers are known")
+		}
 	}
-	c, err := admin.Dial(socket)
+	return e
+}
+
+func (e *degradationEnv) dial() *admin.Client {
+	e.t.Helper()
+	c, err := admin.Dial(e.socket)
 	if err != nil {
-		t.Fatal(err)
+		e.t.Fatal(err)
 	}
-	defer c.Close()
-	awaitLevel(t, c, "full")
-	client := &http.Client{Timeout: testTimeout}
-	ask := func(id, kind string) (int, string) {
-		t.Helper()
-		s := standin.Request{ID: id, QueryType: kind, Customer: "acme",
-			Timeout: 1500 * time.Millisecond, Shards: []int{1, 5}, Statement: "c41e77d0"}
-		r, err := s.Send(t.Context(), client, p.addr)
-		if err != nil {
-			t.Fatal(err)
-		}
-		return r.Status, r.RetryAfter
+	e.t.Cleanup(c.Close)
+	return c
+}
+
+// expect sends a request to shards 1 and 5, checks its status and returns its Retry-After.
+func (e *degradationEnv) expect(id, queryType string, status int) string {
+	e.t.Helper()
+	return e.expectFrom([]int{1, 5}, id, queryType, status)
+}
+
+func (e *degradationEnv) expectFrom(shards []int, id, queryType string, status int) string {
+	e.t.Helper()
+	request := standin.Request{ID: id, QueryType: queryType, Customer: "acme", Timeout: 1500 * time.Millisecond,
+		Shards: shards, Statement: "c41e77d0"}
+	r, err := request.Send(e.t.Context(), &http.Client{Timeout: testTimeout}, e.program.addr)
+	if err != nil {
+		e.t.Fatal(err)
 	}
-	want := func(id, kind string, status int) string {
-		t.Helper()
-		got, after := ask(id, kind)
-		if got != status {
-			t.Errorf("%s: %d, want %d", kind, got, status)
-		}
-		return after
-	}
-	want("a1", "lookup", 200)
-	want("a2", "post", 200)
-	gone := shards[3].Entry()
-	gone.Health = "removed"
-	l.Update(gone)
-	line := p.line("event=level ", "to=trimmed")
+	if r.Status != status {
+		e.t.Errorf("%s from %v: %d, want %d", queryType, shards, r.Status, status)
+	}
+	return r.RetryAfter
+}
+
+// removeServer removes a server from the list.
+func (e *degradationEnv) removeServer(i int) {
+	removed := e.shards[i].Entry()
+	removed.Health = discovery.Removed
+	e.list.Update(removed)
+}
+
+// ask asks a question of the operator's socket.
+func (e *degradationEnv) ask(q admin.Question) admin.Answer {
+	e.t.Helper()
+	a, err := e.admin.Ask(q)
+	if err != nil {
+		e.t.Error(err)
+	}
+	return a
+}
+
+// With a quarter of the servers lost posts are shed with a Retry-After and lookups are served, which is logged and shown to
+// operators; and service recovers, which an operator who watches sees.
+func TestDegradationShedsLowPriorityFirst(t *testing.T) {
+	e := startDegradationEnv(t, levelsConfig, 1, nil)
+	if s, err := os.Stat(e.socket); err != nil || s.Mode().Perm() != 0o600 {
+		t.Errorf("mode of the socket: %v, %v", s.Mode(), err)
+	}
+	e.expect("a1", "lookup", 200)
+	e.expect("a2", "post", 200)
+	e.removeServer(3)
+	line := e.program.line("event=level ", "to=trimmed")
 	if !strings.Contains(line, "scope=all") || !strings.Contains(line, "from=full") ||
 		!strings.Contains(line, "lost 0.25") {
 		t.Errorf("log line %q", line)
 	}
-	if after := want("b1", "post", 503); after != "0.5" && after != "0.4" && !strings.HasPrefix(after, "0.") {
+	if after := e.expect("b1", "post", 503); !strings.HasPrefix(after, "0.") {
 		t.Errorf("Retry-After %q", after)
 	}
-	want("b2", "lookup", 200)
-	s := awaitLevel(t, c, "trimmed")
+	e.expect("b2", "lookup", 200)
+	s := awaitLevel(t, e.admin, "trimmed")
 	if len(s.Servers) != 3 || len(s.Changes) != 1 || s.Types[1].Name != "post" || s.Types[1].Share != 0 ||
 		len(s.Types[1].Customers) != 1 || s.Types[1].Customers[0].Shed != 1 {
 		t.Errorf("state %+v", s)
 	}
-	if a, err := c.Ask(admin.Question{Verb: admin.Explain}); err != nil ||
-		!strings.Contains(strings.Join(a.Lines, "\n"), "trimmed: lost 0.25, enters at 0.2, left under 0.1: enters") {
-		t.Errorf("explanation %v, %v", a.Lines, err)
+	explanation := strings.Join(e.ask(admin.Question{Verb: admin.Explain}).Lines, "\n")
+	if !strings.Contains(explanation, "trimmed: lost 0.25, enters at 0.2, left under 0.1: enters") {
+		t.Errorf("explanation %q", explanation)
 	}
-	// An operator who watches sees it recover.
-	w, err := admin.Dial(socket)
-	if err != nil {
+	watcher := e.dial()
+	if err := watcher.Watch(); err != nil {
 		t.Fatal(err)
 	}
-	defer w.Close()
-	if err := w.Watch(); err != nil {
-		t.Fatal(err)
-	}
-	l.Update(shards[3].Entry())
+	e.list.Update(e.shards[3].Entry())
 	for end := time.Now().Add(testTimeout); ; {
-		s, err := w.Next()
+		s, err := watcher.Next()
 		if err != nil || time.Now().After(end) {
 			t.Fatalf("watched state %+v, %v", s, err)
 		}
@@ -146,87 +191,68 @@
 			break
 		}
 	}
-	want("c1", "post", 200)
-	// A pin to an unknown level, a pin, and its end.
-	if _, err := c.Ask(admin.Question{Verb: admin.Pin, Level: "nowhere", Seconds: 1}); err == nil {
+	e.expect("c1", "post", 200)
+}
+
+func TestLevelPin(t *testing.T) {
+	e := startDegradationEnv(t, levelsConfig, 1, nil)
+	if _, err := e.admin.Ask(admin.Question{Verb: admin.Pin, Level: "nowhere", Seconds: 1}); err == nil {
 		t.Error("pinned to an unknown level")
 	}
-	if _, err := c.Ask(admin.Question{Verb: admin.Pin, Level: "closed", Seconds: 3600}); err != nil {
-		t.Error(err)
-	}
-	awaitLevel(t, c, "closed")
-	want("d1", "lookup", 503)
-	if _, err := c.Ask(admin.Question{Verb: admin.Unpin}); err != nil {
-		t.Error(err)
-	}
-	awaitLevel(t, c, "full")
-	want("d2", "lookup", 200)
-	// A reload changes the levels while one applies.
-	l.Update(gone)
-	awaitLevel(t, c, "trimmed")
-	if err := os.WriteFile(file, []byte(strings.Replace(levelsConfig, "share = post 0", "share = post 1", 1)), 0o600); err != nil {
+	e.ask(admin.Question{Verb: admin.Pin, Level: "closed", Seconds: 3600})
+	awaitLevel(t, e.admin, "closed")
+	e.expect("d1", "lookup", 503)
+	e.ask(admin.Question{Verb: admin.Unpin})
+	awaitLevel(t, e.admin, "full")
+	e.expect("d2", "lookup", 200)
+}
+
+// A reload changes the levels while one applies. When the program ends the socket is removed.
+func TestLevelsReload(t *testing.T) {
+	e := startDegradationEnv(t, levelsConfig, 1, nil)
+	e.removeServer(3)
+	awaitLevel(t, e.admin, "trimmed")
+	changed := strings.Replace(levelsConfig, "share = post 0", "share = post 1", 1)
+	if err := os.WriteFile(e.file, []byte(changed), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	p.cmd.Process.Signal(syscall.SIGHUP)
-	p.line("event=reload ", "needs_restart=none")
-	want("e1", "post", 200)
-	awaitLevel(t, c, "trimmed")
-	if err := p.run.Drain(testTimeout); err != nil {
+	e.program.cmd.Process.Signal(syscall.SIGHUP)
+	e.program.line("event=reload ", "needs_restart=none")
+	e.expect("e1", "post", 200)
+	awaitLevel(t, e.admin, "trimmed")
+	if err := e.program.run.Drain(testTimeout); err != nil {
 		t.Error(err)
 	}
-	if _, err := os.Stat(socket); err == nil {
+	if _, err := os.Stat(e.socket); err == nil {
 		t.Error("the socket still exists")
 	}
 }
 
 // Requests for a segment without replicas are shed, others are served.
 func TestLostSegmentDoesNotDegradeOthers(t *testing.T) {
-	var shards []*standin.ShardServer
-	for cell, host := range []string{"s-a", "s-b", "s-c", "s-d"} {
-		s := startShard(t, host, nil)
-		s.Cell = cell
-		shards = append(shards, s)
-	}
-	l := startList(t, shards...)
-	file, socket := writeLevelsFile(t, "[levels]\nsocket = admin.sock\nsmooth = 0s\nenter_for = 100ms\n[level gone]\nenter = segment_lost 0.9\nshare = lookup 0\n")
-	p := start(t, l, func(s *Config) {
-		s.Settings = []byte(strings.Replace(testSettings, `"positions":1,"slices":8`, `"positions":4,"slices":4`, 1))
-	}, "--operator", file)
-	client := &http.Client{Timeout: testTimeout}
-	ask := func(id string, segment int) int {
-		s := standin.Request{ID: id, QueryType: "lookup", Customer: "acme",
-			Timeout: 1500 * time.Millisecond, Shards: []int{segment}, Statement: "c41e77d0"}
-		r, err := s.Send(t.Context(), client, p.addr)
-		if err != nil {
-			t.Fatal(err)
-		}
-		return r.Status
-	}
-	c, err := admin.Dial(socket)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer c.Close()
-	awaitLevel(t, c, "full")
-	for s := queryState(t, c); len(s.Servers) < 4; s = queryState(t, c) {
-	}
-	if status := ask("a1", 2); status != 200 {
-		t.Fatalf("with all servers: %d", status)
-	}
-	gone := shards[2].Entry()
-	gone.Health = "removed"
-	l.Update(gone)
-	p.line("event=level ", "scope=segment-2", "to=gone")
+	const levels = `[levels]
+socket = admin.sock
+smooth = 0s
+enter_for = 100ms
+[level gone]
+enter = segment_lost 0.9
+share = lookup 0
+`
+	e := startDegradationEnv(t, levels, 4, func(c *Config) {
+		c.Settings = []byte(strings.Replace(testSettings, `"positions":1,"slices":8`, `"positions":4,"slices":4`, 1))
+	})
+	e.expectFrom([]int{2}, "a1", "lookup", 200)
+	e.removeServer(2)
+	e.program.line("event=level ", "scope=segment-2", "to=gone")
 	began := time.Now()
-	if status := ask("b1", 2); status != 503 || time.Since(began) > time.Second {
-		t.Errorf("the lost segment: %d after %s", status, time.Since(began))
+	e.expectFrom([]int{2}, "b1", "lookup", 503)
+	if took := time.Since(began); took > time.Second {
+		t.Errorf("a request for the lost segment took %s", took)
 	}
 	for i, segment := range []int{0, 1, 3} {
-		if status := ask([]string{"c1", "c2", "c3"}[i], segment); status != 200 {
-			t.Errorf("segment %d: %d", segment, status)
-		}
+		e.expectFrom([]int{segment}, []string{"c1", "c2", "c3"}[i], "lookup", 200)
 	}
-	if s := queryState(t, c); s.Level != "full" || len(s.Segments) != 1 || s.Segments[0].Segment != 2 {
+	if s := queryState(t, e.admin); s.Level != "full" || len(s.Segments) != 1 || s.Segments[0].Segment != 2 {
 		t.Errorf("state %+v", s)
 	}
 }
--- a/gatherer/parse_test.go
+++ b/gatherer/parse_test.go
@@ -97,85 +97,102 @@
 	}
 }
 
+// callsBody returns the body of a request with calls.
+func callsBody(calls string) string { return `{"tablets":[` + calls + `],"statement":"x"}` }
+
+// validBody is the body of a valid request.
+var validBody = callsBody(`{"tablet":0,"fraction":1}`)
+
+// invalidRequests are requests that are refused with a status and one line of text. The header replaces one of a valid
+// request; "" = none.
+var invalidRequests = []struct {
+	name                       string
+	status                     int
+	method, path, header, body string
+}{
+	{"truncated body", 400, "POST", "/lookup", "", `{`},
+	{"empty body", 400, "POST", "/lookup", "", ``},
+	{"no calls", 400, "POST", "/lookup", "", callsBody(``)},
+	{"duplicate shard", 400, "POST", "/lookup", "", callsBody(`{"tablet":0,"fraction":1},{"tablet":0,"fraction":1}`)},
+	{"shard too high", 400, "POST", "/lookup", "", callsBody(`{"tablet":8,"fraction":1}`)},
+	{"shard below 0", 400, "POST", "/lookup", "", callsBody(`{"tablet":-1,"fraction":1}`)},
+	{"no shard", 400, "POST", "/lookup", "", callsBody(`{"fraction":1}`)},
+	{"no weight", 400, "POST", "/lookup", "", callsBody(`{"tablet":0}`)},
+	{"weight below 0", 400, "POST", "/lookup", "", callsBody(`{"tablet":0,"fraction":-1}`)},
+	{"weight not finite", 400, "POST", "/lookup", "", callsBody(`{"tablet":0,"fraction":1e999}`)},
+	{"guess below 0", 400, "POST", "/lookup", "", callsBody(`{"tablet":0,"fraction":1,"guess":-5}`)},
+	{"weight above 1", 400, "POST", "/lookup", "", callsBody(`{"tablet":0,"fraction":1.5}`)},
+	{"sum of weights", 400, "POST", "/lookup", "", callsBody(`{"tablet":0,"fraction":0.5},{"tablet":1,"fraction":0.4}`)},
+	{"no statement", 400, "POST", "/lookup", "", `{"tablets":[{"tablet":0,"fraction":1}]}`},
+	{"statement not a string", 400, "POST", "/lookup", "", `{"tablets":[{"tablet":0,"fraction":1}],"statement":7}`},
+	{"body not UTF-8", 400, "POST", "/lookup", "", validBody[:40] + "\xff" + `"}`},
+	{"deadline 0", 400, "POST", "/lookup", "Req-Deadline-Ms: 0", validBody},
+	{"deadline not a number", 400, "POST", "/lookup", "Req-Deadline-Ms: soon", validBody},
+	{"no id", 400, "POST", "/lookup", "Req-Id: ", validBody},
+	{"id not hex", 400, "POST", "/lookup", "Req-Id: not-hex", validBody},
+	{"unknown customer", 400, "POST", "/lookup", "Req-Owner: nobody", validBody},
+	{"type not of the path", 400, "POST", "/lookup", "Req-Kind: post", validBody},
+	{"unknown type", 400, "POST", "/odd", "Req-Kind: odd", validBody},
+	{"unknown path", 404, "POST", "/odd", "", validBody},
+	{"no path", 404, "GET", "/", "", ""},
+	{"wrong method", 405, "GET", "/lookup", "", ""},
+	{"wrong method of a status", 405, "POST", "/-/ready", "", ""},
+	{"body too large", 413, "POST", "/lookup", "", validBody + strings.Repeat(" ", maxBodyBytes)},
+}
+
 func TestInvalidRequests(t *testing.T) {
 	a := startShard(t, "s-a", nil)
 	p := start(t, startList(t, a), nil)
-	parts := func(text string) string { return `{"tablets":[` + text + `],"statement":"x"}` }
-	for _, c := range []struct {
-		status int
-		method string
-		path   string
-		header string
-		body   string
-	}{
-		{400, "POST", "/lookup", "", `{`},
-		{400, "POST", "/lookup", "", ``},
-		{400, "POST", "/lookup", "", parts(``)},
-		{400, "POST", "/lookup", "", parts(`{"tablet":0,"fraction":1},{"tablet":0,"fraction":1}`)},
-		{400, "POST", "/lookup", "", parts(`{"tablet":8,"fraction":1}`)},
-		{400, "POST", "/lookup", "", parts(`{"tablet":-1,"fraction":1}`)},
-		{400, "POST", "/lookup", "", parts(`{"fraction":1}`)},
-		{400, "POST", "/lookup", "", parts(`{"tablet":0}`)},
-		{400, "POST", "/lookup", "", parts(`{"tablet":0,"fraction":-1}`)},
-		{400, "POST", "/lookup", "", parts(`{"tablet":0,"fraction":1e999}`)},
-		{400, "POST", "/lookup", "", parts(`{"tablet":0,"fraction":1,"guess":-5}`)},
-		{400, "POST", "/lookup", "", parts(`{"tablet":0,"fraction":1.5}`)},
-		{400, "POST", "/lookup", "", parts(`{"tablet":0,"fraction":0.5},{"tablet":1,"fraction":0.4}`)},
-		{400, "POST", "/lookup", "", `{"tablets":[{"tablet":0,"fraction":1}]}`},
-		{400, "POST", "/lookup", "", `{"tablets":[{"tablet":0,"fraction":1}],"statement":7}`},
-		{400, "POST", "/lookup", "", parts(`{"tablet":0,"fraction":1}`)[:40] + "\xff" + `"}`},
-		{400, "POST", "/lookup", "Req-Deadline-Ms: 0", parts(`{"tablet":0,"fraction":1}`)},
-		{400, "POST", "/lookup", "Req-Deadline-Ms: soon", parts(`{"tablet":0,"fraction":1}`)},
-		{400, "POST", "/lookup", "Req-Id: ", parts(`{"tablet":0,"fraction":1}`)},
-		{400, "POST", "/lookup", "Req-Id: not-hex", parts(`{"tablet":0,"fraction":1}`)},
-		{400, "POST", "/lookup", "Req-Owner: nobody", parts(`{"tablet":0,"fraction":1}`)},
-		{400, "POST", "/lookup", "Req-Kind: post", parts(`{"tablet":0,"fraction":1}`)},
-		{400, "POST", "/odd", "Req-Kind: odd", parts(`{"tablet":0,"fraction":1}`)},
-		{404, "POST", "/odd", "", parts(`{"tablet":0,"fraction":1}`)},
-		{404, "GET", "/", "", ""},
-		{405, "GET", "/lookup", "", ""},
-		{405, "POST", "/-/ready", "", ""},
-		{413, "POST", "/lookup", "", parts(`{"tablet":0,"fraction":1}`) + strings.Repeat(" ", maxBodyBytes)},
+	for _, test := range invalidRequests {
+		t.Run(test.name, func(t *testing.T) {
+			valid, _ := newRequest(context.Background(), p.addr, "lookup", 0)
+			r, err := http.NewRequest(test.method, "http://"+p.addr+test.path, strings.NewReader(test.body))
+			if err != nil {
+				t.Fatal(err)
+			}
+			r.Header = valid.Header
+			if name, value, ok := strings.Cut(test.header, ": "); ok {
+				r.Header.Set(name, value)
+			}
+			res, err := http.DefaultClient.Do(r)
+			if err != nil {
+				t.Fatal(err)
+			}
+			defer res.Body.Close()
+			b, _ := io.ReadAll(res.Body)
+			if text := string(b); res.StatusCode != test.status || strings.Count(text, "\n") != 1 || len(text) < 10 {
+				t.Errorf("got %d %q, want %d and one line", res.StatusCode, text, test.status)
+			}
+		})
+	}
+	if len(a.Received) > 0 {
+		t.Error("an invalid request reached a server")
+	}
+	if status, _, _ := p.ask("lookup", 0); status != http.StatusOK {
+		t.Errorf("after all that a request got %d", status)
+	}
+}
+
+// An incomplete request ends at the read timeout, and one that is not HTTP at once.
+func TestIncompleteRequests(t *testing.T) {
+	a := startShard(t, "s-a", nil)
+	p := start(t, startList(t, a), nil)
+	for reason, text := range map[string]string{
+		"read_limit":  "POST /lookup HTTP/1.1\r\nHost: x\r\nContent-Length: 100\r\n\r\n{",
+		"bad_request": "\x00\x01\x02 nothing\r\n\r\n",
 	} {
-		r, _ := newRequest(context.Background(), p.addr, "lookup", 0)
-		again, err := http.NewRequest(c.method, "http://"+p.addr+c.path, strings.NewReader(c.body))
+		c, err := net.Dial("tcp", p.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		again.Header = r.Header
-		if name, v, ok := strings.Cut(c.header, ": "); ok {
-			again.Header.Set(name, v)
-		}
-		res, err := http.DefaultClient.Do(again)
-		if err != nil {
-			t.Errorf("%+.100v: %v", c, err)
-			continue
-		}
-		b, _ := io.ReadAll(res.Body)
-		res.Body.Close()
-		if text := string(b); res.StatusCode != c.status || strings.Count(text, "\n") != 1 || len(text) < 10 {
-			t.Errorf("%+.100v: got %d %q", c, res.StatusCode, text)
-		}
+		defer c.Close()
+		io.WriteString(c, text)
+		p.line("event=client_conn_end", "client="+c.LocalAddr().String(), "reason="+reason)
 	}
 	if len(a.Received) > 0 {
-		t.Error("an invalid request reached a server")
-	}
-	// An incomplete request ends at the read timeout, and one that is not HTTP at once.
-	half, err := net.Dial("tcp", p.addr)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer half.Close()
-	fmt.Fprintf(half, "POST /lookup HTTP/1.1\r\nHost: x\r\nContent-Length: 100\r\n\r\n{")
-	p.line("event=client_conn_end", "client="+half.LocalAddr().String(), "reason=read_limit")
-	noise, err := net.Dial("tcp", p.addr)
-	if err != nil {
-		t.Fatal(err)
+		t.Error("an incomplete request reached a server")
 	}
-	defer noise.Close()
-	fmt.Fprintf(noise, "\x00\x01\x02 nothing\r\n\r\n")
-	p.line("event=client_conn_end", "client="+noise.LocalAddr().String(), "reason=bad_request")
-	if status, _, _ := p.ask("lookup", 0); status != 200 {
+	if status, _, _ := p.ask("lookup", 0); status != http.StatusOK {
 		t.Errorf("after all that a request got %d", status)
 	}
 }
