--- a/gatherer/config.go
+++ b/gatherer/config.go
@@ -77,7 +77,7 @@
 	for i := range d.Balancer.QueryTypes {
 		q := &d.Balancer.QueryTypes[i]
 		if q.SecondPhaseCalls > 0 {
-			return d, fmt.Errorf("query type %q has a second step, which the protocol on sockets does not have", d.QueryTypes[i])
+			return d, fmt.Errorf("query type %q has a second phase, which the protocol on sockets does not have", d.QueryTypes[i])
 		}
 		if q.Idempotency == balancer.Deduplicated { // frames have no field for the token, so servers cannot deduplicate
 			q.Idempotency = balancer.NonIdempotent
--- a/gatherer/mergeenv_test.go
+++ b/gatherer/mergeenv_test.go
@@ -54,10 +54,10 @@
 	last    atomic.Int64 // request id
 }
 
-// startMergeEnv starts a mergeEnv of four cells, two of them for each segment. If meet returns true it has answered a call
+// startMergeEnv starts a mergeEnv of four cells, two of them for each segment. If respond returns true it has answered a call
 // itself, otherwise the rows are sent.
 func startMergeEnv(t *testing.T, shape standin.DatasetShape,
-	meet func(c *standin.ShardConn, p standin.ShardCall, rows string) bool, edit func(string) string) *mergeEnv {
+	respond func(c *standin.ShardConn, p standin.ShardCall, rows string) bool, edit func(string) string) *mergeEnv {
 	t.Helper()
 	s := &mergeEnv{t: t, dataset: standin.NewDataset(11, shape)}
 	for cell := range 4 {
@@ -70,7 +70,7 @@
 			if err != nil {
 				t.Errorf("a segment got the terms %q: %v", p.Attributes["m"], err)
 			}
-			if meet == nil || !meet(c, p, rows) {
+			if respond == nil || !respond(c, p, rows) {
 				c.Respond(p.ID, "served", rows)
 			}
 		})
@@ -125,8 +125,8 @@
 	return m
 }
 
-func (s *mergeEnv) expected(forbids bool) standin.Oracle {
-	return standin.Oracle{Dataset: s.dataset, Segments: []int{0, 1, 2, 3}, RequireComplete: forbids}
+func (s *mergeEnv) expected(requireComplete bool) standin.Oracle {
+	return standin.Oracle{Dataset: s.dataset, Segments: []int{0, 1, 2, 3}, RequireComplete: requireComplete}
 }
 
 // walk reads a paged list to its end; before is called with the number of each page before it is requested.
--- a/gatherer/program_test.go
+++ b/gatherer/program_test.go
@@ -87,8 +87,8 @@
 
 func TestCommandLine(t *testing.T) {
 	for args, want := range map[string]struct {
-		code int
-		says string
+		code   int
+		output string
 	}{
 		"":                                  {2, "Usage"},
 		"help":                              {0, "serve"},
@@ -104,7 +104,7 @@
 		cmd := exec.Command(builtProgram, strings.Fields(args)...)
 		cmd.Env = []string{"HOME=/"}
 		out, _ := cmd.CombinedOutput()
-		if code := cmd.ProcessState.ExitCode(); code != want.code || !strings.Contains(string(out), want.says) {
+		if code := cmd.ProcessState.ExitCode(); code != want.code || !strings.Contains(string(out), want.output) {
 			t.Errorf("%q ended with %d and output %s", args, code, out)
 		}
 	}
@@ -136,10 +136,10 @@
 	if g, err := New(tokened); err != nil || g.deployment.Balancer.QueryTypes[0].Idempotency != balancer.NonIdempotent {
 		t.Errorf("a deduplicated type, whose token no frame carries, may be retried: %v", err)
 	}
-	for cut, says := range map[string]string{`"slo":1000.0,`: "slo is missing", `"positions":1,`: "positions is missing", `"dialTimeout":250.0,`: "dialTimeout is missing"} {
+	for cut, want := range map[string]string{`"slo":1000.0,`: "slo is missing", `"positions":1,`: "positions is missing", `"dialTimeout":250.0,`: "dialTimeout is missing"} {
 		bad := good
 		bad.Settings = json.RawMessage(strings.Replace(testSettings, cut, "", 1))
-		if _, err := New(bad); err == nil || !strings.Contains(err.Error(), says) || strings.Contains(err.Error(), "\n") {
+		if _, err := New(bad); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("without %s: %v", cut, err)
 		}
 	}
@@ -183,6 +183,27 @@
 			t.Fatal("timeout: not ready")
 		}
 	}
+	sendAndDisconnect(server.Listener.Addr().String())
+	stop()
+	if err := <-ended; err != nil {
+		t.Error(err)
+	}
+	m := g.dispatcher
+	if len(m.requests) > 0 || m.pending != 0 || m.descriptors.available.Load() != int64(serversOf(Limits{})) {
+		t.Errorf("%d requests, %d pending, %d descriptors available of %d",
+			len(m.requests), m.pending, m.descriptors.available.Load(), serversOf(Limits{}))
+	}
+	const ofStandins = 4 // goroutines
+	for end := time.Now().Add(testTimeout); runtime.NumGoroutine() > before+ofStandins || g.memory.Snapshot().Total != 0; {
+		if time.Now().After(end) {
+			t.Fatalf("%d goroutines, %d before; memory %+v", runtime.NumGoroutine(), before, g.memory.Snapshot())
+		}
+		runtime.Gosched()
+	}
+}
+
+// sendAndDisconnect sends many requests at once, with clients that disconnect after a short time.
+func sendAndDisconnect(addr string) {
 	var all sync.WaitGroup
 	for worker := range 8 {
 		all.Add(1)
@@ -191,30 +212,15 @@
 			client := &http.Client{Transport: &http.Transport{}}
 			defer client.CloseIdleConnections()
 			for i := range 40 {
-				ctx, leave := context.WithTimeout(context.Background(), time.Duration(20+i)*time.Millisecond)
-				r, _ := newRequest(ctx, server.Listener.Addr().String(), []string{"lookup", "post"}[worker%2], i%8, (i+1)%8)
+				ctx, disconnect := context.WithTimeout(context.Background(), time.Duration(20+i)*time.Millisecond)
+				r, _ := newRequest(ctx, addr, []string{"lookup", "post"}[worker%2], i%8, (i+1)%8)
 				if res, err := client.Do(r); err == nil {
 					io.Copy(io.Discard, res.Body)
 					res.Body.Close()
 				}
-				leave()
+				disconnect()
 			}
 		}()
 	}
 	all.Wait()
-	stop()
-	if err := <-ended; err != nil {
-		t.Error(err)
-	}
-	m := g.dispatcher
-	if len(m.requests) > 0 || m.pending != 0 || m.descriptors.available.Load() != int64(serversOf(Limits{})) {
-		t.Errorf("%d requests, %d pending, %d descriptors available of %d",
-			len(m.requests), m.pending, m.descriptors.available.Load(), serversOf(Limits{}))
-	}
-	for end := time.Now().Add(testTimeout); runtime.NumGoroutine() > before+4 || g.memory.Snapshot().Total != 0; { // the stand-ins have some
-		if time.Now().After(end) {
-			t.Fatalf("%d goroutines, %d before; memory %+v", runtime.NumGoroutine(), before, g.memory.Snapshot())
-		}
-		runtime.Gosched()
-	}
 }
