--- a/gatherer/degradation_test.go
+++ b/gatherer/degradation_test.go
@@ -51,7 +51,7 @@
 // queryState returns the state that operators see.
 func queryState(t *testing.T, c *admin.Client) admin.State {
 	t.Helper()
-	a, err := c.Ask(admin.Question{Verb: admin.Show})
+	a, err := c.Do(admin.Request{Verb: admin.Show})
 	if err != nil || a.State == nil {
 		t.Fatalf("show: %+v, %v", a, err)
 	}
@@ -139,10 +139,10 @@
 	e.list.Update(removed)
 }
 
-// ask asks a question of the operator's socket.
-func (e *degradationEnv) ask(q admin.Question) admin.Answer {
+// do sends a request to the admin socket.
+func (e *degradationEnv) do(request admin.Request) admin.Response {
 	e.t.Helper()
-	a, err := e.admin.Ask(q)
+	a, err := e.admin.Do(request)
 	if err != nil {
 		e.t.Error(err)
 	}
@@ -173,7 +173,7 @@
 		len(s.Types[1].Customers) != 1 || s.Types[1].Customers[0].Shed != 1 {
 		t.Errorf("state %+v", s)
 	}
-	explanation := strings.Join(e.ask(admin.Question{Verb: admin.Explain}).Lines, "\n")
+	explanation := strings.Join(e.do(admin.Request{Verb: admin.Explain}).Lines, "\n")
 	if !strings.Contains(explanation, "trimmed: lost 0.25, enters at 0.2, left under 0.1: enters") {
 		t.Errorf("explanation %q", explanation)
 	}
@@ -196,13 +196,13 @@
 
 func TestLevelPin(t *testing.T) {
 	e := startDegradationEnv(t, levelsConfig, 1, nil)
-	if _, err := e.admin.Ask(admin.Question{Verb: admin.Pin, Level: "nowhere", Seconds: 1}); err == nil {
+	if _, err := e.admin.Do(admin.Request{Verb: admin.Pin, Level: "nowhere", Seconds: 1}); err == nil {
 		t.Error("pinned to an unknown level")
 	}
-	e.ask(admin.Question{Verb: admin.Pin, Level: "closed", Seconds: 3600})
+	e.do(admin.Request{Verb: admin.Pin, Level: "closed", Seconds: 3600})
 	awaitLevel(t, e.admin, "closed")
 	e.expect("d1", "lookup", 503)
-	e.ask(admin.Question{Verb: admin.Unpin})
+	e.do(admin.Request{Verb: admin.Unpin})
 	awaitLevel(t, e.admin, "full")
 	e.expect("d2", "lookup", 200)
 }
--- a/gatherer/dispatcher.go
+++ b/gatherer/dispatcher.go
@@ -134,9 +134,9 @@
 		d.handle(balancer.ServerList{Kind: balancer.ListFailed})
 	case levelsReplaced:
 		d.degradation.applyConfig(m.config)
-	case operatorQuestion:
+	case operatorRequest:
 		if d.degradation != nil {
-			d.degradation.handleQuestion(m.question)
+			d.degradation.handleRequest(m.request)
 		}
 	}
 }
--- a/internal/shardconn/client.go
+++ b/internal/shardconn/client.go
@@ -1,12 +1,12 @@
 package shardconn
 
 import (
-	"container/heap"
 	"net"
 	"slices"
 	"time"
 
 	"oxbowspan/balancer"
+	"oxbowspan/internal/deadlineheap"
 )
 
 // mailboxSize is how many commands, and how many events of connections, may wait.
@@ -36,10 +36,10 @@
 	dialing       int      // connections being opened
 	queued        []*batch // batches that wait for a connection
 	pending       map[attemptKey]*pendingAttempt
-	deadlines     deadlineHeap  // the same, by deadline
-	healthChecks  []*conn       // connections with a health check in flight, in order
-	checkDeadline balancer.Time // of the requested health check; 0 = none is requested
-	checkQueued   bool          // it waits for a connection
+	deadlines     deadlineheap.Indexed[*pendingAttempt] // the same, by deadline
+	healthChecks  []*conn                               // connections with a health check in flight, in order
+	checkDeadline balancer.Time                         // of the requested health check; 0 = none is requested
+	checkQueued   bool                                  // it waits for a connection
 }
 
 type dialFunc func(addr string, timeout time.Duration) (net.Conn, error)
@@ -120,8 +120,8 @@
 // untilNext returns the time until the next deadline or idle timeout.
 func (cl *Client) untilNext() time.Duration {
 	next := cl.now() + balancer.Time(time.Hour/tick)
-	if len(cl.deadlines) > 0 {
-		next = cl.deadlines[0].Deadline
+	if first, ok := cl.deadlines.First(); ok {
+		next = first.Deadline
 	}
 	if cl.checkDeadline != 0 {
 		next = min(next, cl.checkDeadline)
@@ -154,8 +154,8 @@
 // expire ends attempts past their deadline, an overdue health check, and connections past a timeout.
 func (cl *Client) expire() {
 	now := cl.now()
-	for len(cl.deadlines) > 0 && cl.deadlines[0].Deadline <= now {
-		cl.abandon(cl.deadlines[0], balancer.TimedOut)
+	for first, ok := cl.deadlines.First(); ok && first.Deadline <= now; first, ok = cl.deadlines.First() {
+		cl.abandon(first, balancer.TimedOut)
 	}
 	if cl.checkDeadline != 0 && now >= cl.checkDeadline {
 		for _, c := range cl.healthChecks {
@@ -224,31 +224,3 @@
 	}
 	cl.addr = command.Addr
 }
-
-// deadlineHeap orders pending attempts by deadline.
-type deadlineHeap []*pendingAttempt
-
-var _ heap.Interface = (*deadlineHeap)(nil)
-
-func (h deadlineHeap) Len() int           { return len(h) }
-func (h deadlineHeap) Less(i, j int) bool { return h[i].Deadline < h[j].Deadline }
-func (h deadlineHeap) Swap(i, j int) {
-	h[i], h[j] = h[j], h[i]
-	h[i].heapIndex, h[j].heapIndex = i, j
-}
-
-// Push implements heap.Interface.
-func (h *deadlineHeap) Push(x any) {
-	a := x.(*pendingAttempt)
-	a.heapIndex = len(*h)
-	*h = append(*h, a)
-}
-
-// Pop implements heap.Interface.
-func (h *deadlineHeap) Pop() any {
-	old := *h
-	a := old[len(old)-1]
-	old[len(old)-1] = nil
-	*h = old[:len(old)-1]
-	return a
-}
--- a/internal/testing/experiment/cli.go
+++ b/internal/testing/experiment/cli.go
@@ -47,7 +47,7 @@
 
 func newRootCommand(stdout, stderr io.Writer) *cobra.Command {
 	t := &tool{stdout: stdout, stderr: stderr}
-	root := command.Root(&cobra.Command{
+	root := command.NewRoot(&cobra.Command{
 		Use:   "oxbowlab",
 		Short: "Run experiments on the built programs and keep their results",
 		Long: "oxbowlab starts built programs and stand-ins on loopback, runs an experiment on them, checks the responses\n" +
@@ -94,7 +94,7 @@
 	return &cobra.Command{
 		Use:     "bench NAME FILE",
 		Short:   "Keep the output of 'go test -bench' as a run, with tables and charts",
-		Args:    command.Words(2, "NAME FILE"),
+		Args:    command.ExactArgs(2, "NAME FILE"),
 		Example: "  go test -run xxx -bench Merge -benchmem ./merge > b.txt && oxbowlab bench merge-ways b.txt",
 		RunE: func(_ *cobra.Command, args []string) error {
 			file, err := os.Open(args[1])
@@ -115,7 +115,7 @@
 	return &cobra.Command{
 		Use:   "experiments",
 		Short: "List the experiments",
-		Args:  command.Words(0, "none"),
+		Args:  command.ExactArgs(0, "none"),
 		Run: func(*cobra.Command, []string) {
 			for _, name := range Names() {
 				fmt.Fprintf(t.stdout, "%-18s %s\n", name, experiments[name].Short)
@@ -128,7 +128,7 @@
 	return &cobra.Command{
 		Use:   "list",
 		Short: "List the runs in the archive",
-		Args:  command.Words(0, "none"),
+		Args:  command.ExactArgs(0, "none"),
 		RunE: func(*cobra.Command, []string) error {
 			return t.withArchive(func(a *Archive) error {
 				records, err := a.All()
@@ -149,7 +149,7 @@
 	return &cobra.Command{
 		Use:   "show RUN",
 		Short: "Show a run, by its id or the newest of an experiment",
-		Args:  command.Words(1, "RUN"),
+		Args:  command.ExactArgs(1, "RUN"),
 		RunE: func(_ *cobra.Command, args []string) error {
 			return t.withRecord(args[0], func(r *Record) error {
 				fmt.Fprintf(t.stdout, "run %s of %s, started %s, %.1f s, seed %d, quick %t\nprogram %s\nmachine %s\n", r.ID, r.Experiment,
@@ -172,7 +172,7 @@
 	cmd := &cobra.Command{
 		Use:   "table RUN",
 		Short: "Print a run's tables",
-		Args:  command.Words(1, "RUN"),
+		Args:  command.ExactArgs(1, "RUN"),
 		RunE: func(_ *cobra.Command, args []string) error {
 			return t.withRecord(args[0], func(r *Record) error {
 				r.WriteText(t.stdout, markdown)
@@ -188,7 +188,7 @@
 	return &cobra.Command{
 		Use:   "chart RUN CHART",
 		Short: "Print one of a run's charts as SVG",
-		Args:  command.Words(2, "RUN CHART"),
+		Args:  command.ExactArgs(2, "RUN CHART"),
 		RunE: func(_ *cobra.Command, args []string) error {
 			return t.withRecord(args[0], func(r *Record) error { return r.WriteChart(args[1], t.stdout) })
 		},
