--- a/gatherer/limits_test.go
+++ b/gatherer/limits_test.go
@@ -122,7 +122,7 @@
 
 // Clients that send one request and keep their connection would use up all descriptors (incident r776d5d). When there are
 // many, the first response closes the connection; one with more requests stays.
-func TestIdleConnectionCrowdIsClosed(t *testing.T) {
+func TestIdleConnectionsPastThresholdAreClosed(t *testing.T) {
 	p := start(t, startList(t, startShard(t, "s-a", nil)), func(s *Config) { s.Limits.Sockets = 256 })
 	clients, _ := Limits{Sockets: 256}.splitDescriptors()
 	ask := func(c net.Conn) bool {
