--- a/config/configuration_test.go
+++ b/config/configuration_test.go
@@ -36,6 +36,8 @@
 			{Name: "three", Hostname: "H", PathPrefix: "/b/", RouteKind: Retryable, TimeoutMS: 1,
 				WeightedServices: []WeightedService{{Service: "s", Weight: -1}}},
 			{Hostname: "h", PathPrefix: "/c/", RouteKind: Retryable, TimeoutMS: 1},
+			{Name: "five", Hostname: "h", PathPrefix: "/d/", RouteKind: Retryable, TimeoutMS: 1,
+				WeightedServices: []WeightedService{{Service: "s", Weight: 0}}},
 		},
 	}
 	want := []string{
@@ -50,6 +52,7 @@
 		`route three: the weight of service "s" is below 0`,
 		"route three: the weights add up to 0",
 		"route number 4 names no service",
+		"route five: the weights add up to 0",
 	}
 	checkProblems(t, c.Validate(), want)
 }
