--- a/internal/controlcli/commands_test.go
+++ b/internal/controlcli/commands_test.go
@@ -112,7 +112,8 @@
 	p.removeData(t, lost)
 	p.eventuallyEvent(t, "loss of a controller", func(e controlplane.Event) bool {
 		recent := e.AgeSeconds < time.Since(killed).Seconds()
-		return e.Kind == "hive" && recent && strings.Contains(e.Text, p.cluster.Controllers[lost].IP)
+		names := strings.Contains(e.Text, p.cluster.Controllers[lost].IP)
+		return e.Kind == "hive" && recent && names && strings.HasSuffix(e.Text, " timed out")
 	})
 	p.eventually(t, exitOK, "no response from", "members")
 	text, err := os.ReadFile(p.settings[lost])
