--- a/internal/testing/experiment/cluster.go
+++ b/internal/testing/experiment/cluster.go
@@ -44,7 +44,7 @@
 	cmd := &cobra.Command{
 		Use:     "cluster DIR",
 		Short:   "Run servers, an operator and clients around a local cluster and check the responses",
-		Args:    command.Words(1, "DIR"),
+		Args:    command.ExactArgs(1, "DIR"),
 		Example: "  oxbowlab cluster --bin target --for 20s /tmp/cluster",
 		RunE: func(_ *cobra.Command, args []string) error {
 			ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
--- a/internal/testing/simcluster/outlier_test.go
+++ b/internal/testing/simcluster/outlier_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"oxbowspan/config"
-	"oxbowspan/controlplane"
+	"oxbowspan/controlapi"
 )
 
 // stateEjected is how an ejected server is named on the wire.
@@ -146,7 +146,7 @@
 func (o *outlierTest) pinReports(t *testing.T) (count int) {
 	t.Helper()
 	for _, controller := range o.cluster.Controllers {
-		var gateways []controlplane.GatewayOutliers
+		var gateways []controlapi.GatewayOutliers
 		readJSON(t, o.cluster, controller, "/-/judgement/explain", &gateways)
 		for _, gateway := range gateways {
 			if o.isPinned(gateway.Servers) {
@@ -157,7 +157,7 @@
 	return count
 }
 
-func (o *outlierTest) isPinned(verdicts []controlplane.OutlierVerdict) bool {
+func (o *outlierTest) isPinned(verdicts []controlapi.OutlierVerdict) bool {
 	for _, verdict := range verdicts {
 		if verdict.Instance == o.server.Instance && verdict.Pinned && verdict.State == stateEjected {
 			return true
