--- a/internal/testing/simcluster/wallclock_test.go
+++ b/internal/testing/simcluster/wallclock_test.go
@@ -28,7 +28,7 @@
 
 // monotonicPackages are the packages that must decide nothing by the time of day.
 var monotonicPackages = []string{
-	"balancer", "config", "consensus", "controlplane", "dataplane", "lease", "quorum", "registry", "rendezvous", "rpc", "topk",
+	"balancer", "config", "consensus", "controlapi", "controlplane", "dataplane", "lease", "quorum", "registry", "rendezvous", "rpc", "topk",
 	"internal/acceptorstore", "internal/network", "internal/settings",
 }
 
