--- a/gatherer/degradation.go
+++ b/gatherer/degradation.go
@@ -200,28 +200,28 @@
 	s.applyMergeLimits(s.config.Levels[change.To])
 }
 
-// handleQuestion answers a question of the admin socket.
-func (s *degradationState) handleQuestion(q admin.Request) {
-	answer := admin.Response{}
-	switch q.Verb {
+// handleRequest answers a request of the admin socket.
+func (s *degradationState) handleRequest(request admin.Request) {
+	response := admin.Response{}
+	switch request.Verb {
 	case admin.Show:
 		state := s.state()
-		answer.State = &state
+		response.State = &state
 	case admin.Explain:
-		answer.Lines = s.explain()
+		response.Lines = s.explain()
 	case admin.Pin:
-		answer = s.pin(q)
+		response = s.pin(request)
 	case admin.Unpin:
 		s.machine.Unpin()
 		slog.Warn("level_unpinned")
-		answer.Lines = []string{"the signals decide again"}
+		response.Lines = []string{"the signals decide again"}
 	case admin.Watch:
-		s.watchers = append(s.watchers, q.Stream)
+		s.watchers = append(s.watchers, request.Stream)
 	case admin.Unwatch:
-		s.watchers = slices.DeleteFunc(s.watchers, func(w chan<- []byte) bool { return w == q.Stream })
+		s.watchers = slices.DeleteFunc(s.watchers, func(w chan<- []byte) bool { return w == request.Stream })
 	}
-	if q.Reply != nil {
-		q.Reply <- answer
+	if request.Reply != nil {
+		request.Reply <- response
 	}
 }
 
@@ -238,15 +238,15 @@
 }
 
 // pin pins the level for a time.
-func (s *degradationState) pin(q admin.Request) admin.Response {
-	rank := slices.IndexFunc(s.config.Levels, func(l degradation.Level) bool { return l.Name == q.Level })
+func (s *degradationState) pin(request admin.Request) admin.Response {
+	rank := slices.IndexFunc(s.config.Levels, func(l degradation.Level) bool { return l.Name == request.Level })
 	switch {
 	case rank < 0:
-		return admin.Response{Error: fmt.Sprintf("there is no level %.40q", q.Level)}
-	case q.Seconds <= 0 || q.Seconds > admin.MaxPinDuration.Seconds():
+		return admin.Response{Error: fmt.Sprintf("there is no level %.40q", request.Level)}
+	case request.Seconds <= 0 || request.Seconds > admin.MaxPinDuration.Seconds():
 		return admin.Response{Error: fmt.Sprintf("a pin is for 0 to %s", admin.MaxPinDuration)}
 	}
-	s.machine.Pin(degradation.Rank(rank), s.now()+degradation.Time(q.Seconds*1000))
-	slog.Warn("level_pinned", "level", q.Level, "seconds", q.Seconds)
-	return admin.Response{Lines: []string{fmt.Sprintf("pinned to %s for %g s", q.Level, q.Seconds)}}
+	s.machine.Pin(degradation.Rank(rank), s.now()+degradation.Time(request.Seconds*1000))
+	slog.Warn("level_pinned", "level", request.Level, "seconds", request.Seconds)
+	return admin.Response{Lines: []string{fmt.Sprintf("pinned to %s for %g s", request.Level, request.Seconds)}}
 }
