--- a/gatherer/persistence.go
+++ b/gatherer/persistence.go
@@ -46,7 +46,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("store %s: %w", o.Path, err)
 	}
-	s, report, err := store.Open(disk, store.Options{MaxBytes: o.MaxLaneBytes, CommitDelay: o.CommitDelay})
+	s, report, err := store.Open(disk, store.Options{MaxBytes: o.MaxMirrorBytes, CommitDelay: o.CommitDelay})
 	for _, damage := range report.Damage {
 		slog.Warn("store_damage", "path", o.Path, "what", damage, "mended", report.Repaired)
 	}
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli is the command line: its sub-commands, their flags and exit codes, and where log lines go. It decides
-// nothing about searches.
+// Package cli is the command line of the gatherer: its commands with their flags and exit codes, and the format of log lines. It
+// decides nothing about requests.
 package cli
 
 import (
@@ -12,7 +12,7 @@
 	"oxbowspan/internal/command"
 )
 
-// exitFailure is the exit code where the program could not start, or not finish what was open.
+// exitFailure is the exit code where the program could not start, or not finish its open requests.
 const exitFailure = 1
 
 // Main runs the program and returns its exit code.
@@ -24,20 +24,28 @@
 	root := command.NewRoot(&cobra.Command{
 		Use:   "oxbowspan",
 		Short: "A gatherer: reads many shards for one request",
-		Long: "oxbowspan takes a search, asks the shard servers that hold its parts, and answers from what comes back.\n" +
-			"It decides well while servers die, hang or slow down, the list is late, or more comes than fits.",
+		Long: "oxbowspan takes a request, calls the shard servers that hold its data, and answers from their results.\n" +
+			"It keeps its promises while servers crash, hang or slow down, the server list is stale, or the load exceeds the capacity.",
 		Example: "  oxbowspan check --config config.json\n" +
 			"  oxbowspan serve --config config.json",
 		Version: version(),
 	}, stdout, stderr)
 	root.SetVersionTemplate("oxbowspan {{.Version}}\n")
-	root.AddCommand(newServeCommand(stderr), newCheckCommand(stdout), newKeysCommand(stdout), newStoreCommand(stdout), newLevelCommand(stdout), newWatchCommand(stdout), newFleetCommand(stdout), &cobra.Command{
-		Use: "version", Short: "Print the version", Args: command.NoArgs,
-		Run: func(*cobra.Command, []string) { fmt.Fprintln(stdout, "oxbowspan", version()) },
-	})
+	root.AddCommand(newServeCommand(stderr), newCheckCommand(stdout), newKeysCommand(stdout), newStoreCommand(stdout),
+		newLevelCommand(stdout), newWatchCommand(stdout), newFleetCommand(stdout), newVersionCommand(stdout))
 	return root
 }
 
+func newVersionCommand(stdout io.Writer) *cobra.Command {
+	return &cobra.Command{
+		Use:   "version",
+		Short: "Print the version",
+		Args:  command.NoArgs,
+		Run:   func(*cobra.Command, []string) { fmt.Fprintln(stdout, "oxbowspan", version()) },
+	}
+}
+
+// version returns the module's version, its revision and the version of Go, as far as the build recorded them.
 func version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/internal/cli/keys.go
+++ b/internal/cli/keys.go
@@ -11,27 +11,41 @@
 	"oxbowspan/internal/command"
 )
 
-// newKeysCommand makes the keys that sign cursors. They are printed, never written: where secrets lie is the operator's.
+const (
+	secretBytes   = 32
+	randomIDBytes = 4
+)
+
+// newKeysCommand returns the command that makes keys for key files. It prints them and writes no file: where secrets are kept is the
+// operator's decision.
 func newKeysCommand(stdout io.Writer) *cobra.Command {
-	keys := &cobra.Command{Use: "keys", Short: "Make keys for the operator's file", Args: command.NoArgs,
-		RunE: func(c *cobra.Command, _ []string) error { return c.Help() }}
+	keys := command.NewGroup("keys", "Make keys for the operator's file")
 	var id string
-	fresh := &cobra.Command{Use: "new", Short: "Print a new line for a key file, with a random secret", Args: command.NoArgs,
-		Long: "new prints a line \"ID SECRET\" for a file of cursor keys. The first line of such a file signs, all lines are\n" +
-			"accepted: to change the key in service, put the new line first, send SIGHUP to every gatherer, and take the old\n" +
-			"line out once its cursors have expired.",
+	newKey := &cobra.Command{
+		Use:   "new",
+		Short: "Print a new line for a key file, with a random secret",
+		Args:  command.NoArgs,
+		Long: "new prints a line \"ID SECRET\" for a key file. The first line of such a file signs, all lines are accepted: to rotate\n" +
+			"the key of cursors, put the new line first, send SIGHUP to every gatherer, and remove the old line once its cursors\n" +
+			"have expired.",
 		Example: "  oxbowspan keys new --id 2026-12 > cursor.keys",
-		RunE: func(*cobra.Command, []string) error {
-			secret := make([]byte, 32)
-			rand.Read(secret) // it never fails
-			if id == "" {
-				id = hex.EncodeToString(secret[:4])
-				rand.Read(secret)
-			}
-			_, err := fmt.Fprintf(stdout, "%s %s\n", id, hex.EncodeToString(secret))
-			return err
-		}}
-	fresh.Flags().StringVar(&id, "id", "", "the key's id, 1 to 16 letters, digits, - or _; random if not given")
-	keys.AddCommand(fresh)
+		RunE:    func(*cobra.Command, []string) error { return printNewKey(stdout, id) },
+	}
+	newKey.Flags().StringVar(&id, "id", "", "the key's id, 1 to 16 letters, digits, - or _; random if not given")
+	keys.AddCommand(newKey)
 	return keys
 }
+
+func printNewKey(out io.Writer, id string) error {
+	if id == "" {
+		id = randomHex(randomIDBytes)
+	}
+	_, err := fmt.Fprintf(out, "%s %s\n", id, randomHex(secretBytes))
+	return err
+}
+
+func randomHex(n int) string {
+	b := make([]byte, n)
+	rand.Read(b) // never fails
+	return hex.EncodeToString(b)
+}
--- a/internal/cli/log.go
+++ b/internal/cli/log.go
@@ -5,17 +5,23 @@
 	"log/slog"
 )
 
-// logTo sends log lines to w as key=value text: time, level, event, and the event's own words.
+// timeFormat is UTC in RFC 3339 with microseconds.
+const timeFormat = "2006-01-02T15:04:05.000000Z"
+
+// logTo makes the default logger write lines of key=value pairs to w: time, level, event, and the event's own keys.
 func logTo(w io.Writer) {
-	slog.SetDefault(slog.New(slog.NewTextHandler(w, &slog.HandlerOptions{
-		ReplaceAttr: func(groups []string, a slog.Attr) slog.Attr {
-			switch {
-			case len(groups) > 0:
-			case a.Key == slog.MessageKey:
-				a.Key = "event"
-			case a.Key == slog.TimeKey:
-				a.Value = slog.StringValue(a.Value.Time().UTC().Format("2006-01-02T15:04:05.000000Z"))
-			}
-			return a
-		}})))
+	slog.SetDefault(slog.New(slog.NewTextHandler(w, &slog.HandlerOptions{ReplaceAttr: renameAttr})))
+}
+
+func renameAttr(groups []string, a slog.Attr) slog.Attr {
+	if len(groups) > 0 {
+		return a
+	}
+	switch a.Key {
+	case slog.MessageKey:
+		a.Key = "event"
+	case slog.TimeKey:
+		a.Value = slog.StringValue(a.Value.Time().UTC().Format(timeFormat))
+	}
+	return a
 }
--- a/internal/cli/store.go
+++ b/internal/cli/store.go
@@ -19,84 +19,51 @@
 )
 
 func newStoreCommand(stdout io.Writer) *cobra.Command {
-	c := &cobra.Command{Use: "store", Short: "Look at and mend the store that a gatherer keeps across restarts",
+	c := &cobra.Command{
+		Use:   "store",
+		Short: "Look at and repair the store that a gatherer keeps across restarts",
 		Long: "store works on the directory that [store] path names, while no gatherer uses it. check, dump and stats change nothing.\n" +
-			"They end with 1 where the store is damaged, cannot be read or is in use."}
-	one := func(use, short, long string, do func(dir string) error) *cobra.Command {
-		return &cobra.Command{Use: use + " DIR", Short: short, Long: long, Args: command.ExactArgs(1, "DIR"),
-			RunE: func(_ *cobra.Command, args []string) error {
-				if err := do(args[0]); err != nil {
-					return fmt.Errorf("store %s: %w", args[0], err)
-				}
-				return nil
-			}}
-	}
-	c.AddCommand(one("check", "Say whether a store is whole", "", func(dir string) error {
-		report, err := checkStore(dir)
-		printReport(stdout, report)
-		if err != nil {
-			return err
-		}
-		return reportError(stdout, report)
-	}))
-	c.AddCommand(one("stats", "Print a store's figures", "", func(dir string) error { return storeStats(dir, stdout) }))
-	c.AddCommand(one("dump", "Print what a store holds, a line each", "", func(dir string) error { return storeDump(dir, stdout) }))
-	c.AddCommand(one("compact", "Write a store anew with nothing in it but what lives", "", func(dir string) error {
-		s, report, err := openStore(dir, false)
-		printReport(stdout, report)
-		if err != nil {
-			return err
-		}
-		before := s.Stats()
-		err = s.Compact()
-		after := s.Stats()
-		if err = errors.Join(err, s.Close()); err != nil {
-			return err
-		}
-		fmt.Fprintf(stdout, "compacted: %d live keys, %d bytes a lane, were %d\n", after.Keys, after.MirrorBytes, max(before.MirrorBytes, after.MirrorBytes))
-		return nil
-	}))
-	var accept bool
-	repair := one("repair", "Mend a damaged store", "repair writes both lanes anew, whole, from what either holds. Where records are in neither it changes nothing,\n"+
-		"unless --accept-loss says that the store is to go on without them.", func(dir string) error {
-		s, report, err := openStore(dir, accept)
-		printReport(stdout, report)
-		if err != nil {
-			return err
-		}
-		if err := s.Close(); err != nil {
-			return err
-		}
-		switch {
-		case len(report.Lost) > 0:
-			fmt.Fprintln(stdout, "mended without what is lost: searches that it held may be sent again")
-		case report.Repaired:
-			fmt.Fprintln(stdout, "mended: nothing is lost")
-		default:
-			fmt.Fprintln(stdout, "the store is whole")
+			"They exit with 1 where the store is damaged, cannot be read or is in use.",
+	}
+	check := newDirCommand("check", "Report whether a store is intact", func(dir string) error { return checkStore(dir, stdout) })
+	stats := newDirCommand("stats", "Print the sizes of a store", func(dir string) error { return printStoreStats(dir, stdout) })
+	dump := newDirCommand("dump", "Print the contents of a store, a line each", func(dir string) error { return dumpStore(dir, stdout) })
+	compact := newDirCommand("compact", "Rewrite a store with its live keys alone", func(dir string) error { return compactStore(dir, stdout) })
+	var acceptLoss bool
+	repair := newDirCommand("repair", "Repair a damaged store", func(dir string) error { return repairStore(dir, acceptLoss, stdout) })
+	repair.Long = "repair rewrites both mirrors from what either holds. Where records are in neither it changes nothing,\n" +
+		"unless --accept-loss says that the store is to go on without them."
+	repair.Flags().BoolVar(&acceptLoss, "accept-loss", false, "go on without records that neither mirror holds")
+	c.AddCommand(check, stats, dump, compact, repair)
+	return c
+}
+
+// newDirCommand returns a command that does something with the store in a directory.
+func newDirCommand(name, short string, do func(dir string) error) *cobra.Command {
+	return &cobra.Command{Use: name + " DIR", Short: short, Args: command.ExactArgs(1, "DIR"), RunE: func(_ *cobra.Command, args []string) error {
+		if err := do(args[0]); err != nil {
+			return fmt.Errorf("store %s: %w", args[0], err)
 		}
 		return nil
-	})
-	repair.Flags().BoolVar(&accept, "accept-loss", false, "go on without records that neither lane holds")
-	c.AddCommand(repair)
-	return c
+	}}
 }
 
-// checkStore reads a store without changing it. A lock is taken meanwhile, so that nobody writes.
-func checkStore(dir string) (store.Report, error) {
+// withLockedStore calls read with the files of a store, locked against writers.
+func withLockedStore(dir string, read func(store.Files) error) error {
 	disk, err := store.OpenDiskReadOnly(dir)
 	if err != nil {
-		return store.Report{}, err
+		return err
 	}
 	unlock, err := disk.Lock()
 	if err != nil {
-		return store.Report{}, err
+		return err
 	}
 	defer unlock()
-	return store.Check(disk)
+	return read(disk)
 }
 
-func openStore(dir string, accept bool) (*store.Store, store.Report, error) {
+// openStore opens an existing store for changes. The report is set even where opening fails.
+func openStore(dir string, acceptLoss bool) (*store.Store, store.Report, error) {
 	if _, err := store.OpenDiskReadOnly(dir); err != nil {
 		return nil, store.Report{}, err
 	}
@@ -104,93 +71,142 @@
 	if err != nil {
 		return nil, store.Report{}, err
 	}
-	return store.Open(disk, store.Options{AcceptLoss: accept})
+	return store.Open(disk, store.Options{AcceptLoss: acceptLoss})
+}
+
+func checkStore(dir string, out io.Writer) error {
+	var report store.Report
+	err := withLockedStore(dir, func(files store.Files) (err error) {
+		report, err = store.Check(files)
+		return err
+	})
+	printReport(out, report)
+	if err != nil {
+		return err
+	}
+	return printVerdict(out, report)
 }
 
 func printReport(out io.Writer, r store.Report) {
-	for _, d := range r.Damage {
-		fmt.Fprintln(out, "damaged:", d)
+	for _, damage := range r.Damage {
+		fmt.Fprintln(out, "damaged:", damage)
 	}
-	for _, l := range r.Lost {
-		fmt.Fprintln(out, "lost:", l)
+	for _, lost := range r.Lost {
+		fmt.Fprintln(out, "lost:", lost)
 	}
 }
 
-// reportError says in one sentence how a store is; one that is not whole is an error.
-func reportError(out io.Writer, r store.Report) error {
+// printVerdict prints that a store is intact, or returns an error that says what it is.
+func printVerdict(out io.Writer, r store.Report) error {
 	switch {
 	case len(r.Lost) > 0:
 		return &store.LossError{Lost: r.Lost}
 	case len(r.Damage) > 0:
-		return errors.New("damaged in one lane: nothing is lost; a gatherer's start or 'oxbowspan store repair' mends it")
+		return errors.New("damaged in one mirror: nothing is lost; a gatherer's start or 'oxbowspan store repair' repairs it")
 	}
-	fmt.Fprintf(out, "whole: %d records, %d live keys\n", r.LastRecord, r.Keys)
+	fmt.Fprintf(out, "intact: %d records, %d live keys\n", r.LastRecord, r.Keys)
 	return nil
 }
 
-func storeStats(dir string, out io.Writer) error {
+func compactStore(dir string, out io.Writer) error {
+	s, report, err := openStore(dir, false)
+	printReport(out, report)
+	if err != nil {
+		return err
+	}
+	before := s.Stats()
+	err = s.Compact()
+	after := s.Stats()
+	if err = errors.Join(err, s.Close()); err != nil {
+		return err
+	}
+	fmt.Fprintf(out, "compacted: %d live keys, %d bytes a mirror, were %d\n", after.Keys, after.MirrorBytes, max(before.MirrorBytes, after.MirrorBytes))
+	return nil
+}
+
+// repairStore repairs a store by opening it.
+func repairStore(dir string, acceptLoss bool, out io.Writer) error {
+	s, report, err := openStore(dir, acceptLoss)
+	printReport(out, report)
+	if err != nil {
+		return err
+	}
+	if err := s.Close(); err != nil {
+		return err
+	}
+	switch {
+	case len(report.Lost) > 0:
+		fmt.Fprintln(out, "repaired without the lost records: requests among them may be dispatched again")
+	case report.Repaired:
+		fmt.Fprintln(out, "repaired: nothing is lost")
+	default:
+		fmt.Fprintln(out, "the store is intact")
+	}
+	return nil
+}
+
+// storeContents are the values of a store by table and key.
+type storeContents map[store.Table]map[string][]byte
+
+func readContents(dir string) (contents storeContents, report store.Report, err error) {
+	err = withLockedStore(dir, func(files store.Files) (err error) {
+		contents, report, err = store.Contents(files)
+		return err
+	})
+	return contents, report, err
+}
+
+func printStoreStats(dir string, out io.Writer) error {
 	contents, report, err := readContents(dir)
 	if err != nil {
 		return err
 	}
 	fmt.Fprintf(out, "records %d\n", report.LastRecord)
-	for _, t := range slices.Sorted(maps.Keys(contents)) {
+	for _, table := range slices.Sorted(maps.Keys(contents)) {
 		bytes := 0
-		for k, v := range contents[t] {
-			bytes += len(k) + len(v)
+		for key, value := range contents[table] {
+			bytes += len(key) + len(value)
 		}
-		fmt.Fprintf(out, "%s %d keys, %d bytes\n", tableName(t), len(contents[t]), bytes)
+		fmt.Fprintf(out, "%s %d keys, %d bytes\n", tableName(table), len(contents[table]), bytes)
 	}
-	return reportError(out, report)
+	return printVerdict(out, report)
 }
 
-func storeDump(dir string, out io.Writer) error {
+func dumpStore(dir string, out io.Writer) error {
 	contents, report, err := readContents(dir)
 	if err != nil {
 		return err
 	}
-	for _, t := range slices.Sorted(maps.Keys(contents)) {
-		for _, k := range slices.Sorted(maps.Keys(contents[t])) {
-			fmt.Fprintf(out, "%s %s: %s\n", tableName(t), strconv.Quote(k), describeValue(t, contents[t][k]))
+	for _, table := range slices.Sorted(maps.Keys(contents)) {
+		for _, key := range slices.Sorted(maps.Keys(contents[table])) {
+			fmt.Fprintf(out, "%s %s: %s\n", tableName(table), strconv.Quote(key), describeValue(table, contents[table][key]))
 		}
 	}
 	printReport(out, report)
 	return nil
 }
 
-func readContents(dir string) (map[store.Table]map[string][]byte, store.Report, error) {
-	disk, err := store.OpenDiskReadOnly(dir)
-	if err != nil {
-		return nil, store.Report{}, err
-	}
-	unlock, err := disk.Lock()
-	if err != nil {
-		return nil, store.Report{}, err
-	}
-	defer unlock()
-	return store.Contents(disk)
-}
-
 func tableName(t store.Table) string {
 	switch t {
 	case gatherer.TableRequests:
-		return "search"
+		return "request"
 	case gatherer.TableServerList:
 		return "server"
 	case gatherer.TableServerRecords:
-		return "learned"
+		return "server-record"
 	}
 	return fmt.Sprintf("table-%d", t)
 }
 
-func describeValue(t store.Table, v []byte) string {
+// describeValue returns a value as text where it is one or can be described, else in hex.
+func describeValue(t store.Table, value []byte) string {
 	if t == gatherer.TableRequests {
-		if text, err := idempotency.Describe(v); err == nil {
+		if text, err := idempotency.Describe(value); err == nil {
 			return text
 		}
 	}
-	if utf8.Valid(v) {
-		return string(v)
+	if utf8.Valid(value) {
+		return string(value)
 	}
-	return hex.EncodeToString(v)
+	return hex.EncodeToString(value)
 }
--- a/internal/operatorconfig/file.go
+++ b/internal/operatorconfig/file.go
@@ -31,7 +31,7 @@
 // Store is the section [store], on the store that survives restarts.
 type Store struct {
 	Path           string        // directory
-	MaxLaneBytes   int64         // bytes of the files of one lane
+	MaxMirrorBytes int64         // bytes of the files of one mirror
 	CommitDelay    time.Duration // how long a commit waits for others to share its write
 	SlowAfter      time.Duration // a write that takes longer is given up
 	Retention      time.Duration // how long the outcome of a request is kept beyond its client's timeout
@@ -48,7 +48,7 @@
 		return nil
 	}
 	store := &Store{
-		MaxLaneBytes:   s.count("size", 256<<20, 1<<20, 1<<50),
+		MaxMirrorBytes: s.count("size", 256<<20, 1<<20, 1<<50),
 		CommitDelay:    s.duration("linger", 0, 0, 100*time.Millisecond),
 		SlowAfter:      s.duration("slow", 250*time.Millisecond, time.Millisecond, time.Minute),
 		Retention:      s.duration("keep", day, time.Second, 30*day),
--- a/internal/raftnode/storage.go
+++ b/internal/raftnode/storage.go
@@ -19,7 +19,7 @@
 	keySnapshot  = "snapshot"
 )
 
-// logStorage is a raftlog.Storage in a store: each batch is one commit, which is stored atomically in both lanes.
+// logStorage is a raftlog.Storage in a store: each batch is one commit, which is stored atomically in both mirrors.
 type logStorage struct {
 	store *store.Store
 	first uint64 // index of the first stored entry; 0 = none is stored
