--- /dev/null
+++ b/internal/cli/testfleet_test.go
@@ -0,0 +1,422 @@
+package cli
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"net"
+	"net/http"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+
+	"oxbowspan/internal/testing/standin"
+)
+
+const (
+	fleetSize   = 7
+	numVoters   = 3                     // the first ones are voters
+	pollDelay   = 20 * time.Millisecond // between two looks at a condition
+	probeDelay  = 5 * time.Millisecond  // between two rounds of readiness probes
+	requestRate = 3 * time.Millisecond  // between two requests
+)
+
+// testFleet is a fleet of built gatherers as processes of their own, with a stand-in of discovery and of a shard server. It observes the
+// gatherers from outside, like a load balancer: which are ready, and how each request ends.
+type testFleet struct {
+	t            *testing.T
+	program      string
+	dir          string
+	discovery    *standin.DiscoveryService
+	fleetSection string
+	gatherers    []*process
+	stopped      chan struct{}
+	tasks        sync.WaitGroup
+
+	sent       atomic.Int64
+	succeeded  atomic.Int64 // with status 200
+	unanswered atomic.Int64 // accepted by a gatherer, without a final answer
+
+	mu     sync.Mutex // guards maxOut and the processes' states
+	maxOut int        // largest number of gatherers that were not ready at the same time, without killed ones
+}
+
+// process is a gatherer that is started again whenever it ends, as a platform would.
+type process struct {
+	name string
+	addr string
+	args []string
+
+	running *standin.Program // nil = it is being started
+	killed  bool             // by SIGKILL or SIGSTOP
+	ready   bool             // at the last probe
+	starts  int
+	drains  []string // its log lines fleet_drain
+}
+
+const fleetSettings = `{"classes":[{"name":"lookup","effect":"free","slo":1000,"hardLimit":3000,"lateWorth":0.3}],"membershipMode":"pushed","instances":7,"tick":5,
+"domain":{"positions":1,"reach":1,"slices":4,"perCall":4,"leastShare":[1.0],"wholeAt":[1.0],"shortWorth":[0.9]},
+"limits":{"attemptsCap":3,"cancel":true,"secondCopies":true,"dialTimeout":250,"idleClose":30000,"maxStreams":32,"peers":%v},
+"guarantees":{"askWithin":10000,"stopSendingWithin":500}}`
+
+var lastPort atomic.Int64
+
+// freeAddr returns an address below the range of ephemeral ports: a gatherer that starts again must get it back.
+func freeAddr(t *testing.T) string {
+	t.Helper()
+	lastPort.CompareAndSwap(0, 21000+int64(os.Getpid()%400)*25)
+	for range 1000 {
+		addr := fmt.Sprintf("127.0.0.1:%d", lastPort.Add(1))
+		if l, err := net.Listen("tcp", addr); err == nil {
+			l.Close()
+			return addr
+		}
+	}
+	t.Fatal("no port is free")
+	return ""
+}
+
+func writeFile(t *testing.T, path, text string) string {
+	t.Helper()
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return path
+}
+
+// writeConfig writes a gatherer's configuration and returns its path.
+func (f *testFleet) writeConfig(name, listen string, peers bool) string {
+	f.t.Helper()
+	b, err := json.Marshal(map[string]any{"name": name, "listen": listen, "discovery": f.discovery.Addr(), "seed": "7",
+		"limits": map[string]any{"cores": 1, "memory_mb": 64, "sockets": 256}, "settings": json.RawMessage(fmt.Sprintf(fleetSettings, peers))})
+	if err != nil {
+		f.t.Fatal(err)
+	}
+	return writeFile(f.t, filepath.Join(f.dir, name+".json"), string(b))
+}
+
+func (f *testFleet) build() {
+	f.t.Helper()
+	f.program = filepath.Join(f.dir, "oxbowspan")
+	build := exec.Command("go", "build", "-o", f.program, "oxbowspan/cmd/oxbowspan")
+	build.Env = append(os.Environ(), "CGO_ENABLED=0")
+	if out, err := build.CombinedOutput(); err != nil {
+		f.t.Fatalf("build: %v\n%s", err, out)
+	}
+}
+
+// startStandIns starts a shard server and discovery.
+func (f *testFleet) startStandIns() {
+	f.t.Helper()
+	shard, err := standin.StartShardServer("s-1", nil, func(what string) { f.t.Error(what) })
+	if err != nil {
+		f.t.Fatal(err)
+	}
+	f.t.Cleanup(shard.Stop)
+	if f.discovery, err = standin.StartDiscoveryService(shard); err != nil {
+		f.t.Fatal(err)
+	}
+	f.t.Cleanup(f.discovery.Stop)
+	writeFile(f.t, filepath.Join(f.dir, "keys"), "k1 "+strings.Repeat("0f", 32)+"\n")
+}
+
+// newTestFleet starts a fleet with lines for the section [fleet].
+func newTestFleet(t *testing.T, lines string) *testFleet {
+	t.Helper()
+	f := &testFleet{t: t, dir: t.TempDir(), stopped: make(chan struct{})}
+	f.build()
+	f.startStandIns()
+	var voters []string
+	for i := range numVoters {
+		voters = append(voters, fmt.Sprintf("n%d=%s", i, freeAddr(t)))
+	}
+	f.fleetSection = "[fleet]\nkeys = keys\nlease = 3s\nwait = 60s\nstewards = " + strings.Join(voters, " ") + "\n" + lines
+	for i := range fleetSize {
+		name := fmt.Sprintf("n%d", i)
+		text := f.fleetSection
+		if i < numVoters {
+			_, addr, _ := strings.Cut(voters[i], "=")
+			text += "listen = " + addr + "\npath = log-" + name + "\n"
+		}
+		operator := writeFile(t, filepath.Join(f.dir, name+".ini"), text)
+		addr := freeAddr(t)
+		f.gatherers = append(f.gatherers, &process{name: name, addr: addr,
+			args: []string{"serve", "--config", f.writeConfig(name, addr, true), "--operator", operator}})
+	}
+	f.startAll()
+	f.tasks.Go(f.probeReadiness)
+	f.tasks.Go(f.sendRequests)
+	t.Cleanup(f.stop)
+	return f
+}
+
+func (f *testFleet) startAll() {
+	f.t.Helper()
+	var started sync.WaitGroup
+	for i, g := range f.gatherers {
+		started.Go(func() {
+			var extra []string
+			if i < numVoters {
+				extra = []string{"--found-fleet"}
+			}
+			f.start(g, extra...)
+		})
+	}
+	started.Wait()
+	if f.t.Failed() {
+		f.t.FailNow()
+	}
+}
+
+// start runs a gatherer, and runs it again whenever it has ended.
+func (f *testFleet) start(g *process, extraArgs ...string) {
+	cmd := exec.Command(f.program, append(g.args, extraArgs...)...)
+	cmd.Env = append(os.Environ(), "OXBOWSPAN_VERSION="+f.installedVersion(g))
+	program, err := standin.StartProgram(cmd, func(line string) {
+		if strings.Contains(line, "event=fleet_drain ") {
+			f.mu.Lock()
+			g.drains = append(g.drains, line)
+			f.mu.Unlock()
+		}
+	})
+	if err != nil {
+		f.t.Errorf("%s does not start: %v", g.name, err)
+		return
+	}
+	writeFile(f.t, filepath.Join(f.dir, g.name+".pid"), fmt.Sprint(program.PID()))
+	f.mu.Lock()
+	g.running, g.killed = program, false
+	g.starts++
+	f.mu.Unlock()
+	f.tasks.Go(func() {
+		<-program.Exited
+		f.mu.Lock()
+		g.running = nil
+		f.mu.Unlock()
+		select {
+		case <-f.stopped:
+		default:
+			f.start(g)
+		}
+	})
+}
+
+func (f *testFleet) stop() {
+	close(f.stopped)
+	f.mu.Lock()
+	for _, g := range f.gatherers {
+		if g.running != nil {
+			g.running.Signal(syscall.SIGCONT)
+			g.running.Kill()
+		}
+	}
+	f.mu.Unlock()
+	f.tasks.Wait()
+}
+
+// installedVersion returns the version that the hook last installed for a gatherer.
+func (f *testFleet) installedVersion(g *process) string {
+	b, err := os.ReadFile(filepath.Join(f.dir, g.name+".version"))
+	if err != nil {
+		return "v1"
+	}
+	return strings.TrimSpace(string(b))
+}
+
+// writeHook writes the hook that carries out a release: once for each epoch it runs the shell command install, with the gatherer's name
+// as $1 and the version as $2, and shuts the gatherer down.
+func (f *testFleet) writeHook(install string) {
+	f.t.Helper()
+	script := "#!/bin/sh\ncd " + f.dir + "\n[ -e $1.$3 ] && exit 0\ntouch $1.$3\n" + install + "\nkill -TERM $(cat $1.pid)\n"
+	path := writeFile(f.t, filepath.Join(f.dir, "hook.sh"), script)
+	if err := os.Chmod(path, 0o700); err != nil {
+		f.t.Fatal(err)
+	}
+}
+
+// probeReadiness probes all gatherers repeatedly and records how many are not ready at the same time.
+func (f *testFleet) probeReadiness() {
+	client := &http.Client{Timeout: time.Second}
+	for {
+		select {
+		case <-f.stopped:
+			return
+		case <-time.After(probeDelay):
+		}
+		out := 0
+		for _, g := range f.gatherers {
+			if !f.probe(client, g) {
+				out++
+			}
+		}
+		f.mu.Lock()
+		f.maxOut = max(f.maxOut, out)
+		f.mu.Unlock()
+	}
+}
+
+// probe reports whether a gatherer is ready. A killed one does not count as out.
+func (f *testFleet) probe(client *http.Client, g *process) bool {
+	f.mu.Lock()
+	running, killed := g.running != nil, g.killed
+	f.mu.Unlock()
+	if killed || !running {
+		return killed
+	}
+	res, err := client.Get("http://" + g.addr + "/-/ready")
+	if err == nil {
+		res.Body.Close()
+	}
+	ready := err == nil && res.StatusCode == http.StatusOK
+	f.mu.Lock()
+	g.ready = ready
+	f.mu.Unlock()
+	return ready
+}
+
+// sendRequests sends requests to the ready gatherers in turn. A request that was accepted needs a final answer.
+func (f *testFleet) sendRequests() {
+	client := &http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+	for i := 0; ; i++ {
+		select {
+		case <-f.stopped:
+			return
+		case <-time.After(requestRate):
+		}
+		g := f.gatherers[i%len(f.gatherers)]
+		f.mu.Lock()
+		away := g.killed || !g.ready || g.running == nil
+		f.mu.Unlock()
+		if !away {
+			f.sendRequest(client, g, i+1)
+		}
+	}
+}
+
+func (f *testFleet) sendRequest(client *http.Client, g *process, id int) {
+	request := standin.Request{ID: fmt.Sprintf("%016x", id), QueryType: "lookup", Timeout: 2 * time.Second, Shards: []int{0, 1}, Statement: "t"}
+	res, err := request.Send(context.Background(), client, g.addr)
+	f.sent.Add(1)
+	if err == nil {
+		if res.Status == http.StatusOK {
+			f.succeeded.Add(1)
+		}
+		return
+	}
+	f.mu.Lock()
+	killed := g.killed
+	f.mu.Unlock()
+	notAccepted := strings.Contains(err.Error(), "refused") || strings.Contains(err.Error(), "reset by peer")
+	if !killed && !notAccepted {
+		f.unanswered.Add(1)
+		f.t.Logf("request %d to %s: %v", id, g.name, err)
+	}
+}
+
+// signal sends a signal to a gatherer.
+func (f *testFleet) signal(g *process, sig syscall.Signal) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if g.running != nil {
+		g.killed = sig != syscall.SIGCONT && (g.killed || sig == syscall.SIGKILL || sig == syscall.SIGSTOP)
+		g.running.Signal(sig)
+	}
+}
+
+// starts returns how often a gatherer was started.
+func (f *testFleet) starts(g *process) int {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return g.starts
+}
+
+// drains returns a gatherer's log lines on its drains.
+func (f *testFleet) drains(g *process) []string {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return append([]string(nil), g.drains...)
+}
+
+// command runs an operator's command to the fleet.
+func (f *testFleet) command(args ...string) (string, error) {
+	operator := filepath.Join(f.dir, "n6.ini")
+	out, err := exec.Command(f.program, append([]string{"fleet", "--operator", operator}, args...)...).CombinedOutput()
+	return string(out), err
+}
+
+func (f *testFleet) mustCommand(args ...string) string {
+	f.t.Helper()
+	out, err := f.command(args...)
+	if err != nil {
+		f.t.Fatalf("%s: %s %v", strings.Join(args, " "), out, err)
+	}
+	return out
+}
+
+// status returns the output of the status command, and its errors.
+func (f *testFleet) status() string {
+	out, _ := f.command("status")
+	return out
+}
+
+// await waits until a condition holds.
+func (f *testFleet) await(what string, timeout time.Duration, holds func() bool) {
+	f.t.Helper()
+	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(pollDelay) {
+		if holds() {
+			return
+		}
+	}
+	out, err := f.command("status")
+	full, _ := f.command("status", "--json")
+	f.t.Fatalf("not within %s: %s\n%s%v\n%s", timeout, what, out, err, full)
+}
+
+// awaitMembers waits until n members are in.
+func (f *testFleet) awaitMembers(n int) {
+	f.t.Helper()
+	f.await(fmt.Sprintf("%d members are in", n), 30*time.Second, func() bool { return strings.Count(f.status(), ": in\n") == n })
+}
+
+// awaitLeader waits until the status names a leader; between two terms there is none.
+func (f *testFleet) awaitLeader() (leader *process) {
+	f.t.Helper()
+	f.await("there is a leader", 30*time.Second, func() bool {
+		_, name, found := strings.Cut(f.status(), "leader ")
+		name, _, _ = strings.Cut(name, ",")
+		for _, g := range f.gatherers {
+			if found && g.name == name {
+				leader = g
+			}
+		}
+		return leader != nil
+	})
+	return leader
+}
+
+// checkGuarantees checks that at most maxOut gatherers were out at the same time, that all drains had a permit, and that all accepted
+// requests had a final answer.
+func (f *testFleet) checkGuarantees(maxOut int) {
+	f.t.Helper()
+	f.mu.Lock()
+	if f.maxOut > maxOut {
+		f.t.Errorf("%d gatherers were out at the same time, at most %d may be", f.maxOut, maxOut)
+	}
+	f.mu.Unlock()
+	if n := f.unanswered.Load(); n > 0 || f.sent.Load() < 100 {
+		f.t.Errorf("%d of %d requests had no final answer", n, f.sent.Load())
+	}
+	for _, g := range f.gatherers {
+		for _, line := range f.drains(g) {
+			if !strings.Contains(line, "permitted=true") {
+				f.t.Errorf("%s: %s", g.name, line)
+			}
+		}
+	}
+}
