--- a/gatherer/degradation_test.go
+++ b/gatherer/degradation_test.go
@@ -192,18 +192,28 @@
 		}
 	}
 	e.expect("c1", "post", 200)
+	// The same program is pinned, loses the server again, reloads its levels and ends, all with a watcher connected.
+	e.checkPin()
+	e.removeServer(3)
+	awaitLevel(t, e.admin, "trimmed")
+	e.checkReloadAndDrain()
 }
 
 func TestLevelPin(t *testing.T) {
-	e := startDegradationEnv(t, levelsConfig, 1, nil)
+	startDegradationEnv(t, levelsConfig, 1, nil).checkPin()
+}
+
+// checkPin pins a program at full service to a level, and unpins it.
+func (e *degradationEnv) checkPin() {
+	e.t.Helper()
 	if _, err := e.admin.Do(admin.Request{Verb: admin.Pin, Level: "nowhere", Seconds: 1}); err == nil {
-		t.Error("pinned to an unknown level")
+		e.t.Error("pinned to an unknown level")
 	}
 	e.do(admin.Request{Verb: admin.Pin, Level: "closed", Seconds: 3600})
-	awaitLevel(t, e.admin, "closed")
+	awaitLevel(e.t, e.admin, "closed")
 	e.expect("d1", "lookup", 503)
 	e.do(admin.Request{Verb: admin.Unpin})
-	awaitLevel(t, e.admin, "full")
+	awaitLevel(e.t, e.admin, "full")
 	e.expect("d2", "lookup", 200)
 }
 
@@ -212,19 +222,25 @@
 	e := startDegradationEnv(t, levelsConfig, 1, nil)
 	e.removeServer(3)
 	awaitLevel(t, e.admin, "trimmed")
+	e.checkReloadAndDrain()
+}
+
+// checkReloadAndDrain reloads the levels of a program at level trimmed, and ends the program.
+func (e *degradationEnv) checkReloadAndDrain() {
+	e.t.Helper()
 	changed := strings.Replace(levelsConfig, "share = post 0", "share = post 1", 1)
 	if err := os.WriteFile(e.file, []byte(changed), 0o600); err != nil {
-		t.Fatal(err)
+		e.t.Fatal(err)
 	}
 	e.program.cmd.Process.Signal(syscall.SIGHUP)
 	e.program.line("event=reload ", "needs_restart=none")
 	e.expect("e1", "post", 200)
-	awaitLevel(t, e.admin, "trimmed")
+	awaitLevel(e.t, e.admin, "trimmed")
 	if err := e.program.run.Drain(testTimeout); err != nil {
-		t.Error(err)
+		e.t.Error(err)
 	}
 	if _, err := os.Stat(e.socket); err == nil {
-		t.Error("the socket still exists")
+		e.t.Error("the socket still exists")
 	}
 }
 
