--- a/internal/dashboard/model_test.go
+++ b/internal/dashboard/model_test.go
@@ -47,7 +47,7 @@
 		state.Servers = append(state.Servers, admin.Server{
 			Host:          fmt.Sprintf("s-%02d", i),
 			Zone:          string(rune('a' + i/20)),
-			State:         []string{stateReady, stateOut}[i%2],
+			State:         []string{"ready", "out"}[i%2], // as the gatherer sends them
 			LatencyMillis: float64(i),
 		})
 	}
