--- a/internal/cli/level_test.go
+++ b/internal/cli/level_test.go
@@ -11,81 +11,99 @@
 	"oxbowspan/internal/admin"
 )
 
-func TestLevelCommands(t *testing.T) {
-	t.Setenv("OXBOWSPAN_SOCKET", "")
+// testSocketDir returns a directory with a path short enough for a socket.
+func testSocketDir(t *testing.T) string {
+	t.Helper()
 	dir, err := os.MkdirTemp("", "cli")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { os.RemoveAll(dir) })
-	socket := filepath.Join(dir, "s")
-	listening, err := admin.Listen(socket, func(q admin.Request) bool {
-		a := admin.Response{Lines: []string{string(q.Verb) + " " + q.Level}}
-		if q.Verb == admin.Show {
-			a.State = &admin.State{Level: "trimmed", Signals: []admin.Signal{{Name: "lost", Value: 0.25, Known: true}, {Name: "cold"}},
-				Types: []admin.QueryType{{Name: "report", Share: 0.5, Customers: []admin.Customer{{Name: "acme", Served: 3, Shed: 2}}}}}
+	return dir
+}
+
+// listenAsGatherer listens like a gatherer that is at the level trimmed, and accepts pins of 120 s alone.
+func listenAsGatherer(t *testing.T, path string) *admin.Socket {
+	t.Helper()
+	s, err := admin.Listen(path, func(request admin.Request) bool {
+		response := admin.Response{Lines: []string{string(request.Verb) + " " + request.Level}}
+		if request.Verb == admin.Show {
+			response.State = &admin.State{Level: "trimmed",
+				Signals: []admin.Signal{{Name: "lost", Value: 0.25, Known: true}, {Name: "cold"}},
+				Types:   []admin.QueryType{{Name: "report", Share: 0.5, Customers: []admin.Customer{{Name: "acme", Served: 3, Shed: 2}}}}}
 		}
-		if q.Verb == admin.Pin && q.Seconds != 120 {
-			a.Error = "for how long?"
+		if request.Verb == admin.Pin && request.Seconds != 120 {
+			response.Error = "for how long?"
 		}
-		if q.Reply != nil {
-			q.Reply <- a
+		if request.Reply != nil {
+			request.Reply <- response
 		}
 		return true
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := admin.Listen(socket, nil); err == nil || !strings.Contains(err.Error(), "another process") {
-		t.Errorf("a second one listens: %v", err)
-	}
-	want := func(code int, words string, args ...string) {
-		t.Helper()
-		if got, out := run(args...); got != code || !strings.Contains(out, words) {
-			t.Errorf("%v: exit code %d, want %d and %q in\n%s", args, got, code, words, out)
-		}
+	return s
+}
+
+func TestLevelCommands(t *testing.T) {
+	t.Setenv("OXBOWSPAN_SOCKET", "")
+	socket := filepath.Join(testSocketDir(t), "s")
+	listening := listenAsGatherer(t, socket)
+	for _, c := range []struct {
+		args string
+		code int
+		want string
+	}{
+		{"level show --socket " + socket, 0, "level=trimmed"},
+		{"level show --socket " + socket, 0, "type report share 0.50 customer acme served 3 shed 2"},
+		{"level explain --socket " + socket, 0, "explain"},
+		{"level pin closed --for 2m --socket " + socket, 0, "pin closed"},
+		{"level pin closed --socket " + socket, exitFailure, "for how long?"},
+		{"level unpin --socket " + socket, 0, "unpin"},
+		{"level show", exitFailure, "no socket"},
+		{"watch --plain", exitFailure, "no socket"},
+	} {
+		expectRun(t, c.code, c.want, strings.Fields(c.args)...)
 	}
-	want(0, "level=trimmed", "level", "show", "--socket", socket)
-	want(0, "type report share 0.50 customer acme served 3 shed 2", "level", "show", "--socket", socket)
-	want(0, "explain", "level", "explain", "--socket", socket)
-	want(0, "pin closed", "level", "pin", "closed", "--for", "2m", "--socket", socket)
-	want(exitFailure, "for how long?", "level", "pin", "closed", "--socket", socket)
-	want(0, "unpin", "level", "unpin", "--socket", socket)
-	want(exitFailure, "no socket", "level", "show")
-	want(exitFailure, "no socket", "watch", "--plain")
 	listening.Close()
-	want(exitFailure, "no such file", "level", "show", "--socket", socket)
-	// What a killed process left is taken over; what is no socket is not.
-	if err := os.WriteFile(filepath.Join(dir, "file"), nil, 0o600); err != nil {
-		t.Fatal(err)
-	}
-	if _, err := admin.Listen(filepath.Join(dir, "file"), nil); err == nil {
-		t.Error("a file was taken for a socket")
-	}
+	expectRun(t, exitFailure, "no such file", "level", "show", "--socket", socket)
 }
 
-func TestLevelReplay(t *testing.T) {
-	dir := t.TempDir()
-	operator, record := filepath.Join(dir, "o.ini"), filepath.Join(dir, "r.txt")
-	os.WriteFile(operator, []byte("[levels]\nsmooth = 0s\n[level trimmed]\nenter = lost 0.2\nexit = lost 0.1\nshare = report 0\n"), 0o600)
+// recording returns a recording with a line every half second: a quarter of the capacity is lost from 10 s to 20 s.
+func recording() string {
 	var b strings.Builder
 	began := time.Date(2026, 1, 5, 9, 0, 0, 0, time.UTC)
-	for i := range 100 { // a line every half second: a quarter lost from 10 s to 20 s
+	for i := range 100 {
 		lost := 0.0
 		if i >= 20 && i < 40 {
 			lost = 0.25
 		}
-		fmt.Fprintf(&b, `{"at":%q,"signals":{"lost":%g}}`+"\n", began.Add(time.Duration(i)*500*time.Millisecond).Format(time.RFC3339Nano), lost)
-	}
-	os.WriteFile(record, []byte(b.String()), 0o600)
-	code, out := run("level", "replay", record, "--operator", operator)
-	if code != 0 || !strings.Contains(out, "full > trimmed: lost 0.25 >= 0.2") || !strings.Contains(out, "trimmed > full") || !strings.Contains(out, "2 changes in 50 s") || !strings.Contains(out, "▁") {
-		t.Errorf("exit code %d:\n%s", code, out)
+		at := began.Add(time.Duration(i) * 500 * time.Millisecond).Format(time.RFC3339Nano)
+		fmt.Fprintf(&b, `{"at":%q,"signals":{"lost":%g}}`+"\n", at, lost)
 	}
-	for text, want := range map[string]string{"nonsense\n": "line 1 is not of a record", `{"signals":{"weather":1}}` + "\n": "is no signal", "": "is empty"} {
-		os.WriteFile(record, []byte(text), 0o600)
-		if code, out := run("level", "replay", record, "--operator", operator); code != exitFailure || !strings.Contains(out, want) {
-			t.Errorf("%q: %d, %s", text, code, out)
-		}
+	return b.String()
+}
+
+func TestLevelReplay(t *testing.T) {
+	dir := t.TempDir()
+	operator := writeFile(t, filepath.Join(dir, "o.ini"),
+		"[levels]\nsmooth = 0s\n[level trimmed]\nenter = lost 0.2\nexit = lost 0.1\nshare = report 0\n")
+	for name, c := range map[string]struct {
+		record string
+		code   int
+		want   []string
+	}{
+		"quarter lost":   {recording(), 0, []string{"full > trimmed: lost 0.25 >= 0.2", "trimmed > full", "2 changes in 50 s", "▁"}},
+		"malformed line": {"nonsense\n", exitFailure, []string{"line 1 is not of a record"}},
+		"unknown signal": {`{"signals":{"weather":1}}` + "\n", exitFailure, []string{`"weather" is no signal`}},
+		"empty":          {"", exitFailure, []string{"is empty"}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			record := writeFile(t, filepath.Join(dir, "r.txt"), c.record)
+			for _, want := range c.want {
+				expectRun(t, c.code, want, "level", "replay", record, "--operator", operator)
+			}
+		})
 	}
 }
