--- a/degradation/config.go
+++ b/degradation/config.go
@@ -84,7 +84,8 @@
 	}
 	for _, band := range l.Conditions {
 		if !(band.Exit < band.Enter) {
-			problems = append(problems, fmt.Sprintf("level %s: %s is left at %g, not under the %g at which it is entered", l.Name, band.Signal, band.Exit, band.Enter))
+			problems = append(problems, fmt.Sprintf("level %s: %s is left at %g, not under the %g at which it is entered",
+				l.Name, band.Signal, band.Exit, band.Enter))
 		}
 	}
 	for t, share := range l.Policy.ServedShares {
--- a/degradation/machine_test.go
+++ b/degradation/machine_test.go
@@ -11,13 +11,25 @@
 )
 
 func testConfig() Config {
-	return Config{SmoothingTime: 500, EnterAfter: 1000, ExitAfter: 5000, FlapWindow: 60_000, MaxBackoff: 16, MaxUpgradesPerMinute: 4, StaleAfter: 3000, RampUp: 2000,
-		Levels: []Level{{Name: "full"},
-			{Name: "trimmed", Conditions: []Condition{{LostCapacity, 0.15, 0.1}, {LoadRatio, 0.9, 0.7}, {LateRatio, 0.2, 0.1}, {StoreUnavailable, 0.5, 0.4}}, Policy: Policy{ServedShares: []float64{1, 0.5}, RetryAfter: 1000}},
-			{Name: "essential", Conditions: []Condition{{LostCapacity, 0.3, 0.2}, {LoadRatio, 1.2, 0.8}, {LateRatio, 0.4, 0.2}}, Policy: Policy{ServedShares: []float64{1, 0}, RetryAfter: 2000}},
-			{Name: "closed", Conditions: []Condition{{LostCapacity, 0.9, 0.7}}, Policy: Policy{ServedShares: []float64{0, 0}, RetryAfter: 5000}}}}
+	return Config{
+		SmoothingTime: 500, EnterAfter: 1000, ExitAfter: 5000, FlapWindow: 60_000, MaxBackoff: 16, MaxUpgradesPerMinute: 4,
+		StaleAfter: 3000, RampUp: 2000,
+		Levels: []Level{
+			{Name: "full"},
+			{Name: "trimmed",
+				Conditions: []Condition{{LostCapacity, 0.15, 0.1}, {LoadRatio, 0.9, 0.7}, {LateRatio, 0.2, 0.1}, {StoreUnavailable, 0.5, 0.4}},
+				Policy:     Policy{ServedShares: []float64{1, 0.5}, RetryAfter: 1000}},
+			{Name: "essential",
+				Conditions: []Condition{{LostCapacity, 0.3, 0.2}, {LoadRatio, 1.2, 0.8}, {LateRatio, 0.4, 0.2}},
+				Policy:     Policy{ServedShares: []float64{1, 0}, RetryAfter: 2000}},
+			{Name: "closed",
+				Conditions: []Condition{{LostCapacity, 0.9, 0.7}},
+				Policy:     Policy{ServedShares: []float64{0, 0}, RetryAfter: 5000}},
+		},
+	}
 }
 
+// signalReadings returns readings in which all signals are known and all but one are 0.
 func signalReadings(s Signal, v float64) (r Readings) {
 	for i := range r {
 		r[i] = Reading{0, true}
@@ -57,6 +69,7 @@
 	return n
 }
 
+// ranks returns the rank after each change, a digit each.
 func ranks(all []Change) string {
 	var b strings.Builder
 	for _, c := range all {
@@ -73,7 +86,8 @@
 		}
 		return signalReadings(LostCapacity, 0)
 	})
-	if ranks(got) != "10" || got[0].At < 6000 || got[0].At > 7000 || !strings.Contains(got[0].Reason, "lost 0.") || got[1].At < 25_000 || got[1].At > 27_000 {
+	if ranks(got) != "10" || got[0].At < 6000 || got[0].At > 7000 || got[1].At < 25_000 || got[1].At > 27_000 ||
+		!strings.Contains(got[0].Reason, "lost 0.") {
 		t.Errorf("changes with a quarter lost: %+v", got)
 	}
 	// When nearly all servers fail, several levels are skipped on the way down, none on the way up.
@@ -225,7 +239,8 @@
 		for range rapid.IntRange(1, 60).Draw(t, "stretches") {
 			var r Readings
 			for s := range r {
-				r[s] = Reading{rapid.SampledFrom([]float64{0, 0.05, 0.12, 0.25, 0.35, 0.75, 0.95, 1.3, math.Inf(1)}).Draw(t, "value"), rapid.IntRange(0, 5).Draw(t, "known") > 0}
+				value := rapid.SampledFrom([]float64{0, 0.05, 0.12, 0.25, 0.35, 0.75, 0.95, 1.3, math.Inf(1)}).Draw(t, "value")
+				r[s] = Reading{value, rapid.IntRange(0, 5).Draw(t, "known") > 0}
 			}
 			end := now + Time(rapid.IntRange(1, 200).Draw(t, "tenths"))*100
 			all = append(all, play(m, now, end, func(Time) Readings { return r })...)
--- a/degradation/signal.go
+++ b/degradation/signal.go
@@ -16,7 +16,7 @@
 	ServerListAge                     // seconds since the discovery service last answered
 	WarmingUp                         // share of the ready servers that have just started
 	StoreUnavailable                  // 1 = the store accepts no writes, 0 = it does
-	SegmentLostCapacity               // of one segment: share of its replicas' usual capacity that is missing; known only in the segment's own machine
+	SegmentLostCapacity               // share of a segment's usual capacity that is missing; known only in the segment's own machine
 	NumSignals                        // the number of signals
 )
 
--- a/idempotency/codec_test.go
+++ b/idempotency/codec_test.go
@@ -10,7 +10,8 @@
 
 func TestEntryRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		e := &entry{key: "k", stage: stage(rapid.IntRange(int(stageIntended), int(stageUnknown)).Draw(t, "stage")), digest: Digest(rapid.Uint64().Draw(t, "digest")),
+		e := &entry{key: "k", stage: stage(rapid.IntRange(int(stageIntended), int(stageUnknown)).Draw(t, "stage")),
+			digest:    Digest(rapid.Uint64().Draw(t, "digest")),
 			arrivedAt: Time(rapid.Int64().Draw(t, "at")), expiresAt: Time(rapid.Int64().Draw(t, "until"))}
 		if e.stage == stageAnswered && rapid.Bool().Draw(t, "held") {
 			e.answer = rapid.SliceOf(rapid.Byte()).Draw(t, "answer")
@@ -26,7 +27,8 @@
 		if e.stage == stageIntended {
 			e.stage = stageOpen
 		}
-		if got.stage != e.stage || got.digest != e.digest || got.arrivedAt != e.arrivedAt || got.expiresAt != e.expiresAt || (got.answer == nil) != (e.answer == nil) || !bytes.Equal(got.answer, e.answer) {
+		if got.stage != e.stage || got.digest != e.digest || got.arrivedAt != e.arrivedAt || got.expiresAt != e.expiresAt ||
+			(got.answer == nil) != (e.answer == nil) || !bytes.Equal(got.answer, e.answer) {
 			t.Fatalf("decoded %+v, encoded %+v", got, e)
 		}
 		if _, err := Describe(b); err != nil {
--- a/idempotency/model_test.go
+++ b/idempotency/model_test.go
@@ -251,7 +251,10 @@
 
 // A model that finds no violation of broken rules would prove nothing.
 func TestModelDetectsBrokenOrder(t *testing.T) {
-	for name, r := range map[string]brokenRules{"dispatch before intent": {dispatchBeforeDurable: true}, "shed after dispatch": {shedAfterDispatch: true}} {
+	for name, r := range map[string]brokenRules{
+		"dispatch before intent": {dispatchBeforeDurable: true},
+		"shed after dispatch":    {shedAfterDispatch: true},
+	} {
 		t.Run(name, func(t *testing.T) {
 			_, trace, violation := explore(r, 24, 4, 3)
 			if violation == "" {
--- a/internal/cli/level.go
+++ b/internal/cli/level.go
@@ -103,7 +103,8 @@
 		}
 	}
 	for _, s := range state.Servers {
-		fmt.Fprintf(l.stdout, "server %s zone %s %s out %d latency_ms %.1f failing %.2f\n", s.Host, s.Zone, s.State, s.InFlight, s.LatencyMillis, s.FailureRatio)
+		fmt.Fprintf(l.stdout, "server %s zone %s %s out %d latency_ms %.1f failing %.2f\n",
+			s.Host, s.Zone, s.State, s.InFlight, s.LatencyMillis, s.FailureRatio)
 	}
 	for _, c := range state.Changes {
 		fmt.Fprintf(l.stdout, "%s %s > %s: %s\n", c.At.Format(time.RFC3339), c.From, c.To, c.Reason)
--- a/internal/cli/store.go
+++ b/internal/cli/store.go
@@ -120,7 +120,8 @@
 	if err = errors.Join(err, s.Close()); err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "compacted: %d live keys, %d bytes a mirror, were %d\n", after.Keys, after.MirrorBytes, max(before.MirrorBytes, after.MirrorBytes))
+	fmt.Fprintf(out, "compacted: %d live keys, %d bytes a mirror, were %d\n",
+		after.Keys, after.MirrorBytes, max(before.MirrorBytes, after.MirrorBytes))
 	return nil
 }
 
--- a/internal/operatorconfig/file.go
+++ b/internal/operatorconfig/file.go
@@ -85,7 +85,8 @@
 	RateGrace       time.Duration // how long each may take before its rate is checked
 	KeepAlive       time.Duration // interval of three probes of a silent peer; 0 = the system's default
 	SendBuffer      int           // bytes of the system's send buffer; 0 = the system's default
-	IdleThreshold   int           // idle connections above which one that sent a single request is closed after it; 0 = a twelfth of the clients' descriptors
+	IdleThreshold   int           // idle connections above which one is closed after its first request;
+	// 0 = a twelfth of the clients' descriptors
 }
 
 // Unlimited is a number of connections that is never reached.
--- a/internal/operatorconfig/file_test.go
+++ b/internal/operatorconfig/file_test.go
@@ -130,8 +130,9 @@
 
 func TestLoadRejectsSingleProblems(t *testing.T) {
 	for name, c := range map[string]struct{ from, to, want string }{
-		"no such key file":       {"= cursor.keys", "= missing.keys", ":4: [merging] cursor_keys: "},
-		"no section for all":     {"[merging]", "[merge other]\nschema = arrears/1\nkinds = ranked\norder = due\n[schema x]\ncolumns = a:text\naccount = a", "needs a section [merging]"},
+		"no such key file": {"= cursor.keys", "= missing.keys", ":4: [merging] cursor_keys: "},
+		"no section for all": {"[merging]", "[merge other]\nschema = arrears/1\nkinds = ranked\norder = due\n" +
+			"[schema x]\ncolumns = a:text\naccount = a", "needs a section [merging]"},
 		"no account":             {"account = account", "account = owner", "account's column"},
 		"an account of numbers":  {"account = account", "account = bills", "account's column"},
 		"a sign on a text":       {"account:text", "account:text+", "no sign to rule out"},
--- a/internal/operatorconfig/levels_test.go
+++ b/internal/operatorconfig/levels_test.go
@@ -22,15 +22,18 @@
 	want := []degradation.Level{
 		{Name: "full", Policy: degradation.Policy{ServedShares: []float64{1, 1}, MergeShare: 1}},
 		{Name: "trimmed",
-			Conditions: []degradation.Condition{{Signal: degradation.LostCapacity, Enter: 0.2, Exit: 0.1}, {Signal: degradation.LoadRatio, Enter: 0.9, Exit: 0.9 * defaultExitRatio}},
-			Policy:     degradation.Policy{ServedShares: []float64{1, 0.5}, MergeShare: 0.5, RetryAfter: 2000}},
+			Conditions: []degradation.Condition{
+				{Signal: degradation.LostCapacity, Enter: 0.2, Exit: 0.1},
+				{Signal: degradation.LoadRatio, Enter: 0.9, Exit: 0.9 * defaultExitRatio}},
+			Policy: degradation.Policy{ServedShares: []float64{1, 0.5}, MergeShare: 0.5, RetryAfter: 2000}},
 		{Name: "closed", Conditions: []degradation.Condition{{Signal: degradation.LostCapacity, Enter: 0.9, Exit: 0.9 * defaultExitRatio}},
 			Policy: degradation.Policy{ServedShares: []float64{0, 0.5}, MergeShare: 1, RetryAfter: 1000}},
 	}
 	if !reflect.DeepEqual(config.Levels, want) || config.ExitAfter != 3000 {
 		t.Errorf("configuration %+v, want the levels %+v", config, want)
 	}
-	if _, err := f.Levels.ConfigFor([]string{"lookup"}); err == nil || !strings.Contains(err.Error(), ":4: [level trimmed] share: report is no query type") {
+	_, err = f.Levels.ConfigFor([]string{"lookup"})
+	if err == nil || !strings.Contains(err.Error(), ":4: [level trimmed] share: report is no query type") {
 		t.Errorf("unknown query type: %v", err)
 	}
 }
--- a/maintenance/member.go
+++ b/maintenance/member.go
@@ -57,7 +57,7 @@
 	MaxServers          int      `json:"most_servers,omitempty"`
 	MaxServersPerZone   int      `json:"most_servers_zone,omitempty"`
 	MinReplicas         int      `json:"least_replicas,omitempty"` // ready replicas of each segment that must remain
-	SuspicionShare      float64  `json:"suspected_by,omitempty"`   // a member suspected by more than this share of the live gatherers is out; 0 = half
+	SuspicionShare      float64  `json:"suspected_by,omitempty"`   // of the live gatherers; a member suspected by more of them is out. 0 = half
 	LeaseDuration       Duration `json:"lease_ms,omitempty"`
 	ForgetAfter         Duration `json:"forget_ms,omitempty"` // a member without lease and permit for so long is removed; 0 = never
 }
--- a/maintenance/rollout.go
+++ b/maintenance/rollout.go
@@ -204,8 +204,8 @@
 		return true, ""
 	}
 	if reference-current.successRatio() > r.Plan.MaxLoss {
-		return false, fmt.Sprintf("step %d: %.4f of the searches were answered in time, %.4f of those compared with; errored %d, late %d, shed %d of %d",
-			r.Step+1, current.successRatio(), reference, current.Errored, current.Late, current.Shed, current.total())
+		return false, fmt.Sprintf("step %d: %.4f of the searches were answered in time, %.4f of those compared with; "+
+			"errored %d, late %d, shed %d of %d", r.Step+1, current.successRatio(), reference, current.Errored, current.Late, current.Shed, current.total())
 	}
 	return false, ""
 }
--- a/maintenance/rollout_test.go
+++ b/maintenance/rollout_test.go
@@ -13,7 +13,8 @@
 	if err != nil || len(steps) != 3 || len(steps[0]) != 1 || len(steps[1]) != 4 || len(steps[2]) != 4 {
 		t.Fatalf("planned steps %v, %v", steps, err)
 	}
-	r.must(Command{StartRelease: &Plan{ID: "r", Kind: Gatherer, From: "v1", To: "v2", Steps: []float64{0.1, 0.5, 1}, Dwell: 1000, ChangeTimeout: 5000, MaxLoss: 0.02, MinRequests: 10}})
+	p := testPlan(0.1, 0.5, 1)
+	r.must(Command{StartRelease: &p})
 	second := testPlan(1)
 	second.ID = "other"
 	r.mustFail(Command{StartRelease: &second}, "two at once")
--- a/raftlog/cluster_test.go
+++ b/raftlog/cluster_test.go
@@ -46,7 +46,8 @@
 var testLimits = maintenance.Limits{MaxGatherers: 1, LeaseDuration: 3000}
 
 func newTestCluster(t interface{ Fatalf(string, ...any) }, seed uint64, n int, loss float64) *testCluster {
-	w := &testCluster{t: t, rand: rand.New(rand.NewPCG(seed, 3)), partitioned: map[[2]ID]bool{}, loss: loss, stateAt: map[maintenance.Epoch][]byte{}}
+	w := &testCluster{t: t, rand: rand.New(rand.NewPCG(seed, 3)), loss: loss,
+		partitioned: map[[2]ID]bool{}, stateAt: map[maintenance.Epoch][]byte{}}
 	for i := range n {
 		w.ids = append(w.ids, ID(i+1))
 	}
@@ -171,7 +172,8 @@
 		}
 		w.proposals++
 		n := maintenance.MemberName(fmt.Sprintf("m%04d", w.proposals))
-		s.node.Propose(maintenance.Command{Join: &maintenance.Join{Name: n, Zone: "a", Version: "v1", Incarnation: 1}}, func(_ maintenance.Result, err error) {
+		join := &maintenance.Join{Name: n, Zone: "a", Version: "v1", Incarnation: 1}
+		s.node.Propose(maintenance.Command{Join: join}, func(_ maintenance.Result, err error) {
 			if err == nil {
 				w.acknowledged = append(w.acknowledged, n)
 			}
--- a/raftlog/node_test.go
+++ b/raftlog/node_test.go
@@ -29,7 +29,8 @@
 			rapid.SampledFrom([]float64{0, 0.05, 0.3}).Draw(t, "loss"))
 		w.advance(60)
 		for range rapid.IntRange(1, 30).Draw(t, "faults") {
-			w.inject(fault(rapid.IntRange(0, faultKinds-1).Draw(t, "fault")), rapid.IntRange(0, 4).Draw(t, "voter"), rapid.IntRange(0, 4).Draw(t, "other"))
+			kind := fault(rapid.IntRange(0, faultKinds-1).Draw(t, "fault"))
+			w.inject(kind, rapid.IntRange(0, 4).Draw(t, "voter"), rapid.IntRange(0, 4).Draw(t, "other"))
 			w.propose()
 			w.advance(rapid.SampledFrom([]int{0, 1, 5, 40}).Draw(t, "ticks"))
 		}
@@ -133,14 +134,19 @@
 		}
 	}
 	w.inject(isolate, int(leader.id)-1, 0)
-	if err := propose(leader, maintenance.Command{RequestPermit: &maintenance.RequestPermit{Name: "m1", Incarnation: 1}}); !errors.Is(err, ErrOutcomeUnknown) {
+	request := func(name maintenance.MemberName) maintenance.Command {
+		return maintenance.Command{RequestPermit: &maintenance.RequestPermit{Name: name, Incarnation: 1}}
+	}
+	if err := propose(leader, request("m1")); !errors.Is(err, ErrOutcomeUnknown) {
 		t.Errorf("the minority's result: %v", err)
 	}
 	next := w.awaitLeader(leader)
 	// The leases have expired meanwhile: both renew in the tick in which m2 requests a permit.
-	next.node.Propose(maintenance.Command{Renew: &maintenance.Renew{Name: "m2", Incarnation: 1, Status: maintenance.Ready}}, func(maintenance.Result, error) {})
-	next.node.Propose(maintenance.Command{Renew: &maintenance.Renew{Name: "m1", Incarnation: 1, Status: maintenance.Ready}}, func(maintenance.Result, error) {})
-	if err := propose(next, maintenance.Command{RequestPermit: &maintenance.RequestPermit{Name: "m2", Incarnation: 1}}); err != nil {
+	for _, name := range []maintenance.MemberName{"m2", "m1"} {
+		renew := &maintenance.Renew{Name: name, Incarnation: 1, Status: maintenance.Ready}
+		next.node.Propose(maintenance.Command{Renew: renew}, func(maintenance.Result, error) {})
+	}
+	if err := propose(next, request("m2")); err != nil {
 		t.Errorf("the majority's result: %v", err)
 	}
 	clear(w.partitioned)
