--- a/internal/operatorconfig/file_test.go
+++ b/internal/operatorconfig/file_test.go
@@ -171,11 +171,11 @@
 }
 
 func TestStore(t *testing.T) {
-	f, err := load(t, "[store]\npath = lanes\nsize = 2MiB\nlinger = 3ms\nslow = 4ms\nkeep = 5s\nsearches = 60\nanswers = 70KiB\nkey_header = Key\n")
+	f, err := load(t, "[store]\npath = mirrors\nsize = 2MiB\nlinger = 3ms\nslow = 4ms\nkeep = 5s\nsearches = 60\nanswers = 70KiB\nkey_header = Key\n")
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := Store{Path: filepath.Join(filepath.Dir(f.Path), "lanes"), MaxMirrorBytes: 2 << 20, CommitDelay: 3 * time.Millisecond,
+	want := Store{Path: filepath.Join(filepath.Dir(f.Path), "mirrors"), MaxMirrorBytes: 2 << 20, CommitDelay: 3 * time.Millisecond,
 		SlowAfter: 4 * time.Millisecond, Retention: 5 * time.Second, MaxRequests: 60, MaxAnswerBytes: 70 << 10, KeyHeader: "Key"}
 	if *f.Store != want {
 		t.Errorf("loaded %+v, want %+v", *f.Store, want)
--- a/raftlog/cluster_test.go
+++ b/raftlog/cluster_test.go
@@ -12,14 +12,16 @@
 	"oxbowspan/maintenance"
 )
 
+// simNode is a voter of a testCluster.
 type simNode struct {
 	id        ID
-	node      *Node // nil = dead
+	node      *Node // nil = crashed
 	storage   *memoryStorage
 	suspended bool
 	clock     maintenance.Time // offset of its clock
 }
 
+// message is an encoded message in transit, to be delivered at a tick.
 type message struct {
 	at   int
 	to   ID
@@ -32,12 +34,12 @@
 type testCluster struct {
 	t            interface{ Fatalf(string, ...any) }
 	rand         *rand.Rand
-	tick         int
+	tick         int // of 100 ms
 	nodes        []*simNode
 	ids          []ID
 	messages     []message
-	partitioned  map[[2]ID]bool
-	loss         float64
+	partitioned  map[[2]ID]bool // by sender and receiver
+	loss         float64        // share of messages that are lost, and of those that are duplicated
 	proposals    int
 	acknowledged []maintenance.MemberName
 	stateAt      map[maintenance.Epoch][]byte // the state after each command, as the first voter that got there had it
@@ -46,145 +48,145 @@
 var testLimits = maintenance.Limits{MaxGatherers: 1, LeaseDuration: 3000}
 
 func newTestCluster(t interface{ Fatalf(string, ...any) }, seed uint64, n int, loss float64) *testCluster {
-	w := &testCluster{t: t, rand: rand.New(rand.NewPCG(seed, 3)), loss: loss,
+	c := &testCluster{t: t, rand: rand.New(rand.NewPCG(seed, 3)), loss: loss,
 		partitioned: map[[2]ID]bool{}, stateAt: map[maintenance.Epoch][]byte{}}
 	for i := range n {
-		w.ids = append(w.ids, ID(i+1))
+		c.ids = append(c.ids, ID(i+1))
 	}
-	for _, id := range w.ids {
+	for _, id := range c.ids {
 		s := &simNode{id: id, storage: &memoryStorage{entries: map[uint64][]byte{}}}
-		w.nodes = append(w.nodes, s)
-		w.start(s, true)
+		c.nodes = append(c.nodes, s)
+		c.start(s, true)
 	}
-	return w
+	return c
 }
 
 // awaitLeader advances time until there is a leader other than not. Split elections are repeated after time-outs that the library draws
 // from a source of its own, so their number does not depend on the seed.
-func (w *testCluster) awaitLeader(not *simNode) *simNode {
+func (c *testCluster) awaitLeader(not *simNode) *simNode {
 	for range 100 {
-		w.advance(10)
-		for _, s := range w.nodes {
+		c.advance(10)
+		for _, s := range c.nodes {
 			if s != not && s.node != nil && s.node.IsLeader() {
 				return s
 			}
 		}
 	}
-	w.t.Fatalf("no leader after 1000 ticks")
+	c.t.Fatalf("no leader after 1000 ticks")
 	return nil
 }
 
-func (w *testCluster) advance(ticks int) {
+func (c *testCluster) advance(ticks int) {
 	for range ticks {
-		w.tick++
+		c.tick++
 		var due []message
-		w.messages = slices.DeleteFunc(w.messages, func(l message) bool {
-			if l.at <= w.tick {
+		c.messages = slices.DeleteFunc(c.messages, func(l message) bool {
+			if l.at <= c.tick {
 				due = append(due, l)
 			}
-			return l.at <= w.tick
+			return l.at <= c.tick
 		})
-		w.rand.Shuffle(len(due), func(i, j int) { due[i], due[j] = due[j], due[i] })
+		c.rand.Shuffle(len(due), func(i, j int) { due[i], due[j] = due[j], due[i] })
 		for _, l := range due {
-			if s := w.nodes[l.to-1]; s.node != nil && !s.suspended && !w.partitioned[[2]ID{l.from, l.to}] {
+			if s := c.nodes[l.to-1]; s.node != nil && !s.suspended && !c.partitioned[[2]ID{l.from, l.to}] {
 				m := &pb.Message{}
 				if err := proto.Unmarshal(l.data, m); err != nil {
-					w.t.Fatalf("message: %v", err)
+					c.t.Fatalf("message: %v", err)
 				}
 				_ = s.node.Step(m) // messages of an old term are rejected
-				w.process(s)
+				c.process(s)
 			}
 		}
-		for _, s := range w.nodes {
+		for _, s := range c.nodes {
 			if s.node != nil && !s.suspended {
-				s.node.Tick(maintenance.Time(100*w.tick) + s.clock)
-				w.process(s)
+				s.node.Tick(maintenance.Time(100*c.tick) + s.clock)
+				c.process(s)
 			}
 		}
 	}
 }
 
-func (w *testCluster) process(s *simNode) {
+func (c *testCluster) process(s *simNode) {
 	for _, m := range s.node.Process() {
 		b, err := proto.Marshal(m)
 		if err != nil {
-			w.t.Fatalf("message: %v", err)
+			c.t.Fatalf("message: %v", err)
 		}
 		for range 2 {
-			if w.rand.Float64() >= w.loss {
-				w.messages = append(w.messages, message{w.tick + w.rand.IntN(3), ID(m.GetTo()), s.id, b})
+			if c.rand.Float64() >= c.loss {
+				c.messages = append(c.messages, message{c.tick + c.rand.IntN(3), ID(m.GetTo()), s.id, b})
 			}
-			if w.rand.Float64() >= w.loss {
+			if c.rand.Float64() >= c.loss {
 				break
 			}
 		}
 	}
 	if s.node.Err() == nil {
-		w.checkStorage(s)
+		c.checkStorage(s)
 	}
 	st := s.node.State()
-	if limit := maintenance.Time(100 * w.tick); st.Now > limit {
-		w.t.Fatalf("the time of voter %d is %d, but only %d have passed", s.id, st.Now, limit)
+	if limit := maintenance.Time(100 * c.tick); st.Now > limit {
+		c.t.Fatalf("the time of voter %d is %d, but only %d have passed", s.id, st.Now, limit)
 	}
 	b, err := st.Snapshot()
 	if err != nil {
-		w.t.Fatalf("snapshot: %v", err)
+		c.t.Fatalf("snapshot: %v", err)
 	}
-	if seen, there := w.stateAt[st.Applied]; !there {
-		w.stateAt[st.Applied] = b
+	if seen, there := c.stateAt[st.Applied]; !there {
+		c.stateAt[st.Applied] = b
 	} else if !bytes.Equal(seen, b) {
-		w.t.Fatalf("after command %d voter %d has another state than one before it:\n%s\n%s", st.Applied, s.id, b, seen)
+		c.t.Fatalf("after command %d voter %d has another state than one before it:\n%s\n%s", st.Applied, s.id, b, seen)
 	}
 }
 
 // checkStorage compares the storage with the log from which the core reads: an extra entry would be a command that was never committed.
-func (w *testCluster) checkStorage(s *simNode) {
+func (c *testCluster) checkStorage(s *simNode) {
 	last, err := s.node.memory.LastIndex()
 	if err != nil {
-		w.t.Fatalf("last index: %v", err)
+		c.t.Fatalf("last index: %v", err)
 	}
 	first, err := s.node.memory.FirstIndex()
 	if err != nil {
-		w.t.Fatalf("first index: %v", err)
+		c.t.Fatalf("first index: %v", err)
 	}
 	for no, b := range s.storage.entries {
 		if no > last {
-			w.t.Fatalf("voter %d stores entry %d, its log ends at %d", s.id, no, last)
+			c.t.Fatalf("voter %d stores entry %d, its log ends at %d", s.id, no, last)
 		}
 		if no < first {
 			continue
 		}
 		e, err := s.node.memory.Entries(no, no+1, 1<<30)
 		if err != nil {
-			w.t.Fatalf("entry %d: %v", no, err)
+			c.t.Fatalf("entry %d: %v", no, err)
 		}
 		if want, err := proto.Marshal(e[0]); err != nil || !bytes.Equal(want, b) {
-			w.t.Fatalf("voter %d stores another entry %d than its log has", s.id, no)
+			c.t.Fatalf("voter %d stores another entry %d than its log has", s.id, no)
 		}
 	}
 }
 
 // propose proposes a new member to every voter that takes itself for the leader, and records what is acknowledged.
-func (w *testCluster) propose() {
-	for _, s := range w.nodes {
+func (c *testCluster) propose() {
+	for _, s := range c.nodes {
 		if s.node == nil || s.suspended || !s.node.IsLeader() {
 			continue
 		}
-		w.proposals++
-		n := maintenance.MemberName(fmt.Sprintf("m%04d", w.proposals))
+		c.proposals++
+		n := maintenance.MemberName(fmt.Sprintf("m%04d", c.proposals))
 		join := &maintenance.Join{Name: n, Zone: "a", Version: "v1", Incarnation: 1}
 		s.node.Propose(maintenance.Command{Join: join}, func(_ maintenance.Result, err error) {
 			if err == nil {
-				w.acknowledged = append(w.acknowledged, n)
+				c.acknowledged = append(c.acknowledged, n)
 			}
 		})
-		w.process(s)
+		c.process(s)
 	}
 }
 
 // describe returns the Raft state of each voter.
-func (w *testCluster) describe() (out string) {
-	for _, s := range w.nodes {
+func (c *testCluster) describe() (out string) {
+	for _, s := range c.nodes {
 		if s.node == nil {
 			out += fmt.Sprintf(" %d crashed;", s.id)
 			continue
@@ -196,8 +198,8 @@
 	return out
 }
 
-func (w *testCluster) leaders() (n int) {
-	for _, s := range w.nodes {
+func (c *testCluster) leaders() (n int) {
+	for _, s := range c.nodes {
 		if s.node != nil && !s.suspended && s.node.IsLeader() {
 			n++
 		}
@@ -224,29 +226,29 @@
 )
 
 // inject injects a fault at voter i, and of a one-way partition towards voter j.
-func (w *testCluster) inject(kind fault, i, j int) {
-	s := w.nodes[i%len(w.nodes)]
-	other := w.ids[j%len(w.ids)]
+func (c *testCluster) inject(kind fault, i, j int) {
+	s := c.nodes[i%len(c.nodes)]
+	other := c.ids[j%len(c.ids)]
 	switch kind {
 	case crash, crashAgain:
 		s.node = nil // nobody learns the results of its proposals
 	case restart, restartAgain, restartOnceMore:
 		if s.node == nil || s.node.Err() != nil {
-			w.start(s, false)
+			c.start(s, false)
 		}
 	case suspendOrResume:
 		s.suspended = !s.suspended
 	case partitionOrHealOneWay:
-		w.partitioned[[2]ID{s.id, other}] = !w.partitioned[[2]ID{s.id, other}]
+		c.partitioned[[2]ID{s.id, other}] = !c.partitioned[[2]ID{s.id, other}]
 	case isolate:
-		for _, id := range w.ids {
-			w.partitioned[[2]ID{s.id, id}], w.partitioned[[2]ID{id, s.id}] = true, true
+		for _, id := range c.ids {
+			c.partitioned[[2]ID{s.id, id}], c.partitioned[[2]ID{id, s.id}] = true, true
 		}
 	case healAll:
-		clear(w.partitioned)
+		clear(c.partitioned)
 	case failWrites:
 		s.storage.failure = failsStored + storageFailure(j%2)
 	default:
-		w.propose()
+		c.propose()
 	}
 }
--- a/raftlog/node_test.go
+++ b/raftlog/node_test.go
@@ -25,44 +25,44 @@
 func TestAcknowledgedCommandsAreKept(t *testing.T) {
 	acked := 0
 	rapid.Check(t, func(t *rapid.T) {
-		w := newTestCluster(t, rapid.Uint64().Draw(t, "seed"), rapid.SampledFrom([]int{3, 3, 5}).Draw(t, "voters"),
+		c := newTestCluster(t, rapid.Uint64().Draw(t, "seed"), rapid.SampledFrom([]int{3, 3, 5}).Draw(t, "voters"),
 			rapid.SampledFrom([]float64{0, 0.05, 0.3}).Draw(t, "loss"))
-		w.advance(60)
+		c.advance(60)
 		for range rapid.IntRange(1, 30).Draw(t, "faults") {
 			kind := fault(rapid.IntRange(0, faultKinds-1).Draw(t, "fault"))
-			w.inject(kind, rapid.IntRange(0, 4).Draw(t, "voter"), rapid.IntRange(0, 4).Draw(t, "other"))
-			w.propose()
-			w.advance(rapid.SampledFrom([]int{0, 1, 5, 40}).Draw(t, "ticks"))
+			c.inject(kind, rapid.IntRange(0, 4).Draw(t, "voter"), rapid.IntRange(0, 4).Draw(t, "other"))
+			c.propose()
+			c.advance(rapid.SampledFrom([]int{0, 1, 5, 40}).Draw(t, "ticks"))
 		}
-		clear(w.partitioned)
-		w.loss = 0
-		for _, s := range w.nodes {
+		clear(c.partitioned)
+		c.loss = 0
+		for _, s := range c.nodes {
 			s.storage.failure = noFailure
 			if s.suspended = false; s.node == nil || s.node.Err() != nil {
-				w.start(s, false)
+				c.start(s, false)
 			}
 		}
-		w.advance(80)
-		w.awaitLeader(nil)
-		if n := w.leaders(); n != 1 {
+		c.advance(80)
+		c.awaitLeader(nil)
+		if n := c.leaders(); n != 1 {
 			t.Fatalf("%d leaders after all faults have ended", n)
 		}
-		w.propose()
-		w.advance(20)
-		for _, s := range w.nodes {
-			for _, n := range w.acknowledged {
+		c.propose()
+		c.advance(20)
+		for _, s := range c.nodes {
+			for _, n := range c.acknowledged {
 				if s.node.State().Members[n] == nil {
-					t.Fatalf("voter %d does not have %s, which was acknowledged: %s", s.id, n, w.describe())
+					t.Fatalf("voter %d does not have %s, which was acknowledged: %s", s.id, n, c.describe())
 				}
 			}
-			if s.node.State().Applied != w.nodes[0].node.State().Applied {
-				t.Fatalf("voters have applied %d and %d commands", s.node.State().Applied, w.nodes[0].node.State().Applied)
+			if s.node.State().Applied != c.nodes[0].node.State().Applied {
+				t.Fatalf("voters have applied %d and %d commands", s.node.State().Applied, c.nodes[0].node.State().Applied)
 			}
 			if s.node.Err() != nil {
 				t.Fatalf("voter %d has stopped: %v", s.id, s.node.Err())
 			}
 		}
-		acked += len(w.acknowledged)
+		acked += len(c.acknowledged)
 	})
 	if acked < 200 {
 		t.Errorf("only %d commands were acknowledged: too few to check anything", acked)
@@ -71,17 +71,17 @@
 }
 
 func TestNoCommitWithoutQuorum(t *testing.T) {
-	w := newTestCluster(t, 1, 3, 0)
-	w.awaitLeader(nil)
-	for _, s := range w.nodes {
+	c := newTestCluster(t, 1, 3, 0)
+	c.awaitLeader(nil)
+	for _, s := range c.nodes {
 		if !s.node.IsLeader() {
 			s.node = nil
 		}
 	}
 	var got error
-	leader := w.nodes[slices.IndexFunc(w.nodes, func(s *simNode) bool { return s.node != nil })]
+	leader := c.nodes[slices.IndexFunc(c.nodes, func(s *simNode) bool { return s.node != nil })]
 	leader.node.Propose(maintenance.Command{AdvanceTime: &maintenance.AdvanceTime{}}, func(_ maintenance.Result, err error) { got = err })
-	w.advance(60)
+	c.advance(60)
 	if !errors.Is(got, ErrOutcomeUnknown) || leader.node.IsLeader() {
 		t.Errorf("without a quorum: %v, leader %v", got, leader.node.IsLeader())
 	}
@@ -92,23 +92,23 @@
 }
 
 func TestNodeWithoutLogIsRejected(t *testing.T) {
-	w := newTestCluster(t, 1, 3, 0)
-	w.awaitLeader(nil)
-	_, err := New(Config{ID: 1, Voters: w.ids, Limits: testLimits, Storage: &memoryStorage{entries: map[uint64][]byte{}}})
+	c := newTestCluster(t, 1, 3, 0)
+	c.awaitLeader(nil)
+	_, err := New(Config{ID: 1, Voters: c.ids, Limits: testLimits, Storage: &memoryStorage{entries: map[uint64][]byte{}}})
 	if !errors.Is(err, ErrNoLog) {
 		t.Errorf("a voter without a log: %v", err)
 	}
-	if _, err := New(Config{ID: 9, Voters: w.ids, Limits: testLimits, Storage: w.nodes[0].storage}); err == nil {
+	if _, err := New(Config{ID: 9, Voters: c.ids, Limits: testLimits, Storage: c.nodes[0].storage}); err == nil {
 		t.Error("a node that is not a voter starts")
 	}
-	d := w.nodes[0].storage
-	w.propose()
-	w.advance(10)
+	d := c.nodes[0].storage
+	c.propose()
+	c.advance(10)
 	if len(d.entries) < 2 {
 		t.Fatalf("%d entries stored", len(d.entries))
 	}
 	delete(d.entries, slices.Min(slices.Collect(maps.Keys(d.entries)))) // a gap must be an error
-	if _, err := New(Config{ID: 1, Voters: w.ids, Limits: testLimits, Storage: d}); err == nil {
+	if _, err := New(Config{ID: 1, Voters: c.ids, Limits: testLimits, Storage: d}); err == nil {
 		t.Error("a log with a gap is accepted")
 	}
 }
@@ -116,31 +116,31 @@
 // Both sides of a partition are asked for the only permit: the minority cannot decide, the majority grants it, and after the partition
 // there is that one.
 func TestPartitionCommitsOnMajoritySideOnly(t *testing.T) {
-	w := newTestCluster(t, 5, 3, 0)
-	leader := w.awaitLeader(nil)
-	propose := func(s *simNode, c maintenance.Command) (err error) {
+	c := newTestCluster(t, 5, 3, 0)
+	leader := c.awaitLeader(nil)
+	propose := func(s *simNode, command maintenance.Command) (err error) {
 		err = errors.New("no result yet")
-		s.node.Propose(c, func(_ maintenance.Result, e error) { err = e })
-		w.process(s)
-		w.advance(40)
+		s.node.Propose(command, func(_ maintenance.Result, e error) { err = e })
+		c.process(s)
+		c.advance(40)
 		return err
 	}
 	for _, n := range []maintenance.MemberName{"m1", "m2"} {
-		for _, c := range []maintenance.Command{{Join: &maintenance.Join{Name: n, Zone: "a", Version: "v", Incarnation: 1}},
+		for _, command := range []maintenance.Command{{Join: &maintenance.Join{Name: n, Zone: "a", Version: "v", Incarnation: 1}},
 			{Renew: &maintenance.Renew{Name: n, Incarnation: 1, Status: maintenance.Ready}}} {
-			if err := propose(leader, c); err != nil {
+			if err := propose(leader, command); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
-	w.inject(isolate, int(leader.id)-1, 0)
+	c.inject(isolate, int(leader.id)-1, 0)
 	request := func(name maintenance.MemberName) maintenance.Command {
 		return maintenance.Command{RequestPermit: &maintenance.RequestPermit{Name: name, Incarnation: 1}}
 	}
 	if err := propose(leader, request("m1")); !errors.Is(err, ErrOutcomeUnknown) {
 		t.Errorf("the minority's result: %v", err)
 	}
-	next := w.awaitLeader(leader)
+	next := c.awaitLeader(leader)
 	// The leases have expired meanwhile: both renew in the tick in which m2 requests a permit.
 	for _, name := range []maintenance.MemberName{"m2", "m1"} {
 		renew := &maintenance.Renew{Name: name, Incarnation: 1, Status: maintenance.Ready}
@@ -149,9 +149,9 @@
 	if err := propose(next, request("m2")); err != nil {
 		t.Errorf("the majority's result: %v", err)
 	}
-	clear(w.partitioned)
-	w.advance(60)
-	for _, s := range w.nodes {
+	clear(c.partitioned)
+	c.advance(60)
+	for _, s := range c.nodes {
 		m := s.node.State().Members
 		if m["m1"].Permit != nil || m["m2"].Permit == nil {
 			t.Errorf("voter %d: permits %v and %v", s.id, m["m1"].Permit, m["m2"].Permit)
