--- a/idempotency/model_test.go
+++ b/idempotency/model_test.go
@@ -11,8 +11,8 @@
 // the real one. Two properties must hold in every state: the shard call never runs twice, and the client is never told that a retry
 // is safe while the shard call has run or may still run.
 
-// world is one state of the model.
-type world struct {
+// modelState is one state of the model.
+type modelState struct {
 	disk            string   // the stored value; "" = none
 	written         []string // pending writes, in order; "-" = a removal
 	table           *Table
@@ -34,13 +34,13 @@
 
 const key, digest = Key("k"), Digest(5)
 
-func (w *world) clone() *world {
-	c := *w
-	c.written = append([]string(nil), w.written...)
-	c.trace = append([]string(nil), w.trace...)
-	c.table = New(w.table.config)
-	c.table.now = w.table.now
-	for _, e := range w.table.entries {
+func (s *modelState) clone() *modelState {
+	c := *s
+	c.written = append([]string(nil), s.written...)
+	c.trace = append([]string(nil), s.trace...)
+	c.table = New(s.table.config)
+	c.table.now = s.table.now
+	for _, e := range s.table.entries {
 		copied := *e
 		c.table.add(&copied)
 	}
@@ -48,49 +48,51 @@
 }
 
 // id identifies a state; the trace is not part of it.
-func (w *world) id() string {
+func (s *modelState) id() string {
 	st := stage(0)
-	if e := w.table.entries[key]; e != nil {
+	if e := s.table.entries[key]; e != nil {
 		st = e.stage
 	}
-	return fmt.Sprint(w.disk, w.written, st, w.up, w.awaitingIntent, w.mayDispatch, w.dispatched, w.inFlight, w.results, w.runs,
-		w.arrivals, w.crashes, w.toldSafeToRetry)
+	return fmt.Sprint(s.disk, s.written, st, s.up, s.awaitingIntent, s.mayDispatch, s.dispatched, s.inFlight, s.results, s.runs,
+		s.arrivals, s.crashes, s.toldSafeToRetry)
 }
 
-func (w *world) write(changes []Change) {
+func (s *modelState) write(changes []Change) {
 	for _, c := range changes {
 		if c.Value == nil {
-			w.written = append(w.written, "-")
+			s.written = append(s.written, "-")
 		} else {
-			w.written = append(w.written, string(c.Value))
+			s.written = append(s.written, string(c.Value))
 		}
 	}
 }
 
-func (w *world) endRequest() { w.awaitingIntent, w.mayDispatch, w.dispatched = false, false, false }
+func (s *modelState) endRequest() {
+	s.awaitingIntent, s.mayDispatch, s.dispatched = false, false, false
+}
 
 // addStep adds the state that follows by one action.
-type addStep func(action string, do func(next *world))
+type addStep func(action string, do func(next *modelState))
 
 // steps returns all states that may follow.
-func (w *world) steps(r brokenRules, maxArrivals, maxCrashes int) (following []*world) {
-	add := func(action string, do func(c *world)) {
-		c := w.clone()
+func (s *modelState) steps(r brokenRules, maxArrivals, maxCrashes int) (following []*modelState) {
+	add := func(action string, do func(c *modelState)) {
+		c := s.clone()
 		c.trace = append(c.trace, action)
 		do(c)
 		following = append(following, c)
 	}
-	w.addArrivals(add, r, maxArrivals)
-	w.addWrites(add)
-	w.addDispatches(add)
-	w.addResults(add, r)
-	w.addCrashes(add, maxCrashes)
+	s.addArrivals(add, r, maxArrivals)
+	s.addWrites(add)
+	s.addDispatches(add)
+	s.addResults(add, r)
+	s.addCrashes(add, maxCrashes)
 	return following
 }
 
-func (w *world) addArrivals(step addStep, r brokenRules, maxArrivals int) {
-	if w.up && w.arrivals < maxArrivals && !w.mayDispatch && !w.awaitingIntent {
-		step("request arrives", func(c *world) {
+func (s *modelState) addArrivals(step addStep, r brokenRules, maxArrivals int) {
+	if s.up && s.arrivals < maxArrivals && !s.mayDispatch && !s.awaitingIntent {
+		step("request arrives", func(c *modelState) {
 			c.arrivals++
 			c.toldSafeToRetry = false
 			v, _, changes := c.table.Arrive(Time(c.arrivals), key, digest, 1000)
@@ -109,9 +111,9 @@
 	}
 }
 
-func (w *world) addWrites(step addStep) {
-	if len(w.written) > 0 {
-		step("write becomes durable", func(c *world) {
+func (s *modelState) addWrites(step addStep) {
+	if len(s.written) > 0 {
+		step("write becomes durable", func(c *modelState) {
 			if c.disk = c.written[0]; c.disk == "-" {
 				c.disk = ""
 			}
@@ -122,8 +124,8 @@
 			}
 		})
 	}
-	if w.up && w.awaitingIntent && !w.dispatched {
-		step("write fails: shed", func(c *world) {
+	if s.up && s.awaitingIntent && !s.dispatched {
+		step("write fails: shed", func(c *modelState) {
 			c.written = nil // a failed write is rolled back
 			c.table.Discard(key)
 			c.endRequest()
@@ -132,17 +134,17 @@
 	}
 }
 
-func (w *world) addDispatches(step addStep) {
-	if w.up && w.mayDispatch && !w.dispatched {
-		step("shard call dispatched", func(c *world) { c.dispatched = true; c.inFlight++ })
-		step("no server available: shed", func(c *world) {
+func (s *modelState) addDispatches(step addStep) {
+	if s.up && s.mayDispatch && !s.dispatched {
+		step("shard call dispatched", func(c *modelState) { c.dispatched = true; c.inFlight++ })
+		step("no server available: shed", func(c *modelState) {
 			c.write(c.table.Discard(key))
 			c.endRequest()
 			c.toldSafeToRetry = true
 		})
 	}
-	if w.inFlight > 0 {
-		step("shard call runs", func(c *world) {
+	if s.inFlight > 0 {
+		step("shard call runs", func(c *modelState) {
 			c.inFlight--
 			c.runs++
 			if c.up && c.dispatched {
@@ -152,24 +154,24 @@
 	}
 }
 
-func (w *world) addResults(step addStep, r brokenRules) {
-	if w.up && w.dispatched && w.results > 0 {
-		step("result received: answered", func(c *world) {
+func (s *modelState) addResults(step addStep, r brokenRules) {
+	if s.up && s.dispatched && s.results > 0 {
+		step("result received: answered", func(c *modelState) {
 			c.results--
 			c.table.ConfirmIntent(key)
 			c.write(c.table.RecordAnswer(key, []byte("x")))
 			c.endRequest()
 		})
 	}
-	if w.up && w.dispatched {
-		step("request timed out", func(c *world) {
+	if s.up && s.dispatched {
+		step("request timed out", func(c *modelState) {
 			c.table.ConfirmIntent(key)
 			c.write(c.table.RecordUnknown(key))
 			c.endRequest()
 			c.results = 0
 		})
 		if r.shedAfterDispatch {
-			step("request timed out: shed", func(c *world) {
+			step("request timed out: shed", func(c *modelState) {
 				c.write(c.table.Discard(key))
 				c.endRequest()
 				c.results = 0
@@ -179,10 +181,10 @@
 	}
 }
 
-func (w *world) addCrashes(step addStep, maxCrashes int) {
-	if w.up && w.crashes < maxCrashes {
-		for durable := 0; durable <= len(w.written); durable++ {
-			step(fmt.Sprintf("crash, %d of %d writes durable", durable, len(w.written)), func(c *world) {
+func (s *modelState) addCrashes(step addStep, maxCrashes int) {
+	if s.up && s.crashes < maxCrashes {
+		for durable := 0; durable <= len(s.written); durable++ {
+			step(fmt.Sprintf("crash, %d of %d writes durable", durable, len(s.written)), func(c *modelState) {
 				for _, v := range c.written[:durable] {
 					if c.disk = v; v == "-" {
 						c.disk = ""
@@ -194,8 +196,8 @@
 			})
 		}
 	}
-	if !w.up {
-		step("restart", func(c *world) {
+	if !s.up {
+		step("restart", func(c *modelState) {
 			c.table = New(c.table.config)
 			if c.disk != "" {
 				c.table.Restore(key, []byte(c.disk))
@@ -206,11 +208,11 @@
 }
 
 // violation describes the property that the state violates; "" = none.
-func (w *world) violation() string {
+func (s *modelState) violation() string {
 	switch {
-	case w.runs > 1:
+	case s.runs > 1:
 		return "the shard call ran twice"
-	case w.toldSafeToRetry && w.runs+w.inFlight > 0:
+	case s.toldSafeToRetry && s.runs+s.inFlight > 0:
 		return "the client was told that a retry is safe, and the shard call has run or may still run"
 	}
 	return ""
@@ -219,11 +221,11 @@
 // explore visits all states within a depth. It stops at the first violation and returns its trace.
 func explore(r brokenRules, depth, maxArrivals, maxCrashes int) (states int, trace []string, violation string) {
 	seen := map[string]bool{}
-	frontier := []*world{{table: New(Config{Retention: 1 << 40, MaxRequests: 4}), up: true}}
+	frontier := []*modelState{{table: New(Config{Retention: 1 << 40, MaxRequests: 4}), up: true}}
 	for range depth {
-		var next []*world
-		for _, w := range frontier {
-			for _, c := range w.steps(r, maxArrivals, maxCrashes) {
+		var next []*modelState
+		for _, s := range frontier {
+			for _, c := range s.steps(r, maxArrivals, maxCrashes) {
 				if v := c.violation(); v != "" {
 					return len(seen), c.trace, v
 				}
--- a/maintenance/model_test.go
+++ b/maintenance/model_test.go
@@ -23,15 +23,15 @@
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 9).Draw(t, "gatherers")
 		zones := rapid.IntRange(1, 3).Draw(t, "zones")
-		w := newFleetModel(t, rapid.Uint64().Draw(t, "seed"), n, zones, rapid.IntRange(1, 3).Draw(t, "most"),
+		f := newFleetModel(t, rapid.Uint64().Draw(t, "seed"), n, zones, rapid.IntRange(1, 3).Draw(t, "most"),
 			rapid.IntRange(0, 2).Draw(t, "in zone"), rapid.SampledFrom([]float64{0, 0.1, 0.4}).Draw(t, "loss"))
-		w.advance(3000)
+		f.advance(3000)
 		for range rapid.IntRange(1, 25).Draw(t, "faults") {
-			w.inject(fault(rapid.IntRange(0, int(faultKinds)-1).Draw(t, "fault")), rapid.IntRange(0, 8).Draw(t, "gatherer"))
-			w.advance(Duration(rapid.SampledFrom([]int{0, 50, 700, 2500, 6000}).Draw(t, "for")))
+			f.inject(fault(rapid.IntRange(0, int(faultKinds)-1).Draw(t, "fault")), rapid.IntRange(0, 8).Draw(t, "gatherer"))
+			f.advance(Duration(rapid.SampledFrom([]int{0, 50, 700, 2500, 6000}).Draw(t, "for")))
 		}
-		w.recover()
-		granted, agreed = granted+w.grants, agreed+w.permittedDrains
+		f.recover()
+		granted, agreed = granted+f.grants, agreed+f.permittedDrains
 	})
 	if granted < 100 || agreed < 100 {
 		t.Errorf("only %d permits and %d permitted drains: too few to check anything", granted, agreed)
@@ -41,21 +41,21 @@
 
 // With three hundred gatherers: a release during a restart of all of them at once and a partition of one zone.
 func TestModelWithThreeHundredGatherers(t *testing.T) {
-	w := newFleetModel(t, 7, 300, 3, 15, 10, 0.02)
-	w.advance(3000)
-	w.inject(startRelease, 0)
-	w.advance(20000)
-	w.inject(shutDownAll, 0)
-	w.advance(3000)
-	for _, g := range w.gatherers {
+	f := newFleetModel(t, 7, 300, 3, 15, 10, 0.02)
+	f.advance(3000)
+	f.inject(startRelease, 0)
+	f.advance(20000)
+	f.inject(shutDownAll, 0)
+	f.advance(3000)
+	for _, g := range f.gatherers {
 		if g.zone == "z1" {
 			g.partitioned = true
 		}
 	}
-	w.advance(6000)
-	w.recover()
-	if w.grants < 30 || w.permittedDrains < 30 {
-		t.Errorf("%d permits, %d permitted drains", w.grants, w.permittedDrains)
+	f.advance(6000)
+	f.recover()
+	if f.grants < 30 || f.permittedDrains < 30 {
+		t.Errorf("%d permits, %d permitted drains", f.grants, f.permittedDrains)
 	}
-	t.Logf("%d permits, %d permitted drains, %d commands", w.grants, w.permittedDrains, len(w.log))
+	t.Logf("%d permits, %d permitted drains, %d commands", f.grants, f.permittedDrains, len(f.log))
 }
--- a/raftlog/cluster_test.go
+++ b/raftlog/cluster_test.go
@@ -61,6 +61,17 @@
 	return c
 }
 
+// start starts a crashed or new voter.
+func (c *testCluster) start(s *simNode, found bool) {
+	s.storage.failure = noFailure
+	node, err := New(Config{ID: s.id, Voters: c.ids, Limits: testLimits, Storage: s.storage, Bootstrap: found, CompactAfter: 6})
+	if err != nil {
+		c.t.Fatalf("voter %d does not start: %v", s.id, err)
+	}
+	// Each run has a clock of its own: a new leader continues the state's time from where it stood.
+	s.node, s.suspended, s.clock = node, false, maintenance.Time(c.rand.IntN(864_000_000))
+}
+
 // awaitLeader advances time until there is a leader other than not. Split elections are repeated after time-outs that the library draws
 // from a source of its own, so their number does not depend on the seed.
 func (c *testCluster) awaitLeader(not *simNode) *simNode {
--- a/raftlog/storage_test.go
+++ b/raftlog/storage_test.go
@@ -4,8 +4,6 @@
 	"errors"
 	"maps"
 	"slices"
-
-	"oxbowspan/maintenance"
 )
 
 // storageFailure says how Write of a memoryStorage fails.
@@ -55,13 +53,3 @@
 	}
 	return nil
 }
-
-func (w *testCluster) start(s *simNode, found bool) {
-	s.storage.failure = noFailure
-	node, err := New(Config{ID: s.id, Voters: w.ids, Limits: testLimits, Storage: s.storage, Bootstrap: found, CompactAfter: 6})
-	if err != nil {
-		w.t.Fatalf("voter %d does not start: %v", s.id, err)
-	}
-	// Each run has a clock of its own: a new leader continues the state's time from where it stood.
-	s.node, s.suspended, s.clock = node, false, maintenance.Time(w.rand.IntN(864_000_000))
-}
