--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -76,8 +76,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			operator := writeFile(t, filepath.Join(dir, "operator.ini"), c.operator)
+			var stdout, stderr bytes.Buffer
+			code := Main([]string{"check", "--config", config, "--operator", operator}, &stdout, &stderr)
 			for _, want := range c.want {
-				expectRun(t, exitFailure, want, "check", "--config", config, "--operator", operator)
+				if code != exitFailure || !strings.Contains(stderr.String(), want) {
+					t.Errorf("exit code %d, want %d and %q in\n%s", code, exitFailure, want, stderr.String())
+				}
 			}
 		})
 	}
--- a/internal/cli/store_test.go
+++ b/internal/cli/store_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"fmt"
 	"os"
 	"path/filepath"
 	"strings"
@@ -80,10 +81,23 @@
 }
 
 func TestStoreRepair(t *testing.T) {
-	dir := filepath.Join(t.TempDir(), "store")
-	if err := openTestStore(t, dir).Close(); err != nil {
-		t.Fatal(err)
+	for _, compacted := range []bool{false, true} {
+		t.Run(fmt.Sprintf("compacted=%t", compacted), func(t *testing.T) {
+			dir := filepath.Join(t.TempDir(), "store")
+			if err := openTestStore(t, dir).Close(); err != nil {
+				t.Fatal(err)
+			}
+			if compacted {
+				expectRun(t, 0, "compacted: 2 live keys", "store", "compact", dir)
+			}
+			checkStoreRepair(t, dir)
+		})
 	}
+}
+
+// checkStoreRepair damages one mirror of a store of openTestStore, then both, and repairs it each time.
+func checkStoreRepair(t *testing.T, dir string) {
+	t.Helper()
 	// Damage in one mirror loses nothing.
 	truncateFiles(t, filepath.Join(dir, "a"))
 	expectRun(t, exitFailure, "damaged: a/", "store", "check", dir)
--- a/internal/operatorconfig/file_test.go
+++ b/internal/operatorconfig/file_test.go
@@ -150,18 +150,31 @@
 }
 
 func TestConnectionsAndMemory(t *testing.T) {
-	f, err := load(t, "[connections]\nhead_rate = 200\nbody_rate = 2000\nanswer_rate = 4KiB\ngrace = 2s\nkeep_alive = 30s\n"+
-		"send_buffer = 64KiB\ncrowd = off\nidle = 10m\nawake = 300\n[memory]\nlimit = 32MiB\nreport = 10s\n")
-	if err != nil {
-		t.Fatal(err)
-	}
-	want := Connections{ReleaseIdle: true, IdleTimeout: 10 * time.Minute, MaxActive: 300, MinHeaderRate: 200, MinBodyRate: 2000,
-		MinResponseRate: 4096, RateGrace: 2 * time.Second, KeepAlive: 30 * time.Second, SendBuffer: 64 << 10, IdleThreshold: Unlimited}
-	if *f.Connections != want {
-		t.Errorf("loaded %+v, want %+v", *f.Connections, want)
-	}
-	if want := (Memory{32 << 20, 10 * time.Second}); *f.Memory != want {
-		t.Errorf("loaded %+v, want %+v", *f.Memory, want)
+	const rates = "[connections]\nhead_rate = 200\nbody_rate = 2000\nanswer_rate = 4KiB\ngrace = 2s\nkeep_alive = 30s\n" +
+		"send_buffer = 64KiB\ncrowd = off\n"
+	want := Connections{ReleaseIdle: true, MinHeaderRate: 200, MinBodyRate: 2000, MinResponseRate: 4096, RateGrace: 2 * time.Second,
+		KeepAlive: 30 * time.Second, SendBuffer: 64 << 10, IdleThreshold: Unlimited}
+	withIdle := want
+	withIdle.IdleTimeout, withIdle.MaxActive = 10*time.Minute, 300
+	for name, c := range map[string]struct {
+		lines string
+		want  Connections
+	}{
+		"idle and awake left out": {"", want},
+		"idle and awake given":    {"idle = 10m\nawake = 300\n", withIdle},
+	} {
+		t.Run(name, func(t *testing.T) {
+			f, err := load(t, rates+c.lines+"[memory]\nlimit = 32MiB\nreport = 10s\n")
+			if err != nil {
+				t.Fatal(err)
+			}
+			if *f.Connections != c.want {
+				t.Errorf("loaded %+v, want %+v", *f.Connections, c.want)
+			}
+			if want := (Memory{32 << 20, 10 * time.Second}); *f.Memory != want {
+				t.Errorf("loaded %+v, want %+v", *f.Memory, want)
+			}
+		})
 	}
 	const invalid = "[memory]\nlimit = 1KiB\nreport = never\nmost = 3\n[connections]\ngrace = 1h\nhead_rate = 0\npark = perhaps\nidle = 1ms\n"
 	for _, position := range []string{":2: [memory] limit", ":3: [memory] report", ":4: [memory] most", ":6: [connections] grace",
