--- a/gatherer/degradation.go
+++ b/gatherer/degradation.go
@@ -28,11 +28,11 @@
 // or sheds requests before the balancer sees them. It belongs to the dispatcher's goroutine.
 type degradationState struct {
 	dispatcher  *dispatcher
-	config      degradation.Figures
+	config      degradation.Config
 	machine     *degradation.Machine
 	segments    []*degradation.Machine // by shard
 	gate        *degradation.Gate
-	gauge       *degradation.Gauge
+	gauge       *degradation.Monitor
 	evaluatedAt balancer.Time
 
 	served, shed [][]int64 // by query type and customer; the last customer stands for unknown ones
@@ -41,14 +41,14 @@
 }
 
 func newDegradation(d *dispatcher, levels *operatorconfig.Levels) (*degradationState, error) {
-	config, err := levels.For(d.deployment.QueryTypes)
+	config, err := levels.ConfigFor(d.deployment.QueryTypes)
 	if err != nil {
 		return nil, err
 	}
 	types, customers := len(d.deployment.QueryTypes), len(d.deployment.Customers)
 	s := &degradationState{
 		dispatcher: d,
-		gauge:      degradation.NewGauge(d.deployment.Balancer.Cells, d.deployment.Balancer.ReplicationFactor, types),
+		gauge:      degradation.NewMonitor(d.deployment.Balancer.Cells, d.deployment.Balancer.ReplicationFactor, types),
 	}
 	for range types {
 		s.served = append(s.served, make([]int64, customers+1))
@@ -59,7 +59,7 @@
 }
 
 // applyConfig applies a configuration, at the start and on reload.
-func (s *degradationState) applyConfig(config degradation.Figures) {
+func (s *degradationState) applyConfig(config degradation.Config) {
 	now, deployment := s.now(), s.dispatcher.deployment
 	s.config = config
 	if s.machine == nil {
@@ -69,9 +69,9 @@
 			s.segments[i] = degradation.New(config, now)
 		}
 	} else {
-		s.machine.Replace(config)
+		s.machine.Reconfigure(config)
 		for _, segment := range s.segments {
-			segment.Replace(config)
+			segment.Reconfigure(config)
 		}
 	}
 	s.gate = degradation.NewGate(s.machine, len(deployment.QueryTypes), len(deployment.Customers))
@@ -80,7 +80,7 @@
 
 func (s *degradationState) applyMergeLimits(level degradation.Level) {
 	if s.dispatcher.setMergeLimits != nil {
-		s.dispatcher.setMergeLimits(level.Terms.Merge)
+		s.dispatcher.setMergeLimits(level.Policy.MergeShare)
 	}
 }
 
@@ -127,7 +127,7 @@
 	answered := kind == resultAnswer || kind == resultMerged
 	latency := s.dispatcher.clock.now() - req.admittedAt
 	target := s.dispatcher.deployment.Balancer.QueryTypes[req.queryType].LatencyTarget
-	s.gauge.Ended(int(req.queryType), answered, degradation.Time(latency/balancer.Millisecond),
+	s.gauge.RecordRequest(int(req.queryType), answered, degradation.Time(latency/balancer.Millisecond),
 		degradation.Time(target/balancer.Millisecond))
 }
 
@@ -135,15 +135,15 @@
 func (s *degradationState) evaluate() {
 	s.evaluatedAt = s.dispatcher.clock.now()
 	now := s.now()
-	s.machine.Feed(now, s.readings(now))
-	if change, changed := s.machine.Turn(now); changed {
-		s.gate.Changed(change)
+	s.machine.Observe(now, s.readings(now))
+	if change, changed := s.machine.Evaluate(now); changed {
+		s.gate.HandleChange(change)
 		s.logChange(scopeAll, change)
 	}
-	if s.config.GoesBy(degradation.SegmentLost) { // costly with thousands of segments
+	if s.config.UsesSignal(degradation.SegmentLostCapacity) { // costly with thousands of segments
 		for shard, segment := range s.segments {
-			segment.Feed(now, s.gauge.Segment(shard))
-			if change, changed := segment.Turn(now); changed {
+			segment.Observe(now, s.gauge.MeasureSegment(shard))
+			if change, changed := segment.Evaluate(now); changed {
 				s.logChange(fmt.Sprint("segment-", shard), change)
 			}
 		}
@@ -157,18 +157,18 @@
 	for _, record := range s.dispatcher.balancer.ServerRecords() {
 		ejectedUntil[record.ID] = record.EjectedUntil
 	}
-	var seen []degradation.Seen
+	var seen []degradation.Server
 	for _, server := range s.dispatcher.servers {
 		if server.listed {
-			seen = append(seen, degradation.Seen{Cell: server.cell, Ready: !server.draining,
-				Cold: s.isWarmingUp(server), OutUntil: degradation.Time(ejectedUntil[server.id] / balancer.Millisecond)})
+			seen = append(seen, degradation.Server{Cell: server.cell, Ready: !server.draining,
+				WarmingUp: s.isWarmingUp(server), EjectedUntil: degradation.Time(ejectedUntil[server.id] / balancer.Millisecond)})
 		}
 	}
 	store := degradation.Reading{Known: s.dispatcher.persistence != nil}
 	if store.Known && s.dispatcher.persistence.failing {
 		store.Value = 1
 	}
-	return s.gauge.Read(now, seen, s.dispatcher.balancer.Utilization(), store)
+	return s.gauge.Measure(now, seen, s.dispatcher.balancer.Utilization(), store)
 }
 
 // isWarmingUp reports whether a server was started recently.
@@ -184,8 +184,8 @@
 
 // logChange logs a change of level and, if it is not of a segment, applies its limits of merges.
 func (s *degradationState) logChange(scope string, change degradation.Change) {
-	fields := []any{"scope", scope, "from", s.levelName(change.From), "to", s.levelName(change.To), "why", change.Why}
-	for signal := range degradation.Signals {
+	fields := []any{"scope", scope, "from", s.levelName(change.From), "to", s.levelName(change.To), "why", change.Reason}
+	for signal := range degradation.NumSignals {
 		if reading := change.Readings[signal]; reading.Known {
 			fields = append(fields, signal.String(), math.Round(reading.Value*1000)/1000)
 		}
@@ -200,28 +200,28 @@
 	s.applyMergeLimits(s.config.Levels[change.To])
 }
 
-// handleQuestion answers a question of the admin socket.
-func (s *degradationState) handleQuestion(q admin.Question) {
-	answer := admin.Answer{}
-	switch q.Verb {
+// handleRequest answers a request of the admin socket.
+func (s *degradationState) handleRequest(request admin.Request) {
+	response := admin.Response{}
+	switch request.Verb {
 	case admin.Show:
 		state := s.state()
-		answer.State = &state
+		response.State = &state
 	case admin.Explain:
-		answer.Lines = s.explain()
+		response.Lines = s.explain()
 	case admin.Pin:
-		answer = s.pin(q)
+		response = s.pin(request)
 	case admin.Unpin:
 		s.machine.Unpin()
 		slog.Warn("level_unpinned")
-		answer.Lines = []string{"the signals decide again"}
+		response.Lines = []string{"the signals decide again"}
 	case admin.Watch:
-		s.watchers = append(s.watchers, q.Stream)
-	case admin.Leave:
-		s.watchers = slices.DeleteFunc(s.watchers, func(w chan<- []byte) bool { return w == q.Stream })
+		s.watchers = append(s.watchers, request.Stream)
+	case admin.Unwatch:
+		s.watchers = slices.DeleteFunc(s.watchers, func(w chan<- []byte) bool { return w == request.Stream })
 	}
-	if q.Reply != nil {
-		q.Reply <- answer
+	if request.Reply != nil {
+		request.Reply <- response
 	}
 }
 
@@ -238,15 +238,15 @@
 }
 
 // pin pins the level for a time.
-func (s *degradationState) pin(q admin.Question) admin.Answer {
-	rank := slices.IndexFunc(s.config.Levels, func(l degradation.Level) bool { return l.Name == q.Level })
+func (s *degradationState) pin(request admin.Request) admin.Response {
+	rank := slices.IndexFunc(s.config.Levels, func(l degradation.Level) bool { return l.Name == request.Level })
 	switch {
 	case rank < 0:
-		return admin.Answer{Error: fmt.Sprintf("there is no level %.40q", q.Level)}
-	case q.Seconds <= 0 || q.Seconds > admin.LongestPin.Seconds():
-		return admin.Answer{Error: fmt.Sprintf("a pin is for 0 to %s", admin.LongestPin)}
+		return admin.Response{Error: fmt.Sprintf("there is no level %.40q", request.Level)}
+	case request.Seconds <= 0 || request.Seconds > admin.MaxPinDuration.Seconds():
+		return admin.Response{Error: fmt.Sprintf("a pin is for 0 to %s", admin.MaxPinDuration)}
 	}
-	s.machine.PinTo(degradation.Rank(rank), s.now()+degradation.Time(q.Seconds*1000))
-	slog.Warn("level_pinned", "level", q.Level, "seconds", q.Seconds)
-	return admin.Answer{Lines: []string{fmt.Sprintf("pinned to %s for %g s", q.Level, q.Seconds)}}
+	s.machine.Pin(degradation.Rank(rank), s.now()+degradation.Time(request.Seconds*1000))
+	slog.Warn("level_pinned", "level", request.Level, "seconds", request.Seconds)
+	return admin.Response{Lines: []string{fmt.Sprintf("pinned to %s for %g s", request.Level, request.Seconds)}}
 }
--- a/gatherer/mailbox.go
+++ b/gatherer/mailbox.go
@@ -24,9 +24,9 @@
 	attemptEnded     struct{ event shardconn.AttemptEnded }
 	healthCheckEnded struct{ event balancer.HealthCheckEnded }
 	// levelsReplaced carries a new configuration of degradation.
-	levelsReplaced struct{ config degradation.Figures }
-	// operatorQuestion carries a question of the admin socket.
-	operatorQuestion struct{ question admin.Question }
+	levelsReplaced struct{ config degradation.Config }
+	// operatorRequest carries a request of the admin socket.
+	operatorRequest struct{ request admin.Request }
 	// intentWritten says that the intent of a request is durable, or why it could not be written.
 	intentWritten struct {
 		request *clientRequest
@@ -43,7 +43,7 @@
 func (attemptEnded) message()     {}
 func (healthCheckEnded) message() {}
 func (levelsReplaced) message()   {}
-func (operatorQuestion) message() {}
+func (operatorRequest) message()  {}
 func (intentWritten) message()    {}
 func (intentTimeout) message()    {}
 
--- /dev/null
+++ b/raftlog/proposal.go
@@ -0,0 +1,36 @@
+package raftlog
+
+import (
+	"encoding/binary"
+	"errors"
+)
+
+// ErrMalformedEntry is returned for an entry of the log that does not name its proposer.
+var ErrMalformedEntry = errors.New("malformed log entry")
+
+// proposalID identifies a proposal, so that its proposer learns its result and nobody else's. It precedes the command in the log.
+type proposalID struct {
+	proposer ID
+	term     uint64 // in which the proposer was leader
+	sequence uint64 // of the proposer's proposals
+}
+
+// wrapProposal returns the data of a log entry: the three numbers as varints, and the encoded command.
+func wrapProposal(id proposalID, command []byte) []byte {
+	data := binary.AppendUvarint(nil, uint64(id.proposer))
+	data = binary.AppendUvarint(data, id.term)
+	data = binary.AppendUvarint(data, id.sequence)
+	return append(data, command...)
+}
+
+// unwrapProposal parses the data of a log entry.
+func unwrapProposal(data []byte) (id proposalID, command []byte, err error) {
+	for _, field := range []*uint64{(*uint64)(&id.proposer), &id.term, &id.sequence} {
+		v, n := binary.Uvarint(data)
+		if n <= 0 {
+			return proposalID{}, nil, ErrMalformedEntry
+		}
+		*field, data = v, data[n:]
+	}
+	return id, data, nil
+}
