--- a/gatherer/attempts.go
+++ b/gatherer/attempts.go
@@ -33,8 +33,8 @@
 		Text: call.request.text, SentAt: now, Deadline: now + send.Timeout}
 	if query := call.request.query; query != nil {
 		segment := merge.Segment(call.shard)
-		attempt.Options = query.Ask(segment)
-		attempt.Decode = func(value string) (any, error) { return query.Read(segment, value) }
+		attempt.Options = query.SegmentItem(segment)
+		attempt.Decode = func(value string) (any, error) { return query.ReadResponse(segment, value) }
 	}
 	for i := range batches {
 		if batches[i].server == s {
@@ -108,7 +108,7 @@
 			d.accountValue(call.request, memorybudget.Bytes(len(e.Value)))
 			d.mergeValue(call, e.Result)
 		} else if e.DecodeFailed {
-			call.request.merge.Spoilt(merge.Segment(call.shard))
+			call.request.merge.MarkUnusable(merge.Segment(call.shard))
 		}
 	}
 	d.attemptDone(call, e.Number)
@@ -134,7 +134,7 @@
 	if req.merge == nil {
 		return
 	}
-	if err := req.merge.Add(decoded.(*merge.Part)); err != nil {
+	if err := req.merge.Add(decoded.(*merge.SegmentResponse)); err != nil {
 		slog.Warn("merge_shed", "search", req.wireID, "error", err)
 		d.finish(req.id, result{kind: resultShed, retryAfter: d.deployment.Balancer.MaxRetryAfter})
 		d.handle(balancer.RequestCancelled{Request: req.id})
--- a/gatherer/gatherer.go
+++ b/gatherer/gatherer.go
@@ -95,7 +95,7 @@
 		serverIDs:     map[string]balancer.ServerID{},
 		ended:         make(chan struct{}),
 	}
-	d.merges.Under(memoryAccount{g.memory, memorybudget.Merges})
+	d.merges.SetParent(memoryAccount{g.memory, memorybudget.Merges})
 	return d
 }
 
@@ -118,7 +118,7 @@
 func (g *Gatherer) setMergeLimits(share float64) {
 	if m := g.transport.merging.Load(); m != nil {
 		part := func(n int64) int64 { return int64(float64(n) * share) }
-		g.dispatcher.merges.Limit(part(m.MaxBytes), part(m.MaxRows), part(m.MaxOpen))
+		g.dispatcher.merges.SetLimits(part(m.MaxBytes), part(m.MaxRows), part(m.MaxOpen))
 	}
 }
 
--- a/gatherer/memory.go
+++ b/gatherer/memory.go
@@ -68,8 +68,10 @@
 	account memorybudget.Account
 }
 
-// Take implements merge.Sum.
-func (a memoryAccount) Take(n int64) bool { return a.budget.Reserve(a.account, memorybudget.Bytes(n)) }
+// Reserve implements merge.Sum.
+func (a memoryAccount) Reserve(n int64) bool {
+	return a.budget.Reserve(a.account, memorybudget.Bytes(n))
+}
 
 // ForceAcquire implements shardconn.MemoryAccount.
 func (a memoryAccount) ForceAcquire(n int64) { a.budget.ForceReserve(a.account, memorybudget.Bytes(n)) }
--- a/gatherer/merge_test.go
+++ b/gatherer/merge_test.go
@@ -21,7 +21,7 @@
 			s := startMergeEnv(t, shape, nil, nil)
 			for _, order := range [][]string{{"due"}, {"-amount", "due"}, {"-customer", "-bills"}} {
 				for _, at := range []struct{ offset, limit int }{{0, 1}, {0, 50}, {17, 40}, {290, 30}, {400, 5}} {
-					m := s.merged("report", merge.Terms{Kind: "ranked", Order: order, Offset: at.offset, Limit: at.limit})
+					m := s.merged("report", merge.Request{Kind: "ranked", Order: order, Offset: at.offset, Limit: at.limit})
 					if err := s.expected(true).CheckRanked(m, order, at.offset, at.limit, true); err != nil {
 						t.Errorf("%v from %d, %d rows: %v", order, at.offset, at.limit, err)
 					}
@@ -31,10 +31,10 @@
 						order, w.Rows, w.Late, shape.Accounts)
 				}
 			}
-			for _, terms := range []merge.Terms{
-				{Kind: "aggregated", Limit: 1, Figures: []string{"count", "sum(amount)", "mean(amount)", "distinct(customer)", "p50(amount)", "p95(amount)", "min(due)", "max(amount)"}},
-				{Kind: "aggregated", Limit: 100, Group: []string{"customer"}, Figures: []string{"count", "sum(amount)", "max(due)"}, By: "sum(amount)"},
-				{Kind: "aggregated", Limit: 9, Group: []string{"due", "customer"}, Figures: []string{"sum(bills)", "mean(amount)"}},
+			for _, terms := range []merge.Request{
+				{Kind: "aggregated", Limit: 1, Aggregates: []string{"count", "sum(amount)", "mean(amount)", "distinct(customer)", "p50(amount)", "p95(amount)", "min(due)", "max(amount)"}},
+				{Kind: "aggregated", Limit: 100, Group: []string{"customer"}, Aggregates: []string{"count", "sum(amount)", "max(due)"}, By: "sum(amount)"},
+				{Kind: "aggregated", Limit: 9, Group: []string{"due", "customer"}, Aggregates: []string{"sum(bills)", "mean(amount)"}},
 			} {
 				if err := s.expected(true).CheckAggregated(s.merged("report", terms), terms, terms.Limit != 9); err != nil {
 					t.Errorf("%v: %v", terms, err)
@@ -46,17 +46,17 @@
 
 func TestDisallowedMergesAreRejected(t *testing.T) {
 	s := startMergeEnv(t, standin.DatasetShape{Segments: 4, Accounts: 40}, nil, nil)
-	page := s.merged("report", merge.Terms{Kind: "paged", Order: []string{"due"}, Limit: 5})
+	page := s.merged("report", merge.Request{Kind: "paged", Order: []string{"due"}, Limit: 5})
 	cursor := page.Result.Next
 	turned := []byte(cursor)
 	turned[len(turned)/2] ^= 3
-	for want, terms := range map[string]merge.Terms{
+	for want, terms := range map[string]merge.Request{
 		"kind":                  {Kind: "sorted", Limit: 5},
 		"limit":                 {Kind: "ranked", Order: []string{"due"}, Limit: 201},
 		"offset":                {Kind: "ranked", Order: []string{"due"}, Limit: 5, Offset: 501},
 		"not allowed":           {Kind: "ranked", Order: []string{"owner"}, Limit: 5},
 		"twice":                 {Kind: "ranked", Order: []string{"due", "-due"}, Limit: 5},
-		"figure":                {Kind: "aggregated", Figures: []string{"sum(account)"}, Limit: 5},
+		"figure":                {Kind: "aggregated", Aggregates: []string{"sum(account)"}, Limit: 5},
 		"longer than any":       {Kind: "paged", Order: []string{"due"}, Limit: 5, Cursor: strings.Repeat("A", 9000)},
 		"changed":               {Kind: "paged", Order: []string{"due"}, Limit: 5, Cursor: string(turned)},
 		"for another search":    {Kind: "paged", Order: []string{"amount"}, Limit: 5, Cursor: cursor},
@@ -69,10 +69,10 @@
 			t.Errorf("%+v: got %d %q, error %v, want 400 with %q", terms, r.Status, r.Body, err, want)
 		}
 	}
-	foreign := s.search("report", merge.Terms{Kind: "paged", Order: []string{"due"}, Limit: 5, Cursor: cursor})
+	foreign := s.search("report", merge.Request{Kind: "paged", Order: []string{"due"}, Limit: 5, Cursor: cursor})
 	foreign.Customer = "other"
-	post := s.search("post", merge.Terms{Kind: "ranked", Order: []string{"due"}, Limit: 5})
-	unknown := s.search("report", merge.Terms{})
+	post := s.search("post", merge.Request{Kind: "ranked", Order: []string{"due"}, Limit: 5})
+	unknown := s.search("report", merge.Request{})
 	unknown.Merge = json.RawMessage(`{"kind":"ranked","limit":5,"order":["due"],"sort":"up"}`)
 	for want, q := range map[string]standin.Request{"for another search": foreign, "not merged": post, "sort": unknown} {
 		r, err := q.Send(context.Background(), http.DefaultClient, s.addr)
@@ -116,7 +116,7 @@
 	replies := make(chan standin.Response, n)
 	for range n {
 		go func() {
-			r, err := s.search("report", merge.Terms{Kind: "ranked", Order: []string{"due"}, Limit: 200}).Send(context.Background(), http.DefaultClient, s.addr)
+			r, err := s.search("report", merge.Request{Kind: "ranked", Order: []string{"due"}, Limit: 200}).Send(context.Background(), http.DefaultClient, s.addr)
 			if err != nil {
 				t.Error(err)
 			}
@@ -138,7 +138,7 @@
 		t.Errorf("%d of %d were answered, want some", good, n-1)
 	}
 	// The memory is released.
-	m := s.merged("report", merge.Terms{Kind: "ranked", Order: []string{"due"}, Limit: 50})
+	m := s.merged("report", merge.Request{Kind: "ranked", Order: []string{"due"}, Limit: 50})
 	if err := s.expected(true).CheckRanked(m, []string{"due"}, 0, 50, true); err != nil {
 		t.Error(err)
 	}
@@ -154,7 +154,7 @@
 		}, func(f string) string { return strings.Replace(f, "open = 200", "open = 3", 1) })
 	for range 9 { // three times as many as may be open
 		ctx, leave := context.WithCancel(context.Background())
-		q := s.search("report", merge.Terms{Kind: "ranked", Order: []string{"due"}, Limit: 100})
+		q := s.search("report", merge.Request{Kind: "ranked", Order: []string{"due"}, Limit: 100})
 		left := make(chan error, 1)
 		go func() {
 			_, err := q.Send(ctx, http.DefaultClient, s.addr)
@@ -168,7 +168,7 @@
 		s.line("event=client_conn_end", "reason=client_left")
 	}
 	hold.Store(false)
-	m := s.merged("report", merge.Terms{Kind: "ranked", Order: []string{"due"}, Limit: 100})
+	m := s.merged("report", merge.Request{Kind: "ranked", Order: []string{"due"}, Limit: 100})
 	if err := s.expected(true).CheckRanked(m, []string{"due"}, 0, 100, true); err != nil {
 		t.Error(err)
 	}
@@ -179,7 +179,7 @@
 	const newKey = "k2 ff112233445566778899aabbccddeeff00112233445566778899aabbccddeeff\n"
 	s := startMergeEnv(t, standin.DatasetShape{Segments: 4, Accounts: 60}, nil, nil)
 	page := func(cursor string) (standin.Response, standin.MergedResponse) {
-		r, err := s.search("report", merge.Terms{Kind: "paged", Order: []string{"due"}, Limit: 10, Cursor: cursor}).Send(context.Background(), http.DefaultClient, s.addr)
+		r, err := s.search("report", merge.Request{Kind: "paged", Order: []string{"due"}, Limit: 10, Cursor: cursor}).Send(context.Background(), http.DefaultClient, s.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/gatherer/mergeenv_test.go
+++ b/gatherer/mergeenv_test.go
@@ -93,14 +93,14 @@
 	}
 }
 
-func (s *mergeEnv) search(kind string, terms merge.Terms) standin.Request {
+func (s *mergeEnv) search(kind string, terms merge.Request) standin.Request {
 	return standin.Request{ID: fmt.Sprintf("%016x", 1<<40+s.last.Add(1)), QueryType: kind, Customer: "acme",
 		Timeout: 2900 * time.Millisecond,
 		Shards:  []int{0, 1, 2, 3}, Statement: "c41e77d0", Merge: wire(terms)}
 }
 
 // wire returns the terms as a client sends them, without those that are not set.
-func wire(t merge.Terms) map[string]any {
+func wire(t merge.Request) map[string]any {
 	raw, _ := json.Marshal(t)
 	var out map[string]any
 	json.Unmarshal(raw, &out)
@@ -112,7 +112,7 @@
 	return out
 }
 
-func (s *mergeEnv) merged(kind string, terms merge.Terms) standin.MergedResponse {
+func (s *mergeEnv) merged(kind string, terms merge.Request) standin.MergedResponse {
 	s.t.Helper()
 	r, err := s.search(kind, terms).Send(context.Background(), http.DefaultClient, s.addr)
 	if err != nil || r.Status != http.StatusOK {
@@ -138,7 +138,7 @@
 		if before != nil {
 			before(w.Pages)
 		}
-		m := s.merged(kind, merge.Terms{Kind: "paged", Order: order, Limit: limit, Cursor: cursor})
+		m := s.merged(kind, merge.Request{Kind: "paged", Order: order, Limit: limit, Cursor: cursor})
 		if err := w.CheckPage(m, false); err != nil {
 			s.t.Fatalf("page %d: %v", w.Pages, err)
 		}
--- a/gatherer/mergefault_test.go
+++ b/gatherer/mergefault_test.go
@@ -50,7 +50,7 @@
 					return true
 				}, nil)
 			order := []string{"due", "amount"}
-			m := s.merged("report", merge.Terms{Kind: "ranked", Order: order, Limit: 60})
+			m := s.merged("report", merge.Request{Kind: "ranked", Order: order, Limit: 60})
 			if err := s.expected(true).CheckRanked(m, order, 0, 60, true); err != nil || !m.Full {
 				t.Errorf("full %t: %v", m.Full, err)
 			}
@@ -69,7 +69,7 @@
 			return p.Shard == 2
 		}, nil)
 	order := []string{"due"}
-	terms := merge.Terms{Kind: "ranked", Order: order, Limit: 60}
+	terms := merge.Request{Kind: "ranked", Order: order, Limit: 60}
 	q := s.search("report", terms)
 	q.Timeout = 900 * time.Millisecond
 	r, err := q.Send(context.Background(), http.DefaultClient, s.addr)
@@ -117,14 +117,14 @@
 
 func TestDataChangeBetweenPagesIsReported(t *testing.T) {
 	s := startMergeEnv(t, standin.DatasetShape{Segments: 4, Accounts: 60}, nil, nil)
-	first := s.merged("report", merge.Terms{Kind: "paged", Order: []string{"due"}, Limit: 10})
+	first := s.merged("report", merge.Request{Kind: "paged", Order: []string{"due"}, Limit: 10})
 	s.dataset.Advance(2)
-	second := s.merged("report", merge.Terms{Kind: "paged", Order: []string{"due"}, Limit: 10, Cursor: first.Result.Next})
+	second := s.merged("report", merge.Request{Kind: "paged", Order: []string{"due"}, Limit: 10, Cursor: first.Result.Next})
 	if !first.Full || second.Full || !second.Result.Moved || !second.Result.Complete.Segments[2].Moved ||
 		second.Result.Complete.Segments[1].Moved {
 		t.Errorf("full %t, moved %t, segments %+v", second.Full, second.Result.Moved, second.Result.Complete.Segments)
 	}
-	third := s.merged("report", merge.Terms{Kind: "paged", Order: []string{"due"}, Limit: 10, Cursor: second.Result.Next})
+	third := s.merged("report", merge.Request{Kind: "paged", Order: []string{"due"}, Limit: 10, Cursor: second.Result.Next})
 	if third.Full || !third.Result.Moved {
 		t.Errorf("a page later full %t, moved %t", third.Full, third.Result.Moved)
 	}
@@ -145,7 +145,7 @@
 			}
 			return true
 		}, nil)
-	terms := merge.Terms{Kind: "aggregated", Limit: 1, Figures: []string{"count", "sum(amount)"}}
+	terms := merge.Request{Kind: "aggregated", Limit: 1, Aggregates: []string{"count", "sum(amount)"}}
 	m := s.merged("report", terms)
 	if err := s.expected(true).CheckAggregated(m, terms, true); err != nil || !m.Full {
 		t.Errorf("full %t: %v", m.Full, err)
@@ -163,7 +163,7 @@
 			time.AfterFunc(time.Duration(wait.Load())*time.Millisecond, func() { c.Respond(p.ID, "served", rows) })
 			return true
 		}, nil)
-	terms := merge.Terms{Kind: "aggregated", Limit: 100, Group: []string{"customer"}, Figures: []string{"count", "sum(amount)", "min(due)"}}
+	terms := merge.Request{Kind: "aggregated", Limit: 100, Group: []string{"customer"}, Aggregates: []string{"count", "sum(amount)", "min(due)"}}
 	states := map[string]bool{}
 	for _, ms := range []int64{0, 60, 270, 285, 290, 295, 300, 310, 700} {
 		wait.Store(ms)
--- a/gatherer/parse.go
+++ b/gatherer/parse.go
@@ -201,17 +201,17 @@
 	if allowed == nil {
 		return nil, fmt.Errorf("searches of query type %s are not merged", kind)
 	}
-	terms, err := merge.ParseTerms(raw)
+	terms, err := merge.ParseRequest(raw)
 	if err != nil {
 		return nil, err
 	}
-	var segments []merge.Asked
+	var segments []merge.SegmentWeight
 	for _, spec := range req.callSpecs {
-		segments = append(segments, merge.Asked{Segment: merge.Segment(spec.shard), Weight: spec.weight})
+		segments = append(segments, merge.SegmentWeight{Segment: merge.Segment(spec.shard), Weight: spec.weight})
 	}
 	completeOnly := t.deployment.Balancer.QueryTypes[req.queryType].MinCoverage >= 1
-	return allowed.Query(terms, segments, completeOnly, merge.Paging{Keys: m.Keys, Life: m.CursorLifetime.Milliseconds(),
-		Most: m.MaxCursorBytes, Now: time.Now().UnixMilli(), Type: kind, Customer: r.Header.Get(headerOwner),
+	return allowed.NewQuery(terms, segments, completeOnly, merge.Paging{Keys: m.Keys, Lifetime: m.CursorLifetime.Milliseconds(),
+		MaxLength: m.MaxCursorBytes, Now: time.Now().UnixMilli(), QueryType: kind, Customer: r.Header.Get(headerOwner),
 		Statement: req.text})
 }
 
--- a/gatherer/transport.go
+++ b/gatherer/transport.go
@@ -108,11 +108,11 @@
 // is not known to be right.
 func (t *transport) mergedResponse(r *http.Request, res result) *http.Response {
 	defer res.merge.Close()
-	answer, err := res.merge.Answer(res.complete)
+	answer, err := res.merge.Result(res.complete)
 	if err != nil {
 		return textResponse(r, http.StatusGatewayTimeout, "the search could not be answered: "+err.Error())
 	}
-	text := answer.JSON(nil)
+	text := answer.AppendJSON(nil)
 	reserved := memorybudget.Bytes(len(text))
 	t.memory.ForceReserve(memorybudget.Answers, reserved)
 	return t.answerResponse(r, text, reserved)
--- a/internal/operatorconfig/file_test.go
+++ b/internal/operatorconfig/file_test.go
@@ -51,7 +51,7 @@
 	if m.MaxBytes != 2<<20 || m.CursorLifetime != 90*time.Second || m.MaxOpen != 1000 || m.Keys == nil || a == nil {
 		t.Fatalf("loaded %+v", m)
 	}
-	if a.MostRows != 50 || len(a.Orders) != 2 || a.Schema.Columns[2].Scale != 3 || !a.Schema.Columns[3].Unsigned || a.Schema.Account != 0 {
+	if a.MaxRows != 50 || len(a.Orders) != 2 || a.Schema.Columns[2].Scale != 3 || !a.Schema.Columns[3].Unsigned || a.Schema.Account != 0 {
 		t.Errorf("loaded %+v of %+v", a, a.Schema)
 	}
 }
--- a/internal/operatorconfig/merging.go
+++ b/internal/operatorconfig/merging.go
@@ -16,13 +16,13 @@
 	Keys           *keyring.Ring // sign the cursors of paged merges; nil = none is paged
 	CursorLifetime time.Duration
 	MaxCursorBytes int
-	Types          map[string]*merge.Allowance // by query type
-	Lines          map[string]int              // of the query types' sections
+	Types          map[string]*merge.Policy // by query type
+	Lines          map[string]int           // of the query types' sections
 }
 
 // parseMerging reads all sections on merging; nil = no query type may merge.
 func (p *parser) parseMerging() *Merging {
-	m := &Merging{Types: map[string]*merge.Allowance{}, Lines: map[string]int{}}
+	m := &Merging{Types: map[string]*merge.Policy{}, Lines: map[string]int{}}
 	p.sectionsOf("schema", func(name string, s *section) { p.schemas[name] = s.parseSchema(name) })
 	paged := false
 	p.sectionsOf("merge", func(name string, s *section) {
@@ -69,13 +69,13 @@
 		c.Columns = append(c.Columns, column)
 	}
 	account, _ := s.text("account")
-	c.Account = c.Place(account)
+	c.Account = c.ColumnIndex(account)
 	if row, given := s.text("row"); given {
-		if c.Row = c.Place(row); c.Row < 0 {
+		if c.Row = c.ColumnIndex(row); c.Row < 0 {
 			s.addKeyProblem("row", "%.60q is no column", row)
 		}
 	}
-	c.Digits = int(s.count("digits", 28, 1, merge.MostDigits))
+	c.Digits = int(s.count("digits", 28, 1, merge.MaxDigits))
 	s.rejectUnknownKeys()
 	if len(s.problems.Problems) == before {
 		if err := c.Check(); err != nil {
@@ -86,17 +86,17 @@
 }
 
 // parseAllowance reads what a query type may merge.
-func (s *section) parseAllowance() *merge.Allowance {
-	a := &merge.Allowance{
-		Kinds:      s.fields("kinds"),
-		Orders:     s.fields("order"),
-		Groups:     s.fields("group"),
-		Figures:    s.fields("figures"),
-		MostRows:   int(s.count("limit", 100, 1, 100_000)),
-		MostOffset: int(s.count("offset", 0, 0, 1_000_000)),
-		MostGroups: int(s.count("groups", 1000, 1, 100_000)),
-		MostParts:  int(s.count("part_bytes", 64<<10, 1<<10, 64<<10)),
-		MostAnswer: int(s.count("answer_bytes", 60<<10, 1<<10, 16<<20)),
+func (s *section) parseAllowance() *merge.Policy {
+	a := &merge.Policy{
+		Kinds:            s.fields("kinds"),
+		Orders:           s.fields("order"),
+		Groups:           s.fields("group"),
+		Aggregates:       s.fields("figures"),
+		MaxRows:          int(s.count("limit", 100, 1, 100_000)),
+		MaxOffset:        int(s.count("offset", 0, 0, 1_000_000)),
+		MaxGroups:        int(s.count("groups", 1000, 1, 100_000)),
+		MaxResponseBytes: int(s.count("part_bytes", 64<<10, 1<<10, 64<<10)),
+		MaxResultBytes:   int(s.count("answer_bytes", 60<<10, 1<<10, 16<<20)),
 	}
 	schema, _ := s.text("schema")
 	a.Schema = s.schemas[schema]
@@ -115,8 +115,8 @@
 	}
 	s.checkColumns("order", a.Orders, a.Schema)
 	s.checkColumns("group", a.Groups, a.Schema)
-	for _, figure := range a.Figures {
-		if err := a.Schema.CheckFigure(figure); err != nil {
+	for _, figure := range a.Aggregates {
+		if err := a.Schema.CheckAggregate(figure); err != nil {
 			s.addKeyProblem("figures", "%v", err)
 		}
 	}
@@ -129,7 +129,7 @@
 
 func (s *section) checkColumns(key string, columns []string, schema *merge.Schema) {
 	for _, column := range columns {
-		if schema.Place(column) < 0 {
+		if schema.ColumnIndex(column) < 0 {
 			s.addKeyProblem(key, "%.60q is no column of schema %s", column, schema.Name)
 		}
 	}
--- a/internal/testing/experiment/merge_checks.go
+++ b/internal/testing/experiment/merge_checks.go
@@ -25,7 +25,7 @@
 var orderColumns = []string{"due", "amount", "account", "customer", "bills"}
 
 // newRequest returns a request over all segments.
-func (r *mergeRun) newRequest(queryType string, terms merge.Terms) standin.Request {
+func (r *mergeRun) newRequest(queryType string, terms merge.Request) standin.Request {
 	request := newLookup(1<<32*(1+r.env.Seed%1000)+r.lastID.Add(1), r.segments()...)
 	request.QueryType = queryType
 	request.Merge = encodeTerms(terms)
@@ -42,9 +42,9 @@
 }
 
 // encodeTerms returns the merge object of a request, without the fields that have no value.
-func encodeTerms(t merge.Terms) map[string]any {
+func encodeTerms(t merge.Request) map[string]any {
 	object := map[string]any{"kind": t.Kind, "limit": t.Limit}
-	for name, list := range map[string][]string{"order": t.Order, "group": t.Group, "figures": t.Figures} {
+	for name, list := range map[string][]string{"order": t.Order, "group": t.Group, "figures": t.Aggregates} {
 		if len(list) > 0 {
 			object[name] = list
 		}
@@ -72,7 +72,7 @@
 
 // send sends a request. It returns nil without an error if the request was rejected, which is right only under faults and with
 // a status that allows a retry. It waits before it returns, as clients do.
-func (r *mergeRun) send(ctx context.Context, queryType string, terms merge.Terms, faults faultRates, latency *LatencyRecorder) (*mergedReply, error) {
+func (r *mergeRun) send(ctx context.Context, queryType string, terms merge.Request, faults faultRates, latency *LatencyRecorder) (*mergedReply, error) {
 	response, err := r.newRequest(queryType, terms).Send(ctx, r.client, r.deployment.Gatherer.Addr)
 	if err != nil {
 		if ctx.Err() != nil {
@@ -129,14 +129,14 @@
 }
 
 // drawTerms draws a ranked or aggregated request. For untruncated see standin.Oracle.CheckRanked.
-func drawTerms(rng *rand.Rand, faults faultRates) (terms merge.Terms, untruncated bool) {
+func drawTerms(rng *rand.Rand, faults faultRates) (terms merge.Request, untruncated bool) {
 	untruncated = faults[faultTooFew] == 0
 	if rng.IntN(2) == 0 {
-		return merge.Terms{Kind: merge.Ranked, Order: drawOrder(rng), Limit: 1 + rng.IntN(80), Offset: rng.IntN(3) * rng.IntN(100)}, untruncated
+		return merge.Request{Kind: merge.Ranked, Order: drawOrder(rng), Limit: 1 + rng.IntN(80), Offset: rng.IntN(3) * rng.IntN(100)}, untruncated
 	}
-	terms = merge.Terms{Kind: merge.Aggregated, Limit: 1 + rng.IntN(150), Figures: []string{"count"}}
+	terms = merge.Request{Kind: merge.Aggregated, Limit: 1 + rng.IntN(150), Aggregates: []string{"count"}}
 	for _, i := range rng.Perm(len(mergeAggregates))[:1+rng.IntN(4)] {
-		terms.Figures = append(terms.Figures, mergeAggregates[i])
+		terms.Aggregates = append(terms.Aggregates, mergeAggregates[i])
 	}
 	switch rng.IntN(4) {
 	case 0:
@@ -188,7 +188,7 @@
 			if changing && rng.IntN(3) == 0 {
 				r.dataset.Advance(rng.IntN(r.dataset.Segments()))
 			}
-			terms := merge.Terms{Kind: merge.Paged, Order: walk.Order, Limit: walk.Limit, Cursor: cursor}
+			terms := merge.Request{Kind: merge.Paged, Order: walk.Order, Limit: walk.Limit, Cursor: cursor}
 			reply, err := r.send(ctx, queryType, terms, faults, latency)
 			if err != nil {
 				return err
@@ -216,7 +216,7 @@
 
 // checkInvalidRequest sends an invalid request, which must be rejected with status 400 and one sentence.
 func (r *mergeRun) checkInvalidRequest(ctx context.Context, rng *rand.Rand, latency *LatencyRecorder) error {
-	terms := merge.Terms{Kind: merge.Paged, Order: []string{"-amount", "due"}, Limit: 5}
+	terms := merge.Request{Kind: merge.Paged, Order: []string{"-amount", "due"}, Limit: 5}
 	// Servers that the phase before has made faulty may still be ejected: a page may rightly be rejected now.
 	first, err := r.send(ctx, completeQueryType, terms, mixedFaults, latency)
 	if err != nil || first == nil {
@@ -236,7 +236,7 @@
 }
 
 // invalidate makes a request invalid in one of several ways.
-func invalidate(request *standin.Request, terms merge.Terms, cursor string, rng *rand.Rand) {
+func invalidate(request *standin.Request, terms merge.Request, cursor string, rng *rand.Rand) {
 	object := encodeTerms(terms)
 	request.Merge = object
 	switch rng.IntN(6) {
--- a/internal/testing/experiment/merge_faults.go
+++ b/internal/testing/experiment/merge_faults.go
@@ -101,13 +101,13 @@
 
 func (r *mergeRun) segmentValue(segment int, item string, limit, additional int) (string, error) {
 	if additional > 0 {
-		ask, err := merge.ParseAsk(item)
+		ask, err := merge.ParseSegmentRequest(item)
 		if err != nil {
 			return "", err
 		}
 		if ask.Kind == merge.Ranked {
 			ask.Limit += additional
-			item = ask.Item()
+			item = ask.Encode()
 		}
 	}
 	return r.dataset.Respond(segment, item, limit)
--- a/internal/testing/standin/aggregated.go
+++ b/internal/testing/standin/aggregated.go
@@ -11,14 +11,14 @@
 )
 
 // CheckAggregated checks an aggregated response. For untruncated see Oracle.CheckRanked.
-func (o Oracle) CheckAggregated(m MergedResponse, terms merge.Terms, untruncated bool) error {
+func (o Oracle) CheckAggregated(m MergedResponse, terms merge.Request, untruncated bool) error {
 	cover, err := o.checkCompleteness(m)
 	if err != nil {
 		return err
 	}
 	result := m.Result
-	if result.Kind != kindAggregated || !slices.Equal(result.Aggregates, terms.Figures) || len(result.Group) != len(terms.Group) {
-		return fmt.Errorf("got a %s result of %v by %v, want aggregates %v by %v", result.Kind, result.Aggregates, result.Group, terms.Figures, terms.Group)
+	if result.Kind != kindAggregated || !slices.Equal(result.Aggregates, terms.Aggregates) || len(result.Group) != len(terms.Group) {
+		return fmt.Errorf("got a %s result of %v by %v, want aggregates %v by %v", result.Kind, result.Aggregates, result.Group, terms.Aggregates, terms.Group)
 	}
 	check := newAggregatedCheck(m, terms, cover, untruncated)
 	if err := check.checkGroups(); err != nil {
@@ -33,7 +33,7 @@
 // aggregatedCheck is the state of the check of one aggregated response.
 type aggregatedCheck struct {
 	response    MergedResponse
-	terms       merge.Terms
+	terms       merge.Request
 	cover       coverage
 	untruncated bool
 
@@ -45,7 +45,7 @@
 	precise  bool             // all values are exact or approximate
 }
 
-func newAggregatedCheck(m MergedResponse, terms merge.Terms, cover coverage, untruncated bool) *aggregatedCheck {
+func newAggregatedCheck(m MergedResponse, terms merge.Request, cover coverage, untruncated bool) *aggregatedCheck {
 	c := &aggregatedCheck{
 		response:    m,
 		terms:       terms,
@@ -65,11 +65,11 @@
 }
 
 // sortAggregate returns the aggregate that groups are selected by: the one asked for, or the first count or sum.
-func sortAggregate(terms merge.Terms) string {
+func sortAggregate(terms merge.Request) string {
 	if terms.By != "" {
 		return terms.By
 	}
-	for _, aggregate := range terms.Figures {
+	for _, aggregate := range terms.Aggregates {
 		if aggregate == "count" || strings.HasPrefix(aggregate, "sum(") {
 			return aggregate
 		}
@@ -104,7 +104,7 @@
 				return fmt.Errorf("group %s is stated as certain at %d, want %s", key, i, want)
 			}
 		}
-		for n, name := range c.terms.Figures {
+		for n, name := range c.terms.Aggregates {
 			value := aggregateCheck{
 				aggregate:   parseAggregateName(name),
 				got:         got.Values[n],
--- a/internal/testing/standin/group.go
+++ b/internal/testing/standin/group.go
@@ -119,12 +119,12 @@
 }
 
 // partialRow returns the group's line of a shard server's value: its key and partial aggregates.
-func (g Group) partialRow(ask merge.Ask) ([]byte, error) {
+func (g Group) partialRow(ask merge.SegmentRequest) ([]byte, error) {
 	var values []any
 	for i, value := range g.Key {
 		values = append(values, wireValue(ask.Group[i], value))
 	}
-	for _, name := range ask.Figures {
+	for _, name := range ask.Aggregates {
 		value, err := g.partialAggregate(name)
 		if err != nil {
 			return nil, err
--- a/internal/testing/standin/respond.go
+++ b/internal/testing/standin/respond.go
@@ -15,7 +15,7 @@
 // Respond returns a segment's value for a shard call whose attribute m is item. At most limit rows are returned; 0 means as
 // many as the call asks for.
 func (d *Dataset) Respond(segment int, item string, limit int) (string, error) {
-	ask, err := merge.ParseAsk(item)
+	ask, err := merge.ParseSegmentRequest(item)
 	if err != nil {
 		return "", err
 	}
@@ -33,7 +33,7 @@
 }
 
 // respondRanked returns a segment's next rows in the order asked for.
-func respondRanked(rows []Account, version uint64, ask merge.Ask) (string, error) {
+func respondRanked(rows []Account, version uint64, ask merge.SegmentRequest) (string, error) {
 	sort.Slice(rows, func(i, j int) bool { return Compare(ask.Order, rows[i], rows[j]) < 0 })
 	rows, err := rowsAfter(rows, ask)
 	if err != nil {
@@ -55,7 +55,7 @@
 }
 
 // rowsAfter returns the sorted rows that follow the position asked for.
-func rowsAfter(rows []Account, ask merge.Ask) ([]Account, error) {
+func rowsAfter(rows []Account, ask merge.SegmentRequest) ([]Account, error) {
 	if ask.After == nil {
 		return rows, nil
 	}
@@ -72,7 +72,7 @@
 }
 
 // compareToCursor compares a row to the position that a segment is to continue from. Segments are not compared.
-func compareToCursor(ask merge.Ask, row Account) (int, error) {
+func compareToCursor(ask merge.SegmentRequest, row Account) (int, error) {
 	if len(ask.After.Keys) != len(ask.Order) {
 		return 0, fmt.Errorf("a position of %d keys for an order of %d columns", len(ask.After.Keys), len(ask.Order))
 	}
@@ -94,7 +94,7 @@
 }
 
 // respondAggregated returns a segment's partial aggregates by group.
-func respondAggregated(rows []Account, version uint64, ask merge.Ask) (string, error) {
+func respondAggregated(rows []Account, version uint64, ask merge.SegmentRequest) (string, error) {
 	groups := GroupBy(rows, ask.Group)
 	if ask.By != "" {
 		sort.SliceStable(groups, func(i, j int) bool { return groups[i].SortValue(ask.By).Cmp(groups[j].SortValue(ask.By)) > 0 })
--- a/internal/testing/standin/standin_test.go
+++ b/internal/testing/standin/standin_test.go
@@ -218,11 +218,11 @@
 	dataset := NewDataset(3, DatasetShape{Segments: 1, Accounts: 40})
 	rows, version := dataset.Rows(0)
 	group := GroupBy(rows, nil)[0]
-	terms := merge.Terms{Kind: merge.Aggregated, Limit: 1, Figures: []string{"count", "sum(amount)", "max(due)"}}
+	terms := merge.Request{Kind: merge.Aggregated, Limit: 1, Aggregates: []string{"count", "sum(amount)", "max(due)"}}
 	response := func() MergedResponse {
 		return MergedResponse{Full: true, Result: MergedResult{
 			Kind:       kindAggregated,
-			Aggregates: terms.Figures,
+			Aggregates: terms.Aggregates,
 			Certain:    1,
 			Groups: []AggregateGroup{{Values: []Aggregate{
 				{Value: []byte("40"), Precision: precisionExact},
--- a/merge/figure.go
+++ b/merge/aggregate.go
@@ -14,30 +14,30 @@
 	"github.com/cockroachdb/apd/v3"
 )
 
-// figureKind is what a figure says of a column.
-type figureKind uint8
+// aggregateKind is what a figure says of a column.
+type aggregateKind uint8
 
 const (
-	figCount figureKind = iota // of rows
-	figSum                     // exact; missing values count for nothing
-	figMin                     // missing values left out
-	figMax
-	figMean     // over the values that are there
-	figDistinct // of values that are there, estimated
-	figQuantile // estimated
+	aggregateCount aggregateKind = iota // of rows
+	aggregateSum                        // exact; missing values count for nothing
+	aggregateMin                        // missing values left out
+	aggregateMax
+	aggregateMean     // over the values that are there
+	aggregateDistinct // of values that are there, estimated
+	aggregateQuantile // estimated
 )
 
-// figure is one that a client asks for.
-type figure struct {
-	text     string
-	kind     figureKind
+// aggregate is one that a client asks for.
+type aggregate struct {
+	name     string
+	kind     aggregateKind
 	column   int
 	quantile float64
-	from     []int // places of the partial figures it is made of
+	partials []int // places of the partial figures it is made of
 }
 
-// partial is a figure as segments give it, which can be merged.
-type partial struct {
+// partialAggregate is a figure as segments give it, which can be merged.
+type partialAggregate struct {
 	kind   partialKind
 	column int
 }
@@ -45,54 +45,54 @@
 type partialKind uint8
 
 const (
-	partCount    partialKind = iota // rows: an integer
-	partValues                      // values that are there: an integer
-	partSum                         // an exact decimal in a string
-	partMin                         // a value, or null
-	partMax                         // a value, or null
-	partDistinct                    // a HyperLogLog in a base64 string
-	partSketch                      // a DDSketch in a base64 string
+	partialCount     partialKind = iota // rows: an integer
+	partialValues                       // values that are there: an integer
+	partialSum                          // an exact decimal in a string
+	partialMin                          // a value, or null
+	partialMax                          // a value, or null
+	partialDistinct                     // a HyperLogLog in a base64 string
+	partialQuantiles                    // a DDSketch in a base64 string
 )
 
 var partialNames = [...]string{"count", "values", "sum", "min", "max", "distinct", "sketch"}
 
 // name is the partial as segments are asked for it: count, or NAME:COLUMN.
-func (p partial) name(s *Schema) string {
-	if p.kind == partCount {
+func (p partialAggregate) name(s *Schema) string {
+	if p.kind == partialCount {
 		return partialNames[p.kind]
 	}
 	return partialNames[p.kind] + ":" + s.Columns[p.column].Name
 }
 
-// parseFigure reads a figure: count, sum(C), min(C), max(C), mean(C), distinct(C), or p1(C) to p99(C).
-func (s *Schema) parseFigure(text string) (figure, error) {
+// parseAggregate reads a figure: count, sum(C), min(C), max(C), mean(C), distinct(C), or p1(C) to p99(C).
+func (s *Schema) parseAggregate(text string) (aggregate, error) {
 	if text == "count" {
-		return figure{text: text, kind: figCount}, nil
+		return aggregate{name: text, kind: aggregateCount}, nil
 	}
 	name, rest, ok := strings.Cut(text, "(")
 	column, closed := strings.CutSuffix(rest, ")")
-	f := figure{text: text, column: s.Place(column)}
+	f := aggregate{name: text, column: s.ColumnIndex(column)}
 	if !ok || !closed || f.column < 0 {
 		return f, fmt.Errorf("figure %.60q is not count or NAME(COLUMN) with a column of the schema", text)
 	}
 	number := s.Columns[f.column].Kind == Int || s.Columns[f.column].Kind == Money
 	switch name {
 	case "sum":
-		f.kind = figSum
+		f.kind = aggregateSum
 	case "min":
-		return figure{text: text, kind: figMin, column: f.column}, nil
+		return aggregate{name: text, kind: aggregateMin, column: f.column}, nil
 	case "max":
-		return figure{text: text, kind: figMax, column: f.column}, nil
+		return aggregate{name: text, kind: aggregateMax, column: f.column}, nil
 	case "mean":
-		f.kind = figMean
+		f.kind = aggregateMean
 	case "distinct":
-		return figure{text: text, kind: figDistinct, column: f.column}, nil
+		return aggregate{name: text, kind: aggregateDistinct, column: f.column}, nil
 	default:
 		n, err := strconv.Atoi(strings.TrimPrefix(name, "p"))
 		if err != nil || !strings.HasPrefix(name, "p") || n < 1 || n > 99 || name != "p"+strconv.Itoa(n) {
 			return f, fmt.Errorf("figure %.60q is not known", text)
 		}
-		f.kind, f.quantile = figQuantile, float64(n)/100
+		f.kind, f.quantile = aggregateQuantile, float64(n)/100
 	}
 	if !number {
 		return f, fmt.Errorf("figure %.60q needs a column of numbers", text)
@@ -100,30 +100,30 @@
 	return f, nil
 }
 
-// CheckFigure says whether a figure can be allowed for a schema.
-func (s *Schema) CheckFigure(text string) error {
-	_, err := s.parseFigure(text)
+// CheckAggregate says whether a figure can be allowed for a schema.
+func (s *Schema) CheckAggregate(text string) error {
+	_, err := s.parseAggregate(text)
 	return err
 }
 
-// needs lists the partial figures that a figure is made of.
-func (f figure) needs() []partial {
+// requiredPartials lists the partial figures that a figure is made of.
+func (f aggregate) requiredPartials() []partialAggregate {
 	c := f.column
 	switch f.kind {
-	case figSum:
-		return []partial{{partSum, c}}
-	case figMin:
-		return []partial{{partMin, c}}
-	case figMax:
-		return []partial{{partMax, c}}
-	case figMean:
-		return []partial{{partSum, c}, {partValues, c}}
-	case figDistinct:
-		return []partial{{partDistinct, c}}
-	case figQuantile:
-		return []partial{{partSketch, c}, {partValues, c}}
+	case aggregateSum:
+		return []partialAggregate{{partialSum, c}}
+	case aggregateMin:
+		return []partialAggregate{{partialMin, c}}
+	case aggregateMax:
+		return []partialAggregate{{partialMax, c}}
+	case aggregateMean:
+		return []partialAggregate{{partialSum, c}, {partialValues, c}}
+	case aggregateDistinct:
+		return []partialAggregate{{partialDistinct, c}}
+	case aggregateQuantile:
+		return []partialAggregate{{partialQuantiles, c}, {partialValues, c}}
 	}
-	return []partial{{partCount, 0}}
+	return []partialAggregate{{partialCount, 0}}
 }
 
 // What the sketches are, on both sides: a sketch of another precision is not in its form.
@@ -162,52 +162,52 @@
 
 func collapsing() store.Store { return store.NewCollapsingLowestDenseStore(QuantileBins) }
 
-// cell is one partial figure's value. Only the field of its kind is used.
-type cell struct {
-	count    int64
-	sum      apd.Decimal
-	value    scalar // min, max; missing where there is none
-	order    string // the value's sort key
-	distinct *hyperloglog.Sketch
-	sketch   *ddsketch.DDSketch
-	sketched int  // bytes that the sketch holds, about
-	overflow bool // the sum or count does not fit: it has no value any more
+// partialValue is one partial figure's value. Only the field of its kind is used.
+type partialValue struct {
+	count        int64
+	sum          apd.Decimal
+	value        scalar // min, max; missing where there is none
+	sortKey      string // the value's sort key
+	distinct     *hyperloglog.Sketch
+	quantiles    *ddsketch.DDSketch
+	sketchMemory int  // bytes that the sketch holds, about
+	overflow     bool // the sum or count does not fit: it has no value any more
 }
 
 // exact computes without rounding: whatever would round is an error.
-var exact = apd.Context{Precision: 3 * MostDigits, MaxExponent: 3 * MostDigits, MinExponent: -3 * MostDigits,
+var exact = apd.Context{Precision: 3 * MaxDigits, MaxExponent: 3 * MaxDigits, MinExponent: -3 * MaxDigits,
 	Traps: apd.DefaultTraps | apd.Inexact | apd.Rounded}
 
-// readCell reads one partial figure of a segment's group.
-func (s *Schema) readCell(p partial, v scalar) (c cell, err error) {
+// parsePartialValue reads one partial figure of a segment's group.
+func (s *Schema) parsePartialValue(p partialAggregate, v scalar) (c partialValue, err error) {
 	col := s.Columns[p.column]
-	bad := func() (cell, error) {
+	bad := func() (partialValue, error) {
 		return c, fmt.Errorf("%.40s is no %s", v.raw, p.name(s))
 	}
 	switch p.kind {
-	case partCount, partValues:
+	case partialCount, partialValues:
 		if c.count, err = strconv.ParseInt(v.text, 10, 64); err != nil || v.kind != 'i' || c.count < 0 {
 			return bad()
 		}
-	case partSum:
+	case partialSum:
 		scale := 0
 		if col.Kind == Money {
 			scale = col.Scale
 		}
-		negative, _, _, ok := amount(v.text, s.Digits, scale)
+		negative, _, _, ok := splitDecimal(v.text, s.Digits, scale)
 		if v.kind != 's' || !ok || negative && col.Unsigned {
 			return bad()
 		}
 		if _, _, err := c.sum.SetString(v.text); err != nil {
 			return bad()
 		}
-	case partMin, partMax:
+	case partialMin, partialMax:
 		if err := col.check(v, s.Digits); err != nil {
 			return c, err
 		}
 		c.value = v
-		c.order = string(s.appendValue(nil, p.column, v, false))
-	case partDistinct:
+		c.sortKey = string(s.appendValue(nil, p.column, v, false))
+	case partialDistinct:
 		b, err := base64.StdEncoding.DecodeString(v.text)
 		if err != nil || v.kind != 's' {
 			return bad()
@@ -215,16 +215,16 @@
 		if c.distinct, err = readDistinct(b); err != nil {
 			return bad()
 		}
-		c.sketched = min(2*len(b), 2<<DistinctPrecision) + sketchOverhead
-	case partSketch:
+		c.sketchMemory = min(2*len(b), 2<<DistinctPrecision) + sketchOverhead
+	case partialQuantiles:
 		b, err := base64.StdEncoding.DecodeString(v.text)
 		if err != nil || v.kind != 's' {
 			return bad()
 		}
-		if c.sketch, err = readQuantiles(b); err != nil {
+		if c.quantiles, err = readQuantiles(b); err != nil {
 			return bad()
 		}
-		c.sketched = bins(c.sketch)*8 + sketchOverhead
+		c.sketchMemory = binCount(c.quantiles)*8 + sketchOverhead
 	}
 	return c, nil
 }
@@ -268,8 +268,8 @@
 // sketchOverhead is what a sketch costs in memory beside its registers or bins.
 const sketchOverhead = 600
 
-// bins is how many bins a sketch holds in memory: all from its least to its greatest, on either side of 0.
-func bins(s *ddsketch.DDSketch) int {
+// binCount is how many bins a sketch holds in memory: all from its least to its greatest, on either side of 0.
+func binCount(s *ddsketch.DDSketch) int {
 	type span struct{ least, most int }
 	var sides [2]*span
 	s.ForEach(func(value, _ float64) bool {
@@ -296,39 +296,39 @@
 }
 
 // add takes in another segment's partial.
-func (c *cell) add(p partial, from *cell) {
+func (c *partialValue) add(p partialAggregate, from *partialValue) {
 	switch p.kind {
-	case partCount, partValues:
+	case partialCount, partialValues:
 		if c.count += from.count; c.count < 0 {
 			c.overflow = true
 		}
-	case partSum:
+	case partialSum:
 		if _, err := exact.Add(&c.sum, &c.sum, &from.sum); err != nil {
 			c.overflow = true
 		}
-	case partMin, partMax:
-		if from.value.missing() {
+	case partialMin, partialMax:
+		if from.value.isNull() {
 			return
 		}
-		if c.value.raw == "" || c.value.missing() || (from.order < c.order) == (p.kind == partMin) {
-			c.value, c.order = from.value, from.order
+		if c.value.raw == "" || c.value.isNull() || (from.sortKey < c.sortKey) == (p.kind == partialMin) {
+			c.value, c.sortKey = from.value, from.sortKey
 		}
-	case partDistinct:
+	case partialDistinct:
 		if c.distinct == nil {
 			c.distinct = NewDistinct()
 		}
 		if err := c.distinct.Merge(from.distinct); err != nil {
 			c.overflow = true
 		}
-	case partSketch:
-		if c.sketch == nil {
-			c.sketch = NewQuantiles()
+	case partialQuantiles:
+		if c.quantiles == nil {
+			c.quantiles = NewQuantiles()
 		}
-		if err := c.sketch.MergeWith(from.sketch); err != nil {
+		if err := c.quantiles.MergeWith(from.quantiles); err != nil {
 			c.overflow = true
 		}
 	}
 }
 
-// tooLong tells whether a sum has more digits than the operator allows; it is an error then, never a rounded number.
-func tooLong(d *apd.Decimal, digits int) bool { return d.NumDigits() > int64(digits) }
+// exceedsDigits tells whether a sum has more digits than the operator allows; it is an error then, never a rounded number.
+func exceedsDigits(d *apd.Decimal, digits int) bool { return d.NumDigits() > int64(digits) }
--- a/merge/answer.go
+++ b/merge/answer.go
@@ -5,119 +5,119 @@
 	"strconv"
 )
 
-// State is how a segment stands in an answer.
-type State string
+// SegmentStatus is how a segment stands in an answer.
+type SegmentStatus string
 
 // The states.
 const (
-	In       State = "in"
-	Missing  State = "missing"
-	Unusable State = "unusable" // what came could not be used
+	StatusIncluded SegmentStatus = "in"
+	StatusMissing  SegmentStatus = "missing"
+	StatusUnusable SegmentStatus = "unusable" // what came could not be used
 )
 
-// SegmentState is what an answer says of one segment.
-type SegmentState struct {
+// SegmentResult is what an answer says of one segment.
+type SegmentResult struct {
 	Segment Segment
-	State   State
-	AsOf    Stamp // with In
-	Rows    int   // that it gave: rows or groups
-	More    bool  // it had more of them
-	Moved   bool  // its data is not as of the page before
+	Status  SegmentStatus
+	Version Version // with In
+	Rows    int     // that it gave: rows or groups
+	More    bool    // it had more of them
+	Changed bool    // its data is not as of the page before
 }
 
-// Answer is a merged answer and the statement of how complete it is.
-type Answer struct {
-	Kind     string
-	Whole    bool
-	Segments []SegmentState
-	Share    float64 // of the segments asked, by weight, that are in
+// Result is a merged answer and the statement of how complete it is.
+type Result struct {
+	Kind          string
+	Complete      bool
+	Segments      []SegmentResult
+	IncludedShare float64 // of the segments asked, by weight, that are in
 
 	// Lists.
-	Columns []string
-	Rows    []Row
-	Certain int    // so many rows, from the first, are certainly at their place
-	More    bool   // ranked, figures: there are, or may be, rows or groups after the last one
-	Late    int    // paged: so many rows, from the first, belong on pages already given
-	Before  int    // ranked: the offset; paged: rows on the pages before
-	Moved   bool   // paged: data has moved on since the walk began, on this page or before
-	Next    string // paged: the cursor of the next page; "" = there is none
-	Last    bool   // paged: every row of every segment has been given
-	Stuck   bool   // paged: there is more, but no cursor can hold the walk any longer
+	Columns       []string
+	Rows          []Row
+	CertainCount  int    // so many rows, from the first, are certainly at their place
+	More          bool   // ranked, figures: there are, or may be, rows or groups after the last one
+	LateCount     int    // paged: so many rows, from the first, belong on pages already given
+	Preceding     int    // ranked: the offset; paged: rows on the pages before
+	Changed       bool   // paged: data has moved on since the walk began, on this page or before
+	NextCursor    string // paged: the cursor of the next page; "" = there is none
+	End           bool   // paged: every row of every segment has been given
+	CursorTooLong bool   // paged: there is more, but no cursor can hold the walk any longer
 
 	// Figures.
-	Group   []string
-	Figures []string
-	Groups  []GroupFigures
-	Unseen  string // the largest figure that a group not shown may have; "" = not known
+	GroupColumns []string
+	Aggregates   []string
+	Groups       []GroupResult
+	MaxUnseen    string // the largest figure that a group not shown may have; "" = not known
 }
 
-// ErrShort says that an answer short of a part was asked for where the query type forbids missing parts.
-var ErrShort = errors.New("the query type forbids missing parts, and one is missing")
+// ErrIncomplete says that an answer short of a part was asked for where the query type forbids missing parts.
+var ErrIncomplete = errors.New("the query type forbids missing parts, and one is missing")
 
-// Answer merges what is in. whole is what the decisions say of the parts: that their weight makes a whole answer. The
+// Result merges what is in. whole is what the decisions say of the parts: that their weight makes a whole answer. The
 // answer's own Whole can only be less: every segment asked is in, every row or figure shown is certain, and the data
 // did not move between pages. Where the query type forbids missing parts, none is answered short of one.
-func (m *Merge) Answer(whole bool) (*Answer, error) {
-	q := m.q
-	a := &Answer{Kind: q.kind, Whole: whole}
+func (m *Merge) Result(whole bool) (*Result, error) {
+	q := m.query
+	a := &Result{Kind: q.kind, Complete: whole}
 	sum, in := 0.0, 0
-	for i, asked := range q.asked {
-		s := SegmentState{Segment: asked.Segment, State: Missing}
-		switch p := m.parts[i]; {
+	for i, asked := range q.segments {
+		s := SegmentResult{Segment: asked.Segment, Status: StatusMissing}
+		switch p := m.responses[i]; {
 		case p != nil:
-			s.State, s.AsOf, s.Rows, s.More = In, p.stamp, p.count, p.more || p.cut != nil
+			s.Status, s.Version, s.Rows, s.More = StatusIncluded, p.version, p.count, p.more || p.omitted != nil
 			if q.kind == Paged {
-				was := q.walk.stamps[i]
-				s.Moved = was != nil && *was != p.stamp
+				was := q.pagination.versions[i]
+				s.Changed = was != nil && *was != p.version
 			}
 			sum += asked.Weight
 			in++
 		case m.unusable[i]:
-			s.State = Unusable
+			s.Status = StatusUnusable
 		}
 		a.Segments = append(a.Segments, s)
 	}
-	if in < len(q.asked) {
-		if q.whole {
-			return nil, ErrShort
+	if in < len(q.segments) {
+		if q.requireAll {
+			return nil, ErrIncomplete
 		}
-		a.Whole = false
+		a.Complete = false
 	}
-	if a.Share = min(sum, 1); in == len(q.asked) {
-		a.Share = 1
+	if a.IncludedShare = min(sum, 1); in == len(q.segments) {
+		a.IncludedShare = 1
 	}
 	if q.kind == Aggregated {
-		if err := m.figures(a); err != nil {
+		if err := m.mergeAggregates(a); err != nil {
 			return nil, err
 		}
 		return a, nil
 	}
-	for _, c := range q.allowed.Schema.Columns {
+	for _, c := range q.policy.Schema.Columns {
 		a.Columns = append(a.Columns, c.Name)
 	}
 	var after bool
-	a.Rows, a.Certain, after = m.list()
-	a.Before, a.More = q.offset, after
-	if a.Certain < len(a.Rows) || q.kind == Ranked && after && len(a.Rows) < q.limit {
-		a.Whole = false // fewer rows than were asked for, though there are more
+	a.Rows, a.CertainCount, after = m.mergeRuns()
+	a.Preceding, a.More = q.offset, after
+	if a.CertainCount < len(a.Rows) || q.kind == Ranked && after && len(a.Rows) < q.limit {
+		a.Complete = false // fewer rows than were asked for, though there are more
 	}
-	if in < len(q.asked) {
+	if in < len(q.segments) {
 		a.More = true
 	}
 	if q.kind == Paged {
-		m.turn(a, after)
+		m.finishPage(a, after)
 	}
 	return a, nil
 }
 
-// JSON appends the answer's body. Rows and group keys go as they came.
-func (a *Answer) JSON(b []byte) []byte {
+// AppendJSON appends the answer's body. Rows and group keys go as they came.
+func (a *Result) AppendJSON(b []byte) []byte {
 	b = append(b, `{"full":`...)
-	b = strconv.AppendBool(b, a.Whole)
+	b = strconv.AppendBool(b, a.Complete)
 	b = append(b, `,"merged":{"kind":`...)
 	b = strconv.AppendQuote(b, a.Kind)
 	if a.Kind == Aggregated {
-		b = a.appendGroups(b)
+		b = a.appendAggregates(b)
 	} else {
 		b = append(b, `,"columns":`...)
 		b = appendStrings(b, a.Columns)
@@ -136,26 +136,26 @@
 			b = strconv.AppendInt(b, int64(r.segment), 10)
 		}
 		b = append(b, ']')
-		b = appendInt(b, "before", int64(a.Before))
+		b = appendInt(b, "before", int64(a.Preceding))
 	}
-	b = appendInt(b, "certain", int64(a.Certain))
+	b = appendInt(b, "certain", int64(a.CertainCount))
 	if a.Kind == Paged {
-		b = appendInt(b, "late", int64(a.Late))
-		b = appendBool(b, "moved", a.Moved)
-		b = appendBool(b, "last", a.Last)
-		if a.Stuck {
+		b = appendInt(b, "late", int64(a.LateCount))
+		b = appendBool(b, "moved", a.Changed)
+		b = appendBool(b, "last", a.End)
+		if a.CursorTooLong {
 			b = appendBool(b, "stuck", true)
 		}
-		if a.Next != "" {
+		if a.NextCursor != "" {
 			b = append(b, `,"next":`...)
-			b = strconv.AppendQuote(b, a.Next)
+			b = strconv.AppendQuote(b, a.NextCursor)
 		}
 	} else {
 		b = appendBool(b, "more", a.More)
 	}
 	in := 0
 	for _, s := range a.Segments {
-		if s.State == In {
+		if s.Status == StatusIncluded {
 			in++
 		}
 	}
@@ -163,7 +163,7 @@
 	b = strconv.AppendInt(b, int64(len(a.Segments)), 10)
 	b = appendInt(b, "in", int64(in))
 	b = append(b, `,"share":`...)
-	b = strconv.AppendFloat(b, a.Share, 'g', 6, 64)
+	b = strconv.AppendFloat(b, a.IncludedShare, 'g', 6, 64)
 	b = append(b, `,"segments":[`...)
 	for i, s := range a.Segments {
 		if i > 0 {
@@ -172,15 +172,15 @@
 		b = append(b, `{"tablet":`...)
 		b = strconv.AppendInt(b, int64(s.Segment), 10)
 		b = append(b, `,"state":`...)
-		b = strconv.AppendQuote(b, string(s.State))
-		if s.State == In {
+		b = strconv.AppendQuote(b, string(s.Status))
+		if s.Status == StatusIncluded {
 			b = append(b, `,"as_of":`...)
-			b = strconv.AppendUint(b, uint64(s.AsOf), 10)
+			b = strconv.AppendUint(b, uint64(s.Version), 10)
 			b = appendInt(b, "rows", int64(s.Rows))
 			if s.More {
 				b = appendBool(b, "more", true)
 			}
-			if s.Moved {
+			if s.Changed {
 				b = appendBool(b, "moved", true)
 			}
 		}
--- a/merge/bench_test.go
+++ b/merge/bench_test.go
@@ -26,8 +26,8 @@
 	return runs
 }
 
-func takeTree(runs [][]Row, n int) (out []Row) {
-	t := newLosers(runs)
+func mergeByTree(runs [][]Row, n int) (out []Row) {
+	t := newLoserTree(runs)
 	for len(out) < n {
 		r, ok := t.next()
 		if !ok {
@@ -52,7 +52,7 @@
 	return x
 }
 
-func takeHeap(runs [][]Row, n int) (out []Row) {
+func mergeByHeap(runs [][]Row, n int) (out []Row) {
 	h := runHeap{}
 	for _, r := range runs {
 		if len(r) > 0 {
@@ -71,7 +71,7 @@
 	return out
 }
 
-func takeSort(runs [][]Row, n int) []Row {
+func mergeBySort(runs [][]Row, n int) []Row {
 	var all []Row
 	for _, r := range runs {
 		all = append(all, r...)
@@ -80,17 +80,17 @@
 	return all[:min(n, len(all))]
 }
 
-var ways = []struct {
+var mergeMethods = []struct {
 	name string
 	take func([][]Row, int) []Row
-}{{"tree", takeTree}, {"heap", takeHeap}, {"sort", takeSort}}
+}{{"tree", mergeByTree}, {"heap", mergeByHeap}, {"sort", mergeBySort}}
 
-func TestAllWaysOfMergingAgree(t *testing.T) {
+func TestMergeMethodsAgree(t *testing.T) {
 	for _, segments := range []int{0, 1, 2, 3, 8, 13, 64} {
 		for _, page := range []int{0, 1, 7} {
 			runs := benchRuns(segments, page)
-			want := fmt.Sprint(takeSort(runs, segments*page))
-			for _, way := range ways {
+			want := fmt.Sprint(mergeBySort(runs, segments*page))
+			for _, way := range mergeMethods {
 				if got := fmt.Sprint(way.take(append([][]Row(nil), runs...), segments*page)); got != want {
 					t.Errorf("%s of %d runs of %d:\n%s\nnot\n%s", way.name, segments, page, got, want)
 				}
@@ -103,22 +103,22 @@
 	for _, page := range []int{50, 1000} {
 		for _, segments := range []int{8, 64, 512} {
 			runs := benchRuns(segments, page)
-			for _, way := range ways {
+			for _, way := range mergeMethods {
 				b.Run(fmt.Sprintf("page=%d/segments=%d/%s", page, segments, way.name), func(b *testing.B) {
 					b.ReportAllocs()
 					for b.Loop() {
 						way.take(append([][]Row(nil), runs...), page)
 					}
 					b.ReportMetric(float64(page)*float64(b.N)/b.Elapsed().Seconds(), "rows/s")
-					b.ReportMetric(float64(peak(func() { way.take(append([][]Row(nil), runs...), page) })), "peak-B")
+					b.ReportMetric(float64(peakMemory(func() { way.take(append([][]Row(nil), runs...), page) })), "peak-B")
 				})
 			}
 		}
 	}
 }
 
-// peak is how many bytes a call allocates, all of which live until it ends.
-func peak(do func()) uint64 {
+// peakMemory is how many bytes a call allocates, all of which live until it ends.
+func peakMemory(do func()) uint64 {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -136,8 +136,8 @@
 		}
 		s.Columns = append(s.Columns, c)
 	}
-	a := &Allowance{Schema: s, Kinds: []string{Ranked}, Orders: []string{"due"}, MostRows: 1000, MostParts: 1 << 20, MostAnswer: 1 << 20}
-	q, err := a.Query(Terms{Kind: Ranked, Order: []string{"due"}, Limit: 1000}, []Asked{{0, 1}}, false, Paging{})
+	a := &Policy{Schema: s, Kinds: []string{Ranked}, Orders: []string{"due"}, MaxRows: 1000, MaxResponseBytes: 1 << 20, MaxResultBytes: 1 << 20}
+	q, err := a.NewQuery(Request{Kind: Ranked, Order: []string{"due"}, Limit: 1000}, []SegmentWeight{{0, 1}}, false, Paging{})
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -149,7 +149,7 @@
 	b.ReportAllocs()
 	b.SetBytes(int64(len(value)))
 	for b.Loop() {
-		if _, err := q.Read(0, value); err != nil {
+		if _, err := q.ReadResponse(0, value); err != nil {
 			b.Fatal(err)
 		}
 	}
--- a/merge/merge.go
+++ b/merge/merge.go
@@ -2,42 +2,42 @@
 
 // Merge is one search's merge: the parts that are in, each segment's once. It is one goroutine's at a time.
 type Merge struct {
-	q        *Query
-	budget   *Budget
-	parts    []*Part // by place in Query.asked; nil = not in. Emptied by Close
-	unusable []bool  // something came that could not be used
-	open     bool
+	query     *Query
+	budget    *Budget
+	responses []*SegmentResponse // by place in Query.asked; nil = not in. Emptied by Close
+	unusable  []bool             // something came that could not be used
+	open      bool
 }
 
-// New opens a merge; it fails with ErrFull where too many are open. Close ends it.
+// New opens a merge; it fails with ErrBudgetExceeded where too many are open. Close ends it.
 func New(q *Query, b *Budget) (*Merge, error) {
-	if !b.enter() {
-		return nil, ErrFull
+	if !b.openMerge() {
+		return nil, ErrBudgetExceeded
 	}
-	return &Merge{q: q, budget: b, parts: make([]*Part, len(q.asked)), unusable: make([]bool, len(q.asked)), open: true}, nil
+	return &Merge{query: q, budget: b, responses: make([]*SegmentResponse, len(q.segments)), unusable: make([]bool, len(q.segments)), open: true}, nil
 }
 
 // Query is what is merged.
-func (m *Merge) Query() *Query { return m.q }
+func (m *Merge) Query() *Query { return m.query }
 
 // Add takes a part that Query.Read found in its form. A segment's second part, a copy's answer, changes nothing: it
-// may be of another moment, and rows of two moments do not make one run. ErrFull says that all merges together would
+// may be of another moment, and rows of two moments do not make one run. ErrBudgetExceeded says that all merges together would
 // hold too much; nothing has been added then.
-func (m *Merge) Add(p *Part) error {
-	i, asked := m.q.index(p.segment)
-	if !m.open || !asked || m.parts[i] != nil {
+func (m *Merge) Add(p *SegmentResponse) error {
+	i, asked := m.query.segmentIndex(p.segment)
+	if !m.open || !asked || m.responses[i] != nil {
 		return nil
 	}
-	if !m.budget.take(int64(p.bytes), int64(p.count)) {
-		return ErrFull
+	if !m.budget.reserve(int64(p.memory), int64(p.count)) {
+		return ErrBudgetExceeded
 	}
-	m.parts[i] = p
+	m.responses[i] = p
 	return nil
 }
 
-// Spoilt notes that what a segment gave could not be used. A good part that comes after puts it right.
-func (m *Merge) Spoilt(at Segment) {
-	if i, asked := m.q.index(at); asked {
+// MarkUnusable notes that what a segment gave could not be used. A good part that comes after puts it right.
+func (m *Merge) MarkUnusable(at Segment) {
+	if i, asked := m.query.segmentIndex(at); asked {
 		m.unusable[i] = true
 	}
 }
@@ -46,20 +46,20 @@
 func (m *Merge) Close() {
 	if m.open {
 		m.open = false
-		for i, p := range m.parts {
+		for i, p := range m.responses {
 			if p != nil {
-				m.budget.give(int64(p.bytes), int64(p.count))
+				m.budget.release(int64(p.memory), int64(p.count))
 			}
-			m.parts[i] = nil
+			m.responses[i] = nil
 		}
 		m.budget.open.Add(-1)
 	}
 }
 
-// in lists the parts that are in, by segment.
-func (m *Merge) in() []*Part {
-	var in []*Part
-	for _, p := range m.parts {
+// included lists the parts that are in, by segment.
+func (m *Merge) included() []*SegmentResponse {
+	var in []*SegmentResponse
+	for _, p := range m.responses {
 		if p != nil {
 			in = append(in, p)
 		}
@@ -67,10 +67,10 @@
 	return in
 }
 
-// list merges the runs that are in: the rows wanted, and up to which of them the list is certain. A segment that gave
+// mergeRuns merges the runs that are in: the rows wanted, and up to which of them the list is certain. A segment that gave
 // only its first rows vouches for nothing after its last one; a missing segment vouches for nothing at all.
-func (m *Merge) list() (rows []Row, certain int, after bool) {
-	in := m.in()
+func (m *Merge) mergeRuns() (rows []Row, certain int, after bool) {
+	in := m.included()
 	runs := make([][]Row, len(in))
 	bound := "" // the least last row of a run that was cut
 	for i, p := range in {
@@ -79,9 +79,9 @@
 			bound = p.rows[n-1].key
 		}
 	}
-	tree := newLosers(runs)
+	tree := newLoserTree(runs)
 	sure := func(r Row) bool { return bound == "" || r.key <= bound }
-	for range m.q.offset {
+	for range m.query.offset {
 		r, ok := tree.next()
 		if !ok {
 			return nil, 0, bound != ""
@@ -90,16 +90,16 @@
 			bound = "\x00" // what stands before the rows wanted is not certain
 		}
 	}
-	for size := 0; len(rows) < m.q.limit; {
+	for size := 0; len(rows) < m.query.limit; {
 		r, ok := tree.next()
 		if !ok {
-			return rows, m.certain(certain, in), bound != ""
+			return rows, m.certainCount(certain, in), bound != ""
 		}
-		if !sure(r) && m.q.kind == Paged {
-			return rows, m.certain(certain, in), true // the next page goes on from here
+		if !sure(r) && m.query.kind == Paged {
+			return rows, m.certainCount(certain, in), true // the next page goes on from here
 		}
-		if size += len(r.raw) + 1; size > m.q.allowed.MostAnswer && len(rows) > 0 {
-			return rows, m.certain(certain, in), true
+		if size += len(r.raw) + 1; size > m.query.policy.MaxResultBytes && len(rows) > 0 {
+			return rows, m.certainCount(certain, in), true
 		}
 		rows = append(rows, r)
 		if sure(r) {
@@ -107,11 +107,11 @@
 		}
 	}
 	_, more := tree.next()
-	return rows, m.certain(certain, in), more || bound != ""
+	return rows, m.certainCount(certain, in), more || bound != ""
 }
 
-func (m *Merge) certain(n int, in []*Part) int {
-	if len(in) < len(m.parts) {
+func (m *Merge) certainCount(n int, in []*SegmentResponse) int {
+	if len(in) < len(m.responses) {
 		return 0
 	}
 	return n
--- a/merge/merge_test.go
+++ b/merge/merge_test.go
@@ -15,7 +15,7 @@
 	"oxbowspan/merge"
 )
 
-func schema() *merge.Schema {
+func testSchema() *merge.Schema {
 	s := &merge.Schema{Name: standin.DatasetSchemaName, Row: -1, Digits: 18}
 	for _, text := range []string{"account:text", "customer:text", "due:date", "amount:money", "bills:int+"} {
 		c, err := merge.ParseColumn(text)
@@ -29,11 +29,11 @@
 
 var columns = []string{"due", "amount", "account", "customer", "bills"}
 
-func allowance() *merge.Allowance {
-	return &merge.Allowance{Schema: schema(), Kinds: []string{merge.Ranked, merge.Paged, merge.Aggregated}, Orders: columns,
-		Groups: columns, Figures: []string{"sum(amount)", "sum(bills)", "min(due)", "max(due)", "min(amount)", "max(amount)",
+func testPolicy() *merge.Policy {
+	return &merge.Policy{Schema: testSchema(), Kinds: []string{merge.Ranked, merge.Paged, merge.Aggregated}, Orders: columns,
+		Groups: columns, Aggregates: []string{"sum(amount)", "sum(bills)", "min(due)", "max(due)", "min(amount)", "max(amount)",
 			"mean(amount)", "mean(bills)", "distinct(customer)", "p50(amount)", "p99(bills)"},
-		MostRows: 1000, MostOffset: 1000, MostGroups: 300, MostParts: 1 << 20, MostAnswer: 1 << 20}
+		MaxRows: 1000, MaxOffset: 1000, MaxGroups: 300, MaxResponseBytes: 1 << 20, MaxResultBytes: 1 << 20}
 }
 
 func ring(t testing.TB, text string) *keyring.Ring {
@@ -50,35 +50,35 @@
 )
 
 func paging(t testing.TB) merge.Paging {
-	return merge.Paging{Keys: ring(t, keyOne), Life: 60_000, Most: 8 << 10, Now: 1_000_000, Type: "report", Customer: "acme", Statement: []byte("s")}
+	return merge.Paging{Keys: ring(t, keyOne), Lifetime: 60_000, MaxLength: 8 << 10, Now: 1_000_000, QueryType: "report", Customer: "acme", Statement: []byte("s")}
 }
 
-func asked(n int) (out []merge.Asked) {
+func weights(n int) (out []merge.SegmentWeight) {
 	for i := range n {
-		out = append(out, merge.Asked{Segment: merge.Segment(i), Weight: 1 / float64(n)})
+		out = append(out, merge.SegmentWeight{Segment: merge.Segment(i), Weight: 1 / float64(n)})
 	}
 	return out
 }
 
-func wide() *merge.Budget {
+func unlimitedBudget() *merge.Budget {
 	b := &merge.Budget{}
-	b.Limit(1<<40, 1<<40, 1000)
+	b.SetLimits(1<<40, 1<<40, 1000)
 	return b
 }
 
-// give lets segments answer, in an order of arrival, and merges what they gave. most cuts what a segment gives.
-func give(t interface{ Fatalf(string, ...any) }, q *merge.Query, l *standin.Dataset, arrive []int, most func(int) int) *merge.Merge {
-	m, err := merge.New(q, wide())
+// addResponses lets segments answer, in an order of arrival, and merges what they gave. most cuts what a segment gives.
+func addResponses(t interface{ Fatalf(string, ...any) }, q *merge.Query, l *standin.Dataset, arrive []int, most func(int) int) *merge.Merge {
+	m, err := merge.New(q, unlimitedBudget())
 	if err != nil {
 		t.Fatalf("%v", err)
 	}
 	for _, at := range arrive {
-		item, _ := strings.CutPrefix(q.Ask(merge.Segment(at)), "m=")
+		item, _ := strings.CutPrefix(q.SegmentItem(merge.Segment(at)), "m=")
 		value, err := l.Respond(at, item, most(at))
 		if err != nil {
 			t.Fatalf("segment %d: %v", at, err)
 		}
-		p, err := q.Read(merge.Segment(at), value)
+		p, err := q.ReadResponse(merge.Segment(at), value)
 		if err != nil {
 			t.Fatalf("segment %d gave %.300s: %v", at, value, err)
 		}
@@ -89,12 +89,12 @@
 	return m
 }
 
-func answer(t interface{ Fatalf(string, ...any) }, m *merge.Merge, whole bool) (standin.MergedResponse, string) {
-	a, err := m.Answer(whole)
+func result(t interface{ Fatalf(string, ...any) }, m *merge.Merge, whole bool) (standin.MergedResponse, string) {
+	a, err := m.Result(whole)
 	if err != nil {
 		t.Fatalf("%v", err)
 	}
-	body := string(a.JSON(nil))
+	body := string(a.AppendJSON(nil))
 	got, err := standin.ParseMergedResponse([]byte(body))
 	if err != nil {
 		t.Fatalf("%v: %s", err, body)
@@ -122,8 +122,8 @@
 	return order
 }
 
-// drawIn draws which segments are in, and in what order they come.
-func drawIn(t *rapid.T, n int) []int {
+// drawIncluded draws which segments are in, and in what order they come.
+func drawIncluded(t *rapid.T, n int) []int {
 	all := make([]int, n)
 	for i := range all {
 		all[i] = i
@@ -141,23 +141,23 @@
 	return out
 }
 
-func TestRankedListsAreTheSortOfEverything(t *testing.T) {
+func TestRankedMatchesOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l, n := drawShape(t)
 		order, offset, limit := drawOrder(t), rapid.IntRange(0, 40).Draw(t, "offset"), rapid.IntRange(1, 60).Draw(t, "limit")
-		q, err := allowance().Query(merge.Terms{Kind: "ranked", Order: order, Offset: offset, Limit: limit}, asked(n), false, merge.Paging{})
+		q, err := testPolicy().NewQuery(merge.Request{Kind: "ranked", Order: order, Offset: offset, Limit: limit}, weights(n), false, merge.Paging{})
 		if err != nil {
 			t.Fatalf("%v", err)
 		}
 		cut := rapid.IntRange(0, 12).Draw(t, "cut") // 0 = none
 		most := func(int) int { return cut }
-		in := drawIn(t, n)
-		got, body := answer(t, give(t, q, l, in, most), len(in) == n)
+		in := drawIncluded(t, n)
+		got, body := result(t, addResponses(t, q, l, in, most), len(in) == n)
 		truth := standin.Oracle{Dataset: l, Segments: segments(n)}
 		if err := truth.CheckRanked(got, order, offset, limit, cut == 0); err != nil {
 			t.Fatalf("%v: %s", err, body)
 		}
-		if _, again := answer(t, give(t, q, l, shuffled(in, 5), most), len(in) == n); again != body {
+		if _, again := result(t, addResponses(t, q, l, shuffled(in, 5), most), len(in) == n); again != body {
 			t.Fatalf("another order of arrival gives\n%s\nnot\n%s", again, body)
 		}
 	})
@@ -170,30 +170,30 @@
 	return out
 }
 
-func TestWalksGiveEachRowOnceWhateverIsMissingOnTheWay(t *testing.T) {
+func TestPagedMatchesOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l, n := drawShape(t)
 		order, limit := drawOrder(t), rapid.IntRange(1, 25).Draw(t, "limit")
 		w := standin.PagedCheck{Oracle: standin.Oracle{Dataset: l, Segments: segments(n)}, Order: order, Limit: limit}
-		p := merge.Paging{Keys: mustRing(), Life: 1000, Most: 8 << 10, Type: "r"}
+		p := merge.Paging{Keys: mustRing(), Lifetime: 1000, MaxLength: 8 << 10, QueryType: "r"}
 		cuts := rapid.IntRange(0, 12).Draw(t, "cut")
 		moves := rapid.Bool().Draw(t, "moves")
 		for cursor, page := "", 0; ; page++ {
 			if page > 400 {
 				t.Fatalf("the walk does not end")
 			}
-			q, err := allowance().Query(merge.Terms{Kind: "paged", Order: order, Limit: limit, Cursor: cursor}, asked(n), false, p)
+			q, err := testPolicy().NewQuery(merge.Request{Kind: "paged", Order: order, Limit: limit, Cursor: cursor}, weights(n), false, p)
 			if err != nil {
 				t.Fatalf("page %d: %v", page, err)
 			}
 			in := segments(n)
 			if page < 12 {
-				in = drawIn(t, n)
+				in = drawIncluded(t, n)
 				if moves && rapid.IntRange(0, 4).Draw(t, "move") == 0 {
 					l.Advance(rapid.IntRange(0, n-1).Draw(t, "which"))
 				}
 			}
-			got, body := answer(t, give(t, q, l, in, func(int) int { return cuts }), len(in) == n)
+			got, body := result(t, addResponses(t, q, l, in, func(int) int { return cuts }), len(in) == n)
 			if err := w.CheckPage(got, cuts == 0); err != nil {
 				t.Fatalf("page %d: %v: %s", page, err, body)
 			}
@@ -215,19 +215,19 @@
 	return r
 }
 
-func TestFiguresAndTheirQualityAreThoseOfTheTruth(t *testing.T) {
+func TestAggregatedMatchesOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l, n := drawShape(t)
-		terms := merge.Terms{Kind: "aggregated", Limit: rapid.IntRange(1, 400).Draw(t, "limit"),
-			Figures: []string{"count", "sum(amount)", "sum(bills)", "min(due)", "max(amount)", "mean(amount)", "mean(bills)"}}
+		terms := merge.Request{Kind: "aggregated", Limit: rapid.IntRange(1, 400).Draw(t, "limit"),
+			Aggregates: []string{"count", "sum(amount)", "sum(bills)", "min(due)", "max(amount)", "mean(amount)", "mean(bills)"}}
 		if rapid.Bool().Draw(t, "sketches") {
-			terms.Figures = append(terms.Figures, "distinct(customer)", "p50(amount)", "p99(bills)")
+			terms.Aggregates = append(terms.Aggregates, "distinct(customer)", "p50(amount)", "p99(bills)")
 		}
 		if rapid.IntRange(0, 3).Draw(t, "grouped") > 0 {
 			terms.Group = rapid.SampledFrom([][]string{{"customer"}, {"due"}, {"bills", "customer"}, {"amount"}}).Draw(t, "group")
 			terms.By = rapid.SampledFrom([]string{"", "sum(amount)", "sum(bills)", "count"}).Draw(t, "by")
 		}
-		q, err := allowance().Query(terms, asked(n), false, merge.Paging{})
+		q, err := testPolicy().NewQuery(terms, weights(n), false, merge.Paging{})
 		if err != nil {
 			t.Fatalf("%v", err)
 		}
@@ -235,27 +235,27 @@
 		if len(terms.Group) > 0 {
 			cut = rapid.IntRange(0, 9).Draw(t, "cut")
 		}
-		in := drawIn(t, n)
-		got, body := answer(t, give(t, q, l, in, func(int) int { return cut }), len(in) == n)
+		in := drawIncluded(t, n)
+		got, body := result(t, addResponses(t, q, l, in, func(int) int { return cut }), len(in) == n)
 		truth := standin.Oracle{Dataset: l, Segments: segments(n)}
 		if err := truth.CheckAggregated(got, terms, cut == 0); err != nil {
 			t.Fatalf("%v: %s", err, body)
 		}
-		if _, again := answer(t, give(t, q, l, shuffled(in, 3), func(int) int { return cut }), len(in) == n); again != body {
+		if _, again := result(t, addResponses(t, q, l, shuffled(in, 3), func(int) int { return cut }), len(in) == n); again != body {
 			t.Fatalf("another order of arrival gives\n%s\nnot\n%s", again, body)
 		}
 	})
 }
 
-func TestPartsThatAreNotInTheirFormAreRefused(t *testing.T) {
-	list, err := allowance().Query(merge.Terms{Kind: "ranked", Order: []string{"-amount", "due"}, Limit: 3}, asked(2), false, merge.Paging{})
+func TestMalformedResponses(t *testing.T) {
+	list, err := testPolicy().NewQuery(merge.Request{Kind: "ranked", Order: []string{"-amount", "due"}, Limit: 3}, weights(2), false, merge.Paging{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	head := func(rows int) string { return fmt.Sprintf(`{"schema":"arrears/1","as_of":7,"rows":%d}`, rows) }
 	row := func(account, amount string) string { return `["` + account + `","c","2026-01-02",` + amount + `,1]` }
 	good := head(2) + "\n" + row("a", `"5.00"`) + "\n" + row("b", `"5.00"`) + "\n"
-	if _, err := list.Read(0, good); err != nil {
+	if _, err := list.ReadResponse(0, good); err != nil {
 		t.Fatalf("a good part is refused: %v", err)
 	}
 	for what, value := range map[string]string{
@@ -285,22 +285,22 @@
 		"groups where rows":    `{"schema":"arrears/1","as_of":7,"rows":0,"cut":{"groups":1,"most":"1","least":"1"}}`,
 		"two words for a line": head(1) + head(1) + "\n" + row("a", `"5.00"`),
 	} {
-		if _, err := list.Read(0, value); err == nil {
+		if _, err := list.ReadResponse(0, value); err == nil {
 			t.Errorf("%s is taken: %q", what, value)
 		}
 	}
-	figures, err := allowance().Query(merge.Terms{Kind: "aggregated", Group: []string{"customer"}, Limit: 9,
-		Figures: []string{"sum(bills)", "p99(bills)", "distinct(customer)"}}, asked(1), false, merge.Paging{})
+	figures, err := testPolicy().NewQuery(merge.Request{Kind: "aggregated", Group: []string{"customer"}, Limit: 9,
+		Aggregates: []string{"sum(bills)", "p99(bills)", "distinct(customer)"}}, weights(1), false, merge.Paging{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	l := standin.NewDataset(3, standin.DatasetShape{Segments: 1, Accounts: 50})
-	item, _ := strings.CutPrefix(figures.Ask(0), "m=")
+	item, _ := strings.CutPrefix(figures.SegmentItem(0), "m=")
 	value, err := l.Respond(0, item, 4)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := figures.Read(0, value); err != nil {
+	if _, err := figures.ReadResponse(0, value); err != nil {
 		t.Fatalf("good figures are refused: %v", err)
 	}
 	lines := strings.Split(strings.TrimSpace(value), "\n")
@@ -312,40 +312,40 @@
 		"half a sketch":          strings.Replace(value, `=="`, `"`, 1)[:len(value)-9] + "]",
 		"a sum in letters":       strings.Replace(value, lines[1], strings.Replace(lines[1], `"`, `"x`, 3), 1),
 	} {
-		if _, err := figures.Read(0, spoilt); err == nil {
+		if _, err := figures.ReadResponse(0, spoilt); err == nil {
 			t.Errorf("%s is taken: %q", what, spoilt)
 		}
 	}
 }
 
 // A node that gives more than it was asked for: the first rows of its run count, and the list goes on behind them.
-func TestMoreRowsThanAskedAreCutToThose(t *testing.T) {
+func TestExcessRowsDropped(t *testing.T) {
 	l := standin.NewDataset(8, standin.DatasetShape{Segments: 3, Accounts: 90})
 	order := []string{"due"}
 	ask := func(limit int) *merge.Query {
-		q, err := allowance().Query(merge.Terms{Kind: "ranked", Order: order, Limit: limit}, asked(3), false, merge.Paging{})
+		q, err := testPolicy().NewQuery(merge.Request{Kind: "ranked", Order: order, Limit: limit}, weights(3), false, merge.Paging{})
 		if err != nil {
 			t.Fatal(err)
 		}
 		return q
 	}
 	q, more := ask(10), ask(25)
-	m, err := merge.New(q, wide())
+	m, err := merge.New(q, unlimitedBudget())
 	if err != nil {
 		t.Fatal(err)
 	}
 	for at := range 3 {
-		item, _ := strings.CutPrefix(more.Ask(merge.Segment(at)), "m=")
+		item, _ := strings.CutPrefix(more.SegmentItem(merge.Segment(at)), "m=")
 		value, err := l.Respond(at, item, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
-		p, err := q.Read(merge.Segment(at), value)
+		p, err := q.ReadResponse(merge.Segment(at), value)
 		if err != nil || m.Add(p) != nil {
 			t.Fatalf("segment %d: %v", at, err)
 		}
 	}
-	got, body := answer(t, m, true)
+	got, body := result(t, m, true)
 	if err := (standin.Oracle{Dataset: l, Segments: segments(3)}).CheckRanked(got, order, 0, 10, true); err != nil || !got.Full {
 		t.Errorf("%v, full %t: %s", err, got.Full, body)
 	}
@@ -354,75 +354,75 @@
 	}
 }
 
-func TestACopyAndALateSegmentCountOnce(t *testing.T) {
+func TestDuplicateResponses(t *testing.T) {
 	l := standin.NewDataset(5, standin.DatasetShape{Segments: 2, Accounts: 30})
-	terms := merge.Terms{Kind: "aggregated", Limit: 1, Figures: []string{"count", "sum(amount)"}}
-	q, err := allowance().Query(terms, asked(2), false, merge.Paging{})
+	terms := merge.Request{Kind: "aggregated", Limit: 1, Aggregates: []string{"count", "sum(amount)"}}
+	q, err := testPolicy().NewQuery(terms, weights(2), false, merge.Paging{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	none := func(int) int { return 0 }
-	m := give(t, q, l, []int{0}, none)
-	before, _ := answer(t, m, false)
+	m := addResponses(t, q, l, []int{0}, none)
+	before, _ := result(t, m, false)
 	if before.Full || before.Result.Groups[0].Values[0].Precision != "lower_bound" || before.Result.Groups[0].Values[1].Precision != "partial" {
 		t.Errorf("with one of two segments it says %+v", before)
 	}
-	if got, _ := answer(t, m, true); got.Full {
+	if got, _ := result(t, m, true); got.Full {
 		t.Error("an answer short of a segment is called whole, on somebody's word")
 	}
-	m.Spoilt(1)
-	if got, _ := answer(t, m, false); got.Result.Complete.Segments[1].State != "unusable" {
+	m.MarkUnusable(1)
+	if got, _ := result(t, m, false); got.Result.Complete.Segments[1].State != "unusable" {
 		t.Errorf("a segment that gave nothing usable is %s", got.Result.Complete.Segments[1].State)
 	}
 	for _, at := range []int{1, 0, 1} { // the late one, and copies
-		item, _ := strings.CutPrefix(q.Ask(merge.Segment(at)), "m=")
+		item, _ := strings.CutPrefix(q.SegmentItem(merge.Segment(at)), "m=")
 		value, _ := l.Respond(at, item, 0)
-		p, err := q.Read(merge.Segment(at), value)
+		p, err := q.ReadResponse(merge.Segment(at), value)
 		if err != nil || m.Add(p) != nil {
 			t.Fatalf("segment %d: %v", at, err)
 		}
 	}
-	got, body := answer(t, m, true)
+	got, body := result(t, m, true)
 	if err := (standin.Oracle{Dataset: l, Segments: segments(2)}).CheckAggregated(got, terms, true); err != nil || !got.Full {
 		t.Errorf("%v, full %t: %s", err, got.Full, body)
 	}
 }
 
-func TestAnAnswerShortOfAPartIsRefusedWhereThatIsForbidden(t *testing.T) {
+func TestIncompleteResultRejected(t *testing.T) {
 	l := standin.NewDataset(5, standin.DatasetShape{Segments: 3, Accounts: 30})
-	q, err := allowance().Query(merge.Terms{Kind: "ranked", Order: []string{"due"}, Limit: 5}, asked(3), true, merge.Paging{})
+	q, err := testPolicy().NewQuery(merge.Request{Kind: "ranked", Order: []string{"due"}, Limit: 5}, weights(3), true, merge.Paging{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := give(t, q, l, []int{0, 2}, func(int) int { return 0 })
-	if _, err := m.Answer(true); !errors.Is(err, merge.ErrShort) {
+	m := addResponses(t, q, l, []int{0, 2}, func(int) int { return 0 })
+	if _, err := m.Result(true); !errors.Is(err, merge.ErrIncomplete) {
 		t.Errorf("an answer short of a segment: %v", err)
 	}
-	light := []merge.Asked{{Segment: 0, Weight: 1}, {Segment: 1, Weight: 0}}
-	if _, err := allowance().Query(merge.Terms{Kind: "ranked", Order: []string{"due"}, Limit: 5}, light, true, merge.Paging{}); err == nil {
+	light := []merge.SegmentWeight{{Segment: 0, Weight: 1}, {Segment: 1, Weight: 0}}
+	if _, err := testPolicy().NewQuery(merge.Request{Kind: "ranked", Order: []string{"due"}, Limit: 5}, light, true, merge.Paging{}); err == nil {
 		t.Error("a segment without weight is taken, whose absence no share would show")
 	}
 }
 
-func TestSumsAtTheEdgeAreExactOrSaidNotToFit(t *testing.T) {
-	q, err := allowance().Query(merge.Terms{Kind: "aggregated", Limit: 1, Figures: []string{"sum(amount)", "count", "mean(amount)"}},
-		asked(3), false, merge.Paging{})
+func TestSumOverflow(t *testing.T) {
+	q, err := testPolicy().NewQuery(merge.Request{Kind: "aggregated", Limit: 1, Aggregates: []string{"sum(amount)", "count", "mean(amount)"}},
+		weights(3), false, merge.Paging{})
 	if err != nil {
 		t.Fatal(err)
 	}
 	sum := func(parts ...string) standin.MergedResponse {
-		m, err := merge.New(q, wide())
+		m, err := merge.New(q, unlimitedBudget())
 		if err != nil {
 			t.Fatal(err)
 		}
 		for i, p := range parts {
-			part, err := q.Read(merge.Segment(i), `{"schema":"arrears/1","as_of":1,"rows":1}`+"\n["+p+"]\n")
+			part, err := q.ReadResponse(merge.Segment(i), `{"schema":"arrears/1","as_of":1,"rows":1}`+"\n["+p+"]\n")
 			if err != nil {
 				t.Fatalf("%s: %v", p, err)
 			}
 			m.Add(part)
 		}
-		got, _ := answer(t, m, true)
+		got, _ := result(t, m, true)
 		return got
 	}
 	const most = "9999999999999999.99"
@@ -447,13 +447,13 @@
 }
 
 // A group that nobody gave may tie with one that all gave, once credits make up for what stood before the cut.
-func TestAGroupIsNotCertainWhereOneUnseenMayTie(t *testing.T) {
-	q, err := allowance().Query(merge.Terms{Kind: "aggregated", Group: []string{"customer"}, Limit: 5, Figures: []string{"sum(amount)"}},
-		asked(2), false, merge.Paging{})
+func TestUncertainTie(t *testing.T) {
+	q, err := testPolicy().NewQuery(merge.Request{Kind: "aggregated", Group: []string{"customer"}, Limit: 5, Aggregates: []string{"sum(amount)"}},
+		weights(2), false, merge.Paging{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	m, err := merge.New(q, wide())
+	m, err := merge.New(q, unlimitedBudget())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -461,26 +461,26 @@
 		`{"schema":"arrears/1","as_of":1,"rows":1,"cut":{"groups":1,"most":"0.00","least":"0.00"}}` + "\n" + `["c-05","5.00"]`,
 		`{"schema":"arrears/1","as_of":1,"rows":1}` + "\n" + `["c-05","-5.00"]`, // the one cut, c-03 say, is at 0 as well, and comes first
 	} {
-		p, err := q.Read(merge.Segment(at), value)
+		p, err := q.ReadResponse(merge.Segment(at), value)
 		if err != nil || m.Add(p) != nil {
 			t.Fatalf("segment %d: %v", at, err)
 		}
 	}
-	if got, body := answer(t, m, true); got.Result.Certain != 0 || got.Full {
+	if got, body := result(t, m, true); got.Result.Certain != 0 || got.Full {
 		t.Errorf("it is certain of %d groups, full %t: %s", got.Result.Certain, got.Full, body)
 	}
 }
 
-func TestAnAnswersBytesAreBoundedForGroupsToo(t *testing.T) {
+func TestMaxResultBytesOfGroups(t *testing.T) {
 	l := standin.NewDataset(4, standin.DatasetShape{Segments: 2, Accounts: 400})
-	a := allowance()
-	a.MostAnswer = 1200
-	terms := merge.Terms{Kind: "aggregated", Group: []string{"due"}, Limit: 300, Figures: []string{"count", "sum(amount)", "mean(amount)"}}
-	q, err := a.Query(terms, asked(2), false, merge.Paging{})
+	a := testPolicy()
+	a.MaxResultBytes = 1200
+	terms := merge.Request{Kind: "aggregated", Group: []string{"due"}, Limit: 300, Aggregates: []string{"count", "sum(amount)", "mean(amount)"}}
+	q, err := a.NewQuery(terms, weights(2), false, merge.Paging{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	got, body := answer(t, give(t, q, l, []int{0, 1}, func(int) int { return 0 }), true)
+	got, body := result(t, addResponses(t, q, l, []int{0, 1}, func(int) int { return 0 }), true)
 	if n := len(got.Result.Groups); n == 0 || n > 20 || !got.Result.More || got.Full {
 		t.Errorf("%d groups in %d bytes, more %t, full %t", n, len(body), got.Result.More, got.Full)
 	}
@@ -489,21 +489,21 @@
 	}
 }
 
-func TestAThousandOpenMergesStayWithinTheirBytes(t *testing.T) {
+func TestBudget(t *testing.T) {
 	l := standin.NewDataset(9, standin.DatasetShape{Segments: 2, Accounts: 200})
-	q, err := allowance().Query(merge.Terms{Kind: "ranked", Order: []string{"due"}, Limit: 100}, asked(2), false, merge.Paging{})
+	q, err := testPolicy().NewQuery(merge.Request{Kind: "ranked", Order: []string{"due"}, Limit: 100}, weights(2), false, merge.Paging{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	item, _ := strings.CutPrefix(q.Ask(0), "m=")
+	item, _ := strings.CutPrefix(q.SegmentItem(0), "m=")
 	value, _ := l.Respond(0, item, 0)
-	part, err := q.Read(0, value)
+	part, err := q.ReadResponse(0, value)
 	if err != nil {
 		t.Fatal(err)
 	}
 	b := &merge.Budget{}
 	const most = 1 << 20
-	b.Limit(most, 1<<40, 1000)
+	b.SetLimits(most, 1<<40, 1000)
 	var open []*merge.Merge
 	full := 0
 	for range 1000 {
@@ -512,24 +512,24 @@
 			t.Fatal(err)
 		}
 		open = append(open, m)
-		if err := m.Add(part); errors.Is(err, merge.ErrFull) {
+		if err := m.Add(part); errors.Is(err, merge.ErrBudgetExceeded) {
 			full++
 		}
-		if bytes, _, _ := b.Held(); bytes > most {
+		if bytes, _, _ := b.Usage(); bytes > most {
 			t.Fatalf("%d bytes are held, %d may be", bytes, most)
 		}
 	}
 	if full == 0 || full == 1000 {
 		t.Errorf("%d of 1000 merges were refused", full)
 	}
-	if _, err := merge.New(q, b); !errors.Is(err, merge.ErrFull) {
+	if _, err := merge.New(q, b); !errors.Is(err, merge.ErrBudgetExceeded) {
 		t.Errorf("a merge past the most that may be open: %v", err)
 	}
 	for _, m := range open {
 		m.Close()
 		m.Close()
 	}
-	if bytes, rows, n := b.Held(); bytes != 0 || rows != 0 || n != 0 {
+	if bytes, rows, n := b.Usage(); bytes != 0 || rows != 0 || n != 0 {
 		t.Errorf("closed merges hold %d bytes, %d rows, %d open", bytes, rows, n)
 	}
 }
--- a/merge/order.go
+++ b/merge/order.go
@@ -7,10 +7,10 @@
 	"strings"
 )
 
-// Key is one key of an order: a column, up or down. Missing values come last either way.
-type Key struct {
-	Column int
-	Down   bool
+// OrderKey is one key of an order: a column, up or down. Missing values come last either way.
+type OrderKey struct {
+	Column     int
+	Descending bool
 }
 
 // Each row has a sort key: bytes whose plain order is the order of the list. It is made of the order's keys, then of
@@ -22,9 +22,9 @@
 // For an order downwards a value's bytes, save the first, are turned.
 
 // sortKey appends the sort key of a row.
-func (s *Schema) sortKey(b []byte, order []Key, row []scalar, at Segment) []byte {
+func (s *Schema) sortKey(b []byte, order []OrderKey, row []scalar, at Segment) []byte {
 	for _, k := range order {
-		b = s.appendValue(b, k.Column, row[k.Column], k.Down)
+		b = s.appendValue(b, k.Column, row[k.Column], k.Descending)
 	}
 	b = s.appendValue(b, s.Account, row[s.Account], false)
 	b = binary.BigEndian.AppendUint32(b, uint32(at))
@@ -40,7 +40,7 @@
 )
 
 func (s *Schema) appendValue(b []byte, column int, v scalar, down bool) []byte {
-	if v.missing() {
+	if v.isNull() {
 		return append(b, absent)
 	}
 	b = append(b, present)
@@ -57,7 +57,7 @@
 		n, _ := strconv.ParseInt(v.text, 10, 64)
 		b = binary.BigEndian.AppendUint64(b, uint64(n)^1<<63)
 	case Money:
-		negative, whole, part, _ := amount(v.text, s.Digits, c.Scale)
+		negative, whole, part, _ := splitDecimal(v.text, s.Digits, c.Scale)
 		b = append(b, 1)
 		for range s.Digits - c.Scale - len(whole) {
 			b = append(b, '0')
@@ -68,35 +68,35 @@
 		}
 		if negative {
 			b[start] = 0 // before all others, the largest amount first
-			turn(b[start+1:])
+			invert(b[start+1:])
 		}
 	}
 	if down {
-		turn(b[start:])
+		invert(b[start:])
 	}
 	return b
 }
 
-func turn(b []byte) {
+func invert(b []byte) {
 	for i := range b {
 		b[i] = ^b[i]
 	}
 }
 
-// mark is a place in a ranked list: just after one row. It holds that row's values as they came, in the order's keys,
+// position is a place in a ranked list: just after one row. It holds that row's values as they came, in the order's keys,
 // so that segments can be told where to go on, and its sort key.
-type mark struct {
+type position struct {
 	keys    []scalar // one for each key of the order
 	account scalar
 	segment Segment
 	row     scalar // with Schema.Row only
-	at      string // the sort key; "" = before the first row
+	sortKey string // the sort key; "" = before the first row
 }
 
-// markOf is the place after a row.
-func (s *Schema) markOf(order []Key, r Row) mark {
+// positionAfter is the place after a row.
+func (s *Schema) positionAfter(order []OrderKey, r Row) position {
 	vals, _ := scanRow(r.raw, make([]scalar, 0, len(s.Columns))) // it was read before
-	m := mark{account: vals[s.Account], segment: r.segment, at: r.key}
+	m := position{account: vals[s.Account], segment: r.segment, sortKey: r.key}
 	for _, k := range order {
 		m.keys = append(m.keys, vals[k.Column])
 	}
@@ -106,8 +106,8 @@
 	return m
 }
 
-// restore checks a mark that came from outside and makes its sort key.
-func (s *Schema) restore(order []Key, m *mark) error {
+// restorePosition checks a mark that came from outside and makes its sort key.
+func (s *Schema) restorePosition(order []OrderKey, m *position) error {
 	if len(m.keys) != len(order) {
 		return fmt.Errorf("a place has %d keys, the order %d", len(m.keys), len(order))
 	}
@@ -122,20 +122,20 @@
 	if s.Row >= 0 {
 		row[s.Row] = m.row
 	}
-	m.at = string(s.sortKey(nil, order, row, m.segment))
+	m.sortKey = string(s.sortKey(nil, order, row, m.segment))
 	return nil
 }
 
 // parseOrder reads keys such as "due" and "-amount".
-func (s *Schema) parseOrder(names []string, allowed []string) ([]Key, error) {
-	if len(names) == 0 || len(names) > mostKeys {
-		return nil, fmt.Errorf("order names 1 to %d columns", mostKeys)
+func (s *Schema) parseOrder(names []string, allowed []string) ([]OrderKey, error) {
+	if len(names) == 0 || len(names) > maxKeys {
+		return nil, fmt.Errorf("order names 1 to %d columns", maxKeys)
 	}
-	var order []Key
+	var order []OrderKey
 	seen := map[int]bool{}
 	for _, name := range names {
 		bare, down := strings.CutPrefix(name, "-")
-		at := s.Place(bare)
+		at := s.ColumnIndex(bare)
 		switch {
 		case at < 0 || !contains(allowed, bare):
 			return nil, fmt.Errorf("order by %.60q is not allowed", bare)
@@ -143,13 +143,13 @@
 			return nil, fmt.Errorf("order names %q twice", bare)
 		}
 		seen[at] = true
-		order = append(order, Key{at, down})
+		order = append(order, OrderKey{at, down})
 	}
 	return order, nil
 }
 
-// mostKeys bounds an order, and with it the places in a cursor.
-const mostKeys = 8
+// maxKeys bounds an order, and with it the places in a cursor.
+const maxKeys = 8
 
 func contains(list []string, s string) bool {
 	for _, x := range list {
--- a/merge/scan.go
+++ b/merge/scan.go
@@ -16,7 +16,7 @@
 	kind byte // 's' a string, 'i' an integer, '0' null
 }
 
-func (s scalar) missing() bool { return s.kind == '0' }
+func (s scalar) isNull() bool { return s.kind == '0' }
 
 // scanRow reads a compact JSON array of strings, integers and nulls into at most cap(out) scalars. Whatever else JSON
 // allows is not the form of a row: a row is passed on as it came, so what is let in here is what clients get.
@@ -102,7 +102,7 @@
 
 // check says whether a value is one of a column.
 func (c Column) check(s scalar, digits int) error {
-	if s.missing() {
+	if s.isNull() {
 		return nil
 	}
 	bad := false
@@ -116,7 +116,7 @@
 		v, err := strconv.ParseInt(s.text, 10, 64)
 		bad = s.kind != 'i' || err != nil || c.Unsigned && v < 0
 	case Money:
-		negative, _, _, ok := amount(s.text, digits, c.Scale)
+		negative, _, _, ok := splitDecimal(s.text, digits, c.Scale)
 		bad = s.kind != 's' || !ok || c.Unsigned && negative
 	}
 	if bad {
@@ -125,9 +125,9 @@
 	return nil
 }
 
-// amount takes a decimal apart: its sign, and the digits before and after the point. It must be written plainly, and
+// splitDecimal takes a decimal apart: its sign, and the digits before and after the point. It must be written plainly, and
 // fit the digits and the scale.
-func amount(text string, digits, scale int) (negative bool, whole, part string, ok bool) {
+func splitDecimal(text string, digits, scale int) (negative bool, whole, part string, ok bool) {
 	text, negative = strings.CutPrefix(text, "-")
 	whole, part, point := strings.Cut(text, ".")
 	switch {
--- a/merge/schema.go
+++ b/merge/schema.go
@@ -9,9 +9,9 @@
 // Segment is the number of a shard, as searches name it.
 type Segment int
 
-// Stamp says as of when a segment's data stood: a version or a moment, as the segment counts them. Equal stamps mean
+// Version says as of when a segment's data stood: a version or a moment, as the segment counts them. Equal stamps mean
 // equal data.
-type Stamp uint64
+type Version uint64
 
 // Kind is the kind of a column's values.
 type Kind uint8
@@ -28,8 +28,8 @@
 
 func (k Kind) String() string { return kindNames[k] }
 
-// MostDigits is the most decimal digits that an amount of money may be given, before and after the point together.
-const MostDigits = 38
+// MaxDigits is the most decimal digits that an amount of money may be given, before and after the point together.
+const MaxDigits = 38
 
 // Column is one column of a schema. Any value may be missing (null), save an account's and a row's id.
 type Column struct {
@@ -48,8 +48,8 @@
 	Digits  int // the most digits of an amount or a sum
 }
 
-// Place finds a column by name; -1 = there is none.
-func (s *Schema) Place(name string) int {
+// ColumnIndex finds a column by name; -1 = there is none.
+func (s *Schema) ColumnIndex(name string) int {
 	for i, c := range s.Columns {
 		if c.Name == name {
 			return i
@@ -96,14 +96,14 @@
 		seen[c.Name] = true
 	}
 	switch {
-	case len(s.Columns) == 0 || len(s.Columns) > mostColumns:
-		return fmt.Errorf("a schema has 1 to %d columns, not %d", mostColumns, len(s.Columns))
+	case len(s.Columns) == 0 || len(s.Columns) > maxColumns:
+		return fmt.Errorf("a schema has 1 to %d columns, not %d", maxColumns, len(s.Columns))
 	case s.Account < 0 || s.Account >= len(s.Columns) || s.Columns[s.Account].Kind != Text:
 		return fmt.Errorf("the account's column must be one of the schema's and text")
 	case s.Row >= len(s.Columns) || s.Row == s.Account:
 		return fmt.Errorf("the row's column must be another one of the schema's")
-	case s.Digits < 1 || s.Digits > MostDigits:
-		return fmt.Errorf("digits must be from 1 to %d", MostDigits)
+	case s.Digits < 1 || s.Digits > MaxDigits:
+		return fmt.Errorf("digits must be from 1 to %d", MaxDigits)
 	}
 	for _, c := range s.Columns {
 		if c.Kind == Money && c.Scale >= s.Digits {
@@ -113,8 +113,8 @@
 	return nil
 }
 
-// mostColumns bounds what a row costs to read.
-const mostColumns = 64
+// maxColumns bounds what a row costs to read.
+const maxColumns = 64
 
 func plainName(s string) bool {
 	for _, c := range []byte(s) {
--- a/merge/tree.go
+++ b/merge/tree.go
@@ -1,14 +1,14 @@
 package merge
 
-// losers is a loser tree over sorted runs: each inner node holds the run that lost there, so that the next row costs
+// loserTree is a loser tree over sorted runs: each inner node holds the run that lost there, so that the next row costs
 // one comparison a level, where a binary heap takes two. The runs are emptied as rows are taken.
-type losers struct {
+type loserTree struct {
 	runs [][]Row // what is left of each; an empty one loses to all
 	tree []int   // tree[0] is the winner; tree[i] the loser of node i
 }
 
-func newLosers(runs [][]Row) *losers {
-	l := &losers{runs: runs, tree: make([]int, max(len(runs), 1))}
+func newLoserTree(runs [][]Row) *loserTree {
+	l := &loserTree{runs: runs, tree: make([]int, max(len(runs), 1))}
 	if len(runs) == 0 {
 		return l
 	}
@@ -30,7 +30,7 @@
 }
 
 // less tells whether run a's next row comes before run b's.
-func (l *losers) less(a, b int) bool {
+func (l *loserTree) less(a, b int) bool {
 	switch {
 	case len(l.runs[a]) == 0:
 		return false
@@ -41,7 +41,7 @@
 }
 
 // next takes the first row of all; false = there is none left.
-func (l *losers) next() (Row, bool) {
+func (l *loserTree) next() (Row, bool) {
 	if len(l.runs) == 0 {
 		return Row{}, false
 	}
