--- a/internal/idleconn/idleconn_linux.go
+++ b/internal/idleconn/idleconn_linux.go
@@ -1,8 +1,8 @@
-// Package idleconn keeps idle sockets without a goroutine, a buffer or a runtime timer: each is a descriptor in one epoll set
-// and whatever its owner keeps of it. It owns the descriptors of what is parked, and one goroutine that waits for all of
-// them. It decides nothing: what wakes is told to its owner.
+// Package idleconn keeps idle TCP connections without a goroutine, a buffer or a runtime timer each: a parked connection is a
+// descriptor in an epoll set and whatever its owner records about it. A Set owns the descriptors of parked sockets and one
+// goroutine that waits for all of them. It makes no decisions: its owner is notified of sockets that become readable.
 //
-// The epoll descriptor itself waits in the runtime's poller, so that not even a thread is held.
+// The epoll descriptor itself is in the runtime's poller, so that no thread is blocked either.
 package idleconn
 
 import (
@@ -17,7 +17,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// Supported says whether sockets can be parked on this system.
+// Supported reports whether this system can park sockets.
 const Supported = true
 
 // Set is a set of parked sockets.
@@ -28,11 +28,12 @@
 	done       chan struct{}
 }
 
-// New starts a set. woken is told of each parked socket on which something may have come, in the set's own goroutine, and
-// must not wait. The socket is not watched any more then. What is told may be stale: the socket may have been taken out
-// meanwhile, and its number be another's. So the owner looks whether it still holds this socket under this value, asks
-// Peek what is there, and does Unpark, Close, Refuse, or Watch to let it wait on.
-func New(woken func(value uint32, fd int)) (*Set, error) {
+// New starts a set. onReadable is called, in the set's own goroutine, with the value and descriptor of each parked socket that
+// may be readable or closed; it must not block. The socket is not armed then.
+//
+// A notification may be stale: the socket may have been closed meanwhile and its descriptor reused. The owner therefore checks
+// that it still holds this socket with this value, calls Peek, and then Unpark, Close, Reject or Rearm.
+func New(onReadable func(value uint32, fd int)) (*Set, error) {
 	fd, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 	if err != nil {
 		return nil, fmt.Errorf("epoll: %w", err)
@@ -41,7 +42,7 @@
 		unix.Close(fd)
 		return nil, err
 	}
-	s := &Set{epoll: os.NewFile(uintptr(fd), "epoll"), onReadable: woken, done: make(chan struct{})}
+	s := &Set{epoll: os.NewFile(uintptr(fd), "epoll"), onReadable: onReadable, done: make(chan struct{})}
 	if s.raw, err = s.epoll.SyscallConn(); err != nil {
 		s.epoll.Close()
 		return nil, err
@@ -50,15 +51,16 @@
 	return s, nil
 }
 
-// Stop ends the set's goroutine. What is parked stays open, and its owner's.
+// Stop ends the set's goroutine. Parked sockets stay open and belong to the caller.
 func (s *Set) Stop() {
 	s.epoll.Close()
 	<-s.done
 }
 
-// maxEvents is how many sockets are told of at a time.
+// maxEvents is the number of events read at a time.
 const maxEvents = 128
 
+// run calls onReadable until the set is stopped.
 func (s *Set) run() {
 	defer close(s.done)
 	events := make([]unix.EpollEvent, maxEvents)
@@ -78,21 +80,23 @@
 	}
 }
 
+// control adds a socket to the epoll set, or arms it again.
 func (s *Set) control(op, fd int, value uint32) error {
-	// One shot: a socket that woke is not told again while its owner deals with it.
-	e := unix.EpollEvent{Events: unix.EPOLLIN | unix.EPOLLRDHUP | unix.EPOLLONESHOT, Fd: int32(fd), Pad: int32(value)}
+	// One shot: no further notification while the owner handles this one.
+	event := unix.EpollEvent{Events: unix.EPOLLIN | unix.EPOLLRDHUP | unix.EPOLLONESHOT, Fd: int32(fd), Pad: int32(value)}
 	var err error
-	if ctl := s.raw.Control(func(ep uintptr) { err = unix.EpollCtl(int(ep), op, fd, &e) }); ctl != nil {
-		return ctl
+	controlErr := s.raw.Control(func(epoll uintptr) { err = unix.EpollCtl(int(epoll), op, fd, &event) })
+	if controlErr != nil {
+		return controlErr
 	}
 	return err
 }
 
-// Rearm lets a socket that woke for nothing wait on.
+// Rearm waits again for a parked socket after a notification.
 func (s *Set) Rearm(fd int, value uint32) error { return s.control(unix.EPOLL_CTL_MOD, fd, value) }
 
-// Peek tells whether bytes wait on a socket, or, where none do, that it is over: io.EOF if the other side has closed it,
-// else what broke it.
+// Peek reports whether bytes can be read from a socket. If there are none, closed is io.EOF if the peer has closed the
+// connection, another error if it failed, or nil.
 func Peek(fd int) (waiting bool, closed error) {
 	var one [1]byte
 	for {
@@ -111,31 +115,31 @@
 	}
 }
 
-// Park takes a connection's socket over: the connection is closed, its socket is not, and waits in the set under a value.
-// On an error nothing has changed. It takes one more descriptor for a moment.
+// Park takes over a connection's socket: the net.TCPConn is closed, its socket stays open and waits in the set with a value.
+// After an error nothing has changed. Park needs one more descriptor temporarily.
 func (s *Set) Park(c *net.TCPConn, value uint32) (fd int, err error) {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return -1, err
 	}
 	fd = -1
-	var dup error
-	if err := raw.Control(func(old uintptr) { fd, dup = unix.FcntlInt(old, unix.F_DUPFD_CLOEXEC, 3) }); err != nil {
+	var dupErr error
+	if err := raw.Control(func(old uintptr) { fd, dupErr = unix.FcntlInt(old, unix.F_DUPFD_CLOEXEC, 3) }); err != nil {
 		return -1, err
 	}
-	if dup != nil {
-		return -1, dup
+	if dupErr != nil {
+		return -1, dupErr
 	}
 	if err := s.control(unix.EPOLL_CTL_ADD, fd, value); err != nil {
 		unix.Close(fd)
 		return -1, err
 	}
-	c.Close() // the socket itself stays open by the other descriptor
+	c.Close() // the duplicate descriptor keeps the socket open
 	return fd, nil
 }
 
-// Unpark makes a connection of a parked socket again. On an error, as where the two descriptors more that it takes for a
-// moment are not to be had, the socket is as before, but not watched.
+// Unpark makes a parked socket a connection again. It needs two more descriptors temporarily. After an error the socket is
+// still parked, but not armed.
 func (s *Set) Unpark(fd int) (net.Conn, error) {
 	other, err := unix.FcntlInt(uintptr(fd), unix.F_DUPFD_CLOEXEC, 3)
 	if err != nil {
@@ -151,37 +155,41 @@
 	return c, nil
 }
 
+// remove takes a socket out of the epoll set.
 func (s *Set) remove(fd int) {
-	s.raw.Control(func(ep uintptr) { unix.EpollCtl(int(ep), unix.EPOLL_CTL_DEL, fd, nil) })
+	s.raw.Control(func(epoll uintptr) { unix.EpollCtl(int(epoll), unix.EPOLL_CTL_DEL, fd, nil) })
 }
 
-// Close ends a parked socket.
+// Close closes a parked socket.
 func (s *Set) Close(fd int) {
 	s.remove(fd)
 	unix.Close(fd)
 }
 
-// Reject answers a parked socket with bytes made ready, without waiting, and closes it: whatever has come is read first, as
-// a socket that is closed with bytes unread takes its answer back.
-func (s *Set) Reject(fd int, refuse []byte) {
-	b := discardBuffers.Get().(*[16 << 10]byte)
+// Reject sends a prepared response on a parked socket without blocking, and closes it. What has been received is read first:
+// closing a socket with unread bytes would reset the connection, and the client might not get the response.
+func (s *Set) Reject(fd int, response []byte) {
+	b := discardBuffers.Get().(*[discardBufferSize]byte)
 	for range maxDiscard / len(b) {
 		if n, _, err := unix.Recvfrom(fd, b[:], unix.MSG_DONTWAIT); n <= 0 || err != nil {
 			break
 		}
 	}
 	discardBuffers.Put(b)
-	unix.SendmsgN(fd, refuse, nil, nil, unix.MSG_DONTWAIT|unix.MSG_NOSIGNAL)
+	unix.SendmsgN(fd, response, nil, nil, unix.MSG_DONTWAIT|unix.MSG_NOSIGNAL)
 	unix.Shutdown(fd, unix.SHUT_WR)
 	s.Close(fd)
 }
 
-// maxDiscard is how much of a request that is refused is read at most: a head and a body of the longest.
-const maxDiscard = 96 << 10
+const (
+	// maxDiscard is the most that Reject reads, in bytes: the largest header and body of a request.
+	maxDiscard        = 96 << 10
+	discardBufferSize = 16 << 10
+)
 
-var discardBuffers = sync.Pool{New: func() any { return new([16 << 10]byte) }}
+var discardBuffers = sync.Pool{New: func() any { return new([discardBufferSize]byte) }}
 
-// RemoteAddr is the other side of a parked socket.
+// RemoteAddr returns the peer's address of a parked socket, or "unknown".
 func RemoteAddr(fd int) string {
 	sa, err := unix.Getpeername(fd)
 	if err != nil {
@@ -196,8 +204,8 @@
 	return "unknown"
 }
 
-// HasPendingConn tells whether somebody waits to be accepted. Accept itself does not tell where no descriptor is left: it fails
-// then whether or not somebody does.
+// HasPendingConn reports whether a connection waits to be accepted. Accept does not show that when no descriptor is left: it
+// fails either way.
 func HasPendingConn(l net.Listener) bool {
 	c, ok := l.(syscall.Conn)
 	if !ok {
--- a/internal/idleconn/idleconn_other.go
+++ b/internal/idleconn/idleconn_other.go
@@ -1,7 +1,7 @@
 //go:build !linux
 
-// Package idleconn keeps idle sockets without a goroutine each where the system can. Here it cannot: New says so, and
-// connections keep their goroutines.
+// Package idleconn keeps idle TCP connections without a goroutine each where the system supports it. Here New returns an error,
+// and connections keep their goroutines.
 package idleconn
 
 import (
@@ -9,27 +9,40 @@
 	"net"
 )
 
-// Supported says whether sockets can be parked on this system.
+// Supported reports whether this system can park sockets.
 const Supported = false
 
-// Set is a set of parked sockets; there is none here.
+// Set is a set of parked sockets. There are none on this system.
 type Set struct{}
 
-var errNot = errors.New("sockets cannot be parked on this system")
+var errUnsupported = errors.New("this system does not support parking sockets")
 
-func New(func(value uint32, fd int)) (*Set, error)  { return nil, errNot }
-func (*Set) Stop()                                  {}
-func (*Set) Park(*net.TCPConn, uint32) (int, error) { return -1, errNot }
-func (*Set) Unpark(int) (net.Conn, error)           { return nil, errNot }
-func (*Set) Rearm(int, uint32) error                { return errNot }
-func (*Set) Close(int)                              {}
-func (*Set) Reject(int, []byte)                     {}
+// New returns an error.
+func New(func(value uint32, fd int)) (*Set, error) { return nil, errUnsupported }
 
-// Peek tells whether bytes wait on a socket, or it is over.
-func Peek(int) (waiting bool, over error) { return false, errNot }
+// Stop does nothing.
+func (*Set) Stop() {}
 
-// RemoteAddr is the other side of a parked socket.
+// Park returns an error.
+func (*Set) Park(*net.TCPConn, uint32) (int, error) { return -1, errUnsupported }
+
+// Unpark returns an error.
+func (*Set) Unpark(int) (net.Conn, error) { return nil, errUnsupported }
+
+// Rearm returns an error.
+func (*Set) Rearm(int, uint32) error { return errUnsupported }
+
+// Close does nothing.
+func (*Set) Close(int) {}
+
+// Reject does nothing.
+func (*Set) Reject(int, []byte) {}
+
+// Peek returns an error.
+func Peek(int) (waiting bool, closed error) { return false, errUnsupported }
+
+// RemoteAddr returns "unknown".
 func RemoteAddr(int) string { return "unknown" }
 
-// HasPendingConn tells whether somebody waits to be accepted; here it is not known.
+// HasPendingConn returns false: it is not known whether a connection waits to be accepted.
 func HasPendingConn(net.Listener) bool { return false }
--- a/internal/timerwheel/wheel.go
+++ b/internal/timerwheel/wheel.go
@@ -1,9 +1,9 @@
-// Package timerwheel is a hierarchical timing wheel: many time limits, most of which are cancelled before they come, in a few
-// bytes each and without a runtime timer. It owns its entries alone, does no I/O, and is told the time by whoever turns
-// it. It is one goroutine's at a time.
+// Package timerwheel provides a hierarchical timing wheel for many timeouts of which most are cancelled before they fire. An
+// entry takes a few bytes and no runtime timer. A Wheel does no I/O, reads no clock and must not be used concurrently: its
+// owner advances it.
 //
-// Moments are whole ticks of the owner's choosing. Four levels of 64 slots reach 16.7 million ticks ahead; what lies further is
-// kept in the last level's furthest slot and placed anew when that comes round.
+// Times are whole ticks of the owner's choosing. Four levels of 64 slots reach 16.7 million ticks ahead; later entries are
+// kept in the farthest slot of the last level and inserted again when that slot is reached.
 package timerwheel
 
 import "math/bits"
@@ -12,47 +12,50 @@
 	slotBits      = 6
 	slotsPerLevel = 1 << slotBits
 	levels        = 4
-	horizon       = 1 << (slotBits * levels) // ticks
+	horizon       = 1 << (slotBits * levels) // ticks ahead that the levels reach
 )
 
-// Handle names an entry until it fires or is cancelled. The zero Handle names none.
+// Handle identifies an entry until it fires or is cancelled. The zero Handle identifies none.
 type Handle uint64
 
-// entry is one time limit, in a list of its slot. 32 bytes.
+// entry is one timeout, in the doubly linked list of its slot. It takes 32 bytes.
 type entry struct {
 	deadline   int64
-	next, prev int32 // in its slot's list, or the free list; -1 = end
-	generation uint32
-	slot       uint16 // level * slots + slot, or unused
+	next, prev int32  // indexes of entries in the slot's list, or in the free list; none at its ends
+	generation uint32 // number of uses of this index, so that handles of earlier ones do not match
+	slot       uint16 // index in Wheel.slotHeads, or freeSlot
 	value      uint32
 }
 
-const freeSlot = ^uint16(0)
+const (
+	none     = int32(-1)
+	freeSlot = ^uint16(0)
+)
 
 // Wheel is a timing wheel.
 type Wheel struct {
-	now       int64 // all up to and with it has fired
+	now       int64 // all entries up to and including this tick have fired
 	entries   []entry
-	free      int32
+	free      int32 // head of the list of free entries
 	slotHeads [levels * slotsPerLevel]int32
-	occupied  [levels]uint64 // which slots hold anything
+	occupied  [levels]uint64 // bit set of the slots that are not empty, by level
 	count     int
 }
 
-// New makes a wheel that stands at a moment.
+// New returns an empty wheel at a tick.
 func New(now int64) *Wheel {
-	w := &Wheel{now: now, free: -1}
+	w := &Wheel{now: now, free: none}
 	for i := range w.slotHeads {
-		w.slotHeads[i] = -1
+		w.slotHeads[i] = none
 	}
 	return w
 }
 
-// Len is how many entries there are.
+// Len returns the number of entries.
 func (w *Wheel) Len() int { return w.count }
 
-// Add sets a value to fire at a moment, or at the next tick where that has passed.
-func (w *Wheel) Add(at int64, value uint32) Handle {
+// Add adds an entry that fires with a value at a deadline, or at the next tick if that has passed.
+func (w *Wheel) Add(deadline int64, value uint32) Handle {
 	i := w.free
 	if i >= 0 {
 		w.free = w.entries[i].next
@@ -61,22 +64,42 @@
 		w.entries = append(w.entries, entry{})
 	}
 	e := &w.entries[i]
-	e.deadline, e.value = max(at, w.now+1), value
+	e.deadline, e.value = max(deadline, w.now+1), value
 	e.generation++
 	w.insert(i)
 	w.count++
 	return Handle(e.generation)<<32 | Handle(i+1)
 }
 
-// insert puts an entry into the slot that its distance asks for.
+// Cancel removes an entry. It returns false if the entry has fired or been cancelled before.
+func (w *Wheel) Cancel(h Handle) bool {
+	i := int32(uint32(h)) - 1
+	if i < 0 || int(i) >= len(w.entries) {
+		return false
+	}
+	if e := &w.entries[i]; e.generation != uint32(h>>32) || e.slot == freeSlot {
+		return false
+	}
+	w.unlink(i)
+	w.release(i)
+	return true
+}
+
+// insert puts an entry into the slot of its distance.
 func (w *Wheel) insert(i int32) {
-	e := &w.entries[i]
-	ahead := min(e.deadline-w.now, horizon-1)
+	ahead := min(w.entries[i].deadline-w.now, horizon-1)
 	level := max(bits.Len64(uint64(ahead))-1, 0) / slotBits
-	at := w.now + ahead
-	slot := int(at>>(slotBits*level)) & (slotsPerLevel - 1)
+	w.pushFront(i, level, slotOf(w.now+ahead, level))
+}
+
+// slotOf returns the slot of a tick within a level.
+func slotOf(tick int64, level int) int { return int(tick>>(slotBits*level)) & (slotsPerLevel - 1) }
+
+// pushFront puts an entry at the head of a slot's list.
+func (w *Wheel) pushFront(i int32, level, slot int) {
 	n := level*slotsPerLevel + slot
-	e.slot, e.prev, e.next = uint16(n), -1, w.slotHeads[n]
+	e := &w.entries[i]
+	e.slot, e.prev, e.next = uint16(n), none, w.slotHeads[n]
 	if e.next >= 0 {
 		w.entries[e.next].prev = i
 	}
@@ -84,7 +107,7 @@
 	w.occupied[level] |= 1 << slot
 }
 
-// unlink takes an entry out of its slot.
+// unlink removes an entry from its slot.
 func (w *Wheel) unlink(i int32) {
 	e := &w.entries[i]
 	if e.prev >= 0 {
@@ -97,6 +120,7 @@
 	}
 }
 
+// release puts an unlinked entry on the free list.
 func (w *Wheel) release(i int32) {
 	e := &w.entries[i]
 	e.slot, e.next = freeSlot, w.free
@@ -104,63 +128,44 @@
 	w.count--
 }
 
-// Cancel takes an entry out; false = it has fired, or been cancelled, before.
-func (w *Wheel) Cancel(h Handle) bool {
-	i := int32(uint32(h)) - 1
-	if i < 0 || int(i) >= len(w.entries) || w.entries[i].generation != uint32(h>>32) || w.entries[i].slot == freeSlot {
-		return false
-	}
-	w.unlink(i)
-	w.release(i)
-	return true
-}
-
-// Next is a moment by which Turn should be called: no entry fires before it. false = there is none.
-func (w *Wheel) Next() (int64, bool) {
+// Next returns a tick before which no entry fires, so that Advance need not be called earlier. ok is false if the wheel is
+// empty.
+func (w *Wheel) Next() (tick int64, ok bool) {
 	if w.count == 0 {
 		return 0, false
 	}
-	best, found := int64(0), false
-	for level, taken := range w.occupied {
-		if taken == 0 {
+	for level, occupied := range w.occupied {
+		if occupied == 0 {
 			continue
 		}
 		shift := slotBits * level
-		at := w.now >> shift
-		// The slots from the one behind the present on, in turn; the present one again comes last.
-		turned := bits.RotateLeft64(taken, -int((at+1)&(slotsPerLevel-1)))
-		next := (at + 1 + int64(bits.TrailingZeros64(turned))) << shift
-		if !found || next < best {
-			best, found = next, true
+		current := w.now >> shift
+		// Bit 0 becomes the slot after the current one, which itself comes last.
+		rotated := bits.RotateLeft64(occupied, -int((current+1)&(slotsPerLevel-1)))
+		next := (current + 1 + int64(bits.TrailingZeros64(rotated))) << shift
+		if !ok || next < tick {
+			tick, ok = next, true
 		}
 	}
-	return best, found
+	return tick, ok
 }
 
-// Advance turns the wheel to a moment and fires what is due, in the order of its ticks. fire may add and cancel entries.
+// Advance advances the wheel to a tick and fires the entries that are due, in the order of their deadlines. fire may add and
+// cancel entries.
 func (w *Wheel) Advance(now int64, fire func(value uint32)) {
 	for w.now < now {
-		next, any := w.Next()
-		if !any || next > now {
+		next, ok := w.Next()
+		if !ok || next > now {
 			w.now = now
 			return
 		}
 		w.now = next
-		// From the upper levels down: what a slot holds is placed anew, closer.
 		for level := levels - 1; level > 0; level-- {
-			if next&(1<<(slotBits*level)-1) == 0 {
-				n := level*slotsPerLevel + int(next>>(slotBits*level))&(slotsPerLevel-1)
-				for i := w.slotHeads[n]; i >= 0; i = w.slotHeads[n] {
-					w.unlink(i)
-					if w.entries[i].deadline <= next {
-						w.insertDue(i)
-					} else {
-						w.insert(i)
-					}
-				}
+			if next&(1<<(slotBits*level)-1) == 0 { // the level reaches a new slot
+				w.cascade(level)
 			}
 		}
-		n := int(next) & (slotsPerLevel - 1)
+		n := slotOf(next, 0)
 		for i := w.slotHeads[n]; i >= 0; i = w.slotHeads[n] {
 			w.unlink(i)
 			value := w.entries[i].value
@@ -170,14 +175,16 @@
 	}
 }
 
-// insertDue puts an entry that an upper slot held for just now where Turn fires it next.
-func (w *Wheel) insertDue(i int32) {
-	e := &w.entries[i]
-	n := int(w.now) & (slotsPerLevel - 1)
-	e.slot, e.prev, e.next = uint16(n), -1, w.slotHeads[n]
-	if e.next >= 0 {
-		w.entries[e.next].prev = i
+// cascade moves the entries of a level's current slot to lower levels. Those that are due now go to the slot that Advance
+// fires next.
+func (w *Wheel) cascade(level int) {
+	n := level*slotsPerLevel + slotOf(w.now, level)
+	for i := w.slotHeads[n]; i >= 0; i = w.slotHeads[n] {
+		w.unlink(i)
+		if w.entries[i].deadline <= w.now {
+			w.pushFront(i, 0, slotOf(w.now, 0))
+		} else {
+			w.insert(i)
+		}
 	}
-	w.slotHeads[n] = i
-	w.occupied[0] |= 1 << n
 }
--- a/internal/timerwheel/wheel_test.go
+++ b/internal/timerwheel/wheel_test.go
@@ -12,80 +12,104 @@
 	"oxbowspan/internal/deadlineheap"
 )
 
-// The wheel against a plain list: every entry fires at its tick, once, and none that was cancelled.
+// reference is a wheel beside a plain list of its entries.
+type reference struct {
+	wheel   *Wheel
+	now     int64
+	entries map[uint32]referenceEntry // by value
+	added   uint32
+}
+
+type referenceEntry struct {
+	deadline int64
+	handle   Handle
+}
+
+func (r *reference) add(t *rapid.T) {
+	for range rapid.IntRange(1, 5).Draw(t, "adds") {
+		ahead := rapid.OneOf(rapid.Int64Range(-3, 70), rapid.Int64Range(0, 5000), rapid.Int64Range(0, 3*horizon)).Draw(t, "ahead")
+		r.added++
+		deadline := r.now + ahead
+		r.entries[r.added] = referenceEntry{max(deadline, r.now+1), r.wheel.Add(deadline, r.added)}
+	}
+}
+
+func (r *reference) cancelSome(t *rapid.T) {
+	for value, e := range r.entries {
+		if value%3 == uint32(r.now)%3 {
+			if !r.wheel.Cancel(e.handle) || r.wheel.Cancel(e.handle) {
+				t.Fatalf("entry %d is not cancelled once", value)
+			}
+			delete(r.entries, value)
+		}
+	}
+}
+
+func (r *reference) advance(t *rapid.T) {
+	to := r.now + rapid.OneOf(rapid.Int64Range(0, 10), rapid.Int64Range(0, 5000), rapid.Int64Range(0, 2*horizon)).Draw(t, "advance")
+	last := int64(0)
+	r.wheel.Advance(to, func(value uint32) {
+		e, ok := r.entries[value]
+		if !ok || e.deadline > to || e.deadline < last || e.deadline != r.wheel.now {
+			t.Fatalf("entry %d due at %d fires at %d, after one due at %d, known %t", value, e.deadline, r.wheel.now, last, ok)
+		}
+		last = e.deadline
+		delete(r.entries, value)
+	})
+	r.now = to
+	for value, e := range r.entries {
+		if e.deadline <= r.now {
+			t.Fatalf("entry %d due at %d has not fired by %d", value, e.deadline, r.now)
+		}
+	}
+}
+
+func (r *reference) check(t *rapid.T) {
+	if r.wheel.Len() != len(r.entries) {
+		t.Fatalf("%d entries, want %d", r.wheel.Len(), len(r.entries))
+	}
+	next, ok := r.wheel.Next()
+	if ok != (len(r.entries) > 0) {
+		t.Fatalf("next is %t with %d entries", ok, len(r.entries))
+	}
+	for value, e := range r.entries {
+		if e.deadline < next {
+			t.Fatalf("entry %d is due at %d, before the next tick %d", value, e.deadline, next)
+		}
+	}
+}
+
+// Every entry fires at its deadline, once, and none that was cancelled.
 func TestWheelMatchesReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := rapid.Int64Range(0, 1<<30).Draw(t, "start")
-		w := New(now)
-		type limit struct {
-			at int64
-			h  Handle
-		}
-		open := map[uint32]limit{}
-		next := uint32(0)
+		r := &reference{wheel: New(now), now: now, entries: map[uint32]referenceEntry{}}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			switch rapid.IntRange(0, 2).Draw(t, "what") {
+			switch rapid.IntRange(0, 2).Draw(t, "step") {
 			case 0:
-				for range rapid.IntRange(1, 5).Draw(t, "adds") {
-					at := now + rapid.OneOf(rapid.Int64Range(-3, 70), rapid.Int64Range(0, 5000), rapid.Int64Range(0, 3*horizon)).Draw(t, "ahead")
-					next++
-					open[next] = limit{max(at, now+1), w.Add(at, next)}
-				}
+				r.add(t)
 			case 1:
-				for v, l := range open {
-					if v%3 == uint32(now)%3 {
-						if !w.Cancel(l.h) || w.Cancel(l.h) {
-							t.Fatalf("entry %d is not cancelled once", v)
-						}
-						delete(open, v)
-					}
-				}
+				r.cancelSome(t)
 			case 2:
-				to := now + rapid.OneOf(rapid.Int64Range(0, 10), rapid.Int64Range(0, 5000), rapid.Int64Range(0, 2*horizon)).Draw(t, "turn")
-				last := int64(0)
-				w.Advance(to, func(v uint32) {
-					l, ok := open[v]
-					if !ok || l.at > to || l.at < last || l.at != w.now {
-						t.Fatalf("entry %d for %d fires at %d, behind %d, known %t", v, l.at, w.now, last, ok)
-					}
-					last = l.at
-					delete(open, v)
-				})
-				now = to
-				for v, l := range open {
-					if l.at <= now {
-						t.Fatalf("entry %d for %d has not fired by %d", v, l.at, now)
-					}
-				}
-			}
-			if w.Len() != len(open) {
-				t.Fatalf("%d entries, want %d", w.Len(), len(open))
-			}
-			first, any := w.Next()
-			if any != (len(open) > 0) {
-				t.Fatalf("next is %t with %d entries", any, len(open))
-			}
-			for v, l := range open {
-				if l.at < first {
-					t.Fatalf("entry %d fires at %d, before the next moment %d", v, l.at, first)
-				}
+				r.advance(t)
 			}
+			r.check(t)
 		}
 	})
 }
 
 func TestStaleHandle(t *testing.T) {
 	w := New(0)
-	old := w.Add(5, 1)
+	stale := w.Add(5, 1)
 	w.Advance(5, func(uint32) {})
 	w.Add(9, 2)
-	if w.Cancel(old) || w.Len() != 1 || w.Cancel(0) {
-		t.Error("a handle that is over cancels another entry")
+	if w.Cancel(stale) || w.Len() != 1 || w.Cancel(0) {
+		t.Error("a stale handle cancels another entry")
 	}
 	var fired []uint32
-	w.Advance(20, func(v uint32) {
-		fired = append(fired, v)
-		if v == 2 {
+	w.Advance(20, func(value uint32) {
+		fired = append(fired, value)
+		if value == 2 {
 			w.Add(1, 3) // in the past: at the next tick
 		}
 	})
@@ -94,87 +118,100 @@
 	}
 }
 
-// heapEntry is an entry of the heap that the benchmark compares the wheel with.
-type heapEntry struct {
-	deadlineheap.Position
-	value uint32
-}
+const (
+	benchmarkTimeout = 3000 // ticks
+	benchmarkSpread  = 1000 // ticks over which the first deadlines are spread
+	resetsPerTick    = 64
+)
 
-// One operation is what an idle connection causes: its limit is cancelled and set anew, and the clock moves on.
+// BenchmarkLimits measures what an active connection causes: its timeout is cancelled and set again, and time advances.
 //
 //	go test -run xxx -bench Limits -benchmem ./internal/timerwheel
 func BenchmarkLimits(b *testing.B) {
 	for _, n := range []int{1000, 20_000, 100_000} {
-		b.Run(fmt.Sprintf("entries=%d/wheel", n), func(b *testing.B) {
-			before := heapBytes()
-			w := New(0)
-			hs := make([]Handle, n)
-			for i := range hs {
-				hs[i] = w.Add(int64(3000+i%1000), uint32(i))
-			}
-			bytes := heapBytes() - before
-			now, i := int64(0), 0
-			for b.Loop() {
-				w.Cancel(hs[i])
-				hs[i] = w.Add(now+3000, uint32(i))
-				if i++; i == n {
-					i = 0
-				}
-				if i%64 == 0 {
-					now++
-					w.Advance(now, func(v uint32) { hs[v] = w.Add(now+3000, v) })
-				}
-			}
-			b.ReportMetric(float64(bytes)/float64(n), "B/entry")
-			runtime.KeepAlive(w)
-		})
-		b.Run(fmt.Sprintf("entries=%d/heap", n), func(b *testing.B) {
-			before := heapBytes()
-			var h deadlineheap.Indexed[*heapEntry]
-			es := make([]*heapEntry, n)
-			for i := range es {
-				es[i] = &heapEntry{value: uint32(i)}
-				h.Push(int64(3000+i%1000), es[i])
-			}
-			bytes := heapBytes() - before
-			now, i := int64(0), 0
-			for b.Loop() {
-				h.Remove(es[i])
-				h.Push(now+3000, es[i])
-				if i++; i == n {
-					i = 0
-				}
-				if i%64 == 0 {
-					now++
-					for next, _ := h.Next(); next <= now; next, _ = h.Next() {
-						first, _ := h.First()
-						h.Reschedule(now+3000, first)
-					}
-				}
-			}
-			b.ReportMetric(float64(bytes)/float64(n), "B/entry")
-			runtime.KeepAlive(&h)
-		})
-		b.Run(fmt.Sprintf("entries=%d/runtime", n), func(b *testing.B) {
-			before := heapBytes()
-			ts := make([]*time.Timer, n)
-			for i := range ts {
-				ts[i] = time.AfterFunc(time.Hour, func() {})
-			}
-			bytes := heapBytes() - before
-			i := 0
-			for b.Loop() {
-				ts[i].Stop()
-				ts[i].Reset(time.Hour)
-				if i++; i == n {
-					i = 0
+		b.Run(fmt.Sprintf("entries=%d/wheel", n), func(b *testing.B) { benchmarkWheel(b, n) })
+		b.Run(fmt.Sprintf("entries=%d/heap", n), func(b *testing.B) { benchmarkHeap(b, n) })
+		b.Run(fmt.Sprintf("entries=%d/runtime", n), func(b *testing.B) { benchmarkRuntimeTimers(b, n) })
+	}
+}
+
+func benchmarkWheel(b *testing.B, n int) {
+	before := heapBytes()
+	w := New(0)
+	handles := make([]Handle, n)
+	for i := range handles {
+		handles[i] = w.Add(int64(benchmarkTimeout+i%benchmarkSpread), uint32(i))
+	}
+	bytes := heapBytes() - before
+	now, i := int64(0), 0
+	for b.Loop() {
+		w.Cancel(handles[i])
+		handles[i] = w.Add(now+benchmarkTimeout, uint32(i))
+		if i++; i == n {
+			i = 0
+		}
+		if i%resetsPerTick == 0 {
+			now++
+			w.Advance(now, func(value uint32) { handles[value] = w.Add(now+benchmarkTimeout, value) })
+		}
+	}
+	b.ReportMetric(float64(bytes)/float64(n), "B/entry")
+	runtime.KeepAlive(w)
+}
+
+// heapEntry is a timeout in a heap.
+type heapEntry struct{ deadlineheap.Position }
+
+func benchmarkHeap(b *testing.B, n int) {
+	before := heapBytes()
+	var h deadlineheap.Indexed[*heapEntry]
+	entries := make([]*heapEntry, n)
+	for i := range entries {
+		entries[i] = &heapEntry{}
+		h.Push(int64(benchmarkTimeout+i%benchmarkSpread), entries[i])
+	}
+	bytes := heapBytes() - before
+	now, i := int64(0), 0
+	for b.Loop() {
+		h.Remove(entries[i])
+		h.Push(now+benchmarkTimeout, entries[i])
+		if i++; i == n {
+			i = 0
+		}
+		if i%resetsPerTick == 0 {
+			now++
+			for {
+				deadline, _ := h.Next()
+				if deadline > now {
+					break
 				}
+				first, _ := h.First()
+				h.Reschedule(now+benchmarkTimeout, first)
 			}
-			b.ReportMetric(float64(bytes)/float64(n), "B/entry")
-			for _, t := range ts {
-				t.Stop()
-			}
-		})
+		}
+	}
+	b.ReportMetric(float64(bytes)/float64(n), "B/entry")
+	runtime.KeepAlive(&h)
+}
+
+func benchmarkRuntimeTimers(b *testing.B, n int) {
+	before := heapBytes()
+	timers := make([]*time.Timer, n)
+	for i := range timers {
+		timers[i] = time.AfterFunc(time.Hour, func() {})
+	}
+	bytes := heapBytes() - before
+	i := 0
+	for b.Loop() {
+		timers[i].Stop()
+		timers[i].Reset(time.Hour)
+		if i++; i == n {
+			i = 0
+		}
+	}
+	b.ReportMetric(float64(bytes)/float64(n), "B/entry")
+	for _, t := range timers {
+		t.Stop()
 	}
 }
 
