--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -1,10 +1,5 @@
 package balancer
 
-import (
-	"cmp"
-	"math"
-)
-
 // Balancer is the state machine of one instance. Its methods must not be called concurrently.
 type Balancer struct {
 	settings
@@ -157,38 +152,6 @@
 	b.customers = append(b.customers, all)
 }
 
-// setQueryType installs the policy of a query type for requests that arrive from now on.
-func (b *Balancer) setQueryType(at QueryType, config QueryTypeConfig) {
-	config.LatencyTarget -= min(b.networkDelay, config.LatencyTarget/2)
-	b.baseEjection = min(b.baseEjection, max(config.LatencyTarget/backoffDivisor, Millisecond))
-	for len(b.types) <= int(at) {
-		b.types = append(b.types, nil)
-	}
-	policy := &typePolicy{
-		idempotency:      config.Idempotency,
-		target:           config.LatencyTarget,
-		timeout:          config.ClientTimeout,
-		dedupWindow:      config.DedupWindow,
-		minCoverage:      config.MinCoverage,
-		completeCoverage: config.CompleteCoverage,
-		lateCounts:       config.LateValue > 0,
-		partialCounts:    config.PartialValue*config.MinCoverage >= config.LateValue,
-		partialCoverage:  config.MinCoverage,
-		quadratic:        config.QuadraticPartialValue,
-		twoPhase:         config.SecondPhaseCalls > 0,
-		maxAttempts:      cmp.Or(config.MaxAttempts, b.maxAttempts),
-		size:             b.millisPerTick * float64(config.LatencyTarget/initialShare),
-		abandonedAt:      -Never,
-	}
-	if config.QuadraticPartialValue {
-		policy.partialCoverage, policy.partialCounts = max(config.MinCoverage, math.Sqrt(config.LateValue)), true
-	}
-	if old := b.types[at]; old != nil {
-		policy.longestTimeout, policy.abandonedAt, policy.size = old.longestTimeout, old.abandonedAt, old.size
-	}
-	b.types[at] = policy
-}
-
 // Handle processes one event at a moment and returns the actions to perform, in order. A moment before the
 // last one counts as the last one.
 func (b *Balancer) Handle(now Time, event Event) []Action {
--- a/balancer/completion.go
+++ b/balancer/completion.go
@@ -5,7 +5,7 @@
 // review completes or abandons a request, or else reviews its calls and sets the timer for the next review.
 func (b *Balancer) review(req *request) {
 	policy := req.policy
-	minimum, complete := policy.minCoverage-weightTolerance, policy.completeCoverage-weightTolerance
+	minimum, complete := policy.MinCoverage-weightTolerance, policy.CompleteCoverage-weightTolerance
 	if req.inSecondPhase {
 		if minimum >= complete {
 			minimum = 1 - weightTolerance
@@ -95,7 +95,7 @@
 // answer completes a phase of a request with the calls that are answered.
 func (b *Balancer) answer(req *request, complete bool) {
 	b.emit(Answer{req.id, complete})
-	if req.inSecondPhase || !req.policy.twoPhase {
+	if req.inSecondPhase || req.policy.SecondPhaseCalls <= 0 {
 		b.close(req)
 		return
 	}
@@ -106,7 +106,7 @@
 
 // abandon ends a request without an answer: shed if none of it can have run or it is idempotent, else failed.
 func (b *Balancer) abandon(req *request) {
-	idempotent := req.policy.idempotency == Idempotent
+	idempotent := req.policy.Idempotency == Idempotent
 	harmless := !req.inSecondPhase || idempotent // the first phase has run
 	for _, call := range req.calls {
 		for _, a := range call.attempts {
@@ -140,5 +140,5 @@
 	if b.networkDelay == 0 || empty {
 		return b.maxRetryAfter
 	}
-	return min(b.maxRetryAfter, max(req.policy.target/retryAfterDivisor, b.networkDelay))
+	return min(b.maxRetryAfter, max(req.policy.LatencyTarget/retryAfterDivisor, b.networkDelay))
 }
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -79,14 +79,6 @@
 	InFlight float64 // calls in execution
 }
 
-// queue returns the reported queue length, or else the calls in execution.
-func (r *LoadReport) queue() float64 {
-	if r.Queued < 0 {
-		return r.InFlight
-	}
-	return r.Queued
-}
-
 // The events.
 type (
 	// ServerList updates the server list.
--- a/balancer/gateway_test.go
+++ b/balancer/gateway_test.go
@@ -181,9 +181,9 @@
 	next := gatewayQueryType
 	next.Idempotency, next.LatencyTarget = NonIdempotent, 60*Millisecond
 	b.do(QueryTypeChanged{Type: 0, Config: next})
-	failIf(t, open.policy.idempotency != Idempotent || len(sends) != 2, "the policy of an open request changed")
+	failIf(t, open.policy.Idempotency != Idempotent || len(sends) != 2, "the policy of an open request changed")
 	b.request(2)
-	failIf(t, b.requests[RequestID(b.next)].policy.idempotency != NonIdempotent, "a new request has the old policy")
+	failIf(t, b.requests[RequestID(b.next)].policy.Idempotency != NonIdempotent, "a new request has the old policy")
 }
 
 func TestMaxInFlightPerServer(t *testing.T) {
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -27,6 +27,29 @@
 	}
 }
 
+// recordQueue records the queue length that a server reports, or that other instances report of it.
+func (b *Balancer) recordQueue(s *server, length float64) {
+	s.reportedQueue, s.reportedAt = max(length, 0), b.now
+	b.meanQueue += (s.reportedQueue - b.meanQueue) * slowWeight
+}
+
+// peerUpdate takes in what other instances report. Their calls in flight at a server stand for its queue.
+func (b *Balancer) peerUpdate(e PeerUpdate) {
+	for _, verdict := range e.Verdicts {
+		if s := b.servers[verdict.ID]; s != nil {
+			s.clusterEjected, s.slowdown = verdict.Ejected, verdict.SlowdownFactor
+			if verdict.Recovered { // another instance's probation attempt counts as one of this
+				s.probation, s.ejectedUntil = false, min(s.ejectedUntil, b.now)
+			}
+		}
+	}
+	for _, load := range e.Loads {
+		if s := b.servers[load.Server]; s != nil {
+			b.recordQueue(s, load.InFlight)
+		}
+	}
+}
+
 // healthCheckEnded records the end of a health check. A failed one extends the ejection. A successful one
 // only allows probation attempts, as a server that hangs may still answer it.
 func (b *Balancer) healthCheckEnded(e HealthCheckEnded) {
@@ -45,7 +68,7 @@
 
 // recordOutcome updates the health of an attempt's server. An error comes fast: its latency is not measured,
 // so that it cannot make the server look quick.
-func (b *Balancer) recordOutcome(ended *attempt, e AttemptEnded, silent bool) {
+func (b *Balancer) recordOutcome(ended *attempt, e AttemptEnded, lost bool) {
 	s := ended.server
 	switch e.Outcome {
 	case Answered:
@@ -61,7 +84,7 @@
 	case Errored:
 		b.recordFailure(s, errorWeight)
 	case ConnectFailed, Reset, TimedOut, Cancelled:
-		if e.Outcome == ConnectFailed || e.Outcome == Reset || silent {
+		if lost || e.Outcome == ConnectFailed {
 			b.recordFailure(s, lossWeight)
 			s.zone.failureRate += (1 - s.zone.failureRate) * zoneWeight
 			s.zone.failedAt = b.now
--- a/balancer/limit.go
+++ b/balancer/limit.go
@@ -5,10 +5,30 @@
 	"math"
 )
 
+// setQueryType installs the policy of a query type for requests that arrive from now on.
+func (b *Balancer) setQueryType(at QueryType, config QueryTypeConfig) {
+	config.LatencyTarget -= min(b.networkDelay, config.LatencyTarget/2)
+	config.MaxAttempts = cmp.Or(config.MaxAttempts, b.maxAttempts)
+	b.baseEjection = min(b.baseEjection, max(config.LatencyTarget/backoffDivisor, Millisecond))
+	policy := &typePolicy{QueryTypeConfig: config, partialCoverage: config.MinCoverage, abandonedAt: -Never}
+	policy.partialCounts = config.PartialValue*config.MinCoverage >= config.LateValue
+	if config.QuadraticPartialValue {
+		policy.partialCoverage, policy.partialCounts = max(config.MinCoverage, math.Sqrt(config.LateValue)), true
+	}
+	policy.size = b.millisPerTick * float64(config.LatencyTarget/initialShare)
+	for len(b.types) <= int(at) {
+		b.types = append(b.types, nil)
+	}
+	if old := b.types[at]; old != nil {
+		policy.longestTimeout, policy.abandonedAt, policy.size = old.longestTimeout, old.abandonedAt, old.size
+	}
+	b.types[at] = policy
+}
+
 // requestArrived sets the deadlines of a request and sheds it above the in-flight limit.
 func (b *Balancer) requestArrived(e RequestArrived) {
 	policy := b.types[e.Type]
-	if e.MayHaveRun && policy.idempotency != Idempotent {
+	if e.MayHaveRun && policy.Idempotency != Idempotent {
 		b.emit(Fail{e.Request}) // sent again it might run twice, and Shed would promise that it has not run
 		return
 	}
@@ -27,9 +47,10 @@
 	b.surveyServers()
 	last := len(b.customers) - 1
 	customer, all := &b.customers[min(int(e.Customer), last)], &b.customers[last]
-	allowed := b.limit
-	if b.isOverQuota(customer, all) {
-		allowed *= pressureShare
+	admitted, allowed := customer.admitted.lower(b.now), b.limit
+	if customer.quota > 0 && admitted >= customer.quota &&
+		admitted*all.quota > all.admitted.lower(b.now)*customer.quota {
+		allowed *= pressureShare // above its quota, and its share of this instance's own requests
 	}
 	if len(e.Calls) == 0 || b.activeCalls() >= allowed*b.limitShare(req) {
 		b.abandon(req)
@@ -45,10 +66,10 @@
 // recognized by a shorter timeout; a client that is merely less patient is then taken to have waited.
 func (b *Balancer) setDeadlines(req *request, e RequestArrived) {
 	policy := req.policy
-	req.deadline = b.now + max(min(e.Timeout-b.networkDelay/2, policy.timeout)-b.margin, 0)
-	req.targetAt = b.now + policy.target - b.margin
+	req.deadline = b.now + max(min(e.Timeout-b.networkDelay/2, policy.ClientTimeout)-b.margin, 0)
+	req.targetAt = b.now + policy.LatencyTarget - b.margin
 	policy.longestTimeout = max(policy.longestTimeout-policy.longestTimeout/timeoutDecay, e.Timeout)
-	full := policy.timeout
+	full := policy.ClientTimeout
 	if b.inferTimeout {
 		full = policy.longestTimeout
 	}
@@ -58,17 +79,11 @@
 		req.targetAt -= waited
 	}
 	req.targetAt = min(req.targetAt, req.deadline)
-	if !policy.lateCounts && b.retriesMarked {
+	if policy.LateValue <= 0 && b.retriesMarked {
 		req.deadline = req.targetAt // a marked retry can be shed; an unmarked one costs more than a late answer
 	}
 }
 
-// isOverQuota reports whether a customer exceeds its quota, and its share of this instance's own requests.
-func (b *Balancer) isOverQuota(c, all *customer) bool {
-	admitted := c.admitted.lower(b.now)
-	return c.quota > 0 && admitted >= c.quota && admitted*all.quota > all.admitted.lower(b.now)*c.quota
-}
-
 // activeCalls returns the calls in flight, without those at silent servers: these would fill the limit, and
 // requests for healthy servers would be shed.
 func (b *Balancer) activeCalls() float64 { return float64(len(b.inFlight) - b.stuckCalls) }
--- a/balancer/plan.go
+++ b/balancer/plan.go
@@ -14,7 +14,7 @@
 	latest := b.latestFinish(req, shortestTarget)
 	slowest, idle := b.moveStragglers(plan, latest)
 	b.moveToLocalZone(req, plan, slowest)
-	if clear(b.plannedWork); req.policy.quadratic {
+	if clear(b.plannedWork); req.policy.QuadraticPartialValue {
 		idle = idle && slowest < Never
 		slowest = b.partialFinish(req, plan)
 	}
@@ -31,10 +31,10 @@
 
 // addCalls adds the calls of a phase. It returns the shortest recent latency target for the same shards.
 func (b *Balancer) addCalls(req *request, calls []ShardCall) Time {
-	shortest := req.policy.target
+	shortest := req.policy.LatencyTarget
 	for _, call := range calls {
 		budget := b.budgetFor(call.Shard)
-		shortest = min(shortest, budget.admit(req.policy.target, b.now, b.now+latencyMaxAge))
+		shortest = min(shortest, budget.admit(req.policy.LatencyTarget, b.now, b.now+latencyMaxAge))
 		size := cmp.Or(max(call.Size, 0), req.policy.size, 1) + b.callCost
 		b.meanSize += (size - b.meanSize) * slowWeight
 		req.calls = append(req.calls,
@@ -145,7 +145,7 @@
 		if s = all[(start+i)%len(all)]; b.isHealthyFor(s, call) {
 			return s, probation
 		}
-		if i == 0 && b.hedgeProbation && s.probation && call.req.policy.idempotency == Idempotent &&
+		if i == 0 && b.hedgeProbation && s.probation && call.req.policy.Idempotency == Idempotent &&
 			s.ejectedUntil <= b.now && len(s.inFlight) == 0 && b.plannedWork[s] == 0 {
 			probation = s
 		}
@@ -192,7 +192,7 @@
 	if b.checkFirst && s.probation && s.checkedAt < s.ejectedUntil && b.now < s.ejectedUntil+latencyMaxAge {
 		return false
 	}
-	fit := call.req.policy.idempotency == Idempotent && !b.hedgeProbation ||
+	fit := call.req.policy.Idempotency == Idempotent && !b.hedgeProbation ||
 		b.now > s.ejectedUntil+max(maxEjectionFactor*b.baseEjection, latencyMaxAge)
 	return !s.probation || fit && len(s.inFlight) == 0 && b.plannedWork[s] == 0
 }
@@ -201,7 +201,7 @@
 func (b *Balancer) predict(s *server, call *shardCall) Time {
 	unit := b.meanLatency
 	if unit == 0 {
-		unit = float64(call.req.policy.target) / initialShare / call.size
+		unit = float64(call.req.policy.LatencyTarget) / initialShare / call.size
 	}
 	unit /= b.capacityShare(s)
 	if s.unitLatency > 0 {
@@ -246,7 +246,7 @@
 			return !s.local || !b.isHealthyFor(s, placed.call)
 		})
 		b.plannedWork[placed.server] -= placed.call.size
-		latest := max(slowest, placed.finish, Time(localPreference*float64(req.policy.target)))
+		latest := max(slowest, placed.finish, Time(localPreference*float64(req.policy.LatencyTarget)))
 		for k := 0; k < len(local) && !placed.server.local; k++ {
 			s := local[(offset+int(placed.call.shard)+k)%len(local)]
 			if finish := b.predict(s, placed.call); finish <= latest {
@@ -273,7 +273,7 @@
 // cannotFinish reports whether no healthy replica is idle or would finish a call within a time: the shard may
 // be down, or its few remaining replicas overloaded. Only partial answers of some value allow for that.
 func (b *Balancer) cannotFinish(call *shardCall, within Time) bool {
-	return call.req.policy.quadratic && !slices.ContainsFunc(b.replicas[call.shard], func(s *server) bool {
+	return call.req.policy.QuadraticPartialValue && !slices.ContainsFunc(b.replicas[call.shard], func(s *server) bool {
 		return s.ejectedUntil <= b.now && !s.probation && b.silenceRatio(s.inFlight...) <= 1 &&
 			(within == Never || b.predict(s, call) <= within || b.workAt(s) == 0)
 	})
@@ -287,6 +287,6 @@
 			covered += call.weight
 		}
 	}
-	return req.policy.quadratic && covered < 1-weightTolerance &&
+	return req.policy.QuadraticPartialValue && covered < 1-weightTolerance &&
 		covered >= req.policy.partialCoverage-weightTolerance
 }
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -25,8 +25,10 @@
 		return
 	}
 	call, s := ended.call, ended.server
-	if e.Report != nil {
-		b.recordQueue(s, e.Report.queue())
+	if report := e.Report; report != nil && report.Queued < 0 { // no queue: the calls in execution stand for it
+		b.recordQueue(s, report.InFlight)
+	} else if report != nil {
+		b.recordQueue(s, report.Queued)
 	}
 	wins := e.Outcome == Answered && !call.answered && b.requests[call.req.id] == call.req
 	if ended.retry && !ended.probation && e.Outcome != NotDispatched {
@@ -36,8 +38,7 @@
 		}
 	}
 	waited := e.Outcome == TimedOut || e.Outcome == Cancelled
-	silent := b.silenceRatio(ended) > 1
-	lost := e.Outcome == Reset || waited && silent
+	lost := e.Outcome == Reset || waited && b.silenceRatio(ended) > 1
 	// A time-out would have taken longer still; without it only the quick attempts would be measured.
 	if e.Outcome == Answered || e.Elapsed > ended.predicted && waited && !lost {
 		b.measureLatency(ended, float64(max(e.Elapsed, 1)))
@@ -46,7 +47,7 @@
 		policy.size += (float64(e.Elapsed)*b.millisPerTick - policy.size) * sizeWeight
 	}
 	b.trackIdleLoss(ended, e.Outcome == Answered, lost)
-	b.recordOutcome(ended, e, silent)
+	b.recordOutcome(ended, e, lost)
 	if e.Outcome <= Rejected {
 		s.respondedAt = b.now
 	}
@@ -76,12 +77,12 @@
 func (b *Balancer) canRetry(call *shardCall) bool {
 	policy := call.req.policy
 	for _, a := range call.attempts {
-		inWindow := policy.idempotency == Deduplicated && b.now+b.margin <= a.sentAt+policy.dedupWindow
-		if !a.neverRan && policy.idempotency != Idempotent && !inWindow {
+		inWindow := policy.Idempotency == Deduplicated && b.now+b.margin <= a.sentAt+policy.DedupWindow
+		if !a.neverRan && policy.Idempotency != Idempotent && !inWindow {
 			return false
 		}
 	}
-	return len(call.attempts) < policy.maxAttempts
+	return len(call.attempts) < policy.MaxAttempts
 }
 
 // withinBudget reports whether one more retry of a call stays within a share of the retry budget.
--- a/balancer/serverlist.go
+++ b/balancer/serverlist.go
@@ -5,10 +5,15 @@
 	"slices"
 )
 
-// applyServerList applies an update of the server list, or backs off after a failed request for one.
+// applyServerList applies an update of the server list. After a failed request for one it schedules the next,
+// with exponential backoff and jitter so that instances do not flood a list service that is already late.
 func (b *Balancer) applyServerList(e ServerList) {
 	if e.Kind == ListFailed {
-		b.retryServerList()
+		if b.listOnRequest && !b.listTimerSet {
+			b.listTimerSet = true
+			b.emit(SetTimer{b.now + b.listBackoff/2 + Time(b.rand.intN(int(b.listBackoff))), listTimer})
+			b.listBackoff = min(2*b.listBackoff, b.maxListBackoff)
+		}
 		return
 	}
 	b.listBackoff = firstBackoff
@@ -30,13 +35,23 @@
 	}
 }
 
-// retryServerList schedules the next request for the list, with exponential backoff and jitter so that
-// instances do not flood a list service that is already late.
-func (b *Balancer) retryServerList() {
-	if !b.listOnRequest || b.listTimerSet {
-		return
+// applyServer applies one entry of the server list. A restart of the server resets all that was measured.
+func (b *Balancer) applyServer(entry Server) {
+	s := b.servers[entry.ID]
+	if s == nil {
+		s = &server{id: entry.ID, startedAt: -1, sentWork: newWindowCounter(b.overloadWindow)}
+		b.servers[entry.ID] = s
+	}
+	b.setState(s, Removed) // its place among the replicas depends on the cell
+	s.local = b.preferLocal && entry.Zone == b.localZone
+	s.cell, s.maxInFlight = entry.Cell, entry.MaxInFlight
+	if s.zone = b.zones[entry.Zone]; s.zone == nil {
+		s.zone = &zone{}
+		b.zones[entry.Zone] = s.zone
+	}
+	b.setState(s, entry.State)
+	if entry.StartedAt != s.startedAt {
+		s.startedAt, s.nextEjection = entry.StartedAt, b.baseEjection
+		s.unitLatency, s.reportedAt, s.failureRate, s.ejectedUntil, s.probation = 0, 0, 0, 0, false
 	}
-	b.listTimerSet = true
-	b.emit(SetTimer{b.now + b.listBackoff/2 + Time(b.rand.intN(int(b.listBackoff))), listTimer})
-	b.listBackoff = min(2*b.listBackoff, b.maxListBackoff)
 }
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -9,22 +9,14 @@
 // listTimer is the timer of the next server list request. All other timers carry a request number.
 const listTimer = TimerID(math.MaxUint32)
 
-// typePolicy is what decisions use of one query type.
+// typePolicy is what decisions use of one query type. Its LatencyTarget counts at this instance.
 type typePolicy struct {
-	idempotency      Idempotency
-	target, timeout  Time // latency target and client timeout
-	dedupWindow      Time
-	minCoverage      float64
-	completeCoverage float64
-	partialCoverage  float64 // that makes a partial answer at the target worthwhile
-	lateCounts       bool    // an answer after the target has a value
-	partialCounts    bool    // a partial answer in time is worth as much as a late one
-	quadratic        bool    // a partial answer is worth the square of its coverage
-	twoPhase         bool
-	maxAttempts      int
-	size             float64 // learned size of a call in milliseconds; 0 = not learned
-	longestTimeout   Time    // longest client timeout lately seen
-	abandonedAt      Time    // when a request was last abandoned
+	QueryTypeConfig
+	partialCoverage float64 // that makes a partial answer at the target worthwhile
+	partialCounts   bool    // a partial answer in time is worth as much as a late one
+	size            float64 // learned size of a call in milliseconds; 0 = not learned
+	longestTimeout  Time    // longest client timeout lately seen
+	abandonedAt     Time    // when a request was last abandoned
 }
 
 // server is a listed server, or one that was listed and still matters.
@@ -187,27 +179,6 @@
 	s.state = state
 }
 
-// applyServer applies one entry of the server list. A restart of the server resets all that was measured.
-func (b *Balancer) applyServer(entry Server) {
-	s := b.servers[entry.ID]
-	if s == nil {
-		s = &server{id: entry.ID, startedAt: -1, sentWork: newWindowCounter(b.overloadWindow)}
-		b.servers[entry.ID] = s
-	}
-	b.setState(s, Removed) // its place among the replicas depends on the cell
-	s.local = b.preferLocal && entry.Zone == b.localZone
-	s.cell, s.maxInFlight = entry.Cell, entry.MaxInFlight
-	if s.zone = b.zones[entry.Zone]; s.zone == nil {
-		s.zone = &zone{}
-		b.zones[entry.Zone] = s.zone
-	}
-	b.setState(s, entry.State)
-	if entry.StartedAt != s.startedAt {
-		s.startedAt, s.nextEjection = entry.StartedAt, b.baseEjection
-		s.unitLatency, s.reportedAt, s.failureRate, s.ejectedUntil, s.probation = 0, 0, 0, 0, false
-	}
-}
-
 // trackAttempt records an attempt that is being sent.
 func (b *Balancer) trackAttempt(sent *attempt) {
 	call, s := sent.call, sent.server
@@ -241,32 +212,6 @@
 	return ended
 }
 
-// recordQueue records the queue length that a server reports, or that other instances report of it.
-func (b *Balancer) recordQueue(s *server, length float64) {
-	s.reportedQueue, s.reportedAt = max(length, 0), b.now
-	b.meanQueue += (s.reportedQueue - b.meanQueue) * slowWeight
-}
-
-// peerUpdate records what other instances report. The calls that they have in flight at a server stand for
-// its queue.
-func (b *Balancer) peerUpdate(e PeerUpdate) {
-	for _, verdict := range e.Verdicts {
-		s := b.servers[verdict.ID]
-		if s == nil {
-			continue
-		}
-		s.clusterEjected, s.slowdown = verdict.Ejected, verdict.SlowdownFactor
-		if verdict.Recovered { // another instance's probation attempt counts as one of this
-			s.probation, s.ejectedUntil = false, min(s.ejectedUntil, b.now)
-		}
-	}
-	for _, load := range e.Loads {
-		if s := b.servers[load.Server]; s != nil {
-			b.recordQueue(s, load.InFlight)
-		}
-	}
-}
-
 // close forgets a request and cancels its attempts.
 func (b *Balancer) close(req *request) {
 	delete(b.requests, req.id)
