--- a/balancer/completion.go
+++ b/balancer/completion.go
@@ -106,18 +106,17 @@
 
 // abandon ends a request without an answer: shed if none of it can have run or it is idempotent, else failed.
 func (b *Balancer) abandon(req *request) {
-	idempotent := req.policy.Idempotency == Idempotent
-	harmless := !req.inSecondPhase || idempotent // the first phase has run
+	mayHaveRun := req.inSecondPhase // the first phase has run
 	for _, call := range req.calls {
 		for _, a := range call.attempts {
-			harmless = harmless && (a.neverRan || idempotent)
+			mayHaveRun = mayHaveRun || !a.neverRan
 		}
 	}
 	req.policy.abandonedAt = b.now
-	if harmless {
-		b.emit(Shed{req.id, b.retryAfter(req)})
-	} else {
+	if mayHaveRun && req.policy.Idempotency != Idempotent {
 		b.emit(Fail{req.id})
+	} else {
+		b.emit(Shed{req.id, b.retryAfter(req)})
 	}
 	b.close(req)
 }
--- a/balancer/plan.go
+++ b/balancer/plan.go
@@ -9,14 +9,21 @@
 // fanOut places the calls of a request: two plans are drawn, the one that is predicted to finish first is
 // improved and dispatched. A request that cannot finish in time is not begun.
 func (b *Balancer) fanOut(req *request, calls []ShardCall) {
-	shortestTarget := b.addCalls(req, calls)
+	shortestTarget := req.policy.LatencyTarget // of recent requests for the same shards
+	for _, call := range calls {
+		budget := b.budgetFor(call.Shard)
+		shortestTarget = min(shortestTarget, budget.admit(req.policy.LatencyTarget, b.now, b.now+latencyMaxAge))
+		size := cmp.Or(max(call.Size, 0), req.policy.size, 1) + b.callCost
+		b.meanSize += (size - b.meanSize) * slowWeight
+		req.calls = append(req.calls,
+			&shardCall{req: req, id: call.ID, shard: call.Shard, weight: call.Weight, size: size})
+	}
 	plan := b.choosePlan(req)
 	latest := b.latestFinish(req, shortestTarget)
 	slowest, idle := b.moveStragglers(plan, latest)
 	b.moveToLocalZone(req, plan, slowest)
 	if clear(b.plannedWork); req.policy.QuadraticPartialValue {
-		idle = idle && slowest < Never
-		slowest = b.partialFinish(req, plan)
+		slowest, idle = b.partialFinish(req, plan), idle && slowest < Never
 	}
 	// A late call is sent all the same to a server that is idle: nothing else shows whether it is still slow,
 	// and shedding here could leave the whole cluster idle.
@@ -29,20 +36,6 @@
 	b.review(req)
 }
 
-// addCalls adds the calls of a phase. It returns the shortest recent latency target for the same shards.
-func (b *Balancer) addCalls(req *request, calls []ShardCall) Time {
-	shortest := req.policy.LatencyTarget
-	for _, call := range calls {
-		budget := b.budgetFor(call.Shard)
-		shortest = min(shortest, budget.admit(req.policy.LatencyTarget, b.now, b.now+latencyMaxAge))
-		size := cmp.Or(max(call.Size, 0), req.policy.size, 1) + b.callCost
-		b.meanSize += (size - b.meanSize) * slowWeight
-		req.calls = append(req.calls,
-			&shardCall{req: req, id: call.ID, shard: call.Shard, weight: call.Weight, size: size})
-	}
-	return shortest
-}
-
 // choosePlan draws two plans at random offsets. It returns that which finishes first, in order of finish.
 func (b *Balancer) choosePlan(req *request) (best []placement) {
 	slowest := Time(math.MaxInt64)
@@ -100,8 +93,7 @@
 			b.plannedWork[placed.server] += placed.call.size
 		}
 		if placed.finish > slowest {
-			slowest = placed.finish
-			idle = placed.server != nil && b.workAt(placed.server) <= placed.call.size
+			slowest, idle = placed.finish, placed.server != nil && b.workAt(placed.server) <= placed.call.size
 		}
 	}
 	return slowest, idle
@@ -186,10 +178,8 @@
 func (b *Balancer) isHealthyFor(s *server, call *shardCall) bool {
 	had := slices.ContainsFunc(call.attempts, func(a *attempt) bool { return a.server == s })
 	if had || !b.canDispatch(s, call) || s.ejectedUntil > b.now || s.clusterEjected ||
-		b.silenceRatio(s.inFlight...) > 1 {
-		return false
-	}
-	if b.checkFirst && s.probation && s.checkedAt < s.ejectedUntil && b.now < s.ejectedUntil+latencyMaxAge {
+		b.silenceRatio(s.inFlight...) > 1 ||
+		b.checkFirst && s.probation && s.checkedAt < s.ejectedUntil && b.now < s.ejectedUntil+latencyMaxAge {
 		return false
 	}
 	fit := call.req.policy.Idempotency == Idempotent && !b.hedgeProbation ||
@@ -262,10 +252,9 @@
 	covered := 0.0
 	slices.SortStableFunc(plan, compareFinish)
 	for _, placed := range plan {
-		if covered >= req.policy.partialCoverage-weightTolerance {
-			break
+		if covered < req.policy.partialCoverage-weightTolerance {
+			covered, finish = covered+placed.call.weight, placed.finish
 		}
-		covered, finish = covered+placed.call.weight, placed.finish
 	}
 	return finish
 }
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -30,7 +30,8 @@
 	} else if report != nil {
 		b.recordQueue(s, report.Queued)
 	}
-	wins := e.Outcome == Answered && !call.answered && b.requests[call.req.id] == call.req
+	open := b.requests[call.req.id] == call.req
+	wins := open && e.Outcome == Answered && !call.answered
 	if ended.retry && !ended.probation && e.Outcome != NotDispatched {
 		b.retrySuccess -= b.retrySuccess * slowWeight
 		if wins {
@@ -51,14 +52,13 @@
 	if e.Outcome <= Rejected {
 		s.respondedAt = b.now
 	}
-	if b.requests[call.req.id] != call.req {
-		return
-	}
 	if wins {
 		call.answered = true
 		b.cancel(call)
 	}
-	b.review(call.req)
+	if open {
+		b.review(call.req)
+	}
 }
 
 // measureLatency updates the unit latency of a server: smoothed latency over smoothed work, not the mean of
