--- a/balancer/completion.go
+++ b/balancer/completion.go
@@ -6,10 +6,9 @@
 func (b *Balancer) review(req *request) {
 	policy := req.policy
 	minimum, complete := policy.MinCoverage-weightTolerance, policy.CompleteCoverage-weightTolerance
-	if req.inSecondPhase {
-		if minimum >= complete {
-			minimum = 1 - weightTolerance
-		}
+	if req.inSecondPhase && minimum >= complete {
+		minimum, complete = 1-weightTolerance, 1-weightTolerance
+	} else if req.inSecondPhase {
 		complete = 1 - weightTolerance
 	}
 	skippable := func(call *shardCall) bool { return call.skipped || b.cannotFinish(call, Never) }
@@ -48,8 +47,7 @@
 	b.scheduleReview(req, next)
 }
 
-// reviewCall retries or hedges a call that has no attempt in flight or an overdue one. It returns when to
-// review the call next.
+// reviewCall retries or hedges a call, unless an attempt of it is in time. It returns when to review it next.
 func (b *Balancer) reviewCall(call *shardCall) (next Time) {
 	p := attemptProgress(call)
 	if p.firstDue > b.now && p.inFlight > 0 {
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -53,25 +53,22 @@
 // healthCheckEnded records the end of a health check. A failed one extends the ejection. A successful one
 // only allows probation attempts, as a server that hangs may still answer it.
 func (b *Balancer) healthCheckEnded(e HealthCheckEnded) {
-	s := b.servers[e.Server]
-	if s == nil {
-		return
-	}
-	switch s.checking = false; e.Outcome {
-	case NotDispatched:
-	case Answered, Rejected:
-		s.checkedAt = b.now
-	default:
-		b.eject(s)
+	if s := b.servers[e.Server]; s != nil {
+		switch s.checking = false; e.Outcome {
+		case NotDispatched:
+		case Answered, Rejected:
+			s.checkedAt = b.now
+		default:
+			b.eject(s)
+		}
 	}
 }
 
-// recordOutcome updates the health of an attempt's server. An error comes fast: its latency is not measured,
-// so that it cannot make the server look quick.
+// recordOutcome updates the health of an attempt's server.
 func (b *Balancer) recordOutcome(ended *attempt, e AttemptEnded, lost bool) {
 	s := ended.server
-	switch e.Outcome {
-	case Answered:
+	switch {
+	case e.Outcome == Answered:
 		b.adjustLimit(float64(max(e.Elapsed, 1)) / ended.call.size)
 		s.failureRate -= s.failureRate * successWeight
 		s.zone.failureRate -= s.zone.failureRate * zoneWeight
@@ -79,16 +76,14 @@
 		if s.failureRate < successWeight {
 			s.nextEjection = b.baseEjection
 		}
-	case Rejected: // full or draining: no failure, but other servers are preferred for a while
+	case e.Outcome == Rejected: // full or draining: no failure, but other servers are preferred for a while
 		s.ejectedUntil = max(s.ejectedUntil, b.now+b.baseEjection)
-	case Errored:
+	case e.Outcome == Errored:
 		b.recordFailure(s, errorWeight)
-	case ConnectFailed, Reset, TimedOut, Cancelled:
-		if lost || e.Outcome == ConnectFailed {
-			b.recordFailure(s, lossWeight)
-			s.zone.failureRate += (1 - s.zone.failureRate) * zoneWeight
-			s.zone.failedAt = b.now
-		}
+	case e.Outcome == ConnectFailed || lost:
+		b.recordFailure(s, lossWeight)
+		s.zone.failureRate += (1 - s.zone.failureRate) * zoneWeight
+		s.zone.failedAt = b.now
 	}
 }
 
@@ -111,8 +106,7 @@
 // trackIdleLoss learns whether idle connections are found dead, as behind a middlebox that drops them: an
 // attempt on one is lost in silence, and the next one, on a new connection, is answered.
 func (b *Balancer) trackIdleLoss(ended *attempt, answered, lost bool) {
-	s := ended.server
-	switch {
+	switch s := ended.server; {
 	case lost && ended.onIdleConn:
 		s.idleLossAt = ended.sentAt
 	case answered && s.idleLossAt > 0 && ended.sentAt > s.idleLossAt:
@@ -140,8 +134,7 @@
 	return float64(silence) / float64(max(out[0].overdueAfter, 1))
 }
 
-// restoreRecords adopts the records of an earlier run that still count. A record from the future was written
-// before the clock was set back.
+// restoreRecords adopts the records of an earlier run that still count: not those of a clock since set back.
 func (b *Balancer) restoreRecords(e RecordsRestored) {
 	for _, record := range e.Servers {
 		s := b.servers[record.ID]
--- a/balancer/limit.go
+++ b/balancer/limit.go
@@ -84,12 +84,10 @@
 	}
 }
 
-// activeCalls returns the calls in flight, without those at silent servers: these would fill the limit, and
-// requests for healthy servers would be shed.
+// activeCalls returns the calls in flight without those at silent servers, which must not fill the limit.
 func (b *Balancer) activeCalls() float64 { return float64(len(b.inFlight) - b.stuckCalls) }
 
-// adjustLimit moves the in-flight limit by the base over the current (median) unit latency, as a gradient
-// concurrency limiter does.
+// adjustLimit moves the in-flight limit by base over current (median) unit latency, as gradient limiters do.
 func (b *Balancer) adjustLimit(unitLatency float64) {
 	if b.latencySamples++; b.latencySamples <= warmupSamples { // start from the mean
 		b.currentLatency += (unitLatency - b.currentLatency) / float64(b.latencySamples)
--- a/balancer/plan.go
+++ b/balancer/plan.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// fanOut places the calls of a request: two plans are drawn, the one that is predicted to finish first is
-// improved and dispatched. A request that cannot finish in time is not begun.
+// fanOut places the calls of a request: the better of two plans is improved and dispatched. A request that
+// cannot finish by its deadline is not begun, nor under pressure one that cannot by its latency target.
 func (b *Balancer) fanOut(req *request, calls []ShardCall) {
 	shortestTarget := req.policy.LatencyTarget // of recent requests for the same shards
 	for _, call := range calls {
@@ -19,14 +19,29 @@
 			&shardCall{req: req, id: call.ID, shard: call.Shard, weight: call.Weight, size: size})
 	}
 	plan := b.choosePlan(req)
-	latest := b.latestFinish(req, shortestTarget)
+	latest := req.deadline
+	falling := min(1, latencyTolerance*cmp.Or(b.baseLatency, 1)/cmp.Or(b.currentLatency, 1))
+	if float64(len(b.inFlight)) >= pressureShare*b.limit*math.Pow(falling, overloadPower) {
+		if latest = req.targetAt; b.sharedBudgetBase > 0 {
+			// A longer queue would shed only requests with a shorter target and complete no more of the others.
+			latest = min(latest, b.now+shortestTarget-b.margin)
+		}
+	}
 	slowest, idle := b.moveStragglers(plan, latest)
-	b.moveToLocalZone(req, plan, slowest)
+	if b.preferLocal {
+		b.moveToLocalZone(req, plan, slowest)
+	}
 	if clear(b.plannedWork); req.policy.QuadraticPartialValue {
-		slowest, idle = b.partialFinish(req, plan), idle && slowest < Never
+		covered := 0.0
+		slowest, idle = 0, idle && slowest < Never
+		slices.SortStableFunc(plan, compareFinish)
+		for _, placed := range plan { // up to the coverage that makes a partial answer worthwhile
+			if covered < req.policy.partialCoverage-weightTolerance {
+				covered, slowest = covered+placed.call.weight, placed.finish
+			}
+		}
 	}
-	// A late call is sent all the same to a server that is idle: nothing else shows whether it is still slow,
-	// and shedding here could leave the whole cluster idle.
+	// An idle server is sent a late call all the same: nothing else shows whether it is still slow.
 	tooLate := !idle && b.now+slowest > latest || b.now >= req.deadline
 	if !req.inSecondPhase && slowest < Never && tooLate {
 		b.abandon(req)
@@ -62,20 +77,6 @@
 	return best
 }
 
-// latestFinish returns when a request must finish to be begun: by its deadline, or its latency target under
-// pressure. Where requests with a shorter target use the same shards that one counts: a longer queue would
-// shed only those and complete no more of the others.
-func (b *Balancer) latestFinish(req *request, shortestTarget Time) Time {
-	falling := min(1, latencyTolerance*cmp.Or(b.baseLatency, 1)/cmp.Or(b.currentLatency, 1))
-	switch {
-	case float64(len(b.inFlight)) < pressureShare*b.limit*math.Pow(falling, overloadPower):
-		return req.deadline
-	case b.sharedBudgetBase > 0:
-		return min(req.targetAt, b.now+shortestTarget-b.margin)
-	}
-	return req.targetAt
-}
-
 // moveStragglers moves each call that is far behind the fastest or too late to the replica that is predicted
 // to finish it first. It returns the slowest finish, and whether that call would have its server to itself.
 func (b *Balancer) moveStragglers(plan []placement, latest Time) (slowest Time, idle bool) {
@@ -99,8 +100,7 @@
 	return slowest, idle
 }
 
-// dispatchPlan sends each call of a plan, except those given up from the start. A call that may be hedged
-// also goes to the server on probation that its placement names.
+// dispatchPlan sends the calls of a plan, except those given up, and hedges some at servers on probation.
 func (b *Balancer) dispatchPlan(req *request, plan []placement) {
 	hopeless := func(call *shardCall) bool { return b.cannotFinish(call, req.targetAt-b.now) }
 	covered := b.coveredWithout(req, hopeless)
@@ -112,10 +112,8 @@
 	}
 	for _, placed := range plan {
 		call, s, sent := placed.call, placed.probation, len(placed.call.attempts)
-		if s == nil || s == placed.server && sent > 0 || !b.canDispatch(s, call) {
-			continue
-		}
-		if sent == 0 && call.skipped || sent == 1 && b.withinBudget(call, probationShare) {
+		if s != nil && (s != placed.server || sent == 0) && b.canDispatch(s, call) &&
+			(sent == 0 && call.skipped || sent == 1 && b.withinBudget(call, probationShare)) {
 			b.dispatch(call, s)
 			call.attempts[sent].probation = sent > 0
 		}
@@ -223,9 +221,6 @@
 // moveToLocalZone moves calls to servers of the local zone, as traffic between zones is expensive, where the
 // call then finishes no later than the plan does, or early enough for the target.
 func (b *Balancer) moveToLocalZone(req *request, plan []placement, slowest Time) {
-	if !b.preferLocal {
-		return
-	}
 	offset := b.rand.intN(1 << 16)
 	for i := range plan {
 		placed := &plan[i]
@@ -247,25 +242,14 @@
 	}
 }
 
-// partialFinish returns when a plan reaches the coverage that makes a partial answer worthwhile.
-func (b *Balancer) partialFinish(req *request, plan []placement) (finish Time) {
-	covered := 0.0
-	slices.SortStableFunc(plan, compareFinish)
-	for _, placed := range plan {
-		if covered < req.policy.partialCoverage-weightTolerance {
-			covered, finish = covered+placed.call.weight, placed.finish
-		}
-	}
-	return finish
-}
-
 // cannotFinish reports whether no healthy replica is idle or would finish a call within a time: the shard may
 // be down, or its few remaining replicas overloaded. Only partial answers of some value allow for that.
 func (b *Balancer) cannotFinish(call *shardCall, within Time) bool {
-	return call.req.policy.QuadraticPartialValue && !slices.ContainsFunc(b.replicas[call.shard], func(s *server) bool {
+	canFinish := func(s *server) bool {
 		return s.ejectedUntil <= b.now && !s.probation && b.silenceRatio(s.inFlight...) <= 1 &&
 			(within == Never || b.predict(s, call) <= within || b.workAt(s) == 0)
-	})
+	}
+	return call.req.policy.QuadraticPartialValue && !slices.ContainsFunc(b.replicas[call.shard], canFinish)
 }
 
 // coveredWithout reports whether a partial answer without the skippable calls is worthwhile.
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -40,9 +40,16 @@
 	}
 	waited := e.Outcome == TimedOut || e.Outcome == Cancelled
 	lost := e.Outcome == Reset || waited && b.silenceRatio(ended) > 1
-	// A time-out would have taken longer still; without it only the quick attempts would be measured.
+	// Not errors, as they come fast, but time-outs: else only the quick attempts would be measured.
 	if e.Outcome == Answered || e.Elapsed > ended.predicted && waited && !lost {
-		b.measureLatency(ended, float64(max(e.Elapsed, 1)))
+		latency, work := float64(max(e.Elapsed, 1)), call.size+ended.queuedWork
+		if s.unitLatency == 0 {
+			s.latency, s.latencyWork = cmp.Or(b.meanLatency*work, latency), work
+		}
+		// Not the mean of the ratios, in which small calls would weigh like large ones.
+		s.latency += (latency - s.latency) * latencyWeight
+		s.latencyWork += (work - s.latencyWork) * latencyWeight
+		s.unitLatency, s.measuredAt = s.latency/s.latencyWork, b.now
 	}
 	if policy := call.req.policy; e.Outcome == Answered && policy.size > 0 && ended.queuedWork < call.size {
 		policy.size += (float64(e.Elapsed)*b.millisPerTick - policy.size) * sizeWeight
@@ -61,18 +68,6 @@
 	}
 }
 
-// measureLatency updates the unit latency of a server: smoothed latency over smoothed work, not the mean of
-// their ratios, in which small calls would weigh like large ones.
-func (b *Balancer) measureLatency(ended *attempt, latency float64) {
-	s, work := ended.server, ended.call.size+ended.queuedWork
-	if s.unitLatency == 0 {
-		s.latency, s.latencyWork = cmp.Or(b.meanLatency*work, latency), work
-	}
-	s.latency += (latency - s.latency) * latencyWeight
-	s.latencyWork += (work - s.latencyWork) * latencyWeight
-	s.unitLatency, s.measuredAt = s.latency/s.latencyWork, b.now
-}
-
 // canRetry reports whether idempotency and the limit of attempts allow one more attempt of a call.
 func (b *Balancer) canRetry(call *shardCall) bool {
 	policy := call.req.policy
--- a/balancer/serverlist.go
+++ b/balancer/serverlist.go
@@ -1,9 +1,6 @@
 package balancer
 
-import (
-	"maps"
-	"slices"
-)
+import "slices"
 
 // applyServerList applies an update of the server list. After a failed request for one it schedules the next,
 // with exponential backoff and jitter so that instances do not flood a list service that is already late.
@@ -26,32 +23,29 @@
 		}
 	}
 	for _, entry := range e.Servers {
-		b.applyServer(entry)
+		s := b.servers[entry.ID]
+		if s == nil {
+			s = &server{id: entry.ID, startedAt: -1, sentWork: newWindowCounter(b.overloadWindow)}
+			b.servers[entry.ID] = s
+		}
+		b.setState(s, Removed) // its place among the replicas depends on the cell
+		s.local = b.preferLocal && entry.Zone == b.localZone
+		s.cell, s.maxInFlight = entry.Cell, entry.MaxInFlight
+		if s.zone = b.zones[entry.Zone]; s.zone == nil {
+			s.zone = &zone{}
+			b.zones[entry.Zone] = s.zone
+		}
+		b.setState(s, entry.State)
+		if entry.StartedAt != s.startedAt { // a restart resets all that was measured
+			s.startedAt, s.nextEjection = entry.StartedAt, b.baseEjection
+			s.unitLatency, s.reportedAt, s.failureRate, s.ejectedUntil, s.probation = 0, 0, 0, 0, false
+		}
 	}
 	if len(b.servers) > 2*len(b.ready) {
-		maps.DeleteFunc(b.servers, func(_ ServerID, s *server) bool {
-			return s.state == Removed && len(s.inFlight) == 0 && s.sentWork.upper(b.now) == 0
-		})
-	}
-}
-
-// applyServer applies one entry of the server list. A restart of the server resets all that was measured.
-func (b *Balancer) applyServer(entry Server) {
-	s := b.servers[entry.ID]
-	if s == nil {
-		s = &server{id: entry.ID, startedAt: -1, sentWork: newWindowCounter(b.overloadWindow)}
-		b.servers[entry.ID] = s
-	}
-	b.setState(s, Removed) // its place among the replicas depends on the cell
-	s.local = b.preferLocal && entry.Zone == b.localZone
-	s.cell, s.maxInFlight = entry.Cell, entry.MaxInFlight
-	if s.zone = b.zones[entry.Zone]; s.zone == nil {
-		s.zone = &zone{}
-		b.zones[entry.Zone] = s.zone
-	}
-	b.setState(s, entry.State)
-	if entry.StartedAt != s.startedAt {
-		s.startedAt, s.nextEjection = entry.StartedAt, b.baseEjection
-		s.unitLatency, s.reportedAt, s.failureRate, s.ejectedUntil, s.probation = 0, 0, 0, 0, false
+		for id, s := range b.servers {
+			if s.state == Removed && len(s.inFlight) == 0 && s.sentWork.upper(b.now) == 0 {
+				delete(b.servers, id)
+			}
+		}
 	}
 }
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -6,13 +6,11 @@
 		return 1
 	}
 	age := float64(b.now - s.startedAt)
-	share := b.slowStartShare + (1-b.slowStartShare)*age/float64(b.slowStartDuration)
-	return max(minCapacity, min(1, share))
+	return max(minCapacity, min(1, b.slowStartShare+(1-b.slowStartShare)*age/float64(b.slowStartDuration)))
 }
 
-// slowStartAllows reports whether a server that is warming up may be sent a call of a size. It gets its
-// capacity share of what this instance sends to a warm server, or sent before all of them were cold; all
-// instances together then send it that share. Where the allowance is below one call, a lottery each window
+// slowStartAllows reports whether a server may be sent a call of a size: within its capacity share of what this
+// instance sends a warm one, or sent before all were cold. Where that is below one call, a lottery each window
 // admits one with half the share as its chance. An unused win expires: saved up, many would be spent at once.
 func (b *Balancer) slowStartAllows(s *server, size float64) bool {
 	capacity := b.capacityShare(s)
