--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -9,9 +9,9 @@
 	return max(minCapacity, min(1, b.slowStartShare+(1-b.slowStartShare)*age/float64(b.slowStartDuration)))
 }
 
-// slowStartAllows reports whether a server may be sent a call of a size: within its capacity share of what this
-// instance sends a warm one, or sent before all were cold. Where that is below one call, a lottery each window
-// admits one with half the share as its chance. An unused win expires: saved up, many would be spent at once.
+// slowStartAllows reports whether a server may be sent a call of a size: within its capacity share of what
+// this instance sends a warm one, or sent before all were cold. Where that is below one call, a lottery each
+// window admits one with half the share as its chance. An unused win expires: many could be saved up.
 func (b *Balancer) slowStartAllows(s *server, size float64) bool {
 	capacity := b.capacityShare(s)
 	if capacity < 1 && b.now >= s.lotteryUntil {
