--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -102,6 +102,7 @@
 	return b
 }
 
+// newSettings derives the settings from the configuration. A retry budget that is not stated has defaults.
 func newSettings(config Config) settings {
 	s := settings{
 		replicationFactor: min(config.ReplicationFactor, config.Cells),
@@ -187,4 +188,5 @@
 	return b.actions
 }
 
+// emit appends an action to those that Handle returns.
 func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -103,6 +103,7 @@
 	finish    Time    // predicted, from now
 }
 
+// compareFinish orders placements by their predicted finish.
 func compareFinish(a, b placement) int { return cmp.Compare(a.finish, b.finish) }
 
 // progress sums up the attempts of a call. Numbers are -1 where there is no such attempt.
@@ -134,6 +135,7 @@
 	shortestUntil  Time          // when it is forgotten
 }
 
+// newRetryBudget returns an empty budget.
 func (b *Balancer) newRetryBudget() *retryBudget {
 	return &retryBudget{retries: newWindowCounter(b.budgetWindow), admitted: newWindowCounter(b.budgetWindow)}
 }
@@ -148,6 +150,7 @@
 	return r.shortestTarget
 }
 
+// budgetFor returns the retry budget of a shard.
 func (b *Balancer) budgetFor(shard ShardIndex) *retryBudget {
 	if b.sharedBudgetBase == 0 {
 		return b.budgets[0]
@@ -228,6 +231,7 @@
 	b.emit(SetTimer{at, TimerID(req.number)})
 }
 
+// timerFired requests the server list or reviews the request that the timer was set for.
 func (b *Balancer) timerFired(t TimerID) {
 	if t == listTimer {
 		b.listTimerSet = false
