--- a/balancer/plan.go
+++ b/balancer/plan.go
@@ -19,7 +19,7 @@
 			&shardCall{req: req, id: call.ID, shard: call.Shard, weight: call.Weight, size: size})
 	}
 	plan := b.choosePlan(req)
-	latest := req.deadline
+	latest := req.deadline // by which a request must be able to finish, to be begun
 	falling := min(1, latencyTolerance*cmp.Or(b.baseLatency, 1)/cmp.Or(b.currentLatency, 1))
 	if float64(len(b.inFlight)) >= pressureShare*b.limit*math.Pow(falling, overloadPower) {
 		if latest = req.targetAt; b.sharedBudgetBase > 0 {
