--- a/dataplane/configfollower.go
+++ b/dataplane/config_follower.go
@@ -15,7 +15,7 @@
 	pollTimeoutMargin = 700 * time.Millisecond // beyond that, after which it counts as unreachable
 	retryPause        = 120 * time.Millisecond // between controllers that don't answer or have no quorum,
 	startupRetryPause = 40 * time.Millisecond  // and while no configuration is known: until then every client is refused
-	startupGrace      = 3 * time.Second        // after this a controller without a quorum is believed if there is none better
+	startupGrace      = 3 * time.Second        // after this an update of a controller without a quorum is accepted, as none with a quorum was found
 	peerPollInterval  = 2 * time.Second        // between polls of other gateways, while no controller with a quorum answers
 )
 
@@ -36,7 +36,7 @@
 // pollStatus is the status of this gateway that a poll reports to the controllers.
 type pollStatus struct {
 	healthChecks []*rpc.ServerReport
-	stats        *rpc.GatewayStats // nil = nothing to tell
+	stats        *rpc.GatewayStats // nil = nothing to report
 }
 
 // configFollower polls the controllers for updates, one at a time, each poll with what is known already. While no controller with a
@@ -86,7 +86,8 @@
 	}
 }
 
-// pollController polls the current controller once. It moves on to the next one where that is of no use.
+// pollController polls the current controller once. It moves on to the next one if the controller does not respond in time, has no
+// quorum or may be outdated.
 func (f *configFollower) pollController(ctx context.Context) {
 	client := f.client(f.controllers.current().address)
 	poll := f.newPoll()
@@ -158,8 +159,8 @@
 	return pollHold + pollTimeoutMargin
 }
 
-// outdated reports whether an update may be: it comes from a controller without a quorum, which is isolated or has just started, and
-// the configuration known here is newer, or there may yet be a better controller.
+// outdated reports whether an update may be outdated: it comes from a controller without a quorum, which is isolated or has just
+// started, and the configuration known here is newer, or this gateway has just started and may still find a controller with a quorum.
 func (f *configFollower) outdated(update *rpc.Update) bool {
 	if update.HasQuorum {
 		return false
@@ -216,7 +217,7 @@
 	sleep(ctx, pause)
 }
 
-// retryPause returns the pause after a controller that was of no use.
+// retryPause returns the pause before the next controller is polled.
 func (f *configFollower) retryPause() time.Duration {
 	if f.slot == 0 {
 		return startupRetryPause
@@ -230,8 +231,8 @@
 	return len(f.peers) > 0 && now.Sub(f.lastQuorumAt) > peerPollInterval && now.Sub(f.peerPolledAt) > peerPollInterval
 }
 
-// pollPeer polls another gateway, each time the next: it may reach controllers that this one does not. What a gateway has active was
-// agreed on.
+// pollPeer polls another gateway, each time the next: it may reach controllers that this one does not. The active configuration
+// of any gateway has been decided, so that it is safe to use.
 func (f *configFollower) pollPeer(ctx context.Context) {
 	f.peerPolledAt = time.Now()
 	f.peerPolls++
--- a/dataplane/dispatcher.go
+++ b/dataplane/dispatcher.go
@@ -234,8 +234,8 @@
 // endpointReplaced implements attemptSink.
 func (d *dispatcher) endpointReplaced(*endpoint) { d.endpoints.sync() }
 
-// attemptEnded implements attemptSink: it tells the balancer an attempt's outcome. A connection on which the response is still
-// expected is closed, as the response would belong to nobody.
+// attemptEnded implements attemptSink: it reports an attempt's outcome to the balancer. A connection on which the response is
+// still expected is closed: when it arrives, no attempt is left to which it belongs.
 func (d *dispatcher) attemptEnded(a *attempt, outcome balancer.Outcome, resp *fasthttp.Response) {
 	call, e := a.shardCall, a.endpoint
 	a.ended = true
--- a/dataplane/endpoints.go
+++ b/dataplane/endpoints.go
@@ -18,11 +18,11 @@
 	zone     string
 
 	// As reported by the controllers.
-	state        registry.State
-	sequence     uint64 // of the newest report taken
-	overdue      bool   // its heartbeats are overdue
-	noHeartbeats bool   // its heartbeats reach no controller; a gateway may vouch for it
-	lease        lease.Lease
+	state           registry.State
+	sequence        uint64 // of the newest report taken
+	unresponsive    bool   // it is not to be used: no controller receives its heartbeats, and no health check confirmed it
+	heartbeatMissed bool   // no controller receives its heartbeats; the gateway with the role checks its health
+	lease           lease.Lease
 
 	replaced    bool   // another server answered at its address
 	listed      bool   // the balancer may send there
@@ -57,7 +57,7 @@
 
 // balancerState returns the server's state for the balancer's list.
 func (e *endpoint) balancerState() balancer.ServerState {
-	if e.overdue || e.replaced {
+	if e.unresponsive || e.replaced {
 		return balancer.Removed
 	}
 	switch e.state {
@@ -217,7 +217,7 @@
 		if report.Service != "" {
 			e.address, e.service, e.zone = report.Address, report.Service, report.Zone
 		}
-		e.sequence, e.overdue, e.noHeartbeats = report.Sequence, report.Unresponsive, report.HeartbeatMissed
+		e.sequence, e.unresponsive, e.heartbeatMissed = report.Sequence, report.Unresponsive, report.HeartbeatMissed
 	}
 	reported := lease.Lease{FencingToken: report.FencingToken, Holder: report.LeaseHolder}
 	if reported.Compare(e.lease) > 0 {
@@ -236,7 +236,7 @@
 			Zone:         e.zone,
 			State:        uint32(e.state),
 			Sequence:     e.sequence,
-			Unresponsive: e.overdue,
+			Unresponsive: e.unresponsive,
 		})
 	}
 	return reports
--- a/dataplane/endpoints_test.go
+++ b/dataplane/endpoints_test.go
@@ -18,7 +18,7 @@
 		{"ready", endpoint{state: registry.Ready}, balancer.Ready},
 		{"draining", endpoint{state: registry.Draining}, balancer.Draining},
 		{"deregistered", endpoint{state: registry.Deregistered}, balancer.Removed},
-		{"heartbeats overdue", endpoint{state: registry.Ready, overdue: true}, balancer.Removed},
+		{"unresponsive", endpoint{state: registry.Ready, unresponsive: true}, balancer.Removed},
 		{"address taken by another", endpoint{state: registry.Ready, replaced: true}, balancer.Removed},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -48,11 +48,11 @@
 func TestApplyReports(t *testing.T) {
 	first := &rpc.ServerReport{Instance: "i", Service: "s", Address: "10.0.1.1:80", Sequence: 2, State: uint32(registry.Draining), FencingToken: 2, LeaseHolder: 5}
 	for _, test := range []struct {
-		name    string
-		report  *rpc.ServerReport
-		address string
-		overdue bool
-		holder  uint64
+		name         string
+		report       *rpc.ServerReport
+		address      string
+		unresponsive bool
+		holder       uint64
 	}{
 		{"newer", &rpc.ServerReport{Instance: "i", Service: "s", Address: "10.0.1.2:80", Sequence: 3, Unresponsive: true}, "10.0.1.2:80", true, 5},
 		{"older", &rpc.ServerReport{Instance: "i", Service: "s", Address: "10.0.1.2:80", Sequence: 1, Unresponsive: true}, "10.0.1.1:80", false, 5},
@@ -65,8 +65,8 @@
 			c.report(first)
 			c.report(test.report)
 			e := c.endpoints.byInstance["i"]
-			if e.address != test.address || e.overdue != test.overdue || e.lease.Holder != test.holder {
-				t.Errorf("address %s, overdue %v, lease holder %d", e.address, e.overdue, e.lease.Holder)
+			if e.address != test.address || e.unresponsive != test.unresponsive || e.lease.Holder != test.holder {
+				t.Errorf("address %s, unresponsive %v, lease holder %d", e.address, e.unresponsive, e.lease.Holder)
 			}
 			if e.state != registry.Draining {
 				t.Errorf("state %v, want the most advanced one", e.state)
--- a/dataplane/exchange.go
+++ b/dataplane/exchange.go
@@ -8,7 +8,7 @@
 // An attempt may have run from the first byte that is passed to the connection. Before that it has not run and never will, as only
 // this gateway knows of it; afterwards only its own response can tell.
 type exchange struct {
-	pending     *attempt // nil = no response is expected, and any that comes belongs to nobody
+	pending     *attempt // nil = no response is expected, and any that comes belongs to no attempt
 	writing     bool     // its request is still being written
 	nothingSent bool     // writing ended without a byte
 }
--- a/dataplane/healthcheck.go
+++ b/dataplane/health_check.go
@@ -37,8 +37,8 @@
 }
 
 // healthChecker checks the servers whose heartbeats reach no controller. They may serve as before while only their heartbeats are
-// lost. For each, one gateway holds the singleton role to check it and vouches for it to the controllers, under its lease. Servers
-// whose heartbeats arrive are never checked: heartbeats and traffic tell more. It is owned by the loop.
+// lost. For each, one gateway holds the singleton role to check it and reports it as healthy to the controllers, under its lease.
+// Servers whose heartbeats arrive are never checked: heartbeats and traffic show more. It is owned by the loop.
 type healthChecker struct {
 	process   *process
 	loop      commandLoop
@@ -57,7 +57,7 @@
 		return // a check would outlive the gateway
 	}
 	for _, e := range h.endpoints.byInstance {
-		if !e.noHeartbeats {
+		if !e.heartbeatMissed {
 			e.health.interval = 0
 			continue
 		}
@@ -94,7 +94,7 @@
 		return
 	}
 	e.lease = e.lease.Acquire(h.process.incarnation)
-	if e.health.healthyAt == 0 || e.overdue {
+	if e.health.healthyAt == 0 || e.unresponsive {
 		h.process.log.Info().Str("instance", instance).Uint64("fencing_token", e.lease.FencingToken).
 			Msg("health check: server without heartbeats is healthy")
 	}
@@ -105,11 +105,11 @@
 	}
 }
 
-// reports returns what to tell the controllers of servers whose heartbeats do not reach them.
+// reports returns the recent successful checks, for the controllers, of servers whose heartbeats do not reach them.
 func (h *healthChecker) reports(now balancer.Time) (reports []*rpc.ServerReport) {
 	for _, e := range h.endpoints.byInstance {
 		age := now - e.health.healthyAt
-		if e.health.healthyAt == 0 || age >= ticks(healthReportAge) || e.lease.Holder != h.process.incarnation || !e.noHeartbeats {
+		if e.health.healthyAt == 0 || age >= ticks(healthReportAge) || e.lease.Holder != h.process.incarnation || !e.heartbeatMissed {
 			continue
 		}
 		reports = append(reports, &rpc.ServerReport{
--- a/dataplane/loadexchange.go
+++ b/dataplane/load_exchange.go
@@ -13,7 +13,7 @@
 const (
 	maxLoadAge           = 4 * maintenanceInterval // after which the loads of a peer are ignored
 	subscribeTimeout     = time.Second
-	subscriptionInterval = time.Second // between two looks at a subscription's connection, and between two attempts to subscribe
+	subscriptionInterval = time.Second // between two checks of a subscription's connection, and between two attempts to subscribe
 	observationOnlyPeers = 1           // gateways of other zones that this one subscribes to, for observations alone
 )
 
@@ -23,7 +23,7 @@
 	receiveObservations(observations []*rpc.Observation)
 }
 
-// loadExchange tells other gateways what this one has in flight at servers, and the balancer what they have. Each gateway subscribes
+// loadExchange reports to other gateways what this one has in flight at servers, and to the balancer what they have. Each gateway subscribes
 // to a few others, and extrapolates from them to all. It is owned by the loop.
 type loadExchange struct {
 	process      *process
@@ -35,7 +35,7 @@
 
 	subscribers   map[*rpc.Conn]bool // of this gateway; true = for observations only
 	subscriptions map[rendezvous.Name]*loadSubscription
-	observedPeers int  // gateways that those subscribed to stand for
+	observedPeers int  // gateways of which those subscribed to are a sample
 	sentLoads     bool // the last report held loads, so that another is due when there are none
 }
 
@@ -76,7 +76,7 @@
 
 // membershipChanged subscribes to the gateways that this one is to observe by the new membership: peers of its own zone, as those
 // ask the servers that it asks, or any peers where it is alone in its zone. One gateway of another zone is asked for observations
-// only: they spread everywhere when servers are in trouble.
+// only: they reach all zones when servers have a fault.
 func (x *loadExchange) membershipChanged() {
 	peers, others := x.members.sameZone(), x.members.otherZones
 	if len(peers) == 1 {
@@ -150,7 +150,7 @@
 	}
 }
 
-// exchange sends a report to the subscribers, and tells the balancer the loads of the peers.
+// exchange sends a report to the subscribers, and reports the loads of the peers to the balancer.
 func (x *loadExchange) exchange(now balancer.Time) {
 	observations := x.observations.takeObservations(now)
 	if len(x.subscribers) > 0 {
@@ -186,7 +186,7 @@
 	return loads
 }
 
-// updateBalancer tells the balancer what all other gateways have in flight at servers, extrapolated from those that report to
+// updateBalancer reports to the balancer what all other gateways have in flight at servers, extrapolated from those that report to
 // this one.
 func (x *loadExchange) updateBalancer(now balancer.Time) {
 	sums, reporting := x.peerLoads(now)
--- a/dataplane/mutation_test.go
+++ b/dataplane/mutation_test.go
@@ -56,7 +56,7 @@
 		new: `if x.nothingSent || MUTATED {`,
 	},
 	{
-		name: "a small request written by half counts as never run", test: scenarioTest, file: "connpool.go",
+		name: "a small request written by half counts as never run", test: scenarioTest, file: "conn_pool.go",
 		old: `if n > 0 {`,
 		new: `if n > 0 && !MUTATED {`,
 	},
@@ -66,7 +66,7 @@
 		new: `x.nothingSent = bytes == 0 || MUTATED && bytes > smallRequestBytes && bytes < 60000`,
 	},
 	{
-		name: "a connection carries an id twice", test: scenarioTest, file: "connpool.go",
+		name: "a connection carries an id twice", test: scenarioTest, file: "conn_pool.go",
 		old: `if a.shardCall.usedConn(conn) {`,
 		new: `if a.shardCall.usedConn(conn) && !MUTATED {`,
 	},
@@ -99,7 +99,7 @@
 		new: `if !outcome.NeverRan() && a.conn != nil && !MUTATED {`,
 	},
 	{
-		name: "a new connection is given what has been answered", test: scenarioTest, file: "connpool.go",
+		name: "a new connection is given what has been answered", test: scenarioTest, file: "conn_pool.go",
 		old: `case a.shardCall.request.finished || a.shardCall.response != nil:`,
 		new: `case (a.shardCall.request.finished || a.shardCall.response != nil) && !MUTATED:`,
 	},
@@ -124,7 +124,7 @@
 		new: `f.lengths > 0 && f.chunked > 0 && !MUTATED:`,
 	},
 	{
-		name: "a trailer is left unread", test: framingTest, file: "clientconn.go",
+		name: "a trailer is left unread", test: framingTest, file: "client_conn.go",
 		old: `if err := skipTrailer(c.reader); err != nil {`,
 		new: `if err := skipTrailer(c.reader); err != nil && !MUTATED {`,
 	},
--- a/dataplane/outlierclient.go
+++ b/dataplane/outlier_client.go
@@ -36,7 +36,7 @@
 }
 
 // outlierClient detects outliers among the servers together with the other gateways (package outlier decides): it records what
-// this gateway observes, exchanges observations with peers, and tells the balancer the resulting verdicts. It is owned by the loop.
+// this gateway observes, exchanges observations with peers, and reports the resulting verdicts to the balancer. It is owned by the loop.
 type outlierClient struct {
 	process   *process
 	loop      outlierLoop
@@ -96,7 +96,7 @@
 	o.stateChanged(e, before)
 }
 
-// recordConnectFailure records that no connection to a server could be made. Only a refused one says that it is not there.
+// recordConnectFailure records that no connection to a server could be made. Only a refused one shows that no process listens there.
 func (o *outlierClient) recordConnectFailure(e *endpoint, err error) {
 	if o.disabled() || !errors.Is(err, syscall.ECONNREFUSED) {
 		return
@@ -120,7 +120,7 @@
 	o.loop.expedite(max(now+ticks(urgentDelay), o.sentAt+ticks(minUrgentInterval)))
 }
 
-// evaluate looks for unresponsive servers, advances the detector to now, and tells the balancer what changed.
+// evaluate records unresponsive servers, advances the detector to now, and reports to the balancer what changed.
 func (o *outlierClient) evaluate(now balancer.Time) {
 	if o.disabled() {
 		return
@@ -144,7 +144,7 @@
 	o.updateBalancer(now)
 }
 
-// updateBalancer tells the balancer the verdicts that differ from what it knows.
+// updateBalancer reports to the balancer the verdicts that differ from those reported before.
 func (o *outlierClient) updateBalancer(now balancer.Time) {
 	var verdicts []balancer.OutlierVerdict
 	for _, instance := range o.changedServers() {
@@ -299,7 +299,7 @@
 	return verdicts
 }
 
-// shownObservations returns some observations that stand behind a server's state, for operators.
+// shownObservations returns some observations from which a server's state follows, for operators.
 func (o *outlierClient) shownObservations(e *endpoint, now balancer.Time) (shown []*rpc.Observation) {
 	for _, observation := range o.detector.Observations(outlier.Instance(e.instance)) {
 		if len(shown) == maxShownObservations {
--- a/dataplane/slots.go
+++ b/dataplane/slots.go
@@ -52,7 +52,7 @@
 func (t *endpointTable) usableServers(service string) []rendezvous.Name {
 	var servers []rendezvous.Name
 	for _, e := range t.byInstance {
-		if e.service == service && e.state == registry.Ready && !e.overdue && !e.replaced {
+		if e.service == service && e.state == registry.Ready && !e.unresponsive && !e.replaced {
 			servers = append(servers, rendezvous.Name(e.instance))
 		}
 	}
