--- a/consensus/change_request.go
+++ b/consensus/change_request.go
@@ -84,8 +84,8 @@
 // Evaluate returns the request's outcome as ChangeRequest.Evaluate does, and the document's version: the one that the
 // request created where it is committed, else the one in place.
 //
-// Compatibility is checked only where the revision would be new: what was committed once is not judged by a configuration
-// that came later.
+// Compatibility is checked only where the revision would be new: what was committed once is not compared with a
+// configuration that came later.
 func (r DocumentChangeRequest) Evaluate(v *Value) (next *Value, version Version, outcome Outcome) {
 	current := v.Document(r.Name)
 	outcome, follows := evaluate(r.revision(), current.Revisions())
--- a/consensus/proposal.go
+++ b/consensus/proposal.go
@@ -110,7 +110,7 @@
 
 // hasPrepareQuorum reports whether the acceptors that promised the ballot show every value that may have been decided.
 //
-// A value that follows one known to be decided needs a majority of the known value's members to be decided, whoever accepted
+// A value that follows one known to be decided needs a majority of the known value's members to be decided, whichever others accepted
 // the values before: a majority of these members is enough. Of a value that was only found in prepare replies it is not
 // known whether its prior members gave way: majorities of both sets are needed.
 func (p *Proposal) hasPrepareQuorum() bool {
--- a/consensus/repair.go
+++ b/consensus/repair.go
@@ -27,7 +27,7 @@
 
 // Due reports whether an attempt is due now. Missing are the members in contact that are not known to hold the value of the
 // slot. StoredBallot is the ballot of this process's own replica: where it rises, some proposal stored the value again,
-// which counts as an attempt, whoever made it. Jitter is drawn from [0, 1), so that not all processes begin at once.
+// which counts as an attempt of any process. Jitter is drawn from [0, 1), so that not all processes begin at once.
 func (r *RepairSchedule) Due(now time.Duration, slot Slot, missing []Member, storedBallot Ballot, jitter float64) bool {
 	if len(missing) == 0 {
 		*r = RepairSchedule{Delay: r.Delay}
--- a/controlplane/contact_monitor.go
+++ b/controlplane/contact_monitor.go
@@ -11,7 +11,7 @@
 // answered. docs/design/control-safety.md has the argument.
 const contactLifetime = 2 * time.Second
 
-// contactMonitor determines whether this controller was in contact with a majority of the acceptors of late. It belongs to the event
+// contactMonitor determines whether this controller was recently in contact with a majority of the acceptors. It belongs to the event
 // loop.
 type contactMonitor struct {
 	self      identity
@@ -31,7 +31,7 @@
 	return ok && now-since < contactLifetime
 }
 
-// isCurrent reports whether the newest value is known to be decided and confirmed by a majority of late.
+// isCurrent reports whether the newest value is known to be decided and was recently confirmed by a majority.
 func (m *contactMonitor) isCurrent(now time.Duration) bool {
 	return m.learner.confirmed && m.hasQuorum(now)
 }
--- a/controlplane/gateways.go
+++ b/controlplane/gateways.go
@@ -26,7 +26,7 @@
 	sentAt    time.Duration // 0 = never
 }
 
-// pollsHere reports whether the gateway polled this controller of late.
+// pollsHere reports whether the gateway polled this controller within gatewayTimeout.
 func (g *gatewayState) pollsHere(now time.Duration) bool {
 	return g.polledAt > 0 && now-g.polledAt < gatewayTimeout/2
 }
--- a/controlplane/gossip.go
+++ b/controlplane/gossip.go
@@ -236,7 +236,7 @@
 	g.heartbeats.completeWaits()
 }
 
-// receiveControllers takes which controllers a peer knows, and adds those that the peer saw of late or that are members.
+// receiveControllers takes which controllers a peer knows, and adds those that the peer saw recently or that are members.
 func (g *gossiper) receiveControllers(p *peer, controllers []*rpc.Controller) {
 	for _, m := range controllers {
 		if m.AgeMs < milliseconds(peerForgetTimeout) || g.learner.isMemberAddress(m.Address) {
@@ -309,7 +309,7 @@
 	g.learner.observeBallot(slot, rpc.BallotFromProto(from.HighestDecidedBallot))
 }
 
-// valueFor returns the newest value for a peer that lags. Most peers have accepted it and lack only the news that it is decided:
+// valueFor returns the newest value for a peer that lags. Most peers have accepted it and don't know yet that it is decided:
 // bodies are omitted unless the peer has reported that it lacks one.
 func (g *gossiper) valueFor(p *peer) *rpc.Value {
 	v := g.learner.value
--- a/controlplane/peers.go
+++ b/controlplane/peers.go
@@ -50,7 +50,7 @@
 	requestFullValue bool // this controller lacks a body of the value that the peer sent
 }
 
-// alive reports whether the peer was seen of late.
+// alive reports whether the peer was seen within peerLivenessTimeout.
 func (p *peer) alive(now time.Duration) bool {
 	return p.lastSeen > 0 && now-p.lastSeen < peerLivenessTimeout
 }
--- a/controlplane/shutdown.go
+++ b/controlplane/shutdown.go
@@ -13,14 +13,14 @@
 const (
 	shutdownMargin         = 1500 * time.Millisecond // of the grace period, left for the end itself
 	defaultShutdownTimeout = 2 * time.Second         // without a grace period
-	shutdownPollInterval   = 20 * time.Millisecond   // between two looks at whether the controller may end
+	shutdownPollInterval   = 20 * time.Millisecond   // between two checks whether the controller may end
 )
 
 // leaveStatus is what keeps a member from ending.
 type leaveStatus struct {
 	reason     consensus.LeaveStatus
 	incomplete []consensus.Member // not known to hold the newest value
-	successor  *consensus.Member  // who may become a member in place of this controller; nil = nobody, or it is none
+	successor  *consensus.Member  // who may become a member in place of this controller; nil = there is none, or this controller is no member
 }
 
 // drainer keeps a controller that is to end running until its end loses nothing.
@@ -49,7 +49,7 @@
 
 // drain returns when the controller may end for good, perhaps with its disk: its membership was handed to a controller that is
 // no member, the change is confirmed, and all members that stay have reported that their disks hold the newest value. It returns
-// at once where the replicas are complete and there is nobody to hand the membership to, and after the timeout at the latest. Not
+// at once where the replicas are complete and there is no controller to hand the membership to, and after the timeout at the latest. Not
 // on the event loop.
 func (d *drainer) drain() {
 	ctx, cancel := context.WithTimeout(context.Background(), d.timeout)
--- a/gatherer/requests.go
+++ b/gatherer/requests.go
@@ -103,7 +103,7 @@
 		req.merge.Close() // whether or not it is closed with the result
 	}
 	select {
-	case r := <-req.result: // nobody receives it
+	case r := <-req.result: // no goroutine receives it
 		d.memory.Release(memorybudget.Answers, r.reserved)
 	default:
 	}
--- a/internal/shardconn/reader.go
+++ b/internal/shardconn/reader.go
@@ -74,7 +74,7 @@
 	return parseFrame(letter, rest)
 }
 
-// readLoop sends the client all that is read at once in one event, so that nothing new is sent on a connection whose
+// readLoop passes all that is read at once to the client in one event, so that nothing new is sent on a connection whose
 // last answer is followed by garbage.
 func (c *conn) readLoop() {
 	reader := &frameReader{conn: c, r: bufio.NewReaderSize(c.netConn, readBufferSize)}
--- a/internal/testing/simcluster/cluster.go
+++ b/internal/testing/simcluster/cluster.go
@@ -1,5 +1,5 @@
 // Package simcluster runs a whole system in one process: the real controllers and gateways, and modelled servers, operators
-// and clients, on a simulated network. The system tests and the emulator are built on it. It checks each response against
+// and clients, on a simulated network. The system tests and experiments of oxbowlab use it. It checks each response against
 // what the model says it must be.
 package simcluster
 
--- a/internal/testing/simnet/network.go
+++ b/internal/testing/simnet/network.go
@@ -1,5 +1,5 @@
-// Package simnet is a simulated network for tests and the emulator. It models hosts by IP address, links with latency,
-// directed partitions, processes that are killed and machines that lose power.
+// Package simnet is a simulated network for tests. It models hosts by IP address, links with latency, directed partitions,
+// processes that are killed and machines that lose power.
 //
 // It uses the clock of package time, so inside a testing/synctest bubble delays take no real time. Bytes arrive in order
 // after the latency of their link; bytes on a partitioned link wait until the link is restored.
--- a/internal/tools/layercheck/main.go
+++ b/internal/tools/layercheck/main.go
@@ -1,5 +1,5 @@
 // Command layercheck fails when a package of the module imports one that does not lie lower. The order stands in a file that
-// names each package once, the lowest first. Imports of tests are passed over: a test may use whatever lies higher.
+// names each package once, the lowest first. Imports of tests are not checked: a test may use any package.
 //
 // Usage: layercheck ORDER [ROOT]
 package main
--- a/outlier/evaluate.go
+++ b/outlier/evaluate.go
@@ -121,8 +121,8 @@
 	return ""
 }
 
-// canRemove reports whether one more server of a shard may be avoided or ejected: the others must bear its load, so that half of them stay.
-// Servers that refuse connections bear no load in any case, and are not subject to this.
+// canRemove reports whether one more server of a shard may be avoided or ejected: the others take over its load, so at least half of the
+// shard's servers stay. Servers that refuse connections take no load in any case, and are not subject to this.
 func (d *Detector) canRemove(shard Shard) bool {
 	healthy := 0
 	for _, instance := range d.shards[shard] {
--- a/registry/doc.go
+++ b/registry/doc.go
@@ -8,8 +8,8 @@
 //     sequence, which is one heartbeat alone, as sequences rise. So merging is commutative, associative and idempotent in all
 //     that Digests cover.
 //   - A server is unresponsive once its heartbeats stay away while most others arrive. While most stay away, the fault is
-//     taken to be between servers and controllers, and nobody is marked.
-//   - What is over is forgotten: records of servers that deregistered or were unresponsive for long (Table.Expire).
+//     taken to be between servers and controllers, and no server is marked.
+//   - The table is bounded: records of servers that deregistered or stay unresponsive expire (Table.Expire).
 //
 // The package has no I/O, no clock and no goroutines. Times are durations on the caller's monotonic clock. Records that go to
 // another process carry ages in place of times, which the receiver turns into times of its own clock.
--- a/registry/expire.go
+++ b/registry/expire.go
@@ -23,10 +23,10 @@
 	deregisteredTTL = 60 * time.Second
 )
 
-// Expire marks unresponsive servers and forgets those that are over. It reports whether any mark changed.
+// Expire marks unresponsive servers and removes the records that have expired. It reports whether any mark changed.
 //
-// While most servers miss their heartbeats, the fault is taken to be between servers and controllers: nobody is marked, and
-// the marks that were set just before are taken back. Servers marked already count among those that miss them.
+// While most servers miss their heartbeats, the fault is taken to be between servers and controllers: no server is marked,
+// and the marks that were set just before are removed. Servers marked already count among those that miss them.
 func (t *Table) Expire(now time.Duration) (changed bool) {
 	outage := t.removeExpired(now)
 	for _, r := range t.records {
@@ -45,7 +45,7 @@
 	return changed
 }
 
-// removeExpired forgets servers that are over, and reports whether most of the others miss their heartbeats. Those that were
+// removeExpired removes expired records, and reports whether the heartbeats of most other servers are missed. Those that were
 // marked are kept while no heartbeat of any server arrives.
 func (t *Table) removeExpired(now time.Duration) (outage bool) {
 	received, missed := 0, 0
@@ -65,7 +65,8 @@
 	return missed > received
 }
 
-// expired reports whether a server deregistered, was unresponsive, or was draining without a heartbeat, for long.
+// expired reports whether a server deregistered more than deregisteredTTL ago, or has been unresponsive, or draining without a
+// heartbeat, for more than expiryIntervals.
 func (t *Table) expired(r *Record, now time.Duration) bool {
 	age := now - r.HeartbeatAt
 	if r.State == Deregistered && age > deregisteredTTL {
@@ -84,7 +85,7 @@
 	return r.HeartbeatMissed || t.exceeds(age, unresponsiveIntervals)
 }
 
-// confirmedHealthy reports whether a lease holder saw the server healthy lately.
+// confirmedHealthy reports whether a lease holder saw the server healthy within confirmationTTL.
 func (r *Record) confirmedHealthy(now time.Duration) bool {
 	return r.State == Ready && r.Lease != (lease.Lease{}) && now-r.HealthyAt < confirmationTTL
 }
--- a/registry/record.go
+++ b/registry/record.go
@@ -31,11 +31,11 @@
 	return [...]string{"ready", "draining", "gone"}[min(s, Deregistered)]
 }
 
-// Record is what is known of one incarnation of a server.
+// Record is what is known of one incarnation of a server. Times are durations on the clock of the table's owner.
 type Record struct {
 	Instance        InstanceID
 	Service         ServiceID
-	Address         string
+	Address         string // host and port
 	Zone            string
 	Version         string        // of the server's program
 	Slots           int           // requests that it handles at once
@@ -43,8 +43,8 @@
 	SlowStartEndsAt time.Duration // until when the server is still warming up
 	Sequence        Sequence      // of the newest heartbeat
 	HeartbeatAt     time.Duration // when the newest heartbeat was received
-	Unresponsive    bool          // it is not to be used; in a record to merge: so the sender has marked it
-	HeartbeatMissed bool          // its heartbeats stay away, though a lease holder may have seen it healthy
+	Unresponsive    bool          // it is not to be used; in a record to merge, as the sender has marked it
+	HeartbeatMissed bool          // its heartbeats stay away; a lease holder may nevertheless see it healthy
 	HealthyAt       time.Duration // when a lease holder last saw it healthy, where Lease is not zero
 	Lease           lease.Lease   // of that holder
 	HeartbeatOnly   bool          // in a record to merge: only Instance, Sequence and HeartbeatAt are set
