--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -25,10 +25,13 @@
 		return
 	}
 	call, s := ended.call, ended.server
-	if e.Report != nil {
-		b.recordQueue(s, e.Report.queue())
+	if report := e.Report; report != nil && report.Queued < 0 { // no queue: the calls in execution stand for it
+		b.recordQueue(s, report.InFlight)
+	} else if report != nil {
+		b.recordQueue(s, report.Queued)
 	}
-	wins := e.Outcome == Answered && !call.answered && b.requests[call.req.id] == call.req
+	open := b.requests[call.req.id] == call.req
+	wins := open && e.Outcome == Answered && !call.answered
 	if ended.retry && !ended.probation && e.Outcome != NotDispatched {
 		b.retrySuccess -= b.retrySuccess * slowWeight
 		if wins {
@@ -36,52 +39,45 @@
 		}
 	}
 	waited := e.Outcome == TimedOut || e.Outcome == Cancelled
-	silent := b.silenceRatio(ended) > 1
-	lost := e.Outcome == Reset || waited && silent
-	// A time-out would have taken longer still; without it only the quick attempts would be measured.
+	lost := e.Outcome == Reset || waited && b.silenceRatio(ended) > 1
+	// Not errors, as they come fast, but time-outs: else only the quick attempts would be measured.
 	if e.Outcome == Answered || e.Elapsed > ended.predicted && waited && !lost {
-		b.measureLatency(ended, float64(max(e.Elapsed, 1)))
+		latency, work := float64(max(e.Elapsed, 1)), call.size+ended.queuedWork
+		if s.unitLatency == 0 {
+			s.latency, s.latencyWork = cmp.Or(b.meanLatency*work, latency), work
+		}
+		// Not the mean of the ratios, in which small calls would weigh like large ones.
+		s.latency += (latency - s.latency) * latencyWeight
+		s.latencyWork += (work - s.latencyWork) * latencyWeight
+		s.unitLatency, s.measuredAt = s.latency/s.latencyWork, b.now
 	}
 	if policy := call.req.policy; e.Outcome == Answered && policy.size > 0 && ended.queuedWork < call.size {
 		policy.size += (float64(e.Elapsed)*b.millisPerTick - policy.size) * sizeWeight
 	}
 	b.trackIdleLoss(ended, e.Outcome == Answered, lost)
-	b.recordOutcome(ended, e, silent)
+	b.recordOutcome(ended, e, lost)
 	if e.Outcome <= Rejected {
 		s.respondedAt = b.now
 	}
-	if b.requests[call.req.id] != call.req {
-		return
-	}
 	if wins {
 		call.answered = true
 		b.cancel(call)
 	}
-	b.review(call.req)
-}
-
-// measureLatency updates the unit latency of a server: smoothed latency over smoothed work, not the mean of
-// their ratios, in which small calls would weigh like large ones.
-func (b *Balancer) measureLatency(ended *attempt, latency float64) {
-	s, work := ended.server, ended.call.size+ended.queuedWork
-	if s.unitLatency == 0 {
-		s.latency, s.latencyWork = cmp.Or(b.meanLatency*work, latency), work
+	if open {
+		b.review(call.req)
 	}
-	s.latency += (latency - s.latency) * latencyWeight
-	s.latencyWork += (work - s.latencyWork) * latencyWeight
-	s.unitLatency, s.measuredAt = s.latency/s.latencyWork, b.now
 }
 
 // canRetry reports whether idempotency and the limit of attempts allow one more attempt of a call.
 func (b *Balancer) canRetry(call *shardCall) bool {
 	policy := call.req.policy
 	for _, a := range call.attempts {
-		inWindow := policy.idempotency == Deduplicated && b.now+b.margin <= a.sentAt+policy.dedupWindow
-		if !a.neverRan && policy.idempotency != Idempotent && !inWindow {
+		inWindow := policy.Idempotency == Deduplicated && b.now+b.margin <= a.sentAt+policy.DedupWindow
+		if !a.neverRan && policy.Idempotency != Idempotent && !inWindow {
 			return false
 		}
 	}
-	return len(call.attempts) < policy.maxAttempts
+	return len(call.attempts) < policy.MaxAttempts
 }
 
 // withinBudget reports whether one more retry of a call stays within a share of the retry budget.
