--- a/connadmission/minrate.go
+++ b/connadmission/minrate.go
@@ -1,30 +1,28 @@
 package connadmission
 
-// MinRate is the least rate at which a client must send its request, or read its answer. Without it a client that trickles a
-// byte a second holds a goroutine, buffers and a place for as long as the longest limit allows, and a few hundred such
-// clients hold all there are.
+// MinRate is the lowest rate at which a client must send its request or read its response. Without it a client that sends a byte
+// a second holds a goroutine, buffers and a connection for as long as the longest timeout allows.
 //
-// It says by when a client that does nothing more is too slow, so that nobody has to look at it before: what is due is set
-// once and moved on with each byte. A client gets Grace at the beginning, and never more than twice that ahead, whatever it
-// sent in one go before.
+// It yields the deadline by which the next byte must be transferred, so that connections need not be polled: the deadline is
+// set once and extended with each byte. A client is granted Grace at first, and is never ahead by more than twice that.
 type MinRate struct {
-	BytesPerSecond int64 // bytes a second; 0 = no least rate
+	BytesPerSecond int64 // 0 = no lowest rate
 	Grace          Millis
 }
 
-// Enabled tells whether there is a least rate.
-func (p MinRate) Enabled() bool { return p.BytesPerSecond > 0 }
+// Enabled reports whether there is a lowest rate.
+func (r MinRate) Enabled() bool { return r.BytesPerSecond > 0 }
 
-// FirstDeadline is by when the first byte of a phase that begins now must have moved.
-func (p MinRate) FirstDeadline(now Millis) Millis { return now + p.Grace }
+// FirstDeadline returns the deadline of the first byte of a phase that begins now.
+func (r MinRate) FirstDeadline(now Millis) Millis { return now + r.Grace }
 
-// NextDeadline is by when the next byte must move, after n bytes have.
-func (p MinRate) NextDeadline(due, now Millis, n int) Millis {
-	if p.BytesPerSecond <= 0 {
-		return due
+// NextDeadline returns the deadline of the next byte after n bytes have been transferred.
+func (r MinRate) NextDeadline(deadline, now Millis, n int) Millis {
+	if r.BytesPerSecond <= 0 {
+		return deadline
 	}
-	return min(due+Millis(int64(n)*1000/p.BytesPerSecond), now+2*p.Grace)
+	return min(deadline+Millis(int64(n)*1000/r.BytesPerSecond), now+2*r.Grace)
 }
 
-// Exceeded tells whether a client is too slow.
-func (p MinRate) Exceeded(due, now Millis) bool { return p.BytesPerSecond > 0 && now >= due }
+// Exceeded reports whether a deadline has passed.
+func (r MinRate) Exceeded(deadline, now Millis) bool { return r.BytesPerSecond > 0 && now >= deadline }
--- /dev/null
+++ b/connadmission/victim.go
@@ -0,0 +1,65 @@
+package connadmission
+
+// Victim returns the connection to close for a new one, or NoConn if all have an open request. In this order:
+//
+//  1. connections with a slow header, which hold a goroutine and buffers;
+//  2. connections idle for MinIdle that never sent a search, the longest idle first;
+//  3. connections idle for MinIdle of a customer that exceeds its share of connections, then of any customer;
+//  4. new connections without a header for HeaderTimeout;
+//  5. connections idle for less than MinIdle that never sent a search;
+//  6. other connections idle for less than MinIdle: their clients can use another connection;
+//  7. new connections, the oldest first: a flood of new connections closes its own and not those with requests.
+func (c *Controller) Victim(now Millis) ID {
+	if id := c.oldestSince(listSlowHeader, now); id != NoConn {
+		return id
+	}
+	longIdle, anyIdle := c.oldestSince(listIdleWithoutRequest, now-c.options.MinIdle), c.oldestSince(listIdleWithoutRequest, now)
+	if longIdle != NoConn {
+		return longIdle
+	}
+	if id := c.longestIdle(now - c.options.MinIdle); id != NoConn {
+		return id
+	}
+	if id := c.oldestSince(listNew, now-c.options.HeaderTimeout); id != NoConn {
+		return id
+	}
+	if anyIdle != NoConn {
+		return anyIdle
+	}
+	if id := c.longestIdle(now); id != NoConn {
+		return id
+	}
+	return c.oldestSince(listNew, now)
+}
+
+// oldestSince returns the first connection of a list if it has been there since a time or longer, NoConn otherwise.
+func (c *Controller) oldestSince(list int, since Millis) ID {
+	if i := c.lists[list].first; i >= 0 && c.conns[i].since <= since {
+		return ID(i)
+	}
+	return NoConn
+}
+
+// longestIdle returns the connection that has been idle longest, at least since a time, of the customer that exceeds its share of
+// connections by the largest factor; of all customers if none exceeds its share. It returns NoConn if there is none.
+func (c *Controller) longestIdle(since Millis) ID {
+	found, oldest := NoConn, Millis(0)
+	excess := 1.0
+	for customer := range c.connsOfCustomer {
+		id := c.oldestSince(listFirstIdle+customer, since)
+		if id == NoConn {
+			continue
+		}
+		if customer < c.unknownIndex && c.shareSum > 0 && c.options.CustomerShares[customer] > 0 {
+			factor := float64(c.connsOfCustomer[customer]) / (c.options.CustomerShares[customer] / c.shareSum * float64(c.options.MaxConns))
+			if factor > excess || factor == excess && factor > 1 && c.conns[id].since < oldest {
+				excess, found, oldest = factor, id, c.conns[id].since
+				continue
+			}
+		}
+		if excess == 1 && (found == NoConn || c.conns[id].since < oldest) {
+			found, oldest = id, c.conns[id].since
+		}
+	}
+	return found
+}
--- a/memorybudget/budget.go
+++ b/memorybudget/budget.go
@@ -1,11 +1,12 @@
-// Package memorybudget accounts for the memory that a gatherer's work holds, in one sum: connections, requests' bodies, open
-// searches, merges, answers and servers' connections. It decides who may hold more. It owns its figures alone, does no I/O,
-// reads no clock, starts no goroutine, and may be used from several goroutines.
+// Package memorybudget accounts for the memory that a gatherer's work uses: connections, request bodies, open searches, merges,
+// responses and connections to shard servers. It decides who may use more. It does no I/O, reads no clock, starts no goroutine,
+// and may be used concurrently.
 //
-// Each account has a floor, which the others leave free, and a ceiling. What lies between the floors is for whoever asks
-// first. So merges of wide lists, or desks that all wake, cannot take the last bytes that plain look-ups need.
+// Each account has a reservation, which the others leave free, and a limit. Memory beyond the reservations is for whoever
+// requests it first. So merges of long lists, or many clients that become active at once, cannot use up the memory of plain
+// look-ups.
 //
-// Figures are estimates of what work holds, not of what the runtime has mapped: see Figures.Most.
+// Amounts are estimates of what work uses, not of what the runtime has mapped: see Options.MaxTotal.
 package memorybudget
 
 import (
@@ -13,27 +14,27 @@
 	"sync"
 )
 
-// Bytes are bytes of memory.
+// Bytes is an amount of memory.
 type Bytes int64
 
-// Account is what memory is held for.
+// Account is what memory is used for.
 type Account uint8
 
 // The accounts.
 const (
-	ActiveConns  Account = iota // clients' connections with a goroutine: stacks, buffers, head
-	ParkedConns                 // clients' connections that wait without one: table entries
-	Bodies                      // requests' bodies
-	Requests                    // open searches, their parts, and the values that are in
+	ActiveConns  Account = iota // client connections with a goroutine: stacks, buffers, headers
+	ParkedConns                 // parked client connections: table entries
+	Bodies                      // request bodies
+	Requests                    // open searches, their shard calls, and the values received
 	Merges                      // rows of open merges
-	Answers                     // final answers that are being written
-	ServerConns                 // connections to shard servers, and frames on them that are not whole
-	AccountCount                // how many there are
+	Answers                     // responses being written
+	ServerConns                 // connections to shard servers, and incomplete frames on them
+	AccountCount                // number of accounts
 )
 
 var accountNames = [AccountCount]string{"awake", "parked", "bodies", "searches", "merges", "answers", "servers"}
 
-// String is the account's name in log lines.
+// String returns the account's name in log lines.
 func (a Account) String() string {
 	if a >= AccountCount {
 		return fmt.Sprintf("account(%d)", uint8(a))
@@ -41,204 +42,205 @@
 	return accountNames[a]
 }
 
-// Limit is what an account is granted.
+// Limit bounds what an account may use.
 type Limit struct {
-	Reserved Bytes // kept free for it by the others
-	Max      Bytes // that it may hold; 0 = no limit of its own
+	Reserved Bytes // left free by the others
+	Max      Bytes // 0 = no limit of its own
 }
 
-// Options are what a ledger goes by.
+// Options configure a Budget.
 type Options struct {
-	// MaxTotal is what all accounts together may hold; 0 = no limit in sum. It has to lie under the machine's memory by what
-	// the runtime itself, garbage and the program's text need.
+	// MaxTotal is what all accounts together may use; 0 = no limit. It must leave room in the machine's memory for the runtime,
+	// garbage and the program itself: see TotalFor.
 	MaxTotal Bytes
 	Limits   [AccountCount]Limit
 }
 
-// Pressure is how full a ledger is.
+// Pressure is the degree to which a budget is used.
 type Pressure uint8
 
-// The pressures. A ledger is entered into a higher one and left for a lower one at different marks, so that work which
-// hovers at a mark does not change it with each search.
+// Degrees of pressure. They are entered and left at different thresholds, so that work near a threshold does not change the
+// pressure with each search.
 const (
 	PressureNone     Pressure = iota
-	PressureHigh              // from 85% on, until under 70%: who can do with less should
-	PressureCritical          // from 97% on, until under 90%: what is not in hand is turned away
+	PressureHigh              // from 85% until below 70%: optional memory should be avoided
+	PressureCritical          // from 97% until below 90%: new work should be rejected
 )
 
-// String is the pressure's name in log lines.
+// String returns the pressure's name in log lines.
 func (p Pressure) String() string {
 	return [...]string{"calm", "tight", "full"}[min(p, PressureCritical)]
 }
 
-// Marks of pressure, in hundredths of Figures.Most.
+// Thresholds of pressure, in percent of Options.MaxTotal.
 const (
 	highEnterPercent, highExitPercent         = 85, 70
 	criticalEnterPercent, criticalExitPercent = 97, 90
 )
 
-// Snapshot is what a ledger holds at a moment.
+// Snapshot is the state of a budget at one time.
 type Snapshot struct {
 	Used          [AccountCount]Bytes
-	Peak          Bytes               // the most that was held in sum
-	Rejections    [AccountCount]int64 // how often a Take was refused
-	MaxOvercommit Bytes               // the most that Force brought it over Figures.Most
+	Peak          Bytes               // greatest Total so far
+	Rejections    [AccountCount]int64 // failed calls of Reserve
+	MaxOvercommit Bytes               // the most by which ForceReserve has exceeded MaxTotal
 	Total         Bytes
 	MaxTotal      Bytes
 	Pressure      Pressure
 }
 
-// Budget is what is held.
+// Budget accounts for memory. It may be used concurrently.
 type Budget struct {
 	onPressureChange func(from, to Pressure, s Snapshot)
 
 	mu             sync.Mutex
 	options        Options
 	usage          Snapshot
-	pendingChanges []pressureChange // changes not told yet; emptied by whoever tells them
-	notifying      bool             // somebody tells them
+	pendingChanges []pressureChange // changes not yet passed to onPressureChange
+	notifying      bool             // a caller is passing them
 }
 
+// pressureChange is a call of onPressureChange.
 type pressureChange struct {
 	from, to Pressure
 	usage    Snapshot
 }
 
-// New makes a ledger that holds nothing. told, if not nil, is told of each change of pressure, in order, after the call that
-// caused it, in some caller's goroutine, with no lock held.
-func New(f Options, told func(from, to Pressure, s Snapshot)) *Budget {
-	l := &Budget{onPressureChange: told}
-	l.SetOptions(f)
-	return l
+// New returns an unused budget. onPressureChange, if not nil, is called after each change of pressure, in order, in the goroutine
+// of some caller and without a lock held.
+func New(o Options, onPressureChange func(from, to Pressure, s Snapshot)) *Budget {
+	b := &Budget{onPressureChange: onPressureChange}
+	b.SetOptions(o)
+	return b
 }
 
-// SetOptions puts other figures in force. What is held stays held.
-func (l *Budget) SetOptions(f Options) {
-	l.mu.Lock()
-	l.options, l.usage.MaxTotal = f, f.MaxTotal
-	l.updatePressure()
-	l.notifyAndUnlock()
+// SetOptions changes the options. Memory in use is not affected.
+func (b *Budget) SetOptions(o Options) {
+	b.mu.Lock()
+	b.options, b.usage.MaxTotal = o, o.MaxTotal
+	b.updatePressure()
+	b.notifyAndUnlock()
 }
 
-// Reserve holds so much more in an account, or nothing: false = the account's ceiling, or the sum less the floors of the others,
-// would be passed. What is refused is to be turned away at once.
-func (l *Budget) Reserve(a Account, n Bytes) bool {
-	l.mu.Lock()
-	if !l.canReserve(a, n) {
-		l.usage.Rejections[a]++
-		l.mu.Unlock()
+// Reserve adds n bytes to an account. It returns false and adds nothing if that would exceed the account's limit, or the total
+// less the unused reservations of the others; the work should then be rejected at once.
+func (b *Budget) Reserve(a Account, n Bytes) bool {
+	b.mu.Lock()
+	if !b.canReserve(a, n) {
+		b.usage.Rejections[a]++
+		b.mu.Unlock()
 		return false
 	}
-	l.add(a, n)
-	l.notifyAndUnlock()
+	b.add(a, n)
+	b.notifyAndUnlock()
 	return true
 }
 
-// ForceReserve holds so much more whatever the limits say. It is for what cannot be refused any more: an answer on its way, a value
-// that has come for a search which may not be shed. It pushes out what comes after it.
-func (l *Budget) ForceReserve(a Account, n Bytes) {
-	l.mu.Lock()
-	l.add(a, n)
-	if over := l.usage.Total - l.options.MaxTotal; l.options.MaxTotal > 0 && over > l.usage.MaxOvercommit {
-		l.usage.MaxOvercommit = over
+// ForceReserve adds n bytes to an account whatever the limits are, for work that can no longer be rejected: a response in
+// progress, a value received for a search that may not be shed. Later work is rejected instead.
+func (b *Budget) ForceReserve(a Account, n Bytes) {
+	b.mu.Lock()
+	b.add(a, n)
+	if over := b.usage.Total - b.options.MaxTotal; b.options.MaxTotal > 0 && over > b.usage.MaxOvercommit {
+		b.usage.MaxOvercommit = over
 	}
-	l.notifyAndUnlock()
+	b.notifyAndUnlock()
 }
 
-// Release gives back what Take or Force held.
-func (l *Budget) Release(a Account, n Bytes) {
-	l.mu.Lock()
-	l.add(a, -n)
-	l.notifyAndUnlock()
+// Release subtracts what Reserve or ForceReserve added.
+func (b *Budget) Release(a Account, n Bytes) {
+	b.mu.Lock()
+	b.add(a, -n)
+	b.notifyAndUnlock()
 }
 
-// Transfer hands what one account holds to another, so that it is never counted twice nor, for a moment, by nobody.
-func (l *Budget) Transfer(from, to Account, n Bytes) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.usage.Used[from] -= n
-	l.usage.Used[to] += n
+// Transfer moves n bytes from one account to another, so that they are neither counted twice nor missing in between.
+func (b *Budget) Transfer(from, to Account, n Bytes) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.usage.Used[from] -= n
+	b.usage.Used[to] += n
 }
 
-// Snapshot tells what is held.
-func (l *Budget) Snapshot() Snapshot {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.usage
+// Snapshot returns the present state.
+func (b *Budget) Snapshot() Snapshot {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.usage
 }
 
-// Pressure tells how full the ledger is.
-func (l *Budget) Pressure() Pressure {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.usage.Pressure
+// Pressure returns the present pressure.
+func (b *Budget) Pressure() Pressure {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return b.usage.Pressure
 }
 
-// canReserve tells whether an account may hold so much more.
-func (l *Budget) canReserve(a Account, n Bytes) bool {
-	held := l.usage.Used[a] + n
-	if most := l.options.Limits[a].Max; most > 0 && held > most {
+// canReserve reports whether an account may use n bytes more. The caller holds mu.
+func (b *Budget) canReserve(a Account, n Bytes) bool {
+	used := b.usage.Used[a] + n
+	if limit := b.options.Limits[a].Max; limit > 0 && used > limit {
 		return false
 	}
-	if l.options.MaxTotal <= 0 {
+	if b.options.MaxTotal <= 0 {
 		return true
 	}
-	if l.usage.Total+n > l.options.MaxTotal {
+	if b.usage.Total+n > b.options.MaxTotal {
 		return false
 	}
-	if held <= l.options.Limits[a].Reserved {
-		return true // it was kept free for this, unless what was forced has used it up
+	if used <= b.options.Limits[a].Reserved {
+		return true // within its reservation
 	}
-	free := l.options.MaxTotal - l.usage.Total - n
-	for b := range AccountCount {
-		if b != a {
-			free -= max(l.options.Limits[b].Reserved-l.usage.Used[b], 0)
+	free := b.options.MaxTotal - b.usage.Total - n
+	for other := range AccountCount {
+		if other != a {
+			free -= max(b.options.Limits[other].Reserved-b.usage.Used[other], 0)
 		}
 	}
 	return free >= 0
 }
 
-func (l *Budget) add(a Account, n Bytes) {
-	l.usage.Used[a] += n
-	l.usage.Total += n
-	l.usage.Peak = max(l.usage.Peak, l.usage.Total)
-	l.updatePressure()
+func (b *Budget) add(a Account, n Bytes) {
+	b.usage.Used[a] += n
+	b.usage.Total += n
+	b.usage.Peak = max(b.usage.Peak, b.usage.Total)
+	b.updatePressure()
 }
 
-// updatePressure finds the pressure, and notes a change.
-func (l *Budget) updatePressure() {
-	was, now := l.usage.Pressure, PressureNone
-	if l.options.MaxTotal > 0 {
-		at := l.usage.Total * 100
+// updatePressure recomputes the pressure and records a change. The caller holds mu.
+func (b *Budget) updatePressure() {
+	was, now := b.usage.Pressure, PressureNone
+	if b.options.MaxTotal > 0 {
+		at := b.usage.Total * 100
 		switch {
-		case at >= criticalEnterPercent*l.options.MaxTotal, was == PressureCritical && at >= criticalExitPercent*l.options.MaxTotal:
+		case at >= criticalEnterPercent*b.options.MaxTotal, was == PressureCritical && at >= criticalExitPercent*b.options.MaxTotal:
 			now = PressureCritical
-		case at >= highEnterPercent*l.options.MaxTotal, was >= PressureHigh && at >= highExitPercent*l.options.MaxTotal:
+		case at >= highEnterPercent*b.options.MaxTotal, was >= PressureHigh && at >= highExitPercent*b.options.MaxTotal:
 			now = PressureHigh
 		}
 	}
-	if l.usage.Pressure = now; now != was && l.onPressureChange != nil {
-		l.pendingChanges = append(l.pendingChanges, pressureChange{was, now, l.usage})
+	if b.usage.Pressure = now; now != was && b.onPressureChange != nil {
+		b.pendingChanges = append(b.pendingChanges, pressureChange{was, now, b.usage})
 	}
 }
 
-// notifyAndUnlock gives the lock back and tells what changed. One caller at a time does so, so that changes are told in order; none
-// waits for another.
-func (l *Budget) notifyAndUnlock() {
-	if l.notifying {
-		l.mu.Unlock()
+// notifyAndUnlock unlocks mu and passes on recorded changes of pressure. One caller at a time does so, which keeps their order;
+// the others do not wait for it.
+func (b *Budget) notifyAndUnlock() {
+	if b.notifying {
+		b.mu.Unlock()
 		return
 	}
-	l.notifying = true
-	for len(l.pendingChanges) > 0 {
-		queue := l.pendingChanges
-		l.pendingChanges = nil
-		l.mu.Unlock()
+	b.notifying = true
+	for len(b.pendingChanges) > 0 {
+		queue := b.pendingChanges
+		b.pendingChanges = nil
+		b.mu.Unlock()
 		for _, t := range queue {
-			l.onPressureChange(t.from, t.to, t.usage)
+			b.onPressureChange(t.from, t.to, t.usage)
 		}
-		l.mu.Lock()
+		b.mu.Lock()
 	}
-	l.notifying = false
-	l.mu.Unlock()
+	b.notifying = false
+	b.mu.Unlock()
 }
--- a/memorybudget/estimator.go
+++ b/memorybudget/estimator.go
@@ -1,34 +1,33 @@
 package memorybudget
 
-// SizeEstimator learns how much a part's value is likely to take, by query type, so that a search can be turned away before its
-// parts are sent rather than when their values, which cannot be refused any more, are there. It is one goroutine's at a
-// time. Its table is as long as the settings' list of query types.
+// SizeEstimator estimates the size of a shard's value by query type, so that a search can be rejected before its shard calls are
+// dispatched rather than when their values, which can no longer be rejected, are received. It must not be used concurrently.
 //
-// It goes up to a large value at once and comes down slowly: too much set aside turns a search away with advice to come
-// back, too little may cost the process.
+// An estimate follows a larger value at once and smaller ones slowly: too high an estimate rejects a search, which is retried
+// later, too low a one may exhaust the process's memory.
 type SizeEstimator struct {
-	estimates []float64 // 0 = none has been seen
+	estimates []float64 // by query type; 0 = no value observed yet
 	fallback  Bytes
 }
 
-// decayFactor is the part of the way down that one smaller value goes.
+// decayFactor is the part of the difference by which one smaller value lowers the estimate.
 const decayFactor = 1.0 / 64
 
-// NewSizeEstimator makes one for so many query types; first is expected until a value of a type has been seen.
-func NewSizeEstimator(types int, first Bytes) *SizeEstimator {
-	return &SizeEstimator{estimates: make([]float64, types), fallback: first}
+// NewSizeEstimator returns an estimator for a number of query types. fallback is the estimate until a value is observed.
+func NewSizeEstimator(types int, fallback Bytes) *SizeEstimator {
+	return &SizeEstimator{estimates: make([]float64, types), fallback: fallback}
 }
 
-// Observe takes in how large a value of a type was.
+// Observe records the size of a value. Unknown query types are ignored.
 func (e *SizeEstimator) Observe(queryType int, n Bytes) {
 	if queryType < 0 || queryType >= len(e.estimates) {
 		return
 	}
-	t := &e.estimates[queryType]
-	*t = max(float64(n), *t-decayFactor*(*t-float64(n)), 1)
+	estimate := &e.estimates[queryType]
+	*estimate = max(float64(n), *estimate-decayFactor*(*estimate-float64(n)), 1)
 }
 
-// Estimate tells how much is to be set aside for one value of a type.
+// Estimate returns the memory to reserve for one value of a query type.
 func (e *SizeEstimator) Estimate(queryType int) Bytes {
 	if queryType < 0 || queryType >= len(e.estimates) || e.estimates[queryType] == 0 {
 		return e.fallback
--- a/memorybudget/options.go
+++ b/memorybudget/options.go
@@ -1,13 +1,13 @@
 package memorybudget
 
-// BaseUsage is what a gatherer holds that does no work: text, runtime, tables.
+// BaseUsage is the memory of an idle gatherer: program, runtime, tables.
 const BaseUsage Bytes = 16 << 20
 
-// minTotal is the least that a sum is set to where the memory is not stated by the operator.
+// minTotal is the least that TotalFor returns for a known memory.
 const minTotal Bytes = 4 << 20
 
-// TotalFor is what all accounts together may hold in a memory: half of what it leaves beside the base. The other half is for
-// garbage that has not been collected yet, which the runtime's own limit keeps to that. 0 = the memory is not known.
+// TotalFor returns Options.MaxTotal for a machine's memory: half of what remains beside BaseUsage. The other half is for garbage
+// that is not collected yet, which the runtime's own memory limit bounds. 0 = the memory is not known.
 func TotalFor(memory Bytes) Bytes {
 	if memory <= 0 {
 		return 0
@@ -15,18 +15,18 @@
 	return max((memory-BaseUsage)/2, minTotal)
 }
 
-// DefaultOptions makes figures of a sum, which may be 0 for no sum, and of what bodies may hold by themselves. The floors are for what plain
-// searches need; connections and merges, which can be many and large, may have half each.
-func DefaultOptions(most, bodies Bytes) (f Options) {
-	f.Limits[Bodies].Max = bodies
-	if f.MaxTotal = most; most <= 0 {
-		return f
+// DefaultOptions returns options for a total, which may be 0 for no limit, and a limit of request bodies. Reservations are for
+// plain searches; connections and merges, which may be many and large, are limited to half of the total each.
+func DefaultOptions(total, maxBodies Bytes) (o Options) {
+	o.Limits[Bodies].Max = maxBodies
+	if o.MaxTotal = total; total <= 0 {
+		return o
 	}
-	f.Limits[Bodies] = Limit{Reserved: most / 16, Max: min(bodies, most/2)}
-	f.Limits[Requests] = Limit{Reserved: most / 8}
-	f.Limits[Answers] = Limit{Reserved: most / 16}
-	f.Limits[ServerConns] = Limit{Reserved: most / 16}
-	f.Limits[ActiveConns] = Limit{Reserved: most / 16, Max: most / 2}
-	f.Limits[Merges] = Limit{Max: most / 2}
-	return f
+	o.Limits[Bodies] = Limit{Reserved: total / 16, Max: min(maxBodies, total/2)}
+	o.Limits[Requests] = Limit{Reserved: total / 8}
+	o.Limits[Answers] = Limit{Reserved: total / 16}
+	o.Limits[ServerConns] = Limit{Reserved: total / 16}
+	o.Limits[ActiveConns] = Limit{Reserved: total / 16, Max: total / 2}
+	o.Limits[Merges] = Limit{Max: total / 2}
+	return o
 }
--- a/merge/compatibility_test.go
+++ b/merge/compatibility_test.go
@@ -22,7 +22,7 @@
 			`{"schema":"arrears/1","as_of":8,"rows":2,"more":true}` + "\n" +
 				`["c","c-1","2026-01-03","8.50",1]` + "\n" + `["d","c-1","2026-01-03","4.00",1]` + "\n",
 		},
-		item:   "m=eyJraW5kIjoicmFua2VkIiwic2NoZW1hIjoiYXJyZWFycy8xIiwib3JkZXIiOlsiLWFtb3VudCIsImR1ZSJdLCJsaW1pdCI6Mn0",
+		item: "m=eyJraW5kIjoicmFua2VkIiwic2NoZW1hIjoiYXJyZWFycy8xIiwib3JkZXIiOlsiLWFtb3VudCIsImR1ZSJdLCJsaW1pdCI6Mn0",
 		result: `{"full":false,"merged":{"kind":"paged","columns":["account","customer","due","amount","bills"],"rows":[["a","c-1","2026-01-02","9.00",1],["c","c-1","2026-01-03","8.50",1]],"from":[0,1],` +
 			`"before":0,"certain":0,"late":0,"moved":false,"last":false,` +
 			`"next":"AQJrMcUMkZ_qnQFxGj1pvhhOKjbgpJn_vDECAAEGIjguNTAiDCIyMDI2LTAxLTAzIgMiYyIBAQEHAQEIAAD6oMsoLsfKn9VGst9I1-yp",` +
