--- a/merge/aggregate.go
+++ b/merge/aggregate.go
@@ -14,29 +14,29 @@
 	"github.com/cockroachdb/apd/v3"
 )
 
-// aggregateKind is what a figure says of a column.
+// aggregateKind is a function over the values of a column.
 type aggregateKind uint8
 
 const (
 	aggregateCount aggregateKind = iota // of rows
-	aggregateSum                        // exact; missing values count for nothing
-	aggregateMin                        // missing values left out
+	aggregateSum                        // exact; null values are ignored
+	aggregateMin                        // null values are ignored
 	aggregateMax
-	aggregateMean     // over the values that are there
-	aggregateDistinct // of values that are there, estimated
+	aggregateMean     // over the values that are not null
+	aggregateDistinct // number of different values that are not null, estimated
 	aggregateQuantile // estimated
 )
 
-// aggregate is one that a client asks for.
+// aggregate is one that a client requests.
 type aggregate struct {
 	name     string
 	kind     aggregateKind
 	column   int
 	quantile float64
-	partials []int // places of the partial figures it is made of
+	partials []int // indexes in Query.partials of what it is computed from
 }
 
-// partialAggregate is a figure as segments give it, which can be merged.
+// partialAggregate is an aggregate of one segment's rows, of which those of several segments can be merged.
 type partialAggregate struct {
 	kind   partialKind
 	column int
@@ -46,7 +46,7 @@
 
 const (
 	partialCount     partialKind = iota // rows: an integer
-	partialValues                       // values that are there: an integer
+	partialValues                       // values that are not null: an integer
 	partialSum                          // an exact decimal in a string
 	partialMin                          // a value, or null
 	partialMax                          // a value, or null
@@ -56,7 +56,7 @@
 
 var partialNames = [...]string{"count", "values", "sum", "min", "max", "distinct", "sketch"}
 
-// name is the partial as segments are asked for it: count, or NAME:COLUMN.
+// name returns the name in a SegmentRequest: count, or NAME:COLUMN.
 func (p partialAggregate) name(s *Schema) string {
 	if p.kind == partialCount {
 		return partialNames[p.kind]
@@ -64,7 +64,7 @@
 	return partialNames[p.kind] + ":" + s.Columns[p.column].Name
 }
 
-// parseAggregate reads a figure: count, sum(C), min(C), max(C), mean(C), distinct(C), or p1(C) to p99(C).
+// parseAggregate parses count, sum(C), min(C), max(C), mean(C), distinct(C), or p1(C) to p99(C).
 func (s *Schema) parseAggregate(text string) (aggregate, error) {
 	if text == "count" {
 		return aggregate{name: text, kind: aggregateCount}, nil
@@ -100,13 +100,13 @@
 	return f, nil
 }
 
-// CheckAggregate says whether a figure can be allowed for a schema.
+// CheckAggregate checks whether an aggregate can be permitted for the schema.
 func (s *Schema) CheckAggregate(text string) error {
 	_, err := s.parseAggregate(text)
 	return err
 }
 
-// requiredPartials lists the partial figures that a figure is made of.
+// requiredPartials returns the partial aggregates that the aggregate is computed from.
 func (f aggregate) requiredPartials() []partialAggregate {
 	c := f.column
 	switch f.kind {
@@ -126,7 +126,7 @@
 	return []partialAggregate{{partialCount, 0}}
 }
 
-// What the sketches are, on both sides: a sketch of another precision is not in its form.
+// Parameters of sketches, at gateways and segments: sketches with others are rejected.
 const (
 	// DistinctPrecision is the HyperLogLog's: 2^12 registers, at most 4 KiB.
 	DistinctPrecision = 12
@@ -134,20 +134,20 @@
 	DistinctError = 0.01625 // 1.04 / sqrt(2^12)
 	// QuantileError is the DDSketch's: a quantile is off by at most this share of itself.
 	QuantileError = 0.01
-	// QuantileBins bounds a DDSketch: amounts from a cent to 10^15 fit with room.
+	// QuantileBins bounds a DDSketch: enough for amounts from a cent to 10^15.
 	QuantileBins = 2048
 )
 
-// NewDistinct makes an empty sketch of distinct values, as segments are to give it.
+// NewDistinct returns an empty sketch of distinct values with the parameters required of segments.
 func NewDistinct() *hyperloglog.Sketch {
 	s, err := hyperloglog.NewSketch(DistinctPrecision, true)
 	if err != nil {
-		panic(err) // the precision is a constant that the library takes
+		panic(err) // cannot happen: the library accepts this constant
 	}
 	return s
 }
 
-// NewQuantiles makes an empty sketch of quantiles, as segments are to give it.
+// NewQuantiles returns an empty sketch of quantiles with the parameters required of segments.
 func NewQuantiles() *ddsketch.DDSketch {
 	return ddsketch.NewDDSketch(quantileMapping(), collapsing(), collapsing())
 }
@@ -155,30 +155,30 @@
 func quantileMapping() mapping.IndexMapping {
 	m, err := mapping.NewLogarithmicMapping(QuantileError)
 	if err != nil {
-		panic(err) // the error is a constant that the library takes
+		panic(err) // cannot happen: the library accepts this constant
 	}
 	return m
 }
 
 func collapsing() store.Store { return store.NewCollapsingLowestDenseStore(QuantileBins) }
 
-// partialValue is one partial figure's value. Only the field of its kind is used.
+// partialValue is the value of a partial aggregate. Only the fields of its kind are used.
 type partialValue struct {
 	count        int64
 	sum          apd.Decimal
-	value        scalar // min, max; missing where there is none
-	sortKey      string // the value's sort key
+	value        scalar // min, max; null or zero if there is none
+	sortKey      string // of value
 	distinct     *hyperloglog.Sketch
 	quantiles    *ddsketch.DDSketch
-	sketchMemory int  // bytes that the sketch holds, about
-	overflow     bool // the sum or count does not fit: it has no value any more
+	sketchMemory int  // estimated, in bytes
+	overflow     bool // a sum or count does not fit and has no value
 }
 
-// exact computes without rounding: whatever would round is an error.
+// exact computes without rounding: an inexact result is an error.
 var exact = apd.Context{Precision: 3 * MaxDigits, MaxExponent: 3 * MaxDigits, MinExponent: -3 * MaxDigits,
 	Traps: apd.DefaultTraps | apd.Inexact | apd.Rounded}
 
-// parsePartialValue reads one partial figure of a segment's group.
+// parsePartialValue parses and checks one partial aggregate of a segment's group.
 func (s *Schema) parsePartialValue(p partialAggregate, v scalar) (c partialValue, err error) {
 	col := s.Columns[p.column]
 	bad := func() (partialValue, error) {
@@ -229,7 +229,7 @@
 	return c, nil
 }
 
-// readDistinct reads a sketch from outside. The library may panic on bytes that no sketch has.
+// readDistinct decodes a sketch of a segment. The library may panic on malformed bytes.
 func readDistinct(b []byte) (s *hyperloglog.Sketch, err error) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -248,7 +248,7 @@
 	return s, nil
 }
 
-// readQuantiles reads a sketch from outside into one of bounded size.
+// readQuantiles decodes a sketch of a segment into one of bounded size. The library may panic on malformed bytes.
 func readQuantiles(b []byte) (s *ddsketch.DDSketch, err error) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -265,10 +265,11 @@
 	return s, nil
 }
 
-// sketchOverhead is what a sketch costs in memory beside its registers or bins.
+// sketchOverhead is the memory of a sketch beside its registers or bins.
 const sketchOverhead = 600
 
-// binCount is how many bins a sketch holds in memory: all from its least to its greatest, on either side of 0.
+// binCount returns the number of bins that a sketch holds in memory: from its smallest to its largest, on either side of
+// 0.
 func binCount(s *ddsketch.DDSketch) int {
 	type span struct{ least, most int }
 	var sides [2]*span
@@ -289,13 +290,13 @@
 	n := 0
 	for _, x := range sides {
 		if x != nil {
-			n += min(x.most-x.least+1, QuantileBins) + 64 // it grows by so many
+			n += min(x.most-x.least+1, QuantileBins) + 64 // the sketch allocates in steps of 64
 		}
 	}
 	return n
 }
 
-// add takes in another segment's partial.
+// add merges the value of another segment into this one.
 func (c *partialValue) add(p partialAggregate, from *partialValue) {
 	switch p.kind {
 	case partialCount, partialValues:
@@ -330,5 +331,6 @@
 	}
 }
 
-// exceedsDigits tells whether a sum has more digits than the operator allows; it is an error then, never a rounded number.
+// exceedsDigits reports whether a sum has more digits than the schema permits. It is then reported as an overflow and
+// never rounded.
 func exceedsDigits(d *apd.Decimal, digits int) bool { return d.NumDigits() > int64(digits) }
--- a/merge/budget.go
+++ b/merge/budget.go
@@ -5,40 +5,39 @@
 	"sync/atomic"
 )
 
-// Budget is what all open merges together may hold; nothing until Limit says so. It may be used from several
-// goroutines. It guards the process: a thousand wide lists that wait for one late segment would else be a thousand
-// times a list in memory.
+// Budget bounds what all open merges together hold; nothing may be held before SetLimits. It may be used concurrently. It
+// protects the process: a thousand long lists that wait for one late segment would otherwise be in memory at once.
 type Budget struct {
 	maxBytes, maxRows, maxOpen atomic.Int64
 	bytes, rows, open          atomic.Int64
 	parent                     ParentBudget
 }
 
-// ParentBudget is a wider budget, of which merges are a part. It may be used from several goroutines.
+// ParentBudget is a wider budget, of which merges are one use. It must be safe for concurrent use.
 type ParentBudget interface {
 	Reserve(bytes int64) bool
 	Release(bytes int64)
 }
 
-// SetParent puts a budget under a wider one. It is called before the first merge.
+// SetParent makes the budget reserve its memory from a wider one. It must be called before the first merge.
 func (b *Budget) SetParent(s ParentBudget) { b.parent = s }
 
-// ErrBudgetExceeded says that a merge would hold more than all open ones may.
+// ErrBudgetExceeded means that a merge would exceed the limits of its budget.
 var ErrBudgetExceeded = errors.New("merges hold as much as they may")
 
-// SetLimits sets what may be held from now on: bytes, rows, and merges open at once. What is held already stays.
+// SetLimits sets the limits from now on: bytes, rows, and open merges. What is held already is not affected.
 func (b *Budget) SetLimits(bytes, rows, open int64) {
 	b.maxBytes.Store(bytes)
 	b.maxRows.Store(rows)
 	b.maxOpen.Store(open)
 }
 
-// Usage tells what is held: bytes, rows and open merges.
+// Usage returns what is held: bytes, rows, and open merges.
 func (b *Budget) Usage() (bytes, rows, open int64) {
 	return b.bytes.Load(), b.rows.Load(), b.open.Load()
 }
 
-// openMerge opens a merge, unless too many are.
+// openMerge counts an open merge, or returns false if the limit is reached.
 func (b *Budget) openMerge() bool {
 	if b.open.Add(1) > b.maxOpen.Load() {
 		b.open.Add(-1)
@@ -47,7 +46,7 @@
 	return true
 }
 
-// reserve takes so much, or nothing.
+// reserve reserves memory, or returns false and reserves nothing.
 func (b *Budget) reserve(bytes, rows int64) bool {
 	held, count := b.bytes.Add(bytes), b.rows.Add(rows)
 	if held > b.maxBytes.Load() || count > b.maxRows.Load() || b.parent != nil && !b.parent.Reserve(bytes) {
@@ -58,6 +57,7 @@
 	return true
 }
 
+// release returns memory that has been reserved.
 func (b *Budget) release(bytes, rows int64) {
 	b.bytes.Add(-bytes)
 	b.rows.Add(-rows)
--- a/merge/cursor.go
+++ b/merge/cursor.go
@@ -12,21 +12,21 @@
 	"oxbowspan/internal/keyring"
 )
 
-// pagination is where the reading of a paged list stands, between two pages.
+// pagination is the state of a paged list between two pages.
 //
-// Each segment has a place: the row behind which it goes on. A segment that was in on a page goes on behind the page's
-// last row, whether or not that row was its own. One that was missing stays where it was, so that nothing of it is
-// skipped; what it then gives from before the furthest place comes late, and is said to. Most segments share a place,
-// so a cursor holds the few places there are, and for each segment which one is its.
+// Each segment has a position: the row after which it continues. A segment that was included in a page continues after the
+// last row of the page, whether or not that row is its own. A missing segment keeps its position, so that none of its rows
+// is skipped; rows that it later returns from before the furthest position are reported as late. Most segments have the
+// same position, so a cursor holds the few different ones and an index for each segment.
 type pagination struct {
-	positions        []position // the places; the first is before all rows
-	segmentPositions []int      // of each segment asked, among marks
-	versions         []*Version
-	rowsBefore       int  // rows given
-	changed          bool // data has moved on between two pages of this walk
+	positions        []position // different positions; the first is the beginning of the list
+	segmentPositions []int      // by index in Query.segments: index in positions
+	versions         []*Version // by index in Query.segments: version last included; nil = none
+	rowsBefore       int        // rows on all pages so far
+	changed          bool       // a segment's version has changed between two pages
 }
 
-// furthestKey is the furthest place that any segment has come to.
+// furthestKey returns the sort key of the furthest position of any segment.
 func (w *pagination) furthestKey() string {
 	far := ""
 	for _, m := range w.positions {
@@ -35,7 +35,7 @@
 	return far
 }
 
-// finishPage ends a page: what came late, how the data moved, and the cursor of the next page.
+// finishPage counts late rows, detects changed versions, and encodes the cursor of the next page.
 func (m *Merge) finishPage(a *Result, after bool) {
 	q, w := m.query, &m.query.pagination
 	far := w.furthestKey()
@@ -67,7 +67,7 @@
 		next.segmentPositions[i] = next.positionIndex(at)
 	}
 	if a.Changed {
-		a.Complete = false // pages of different data do not make one list
+		a.Complete = false // pages of different versions are not one list
 	}
 	if !behind {
 		a.End = true
@@ -75,12 +75,12 @@
 	}
 	a.NextCursor = q.encodeCursor(&next)
 	if len(a.NextCursor) > q.binding.maxLength {
-		a.NextCursor, a.CursorTooLong = "", true // never a cursor that would be refused
+		a.NextCursor, a.CursorTooLong = "", true // a cursor of this length would not be accepted
 		a.Complete = false
 	}
 }
 
-// positionIndex finds a place among the marks, adding it where it is new.
+// positionIndex returns the index of a position, which is added if it is new.
 func (w *pagination) positionIndex(m position) int {
 	for i := range w.positions {
 		if w.positions[i].sortKey == m.sortKey {
@@ -91,7 +91,8 @@
 	return len(w.positions) - 1
 }
 
-// cursorBinding is what a cursor is good for, and nothing else: query type, customer, statement, order, schema, segments.
+// cursorBinding identifies the list that a cursor belongs to: query type, customer, statement, order, schema, and
+// segments.
 type cursorBinding struct {
 	sum       [16]byte
 	maxLength int
@@ -114,6 +115,7 @@
 // a keyed BLAKE3 over all of that. It is signed, not hidden: it holds values of a row that its owner has been given.
 const cursorVersion = 1
 
+// encodeCursor returns a signed cursor.
 func (q *Query) encodeCursor(w *pagination) string {
 	key := q.keys.Primary()
 	b := append([]byte{cursorVersion, byte(len(key.ID))}, key.ID...)
@@ -154,7 +156,7 @@
 	return append(binary.AppendUvarint(b, uint64(len(s))), s...)
 }
 
-// The faults of cursors, as a client is told them.
+// Errors of cursors. Clients see their texts.
 var (
 	errCursorTooLong   = errors.New("the cursor is longer than any that is given out")
 	errCursorMalformed = errors.New("the cursor was not given out here, or has been changed")
@@ -163,7 +165,7 @@
 	errCursorExpired   = errors.New("the cursor has expired: begin the list again")
 )
 
-// decodeCursor takes up a walk from a cursor.
+// decodeCursor verifies a cursor and continues its list.
 func (q *Query) decodeCursor(text string, p Paging) error {
 	if len(text) > q.binding.maxLength {
 		return errCursorTooLong
@@ -220,12 +222,13 @@
 	return nil
 }
 
-// cursorReader takes a cursor apart. A fault sticks.
+// cursorReader decodes the fields of a cursor. After an error all further fields are zero.
 type cursorReader struct {
 	b       []byte
 	invalid bool
 }
 
+// take returns the next n bytes.
 func (r *cursorReader) take(n int) []byte {
 	if r.invalid || n > len(r.b) {
 		r.invalid = true
@@ -236,6 +239,7 @@
 	return out
 }
 
+// uvarint returns the next integer, which must not exceed a limit.
 func (r *cursorReader) uvarint(most uint64) uint64 {
 	v, n := binary.Uvarint(r.b)
 	if r.invalid || n <= 0 || v > most {
@@ -246,6 +250,7 @@
 	return v
 }
 
+// scalar returns the next value of a row.
 func (r *cursorReader) scalar() scalar {
 	text := string(r.take(int(r.uvarint(math.MaxInt32))))
 	s, n, err := scanScalar(text)
--- a/merge/doc.go
+++ b/merge/doc.go
@@ -1,16 +1,16 @@
-// Package merge makes one answer of what several segments gave: a ranked list, a page of one, or figures summed up
-// over groups. It says how complete that answer is, and never more than its parts bear out.
+// Package merge combines the responses of several segments into one result: a ranked list, a page of a list, or aggregates over
+// groups. A result states how complete it is, and never claims more than the responses prove.
 //
-// It owns the form of a segment's rows, the order between them, the open merges and what they may hold, the statement
-// of completeness, and the cursors from page to page. It does no I/O, reads no clock and starts no goroutine: moments
-// come as arguments. The same parts give the same bytes in whatever order they came.
+// The package defines the form of a segment's rows and their order, the memory of open merges, the statement of completeness,
+// and the cursors from page to page. It does no I/O, reads no clock and starts no goroutine: times are arguments. The same
+// responses result in the same bytes in whatever order they are received.
 //
-// Whether a search short of a part is answered at all, and when, is not decided here: the caller says whether its
-// answer counts as whole, and a Merge can only lower that.
+// Whether a search is answered without some segment, and when, is decided by the caller, who states whether the result counts as
+// complete; a Merge can only lower that.
 //
-// # From a search to its answer
+// # From a search to its result
 //
-// An Allowance is what the operator lets one query type merge. Allowance.Query checks a client's Terms against it and
-// gives a Query. Query.Ask says what a segment is to be sent, Query.Read reads what it gave. A Merge takes the Parts
-// read, each segment's once, and Answer gives the merged answer of what is in, at any moment.
+// A Policy is what the operator permits for one query type. Policy.NewQuery checks a client's Request against it and returns a
+// Query. Query.SegmentItem is what a segment is sent, Query.ReadResponse reads what it returns. A Merge takes one
+// SegmentResponse for each segment, and Result returns the merged result of those received so far.
 package merge
--- a/merge/group.go
+++ b/merge/group.go
@@ -9,22 +9,22 @@
 	"github.com/cockroachdb/apd/v3"
 )
 
-// group is one group's partial figures, of a segment or merged.
+// group is the partial aggregates of one group, of one segment or merged.
 type group struct {
-	key      string // the sort key of its columns
-	raw      string // its columns' values as they came, "a","b"
+	key      string // sort key of its columns
+	raw      string // its columns' values as received, separated by commas
 	values   []partialValue
-	segments []Segment // merged: where it came from
+	segments []Segment // merged: the segments that returned it
 }
 
-// omittedBounds is what a segment vouches for of the groups it left out: the figure they were chosen by.
+// omittedBounds bounds the ranks of the groups that a segment omitted.
 type omittedBounds struct {
 	groups      int
 	most, least apd.Decimal
 }
 
-// readGroups reads a segment's groups: those chosen by the largest figure first, ties by the group's own order, each
-// once, and what was cut no larger than the last that came.
+// readGroups reads a segment's groups. They must be ranked, the largest first and then by key, each once, and omitted
+// groups must not rank before the last one.
 func (q *Query) readGroups(p *SegmentResponse, lines []string, c *omittedGroups) error {
 	s := q.policy.Schema
 	if len(lines) > q.policy.MaxGroups {
@@ -76,7 +76,7 @@
 			last, lastKey = size, g.key
 		}
 		p.groups = append(p.groups, g)
-		p.memory += groupOverhead + len(q.partials)*cellOverhead
+		p.memory += groupOverhead + len(q.partials)*partialValueOverhead
 	}
 	for i := range p.groups {
 		for c := range p.groups[i].values {
@@ -105,13 +105,13 @@
 	return nil
 }
 
-// groupOverhead and cellOverhead are what these cost in memory beside their bytes.
+// Memory of a group and of a partial value beside their bytes, estimated.
 const (
-	groupOverhead = 160
-	cellOverhead  = 160
+	groupOverhead        = 160
+	partialValueOverhead = 160
 )
 
-// checkSketches checks partial figures of one group against each other: a sketch holds as many values as there are.
+// checkSketches checks that each quantile sketch of a group has as many values as the group.
 func (q *Query) checkSketches(g *group) error {
 	for i, p := range q.partials {
 		if p.kind != partialQuantiles {
@@ -125,7 +125,7 @@
 	return nil
 }
 
-// rankValue is the figure that groups are chosen by.
+// rankValue returns the value that groups are ranked by.
 func (q *Query) rankValue(g *group) (d apd.Decimal) {
 	c := &g.values[q.rankBy]
 	if q.partials[q.rankBy].kind == partialCount {
@@ -136,7 +136,7 @@
 	return d
 }
 
-// rankUnsigned tells whether the figure that groups are chosen by is never below 0.
+// rankUnsigned reports whether ranks are never below 0.
 func (q *Query) rankUnsigned() bool {
 	p := q.partials[q.rankBy]
 	return p.kind == partialCount || q.policy.Schema.Columns[p.column].Unsigned
--- a/merge/merge.go
+++ b/merge/merge.go
@@ -1,15 +1,15 @@
 package merge
 
-// Merge is one search's merge: the parts that are in, each segment's once. It is one goroutine's at a time.
+// Merge merges the responses to one search, one for each segment. It must not be used concurrently.
 type Merge struct {
 	query     *Query
 	budget    *Budget
-	responses []*SegmentResponse // by place in Query.asked; nil = not in. Emptied by Close
-	unusable  []bool             // something came that could not be used
+	responses []*SegmentResponse // by index in Query.segments; nil = not received, or closed
+	unusable  []bool             // by index in Query.segments: a response could not be read
 	open      bool
 }
 
-// New opens a merge; it fails with ErrBudgetExceeded where too many are open. Close ends it.
+// New opens a merge. It returns ErrBudgetExceeded if too many are open. The caller must call Close.
 func New(q *Query, b *Budget) (*Merge, error) {
 	if !b.openMerge() {
 		return nil, ErrBudgetExceeded
@@ -17,12 +17,12 @@
 	return &Merge{query: q, budget: b, responses: make([]*SegmentResponse, len(q.segments)), unusable: make([]bool, len(q.segments)), open: true}, nil
 }
 
-// Query is what is merged.
+// Query returns the query that is merged.
 func (m *Merge) Query() *Query { return m.query }
 
-// Add takes a part that Query.Read found in its form. A segment's second part, a copy's answer, changes nothing: it
-// may be of another moment, and rows of two moments do not make one run. ErrBudgetExceeded says that all merges together would
-// hold too much; nothing has been added then.
+// Add adds a response that Query.ReadResponse returned. A second response of a segment, as from a replica, is ignored: it
+// may be of another version, and rows of two versions are not one sorted run. Add returns ErrBudgetExceeded, and adds
+// nothing, if all merges together would hold too much.
 func (m *Merge) Add(p *SegmentResponse) error {
 	i, asked := m.query.segmentIndex(p.segment)
 	if !m.open || !asked || m.responses[i] != nil {
@@ -35,14 +35,15 @@
 	return nil
 }
 
-// MarkUnusable notes that what a segment gave could not be used. A good part that comes after puts it right.
+// MarkUnusable records that a segment's response could not be read. A usable response that is added later takes
+// precedence.
 func (m *Merge) MarkUnusable(at Segment) {
 	if i, asked := m.query.segmentIndex(at); asked {
 		m.unusable[i] = true
 	}
 }
 
-// Close gives back what the merge holds. It may be called again.
+// Close releases the memory of the merge. Closing it again has no effect.
 func (m *Merge) Close() {
 	if m.open {
 		m.open = false
@@ -56,7 +57,7 @@
 	}
 }
 
-// included lists the parts that are in, by segment.
+// included returns the responses that have been added, by segment.
 func (m *Merge) included() []*SegmentResponse {
 	var in []*SegmentResponse
 	for _, p := range m.responses {
@@ -67,12 +68,13 @@
 	return in
 }
 
-// mergeRuns merges the runs that are in: the rows wanted, and up to which of them the list is certain. A segment that gave
-// only its first rows vouches for nothing after its last one; a missing segment vouches for nothing at all.
+// mergeRuns merges the sorted runs of the included segments. It returns the rows of the result, how many of them are
+// certain, and whether there are or may be rows after them. A row is certain if no row that is not included can precede
+// it: rows after the last one of a segment that has more are not, and none is if a segment is missing.
 func (m *Merge) mergeRuns() (rows []Row, certain int, after bool) {
 	in := m.included()
 	runs := make([][]Row, len(in))
-	bound := "" // the least last row of a run that was cut
+	bound := "" // the smallest last row of a run that has more; "" = there is none
 	for i, p := range in {
 		runs[i] = p.rows
 		if n := len(p.rows); p.more && (bound == "" || p.rows[n-1].key < bound) {
@@ -87,7 +89,7 @@
 			return nil, 0, bound != ""
 		}
 		if !sure(r) {
-			bound = "\x00" // what stands before the rows wanted is not certain
+			bound = "\x00" // the rows skipped are not certain, so none after them is
 		}
 	}
 	for size := 0; len(rows) < m.query.limit; {
@@ -96,7 +98,7 @@
 			return rows, m.certainCount(certain, in), bound != ""
 		}
 		if !sure(r) && m.query.kind == Paged {
-			return rows, m.certainCount(certain, in), true // the next page goes on from here
+			return rows, m.certainCount(certain, in), true // the next page continues from here
 		}
 		if size += len(r.raw) + 1; size > m.query.policy.MaxResultBytes && len(rows) > 0 {
 			return rows, m.certainCount(certain, in), true
@@ -110,6 +112,7 @@
 	return rows, m.certainCount(certain, in), more || bound != ""
 }
 
+// certainCount returns n, or 0 if a segment is missing.
 func (m *Merge) certainCount(n int, in []*SegmentResponse) int {
 	if len(in) < len(m.responses) {
 		return 0
--- a/merge/order.go
+++ b/merge/order.go
@@ -7,21 +7,20 @@
 	"strings"
 )
 
-// OrderKey is one key of an order: a column, up or down. Missing values come last either way.
+// OrderKey is one key of an order. Null values come last in either direction.
 type OrderKey struct {
 	Column     int
 	Descending bool
 }
 
-// Each row has a sort key: bytes whose plain order is the order of the list. It is made of the order's keys, then of
-// what settles ties: account, segment, row. So rows compare in one go, whatever the keys are, and no two rows of a list
-// are equal.
+// Each row has a sort key: bytes whose lexicographic order is the order of the list. It consists of the order's keys and then of
+// account, segment and row, which break ties. So rows are compared at once, whatever the keys are, and no two rows are equal.
 //
-// Each value begins with a byte that puts the missing ones last. Text ends in 0 0, its own zeros become 0 255; integers
-// are big-endian with the sign bit turned; amounts are a sign and digits of fixed width, turned where the sign is minus.
-// For an order downwards a value's bytes, save the first, are turned.
+// Each value begins with a byte that puts null values last. Text ends in 0 0, and its own zeros become 0 255; integers are
+// big-endian with an inverted sign bit; amounts are a sign and digits of fixed width, inverted if the sign is minus. In a
+// descending order the bytes of a value, except the first, are inverted.
 
-// sortKey appends the sort key of a row.
+// sortKey appends the sort key of a row to b.
 func (s *Schema) sortKey(b []byte, order []OrderKey, row []scalar, at Segment) []byte {
 	for _, k := range order {
 		b = s.appendValue(b, k.Column, row[k.Column], k.Descending)
@@ -39,6 +38,7 @@
 	absent  = 0xff
 )
 
+// appendValue appends a value to a sort key.
 func (s *Schema) appendValue(b []byte, column int, v scalar, down bool) []byte {
 	if v.isNull() {
 		return append(b, absent)
@@ -67,7 +67,7 @@
 			b = append(b, '0')
 		}
 		if negative {
-			b[start] = 0 // before all others, the largest amount first
+			b[start] = 0 // negative amounts come first, the largest of them before the others
 			invert(b[start+1:])
 		}
 	}
@@ -77,25 +77,26 @@
 	return b
 }
 
+// invert inverts all bits.
 func invert(b []byte) {
 	for i := range b {
 		b[i] = ^b[i]
 	}
 }
 
-// position is a place in a ranked list: just after one row. It holds that row's values as they came, in the order's keys,
-// so that segments can be told where to go on, and its sort key.
+// position is a place in a list: after one row. It has that row's values as received, for the requests to segments, and
+// its sort key.
 type position struct {
-	keys    []scalar // one for each key of the order
+	keys    []scalar // values of the order's keys
 	account scalar
 	segment Segment
-	row     scalar // with Schema.Row only
-	sortKey string // the sort key; "" = before the first row
+	row     scalar // only if the schema has a row column
+	sortKey string // "" = before the first row
 }
 
-// positionAfter is the place after a row.
+// positionAfter returns the position after a row.
 func (s *Schema) positionAfter(order []OrderKey, r Row) position {
-	vals, _ := scanRow(r.raw, make([]scalar, 0, len(s.Columns))) // it was read before
+	vals, _ := scanRow(r.raw, make([]scalar, 0, len(s.Columns))) // cannot fail: the row has been checked by readRows
 	m := position{account: vals[s.Account], segment: r.segment, sortKey: r.key}
 	for _, k := range order {
 		m.keys = append(m.keys, vals[k.Column])
@@ -106,7 +107,7 @@
 	return m
 }
 
-// restorePosition checks a mark that came from outside and makes its sort key.
+// restorePosition checks a position of a cursor and computes its sort key.
 func (s *Schema) restorePosition(order []OrderKey, m *position) error {
 	if len(m.keys) != len(order) {
 		return fmt.Errorf("a place has %d keys, the order %d", len(m.keys), len(order))
@@ -126,7 +127,7 @@
 	return nil
 }
 
-// parseOrder reads keys such as "due" and "-amount".
+// parseOrder parses keys such as "due" and "-amount".
 func (s *Schema) parseOrder(names []string, allowed []string) ([]OrderKey, error) {
 	if len(names) == 0 || len(names) > maxKeys {
 		return nil, fmt.Errorf("order names 1 to %d columns", maxKeys)
@@ -148,7 +149,7 @@
 	return order, nil
 }
 
-// maxKeys bounds an order, and with it the places in a cursor.
+// maxKeys is the largest number of keys of an order and of columns of a group. It bounds the length of a cursor.
 const maxKeys = 8
 
 func contains(list []string, s string) bool {
--- a/merge/quality.go
+++ b/merge/quality.go
@@ -7,35 +7,35 @@
 	"github.com/cockroachdb/apd/v3"
 )
 
-// Quality says how far a figure may be trusted.
+// Quality states how far a value can be relied on.
 type Quality string
 
-// The qualities.
+// Qualities of values.
 const (
 	Exact       Quality = "exact"
-	LowerBound  Quality = "lower_bound" // the true figure is this or more
-	UpperBound  Quality = "upper_bound" // the true figure is this or less
+	LowerBound  Quality = "lower_bound" // the true value is this or more
+	UpperBound  Quality = "upper_bound" // the true value is this or less
 	Between     Quality = "between"     // from Low to High
 	Approximate Quality = "approximate" // with Error
-	Partial     Quality = "partial"     // of what is in alone; it says nothing of the rest
-	Overflow    Quality = "overflow"    // it does not fit the operator's digits, and has no value
+	Partial     Quality = "partial"     // of the included segments only; no bound of the true value
+	Overflow    Quality = "overflow"    // it does not fit the schema's digits, and has no value
 )
 
-// AggregateValue is one figure and what it is worth.
+// AggregateValue is the value of an aggregate for one group.
 type AggregateValue struct {
 	Value     string // JSON; null where there is none
 	Quality   Quality
 	Low, High string // Between
-	Error     string // Approximate, and Partial where it is estimated; a share of the value, or an amount for means
+	Error     string // Approximate, and Partial if it is estimated; relative, or absolute for means
 }
 
-// GroupResult is one group of an answer.
+// GroupResult is one group of a result.
 type GroupResult struct {
-	Key    string // its columns' values, as they came, without brackets
+	Key    string // its columns' values as received, separated by commas
 	Values []AggregateValue
 }
 
-// jsonSize is about how many bytes a group takes in a body.
+// jsonSize returns the approximate length of the group in a body.
 func (g GroupResult) jsonSize() int {
 	n := len(g.Key) + len(`{"key":[],"values":[]},`)
 	for _, v := range g.Values {
@@ -143,10 +143,10 @@
 	return value
 }
 
-// meanDigits is how many digits a mean has more than its column after the point.
+// meanDigits is the number of digits after the point that a mean has more than its column.
 const meanDigits = 4
 
-// mean divides exactly where it can, and else says by how much it was rounded.
+// mean divides a sum by a count. If the quotient is rounded the error is stated.
 func (q *Query) mean(sum *apd.Decimal, n int64, col Column, lacks bool) AggregateValue {
 	v := AggregateValue{Value: "null", Quality: Exact}
 	if n > 0 {
@@ -156,7 +156,7 @@
 		}
 		wide := apd.Context{Precision: 3 * MaxDigits, MaxExponent: 3 * MaxDigits, MinExponent: -3 * MaxDigits,
 			Traps: apd.DefaultTraps, Rounding: apd.RoundHalfEven}
-		// The sum has at most MaxDigits digits, so that the quotient's rounding lies far behind the digits kept.
+		// The sum has at most MaxDigits digits, so that the rounding of the quotient is far below the digits kept.
 		quotient, rounded := new(apd.Decimal), new(apd.Decimal)
 		c1, err1 := wide.Quo(quotient, sum, apd.New(n, 0))
 		c2, err2 := wide.Quantize(rounded, quotient, -scale)
@@ -174,6 +174,7 @@
 	return v
 }
 
+// quote makes the value and its bounds JSON strings.
 func (v *AggregateValue) quote() {
 	for _, s := range []*string{&v.Value, &v.Low, &v.High} {
 		if *s != "" {
--- a/merge/request.go
+++ b/merge/request.go
@@ -12,40 +12,40 @@
 	"oxbowspan/internal/keyring"
 )
 
-// The kinds of merge.
+// Kinds of merges.
 const (
 	Ranked     = "ranked"     // the first rows of a list, or those after an offset
 	Paged      = "paged"      // a list page by page, with a cursor
-	Aggregated = "aggregated" // figures over all rows, or over groups of them
+	Aggregated = "aggregated" // aggregates over all rows, or over groups of them
 )
 
-// Policy is what the operator lets the searches of one query type merge.
+// Policy is what the operator permits the searches of one query type to merge.
 type Policy struct {
 	Schema           *Schema
 	Kinds            []string
 	Orders           []string // columns that lists may be ordered by
-	Groups           []string // columns that figures may be grouped by
-	Aggregates       []string // figures that may be asked for; Count always may
-	MaxRows          int      // of an answer
+	Groups           []string // columns that aggregates may be grouped by
+	Aggregates       []string // aggregates that may be requested; count always may
+	MaxRows          int      // rows or groups of a result
 	MaxOffset        int
-	MaxGroups        int // that one segment sends
-	MaxResponseBytes int // bytes of one segment's rows
-	MaxResultBytes   int // bytes of an answer's rows or groups; the first is given whatever its length
+	MaxGroups        int // of one segment's response
+	MaxResponseBytes int // length of one segment's response
+	MaxResultBytes   int // length of a result's rows or groups; the first is always included
 }
 
-// Request is what a client asks to be merged: the merge object of a search's body.
+// Request is a client's request for a merge: the merge object of a search's body.
 type Request struct {
 	Kind       string   `json:"kind"`
 	Order      []string `json:"order"`  // ranked, paged: columns, "-" before one for downwards
-	Limit      int      `json:"limit"`  // rows or groups of the answer
+	Limit      int      `json:"limit"`  // rows or groups of the result
 	Offset     int      `json:"offset"` // ranked
-	Cursor     string   `json:"cursor"` // paged: from the page before
+	Cursor     string   `json:"cursor"` // paged: of the page before
 	Group      []string `json:"group"`  // aggregated
 	Aggregates []string `json:"figures"`
-	By         string   `json:"by"` // aggregated: the figure whose largest come first
+	By         string   `json:"by"` // aggregated: the aggregate that groups are ranked by, largest first
 }
 
-// ParseRequest parses a merge object. Unknown fields are rejected: they would be wishes that are silently not met.
+// ParseRequest parses a merge object. Unknown fields are rejected: what they ask for would silently be ignored.
 func ParseRequest(raw []byte) (Request, error) {
 	type Terms Request // clients see the name of this type in the decoder's error texts
 	var request Terms
@@ -60,47 +60,46 @@
 	return Request(request), nil
 }
 
-// SegmentWeight is one segment of a search, with its share of the whole.
+// SegmentWeight is a segment of a search with its share of the data, from 0 to 1.
 type SegmentWeight struct {
 	Segment Segment
 	Weight  float64
 }
 
-// Query is a client's terms, checked against the operator's. It does not change once made, and may be read from
-// several goroutines.
+// Query is a request that has been checked against a policy. It is immutable and may be used concurrently.
 type Query struct {
 	policy         *Policy
 	kind           string
-	segments       []SegmentWeight // by segment
+	segments       []SegmentWeight // sorted by segment
 	order          []OrderKey
-	orderNames     []string // the order as written
+	orderNames     []string // as in the request
 	limit          int
 	offset         int
 	groupColumns   []int
 	aggregates     []aggregate
 	partials       []partialAggregate
-	rankBy         int // the partial that groups are chosen by; -1 = none
+	rankBy         int // index in partials of the one that groups are ranked by; -1 = none
 	requireAll     bool
-	pagination     pagination // paged: where the walk stands
+	pagination     pagination // paged: state after the page before
 	binding        cursorBinding
 	keys           *keyring.Ring
 	now            int64
 	cursorLifetime int64
 }
 
-// Paging is what a paged list needs besides its terms: the keys that sign cursors, what they are bound to, and when.
+// Paging is what a paged list needs besides its request.
 type Paging struct {
 	Keys      *keyring.Ring
-	Lifetime  int64  // milliseconds that a cursor is good for
-	MaxLength int    // bytes of one
-	Now       int64  // Unix milliseconds
-	QueryType string // query type
+	Lifetime  int64 // of a cursor, in milliseconds
+	MaxLength int   // of a cursor, in bytes
+	Now       int64 // Unix milliseconds
+	QueryType string
 	Customer  string
 	Statement []byte
 }
 
-// NewQuery checks terms. Its errors are one plain sentence for the client. Where whole is set, the query type forbids
-// missing parts: an answer short of one is then refused, whatever it weighs.
+// NewQuery checks a request against the policy. Clients see the texts of its errors. requireAll means that the query type
+// forbids missing segments: Merge.Result then returns ErrIncomplete if one is missing, whatever its weight.
 func (a *Policy) NewQuery(t Request, asked []SegmentWeight, whole bool, p Paging) (*Query, error) {
 	q := &Query{policy: a, kind: t.Kind, segments: slices.Clone(asked), limit: t.Limit, rankBy: -1, requireAll: whole, keys: p.Keys,
 		now: p.Now, cursorLifetime: p.Lifetime}
@@ -151,11 +150,11 @@
 	return q, nil
 }
 
-// minWeight is above what sums of weights may fall short by, so that no answer is taken for whole that lacks a
-// segment.
+// minWeight is the smallest weight of a segment. It exceeds the rounding errors of sums of weights, so that a missing
+// segment always shows in the included share.
 const minWeight = 1e-3
 
-// parseAggregation checks the terms of figures.
+// parseAggregation checks the parts of a request that are for aggregates.
 func (q *Query) parseAggregation(t Request) error {
 	a := q.policy
 	if len(t.Order) > 0 || t.Offset != 0 || t.Cursor != "" {
@@ -208,7 +207,7 @@
 	return nil
 }
 
-// partialIndex gives the place of a partial figure, adding it where it is new.
+// partialIndex returns the index of a partial aggregate, which is added if it is new.
 func (q *Query) partialIndex(p partialAggregate) int {
 	if at := slices.Index(q.partials, p); at >= 0 {
 		return at
@@ -217,7 +216,8 @@
 	return len(q.partials) - 1
 }
 
+// maxAggregates is the largest number of aggregates of a request.
 const maxAggregates = 16
 
-// Kind tells how the query merges.
+// Kind returns the kind of the merge.
 func (q *Query) Kind() string { return q.kind }
--- a/merge/result.go
+++ b/merge/result.go
@@ -2,58 +2,58 @@
 
 import "errors"
 
-// SegmentStatus is how a segment stands in an answer.
+// SegmentStatus states whether a segment is included in a result.
 type SegmentStatus string
 
-// The states.
+// Statuses of segments.
 const (
 	StatusIncluded SegmentStatus = "in"
 	StatusMissing  SegmentStatus = "missing"
-	StatusUnusable SegmentStatus = "unusable" // what came could not be used
+	StatusUnusable SegmentStatus = "unusable" // its response could not be read
 )
 
-// SegmentResult is what an answer says of one segment.
+// SegmentResult describes one segment in a result.
 type SegmentResult struct {
 	Segment Segment
 	Status  SegmentStatus
-	Version Version // with In
-	Rows    int     // that it gave: rows or groups
-	More    bool    // it had more of them
-	Changed bool    // its data is not as of the page before
+	Version Version // if included
+	Rows    int     // rows or groups it returned
+	More    bool    // it has more of them
+	Changed bool    // its version differs from that of the page before
 }
 
-// Result is a merged answer and the statement of how complete it is.
+// Result is a merged result and the statement of its completeness.
 type Result struct {
 	Kind          string
 	Complete      bool
 	Segments      []SegmentResult
-	IncludedShare float64 // of the segments asked, by weight, that are in
+	IncludedShare float64 // sum of the weights of the included segments
 
 	// Lists.
 	Columns       []string
 	Rows          []Row
-	CertainCount  int    // so many rows, from the first, are certainly at their place
-	More          bool   // ranked, figures: there are, or may be, rows or groups after the last one
-	LateCount     int    // paged: so many rows, from the first, belong on pages already given
+	CertainCount  int    // the first rows or groups that no other one can precede
+	More          bool   // ranked, aggregated: there are, or may be, rows or groups after the last one
+	LateCount     int    // paged: the first rows that belong on earlier pages
 	Preceding     int    // ranked: the offset; paged: rows on the pages before
-	Changed       bool   // paged: data has moved on since the walk began, on this page or before
+	Changed       bool   // paged: a segment's version has changed since the first page
 	NextCursor    string // paged: the cursor of the next page; "" = there is none
-	End           bool   // paged: every row of every segment has been given
-	CursorTooLong bool   // paged: there is more, but no cursor can hold the walk any longer
+	End           bool   // paged: all rows of all segments have been returned
+	CursorTooLong bool   // paged: there is more, but the cursor would exceed its length limit
 
-	// Figures.
+	// Aggregates.
 	GroupColumns []string
 	Aggregates   []string
 	Groups       []GroupResult
-	MaxUnseen    string // the largest figure that a group not shown may have; "" = not known
+	MaxUnseen    string // largest rank that a group not returned by any segment may have; "" = not known
 }
 
-// ErrIncomplete says that an answer short of a part was asked for where the query type forbids missing parts.
+// ErrIncomplete means that a segment is missing and the query type forbids that.
 var ErrIncomplete = errors.New("the query type forbids missing parts, and one is missing")
 
-// Result merges what is in. whole is what the decisions say of the parts: that their weight makes a whole answer. The
-// answer's own Whole can only be less: every segment asked is in, every row or figure shown is certain, and the data
-// did not move between pages. Where the query type forbids missing parts, none is answered short of one.
+// Result merges the responses added so far. complete states whether the caller considers them, by weight, a complete
+// answer. The result is complete only if, in addition, all segments are included, all rows or values are certain, and no
+// version changed between pages.
 func (m *Merge) Result(whole bool) (*Result, error) {
 	q := m.query
 	a := &Result{Kind: q.kind, Complete: whole}
@@ -96,7 +96,7 @@
 	a.Rows, a.CertainCount, after = m.mergeRuns()
 	a.Preceding, a.More = q.offset, after
 	if a.CertainCount < len(a.Rows) || q.kind == Ranked && after && len(a.Rows) < q.limit {
-		a.Complete = false // fewer rows than were asked for, though there are more
+		a.Complete = false // fewer rows than requested, though there are more
 	}
 	if in < len(q.segments) {
 		a.More = true
--- a/merge/result_json.go
+++ b/merge/result_json.go
@@ -2,7 +2,7 @@
 
 import "strconv"
 
-// AppendJSON appends the answer's body. Rows and group keys go as they came.
+// AppendJSON appends the body of the response. Rows and group keys are as received.
 func (a *Result) AppendJSON(b []byte) []byte {
 	b = append(b, `{"full":`...)
 	b = strconv.AppendBool(b, a.Complete)
@@ -91,7 +91,7 @@
 	return strconv.AppendBool(b, v)
 }
 
-// appendAggregates writes the groups' part of a body.
+// appendAggregates appends the groups.
 func (a *Result) appendAggregates(b []byte) []byte {
 	b = append(b, `,"group":`...)
 	b = appendStrings(b, a.GroupColumns)
@@ -128,7 +128,7 @@
 	return b
 }
 
-// appendStrings writes a JSON array of names, which hold nothing to escape.
+// appendStrings appends a JSON array of strings.
 func appendStrings(b []byte, names []string) []byte {
 	b = append(b, '[')
 	for i, n := range names {
--- a/merge/scan.go
+++ b/merge/scan.go
@@ -9,17 +9,18 @@
 	"unicode/utf8"
 )
 
-// scalar is one value of a row: its JSON as it came, and its text without quotes and escapes.
+// scalar is one value of a row: its JSON as received, and its text without quotes and escapes.
 type scalar struct {
 	raw  string
 	text string
 	kind byte // 's' a string, 'i' an integer, '0' null
 }
 
+// isNull reports whether the value is null.
 func (s scalar) isNull() bool { return s.kind == '0' }
 
-// scanRow reads a compact JSON array of strings, integers and nulls into at most cap(out) scalars. Whatever else JSON
-// allows is not the form of a row: a row is passed on as it came, so what is let in here is what clients get.
+// scanRow parses a compact JSON array of strings, integers and nulls into at most cap(out) scalars. All other JSON is
+// rejected: rows are forwarded to clients as received.
 func scanRow(line string, out []scalar) ([]scalar, error) {
 	if len(line) < 2 || line[0] != '[' || line[len(line)-1] != ']' {
 		return out, fmt.Errorf("row %.60q is not a JSON array", line)
@@ -47,7 +48,7 @@
 	return out, nil
 }
 
-// scanScalar reads one value at the start of a text and says how long it is.
+// scanScalar parses the value at the beginning of a text and returns its length.
 func scanScalar(rest string) (s scalar, n int, err error) {
 	switch {
 	case rest == "":
@@ -92,7 +93,7 @@
 	return scalar{raw: rest[:n], text: rest[:n], kind: 'i'}, n, nil
 }
 
-// unescape is apart, so that the values of all other strings need not be on the heap.
+// unescape is a separate function so that strings without escapes are not moved to the heap.
 func unescape(raw string) (text string, err error) {
 	if json.Unmarshal([]byte(raw), &text) != nil {
 		return "", fmt.Errorf("a string is not JSON")
@@ -100,7 +101,7 @@
 	return text, nil
 }
 
-// check says whether a value is one of a column.
+// check returns an error if a value is not valid for the column.
 func (c Column) check(s scalar, digits int) error {
 	if s.isNull() {
 		return nil
@@ -125,8 +126,8 @@
 	return nil
 }
 
-// splitDecimal takes a decimal apart: its sign, and the digits before and after the point. It must be written plainly, and
-// fit the digits and the scale.
+// splitDecimal splits a decimal into its sign and the digits before and after the point. ok is false if it is not in plain
+// notation or exceeds the digits or the scale.
 func splitDecimal(text string, digits, scale int) (negative bool, whole, part string, ok bool) {
 	text, negative = strings.CutPrefix(text, "-")
 	whole, part, point := strings.Cut(text, ".")
--- a/merge/schema.go
+++ b/merge/schema.go
@@ -6,17 +6,16 @@
 	"strings"
 )
 
-// Segment is the number of a shard, as searches name it.
+// Segment is the number of a shard.
 type Segment int
 
-// Version says as of when a segment's data stood: a version or a moment, as the segment counts them. Equal stamps mean
-// equal data.
+// Version is the version of a segment's data, as counted by the segment. Equal versions mean equal data.
 type Version uint64
 
 // Kind is the kind of a column's values.
 type Kind uint8
 
-// The kinds of values and their form in JSON.
+// Kinds of values and their form in JSON.
 const (
 	Text  Kind = iota // a JSON string
 	Date              // a JSON string, YYYY-MM-DD
@@ -26,29 +25,30 @@
 
 var kindNames = [...]string{"text", "date", "int", "money"}
 
+// String returns the kind's name in the operator's file.
 func (k Kind) String() string { return kindNames[k] }
 
-// MaxDigits is the most decimal digits that an amount of money may be given, before and after the point together.
+// MaxDigits is the largest number of decimal digits of an amount, before and after the point together.
 const MaxDigits = 38
 
-// Column is one column of a schema. Any value may be missing (null), save an account's and a row's id.
+// Column is one column of a schema. All values may be null except those of the account and row columns.
 type Column struct {
 	Name     string
 	Kind     Kind
 	Scale    int  // Money: digits after the point, at most
-	Unsigned bool // never below 0: a sum that lacks a segment is then a lower bound
+	Unsigned bool // values are never below 0: a sum without some segment is a lower bound
 }
 
-// Schema is the form that all segments give their rows in.
+// Schema describes the rows of all segments.
 type Schema struct {
-	Name    string // what parts name it by
+	Name    string // name in requests to segments and in their responses
 	Columns []Column
-	Account int // place of the account's column, which settles ties
-	Row     int // place of the column that tells an account's rows apart; -1 = one row an account
-	Digits  int // the most digits of an amount or a sum
+	Account int // index of the account column, which breaks ties
+	Row     int // index of the column that distinguishes the rows of an account; -1 = one row for each account
+	Digits  int // largest number of digits of an amount or a sum
 }
 
-// ColumnIndex finds a column by name; -1 = there is none.
+// ColumnIndex returns the index of a column, or -1 if there is none of that name.
 func (s *Schema) ColumnIndex(name string) int {
 	for i, c := range s.Columns {
 		if c.Name == name {
@@ -58,8 +58,8 @@
 	return -1
 }
 
-// ParseColumn reads a column as the operator writes it: NAME:KIND, with KIND one of text, date, int, money or
-// money(SCALE), and a + after it for values that are never below 0.
+// ParseColumn parses a column of the operator's file: NAME:KIND, with KIND one of text, date, int, money or money(SCALE),
+// followed by + if values are never below 0.
 func ParseColumn(text string) (Column, error) {
 	name, kind, ok := strings.Cut(text, ":")
 	if !ok || !plainName(name) {
@@ -86,7 +86,7 @@
 	return Column{}, fmt.Errorf("column %q is of unknown kind %.40q: text, date, int, money or money(SCALE) are known", name, kind)
 }
 
-// Check says what is wrong with a schema.
+// Check returns an error if the schema is not valid.
 func (s *Schema) Check() error {
 	seen := map[string]bool{}
 	for _, c := range s.Columns {
@@ -113,9 +113,10 @@
 	return nil
 }
 
-// maxColumns bounds what a row costs to read.
+// maxColumns bounds the cost of reading a row.
 const maxColumns = 64
 
+// plainName reports whether a name consists of 1 to 60 letters, digits, underscores and hyphens.
 func plainName(s string) bool {
 	for _, c := range []byte(s) {
 		if !('a' <= c && c <= 'z' || 'A' <= c && c <= 'Z' || '0' <= c && c <= '9' || c == '_' || c == '-') {
--- a/merge/segment_request.go
+++ b/merge/segment_request.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// SegmentRequest is what a segment is asked to give, beside the search's statement. Segments get it as the list item m of their
-// part's line: this object as JSON, in unpadded base64 for URLs.
+// SegmentRequest is what a segment is requested to return for a search. Segments receive it as the list item m of their
+// shard call's options: this object as JSON, in unpadded base64 for URLs.
 type SegmentRequest struct {
 	Kind       string   `json:"kind"` // Ranked or Aggregated
 	Schema     string   `json:"schema"`
@@ -15,28 +15,28 @@
 	Limit      int      `json:"limit"` // rows or groups, at most
 	After      *After   `json:"after,omitempty"`
 	Group      []string `json:"group,omitempty"`
-	Aggregates []string `json:"figures,omitempty"` // partial figures
-	By         string   `json:"by,omitempty"`      // the partial figure whose largest groups are wanted
+	Aggregates []string `json:"figures,omitempty"` // partial aggregates
+	By         string   `json:"by,omitempty"`      // the partial aggregate that groups are ranked by
 }
 
-// After is the place in a list behind which a segment goes on.
+// After is the position in a list after which a segment continues.
 type After struct {
 	Keys    []json.RawMessage `json:"keys"` // values of the order's columns
 	Account json.RawMessage   `json:"account"`
 	Row     json.RawMessage   `json:"row,omitempty"`
-	// Edge says what becomes of rows with the same keys and account: "from" = they are wanted, "past" = they are not,
-	// "row" = those whose row's id comes after Row are.
+	// Edge states which rows with the same keys and account are requested: "from" all of them, "past" none, "row" those whose
+	// row id is after Row.
 	Edge string `json:"edge"`
 }
 
-// The edges.
+// Values of After.Edge.
 const (
 	EdgeFrom = "from"
 	EdgePast = "past"
 	EdgeRow  = "row"
 )
 
-// SegmentItem makes the list item for one segment.
+// SegmentItem returns the list item for a segment.
 func (q *Query) SegmentItem(at Segment) string {
 	s := q.policy.Schema
 	a := SegmentRequest{Kind: Ranked, Schema: s.Name, Order: q.orderNames, Limit: q.offset + q.limit}
@@ -69,13 +69,13 @@
 	return "m=" + a.Encode()
 }
 
-// Encode is the list item's value.
+// Encode returns the value of the list item.
 func (a SegmentRequest) Encode() string {
-	b, _ := json.Marshal(a) // strings and numbers alone
+	b, _ := json.Marshal(a) // cannot fail: there are only strings and numbers
 	return base64.RawURLEncoding.EncodeToString(b)
 }
 
-// ParseSegmentRequest reads a list item's value, for whoever plays a segment.
+// ParseSegmentRequest is the inverse of Encode, for stand-ins of segments.
 func ParseSegmentRequest(item string) (a SegmentRequest, err error) {
 	b, err := base64.RawURLEncoding.DecodeString(item)
 	if err != nil {
@@ -85,7 +85,7 @@
 	return a, err
 }
 
-// segmentPosition is where a segment's rows begin.
+// segmentPosition returns the position after which a segment continues.
 func (q *Query) segmentPosition(at Segment) position {
 	if q.kind != Paged {
 		return position{}
@@ -97,7 +97,7 @@
 	return q.pagination.positions[q.pagination.segmentPositions[i]]
 }
 
-// segmentIndex is a segment's place among those asked.
+// segmentIndex returns the index of a segment in Query.segments.
 func (q *Query) segmentIndex(at Segment) (int, bool) {
 	return slices.BinarySearchFunc(q.segments, at, func(a SegmentWeight, s Segment) int { return int(a.Segment - s) })
 }
--- a/merge/segment_response.go
+++ b/merge/segment_response.go
@@ -8,33 +8,33 @@
 	"strings"
 )
 
-// responseHeader is the first line of what a segment gives.
+// responseHeader is the first line of a segment's response.
 type responseHeader struct {
 	Schema  string         `json:"schema"`
 	Version *uint64        `json:"as_of"`
 	Rows    *int           `json:"rows"`
 	More    bool           `json:"more"` // ranked: there are rows after the last one
-	Omitted *omittedGroups `json:"cut"`  // aggregated: groups that were left out
+	Omitted *omittedGroups `json:"cut"`  // aggregated: groups that are omitted
 }
 
-// omittedGroups is what a segment says of the groups it left out.
+// omittedGroups describes the groups that a segment omitted because they rank after those returned.
 type omittedGroups struct {
 	Groups int    `json:"groups"`
-	Most   string `json:"most"`  // the largest figure among them
-	Least  string `json:"least"` // and the smallest
+	Most   string `json:"most"`  // largest rank among them
+	Least  string `json:"least"` // smallest rank among them
 }
 
-// Row is one row of a list, as its segment gave it.
+// Row is one row of a list.
 type Row struct {
-	key     string // its sort key
+	key     string // sort key
 	raw     string
 	segment Segment
 }
 
-// Raw is the row as it came.
+// Raw returns the row as received.
 func (r Row) Raw() string { return r.raw }
 
-// SegmentResponse is what one segment gave, read and found in its form. It does not change.
+// SegmentResponse is one segment's response after it has been checked. It is immutable.
 type SegmentResponse struct {
 	segment Segment
 	version Version
@@ -42,15 +42,15 @@
 	more    bool
 	groups  []group
 	omitted *omittedBounds
-	memory  int // what it holds, about
+	memory  int // estimated, in bytes
 	count   int // rows or groups
 }
 
-// Segment tells whose part it is.
+// Segment returns the segment of the response.
 func (p *SegmentResponse) Segment() Segment { return p.segment }
 
-// ReadResponse reads what a segment gave. An error says that it cannot be used, in part or whole: that nothing is made up,
-// counted twice or out of order rests on refusing here whatever is not in its form.
+// ReadResponse parses and checks a segment's response. All guarantees of a result, that no row is invented, duplicated or
+// out of order, depend on rejecting malformed responses here. After an error nothing of the response may be used.
 func (q *Query) ReadResponse(at Segment, value string) (*SegmentResponse, error) {
 	if len(value) > q.policy.MaxResponseBytes {
 		return nil, fmt.Errorf("%d bytes came, %d are allowed", len(value), q.policy.MaxResponseBytes)
@@ -84,10 +84,10 @@
 	return p, q.readRows(p, lines)
 }
 
-// rowOverhead is what a row's fields cost in memory beside its bytes and its sort key.
+// rowOverhead is the memory of a row beside its bytes and its sort key.
 const rowOverhead = 48
 
-// readRows reads a run of a list: whole rows, in order, none twice, all after the place that was asked for.
+// readRows reads a sorted run of rows: each complete, in order, none twice, all after the position requested.
 func (q *Query) readRows(p *SegmentResponse, lines []string) error {
 	s := q.policy.Schema
 	if p.more && len(lines) == 0 {
@@ -96,7 +96,7 @@
 	vals := make([]scalar, 0, len(s.Columns))
 	want := q.offset + q.limit
 	p.rows = make([]Row, 0, min(len(lines), want))
-	keys := append([]byte(nil), q.segmentPosition(p.segment).sortKey...) // all sort keys, one behind the other
+	keys := append([]byte(nil), q.segmentPosition(p.segment).sortKey...) // all sort keys, concatenated
 	last, ends := 0, make([]int, 1, min(len(lines), want)+1)
 	ends[0] = len(keys)
 	for _, line := range lines {
@@ -125,7 +125,7 @@
 			p.rows = append(p.rows, Row{raw: line, segment: p.segment})
 			ends = append(ends, len(keys))
 		} else {
-			// More came than was asked for: the first of a sorted run are a sorted run.
+			// There are more rows than requested: the first ones of a sorted run are a sorted run.
 			p.more = true
 		}
 	}
--- a/merge/tree.go
+++ b/merge/tree.go
@@ -1,18 +1,19 @@
 package merge
 
-// loserTree is a loser tree over sorted runs: each inner node holds the run that lost there, so that the next row costs
-// one comparison a level, where a binary heap takes two. The runs are emptied as rows are taken.
+// loserTree is a tree of losers over sorted runs: each inner node holds the run that lost there, so that the next row
+// takes one comparison a level, where a binary heap takes two. Rows are removed from the runs as they are returned.
 type loserTree struct {
-	runs [][]Row // what is left of each; an empty one loses to all
-	tree []int   // tree[0] is the winner; tree[i] the loser of node i
+	runs [][]Row // remaining rows; an empty run loses to all others
+	tree []int   // tree[0] is the winner, tree[i] the loser at node i
 }
 
+// newLoserTree returns a tree over runs, which it changes.
 func newLoserTree(runs [][]Row) *loserTree {
 	l := &loserTree{runs: runs, tree: make([]int, max(len(runs), 1))}
 	if len(runs) == 0 {
 		return l
 	}
-	// Play all matches from the leaves up. Leaf i hangs under node (i + k) / 2.
+	// Play all matches from the leaves up. The parent of leaf i is node (i + k) / 2.
 	k := len(runs)
 	winners := make([]int, 2*k)
 	for i := range k {
@@ -29,7 +30,7 @@
 	return l
 }
 
-// less tells whether run a's next row comes before run b's.
+// less reports whether the next row of run a is before that of run b.
 func (l *loserTree) less(a, b int) bool {
 	switch {
 	case len(l.runs[a]) == 0:
@@ -40,7 +41,7 @@
 	return l.runs[a][0].key < l.runs[b][0].key
 }
 
-// next takes the first row of all; false = there is none left.
+// next removes and returns the first row of all runs; ok is false if there is none.
 func (l *loserTree) next() (Row, bool) {
 	if len(l.runs) == 0 {
 		return Row{}, false
