--- a/merge/aggregate.go
+++ b/merge/aggregate.go
@@ -236,12 +236,12 @@
 			err = fmt.Errorf("not a sketch: %v", r)
 		}
 	}()
-	came := &hyperloglog.Sketch{}
-	if err := came.UnmarshalBinary(b); err != nil {
+	received := &hyperloglog.Sketch{}
+	if err := received.UnmarshalBinary(b); err != nil {
 		return nil, err
 	}
 	s = NewDistinct()
-	if err := s.Merge(came); err != nil {
+	if err := s.Merge(received); err != nil {
 		return nil, err
 	}
 	s.Estimate()
@@ -272,23 +272,23 @@
 // 0.
 func binCount(s *ddsketch.DDSketch) int {
 	type span struct{ least, most int }
-	var sides [2]*span
+	var spans [2]*span
 	s.ForEach(func(value, _ float64) bool {
 		side := 0
 		if value < 0 {
 			side, value = 1, -value
 		}
 		if value > 0 {
-			at := s.Index(value)
-			if sides[side] == nil {
-				sides[side] = &span{at, at}
+			bin := s.Index(value)
+			if spans[side] == nil {
+				spans[side] = &span{bin, bin}
 			}
-			sides[side].least, sides[side].most = min(sides[side].least, at), max(sides[side].most, at)
+			spans[side].least, spans[side].most = min(spans[side].least, bin), max(spans[side].most, bin)
 		}
 		return false
 	})
 	n := 0
-	for _, x := range sides {
+	for _, x := range spans {
 		if x != nil {
 			n += min(x.most-x.least+1, QuantileBins) + 64 // the sketch allocates in steps of 64
 		}
--- a/merge/cursor.go
+++ b/merge/cursor.go
@@ -28,55 +28,55 @@
 
 // furthestKey returns the sort key of the furthest position of any segment.
 func (w *pagination) furthestKey() string {
-	far := ""
+	furthest := ""
 	for _, m := range w.positions {
-		far = max(far, m.sortKey)
+		furthest = max(furthest, m.sortKey)
 	}
-	return far
+	return furthest
 }
 
 // finishPage counts late rows, detects changed versions, and encodes the cursor of the next page.
-func (m *Merge) finishPage(a *Result, after bool) {
-	q, w := m.query, &m.query.pagination
-	far := w.furthestKey()
-	for a.LateCount < len(a.Rows) && a.Rows[a.LateCount].key <= far {
-		a.LateCount++
+func (m *Merge) finishPage(result *Result, more bool) {
+	q, current := m.query, &m.query.pagination
+	furthest := current.furthestKey()
+	for result.LateCount < len(result.Rows) && result.Rows[result.LateCount].key <= furthest {
+		result.LateCount++
 	}
-	a.Preceding, a.Changed = w.rowsBefore, w.changed
-	for _, s := range a.Segments {
-		a.Changed = a.Changed || s.Changed
+	result.Preceding, result.Changed = current.rowsBefore, current.changed
+	for _, s := range result.Segments {
+		result.Changed = result.Changed || s.Changed
 	}
-	next := pagination{positions: []position{{}}, segmentPositions: make([]int, len(w.segmentPositions)), versions: make([]*Version, len(w.versions)),
-		rowsBefore: w.rowsBefore + len(a.Rows), changed: a.Changed}
+	next := pagination{positions: []position{{}}, segmentPositions: make([]int, len(current.segmentPositions)), versions: make([]*Version, len(current.versions)),
+		rowsBefore: current.rowsBefore + len(result.Rows), changed: result.Changed}
 	var last position
-	if n := len(a.Rows); n > 0 {
-		last = q.policy.Schema.positionAfter(q.order, a.Rows[n-1])
+	if n := len(result.Rows); n > 0 {
+		last = q.policy.Schema.positionAfter(q.order, result.Rows[n-1])
 	}
-	behind := after
-	for i, p := range m.responses {
-		at := w.positions[w.segmentPositions[i]]
-		next.versions[i] = w.versions[i]
-		if p != nil {
-			if at.sortKey < last.sortKey {
-				at = last
+	behind := more
+	for i, response := range m.responses {
+		position := current.positions[current.segmentPositions[i]]
+		next.versions[i] = current.versions[i]
+		if response != nil {
+			if position.sortKey < last.sortKey {
+				position = last
 			}
-			next.versions[i] = &p.version
+			next.versions[i] = &response.version
 		} else {
 			behind = true
 		}
-		next.segmentPositions[i] = next.positionIndex(at)
+		next.segmentPositions[i] = next.positionIndex(position)
 	}
-	if a.Changed {
-		a.Complete = false // pages of different versions are not one list
+	if result.Changed {
+		result.Complete = false // pages of different versions are not one list
 	}
 	if !behind {
-		a.End = true
+		result.End = true
 		return
 	}
-	a.NextCursor = q.encodeCursor(&next)
-	if len(a.NextCursor) > q.binding.maxLength {
-		a.NextCursor, a.CursorTooLong = "", true // a cursor of this length would not be accepted
-		a.Complete = false
+	result.NextCursor = q.encodeCursor(&next)
+	if len(result.NextCursor) > q.binding.maxLength {
+		result.NextCursor, result.CursorTooLong = "", true // a cursor of this length would not be accepted
+		result.Complete = false
 	}
 }
 
@@ -94,7 +94,7 @@
 // cursorBinding identifies the list that a cursor belongs to: query type, customer, statement, order, schema, and
 // segments.
 type cursorBinding struct {
-	sum       [16]byte
+	hash      [16]byte
 	maxLength int
 }
 
@@ -119,7 +119,7 @@
 func (q *Query) encodeCursor(w *pagination) string {
 	key := q.keys.Primary()
 	b := append([]byte{cursorVersion, byte(len(key.ID))}, key.ID...)
-	b = append(b, q.binding.sum[:]...)
+	b = append(b, q.binding.hash[:]...)
 	b = binary.AppendUvarint(b, uint64(max(q.now+q.cursorLifetime, 0)))
 	b = binary.AppendUvarint(b, uint64(w.rowsBefore))
 	b = append(b, boolByte(w.changed))
@@ -170,20 +170,20 @@
 	if len(text) > q.binding.maxLength {
 		return errCursorTooLong
 	}
-	all, err := base64.RawURLEncoding.Strict().DecodeString(text)
-	if err != nil || len(all) < 2+keyring.MACSize || all[0] != cursorVersion || len(all) < 2+int(all[1])+keyring.MACSize {
+	cursor, err := base64.RawURLEncoding.Strict().DecodeString(text)
+	if err != nil || len(cursor) < 2+keyring.MACSize || cursor[0] != cursorVersion || len(cursor) < 2+int(cursor[1])+keyring.MACSize {
 		return errCursorMalformed
 	}
-	key := q.keys.Find(string(all[2 : 2+int(all[1])]))
+	key := q.keys.Find(string(cursor[2 : 2+int(cursor[1])]))
 	if key == nil {
 		return errCursorKey
 	}
-	b, mac := all[:len(all)-keyring.MACSize], all[len(all)-keyring.MACSize:]
+	b, mac := cursor[:len(cursor)-keyring.MACSize], cursor[len(cursor)-keyring.MACSize:]
 	if !key.Valid(b, mac) {
 		return errCursorMalformed
 	}
 	r := cursorReader{b: b[2+len(key.ID):]}
-	if !bytes.Equal(r.take(len(q.binding.sum)), q.binding.sum[:]) {
+	if !bytes.Equal(r.take(len(q.binding.hash)), q.binding.hash[:]) {
 		return errCursorMismatch
 	}
 	if ends := r.uvarint(math.MaxInt64); !r.invalid && p.Now >= int64(ends) {
@@ -192,19 +192,19 @@
 	w := pagination{positions: []position{{}}, rowsBefore: int(r.uvarint(math.MaxInt32)), changed: r.uvarint(1) == 1}
 	schema := q.policy.Schema
 	for range r.uvarint(uint64(len(q.segments))) {
-		var m position
+		var p position
 		for range q.order {
-			m.keys = append(m.keys, r.scalar())
+			p.keys = append(p.keys, r.scalar())
 		}
-		m.account = r.scalar()
-		m.segment = Segment(r.uvarint(math.MaxUint32))
+		p.account = r.scalar()
+		p.segment = Segment(r.uvarint(math.MaxUint32))
 		if schema.Row >= 0 {
-			m.row = r.scalar()
+			p.row = r.scalar()
 		}
-		if r.invalid || schema.restorePosition(q.order, &m) != nil {
+		if r.invalid || schema.restorePosition(q.order, &p) != nil {
 			return errCursorMalformed
 		}
-		w.positions = append(w.positions, m)
+		w.positions = append(w.positions, p)
 	}
 	for range q.segments {
 		w.segmentPositions = append(w.segmentPositions, int(r.uvarint(uint64(len(w.positions)-1))))
@@ -234,9 +234,9 @@
 		r.invalid = true
 		return nil
 	}
-	out := r.b[:n]
+	bytes := r.b[:n]
 	r.b = r.b[n:]
-	return out
+	return bytes
 }
 
 // uvarint returns the next integer, which must not exceed a limit.
--- a/merge/group.go
+++ b/merge/group.go
@@ -25,7 +25,7 @@
 
 // readGroups reads a segment's groups. They must be ranked, the largest first and then by key, each once, and omitted
 // groups must not rank before the last one.
-func (q *Query) readGroups(p *SegmentResponse, lines []string, c *omittedGroups) error {
+func (q *Query) readGroups(response *SegmentResponse, lines []string, omitted *omittedGroups) error {
 	s := q.policy.Schema
 	if len(lines) > q.policy.MaxGroups {
 		return fmt.Errorf("%d groups came, %d were asked for", len(lines), q.policy.MaxGroups)
@@ -33,12 +33,12 @@
 	if len(q.groupColumns) == 0 && len(lines) != 1 {
 		return fmt.Errorf("%d groups came where there is one", len(lines))
 	}
-	vals := make([]scalar, 0, len(q.groupColumns)+len(q.partials))
+	values := make([]scalar, 0, len(q.groupColumns)+len(q.partials))
 	seen := map[string]bool{}
 	var last apd.Decimal
 	var lastKey string
 	for n, line := range lines {
-		row, err := scanRow(line, vals[:0])
+		row, err := scanRow(line, values[:0])
 		if err != nil {
 			return err
 		}
@@ -75,22 +75,22 @@
 			}
 			last, lastKey = size, g.key
 		}
-		p.groups = append(p.groups, g)
-		p.memory += groupOverhead + len(q.partials)*partialValueOverhead
+		response.groups = append(response.groups, g)
+		response.memory += groupOverhead + len(q.partials)*partialValueOverhead
 	}
-	for i := range p.groups {
-		for c := range p.groups[i].values {
-			p.memory += p.groups[i].values[c].sketchMemory
+	for i := range response.groups {
+		for omitted := range response.groups[i].values {
+			response.memory += response.groups[i].values[omitted].sketchMemory
 		}
 	}
-	if c == nil || c.Groups == 0 {
+	if omitted == nil || omitted.Groups == 0 {
 		return nil
 	}
-	b := &omittedBounds{groups: c.Groups}
+	b := &omittedBounds{groups: omitted.Groups}
 	for _, v := range []struct {
 		text string
 		to   *apd.Decimal
-	}{{c.Most, &b.most}, {c.Least, &b.least}} {
+	}{{omitted.Most, &b.most}, {omitted.Least, &b.least}} {
 		if _, _, _, ok := splitDecimal(v.text, MaxDigits, 12); !ok {
 			return fmt.Errorf("the bound %.40q of what was cut is no decimal", v.text)
 		}
@@ -98,10 +98,10 @@
 			return fmt.Errorf("the bound %.40q of what was cut is no decimal", v.text)
 		}
 	}
-	if c.Groups < 0 || len(lines) == 0 || b.most.Cmp(&last) > 0 || b.least.Cmp(&b.most) > 0 || q.rankUnsigned() && b.least.Negative {
+	if omitted.Groups < 0 || len(lines) == 0 || b.most.Cmp(&last) > 0 || b.least.Cmp(&b.most) > 0 || q.rankUnsigned() && b.least.Negative {
 		return errors.New("the bounds of what was cut do not go with what came")
 	}
-	p.omitted = b
+	response.omitted = b
 	return nil
 }
 
--- a/merge/merge.go
+++ b/merge/merge.go
@@ -23,22 +23,22 @@
 // Add adds a response that Query.ReadResponse returned. A second response of a segment, as from a replica, is ignored: it
 // may be of another version, and rows of two versions are not one sorted run. Add returns ErrBudgetExceeded, and adds
 // nothing, if all merges together would hold too much.
-func (m *Merge) Add(p *SegmentResponse) error {
-	i, asked := m.query.segmentIndex(p.segment)
+func (m *Merge) Add(response *SegmentResponse) error {
+	i, asked := m.query.segmentIndex(response.segment)
 	if !m.open || !asked || m.responses[i] != nil {
 		return nil
 	}
-	if !m.budget.reserve(int64(p.memory), int64(p.count)) {
+	if !m.budget.reserve(int64(response.memory), int64(response.count)) {
 		return ErrBudgetExceeded
 	}
-	m.responses[i] = p
+	m.responses[i] = response
 	return nil
 }
 
 // MarkUnusable records that a segment's response could not be read. A usable response that is added later takes
 // precedence.
-func (m *Merge) MarkUnusable(at Segment) {
-	if i, asked := m.query.segmentIndex(at); asked {
+func (m *Merge) MarkUnusable(segment Segment) {
+	if i, asked := m.query.segmentIndex(segment); asked {
 		m.unusable[i] = true
 	}
 }
@@ -59,62 +59,62 @@
 
 // included returns the responses that have been added, by segment.
 func (m *Merge) included() []*SegmentResponse {
-	var in []*SegmentResponse
+	var included []*SegmentResponse
 	for _, p := range m.responses {
 		if p != nil {
-			in = append(in, p)
+			included = append(included, p)
 		}
 	}
-	return in
+	return included
 }
 
 // mergeRuns merges the sorted runs of the included segments. It returns the rows of the result, how many of them are
 // certain, and whether there are or may be rows after them. A row is certain if no row that is not included can precede
 // it: rows after the last one of a segment that has more are not, and none is if a segment is missing.
 func (m *Merge) mergeRuns() (rows []Row, certain int, after bool) {
-	in := m.included()
-	runs := make([][]Row, len(in))
+	included := m.included()
+	runs := make([][]Row, len(included))
 	bound := "" // the smallest last row of a run that has more; "" = there is none
-	for i, p := range in {
+	for i, p := range included {
 		runs[i] = p.rows
 		if n := len(p.rows); p.more && (bound == "" || p.rows[n-1].key < bound) {
 			bound = p.rows[n-1].key
 		}
 	}
 	tree := newLoserTree(runs)
-	sure := func(r Row) bool { return bound == "" || r.key <= bound }
+	isCertain := func(r Row) bool { return bound == "" || r.key <= bound }
 	for range m.query.offset {
 		r, ok := tree.next()
 		if !ok {
 			return nil, 0, bound != ""
 		}
-		if !sure(r) {
+		if !isCertain(r) {
 			bound = "\x00" // the rows skipped are not certain, so none after them is
 		}
 	}
 	for size := 0; len(rows) < m.query.limit; {
 		r, ok := tree.next()
 		if !ok {
-			return rows, m.certainCount(certain, in), bound != ""
+			return rows, m.certainCount(certain, included), bound != ""
 		}
-		if !sure(r) && m.query.kind == Paged {
-			return rows, m.certainCount(certain, in), true // the next page continues from here
+		if !isCertain(r) && m.query.kind == Paged {
+			return rows, m.certainCount(certain, included), true // the next page continues from here
 		}
 		if size += len(r.raw) + 1; size > m.query.policy.MaxResultBytes && len(rows) > 0 {
-			return rows, m.certainCount(certain, in), true
+			return rows, m.certainCount(certain, included), true
 		}
 		rows = append(rows, r)
-		if sure(r) {
+		if isCertain(r) {
 			certain = len(rows)
 		}
 	}
 	_, more := tree.next()
-	return rows, m.certainCount(certain, in), more || bound != ""
+	return rows, m.certainCount(certain, included), more || bound != ""
 }
 
 // certainCount returns n, or 0 if a segment is missing.
-func (m *Merge) certainCount(n int, in []*SegmentResponse) int {
-	if len(in) < len(m.responses) {
+func (m *Merge) certainCount(n int, included []*SegmentResponse) int {
+	if len(included) < len(m.responses) {
 		return 0
 	}
 	return n
--- a/merge/merge_test.go
+++ b/merge/merge_test.go
@@ -67,30 +67,30 @@
 }
 
 // addResponses lets segments answer, in an order of arrival, and merges what they gave. most cuts what a segment gives.
-func addResponses(t interface{ Fatalf(string, ...any) }, q *merge.Query, l *standin.Dataset, arrive []int, most func(int) int) *merge.Merge {
+func addResponses(t interface{ Fatalf(string, ...any) }, q *merge.Query, dataset *standin.Dataset, order []int, limit func(int) int) *merge.Merge {
 	m, err := merge.New(q, unlimitedBudget())
 	if err != nil {
 		t.Fatalf("%v", err)
 	}
-	for _, at := range arrive {
-		item, _ := strings.CutPrefix(q.SegmentItem(merge.Segment(at)), "m=")
-		value, err := l.Respond(at, item, most(at))
+	for _, segment := range order {
+		item, _ := strings.CutPrefix(q.SegmentItem(merge.Segment(segment)), "m=")
+		value, err := dataset.Respond(segment, item, limit(segment))
 		if err != nil {
-			t.Fatalf("segment %d: %v", at, err)
+			t.Fatalf("segment %d: %v", segment, err)
 		}
-		p, err := q.ReadResponse(merge.Segment(at), value)
+		response, err := q.ReadResponse(merge.Segment(segment), value)
 		if err != nil {
-			t.Fatalf("segment %d gave %.300s: %v", at, value, err)
+			t.Fatalf("segment %d gave %.300s: %v", segment, value, err)
 		}
-		if err := m.Add(p); err != nil {
-			t.Fatalf("segment %d: %v", at, err)
+		if err := m.Add(response); err != nil {
+			t.Fatalf("segment %d: %v", segment, err)
 		}
 	}
 	return m
 }
 
-func result(t interface{ Fatalf(string, ...any) }, m *merge.Merge, whole bool) (standin.MergedResponse, string) {
-	a, err := m.Result(whole)
+func result(t interface{ Fatalf(string, ...any) }, m *merge.Merge, complete bool) (standin.MergedResponse, string) {
+	a, err := m.Result(complete)
 	if err != nil {
 		t.Fatalf("%v", err)
 	}
--- a/merge/order.go
+++ b/merge/order.go
@@ -21,12 +21,12 @@
 // descending order the bytes of a value, except the first, are inverted.
 
 // sortKey appends the sort key of a row to b.
-func (s *Schema) sortKey(b []byte, order []OrderKey, row []scalar, at Segment) []byte {
+func (s *Schema) sortKey(b []byte, order []OrderKey, row []scalar, segment Segment) []byte {
 	for _, k := range order {
 		b = s.appendValue(b, k.Column, row[k.Column], k.Descending)
 	}
 	b = s.appendValue(b, s.Account, row[s.Account], false)
-	b = binary.BigEndian.AppendUint32(b, uint32(at))
+	b = binary.BigEndian.AppendUint32(b, uint32(segment))
 	if s.Row >= 0 {
 		b = s.appendValue(b, s.Row, row[s.Row], false)
 	}
@@ -96,13 +96,13 @@
 
 // positionAfter returns the position after a row.
 func (s *Schema) positionAfter(order []OrderKey, r Row) position {
-	vals, _ := scanRow(r.raw, make([]scalar, 0, len(s.Columns))) // cannot fail: the row has been checked by readRows
-	m := position{account: vals[s.Account], segment: r.segment, sortKey: r.key}
+	values, _ := scanRow(r.raw, make([]scalar, 0, len(s.Columns))) // cannot fail: the row has been checked by readRows
+	m := position{account: values[s.Account], segment: r.segment, sortKey: r.key}
 	for _, k := range order {
-		m.keys = append(m.keys, vals[k.Column])
+		m.keys = append(m.keys, values[k.Column])
 	}
 	if s.Row >= 0 {
-		m.row = vals[s.Row]
+		m.row = values[s.Row]
 	}
 	return m
 }
@@ -136,15 +136,15 @@
 	seen := map[int]bool{}
 	for _, name := range names {
 		bare, down := strings.CutPrefix(name, "-")
-		at := s.ColumnIndex(bare)
+		column := s.ColumnIndex(bare)
 		switch {
-		case at < 0 || !contains(allowed, bare):
+		case column < 0 || !contains(allowed, bare):
 			return nil, fmt.Errorf("order by %.60q is not allowed", bare)
-		case seen[at]:
+		case seen[column]:
 			return nil, fmt.Errorf("order names %q twice", bare)
 		}
-		seen[at] = true
-		order = append(order, OrderKey{at, down})
+		seen[column] = true
+		order = append(order, OrderKey{column, down})
 	}
 	return order, nil
 }
--- a/merge/request.go
+++ b/merge/request.go
@@ -100,50 +100,50 @@
 
 // NewQuery checks a request against the policy. Clients see the texts of its errors. requireAll means that the query type
 // forbids missing segments: Merge.Result then returns ErrIncomplete if one is missing, whatever its weight.
-func (a *Policy) NewQuery(t Request, asked []SegmentWeight, whole bool, p Paging) (*Query, error) {
-	q := &Query{policy: a, kind: t.Kind, segments: slices.Clone(asked), limit: t.Limit, rankBy: -1, requireAll: whole, keys: p.Keys,
-		now: p.Now, cursorLifetime: p.Lifetime}
+func (a *Policy) NewQuery(request Request, segments []SegmentWeight, requireAll bool, paging Paging) (*Query, error) {
+	q := &Query{policy: a, kind: request.Kind, segments: slices.Clone(segments), limit: request.Limit, rankBy: -1, requireAll: requireAll, keys: paging.Keys,
+		now: paging.Now, cursorLifetime: paging.Lifetime}
 	slices.SortFunc(q.segments, func(x, y SegmentWeight) int { return int(x.Segment - y.Segment) })
 	for _, s := range q.segments {
 		if s.Weight < minWeight {
 			return nil, fmt.Errorf("tablet %d of a merged search has a fraction below %g, so that its absence could not show", s.Segment, minWeight)
 		}
 	}
-	if !contains(a.Kinds, t.Kind) {
-		return nil, fmt.Errorf("merge kind %.40q is not allowed for this query type", t.Kind)
+	if !contains(a.Kinds, request.Kind) {
+		return nil, fmt.Errorf("merge kind %.40q is not allowed for this query type", request.Kind)
 	}
-	if t.Limit < 1 || t.Limit > a.MaxRows {
+	if request.Limit < 1 || request.Limit > a.MaxRows {
 		return nil, fmt.Errorf("merge limit must be from 1 to %d", a.MaxRows)
 	}
-	if t.Kind == Aggregated {
-		return q, q.parseAggregation(t)
+	if request.Kind == Aggregated {
+		return q, q.parseAggregation(request)
 	}
-	if len(t.Group) > 0 || len(t.Aggregates) > 0 || t.By != "" {
+	if len(request.Group) > 0 || len(request.Aggregates) > 0 || request.By != "" {
 		return nil, fmt.Errorf("group, figures and by are for merge kind aggregated")
 	}
-	order, err := a.Schema.parseOrder(t.Order, a.Orders)
+	order, err := a.Schema.parseOrder(request.Order, a.Orders)
 	if err != nil {
 		return nil, fmt.Errorf("merge %w", err)
 	}
-	q.order, q.orderNames, q.offset = order, t.Order, t.Offset
+	q.order, q.orderNames, q.offset = order, request.Order, request.Offset
 	switch {
-	case t.Kind == Paged && t.Offset != 0:
+	case request.Kind == Paged && request.Offset != 0:
 		return nil, fmt.Errorf("offset is for merge kind ranked; a paged list goes on by its cursor")
-	case t.Offset < 0 || t.Offset > a.MaxOffset:
+	case request.Offset < 0 || request.Offset > a.MaxOffset:
 		return nil, fmt.Errorf("merge offset must be from 0 to %d", a.MaxOffset)
-	case t.Kind == Ranked && t.Cursor != "":
+	case request.Kind == Ranked && request.Cursor != "":
 		return nil, fmt.Errorf("cursor is for merge kind paged")
-	case t.Kind == Ranked:
+	case request.Kind == Ranked:
 		return q, nil
-	case p.Keys == nil:
+	case paging.Keys == nil:
 		return nil, fmt.Errorf("paged lists need keys for their cursors, and there are none")
 	}
-	q.binding = newCursorBinding(p, q)
+	q.binding = newCursorBinding(paging, q)
 	q.pagination.segmentPositions = make([]int, len(q.segments))
 	q.pagination.versions = make([]*Version, len(q.segments))
 	q.pagination.positions = []position{{}}
-	if t.Cursor != "" {
-		if err := q.decodeCursor(t.Cursor, p); err != nil {
+	if request.Cursor != "" {
+		if err := q.decodeCursor(request.Cursor, paging); err != nil {
 			return nil, err
 		}
 	}
@@ -155,15 +155,15 @@
 const minWeight = 1e-3
 
 // parseAggregation checks the parts of a request that are for aggregates.
-func (q *Query) parseAggregation(t Request) error {
+func (q *Query) parseAggregation(request Request) error {
 	a := q.policy
-	if len(t.Order) > 0 || t.Offset != 0 || t.Cursor != "" {
+	if len(request.Order) > 0 || request.Offset != 0 || request.Cursor != "" {
 		return fmt.Errorf("order, offset and cursor are for lists, not for merge kind aggregated")
 	}
-	if len(t.Group) > maxKeys || len(t.Aggregates) < 1 || len(t.Aggregates) > maxAggregates {
+	if len(request.Group) > maxKeys || len(request.Aggregates) < 1 || len(request.Aggregates) > maxAggregates {
 		return fmt.Errorf("merge needs 1 to %d figures and at most %d columns in group", maxAggregates, maxKeys)
 	}
-	for _, name := range t.Group {
+	for _, name := range request.Group {
 		at := a.Schema.ColumnIndex(name)
 		if at < 0 || !contains(a.Groups, name) {
 			return fmt.Errorf("merge group by %.60q is not allowed", name)
@@ -173,8 +173,8 @@
 		}
 		q.groupColumns = append(q.groupColumns, at)
 	}
-	by := t.By
-	for _, text := range t.Aggregates {
+	by := request.By
+	for _, text := range request.Aggregates {
 		f, err := a.Schema.parseAggregate(text)
 		if err != nil {
 			return fmt.Errorf("merge %w", err)
@@ -191,7 +191,7 @@
 		q.aggregates = append(q.aggregates, f)
 	}
 	if len(q.groupColumns) == 0 {
-		if t.By != "" {
+		if request.By != "" {
 			return fmt.Errorf("merge by is for figures in groups")
 		}
 		return nil
--- a/merge/result.go
+++ b/merge/result.go
@@ -54,55 +54,55 @@
 // Result merges the responses added so far. complete states whether the caller considers them, by weight, a complete
 // answer. The result is complete only if, in addition, all segments are included, all rows or values are certain, and no
 // version changed between pages.
-func (m *Merge) Result(whole bool) (*Result, error) {
+func (m *Merge) Result(complete bool) (*Result, error) {
 	q := m.query
-	a := &Result{Kind: q.kind, Complete: whole}
-	sum, in := 0.0, 0
-	for i, asked := range q.segments {
-		s := SegmentResult{Segment: asked.Segment, Status: StatusMissing}
-		switch p := m.responses[i]; {
-		case p != nil:
-			s.Status, s.Version, s.Rows, s.More = StatusIncluded, p.version, p.count, p.more || p.omitted != nil
+	r := &Result{Kind: q.kind, Complete: complete}
+	sum, included := 0.0, 0
+	for i, requested := range q.segments {
+		segment := SegmentResult{Segment: requested.Segment, Status: StatusMissing}
+		switch response := m.responses[i]; {
+		case response != nil:
+			segment.Status, segment.Version, segment.Rows, segment.More = StatusIncluded, response.version, response.count, response.more || response.omitted != nil
 			if q.kind == Paged {
-				was := q.pagination.versions[i]
-				s.Changed = was != nil && *was != p.version
+				previous := q.pagination.versions[i]
+				segment.Changed = previous != nil && *previous != response.version
 			}
-			sum += asked.Weight
-			in++
+			sum += requested.Weight
+			included++
 		case m.unusable[i]:
-			s.Status = StatusUnusable
+			segment.Status = StatusUnusable
 		}
-		a.Segments = append(a.Segments, s)
+		r.Segments = append(r.Segments, segment)
 	}
-	if in < len(q.segments) {
+	if included < len(q.segments) {
 		if q.requireAll {
 			return nil, ErrIncomplete
 		}
-		a.Complete = false
+		r.Complete = false
 	}
-	if a.IncludedShare = min(sum, 1); in == len(q.segments) {
-		a.IncludedShare = 1
+	if r.IncludedShare = min(sum, 1); included == len(q.segments) {
+		r.IncludedShare = 1
 	}
 	if q.kind == Aggregated {
-		if err := m.mergeAggregates(a); err != nil {
+		if err := m.mergeAggregates(r); err != nil {
 			return nil, err
 		}
-		return a, nil
+		return r, nil
 	}
 	for _, c := range q.policy.Schema.Columns {
-		a.Columns = append(a.Columns, c.Name)
+		r.Columns = append(r.Columns, c.Name)
 	}
 	var after bool
-	a.Rows, a.CertainCount, after = m.mergeRuns()
-	a.Preceding, a.More = q.offset, after
-	if a.CertainCount < len(a.Rows) || q.kind == Ranked && after && len(a.Rows) < q.limit {
-		a.Complete = false // fewer rows than requested, though there are more
+	r.Rows, r.CertainCount, after = m.mergeRuns()
+	r.Preceding, r.More = q.offset, after
+	if r.CertainCount < len(r.Rows) || q.kind == Ranked && after && len(r.Rows) < q.limit {
+		r.Complete = false // fewer rows than requested, though there are more
 	}
-	if in < len(q.segments) {
-		a.More = true
+	if included < len(q.segments) {
+		r.More = true
 	}
 	if q.kind == Paged {
-		m.finishPage(a, after)
+		m.finishPage(r, after)
 	}
-	return a, nil
+	return r, nil
 }
--- a/merge/result_json.go
+++ b/merge/result_json.go
@@ -92,13 +92,13 @@
 }
 
 // appendAggregates appends the groups.
-func (a *Result) appendAggregates(b []byte) []byte {
+func (r *Result) appendAggregates(b []byte) []byte {
 	b = append(b, `,"group":`...)
-	b = appendStrings(b, a.GroupColumns)
+	b = appendStrings(b, r.GroupColumns)
 	b = append(b, `,"figures":`...)
-	b = appendStrings(b, a.Aggregates)
+	b = appendStrings(b, r.Aggregates)
 	b = append(b, `,"groups":[`...)
-	for i, g := range a.Groups {
+	for i, g := range r.Groups {
 		if i > 0 {
 			b = append(b, ',')
 		}
@@ -122,8 +122,8 @@
 		b = append(b, `]}`...)
 	}
 	b = append(b, ']')
-	if a.MaxUnseen != "" && len(a.GroupColumns) > 0 {
-		b = append(append(append(b, `,"unseen_at_most":"`...), a.MaxUnseen...), '"')
+	if r.MaxUnseen != "" && len(r.GroupColumns) > 0 {
+		b = append(append(append(b, `,"unseen_at_most":"`...), r.MaxUnseen...), '"')
 	}
 	return b
 }
--- a/merge/scan.go
+++ b/merge/scan.go
@@ -128,17 +128,17 @@
 
 // splitDecimal splits a decimal into its sign and the digits before and after the point. ok is false if it is not in plain
 // notation or exceeds the digits or the scale.
-func splitDecimal(text string, digits, scale int) (negative bool, whole, part string, ok bool) {
+func splitDecimal(text string, digits, scale int) (negative bool, integer, fraction string, ok bool) {
 	text, negative = strings.CutPrefix(text, "-")
-	whole, part, point := strings.Cut(text, ".")
+	integer, fraction, point := strings.Cut(text, ".")
 	switch {
-	case whole == "" || len(whole) > 1 && whole[0] == '0' || len(whole) > digits-scale:
+	case integer == "" || len(integer) > 1 && integer[0] == '0' || len(integer) > digits-scale:
 		return false, "", "", false
-	case point && part == "" || len(part) > scale:
+	case point && fraction == "" || len(fraction) > scale:
 		return false, "", "", false
 	}
 	zero := true
-	for _, s := range [2]string{whole, part} {
+	for _, s := range [2]string{integer, fraction} {
 		for i := range len(s) {
 			if s[i] < '0' || s[i] > '9' {
 				return false, "", "", false
@@ -146,5 +146,5 @@
 			zero = zero && s[i] == '0'
 		}
 	}
-	return negative && !zero, whole, part, true
+	return negative && !zero, integer, fraction, true
 }
--- a/merge/segment_request.go
+++ b/merge/segment_request.go
@@ -37,7 +37,7 @@
 )
 
 // SegmentItem returns the list item for a segment.
-func (q *Query) SegmentItem(at Segment) string {
+func (q *Query) SegmentItem(segment Segment) string {
 	s := q.policy.Schema
 	a := SegmentRequest{Kind: Ranked, Schema: s.Name, Order: q.orderNames, Limit: q.offset + q.limit}
 	if q.kind == Aggregated {
@@ -52,17 +52,17 @@
 			a.By = q.partials[q.rankBy].name(s)
 		}
 	}
-	if m := q.segmentPosition(at); m.sortKey != "" {
+	if m := q.segmentPosition(segment); m.sortKey != "" {
 		a.After = &After{Account: json.RawMessage(m.account.raw), Edge: EdgeFrom}
 		for _, k := range m.keys {
 			a.After.Keys = append(a.After.Keys, json.RawMessage(k.raw))
 		}
 		switch {
-		case at < m.segment:
+		case segment < m.segment:
 			a.After.Edge = EdgePast
-		case at == m.segment && s.Row >= 0:
+		case segment == m.segment && s.Row >= 0:
 			a.After.Edge, a.After.Row = EdgeRow, json.RawMessage(m.row.raw)
-		case at == m.segment:
+		case segment == m.segment:
 			a.After.Edge = EdgePast
 		}
 	}
@@ -86,11 +86,11 @@
 }
 
 // segmentPosition returns the position after which a segment continues.
-func (q *Query) segmentPosition(at Segment) position {
+func (q *Query) segmentPosition(segment Segment) position {
 	if q.kind != Paged {
 		return position{}
 	}
-	i, ok := q.segmentIndex(at)
+	i, ok := q.segmentIndex(segment)
 	if !ok {
 		return position{}
 	}
@@ -98,6 +98,6 @@
 }
 
 // segmentIndex returns the index of a segment in Query.segments.
-func (q *Query) segmentIndex(at Segment) (int, bool) {
-	return slices.BinarySearchFunc(q.segments, at, func(a SegmentWeight, s Segment) int { return int(a.Segment - s) })
+func (q *Query) segmentIndex(segment Segment) (int, bool) {
+	return slices.BinarySearchFunc(q.segments, segment, func(a SegmentWeight, s Segment) int { return int(a.Segment - s) })
 }
--- a/merge/segment_response.go
+++ b/merge/segment_response.go
@@ -51,7 +51,7 @@
 
 // ReadResponse parses and checks a segment's response. All guarantees of a result, that no row is invented, duplicated or
 // out of order, depend on rejecting malformed responses here. After an error nothing of the response may be used.
-func (q *Query) ReadResponse(at Segment, value string) (*SegmentResponse, error) {
+func (q *Query) ReadResponse(segment Segment, value string) (*SegmentResponse, error) {
 	if len(value) > q.policy.MaxResponseBytes {
 		return nil, fmt.Errorf("%d bytes came, %d are allowed", len(value), q.policy.MaxResponseBytes)
 	}
@@ -77,30 +77,30 @@
 	if len(lines) != *h.Rows {
 		return nil, fmt.Errorf("%d rows came, %d were stated", len(lines), *h.Rows)
 	}
-	p := &SegmentResponse{segment: at, version: Version(*h.Version), more: h.More, memory: len(value), count: len(lines)}
+	response := &SegmentResponse{segment: segment, version: Version(*h.Version), more: h.More, memory: len(value), count: len(lines)}
 	if q.kind == Aggregated {
-		return p, q.readGroups(p, lines, h.Omitted)
+		return response, q.readGroups(response, lines, h.Omitted)
 	}
-	return p, q.readRows(p, lines)
+	return response, q.readRows(response, lines)
 }
 
 // rowOverhead is the memory of a row beside its bytes and its sort key.
 const rowOverhead = 48
 
 // readRows reads a sorted run of rows: each complete, in order, none twice, all after the position requested.
-func (q *Query) readRows(p *SegmentResponse, lines []string) error {
+func (q *Query) readRows(response *SegmentResponse, lines []string) error {
 	s := q.policy.Schema
-	if p.more && len(lines) == 0 {
+	if response.more && len(lines) == 0 {
 		return errors.New("more rows are said to follow none")
 	}
-	vals := make([]scalar, 0, len(s.Columns))
+	values := make([]scalar, 0, len(s.Columns))
 	want := q.offset + q.limit
-	p.rows = make([]Row, 0, min(len(lines), want))
-	keys := append([]byte(nil), q.segmentPosition(p.segment).sortKey...) // all sort keys, concatenated
+	response.rows = make([]Row, 0, min(len(lines), want))
+	keys := append([]byte(nil), q.segmentPosition(response.segment).sortKey...) // all sort keys, concatenated
 	last, ends := 0, make([]int, 1, min(len(lines), want)+1)
 	ends[0] = len(keys)
 	for _, line := range lines {
-		row, err := scanRow(line, vals[:0])
+		row, err := scanRow(line, values[:0])
 		if err != nil {
 			return err
 		}
@@ -116,23 +116,23 @@
 			return fmt.Errorf("row %.60q lacks its account or its own id", line)
 		}
 		end := len(keys)
-		keys = s.sortKey(keys, q.order, row, p.segment)
+		keys = s.sortKey(keys, q.order, row, response.segment)
 		if bytes.Compare(keys[end:], keys[last:end]) <= 0 {
 			return fmt.Errorf("row %.60q does not come after the one before, or after the place asked for", line)
 		}
 		last = end
-		if len(p.rows) < want {
-			p.rows = append(p.rows, Row{raw: line, segment: p.segment})
+		if len(response.rows) < want {
+			response.rows = append(response.rows, Row{raw: line, segment: response.segment})
 			ends = append(ends, len(keys))
 		} else {
 			// There are more rows than requested: the first ones of a sorted run are a sorted run.
-			p.more = true
+			response.more = true
 		}
 	}
 	all := string(keys[:ends[len(ends)-1]])
-	for i := range p.rows {
-		p.rows[i].key = all[ends[i]:ends[i+1]]
+	for i := range response.rows {
+		response.rows[i].key = all[ends[i]:ends[i+1]]
 	}
-	p.count, p.memory = len(p.rows), p.memory+len(all)+rowOverhead*len(p.rows)
+	response.count, response.memory = len(response.rows), response.memory+len(all)+rowOverhead*len(response.rows)
 	return nil
 }
