--- a/merge/cursor_test.go
+++ b/merge/cursor_test.go
@@ -9,10 +9,10 @@
 	"oxbowspan/merge"
 )
 
-// firstCursor makes a list's first page and gives the cursor of its second.
+// firstCursor returns the cursor of the second page of a list.
 func firstCursor(t testing.TB, p merge.Paging) string {
 	l := standin.NewDataset(4, standin.DatasetShape{Segments: 3, Accounts: 40})
-	q, err := testPolicy().NewQuery(pageTerms(""), weights(3), false, p)
+	q, err := testPolicy().NewQuery(pageRequest(""), weights(3), false, p)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -23,70 +23,70 @@
 	return got.Result.Next
 }
 
-func pageTerms(cursor string) merge.Request {
+func pageRequest(cursor string) merge.Request {
 	return merge.Request{Kind: "paged", Order: []string{"-amount", "due"}, Limit: 5, Cursor: cursor}
 }
 
 func TestCursorBinding(t *testing.T) {
 	p := paging(t)
 	cursor := firstCursor(t, p)
-	ask := func(terms merge.Request, segments []merge.SegmentWeight, p merge.Paging) error {
+	check := func(terms merge.Request, segments []merge.SegmentWeight, p merge.Paging) error {
 		_, err := testPolicy().NewQuery(terms, segments, false, p)
 		return err
 	}
-	if err := ask(pageTerms(cursor), weights(3), p); err != nil {
-		t.Fatalf("its own search: %v", err)
+	if err := check(pageRequest(cursor), weights(3), p); err != nil {
+		t.Fatalf("the same search: %v", err)
 	}
 	other := func(change func(*merge.Paging)) merge.Paging {
 		p := paging(t)
 		change(&p)
 		return p
 	}
-	order := pageTerms(cursor)
+	order := pageRequest(cursor)
 	order.Order = []string{"amount", "due"}
-	long := pageTerms(strings.Repeat("A", 8<<10+1))
+	long := pageRequest(strings.Repeat("A", 8<<10+1))
 	for what, err := range map[string]error{
-		"another customer":        ask(pageTerms(cursor), weights(3), other(func(p *merge.Paging) { p.Customer = "x" })),
-		"another type":            ask(pageTerms(cursor), weights(3), other(func(p *merge.Paging) { p.QueryType = "x" })),
-		"another statement":       ask(pageTerms(cursor), weights(3), other(func(p *merge.Paging) { p.Statement = []byte("x") })),
-		"another order":           ask(order, weights(3), p),
-		"other segments":          ask(pageTerms(cursor), weights(2), p),
-		"its time over":           ask(pageTerms(cursor), weights(3), other(func(p *merge.Paging) { p.Now += p.Lifetime })),
-		"its key withdrawn":       ask(pageTerms(cursor), weights(3), other(func(p *merge.Paging) { p.Keys = ring(t, keyTwo) })),
-		"its key's id on another": ask(pageTerms(cursor), weights(3), other(func(p *merge.Paging) { p.Keys = ring(t, strings.Replace(keyTwo, "two", "one", 1)) })),
-		"over-long":               ask(long, weights(3), p),
-		"no base64":               ask(pageTerms("*"), weights(3), p),
+		"another customer":  check(pageRequest(cursor), weights(3), other(func(p *merge.Paging) { p.Customer = "x" })),
+		"another type":      check(pageRequest(cursor), weights(3), other(func(p *merge.Paging) { p.QueryType = "x" })),
+		"another statement": check(pageRequest(cursor), weights(3), other(func(p *merge.Paging) { p.Statement = []byte("x") })),
+		"another order":     check(order, weights(3), p),
+		"other segments":    check(pageRequest(cursor), weights(2), p),
+		"expired":           check(pageRequest(cursor), weights(3), other(func(p *merge.Paging) { p.Now += p.Lifetime })),
+		"key withdrawn":     check(pageRequest(cursor), weights(3), other(func(p *merge.Paging) { p.Keys = ring(t, keyTwo) })),
+		"id of another key": check(pageRequest(cursor), weights(3), other(func(p *merge.Paging) { p.Keys = ring(t, strings.Replace(keyTwo, "two", "one", 1)) })),
+		"over-long":         check(long, weights(3), p),
+		"not base64":        check(pageRequest("*"), weights(3), p),
 	} {
 		if err == nil || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s: %v", what, err)
 		}
 	}
-	// A key that changes in service: the new one signs, the old one is still good.
+	// Key rotation: the new key signs, the old one is still accepted.
 	overlap := other(func(p *merge.Paging) { p.Keys = ring(t, keyTwo+keyOne) })
-	if err := ask(pageTerms(cursor), weights(3), overlap); err != nil {
-		t.Errorf("in the overlap: %v", err)
+	if err := check(pageRequest(cursor), weights(3), overlap); err != nil {
+		t.Errorf("during the rotation: %v", err)
 	}
-	if fresh := firstCursor(t, overlap); ask(pageTerms(fresh), weights(3), other(func(p *merge.Paging) { p.Keys = ring(t, keyTwo) })) != nil {
-		t.Error("a cursor made in the overlap is not signed by the new key")
+	if fresh := firstCursor(t, overlap); check(pageRequest(fresh), weights(3), other(func(p *merge.Paging) { p.Keys = ring(t, keyTwo) })) != nil {
+		t.Error("a cursor made during the rotation is not signed by the new key")
 	}
-	// No single byte can be changed.
+	// No byte can be changed.
 	raw, err := base64.RawURLEncoding.DecodeString(cursor)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range raw {
 		raw[i] ^= 0x10
-		if ask(pageTerms(base64.RawURLEncoding.EncodeToString(raw)), weights(3), p) == nil {
+		if check(pageRequest(base64.RawURLEncoding.EncodeToString(raw)), weights(3), p) == nil {
 			t.Errorf("byte %d can be changed", i)
 		}
 		raw[i] ^= 0x10
-		if ask(pageTerms(base64.RawURLEncoding.EncodeToString(raw[:i])), weights(3), p) == nil && i > 0 {
-			t.Errorf("it can be cut at byte %d", i)
+		if check(pageRequest(base64.RawURLEncoding.EncodeToString(raw[:i])), weights(3), p) == nil && i > 0 {
+			t.Errorf("it can be truncated at byte %d", i)
 		}
 	}
 }
 
-// FuzzCursor holds that no bytes but the program's own are taken for a cursor, and none break it.
+// FuzzCursor checks that no cursor but the package's own is accepted.
 func FuzzCursor(f *testing.F) {
 	p := paging(f)
 	own := firstCursor(f, p)
@@ -94,14 +94,14 @@
 	f.Add("")
 	f.Add("AQNvbmU")
 	f.Fuzz(func(t *testing.T, cursor string) {
-		_, err := testPolicy().NewQuery(pageTerms(cursor), weights(3), false, p)
+		_, err := testPolicy().NewQuery(pageRequest(cursor), weights(3), false, p)
 		if cursor != "" && cursor != own && err == nil {
-			t.Errorf("%q is taken for a cursor", cursor)
+			t.Errorf("%q is accepted as a cursor", cursor)
 		}
 	})
 }
 
-// FuzzRows holds that whatever a segment gives is either refused, or comes out in order, once, as it came.
+// FuzzRows checks that a response is either rejected, or results in a well-formed result with the rows as received.
 func FuzzRows(f *testing.F) {
 	q, err := testPolicy().NewQuery(merge.Request{Kind: "ranked", Order: []string{"-amount", "due"}, Limit: 50}, weights(1), false, merge.Paging{})
 	if err != nil {
@@ -143,7 +143,7 @@
 			}
 			for _, r := range a.Rows {
 				if !strings.Contains(value, r.Raw()) {
-					t.Errorf("row %s never came", r.Raw())
+					t.Errorf("row %s was not received", r.Raw())
 				}
 			}
 		}
--- a/merge/group.go
+++ b/merge/group.go
@@ -26,7 +26,6 @@
 // readGroups reads a segment's groups. They must be ranked, the largest first and then by key, each once, and omitted
 // groups must not rank before the last one.
 func (q *Query) readGroups(response *SegmentResponse, lines []string, omitted *omittedGroups) error {
-	s := q.policy.Schema
 	if len(lines) > q.policy.MaxGroups {
 		return fmt.Errorf("%d groups came, %d were asked for", len(lines), q.policy.MaxGroups)
 	}
@@ -35,7 +34,7 @@
 	}
 	values := make([]scalar, 0, len(q.groupColumns)+len(q.partials))
 	seen := map[string]bool{}
-	var last apd.Decimal
+	var last apd.Decimal // rank of the group before
 	var lastKey string
 	for n, line := range lines {
 		row, err := scanRow(line, values[:0])
@@ -45,64 +44,90 @@
 		if len(row) != len(q.groupColumns)+len(q.partials) {
 			return fmt.Errorf("group %.60q has %d values, %d were asked for", line, len(row), len(q.groupColumns)+len(q.partials))
 		}
-		g := group{values: make([]partialValue, len(q.partials))}
-		var key []byte
-		var raw []string
-		for i, col := range q.groupColumns {
-			if err := s.Columns[col].check(row[i], s.Digits); err != nil {
-				return fmt.Errorf("group %.60q: %w", line, err)
-			}
-			key = s.appendValue(key, col, row[i], false)
-			raw = append(raw, row[i].raw)
+		g, err := q.parseGroupKey(row)
+		if err != nil {
+			return fmt.Errorf("group %.60q: %w", line, err)
 		}
-		g.key, g.raw = string(key), strings.Join(raw, ",")
 		if seen[g.key] {
 			return fmt.Errorf("group %.60q came twice", line)
 		}
 		seen[g.key] = true
-		for i, part := range q.partials {
-			if g.values[i], err = s.parsePartialValue(part, row[len(q.groupColumns)+i]); err != nil {
-				return fmt.Errorf("group %.60q: %w", line, err)
-			}
-		}
-		if err := q.checkSketches(&g); err != nil {
+		if err := q.parsePartials(&g, row[len(q.groupColumns):]); err != nil {
 			return fmt.Errorf("group %.60q: %w", line, err)
 		}
 		if q.rankBy >= 0 {
-			size := q.rankValue(&g)
-			if d := size.Cmp(&last); n > 0 && (d > 0 || d == 0 && g.key <= lastKey) {
+			rank := q.rankValue(&g)
+			if d := rank.Cmp(&last); n > 0 && (d > 0 || d == 0 && g.key <= lastKey) {
 				return fmt.Errorf("group %.60q does not come after the one before", line)
 			}
-			last, lastKey = size, g.key
+			last, lastKey = rank, g.key
 		}
 		response.groups = append(response.groups, g)
-		response.memory += groupOverhead + len(q.partials)*partialValueOverhead
-	}
-	for i := range response.groups {
-		for omitted := range response.groups[i].values {
-			response.memory += response.groups[i].values[omitted].sketchMemory
-		}
+		response.memory += g.memory()
 	}
 	if omitted == nil || omitted.Groups == 0 {
 		return nil
 	}
+	bounds, err := q.parseOmitted(omitted, len(lines), &last)
+	response.omitted = bounds
+	return err
+}
+
+// parseGroupKey returns a group with the values of its columns, which are at the beginning of a row.
+func (q *Query) parseGroupKey(row []scalar) (group, error) {
+	s := q.policy.Schema
+	g := group{values: make([]partialValue, len(q.partials))}
+	var key []byte
+	var raw []string
+	for i, column := range q.groupColumns {
+		if err := s.Columns[column].check(row[i], s.Digits); err != nil {
+			return g, err
+		}
+		key = s.appendValue(key, column, row[i], false)
+		raw = append(raw, row[i].raw)
+	}
+	g.key, g.raw = string(key), strings.Join(raw, ",")
+	return g, nil
+}
+
+// parsePartials sets the partial aggregates of a group.
+func (q *Query) parsePartials(g *group, values []scalar) (err error) {
+	for i, partial := range q.partials {
+		if g.values[i], err = q.policy.Schema.parsePartialValue(partial, values[i]); err != nil {
+			return err
+		}
+	}
+	return q.checkSketches(g)
+}
+
+// parseOmitted checks what a segment states about omitted groups, after a number of groups that it returned. last is the rank
+// of the last of these.
+func (q *Query) parseOmitted(omitted *omittedGroups, returned int, last *apd.Decimal) (*omittedBounds, error) {
 	b := &omittedBounds{groups: omitted.Groups}
-	for _, v := range []struct {
-		text string
-		to   *apd.Decimal
+	for _, bound := range []struct {
+		text  string
+		value *apd.Decimal
 	}{{omitted.Most, &b.most}, {omitted.Least, &b.least}} {
-		if _, _, _, ok := splitDecimal(v.text, MaxDigits, 12); !ok {
-			return fmt.Errorf("the bound %.40q of what was cut is no decimal", v.text)
+		if _, _, _, ok := splitDecimal(bound.text, MaxDigits, maxScale); !ok {
+			return nil, fmt.Errorf("the bound %.40q of what was cut is no decimal", bound.text)
 		}
-		if _, _, err := v.to.SetString(v.text); err != nil {
-			return fmt.Errorf("the bound %.40q of what was cut is no decimal", v.text)
+		if _, _, err := bound.value.SetString(bound.text); err != nil {
+			return nil, fmt.Errorf("the bound %.40q of what was cut is no decimal", bound.text)
 		}
 	}
-	if omitted.Groups < 0 || len(lines) == 0 || b.most.Cmp(&last) > 0 || b.least.Cmp(&b.most) > 0 || q.rankUnsigned() && b.least.Negative {
-		return errors.New("the bounds of what was cut do not go with what came")
+	if omitted.Groups < 0 || returned == 0 || b.most.Cmp(last) > 0 || b.least.Cmp(&b.most) > 0 || q.rankUnsigned() && b.least.Negative {
+		return nil, errors.New("the bounds of what was cut do not go with what came")
 	}
-	response.omitted = b
-	return nil
+	return b, nil
+}
+
+// memory returns the memory of the group beside its bytes, estimated.
+func (g *group) memory() int {
+	memory := groupOverhead + len(g.values)*partialValueOverhead
+	for i := range g.values {
+		memory += g.values[i].sketchMemory
+	}
+	return memory
 }
 
 // Memory of a group and of a partial value beside their bytes, estimated.
--- a/merge/merge_test.go
+++ b/merge/merge_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"errors"
-	"fmt"
 	"math/rand/v2"
 	"slices"
 	"strings"
@@ -66,7 +65,8 @@
 	return b
 }
 
-// addResponses lets segments answer, in an order of arrival, and merges what they gave. most cuts what a segment gives.
+// addResponses returns a merge of the responses of segments, in an order of arrival. limit returns how many rows or groups a
+// segment returns at most; 0 = all.
 func addResponses(t interface{ Fatalf(string, ...any) }, q *merge.Query, dataset *standin.Dataset, order []int, limit func(int) int) *merge.Merge {
 	m, err := merge.New(q, unlimitedBudget())
 	if err != nil {
@@ -122,7 +122,7 @@
 	return order
 }
 
-// drawIncluded draws which segments are in, and in what order they come.
+// drawIncluded draws which segments respond, and in what order.
 func drawIncluded(t *rapid.T, n int) []int {
 	all := make([]int, n)
 	for i := range all {
@@ -158,7 +158,7 @@
 			t.Fatalf("%v: %s", err, body)
 		}
 		if _, again := result(t, addResponses(t, q, l, shuffled(in, 5), most), len(in) == n); again != body {
-			t.Fatalf("another order of arrival gives\n%s\nnot\n%s", again, body)
+			t.Fatalf("another order of arrival results in\n%s\nnot\n%s", again, body)
 		}
 	})
 }
@@ -180,7 +180,7 @@
 		moves := rapid.Bool().Draw(t, "moves")
 		for cursor, page := "", 0; ; page++ {
 			if page > 400 {
-				t.Fatalf("the walk does not end")
+				t.Fatalf("the list does not end")
 			}
 			q, err := testPolicy().NewQuery(merge.Request{Kind: "paged", Order: order, Limit: limit, Cursor: cursor}, weights(n), false, p)
 			if err != nil {
@@ -242,83 +242,12 @@
 			t.Fatalf("%v: %s", err, body)
 		}
 		if _, again := result(t, addResponses(t, q, l, shuffled(in, 3), func(int) int { return cut }), len(in) == n); again != body {
-			t.Fatalf("another order of arrival gives\n%s\nnot\n%s", again, body)
+			t.Fatalf("another order of arrival results in\n%s\nnot\n%s", again, body)
 		}
 	})
 }
 
-func TestMalformedResponses(t *testing.T) {
-	list, err := testPolicy().NewQuery(merge.Request{Kind: "ranked", Order: []string{"-amount", "due"}, Limit: 3}, weights(2), false, merge.Paging{})
-	if err != nil {
-		t.Fatal(err)
-	}
-	head := func(rows int) string { return fmt.Sprintf(`{"schema":"arrears/1","as_of":7,"rows":%d}`, rows) }
-	row := func(account, amount string) string { return `["` + account + `","c","2026-01-02",` + amount + `,1]` }
-	good := head(2) + "\n" + row("a", `"5.00"`) + "\n" + row("b", `"5.00"`) + "\n"
-	if _, err := list.ReadResponse(0, good); err != nil {
-		t.Fatalf("a good part is refused: %v", err)
-	}
-	for what, value := range map[string]string{
-		"nothing":              "",
-		"no rows":              head(2),
-		"a row too few":        strings.Replace(good, `"rows":2`, `"rows":3`, 1),
-		"another schema":       strings.Replace(good, "arrears/1", "arrears/2", 1),
-		"no stamp":             strings.Replace(good, `"as_of":7,`, "", 1),
-		"unknown word":         strings.Replace(good, `"as_of":7`, `"as_of":7,"x":1`, 1),
-		"out of order":         head(2) + "\n" + row("b", `"5.00"`) + "\n" + row("a", `"5.00"`),
-		"upwards":              head(2) + "\n" + row("a", `"5.00"`) + "\n" + row("b", `"5.01"`),
-		"a row twice":          head(2) + "\n" + row("a", `"5.00"`) + "\n" + row("a", `"5.00"`),
-		"missing one first":    head(2) + "\n" + row("a", `null`) + "\n" + row("b", `"5.00"`),
-		"a number for text":    head(1) + "\n" + row("a", `5`),
-		"three decimals":       head(1) + "\n" + row("a", `"5.001"`),
-		"an exponent":          head(1) + "\n" + row("a", `"5e3"`),
-		"too many digits":      head(1) + "\n" + row("a", `"12345678901234567.00"`),
-		"no account":           head(1) + "\n" + `[null,"c","2026-01-02","5.00",1]`,
-		"a column too few":     head(1) + "\n" + `["a","c","2026-01-02","5.00"]`,
-		"a column too many":    head(1) + "\n" + `["a","c","2026-01-02","5.00",1,1]`,
-		"no such day":          head(1) + "\n" + `["a","c","2026-02-30","5.00",1]`,
-		"below 0":              head(1) + "\n" + `["a","c","2026-01-02","5.00",-1]`,
-		"half a row":           head(1) + "\n" + `["a","c","2026-01`,
-		"a nested row":         head(1) + "\n" + `[["a"],"c","2026-01-02","5.00",1]`,
-		"a break in a row":     head(1) + "\n[\"a\u0001\",\"c\",\"2026-01-02\",\"5.00\",1]",
-		"more after none":      `{"schema":"arrears/1","as_of":7,"rows":0,"more":true}`,
-		"groups where rows":    `{"schema":"arrears/1","as_of":7,"rows":0,"cut":{"groups":1,"most":"1","least":"1"}}`,
-		"two words for a line": head(1) + head(1) + "\n" + row("a", `"5.00"`),
-	} {
-		if _, err := list.ReadResponse(0, value); err == nil {
-			t.Errorf("%s is taken: %q", what, value)
-		}
-	}
-	figures, err := testPolicy().NewQuery(merge.Request{Kind: "aggregated", Group: []string{"customer"}, Limit: 9,
-		Aggregates: []string{"sum(bills)", "p99(bills)", "distinct(customer)"}}, weights(1), false, merge.Paging{})
-	if err != nil {
-		t.Fatal(err)
-	}
-	l := standin.NewDataset(3, standin.DatasetShape{Segments: 1, Accounts: 50})
-	item, _ := strings.CutPrefix(figures.SegmentItem(0), "m=")
-	value, err := l.Respond(0, item, 4)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if _, err := figures.ReadResponse(0, value); err != nil {
-		t.Fatalf("good figures are refused: %v", err)
-	}
-	lines := strings.Split(strings.TrimSpace(value), "\n")
-	for what, spoilt := range map[string]string{
-		"groups by size upwards": strings.Join([]string{lines[0], lines[2], lines[1], lines[3], lines[4]}, "\n"),
-		"a group twice":          strings.Join([]string{lines[0], lines[1], lines[1], lines[2], lines[3]}, "\n"),
-		"a bound above the last": strings.Replace(value, `"most":"`, `"most":"99999`, 1),
-		"a bound of none":        strings.Replace(value, `"cut":{"groups"`, `"cut":{"groups":-3,"x"`, 1),
-		"half a sketch":          strings.Replace(value, `=="`, `"`, 1)[:len(value)-9] + "]",
-		"a sum in letters":       strings.Replace(value, lines[1], strings.Replace(lines[1], `"`, `"x`, 3), 1),
-	} {
-		if _, err := figures.ReadResponse(0, spoilt); err == nil {
-			t.Errorf("%s is taken: %q", what, spoilt)
-		}
-	}
-}
-
-// A node that gives more than it was asked for: the first rows of its run count, and the list goes on behind them.
+// A segment returns more rows than requested: the first ones are used, and the list continues after them.
 func TestExcessRowsDropped(t *testing.T) {
 	l := standin.NewDataset(8, standin.DatasetShape{Segments: 3, Accounts: 90})
 	order := []string{"due"}
@@ -350,7 +279,7 @@
 		t.Errorf("%v, full %t: %s", err, got.Full, body)
 	}
 	if n := got.Result.Complete.Segments[0].Rows; n != 10 {
-		t.Errorf("%d rows of a segment are held, 10 were asked for", n)
+		t.Errorf("%d rows of a segment are used, 10 were requested", n)
 	}
 }
 
@@ -368,13 +297,13 @@
 		t.Errorf("with one of two segments it says %+v", before)
 	}
 	if got, _ := result(t, m, true); got.Full {
-		t.Error("an answer short of a segment is called whole, on somebody's word")
+		t.Error("a result without a segment is complete because the caller says so")
 	}
 	m.MarkUnusable(1)
 	if got, _ := result(t, m, false); got.Result.Complete.Segments[1].State != "unusable" {
-		t.Errorf("a segment that gave nothing usable is %s", got.Result.Complete.Segments[1].State)
+		t.Errorf("a segment with an unusable response is %s", got.Result.Complete.Segments[1].State)
 	}
-	for _, at := range []int{1, 0, 1} { // the late one, and copies
+	for _, at := range []int{1, 0, 1} { // the late one, and duplicates
 		item, _ := strings.CutPrefix(q.SegmentItem(merge.Segment(at)), "m=")
 		value, _ := l.Respond(at, item, 0)
 		p, err := q.ReadResponse(merge.Segment(at), value)
@@ -396,11 +325,11 @@
 	}
 	m := addResponses(t, q, l, []int{0, 2}, func(int) int { return 0 })
 	if _, err := m.Result(true); !errors.Is(err, merge.ErrIncomplete) {
-		t.Errorf("an answer short of a segment: %v", err)
+		t.Errorf("a result without a segment: %v", err)
 	}
 	light := []merge.SegmentWeight{{Segment: 0, Weight: 1}, {Segment: 1, Weight: 0}}
 	if _, err := testPolicy().NewQuery(merge.Request{Kind: "ranked", Order: []string{"due"}, Limit: 5}, light, true, merge.Paging{}); err == nil {
-		t.Error("a segment without weight is taken, whose absence no share would show")
+		t.Error("a segment without weight is accepted, whose absence would not show")
 	}
 }
 
@@ -428,25 +357,25 @@
 	const most = "9999999999999999.99"
 	got := sum(`"`+most+`",9223372036854775806,1`, `"0.00",1,0`, `"-0.01",0,1`).Result.Groups[0].Values
 	if string(got[0].Value) != `"9999999999999999.98"` || got[0].Precision != "exact" || string(got[1].Value) != "9223372036854775807" {
-		t.Errorf("at the edge: %s %s, count %s", got[0].Value, got[0].Precision, got[1].Value)
+		t.Errorf("at the limit: %s %s, count %s", got[0].Value, got[0].Precision, got[1].Value)
 	}
 	over := sum(`"`+most+`",9223372036854775807,1`, `"0.01",1,1`, `"0.00",0,1`)
 	for i, v := range over.Result.Groups[0].Values[:2] {
 		if string(v.Value) != "null" || v.Precision != "overflow" {
-			t.Errorf("figure %d past the edge: %s %s", i, v.Value, v.Precision)
+			t.Errorf("aggregate %d beyond the limit: %s %s", i, v.Value, v.Precision)
 		}
 	}
 	if over.Full {
-		t.Error("an answer with a sum that does not fit is called whole")
+		t.Error("a result with a sum that does not fit is complete")
 	}
-	// In between it may pass the edge, whatever the order of arrival.
+	// In between it may exceed the limit, whatever the order of arrival.
 	back := sum(`"`+most+`",1,1`, `"1.00",1,1`, `"-1.00",1,1`).Result.Groups[0].Values
 	if string(back[0].Value) != `"`+most+`"` || back[0].Precision != "exact" {
-		t.Errorf("past the edge and back: %s %s", back[0].Value, back[0].Precision)
+		t.Errorf("beyond the limit and back: %s %s", back[0].Value, back[0].Precision)
 	}
 }
 
-// A group that nobody gave may tie with one that all gave, once credits make up for what stood before the cut.
+// A group that no segment returned may tie with one that all returned, if negative amounts make up the difference.
 func TestUncertainTie(t *testing.T) {
 	q, err := testPolicy().NewQuery(merge.Request{Kind: "aggregated", Group: []string{"customer"}, Limit: 5, Aggregates: []string{"sum(amount)"}},
 		weights(2), false, merge.Paging{})
@@ -467,69 +396,6 @@
 		}
 	}
 	if got, body := result(t, m, true); got.Result.Certain != 0 || got.Full {
-		t.Errorf("it is certain of %d groups, full %t: %s", got.Result.Certain, got.Full, body)
-	}
-}
-
-func TestMaxResultBytesOfGroups(t *testing.T) {
-	l := standin.NewDataset(4, standin.DatasetShape{Segments: 2, Accounts: 400})
-	a := testPolicy()
-	a.MaxResultBytes = 1200
-	terms := merge.Request{Kind: "aggregated", Group: []string{"due"}, Limit: 300, Aggregates: []string{"count", "sum(amount)", "mean(amount)"}}
-	q, err := a.NewQuery(terms, weights(2), false, merge.Paging{})
-	if err != nil {
-		t.Fatal(err)
-	}
-	got, body := result(t, addResponses(t, q, l, []int{0, 1}, func(int) int { return 0 }), true)
-	if n := len(got.Result.Groups); n == 0 || n > 20 || !got.Result.More || got.Full {
-		t.Errorf("%d groups in %d bytes, more %t, full %t", n, len(body), got.Result.More, got.Full)
-	}
-	if err := (standin.Oracle{Dataset: l, Segments: segments(2)}).CheckAggregated(got, terms, false); err != nil {
-		t.Error(err)
-	}
-}
-
-func TestBudget(t *testing.T) {
-	l := standin.NewDataset(9, standin.DatasetShape{Segments: 2, Accounts: 200})
-	q, err := testPolicy().NewQuery(merge.Request{Kind: "ranked", Order: []string{"due"}, Limit: 100}, weights(2), false, merge.Paging{})
-	if err != nil {
-		t.Fatal(err)
-	}
-	item, _ := strings.CutPrefix(q.SegmentItem(0), "m=")
-	value, _ := l.Respond(0, item, 0)
-	part, err := q.ReadResponse(0, value)
-	if err != nil {
-		t.Fatal(err)
-	}
-	b := &merge.Budget{}
-	const most = 1 << 20
-	b.SetLimits(most, 1<<40, 1000)
-	var open []*merge.Merge
-	full := 0
-	for range 1000 {
-		m, err := merge.New(q, b)
-		if err != nil {
-			t.Fatal(err)
-		}
-		open = append(open, m)
-		if err := m.Add(part); errors.Is(err, merge.ErrBudgetExceeded) {
-			full++
-		}
-		if bytes, _, _ := b.Usage(); bytes > most {
-			t.Fatalf("%d bytes are held, %d may be", bytes, most)
-		}
-	}
-	if full == 0 || full == 1000 {
-		t.Errorf("%d of 1000 merges were refused", full)
-	}
-	if _, err := merge.New(q, b); !errors.Is(err, merge.ErrBudgetExceeded) {
-		t.Errorf("a merge past the most that may be open: %v", err)
-	}
-	for _, m := range open {
-		m.Close()
-		m.Close()
-	}
-	if bytes, rows, n := b.Usage(); bytes != 0 || rows != 0 || n != 0 {
-		t.Errorf("closed merges hold %d bytes, %d rows, %d open", bytes, rows, n)
+		t.Errorf("%d groups are certain, full %t: %s", got.Result.Certain, got.Full, body)
 	}
 }
--- /dev/null
+++ b/merge/response_test.go
@@ -0,0 +1,88 @@
+package merge_test
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+
+	"oxbowspan/internal/testing/standin"
+	"oxbowspan/merge"
+)
+
+func TestMalformedResponses(t *testing.T) {
+	list, err := testPolicy().NewQuery(merge.Request{Kind: "ranked", Order: []string{"-amount", "due"}, Limit: 3}, weights(2), false, merge.Paging{})
+	if err != nil {
+		t.Fatal(err)
+	}
+	head := func(rows int) string { return fmt.Sprintf(`{"schema":"arrears/1","as_of":7,"rows":%d}`, rows) }
+	row := func(account, amount string) string { return `["` + account + `","c","2026-01-02",` + amount + `,1]` }
+	good := head(2) + "\n" + row("a", `"5.00"`) + "\n" + row("b", `"5.00"`) + "\n"
+	if _, err := list.ReadResponse(0, good); err != nil {
+		t.Fatalf("a valid response is rejected: %v", err)
+	}
+	for name, value := range map[string]string{
+		"nothing":           "",
+		"no rows":           head(2),
+		"a row too few":     strings.Replace(good, `"rows":2`, `"rows":3`, 1),
+		"another schema":    strings.Replace(good, "arrears/1", "arrears/2", 1),
+		"no stamp":          strings.Replace(good, `"as_of":7,`, "", 1),
+		"unknown field":     strings.Replace(good, `"as_of":7`, `"as_of":7,"x":1`, 1),
+		"out of order":      head(2) + "\n" + row("b", `"5.00"`) + "\n" + row("a", `"5.00"`),
+		"upwards":           head(2) + "\n" + row("a", `"5.00"`) + "\n" + row("b", `"5.01"`),
+		"a row twice":       head(2) + "\n" + row("a", `"5.00"`) + "\n" + row("a", `"5.00"`),
+		"missing one first": head(2) + "\n" + row("a", `null`) + "\n" + row("b", `"5.00"`),
+		"a number for text": head(1) + "\n" + row("a", `5`),
+		"three decimals":    head(1) + "\n" + row("a", `"5.001"`),
+		"an exponent":       head(1) + "\n" + row("a", `"5e3"`),
+		"too many digits":   head(1) + "\n" + row("a", `"12345678901234567.00"`),
+		"no account":        head(1) + "\n" + `[null,"c","2026-01-02","5.00",1]`,
+		"a column too few":  head(1) + "\n" + `["a","c","2026-01-02","5.00"]`,
+		"a column too many": head(1) + "\n" + `["a","c","2026-01-02","5.00",1,1]`,
+		"no such day":       head(1) + "\n" + `["a","c","2026-02-30","5.00",1]`,
+		"below 0":           head(1) + "\n" + `["a","c","2026-01-02","5.00",-1]`,
+		"half a row":        head(1) + "\n" + `["a","c","2026-01`,
+		"a nested row":      head(1) + "\n" + `[["a"],"c","2026-01-02","5.00",1]`,
+		"a break in a row":  head(1) + "\n[\"a\u0001\",\"c\",\"2026-01-02\",\"5.00\",1]",
+		"more after none":   `{"schema":"arrears/1","as_of":7,"rows":0,"more":true}`,
+		"groups where rows": `{"schema":"arrears/1","as_of":7,"rows":0,"cut":{"groups":1,"most":"1","least":"1"}}`,
+		"two headers":       head(1) + head(1) + "\n" + row("a", `"5.00"`),
+	} {
+		t.Run(name, func(t *testing.T) {
+			if _, err := list.ReadResponse(0, value); err == nil {
+				t.Errorf("accepted: %q", value)
+			}
+		})
+	}
+}
+
+func TestMalformedGroups(t *testing.T) {
+	figures, err := testPolicy().NewQuery(merge.Request{Kind: "aggregated", Group: []string{"customer"}, Limit: 9,
+		Aggregates: []string{"sum(bills)", "p99(bills)", "distinct(customer)"}}, weights(1), false, merge.Paging{})
+	if err != nil {
+		t.Fatal(err)
+	}
+	l := standin.NewDataset(3, standin.DatasetShape{Segments: 1, Accounts: 50})
+	item, _ := strings.CutPrefix(figures.SegmentItem(0), "m=")
+	value, err := l.Respond(0, item, 4)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := figures.ReadResponse(0, value); err != nil {
+		t.Fatalf("valid groups are rejected: %v", err)
+	}
+	lines := strings.Split(strings.TrimSpace(value), "\n")
+	for name, malformed := range map[string]string{
+		"groups by size upwards": strings.Join([]string{lines[0], lines[2], lines[1], lines[3], lines[4]}, "\n"),
+		"a group twice":          strings.Join([]string{lines[0], lines[1], lines[1], lines[2], lines[3]}, "\n"),
+		"a bound above the last": strings.Replace(value, `"most":"`, `"most":"99999`, 1),
+		"a bound of none":        strings.Replace(value, `"cut":{"groups"`, `"cut":{"groups":-3,"x"`, 1),
+		"half a sketch":          strings.Replace(value, `=="`, `"`, 1)[:len(value)-9] + "]",
+		"a sum in letters":       strings.Replace(value, lines[1], strings.Replace(lines[1], `"`, `"x`, 3), 1),
+	} {
+		t.Run(name, func(t *testing.T) {
+			if _, err := figures.ReadResponse(0, malformed); err == nil {
+				t.Errorf("accepted: %q", malformed)
+			}
+		})
+	}
+}
--- a/merge/result.go
+++ b/merge/result.go
@@ -62,7 +62,8 @@
 		segment := SegmentResult{Segment: requested.Segment, Status: StatusMissing}
 		switch response := m.responses[i]; {
 		case response != nil:
-			segment.Status, segment.Version, segment.Rows, segment.More = StatusIncluded, response.version, response.count, response.more || response.omitted != nil
+			segment.Status, segment.Version, segment.Rows = StatusIncluded, response.version, response.count
+			segment.More = response.more || response.omitted != nil
 			if q.kind == Paged {
 				previous := q.pagination.versions[i]
 				segment.Changed = previous != nil && *previous != response.version
--- a/merge/result_json.go
+++ b/merge/result_json.go
@@ -3,84 +3,104 @@
 import "strconv"
 
 // AppendJSON appends the body of the response. Rows and group keys are as received.
-func (a *Result) AppendJSON(b []byte) []byte {
+func (r *Result) AppendJSON(b []byte) []byte {
 	b = append(b, `{"full":`...)
-	b = strconv.AppendBool(b, a.Complete)
+	b = strconv.AppendBool(b, r.Complete)
 	b = append(b, `,"merged":{"kind":`...)
-	b = strconv.AppendQuote(b, a.Kind)
-	if a.Kind == Aggregated {
-		b = a.appendAggregates(b)
+	b = strconv.AppendQuote(b, r.Kind)
+	if r.Kind == Aggregated {
+		b = r.appendAggregates(b)
 	} else {
-		b = append(b, `,"columns":`...)
-		b = appendStrings(b, a.Columns)
-		b = append(b, `,"rows":[`...)
-		for i, r := range a.Rows {
-			if i > 0 {
-				b = append(b, ',')
-			}
-			b = append(b, r.raw...)
-		}
-		b = append(b, `],"from":[`...)
-		for i, r := range a.Rows {
-			if i > 0 {
-				b = append(b, ',')
-			}
-			b = strconv.AppendInt(b, int64(r.segment), 10)
-		}
-		b = append(b, ']')
-		b = appendInt(b, "before", int64(a.Preceding))
+		b = r.appendRows(b)
+	}
+	b = appendInt(b, "certain", int64(r.CertainCount))
+	if r.Kind == Paged {
+		b = r.appendPage(b)
+	} else {
+		b = appendBool(b, "more", r.More)
 	}
-	b = appendInt(b, "certain", int64(a.CertainCount))
-	if a.Kind == Paged {
-		b = appendInt(b, "late", int64(a.LateCount))
-		b = appendBool(b, "moved", a.Changed)
-		b = appendBool(b, "last", a.End)
-		if a.CursorTooLong {
-			b = appendBool(b, "stuck", true)
+	return r.appendSegments(b)
+}
+
+// appendRows appends the rows of a list and the segments they are from.
+func (r *Result) appendRows(b []byte) []byte {
+	b = append(b, `,"columns":`...)
+	b = appendStrings(b, r.Columns)
+	b = append(b, `,"rows":[`...)
+	for i, row := range r.Rows {
+		if i > 0 {
+			b = append(b, ',')
 		}
-		if a.NextCursor != "" {
-			b = append(b, `,"next":`...)
-			b = strconv.AppendQuote(b, a.NextCursor)
+		b = append(b, row.raw...)
+	}
+	b = append(b, `],"from":[`...)
+	for i, row := range r.Rows {
+		if i > 0 {
+			b = append(b, ',')
 		}
-	} else {
-		b = appendBool(b, "more", a.More)
+		b = strconv.AppendInt(b, int64(row.segment), 10)
 	}
-	in := 0
-	for _, s := range a.Segments {
+	b = append(b, ']')
+	return appendInt(b, "before", int64(r.Preceding))
+}
+
+// appendPage appends what only pages have.
+func (r *Result) appendPage(b []byte) []byte {
+	b = appendInt(b, "late", int64(r.LateCount))
+	b = appendBool(b, "moved", r.Changed)
+	b = appendBool(b, "last", r.End)
+	if r.CursorTooLong {
+		b = appendBool(b, "stuck", true)
+	}
+	if r.NextCursor != "" {
+		b = append(b, `,"next":`...)
+		b = strconv.AppendQuote(b, r.NextCursor)
+	}
+	return b
+}
+
+// appendSegments appends the statement of completeness and ends the body.
+func (r *Result) appendSegments(b []byte) []byte {
+	included := 0
+	for _, s := range r.Segments {
 		if s.Status == StatusIncluded {
-			in++
+			included++
 		}
 	}
 	b = append(b, `,"complete":{"asked":`...)
-	b = strconv.AppendInt(b, int64(len(a.Segments)), 10)
-	b = appendInt(b, "in", int64(in))
+	b = strconv.AppendInt(b, int64(len(r.Segments)), 10)
+	b = appendInt(b, "in", int64(included))
 	b = append(b, `,"share":`...)
-	b = strconv.AppendFloat(b, a.IncludedShare, 'g', 6, 64)
+	b = strconv.AppendFloat(b, r.IncludedShare, 'g', 6, 64)
 	b = append(b, `,"segments":[`...)
-	for i, s := range a.Segments {
+	for i, s := range r.Segments {
 		if i > 0 {
 			b = append(b, ',')
 		}
-		b = append(b, `{"tablet":`...)
-		b = strconv.AppendInt(b, int64(s.Segment), 10)
-		b = append(b, `,"state":`...)
-		b = strconv.AppendQuote(b, string(s.Status))
-		if s.Status == StatusIncluded {
-			b = append(b, `,"as_of":`...)
-			b = strconv.AppendUint(b, uint64(s.Version), 10)
-			b = appendInt(b, "rows", int64(s.Rows))
-			if s.More {
-				b = appendBool(b, "more", true)
-			}
-			if s.Changed {
-				b = appendBool(b, "moved", true)
-			}
-		}
-		b = append(b, '}')
+		b = s.appendJSON(b)
 	}
 	return append(b, `]}}}`...)
 }
 
+func (s SegmentResult) appendJSON(b []byte) []byte {
+	b = append(b, `{"tablet":`...)
+	b = strconv.AppendInt(b, int64(s.Segment), 10)
+	b = append(b, `,"state":`...)
+	b = strconv.AppendQuote(b, string(s.Status))
+	if s.Status == StatusIncluded {
+		b = append(b, `,"as_of":`...)
+		b = strconv.AppendUint(b, uint64(s.Version), 10)
+		b = appendInt(b, "rows", int64(s.Rows))
+		if s.More {
+			b = appendBool(b, "more", true)
+		}
+		if s.Changed {
+			b = appendBool(b, "moved", true)
+		}
+	}
+	return append(b, '}')
+}
+
 func appendInt(b []byte, name string, v int64) []byte {
 	b = append(append(append(b, `,"`...), name...), `":`...)
 	return strconv.AppendInt(b, v, 10)
--- a/merge/schema.go
+++ b/merge/schema.go
@@ -31,6 +31,9 @@
 // MaxDigits is the largest number of decimal digits of an amount, before and after the point together.
 const MaxDigits = 38
 
+// maxScale is the largest number of digits of an amount after the point.
+const maxScale = 12
+
 // Column is one column of a schema. All values may be null except those of the account and row columns.
 type Column struct {
 	Name     string
@@ -69,8 +72,8 @@
 	kind, c.Unsigned = strings.CutSuffix(kind, "+")
 	if scale, is := strings.CutPrefix(kind, "money("); is {
 		n, err := strconv.Atoi(strings.TrimSuffix(scale, ")"))
-		if err != nil || !strings.HasSuffix(scale, ")") || n < 0 || n > 12 {
-			return Column{}, fmt.Errorf("the scale of column %q is not a number from 0 to 12", name)
+		if err != nil || !strings.HasSuffix(scale, ")") || n < 0 || n > maxScale {
+			return Column{}, fmt.Errorf("the scale of column %q is not a number from 0 to %d", name, maxScale)
 		}
 		c.Scale, kind = n, "money"
 	}
