--- a/internal/cli/fleet_test.go
+++ b/internal/cli/fleet_test.go
@@ -42,7 +42,7 @@
 
 // A gatherer with a permit is suspended for longer than its lease before it drains: nobody goes out in its place, and when it is resumed
 // it drains.
-func TestFrozenGathererKeepsItsPermit(t *testing.T) {
+func TestSuspendedGathererKeepsItsPermit(t *testing.T) {
 	f := newTestFleet(t, "most_gatherers = 1\n")
 	f.awaitMembers(fleetSize)
 	suspended, other := f.gatherers[5], f.gatherers[6]
