--- a/internal/operatorconfig/merging.go
+++ b/internal/operatorconfig/merging.go
@@ -26,9 +26,9 @@
 	p.sectionsOf("schema", func(name string, s *section) { p.schemas[name] = s.parseSchema(name) })
 	paged := false
 	p.sectionsOf("merge", func(name string, s *section) {
-		a := s.parseAllowance()
-		m.Types[name], m.Lines[name] = a, p.lines[sectionPosition(s.ini.Name())]
-		paged = paged || slices.Contains(a.Kinds, merge.Paged)
+		policy := s.parsePolicy()
+		m.Types[name], m.Lines[name] = policy, p.lines[sectionPosition(s.ini.Name())]
+		paged = paged || slices.Contains(policy.Kinds, merge.Paged)
 	})
 	s := p.section("merging")
 	if s == nil {
@@ -58,7 +58,7 @@
 }
 
 func (s *section) parseSchema(name string) *merge.Schema {
-	c := &merge.Schema{Name: name, Row: -1}
+	schema := &merge.Schema{Name: name, Row: -1}
 	before := len(s.problems.Problems)
 	for _, word := range s.fields("columns") {
 		column, err := merge.ParseColumn(word)
@@ -66,28 +66,28 @@
 			s.addKeyProblem("columns", "%v", err)
 			continue
 		}
-		c.Columns = append(c.Columns, column)
+		schema.Columns = append(schema.Columns, column)
 	}
 	account, _ := s.text("account")
-	c.Account = c.ColumnIndex(account)
+	schema.Account = schema.ColumnIndex(account)
 	if row, given := s.text("row"); given {
-		if c.Row = c.ColumnIndex(row); c.Row < 0 {
+		if schema.Row = schema.ColumnIndex(row); schema.Row < 0 {
 			s.addKeyProblem("row", "%.60q is no column", row)
 		}
 	}
-	c.Digits = int(s.count("digits", 28, 1, merge.MaxDigits))
+	schema.Digits = int(s.count("digits", 28, 1, merge.MaxDigits))
 	s.rejectUnknownKeys()
 	if len(s.problems.Problems) == before {
-		if err := c.Check(); err != nil {
+		if err := schema.Check(); err != nil {
 			s.addKeyProblem("columns", "%v", err)
 		}
 	}
-	return c
+	return schema
 }
 
-// parseAllowance reads what a query type may merge.
-func (s *section) parseAllowance() *merge.Policy {
-	a := &merge.Policy{
+// parsePolicy reads a section [merge QUERY-TYPE]: what the query type may merge.
+func (s *section) parsePolicy() *merge.Policy {
+	policy := &merge.Policy{
 		Kinds:            s.fields("kinds"),
 		Orders:           s.fields("order"),
 		Groups:           s.fields("group"),
@@ -99,32 +99,32 @@
 		MaxResultBytes:   int(s.count("answer_bytes", 60<<10, 1<<10, 16<<20)),
 	}
 	schema, _ := s.text("schema")
-	a.Schema = s.schemas[schema]
+	policy.Schema = s.schemas[schema]
 	s.rejectUnknownKeys()
-	if len(a.Kinds) == 0 {
+	if len(policy.Kinds) == 0 {
 		s.addKeyProblem("kinds", "is missing: ranked, paged and aggregated are known")
 	}
-	for _, kind := range a.Kinds {
+	for _, kind := range policy.Kinds {
 		if kind != merge.Ranked && kind != merge.Paged && kind != merge.Aggregated {
 			s.addKeyProblem("kinds", "%.40q is not known: ranked, paged and aggregated are", kind)
 		}
 	}
-	if a.Schema == nil {
+	if policy.Schema == nil {
 		s.addKeyProblem("schema", "there is no section [schema %.60s]", schema)
-		return a
+		return policy
 	}
-	s.checkColumns("order", a.Orders, a.Schema)
-	s.checkColumns("group", a.Groups, a.Schema)
-	for _, figure := range a.Aggregates {
-		if err := a.Schema.CheckAggregate(figure); err != nil {
+	s.checkColumns("order", policy.Orders, policy.Schema)
+	s.checkColumns("group", policy.Groups, policy.Schema)
+	for _, figure := range policy.Aggregates {
+		if err := policy.Schema.CheckAggregate(figure); err != nil {
 			s.addKeyProblem("figures", "%v", err)
 		}
 	}
-	lists := slices.Contains(a.Kinds, merge.Ranked) || slices.Contains(a.Kinds, merge.Paged)
-	if lists && len(a.Orders) == 0 {
+	lists := slices.Contains(policy.Kinds, merge.Ranked) || slices.Contains(policy.Kinds, merge.Paged)
+	if lists && len(policy.Orders) == 0 {
 		s.addKeyProblem("order", "is missing: lists need columns to be ordered by")
 	}
-	return a
+	return policy
 }
 
 func (s *section) checkColumns(key string, columns []string, schema *merge.Schema) {
