--- a/balancer/completion.go
+++ b/balancer/completion.go
@@ -5,11 +5,10 @@
 // review completes or abandons a request, or else reviews its calls and sets the timer for the next review.
 func (b *Balancer) review(req *request) {
 	policy := req.policy
-	minimum, complete := policy.minCoverage-weightTolerance, policy.completeCoverage-weightTolerance
-	if req.inSecondPhase {
-		if minimum >= complete {
-			minimum = 1 - weightTolerance
-		}
+	minimum, complete := policy.MinCoverage-weightTolerance, policy.CompleteCoverage-weightTolerance
+	if req.inSecondPhase && minimum >= complete {
+		minimum, complete = 1-weightTolerance, 1-weightTolerance
+	} else if req.inSecondPhase {
 		complete = 1 - weightTolerance
 	}
 	skippable := func(call *shardCall) bool { return call.skipped || b.cannotFinish(call, Never) }
@@ -48,8 +47,7 @@
 	b.scheduleReview(req, next)
 }
 
-// reviewCall retries or hedges a call that has no attempt in flight or an overdue one. It returns when to
-// review the call next.
+// reviewCall retries or hedges a call, unless an attempt of it is in time. It returns when to review it next.
 func (b *Balancer) reviewCall(call *shardCall) (next Time) {
 	p := attemptProgress(call)
 	if p.firstDue > b.now && p.inFlight > 0 {
@@ -95,7 +93,7 @@
 // answer completes a phase of a request with the calls that are answered.
 func (b *Balancer) answer(req *request, complete bool) {
 	b.emit(Answer{req.id, complete})
-	if req.inSecondPhase || !req.policy.twoPhase {
+	if req.inSecondPhase || req.policy.SecondPhaseCalls <= 0 {
 		b.close(req)
 		return
 	}
@@ -106,18 +104,17 @@
 
 // abandon ends a request without an answer: shed if none of it can have run or it is idempotent, else failed.
 func (b *Balancer) abandon(req *request) {
-	idempotent := req.policy.idempotency == Idempotent
-	harmless := !req.inSecondPhase || idempotent // the first phase has run
+	mayHaveRun := req.inSecondPhase // the first phase has run
 	for _, call := range req.calls {
 		for _, a := range call.attempts {
-			harmless = harmless && (a.neverRan || idempotent)
+			mayHaveRun = mayHaveRun || !a.neverRan
 		}
 	}
 	req.policy.abandonedAt = b.now
-	if harmless {
-		b.emit(Shed{req.id, b.retryAfter(req)})
-	} else {
+	if mayHaveRun && req.policy.Idempotency != Idempotent {
 		b.emit(Fail{req.id})
+	} else {
+		b.emit(Shed{req.id, b.retryAfter(req)})
 	}
 	b.close(req)
 }
@@ -140,5 +137,5 @@
 	if b.networkDelay == 0 || empty {
 		return b.maxRetryAfter
 	}
-	return min(b.maxRetryAfter, max(req.policy.target/retryAfterDivisor, b.networkDelay))
+	return min(b.maxRetryAfter, max(req.policy.LatencyTarget/retryAfterDivisor, b.networkDelay))
 }
--- a/gatherer/mergeenv_test.go
+++ b/gatherer/mergeenv_test.go
@@ -54,10 +54,10 @@
 	last    atomic.Int64 // request id
 }
 
-// startMergeEnv starts a mergeEnv of four cells, two of them for each segment. If meet returns true it has answered a call
+// startMergeEnv starts a mergeEnv of four cells, two of them for each segment. If respond returns true it has answered a call
 // itself, otherwise the rows are sent.
 func startMergeEnv(t *testing.T, shape standin.DatasetShape,
-	meet func(c *standin.ShardConn, p standin.ShardCall, rows string) bool, edit func(string) string) *mergeEnv {
+	respond func(c *standin.ShardConn, p standin.ShardCall, rows string) bool, edit func(string) string) *mergeEnv {
 	t.Helper()
 	s := &mergeEnv{t: t, dataset: standin.NewDataset(11, shape)}
 	for cell := range 4 {
@@ -70,7 +70,7 @@
 			if err != nil {
 				t.Errorf("a segment got the terms %q: %v", p.Attributes["m"], err)
 			}
-			if meet == nil || !meet(c, p, rows) {
+			if respond == nil || !respond(c, p, rows) {
 				c.Respond(p.ID, "served", rows)
 			}
 		})
@@ -93,14 +93,14 @@
 	}
 }
 
-func (s *mergeEnv) search(kind string, terms merge.Terms) standin.Request {
+func (s *mergeEnv) search(kind string, terms merge.Request) standin.Request {
 	return standin.Request{ID: fmt.Sprintf("%016x", 1<<40+s.last.Add(1)), QueryType: kind, Customer: "acme",
 		Timeout: 2900 * time.Millisecond,
 		Shards:  []int{0, 1, 2, 3}, Statement: "c41e77d0", Merge: wire(terms)}
 }
 
 // wire returns the terms as a client sends them, without those that are not set.
-func wire(t merge.Terms) map[string]any {
+func wire(t merge.Request) map[string]any {
 	raw, _ := json.Marshal(t)
 	var out map[string]any
 	json.Unmarshal(raw, &out)
@@ -112,7 +112,7 @@
 	return out
 }
 
-func (s *mergeEnv) merged(kind string, terms merge.Terms) standin.MergedResponse {
+func (s *mergeEnv) merged(kind string, terms merge.Request) standin.MergedResponse {
 	s.t.Helper()
 	r, err := s.search(kind, terms).Send(context.Background(), http.DefaultClient, s.addr)
 	if err != nil || r.Status != http.StatusOK {
@@ -125,8 +125,8 @@
 	return m
 }
 
-func (s *mergeEnv) expected(forbids bool) standin.Oracle {
-	return standin.Oracle{Dataset: s.dataset, Segments: []int{0, 1, 2, 3}, RequireComplete: forbids}
+func (s *mergeEnv) expected(requireComplete bool) standin.Oracle {
+	return standin.Oracle{Dataset: s.dataset, Segments: []int{0, 1, 2, 3}, RequireComplete: requireComplete}
 }
 
 // walk reads a paged list to its end; before is called with the number of each page before it is requested.
@@ -138,7 +138,7 @@
 		if before != nil {
 			before(w.Pages)
 		}
-		m := s.merged(kind, merge.Terms{Kind: "paged", Order: order, Limit: limit, Cursor: cursor})
+		m := s.merged(kind, merge.Request{Kind: "paged", Order: order, Limit: limit, Cursor: cursor})
 		if err := w.CheckPage(m, false); err != nil {
 			s.t.Fatalf("page %d: %v", w.Pages, err)
 		}
