--- a/config/configuration.go
+++ b/config/configuration.go
@@ -25,19 +25,19 @@
 // Route says where the requests of one host and path prefix go: to Service, to one of WeightedServices, or to all of
 // GatheredServices, whose answers are merged.
 type Route struct {
-	Name             string            `json:"name"`
+	Name             string            `json:"name"`        // in problems and explanations
 	Hostname         string            `json:"hostname"`    // in any case, without a port
 	PathPrefix       string            `json:"path_prefix"` // begins and ends with a slash
 	RouteKind        string            `json:"route_kind"`  // Retryable or NonRetryable
-	TimeoutMS        float64           `json:"timeout_ms"`  // above 0
+	TimeoutMS        float64           `json:"timeout_ms"`  // the clients' usual time-out; above 0
 	TargetMS         float64           `json:"target_ms"`   // latency target; 0 = none
-	Priority         int               `json:"priority"`
+	Priority         int               `json:"priority"`    // not used
 	Service          string            `json:"service,omitempty"`
 	WeightedServices []WeightedService `json:"weighted_services,omitempty"`
 	GatheredServices []string          `json:"gathered_services,omitempty"`
 	Attempts         int               `json:"attempts"`                // of each shard call at most, the first included; below 1 = 1
-	TopRecords       int               `json:"top_records,omitempty"`   // of the merged answer
-	MinimumShare     float64           `json:"minimum_share,omitempty"` // of the gathered services that must have answered
+	TopRecords       int               `json:"top_records,omitempty"`   // of the merged answer, at most
+	MinimumShare     float64           `json:"minimum_share,omitempty"` // of the gathered services that must have answered, 0 to 1; one service at least
 }
 
 // WeightedService is a service and its weight among those of its route.
@@ -49,18 +49,19 @@
 // Service is a set of servers that answer alike.
 type Service struct {
 	Name              string `json:"name"`
-	HealthPath        string `json:"health_path"`
-	ConnectionLimit   int    `json:"connection_limit"` // of each server, for all gateways together; 0 = no limit
-	Protocol          string `json:"protocol"`
-	TransportSecurity bool   `json:"transport_security"`
+	HealthPath        string `json:"health_path"`        // of the servers' health checks; "" = /health
+	ConnectionLimit   int    `json:"connection_limit"`   // of each server, for all gateways together; 0 = no limit
+	Protocol          string `json:"protocol"`           // not used
+	TransportSecurity bool   `json:"transport_security"` // not used
 }
 
-// Limits bound what clients may send, how long they may take for it, and how long their connections may be idle.
+// Limits bound what clients may send, how long they may take for it, and how long their connections may be idle. A limit of 0
+// or below stands for the gateway's default.
 type Limits struct {
-	HeaderBytes     int     `json:"header_bytes"`
-	BodyBytes       int     `json:"body_bytes"`
-	HeaderTimeoutMS float64 `json:"header_timeout_ms"`
-	IdleTimeoutMS   float64 `json:"idle_timeout_ms"`
+	HeaderBytes     int     `json:"header_bytes"`      // of a request's header
+	BodyBytes       int     `json:"body_bytes"`        // of a request's body
+	HeaderTimeoutMS float64 `json:"header_timeout_ms"` // from the first byte of a header to its last
+	IdleTimeoutMS   float64 `json:"idle_timeout_ms"`   // between two requests of a connection
 }
 
 // Services returns all services that a route names, each once.
--- a/controlapi/gateway_stats.go
+++ b/controlapi/gateway_stats.go
@@ -19,14 +19,15 @@
 	Borrowed  uint32  `json:"lent"`  // of these, beyond the tenant's share
 	Limit     uint32  `json:"part"`  // of the gateway at this server; 0 = no limit
 	Share     float64 `json:"own"`   // the tenant's share of the limit, in connections
-	WantsMore bool    `json:"wants"` // it was denied another
+	WantsMore bool    `json:"wants"` // it was denied another lately and still waits
 }
 
-// WaitStats is how long a tenant's shard calls waited for connections in the last minute.
+// WaitStats is how long a tenant's requests waited for connections in the last minute. Times are in milliseconds, over the requests
+// that waited.
 type WaitStats struct {
 	Tenant   string  `json:"tenant"`
 	Requests uint64  `json:"requests"`
-	Waited   uint64  `json:"waited"`  // of the requests
+	Waited   uint64  `json:"waited"`  // of the requests: those with a shard call that waited
 	Waiting  uint32  `json:"waiting"` // at present
 	P50MS    float64 `json:"p50_ms"`
 	P99MS    float64 `json:"p99_ms"`
@@ -46,16 +47,16 @@
 	Service      string        `json:"service"`
 	State        string        `json:"stance"`
 	Reason       string        `json:"why"`
-	SinceSeconds float64       `json:"since_s"`
-	Factor       float64       `json:"factor"` // by which it is predicted to be slower than others
+	SinceSeconds float64       `json:"since_s"` // how long the state has held
+	Factor       float64       `json:"factor"`  // by which it is predicted to be slower than the gateway's record of it; 1 = as recorded
 	Pinned       bool          `json:"pinned,omitempty"`
-	Observations []Observation `json:"words,omitempty"`
+	Observations []Observation `json:"words,omitempty"` // from which the state follows
 }
 
 // Observation is what one gateway observed of a server.
 type Observation struct {
 	Observer   string  `json:"observer"` // the gateway's incarnation, in hexadecimal
 	Kind       string  `json:"kind"`
-	Ratio      float64 `json:"ratio,omitempty"` // of its response times to those expected
+	Ratio      float64 `json:"ratio,omitempty"` // of its time per unit of work to that of its peers; 0 = not measured
 	AgeSeconds float64 `json:"age_s"`
 }
--- a/controlapi/status.go
+++ b/controlapi/status.go
@@ -22,7 +22,7 @@
 type MemberStatus struct {
 	Identity      string  `json:"identity"` // in hexadecimal
 	Address       string  `json:"address"`
-	SilentSeconds float64 `json:"silent_s"`
+	SilentSeconds float64 `json:"silent_s"` // since the controller last saw it
 	Complete      bool    `json:"complete"` // its disk is known to hold the newest value
 }
 
@@ -30,11 +30,11 @@
 type GatewayStatus struct {
 	Address     string  `json:"address"`
 	Zone        string  `json:"zone"`
-	Incarnation string  `json:"life"` // in hexadecimal
-	AgeSeconds  float64 `json:"heard_s_ago"`
-	PollsHere   bool    `json:"asks_this_hive"`
-	Slot        uint64  `json:"turn"`   // in force there, if it polls this controller
-	UpToDate    bool    `json:"newest"` // that slot is the newest
+	Incarnation string  `json:"life"`           // in hexadecimal
+	AgeSeconds  float64 `json:"heard_s_ago"`    // since its last poll
+	PollsHere   bool    `json:"asks_this_hive"` // it polls this controller
+	Slot        uint64  `json:"turn"`           // in force there, if it polls this controller
+	UpToDate    bool    `json:"newest"`         // that slot is the newest
 }
 
 // ServerStatus is a server, as one controller sees it.
@@ -44,10 +44,10 @@
 	Address          string  `json:"address"`
 	Zone             string  `json:"zone"`
 	Version          string  `json:"version"`
-	Slots            int     `json:"capacity_slots"`
+	Slots            int     `json:"capacity_slots"` // requests that it handles at once
 	State            string  `json:"state"`
-	Unresponsive     bool    `json:"silent"`
-	HeartbeatMissed  bool    `json:"unheard"`
-	AgeSeconds       float64 `json:"heard_s_ago"`
-	SlowStartSeconds float64 `json:"cold_for_s"` // remaining
+	Unresponsive     bool    `json:"silent"`      // it is not to be used
+	HeartbeatMissed  bool    `json:"unheard"`     // its heartbeats stay away
+	AgeSeconds       float64 `json:"heard_s_ago"` // since its last heartbeat
+	SlowStartSeconds float64 `json:"cold_for_s"`  // remaining
 }
--- a/dataplane/membership.go
+++ b/dataplane/membership.go
@@ -75,5 +75,5 @@
 	return rendezvous.Owner(role, m.gateways)
 }
 
-// renew extends the lease on the roles: the list was confirmed at now, in answer to a poll sent at asked.
-func (m *membership) renew(asked, now time.Duration) { m.roles.Renew(asked, now) }
+// renew extends the lease on the roles: the list was confirmed at now, in the response to a poll sent at polledAt.
+func (m *membership) renew(polledAt, now time.Duration) { m.roles.Renew(polledAt, now) }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -17,21 +17,21 @@
 const PathVariable = "OXBOWSPAN_BOOT"
 
 // Settings are the contents of the file. Fields that end in MS are in milliseconds, those that end in S in seconds, those that end in MB in
-// units of 2^20 bytes.
+// units of 2^20 bytes. Fields marked as not used are parsed and have no effect.
 type Settings struct {
-	NodeName            string            `toml:"node_name"`
-	Role                string            `toml:"role"`
-	IPAddress           string            `toml:"ip_address"`
+	NodeName            string            `toml:"node_name"`  // in log lines
+	Role                string            `toml:"role"`       // not used
+	IPAddress           string            `toml:"ip_address"` // of the internal ports
 	Zone                string            `toml:"zone"`
 	Region              string            `toml:"region"`
-	InternalPorts       []int             `toml:"internal_ports"` // the first and the last of a range
-	SeedAddresses       []string          `toml:"seed_addresses"` // control addresses of controllers
-	LocalDetectionOnly  bool              `toml:"judge_alone"`    // ignore other gateways' observations of servers; set in comparisons only
-	FirstStart          bool              `toml:"first_start"`    // the cluster starts for the first time, so that missing state is no loss
-	LossCounted         bool              `toml:"loss_counted"`
-	DataDirectory       string            `toml:"data_directory"`
-	HeartbeatIntervalMS float64           `toml:"beat_interval_ms"`
-	Zones               map[string]string `toml:"zones"` // regions by zone
+	InternalPorts       []int             `toml:"internal_ports"`   // the first and the last of a range
+	SeedAddresses       []string          `toml:"seed_addresses"`   // control addresses of controllers
+	LocalDetectionOnly  bool              `toml:"judge_alone"`      // ignore other gateways' observations of servers; set in comparisons only
+	FirstStart          bool              `toml:"first_start"`      // the cluster starts for the first time, so that missing state is no loss
+	LossCounted         bool              `toml:"loss_counted"`     // not used
+	DataDirectory       string            `toml:"data_directory"`   // of a controller, for its state file
+	HeartbeatIntervalMS float64           `toml:"beat_interval_ms"` // between two heartbeats of a server, above 0
+	Zones               map[string]string `toml:"zones"`            // regions by zone
 	Listen              Listen            `toml:"listen_addresses"`
 	Limits              Limits            `toml:"limits"`
 	ToleratedLosses     ToleratedLosses   `toml:"tolerated_losses"`
@@ -47,32 +47,32 @@
 
 // Limits are the process's resources; 0 = no limit.
 type Limits struct {
-	ProcessorShare  float64 `toml:"processor_share"`
-	Cores           float64 `toml:"cores"`
-	MemoryMB        float64 `toml:"memory_mb"`
-	FileDescriptors int     `toml:"file_descriptors"`
-	DiskMB          float64 `toml:"disk_mb"`
+	ProcessorShare  float64 `toml:"processor_share"`  // not used
+	Cores           float64 `toml:"cores"`            // not used
+	MemoryMB        float64 `toml:"memory_mb"`        // a share of it is the garbage collector's limit
+	FileDescriptors int     `toml:"file_descriptors"` // a gateway gives clients half of them
+	DiskMB          float64 `toml:"disk_mb"`          // not used
 }
 
 // ToleratedLosses are the failures that the control plane must survive at once.
 type ToleratedLosses struct {
-	Machines int `toml:"machines"`
+	Machines int `toml:"machines"` // n of these take 2n+1 acceptors
 }
 
-// Bounds are the service levels that the platform requires.
+// Bounds are the service levels that the platform requires. 0 = not set.
 type Bounds struct {
-	ContactMS        float64 `toml:"contact_ms"`
-	DrainLimitMS     float64 `toml:"drain_limit_ms"`
-	GracePeriodS     float64 `toml:"grace_period_s"` // from SIGTERM to SIGKILL
-	ConfigApplyMS    float64 `toml:"config_apply_ms"`
+	ContactMS        float64 `toml:"contact_ms"`         // not used
+	DrainLimitMS     float64 `toml:"drain_limit_ms"`     // not used
+	GracePeriodS     float64 `toml:"grace_period_s"`     // from SIGTERM to SIGKILL
+	ConfigApplyMS    float64 `toml:"config_apply_ms"`    // from a commit until all gateways must use the version
 	RetryBudgetRatio float64 `toml:"retry_budget_ratio"` // retries for each request
 	BudgetWindowS    float64 `toml:"budget_window_s"`    // over which the ratio holds
 	BudgetExtraTries float64 `toml:"budget_extra_tries"` // retries in a window beyond the ratio
-	AddressReuseS    float64 `toml:"address_reuse_s"`
-	AcknowledgeMS    float64 `toml:"acknowledge_ms"`
-	RecoveryS        float64 `toml:"recovery_s"`
-	CatchUpS         float64 `toml:"catch_up_s"`
-	HasRetryBudget   bool    `toml:"-"` // retry_budget_ratio is set
+	AddressReuseS    float64 `toml:"address_reuse_s"`    // not used
+	AcknowledgeMS    float64 `toml:"acknowledge_ms"`     // not used
+	RecoveryS        float64 `toml:"recovery_s"`         // not used
+	CatchUpS         float64 `toml:"catch_up_s"`         // not used
+	HasRetryBudget   bool    `toml:"-"`                  // retry_budget_ratio is set
 }
 
 // ErrNoPath is returned by [Read] without a path.
