--- a/controlplane/controller.go
+++ b/controlplane/controller.go
@@ -64,7 +64,8 @@
 	housekeepingAt time.Duration // the event loop's
 }
 
-// New opens the state in the data directory and returns a controller that does nothing until Run. The settings must be valid.
+// New opens the state in the data directory and returns a controller that does nothing until Run. The settings must be valid. It
+// fails if the data directory or the file in it can be neither opened nor created.
 func New(s *settings.Settings, on network.Network, log zerolog.Logger) (*Controller, error) {
 	members, genesisID := genesisMembers(s)
 	if !s.FirstStart {
@@ -191,7 +192,8 @@
 
 func (c *Controller) startGossip(ctx context.Context, p *peer) { c.gossip.start(ctx, p) }
 
-// Run serves until the context is done and the controller has drained, or until Kill.
+// Run serves until the context is done and the controller has drained, or until Kill. It returns an error if it can't listen on one
+// of its addresses or can't close the state file. It must be called once.
 func (c *Controller) Run(ctx context.Context) error {
 	control, err := c.network.Listen(c.settings.Listen.Control)
 	if err != nil {
--- a/dataplane/gateway.go
+++ b/dataplane/gateway.go
@@ -64,7 +64,7 @@
 	front      *frontServer
 }
 
-// New returns a gateway that does nothing until Run. Options are not changed.
+// New returns a gateway that does nothing until Run. The options must be valid; they are not changed.
 func New(options *settings.Settings, transport network.Network, log zerolog.Logger) *Gateway {
 	g := &Gateway{
 		process: newProcess(options, transport, log),
--- a/internal/acceptorstore/inspect.go
+++ b/internal/acceptorstore/inspect.go
@@ -42,7 +42,8 @@
 	Documents []consensus.Document `json:"-"`
 }
 
-// Inspect reads the file in the directory of a controller that doesn't run. It changes nothing.
+// Inspect reads the file in the directory of a controller that doesn't run. It changes nothing. It returns ErrUnused, an
+// [*UnsupportedFormatError], ErrCorrupt, wrapped, or the error of opening the file.
 func Inspect(dir string) (c *Contents, err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true)) // as in openFile
 	defer func() {
--- a/internal/controlclient/listing.go
+++ b/internal/controlclient/listing.go
@@ -9,7 +9,8 @@
 	"oxbowspan/controlapi"
 )
 
-// Listing is what all controllers that responded know together.
+// Listing is what all controllers that responded know together. The methods that return one fail only if no controller gave a usable
+// response, with the error of the last one: [*UnreachableError], [*StatusError], or that of decoding.
 type Listing[T any] struct {
 	Items       []T      // in the order of the controllers
 	Unreachable []string // addresses of controllers without a usable response
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -86,7 +86,8 @@
 	return os.Getenv(PathVariable)
 }
 
-// Read reads a settings file. It does not check the values: see [Settings.Check]. The text of its error is a single line.
+// Read reads a settings file. It does not check the values: see [Settings.Check]. Its error is [ErrNoPath], that of reading the
+// file, or a [*FormatError]; its text is a single line.
 func Read(path string) (*Settings, error) {
 	if path == "" {
 		return nil, ErrNoPath
--- a/outlier/detector.go
+++ b/outlier/detector.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// RecordSuccess records that a server responded to this gateway, in a time per unit of work. peerUnitTime is that of its peers,
-// 0 = not known.
+// RecordSuccess records that a server responded to this gateway, in a time per unit of work. peerUnitTime is that of its peers in
+// the same unit, 0 = not known: only their ratio matters.
 func (d *Detector) RecordSuccess(instance Instance, unitTime, peerUnitTime float64, now time.Duration) {
 	server := d.servers[instance]
 	if server == nil {
--- a/outlier/status.go
+++ b/outlier/status.go
@@ -22,9 +22,9 @@
 // Status is what gateways do about a server, and why.
 type Status struct {
 	State       State
-	Factor      float64 // by which the server is predicted to be slower than this gateway's record of it; 1 = as recorded
-	Reason      string  // for operators
-	Since       time.Duration
+	Factor      float64       // by which the server is predicted to be slower than this gateway's record of it; 1 = as recorded
+	Reason      string        // for operators
+	Since       time.Duration // when it entered the state
 	ProbationAt time.Duration // of an ejected server: when it enters probation
 	Pinned      bool          // held by an operator whatever is observed
 }
--- a/rpc/client.go
+++ b/rpc/client.go
@@ -19,8 +19,11 @@
 
 // Errors of [Client.Call]. They are returned unwrapped.
 var (
+	// ErrTimeout says that the context ended before the response arrived. The peer may have handled the request, or may do so yet.
 	ErrTimeout = errors.New("rpc: no response in time")
-	ErrClosed  = errors.New("rpc: connection closed")
+	// ErrClosed says that there is no connection, or that it ended before the response arrived. In the second case the peer may
+	// have handled the request.
+	ErrClosed = errors.New("rpc: connection closed")
 )
 
 // Client calls one peer over one connection, which it opens when needed. The exported fields are set before the first call;
