--- a/balancer/plan.go
+++ b/balancer/plan.go
@@ -6,20 +6,42 @@
 	"slices"
 )
 
-// fanOut places the calls of a request: two plans are drawn, the one that is predicted to finish first is
-// improved and dispatched. A request that cannot finish in time is not begun.
+// fanOut places the calls of a request: the better of two plans is improved and dispatched. A request that
+// cannot finish by its deadline is not begun, nor under pressure one that cannot by its latency target.
 func (b *Balancer) fanOut(req *request, calls []ShardCall) {
-	shortestTarget := b.addCalls(req, calls)
+	shortestTarget := req.policy.LatencyTarget // of recent requests for the same shards
+	for _, call := range calls {
+		budget := b.budgetFor(call.Shard)
+		shortestTarget = min(shortestTarget, budget.admit(req.policy.LatencyTarget, b.now, b.now+latencyMaxAge))
+		size := cmp.Or(max(call.Size, 0), req.policy.size, 1) + b.callCost
+		b.meanSize += (size - b.meanSize) * slowWeight
+		req.calls = append(req.calls,
+			&shardCall{req: req, id: call.ID, shard: call.Shard, weight: call.Weight, size: size})
+	}
 	plan := b.choosePlan(req)
-	latest := b.latestFinish(req, shortestTarget)
+	latest := req.deadline // by which a request must be able to finish, to be begun
+	falling := min(1, latencyTolerance*cmp.Or(b.baseLatency, 1)/cmp.Or(b.currentLatency, 1))
+	if float64(len(b.inFlight)) >= pressureShare*b.limit*math.Pow(falling, overloadPower) {
+		if latest = req.targetAt; b.sharedBudgetBase > 0 {
+			// A longer queue would shed only requests with a shorter target and complete no more of the others.
+			latest = min(latest, b.now+shortestTarget-b.margin)
+		}
+	}
 	slowest, idle := b.moveStragglers(plan, latest)
-	b.moveToLocalZone(req, plan, slowest)
-	if clear(b.plannedWork); req.policy.quadratic {
-		idle = idle && slowest < Never
-		slowest = b.partialFinish(req, plan)
+	if b.preferLocal {
+		b.moveToLocalZone(req, plan, slowest)
 	}
-	// A late call is sent all the same to a server that is idle: nothing else shows whether it is still slow,
-	// and shedding here could leave the whole cluster idle.
+	if clear(b.plannedWork); req.policy.QuadraticPartialValue {
+		covered := 0.0
+		slowest, idle = 0, idle && slowest < Never
+		slices.SortStableFunc(plan, compareFinish)
+		for _, placed := range plan { // up to the coverage that makes a partial answer worthwhile
+			if covered < req.policy.partialCoverage-weightTolerance {
+				covered, slowest = covered+placed.call.weight, placed.finish
+			}
+		}
+	}
+	// An idle server is sent a late call all the same: nothing else shows whether it is still slow.
 	tooLate := !idle && b.now+slowest > latest || b.now >= req.deadline
 	if !req.inSecondPhase && slowest < Never && tooLate {
 		b.abandon(req)
@@ -29,20 +51,6 @@
 	b.review(req)
 }
 
-// addCalls adds the calls of a phase. It returns the shortest recent latency target for the same shards.
-func (b *Balancer) addCalls(req *request, calls []ShardCall) Time {
-	shortest := req.policy.target
-	for _, call := range calls {
-		budget := b.budgetFor(call.Shard)
-		shortest = min(shortest, budget.admit(req.policy.target, b.now, b.now+latencyMaxAge))
-		size := cmp.Or(max(call.Size, 0), req.policy.size, 1) + b.callCost
-		b.meanSize += (size - b.meanSize) * slowWeight
-		req.calls = append(req.calls,
-			&shardCall{req: req, id: call.ID, shard: call.Shard, weight: call.Weight, size: size})
-	}
-	return shortest
-}
-
 // choosePlan draws two plans at random offsets. It returns that which finishes first, in order of finish.
 func (b *Balancer) choosePlan(req *request) (best []placement) {
 	slowest := Time(math.MaxInt64)
@@ -69,20 +77,6 @@
 	return best
 }
 
-// latestFinish returns when a request must finish to be begun: by its deadline, or its latency target under
-// pressure. Where requests with a shorter target use the same shards that one counts: a longer queue would
-// shed only those and complete no more of the others.
-func (b *Balancer) latestFinish(req *request, shortestTarget Time) Time {
-	falling := min(1, latencyTolerance*cmp.Or(b.baseLatency, 1)/cmp.Or(b.currentLatency, 1))
-	switch {
-	case float64(len(b.inFlight)) < pressureShare*b.limit*math.Pow(falling, overloadPower):
-		return req.deadline
-	case b.sharedBudgetBase > 0:
-		return min(req.targetAt, b.now+shortestTarget-b.margin)
-	}
-	return req.targetAt
-}
-
 // moveStragglers moves each call that is far behind the fastest or too late to the replica that is predicted
 // to finish it first. It returns the slowest finish, and whether that call would have its server to itself.
 func (b *Balancer) moveStragglers(plan []placement, latest Time) (slowest Time, idle bool) {
@@ -100,15 +94,13 @@
 			b.plannedWork[placed.server] += placed.call.size
 		}
 		if placed.finish > slowest {
-			slowest = placed.finish
-			idle = placed.server != nil && b.workAt(placed.server) <= placed.call.size
+			slowest, idle = placed.finish, placed.server != nil && b.workAt(placed.server) <= placed.call.size
 		}
 	}
 	return slowest, idle
 }
 
-// dispatchPlan sends each call of a plan, except those given up from the start. A call that may be hedged
-// also goes to the server on probation that its placement names.
+// dispatchPlan sends the calls of a plan, except those given up, and hedges some at servers on probation.
 func (b *Balancer) dispatchPlan(req *request, plan []placement) {
 	hopeless := func(call *shardCall) bool { return b.cannotFinish(call, req.targetAt-b.now) }
 	covered := b.coveredWithout(req, hopeless)
@@ -120,10 +112,8 @@
 	}
 	for _, placed := range plan {
 		call, s, sent := placed.call, placed.probation, len(placed.call.attempts)
-		if s == nil || s == placed.server && sent > 0 || !b.canDispatch(s, call) {
-			continue
-		}
-		if sent == 0 && call.skipped || sent == 1 && b.withinBudget(call, probationShare) {
+		if s != nil && (s != placed.server || sent == 0) && b.canDispatch(s, call) &&
+			(sent == 0 && call.skipped || sent == 1 && b.withinBudget(call, probationShare)) {
 			b.dispatch(call, s)
 			call.attempts[sent].probation = sent > 0
 		}
@@ -145,7 +135,7 @@
 		if s = all[(start+i)%len(all)]; b.isHealthyFor(s, call) {
 			return s, probation
 		}
-		if i == 0 && b.hedgeProbation && s.probation && call.req.policy.idempotency == Idempotent &&
+		if i == 0 && b.hedgeProbation && s.probation && call.req.policy.Idempotency == Idempotent &&
 			s.ejectedUntil <= b.now && len(s.inFlight) == 0 && b.plannedWork[s] == 0 {
 			probation = s
 		}
@@ -186,13 +176,11 @@
 func (b *Balancer) isHealthyFor(s *server, call *shardCall) bool {
 	had := slices.ContainsFunc(call.attempts, func(a *attempt) bool { return a.server == s })
 	if had || !b.canDispatch(s, call) || s.ejectedUntil > b.now || s.clusterEjected ||
-		b.silenceRatio(s.inFlight...) > 1 {
-		return false
-	}
-	if b.checkFirst && s.probation && s.checkedAt < s.ejectedUntil && b.now < s.ejectedUntil+latencyMaxAge {
+		b.silenceRatio(s.inFlight...) > 1 ||
+		b.checkFirst && s.probation && s.checkedAt < s.ejectedUntil && b.now < s.ejectedUntil+latencyMaxAge {
 		return false
 	}
-	fit := call.req.policy.idempotency == Idempotent && !b.hedgeProbation ||
+	fit := call.req.policy.Idempotency == Idempotent && !b.hedgeProbation ||
 		b.now > s.ejectedUntil+max(maxEjectionFactor*b.baseEjection, latencyMaxAge)
 	return !s.probation || fit && len(s.inFlight) == 0 && b.plannedWork[s] == 0
 }
@@ -201,7 +189,7 @@
 func (b *Balancer) predict(s *server, call *shardCall) Time {
 	unit := b.meanLatency
 	if unit == 0 {
-		unit = float64(call.req.policy.target) / initialShare / call.size
+		unit = float64(call.req.policy.LatencyTarget) / initialShare / call.size
 	}
 	unit /= b.capacityShare(s)
 	if s.unitLatency > 0 {
@@ -233,9 +221,6 @@
 // moveToLocalZone moves calls to servers of the local zone, as traffic between zones is expensive, where the
 // call then finishes no later than the plan does, or early enough for the target.
 func (b *Balancer) moveToLocalZone(req *request, plan []placement, slowest Time) {
-	if !b.preferLocal {
-		return
-	}
 	offset := b.rand.intN(1 << 16)
 	for i := range plan {
 		placed := &plan[i]
@@ -246,7 +231,7 @@
 			return !s.local || !b.isHealthyFor(s, placed.call)
 		})
 		b.plannedWork[placed.server] -= placed.call.size
-		latest := max(slowest, placed.finish, Time(localPreference*float64(req.policy.target)))
+		latest := max(slowest, placed.finish, Time(localPreference*float64(req.policy.LatencyTarget)))
 		for k := 0; k < len(local) && !placed.server.local; k++ {
 			s := local[(offset+int(placed.call.shard)+k)%len(local)]
 			if finish := b.predict(s, placed.call); finish <= latest {
@@ -257,26 +242,14 @@
 	}
 }
 
-// partialFinish returns when a plan reaches the coverage that makes a partial answer worthwhile.
-func (b *Balancer) partialFinish(req *request, plan []placement) (finish Time) {
-	covered := 0.0
-	slices.SortStableFunc(plan, compareFinish)
-	for _, placed := range plan {
-		if covered >= req.policy.partialCoverage-weightTolerance {
-			break
-		}
-		covered, finish = covered+placed.call.weight, placed.finish
-	}
-	return finish
-}
-
 // cannotFinish reports whether no healthy replica is idle or would finish a call within a time: the shard may
 // be down, or its few remaining replicas overloaded. Only partial answers of some value allow for that.
 func (b *Balancer) cannotFinish(call *shardCall, within Time) bool {
-	return call.req.policy.quadratic && !slices.ContainsFunc(b.replicas[call.shard], func(s *server) bool {
+	canFinish := func(s *server) bool {
 		return s.ejectedUntil <= b.now && !s.probation && b.silenceRatio(s.inFlight...) <= 1 &&
 			(within == Never || b.predict(s, call) <= within || b.workAt(s) == 0)
-	})
+	}
+	return call.req.policy.QuadraticPartialValue && !slices.ContainsFunc(b.replicas[call.shard], canFinish)
 }
 
 // coveredWithout reports whether a partial answer without the skippable calls is worthwhile.
@@ -287,6 +260,6 @@
 			covered += call.weight
 		}
 	}
-	return req.policy.quadratic && covered < 1-weightTolerance &&
+	return req.policy.QuadraticPartialValue && covered < 1-weightTolerance &&
 		covered >= req.policy.partialCoverage-weightTolerance
 }
