--- a/consensus/acceptor.go
+++ b/consensus/acceptor.go
@@ -21,7 +21,7 @@
 type PrepareReply struct {
 	From     AcceptorID
 	OK       bool   // the ballot is promised
-	Promised Ballot // the acceptor's highest promise; where OK is false, the one that stands against the ballot
+	Promised Ballot // the acceptor's highest promise; where OK is false, the one for which the ballot was rejected
 	Accepted Ballot // at which Value was accepted
 	Value    *Value // accepted last; nil = none
 }
--- a/consensus/change_request.go
+++ b/consensus/change_request.go
@@ -16,7 +16,7 @@
 const (
 	// OutcomeCommitted: the request is committed, now or since it was first sent.
 	OutcomeCommitted Outcome = iota
-	// OutcomeConflict: another version is in place than the one that the request is based on. It was never committed and
+	// OutcomeConflict: the newest version is not the one that the request is based on. It was never committed and
 	// never will be.
 	OutcomeConflict
 	// OutcomeVersionTooLow: the request's version is not above the one that it is based on.
@@ -48,7 +48,7 @@
 // ChangeRequest asks for a configuration to be committed on top of another version.
 type ChangeRequest struct {
 	Version Version
-	BasedOn Version // the version that must be in place
+	BasedOn Version // the version that must be the newest
 	Digest  string  // of Body
 	Body    []byte
 }
@@ -56,7 +56,7 @@
 // Evaluate returns the request's outcome where v is the newest value, and the value to propose: v itself, or one that
 // follows it with the request's configuration.
 //
-// A request that was committed before is found among the revisions that v lists, whatever is in place now: one that is sent
+// A request that was committed before is found among the revisions that v lists, whatever version is the newest now: one that is sent
 // again after an unclear answer must not be reported as a conflict. One that is older than all revisions that v lists has
 // OutcomeUnknown; a History may know more.
 func (r ChangeRequest) Evaluate(v *Value) (next *Value, outcome Outcome) {
@@ -82,7 +82,7 @@
 }
 
 // Evaluate returns the request's outcome as ChangeRequest.Evaluate does, and the document's version: the one that the
-// request created where it is committed, else the one in place.
+// request created where it is committed, else the newest one.
 //
 // Compatibility is checked only where the revision would be new: what was committed once is not compared with a
 // configuration that came later.
@@ -110,8 +110,8 @@
 //
 // Versions rise, and each names the one before it. So none was committed between a listed revision and its base, and one
 // based on a version below the newest can never be committed later. What is left unknown is what came before all listed
-// revisions, and what is based on a version that is not in place yet: that version may follow, and a copy of the request
-// after it.
+// revisions, and what is based on a version that is not committed yet: that version may follow, and a copy of the
+// request after it.
 func evaluate(revision Revision, listed []Revision) (outcome Outcome, follows bool) {
 	var newest, horizon Version
 	if len(listed) > 0 {
@@ -123,7 +123,7 @@
 		return OutcomeCommitted, false
 	case revision.Version <= revision.BasedOn && revision.BasedOn == newest:
 		return OutcomeVersionTooLow, false
-	case revision.Version <= revision.BasedOn: // never to be committed, whatever is in place
+	case revision.Version <= revision.BasedOn: // never to be committed, whatever the newest version is
 		return OutcomeConflict, false
 	case revision.BasedOn == newest:
 		return OutcomeCommitted, true
--- a/consensus/proposal.go
+++ b/consensus/proposal.go
@@ -25,7 +25,7 @@
 	decided       bool
 
 	preempted   bool
-	preemptedBy Ballot // the highest known that stands against ballot
+	preemptedBy Ballot // the highest known for which ballot was rejected
 }
 
 // NewProposal starts a proposal. Base is a value that the proposer knows to be decided, or the genesis value.
@@ -151,7 +151,7 @@
 	return p.decided
 }
 
-// handleRejection ends the proposal where a higher ballot stands against it. The rejection of an acceptor with another disk
+// handleRejection ends the proposal if an acceptor has promised a higher ballot. The rejection of an acceptor with another disk
 // names no such ballot; the acceptor just does not count. A decision can't be undone.
 func (p *Proposal) handleRejection(promised Ballot) {
 	if p.decided || promised.Compare(p.ballot) <= 0 {
--- a/controlplane/change_service.go
+++ b/controlplane/change_service.go
@@ -18,8 +18,8 @@
 	// version is that of the change itself, basedOn the one that it replaces.
 	version() consensus.Version
 	basedOn() consensus.Version
-	// evaluate returns what becomes of the change where v is the newest value, the value to be proposed, and the version that is
-	// in place.
+	// evaluate returns what becomes of the change where v is the newest value, the value to be proposed, and the newest
+	// committed version.
 	evaluate(v *consensus.Value) (next *consensus.Value, current consensus.Version, outcome consensus.Outcome)
 	// isIn reports whether a history holds the change.
 	isIn(h *consensus.History) bool
@@ -31,7 +31,7 @@
 type changeResult struct {
 	outcome consensus.Outcome
 	slot    consensus.Slot
-	current consensus.Version // in place
+	current consensus.Version // the newest committed one
 }
 
 // changeService has changes decided.
--- a/controlplane/doc.go
+++ b/controlplane/doc.go
@@ -15,7 +15,7 @@
 //	heartbeatService   servers' reports, in a registry.Table; hintSaver keeps them on the disk
 //	gatewayDirectory   the gateways; pollService answers their long polls
 //	resourceAPI        the operators' requests to replace and read the configuration and the documents beside it
-//	statusAPI          what operators may look at; eventLog retains what happened
+//	statusAPI          what operators may read of this controller's state; eventLog retains what happened
 //	drainer            what must be done before a controller ends
 //
 // Decisions are made by pure packages: consensus (ballots), registry (reports) and quorum (contact).
--- a/controlplane/poll_service.go
+++ b/controlplane/poll_service.go
@@ -213,7 +213,7 @@
 	return 0
 }
 
-// requestPaced has the polls looked at again when the gateway may be sent the version that it lacks.
+// requestPaced has the polls checked again when the gateway may be sent the version that it lacks.
 func (s *pollService) requestPaced(poll *rpc.Poll) {
 	if s.lacksVersion(poll) {
 		s.updates.requestAt(s.nextVersionAt(poll))
--- a/dataplane/tenants.go
+++ b/dataplane/tenants.go
@@ -248,7 +248,7 @@
 	call.waitingSince = 0
 }
 
-// updateTenantUsage logs who waits no longer, and begins new windows of counting.
+// updateTenantUsage logs which tenants wait no longer, and begins new windows of counting.
 func (q *quotaClient) updateTenantUsage(now balancer.Time) {
 	for _, tenant := range q.tenants {
 		if tenant.waiting == 0 && tenant.lastWait > 0 && now-tenant.lastWait > ticks(waitingCooldown) {
@@ -264,7 +264,7 @@
 	}
 }
 
-// connectionUsages returns who has or wants connections to which server, for operators.
+// connectionUsages returns which tenants have or want connections to which server, for operators.
 func (q *quotaClient) connectionUsages(now balancer.Time) (usages []*rpc.ConnectionUsage) {
 	for _, usage := range q.limiter.ConnectionUsages(duration(now)) {
 		e := q.endpoints.byID[balancer.ServerID(usage.Server)]
