--- a/merge/order.go
+++ b/merge/order.go
@@ -57,13 +57,13 @@
 		n, _ := strconv.ParseInt(v.text, 10, 64)
 		b = binary.BigEndian.AppendUint64(b, uint64(n)^1<<63)
 	case Money:
-		negative, whole, part, _ := splitDecimal(v.text, s.Digits, c.Scale)
+		negative, integer, fraction, _ := splitDecimal(v.text, s.Digits, c.Scale)
 		b = append(b, 1)
-		for range s.Digits - c.Scale - len(whole) {
+		for range s.Digits - c.Scale - len(integer) {
 			b = append(b, '0')
 		}
-		b = append(append(b, whole...), part...)
-		for range c.Scale - len(part) {
+		b = append(append(b, integer...), fraction...)
+		for range c.Scale - len(fraction) {
 			b = append(b, '0')
 		}
 		if negative {
--- a/store/report.go
+++ b/store/report.go
@@ -8,7 +8,7 @@
 	Keys         int           // live keys
 	Damage       []string      // a sentence for each file that is damaged, or missing in one mirror only
 	Lost         []RecordRange // records that neither mirror holds
-	Repaired     bool          // both mirrors have been written anew
+	Repaired     bool          // both mirrors have been written again
 	LossAccepted bool          // the store was opened in spite of lost records
 }
 
