--- a/connadmission/controller.go
+++ b/connadmission/controller.go
@@ -245,7 +245,8 @@
 	if conn == nil {
 		return false
 	}
-	if _, _, _, open := c.Counts(); c.options.MaxActive > 0 && open >= c.options.MaxActive && !c.underHalfShare(int(conn.customer), open) {
+	_, _, _, open := c.Counts()
+	if c.options.MaxActive > 0 && open >= c.options.MaxActive && !c.underHalfShare(int(conn.customer), open) {
 		return false
 	}
 	c.BeginRequest(id)
--- a/merge/aggregate.go
+++ b/merge/aggregate.go
@@ -182,7 +182,7 @@
 func (s *Schema) parsePartialValue(p partialAggregate, v scalar) (c partialValue, err error) {
 	col := s.Columns[p.column]
 	bad := func() (partialValue, error) {
-		return c, fmt.Errorf("%.40s is no %s", v.raw, p.name(s))
+		return c, fmt.Errorf("%.40s is not a valid %s", v.raw, p.name(s))
 	}
 	switch p.kind {
 	case partialCount, partialValues:
--- a/merge/cursor.go
+++ b/merge/cursor.go
@@ -46,8 +46,8 @@
 	for _, s := range result.Segments {
 		result.Changed = result.Changed || s.Changed
 	}
-	next := pagination{positions: []position{{}}, segmentPositions: make([]int, len(current.segmentPositions)), versions: make([]*Version, len(current.versions)),
-		rowsBefore: current.rowsBefore + len(result.Rows), changed: result.Changed}
+	next := pagination{positions: []position{{}}, segmentPositions: make([]int, len(current.segmentPositions)),
+		versions: make([]*Version, len(current.versions)), rowsBefore: current.rowsBefore + len(result.Rows), changed: result.Changed}
 	var last position
 	if n := len(result.Rows); n > 0 {
 		last = q.policy.Schema.positionAfter(q.order, result.Rows[n-1])
--- a/merge/group.go
+++ b/merge/group.go
@@ -27,10 +27,10 @@
 // groups must not rank before the last one.
 func (q *Query) readGroups(response *SegmentResponse, lines []string, omitted *omittedGroups) error {
 	if len(lines) > q.policy.MaxGroups {
-		return fmt.Errorf("%d groups came, %d were asked for", len(lines), q.policy.MaxGroups)
+		return fmt.Errorf("the response has %d groups, the limit is %d", len(lines), q.policy.MaxGroups)
 	}
 	if len(q.groupColumns) == 0 && len(lines) != 1 {
-		return fmt.Errorf("%d groups came where there is one", len(lines))
+		return fmt.Errorf("the response has %d groups, there is exactly one", len(lines))
 	}
 	values := make([]scalar, 0, len(q.groupColumns)+len(q.partials))
 	seen := map[string]bool{}
@@ -42,14 +42,14 @@
 			return err
 		}
 		if len(row) != len(q.groupColumns)+len(q.partials) {
-			return fmt.Errorf("group %.60q has %d values, %d were asked for", line, len(row), len(q.groupColumns)+len(q.partials))
+			return fmt.Errorf("group %.60q has %d values, want %d", line, len(row), len(q.groupColumns)+len(q.partials))
 		}
 		g, err := q.parseGroupKey(row)
 		if err != nil {
 			return fmt.Errorf("group %.60q: %w", line, err)
 		}
 		if seen[g.key] {
-			return fmt.Errorf("group %.60q came twice", line)
+			return fmt.Errorf("group %.60q is a duplicate", line)
 		}
 		seen[g.key] = true
 		if err := q.parsePartials(&g, row[len(q.groupColumns):]); err != nil {
@@ -58,7 +58,7 @@
 		if q.rankBy >= 0 {
 			rank := q.rankValue(&g)
 			if d := rank.Cmp(&last); n > 0 && (d > 0 || d == 0 && g.key <= lastKey) {
-				return fmt.Errorf("group %.60q does not come after the one before", line)
+				return fmt.Errorf("group %.60q is not after the one before", line)
 			}
 			last, lastKey = rank, g.key
 		}
@@ -109,14 +109,14 @@
 		value *apd.Decimal
 	}{{omitted.Most, &b.most}, {omitted.Least, &b.least}} {
 		if _, _, _, ok := splitDecimal(bound.text, MaxDigits, maxScale); !ok {
-			return nil, fmt.Errorf("the bound %.40q of what was cut is no decimal", bound.text)
+			return nil, fmt.Errorf("the bound %.40q of omitted groups is not a decimal", bound.text)
 		}
 		if _, _, err := bound.value.SetString(bound.text); err != nil {
-			return nil, fmt.Errorf("the bound %.40q of what was cut is no decimal", bound.text)
+			return nil, fmt.Errorf("the bound %.40q of omitted groups is not a decimal", bound.text)
 		}
 	}
 	if omitted.Groups < 0 || returned == 0 || b.most.Cmp(last) > 0 || b.least.Cmp(&b.most) > 0 || q.rankUnsigned() && b.least.Negative {
-		return nil, errors.New("the bounds of what was cut do not go with what came")
+		return nil, errors.New("the bounds of omitted groups contradict the groups returned")
 	}
 	return b, nil
 }
@@ -144,7 +144,7 @@
 		}
 		at := slices.Index(q.partials, partialAggregate{partialValues, p.column})
 		if n := g.values[i].quantiles.GetCount(); n != float64(g.values[at].count) {
-			return fmt.Errorf("a sketch of %v values where there are %d", n, g.values[at].count)
+			return fmt.Errorf("a sketch has %v values, the group has %d", n, g.values[at].count)
 		}
 	}
 	return nil
--- a/merge/merge.go
+++ b/merge/merge.go
@@ -14,7 +14,8 @@
 	if !b.openMerge() {
 		return nil, ErrBudgetExceeded
 	}
-	return &Merge{query: q, budget: b, responses: make([]*SegmentResponse, len(q.segments)), unusable: make([]bool, len(q.segments)), open: true}, nil
+	n := len(q.segments)
+	return &Merge{query: q, budget: b, responses: make([]*SegmentResponse, n), unusable: make([]bool, n), open: true}, nil
 }
 
 // Query returns the query that is merged.
--- a/merge/order.go
+++ b/merge/order.go
@@ -110,7 +110,7 @@
 // restorePosition checks a position of a cursor and computes its sort key.
 func (s *Schema) restorePosition(order []OrderKey, m *position) error {
 	if len(m.keys) != len(order) {
-		return fmt.Errorf("a place has %d keys, the order %d", len(m.keys), len(order))
+		return fmt.Errorf("a position has %d keys, the order has %d", len(m.keys), len(order))
 	}
 	row := make([]scalar, len(s.Columns))
 	for i, k := range order {
--- a/merge/request.go
+++ b/merge/request.go
@@ -101,12 +101,13 @@
 // NewQuery checks a request against the policy. Clients see the texts of its errors. requireAll means that the query type
 // forbids missing segments: Merge.Result then returns ErrIncomplete if one is missing, whatever its weight.
 func (a *Policy) NewQuery(request Request, segments []SegmentWeight, requireAll bool, paging Paging) (*Query, error) {
-	q := &Query{policy: a, kind: request.Kind, segments: slices.Clone(segments), limit: request.Limit, rankBy: -1, requireAll: requireAll, keys: paging.Keys,
-		now: paging.Now, cursorLifetime: paging.Lifetime}
+	q := &Query{policy: a, kind: request.Kind, segments: slices.Clone(segments), limit: request.Limit, rankBy: -1,
+		requireAll: requireAll, keys: paging.Keys, now: paging.Now, cursorLifetime: paging.Lifetime}
 	slices.SortFunc(q.segments, func(x, y SegmentWeight) int { return int(x.Segment - y.Segment) })
 	for _, s := range q.segments {
 		if s.Weight < minWeight {
-			return nil, fmt.Errorf("tablet %d of a merged search has a fraction below %g, so that its absence could not show", s.Segment, minWeight)
+			return nil, fmt.Errorf("tablet %d of a merged search has a fraction below %g, so that its absence could not show",
+				s.Segment, minWeight)
 		}
 	}
 	if !contains(a.Kinds, request.Kind) {
--- a/merge/scan.go
+++ b/merge/scan.go
@@ -32,7 +32,7 @@
 				return out, nil
 			}
 			if rest[0] != ',' || len(rest) == 1 {
-				return out, fmt.Errorf("row %.60q has no comma where one is due", line)
+				return out, fmt.Errorf("row %.60q lacks a comma", line)
 			}
 			rest = rest[1:]
 		}
@@ -121,7 +121,7 @@
 		bad = s.kind != 's' || !ok || c.Unsigned && negative
 	}
 	if bad {
-		return fmt.Errorf("%.40s is no value of column %s, which is %s", s.raw, c.Name, c.Kind)
+		return fmt.Errorf("%.40s is not a valid value of column %s, which is %s", s.raw, c.Name, c.Kind)
 	}
 	return nil
 }
--- a/merge/segment_response.go
+++ b/merge/segment_response.go
@@ -53,29 +53,29 @@
 // out of order, depend on rejecting malformed responses here. After an error nothing of the response may be used.
 func (q *Query) ReadResponse(segment Segment, value string) (*SegmentResponse, error) {
 	if len(value) > q.policy.MaxResponseBytes {
-		return nil, fmt.Errorf("%d bytes came, %d are allowed", len(value), q.policy.MaxResponseBytes)
+		return nil, fmt.Errorf("the response has %d bytes, the limit is %d", len(value), q.policy.MaxResponseBytes)
 	}
 	first, rest, _ := strings.Cut(value, "\n")
 	var h responseHeader
 	d := json.NewDecoder(strings.NewReader(first))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&h); err != nil || d.More() {
-		return nil, fmt.Errorf("the first line %.60q is not in its form", first)
+		return nil, fmt.Errorf("the header %.60q is malformed", first)
 	}
 	switch {
 	case h.Schema != q.policy.Schema.Name:
-		return nil, fmt.Errorf("schema %.60q came, %q was asked for", h.Schema, q.policy.Schema.Name)
+		return nil, fmt.Errorf("the response is of schema %.60q, %q was requested", h.Schema, q.policy.Schema.Name)
 	case h.Version == nil || h.Rows == nil || *h.Rows < 0:
-		return nil, errors.New("the first line lacks as_of or rows")
+		return nil, errors.New("the header lacks as_of or rows")
 	case h.More && q.kind == Aggregated || h.Omitted != nil && (q.kind != Aggregated || len(q.groupColumns) == 0):
-		return nil, errors.New("the first line tells of a cut that does not go with what was asked")
+		return nil, errors.New("the header states more rows or omitted groups that do not match the request")
 	}
 	var lines []string
 	if rest != "" {
 		lines = strings.Split(strings.TrimSuffix(rest, "\n"), "\n")
 	}
 	if len(lines) != *h.Rows {
-		return nil, fmt.Errorf("%d rows came, %d were stated", len(lines), *h.Rows)
+		return nil, fmt.Errorf("the response has %d rows, its header states %d", len(lines), *h.Rows)
 	}
 	response := &SegmentResponse{segment: segment, version: Version(*h.Version), more: h.More, memory: len(value), count: len(lines)}
 	if q.kind == Aggregated {
@@ -91,7 +91,7 @@
 func (q *Query) readRows(response *SegmentResponse, lines []string) error {
 	s := q.policy.Schema
 	if response.more && len(lines) == 0 {
-		return errors.New("more rows are said to follow none")
+		return errors.New("the header states more rows after none")
 	}
 	values := make([]scalar, 0, len(s.Columns))
 	want := q.offset + q.limit
@@ -118,7 +118,7 @@
 		end := len(keys)
 		keys = s.sortKey(keys, q.order, row, response.segment)
 		if bytes.Compare(keys[end:], keys[last:end]) <= 0 {
-			return fmt.Errorf("row %.60q does not come after the one before, or after the place asked for", line)
+			return fmt.Errorf("row %.60q is not after the one before, or not after the position requested", line)
 		}
 		last = end
 		if len(response.rows) < want {
