--- a/connadmission/controller.go
+++ b/connadmission/controller.go
@@ -157,10 +157,11 @@
 // Decision is what becomes of a connection that comes.
 type Decision uint8
 
+// The decisions about a new connection.
 const (
-	DecisionServe  Decision = iota
-	DecisionPark            // for its first byte, without a goroutine; where it cannot be parked, as IfNot says
-	DecisionReject          // its request is to be shed
+	DecisionServe  Decision = iota // by a goroutine of its own, at once
+	DecisionPark                   // for its first byte, without a goroutine; where it cannot be parked, as IfNot says
+	DecisionReject                 // its request is to be shed
 )
 
 // Decide says what becomes of a connection that comes now. granted = memory has been set aside for its goroutine. It waits for its
