--- a/internal/testing/experiment/local_cluster.go
+++ b/internal/testing/experiment/local_cluster.go
@@ -58,7 +58,7 @@
 		env:           e,
 		settingsPaths: map[*exec.Cmd]string{},
 	}
-	c.cluster.LocalOutlierDetection = options.localOutlierDetection
+	c.cluster.LocalDetectionOnly = options.localOutlierDetection
 	if err := c.start(options); err != nil {
 		c.stop()
 		return nil, err
--- a/internal/testing/simcluster/cluster.go
+++ b/internal/testing/simcluster/cluster.go
@@ -60,15 +60,15 @@
 
 // Cluster is one system and the servers, operators and clients around it.
 type Cluster struct {
-	Network               *simnet.Network // nil: the network of the operating system
-	Dir                   string          // parent of the controllers' data directories
-	Log                   zerolog.Logger
-	HeartbeatInterval     time.Duration
-	LocalOutlierDetection bool // setting of the gateways: they share no verdicts
-	Controllers           []*ControllerNode
-	Gateways              []*GatewayNode
-	Servers               []*Server
-	RequestLog            *RequestLog
+	Network            *simnet.Network // nil: the network of the operating system
+	Dir                string          // parent of the controllers' data directories
+	Log                zerolog.Logger
+	HeartbeatInterval  time.Duration
+	LocalDetectionOnly bool // setting of the gateways: they ignore the observations of others
+	Controllers        []*ControllerNode
+	Gateways           []*GatewayNode
+	Servers            []*Server
+	RequestLog         *RequestLog
 
 	random            *rand.Rand
 	seedAddresses     []string
--- a/internal/testing/simcluster/settings.go
+++ b/internal/testing/simcluster/settings.go
@@ -68,7 +68,7 @@
 		SeedAddresses:       c.seedAddresses,
 		FirstStart:          c.firstStart,
 		HeartbeatIntervalMS: milliseconds(c.HeartbeatInterval),
-		LocalDetectionOnly:  c.LocalOutlierDetection,
+		LocalDetectionOnly:  c.LocalDetectionOnly,
 	}
 	for i := range zoneCount {
 		s.Zones[zoneName(strconv.Itoa(c.firstZone+i))] = region
