--- a/gatherer/memory.go
+++ b/gatherer/memory.go
@@ -62,13 +62,13 @@
 	}
 }
 
-// memoryAccount is one account of a budget. It implements merge.Sum and shardconn.MemoryAccount.
+// memoryAccount is one account of a budget. It implements merge.ParentBudget and shardconn.MemoryAccount.
 type memoryAccount struct {
 	budget  *memorybudget.Budget
 	account memorybudget.Account
 }
 
-// Reserve implements merge.Sum.
+// Reserve implements merge.ParentBudget.
 func (a memoryAccount) Reserve(n int64) bool {
 	return a.budget.Reserve(a.account, memorybudget.Bytes(n))
 }
@@ -76,5 +76,5 @@
 // ForceAcquire implements shardconn.MemoryAccount.
 func (a memoryAccount) ForceAcquire(n int64) { a.budget.ForceReserve(a.account, memorybudget.Bytes(n)) }
 
-// Release implements merge.Sum and shardconn.MemoryAccount.
+// Release implements merge.ParentBudget and shardconn.MemoryAccount.
 func (a memoryAccount) Release(n int64) { a.budget.Release(a.account, memorybudget.Bytes(n)) }
