--- a/dataplane/active_config.go
+++ b/dataplane/active_config.go
@@ -15,12 +15,13 @@
 
 // Properties of routes that the configuration does not state, or may leave out.
 const (
-	lateResponseValue = 0.3  // share of a response's value after its latency target
+	lateResponseValue = 0.3  // value of a response after the latency target, as a share of its value before it
 	defaultAttempts   = 1    // attempts for one shard call
-	minCoverageFloor  = 1e-9 // a merged response holds at least one shard's
+	minCoverageFloor  = 1e-9 // above 0, so that a merged response contains the response of at least one shard
 )
 
-// activeConfig is what one version of the configuration means here. Once stored it is constant, save the tenants of its routes.
+// activeConfig is one version of the configuration, resolved to the balancer's query types and shards. It is immutable once stored,
+// except for the tenants of its routes.
 type activeConfig struct {
 	slot    uint64
 	version uint64
@@ -28,19 +29,19 @@
 	routes  map[*config.Route]*route
 }
 
-// route is a configured route in the balancer's terms.
+// route is a configured route with its query type and its shards in the balancer.
 type route struct {
 	*config.Route
 	queryType    balancer.QueryType
-	shards       []balancer.ShardIndex    // of a gathered route: all that are asked
-	alternatives []balancer.WeightedShard // of another: those of which one is asked
+	shards       []balancer.ShardIndex    // of a gathered route: each request is sent to all of them
+	alternatives []balancer.WeightedShard // of any other route: each request is sent to one of them
 
 	// Owned by the loop.
 	tenant    quota.TenantID
-	hasTenant bool // a document of tenants is active
+	hasTenant bool // a tenant document is active
 }
 
-// minCoverage returns the smallest share of shards that is enough for a response.
+// minCoverage returns the smallest share of the shards whose responses suffice for a response to the client.
 func (r *route) minCoverage() float64 {
 	if r.Gathered() {
 		return max(r.MinimumShare, minCoverageFloor)
@@ -55,7 +56,7 @@
 	return balancer.NonIdempotent
 }
 
-// maxAttempts returns how many servers of one shard a request may be sent to.
+// maxAttempts returns the maximum number of servers of one shard that a request may be sent to.
 func (r *route) maxAttempts() int { return max(r.Attempts, defaultAttempts) }
 
 func (r *route) queryTypeConfig() balancer.QueryTypeConfig {
@@ -71,22 +72,22 @@
 	}
 }
 
-// tenantRoutes assigns tenants to the routes of a new configuration.
-type tenantRoutes interface {
+// tenantAssigner assigns tenants to the routes of a new configuration.
+type tenantAssigner interface {
 	rebuildTenants()
 }
 
-// configStore holds the active configuration. Any goroutine may load it; all else is owned by the loop.
+// configStore holds the active configuration. Any goroutine may call load; everything else is owned by the loop.
 type configStore struct {
 	log       zerolog.Logger
 	endpoints *endpointTable
 	balancer  eventSink
-	tenants   tenantRoutes
+	tenants   tenantAssigner
 
 	active     atomic.Pointer[activeConfig] // nil = none yet
-	config     *config.Configuration        // the same, as agreed; nil = none yet
-	text       []byte                       // its encoding, for gateways that reach no controller
-	slot       uint64                       // of the agreed sequence of configurations, 0 = none yet
+	config     *config.Configuration        // the same version as decided by the controllers; nil = none yet
+	encoded    []byte                       // its encoding, for gateways that reach no controller
+	slot       uint64                       // its position in the decided sequence of configurations, 0 = none yet
 	queryTypes queryTypeTable
 }
 
@@ -97,12 +98,12 @@
 // load returns the active configuration, nil = none yet. Any goroutine may call it.
 func (s *configStore) load() *activeConfig { return s.active.Load() }
 
-// activate makes a configuration the active one, unless that of the same or a later slot already is. Text is its encoding.
-func (s *configStore) activate(c *config.Configuration, text []byte, slot uint64) {
+// activate makes a configuration the active one, unless one of the same or a later slot is active already.
+func (s *configStore) activate(c *config.Configuration, encoded []byte, slot uint64) {
 	if slot <= s.slot {
 		return
 	}
-	s.slot, s.config, s.text = slot, c, text
+	s.slot, s.config, s.encoded = slot, c, encoded
 	s.endpoints.setServices(c.Services)
 	s.endpoints.resizeCluster()
 	next := &activeConfig{slot: slot, version: c.Version, table: config.NewRouteTable(c), routes: map[*config.Route]*route{}}
@@ -116,10 +117,11 @@
 	s.active.Store(next)
 	s.tenants.rebuildTenants()
 	s.endpoints.sync()
-	s.log.Info().Uint64("version", c.Version).Uint64("slot", slot).Int("routes", len(c.Routes)).Msg("config: active")
+	s.log.Info().Uint64("version", c.Version).Uint64("slot", slot).Int("routes", len(c.Routes)).Msg("config: version activated")
 }
 
-// newRoute numbers a configured route and its services. Previous are the query types of the configuration before.
+// newRoute assigns a query type to a configured route and shard indexes to its services. previous holds the query types of the previous
+// configuration.
 func (s *configStore) newRoute(configured *config.Route, previous map[string]balancer.QueryType, now time.Time) *route {
 	key := strings.ToLower(configured.Hostname) + configured.PathPrefix
 	r := &route{Route: configured, queryType: s.queryTypes.assign(key, previous, now)}
@@ -134,7 +136,7 @@
 	return r
 }
 
-// serviceWeight returns the weight of one of a route's services, 1 if the configuration states none.
+// serviceWeight returns the weight of one of a route's services, 1 if none is configured.
 func serviceWeight(r *config.Route, service string) float64 {
 	weight := 1.0
 	for _, weighted := range r.WeightedServices {
@@ -153,17 +155,18 @@
 	return s.config.Version
 }
 
-// fill puts the active configuration into an update for a gateway that knows an older slot. It reports whether there is one.
-func (s *configStore) fill(update *rpc.Update, knownSlot uint64) bool {
+// fillUpdate adds the active configuration to an update for a gateway whose configuration has knownSlot. It reports false if no newer
+// configuration is active.
+func (s *configStore) fillUpdate(update *rpc.Update, knownSlot uint64) bool {
 	update.Slot = s.slot
 	if s.config == nil || s.slot <= knownSlot {
 		return false
 	}
-	update.Version, update.HasConfig, update.Config = s.config.Version, true, s.text
+	update.Version, update.HasConfig, update.Config = s.config.Version, true, s.encoded
 	return true
 }
 
-// healthPath returns the path of the health checks of a service's servers.
+// healthPath returns the URL path for health checks of a service's servers.
 func (s *configStore) healthPath(service string) string {
 	if s.config != nil {
 		for _, configured := range s.config.Services {
@@ -175,37 +178,37 @@
 	return defaultHealthPath
 }
 
-// queryTypeReuse is how long after its route went a number is given to another route. A request that was read before is in the loop
-// long by then: else it would be sent again by the rules of the other route.
-const queryTypeReuse = time.Minute
+// queryTypeReuseDelay is the time from the removal of a route until its query type may be assigned to another route. It is much longer
+// than a request that has been read needs to reach the loop: such a request would otherwise be retried by the rules of the other route.
+const queryTypeReuseDelay = time.Minute
 
-// queryTypeTable numbers routes. A route keeps its number from one configuration to the next; the number of one that went is given
-// to another later.
+// queryTypeTable assigns query types to routes. A route keeps its query type from one configuration to the next; the query type of a
+// removed route is reused after queryTypeReuseDelay.
 type queryTypeTable struct {
-	assigned map[string]balancer.QueryType // by host and path prefix
-	free     []freeQueryType               // in the order in which their routes went
+	assigned map[string]balancer.QueryType // by hostname and path prefix
+	free     []freeQueryType               // in the order in which their routes were removed
 }
 
-// freeQueryType is a number without a route.
+// freeQueryType is a query type whose route was removed.
 type freeQueryType struct {
 	queryType balancer.QueryType
-	since     time.Time
+	freedAt   time.Time
 }
 
-// reset begins a new configuration, and returns the numbers of the one before.
+// reset clears the assignments for a new configuration and returns those of the previous one.
 func (t *queryTypeTable) reset() (previous map[string]balancer.QueryType) {
 	previous = t.assigned
 	t.assigned = map[string]balancer.QueryType{}
 	return previous
 }
 
-// assign numbers a route, and takes its number out of previous if it had one.
+// assign returns the query type of a route: the one it had in previous, from which it is removed, or else an unused one.
 func (t *queryTypeTable) assign(key string, previous map[string]balancer.QueryType, now time.Time) balancer.QueryType {
 	queryType, known := previous[key]
 	delete(previous, key)
 	if !known {
 		queryType = balancer.QueryType(len(t.assigned) + len(previous) + len(t.free))
-		if len(t.free) > 0 && now.Sub(t.free[0].since) >= queryTypeReuse {
+		if len(t.free) > 0 && now.Sub(t.free[0].freedAt) >= queryTypeReuseDelay {
 			queryType, t.free = t.free[0].queryType, t.free[1:]
 		}
 	}
@@ -213,9 +216,9 @@
 	return queryType
 }
 
-// release frees the numbers of routes that went.
+// release frees the query types of removed routes: those left in previous.
 func (t *queryTypeTable) release(previous map[string]balancer.QueryType, now time.Time) {
 	for _, queryType := range previous {
-		t.free = append(t.free, freeQueryType{queryType: queryType, since: now})
+		t.free = append(t.free, freeQueryType{queryType: queryType, freedAt: now})
 	}
 }
--- a/dataplane/active_config_test.go
+++ b/dataplane/active_config_test.go
@@ -20,45 +20,45 @@
 	return c
 }
 
-// A route keeps its query type, with all that the balancer has learned of it, from one configuration to the next. The query type of a
-// route that went is given to another only once no request of that route can be on its way into the loop.
+// A route keeps its query type, and with it the balancer's statistics, from one configuration to the next. The query type of a removed
+// route is assigned to another route only once no request of the removed route can still be on its way to the loop.
 func TestQueryTypesOfRoutes(t *testing.T) { synctest.Test(t, testQueryTypesOfRoutes) }
 
 func testQueryTypesOfRoutes(t *testing.T) {
 	c := newComponents(t)
-	queryTypes := func() map[string]balancer.QueryType {
-		numbers := map[string]balancer.QueryType{}
+	assignedTypes := func() map[string]balancer.QueryType {
+		byPath := map[string]balancer.QueryType{}
 		for _, r := range c.configs.load().routes {
-			numbers[r.PathPrefix] = r.queryType
+			byPath[r.PathPrefix] = r.queryType
 		}
-		return numbers
+		return byPath
 	}
 	c.configs.activate(testConfig(1, "/a", "/b"), nil, 1)
-	first := queryTypes()
+	first := assignedTypes()
 	c.configs.activate(testConfig(2, "/b", "/c"), nil, 2)
-	second := queryTypes()
+	second := assignedTypes()
 	if second["/b"] != first["/b"] {
 		t.Errorf("/b has query type %d, had %d", second["/b"], first["/b"])
 	}
 	if second["/c"] == second["/b"] {
-		t.Error("two routes have one query type")
+		t.Errorf("/b and /c have the same query type %d", second["/c"])
 	}
 	c.configs.activate(testConfig(3, "/b", "/c", "/d"), nil, 3)
-	if third := queryTypes(); third["/d"] == first["/a"] || third["/d"] == third["/b"] || third["/d"] == third["/c"] {
-		t.Errorf("/d has query type %d of a route that has just gone, or of another: %v", third["/d"], third)
+	if third := assignedTypes(); third["/d"] == first["/a"] || third["/d"] == third["/b"] || third["/d"] == third["/c"] {
+		t.Errorf("/d has query type %d, which belongs to a route that was just removed or to another route: %v", third["/d"], third)
 	}
-	time.Sleep(queryTypeReuse)
+	time.Sleep(queryTypeReuseDelay)
 	c.configs.activate(testConfig(4, "/b", "/c", "/d", "/e"), nil, 4)
-	if fourth := queryTypes(); fourth["/e"] != first["/a"] {
-		t.Errorf("/e has query type %d, want %d of the route that went long ago", fourth["/e"], first["/a"])
+	if fourth := assignedTypes(); fourth["/e"] != first["/a"] {
+		t.Errorf("/e has query type %d, want %d, which the removed route /a had", fourth["/e"], first["/a"])
 	}
 	for version := uint64(5); version < 200; version++ {
-		time.Sleep(queryTypeReuse / 4)
+		time.Sleep(queryTypeReuseDelay / 4)
 		c.configs.activate(testConfig(version, fmt.Sprint("/", version)), nil, version)
 	}
-	for path, queryType := range queryTypes() {
+	for path, queryType := range assignedTypes() {
 		if queryType > 10 {
-			t.Errorf("%s has query type %d: the numbers grow with each configuration", path, queryType)
+			t.Errorf("%s has query type %d, want at most 10: query types are not reused", path, queryType)
 		}
 	}
 }
@@ -87,12 +87,12 @@
 			c := newComponents(t)
 			c.configs.activate(testConfig(7, "/"), []byte("seven"), 3)
 			update := &rpc.Update{}
-			filled := c.configs.fill(update, test.knownSlot)
+			filled := c.configs.fillUpdate(update, test.knownSlot)
 			if filled != test.filled || update.HasConfig != test.filled || update.Slot != 3 {
-				t.Errorf("filled %v, has a configuration %v, slot %d", filled, update.HasConfig, update.Slot)
+				t.Errorf("filled %v, HasConfig %v, slot %d, want %v, %v, 3", filled, update.HasConfig, update.Slot, test.filled, test.filled)
 			}
 			if test.filled && (update.Version != 7 || !slices.Equal(update.Config, []byte("seven"))) {
-				t.Errorf("version %d, configuration %q", update.Version, update.Config)
+				t.Errorf("version %d, configuration %q, want 7, \"seven\"", update.Version, update.Config)
 			}
 		})
 	}
@@ -101,7 +101,7 @@
 func TestHealthPath(t *testing.T) {
 	c := newComponents(t)
 	if got := c.configs.healthPath("s"); got != defaultHealthPath {
-		t.Errorf("without a configuration: %q", got)
+		t.Errorf("healthPath(\"s\") = %q without a configuration, want %q", got, defaultHealthPath)
 	}
 	c.configs.activate(&config.Configuration{Version: 1, Services: []config.Service{{Name: "s", HealthPath: "/up"}, {Name: "o"}}}, nil, 1)
 	for service, want := range map[string]string{"s": "/up", "o": defaultHealthPath, "unknown": defaultHealthPath} {
--- a/dataplane/bench_test.go
+++ b/dataplane/bench_test.go
@@ -17,7 +17,7 @@
 	"oxbowspan/rpc"
 )
 
-// BenchmarkRequest sends one request after another from a client through a gateway to a server over loopback.
+// BenchmarkRequest sends requests sequentially from a client through a gateway to a server over loopback.
 func BenchmarkRequest(b *testing.B) {
 	server, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -68,7 +68,7 @@
 	g.process.goroutines.Wait()
 }
 
-// answerRequests responds to requests without a body, each with its id.
+// answerRequests responds to requests without a body and returns the attempt id of each.
 func answerRequests(c net.Conn) {
 	defer c.Close()
 	r := bufio.NewReader(c)
--- a/dataplane/components_test.go
+++ b/dataplane/components_test.go
@@ -7,10 +7,10 @@
 	"oxbowspan/rpc"
 )
 
-// fakeLoop is a loop whose time the test sets. Commands run at once.
+// fakeLoop is a commandLoop whose time is set by the test. It runs commands synchronously.
 type fakeLoop struct {
 	time        balancer.Time
-	expeditedTo balancer.Time // the last
+	expeditedTo balancer.Time // argument of the last call to expedite
 }
 
 func (l *fakeLoop) now() balancer.Time { return l.time }
@@ -22,19 +22,19 @@
 
 func (l *fakeLoop) expedite(at balancer.Time) { l.expeditedTo = at }
 
-// recordedEvents records the events for the balancer.
+// recordedEvents is an eventSink that records the events for the balancer.
 type recordedEvents struct{ events []balancer.Event }
 
 func (r *recordedEvents) handleEvent(event balancer.Event) { r.events = append(r.events, event) }
 
-// fakeLatency is a latency model that knows nothing.
+// fakeLatency is a latencyModel without latency samples.
 type fakeLatency struct{ unresponsive map[balancer.ServerID]bool }
 
 func (fakeLatency) CompareLatency(balancer.ServerID) (unit, peers float64) { return 0, 0 }
 
 func (l fakeLatency) Unresponsive(id balancer.ServerID) bool { return l.unresponsive[id] }
 
-// components are those of a gateway that tests of single components need, without a dispatcher.
+// components are the parts of a gateway, without a dispatcher, that component tests use.
 type components struct {
 	loop      *fakeLoop
 	events    *recordedEvents
@@ -60,7 +60,7 @@
 	return c
 }
 
-// report applies reports of servers.
+// report applies server reports from a controller with a quorum.
 func (c *components) report(reports ...*rpc.ServerReport) {
 	c.endpoints.applyReports(&rpc.Update{HasQuorum: true, Reports: reports})
 }
--- a/dataplane/config_follower.go
+++ b/dataplane/config_follower.go
@@ -9,27 +9,27 @@
 	"oxbowspan/rpc"
 )
 
-// Timing of the polls of controllers.
+// Timing of polls to controllers and to other gateways.
 const (
-	pollHold              = time.Second // for which a controller may hold a poll until there is something new
+	pollHold              = time.Second // how long a controller may hold a poll until there is an update
 	rolloutHoldPerGateway = 2 * time.Millisecond
-	minRolloutHold        = 200 * time.Millisecond // while a rollout runs: each poll reports how it fares
-	pollTimeoutMargin     = 700 * time.Millisecond // beyond that, after which it counts as unreachable
-	retryPause            = 120 * time.Millisecond // between controllers that don't answer or have no quorum,
-	startupRetryPause     = 40 * time.Millisecond  // and while no configuration is known: until then every client is refused
-	startupGrace          = 3 * time.Second        // after this an update of a controller without a quorum is accepted, as none with a quorum was found
+	minRolloutHold        = 200 * time.Millisecond // while a rollout runs, as each poll reports its outcomes
+	pollTimeoutMargin     = 700 * time.Millisecond // beyond the hold time, after which the controller counts as unreachable
+	retryPause            = 120 * time.Millisecond // before the next controller, after one that does not answer or has no quorum
+	startupRetryPause     = 40 * time.Millisecond  // the same while no configuration is known, when all clients are refused
+	startupGrace          = 3 * time.Second        // from the start; if no controller with a quorum was found by then, one without is accepted
 	peerPollInterval      = 2 * time.Second        // between polls of other gateways, while no controller with a quorum answers
 )
 
-// updateSink takes the updates of controllers and other gateways. All methods run on the loop's goroutine.
+// updateSink receives the updates of controllers and other gateways. All methods run on the loop's goroutine.
 type updateSink interface {
-	// activateConfig takes a configuration with its encoding.
-	activateConfig(c *config.Configuration, text []byte, slot uint64)
-	// applyReports takes reports of servers.
+	// activateConfig activates a configuration of a slot.
+	activateConfig(c *config.Configuration, encoded []byte, slot uint64)
+	// applyReports applies an update's server reports.
 	applyReports(update *rpc.Update)
-	// applyPeerUpdate takes another gateway's documents and reports.
+	// applyPeerUpdate applies the documents and server reports of another gateway.
 	applyPeerUpdate(update *rpc.Update)
-	// applyUpdate takes all but the configuration of a controller's update, which answers a poll sent at polledAt.
+	// applyUpdate applies a controller's update except for its configuration. polledAt is when the poll was sent that it answers.
 	applyUpdate(update *rpc.Update, polledAt time.Duration)
 	// pollStatus returns the status that a poll reports.
 	pollStatus() pollStatus
@@ -42,26 +42,26 @@
 	rollouts     *rpc.GatewayRollouts // nil = none is running
 }
 
-// configFollower polls the controllers for updates, one at a time, each poll with what is known already. While no controller with a
-// quorum answers, it polls other gateways as well. It runs on a goroutine of its own, which owns its fields.
+// configFollower polls the controllers for updates, one controller at a time. Each poll states the versions that this gateway has. While
+// no controller with a quorum answers, it polls other gateways as well. It runs on its own goroutine, which owns its fields.
 type configFollower struct {
 	process     *process
 	loop        commandLoop
 	stopped     <-chan struct{} // closed when the loop has stopped
 	sink        updateSink
 	controllers *controllerList
-	clients     map[string]*rpc.Client // by address, of known controllers
+	clients     map[string]*rpc.Client // of the known controllers, by address
 
-	// What is known already.
+	// What this gateway has received so far.
 	slot                  uint64 // of the configuration, 0 = none
-	controllerIncarnation uint64 // of the controller that cursor belongs to, 0 = begin anew
+	controllerIncarnation uint64 // of the controller that issued cursor, 0 = request a full update
 	cursor                uint64
 	membershipEpoch       uint64
 
 	peers        []string // internal addresses of other gateways
 	peerPolls    int
 	startedAt    time.Time
-	lastQuorumAt time.Time // when the poll was sent that a controller with a quorum answered last
+	lastQuorumAt time.Time // when the last poll was sent that a controller with a quorum answered
 	peerPolledAt time.Time
 }
 
@@ -89,7 +89,7 @@
 	}
 }
 
-// pollController polls the current controller once. It moves on to the next one if the controller does not respond in time, has no
+// pollController polls the current controller once. It switches to the next one if the controller does not respond in time, has no
 // quorum or may be outdated.
 func (f *configFollower) pollController(ctx context.Context) {
 	client := f.client(f.controllers.current().address)
@@ -100,16 +100,16 @@
 	reply, err := client.Call(callCtx, &rpc.Frame{Body: &rpc.Frame_Poll{Poll: poll}})
 	cancel()
 	update := reply.GetUpdate()
-	if err != nil || update == nil || time.Since(sentAt) > timeout { // one that was read late, after a freeze, may be outdated
+	if err != nil || update == nil || time.Since(sentAt) > timeout { // a reply that was read late, after this process was frozen, may be outdated
 		if errors.Is(err, rpc.ErrTimeout) {
 			client.Disconnect()
 		}
-		f.moveOn(ctx, f.retryPause())
+		f.switchController(ctx, f.retryPause())
 		return
 	}
 	if f.outdated(update) {
 		f.loop.post(func() { f.sink.applyReports(update) })
-		f.moveOn(ctx, f.retryPause())
+		f.switchController(ctx, f.retryPause())
 		return
 	}
 	if update.HasQuorum {
@@ -117,11 +117,11 @@
 	}
 	f.accept(update, polledAt)
 	if !update.HasQuorum {
-		f.moveOn(ctx, retryPause)
+		f.switchController(ctx, retryPause)
 	}
 }
 
-// newPoll returns a poll with what is known already.
+// newPoll returns a poll that states what this gateway has received so far, and its status.
 func (f *configFollower) newPoll() *rpc.Poll {
 	poll := &rpc.Poll{
 		From: &rpc.Gateway{
@@ -140,8 +140,8 @@
 	return poll
 }
 
-// fillStatus puts the gateway's status into a poll. The loop sends it through a channel, so that this goroutine shares no variable with
-// the loop when the stop releases it.
+// fillStatus adds the gateway's status to a poll. The loop sends the status over a channel: if the loop stops meanwhile, this goroutine
+// returns without sharing a variable with it.
 func (f *configFollower) fillStatus(poll *rpc.Poll) {
 	statuses := make(chan pollStatus, 1)
 	if !f.loop.post(func() { statuses <- f.sink.pollStatus() }) {
@@ -157,13 +157,13 @@
 	}
 }
 
-// rolloutHold returns how long a poll may be held while a rollout runs: the more gateways there are, the longer, as all poll the same
-// controllers.
+// rolloutHold returns how long a poll may be held while a rollout runs. It grows with the number of gateways, as all of them poll the
+// same controllers.
 func rolloutHold(gateways int) time.Duration {
 	return min(max(minRolloutHold, time.Duration(gateways)*rolloutHoldPerGateway), pollHold)
 }
 
-// pollTimeout returns how long to wait for an update. A controller that is polled for the first time answers at once.
+// pollTimeout returns how long to wait for an update. A controller answers the first poll without holding it.
 func (f *configFollower) pollTimeout() time.Duration {
 	if f.controllerIncarnation == 0 {
 		return pollTimeoutMargin
@@ -171,8 +171,9 @@
 	return pollHold + pollTimeoutMargin
 }
 
-// outdated reports whether an update may be outdated: it comes from a controller without a quorum, which is isolated or has just
-// started, and the configuration known here is newer, or this gateway has just started and may still find a controller with a quorum.
+// outdated reports whether an update may be outdated. It may be if it comes from a controller without a quorum, which is isolated or has
+// just started, and either the configuration of this gateway is newer, or this gateway has just started and may still find a controller
+// with a quorum.
 func (f *configFollower) outdated(update *rpc.Update) bool {
 	if update.HasQuorum {
 		return false
@@ -180,7 +181,7 @@
 	return f.slot == 0 && time.Since(f.startedAt) < startupGrace || f.slot > update.Slot
 }
 
-// accept takes an update.
+// accept applies an update that is not outdated.
 func (f *configFollower) accept(update *rpc.Update, polledAt time.Duration) {
 	f.controllerIncarnation, f.cursor = update.ControllerIncarnation, update.Cursor
 	if update.HasGateways {
@@ -207,7 +208,7 @@
 }
 
 func (f *configFollower) setControllers(announced []*rpc.Controller) {
-	changed, stays := f.controllers.update(announced)
+	changed, currentKept := f.controllers.update(announced)
 	if !changed {
 		return
 	}
@@ -217,19 +218,19 @@
 			delete(f.clients, address)
 		}
 	}
-	if !stays {
+	if !currentKept {
 		f.controllerIncarnation = 0
 	}
 }
 
-// moveOn makes the next controller the current one, and waits before it is polled.
-func (f *configFollower) moveOn(ctx context.Context, pause time.Duration) {
+// switchController makes the next controller the current one, and pauses before it is polled.
+func (f *configFollower) switchController(ctx context.Context, pause time.Duration) {
 	f.controllers.advance()
 	f.controllerIncarnation = 0
 	sleep(ctx, pause)
 }
 
-// retryPause returns the pause before the next controller is polled.
+// retryPause returns the pause before the next controller is polled, after one that did not answer or may be outdated.
 func (f *configFollower) retryPause() time.Duration {
 	if f.slot == 0 {
 		return startupRetryPause
@@ -237,14 +238,14 @@
 	return retryPause
 }
 
-// isolated reports whether it is time to poll another gateway, as no controller with a quorum has answered for a while.
+// isolated reports whether a poll of another gateway is due because no controller with a quorum has answered for peerPollInterval.
 func (f *configFollower) isolated() bool {
 	now := time.Now()
 	return len(f.peers) > 0 && now.Sub(f.lastQuorumAt) > peerPollInterval && now.Sub(f.peerPolledAt) > peerPollInterval
 }
 
-// pollPeer polls another gateway, each time the next: it may reach controllers that this one does not. The active configuration
-// of any gateway has been decided, so that it is safe to use.
+// pollPeer polls the next of the other gateways in turn: it may reach controllers that this one does not reach. The active
+// configuration of any gateway has been decided, so it is safe to use.
 func (f *configFollower) pollPeer(ctx context.Context) {
 	f.peerPolledAt = time.Now()
 	f.peerPolls++
@@ -262,26 +263,26 @@
 	f.loop.post(func() { f.sink.applyPeerUpdate(update) })
 	if update.Slot > f.slot && update.HasConfig {
 		f.process.log.Info().Str("peer", address).Uint64("version", update.Version).
-			Msg("config: no controller with a quorum answers, taken from a peer")
+			Msg("config: no controller with a quorum answers, configuration received from a peer")
 		f.parseConfig(update)
 		f.slot = update.Slot
 	}
 }
 
-// parseConfig parses an update's configuration and passes it to the loop.
+// parseConfig parses an update's configuration, if it contains one, and passes it to the loop.
 func (f *configFollower) parseConfig(update *rpc.Update) {
 	if !update.HasConfig {
 		return
 	}
 	parsed, err := config.Parse(update.Config)
 	if err != nil {
-		f.process.log.Error().Err(err).Uint64("version", update.Version).Msg("config: invalid version ignored")
+		f.process.log.Error().Err(err).Uint64("version", update.Version).Msg("config: invalid configuration ignored")
 		return
 	}
 	f.loop.post(func() { f.sink.activateConfig(parsed, update.Config, update.Slot) })
 }
 
-// client returns the client of a controller.
+// client returns the RPC client for a controller, which it creates on first use.
 func (f *configFollower) client(address string) *rpc.Client {
 	client := f.clients[address]
 	if client == nil {
@@ -297,7 +298,7 @@
 	}
 }
 
-// sleep waits for a time, or until the context is done.
+// sleep waits for d, or until the context is done.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
--- a/dataplane/controllers.go
+++ b/dataplane/controllers.go
@@ -11,18 +11,18 @@
 
 // controllerAddress is a controller that may be polled.
 type controllerAddress struct {
-	address string // internal
-	zone    string // "" = not known yet
+	address string // internal address
+	zone    string // "" = unknown: a seed that no update has listed
 }
 
-// controllerList orders the known controllers: the nearest first; among those equally near each gateway has an order of its own, so
-// that gateways spread over them. It is pure and owned by the configFollower's goroutine.
+// controllerList orders the known controllers by distance, the nearest first. Controllers at the same distance are in an order of this
+// gateway's own (rendezvous hashing), so that gateways are spread over them. It does no I/O and is owned by the configFollower's goroutine.
 type controllerList struct {
 	self     rendezvous.Name
 	settings *settings.Settings
 	known    map[string]controllerAddress // by address
 	order    []controllerAddress
-	position int // of the current one in order, modulo its length; grows without bound
+	position int // index of the current controller in order, modulo its length; grows without bound
 }
 
 func newControllerList(p *process) *controllerList {
@@ -32,7 +32,7 @@
 	return l
 }
 
-// seeds returns the controllers that the settings name.
+// seeds returns the controllers listed in the settings.
 func (l *controllerList) seeds() map[string]controllerAddress {
 	seeds := map[string]controllerAddress{}
 	for _, address := range l.settings.SeedControllers() {
@@ -47,9 +47,9 @@
 // advance makes the next controller the current one.
 func (l *controllerList) advance() { l.position++ }
 
-// update takes a new list of controllers, to which the seeds are added. It reports whether that is another list than before, and
-// whether the current controller stays the current one: it does unless a nearer one is known.
-func (l *controllerList) update(announced []*rpc.Controller) (changed, stays bool) {
+// update replaces the known controllers by the announced ones and the seeds. It reports whether the list has changed, and whether the
+// current controller is still the current one: it is, unless it is no longer listed or a nearer one is known.
+func (l *controllerList) update(announced []*rpc.Controller) (changed, currentKept bool) {
 	known := l.seeds()
 	for _, controller := range announced {
 		known[controller.Address] = controllerAddress{address: controller.Address, zone: controller.Zone}
@@ -68,7 +68,7 @@
 	return true, true
 }
 
-// sort orders the known controllers, and makes the first the current one.
+// sort orders the known controllers by distance and weight, and makes the first the current one.
 func (l *controllerList) sort() {
 	l.order = l.order[:0]
 	for _, controller := range l.known {
@@ -80,18 +80,19 @@
 	l.position = 0
 }
 
+// weight returns the rendezvous weight of a controller for this gateway.
 func (l *controllerList) weight(c controllerAddress) uint64 {
 	return rendezvous.Weight(rendezvous.Name(c.address), l.self)
 }
 
-// Distances of zones.
+// Distances of a zone from this gateway's zone.
 const (
 	distanceSameZone = iota
 	distanceSameRegion
 	distanceFar
 )
 
-// distance returns how far a zone is from this gateway's.
+// distance returns the distance of a zone from this gateway's zone. An unknown zone counts as far.
 func (l *controllerList) distance(zone string) int {
 	switch {
 	case zone == l.settings.Zone:
--- a/dataplane/controllers_test.go
+++ b/dataplane/controllers_test.go
@@ -11,7 +11,7 @@
 	"oxbowspan/rpc"
 )
 
-// Addresses of controllers.
+// Addresses of controllers, named by their distance from the gateway of testProcess.
 const (
 	seedAddress   = "10.0.0.9:7000"
 	nearAddress   = "10.0.0.2:7000"
@@ -19,7 +19,7 @@
 	farAddress    = "10.0.0.4:7000"
 )
 
-// testProcess is the process of a gateway in zone "a" of region "r", to which zone "b" belongs as well.
+// testProcess returns the process of a gateway in zone "a" of region "r". Zone "b" is in the same region, zone "c" in another.
 func testProcess() *process {
 	return newProcess(&settings.Settings{
 		IPAddress:     "10.0.0.1",
@@ -31,6 +31,7 @@
 	}, network.TCP{}, zerolog.Nop())
 }
 
+// controllers returns a controller for each address, with its zone.
 func controllers(zoneOf map[string]string) (list []*rpc.Controller) {
 	for address, zone := range zoneOf {
 		list = append(list, &rpc.Controller{Address: address, Zone: zone})
@@ -46,18 +47,18 @@
 		zones = append(zones, controller.zone)
 	}
 	if want := []string{"a", "b"}; !slices.Equal(zones[:2], want) {
-		t.Errorf("zones %q, want %q first", zones, want)
+		t.Errorf("controllers are ordered by zones %q, want %q first", zones, want)
 	}
 	if len(zones) != 4 {
-		t.Errorf("%d controllers, want those announced and the seed", len(zones))
+		t.Errorf("%d controllers, want 4: the announced ones and the seed", len(zones))
 	}
 }
 
 func TestControllerListUpdate(t *testing.T) {
 	for _, test := range []struct {
-		name           string
-		announced      map[string]string // after farAddress alone, which is the current controller
-		changed, stays bool
+		name                 string
+		announced            map[string]string // addresses and zones; before, only farAddress was announced, and it is the current controller
+		changed, currentKept bool
 	}{
 		{"same list", map[string]string{farAddress: "c"}, false, true},
 		{"another one as far", map[string]string{farAddress: "c", "10.0.0.5:7000": "c"}, true, true},
@@ -70,12 +71,12 @@
 			for l.current().address != farAddress {
 				l.advance()
 			}
-			changed, stays := l.update(controllers(test.announced))
-			if changed != test.changed || stays != test.stays {
-				t.Errorf("update() = %v, %v, want %v, %v", changed, stays, test.changed, test.stays)
+			changed, currentKept := l.update(controllers(test.announced))
+			if changed != test.changed || currentKept != test.currentKept {
+				t.Errorf("update() = %v, %v, want %v, %v", changed, currentKept, test.changed, test.currentKept)
 			}
-			if got := l.current().address == farAddress; got != test.stays {
-				t.Errorf("the current controller is %s", l.current().address)
+			if got := l.current().address == farAddress; got != test.currentKept {
+				t.Errorf("the current controller is %s, want %s kept: %v", l.current().address, farAddress, test.currentKept)
 			}
 		})
 	}
@@ -90,9 +91,9 @@
 		l.advance()
 	}
 	if len(polled) != len(l.order) {
-		t.Errorf("%d of %d controllers were polled in turn", len(polled), len(l.order))
+		t.Errorf("advance() visited %d of %d controllers", len(polled), len(l.order))
 	}
 	if l.current() != l.order[0] {
-		t.Error("the first controller does not come after the last")
+		t.Error("advance() does not return to the first controller after the last")
 	}
 }
--- a/dataplane/event_loop.go
+++ b/dataplane/event_loop.go
@@ -9,46 +9,49 @@
 
 // Timing of the event loop.
 const (
-	maintenanceInterval = 250 * time.Millisecond // between two rounds of periodic work, unless one is expedited
+	maintenanceInterval = 250 * time.Millisecond // between two rounds of periodic work, unless the next one is expedited
 	minLoopSleep        = 100 * time.Microsecond
-	commandQueue        = 4096 // commands that may wait for the loop before post blocks
+	commandQueueSize    = 4096 // commands that may be queued for the loop before post blocks
 )
 
-// eventLoop runs everything that touches the gateway's tables on one goroutine: commands that other goroutines post, timers and
-// periodic work. It only routes; the components behind loopHandler hold the state.
+// eventLoop runs all code that accesses the gateway's tables on one goroutine: commands posted by other goroutines, timers and periodic
+// work. It only dispatches; the state is held by the components behind loopHandler.
 type eventLoop struct {
 	startedAt time.Time
 	commands  chan func()
-	stopped   chan struct{} // closed when the gateway stops
+	stopped   chan struct{} // closed by stop
 
 	// Owned by the loop's goroutine.
-	timers          deadlineheap.Heap[timerEvent] // popped as they fire
+	timers          deadlineheap.Heap[timerEvent] // removed as they fire
 	nextMaintenance balancer.Time
 }
 
-// loopHandler is what the loop routes to. All methods run on the loop's goroutine.
+// loopHandler handles the events of the loop. All methods run on the loop's goroutine.
 type loopHandler interface {
 	// maintain does the periodic work of all components.
 	maintain(now balancer.Time)
 	// timerFired is called once for each scheduled event, when it is due.
 	timerFired(event timerEvent, now balancer.Time)
-	// loopStopped is called last, when the gateway stops.
+	// loopStopped is called once, as the last method, when the loop is stopped.
 	loopStopped()
 }
 
-// clock returns the time since the gateway's start. It is monotonic.
+// clock measures time from the gateway's start.
 type clock interface {
+	// now returns the time since the gateway's start. It is monotonic.
 	now() balancer.Time
 }
 
-// commandLoop is the part of the loop that components use: its clock, and running commands on its goroutine.
+// commandLoop is the part of the loop that components use: its clock, and the execution of commands on its goroutine.
 type commandLoop interface {
 	clock
-	// post runs a command on the loop's goroutine later. It reports false once the loop has stopped.
+	// post queues a command to run on the loop's goroutine, and blocks while the queue is full. Once the loop has stopped, the command may
+	// never run; post reports false if it could not queue it.
 	post(command func()) bool
 }
 
-// timerEvent is one scheduled event: the time limit of an attempt, the hold limit of a request, or else a timer of the balancer.
+// timerEvent is a scheduled event: the timeout of attempt if that is set, the limit on holding the request undispatched if that is set,
+// or else a timer of the balancer.
 type timerEvent struct {
 	timer        balancer.TimerID
 	attempt      *attempt
@@ -58,7 +61,7 @@
 func newEventLoop() *eventLoop {
 	return &eventLoop{
 		startedAt: time.Now(),
-		commands:  make(chan func(), commandQueue),
+		commands:  make(chan func(), commandQueueSize),
 		stopped:   make(chan struct{}),
 	}
 }
@@ -74,16 +77,16 @@
 	}
 }
 
-// schedule fires an event at the given time.
+// schedule schedules an event to fire at the given time.
 func (l *eventLoop) schedule(at balancer.Time, event timerEvent) { l.timers.Push(int64(at), event) }
 
-// expedite moves the next periodic work forward to the given time. It never delays it.
+// expedite moves the next round of periodic work to the given time if that is earlier.
 func (l *eventLoop) expedite(at balancer.Time) { l.nextMaintenance = min(l.nextMaintenance, at) }
 
 // stop ends the loop. It must be called once.
 func (l *eventLoop) stop() { close(l.stopped) }
 
-// run routes until the loop is stopped.
+// run dispatches events to the handler until the loop is stopped.
 func (l *eventLoop) run(handler loopHandler) {
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
@@ -109,6 +112,7 @@
 	}
 }
 
+// fireTimers passes the events that are due to the handler.
 func (l *eventLoop) fireTimers(handler loopHandler, now balancer.Time) {
 	for {
 		at, ok := l.timers.Next()
@@ -119,6 +123,7 @@
 	}
 }
 
+// nextWakeup returns when the next event or round of periodic work is due.
 func (l *eventLoop) nextWakeup() balancer.Time {
 	if at, ok := l.timers.Next(); ok {
 		return min(l.nextMaintenance, balancer.Time(at))
--- a/dataplane/gateway.go
+++ b/dataplane/gateway.go
@@ -1,20 +1,20 @@
-// Package dataplane implements the data plane: a gateway takes clients' requests, sends each to one server of every shard that it
-// concerns, as package balancer decides, and responds. It learns the configuration and the servers from the controllers.
+// Package dataplane implements the data plane: a gateway accepts requests of clients, sends each to one server of every shard that its
+// route selects, as package balancer decides, and responds. It receives the configuration and the list of servers from the controllers.
 //
-// A Gateway consists of components, each with a state of its own:
+// A Gateway consists of components, each with its own state:
 //
-//   - frontServer reads requests of clients and writes the responses
-//   - dispatcher holds the open requests and performs the balancer's actions
-//   - connPool sends attempts over connections to servers
-//   - endpointTable holds the servers, membership the other gateways
+//   - frontServer reads the requests of clients and writes the responses
+//   - dispatcher tracks the open requests and performs the balancer's actions
+//   - connPool sends attempts to servers over pooled connections
+//   - endpointTable holds the servers, membership the live gateways
 //   - configFollower polls the controllers, configStore holds the active configuration
-//   - quotaClient and quotaAllocator share connections among tenants
-//   - outlierClient detects outliers together with the other gateways
-//   - loadExchange exchanges loads with other gateways
-//   - rolloutTable shifts traffic to servers of new versions, as the controllers agreed
-//   - healthChecker checks servers whose heartbeats are lost
+//   - quotaClient and quotaAllocator divide the connections to servers among tenants
+//   - outlierClient detects outliers among the servers together with the other gateways
+//   - loadExchange exchanges numbers of attempts in flight with other gateways
+//   - rolloutTable shifts traffic to servers of new versions, as the controllers decided
+//   - healthChecker checks the health of servers whose heartbeats reach no controller
 //
-// All but frontServer and configFollower are owned by one goroutine, that of eventLoop; other goroutines post commands to it.
+// All components except frontServer and configFollower are owned by the goroutine of eventLoop; other goroutines post commands to it.
 package dataplane
 
 import (
@@ -33,16 +33,16 @@
 	"oxbowspan/rpc"
 )
 
-// Timing of the graceful shutdown. The platform needs two failed readiness checks to send no new connections, so they are accepted for
-// a while yet.
+// Timing of the graceful shutdown. The platform stops sending new connections only after two failed readiness checks, so the gateway
+// still accepts them for minDrain.
 const (
-	drainIdleClose  = 2200 * time.Millisecond // from SIGTERM until idle connections are closed
-	minDrain        = 2500 * time.Millisecond // from SIGTERM until the listener is closed, at least
-	shutdownReserve = 700 * time.Millisecond  // of the grace period, kept for the end
-	drainCheck      = 50 * time.Millisecond
+	idleCloseDelay     = 2200 * time.Millisecond // from SIGTERM until idle connections are closed
+	minDrain           = 2500 * time.Millisecond // minimum time from SIGTERM until the listener is closed
+	shutdownReserve    = 700 * time.Millisecond  // part of the grace period reserved for the steps after draining
+	drainCheckInterval = 50 * time.Millisecond
 
-	finalAnswerTime  = 300 * time.Millisecond // of the reserve, for the answers to what is open then
-	finalAnswerCheck = 5 * time.Millisecond
+	finalResponseTimeout       = 300 * time.Millisecond // part of the reserve, for writing responses to requests that are still open
+	finalResponseCheckInterval = 5 * time.Millisecond
 )
 
 // Timeouts of the readiness endpoint.
@@ -51,7 +51,7 @@
 	readinessIdleTimeout   = 10 * time.Second
 )
 
-// Gateway serves clients. Make one with New; Run starts it.
+// Gateway serves the requests of clients. New returns a gateway, Run starts it.
 type Gateway struct {
 	process *process
 	loop    *eventLoop
@@ -70,7 +70,7 @@
 	front      *frontServer
 }
 
-// New returns a gateway that does nothing until Run. The options must be valid; they are not changed.
+// New returns a gateway that does nothing until Run is called. The options must be valid; they are not modified.
 func New(options *settings.Settings, transport network.Network, log zerolog.Logger) *Gateway {
 	g := &Gateway{
 		process: newProcess(options, transport, log),
@@ -100,7 +100,7 @@
 	g.follower = newConfigFollower(g.process, g.loop, g.loop.stopped, g)
 	g.front = newFrontServer(g.process, g.configs, g.dispatcher, g.loop.stopped)
 
-	// The components below depend on each other in a circle.
+	// The components below depend on each other cyclically.
 	g.endpoints.balancer, g.endpoints.quota, g.endpoints.outliers = g.dispatcher, g.quota, g.outliers
 	g.endpoints.rollouts = g.rollouts
 	g.configs.balancer, g.configs.tenants = g.dispatcher, g.quota
@@ -115,7 +115,7 @@
 	front, readiness, internal net.Listener
 }
 
-// close closes those that are open.
+// close closes the listeners that are open.
 func (l listeners) close() {
 	for _, listener := range []net.Listener{l.front, l.readiness, l.internal} {
 		if listener != nil {
@@ -124,7 +124,7 @@
 	}
 }
 
-// listen opens all three, or none.
+// listen opens all three listeners, or none and returns an error.
 func (g *Gateway) listen() (l listeners, err error) {
 	defer func() {
 		if err != nil {
@@ -144,7 +144,7 @@
 	return l, nil
 }
 
-// Run serves until the context is done, then shuts down gracefully. It returns an error if it can't listen on one of its addresses.
+// Run serves until the context is done, then shuts down gracefully. It returns an error if it cannot listen on one of its addresses.
 func (g *Gateway) Run(ctx context.Context) error {
 	l, err := g.listen()
 	if err != nil {
@@ -153,15 +153,15 @@
 	stopMetrics := g.serveMetrics()
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /-/readiness", g.handleReadiness)
-	web := &http.Server{Handler: mux, ReadHeaderTimeout: readinessHeaderTimeout, IdleTimeout: readinessIdleTimeout}
-	peers := &rpc.Server{
+	readinessServer := &http.Server{Handler: mux, ReadHeaderTimeout: readinessHeaderTimeout, IdleTimeout: readinessIdleTimeout}
+	internalServer := &rpc.Server{
 		Handle:  g.handleFrame,
 		OnClose: func(conn *rpc.Conn) { g.loop.post(func() { g.loads.removeSubscriber(conn) }) },
 	}
 	followerCtx, stopFollower := context.WithCancel(context.Background())
 	goroutines := &g.process.goroutines
-	goroutines.Go(func() { web.Serve(l.readiness) })
-	goroutines.Go(func() { peers.Serve(l.internal) })
+	goroutines.Go(func() { readinessServer.Serve(l.readiness) })
+	goroutines.Go(func() { internalServer.Serve(l.internal) })
 	goroutines.Go(func() { g.front.serve(l.front) })
 	goroutines.Go(func() { g.loop.run(g) })
 	goroutines.Go(func() { g.follower.run(followerCtx) })
@@ -175,7 +175,7 @@
 	l.readiness.Close()
 	stopFollower()
 	g.front.conns.closeAll()
-	web.Close()
+	readinessServer.Close()
 	stopMetrics()
 	l.internal.Close()
 	g.loop.stop()
@@ -184,7 +184,7 @@
 	return nil
 }
 
-// serveMetrics serves the metrics, if their address can be had: without them the gateway serves all the same.
+// serveMetrics serves the metrics if an address is configured. If it cannot listen there, the gateway runs without metrics.
 func (g *Gateway) serveMetrics() (stop func()) {
 	address := g.process.settings.MetricsAddress()
 	if address == "" {
@@ -192,7 +192,7 @@
 	}
 	listener, err := g.process.network.Listen(address)
 	if err != nil {
-		g.process.log.Warn().Err(err).Str("address", address).Msg("metrics: not served")
+		g.process.log.Warn().Err(err).Str("address", address).Msg("metrics: cannot listen, metrics are not served")
 		return func() {}
 	}
 	server := metrics.NewServer(g.collectMetrics)
@@ -200,10 +200,10 @@
 	return func() { server.Close() }
 }
 
-// Kill makes Run return at once without a graceful shutdown, as killing the process would. It must not be called twice.
+// Kill makes Run return immediately without a graceful shutdown, as if the process was killed. It must not be called twice.
 func (g *Gateway) Kill() { close(g.killed) }
 
-// ActiveVersion returns the version of the configuration that requests are served by, 0 = none yet.
+// ActiveVersion returns the version of the active configuration, 0 = none yet.
 func (g *Gateway) ActiveVersion() uint64 {
 	if active := g.configs.load(); active != nil {
 		return active.version
@@ -211,17 +211,18 @@
 	return 0
 }
 
-// drain keeps serving until the open requests are answered and the platform has had time to send clients elsewhere.
+// drain keeps serving until the open requests are answered and the platform has had time to send clients to other gateways, but not beyond
+// the grace period. Requests that are still open then are answered without a result.
 func (g *Gateway) drain() {
 	g.process.log.Info().Msg("gateway: draining")
 	g.process.draining.Store(true)
 	gracePeriod := max(settings.Seconds(g.process.settings.Bounds.GracePeriodS)-shutdownReserve, minDrain)
 	startedAt := time.Now()
-	ticker := time.NewTicker(drainCheck)
+	ticker := time.NewTicker(drainCheckInterval)
 	defer ticker.Stop()
 	for range ticker.C {
 		elapsed := time.Since(startedAt)
-		if elapsed > drainIdleClose {
+		if elapsed > idleCloseDelay {
 			g.front.conns.closeIdle()
 		}
 		if elapsed > minDrain && g.front.openRequests.Load() == 0 || elapsed > gracePeriod {
@@ -234,16 +235,17 @@
 	}
 }
 
-// answerOpenRequests answers what is still open when the grace period ends, rather than close its connections: that it has not run,
-// or that it may have. It waits until the answers are written, for a moment.
+// answerOpenRequests answers the requests that are still open at the end of the grace period instead of just closing their connections.
+// The response states whether the request was not executed or may have been. It waits up to finalResponseTimeout until the responses are
+// written.
 func (g *Gateway) answerOpenRequests() {
 	g.loop.post(g.dispatcher.abandonAll)
-	for end := time.Now().Add(finalAnswerTime); time.Now().Before(end) && g.front.openRequests.Load() > 0; {
-		time.Sleep(finalAnswerCheck)
+	for end := time.Now().Add(finalResponseTimeout); time.Now().Before(end) && g.front.openRequests.Load() > 0; {
+		time.Sleep(finalResponseCheckInterval)
 	}
 }
 
-// handleReadiness reports whether this gateway takes new connections.
+// handleReadiness handles readiness checks: it responds 200 if this gateway accepts new connections, else 503.
 func (g *Gateway) handleReadiness(w http.ResponseWriter, _ *http.Request) {
 	if g.process.draining.Load() || !g.process.ready.Load() {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -263,7 +265,7 @@
 	g.dispatcher.timerFired(event, now)
 }
 
-// loopStopped implements loopHandler: it closes the connections that goroutines wait on.
+// loopStopped implements loopHandler. It closes the connections that goroutines are blocked on, so that they end.
 func (g *Gateway) loopStopped() {
 	g.loads.close()
 	g.endpoints.closeConns()
--- a/dataplane/health_check.go
+++ b/dataplane/health_check.go
@@ -15,30 +15,32 @@
 
 // Timing of health checks.
 const (
-	healthCheckTimeout     = 400 * time.Millisecond // of one check, from dialling to the response
-	healthCheckInterval    = time.Second            // between two checks of a healthy server;
-	maxHealthCheckInterval = 8 * time.Second        // doubling up to this while it is not
-	healthReportAge        = 2 * time.Second        // how long a healthy response is reported
-	healthResponseBuffer   = 1024                   // bytes
+	healthCheckTimeout     = 400 * time.Millisecond // of one check: for dialling, and again for the request and its response
+	healthCheckInterval    = time.Second            // between two checks of a healthy server
+	maxHealthCheckInterval = 8 * time.Second        // to which the interval doubles while the server is not healthy
+	maxHealthReportAge     = 2 * time.Second        // of a successful check that is reported to the controllers
+	healthResponseBuffer   = 1024                   // buffer for reading a response, in bytes
 )
 
+// defaultHealthPath is the path of the health checks of services that configure none.
 const defaultHealthPath = "/health"
 
-// healthCheckState is a server's health as this gateway checked it.
+// healthCheckState is the state of this gateway's health checks of one server.
 type healthCheckState struct {
-	healthyAt balancer.Time // when it last responded to a check by this gateway, 0 = never
+	healthyAt balancer.Time // when it last passed a check by this gateway, 0 = never
 	nextCheck balancer.Time
-	interval  balancer.Time // to the check after the next; 0 = none was made
+	interval  balancer.Time // from the next check to the one after it; 0 = no check since its heartbeats were lost
 }
 
-// healthPaths knows the paths of health checks.
+// healthPaths returns the URL paths for health checks, by service.
 type healthPaths interface {
 	healthPath(service string) string
 }
 
-// healthChecker checks the servers whose heartbeats reach no controller. They may serve as before while only their heartbeats are
-// lost. For each, one gateway holds the singleton role to check it and reports it as healthy to the controllers, under its lease.
-// Servers whose heartbeats arrive are never checked: heartbeats and traffic show more. It is owned by the loop.
+// healthChecker checks the health of the servers whose heartbeats reach no controller: only their heartbeats may be lost while they still
+// serve requests. For each such server one gateway holds the singleton role of checking it. It reports the server as healthy to the
+// controllers under its lease. Servers whose heartbeats arrive are never checked, as heartbeats and traffic are better evidence. It is
+// owned by the loop.
 type healthChecker struct {
 	process   *process
 	loop      commandLoop
@@ -54,7 +56,7 @@
 // run starts the checks that are due.
 func (h *healthChecker) run(now balancer.Time) {
 	if h.process.draining.Load() {
-		return // a check would outlive the gateway
+		return // a check could outlast the shutdown
 	}
 	for _, e := range h.endpoints.byInstance {
 		if !e.heartbeatMissed {
@@ -67,12 +69,12 @@
 	}
 }
 
-// holdsRole reports whether this gateway is the one that checks a server.
+// holdsRole reports whether this gateway holds the singleton role of checking a server.
 func (h *healthChecker) holdsRole(instance string, now balancer.Time) bool {
 	return h.members.holdsRole(rendezvous.Name(instance), duration(now))
 }
 
-// check starts one check, on a goroutine of its own.
+// check starts a health check on its own goroutine and schedules the next one.
 func (h *healthChecker) check(e *endpoint, now balancer.Time) {
 	if e.health.interval == 0 {
 		e.health.interval = ticks(healthCheckInterval)
@@ -86,7 +88,7 @@
 	})
 }
 
-// checkDone takes the result of a check. The role may have moved since it began.
+// checkDone records a successful check, unless the role has moved to another gateway since the check began.
 func (h *healthChecker) checkDone(instance string, healthy bool) {
 	e := h.endpoints.byInstance[instance]
 	now := h.loop.now()
@@ -105,11 +107,11 @@
 	}
 }
 
-// reports returns the recent successful checks, for the controllers, of servers whose heartbeats do not reach them.
+// reports returns the recent successful checks of servers whose heartbeats reach no controller, for the next poll.
 func (h *healthChecker) reports(now balancer.Time) (reports []*rpc.ServerReport) {
 	for _, e := range h.endpoints.byInstance {
 		age := now - e.health.healthyAt
-		if e.health.healthyAt == 0 || age >= ticks(healthReportAge) || e.lease.Holder != h.process.incarnation || !e.heartbeatMissed {
+		if e.health.healthyAt == 0 || age >= ticks(maxHealthReportAge) || e.lease.Holder != h.process.incarnation || !e.heartbeatMissed {
 			continue
 		}
 		reports = append(reports, &rpc.ServerReport{
@@ -122,7 +124,8 @@
 	return reports
 }
 
-// checkHealth asks a server for its health. A response of another instance at the address, or one that is draining, does not count.
+// checkHealth requests a server's health path and reports whether it is healthy: it must respond with status 200 and its own instance id.
+// Another instance at the address, or one that is draining, is not healthy.
 func checkHealth(transport network.Network, address, instance, path string) bool {
 	conn, err := transport.Dial(address, healthCheckTimeout)
 	if err != nil {
--- a/dataplane/load_exchange.go
+++ b/dataplane/load_exchange.go
@@ -9,22 +9,22 @@
 	"oxbowspan/rpc"
 )
 
-// Timing of the exchange of loads.
+// Timing of the load exchange.
 const (
-	maxLoadAge           = 4 * maintenanceInterval // after which the loads of a peer are ignored
+	maxLoadAge           = 4 * maintenanceInterval // after which a peer's loads are ignored
 	subscribeTimeout     = time.Second
 	subscriptionInterval = time.Second // between two checks of a subscription's connection, and between two attempts to subscribe
-	observationOnlyPeers = 1           // gateways of other zones that this one subscribes to, for observations alone
+	observationOnlyPeers = 1           // number of gateways of other zones that this one subscribes to for observations only
 )
 
-// observationExchange is the outlier detection's side of the exchange.
+// observationExchange is the part of outlier detection that exchanges observations with other gateways.
 type observationExchange interface {
-	takeObservations(now balancer.Time) []*rpc.Observation
+	drainObservations(now balancer.Time) []*rpc.Observation
 	receiveObservations(observations []*rpc.Observation)
 }
 
-// loadExchange reports to other gateways what this one has in flight at servers, and to the balancer what they have. Each gateway subscribes
-// to a few others, and extrapolates from them to all. It is owned by the loop.
+// loadExchange reports the attempts that this gateway has in flight at servers to other gateways, and those of other gateways to the
+// balancer. Each gateway subscribes to a few others and extrapolates from them to all. It is owned by the loop.
 type loadExchange struct {
 	process      *process
 	loop         commandLoop
@@ -33,18 +33,18 @@
 	observations observationExchange
 	balancer     eventSink
 
-	subscribers   map[*rpc.Conn]bool // of this gateway; true = for observations only
+	subscribers   map[*rpc.Conn]bool // connections of gateways that subscribe to this one; true = for observations only
 	subscriptions map[rendezvous.Name]*loadSubscription
-	observedPeers int  // gateways of which those subscribed to are a sample
-	sentLoads     bool // the last report held loads, so that another is due when there are none
+	observedPeers int  // number of gateways of which the subscriptions are a sample
+	sentLoads     bool // the last report contained loads, so the next one is sent even if it contains none
 }
 
-// loadSubscription is this gateway's subscription to another's reports.
+// loadSubscription is this gateway's subscription to the reports of another gateway.
 type loadSubscription struct {
 	client           *rpc.Client
 	cancel           context.CancelFunc
 	observationsOnly bool
-	loads            map[string]float64 // shard calls in flight, by instance
+	loads            map[string]float64 // mean number of attempts in flight, by instance
 	receivedAt       balancer.Time      // 0 = no loads yet
 }
 
@@ -61,7 +61,7 @@
 	}
 }
 
-// addSubscriber answers another gateway's subscription and begins to send it reports.
+// addSubscriber accepts another gateway's subscription: it responds, and later reports are sent to its connection.
 func (x *loadExchange) addSubscriber(conn *rpc.Conn, requestID uint64, observationsOnly bool) {
 	x.subscribers[conn] = observationsOnly
 	go conn.Respond(requestID, loadReportFrame(&rpc.LoadReport{Incarnation: x.process.incarnation}))
@@ -74,9 +74,9 @@
 	return &rpc.Frame{Body: &rpc.Frame_LoadReport{LoadReport: report}}
 }
 
-// membershipChanged subscribes to the gateways that this one is to observe by the new membership: peers of its own zone, as those
-// ask the servers that it asks, or any peers where it is alone in its zone. One gateway of another zone is asked for observations
-// only: they reach all zones when servers have a fault.
+// membershipChanged updates the subscriptions to the new membership. This gateway subscribes to peers of its own zone, as they use the
+// same servers, or to any peers if it is alone in its zone. It also subscribes to one gateway of another zone for observations only, so
+// that observations of server faults reach all zones.
 func (x *loadExchange) membershipChanged() {
 	peers, others := x.members.sameZone(), x.members.otherZones
 	if len(peers) == 1 {
@@ -100,7 +100,7 @@
 	}
 }
 
-// subscribe begins a subscription to a gateway, unless there is one.
+// subscribe starts a subscription to a gateway, unless there already is one.
 func (x *loadExchange) subscribe(name rendezvous.Name, observationsOnly bool) {
 	if x.subscriptions[name] != nil {
 		return
@@ -117,8 +117,8 @@
 	x.process.goroutines.Go(func() { x.maintainSubscription(ctx, subscription) })
 }
 
-// maintainSubscription subscribes, and does so again whenever the connection has ended, until the context is done. It runs on a
-// goroutine of its own.
+// maintainSubscription subscribes to a gateway, and again whenever the connection has ended, until the context is done. It runs on its
+// own goroutine.
 func (x *loadExchange) maintainSubscription(ctx context.Context, subscription *loadSubscription) {
 	request := &rpc.Frame{Body: &rpc.Frame_LoadSubscription{
 		LoadSubscription: &rpc.LoadSubscription{ObservationsOnly: subscription.observationsOnly},
@@ -137,7 +137,7 @@
 	}
 }
 
-// receive takes a report of a gateway subscribed to.
+// receive processes a report of a subscription.
 func (x *loadExchange) receive(subscription *loadSubscription, report *rpc.LoadReport) {
 	x.observations.receiveObservations(report.Observations)
 	if subscription.observationsOnly {
@@ -150,16 +150,16 @@
 	}
 }
 
-// exchange sends a report to the subscribers, and reports the loads of the peers to the balancer.
+// exchange sends reports to the subscribers and passes the loads of the peers to the balancer.
 func (x *loadExchange) exchange(now balancer.Time) {
-	observations := x.observations.takeObservations(now)
+	observations := x.observations.drainObservations(now)
 	if len(x.subscribers) > 0 {
 		x.sendReports(observations, now)
 	}
 	x.updateBalancer(now)
 }
 
-// sendReports sends each subscriber its report, on goroutines of their own: the loop waits for no peer.
+// sendReports sends each subscriber its report, on a separate goroutine each, so that the loop never waits for a peer.
 func (x *loadExchange) sendReports(observations []*rpc.Observation, now balancer.Time) {
 	loads := x.sampleLoads(now)
 	full := loadReportFrame(&rpc.LoadReport{Incarnation: x.process.incarnation, Loads: loads, Observations: observations})
@@ -175,8 +175,8 @@
 	x.sentLoads = len(loads) > 0
 }
 
-// sampleLoads returns the mean numbers of attempts that this gateway had in flight at servers since the last sample. An attempt
-// takes less time than passes between two samples, so that what is in flight at one moment says little.
+// sampleLoads returns the mean number of attempts that this gateway had in flight at each server since the last sample. An attempt is
+// shorter than the interval between two samples, so the number in flight at one moment would be a poor estimate.
 func (x *loadExchange) sampleLoads(now balancer.Time) (loads []*rpc.ServerLoad) {
 	for _, e := range x.endpoints.byInstance {
 		if milli, ok := e.load.sample(now); ok {
@@ -186,10 +186,10 @@
 	return loads
 }
 
-// updateBalancer reports to the balancer what all other gateways have in flight at servers, extrapolated from those that report to
-// this one.
+// updateBalancer passes to the balancer the attempts that all other gateways have in flight at each server, extrapolated from the gateways
+// with recent reports.
 func (x *loadExchange) updateBalancer(now balancer.Time) {
-	sums, reporting := x.peerLoads(now)
+	totals, reporting := x.peerLoads(now)
 	if reporting == 0 {
 		return
 	}
@@ -197,31 +197,31 @@
 	update := balancer.PeerUpdate{}
 	for _, e := range x.endpoints.byInstance {
 		if e.listed && x.observes(e) {
-			update.Loads = append(update.Loads, balancer.PeerLoad{Server: e.id, InFlight: sums[e.instance] * scale})
+			update.Loads = append(update.Loads, balancer.PeerLoad{Server: e.id, InFlight: totals[e.instance] * scale})
 		}
 	}
 	x.balancer.handleEvent(update)
 }
 
-// observes reports whether the peers' loads cover a server. Those of this zone do not ask servers of other zones, unless
-// peers of all zones are observed.
+// observes reports whether the peers' loads cover a server: one in this zone, as peers of this zone do not use servers of other zones, or
+// any server if peers of all zones are observed.
 func (x *loadExchange) observes(e *endpoint) bool {
 	return e.zone == x.process.settings.Zone || x.observedPeers == x.members.size()-1
 }
 
-// peerLoads sums up by instance what the peers with recent reports have in flight, and counts them.
-func (x *loadExchange) peerLoads(now balancer.Time) (sums map[string]float64, reporting int) {
-	sums = map[string]float64{}
+// peerLoads returns the total attempts in flight of the peers with recent reports, by instance, and the number of those peers.
+func (x *loadExchange) peerLoads(now balancer.Time) (totals map[string]float64, reporting int) {
+	totals = map[string]float64{}
 	for _, subscription := range x.subscriptions {
 		if subscription.receivedAt == 0 || now-subscription.receivedAt >= ticks(maxLoadAge) {
 			continue
 		}
 		reporting++
 		for instance, load := range subscription.loads {
-			sums[instance] += load
+			totals[instance] += load
 		}
 	}
-	return sums, reporting
+	return totals, reporting
 }
 
 // close ends all subscriptions.
@@ -231,6 +231,7 @@
 	}
 }
 
+// close ends the subscription.
 func (s *loadSubscription) close() {
 	s.cancel()
 	s.client.Close()
--- a/dataplane/loop_test.go
+++ b/dataplane/loop_test.go
@@ -9,28 +9,28 @@
 	"oxbowspan/balancer"
 )
 
-// recordedLoop records what a loop routes, and when.
-type recordedLoop struct {
+// recordingHandler is a loopHandler that records its calls.
+type recordingHandler struct {
 	timers      []balancer.TimerID
 	maintenance []balancer.Time
 	stopped     bool
 }
 
-func (r *recordedLoop) maintain(now balancer.Time) { r.maintenance = append(r.maintenance, now) }
+func (r *recordingHandler) maintain(now balancer.Time) { r.maintenance = append(r.maintenance, now) }
 
-func (r *recordedLoop) timerFired(event timerEvent, _ balancer.Time) {
+func (r *recordingHandler) timerFired(event timerEvent, _ balancer.Time) {
 	r.timers = append(r.timers, event.timer)
 }
 
-func (r *recordedLoop) loopStopped() { r.stopped = true }
+func (r *recordingHandler) loopStopped() { r.stopped = true }
 
 func TestEventLoop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		loop, routed := newEventLoop(), &recordedLoop{}
+		loop, handler := newEventLoop(), &recordingHandler{}
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
-			loop.run(routed)
+			loop.run(handler)
 		}()
 		loop.post(func() {
 			loop.schedule(ticks(30*time.Millisecond), timerEvent{timer: 3})
@@ -44,14 +44,14 @@
 		synctest.Wait()
 		loop.stop()
 		<-ended
-		if want := []balancer.TimerID{1, 2, 3}; !slices.Equal(routed.timers, want) {
-			t.Errorf("timers %v fired, want %v", routed.timers, want)
+		if want := []balancer.TimerID{1, 2, 3}; !slices.Equal(handler.timers, want) {
+			t.Errorf("timers fired in the order %v, want %v", handler.timers, want)
 		}
 		want := []balancer.Time{0, ticks(150 * time.Millisecond), ticks(400 * time.Millisecond), ticks(650 * time.Millisecond), ticks(900 * time.Millisecond)}
-		if !slices.Equal(routed.maintenance, want) {
-			t.Errorf("periodic work at %v, want %v", routed.maintenance, want)
+		if !slices.Equal(handler.maintenance, want) {
+			t.Errorf("periodic work at %v, want %v", handler.maintenance, want)
 		}
-		if !routed.stopped {
+		if !handler.stopped {
 			t.Error("loopStopped was not called")
 		}
 	})
@@ -59,11 +59,11 @@
 
 func TestPostAfterStop(t *testing.T) {
 	loop := newEventLoop()
-	for range commandQueue {
+	for range commandQueueSize {
 		loop.post(func() {})
 	}
 	loop.stop()
-	if loop.post(func() { t.Error("a command ran after the stop") }) {
-		t.Error("post() = true with a full queue after the stop")
+	if loop.post(func() { t.Error("a command ran after the loop was stopped") }) {
+		t.Error("post() = true with a full queue after the loop was stopped, want false")
 	}
 }
--- a/dataplane/membership.go
+++ b/dataplane/membership.go
@@ -8,16 +8,16 @@
 	"oxbowspan/rpc"
 )
 
-// membership is the list of live gateways, as the controllers last reported it, and the singleton roles that follow from it. It is
+// membership is the list of live gateways as last reported by the controllers, and the singleton roles that are assigned by it. It is
 // owned by the loop.
 type membership struct {
 	self  rendezvous.Name
 	zone  string
 	roles *lease.Tracker
 
-	gateways   []rendezvous.Name            // all, this one first
-	byZone     map[string][]rendezvous.Name // nil = no list has come yet
-	otherZones []rendezvous.Name            // those outside of this gateway's zone
+	gateways   []rendezvous.Name            // all live gateways, this one first
+	byZone     map[string][]rendezvous.Name // nil = no list received yet
+	otherZones []rendezvous.Name            // the gateways outside this gateway's zone
 }
 
 func newMembership(p *process) *membership {
@@ -29,7 +29,7 @@
 	}
 }
 
-// update takes a new list of the live gateways.
+// update replaces the list of live gateways. This gateway is always a member.
 func (m *membership) update(list []*rpc.Gateway, now time.Duration) {
 	all := []rendezvous.Name{m.self}
 	byZone := map[string][]rendezvous.Name{m.zone: {m.self}}
@@ -52,7 +52,7 @@
 // size returns the number of live gateways, this one included.
 func (m *membership) size() int { return len(m.gateways) }
 
-// sameZone returns the gateways of this one's zone, this one first.
+// sameZone returns the gateways of this gateway's zone, this one first; nil if no list was received yet.
 func (m *membership) sameZone() []rendezvous.Name { return m.byZone[m.zone] }
 
 // holdsRole reports whether this gateway may act in a singleton role now.
@@ -60,8 +60,8 @@
 	return m.roles.Holds(role, now)
 }
 
-// holdsZoneRole reports whether this gateway may act in a role that one gateway of a zone has. In a zone without gateways the
-// role falls to one of all.
+// holdsZoneRole reports whether this gateway may act now in a role that is assigned to one gateway of a zone. The role of a zone without
+// gateways is assigned to one of all gateways.
 func (m *membership) holdsZoneRole(zone string, role rendezvous.Name, now time.Duration) bool {
 	candidates := m.byZone[zone]
 	if len(candidates) == 0 {
@@ -70,10 +70,10 @@
 	return m.roles.HoldsAmong(role, candidates, now)
 }
 
-// roleOwner returns the gateway to which a singleton role falls.
+// roleOwner returns the gateway that a singleton role is assigned to.
 func (m *membership) roleOwner(role rendezvous.Name) rendezvous.Name {
 	return rendezvous.Owner(role, m.gateways)
 }
 
-// renew extends the lease on the roles: the list was confirmed at now, in the response to a poll sent at polledAt.
+// renew extends the lease on the roles. The list was confirmed at now, by the response to a poll sent at polledAt.
 func (m *membership) renew(polledAt, now time.Duration) { m.roles.Renew(polledAt, now) }
--- a/dataplane/metrics.go
+++ b/dataplane/metrics.go
@@ -7,15 +7,15 @@
 	"oxbowspan/internal/metrics"
 )
 
-// counters count what a gateway has done since its start. The loop counts; any goroutine may read.
+// counters are the gateway's event counters since its start. The loop increments them; any goroutine may read them.
 type counters struct {
-	attempts          [balancer.AttemptReasons]atomic.Uint64 // passed to a connection or to one being made
-	attemptsOverLimit [balancer.AttemptReasons]atomic.Uint64 // of these, beyond the attempts of the request's route: always 0
+	attempts          [balancer.AttemptReasons]atomic.Uint64 // passed to an open connection or one being made
+	attemptsOverLimit [balancer.AttemptReasons]atomic.Uint64 // of these, beyond the maximum of the request's route: always 0
 	results           [resultKinds]atomic.Uint64             // passed to clients
-	clientsLeft       atomic.Uint64                          // before their result
+	clientsLeft       atomic.Uint64                          // requests whose client closed its connection before the result
 }
 
-// countAttempt counts an attempt that is being sent.
+// countAttempt counts an attempt that is being sent, and whether it exceeds the maximum of its route.
 func (c *counters) countAttempt(a *attempt, reason balancer.AttemptReason) {
 	c.attempts[reason].Add(1)
 	if int(a.number) >= a.shardCall.request.route.maxAttempts() {
@@ -66,7 +66,7 @@
 	}
 }
 
-// boolMetric returns 1 for true, 0 for false.
+// boolMetric returns the value of a gauge for a condition: 1 for true, 0 for false.
 func boolMetric(value bool) float64 {
 	if value {
 		return 1
--- a/dataplane/metrics_test.go
+++ b/dataplane/metrics_test.go
@@ -12,12 +12,12 @@
 	"oxbowspan/internal/settings"
 )
 
-// metricsText returns a gateway's metrics as they are served.
+// metricsText returns the gateway's metrics in the served text format.
 func (b *testbed) metricsText() string {
 	return string(metrics.Append(nil, b.gateway.collectMetrics()...))
 }
 
-// Attempts are counted by their reasons, results by their kinds, and clients that leave.
+// Attempts are counted by reason and results by kind. Clients that leave before their result are counted as well.
 func TestMetricsOfRequests(t *testing.T) {
 	servers := &recordingServers{serviceTime: 15 * time.Millisecond, broken: 1}
 	runWithRecordingServers(t, servers, scenario{}, settings.Bounds{}, func(t *testing.T, b *testbed) {
@@ -39,24 +39,24 @@
 			"oxbowspan_gateway_active_version 1\n",
 		} {
 			if !strings.Contains(got, want) {
-				t.Errorf("no %q in:\n%s", want, got)
+				t.Errorf("the metrics do not contain %q:\n%s", want, got)
 			}
 		}
 		if strings.Contains(got, "attempts_total{reason=\"retry\"} 0") {
-			t.Errorf("no retry is counted:\n%s", got)
+			t.Errorf("the retries are not counted:\n%s", got)
 		}
 	})
 }
 
-// Servers that fell silent are tried again beside others, but never beyond the attempts of the request's route: here each request is
-// sent to one server of each service.
-func TestRecoveringServersKeepAttemptLimit(t *testing.T) {
+// Probation attempts, which are sent to servers that stopped responding in addition to attempts at other servers, count towards the
+// maximum number of attempts of the request's route. Here the maximum is 1: each request may reach only one server of each service.
+func TestProbationAttemptsCountTowardsLimit(t *testing.T) {
 	for _, path := range []string{"/one/x", "/all/x"} {
 		t.Run(strings.ReplaceAll(path, "/", " "), func(t *testing.T) {
 			servers := &recordingServers{serviceTime: 15 * time.Millisecond, silent: 6}
 			runWithRecordingServers(t, servers, scenario{}, settings.Bounds{}, func(t *testing.T, b *testbed) {
 				b.activateAttempts(2, 1)
-				time.Sleep(12 * time.Second) // the retry budget is for probation attempts too
+				time.Sleep(12 * time.Second) // the retry budget covers probation attempts as well
 				for i := range 400 {
 					conn := b.dialGateway(t)
 					io.WriteString(conn, requestText("GET", path, fmt.Sprint("request-", i), 850*time.Millisecond))
@@ -76,31 +76,33 @@
 	}
 }
 
-// requireAttempts requires that no request reached more servers of one service than it may.
+// requireAttempts fails the test if a request reached more than limit servers of one service, or if no attempt was left unanswered, in which
+// case the test exercises nothing.
 func (s *recordingServers) requireAttempts(t *testing.T, limit int) {
 	t.Helper()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	reached := map[string]int{}
-	over, silent := 0, 0
+	attemptCounts := map[string]int{}
+	overLimit, unanswered := 0, 0
 	for _, a := range s.attempts {
 		key := a.service + " " + a.id
-		if reached[key]++; reached[key] == limit+1 {
-			over++
+		if attemptCounts[key]++; attemptCounts[key] == limit+1 {
+			overLimit++
 		}
 		if !a.answered {
-			silent++
+			unanswered++
 		}
 	}
-	if over > 0 {
-		t.Errorf("%d of %d calls ran on more than %d servers", over, len(reached), limit)
+	if overLimit > 0 {
+		t.Errorf("%d of %d calls reached more than %d servers", overLimit, len(attemptCounts), limit)
 	}
-	if silent == 0 || len(reached) == 0 {
-		t.Errorf("%d calls, %d unanswered: the test shows nothing", len(reached), silent)
+	if unanswered == 0 || len(attemptCounts) == 0 {
+		t.Errorf("%d calls, %d attempts unanswered, want both above 0: the test exercises nothing", len(attemptCounts), unanswered)
 	}
 }
 
-// A request that is on its way into the loop while its route goes, and while another route is added, keeps the limits of its own route.
+// A request that is on its way to the loop while its route is removed and another one is added keeps the limits of its own route. If the
+// new route took over the query type of the removed one, a request that must not be repeated could be retried.
 func TestRequestKeepsItsRouteAcrossConfigurations(t *testing.T) {
 	servers := &recordingServers{serviceTime: 15 * time.Millisecond, broken: 1}
 	runWithRecordingServers(t, servers, scenario{}, settings.Bounds{}, func(t *testing.T, b *testbed) {
@@ -108,7 +110,7 @@
 		before := g.configs.load()
 		once := before.table.Find("h", oncePath+"x")
 		if once == nil {
-			t.Fatal("no route")
+			t.Fatalf("no route for %s", oncePath+"x")
 		}
 		results := make(chan result, 1)
 		r := &request{
--- a/dataplane/outlier_client.go
+++ b/dataplane/outlier_client.go
@@ -15,28 +15,29 @@
 
 // Timing and bounds of outlier detection.
 const (
-	urgentDelay          = 40 * time.Millisecond // a change of state is sent to peers this soon,
-	minUrgentInterval    = 80 * time.Millisecond // but not sooner after the last report
-	minUnresponsive      = 2                     // more unresponsive servers than this may mean that the gateway itself is impaired
-	maxShownObservations = 8                     // of one server, for operators
-	maxReportedRatio     = 1e6                   // keeps thousandths of ratios within 32 bits
+	urgentDelay          = 40 * time.Millisecond // after a change of state, until the next report to peers
+	minUrgentInterval    = 80 * time.Millisecond // between the last report to peers and an expedited one
+	maxUnresponsive      = 2                     // more unresponsive servers than this may mean that the gateway itself is impaired
+	maxShownObservations = 8                     // per server, in the statistics for operators
+	maxReportedRatio     = 1e6                   // so that a ratio in thousandths fits into 32 bits
 )
 
-// latencyModel is what the balancer has learned of the servers.
+// latencyModel is the balancer's latency model of the servers.
 type latencyModel interface {
 	CompareLatency(id balancer.ServerID) (unit, peers float64)
 	Unresponsive(id balancer.ServerID) bool
 }
 
-// outlierLoop is what outlier detection uses of the loop.
+// outlierLoop is the part of the loop that outlier detection uses.
 type outlierLoop interface {
 	clock
-	// expedite moves the next periodic work, and with it the next report to peers, forward to the given time.
+	// expedite moves the next periodic work, and with it the next report to peers, to the given time if that is earlier.
 	expedite(at balancer.Time)
 }
 
-// outlierClient detects outliers among the servers together with the other gateways (package outlier decides): it records what
-// this gateway observes, exchanges observations with peers, and reports the resulting verdicts to the balancer. It is owned by the loop.
+// outlierClient detects outliers among the servers together with the other gateways, by the rules of package outlier. It records the
+// observations of this gateway, exchanges observations with peers, and passes the resulting verdicts to the balancer. It is owned by the
+// loop.
 type outlierClient struct {
 	process   *process
 	loop      outlierLoop
@@ -46,7 +47,7 @@
 	balancer  eventSink
 
 	detector *outlier.Detector
-	reported map[balancer.ServerID]balancer.OutlierVerdict // the balancer's view; servers without an entry are healthy
+	reported map[balancer.ServerID]balancer.OutlierVerdict // verdicts last passed to the balancer; servers without an entry are healthy
 	sentAt   balancer.Time                                 // when observations were last sent to peers
 	pins     pinSet
 }
@@ -63,14 +64,15 @@
 	}
 }
 
-// disabled reports whether this gateway balances by its own records alone.
+// disabled reports whether detection together with other gateways is disabled: the balancer then uses only its own measurements.
 func (o *outlierClient) disabled() bool { return o.process.settings.LocalDetectionOnly }
 
+// status returns a server's outlier status.
 func (o *outlierClient) status(e *endpoint) outlier.Status {
 	return o.detector.Status(outlier.Instance(e.instance))
 }
 
-// syncServers updates the detector's list of servers.
+// syncServers updates the detector's list of servers and its number of other gateways.
 func (o *outlierClient) syncServers() {
 	servers := map[outlier.Instance]outlier.Shard{}
 	for instance, e := range o.endpoints.byInstance {
@@ -81,10 +83,10 @@
 	o.detector.SetServers(servers, o.members.size()-1)
 }
 
-// removeServer forgets a server that is gone.
+// removeServer deletes the state of a server that was removed.
 func (o *outlierClient) removeServer(e *endpoint) { delete(o.reported, e.id) }
 
-// recordSuccess records that a server responded.
+// recordSuccess records that a server responded, with its latency compared to other servers.
 func (o *outlierClient) recordSuccess(e *endpoint) {
 	if o.disabled() {
 		return
@@ -96,7 +98,8 @@
 	o.stateChanged(e, before)
 }
 
-// recordConnectFailure records that no connection to a server could be made. Only a refused one shows that no process listens there.
+// recordConnectFailure records that a connection to a server was refused, which shows that no process listens there. Other errors are
+// ignored, as they may be faults of the network.
 func (o *outlierClient) recordConnectFailure(e *endpoint, err error) {
 	if o.disabled() || !errors.Is(err, syscall.ECONNREFUSED) {
 		return
@@ -107,7 +110,7 @@
 	o.stateChanged(e, before)
 }
 
-// stateChanged informs peers and the balancer without delay if a server's state has changed from before.
+// stateChanged updates the balancer at once and expedites the next report to peers if a server's state differs from before.
 func (o *outlierClient) stateChanged(e *endpoint, before outlier.State) {
 	if o.status(e).State != before {
 		o.expediteReport(o.loop.now())
@@ -115,12 +118,13 @@
 	}
 }
 
-// expediteReport makes the next report to peers come soon.
+// expediteReport schedules the next report to peers in urgentDelay, but no sooner than minUrgentInterval after the last one.
 func (o *outlierClient) expediteReport(now balancer.Time) {
 	o.loop.expedite(max(now+ticks(urgentDelay), o.sentAt+ticks(minUrgentInterval)))
 }
 
-// evaluate records unresponsive servers, advances the detector to now, and reports to the balancer what changed.
+// evaluate records unresponsive servers, advances the detector to now, and passes changed verdicts to the balancer. If more than half of
+// the servers with attempts in flight, and more than maxUnresponsive, are unresponsive, this gateway itself counts as impaired.
 func (o *outlierClient) evaluate(now balancer.Time) {
 	if o.disabled() {
 		return
@@ -135,7 +139,7 @@
 			unresponsive = append(unresponsive, e)
 		}
 	}
-	o.detector.SetImpaired(len(unresponsive) > minUnresponsive && 2*len(unresponsive) > busy)
+	o.detector.SetImpaired(len(unresponsive) > maxUnresponsive && 2*len(unresponsive) > busy)
 	for _, e := range unresponsive {
 		o.detector.RecordFailure(outlier.Instance(e.instance), outlier.ObservedUnresponsive, duration(now))
 	}
@@ -144,7 +148,7 @@
 	o.updateBalancer(now)
 }
 
-// updateBalancer reports to the balancer the verdicts that differ from those reported before.
+// updateBalancer passes to the balancer the verdicts that differ from those passed before.
 func (o *outlierClient) updateBalancer(now balancer.Time) {
 	var verdicts []balancer.OutlierVerdict
 	for _, instance := range o.changedServers() {
@@ -161,8 +165,8 @@
 	}
 }
 
-// changedServers lists the servers whose verdict may have changed: by the detector, or, for those that are not healthy, because the
-// role to probe them moved with the membership.
+// changedServers returns the servers whose verdict may have changed: those whose status the detector changed, and all that are not healthy,
+// as a change of membership may move the role of probing them.
 func (o *outlierClient) changedServers() []outlier.Instance {
 	changed := o.detector.TakeChanged()
 	for id := range o.reported {
@@ -173,7 +177,7 @@
 	return changed
 }
 
-// updateVerdict returns a server's verdict for the balancer. It reports false where that is as before.
+// updateVerdict returns a server's verdict for the balancer. It reports false if the verdict has not changed.
 func (o *outlierClient) updateVerdict(e *endpoint, now balancer.Time) (verdict balancer.OutlierVerdict, changed bool) {
 	status := o.status(e)
 	healthy := status.State == outlier.Healthy && status.Factor == 1
@@ -193,16 +197,16 @@
 	if healthy {
 		delete(o.reported, e.id)
 	} else {
-		kept := verdict
-		kept.Recovered = false // reported once
-		o.reported[e.id] = kept
+		stored := verdict
+		stored.Recovered = false // passed only once
+		o.reported[e.id] = stored
 	}
 	o.logState(e, status, now)
 	return verdict, true
 }
 
-// logState logs a server's state if it has changed since last logged: as information at the one gateway that probes the server,
-// for debugging at all others.
+// logState logs a server's state if it has changed since it was last logged: at info level at the gateway that probes the server, at debug
+// level at all others.
 func (o *outlierClient) logState(e *endpoint, status outlier.Status, now balancer.Time) {
 	state := status.State.String()
 	if e.loggedState == state {
@@ -217,14 +221,14 @@
 		Msg("outlier: server changed state")
 }
 
-// probes reports whether it is this gateway that sends a server on probation its first requests. One gateway of the server's zone
-// has that role. The string is hashed by all gateways.
+// probes reports whether this gateway holds the role of sending a server on probation its first requests. The role is assigned to one
+// gateway of the server's zone. All gateways hash the same name of the role, so it must not change.
 func (o *outlierClient) probes(e *endpoint, now balancer.Time) bool {
 	return o.members.holdsZoneRole(e.zone, rendezvous.Name("judgement "+e.instance), duration(now))
 }
 
-// takeObservations returns the observations to send to peers now. Each is returned once, also when there are no peers.
-func (o *outlierClient) takeObservations(now balancer.Time) (observations []*rpc.Observation) {
+// drainObservations returns the observations to send to peers now. Each is returned once, even if there are no peers.
+func (o *outlierClient) drainObservations(now balancer.Time) (observations []*rpc.Observation) {
 	o.sentAt = now
 	for _, observation := range o.detector.DrainOutbox() {
 		observations = append(observations, &rpc.Observation{
@@ -242,7 +246,7 @@
 	return observations
 }
 
-// receiveObservations takes the observations of a peer.
+// receiveObservations records the observations of a peer.
 func (o *outlierClient) receiveObservations(observations []*rpc.Observation) {
 	if o.disabled() {
 		return
@@ -250,7 +254,7 @@
 	now, changed := o.loop.now(), false
 	for _, message := range observations {
 		if message.Kind > uint32(outlier.ObservedRefused) {
-			continue // a kind of a later version
+			continue // a kind that only later versions define
 		}
 		observation := decodeObservation(message, duration(now))
 		before := o.detector.Status(observation.Server).State
@@ -263,6 +267,7 @@
 	}
 }
 
+// decodeObservation returns the observation in a message that was received at now.
 func decodeObservation(message *rpc.Observation, now time.Duration) outlier.Observation {
 	return outlier.Observation{
 		Server:     outlier.Instance(message.Instance),
@@ -277,7 +282,7 @@
 	}
 }
 
-// verdicts returns the servers that are not simply healthy, for operators.
+// verdicts returns the status of the servers that are not healthy, for operators.
 func (o *outlierClient) verdicts(now balancer.Time) (verdicts []*rpc.OutlierVerdict) {
 	for id := range o.reported {
 		e := o.endpoints.byID[id]
@@ -299,7 +304,7 @@
 	return verdicts
 }
 
-// shownObservations returns some observations from which a server's state follows, for operators.
+// shownObservations returns up to maxShownObservations of the observations that determine a server's state, for operators.
 func (o *outlierClient) shownObservations(e *endpoint, now balancer.Time) (shown []*rpc.Observation) {
 	for _, observation := range o.detector.Observations(outlier.Instance(e.instance)) {
 		if len(shown) == maxShownObservations {
@@ -315,7 +320,7 @@
 	return shown
 }
 
-// ageMillis returns the milliseconds from a moment until now.
+// ageMillis returns the milliseconds from a point in time until now.
 func ageMillis(at time.Duration, now balancer.Time) uint32 {
 	return uint32((duration(now) - at) / time.Millisecond)
 }
--- a/dataplane/outlier_client_test.go
+++ b/dataplane/outlier_client_test.go
@@ -15,7 +15,7 @@
 	"oxbowspan/rpc"
 )
 
-// readyServers are reports of some servers of one service.
+// readyServers returns reports of ready servers of service "s".
 func readyServers(instances ...string) (reports []*rpc.ServerReport) {
 	for _, instance := range instances {
 		reports = append(reports, &rpc.ServerReport{Instance: instance, Service: "s", Zone: "a", State: uint32(registry.Ready), Sequence: 1})
@@ -23,6 +23,7 @@
 	return reports
 }
 
+// pinDocument returns a pin document of a version and age.
 func pinDocument(t *testing.T, version uint64, age time.Duration, pins ...config.Pin) *rpc.Document {
 	t.Helper()
 	body, err := json.Marshal(&config.PinDocument{Pins: pins})
@@ -32,10 +33,12 @@
 	return &rpc.Document{Name: config.PinsDocumentName, Version: version, Body: body, AgeMs: uint32(age.Milliseconds())}
 }
 
+// state returns the outlier state of a server.
 func (c *components) state(instance string) outlier.State {
 	return c.outliers.detector.Status(outlier.Instance(instance)).State
 }
 
+// Pins fix the state of a server until they expire or a newer document omits them.
 func TestPins(t *testing.T) {
 	ejected := config.Pin{Instance: "i", State: "out", DurationSeconds: 10, Reason: "test"}
 	for _, test := range []struct {
@@ -80,8 +83,8 @@
 	}
 }
 
-// verdictsGiven returns the verdicts that the balancer was given on a server, in order.
-func (c *components) verdictsGiven(instance string) (verdicts []balancer.OutlierVerdict) {
+// recordedVerdicts returns the verdicts on a server that were passed to the balancer, in order.
+func (c *components) recordedVerdicts(instance string) (verdicts []balancer.OutlierVerdict) {
 	id := c.endpoints.byInstance[instance].id
 	for _, event := range c.events.events {
 		update, ok := event.(balancer.PeerUpdate)
@@ -97,24 +100,25 @@
 	return verdicts
 }
 
+// A verdict is passed to the balancer only when it changes, and none is passed for healthy servers.
 func TestVerdictsForTheBalancer(t *testing.T) {
 	c := newComponents(t)
 	c.report(readyServers("i", "j", "k")...)
 	c.outliers.applyPins(pinDocument(t, 1, 0, config.Pin{Instance: "i", State: "out", DurationSeconds: 10, Reason: "test"}))
 	c.outliers.evaluate(c.loop.now())
 	c.outliers.evaluate(c.loop.now())
-	if got := c.verdictsGiven("i"); len(got) != 1 || !got[0].Ejected || got[0].Recovered {
-		t.Fatalf("verdicts %+v, want one that ejects", got)
+	if got := c.recordedVerdicts("i"); len(got) != 1 || !got[0].Ejected || got[0].Recovered {
+		t.Fatalf("verdicts %+v, want one with Ejected and without Recovered", got)
 	}
 	if shown := c.outliers.verdicts(c.loop.now()); len(shown) != 1 || shown[0].Instance != "i" || !shown[0].Pinned {
-		t.Errorf("operators see %v", shown)
+		t.Errorf("verdicts for operators: %v, want one, of the pinned server i", shown)
 	}
-	if got := c.verdictsGiven("j"); len(got) != 0 {
-		t.Errorf("verdicts on a healthy server: %+v", got)
+	if got := c.recordedVerdicts("j"); len(got) != 0 {
+		t.Errorf("verdicts on a healthy server: %+v, want none", got)
 	}
 }
 
-// Only a refused connection says that a server is not there; other failures may be the network's.
+// Only a refused connection shows that no process listens at a server's address; other errors may be faults of the network.
 func TestRecordConnectFailure(t *testing.T) {
 	for _, test := range []struct {
 		name     string
@@ -132,7 +136,7 @@
 			c.process.settings.LocalDetectionOnly = test.disabled
 			c.report(readyServers("i", "j", "k")...)
 			c.outliers.recordConnectFailure(c.endpoints.byInstance["i"], test.err)
-			if got := len(c.outliers.takeObservations(c.loop.now())) > 0; got != test.recorded {
+			if got := len(c.outliers.drainObservations(c.loop.now())) > 0; got != test.recorded {
 				t.Errorf("recorded: %v, want %v", got, test.recorded)
 			}
 			if got := c.loop.expeditedTo > 0; got != test.recorded {
--- a/dataplane/pins.go
+++ b/dataplane/pins.go
@@ -9,7 +9,7 @@
 	"oxbowspan/rpc"
 )
 
-// pinSet is the active document of pins: outlier states that operators fixed for a time.
+// pinSet is the active pin document: outlier states that operators fixed for a limited time.
 type pinSet struct {
 	version uint64 // 0 = none is active
 	pins    map[string]pin
@@ -21,18 +21,18 @@
 	endsAt balancer.Time
 }
 
-// pinStates are the states as the document of pins names them.
+// pinStates maps the state names of a pin document to outlier states.
 var pinStates = map[string]outlier.State{"in": outlier.Healthy, "avoided": outlier.Avoided, "out": outlier.Ejected}
 
-// applyPins makes a document of pins the active one, unless it or a newer one already is. Each pin holds from now for as long as
-// the document says, less the document's age.
+// applyPins makes a pin document the active one, unless the same or a newer version is active already. Each pin holds from now for its
+// duration less the document's age.
 func (o *outlierClient) applyPins(document *rpc.Document) {
 	if document.Version <= o.pins.version {
 		return
 	}
 	parsed, err := config.ParsePins(document.Body)
 	if err != nil {
-		o.process.log.Error().Err(err).Uint64("version", document.Version).Msg("outlier: invalid document of pins ignored")
+		o.process.log.Error().Err(err).Uint64("version", document.Version).Msg("outlier: invalid pin document ignored")
 		return
 	}
 	previous := o.pins.pins
@@ -41,8 +41,8 @@
 	for _, configured := range parsed.Pins {
 		remaining := time.Duration(configured.DurationSeconds)*time.Second - age
 		next := pin{state: pinStates[configured.State], endsAt: o.loop.now() + ticks(remaining)}
-		if before, pinned := previous[configured.Instance]; pinned && before.state == next.state && before.endsAt > 0 {
-			next.endsAt = min(before.endsAt, next.endsAt) // a pin that is sent again lasts no longer
+		if old, pinned := previous[configured.Instance]; pinned && old.state == next.state && old.endsAt > 0 {
+			next.endsAt = min(old.endsAt, next.endsAt) // a pin that is sent again is not prolonged
 		}
 		o.pins.pins[configured.Instance] = next
 	}
@@ -55,7 +55,7 @@
 	o.enforcePins(o.loop.now())
 }
 
-// enforcePins holds the detector to the pins, and ends those whose time is over.
+// enforcePins applies the pins to the detector and removes expired ones.
 func (o *outlierClient) enforcePins(now balancer.Time) {
 	for instance, p := range o.pins.pins {
 		if now >= p.endsAt {
@@ -71,6 +71,7 @@
 	}
 }
 
+// unpin removes the pin of a server from the detector.
 func (o *outlierClient) unpin(instance string, now balancer.Time) {
 	o.detector.Pin(outlier.Instance(instance), nil, duration(now))
 }
--- a/dataplane/process.go
+++ b/dataplane/process.go
@@ -13,17 +13,17 @@
 	"oxbowspan/rendezvous"
 )
 
-// process holds what the components of one gateway share: its identity, its environment and its state.
+// process holds the state that the components of one gateway share: its identity, settings, network, log, status and counters.
 type process struct {
 	settings    *settings.Settings
 	network     network.Network
 	log         zerolog.Logger
-	name        rendezvous.Name // the internal address, by which gateways know each other
-	incarnation uint64          // drawn at each start, never 0
+	name        rendezvous.Name // the internal address, which identifies the gateway to other gateways
+	incarnation uint64          // random at each start, never 0
 
 	ready      atomic.Bool    // a configuration and servers are known
-	draining   atomic.Bool    // it is shutting down gracefully
-	goroutines sync.WaitGroup // Run returns when all have ended
+	draining   atomic.Bool    // the gateway is shutting down gracefully
+	goroutines sync.WaitGroup // Run returns after all of them have ended
 	counters   counters
 }
 
@@ -37,13 +37,14 @@
 	}
 }
 
+// newIncarnation returns a random number other than 0.
 func newIncarnation() uint64 {
 	var b [8]byte
 	rand.Read(b[:])
 	return binary.BigEndian.Uint64(b[:]) | 1
 }
 
-// idSequence numbers requests, shard calls and servers, from 1.
+// idSequence generates ids for requests, shard calls and servers, starting at 1.
 type idSequence struct{ last uint64 }
 
 func (s *idSequence) next() uint64 {
--- a/dataplane/quota_allocator.go
+++ b/dataplane/quota_allocator.go
@@ -7,22 +7,23 @@
 	"oxbowspan/rpc"
 )
 
-// poolRole is the singleton role of allocating a service's pool of connections. The string is hashed by all gateways.
+// poolRole returns the singleton role of allocating a service's pool of connections. All gateways hash the same name of the role, so it
+// must not change.
 func poolRole(service string) rendezvous.Name { return rendezvous.Name("connections " + service) }
 
-// quotaAllocator allocates the pools of the services whose role this gateway holds. It is owned by the loop.
+// quotaAllocator allocates the connection pools of the services for which this gateway holds the pool role. It is owned by the loop.
 type quotaAllocator struct {
 	members   *membership
 	endpoints *endpointTable
-	pools     map[string]*quota.Allocator // by service, while the role is held here
+	pools     map[string]*quota.Allocator // by service, while this gateway holds the role
 }
 
 func newQuotaAllocator(members *membership, endpoints *endpointTable) *quotaAllocator {
 	return &quotaAllocator{members: members, endpoints: endpoints, pools: map[string]*quota.Allocator{}}
 }
 
-// dropLost forgets the pools whose role another gateway holds now.
-func (a *quotaAllocator) dropLost(now balancer.Time) {
+// dropLostPools deletes the pools whose role this gateway no longer holds.
+func (a *quotaAllocator) dropLostPools(now balancer.Time) {
 	for service := range a.pools {
 		if !a.members.holdsRole(poolRole(service), duration(now)) {
 			delete(a.pools, service)
@@ -30,8 +31,8 @@
 	}
 }
 
-// allocate grants connections of a service's pool to the gateway of an incarnation, which has inUse of it now. It reports false
-// where this gateway does not hold the role or knows no such service.
+// allocate grants connections of a service's pool to the gateway with an incarnation, which currently uses inUse of them. It reports false
+// if this gateway does not hold the role or the service is not configured.
 func (a *quotaAllocator) allocate(service string, incarnation uint64, demands []quota.Demand, inUse int, now balancer.Time) (connections int, ok bool) {
 	limit, known := a.endpoints.connectionLimits[service]
 	if !known || !a.members.holdsRole(poolRole(service), duration(now)) {
@@ -46,7 +47,7 @@
 	return allocator.Request(incarnation, demands, inUse, pool, duration(now)), true
 }
 
-// allocate answers a request for a grant. It reports false where this gateway may not.
+// allocate allocates a grant. It reports false if no tenant document is active, or if this gateway may not allocate the pool.
 func (q *quotaClient) allocate(service string, incarnation uint64, demands []quota.Demand, inUse int, now balancer.Time) (connections int, ok bool) {
 	if !q.enabled() {
 		return 0, false
@@ -54,7 +55,7 @@
 	return q.allocator.allocate(service, incarnation, demands, inUse, now)
 }
 
-// handleRequest answers another gateway's request for a grant.
+// handleRequest responds to another gateway's request for a grant.
 func (q *quotaClient) handleRequest(conn *rpc.Conn, requestID uint64, message *rpc.QuotaRequest) {
 	demands := decodeDemands(message.Demands)
 	connections, ok := q.allocate(message.Service, message.Incarnation, demands, int(message.InUse), q.loop.now())
--- a/dataplane/quota_client.go
+++ b/dataplane/quota_client.go
@@ -14,12 +14,12 @@
 
 // Timing of quota requests.
 const (
-	quotaRequestInterval = 500 * time.Millisecond // between two requests for a service
+	quotaRequestInterval = 500 * time.Millisecond // between two requests for the grant of a service
 	quotaRequestTimeout  = 400 * time.Millisecond
 )
 
-// quotaClient shares the servers' connections among tenants (package quota decides), and requests this gateway's grants of the
-// pools from the gateways that allocate them. Without a document of tenants it limits nothing. It is owned by the loop.
+// quotaClient limits the connections of tenants to servers by the rules of package quota, and requests this gateway's grants from the
+// gateways that allocate the services' pools. Without a tenant document nothing is limited. It is owned by the loop.
 type quotaClient struct {
 	process   *process
 	loop      commandLoop
@@ -29,29 +29,29 @@
 	allocator *quotaAllocator
 
 	document tenantDocument
-	limiter  *quota.Limiter // nil = no document of tenants is active
+	limiter  *quota.Limiter // nil = no tenant document is active
 	tenantOf map[balancer.QueryType]quota.TenantID
 	services map[balancer.ShardIndex]quota.Service
 	tenants  map[quota.TenantID]*tenantUsage
 
 	demands     map[string]*quota.DemandEstimator // by configured service
 	grants      map[string]quotaGrant             // by configured service
-	clients     map[rendezvous.Name]*rpc.Client   // to allocating gateways; closed when those are gone
+	clients     map[rendezvous.Name]*rpc.Client   // of allocating gateways; closed when they leave the membership
 	nextRequest balancer.Time
 }
 
-// tenantDocument is the active document of tenants.
+// tenantDocument is the active tenant document.
 type tenantDocument struct {
 	parsed  *config.TenantDocument // nil = none is active
-	text    []byte                 // its encoding
+	encoded []byte
 	version uint64
 }
 
-// quotaGrant is what this gateway may use of a service's pool.
+// quotaGrant is the part of a service's pool that this gateway may use.
 type quotaGrant struct {
-	connections int // to each server, beyond the base
+	connections int // to each server, in addition to the base
 	expiresAt   balancer.Time
-	requested   bool // a request is on its way
+	pending     bool // a request has been sent and not completed
 }
 
 func newQuotaClient(p *process, loop commandLoop, members *membership, endpoints *endpointTable, configs activeRoutes) *quotaClient {
@@ -69,44 +69,45 @@
 	}
 }
 
-// enabled reports whether a document of tenants is active, and with it the limits.
+// enabled reports whether a tenant document is active, and thus whether connections are limited.
 func (q *quotaClient) enabled() bool { return q.limiter != nil }
 
 // CanAcquire implements balancer.CapacityLimiter.
-func (q *quotaClient) CanAcquire(at balancer.ServerID, of balancer.QueryType, now balancer.Time) bool {
-	return !q.enabled() || q.limiter.CanAcquire(quota.ServerID(at), q.tenantOf[of], duration(now))
+func (q *quotaClient) CanAcquire(server balancer.ServerID, queryType balancer.QueryType, now balancer.Time) bool {
+	return !q.enabled() || q.limiter.CanAcquire(quota.ServerID(server), q.tenantOf[queryType], duration(now))
 }
 
 // LimitShare implements balancer.CapacityLimiter.
-func (q *quotaClient) LimitShare(of balancer.QueryType, now balancer.Time) float64 {
+func (q *quotaClient) LimitShare(queryType balancer.QueryType, now balancer.Time) float64 {
 	if !q.enabled() {
 		return 1
 	}
-	return q.limiter.InFlightFactor(q.tenantOf[of], duration(now))
+	return q.limiter.InFlightFactor(q.tenantOf[queryType], duration(now))
 }
 
 // ExpectedWait implements balancer.CapacityLimiter.
-func (q *quotaClient) ExpectedWait(at balancer.ShardIndex, of balancer.QueryType, now balancer.Time) balancer.Time {
+func (q *quotaClient) ExpectedWait(shard balancer.ShardIndex, queryType balancer.QueryType, now balancer.Time) balancer.Time {
 	if !q.enabled() {
 		return balancer.Never
 	}
-	return ticks(q.limiter.EstimatedWait(q.services[at], q.tenantOf[of], duration(now)))
+	return ticks(q.limiter.EstimatedWait(q.services[shard], q.tenantOf[queryType], duration(now)))
 }
 
-// setServer sets the limit of this gateway's connections to a server, and that of all gateways' together.
+// setServer sets the limits of connections to a server: of this gateway, and of all gateways together.
 func (q *quotaClient) setServer(e *endpoint, limit, globalLimit int) {
 	if q.enabled() {
 		q.limiter.SetServer(quota.ServerID(e.id), quota.Service(e.service), limit, globalLimit)
 	}
 }
 
+// removeServer removes a server from the limiter.
 func (q *quotaClient) removeServer(e *endpoint) {
 	if q.enabled() {
 		q.limiter.RemoveServer(quota.ServerID(e.id))
 	}
 }
 
-// maxConnections returns this gateway's share of the connections that a server of a service takes from all gateways together.
+// maxConnections returns this gateway's share of the connections that a server of a service accepts from all gateways together.
 func (q *quotaClient) maxConnections(service string) int {
 	limit := q.endpoints.connectionLimits[service]
 	if q.enabled() {
@@ -118,13 +119,13 @@
 	return rendezvous.ConnectionShare(limit, q.members.size())
 }
 
-// maintain requests grants, ends those that have expired, and drops what belongs to gateways and roles that are gone.
+// maintain requests grants, ends expired ones, closes the connections to gateways that have left, and deletes pools whose role was lost.
 func (q *quotaClient) maintain(now balancer.Time) {
 	if !q.enabled() {
 		return
 	}
 	q.updateTenantUsage(now)
-	q.allocator.dropLost(now)
+	q.allocator.dropLostPools(now)
 	q.closeUnusedClients()
 	expired := q.expireGrants(now)
 	if now >= q.nextRequest {
@@ -138,7 +139,7 @@
 	}
 }
 
-// closeUnusedClients closes the connections to gateways that are gone.
+// closeUnusedClients closes the connections to gateways that are no longer members.
 func (q *quotaClient) closeUnusedClients() {
 	for name, client := range q.clients {
 		if !slices.Contains(q.members.gateways, name) {
@@ -148,20 +149,20 @@
 	}
 }
 
-// expireGrants ends the grants whose time is over. It reports whether there was one.
+// expireGrants ends the expired grants. It reports whether there were any.
 func (q *quotaClient) expireGrants(now balancer.Time) (expired bool) {
 	for service, grant := range q.grants {
 		if grant.connections > 0 && now >= grant.expiresAt {
 			expired = true
-			q.grants[service] = quotaGrant{requested: grant.requested}
+			q.grants[service] = quotaGrant{pending: grant.pending}
 		}
 	}
 	return expired
 }
 
-// currentDemands returns, by service, what tenants would use beyond the base that this gateway has without asking.
+// currentDemands returns, by service, the tenants' demands for connections beyond the base that this gateway may use without a grant.
 func (q *quotaClient) currentDemands(now balancer.Time) map[string][]quota.Demand {
-	servers := q.listedServers()
+	servers := q.countListedServers()
 	inUse := q.maxInUse(now)
 	demands := map[string][]quota.Demand{}
 	for service, limit := range q.endpoints.connectionLimits {
@@ -189,8 +190,8 @@
 	return demands
 }
 
-// listedServers counts the servers in use, by service.
-func (q *quotaClient) listedServers() map[string]float64 {
+// countListedServers returns the number of servers that the balancer may use, by service.
+func (q *quotaClient) countListedServers() map[string]float64 {
 	servers := map[string]float64{}
 	for _, e := range q.endpoints.byInstance {
 		if e.listed {
@@ -200,7 +201,7 @@
 	return servers
 }
 
-// maxInUse returns, by service and tenant, the connections that the tenant has to the server where it has most.
+// maxInUse returns, by service and tenant, the largest number of connections that the tenant has to one server of the service.
 func (q *quotaClient) maxInUse(now balancer.Time) map[string]map[string]float64 {
 	inUse := map[string]map[string]float64{}
 	for _, usage := range q.limiter.ConnectionUsages(duration(now)) {
@@ -216,23 +217,23 @@
 	return inUse
 }
 
-// requestGrant requests a grant from the gateway that allocates a service's pool.
+// requestGrant requests a grant from the gateway that allocates a service's pool, unless a request is pending.
 func (q *quotaClient) requestGrant(service string, demands []quota.Demand, now balancer.Time) {
 	grant := q.grants[service]
-	if grant.requested {
+	if grant.pending {
 		return
 	}
-	allocating := q.members.roleOwner(poolRole(service))
-	if allocating == q.members.self {
+	allocatorName := q.members.roleOwner(poolRole(service))
+	if allocatorName == q.members.self {
 		if connections, ok := q.allocate(service, q.process.incarnation, demands, grant.connections, now); ok {
 			q.applyGrant(service, connections, now)
 		}
 		return
 	}
-	client := q.clients[allocating]
+	client := q.clients[allocatorName]
 	if client == nil {
-		client = &rpc.Client{Address: string(allocating), Network: q.process.network}
-		q.clients[allocating] = client
+		client = &rpc.Client{Address: string(allocatorName), Network: q.process.network}
+		q.clients[allocatorName] = client
 	}
 	message := &rpc.QuotaRequest{
 		Service:     service,
@@ -241,19 +242,19 @@
 		Demands:     encodeDemands(demands),
 		InUse:       uint32(grant.connections),
 	}
-	grant.requested = true
+	grant.pending = true
 	q.grants[service] = grant
 	go q.callAllocator(client, message, now)
 }
 
-// callAllocator sends a request to another gateway and posts the reply to the loop. It runs on a goroutine of its own.
+// callAllocator sends a request to another gateway and posts the reply to the loop. It runs on its own goroutine.
 func (q *quotaClient) callAllocator(client *rpc.Client, message *rpc.QuotaRequest, requestedAt balancer.Time) {
 	ctx, cancel := context.WithTimeout(context.Background(), quotaRequestTimeout)
 	defer cancel()
 	reply, err := client.Call(ctx, &rpc.Frame{Body: &rpc.Frame_QuotaRequest{QuotaRequest: message}})
 	q.loop.post(func() {
 		grant := q.grants[message.Service]
-		grant.requested = false
+		grant.pending = false
 		q.grants[message.Service] = grant
 		if granted := reply.GetQuotaGrant(); err == nil && granted != nil && granted.Granted {
 			q.applyGrant(message.Service, int(granted.Connections), requestedAt)
@@ -261,11 +262,12 @@
 	})
 }
 
-// applyGrant takes a grant. Its lease counts from the request, so that it ends here before the allocator takes it for over.
+// applyGrant applies a grant. Its lease starts at the time of the request, so that it expires here before the allocator considers it
+// expired.
 func (q *quotaClient) applyGrant(service string, connections int, requestedAt balancer.Time) {
 	grant := quotaGrant{connections: connections, expiresAt: requestedAt + ticks(quota.LeaseDuration)}
 	if q.loop.now() >= grant.expiresAt {
-		return // it took too long to arrive
+		return // it arrived after its lease had expired
 	}
 	changed := q.grants[service].connections != connections
 	q.grants[service] = grant
@@ -281,6 +283,7 @@
 	}
 }
 
+// encodeDemands converts demands to messages, with numbers in thousandths.
 func encodeDemands(demands []quota.Demand) (encoded []*rpc.Demand) {
 	for _, demand := range demands {
 		encoded = append(encoded, &rpc.Demand{
@@ -292,6 +295,7 @@
 	return encoded
 }
 
+// decodeDemands converts messages to demands.
 func decodeDemands(encoded []*rpc.Demand) (demands []quota.Demand) {
 	for _, demand := range encoded {
 		demands = append(demands, quota.Demand{
--- a/dataplane/quota_client_test.go
+++ b/dataplane/quota_client_test.go
@@ -12,9 +12,9 @@
 	"oxbowspan/rpc"
 )
 
-const testConnectionLimit = 40 // connections that one server takes from all gateways
+const testConnectionLimit = 40 // connections that one server accepts from all gateways together
 
-// withTenants gives components an active configuration, a document of tenants and three gateways.
+// withTenants returns the components of one of three gateways, with an active configuration and a tenant document.
 func withTenants(t *testing.T) *components {
 	t.Helper()
 	c := newComponents(t)
@@ -27,12 +27,12 @@
 	}, nil, 1)
 	c.quota.applyDocument(&rpc.Document{Name: config.TenantsDocumentName, Version: 1, Body: []byte(`{"tenants":[]}`)})
 	if !c.quota.enabled() {
-		t.Fatal("the document of tenants is not active")
+		t.Fatal("the tenant document is not active")
 	}
 	return c
 }
 
-// baseConnections are those to one server that each gateway has without a grant.
+// baseConnections returns the number of connections to one server that each gateway may use without a grant.
 func baseConnections(c *components) int {
 	base, _ := quota.SplitCapacity(rendezvous.ConnectionSlots(testConnectionLimit), c.members.size())
 	return base
@@ -41,20 +41,21 @@
 func TestQuotaIsDisabledWithoutTenants(t *testing.T) {
 	c := newComponents(t)
 	if !c.quota.CanAcquire(1, 0, 0) || c.quota.LimitShare(0, 0) != 1 || c.quota.ExpectedWait(0, 0, 0) != balancer.Never {
-		t.Error("connections are limited without a document of tenants")
+		t.Error("connections are limited without a tenant document")
 	}
 	if _, ok := c.quota.allocate("s", 1, nil, 0, 0); ok {
-		t.Error("a grant is given without a document of tenants")
+		t.Error("allocate() allocates a grant without a tenant document")
 	}
 }
 
+// A grant is in use until its lease, which starts at the request, has expired.
 func TestQuotaGrant(t *testing.T) {
 	const granted = 3
 	for _, test := range []struct {
 		name     string
-		travel   time.Duration // from the request to the grant's arrival
-		after    time.Duration // from the arrival
-		expected int           // beyond the base
+		latency  time.Duration // from the request to the arrival of the grant
+		after    time.Duration // from the arrival of the grant to the check
+		expected int           // connections in addition to the base
 	}{
 		{"in time", 100 * time.Millisecond, 0, granted},
 		{"until the lease ends", 100 * time.Millisecond, quota.LeaseDuration - 200*time.Millisecond, granted},
@@ -64,7 +65,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			c := withTenants(t)
 			requestedAt := c.loop.time
-			c.loop.time += ticks(test.travel)
+			c.loop.time += ticks(test.latency)
 			c.quota.applyGrant("s", granted, requestedAt)
 			c.loop.time += ticks(test.after)
 			c.quota.maintain(c.loop.time)
@@ -75,8 +76,8 @@
 	}
 }
 
-// Once a service is no longer configured, nothing is kept of it.
-func TestQuotaForgetsUnknownServices(t *testing.T) {
+// The demands and grants of a service are deleted once it is no longer configured.
+func TestQuotaDropsUnknownServices(t *testing.T) {
 	c := withTenants(t)
 	c.quota.maintain(c.loop.time)
 	c.quota.applyGrant("s", 2, c.loop.time)
@@ -85,11 +86,11 @@
 	}
 	c.configs.activate(&config.Configuration{Version: 2, Services: []config.Service{{Name: "o", ConnectionLimit: testConnectionLimit}}}, nil, 2)
 	if len(c.quota.demands) != 0 || len(c.quota.grants) != 0 {
-		t.Errorf("%d demands and %d grants are kept", len(c.quota.demands), len(c.quota.grants))
+		t.Errorf("%d demands and %d grants remain, want none", len(c.quota.demands), len(c.quota.grants))
 	}
 }
 
-// A route without a tenant in the document is a tenant of its own.
+// A route that no tenant of the document lists is a tenant of its own.
 func TestRouteWithoutTenant(t *testing.T) {
 	c := withTenants(t)
 	var names []string
@@ -101,7 +102,7 @@
 	}
 	for _, r := range c.configs.load().routes {
 		if !r.hasTenant {
-			t.Error("the route has no tenant")
+			t.Errorf("route %s%s has no tenant", r.Hostname, r.PathPrefix)
 		}
 	}
 }
@@ -111,7 +112,7 @@
 	decoded := decodeDemands(encodeDemands(demands))
 	for i, demand := range demands {
 		if decoded[i] != demand {
-			t.Errorf("%+v is decoded as %+v", demand, decoded[i])
+			t.Errorf("decoded %+v, want %+v", decoded[i], demand)
 		}
 	}
 }
--- a/dataplane/retry_budget_test.go
+++ b/dataplane/retry_budget_test.go
@@ -9,8 +9,8 @@
 	"oxbowspan/internal/settings"
 )
 
-// Beside failures that begin at once and last, the retries in each window of the budget stay within its ratio of the requests of that
-// window, or of one before, and the allowance.
+// When failures start suddenly and persist, the retries in each window of the budget do not exceed the allowance plus the budget's ratio
+// of the requests in that window or in the one before it.
 func TestRetriesOfEachWindowStayWithinBudget(t *testing.T) {
 	const (
 		window    = 10 * time.Second
@@ -37,7 +37,7 @@
 		time.Sleep(time.Second)
 		retries := servers.retryTimes()
 		requests := float64(window / interval)
-		most := 0
+		maxRetries := 0
 		for i, from := range retries {
 			count := 0
 			for _, at := range retries[i:] {
@@ -45,19 +45,19 @@
 					count++
 				}
 			}
-			most = max(most, count)
+			maxRetries = max(maxRetries, count)
 		}
 		allowed := int(ratio*requests + allowance)
-		if most > allowed {
-			t.Errorf("%d retries in a window of %v with %.0f requests, %d are allowed", most, window, requests, allowed)
+		if maxRetries > allowed {
+			t.Errorf("%d retries in a window of %v with %.0f requests, want at most %d", maxRetries, window, requests, allowed)
 		}
-		if most < allowed/2 {
-			t.Errorf("only %d retries in a window: the test shows nothing", most)
+		if maxRetries < allowed/2 {
+			t.Errorf("%d retries in a window, want at least %d: the test does not exercise the budget", maxRetries, allowed/2)
 		}
 	})
 }
 
-// retryTimes returns when attempts beyond the first of their request arrived, in order.
+// retryTimes returns the arrival times of all attempts except the first one of each request, in order.
 func (s *recordingServers) retryTimes() (times []time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/dataplane/rollouts.go
+++ b/dataplane/rollouts.go
@@ -10,57 +10,58 @@
 )
 
 const (
-	// slowFactor times the usual latency of a route's requests at servers of other versions makes an answer a bad one. Cold servers
-	// and pauses are well below it.
-	slowFactor = 4.0
-	// usualWeight is the smoothing of that usual latency, minUsualSamples how many answers it takes to know it.
-	usualWeight     = 0.05
-	minUsualSamples = 8
-	// rolloutSplitStep is the fractional part of the golden ratio (Weyl sequence), as for weighted services.
+	// slowResponseFactor is the multiple of the baseline latency above which a response counts as bad. The baseline is the mean latency of
+	// the route's requests at servers of other versions than the target. Cold servers and pauses are well below this multiple.
+	slowResponseFactor = 4.0
+	// baselineSmoothing is the weight of one response in the moving average of the baseline latency, minBaselineSamples the number of
+	// responses from which on the average is used.
+	baselineSmoothing  = 0.05
+	minBaselineSamples = 8
+	// rolloutSplitStep is the fractional part of the golden ratio. It generates a Weyl sequence, as for weighted services.
 	rolloutSplitStep = 0.6180339887498949
 )
 
-// versionSeparator stands between service and version in the names of shards that hold the servers of one version.
+// versionSeparator separates service and version in the name of a shard that consists of the servers of one version.
 const versionSeparator = "\x00"
 
-// shardTable is what the rollouts use of the servers.
+// shardTable is the part of the endpoint table that rollouts use.
 type shardTable interface {
 	shardIndex(service string) balancer.ShardIndex
 	usable(shard balancer.ShardIndex) bool
 	sync()
 }
 
-// rolloutTable applies the agreed rollouts: it sends the share of a service's calls to servers of the target version that the
-// rollout's step allows, and counts how these fare. The servers of a version that has or had a rollout are a shard of their own, so
-// that all attempts of a call go to one version. It is owned by the loop.
+// rolloutTable applies the rollouts decided by the controllers: it sends the share of a service's shard calls that the rollout's step
+// allows to servers of the target version, and counts the outcomes. The servers of a version that has or had a rollout form a separate
+// shard, so that all attempts of a shard call go to the same version. It is owned by the loop.
 type rolloutTable struct {
 	process *process
 	loop    commandLoop
 	shards  shardTable
 	events  eventSink // for the balancer
 
-	version      uint64 // of the document, 0 = none
-	text         []byte
-	byService    map[string]*activeRollout
-	byShard      map[balancer.ShardIndex]*activeRollout // by the shard of the service that routes name
-	inTouchSince time.Duration                          // when the poll was sent that a controller with a quorum answered last
-	openCalls    map[balancer.ShardIndex]int            // calls that may be or may yet be sent to a shard's servers
-	sequence     uint64
+	version          uint64 // of the document, 0 = none
+	encoded          []byte // the document
+	byService        map[string]*activeRollout
+	byShard          map[balancer.ShardIndex]*activeRollout // by the shard of the service that routes refer to
+	lastQuorumPollAt time.Duration                          // when the last poll was sent that a controller with a quorum answered
+	openCalls        map[balancer.ShardIndex]int            // number of shard calls with attempts at a shard's servers now or possibly later
+	sequence         uint64                                 // of the last report
 }
 
-// activeRollout is one service's newest rollout here.
+// activeRollout is the newest rollout of a service, with its outcomes at this gateway.
 type activeRollout struct {
 	rollout.Rollout
 	oldShard, newShard balancer.ShardIndex
-	splitPoint         float64
-	outcomes           map[string]*routeOutcomes // by host and path prefix
+	splitPoint         float64                   // last element of the Weyl sequence, in [0, 1)
+	outcomes           map[string]*routeOutcomes // by hostname and path prefix
 }
 
-// routeOutcomes are the answers to one route's requests in a rollout.
+// routeOutcomes counts the responses to one route's requests during a rollout.
 type routeOutcomes struct {
 	rollout.RouteCounts
-	usualLatency float64 // of the old version's answers, in ticks
-	usualSamples int
+	baselineLatency float64 // moving average of the old version's responses, in ticks
+	baselineSamples int     // number of responses in baselineLatency
 }
 
 func newRolloutTable(p *process, loop commandLoop, shards shardTable) *rolloutTable {
@@ -72,11 +73,11 @@
 		byShard:   map[balancer.ShardIndex]*activeRollout{},
 		openCalls: map[balancer.ShardIndex]int{},
 
-		inTouchSince: -lease.TTL,
+		lastQuorumPollAt: -lease.TTL,
 	}
 }
 
-// apply makes a document the active one, unless it or a newer one already is.
+// apply makes a rollout document the active one, unless the same or a newer version is active already.
 func (t *rolloutTable) apply(document *rpc.Document) {
 	if document.Version <= t.version {
 		return
@@ -86,18 +87,19 @@
 		t.process.log.Error().Err(err).Uint64("version", document.Version).Msg("rollout: invalid document ignored")
 		return
 	}
-	t.version, t.text = document.Version, document.Body
+	t.version, t.encoded = document.Version, document.Body
 	for _, r := range parsed.Rollouts {
 		t.applyRollout(r)
 	}
 	t.shards.sync()                 // servers may have moved between shards
-	for _, r := range t.byService { // the retry budget is the service's, whatever its servers' versions
+	for _, r := range t.byService { // all versions of a service share its retry budget
 		base := t.shards.shardIndex(r.Service)
 		t.events.handleEvent(balancer.BudgetShared{Shard: r.newShard, With: base})
 		t.events.handleEvent(balancer.BudgetShared{Shard: r.oldShard, With: base})
 	}
 }
 
+// applyRollout makes a rollout the newest one of its service. Its outcomes are kept if it only changes its state or step.
 func (t *rolloutTable) applyRollout(r rollout.Rollout) {
 	active := t.byService[r.Service]
 	if active == nil || active.Number != r.Number {
@@ -118,9 +120,10 @@
 	t.byShard[base] = active
 }
 
+// versionShard returns the name of the shard that consists of the servers of one version of a service.
 func versionShard(service, version string) string { return service + versionSeparator + version }
 
-// shardName returns the name of the shard that a server belongs to.
+// shardName returns the name of the shard that a server of a service and version belongs to.
 func (t *rolloutTable) shardName(service, version string) string {
 	r := t.byService[service]
 	if r != nil && version != "" && (version == r.TargetVersion || version == r.StableVersion) {
@@ -129,29 +132,31 @@
 	return service
 }
 
-// confirmContact notes that a controller with a quorum answered a poll.
-func (t *rolloutTable) confirmContact(polledAt time.Duration) {
-	t.inTouchSince = max(t.inTouchSince, polledAt)
+// recordQuorum records that a controller with a quorum answered a poll that was sent at polledAt.
+func (t *rolloutTable) recordQuorum(polledAt time.Duration) {
+	t.lastQuorumPollAt = max(t.lastQuorumPollAt, polledAt)
 }
 
-func (t *rolloutTable) inTouch() bool {
-	return duration(t.loop.now())-t.inTouchSince < lease.TTL
+// quorumReachable reports whether a controller with a quorum answered a poll that was sent less than a lease TTL ago.
+func (t *rolloutTable) quorumReachable() bool {
+	return duration(t.loop.now())-t.lastQuorumPollAt < lease.TTL
 }
 
-// share returns the share of a rollout's calls that may go to the target version now.
+// share returns the share of a rollout's shard calls to send to the target version now. If only one of the versions has usable servers, it
+// receives all calls, except that the target version receives none where the rollout allows it no share.
 func (t *rolloutTable) share(r *activeRollout) float64 {
-	share := r.Share(t.inTouch())
+	share := r.Share(t.quorumReachable())
 	oldUsable, newUsable := t.shards.usable(r.oldShard), t.shards.usable(r.newShard)
 	switch {
 	case share > 0 && !newUsable && oldUsable:
 		return 0
 	case share < 1 && !oldUsable && newUsable && r.State == rollout.Running && share > 0:
-		return 1 // the version was in place before
+		return 1 // the target version was already in use
 	}
 	return share
 }
 
-// choose returns the shard to which a call of a service's shard goes.
+// choose returns the shard to which the next shard call of a service is sent, given the service's shard.
 func (t *rolloutTable) choose(shard balancer.ShardIndex) balancer.ShardIndex {
 	r := t.byShard[shard]
 	if r == nil {
@@ -167,8 +172,9 @@
 	return r.oldShard
 }
 
-// chooseAmong returns the shards among which the balancer chooses, in place of those of a route's services. It draws once for both
-// the service and the version: two sequences of the same step would agree with each other.
+// chooseAmong replaces the shards of a route's services by the shards of their versions, weighted by the rollouts' shares. The balancer
+// chooses one of them, so that the service and the version are chosen by one element of one sequence: two sequences with the same step
+// would be correlated.
 func (t *rolloutTable) chooseAmong(alternatives []balancer.WeightedShard) []balancer.WeightedShard {
 	if len(t.byShard) == 0 {
 		return alternatives
@@ -191,17 +197,18 @@
 	return chosen
 }
 
-// opened counts a call that may be sent to servers of a shard, closed one that no longer may.
+// opened counts a shard call that may be sent to servers of a shard.
 func (t *rolloutTable) opened(shard balancer.ShardIndex) { t.openCalls[shard]++ }
 
+// closed ends the count of a shard call that can no longer be sent to servers of the shard.
 func (t *rolloutTable) closed(shard balancer.ShardIndex) {
 	if t.openCalls[shard]--; t.openCalls[shard] <= 0 {
 		delete(t.openCalls, shard)
 	}
 }
 
-// observe takes the end of an attempt. A server that is silent to all says nothing of its version: what is lost there, or on the way,
-// counts only where the server has answered others meanwhile.
+// observe records the outcome of an attempt. An attempt without a response counts only if its server has responded to other attempts since
+// it was sent: a server that responds to none, or a fault of the network, is no evidence about the version.
 func (t *rolloutTable) observe(a *attempt, outcome balancer.Outcome, elapsed balancer.Time) {
 	r := t.byService[a.endpoint.service]
 	if r == nil || r.State != rollout.Running || outcome.NeverRan() {
@@ -216,14 +223,14 @@
 		a.endpoint.respondedAt = now
 	}
 	o := r.outcomesOf(a.shardCall.request.route)
-	slow := o.usualSamples >= minUsualSamples && float64(elapsed) > slowFactor*o.usualLatency
+	slow := o.baselineSamples >= minBaselineSamples && float64(elapsed) > slowResponseFactor*o.baselineLatency
 	if outcome == balancer.Cancelled && !slow {
-		return // its client left early
+		return // the client left before the attempt was slow
 	}
 	counts := &o.New
 	if a.endpoint.version != r.TargetVersion {
 		counts = &o.Old
-		o.learnLatency(outcome, elapsed)
+		o.updateBaseline(outcome, elapsed)
 	}
 	counts.Answers++
 	if outcome != balancer.Answered || slow {
@@ -232,8 +239,8 @@
 }
 
 // outcomesOf returns the outcomes of a route's requests.
-func (r *activeRollout) outcomesOf(of *route) *routeOutcomes {
-	key := of.Hostname + of.PathPrefix
+func (r *activeRollout) outcomesOf(configured *route) *routeOutcomes {
+	key := configured.Hostname + configured.PathPrefix
 	o := r.outcomes[key]
 	if o == nil {
 		o = &routeOutcomes{}
@@ -242,17 +249,17 @@
 	return o
 }
 
-// learnLatency learns the usual latency from an answer of the old version.
-func (o *routeOutcomes) learnLatency(outcome balancer.Outcome, elapsed balancer.Time) {
+// updateBaseline updates the baseline latency with a successful response of the old version.
+func (o *routeOutcomes) updateBaseline(outcome balancer.Outcome, elapsed balancer.Time) {
 	if outcome != balancer.Answered {
 		return
 	}
-	o.usualSamples++
-	weight := max(usualWeight, 1/float64(o.usualSamples))
-	o.usualLatency += (float64(elapsed) - o.usualLatency) * weight
+	o.baselineSamples++
+	weight := max(baselineSmoothing, 1/float64(o.baselineSamples))
+	o.baselineLatency += (float64(elapsed) - o.baselineLatency) * weight
 }
 
-// report returns what the controllers are to know, nil = no rollout is running.
+// report returns the report on running rollouts for the next poll, nil = no rollout is running.
 func (t *rolloutTable) report() *rpc.GatewayRollouts {
 	var report *rpc.GatewayRollouts
 	for service, r := range t.byService {
@@ -263,9 +270,9 @@
 			t.sequence++
 			report = &rpc.GatewayRollouts{Incarnation: t.process.incarnation, Sequence: t.sequence}
 		}
-		of := &rpc.RolloutReport{Service: service, Number: r.Number, Step: uint32(r.Step), OpenOld: uint32(t.openCalls[r.oldShard])}
+		entry := &rpc.RolloutReport{Service: service, Number: r.Number, Step: uint32(r.Step), OpenOld: uint32(t.openCalls[r.oldShard])}
 		for route, o := range r.outcomes {
-			of.Routes = append(of.Routes, &rpc.RouteOutcomes{
+			entry.Routes = append(entry.Routes, &rpc.RouteOutcomes{
 				Route:      route,
 				OldAnswers: o.Old.Answers,
 				OldBad:     o.Old.Bad,
@@ -273,15 +280,15 @@
 				NewBad:     o.New.Bad,
 			})
 		}
-		report.Rollouts = append(report.Rollouts, of)
+		report.Rollouts = append(report.Rollouts, entry)
 	}
 	return report
 }
 
-// documents returns the active document, for gateways that reach no controller.
+// documents returns the active rollout document for gateways that reach no controller.
 func (t *rolloutTable) documents() []*rpc.Document {
 	if t.version == 0 {
 		return nil
 	}
-	return []*rpc.Document{{Name: rollout.DocumentName, Version: t.version, Body: t.text}}
+	return []*rpc.Document{{Name: rollout.DocumentName, Version: t.version, Body: t.encoded}}
 }
--- a/dataplane/rollouts_test.go
+++ b/dataplane/rollouts_test.go
@@ -13,11 +13,11 @@
 	"oxbowspan/rpc"
 )
 
-// fakeShards numbers shards, all of them with or without servers.
+// fakeShards is a shardTable. All shards have usable servers except for the unusable ones.
 type fakeShards struct {
 	byName   map[string]balancer.ShardIndex
 	unusable map[balancer.ShardIndex]bool
-	synced   int
+	synced   int // number of calls to sync
 }
 
 func (s *fakeShards) shardIndex(name string) balancer.ShardIndex {
@@ -33,22 +33,24 @@
 
 func (s *fakeShards) sync() { s.synced++ }
 
+// newTestRollouts returns a rolloutTable to which a controller with a quorum has just responded.
 func newTestRollouts() (*rolloutTable, *fakeShards, *fakeLoop) {
 	shards := &fakeShards{byName: map[string]balancer.ShardIndex{}, unusable: map[balancer.ShardIndex]bool{}}
 	loop := &fakeLoop{time: ticks(time.Minute)}
 	table := newRolloutTable(testProcess(), loop, shards)
 	table.events = &recordedEvents{}
-	table.confirmContact(time.Minute)
+	table.recordQuorum(time.Minute)
 	return table, shards, loop
 }
 
+// rolloutDocument returns a rollout document of a version with one rollout.
 func rolloutDocument(version uint64, r rollout.Rollout) *rpc.Document {
 	d := rollout.Document{Rollouts: []rollout.Rollout{r}}
 	return &rpc.Document{Name: rollout.DocumentName, Version: version, Body: d.Encode()}
 }
 
-// shareOf returns the share of calls of a service that go to the target version.
-func shareOf(table *rolloutTable, shards *fakeShards) float64 {
+// targetShare returns the measured share of calls of service "s" that go to version "v2".
+func targetShare(table *rolloutTable, shards *fakeShards) float64 {
 	const calls = 1000
 	target := 0
 	for range calls {
@@ -59,7 +61,8 @@
 	return float64(target) / calls
 }
 
-// A gateway sends to the target version what the step allows, and nothing while it is out of touch, reverted or without its servers.
+// A gateway sends to the target version the share that the step allows. It sends nothing there if the rollout is reverted, if the target
+// version has no usable servers, or, before the last step, while no controller with a quorum responds.
 func TestRolloutShares(t *testing.T) {
 	running := func(step int) rollout.Rollout {
 		share := []float64{0, 0.05, 0.15, 0.35, 1}[step]
@@ -70,9 +73,9 @@
 	for _, test := range []struct {
 		name       string
 		rollout    rollout.Rollout
-		outOfTouch bool
-		without    string // version without usable servers
-		want       float64
+		quorumLost bool    // no controller with a quorum has responded for a lease TTL
+		without    string  // version without usable servers
+		want       float64 // share of calls sent to the target version
 	}{
 		{"servers awaited", running(0), false, "", 0},
 		{"canary", running(1), false, "", 0.05},
@@ -91,7 +94,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			table, shards, loop := newTestRollouts()
 			table.apply(rolloutDocument(1, test.rollout))
-			if test.outOfTouch {
+			if test.quorumLost {
 				loop.time += ticks(lease.TTL)
 			}
 			switch test.without {
@@ -100,50 +103,52 @@
 			case "old":
 				shards.unusable[shards.shardIndex("s")] = true
 			}
-			if got := shareOf(table, shards); math.Abs(got-test.want) > 0.002 {
-				t.Errorf("%v of the calls go to the target version, want %v", got, test.want)
+			if got := targetShare(table, shards); math.Abs(got-test.want) > 0.002 {
+				t.Errorf("share %v of the calls goes to the target version, want %v", got, test.want)
 			}
 			total := 0.0
 			for _, candidate := range table.chooseAmong([]balancer.WeightedShard{{Shard: shards.shardIndex("s"), Weight: 3}, {Shard: 7, Weight: 1}}) {
 				total += candidate.Weight
 				if candidate.Shard == shards.shardIndex(versionShard("s", "v2")) && math.Abs(candidate.Weight-3*test.want) > 0.01 {
-					t.Errorf("weight %v of 3, want the share %v", candidate.Weight, test.want)
+					t.Errorf("the target version has weight %v, want 3 times %v", candidate.Weight, test.want)
 				}
 			}
 			if math.Abs(total-4) > 1e-9 {
-				t.Errorf("the weights add up to %v, want 4", total)
+				t.Errorf("the sum of the weights is %v, want 4", total)
 			}
 		})
 	}
 }
 
-// The version before a later rollout is the one that was completed; older documents change nothing.
-func TestRolloutFollowsAnother(t *testing.T) {
+// During a rollout that follows a completed one, the other calls go to servers of the version that was completed. Older documents are
+// ignored.
+func TestRolloutAfterCompletedRollout(t *testing.T) {
 	table, shards, _ := newTestRollouts()
 	next := rollout.Rollout{Number: 5, Service: "s", TargetVersion: "v3", StableVersion: "v2", DurationS: 15, State: rollout.Running, Step: 1}
 	table.apply(rolloutDocument(5, next))
 	table.apply(rolloutDocument(4, rollout.Rollout{Number: 1, Service: "s", TargetVersion: "v2", DurationS: 15, State: rollout.Completed}))
 	if shards.synced != 1 {
-		t.Errorf("the servers were listed anew %d times", shards.synced)
+		t.Errorf("sync was called %d times, want 1", shards.synced)
 	}
 	for version, want := range map[string]string{"v3": versionShard("s", "v3"), "v2": versionShard("s", "v2"), "v1": "s", "": "s"} {
 		if got := table.shardName("s", version); got != want {
-			t.Errorf("servers of version %q belong to %q, want %q", version, got, want)
+			t.Errorf("servers of version %q belong to shard %q, want %q", version, got, want)
 		}
 	}
 	if got := table.choose(shards.shardIndex("s")); got != shards.shardIndex(versionShard("s", "v2")) {
-		t.Errorf("a call goes to shard %d", got)
+		t.Errorf("a call goes to shard %d, want the shard of version v2", got)
 	}
 	shared := balancer.BudgetShared{Shard: shards.shardIndex(versionShard("s", "v3")), With: shards.shardIndex("s")}
 	if !slices.Contains(table.events.(*recordedEvents).events, balancer.Event(shared)) {
-		t.Error("the servers of the target version have a retry budget of their own")
+		t.Error("the servers of the target version do not share the retry budget of the service")
 	}
 	if got := table.choose(99); got != 99 {
-		t.Errorf("a call of another service goes to shard %d", got)
+		t.Errorf("a call of another service goes to shard %d, want 99", got)
 	}
 }
 
-// Failures and answers that are several times slower than usual are bad; silence is, only of a server that answers others.
+// Failures and responses much slower than the baseline count as bad. An attempt without a response counts as bad only if its server responds
+// to other attempts.
 func TestRolloutOutcomes(t *testing.T) {
 	table, _, loop := newTestRollouts()
 	table.apply(rolloutDocument(1, rollout.Rollout{Number: 1, Service: "s", TargetVersion: "v2", DurationS: 15, State: rollout.Running, Step: 1}))
@@ -157,42 +162,44 @@
 	for range 20 {
 		end(old, balancer.Answered, 10*time.Millisecond)
 	}
-	end(target, balancer.TimedOut, 500*time.Millisecond) // it has not answered anybody yet
+	end(target, balancer.TimedOut, 500*time.Millisecond) // not counted: the server has not responded to any attempt yet
 	end(target, balancer.ConnectFailed, time.Millisecond)
 	end(target, balancer.Rejected, time.Millisecond)
 	end(target, balancer.Answered, 12*time.Millisecond)
 	end(target, balancer.Answered, 90*time.Millisecond) // bad
 	end(target, balancer.Errored, time.Millisecond)     // bad
-	silent := &attempt{shardCall: &shardCall{request: r}, endpoint: target, sentAt: loop.time}
+	unanswered := &attempt{shardCall: &shardCall{request: r}, endpoint: target, sentAt: loop.time}
 	end(target, balancer.Answered, 11*time.Millisecond)
-	table.observe(silent, balancer.TimedOut, ticks(time.Second))                                                              // bad: it answers others
-	table.observe(&attempt{shardCall: &shardCall{request: r}, endpoint: &endpoint{service: "t"}}, balancer.Errored, ticks(1)) // of another service
+	// Bad: the server has responded to another attempt since.
+	table.observe(unanswered, balancer.TimedOut, ticks(time.Second))
+	// Not counted: it belongs to another service.
+	table.observe(&attempt{shardCall: &shardCall{request: r}, endpoint: &endpoint{service: "t"}}, balancer.Errored, ticks(1))
 	report := table.report()
 	if len(report.GetRollouts()) != 1 || len(report.Rollouts[0].Routes) != 1 {
-		t.Fatalf("report %v", report)
+		t.Fatalf("report %v, want one rollout with one route", report)
 	}
 	got := report.Rollouts[0].Routes[0]
 	if got.OldAnswers != 20 || got.OldBad != 0 || got.NewAnswers != 5 || got.NewBad != 3 {
-		t.Errorf("counted %v", got)
+		t.Errorf("counted %v, want 20 old responses, none bad, and 5 new responses, 3 bad", got)
 	}
 	if later := table.report(); later.Sequence <= report.Sequence {
-		t.Errorf("the next report has number %d after %d", later.Sequence, report.Sequence)
+		t.Errorf("the next report has sequence number %d, want more than %d", later.Sequence, report.Sequence)
 	}
 }
 
-// Requests at servers of the version before are counted until none of them can be sent there any more.
+// Shard calls to servers of the old version are counted as open until they can no longer be sent there.
 func TestRolloutCountsOpenCalls(t *testing.T) {
 	table, shards, _ := newTestRollouts()
 	table.opened(shards.shardIndex("s")) // before the rollout began
 	table.apply(rolloutDocument(1, rollout.Rollout{Number: 1, Service: "s", TargetVersion: "v2", DurationS: 15, State: rollout.Running, Step: 4}))
 	for _, want := range []uint32{1, 0} {
 		if got := table.report().Rollouts[0].OpenOld; got != want {
-			t.Errorf("%d calls are reported open, want %d", got, want)
+			t.Errorf("%d calls are reported as open, want %d", got, want)
 		}
 		table.closed(shards.shardIndex("s"))
 	}
 	table.apply(rolloutDocument(2, rollout.Rollout{Number: 1, Service: "s", TargetVersion: "v2", DurationS: 15, State: rollout.Completed, Step: 4}))
 	if table.report() != nil {
-		t.Error("a completed rollout is reported")
+		t.Error("report() returns a completed rollout")
 	}
 }
--- a/dataplane/scenario_test.go
+++ b/dataplane/scenario_test.go
@@ -9,65 +9,65 @@
 	"pgregory.net/rapid"
 )
 
-// The whole data plane of one gateway between clients and servers that keep to no protocol: what servers, connections and clients do is
-// drawn beforehand, and which responses came and which requests ran is checked afterwards.
+// The tests in this file run the complete data plane of one gateway between clients and servers that violate the protocol. The behaviour of
+// servers, connections and clients is generated before the run; the responses received and the requests executed are checked after it.
 
-// serverStep is what a server does with one request.
+// serverStep is the behaviour of a server for one request.
 type serverStep struct {
-	Kind             string        // of response
-	Delay            time.Duration // before it responds
-	Before           string        // what it sends before the response
+	Kind             string        // of the response, one of responseKinds
+	Delay            time.Duration // before the server responds
+	Before           string        // sent before the response: "" or one of sentBefore
 	Cut              int           // percentage of the response's bytes that is sent
-	Pause            time.Duration // in the midst of the response
-	PauseAt          int           // percentage of the response's bytes
-	After            string        // what it sends behind the response
-	Keep             string        // header lines about the connection
-	AnswerBeforeBody bool          // it responds before it reads the body
-	IdleEnd          time.Duration // it closes the idle connection after so long, 0 = never
+	Pause            time.Duration // within the response
+	PauseAt          int           // percentage of the response's bytes sent before the pause
+	After            string        // sent after the response: "" or one of sentAfter
+	Keep             string        // header lines that control connection reuse
+	AnswerBeforeBody bool          // the server responds before it reads the body
+	IdleEnd          time.Duration // idle time after which the server closes the connection, 0 = never
 }
 
 // clientStep is one request of a client.
 type clientStep struct {
 	Path       string
 	Body       int           // bytes
-	Pipelined  bool          // it is sent together with the next one
-	GiveUp     time.Duration // the client closes the connection after so long, 0 = when it times out
-	TruncateAt int           // the client closes the connection after this percentage of what is sent together, 0 = not
+	Pipelined  bool          // the request is written together with the next one
+	GiveUp     time.Duration // time after which the client closes the connection, 0 = its timeout
+	TruncateAt int           // percentage of the bytes written together after which the client closes the connection, 0 = never
 	Pause      time.Duration // before the request
-	Deadline   time.Duration // that the request states
+	Deadline   time.Duration // stated in the request
 }
 
-// writeStep is what becomes of one write to a server.
+// writeStep is the behaviour of one write to a server.
 type writeStep struct {
 	Fails bool
-	At    int           // bytes that are taken before it fails; negative: all but so many
-	Slow  time.Duration // that a large write takes
+	At    int           // bytes written before it fails; negative: counted from the end
+	Slow  time.Duration // pause within a large write
 }
 
-// scenario is all that servers, connections and clients do. Steps are used in turn, from the first again after the last.
+// scenario is the behaviour of all servers, connections and clients. Steps are used cyclically.
 type scenario struct {
 	Servers   int // of each service
 	Script    []serverStep
 	Writes    []writeStep
-	Dials     []time.Duration // that dialling takes
+	Dials     []time.Duration // duration of each dial
 	Clients   [][]clientStep
-	KillAfter time.Duration // the gateway is killed then and started again; 0 = never
+	KillAfter time.Duration // time after which the gateway is killed and restarted; 0 = never
 }
 
-// drawMillis draws one of some numbers of milliseconds.
+// drawMillis draws one of the given durations in milliseconds.
 func drawMillis(t *rapid.T, label string, millis ...int) time.Duration {
 	return time.Duration(rapid.SampledFrom(millis).Draw(t, label)) * time.Millisecond
 }
 
-// drawMillisRange draws a number of milliseconds within bounds, both included.
+// drawMillisRange draws a duration from least to most milliseconds.
 func drawMillisRange(t *rapid.T, label string, least, most int) time.Duration {
 	return time.Duration(rapid.IntRange(least, most).Draw(t, label)) * time.Millisecond
 }
 
-// oneIn draws true in one of n cases.
+// oneIn draws true with a probability of 1 in n.
 func oneIn(t *rapid.T, label string, n int) bool { return rapid.IntRange(0, n-1).Draw(t, label) == 0 }
 
-// What servers answer, and send before and behind. What stands several times is drawn so much more often.
+// Kinds of responses, and of data that servers send before and after them. Repeated entries are drawn more often.
 var (
 	responseKinds = []string{"complete", "chunked", "503 marked", "503 marked", "503 marked", "429 marked", "400 marked", "421",
 		"500", "503", "408", "429", "404", "no seal", "other", "no id", "000", "silent", "ends unrun", "ends run"}
@@ -151,8 +151,9 @@
 	return s
 })
 
-// TestResponsesReachTheirCallers runs drawn scenarios and checks that each response reaches its own caller or nobody, that servers get
-// only what clients sent, and that no request that must not be repeated runs twice or is reported as not executed after it ran.
+// TestResponsesReachTheirCallers runs generated scenarios. It checks that each response reaches either its own caller or no caller, that
+// servers receive only what clients sent, and that a request that must not be repeated is neither executed twice nor reported as not
+// executed after it was.
 func TestResponsesReachTheirCallers(t *testing.T) {
 	served := 0
 	rapid.Check(t, func(rt *rapid.T) {
@@ -167,13 +168,13 @@
 	}
 }
 
-// Of two requests that must not be repeated the second finds its connection dead. Where not a byte of it was taken, it is served all the
-// same; where one was, it is not sent again, and its client is promised nothing.
+// The second of two requests that must not be repeated is written to a connection that fails. If no byte of it was written, it is retried on
+// another connection and served. If one byte was written, it is not sent again, and the response does not claim that it was not executed.
 func TestUnsentRequestIsRetriedOnNextConnection(t *testing.T) {
 	for _, test := range []struct {
-		name       string
-		bytesTaken int
-		want       int
+		name         string
+		bytesWritten int
+		want         int
 	}{
 		{"no byte taken", 0, http.StatusOK},
 		{"one byte taken", 1, http.StatusGatewayTimeout},
@@ -183,7 +184,7 @@
 			b := runScenario(t, scenario{
 				Servers: 1,
 				Script:  []serverStep{{Kind: "complete", Cut: 100}},
-				Writes:  []writeStep{{}, {Fails: true, At: test.bytesTaken}, {}},
+				Writes:  []writeStep{{}, {Fails: true, At: test.bytesWritten}, {}},
 				Dials:   []time.Duration{0},
 				Clients: [][]clientStep{{step, step}},
 			})
--- a/dataplane/tenants.go
+++ b/dataplane/tenants.go
@@ -11,24 +11,24 @@
 	"oxbowspan/rpc"
 )
 
-// Reporting of tenants.
+// Timing and precision of the tenant statistics.
 const (
-	waitingCooldown = 5 * time.Second // without a wait, after which a tenant counts as no longer waiting
-	statsWindow     = time.Minute     // over which its requests and waits are counted
-	waitDigits      = 2               // significant digits of recorded waits
+	waitingCooldown = 5 * time.Second // time without waiting shard calls after which a tenant counts as no longer waiting
+	statsWindow     = time.Minute     // over which requests and waits are counted
+	waitDigits      = 2               // significant decimal digits of recorded waits
 )
 
-// tenantUsage is a tenant's policy, and its traffic as operators see it.
+// tenantUsage is a tenant's policy, with statistics for operators.
 type tenantUsage struct {
 	quota.TenantPolicy
-	requests, waited uint64 // since windowStart
-	waiting          int    // shard calls that wait for a connection now
-	lastWait         balancer.Time
-	waits            *hdrhistogram.Histogram // in microseconds; nil until it first waits
+	requests, waited uint64                  // requests, and those of them that waited, since windowStart
+	waiting          int                     // shard calls that wait for a connection now
+	lastWait         balancer.Time           // when a shard call last started or stopped waiting; 0 = the tenant counts as not waiting
+	waits            *hdrhistogram.Histogram // durations of waits in microseconds; nil until the first wait
 	windowStart      balancer.Time
 }
 
-// applyDocument makes a document of tenants the active one, unless it or a newer one already is.
+// applyDocument makes a tenant document the active one, unless the same or a newer version is active already.
 func (q *quotaClient) applyDocument(document *rpc.Document) {
 	if document.Version <= q.document.version {
 		return
@@ -38,21 +38,22 @@
 		q.process.log.Error().Err(err).Uint64("version", document.Version).Msg("tenants: invalid document ignored")
 		return
 	}
-	q.document = tenantDocument{parsed: parsed, text: document.Body, version: document.Version}
+	q.document = tenantDocument{parsed: parsed, encoded: document.Body, version: document.Version}
 	q.process.log.Info().Uint64("version", document.Version).Int("tenants", len(parsed.Tenants)).Msg("tenants: document active")
 	q.rebuildTenants()
 	q.endpoints.sync()
 }
 
-// documents returns the active document for a gateway that reaches no controller. Pins are left out: they expire by themselves.
+// documents returns the active tenant document for a gateway that reaches no controller. Pins are not passed on, as they expire anyway.
 func (q *quotaClient) documents() []*rpc.Document {
 	if q.document.parsed == nil {
 		return nil
 	}
-	return []*rpc.Document{{Name: config.TenantsDocumentName, Version: q.document.version, Body: q.document.text}}
+	return []*rpc.Document{{Name: config.TenantsDocumentName, Version: q.document.version, Body: q.document.encoded}}
 }
 
-// rebuildTenants finds the tenants of the active routes. It does nothing until both a document and a configuration are known.
+// rebuildTenants assigns tenants to the active routes and sets their policies in the limiter. It does nothing until both a tenant document
+// and a configuration are active.
 func (q *quotaClient) rebuildTenants() {
 	active := q.configs.load()
 	if q.document.parsed == nil || active == nil {
@@ -64,7 +65,7 @@
 	policies := documentPolicies(q.document.parsed)
 	policyOf, policies := routePolicies(q.document.parsed, active.routes, policies)
 	ids := q.limiter.SetPolicies(policies)
-	q.tenants = q.keepUsage(ids, policies)
+	q.tenants = q.updateUsage(ids, policies)
 	floors := q.assignTenants(policyOf, ids, policies)
 	q.services = map[balancer.ShardIndex]quota.Service{}
 	for name, shard := range q.endpoints.shards {
@@ -75,7 +76,7 @@
 	q.dropUnknownServices()
 }
 
-// documentPolicies returns the policies of a document's tenants, in its order.
+// documentPolicies returns the policies of a document's tenants, in the order of the document.
 func documentPolicies(document *config.TenantDocument) (policies []quota.TenantPolicy) {
 	for _, tenant := range document.Tenants {
 		policy := quota.TenantPolicy{
@@ -96,14 +97,14 @@
 	return policies
 }
 
-// Policy of a route that belongs to no named tenant, and what a document may leave out.
+// Policy of a route that belongs to no tenant of the document, and defaults for fields that a document may omit.
 const (
 	defaultTenantWeight = 1
 	unlimitedBorrowing  = -1
 )
 
-// routePolicies finds each route's policy. A route that belongs to no tenant of the document is a tenant of its own; its policy is
-// appended.
+// routePolicies returns the index of each route's policy, and all policies: a route that belongs to no tenant of the document is a tenant
+// of its own, whose policy is appended.
 func routePolicies(document *config.TenantDocument, routes map[*config.Route]*route, policies []quota.TenantPolicy) (policyOf map[*route]int, all []quota.TenantPolicy) {
 	table := document.NewTenantTable()
 	policyOf = map[*route]int{}
@@ -122,8 +123,8 @@
 	return policyOf, policies
 }
 
-// keepUsage returns the usage of the tenants that there are now. Those that were there before keep theirs.
-func (q *quotaClient) keepUsage(ids []quota.TenantID, policies []quota.TenantPolicy) map[quota.TenantID]*tenantUsage {
+// updateUsage returns the usage of the current tenants. Tenants that existed before keep their statistics.
+func (q *quotaClient) updateUsage(ids []quota.TenantID, policies []quota.TenantPolicy) map[quota.TenantID]*tenantUsage {
 	tenants := map[quota.TenantID]*tenantUsage{}
 	for i, id := range ids {
 		usage := q.tenants[id]
@@ -136,7 +137,7 @@
 	return tenants
 }
 
-// assignTenants gives the routes their tenants, and returns by service those that have connections reserved.
+// assignTenants sets the tenants of the routes. It returns, by service, the tenants with reserved connections.
 func (q *quotaClient) assignTenants(policyOf map[*route]int, ids []quota.TenantID, policies []quota.TenantPolicy) map[quota.Service][]quota.TenantID {
 	q.tenantOf = map[balancer.QueryType]quota.TenantID{}
 	floors := map[quota.Service][]quota.TenantID{}
@@ -154,7 +155,7 @@
 	return floors
 }
 
-// dropUnknownServices forgets the demands and grants of services that are not configured any more.
+// dropUnknownServices deletes the demands and grants of services that are no longer configured.
 func (q *quotaClient) dropUnknownServices() {
 	for service := range q.demands {
 		if _, known := q.endpoints.connectionLimits[service]; !known {
@@ -164,6 +165,7 @@
 	}
 }
 
+// unique returns the distinct ids in the order of their first occurrence.
 func unique(ids []quota.TenantID) (out []quota.TenantID) {
 	seen := map[quota.TenantID]bool{}
 	for _, id := range ids {
@@ -175,7 +177,7 @@
 	return out
 }
 
-// acquire accounts an attempt's connection to its tenant.
+// acquire counts an attempt's connection towards its tenant's usage. Its shard call no longer waits.
 func (q *quotaClient) acquire(a *attempt, now balancer.Time) {
 	r := a.shardCall.request.route
 	if !q.enabled() || !r.hasTenant {
@@ -186,7 +188,7 @@
 	q.stopWaiting(a.shardCall, now)
 }
 
-// release ends what acquire began.
+// release ends the use of a connection that acquire counted, if it did.
 func (q *quotaClient) release(a *attempt, now balancer.Time) {
 	if a.countsForTenant {
 		a.countsForTenant = false
@@ -194,7 +196,7 @@
 	}
 }
 
-// startWaiting records which shard calls of a request that just arrived wait for a connection.
+// startWaiting counts a request that has just arrived, and records which of its shard calls wait for a connection.
 func (q *quotaClient) startWaiting(r *request, now balancer.Time) {
 	if !q.enabled() || !r.route.hasTenant {
 		return
@@ -205,22 +207,22 @@
 		return
 	}
 	tenant.requests++
-	waits := false
+	hasWaiting := false
 	for _, call := range r.shardCalls {
 		if len(call.attempts) > 0 || r.finished {
 			continue
 		}
-		waits = true
+		hasWaiting = true
 		call.waitingSince, call.tenant = now, id
 		q.limiter.AddWaiting(q.services[call.shard], id, 1)
 		tenant.waiting++
 	}
-	if waits {
+	if hasWaiting {
 		q.recordWait(tenant, now)
 	}
 }
 
-// recordWait counts a request that waits.
+// recordWait counts a request with waiting shard calls, and logs when a tenant begins to wait.
 func (q *quotaClient) recordWait(tenant *tenantUsage, now balancer.Time) {
 	tenant.waited++
 	if tenant.lastWait == 0 {
@@ -232,7 +234,7 @@
 	}
 }
 
-// stopWaiting records that a shard call was dispatched, or that its request has finished.
+// stopWaiting records that a waiting shard call was dispatched or that its request has finished.
 func (q *quotaClient) stopWaiting(call *shardCall, now balancer.Time) {
 	if call.waitingSince == 0 {
 		return
@@ -248,7 +250,7 @@
 	call.waitingSince = 0
 }
 
-// updateTenantUsage logs which tenants wait no longer, and begins new windows of counting.
+// updateTenantUsage logs which tenants no longer wait, and starts new statistics windows.
 func (q *quotaClient) updateTenantUsage(now balancer.Time) {
 	for _, tenant := range q.tenants {
 		if tenant.waiting == 0 && tenant.lastWait > 0 && now-tenant.lastWait > ticks(waitingCooldown) {
@@ -264,7 +266,7 @@
 	}
 }
 
-// connectionUsages returns which tenants have or want connections to which server, for operators.
+// connectionUsages returns the connections that tenants use or want, by server, for operators.
 func (q *quotaClient) connectionUsages(now balancer.Time) (usages []*rpc.ConnectionUsage) {
 	for _, usage := range q.limiter.ConnectionUsages(duration(now)) {
 		e := q.endpoints.byID[balancer.ServerID(usage.Server)]
@@ -285,7 +287,7 @@
 	return usages
 }
 
-// waitStats returns how long tenants waited, for operators.
+// waitStats returns statistics of the waits of tenants with traffic, for operators.
 func (q *quotaClient) waitStats() (stats []*rpc.WaitStats) {
 	for _, tenant := range q.tenants {
 		if tenant.requests == 0 && tenant.waiting == 0 {
--- a/dataplane/testbed_test.go
+++ b/dataplane/testbed_test.go
@@ -24,39 +24,39 @@
 
 // Rules that a scenario may violate.
 const (
-	unavailable  = "gateway unavailable" // a client gets no connection
-	misrouted    = "misrouted response"  // a client gets what belongs to another request, or to none
-	unsolicited  = "unsolicited request" // a server gets what no client sent
-	duplicated   = "duplicate execution" // a request that must not be repeated runs twice
-	falselyUnrun = "false rejection"     // a client is answered that a request has not run that has
+	unavailable    = "gateway unavailable" // a client gets no connection
+	misrouted      = "misrouted response"  // a client receives data that belongs to another request or to none
+	unsolicited    = "unsolicited request" // a server receives data that no client sent
+	duplicated     = "duplicate execution" // a request that must not be repeated is executed twice
+	falseRejection = "false rejection"     // a client receives a response that its request was not executed, although it was
 )
 
-// testbed is what surrounds the gateway in one scenario, and the record of what happened.
+// testbed is the environment of the gateway in one scenario, with a record of the requests and responses.
 type testbed struct {
 	scenario scenario
 	network  *simnet.Network
-	bounds   settings.Bounds // of the gateway
-	gateway  *Gateway        // started last
+	bounds   settings.Bounds // in the gateway's settings
+	gateway  *Gateway        // the last one started
 
 	mu         sync.Mutex
-	steps      int // of servers so far
-	writes     int
-	dials      int
+	steps      int                    // number of server steps used
+	writes     int                    // number of write steps used
+	dials      int                    // number of dials
 	sent       map[string]sentRequest // by id
-	runs       map[string]int         // by service and id
+	runs       map[string]int         // number of executions, by service and id
 	statuses   map[string]int         // of responses, by id
 	answeredAt map[string]time.Time   // by id
-	served     int                    // requests that succeeded
-	violation  string                 // the first; "" = none
+	served     int                    // number of requests that succeeded
+	violation  string                 // the first violation; "" = none
 }
 
-// sentRequest is what a client sent.
+// sentRequest is a request as a client sent it.
 type sentRequest struct {
 	method, path string
 	body         []byte
 }
 
-// violate records a violation of a rule.
+// violate records a violation of a rule, unless one has been recorded already.
 func (b *testbed) violate(rule, format string, args ...any) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -65,6 +65,7 @@
 	}
 }
 
+// runScenario runs a scenario with simulated time and returns its testbed.
 func runScenario(t *testing.T, s scenario) *testbed {
 	t.Helper()
 	var b *testbed
@@ -90,11 +91,12 @@
 	gatewayHost  = "10.0.0.1"
 	clientHost   = "10.0.9.9"
 	frontAddress = gatewayHost + ":8000"
-	oncePath     = "/once/" // requests that must not be repeated
+	oncePath     = "/once/" // path prefix of requests that must not be repeated
 )
 
 var services = []string{"once", "one", "a0", "a1"}
 
+// run runs the gateway, the servers and the clients of the scenario, and checks the executions at the end.
 func (b *testbed) run(t *testing.T) {
 	t.Helper()
 	listeners, reports := b.listenServers(t, b.acceptServer)
@@ -115,22 +117,23 @@
 	}
 	clients.Wait()
 	<-restarted
-	time.Sleep(1500 * time.Millisecond) // late responses come
+	time.Sleep(1500 * time.Millisecond) // late responses arrive
 	stop()
 	b.stopServers(listeners)
 	b.checkExecutions()
 }
 
+// stopServers closes the listeners and all connections to the servers, and waits until the servers have ended.
 func (b *testbed) stopServers(listeners []net.Listener) {
 	for _, l := range listeners {
 		l.Close()
 		host, _, _ := net.SplitHostPort(l.Addr().String())
 		b.network.Kill(host, false)
 	}
-	time.Sleep(3 * time.Second) // silent servers end
+	time.Sleep(3 * time.Second) // servers that do not respond end
 }
 
-// listenServers starts the servers, each served by a function, and returns what the controllers would report of them.
+// listenServers starts the servers, each of which runs serve, and returns their listeners and the reports of them for the gateway.
 func (b *testbed) listenServers(t *testing.T, serve func(l net.Listener, service string)) (listeners []net.Listener, reports []*rpc.ServerReport) {
 	t.Helper()
 	for i, service := range services {
@@ -155,7 +158,7 @@
 	return listeners, reports
 }
 
-// testRoutes are a route whose requests must not be repeated, one whose requests may be, and a gathered one.
+// testRoutes returns a route whose requests must not be repeated, one whose requests may be, and a gathered one.
 func testRoutes() []config.Route {
 	return []config.Route{
 		{Hostname: "h", PathPrefix: oncePath, RouteKind: config.NonRetryable, TimeoutMS: 900, TargetMS: 90, Service: "once", Attempts: 3},
@@ -173,7 +176,7 @@
 	return c
 }
 
-// startGateway starts a gateway, and returns what ends it as a kill does.
+// startGateway starts a gateway and returns a function that stops it as a kill would.
 func (b *testbed) startGateway(t *testing.T, reports []*rpc.ServerReport) (stop func()) {
 	t.Helper()
 	options := &settings.Settings{IPAddress: gatewayHost, Zone: "z", InternalPorts: []int{7000, 7010}, FirstStart: true}
@@ -202,7 +205,7 @@
 	}
 }
 
-// abandonRequests counts the requests to a killed gateway as answered: none may be sent to a server any more.
+// abandonRequests marks the requests to a killed gateway as answered, as they must no longer be sent to a server.
 func (b *testbed) abandonRequests() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -213,7 +216,7 @@
 	}
 }
 
-// faultyNetwork dials connections whose writes do what is drawn.
+// faultyNetwork is a network whose dials and writes follow the scenario.
 type faultyNetwork struct {
 	simnet.Host
 	testbed *testbed
@@ -224,10 +227,10 @@
 func (n *faultyNetwork) Dial(address string, timeout time.Duration) (net.Conn, error) {
 	n.testbed.mu.Lock()
 	dials := n.testbed.scenario.Dials
-	takes := dials[n.testbed.dials%len(dials)]
+	delay := dials[n.testbed.dials%len(dials)]
 	n.testbed.dials++
 	n.testbed.mu.Unlock()
-	time.Sleep(takes)
+	time.Sleep(delay)
 	conn, err := n.Host.Dial(address, timeout)
 	if err != nil {
 		return nil, err
@@ -235,18 +238,19 @@
 	return &faultyConn{Conn: conn, testbed: n.testbed}, nil
 }
 
-// faultyConn is a connection whose writes do what is drawn.
+// faultyConn is a connection whose writes follow the scenario.
 type faultyConn struct {
 	net.Conn
 	testbed *testbed
-	writing atomic.Bool
+	writing atomic.Bool // a write is in progress
 }
 
-// Write writes in pieces as a socket whose buffer is full. Only what is larger than a small request ever waits.
+// Write fails or writes in two parts as the next write step says, like a socket whose buffer is full. Only writes larger than a small request
+// are delayed.
 func (c *faultyConn) Write(text []byte) (int, error) {
 	step := c.testbed.nextWrite()
 	if c.writing.Swap(true) {
-		c.testbed.violate(unsolicited, "a request is written into the midst of another, or waits for its end")
+		c.testbed.violate(unsolicited, "a request is written while another write to the connection is in progress")
 	}
 	defer c.writing.Store(false)
 	at := step.At
@@ -274,6 +278,7 @@
 	return n + rest, err
 }
 
+// nextWrite returns the scenario's next write step.
 func (b *testbed) nextWrite() writeStep {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -282,27 +287,28 @@
 	return step
 }
 
-// checkForwarded compares what a server got with what a client sent.
+// checkForwarded compares a request that a server received with the one that a client sent.
 func (b *testbed) checkForwarded(service, id string, req *http.Request, body []byte, bodyRead bool) {
 	b.mu.Lock()
 	sent, known := b.sent[id]
 	b.mu.Unlock()
 	if !known || sent.method != req.Method || sent.path != req.RequestURI || bodyRead && string(sent.body) != string(body) {
-		b.violate(unsolicited, "%s got %s %s with id %q and a body of %d bytes", service, req.Method, req.RequestURI, id, len(body))
+		b.violate(unsolicited, "%s received %s %s with id %q and a body of %d bytes, which differs from any request sent", service, req.Method, req.RequestURI, id, len(body))
 	}
 }
 
-// checkNotLate checks that a request is not sent to a server once it has been answered. A large one may be on its way for longer.
+// checkNotLate checks that a request is not sent to a server after it was answered. Large requests are exempt, as they may take longer to
+// arrive.
 func (b *testbed) checkNotLate(service, id string) {
 	b.mu.Lock()
 	answeredAt, large := b.answeredAt[id], len(b.sent[id].body) > smallRequestBytes
 	b.mu.Unlock()
 	if late := time.Since(answeredAt); !answeredAt.IsZero() && late > 5*time.Millisecond && !large {
-		b.violate(unsolicited, "%s got %s %v after it was answered", service, id, late)
+		b.violate(unsolicited, "%s received %s %v after it was answered", service, id, late)
 	}
 }
 
-// checkExecutions checks at the end how often requests ran that must not be repeated.
+// checkExecutions checks, after the run, how often requests that must not be repeated were executed.
 func (b *testbed) checkExecutions() {
 	for id, sent := range b.sent {
 		if !strings.HasPrefix(sent.path, oncePath) {
@@ -311,9 +317,9 @@
 		runs := b.runs["once "+id]
 		switch status := b.statuses[id]; {
 		case runs > 1:
-			b.violate(duplicated, "%s ran %d times", id, runs)
+			b.violate(duplicated, "%s was executed %d times", id, runs)
 		case runs > 0 && promisesNotExecuted(status):
-			b.violate(falselyUnrun, "%s ran and was answered %d", id, status)
+			b.violate(falseRejection, "%s was executed and answered with status %d", id, status)
 		}
 	}
 }
--- a/dataplane/updates.go
+++ b/dataplane/updates.go
@@ -9,12 +9,12 @@
 	"oxbowspan/rpc"
 )
 
-// The messages that a gateway exchanges with controllers and other gateways, routed to its components. All methods but handleFrame run on
-// the loop's goroutine.
+// This file passes the messages that a gateway exchanges with controllers and other gateways to its components. All methods except handleFrame
+// run on the loop's goroutine.
 
 // activateConfig implements updateSink.
-func (g *Gateway) activateConfig(c *config.Configuration, text []byte, slot uint64) {
-	g.configs.activate(c, text, slot)
+func (g *Gateway) activateConfig(c *config.Configuration, encoded []byte, slot uint64) {
+	g.configs.activate(c, encoded, slot)
 }
 
 // applyReports implements updateSink.
@@ -34,12 +34,12 @@
 		g.applyMembership(update.Gateways)
 	}
 	if update.HasQuorum {
-		g.rollouts.confirmContact(polledAt)
+		g.rollouts.recordQuorum(polledAt)
 		g.members.renew(polledAt, duration(g.loop.now()))
 	}
 }
 
-// applyDocuments takes what is agreed beside the configuration.
+// applyDocuments applies the pin, tenant and rollout documents of an update.
 func (g *Gateway) applyDocuments(documents []*rpc.Document) {
 	for _, document := range documents {
 		switch document.Name {
@@ -53,7 +53,7 @@
 	}
 }
 
-// applyMembership takes the list of live gateways.
+// applyMembership applies a new list of live gateways.
 func (g *Gateway) applyMembership(gateways []*rpc.Gateway) {
 	g.members.update(gateways, duration(g.loop.now()))
 	g.endpoints.resizeCluster()
@@ -67,7 +67,7 @@
 	return pollStatus{stats: g.stats(now), healthChecks: g.health.reports(now), rollouts: g.rollouts.report()}
 }
 
-// stats returns the statistics of this gateway for operators, nil = nothing but the version of its configuration.
+// stats returns the statistics of this gateway for operators, nil = no tenant document is active and no server is an outlier.
 func (g *Gateway) stats(now balancer.Time) *rpc.GatewayStats {
 	stats := &rpc.GatewayStats{
 		TenantsVersion: g.quota.document.version,
@@ -85,7 +85,7 @@
 	return stats
 }
 
-// handleFrame takes a message of another gateway. Connections call it on goroutines of their own.
+// handleFrame handles a message of another gateway. It is called on the connection's goroutine.
 func (g *Gateway) handleFrame(conn *rpc.Conn, frame *rpc.Frame) {
 	if poll := frame.GetPoll(); poll != nil {
 		g.loop.post(func() { g.answerPoll(conn, frame.Id, poll) })
@@ -98,10 +98,10 @@
 	}
 }
 
-// answerPoll answers a gateway that reaches no controller with a quorum.
+// answerPoll responds to the poll of a gateway that reaches no controller with a quorum.
 func (g *Gateway) answerPoll(conn *rpc.Conn, requestID uint64, poll *rpc.Poll) {
 	update := &rpc.Update{}
-	if g.configs.fill(update, poll.Slot) {
+	if g.configs.fillUpdate(update, poll.Slot) {
 		update.Documents = append(g.quota.documents(), g.rollouts.documents()...)
 	}
 	update.Reports = g.endpoints.reports()
