--- a/controlplane/acceptor.go
+++ b/controlplane/acceptor.go
@@ -11,42 +11,43 @@
 	"oxbowspan/rpc"
 )
 
-// storedStateTimeout is how long storedState waits for the disk.
+// storedStateTimeout limits how long storedState waits for the disk.
 const storedStateTimeout = time.Second
 
-// diskLogBurst is how many lines a second an acceptor logs of a disk in trouble, at most: each message of a proposer may be one.
+// diskLogBurst is the maximum number of disk errors that an acceptor logs per second. Each message of a proposer may fail
+// and would otherwise be logged.
 const diskLogBurst = 5
 
-// ballotObserver learns the numbers of ballots that other proposers use.
+// ballotObserver is notified of the ballot numbers that other proposers use.
 type ballotObserver interface {
 	observeBallot(number uint64)
 }
 
 // acceptorEndpoint answers proposers from the acceptor state on this controller's disk. Its handlers may be called from any
-// goroutine; they return at once, and their answers follow from the disk's goroutine. An acceptor whose disk is behind doesn't
-// answer, and the proposal goes on with the others.
+// goroutine. They return immediately; the store's goroutine sends the answers. While the disk has a backlog, the acceptor
+// doesn't answer, and the proposal continues with the other acceptors.
 type acceptorEndpoint struct {
 	id      consensus.AcceptorID
 	store   *acceptorstore.Store
 	loop    *eventLoop
-	clock   *steadyClock
+	clock   *monotonicClock
 	log     zerolog.Logger
 	ballots ballotObserver
 
-	// Of the value that the disk holds. Both are set before any proposer is notified that it was accepted.
+	// The value that the disk holds and its slot. Both are set before any proposer is notified that the value was accepted.
 	acceptedValue atomic.Pointer[consensus.Value] // nil = none
 	acceptedSlot  atomic.Uint64                   // 0 = none
 
-	// The event loop's.
-	newestSlot consensus.Slot    // the highest that was accepted
-	newestAt   time.Duration     // when that was
-	replica    consensus.Replica // what the disk holds
-	decidedAt  consensus.Ballot  // of the value that the disk was last asked to mark as decided
+	// Owned by the event loop.
+	newestSlot consensus.Slot    // the highest accepted slot
+	newestAt   time.Duration     // when newestSlot was accepted
+	replica    consensus.Replica // slot and ballot of the value on the disk
+	decidedAt  consensus.Ballot  // ballot of the value that was last passed to the store to be marked as decided
 }
 
-// newAcceptorEndpoint returns the endpoint of a store's acceptor. The ballots that it accepts are passed to an observer on the
-// event loop.
-func newAcceptorEndpoint(store *acceptorstore.Store, loop *eventLoop, clock *steadyClock, ballots ballotObserver,
+// newAcceptorEndpoint returns the endpoint of the acceptor in a store. It passes each accepted ballot to ballots on the event
+// loop.
+func newAcceptorEndpoint(store *acceptorstore.Store, loop *eventLoop, clock *monotonicClock, ballots ballotObserver,
 	log zerolog.Logger) *acceptorEndpoint {
 	state := store.State()
 	sampled := log.Sample(&zerolog.BurstSampler{Burst: diskLogBurst, Period: time.Second})
@@ -58,13 +59,13 @@
 	return a
 }
 
-// publish makes an accepted value known to the other components. It is on the disk.
+// publish makes an accepted value visible to the other components. The value must already be on the disk.
 func (a *acceptorEndpoint) publish(v *consensus.Value) {
 	a.acceptedValue.Store(v)
 	a.acceptedSlot.Store(uint64(v.Slot))
 }
 
-// handlePrepare answers a Prepare once the promise is stored.
+// handlePrepare handles a Prepare and responds once the promise is stored.
 func (a *acceptorEndpoint) handlePrepare(m *rpc.Prepare, respond func(*rpc.PrepareReply)) {
 	request := consensus.Prepare{To: consensus.AcceptorID(m.Acceptor), Ballot: rpc.BallotFromProto(m.Ballot)}
 	var reply consensus.PrepareReply
@@ -81,7 +82,7 @@
 	})
 }
 
-// encodePrepareReply leaves out the bodies that the proposer knows.
+// encodePrepareReply converts a reply to a message that omits the bodies whose digests are in known.
 func encodePrepareReply(reply consensus.PrepareReply, known []string) *rpc.PrepareReply {
 	return &rpc.PrepareReply{
 		Acceptor:    uint64(reply.From),
@@ -93,14 +94,14 @@
 	}
 }
 
-// handleAccept answers an Accept once the value is stored.
+// handleAccept handles an Accept and responds once the value is stored.
 func (a *acceptorEndpoint) handleAccept(m *rpc.Accept, respond func(*rpc.AcceptReply)) {
 	ballot := rpc.BallotFromProto(m.Ballot)
 	var reply consensus.AcceptReply
 	var value *consensus.Value
 	a.update("accept", func(s consensus.AcceptorState) (next consensus.AcceptorState) {
-		// The proposer leaves out only bodies of the value that the promise reported. That is still the accepted one: had
-		// another been accepted since, this Accept would be refused for its ballot.
+		// The proposer omits only bodies of the value that the promise reported. That value is still the accepted one: if
+		// another had been accepted since, this Accept would be refused because of its ballot.
 		value = rpc.ValueFromProto(m.Value, s.Value)
 		next, reply = s.HandleAccept(consensus.Accept{To: consensus.AcceptorID(m.Acceptor), Ballot: ballot, Value: value})
 		return next
@@ -118,20 +119,20 @@
 	})
 }
 
-// catchUp stores the value of a decision through an Accept that decided it but never reached this acceptor. An acceptor that has
-// promised a higher ballot since refuses it.
+// catchUp stores a decided value by handling an Accept that decided it but never reached this acceptor. If the acceptor has
+// promised a higher ballot since, it refuses the Accept.
 func (a *acceptorEndpoint) catchUp(accept consensus.Accept, decision consensus.Decision) {
 	accepted := false
 	a.update("catch up", func(s consensus.AcceptorState) consensus.AcceptorState {
 		if decision.ReplicatedBy(s.Replica()) {
-			return s // it arrived meanwhile
+			return s // the Accept has arrived in the meantime
 		}
 		next, reply := s.HandleAccept(accept)
 		accepted = reply.OK
 		return next
 	}, func(_ consensus.AcceptorState, err error) {
 		if err != nil {
-			a.log.Warn().Err(err).Msg("acceptor: caught up value not stored")
+			a.log.Warn().Err(err).Msg("acceptor: decided value not stored by catch-up")
 			return
 		}
 		if accepted {
@@ -141,12 +142,13 @@
 	})
 }
 
-// postAccepted informs the event loop. The disk's goroutine doesn't wait for it.
+// postAccepted notifies the event loop of an accepted value without blocking the store's goroutine.
 func (a *acceptorEndpoint) postAccepted(slot consensus.Slot, ballot consensus.Ballot) {
 	go a.loop.post(func() { a.recordAccepted(slot, ballot) })
 }
 
-// recordAccepted notes what the disk holds, and since when, so that an undecided value is resolved when its proposer does not do so.
+// recordAccepted records the accepted value and the time, so that the proposalScheduler can resolve an undecided value if its
+// proposer doesn't.
 func (a *acceptorEndpoint) recordAccepted(slot consensus.Slot, ballot consensus.Ballot) {
 	a.ballots.observeBallot(ballot.Number)
 	if ballot.Compare(a.replica.Ballot) > 0 {
@@ -157,7 +159,8 @@
 	}
 }
 
-// recordDecision has the disk mark its value as decided, where a restart needs to know that.
+// recordDecision stores that the value on the disk is decided, so that this is known after a restart. It does nothing if the value is
+// confirmed, as a restart doesn't need the mark then, if it is not the decided one, or if it was already marked at this ballot.
 func (a *acceptorEndpoint) recordDecision(d consensus.Decision) {
 	if d.Value.Confirmed() || a.replica.Slot != d.Value.Slot || !d.ReplicatedBy(a.replica) || a.decidedAt == a.replica.Ballot {
 		return
@@ -171,14 +174,16 @@
 		})
 }
 
-// update has the disk's goroutine update the state. One that the disk has no time for is logged and has no effect.
+// update queues a state update for the store's goroutine. If the store refuses it because of a backlog, this is logged and
+// the update has no effect.
 func (a *acceptorEndpoint) update(what string, step acceptorstore.StepFunc, after acceptorstore.StoredFunc) {
 	if err := a.store.Update(step, after); err != nil {
 		a.log.Warn().Err(err).Str("update", what).Msg("acceptor: update refused")
 	}
 }
 
-// storedState returns what the disk holds, after everything that is queued for it. It reports whether the disk answered in time.
+// storedState returns the state on the disk after all queued updates. It reports false if the store refuses the request or
+// doesn't answer within storedStateTimeout.
 func (a *acceptorEndpoint) storedState() (consensus.AcceptorState, bool) {
 	states := make(chan consensus.AcceptorState, 1)
 	err := a.store.Update(func(s consensus.AcceptorState) consensus.AcceptorState { return s },
@@ -194,7 +199,7 @@
 	}
 }
 
-// stall keeps the disk's goroutine busy for a while. For tests.
+// stall blocks the store's goroutine for a duration. For tests.
 func (a *acceptorEndpoint) stall(d time.Duration) {
 	a.store.Update(func(s consensus.AcceptorState) consensus.AcceptorState { time.Sleep(d); return s },
 		func(consensus.AcceptorState, error) {})
--- a/controlplane/api.go
+++ b/controlplane/api.go
@@ -5,9 +5,9 @@
 	"net/http"
 )
 
-// apiError is an error that a request is answered with. Its form, {"error": message}, is part of the API.
+// apiError is an error response. Its JSON form, {"error": message}, is part of the API.
 type apiError struct {
-	status  int // of HTTP
+	status  int // HTTP status code
 	message string
 }
 
@@ -21,7 +21,7 @@
 	errNotVerified   = &apiError{http.StatusServiceUnavailable, "no majority confirmed the newest version in time"}
 )
 
-// handler returns the API for servers and operators.
+// handler returns the HTTP handler of the API for servers and operators.
 func (c *Controller) handler() http.Handler {
 	mux := http.NewServeMux()
 	instances := &instanceAPI{loop: c.loop, table: c.table, heartbeats: c.heartbeats}
@@ -77,9 +77,9 @@
 	writeBody(w, body)
 }
 
-// serveLocal answers a request with what this controller knows.
-func serveLocal[T any](loop *eventLoop, w http.ResponseWriter, look func() T) {
-	out, ok := query(loop, look)
+// serveLocal answers a request from this controller's state, without contacting other controllers.
+func serveLocal[T any](loop *eventLoop, w http.ResponseWriter, read func() T) {
+	out, ok := query(loop, read)
 	if !ok {
 		writeError(w, errStopping)
 		return
@@ -87,9 +87,9 @@
 	writeJSON(w, out)
 }
 
-// serveVerified answers a request with what this controller knows once a majority has replied to what it was sent after the
-// request arrived. Otherwise it might be out of date.
-func serveVerified[T any](loop *eventLoop, clock *steadyClock, verifier *contactVerifier, w http.ResponseWriter, look func() T) {
+// serveVerified answers a request from this controller's state once a majority of the members has replied to messages that were
+// sent after the request arrived. Without this check the state might be out of date.
+func serveVerified[T any](loop *eventLoop, clock *monotonicClock, verifier *contactVerifier, w http.ResponseWriter, read func() T) {
 	responses := make(chan func(), 1)
 	loop.post(func() {
 		verifier.verify(clock.now(), func(verified bool) {
@@ -97,7 +97,7 @@
 				responses <- func() { writeError(w, errIsolated) }
 				return
 			}
-			out := look()
+			out := read()
 			responses <- func() { writeJSON(w, out) }
 		})
 	})
--- a/controlplane/api_test.go
+++ b/controlplane/api_test.go
@@ -12,8 +12,8 @@
 	"oxbowspan/internal/testing/simnet"
 )
 
-// What was not stored is not acknowledged: a controller whose event loop has stopped says so. Requests that can't be read are
-// rejected before.
+// A controller whose event loop has stopped must not acknowledge a request, as it has stored nothing: it answers with status 503.
+// Malformed requests are rejected with status 400 before.
 func TestStoppedControllerRejectsRequests(t *testing.T) {
 	s := &settings.Settings{IPAddress: "10.0.1.1", InternalPorts: []int{7100, 7109}, SeedAddresses: []string{"10.0.1.1:8700"}, FirstStart: true,
 		DataDirectory: t.TempDir(), HeartbeatIntervalMS: 1000}
--- a/controlplane/change_bench_test.go
+++ b/controlplane/change_bench_test.go
@@ -25,7 +25,7 @@
 	"oxbowspan/internal/settings"
 )
 
-// countingNetwork is the loopback network. It counts the bytes written to connections.
+// countingNetwork is the operating system's network. It counts the bytes written to connections.
 type countingNetwork struct {
 	network.TCP
 	bytes atomic.Int64
@@ -68,7 +68,7 @@
 	return n, err
 }
 
-// benchCluster is three controllers on the loopback network.
+// benchCluster consists of three controllers on the loopback network.
 type benchCluster struct {
 	network     *countingNetwork
 	dir         string
@@ -77,8 +77,9 @@
 	version     uint64
 }
 
+// startBenchCluster starts the controllers. They are stopped when the benchmark ends.
 func startBenchCluster(b *testing.B) *benchCluster {
-	dir, err := os.MkdirTemp("/dev/shm", "controlplane") // in memory: the disk's latency is not measured
+	dir, err := os.MkdirTemp("/dev/shm", "controlplane") // in memory, so that the results don't depend on the disk's latency
 	if err != nil {
 		dir = b.TempDir()
 	}
@@ -113,7 +114,7 @@
 	return c
 }
 
-// change has one more version decided, and waits until all controllers know it.
+// change replaces the configuration by a new version, and waits until all controllers know it.
 func (c *benchCluster) change(b *testing.B, body func(version uint64) []byte) {
 	text := body(c.version + 1)
 	for range 100 {
@@ -122,16 +123,16 @@
 		c.handlers[0].ServeHTTP(w, r)
 		if w.Code == http.StatusOK {
 			c.version++
-			c.await()
+			c.awaitVersion()
 			return
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	b.Fatalf("version %d is not decided", c.version+1)
+	b.Fatalf("version %d was not decided", c.version+1)
 }
 
-// await waits until all controllers know the newest version, a second each at most.
-func (c *benchCluster) await() {
+// awaitVersion waits until all controllers know the newest version, for about a second per controller at most.
+func (c *benchCluster) awaitVersion() {
 	for _, controller := range c.controllers {
 		for range 1000 {
 			if _, version := controller.Committed(); uint64(version) >= c.version {
@@ -151,7 +152,7 @@
 	}
 }
 
-// configurationWithRoutes returns a function that makes configurations with a number of routes.
+// configurationWithRoutes returns a function that returns the configuration with n routes for a version.
 func configurationWithRoutes(n int) func(version uint64) []byte {
 	c := config.Configuration{Limits: config.Limits{HeaderBytes: 16384, BodyBytes: 1 << 18, HeaderTimeoutMS: 3000, IdleTimeoutMS: 15000},
 		Services: []config.Service{{Name: "one", HealthPath: "/health", ConnectionLimit: 60, Protocol: "h1"}}}
@@ -172,7 +173,7 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// bytesWritten returns how much this process has written to files and connections.
+// bytesWritten returns the number of bytes that this process has written to files and connections.
 func bytesWritten() (n int64) {
 	text, _ := os.ReadFile("/proc/self/io")
 	for _, line := range strings.Split(string(text), "\n") {
@@ -183,19 +184,20 @@
 	return n
 }
 
-// measure runs an action b.N times and reports what it cost in bytes and processor time.
+// measure runs an action b.N times and reports the bytes sent, the bytes written to disk and the processor time per run. It also
+// reports the size of one controller's state file and of the heap afterwards.
 func (c *benchCluster) measure(b *testing.B, action func()) {
-	sent, written, busy := c.network.bytes.Load(), bytesWritten(), cpuTime()
+	sent, written, cpu := c.network.bytes.Load(), bytesWritten(), cpuTime()
 	b.ResetTimer()
 	for range b.N {
 		action()
 	}
 	b.StopTimer()
 	n := float64(b.N)
-	sent, written, busy = c.network.bytes.Load()-sent, bytesWritten()-written, cpuTime()-busy
+	sent, written, cpu = c.network.bytes.Load()-sent, bytesWritten()-written, cpuTime()-cpu
 	b.ReportMetric(float64(sent)/n, "wire-B/op")
 	b.ReportMetric(float64(written-sent)/n, "disk-B/op")
-	b.ReportMetric(float64(busy)/n/1e6, "cpu-ms/op")
+	b.ReportMetric(float64(cpu)/n/1e6, "cpu-ms/op")
 	info, err := os.Stat(filepath.Join(c.dir, "0", "hive.db"))
 	if err != nil {
 		b.Fatal(err)
@@ -207,7 +209,7 @@
 	b.ReportMetric(float64(m.HeapAlloc)/1024, "heap-KiB")
 }
 
-// BenchmarkChange measures what a change costs three controllers together, by the number of versions before it and of routes.
+// BenchmarkChange measures the total cost of a change for three controllers, by the number of routes and of earlier versions.
 func BenchmarkChange(b *testing.B) {
 	for _, n := range []int{10, 1000, 10000} {
 		for _, versions := range []uint64{1, 100, 1000, 10000} {
--- a/controlplane/change_service.go
+++ b/controlplane/change_service.go
@@ -10,31 +10,31 @@
 	"oxbowspan/consensus"
 )
 
-// consensusTimeout is how long a proposal may take that an operator waits for, besides the time for long bodies.
+// consensusTimeout limits a proposal that an operator waits for. changeTimeout adds time for long bodies.
 const consensusTimeout = 900 * time.Millisecond
 
-// change is an operator's new version of the configuration or of a document.
+// change is a new version of the configuration or of a document, as submitted by an operator.
 type change interface {
-	// version is that of the change itself, basedOn the one that it replaces.
+	// version returns the version of the change itself, basedOn the version that it replaces.
 	version() consensus.Version
 	basedOn() consensus.Version
-	// evaluate returns what becomes of the change where v is the newest value, the value to be proposed, and the newest
-	// committed version.
+	// evaluate applies the change to the newest value v. It returns the value to propose, the newest committed version,
+	// and the outcome of the change.
 	evaluate(v *consensus.Value) (next *consensus.Value, current consensus.Version, outcome consensus.Outcome)
-	// isIn reports whether a history holds the change.
-	isIn(h *consensus.History) bool
-	// incompatibilities is why the last evaluation found it incompatible.
+	// isRecordedIn reports whether a history contains the change.
+	isRecordedIn(h *consensus.History) bool
+	// incompatibilities describes why the last evaluation found the change incompatible with the configuration.
 	incompatibilities() string
 }
 
-// changeResult is what became of a change.
+// changeResult is the result of a submitted change.
 type changeResult struct {
 	outcome consensus.Outcome
 	slot    consensus.Slot
-	current consensus.Version // the newest committed one
+	current consensus.Version // the newest committed version
 }
 
-// changeService has changes decided.
+// changeService submits changes to the consensus protocol.
 type changeService struct {
 	loop     *eventLoop
 	learner  *learner
@@ -45,12 +45,13 @@
 	return &changeService{loop: loop, learner: learner, proposer: proposer}
 }
 
-// changeTimeout is how long a change with a body of a length in bytes may take: a long one takes longer to send and to store.
+// changeTimeout returns the time limit of a change whose body has the given length in bytes. Long bodies take longer to send and
+// to store.
 func changeTimeout(length int) time.Duration {
 	return consensusTimeout + time.Duration(length/1000)*time.Millisecond
 }
 
-// submit proposes a change until it is decided what becomes of it. Its error is errNoQuorum; the change may be decided yet.
+// submit proposes a change until its outcome is decided. The only error is errNoQuorum; the change may still be decided after it.
 func (s *changeService) submit(ctx context.Context, c change) (changeResult, error) {
 	var result changeResult
 	v, err := s.proposer.propose(ctx, func(v *consensus.Value) *consensus.Value {
@@ -68,13 +69,13 @@
 	return result, nil
 }
 
-// isDecided reports whether a change that the newest value no longer remembers is in this controller's history.
+// isDecided reports whether this controller's history contains a change that the newest value no longer lists.
 func (s *changeService) isDecided(c change) bool {
-	found, ok := query(s.loop, func() bool { return c.isIn(&s.learner.history) })
+	found, ok := query(s.loop, func() bool { return c.isRecordedIn(&s.learner.history) })
 	return ok && found
 }
 
-// problem returns how a change that was not committed is answered; nil = it was committed.
+// problem returns the error response for a change that was not committed; nil if it was committed.
 func (r changeResult) problem(c change) *apiError {
 	switch r.outcome {
 	case consensus.OutcomeCommitted:
--- a/controlplane/change_service_test.go
+++ b/controlplane/change_service_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// No version follows the highest, so a document based on it conflicts with whatever is in place.
+// No version follows the highest one, so a document based on it always conflicts with the current version.
 func TestDocumentBasedOnHighestVersion(t *testing.T) {
 	c := &documentChange{request: consensus.DocumentChangeRequest{Name: "pins", BasedOn: ^consensus.Version(0), Digest: "d", Body: []byte("{}")}}
 	v := &consensus.Value{Slot: 1}
--- a/controlplane/clock.go
+++ b/controlplane/clock.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// steadyClock returns the time since the process started. It belongs to the event loop.
-type steadyClock struct{ startedAt time.Time }
+// monotonicClock measures the time since the process started. It is owned by the event loop.
+type monotonicClock struct{ startedAt time.Time }
 
-func newSteadyClock() *steadyClock { return &steadyClock{startedAt: time.Now()} }
+func newMonotonicClock() *monotonicClock { return &monotonicClock{startedAt: time.Now()} }
 
-func (c *steadyClock) now() time.Duration { return time.Since(c.startedAt) }
+func (c *monotonicClock) now() time.Duration { return time.Since(c.startedAt) }
 
-// setBack sets the clock back, as on a machine that was suspended. For tests.
-func (c *steadyClock) setBack(d time.Duration) { c.startedAt = c.startedAt.Add(d) }
+// setBack sets the clock back by a duration, which simulates a machine that was suspended. For tests.
+func (c *monotonicClock) setBack(d time.Duration) { c.startedAt = c.startedAt.Add(d) }
--- a/controlplane/config_pacing.go
+++ b/controlplane/config_pacing.go
@@ -2,27 +2,27 @@
 
 import "time"
 
-// Each gateway is sent every version in full. One that has just been sent a version is sent the next one after a delay that grows
-// with the length of the former; of those decided meanwhile it is sent only the newest. A version that follows no other closely
-// is sent at once.
+// Each gateway receives every version in full. After a version was sent, the next one is delayed in proportion to the length of
+// the version sent before; of the versions decided during the delay only the newest is sent. A version that doesn't closely follow
+// another one is sent without delay.
 const (
-	pacingBytesPerSecond = 20 << 10 // of versions, to one gateway
-	pacingMaxFraction    = 6        // the delay is at most this part of the time in which a version must be in force
+	pacingBytesPerSecond = 20 << 10 // rate at which versions are sent to one gateway
+	pacingDelayDivisor   = 6        // the delay is at most the configuration apply limit divided by this
 )
 
-// pacingDelay is how long a gateway waits for the next version after one of a length in bytes. InForceWithin is the time in which
-// a version must be in force everywhere.
-func pacingDelay(length int, inForceWithin time.Duration) time.Duration {
-	return min(time.Duration(length)*time.Second/pacingBytesPerSecond, inForceWithin/pacingMaxFraction)
+// pacingDelay returns the minimum time between sending a gateway a version of the given length in bytes and the next version.
+// configApplyLimit is the time within which a version must be active at all gateways.
+func pacingDelay(length int, configApplyLimit time.Duration) time.Duration {
+	return min(time.Duration(length)*time.Second/pacingBytesPerSecond, configApplyLimit/pacingDelayDivisor)
 }
 
-// nextVersionAt is when the gateway may be sent the next version.
-func (g *gatewayState) nextVersionAt(inForceWithin time.Duration) time.Duration {
+// nextVersionAt returns the earliest time at which the next version may be sent to the gateway.
+func (g *gatewayState) nextVersionAt(configApplyLimit time.Duration) time.Duration {
 	if g.sentAt == 0 {
 		return 0
 	}
-	return g.sentAt + pacingDelay(g.sentBytes, inForceWithin)
+	return g.sentAt + pacingDelay(g.sentBytes, configApplyLimit)
 }
 
-// recordSent notes that the gateway was sent a version of a length in bytes.
+// recordSent records that a version of the given length in bytes was sent to the gateway.
 func (g *gatewayState) recordSent(length int, now time.Duration) { g.sentBytes, g.sentAt = length, now }
--- a/controlplane/contact_test.go
+++ b/controlplane/contact_test.go
@@ -9,7 +9,7 @@
 	"oxbowspan/registry"
 )
 
-// newTestMember returns a controller that was not started and is one of three members; its two peers have identifiers 2 and 3.
+// newTestMember returns a controller that has not been started. It is one of three members; its peers have the identifiers 2 and 3.
 func newTestMember(t *testing.T) *Controller {
 	t.Helper()
 	c := newTestController(t)
@@ -22,29 +22,29 @@
 	return c
 }
 
-// reply has the acceptor of a peer reply to a request that was sent at a time.
-func (c *Controller) reply(id consensus.AcceptorID, sentAt time.Duration, slot consensus.Slot) {
+// observeReply records a reply of a peer's acceptor to a request that was sent at a time.
+func (c *Controller) observeReply(id consensus.AcceptorID, sentAt time.Duration, slot consensus.Slot) {
 	c.contact.observeReply(id, quorum.Reply{Incarnation: 1, SentAt: sentAt, Slot: slot})
 }
 
 func TestContactMonitor(t *testing.T) {
 	c, now := newTestMember(t), time.Minute
 	if c.contact.hasQuorum(now) {
-		t.Error("in contact without a reply")
+		t.Error("in contact with a majority without any reply")
 	}
-	c.reply(2, now, 4)
+	c.observeReply(2, now, 4)
 	if lost, next := c.contact.check(now + time.Second); lost || next != now+contactLifetime {
-		t.Errorf("with a majority lost: %v, next at %v", lost, next)
+		t.Errorf("after a reply: contact lost %v, next check at %v", lost, next)
 	}
 	if lost, _ := c.contact.check(now + contactLifetime); !lost {
-		t.Error("the loss is not reported")
+		t.Error("the loss of contact is not reported")
 	}
 	if lost, _ := c.contact.check(now + contactLifetime); lost {
-		t.Error("the loss is reported twice")
+		t.Error("the loss of contact is reported twice")
 	}
-	c.reply(3, now+3*time.Second, 5)
+	c.observeReply(3, now+3*time.Second, 5)
 	if c.contact.hasQuorum(now + 3*time.Second) {
-		t.Error("in contact by a reply that reports a later slot")
+		t.Error("a reply that reports a later slot counts as contact")
 	}
 }
 
@@ -54,27 +54,27 @@
 	verify := func(name string, at time.Duration) {
 		c.verifier.verify(at, func(verified bool) { results[name] = verified })
 	}
-	c.reply(2, now-time.Second, 4)
+	c.observeReply(2, now-time.Second, 4)
 	verify("first", now)
 	if next := c.verifier.check(now); len(c.peers.byAddress["b"].wake) != 1 || next != now+housekeepingInterval {
-		t.Errorf("gossip is sent to %d peers, next check at %v", len(c.peers.byAddress["b"].wake), next)
+		t.Errorf("%d wake-ups of peer b, next check at %v", len(c.peers.byAddress["b"].wake), next)
 	}
 	verify("second", now+10*time.Millisecond)
 	if next := c.verifier.check(now + 10*time.Millisecond); next != now+verifyInterval {
-		t.Errorf("gossip for the second at %v", next)
+		t.Errorf("next check for the second verification at %v", next)
 	}
-	c.reply(2, now+time.Millisecond, 4)
+	c.observeReply(2, now+time.Millisecond, 4)
 	c.verifier.finish(now + 15*time.Millisecond)
 	if verified, finished := results["first"]; !verified || !finished || len(results) != 1 {
-		t.Errorf("after a reply to the first: %v", results)
+		t.Errorf("results after a reply for the first verification: %v", results)
 	}
 	c.verifier.check(now + 10*time.Millisecond + verifyTimeout)
 	if verified, finished := results["second"]; verified || !finished {
-		t.Errorf("after the time-out: %v", results)
+		t.Errorf("results after the timeout: %v", results)
 	}
 }
 
-// A report that takes a server out of service waits until a majority has it, also when it is sent again.
+// A report that takes a server out of service is acknowledged only when a majority has it, also if it is sent again.
 func TestHeartbeatWaitsForReplication(t *testing.T) {
 	c := newTestMember(t)
 	report := func(state registry.State, sequence registry.Sequence) reportOutcome {
@@ -83,16 +83,16 @@
 		})
 	}
 	if outcome := report(registry.Ready, 1); outcome.wait != nil || !outcome.isolated {
-		t.Fatalf("a heartbeat without contact: %+v", outcome)
+		t.Fatalf("outcome of a heartbeat without contact to a majority: %+v", outcome)
 	}
-	c.reply(2, c.clock.now(), 4)
+	c.observeReply(2, c.clock.now(), 4)
 	first, again := report(registry.Draining, 2), report(registry.Draining, 2)
 	if first.wait == nil || again.wait == nil || first.isolated {
-		t.Fatalf("draining: %+v, again %+v", first, again)
+		t.Fatalf("outcome of draining: %+v, of the repeated report: %+v", first, again)
 	}
 	c.heartbeats.completeWaits()
 	if len(c.heartbeats.waits) != 2 {
-		t.Fatal("a wait ends before a majority has the report")
+		t.Fatal("a wait is completed before a majority has the report")
 	}
 	c.peers.byAddress["b"].ackedCursor = c.table.Cursor()
 	c.heartbeats.completeWaits()
@@ -100,11 +100,11 @@
 		select {
 		case <-outcome.wait.done:
 		default:
-			t.Error("a wait lasts though a majority has the report")
+			t.Error("a wait is not completed although a majority has the report")
 		}
 	}
 	if outcome := report(registry.Draining, 2); outcome.wait != nil {
-		t.Error("a replicated report waits")
+		t.Error("a report that is already replicated has to wait")
 	}
 }
 
@@ -115,9 +115,9 @@
 	})
 	deadline := c.heartbeats.waits[0].deadline
 	if c.heartbeats.expireWaits(deadline - 1); len(c.heartbeats.waits) != 1 {
-		t.Error("a wait is dropped before its deadline")
+		t.Error("a wait is removed before its deadline")
 	}
 	if c.heartbeats.expireWaits(deadline); len(c.heartbeats.waits) != 0 {
-		t.Error("a wait is kept after its deadline")
+		t.Error("a wait is not removed at its deadline")
 	}
 }
--- a/controlplane/contact_verifier.go
+++ b/controlplane/contact_verifier.go
@@ -3,20 +3,21 @@
 import "time"
 
 const (
-	verifyTimeout  = 500 * time.Millisecond // for a majority's replies to what it is sent from a moment on
-	verifyInterval = 20 * time.Millisecond  // between two rounds of gossip that verifications cause
+	verifyTimeout  = 500 * time.Millisecond // limit for a majority to reply to messages sent after verify was called
+	verifyInterval = 20 * time.Millisecond  // minimum time between two rounds of gossip started for verifications
 )
 
-// contactVerifier waits until a majority has replied to what it was sent after a moment. This controller's clock, which may have
-// stood still with the machine, can't stand in for that. It belongs to the event loop.
+// contactVerifier waits until a majority has replied to messages that were sent after a given time. The age of earlier contact
+// is not sufficient: this controller's clock may have stopped while the machine was suspended. It is owned by the event loop.
 type contactVerifier struct {
-	contact    *contactMonitor
-	peers      *peerSet
-	pending    []verification // the oldest first
-	gossipAt   time.Duration  // when the peers are to be sent gossip; 0 = they need not be
-	gossipedAt time.Duration  // when they last were
+	contact      *contactMonitor
+	peers        *peerSet
+	pending      []verification // ordered by since, oldest first
+	nextGossipAt time.Duration  // when the next round of gossip is due; 0 = none is due
+	lastGossipAt time.Duration  // when the last round was started
 }
 
+// verification is a pending call of verify.
 type verification struct {
 	since time.Duration
 	done  func(verified bool)
@@ -26,17 +27,17 @@
 	return &contactVerifier{contact: contact, peers: peers}
 }
 
-// verify calls done, on the event loop, once a majority has replied to what it is sent from now on, or with false after
+// verify calls done(true) on the event loop once a majority has replied to messages sent from now on, or done(false) after
 // verifyTimeout.
 func (v *contactVerifier) verify(now time.Duration, done func(verified bool)) {
 	v.pending = append(v.pending, verification{now, done})
-	if v.gossipAt == 0 {
-		v.gossipAt = max(now, v.gossipedAt+verifyInterval, 1)
+	if v.nextGossipAt == 0 {
+		v.nextGossipAt = max(now, v.lastGossipAt+verifyInterval, 1)
 	}
 	v.finish(now)
 }
 
-// finish ends the verifications that are confirmed or timed out.
+// finish completes the verifications that are confirmed or have timed out.
 func (v *contactVerifier) finish(now time.Duration) {
 	if len(v.pending) == 0 {
 		return
@@ -53,21 +54,21 @@
 	}
 	clear(v.pending[len(remaining):])
 	v.pending = remaining
-	for _, p := range finished { // these may add others
+	for _, p := range finished { // done may call verify again
 		p.done(ok && since >= p.since)
 	}
 }
 
-// check sends gossip where a verification waits for it, and returns when to call again.
+// check completes verifications, starts a round of gossip if one is due, and returns when to call it again.
 func (v *contactVerifier) check(now time.Duration) (next time.Duration) {
 	v.finish(now)
-	if v.gossipAt != 0 && now >= v.gossipAt {
-		v.gossipAt, v.gossipedAt = 0, now
+	if v.nextGossipAt != 0 && now >= v.nextGossipAt {
+		v.nextGossipAt, v.lastGossipAt = 0, now
 		v.peers.gossipNow()
 	}
 	next = now + housekeepingInterval
-	if v.gossipAt != 0 {
-		next = v.gossipAt
+	if v.nextGossipAt != 0 {
+		next = v.nextGossipAt
 	}
 	if len(v.pending) > 0 {
 		next = min(next, v.pending[0].since+verifyTimeout)
--- a/controlplane/controller.go
+++ b/controlplane/controller.go
@@ -21,24 +21,24 @@
 const (
 	housekeepingInterval = 400 * time.Millisecond
 
-	// maxFirstHousekeeping bounds the random delay of the first housekeeping, so that controllers that start together don't
-	// propose together.
+	// maxFirstHousekeeping bounds the random delay before the first housekeeping, so that controllers that start at the same
+	// time don't propose at the same time.
 	maxFirstHousekeeping = 60 * time.Millisecond
 
-	apiHeaderTimeout = 3 * time.Second  // for the header of a request
-	apiIdleTimeout   = 30 * time.Second // of a connection
-	apiCloseTimeout  = time.Second      // for requests in flight when the controller ends
+	apiHeaderTimeout = 3 * time.Second  // for reading the header of a request
+	apiIdleTimeout   = 30 * time.Second // for idle connections
+	apiCloseTimeout  = time.Second      // for requests in flight when the controller shuts down
 )
 
-// Controller is one machine's process of the control plane.
+// Controller is one process of the control plane. Each machine of the control plane runs one.
 type Controller struct {
 	settings  *settings.Settings
 	network   network.Network
 	log       zerolog.Logger
 	store     *acceptorstore.Store
-	recovered consensus.AcceptorState // as found on the disk at the start
+	recovered consensus.AcceptorState // read from the disk by New
 	self      identity
-	clock     *steadyClock
+	clock     *monotonicClock
 	loop      *eventLoop
 	killed    chan struct{}
 	routines  sync.WaitGroup
@@ -64,12 +64,12 @@
 	scheduler     *proposalScheduler
 	drainer       *drainer
 
-	housekeepingAt time.Duration // the event loop's
+	housekeepingAt time.Duration // when housekeeping is due next; owned by the event loop
 }
 
-// New opens the state in the data directory and returns a controller that does nothing until Run. The settings must be valid. It
-// fails if the data directory or the file in it can be neither opened nor created.
-func New(s *settings.Settings, on network.Network, log zerolog.Logger) (*Controller, error) {
+// New opens the state in the data directory and returns a controller that is inactive until Run is called. The settings must be
+// valid. It returns an error if the data directory or the state file can be neither opened nor created.
+func New(s *settings.Settings, transport network.Network, log zerolog.Logger) (*Controller, error) {
 	members, genesisID := genesisMembers(s)
 	if !s.FirstStart {
 		genesisID = 0
@@ -82,14 +82,14 @@
 		log.Warn().Str("file", setAside).Msg("state: damaged file set aside, starting with a new identity")
 	}
 	if err := store.Refused(); err != nil {
-		log.Warn().Err(err).Msg("state: the disk does not take the state file, voting for nothing until it does")
+		log.Warn().Err(err).Msg("state: the state file can't be written, the acceptor doesn't vote until it can")
 	}
 	state := store.State()
 	base := consensus.Genesis(members)
 	if state.Value != nil {
 		base = consensus.RecoveryBase(state.Value)
 	}
-	c := &Controller{settings: s, network: on, log: log, store: store, recovered: state, clock: newSteadyClock(), loop: newEventLoop(), killed: make(chan struct{})}
+	c := &Controller{settings: s, network: transport, log: log, store: store, recovered: state, clock: newMonotonicClock(), loop: newEventLoop(), killed: make(chan struct{})}
 	c.self = identity{
 		id:             state.ID,
 		incarnation:    uint64(acceptorstore.NewAcceptorID()),
@@ -104,7 +104,7 @@
 	return c, nil
 }
 
-// wireRegister makes the components that hold the replicated register and the contact with its acceptors.
+// wireRegister creates the components that hold the replicated register and track the contact with its acceptors.
 func (c *Controller) wireRegister(base *consensus.Value) {
 	c.table = registry.NewTable(c.settings.HeartbeatInterval())
 	c.events = newEventLog(c.clock)
@@ -120,14 +120,14 @@
 	c.completion = newReplicaCompletion(c.self, c.learner, c.acceptor, c.contact, c.peers)
 }
 
-// wireServices makes the components that talk with servers, gateways and peers.
+// wireServices creates the components that communicate with servers, gateways and peers.
 func (c *Controller) wireServices(highestBallot uint64) {
 	c.gateways = newGatewayDirectory(c.clock, c.events, c.updates)
 	c.heartbeats = newHeartbeatService(c.clock, c.table, c.learner, c.contact, c.peers, c.updates)
 	c.polls = newPollService(pollDependencies{
 		self:              c.self,
 		heartbeatInterval: c.settings.HeartbeatInterval(),
-		inForceWithin:     settings.Milliseconds(c.settings.Bounds.ConfigApplyMS),
+		configApplyLimit:  settings.Milliseconds(c.settings.Bounds.ConfigApplyMS),
 		clock:             c.clock,
 		learner:           c.learner,
 		contact:           c.contact,
@@ -171,7 +171,7 @@
 	})
 }
 
-// wireProposals makes the components that have values decided.
+// wireProposals creates the components that start proposals.
 func (c *Controller) wireProposals() {
 	c.scheduler = newProposalScheduler(schedulerDependencies{
 		firstStart: c.settings.FirstStart,
@@ -216,8 +216,8 @@
 
 func (c *Controller) startGossip(ctx context.Context, p *peer) { c.gossip.start(ctx, p) }
 
-// Run serves until the context is done and the controller has drained, or until Kill. It returns an error if it can't listen on one
-// of its addresses or can't close the state file. It must be called once.
+// Run serves until the context is canceled and the controller has drained, or until Kill is called. It returns an error if it can't
+// listen on one of its addresses or can't close the state file. It must be called at most once.
 func (c *Controller) Run(ctx context.Context) error {
 	control, err := c.network.Listen(c.settings.Listen.Control)
 	if err != nil {
@@ -252,14 +252,14 @@
 	return c.store.Close()
 }
 
-// Kill has Run return at once and without draining, as when the process is killed. It must be called once at most.
+// Kill makes Run return immediately without draining, as if the process were killed. It must be called at most once.
 func (c *Controller) Kill() { close(c.killed) }
 
-// StallDisk keeps the disk busy for a while. For tests.
+// StallDisk blocks the goroutine that accesses the state file for a duration. For tests.
 func (c *Controller) StallDisk(d time.Duration) { c.acceptor.stall(d) }
 
-// Freeze stops the event loop for a while, as in a process that is frozen: what arrives meanwhile is handled afterwards. With
-// clock, the steady clock stands still as long, as on a machine that is suspended. For tests.
+// Freeze blocks the event loop for a duration, which simulates a process that is stopped: messages that arrive in the meantime are
+// handled afterwards. If clock is true, the monotonic clock also stops, which simulates a machine that is suspended. For tests.
 func (c *Controller) Freeze(d time.Duration, clock bool) {
 	c.loop.post(func() {
 		select {
@@ -272,7 +272,7 @@
 	})
 }
 
-// Committed returns the slot and the configuration's version of CommittedValue; zeros = none.
+// Committed returns the slot of CommittedValue and its version of the configuration, or zeros if there is none.
 func (c *Controller) Committed() (slot consensus.Slot, version consensus.Version) {
 	v := c.CommittedValue()
 	if v == nil {
@@ -281,13 +281,14 @@
 	return v.Slot, v.Version
 }
 
-// CommittedValue returns the newest value that this controller knows to be decided; nil = none, or the controller has ended.
+// CommittedValue returns the newest value that this controller knows to be decided. It returns nil if there is none or the
+// controller has stopped.
 func (c *Controller) CommittedValue() *consensus.Value {
 	v, _ := query(c.loop, c.learner.decided)
 	return v
 }
 
-// StoredState returns what the disk holds, after all that is queued for it; ok is false when the disk doesn't answer within a
+// StoredState returns the acceptor state on the disk after all queued updates. ok is false if the disk doesn't answer within a
 // second. For tests.
 func (c *Controller) StoredState() (state consensus.AcceptorState, ok bool) {
 	return c.acceptor.storedState()
--- a/controlplane/controller_loop.go
+++ b/controlplane/controller_loop.go
@@ -6,7 +6,7 @@
 	"oxbowspan/rpc"
 )
 
-// handleFrame routes a message of another process. It runs on the goroutine of its connection.
+// handleFrame dispatches a message of another process. It runs on the goroutine of the connection.
 func (c *Controller) handleFrame(conn *rpc.Conn, f *rpc.Frame) {
 	switch b := f.Body.(type) {
 	case *rpc.Frame_Prepare:
@@ -23,7 +23,7 @@
 	}
 }
 
-// runLoop is the event loop's goroutine.
+// runLoop runs the event loop until it is stopped, then closes the connections to the peers.
 func (c *Controller) runLoop() {
 	c.loop.run(housekeepingInterval, func() time.Duration {
 		next := c.advance(c.clock.now())
@@ -32,7 +32,7 @@
 	c.peers.closeAll()
 }
 
-// begin is the first that runs on the event loop.
+// begin initializes the controller's state. It is the first function that runs on the event loop.
 func (c *Controller) begin() {
 	for _, address := range c.settings.SeedControllers() {
 		c.peers.add(address)
@@ -46,7 +46,7 @@
 	c.log.Info().Uint64("identity", uint64(c.self.id)).Uint64("slot", uint64(c.acceptor.newestSlot)).Msg("controller: started")
 }
 
-// advance handles what is due and returns when the next thing is.
+// advance handles all timers that are due and returns when the next one is due.
 func (c *Controller) advance(now time.Duration) (next time.Duration) {
 	if now >= c.housekeepingAt {
 		c.housekeepingAt = now + housekeepingInterval
@@ -54,7 +54,7 @@
 	}
 	contactLost, checkAt := c.contact.check(now)
 	if contactLost {
-		c.polls.respondAll(now) // gateways must learn at once that this controller may be out of date
+		c.polls.respondAll(now) // gateways must be notified immediately that this controller may be out of date
 	}
 	next = min(c.housekeepingAt, checkAt, c.verifier.check(now))
 	if due, at := c.updates.due(now); due {
@@ -66,7 +66,7 @@
 	return c.polls.expire(now, next)
 }
 
-// housekeep drops what has expired and starts the proposals that are due.
+// housekeep removes expired state and starts the proposals that are due.
 func (c *Controller) housekeep(now time.Duration) {
 	if c.table.Expire(now) {
 		c.updates.request(false)
@@ -75,15 +75,16 @@
 	c.gateways.expire(now)
 	for _, p := range c.peers.updateListed(now) {
 		c.events.add(eventController, peerEvent(p))
-		c.gateways.listChanged() // gateways need to know which controllers they may poll
+		c.gateways.listChanged() // gateways must be sent the controllers that they may poll
 	}
-	c.peers.forget(now, c.learner.isMemberAddress)
+	c.peers.removeExpired(now, c.learner.isMemberAddress)
 	c.heartbeats.expireWaits(now)
 	c.contact.prune(now)
 	c.scheduler.startDue(now)
 	c.hints.save(now)
 }
 
+// peerEvent returns the text of the event that a peer came alive or timed out.
 func peerEvent(p *peer) string {
 	if p.listed {
 		return "controller " + p.address + " is alive"
--- a/controlplane/disk_log_test.go
+++ b/controlplane/disk_log_test.go
@@ -11,7 +11,7 @@
 	"oxbowspan/rpc"
 )
 
-// An update that the disk has no time for is logged, and many of them are not logged one by one.
+// Updates that the store refuses because the disk has a backlog are logged, but at a limited rate.
 func TestRefusedUpdatesAreLogged(t *testing.T) {
 	c := newTestController(t)
 	var log bytes.Buffer
@@ -23,6 +23,6 @@
 	}
 	close(release)
 	if lines := strings.Count(log.String(), "acceptor: update refused"); lines < 1 || lines > 2*diskLogBurst {
-		t.Errorf("%d lines on some hundred refused updates: %s", lines, log.String())
+		t.Errorf("%d log lines for up to 200 refused updates: %s", lines, log.String())
 	}
 }
--- a/controlplane/event_log.go
+++ b/controlplane/event_log.go
@@ -9,10 +9,11 @@
 	"oxbowspan/registry"
 )
 
-// eventLogCapacity is how many events a controller retains; the oldest are dropped first.
+// eventLogCapacity is the number of events that a controller retains; the oldest are removed first.
 const eventLogCapacity = 1024
 
-// serverStatesSlack is how many servers beyond twice those registered may be remembered before the memory is cleared.
+// serverStatesSlack is by how many entries serverChangeLog.states may exceed twice the number of registered servers before it is
+// cleared.
 const serverStatesSlack = 64
 
 // eventKind is the kind of an Event. The values are part of the operator API.
@@ -34,14 +35,14 @@
 	text     string
 }
 
-// eventLog retains the newest events for operators. It belongs to the event loop.
+// eventLog retains the newest events for operators. It is owned by the event loop.
 type eventLog struct {
-	clock    *steadyClock
+	clock    *monotonicClock
 	records  *circularbuffer.Queue[eventRecord]
 	sequence uint64
 }
 
-func newEventLog(clock *steadyClock) *eventLog {
+func newEventLog(clock *monotonicClock) *eventLog {
 	return &eventLog{clock: clock, records: circularbuffer.New[eventRecord](eventLogCapacity)}
 }
 
@@ -50,7 +51,7 @@
 	l.records.Enqueue(eventRecord{l.sequence, l.clock.now(), kind, text})
 }
 
-// list returns the retained events, the oldest first, as those of a controller.
+// list returns the retained events, oldest first, with a controller's address as their origin.
 func (l *eventLog) list(controller string) []controlapi.Event {
 	out := []controlapi.Event{}
 	now := l.clock.now()
@@ -66,20 +67,21 @@
 	return out
 }
 
-// serverChangeLog records as events those changes of servers that decide whether they receive requests. It belongs to the event
-// loop.
+// serverChangeLog records an event for each change of a server's state that affects whether it receives requests. It is owned by
+// the event loop.
 type serverChangeLog struct {
 	table  *registry.Table
 	events *eventLog
-	cursor registry.Cursor   // up to which changes were recorded
-	states map[string]string // of each server when it was last recorded, by instance
+	cursor registry.Cursor   // position up to which changes were recorded
+	states map[string]string // last recorded state of each server, by instance
 }
 
 func newServerChangeLog(table *registry.Table, events *eventLog) *serverChangeLog {
 	return &serverChangeLog{table: table, events: events, states: map[string]string{}}
 }
 
-// record adds the changes since the last call. What a controller learns while it starts is no event.
+// record adds events for the changes since the last call. Changes within peerLivenessTimeout of the start are not recorded, as the
+// controller is still receiving the existing servers then.
 func (l *serverChangeLog) record(now time.Duration) {
 	for _, r := range l.table.ChangesAfter(l.cursor) {
 		state := r.State.String()
@@ -98,7 +100,7 @@
 		}
 	}
 	l.cursor = l.table.Cursor()
-	if len(l.states) > 2*l.table.Len()+serverStatesSlack { // the table dropped many
+	if len(l.states) > 2*l.table.Len()+serverStatesSlack { // the table has removed many servers
 		clear(l.states)
 	}
 }
--- a/controlplane/event_loop.go
+++ b/controlplane/event_loop.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// commandBacklog is how many posted functions may wait for the loop before a poster blocks.
+// commandBacklog is the number of functions that may be queued for the loop before post blocks.
 const commandBacklog = 1024
 
-// minLoopWait is the shortest time that the loop waits for its next deadline.
+// minLoopWait is the minimum time that the loop waits for its next deadline.
 const minLoopWait = time.Millisecond
 
 // eventLoop runs functions one at a time on a single goroutine. That goroutine owns the state of every component of the
-// controller, so none of it needs a lock: goroutines that wait for sockets or the disk post functions to the loop, and the loop
+// controller, so no component needs a lock. Goroutines that wait for sockets or the disk post functions to the loop; the loop
 // itself never waits for any of them.
 type eventLoop struct {
 	commands chan func()
-	stopped  chan struct{} // closed when the controller ends
+	stopped  chan struct{} // closed by stop
 }
 
 func newEventLoop() *eventLoop {
 	return &eventLoop{commands: make(chan func(), commandBacklog), stopped: make(chan struct{})}
 }
 
-// post queues a function. It reports whether the loop still runs.
+// post queues a function. It returns false if the loop was stopped before the function could be queued.
 func (l *eventLoop) post(f func()) bool {
 	select {
 	case l.commands <- f:
@@ -30,16 +30,16 @@
 	}
 }
 
-// execute queues a function and waits until it has run. It reports whether it has. A caller that is released because the loop
-// stopped doesn't wait for the function, which may still run: the function must not write what the caller reads. Use query for
-// a function with a result.
+// execute queues a function, waits until it has run and reports whether it has. If the loop is stopped, execute returns false
+// without waiting for the function, which may still be running: the function must not write variables that the caller reads. Use
+// query for a function with a result.
 func (l *eventLoop) execute(f func()) bool {
 	_, done := query(l, func() struct{} { f(); return struct{}{} })
 	return done
 }
 
-// query queues a function and waits for its result; ok is false when the loop stopped first. The result travels through a
-// channel, so a caller that is released by the stop shares no variable with a function that still runs.
+// query queues a function and waits for its result; ok is false if the loop was stopped first. The result is passed through a
+// channel, so that a caller that returns because of the stop shares no variable with a function that is still running.
 func query[T any](l *eventLoop, f func() T) (result T, ok bool) {
 	results := make(chan T, 1) // the loop must not wait for the caller
 	if !l.post(func() { results <- f() }) {
@@ -73,5 +73,5 @@
 	}
 }
 
-// stop ends the loop and releases all who wait for it. It must be called once.
+// stop ends the loop and unblocks all callers that wait for it. It must be called at most once.
 func (l *eventLoop) stop() { close(l.stopped) }
--- a/controlplane/event_loop_test.go
+++ b/controlplane/event_loop_test.go
@@ -20,16 +20,16 @@
 		close(ended)
 	}()
 	if got, ok := query(loop, func() int { return 7 }); got != 7 || !ok {
-		t.Errorf("a query returns %d, %v", got, ok)
+		t.Errorf("query returned %d, %v, want 7, true", got, ok)
 	}
 	if !loop.execute(func() {}) {
-		t.Error("a function is not executed")
+		t.Error("execute did not run the function")
 	}
 	<-advanced
 	loop.stop()
 	<-ended
 	if _, ok := query(loop, func() int { return 7 }); ok {
-		t.Error("a query is answered after the stop")
+		t.Error("query succeeded after the loop was stopped")
 	}
 }
 
@@ -42,14 +42,14 @@
 	s.requestAt(80 * time.Second)
 	s.requestAt(85 * time.Second)
 	if due, next := s.due(70 * time.Second); due || next != 80*time.Second {
-		t.Errorf("before the time due: %v, next at %v", due, next)
+		t.Errorf("before the scheduled time: due %v, next at %v", due, next)
 	}
 	s.request(true)
 	if due, _ := s.due(61 * time.Second); !due {
 		t.Error("an urgent request is not due")
 	}
 	if due, next := s.due(time.Hour); due || next != 0 {
-		t.Errorf("due twice: %v, %v", due, next)
+		t.Errorf("due again without a request: %v, %v", due, next)
 	}
 	s.request(false)
 	if due, next := s.due(time.Minute); due || next < time.Minute+updateDelay {
--- a/controlplane/gateway_stats_api.go
+++ b/controlplane/gateway_stats_api.go
@@ -8,11 +8,11 @@
 	"oxbowspan/rpc"
 )
 
-// gatewayStatsAPI shows operators what gateways report of themselves. Each controller has the reports of the gateways that poll
-// it; an operator who wants all asks all controllers.
+// gatewayStatsAPI shows operators the statistics that gateways report about themselves. Each controller has only the reports of the
+// gateways that poll it; operators query all controllers to get all reports.
 type gatewayStatsAPI struct {
 	loop     *eventLoop
-	clock    *steadyClock
+	clock    *monotonicClock
 	verifier *contactVerifier
 	gateways *gatewayDirectory
 }
@@ -39,8 +39,8 @@
 	})
 }
 
-// thousandths converts a number that a message carries in thousandths; of milliseconds it makes seconds.
-func thousandths[T uint32 | uint64](n T) float64 { return float64(n) / 1000 }
+// fromThousandths converts a number that a message carries in thousandths of its unit, such as milliseconds to seconds.
+func fromThousandths[T uint32 | uint64](n T) float64 { return float64(n) / 1000 }
 
 func gatewayTenants(address, zone string, stats *rpc.GatewayStats) controlapi.GatewayTenants {
 	out := controlapi.GatewayTenants{Gateway: address, Zone: zone, Version: stats.Version, TenantsVersion: stats.TenantsVersion,
@@ -53,7 +53,7 @@
 			InUse:     c.InUse,
 			Borrowed:  c.Borrowed,
 			Limit:     c.Limit,
-			Share:     thousandths(c.ShareMilli),
+			Share:     fromThousandths(c.ShareMilli),
 			WantsMore: c.WantsMore,
 		})
 	}
@@ -63,9 +63,9 @@
 			Requests: t.Requests,
 			Waited:   t.Waited,
 			Waiting:  t.Waiting,
-			P50MS:    thousandths(t.P50Us),
-			P99MS:    thousandths(t.P99Us),
-			MaxMS:    thousandths(t.MaxUs),
+			P50MS:    fromThousandths(t.P50Us),
+			P99MS:    fromThousandths(t.P99Us),
+			MaxMS:    fromThousandths(t.MaxUs),
 		})
 	}
 	return out
@@ -79,16 +79,16 @@
 			Service:      v.Service,
 			State:        v.State,
 			Reason:       v.Reason,
-			SinceSeconds: thousandths(v.SinceMs),
-			Factor:       thousandths(v.FactorMilli),
+			SinceSeconds: fromThousandths(v.SinceMs),
+			Factor:       fromThousandths(v.FactorMilli),
 			Pinned:       v.Pinned,
 		}
 		for _, o := range v.Observations {
 			verdict.Observations = append(verdict.Observations, controlapi.Observation{
 				Observer:   strconv.FormatUint(o.Observer, 16),
 				Kind:       o.Text,
-				Ratio:      thousandths(o.RatioMilli),
-				AgeSeconds: thousandths(o.AgeMs),
+				Ratio:      fromThousandths(o.RatioMilli),
+				AgeSeconds: fromThousandths(o.AgeMs),
 			})
 		}
 		out.Servers = append(out.Servers, verdict)
--- a/controlplane/gateways_test.go
+++ b/controlplane/gateways_test.go
@@ -7,8 +7,10 @@
 	"oxbowspan/rpc"
 )
 
-// clockAt returns a clock that has run for a while.
-func clockAt(now time.Duration) *steadyClock { return &steadyClock{startedAt: time.Now().Add(-now)} }
+// clockAt returns a clock that shows the given time.
+func clockAt(now time.Duration) *monotonicClock {
+	return &monotonicClock{startedAt: time.Now().Add(-now)}
+}
 
 func newTestDirectory(now time.Duration) *gatewayDirectory {
 	clock := clockAt(now)
@@ -23,8 +25,8 @@
 		message *rpc.Gateway
 		at      time.Duration
 		direct  bool
-		want    []uint64 // incarnations afterwards
-		changed bool     // the list for gateways
+		want    []uint64 // expected incarnations
+		changed bool     // the list for gateways is expected to change
 	}{
 		{"seen again", known, now, true, []uint64{1}, false},
 		{"another", &rpc.Gateway{Incarnation: 2, Address: "b"}, now, true, []uint64{1, 2}, true},
@@ -46,14 +48,14 @@
 			}
 			for _, incarnation := range test.want {
 				if d.byIncarnation[incarnation] == nil {
-					t.Errorf("incarnation %d is not known", incarnation)
+					t.Errorf("incarnation %d is missing", incarnation)
 				}
 			}
 		})
 	}
 }
 
-// A gateway that a peer reported is reported to the peers from when it polls this controller itself.
+// A gateway that is known only from a peer's report is reported to other peers once it polls this controller itself.
 func TestGatewayBecomesDirect(t *testing.T) {
 	const now = time.Minute
 	d := newTestDirectory(now)
@@ -61,11 +63,11 @@
 	sequence := d.byIncarnation[1].sequence
 	d.observe(&rpc.Gateway{Incarnation: 1, Address: "a"}, now, false)
 	if g := d.byIncarnation[1]; g.direct || g.sequence != sequence {
-		t.Errorf("a second report changes it: %+v", g)
+		t.Errorf("a second report changed its state: %+v", g)
 	}
 	d.observe(&rpc.Gateway{Incarnation: 1, Address: "a"}, now, true)
 	if g := d.byIncarnation[1]; !g.direct || g.sequence <= sequence {
-		t.Errorf("its own poll does not change it: %+v", g)
+		t.Errorf("its own poll did not change its state: %+v", g)
 	}
 }
 
@@ -76,34 +78,34 @@
 	d.observe(&rpc.Gateway{Incarnation: 2, Address: "b"}, now+time.Second, true)
 	d.expire(now + gatewayTimeout)
 	if len(d.byIncarnation) != 2 {
-		t.Error("one is dropped before its time-out")
+		t.Error("a gateway is removed before its timeout")
 	}
 	epoch := d.epoch
 	d.expire(now + gatewayTimeout + time.Millisecond)
 	if d.byIncarnation[1] != nil || d.byIncarnation[2] == nil || d.epoch == epoch {
-		t.Errorf("afterwards %v, epoch %d", d.byIncarnation, d.epoch)
+		t.Errorf("after the timeout of one gateway: %v, epoch %d", d.byIncarnation, d.epoch)
 	}
 }
 
 func TestPacingDelay(t *testing.T) {
 	for _, test := range []struct {
-		length                int
-		inForceWithin, expect time.Duration
+		length                   int
+		configApplyLimit, expect time.Duration
 	}{
 		{0, 3 * time.Second, 0},
 		{2 << 10, 3 * time.Second, 100 * time.Millisecond},
 		{1 << 20, 3 * time.Second, 500 * time.Millisecond},
 	} {
-		if got := pacingDelay(test.length, test.inForceWithin); got != test.expect {
-			t.Errorf("after %d bytes %v, want %v", test.length, got, test.expect)
+		if got := pacingDelay(test.length, test.configApplyLimit); got != test.expect {
+			t.Errorf("delay after %d bytes is %v, want %v", test.length, got, test.expect)
 		}
 	}
 	g := &gatewayState{}
 	if g.nextVersionAt(3*time.Second) != 0 {
-		t.Error("the first version waits")
+		t.Error("the first version is delayed")
 	}
 	g.recordSent(2<<10, time.Second)
 	if got := g.nextVersionAt(3 * time.Second); got != 1100*time.Millisecond {
-		t.Errorf("the second version waits until %v", got)
+		t.Errorf("the second version is delayed until %v", got)
 	}
 }
--- a/controlplane/gossip.go
+++ b/controlplane/gossip.go
@@ -14,24 +14,24 @@
 )
 
 const (
-	gossipInterval         = 400 * time.Millisecond // to each peer
-	redialInterval         = 100 * time.Millisecond // to a peer that refuses connections
-	gatewayRefreshInterval = time.Second            // between reports of all gateways: a quarter of gatewayTimeout
-	digestInterval         = 2 * time.Second        // between comparisons of the reports by digests
+	gossipInterval         = 400 * time.Millisecond // between messages to a peer
+	redialInterval         = 100 * time.Millisecond // between attempts to connect to a peer that refuses connections
+	gatewayRefreshInterval = time.Second            // between reports of all gateways; a quarter of gatewayTimeout
+	digestInterval         = 2 * time.Second        // between comparisons of server reports by digests
 )
 
-// gossiper exchanges with each peer what is new: the newest value, servers' reports, gateways, and which controllers are alive.
-// Its loops run on goroutines of their own, all other methods on the event loop.
+// gossiper exchanges updates with each peer: the newest value, servers' reports, gateways, and which controllers are alive. The
+// gossip loops run on their own goroutines, all other methods on the event loop.
 type gossiper struct {
 	gossipDependencies
 	loops sync.WaitGroup
 }
 
-// gossipDependencies is what a gossiper works with.
+// gossipDependencies are the components and settings that a gossiper uses.
 type gossipDependencies struct {
 	self       identity
 	loop       *eventLoop
-	clock      *steadyClock
+	clock      *monotonicClock
 	table      *registry.Table
 	acceptor   *acceptorEndpoint
 	learner    *learner
@@ -47,19 +47,20 @@
 
 func newGossiper(d gossipDependencies) *gossiper { return &gossiper{gossipDependencies: d} }
 
-// outgoingGossip is a message, when it was made, and up to which cursor its receiver will have this controller's reports.
+// outgoingGossip is a message, the time at which it was built, and the cursor up to which the receiver has this controller's reports
+// once it has processed the message.
 type outgoingGossip struct {
 	message *rpc.Gossip
 	sentAt  time.Duration
 	cursor  registry.Cursor
 }
 
-// start begins to gossip with a peer, until the context or the event loop ends.
+// start starts the gossip loop for a peer. It runs until the context is canceled or the event loop stops.
 func (g *gossiper) start(ctx context.Context, p *peer) {
 	g.loops.Go(func() { g.run(ctx, p) })
 }
 
-// run sends messages to a peer, each after the reply to the one before.
+// run sends messages to a peer, each one only after the previous one was answered or failed.
 func (g *gossiper) run(ctx context.Context, p *peer) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -84,7 +85,7 @@
 	}
 }
 
-// send sends one message, and returns when the next one is due.
+// send sends one message and returns the delay before the next one.
 func (g *gossiper) send(ctx context.Context, p *peer, sent outgoingGossip) time.Duration {
 	ctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
@@ -93,15 +94,15 @@
 	case errors.Is(err, rpc.ErrTimeout):
 		p.client.Disconnect()
 	case err != nil:
-		return redialInterval // it may be about to start
+		return redialInterval // the peer may be starting
 	case reply.GetGossipReply() != nil:
 		g.loop.post(func() { g.receiveReply(p, reply.GetGossipReply(), sent) })
 	}
 	return gossipInterval
 }
 
-// describeSelf returns how this controller describes itself to its peers: what its disk holds, and the ballots at which the newest
-// value is known to be decided.
+// describeSelf returns this controller's description for its peers: the replica on its disk, and the lowest and highest ballot at
+// which the newest value is known to be decided.
 func (g *gossiper) describeSelf() *rpc.Controller {
 	m := g.self.describe(g.learner.isMember(g.self.id))
 	m.StoredSlot, m.StoredBallot = uint64(g.acceptor.replica.Slot), rpc.BallotToProto(g.acceptor.replica.Ballot)
@@ -116,7 +117,7 @@
 	return m
 }
 
-// build makes the next message to a peer.
+// build builds the next message to a peer.
 func (g *gossiper) build(p *peer) outgoingGossip {
 	now := g.clock.now()
 	m := &rpc.Gossip{From: g.describeSelf(), Incarnation: g.self.incarnation, MissingBody: p.requestFullValue}
@@ -127,12 +128,12 @@
 			m.Value = g.valueFor(p)
 		}
 	}
-	m.Rollouts = g.rollouts.gossiped(now)
+	m.Rollouts = g.rollouts.gatewayReports(now)
 	cursor := g.table.Cursor()
 	g.addReports(m, p, now)
 	g.addGateways(m, p, now)
 	for _, other := range g.peers.byAddress {
-		m.Controllers = append(m.Controllers, &rpc.Controller{Address: other.address, AgeMs: milliseconds(other.silence(now))})
+		m.Controllers = append(m.Controllers, &rpc.Controller{Address: other.address, AgeMs: milliseconds(other.lastSeenAge(now))})
 	}
 	if now-p.digestsSentAt > digestInterval {
 		p.digestsSentAt = now
@@ -142,11 +143,11 @@
 	return outgoingGossip{m, now, cursor}
 }
 
-// addReports adds the reports that are new to a peer, and those of the ranges in which its reports differ: of these each side takes
-// what is newer than its own.
+// addReports adds the server reports that the peer doesn't have yet, and all reports of the ranges in which the digests differ; each
+// side merges those that are newer than its own.
 func (g *gossiper) addReports(m *rpc.Gossip, p *peer, now time.Duration) {
 	sent := map[registry.InstanceID]bool{}
-	unreachable := func(from string) bool { return p.silences[from] > 2*gossipInterval }
+	unreachable := func(from string) bool { return p.lastSeenAges[from] > 2*gossipInterval }
 	for _, r := range g.table.UpdatesFor(p.ackedCursor, p.address, unreachable) {
 		sent[r.Instance] = true
 		if r.ChangedAfter(p.ackedCursor) {
@@ -165,8 +166,8 @@
 	p.differingRanges = nil
 }
 
-// addGateways adds the gateways that poll this controller: in full where the peer doesn't have them, and now and then all of them
-// by their incarnation.
+// addGateways adds the gateways that poll this controller: in full if the peer doesn't have them yet, and every
+// gatewayRefreshInterval the others by their incarnation only.
 func (g *gossiper) addGateways(m *rpc.Gossip, p *peer, now time.Duration) {
 	refresh := now-p.gatewaysSentAt >= gatewayRefreshInterval
 	for _, gateway := range g.gateways.byIncarnation {
@@ -185,7 +186,7 @@
 	p.sentGateways = g.gateways.sequence
 }
 
-// receive takes a message of a peer and returns the reply.
+// receive processes a message of a peer and returns the reply.
 func (g *gossiper) receive(m *rpc.Gossip) *rpc.GossipReply {
 	now := g.clock.now()
 	reply := &rpc.GossipReply{From: g.describeSelf(), Incarnation: g.self.incarnation, VotedSlot: g.acceptor.acceptedSlot.Load()}
@@ -197,7 +198,7 @@
 		return reply
 	}
 	if p.incarnation != m.Incarnation || now-p.lastSeen > peerLivenessTimeout {
-		p.gossipNow() // it is back: contact with it needs a reply, for which the next regular message would be late
+		p.gossipNow() // it has restarted or reconnected: contact requires its reply, and the next regular message would delay that
 	}
 	g.observePeer(p, m.From, m.Incarnation, consensus.Slot(m.Slot), now)
 	g.receiveControllers(p, m.Controllers)
@@ -219,7 +220,7 @@
 	return reply
 }
 
-// receiveReply takes the reply to a message.
+// receiveReply processes the reply to a message.
 func (g *gossiper) receiveReply(p *peer, m *rpc.GossipReply, sent outgoingGossip) {
 	if m.From == nil {
 		return
@@ -245,17 +246,19 @@
 	g.heartbeats.completeWaits()
 }
 
-// receiveControllers takes which controllers a peer knows, and adds those that the peer saw recently or that are members.
+// receiveControllers records how recently a peer has seen other controllers, and adds those that it has seen recently or that are
+// members.
 func (g *gossiper) receiveControllers(p *peer, controllers []*rpc.Controller) {
 	for _, m := range controllers {
-		if m.AgeMs < milliseconds(peerForgetTimeout) || g.learner.isMemberAddress(m.Address) {
+		if m.AgeMs < milliseconds(peerExpiryTimeout) || g.learner.isMemberAddress(m.Address) {
 			g.peers.add(m.Address)
 		}
-		p.silences[m.Address] = duration(m.AgeMs)
+		p.lastSeenAges[m.Address] = duration(m.AgeMs)
 	}
 }
 
-// receiveReports enters servers' reports into the table. Gateways are notified at once where one takes a server out of service.
+// receiveReports merges servers' reports into the table. If a report takes a server out of service, gateways are notified without
+// delay.
 func (g *gossiper) receiveReports(p *peer, reports []*rpc.ServerReport, now time.Duration) {
 	urgent, before := false, g.table.Cursor()
 	for _, m := range reports {
@@ -273,8 +276,8 @@
 	}
 }
 
-// receiveGateways takes gateways that poll a peer. Unknown reports that one of them was named by its incarnation alone and is not
-// known here: it must be reported in full.
+// receiveGateways records the gateways that poll a peer. unknown is true if one of them was identified only by its incarnation and
+// isn't in the directory, so that the peer must report it in full.
 func (g *gossiper) receiveGateways(gateways []*rpc.Gateway, now time.Duration) (unknown bool) {
 	for _, m := range gateways {
 		if m.Address == "" && !m.Left && g.gateways.byIncarnation[m.Incarnation] == nil {
@@ -285,7 +288,8 @@
 	return unknown
 }
 
-// compareDigests returns the ranges in which a peer's reports differ from this controller's, which are exchanged in full next.
+// compareDigests returns the ranges in which a peer's reports differ from this controller's. The next messages in both directions
+// carry all reports of these ranges.
 func (g *gossiper) compareDigests(p *peer, digests []uint64) (differing []uint32) {
 	if len(digests) != registry.RangeCount {
 		return nil
@@ -299,7 +303,7 @@
 	return differing
 }
 
-// observePeer notes that a peer is alive. One that has restarted has nothing of this controller's.
+// observePeer records that a peer is alive. A peer that has restarted no longer has the state that it acknowledged.
 func (g *gossiper) observePeer(p *peer, from *rpc.Controller, incarnation uint64, slot consensus.Slot, now time.Duration) {
 	if p.incarnation != incarnation && p.incarnation != 0 {
 		p.ackedCursor, p.ackedGateways = 0, 0
@@ -310,7 +314,7 @@
 	p.lastSeen, p.slot = max(now, 1), slot
 }
 
-// observeReplica takes what a peer reports of its disk, and the ballots at which the slot that it knows is decided.
+// observeReplica records the replica on a peer's disk, and the ballots at which the slot that the peer knows was decided.
 func (g *gossiper) observeReplica(p *peer, from *rpc.Controller, slot consensus.Slot) {
 	p.reportsReplica, p.draining = from.StoredBallot != nil, from.Draining
 	p.replica = consensus.Replica{Slot: consensus.Slot(from.StoredSlot), Ballot: rpc.BallotFromProto(from.StoredBallot)}
@@ -318,8 +322,8 @@
 	g.learner.observeBallot(slot, rpc.BallotFromProto(from.HighestDecidedBallot))
 }
 
-// valueFor returns the newest value for a peer that lags. Most peers have accepted it and don't know yet that it is decided:
-// bodies are omitted unless the peer has reported that it lacks one.
+// valueFor returns the newest value for a peer that doesn't know that it is decided. Most of these peers have accepted the value, so
+// bodies are omitted unless the peer can't restore them or has reported that one is missing.
 func (g *gossiper) valueFor(p *peer) *rpc.Value {
 	v := g.learner.value
 	if p.restoresBodies && !p.missingBody {
@@ -329,7 +333,7 @@
 	return rpc.ValueToProto(v)
 }
 
-// receiveValueReply takes the value in a reply. Where either side lacks a body, the next message is sent at once.
+// receiveValueReply learns the value in a reply. If either side lacks a body, the next message is sent immediately.
 func (g *gossiper) receiveValueReply(p *peer, m *rpc.GossipReply) {
 	p.requestFullValue = g.learner.learnMessage(m.Value, g.acceptor.acceptedValue.Load())
 	p.missingBody = p.missingBody || m.MissingBody
--- a/controlplane/heartbeat_service.go
+++ b/controlplane/heartbeat_service.go
@@ -6,12 +6,13 @@
 	"oxbowspan/registry"
 )
 
-// replicationTimeout is how long a server's report may wait until a majority has it. Servers give up a call after a second.
+// replicationTimeout limits how long a server's report may wait until a majority has it. Servers time out their call after one
+// second.
 const replicationTimeout = 800 * time.Millisecond
 
-// heartbeatService takes what servers report of themselves. It belongs to the event loop.
+// heartbeatService processes the reports that servers send about themselves. It is owned by the event loop.
 type heartbeatService struct {
-	clock   *steadyClock
+	clock   *monotonicClock
 	table   *registry.Table
 	learner *learner
 	contact *contactMonitor
@@ -23,33 +24,33 @@
 // replicationWait waits until a majority of the members have the reports up to a cursor.
 type replicationWait struct {
 	cursor   registry.Cursor
-	done     chan struct{} // closed when they do
+	done     chan struct{} // closed when they have them
 	deadline time.Duration
 }
 
-// reportOutcome is what became of a server's report.
+// reportOutcome is the result of applying a server's report.
 type reportOutcome struct {
-	wait     *replicationWait // before it may be acknowledged; nil = it may be now
+	wait     *replicationWait // to wait for before the report is acknowledged; nil = acknowledge it now
 	isolated bool             // this controller is not in contact with a majority
 }
 
-func newHeartbeatService(clock *steadyClock, table *registry.Table, learner *learner, contact *contactMonitor, peers *peerSet,
+func newHeartbeatService(clock *monotonicClock, table *registry.Table, learner *learner, contact *contactMonitor, peers *peerSet,
 	updates *updateSchedule) *heartbeatService {
 	return &heartbeatService{clock: clock, table: table, learner: learner, contact: contact, peers: peers, updates: updates}
 }
 
-// apply takes a server's report, which the function enters into the table. A report that takes the server out of service may be
-// acknowledged only when a majority has it, so that it is not lost with this controller.
-func (s *heartbeatService) apply(id registry.InstanceID, enter func(now time.Duration)) reportOutcome {
+// apply applies a server's report by calling update, which enters it into the table. A report that takes the server out of service
+// may be acknowledged only when a majority has it, so that it isn't lost if this controller fails.
+func (s *heartbeatService) apply(id registry.InstanceID, update func(now time.Duration)) reportOutcome {
 	now, before := s.clock.now(), s.table.Cursor()
 	outcome := reportOutcome{isolated: now > peerLivenessTimeout && !s.contact.hasQuorum(now)}
-	enter(now)
+	update(now)
 	changed := s.table.ChangesAfter(before)
-	cursor, leaves := s.leaveCursor(id, changed)
+	cursor, outOfService := s.outOfServiceCursor(id, changed)
 	if len(changed) > 0 {
-		s.updates.request(leaves)
+		s.updates.request(outOfService)
 	}
-	if leaves && !s.isReplicated(cursor) {
+	if outOfService && !s.isReplicated(cursor) {
 		outcome.wait = &replicationWait{cursor: cursor, done: make(chan struct{}), deadline: now + replicationTimeout}
 		s.waits = append(s.waits, outcome.wait)
 		s.peers.gossipNow()
@@ -57,9 +58,9 @@
 	return outcome
 }
 
-// leaveCursor reports whether a server's report, which caused changes, leaves it out of service, and the cursor that covers it. A
-// report that was sent again causes no change, but the first one may not have reached a majority.
-func (s *heartbeatService) leaveCursor(id registry.InstanceID, changed []*registry.Record) (cursor registry.Cursor, leaves bool) {
+// outOfServiceCursor reports whether a server is out of service after a report that caused the given changes, and returns the cursor
+// that covers this state. A report that was sent again causes no change, but the first copy may not have reached a majority yet.
+func (s *heartbeatService) outOfServiceCursor(id registry.InstanceID, changed []*registry.Record) (cursor registry.Cursor, outOfService bool) {
 	for _, r := range changed {
 		if r.State != registry.Ready {
 			return s.table.Cursor(), true
@@ -75,9 +76,9 @@
 	return s.peers.replicated(s.learner.value.Members, cursor)
 }
 
-// completeWaits ends the waits for reports that a majority has by now.
+// completeWaits completes the waits for reports that a majority has.
 func (s *heartbeatService) completeWaits() {
-	s.keepWaits(func(w *replicationWait) bool {
+	s.filterWaits(func(w *replicationWait) bool {
 		if s.isReplicated(w.cursor) {
 			close(w.done)
 			return false
@@ -86,17 +87,18 @@
 	})
 }
 
-// expireWaits drops the waits whose time is over. Their callers have their own timers.
+// expireWaits removes the waits that have timed out. Their callers use their own timers.
 func (s *heartbeatService) expireWaits(now time.Duration) {
-	s.keepWaits(func(w *replicationWait) bool { return now < w.deadline })
+	s.filterWaits(func(w *replicationWait) bool { return now < w.deadline })
 }
 
-func (s *heartbeatService) keepWaits(keep func(*replicationWait) bool) {
-	kept := s.waits[:0]
+// filterWaits removes the waits for which retain returns false.
+func (s *heartbeatService) filterWaits(retain func(*replicationWait) bool) {
+	retained := s.waits[:0]
 	for _, w := range s.waits {
-		if keep(w) {
-			kept = append(kept, w)
+		if retain(w) {
+			retained = append(retained, w)
 		}
 	}
-	s.waits = kept
+	s.waits = retained
 }
--- a/controlplane/hints.go
+++ b/controlplane/hints.go
@@ -12,38 +12,38 @@
 	"oxbowspan/rpc"
 )
 
-// hintInterval is how often changed reports are saved at most.
+// hintInterval is the minimum time between two saves of changed hints.
 const hintInterval = 2 * time.Second
 
-// hintSource is the source under which the registry takes reports from the disk.
+// hintSource is the source that the registry records for reports from the disk.
 const hintSource = "disk"
 
-// hintSaver keeps the known servers and controllers on the disk as hints, so that a control plane of which every machine lost power
-// knows the servers before they call again, and a controller finds the others though its seeds are gone. They may be out of date: a
-// server that doesn't call is soon unresponsive again, and a controller that doesn't answer is forgotten. It belongs to the event
-// loop.
+// hintSaver stores the known servers and controllers on the disk as hints. With them, a control plane in which every machine lost
+// power has the servers before their next heartbeats, and a controller finds the others even if none of its seeds exists any more.
+// Hints may be out of date: a server without heartbeats soon becomes unresponsive, and a controller that doesn't answer is removed.
+// It also stores the revisions that were committed. It is owned by the event loop.
 type hintSaver struct {
-	store   *acceptorstore.Store
-	table   *registry.Table
-	peers   *peerSet
-	learner *learner
-	loop    *eventLoop
-	clock   *steadyClock
-	savedAt time.Duration
-	cursor  registry.Cursor // up to which the reports are on the disk
-	alive   []string        // addresses of the controllers that are on the disk, ordered
-	earlier []string        // addresses of those that an earlier run had stored, until restorePeers
-	saving  bool
-	log     zerolog.Logger
+	store             *acceptorstore.Store
+	table             *registry.Table
+	peers             *peerSet
+	learner           *learner
+	loop              *eventLoop
+	clock             *monotonicClock
+	savedAt           time.Duration
+	cursor            registry.Cursor // up to which the reports are on the disk
+	savedAddresses    []string        // sorted addresses of the controllers that are on the disk
+	restoredAddresses []string        // addresses of controllers stored by an earlier run, until restorePeers adds them
+	saving            bool            // a save is in progress
+	log               zerolog.Logger
 }
 
-func newHintSaver(store *acceptorstore.Store, table *registry.Table, peers *peerSet, learner *learner, loop *eventLoop, clock *steadyClock, log zerolog.Logger) *hintSaver {
+func newHintSaver(store *acceptorstore.Store, table *registry.Table, peers *peerSet, learner *learner, loop *eventLoop, clock *monotonicClock, log zerolog.Logger) *hintSaver {
 	return &hintSaver{store: store, table: table, peers: peers, learner: learner, loop: loop, clock: clock, log: log}
 }
 
-// restore takes what an earlier run stored: the hints into the table, and the revisions that were committed. Hints that can't be
-// read are ignored. It must be called before the event loop runs: a value that is learned first would displace older revisions, and
-// the store's goroutine may read the file again.
+// restore loads the state that an earlier run stored: the hints into the table, and the committed revisions into the history. Hints
+// that can't be decoded are ignored. It must be called before the event loop runs: a value that is learned before it would displace
+// older revisions, and the store's goroutine may read the file again.
 func (h *hintSaver) restore() {
 	h.learner.history.Restore(h.store.History())
 	hints, m := h.store.Hints(), &rpc.Gossip{}
@@ -51,30 +51,31 @@
 		return
 	}
 	for _, r := range m.Reports {
-		r.AgeMs = 0 // how long ago it was received is not known
+		r.AgeMs = 0 // it is unknown how long ago the heartbeat was received
 		h.table.Merge(decodeReport(r, h.clock.now()), hintSource)
 	}
 	for _, controller := range m.Controllers {
-		h.earlier = append(h.earlier, controller.Address)
+		h.restoredAddresses = append(h.restoredAddresses, controller.Address)
 	}
 }
 
-// restorePeers begins to gossip with the controllers that an earlier run had stored.
+// restorePeers starts to gossip with the controllers that an earlier run stored.
 func (h *hintSaver) restorePeers() {
-	for _, address := range h.earlier {
+	for _, address := range h.restoredAddresses {
 		h.peers.add(address)
 	}
-	h.earlier = nil
+	h.restoredAddresses = nil
 }
 
-// save stores the known servers and the controllers that are alive, if any has changed and the disk is idle.
+// save stores the known servers, the controllers that are alive and new revisions, if any of them have changed, no save is in
+// progress and hintInterval has passed since the last one.
 func (h *hintSaver) save(now time.Duration) {
 	cursor := h.table.Cursor()
 	if h.saving || now-h.savedAt < hintInterval {
 		return
 	}
 	alive := h.peers.aliveAddresses(now)
-	changed := len(h.table.ChangesAfter(h.cursor)) > 0 || len(alive) > 0 && !slices.Equal(alive, h.alive) ||
+	changed := len(h.table.ChangesAfter(h.cursor)) > 0 || len(alive) > 0 && !slices.Equal(alive, h.savedAddresses) ||
 		h.learner.history.HasUnsaved()
 	if !changed {
 		return
@@ -102,7 +103,7 @@
 				h.learner.history.ReturnUnsaved(history)
 				return
 			}
-			h.cursor, h.alive = cursor, alive
+			h.cursor, h.savedAddresses = cursor, alive
 		})
 	})
 	if !h.saving {
--- a/controlplane/identity.go
+++ b/controlplane/identity.go
@@ -8,16 +8,16 @@
 	"oxbowspan/rpc"
 )
 
-// identity is what doesn't change of a controller's process while it runs.
+// identity holds the properties of a controller's process that don't change while it runs.
 type identity struct {
 	id             consensus.AcceptorID
 	incarnation    uint64
-	address        string // where other processes of the system reach it
-	controlAddress string // of its HTTP API
+	address        string // for other processes of the system
+	controlAddress string // of its HTTP API, for servers and operators
 	zone           string
 }
 
-// describe returns the identity as it is described to other processes. Voter says whether it is a member.
+// describe returns the identity as a message for other processes. voter states whether the controller is a member.
 func (i identity) describe(voter bool) *rpc.Controller {
 	return &rpc.Controller{
 		Id:             uint64(i.id),
@@ -29,8 +29,8 @@
 	}
 }
 
-// genesisMembers returns the first members, and this controller's identifier among them, 0 = none. At the first start all
-// controllers have the same seeds, so that each derives the same members.
+// genesisMembers returns the initial members, and this controller's identifier among them, or 0 if it isn't one of them. At the
+// first start all controllers have the same seeds, so that each derives the same members.
 func genesisMembers(s *settings.Settings) (members []consensus.Member, self consensus.AcceptorID) {
 	for i, address := range s.SeedControllers() {
 		id := genesisID(s.SeedAddresses[i])
@@ -42,7 +42,7 @@
 	return members, self
 }
 
-// genesisID derives the identifier of the first member at a control address. It is never 0.
+// genesisID derives the identifier of the initial member at a control address. It is never 0.
 func genesisID(controlAddress string) consensus.AcceptorID {
 	return consensus.AcceptorID(xxhash.Sum64String("genesis "+controlAddress) | 1)
 }
--- a/controlplane/instance_api.go
+++ b/controlplane/instance_api.go
@@ -10,10 +10,10 @@
 	"oxbowspan/registry"
 )
 
-// maxHeartbeatBytes is the largest accepted body of a server's request.
+// maxHeartbeatBytes is the maximum length of the body of a server's request.
 const maxHeartbeatBytes = 16 << 10
 
-// instanceAPI is the API by which servers report themselves.
+// instanceAPI is the HTTP API for the heartbeats and sign-offs of servers.
 type instanceAPI struct {
 	loop       *eventLoop
 	table      *registry.Table
@@ -39,7 +39,7 @@
 	a.apply(w, id, func(now time.Duration) { a.table.Merge(heartbeatRecord(id, &h, now), "") })
 }
 
-// heartbeatRecord is the record of a server whose heartbeat was just received.
+// heartbeatRecord returns the record of a server whose heartbeat was received now.
 func heartbeatRecord(id registry.InstanceID, h *config.Heartbeat, now time.Duration) registry.Record {
 	state := registry.Ready
 	if h.State == config.StateDraining {
@@ -65,9 +65,10 @@
 	a.apply(w, id, func(now time.Duration) { a.table.Deregister(id, now) })
 }
 
-// apply has a report entered into the table, and acknowledges it once that is safe.
-func (a *instanceAPI) apply(w http.ResponseWriter, id registry.InstanceID, enter func(now time.Duration)) {
-	outcome, applied := query(a.loop, func() reportOutcome { return a.heartbeats.apply(id, enter) })
+// apply enters a report into the table by calling update on the event loop, and acknowledges it once a majority has it, if that is
+// required.
+func (a *instanceAPI) apply(w http.ResponseWriter, id registry.InstanceID, update func(now time.Duration)) {
+	outcome, applied := query(a.loop, func() reportOutcome { return a.heartbeats.apply(id, update) })
 	if !applied {
 		writeError(w, errStopping)
 		return
@@ -83,7 +84,7 @@
 			return
 		}
 	}
-	if outcome.isolated { // the report was applied here, but the others may not receive it and would consider the server unresponsive
+	if outcome.isolated { // the report was applied, but the other controllers may not receive it and may mark the server as unresponsive
 		writeError(w, errIsolated)
 		return
 	}
--- a/controlplane/learner.go
+++ b/controlplane/learner.go
@@ -10,40 +10,40 @@
 	"oxbowspan/rpc"
 )
 
-// learnListener is notified on the event loop.
+// learnListener is notified by a learner. Its methods are called on the event loop.
 type learnListener interface {
 	// valueLearned is called with each newly decided value.
 	valueLearned(v *consensus.Value)
-	// decisionObserved is called with the newest decision when a ballot of it becomes known.
+	// decisionObserved is called with the newest decision when a ballot at which it was decided becomes known.
 	decisionObserved(d consensus.Decision)
 }
 
-// learner holds the newest value that this controller knows to be decided. It belongs to the event loop.
+// learner holds the newest value that this controller knows to be decided. It is owned by the event loop.
 type learner struct {
-	value         *consensus.Value // the newest decided one, or, while not confirmed, what a proposal may start from
+	value         *consensus.Value // the newest decided value, or, while confirmed is false, the base for a proposal
 	confirmed     bool             // value is known to be decided
 	decision      consensus.Decision
 	history       consensus.History
-	documentTimes map[string]documentTime // of the documents in value, by name
-	clock         *steadyClock
+	documentTimes map[string]documentTime // for the documents in value, by name
+	clock         *monotonicClock
 	events        *eventLog
 	log           zerolog.Logger
 	listener      learnListener
 }
 
-// documentTime is since when a version of a document is known here.
+// documentTime is the time at which this controller learned a version of a document.
 type documentTime struct {
 	version consensus.Version
 	since   time.Duration
 }
 
-// newLearner returns a learner that knows no decision, only a value that proposals may start from.
-func newLearner(base *consensus.Value, clock *steadyClock, events *eventLog, listener learnListener, log zerolog.Logger) *learner {
+// newLearner returns a learner without a decided value. base is the value from which proposals may start.
+func newLearner(base *consensus.Value, clock *monotonicClock, events *eventLog, listener learnListener, log zerolog.Logger) *learner {
 	return &learner{value: base, decision: consensus.Decision{Value: base}, documentTimes: map[string]documentTime{},
 		clock: clock, events: events, listener: listener, log: log}
 }
 
-// decided returns the newest value known to be decided; nil = none.
+// decided returns the newest value known to be decided, or nil if there is none.
 func (l *learner) decided() *consensus.Value {
 	if !l.confirmed {
 		return nil
@@ -56,7 +56,7 @@
 	return consensus.Contains(l.value.Members, id)
 }
 
-// isMemberAddress reports whether a member of the newest value has an address.
+// isMemberAddress reports whether the newest value has a member at an address.
 func (l *learner) isMemberAddress(address string) bool {
 	for _, m := range l.value.Members {
 		if m.Address == address {
@@ -66,7 +66,7 @@
 	return false
 }
 
-// learn takes a decided value, unless a newer one is known. A nil value is ignored.
+// learn records a decided value, unless it is nil or this controller already knows it or a newer one.
 func (l *learner) learn(v *consensus.Value) {
 	if v == nil || l.confirmed && v.Slot <= l.value.Slot || v.Slot < l.value.Slot {
 		return
@@ -104,7 +104,7 @@
 	l.events.add(eventMembership, "the members are at "+strings.Join(addresses, ", "))
 }
 
-// observeBallot notes a ballot at which a slot was decided.
+// observeBallot records a ballot at which a slot was decided.
 func (l *learner) observeBallot(slot consensus.Slot, ballot consensus.Ballot) {
 	if l.confirmed && slot == l.value.Slot {
 		l.decision = l.decision.WithBallot(ballot)
@@ -112,8 +112,8 @@
 	}
 }
 
-// learnMessage learns a value that another controller sent. Omitted bodies are restored from the values that this controller
-// holds, the accepted one among them; missing reports that one of them is not there, so that the value was not learned.
+// learnMessage learns a value that another controller sent. Omitted bodies are restored from the learned and the accepted value of
+// this controller. missing is true if one of them couldn't be restored, so that the value was not learned.
 func (l *learner) learnMessage(m *rpc.Value, accepted *consensus.Value) (missing bool) {
 	if m == nil || l.confirmed && m.Slot <= uint64(l.value.Slot) {
 		return false
--- a/controlplane/loop_test.go
+++ b/controlplane/loop_test.go
@@ -22,7 +22,7 @@
 	"oxbowspan/internal/testing/simnet"
 )
 
-// startControllers runs controllers on a simulated network, and returns a function for each that ends it.
+// startControllers runs controllers on a simulated network. It returns a function for each controller that stops it.
 func startControllers(t *testing.T, count int) (controllers []*Controller, stops []func()) {
 	t.Helper()
 	network := simnet.New(func(string, string) time.Duration { return 50 * time.Microsecond })
@@ -32,7 +32,7 @@
 	}
 	for i := range count {
 		ip := fmt.Sprintf("10.0.1.%d", i+1)
-		dir, err := os.MkdirTemp("/dev/shm", "controller") // a disk without delays
+		dir, err := os.MkdirTemp("/dev/shm", "controller") // in memory, without delays of a disk
 		if err != nil {
 			dir = t.TempDir()
 		}
@@ -51,7 +51,7 @@
 	return controllers, stops
 }
 
-// repeatRequest sends a request again and again until the controller stops. It signals each response.
+// repeatRequest sends a request repeatedly until the controller stops. It signals each response on responded.
 func repeatRequest(t *testing.T, c *Controller, handler http.Handler, request string, responded chan<- struct{}) {
 	method, rest, _ := strings.Cut(request, " ")
 	path, body, _ := strings.Cut(rest, " ")
@@ -72,14 +72,14 @@
 		default:
 		}
 		if w.Code == http.StatusNotFound && !strings.Contains(path, "read") {
-			t.Errorf("%s is answered %d", path, w.Code)
+			t.Errorf("%s is answered with status %d", path, w.Code)
 			return
 		}
 	}
 }
 
-// A controller is stopped while requests of every kind are in flight. Its event loop may still run what a caller handed it after
-// the stop has released that caller: under the race detector they must share no variable.
+// A controller is stopped while requests of every kind are in flight. Its event loop may still run a function after the stop has
+// unblocked the caller that queued it. The race detector fails the test if the two share a variable.
 func TestStopDoesNotRaceWithCallers(t *testing.T) {
 	requests := []string{"GET /-/configuration/read", "GET /-/tenants/read", "GET /-/configuration/history", "GET /-/members/read",
 		"GET /-/nodes/read", "GET /-/servers/read", "GET /-/events/read", "GET /-/tenants/explain", "GET /-/judgement/explain",
@@ -112,16 +112,17 @@
 	}
 }
 
-// closureTakers are the functions and methods, these with a dot, that hand the event loop a closure; true: the caller waits for it.
-var closureTakers = map[string]bool{".execute": true, "query": true, "serveLocal": true, "serveVerified": true, ".post": false}
+// loopFunctions are the functions and methods, the latter with a leading dot, that pass a closure to the event loop. The value is true
+// if the caller waits until the closure has run.
+var loopFunctions = map[string]bool{".execute": true, "query": true, "serveLocal": true, "serveVerified": true, ".post": false}
 
-// forwardsClosure reports whether a function passes on a closure that its own caller gave it.
+// forwardsClosure reports whether a function passes a closure of its own caller to the event loop.
 func forwardsClosure(name string) bool {
-	return closureTakers[name] || closureTakers["."+name]
+	return loopFunctions[name] || loopFunctions["."+name]
 }
 
-// A closure that is handed to the event loop writes no variable of its caller: a caller that the stop releases would read it while
-// the loop writes. Results travel by query.
+// A closure that is passed to the event loop must not write a variable of its caller: when the loop is stopped, the caller may read
+// the variable while the loop writes it. Results must be returned through query.
 func TestLoopClosuresDoNotWriteCapturedVariables(t *testing.T) {
 	closures := 0
 	for _, pattern := range []string{"*.go", "../dataplane/*.go"} {
@@ -177,8 +178,8 @@
 	}
 }
 
-// capturedWrites finds the closures that a file hands to an event loop, and where one of them writes what it captured. What is
-// behind the receiver belongs to the loop.
+// capturedWrites returns the number of closures that a file passes to an event loop, and the positions at which they write captured
+// variables. State that is reached through the receiver is owned by the loop and may be written.
 func capturedWrites(set *token.FileSet, file *ast.File) (closures int, positions []token.Pos) {
 	objects := resolve(set, file)
 	for _, d := range file.Decls {
@@ -195,16 +196,16 @@
 			if !ok || len(call.Args) == 0 {
 				return true
 			}
-			waiting, takes := closureTakers[calledName(call)]
+			callerWaits, isLoopFunction := loopFunctions[calledName(call)]
 			last := call.Args[len(call.Args)-1]
-			if _, isMethod := last.(*ast.SelectorExpr); !takes || isMethod {
+			if _, isMethod := last.(*ast.SelectorExpr); !isLoopFunction || isMethod {
 				return true
 			}
 			closures++
 			if literal, ok := last.(*ast.FuncLit); ok {
-				positions = append(positions, writes(objects, literal, receiver, waiting)...)
+				positions = append(positions, writes(objects, literal, receiver, callerWaits)...)
 			} else if !forwardsClosure(f.Name.Name) {
-				positions = append(positions, last.Pos()) // a closure that the check can't look into
+				positions = append(positions, last.Pos()) // a closure whose body the check can't inspect
 			}
 			return true
 		})
@@ -212,22 +213,22 @@
 	return closures, positions
 }
 
-// noImports has every import fail, so that a file is resolved by itself.
-type noImports struct{}
+// failingImporter fails every import, so that a file is resolved without other packages.
+type failingImporter struct{}
 
-func (noImports) Import(path string) (*types.Package, error) {
-	return nil, fmt.Errorf("%s is not imported", path)
+func (failingImporter) Import(path string) (*types.Package, error) {
+	return nil, fmt.Errorf("import of %s is disabled", path)
 }
 
-// resolve returns what the names in a file stand for. What is declared elsewhere stays unknown.
+// resolve returns the objects to which the identifiers in a file refer. Those declared in other files remain unresolved.
 func resolve(set *token.FileSet, file *ast.File) *types.Info {
 	objects := &types.Info{Defs: map[*ast.Ident]types.Object{}, Uses: map[*ast.Ident]types.Object{}}
-	lenient := types.Config{Importer: noImports{}, Error: func(error) {}}
-	lenient.Check(file.Name.Name, set, []*ast.File{file}, objects)
+	config := types.Config{Importer: failingImporter{}, Error: func(error) {}}
+	config.Check(file.Name.Name, set, []*ast.File{file}, objects)
 	return objects
 }
 
-// calledName is the name of the function that a call calls, or of the method, with a dot before it.
+// calledName returns the name of the called function, or of the called method with a leading dot.
 func calledName(call *ast.CallExpr) string {
 	switch called := call.Fun.(type) {
 	case *ast.Ident:
@@ -238,10 +239,10 @@
 	return ""
 }
 
-// writes returns where a closure writes a variable that was declared before it. Of a closure that nobody waits for, what is behind
-// a captured name is not checked: it may be a table of the loop's.
-func writes(objects *types.Info, literal *ast.FuncLit, receiver types.Object, waiting bool) (at []token.Pos) {
-	written := func(e ast.Expr) {
+// writes returns the positions at which a closure writes a variable that was declared outside of it. If no caller waits for the
+// closure, only direct assignments to captured variables are checked: their fields and elements may be state that the loop owns.
+func writes(objects *types.Info, literal *ast.FuncLit, receiver types.Object, callerWaits bool) (positions []token.Pos) {
+	recordWrite := func(e ast.Expr) {
 		for direct := true; ; direct = false {
 			switch x := e.(type) {
 			case *ast.SelectorExpr:
@@ -255,8 +256,8 @@
 			case *ast.Ident:
 				object := objects.ObjectOf(x)
 				outside := object != nil && (object.Pos() < literal.Pos() || object.Pos() >= literal.End())
-				if outside && object != receiver && (direct || waiting) {
-					at = append(at, x.Pos())
+				if outside && object != receiver && (direct || callerWaits) {
+					positions = append(positions, x.Pos())
 				}
 				return
 			default:
@@ -268,22 +269,22 @@
 		switch n := n.(type) {
 		case *ast.AssignStmt:
 			for _, e := range n.Lhs {
-				written(e)
+				recordWrite(e)
 			}
 		case *ast.IncDecStmt:
-			written(n.X)
+			recordWrite(n.X)
 		case *ast.RangeStmt:
 			for _, e := range []ast.Expr{n.Key, n.Value} {
 				if e != nil {
-					written(e)
+					recordWrite(e)
 				}
 			}
 		case *ast.UnaryExpr:
 			if _, name := n.X.(*ast.Ident); name && n.Op == token.AND {
-				written(n.X)
+				recordWrite(n.X)
 			}
 		}
 		return true
 	})
-	return at
+	return positions
 }
--- a/controlplane/membership.go
+++ b/controlplane/membership.go
@@ -11,29 +11,29 @@
 )
 
 const (
-	// memberLossTimeout is how long a member must not have been seen, by any controller that is alive itself, before another controller
-	// may replace it.
+	// memberLossTimeout is how long no live controller must have seen a member before another controller may replace it.
 	memberLossTimeout = 2200 * time.Millisecond
 
-	// placementPatience is how much longer a member must be lost before a controller replaces it that leaves the members worse
-	// placed over zones and regions than they were.
-	placementPatience = 4 * time.Second
+	// placementDelay is added to memberLossTimeout for a controller that would leave the members less well distributed over zones
+	// and regions than they were.
+	placementDelay = 4 * time.Second
 
-	// handOverTimeout is for one attempt to hand the membership over.
+	// handOverTimeout limits one attempt to hand over the membership.
 	handOverTimeout = time.Second
 )
 
-// membershipRequest is what a controller that is no member knows when it asks to become one.
+// membershipRequest is a request of a controller to become a member, with the state on which the decision depends.
 type membershipRequest struct {
-	self      consensus.Member
-	tolerance quorum.Tolerance
-	silence   func(address string) time.Duration   // the shortest time for which any controller that is alive has not seen a member
-	location  func(address string) quorum.Location // of a controller
+	self        consensus.Member
+	tolerance   quorum.Tolerance
+	lastSeenAge func(address string) time.Duration   // time since any live controller last saw the member at an address
+	location    func(address string) quorum.Location // of the controller at an address
 }
 
-// apply makes the requester a member where it may be: in place of the member at its own address, whose disk it replaces, as a
-// further one, in place of the member that was lost for longest, or of one whose place lets the loss of a zone or region end the
-// majority. No other member is replaced, however slow or isolated it is: that would lower the number of losses that are tolerated.
+// apply makes the requester a member if that is allowed. It replaces the member at its own address, whose disk it supersedes; or it
+// becomes an additional member while there are too few; or it replaces the member that has been lost for longest; or it replaces one
+// whose location lets the loss of a zone or region end the majority. No other member is replaced, however slow or isolated it is, as
+// that would reduce the number of tolerated losses.
 func (r membershipRequest) apply(v *consensus.Value) *consensus.Value {
 	if consensus.Contains(v.Members, r.self.ID) || len(v.Members) == 0 {
 		return v
@@ -58,33 +58,34 @@
 	return v.WithMembers(replaceMember(v.Members, i, r.self))
 }
 
-func replaceMember(members []consensus.Member, i int, by consensus.Member) []consensus.Member {
+func replaceMember(members []consensus.Member, i int, replacement consensus.Member) []consensus.Member {
 	members = slices.Clone(members)
-	members[i] = by
+	members[i] = replacement
 	return members
 }
 
-// longestLost returns the member that was not seen for longest and may be replaced; -1 = none. A requester that would leave the
-// members worse placed than they are gives others the time to come first.
+// longestLost returns the index of the member that has not been seen for longest and may be replaced, or -1 if there is none. A
+// requester that would leave the members less well distributed waits for placementDelay longer, so that other controllers can
+// replace the member first.
 func (r membershipRequest) longestLost(members []consensus.Member) int {
 	lost, longest := -1, memberLossTimeout
 	for i, m := range members {
-		if silence := r.silence(m.Address); silence > longest {
-			lost, longest = i, silence
+		if lastSeenAge := r.lastSeenAge(m.Address); lastSeenAge > longest {
+			lost, longest = i, lastSeenAge
 		}
 	}
 	if lost < 0 {
 		return -1
 	}
 	worsens := r.shortfall(replaceMember(members, lost, r.self)) > r.shortfall(members)
-	if worsens && longest < memberLossTimeout+placementPatience {
+	if worsens && longest < memberLossTimeout+placementDelay {
 		return -1
 	}
 	return lost
 }
 
-// misplaced returns the member in whose place the requester lets more zones or regions be lost; -1 = none, or the requester does not
-// know yet where all members are.
+// misplaced returns the index of the member whose replacement by the requester most improves the tolerance of lost zones and regions.
+// It returns -1 if there is none, or if the location of a member is not known yet.
 func (r membershipRequest) misplaced(members []consensus.Member) int {
 	if slices.Contains(locationsOf(members, r.location), quorum.Location{}) {
 		return -1
@@ -110,8 +111,8 @@
 	return locations
 }
 
-// membershipManager determines when this controller should become a member, and who could take its place. It belongs to the event
-// loop.
+// membershipManager determines when this controller should become a member, and which controller could replace it. It is owned by
+// the event loop.
 type membershipManager struct {
 	self      identity
 	tolerance quorum.Tolerance
@@ -119,10 +120,10 @@
 	learner   *learner
 	contact   *contactMonitor
 	peers     *peerSet
-	draining  bool // this controller is shutting down and asks for no membership
+	draining  bool // this controller is shutting down and must not become a member
 }
 
-// newMembershipManager returns a manager for members that survive the losses which are tolerated. Regions are those of the zones.
+// newMembershipManager returns a manager that maintains members which tolerate the given losses. regions maps zones to regions.
 func newMembershipManager(self identity, tolerated settings.ToleratedLosses, regions map[string]string, learner *learner,
 	contact *contactMonitor, peers *peerSet) *membershipManager {
 	tolerance := quorum.Tolerance{Machines: tolerated.Machines, Zones: tolerated.Zones, Regions: tolerated.Regions}
@@ -133,24 +134,24 @@
 	return consensus.Member{ID: m.self.id, Address: m.self.address}
 }
 
-// request returns a request of what is known now. It reads no state of the event loop afterwards.
+// request returns a request with a copy of the current state, so that it may be used outside of the event loop.
 func (m *membershipManager) request(now time.Duration) membershipRequest {
-	silences := map[string]time.Duration{}
+	lastSeenAges := map[string]time.Duration{}
 	for _, member := range m.learner.value.Members {
 		if member.Address != m.self.address {
-			silences[member.Address] = m.silence(member.Address, now)
+			lastSeenAges[member.Address] = m.lastSeenAge(member.Address, now)
 		}
 	}
 	locations := m.locations()
 	return membershipRequest{
-		self:      m.member(),
-		tolerance: m.tolerance,
-		silence:   func(address string) time.Duration { return silences[address] },
-		location:  func(address string) quorum.Location { return locations[address] },
+		self:        m.member(),
+		tolerance:   m.tolerance,
+		lastSeenAge: func(address string) time.Duration { return lastSeenAges[address] },
+		location:    func(address string) quorum.Location { return locations[address] },
 	}
 }
 
-// locations returns where the known controllers are, by address.
+// locations returns the locations of the known controllers, by address.
 func (m *membershipManager) locations() map[string]quorum.Location {
 	locations := map[string]quorum.Location{m.self.address: m.locationIn(m.self.zone)}
 	for address, p := range m.peers.byAddress {
@@ -163,16 +164,16 @@
 	return quorum.Location{Zone: zone, Region: m.regions[zone]}
 }
 
-// placed returns where the members of the newest value are, for operators.
-func (m *membershipManager) placed() []quorum.Location {
+// memberLocations returns the locations of the members of the newest value.
+func (m *membershipManager) memberLocations() []quorum.Location {
 	locations := m.locations()
 	return locationsOf(m.learner.value.Members, func(address string) quorum.Location { return locations[address] })
 }
 
-// silence returns the shortest time for which this controller, or any peer that is alive, has not seen a member. It is 0 when no
-// peer that is alive reports on it: it may be this controller that is isolated.
-func (m *membershipManager) silence(address string, now time.Duration) time.Duration {
-	reported, known := m.reportedSilence(address, now)
+// lastSeenAge returns the time since this controller or any live peer last saw a member. It returns 0 if no live peer reports on the
+// member, as this controller may be the one that is isolated.
+func (m *membershipManager) lastSeenAge(address string, now time.Duration) time.Duration {
+	reported, known := m.reportedLastSeenAge(address, now)
 	if !known {
 		return 0
 	}
@@ -180,28 +181,28 @@
 	switch {
 	case p == nil:
 		return 0
-	case p.lastSeen == 0: // this controller is new and never saw it: the reports of the others decide
+	case p.lastSeen == 0: // this controller is new and has never seen the member, so only the peers' reports count
 		return reported
 	}
-	return min(p.silence(now), reported)
+	return min(p.lastSeenAge(now), reported)
 }
 
-// reportedSilence returns the shortest time for which the peers that are alive report not to have seen a member.
-func (m *membershipManager) reportedSilence(address string, now time.Duration) (shortest time.Duration, known bool) {
+// reportedLastSeenAge returns the shortest time since a live peer last saw a member, as reported by the peers.
+func (m *membershipManager) reportedLastSeenAge(address string, now time.Duration) (shortest time.Duration, known bool) {
 	for _, p := range m.peers.byAddress {
 		if p.address == address || !p.alive(now) {
 			continue
 		}
-		silence, reports := p.silences[address]
-		if reports && (!known || silence < shortest) {
-			shortest, known = silence, true
+		lastSeenAge, reports := p.lastSeenAges[address]
+		if reports && (!known || lastSeenAge < shortest) {
+			shortest, known = lastSeenAge, true
 		}
 	}
 	return shortest, known
 }
 
-// wanted reports whether this controller should become a member now.
-func (m *membershipManager) wanted(now time.Duration) bool {
+// shouldJoin reports whether this controller should become a member now.
+func (m *membershipManager) shouldJoin(now time.Duration) bool {
 	v := m.learner.value
 	if m.draining || !m.learner.confirmed || m.learner.isMember(m.self.id) || !v.Confirmed() || !m.contact.hasQuorum(now) {
 		return false
@@ -209,8 +210,9 @@
 	return m.request(now).apply(v) != v
 }
 
-// successor returns a controller that could become a member in place of this one: it is alive, not shutting down and no member.
-// Of several it is the one that leaves the members best placed. Nil = there is none, or this controller is no member.
+// successor returns a controller that could replace this one as a member: it is alive, not shutting down and not a member. Of several
+// candidates it returns the one that leaves the members best distributed over zones and regions. It returns nil if there is none or
+// this controller is not a member.
 func (m *membershipManager) successor(now time.Duration) *consensus.Member {
 	members := m.learner.value.Members
 	own := slices.IndexFunc(members, func(member consensus.Member) bool { return member.ID == m.self.id })
@@ -234,8 +236,8 @@
 	return best
 }
 
-// handOver replaces one member by another, and has the change confirmed. Not on the event loop. Whether it succeeded shows in the
-// learner.
+// handOver proposes to replace one member by another and waits until the change is confirmed or the attempt has failed. The result is
+// visible in the learner. It must not be called on the event loop.
 func handOver(ctx context.Context, proposer *proposer, from consensus.AcceptorID, to consensus.Member) {
 	ctx, cancel := context.WithTimeout(ctx, handOverTimeout)
 	defer cancel()
--- a/controlplane/membership_test.go
+++ b/controlplane/membership_test.go
@@ -15,11 +15,11 @@
 	}
 	three := []consensus.Member{member(1, "a"), member(2, "b"), member(3, "c")}
 	for _, test := range []struct {
-		name     string
-		self     consensus.Member
-		members  []consensus.Member
-		silences map[string]time.Duration
-		want     []consensus.Member // nil = no change
+		name         string
+		self         consensus.Member
+		members      []consensus.Member
+		lastSeenAges map[string]time.Duration
+		want         []consensus.Member // nil = no change
 	}{
 		{"already a member", member(2, "b"), three, nil, nil},
 		{"no members", member(4, "d"), nil, nil, nil},
@@ -33,33 +33,34 @@
 		t.Run(test.name, func(t *testing.T) {
 			v := &consensus.Value{Slot: 5, Members: test.members, PriorMembers: test.members}
 			request := membershipRequest{
-				self:      test.self,
-				tolerance: quorum.Tolerance{Machines: 1},
-				silence:   func(address string) time.Duration { return test.silences[address] },
-				location:  func(string) quorum.Location { return quorum.Location{} },
+				self:        test.self,
+				tolerance:   quorum.Tolerance{Machines: 1},
+				lastSeenAge: func(address string) time.Duration { return test.lastSeenAges[address] },
+				location:    func(string) quorum.Location { return quorum.Location{} },
 			}
 			next := request.apply(v)
 			switch {
 			case test.want == nil && next != v:
-				t.Errorf("members become %v", next.Members)
+				t.Errorf("members changed to %v, want no change", next.Members)
 			case test.want != nil && !slices.Equal(next.Members, test.want):
-				t.Errorf("members become %v, want %v", next.Members, test.want)
+				t.Errorf("members changed to %v, want %v", next.Members, test.want)
 			}
 		})
 	}
 }
 
-// A controller takes the place of a live member only where that spreads the members over zones as the settings ask; it waits before it
-// replaces a lost one and leaves them worse placed; and it replaces no live one while it does not know where all are.
+// A controller replaces a live member only if that improves the distribution of the members over zones that the settings require, and
+// only if it knows the locations of all members. It waits longer before it replaces a lost member if that makes the distribution
+// worse.
 func TestMembershipRequestSpreadsOverZones(t *testing.T) {
 	self := consensus.Member{ID: 9, Address: "z"}
 	for _, test := range []struct {
 		name      string
 		selfZone  string
-		zones     []string // of the members; "" = not known
+		zones     []string // of the members; "" = unknown
 		tolerance quorum.Tolerance
-		lost      time.Duration // how long the last member was not seen
-		replaced  int           // -1 = none
+		lost      time.Duration // time since the last member was seen
+		replaced  int           // index of the replaced member; -1 = none
 	}{
 		{"two in one zone", "c", []string{"a", "a", "b"}, quorum.Tolerance{Zones: 1}, 0, 0},
 		{"all in one zone", "b", []string{"a", "a", "a"}, quorum.Tolerance{Zones: 1}, 0, 0},
@@ -84,7 +85,7 @@
 			request := membershipRequest{
 				self:      self,
 				tolerance: test.tolerance,
-				silence: func(address string) time.Duration {
+				lastSeenAge: func(address string) time.Duration {
 					if address == last {
 						return test.lost
 					}
@@ -95,19 +96,19 @@
 			next := request.apply(&consensus.Value{Slot: 5, Members: members, PriorMembers: members})
 			replaced := slices.IndexFunc(next.Members, func(m consensus.Member) bool { return m == self })
 			if replaced != test.replaced {
-				t.Errorf("it takes place %d, want %d", replaced, test.replaced)
+				t.Errorf("the controller replaces member %d, want %d", replaced, test.replaced)
 			}
 		})
 	}
 }
 
-// A member counts as silent for the shortest time that any controller which is alive reports.
-func TestMemberSilence(t *testing.T) {
+// The age of a member's last contact is the shortest one that any live controller reports.
+func TestMemberLastSeenAge(t *testing.T) {
 	const now = 10 * time.Second
 	for _, test := range []struct {
 		name     string
 		lastSeen time.Duration            // of the member; 0 = never
-		reports  map[string]time.Duration // of the peers that are alive, on the member
+		reports  map[string]time.Duration // last-seen ages of the member, by the live peer that reports them
 		want     time.Duration
 	}{
 		{"nobody else reports", 4 * time.Second, nil, 0},
@@ -118,13 +119,13 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			peers := &peerSet{byAddress: map[string]*peer{"m": {address: "m", lastSeen: test.lastSeen}}}
-			for address, silence := range test.reports {
-				peers.byAddress[address] = &peer{address: address, lastSeen: now, silences: map[string]time.Duration{"m": silence}}
+			for address, lastSeenAge := range test.reports {
+				peers.byAddress[address] = &peer{address: address, lastSeen: now, lastSeenAges: map[string]time.Duration{"m": lastSeenAge}}
 			}
-			peers.byAddress["dead"] = &peer{address: "dead", lastSeen: time.Second, silences: map[string]time.Duration{"m": 0}}
+			peers.byAddress["dead"] = &peer{address: "dead", lastSeen: time.Second, lastSeenAges: map[string]time.Duration{"m": 0}}
 			m := &membershipManager{peers: peers}
-			if got := m.silence("m", now); got != test.want {
-				t.Errorf("silent for %v, want %v", got, test.want)
+			if got := m.lastSeenAge("m", now); got != test.want {
+				t.Errorf("last seen %v ago, want %v", got, test.want)
 			}
 		})
 	}
@@ -154,7 +155,7 @@
 				peers: &peerSet{byAddress: map[string]*peer{"d": &p}}}
 			test.change(&p, m)
 			if got := m.successor(now); (got != nil) != test.want {
-				t.Errorf("successor %v, want one: %v", got, test.want)
+				t.Errorf("successor is %v, want a successor: %v", got, test.want)
 			}
 		})
 	}
--- a/controlplane/peers.go
+++ b/controlplane/peers.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	peerLivenessTimeout = 1500 * time.Millisecond // a peer counts as alive so long after its last message
-	peerForgetTimeout   = 30 * time.Second        // a peer that is neither a member nor a seed is forgotten so long after it
+	peerLivenessTimeout = 1500 * time.Millisecond // a peer counts as alive for this time after its last message
+	peerExpiryTimeout   = 30 * time.Second        // a peer that is neither a member nor a seed is removed this time after it
 )
 
-// peer is another controller. Its fields belong to the event loop, except those that are set when it is made.
+// peer is another controller. Its fields are owned by the event loop, except those that are set only when it is created.
 type peer struct {
 	address string
 	client  *rpc.Client
-	wake    chan struct{} // has the gossip loop send at once
+	wake    chan struct{} // makes the gossip loop send immediately
 	cancel  context.CancelFunc
 
 	// From its messages.
@@ -28,25 +28,25 @@
 	controlAddress string
 	zone           string
 	incarnation    uint64
-	slot           consensus.Slot           // newest that it knows to be decided
-	replica        consensus.Replica        // what its disk holds,
-	reportsReplica bool                     // if it says so
-	restoresBodies bool                     // it fills in bodies that a value omits
+	slot           consensus.Slot           // newest slot that it knows to be decided
+	replica        consensus.Replica        // on its disk, valid if reportsReplica
+	reportsReplica bool                     // it reports the replica on its disk
+	restoresBodies bool                     // it restores bodies that are omitted from a value
 	draining       bool                     // it is shutting down
-	silences       map[string]time.Duration // since it last saw other controllers, by their address
+	lastSeenAges   map[string]time.Duration // time since it last saw other controllers, by their address
 
 	addedAt  time.Duration
 	lastSeen time.Duration // 0 = never
-	listed   bool          // among the controllers that are listed to gateways
+	listed   bool          // it is in the list of controllers that gateways receive
 
-	// Of the gossip to it.
+	// State of the gossip to it.
 	ackedCursor      registry.Cursor // up to which it has this controller's reports
 	ackedGateways    uint64          // up to which sequence it has the gateways that poll this controller
-	sentGateways     uint64          // up to which sequence the gossip in flight names them in full
-	gatewaysSentAt   time.Duration   // when all of them were last named
-	differingRanges  []int           // of reports, by the last comparison of digests
+	sentGateways     uint64          // up to which sequence the message in flight contains them in full
+	gatewaysSentAt   time.Duration   // when all of them were last sent
+	differingRanges  []int           // ranges of reports that differ, by the last comparison of digests
 	digestsSentAt    time.Duration
-	missingBody      bool // it lacks a body of the value that it was sent: it is sent in full
+	missingBody      bool // it lacks a body of the value that it was sent, so the value is sent to it in full
 	requestFullValue bool // this controller lacks a body of the value that the peer sent
 }
 
@@ -55,16 +55,16 @@
 	return p.lastSeen > 0 && now-p.lastSeen < peerLivenessTimeout
 }
 
-// silence is how long the peer was not seen, counted from when it was added where it never was.
-func (p *peer) silence(now time.Duration) time.Duration { return now - max(p.lastSeen, p.addedAt) }
+// lastSeenAge returns the time since the peer was last seen, or since it was added if it was never seen.
+func (p *peer) lastSeenAge(now time.Duration) time.Duration { return now - max(p.lastSeen, p.addedAt) }
 
-// describe returns the peer as it is described to gateways.
+// describe returns the peer as a message for gateways.
 func (p *peer) describe(now time.Duration, voter bool) *rpc.Controller {
 	return &rpc.Controller{Id: uint64(p.id), Address: p.address, ControlAddress: p.controlAddress, Zone: p.zone, Voter: voter,
-		AgeMs: milliseconds(p.silence(now))}
+		AgeMs: milliseconds(p.lastSeenAge(now))}
 }
 
-// gossipNow has the peer sent what is new at once.
+// gossipNow makes the gossip loop send the next message to the peer immediately.
 func (p *peer) gossipNow() {
 	select {
 	case p.wake <- struct{}{}:
@@ -72,27 +72,29 @@
 	}
 }
 
+// close ends the gossip with the peer and closes the connection.
 func (p *peer) close() {
 	p.cancel()
 	p.client.Close()
 }
 
-// peerSet holds the other controllers that this one knows. It belongs to the event loop.
+// peerSet holds the other known controllers. It is owned by the event loop.
 type peerSet struct {
 	self      identity
 	seeds     []string
 	network   network.Network
-	clock     *steadyClock
+	clock     *monotonicClock
 	byAddress map[string]*peer
-	start     func(ctx context.Context, p *peer) // begins to gossip with a new peer
+	start     func(ctx context.Context, p *peer) // starts the gossip loop for a new peer
 }
 
-// newPeerSet returns an empty set. Seeds are addresses of peers that are never forgotten once they were added.
-func newPeerSet(self identity, seeds []string, on network.Network, clock *steadyClock, start func(context.Context, *peer)) *peerSet {
-	return &peerSet{self: self, seeds: seeds, network: on, clock: clock, byAddress: map[string]*peer{}, start: start}
+// newPeerSet returns an empty set. seeds are the addresses of peers that are never removed once they have been added.
+func newPeerSet(self identity, seeds []string, transport network.Network, clock *monotonicClock, start func(context.Context, *peer)) *peerSet {
+	return &peerSet{self: self, seeds: seeds, network: transport, clock: clock, byAddress: map[string]*peer{}, start: start}
 }
 
-// add returns the peer at an address, which it makes known if it isn't; nil where that is this controller's own or empty.
+// add returns the peer at an address, after adding it if it isn't in the set. It returns nil if the address is empty or this
+// controller's own.
 func (s *peerSet) add(address string) *peer {
 	if address == s.self.address || address == "" {
 		return nil
@@ -102,20 +104,20 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	p := &peer{address: address, client: &rpc.Client{Address: address, Network: s.network}, wake: make(chan struct{}, 1), cancel: cancel,
-		addedAt: s.clock.now(), silences: map[string]time.Duration{}}
+		addedAt: s.clock.now(), lastSeenAges: map[string]time.Duration{}}
 	s.byAddress[address] = p
 	s.start(ctx, p)
 	return p
 }
 
-// gossipNow has all peers sent what is new at once.
+// gossipNow makes the gossip loops send the next message to all peers immediately.
 func (s *peerSet) gossipNow() {
 	for _, p := range s.byAddress {
 		p.gossipNow()
 	}
 }
 
-// aliveAddresses returns the addresses of the peers that are alive, ordered.
+// aliveAddresses returns the sorted addresses of the peers that are alive.
 func (s *peerSet) aliveAddresses(now time.Duration) []string {
 	var addresses []string
 	for address, p := range s.byAddress {
@@ -127,7 +129,7 @@
 	return addresses
 }
 
-// updateListed returns the peers that came alive or timed out since the last call.
+// updateListed updates which peers are listed to gateways, and returns those that came alive or timed out since the last call.
 func (s *peerSet) updateListed(now time.Duration) (changed []*peer) {
 	for _, p := range s.byAddress {
 		if alive := p.alive(now); alive != p.listed {
@@ -138,17 +140,17 @@
 	return changed
 }
 
-// forget drops the peers that were not seen for long, except seeds and those to be kept.
-func (s *peerSet) forget(now time.Duration, keep func(address string) bool) {
+// removeExpired removes the peers that were not seen for peerExpiryTimeout, except seeds and those for which retain returns true.
+func (s *peerSet) removeExpired(now time.Duration, retain func(address string) bool) {
 	for address, p := range s.byAddress {
-		if now-p.lastSeen > peerForgetTimeout && !keep(address) && !slices.Contains(s.seeds, address) {
+		if now-p.lastSeen > peerExpiryTimeout && !retain(address) && !slices.Contains(s.seeds, address) {
 			delete(s.byAddress, address)
 			p.close()
 		}
 	}
 }
 
-// replicas returns what the acceptors that are alive reported of their disks, besides this controller's own.
+// replicas returns the replicas that live acceptors have reported, and this controller's own replica, by acceptor.
 func (s *peerSet) replicas(now time.Duration, own consensus.Replica) map[consensus.AcceptorID]consensus.Replica {
 	out := map[consensus.AcceptorID]consensus.Replica{s.self.id: own}
 	for _, p := range s.byAddress {
--- a/controlplane/poll_service.go
+++ b/controlplane/poll_service.go
@@ -7,30 +7,30 @@
 	"oxbowspan/rpc"
 )
 
-// warmHeartbeats is after how many heartbeat intervals a controller has received a heartbeat of every server.
+// warmHeartbeats is the number of heartbeat intervals after which a controller has received a heartbeat from every server.
 const warmHeartbeats = 3
 
-// pollWaiter is a gateway's long poll that was not answered yet.
+// pollWaiter is a gateway's long poll that has not been answered yet.
 type pollWaiter struct {
 	conn      *rpc.Conn
 	id        uint64 // of the frame
 	poll      *rpc.Poll
 	deadline  time.Duration
-	verifying bool // until a majority has replied to what it was sent after the poll came
+	verifying bool // until a majority has replied to messages sent after the poll arrived
 }
 
-// pollService answers the long polls of gateways. It belongs to the event loop.
+// pollService answers the long polls of gateways. It is owned by the event loop.
 type pollService struct {
 	pollDependencies
 	waiters map[*pollWaiter]bool
 }
 
-// pollDependencies is what a pollService works with.
+// pollDependencies are the components and settings that a pollService uses.
 type pollDependencies struct {
 	self              identity
 	heartbeatInterval time.Duration // of servers
-	inForceWithin     time.Duration // the time in which a version must be in force everywhere
-	clock             *steadyClock
+	configApplyLimit  time.Duration // time within which a version must be active at all gateways
+	clock             *monotonicClock
 	learner           *learner
 	contact           *contactMonitor
 	verifier          *contactVerifier
@@ -44,8 +44,8 @@
 	return &pollService{pollDependencies: d, waiters: map[*pollWaiter]bool{}}
 }
 
-// receive takes a poll. It is answered at once where there is an update or the gateway doesn't want to wait. The first one to
-// this incarnation is answered once a majority confirmed that this controller's state is current.
+// receive handles a poll. The poll is answered immediately if there is an update or the gateway doesn't want to wait. The first poll
+// of a gateway to this incarnation is answered once a majority has confirmed that this controller's state is current.
 func (s *pollService) receive(conn *rpc.Conn, id uint64, poll *rpc.Poll) {
 	now := s.clock.now()
 	s.observeSender(poll, now)
@@ -63,10 +63,11 @@
 	case s.hasUpdate(poll, now) || poll.WaitMs == 0:
 		s.respond(w, now)
 	default:
-		s.requestPaced(poll)
+		s.requestPacedUpdate(poll)
 	}
 }
 
+// observeSender records that the sender of a poll is alive, and what it reports about itself.
 func (s *pollService) observeSender(poll *rpc.Poll, now time.Duration) {
 	from := poll.From
 	if from == nil || from.Incarnation == 0 {
@@ -79,7 +80,7 @@
 	}
 }
 
-// verify answers a poll once a majority has confirmed this controller's state, or has not in time.
+// verify answers a poll once a majority has confirmed this controller's state, or once the verification has timed out.
 func (s *pollService) verify(w *pollWaiter, now time.Duration) {
 	w.verifying, w.deadline = true, now+2*verifyTimeout
 	s.verifier.verify(now, func(verified bool) {
@@ -90,7 +91,7 @@
 	})
 }
 
-// notify answers the polls for which there is an update.
+// notify answers the polls whose gateway may be sent an update.
 func (s *pollService) notify(now time.Duration) {
 	for w := range s.waiters {
 		switch {
@@ -98,19 +99,19 @@
 		case s.hasUpdate(w.poll, now):
 			s.respond(w, now)
 		default:
-			s.requestPaced(w.poll)
+			s.requestPacedUpdate(w.poll)
 		}
 	}
 }
 
-// respondAll answers all polls, with an update or without.
+// respondAll answers all polls, whether there is an update or not.
 func (s *pollService) respondAll(now time.Duration) {
 	for w := range s.waiters {
 		s.respond(w, now)
 	}
 }
 
-// expire answers the polls whose time is over, and returns when the next one's is, at most limit.
+// expire answers the polls whose deadline has passed, and returns the next deadline, or limit if that is earlier.
 func (s *pollService) expire(now, limit time.Duration) (next time.Duration) {
 	next = limit
 	for w := range s.waiters {
@@ -123,7 +124,7 @@
 	return next
 }
 
-// drop forgets the polls of a connection that has ended.
+// drop removes the polls of a connection that was closed.
 func (s *pollService) drop(conn *rpc.Conn) {
 	for w := range s.waiters {
 		if w.conn == conn {
@@ -137,11 +138,11 @@
 	delete(s.waiters, w)
 	update := s.update(w.poll, now)
 	update.HasQuorum = !w.verifying && s.contact.isCurrent(now)
-	// The event loop waits for no gateway: one that doesn't read delays its own answer only, until its connection is closed.
+	// The event loop must not wait for a gateway. One that doesn't read delays only its own answer, until its connection is closed.
 	go w.conn.Respond(w.id, &rpc.Frame{Body: &rpc.Frame_Update{Update: update}})
 }
 
-// update is what a gateway lacks. HasQuorum is left to the caller.
+// update returns the state that a gateway lacks. The caller sets HasQuorum.
 func (s *pollService) update(poll *rpc.Poll, now time.Duration) *rpc.Update {
 	update := &rpc.Update{
 		ControllerIncarnation: s.self.incarnation,
@@ -166,6 +167,7 @@
 	return update
 }
 
+// addVersion adds the newest value with its documents, and records that it was sent.
 func (s *pollService) addVersion(update *rpc.Update, poll *rpc.Poll, now time.Duration) {
 	v := s.learner.value
 	if g := s.sender(poll); g != nil {
@@ -180,6 +182,7 @@
 	}
 }
 
+// addMembership adds the list of gateways and controllers.
 func (s *pollService) addMembership(update *rpc.Update, now time.Duration) {
 	update.HasGateways = true
 	update.Gateways = s.gateways.listed()
@@ -191,37 +194,38 @@
 	}
 }
 
-// hasUpdate reports whether there is anything that a gateway lacks and may be sent now.
+// hasUpdate reports whether there is state that a gateway lacks and that may be sent now.
 func (s *pollService) hasUpdate(poll *rpc.Poll, now time.Duration) bool {
 	return s.mayReceiveVersion(poll, now) || poll.ControllerIncarnation != s.self.incarnation || poll.MembershipEpoch != s.gateways.epoch ||
 		len(s.table.ChangesAfter(registry.Cursor(poll.Cursor))) > 0
 }
 
-// lacksVersion reports whether a newer version than the gateway's is decided.
+// lacksVersion reports whether a newer value than the gateway's is known to be decided.
 func (s *pollService) lacksVersion(poll *rpc.Poll) bool {
 	return s.learner.confirmed && uint64(s.learner.value.Slot) > poll.Slot
 }
 
+// mayReceiveVersion reports whether a gateway lacks the newest value and may be sent it now.
 func (s *pollService) mayReceiveVersion(poll *rpc.Poll, now time.Duration) bool {
 	return s.lacksVersion(poll) && now >= s.nextVersionAt(poll)
 }
 
-// nextVersionAt is when a gateway may be sent the next version.
+// nextVersionAt returns the earliest time at which a gateway may be sent the next version; 0 if the gateway is unknown.
 func (s *pollService) nextVersionAt(poll *rpc.Poll) time.Duration {
 	if g := s.sender(poll); g != nil {
-		return g.nextVersionAt(s.inForceWithin)
+		return g.nextVersionAt(s.configApplyLimit)
 	}
 	return 0
 }
 
-// requestPaced has the polls checked again when the gateway may be sent the version that it lacks.
-func (s *pollService) requestPaced(poll *rpc.Poll) {
+// requestPacedUpdate schedules a check of all polls for when the gateway may be sent the version that it lacks.
+func (s *pollService) requestPacedUpdate(poll *rpc.Poll) {
 	if s.lacksVersion(poll) {
 		s.updates.requestAt(s.nextVersionAt(poll))
 	}
 }
 
-// sender is the gateway that sent a poll; nil = it is not known.
+// sender returns the gateway that sent a poll, or nil if it isn't in the directory.
 func (s *pollService) sender(poll *rpc.Poll) *gatewayState {
 	if poll.From == nil {
 		return nil
--- a/controlplane/proposal_run.go
+++ b/controlplane/proposal_run.go
@@ -8,18 +8,18 @@
 	"oxbowspan/rpc"
 )
 
-// peerCallTimeout is how long another controller may take to answer.
+// peerCallTimeout limits a call to another controller.
 const peerCallTimeout = 800 * time.Millisecond
 
-// replyBacklog is how many acceptors' replies may wait for a proposal.
+// replyBacklog is the number of acceptors' replies that may be queued for a proposal.
 const replyBacklog = 32
 
-// proposalRun carries the messages of one proposal.
+// proposalRun exchanges the messages of one proposal with the acceptors.
 type proposalRun struct {
 	proposer    *proposer
 	proposal    *consensus.Proposal
 	replies     chan *rpc.Frame
-	knownBodies map[consensus.AcceptorID][]string // digests of the bodies that each acceptor said it has
+	knownBodies map[consensus.AcceptorID][]string // digests of the bodies that each acceptor reported to have
 }
 
 func newProposalRun(p *proposer, proposal *consensus.Proposal) *proposalRun {
@@ -27,7 +27,7 @@
 		knownBodies: map[consensus.AcceptorID][]string{}}
 }
 
-// run returns the value once it is decided, or errNoQuorum.
+// run executes the proposal. It returns the decided value, or errNoQuorum.
 func (r *proposalRun) run(ctx context.Context) (*consensus.Value, error) {
 	ctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
@@ -67,7 +67,7 @@
 func (r *proposalRun) handlePrepareReply(ctx context.Context, reply *rpc.PrepareReply) {
 	value := rpc.ValueFromProto(reply.Value, r.proposal.Base())
 	if reply.Value != nil && value == nil {
-		return // an accepted value that can't be read is not the same as none
+		return // an accepted value that can't be decoded must not be treated as no accepted value
 	}
 	id := consensus.AcceptorID(reply.Acceptor)
 	r.knownBodies[id] = rpc.DigestsFromProto(reply.KnownBodies)
@@ -106,7 +106,7 @@
 	}}})
 }
 
-// send sends a message to an acceptor. Its reply, if there is one, arrives in replies.
+// send sends a message to an acceptor without waiting for the reply, which is put into replies.
 func (r *proposalRun) send(ctx context.Context, to consensus.Member, f *rpc.Frame) {
 	if to.ID == r.proposer.acceptor.id {
 		r.sendToSelf(f)
@@ -117,7 +117,7 @@
 		return
 	}
 	cancel := func() {}
-	if f.GetAccept() != nil { // it outlives the decision, so that the disks of the slower members hold the value, too
+	if f.GetAccept() != nil { // not canceled when the value is decided, so that slower members also store it
 		ctx, cancel = context.WithTimeout(context.Background(), peerCallTimeout)
 	}
 	go func() {
--- a/controlplane/proposer.go
+++ b/controlplane/proposer.go
@@ -9,29 +9,29 @@
 	"oxbowspan/consensus"
 )
 
-// errNoQuorum says that no majority answered in time. The proposal may or may not be decided later.
+// errNoQuorum is returned when no majority answered in time. The proposal may or may not be decided later.
 var errNoQuorum = errors.New("no majority answered in time")
 
-// After a proposal that another one preempted, the proposer waits for a random part of a backoff that grows with each attempt, so
-// that two of them don't go on preempting each other.
+// After a failed attempt, for instance one that another proposal preempted, the proposer waits for a random time up to a backoff that
+// grows with each attempt, so that two proposers don't keep preempting each other.
 const (
 	proposalBackoff    = 25 * time.Millisecond
-	proposalBackoffMax = 6 // times proposalBackoff
+	proposalBackoffMax = 6 // maximum backoff, as a multiple of proposalBackoff
 )
 
-// proposer has values decided. Its proposals run one at a time; propose may be called from any goroutine but the event loop's.
+// proposer runs proposals, one at a time. propose may be called from any goroutine except the event loop's.
 type proposer struct {
 	id       consensus.ProposerID
 	loop     *eventLoop
 	learner  *learner
 	acceptor *acceptorEndpoint
 	peers    *peerSet
-	token    chan struct{} // held by the running proposal
+	token    chan struct{} // mutex that is held by the running proposal
 
-	highestBallot uint64 // seen of any proposer; the event loop's
+	highestBallot uint64 // highest ballot number seen from any proposer; owned by the event loop
 }
 
-// newProposer returns a proposer. HighestBallot is the highest ballot number that its acceptor has promised.
+// newProposer returns a proposer. highestBallot is the highest ballot number that this controller's acceptor has promised.
 func newProposer(id consensus.ProposerID, highestBallot uint64, loop *eventLoop, learner *learner, acceptor *acceptorEndpoint,
 	peers *peerSet) *proposer {
 	p := &proposer{id: id, loop: loop, learner: learner, acceptor: acceptor, peers: peers, highestBallot: highestBallot,
@@ -40,19 +40,19 @@
 	return p
 }
 
-// proposalStart is what a proposal begins with.
+// proposalStart holds the ballot and the base value of a new proposal.
 type proposalStart struct {
 	ballot consensus.Ballot
 	base   *consensus.Value
 }
 
-// next returns what the next proposal begins with: a ballot above all that were seen. On the event loop.
+// next returns the start of the next proposal, with a ballot higher than all that were seen. It runs on the event loop.
 func (p *proposer) next() proposalStart {
 	p.highestBallot++
 	return proposalStart{consensus.Ballot{Number: p.highestBallot, By: p.id}, p.base()}
 }
 
-// base returns the value that a proposal starts from. On the event loop.
+// base returns the value from which a proposal starts. It runs on the event loop.
 func (p *proposer) base() *consensus.Value {
 	accepted := p.acceptor.acceptedValue.Load()
 	if accepted == nil {
@@ -61,20 +61,20 @@
 	return consensus.ProposalBase(accepted, p.learner.decided())
 }
 
-// observeBallot notes the number of a ballot that another proposer uses. On the event loop.
+// observeBallot records a ballot number that another proposer uses. It runs on the event loop.
 func (p *proposer) observeBallot(number uint64) { p.highestBallot = max(p.highestBallot, number) }
 
-// confirm is a change that changes nothing: the newest value is decided again, and so known to be the newest.
+// confirm is a change that returns the value unmodified. Deciding the newest value again proves that it is the newest.
 func confirm(v *consensus.Value) *consensus.Value { return v }
 
-// read returns the newest decided value as of the call: a controller that lags must not answer with an old one. Its error is
-// errNoQuorum.
+// read returns the newest value that is decided at the time of the call. It runs a proposal, so that a controller that has missed
+// decisions doesn't return an old value. The only error is errNoQuorum.
 func (p *proposer) read(ctx context.Context) (*consensus.Value, error) {
 	return p.propose(ctx, confirm)
 }
 
-// propose runs proposals until one that includes the change is decided, and a change of the members in it is confirmed. The
-// change is applied to the newest value, and anew with each proposal. The only error is errNoQuorum.
+// propose runs proposals until one that includes the change is decided and, if it changes the members, that change is confirmed. Each
+// proposal applies the change to the newest value again. The only error is errNoQuorum.
 func (p *proposer) propose(ctx context.Context, change consensus.ChangeFunc) (*consensus.Value, error) {
 	select {
 	case <-p.token:
@@ -107,17 +107,18 @@
 	}
 }
 
+// learn passes a decided value and its ballot to the learner. It runs on the event loop.
 func (p *proposer) learn(v *consensus.Value, ballot consensus.Ballot) {
 	p.learner.learn(v)
 	p.learner.observeBallot(v.Slot, ballot)
 }
 
-// randomDuration draws a duration from [0, limit).
+// randomDuration returns a random duration from [0, limit).
 func randomDuration(limit time.Duration) time.Duration {
 	return time.Duration(rand.Int64N(int64(limit)))
 }
 
-// sleep waits for a duration. It reports whether the context lasted as long.
+// sleep waits for a duration. It returns false if the context was canceled first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	select {
 	case <-time.After(d):
--- a/controlplane/replica_completion.go
+++ b/controlplane/replica_completion.go
@@ -8,23 +8,24 @@
 	"oxbowspan/consensus"
 )
 
-// How long an incomplete replica is left alone, and up to as much more at random. The machine whose replica it is acts first, as
-// that costs the others nothing. A proposal, which involves all, is for what that machine can't do alone.
+// The minimum time before an incomplete replica is repaired; up to the same time is added at random. The controller with the
+// incomplete replica repairs it first, as that involves no other controller. A proposal, which involves all members, follows only if
+// that was not sufficient.
 const (
-	selfRepairDelay = 400 * time.Millisecond // an Accept in flight is not overtaken
+	selfRepairDelay = 400 * time.Millisecond // leaves time for an Accept in flight to arrive
 	repairDelay     = 1600 * time.Millisecond
 )
 
-// replicaCompletion determines when members lack the newest value on their disks, and completes this controller's own replica. It
-// belongs to the event loop.
+// replicaCompletion determines which members lack the newest value on their disks, and repairs this controller's own replica. It is
+// owned by the event loop.
 type replicaCompletion struct {
 	self       identity
 	learner    *learner
 	acceptor   *acceptorEndpoint
 	contact    *contactMonitor
 	peers      *peerSet
-	selfRepair consensus.RepairSchedule // of this controller's own replica
-	repair     consensus.RepairSchedule // of all, by a proposal
+	selfRepair consensus.RepairSchedule // for this controller's own replica
+	repair     consensus.RepairSchedule // for the replicas of all members, by a proposal
 }
 
 func newReplicaCompletion(self identity, learner *learner, acceptor *acceptorEndpoint, contact *contactMonitor, peers *peerSet) *replicaCompletion {
@@ -35,7 +36,7 @@
 	}
 }
 
-// replicas returns what the acceptors in contact reported of their disks, this controller's own among them.
+// replicas returns the replicas that live acceptors have reported, including this controller's own.
 func (c *replicaCompletion) replicas(now time.Duration) map[consensus.AcceptorID]consensus.Replica {
 	return c.peers.replicas(now, c.acceptor.replica)
 }
@@ -45,8 +46,8 @@
 	return c.learner.decision.Unreplicated(c.replicas(now))
 }
 
-// due reports whether a proposal should store the decided value again, for members in contact that are not known to hold it. It
-// is to be called regularly: a replica counts as incomplete from when a call first saw it.
+// due reports whether a proposal should store the decided value again, because live members are not known to hold it. It must be
+// called regularly, as the delays start at the call that first finds a replica incomplete.
 func (c *replicaCompletion) due(now time.Duration) bool {
 	if !c.learner.confirmed || !c.learner.isMember(c.self.id) || !c.contact.hasQuorum(now) {
 		return false
@@ -60,13 +61,13 @@
 	return c.repair.Due(now, c.learner.value.Slot, incomplete, c.acceptor.replica.Ballot, rand.Float64())
 }
 
-// recordAttempt notes that a proposal which due asked for has ended.
+// recordAttempt records the end of a proposal that due required.
 func (c *replicaCompletion) recordAttempt(now time.Duration) {
 	c.repair.RecordAttempt(now, rand.Float64())
 }
 
-// completeOwn has this controller's acceptor take the Accept that decided the newest value, where that never arrived. If the
-// acceptor has promised a higher ballot since, it refuses, and a proposal completes the replica.
+// completeOwn passes the Accept that decided the newest value to this controller's acceptor if it never arrived there. If the
+// acceptor has promised a higher ballot since, it refuses the Accept, and a proposal must complete the replica.
 func (c *replicaCompletion) completeOwn(now time.Duration, incomplete []consensus.Member) {
 	own := slices.DeleteFunc(slices.Clone(incomplete), func(m consensus.Member) bool { return m.ID != c.self.id })
 	if !c.selfRepair.Due(now, c.learner.value.Slot, own, c.acceptor.replica.Ballot, rand.Float64()) {
--- a/controlplane/reports.go
+++ b/controlplane/reports.go
@@ -8,13 +8,13 @@
 	"oxbowspan/rpc"
 )
 
-// milliseconds converts a duration for a message.
+// milliseconds converts a duration to the milliseconds of a message.
 func milliseconds(d time.Duration) uint32 { return uint32(d / time.Millisecond) }
 
-// duration converts milliseconds of a message.
+// duration converts the milliseconds of a message to a duration.
 func duration(ms uint32) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-// encodeReport turns a server's record into a message. Times become ages, as clocks of machines differ.
+// encodeReport converts a server's record to a message. Times are converted to ages, as the clocks of machines differ.
 func encodeReport(r *registry.Record, now time.Duration) *rpc.ServerReport {
 	return &rpc.ServerReport{
 		Instance:         string(r.Instance),
@@ -35,7 +35,8 @@
 	}
 }
 
-// encodeRefresh is the report of a server of which only the times are new.
+// encodeRefresh converts a server's record to a message with only the identity, the sequence, the times and the lease. It is used if
+// nothing else has changed since the last report.
 func encodeRefresh(r *registry.Record, now time.Duration) *rpc.ServerReport {
 	return &rpc.ServerReport{
 		Instance:         string(r.Instance),
@@ -48,7 +49,7 @@
 	}
 }
 
-// decodeReport is the reverse of encodeReport and encodeRefresh.
+// decodeReport converts a message of encodeReport or encodeRefresh to a record.
 func decodeReport(r *rpc.ServerReport, now time.Duration) registry.Record {
 	return registry.Record{
 		Instance:        registry.InstanceID(r.Instance),
--- a/controlplane/resource_api.go
+++ b/controlplane/resource_api.go
@@ -17,21 +17,21 @@
 
 // Headers of the operator API.
 const (
-	basedOnHeader = "X-Based-On-Version" // of a replacement: the version that it replaces, 0 = none
-	versionHeader = "X-Version"          // of a document that was read
+	basedOnHeader = "X-Based-On-Version" // of a replace request: the version that is replaced; 0 = none
+	versionHeader = "X-Version"          // of a response to a read: the version of the document
 )
 
-// resource is something that operators replace and read as a whole, and that has versions.
+// resource is a versioned document that operators replace and read as a whole.
 type resource struct {
 	name         string // in paths
-	maxBytes     int64
-	notFound     string // answers a read while there is none
-	sendsVersion bool   // a read is answered with versionHeader
+	maxBytes     int64  // maximum length of a body
+	notFound     string // error message of a read while there is no version
+	sendsVersion bool   // responses to reads have a versionHeader
 	parse        func(body []byte, basedOn consensus.Version) (change, error)
-	from         func(v *consensus.Value) (body []byte, version consensus.Version, exists bool)
+	extract      func(v *consensus.Value) (body []byte, version consensus.Version, exists bool)
 }
 
-// resourceAPI is the API of one resource.
+// resourceAPI is the HTTP API of one resource.
 type resourceAPI struct {
 	resource
 	values  *valueReader
@@ -39,14 +39,14 @@
 	log     zerolog.Logger
 }
 
-// replace has a new version decided. A change that was committed before is acknowledged again.
+// replace submits a new version and answers once its outcome is decided. A change that was committed before is acknowledged again.
 func (a *resourceAPI) replace(w http.ResponseWriter, r *http.Request) {
 	body, basedOn, problem := readReplacement(w, r, a.maxBytes)
 	if problem != nil {
 		writeError(w, problem)
 		return
 	}
-	// A change that is invalid by itself was invalid whenever it was sent, so it can't have been committed.
+	// Whether a change is invalid by itself doesn't depend on the time, so an invalid change can't have been committed before.
 	c, err := a.parse(body, basedOn)
 	if err != nil {
 		writeError(w, &apiError{http.StatusBadRequest, err.Error()})
@@ -54,11 +54,11 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), changeTimeout(len(body)))
 	defer cancel()
-	began := time.Now()
+	start := time.Now()
 	log := a.log.With().Str("resource", a.name).Uint64("version", uint64(c.version())).Logger()
 	result, err := a.changes.submit(ctx, c)
 	if err != nil {
-		log.Warn().Dur("took", time.Since(began)).Err(err).Msg("change: not decided")
+		log.Warn().Dur("took", time.Since(start)).Err(err).Msg("change: not decided")
 		writeError(w, errNotDecided)
 		return
 	}
@@ -68,12 +68,13 @@
 		writeError(w, problem)
 		return
 	}
-	log.Info().Uint64("slot", uint64(result.slot)).Dur("took", time.Since(began)).Msg("change: committed")
+	log.Info().Uint64("slot", uint64(result.slot)).Dur("took", time.Since(start)).Msg("change: committed")
 	writeBody(w, []byte(`{"version":`+formatVersion(c.version())+`}`))
 }
 
-// readReplacement reads the body of a replacement and the version on which it is based. A body that was cut off in transit says
-// nothing of the change, another copy of which may have been committed: its status lets the operator retry.
+// readReplacement reads the body of a replace request and the version on which it is based. A body that was truncated in transit
+// doesn't determine the outcome of the change, as another copy of the request may have been committed. It is therefore answered with
+// a status that lets the operator retry.
 func readReplacement(w http.ResponseWriter, r *http.Request, maxBytes int64) (body []byte, basedOn consensus.Version, problem *apiError) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBytes))
 	var tooLong *http.MaxBytesError
@@ -90,7 +91,7 @@
 	return body, consensus.Version(version), nil
 }
 
-// read answers with the newest version as of the request.
+// read answers with the newest version that is decided at the time of the request.
 func (a *resourceAPI) read(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), consensusTimeout)
 	defer cancel()
@@ -99,7 +100,7 @@
 		writeError(w, errNotVerified)
 		return
 	}
-	body, version, exists := a.from(v)
+	body, version, exists := a.extract(v)
 	if a.sendsVersion {
 		w.Header().Set(versionHeader, formatVersion(version))
 	}
--- a/controlplane/resources.go
+++ b/controlplane/resources.go
@@ -10,10 +10,10 @@
 	"oxbowspan/rollout"
 )
 
-// Largest accepted bodies.
+// Maximum lengths of bodies.
 const (
 	maxConfigurationBytes = 8 << 20
-	maxDocumentBytes      = 256 << 10 // every Accept may carry it
+	maxDocumentBytes      = 256 << 10 // limited because every Accept may contain the document
 )
 
 // configurationChange is a new version of the configuration.
@@ -23,26 +23,29 @@
 func (c *configurationChange) basedOn() consensus.Version { return c.request.BasedOn }
 func (c *configurationChange) incompatibilities() string  { return "" }
 
-func (c *configurationChange) isIn(h *consensus.History) bool { return h.ContainsChange(c.request) }
+func (c *configurationChange) isRecordedIn(h *consensus.History) bool {
+	return h.ContainsChange(c.request)
+}
 
 func (c *configurationChange) evaluate(v *consensus.Value) (next *consensus.Value, current consensus.Version, outcome consensus.Outcome) {
 	next, outcome = c.request.Evaluate(v)
 	return next, v.Version, outcome
 }
 
-// configurationResource is the configuration.
+// configurationResource returns the resource of the configuration.
 func configurationResource() resource {
 	return resource{
 		name:     "configuration",
 		maxBytes: maxConfigurationBytes,
 		notFound: "there is no configuration yet",
 		parse:    parseConfiguration,
-		from: func(v *consensus.Value) ([]byte, consensus.Version, bool) {
+		extract: func(v *consensus.Value) ([]byte, consensus.Version, bool) {
 			return v.Body, v.Version, v.Digest != ""
 		},
 	}
 }
 
+// parseConfiguration parses and validates a configuration.
 func parseConfiguration(body []byte, basedOn consensus.Version) (change, error) {
 	c, err := config.Parse(body)
 	if err != nil {
@@ -55,30 +58,30 @@
 	return &configurationChange{request}, nil
 }
 
-// documentChange is a new version of a document beside the configuration. Its version is the one after its base.
+// documentChange is a new version of a document other than the configuration. Its version is the one that follows its base.
 type documentChange struct {
 	request  consensus.DocumentChangeRequest
-	problems []string // of the last evaluation beside a configuration
+	problems []string // conflicts with the configuration, found by the last evaluation
 }
 
 func (c *documentChange) version() consensus.Version { return c.request.BasedOn + 1 }
 func (c *documentChange) basedOn() consensus.Version { return c.request.BasedOn }
 func (c *documentChange) incompatibilities() string  { return strings.Join(c.problems, "; ") }
 
-func (c *documentChange) isIn(h *consensus.History) bool {
+func (c *documentChange) isRecordedIn(h *consensus.History) bool {
 	return h.ContainsDocumentChange(c.request)
 }
 
 func (c *documentChange) evaluate(v *consensus.Value) (next *consensus.Value, current consensus.Version, outcome consensus.Outcome) {
 	next, current, outcome = c.request.Evaluate(v)
-	if outcome == consensus.OutcomeVersionTooLow { // the operator chose the base only: none can follow it
+	if outcome == consensus.OutcomeVersionTooLow { // the operator chose only the base, and no version can follow it
 		outcome = consensus.OutcomeConflict
 	}
 	return next, current, outcome
 }
 
-// documentResource is a document. Validate returns what is wrong with it by itself, conflicts what is wrong with it beside the
-// configuration of a value.
+// documentResource returns the resource of a document. validate returns the problems of the document by itself, conflicts its
+// conflicts with the configuration of a value.
 func documentResource(name string, validate func(body []byte) []string, conflicts func(body []byte, v *consensus.Value) []string) resource {
 	return resource{
 		name:         name,
@@ -96,7 +99,7 @@
 			}
 			return c, nil
 		},
-		from: func(v *consensus.Value) ([]byte, consensus.Version, bool) {
+		extract: func(v *consensus.Value) ([]byte, consensus.Version, bool) {
 			d := v.Document(name)
 			return d.Body, d.Version, d.Version != 0
 		},
@@ -111,7 +114,8 @@
 	return documentResource(config.PinsDocumentName, validatePins, noConflicts)
 }
 
-// rolloutsResource is the document of rollouts as a whole. It is replaced only to restore an exported state.
+// rolloutsResource returns the resource of the document that holds all rollouts. Operators replace it only to restore an exported
+// state.
 func rolloutsResource() resource {
 	return documentResource(rollout.DocumentName, validateRollouts, noConflicts)
 }
@@ -131,8 +135,8 @@
 	return t.Validate()
 }
 
-// tenantConflicts compares tenants with the configuration of the value that a proposal found, not of one that this controller
-// remembers.
+// tenantConflicts returns the conflicts of tenants with the configuration of v. v is the value on which the proposal is based, not the
+// one that this controller has learned, which may be older.
 func tenantConflicts(body []byte, v *consensus.Value) []string {
 	if v.Digest == "" {
 		return nil
@@ -156,10 +160,10 @@
 	return p.Validate()
 }
 
-// noConflicts is for documents that are independent of the configuration.
+// noConflicts is used for documents that don't depend on the configuration.
 func noConflicts([]byte, *consensus.Value) []string { return nil }
 
-// joinProblems makes one error of several; nil = there are none.
+// joinProblems joins problems into one error, or returns nil if there are none.
 func joinProblems(problems []string) error {
 	if len(problems) == 0 {
 		return nil
@@ -167,6 +171,7 @@
 	return errors.New(strings.Join(problems, "; "))
 }
 
+// digest returns the SHA-256 digest of a body as a string of 32 bytes.
 func digest(body []byte) string {
 	sum := sha256.Sum256(body)
 	return string(sum[:])
--- a/controlplane/rollout_api.go
+++ b/controlplane/rollout_api.go
@@ -18,10 +18,10 @@
 	"oxbowspan/rollout"
 )
 
-// maxOrderBytes bounds the body of an order.
+// maxOrderBytes is the maximum length of the body of an order.
 const maxOrderBytes = 16 << 10
 
-// rolloutAPI takes operators' orders of rollouts and tells how they stand.
+// rolloutAPI is the HTTP API to begin, revert and read rollouts.
 type rolloutAPI struct {
 	loop     *eventLoop
 	rollouts *rolloutManager
@@ -30,7 +30,7 @@
 	log      zerolog.Logger
 }
 
-// begin has a rollout begun. An order that was taken before is acknowledged again.
+// begin handles an order to begin a rollout. An order that was committed before is acknowledged again.
 func (a *rolloutAPI) begin(w http.ResponseWriter, r *http.Request) {
 	order, problem := readOrder(w, r)
 	if problem != nil {
@@ -54,7 +54,7 @@
 	}
 }
 
-// readOrder reads and checks an order.
+// readOrder reads and validates an order.
 func readOrder(w http.ResponseWriter, r *http.Request) (order rollout.Order, problem *apiError) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxOrderBytes))
 	var tooLong *http.MaxBytesError
@@ -73,22 +73,23 @@
 	return order, nil
 }
 
-// submit has an order decided. Its error is errNoQuorum; the order may be decided yet.
+// submit proposes an order until its outcome is decided. problem is the reason why it is rejected. The only error is errNoQuorum; the
+// order may still be decided after it.
 func (a *rolloutAPI) submit(ctx context.Context, order rollout.Order) (problem *apiError, err error) {
-	ages, ok := query(a.loop, func() documentAge {
+	known, ok := query(a.loop, func() documentAge {
 		return documentAge{version: a.rollouts.version, age: a.rollouts.age()}
 	})
 	if !ok {
 		return nil, errNoQuorum
 	}
 	_, err = a.proposer.propose(ctx, func(v *consensus.Value) (next *consensus.Value) {
-		next, problem = evaluateOrder(v, order, ages)
+		next, problem = evaluateOrder(v, order, known)
 		return next
 	})
 	return problem, err
 }
 
-// revert ends a service's running rollout. One that is reverted already is acknowledged again.
+// revert reverts a service's running rollout. A rollout that is already reverted is acknowledged again.
 func (a *rolloutAPI) revert(w http.ResponseWriter, r *http.Request) {
 	service := r.PathValue("service")
 	ctx, cancel := context.WithTimeout(r.Context(), consensusTimeout)
@@ -109,7 +110,7 @@
 	}
 }
 
-// evaluateRevert returns the value to propose where v is the newest, and why nothing is reverted, nil = it is.
+// evaluateRevert returns the value to propose when v is the newest value, and the reason if the rollout can't be reverted.
 func evaluateRevert(v *consensus.Value, service string) (next *consensus.Value, problem *apiError) {
 	text := v.Document(rollout.DocumentName).Body
 	d, err := rollout.Parse(text)
@@ -130,13 +131,13 @@
 	}
 }
 
-// documentAge is how long a version of the document was known at a time.
+// documentAge is the time for which a controller has known a version of the document of rollouts.
 type documentAge struct {
 	version consensus.Version
 	age     time.Duration
 }
 
-// evaluateOrder returns the value to propose where v is the newest, and why the order is not taken, nil = it is.
+// evaluateOrder returns the value to propose when v is the newest value, and the reason if the order is rejected.
 func evaluateOrder(v *consensus.Value, order rollout.Order, known documentAge) (next *consensus.Value, problem *apiError) {
 	if v.Digest == "" {
 		return v, &apiError{http.StatusServiceUnavailable, "there is no configuration yet"}
@@ -161,8 +162,9 @@
 	return v.WithDocument(rollout.DocumentName, digest(text), text), nil
 }
 
-func hasService(text []byte, name string) bool {
-	c, err := config.Parse(text)
+// hasService reports whether a configuration contains a service.
+func hasService(body []byte, name string) bool {
+	c, err := config.Parse(body)
 	if err != nil {
 		return false
 	}
@@ -174,7 +176,7 @@
 	return false
 }
 
-// read tells how a service's rollout stands, as of the request.
+// read answers with the state of a service's rollout at the time of the request.
 func (a *rolloutAPI) read(w http.ResponseWriter, r *http.Request) {
 	d, problem := a.document(r)
 	if problem != nil {
@@ -189,7 +191,7 @@
 	writeJSON(w, describeRollout(found))
 }
 
-// list tells how all rollouts stand.
+// list answers with the state of all rollouts at the time of the request.
 func (a *rolloutAPI) list(w http.ResponseWriter, r *http.Request) {
 	d, problem := a.document(r)
 	if problem != nil {
@@ -203,6 +205,7 @@
 	writeJSON(w, out)
 }
 
+// document reads the newest document of rollouts.
 func (a *rolloutAPI) document(r *http.Request) (*rollout.Document, *apiError) {
 	ctx, cancel := context.WithTimeout(r.Context(), consensusTimeout)
 	defer cancel()
--- a/controlplane/rollout_api_test.go
+++ b/controlplane/rollout_api_test.go
@@ -10,13 +10,13 @@
 	"oxbowspan/rollout"
 )
 
-// valueWithService returns a decided value whose configuration names a service.
+// valueWithService returns a value whose configuration contains a service.
 func valueWithService(name string) *consensus.Value {
 	body := []byte(fmt.Sprintf(`{"version":1,"services":[{"name":%q}]}`, name))
 	return (&consensus.Value{}).WithConfiguration(1, 0, digest(body), body)
 }
 
-// An order is taken once, however often it is sent; another one of the service waits until it is over.
+// An order that is sent repeatedly begins one rollout. Another order for the service is rejected until that rollout has ended.
 func TestEvaluateOrder(t *testing.T) {
 	order := rollout.Order{Service: "s", TargetVersion: "v2", DurationS: 12}
 	other := rollout.Order{Service: "s", TargetVersion: "v3", DurationS: 12}
@@ -27,41 +27,41 @@
 		return problem.status
 	}
 	if _, problem := evaluateOrder(&consensus.Value{}, order, documentAge{}); status(problem) != http.StatusServiceUnavailable {
-		t.Errorf("without a configuration: %v", problem)
+		t.Errorf("an order without a configuration: %v", problem)
 	}
 	v := valueWithService("s")
 	if _, problem := evaluateOrder(v, rollout.Order{Service: "t", TargetVersion: "v2", DurationS: 1}, documentAge{}); status(problem) != http.StatusUnprocessableEntity {
-		t.Errorf("an unknown service: %v", problem)
+		t.Errorf("an order for an unknown service: %v", problem)
 	}
 	begun, problem := evaluateOrder(v, order, documentAge{})
 	if problem != nil || begun == v {
-		t.Fatalf("the order is not taken: %v", problem)
+		t.Fatalf("the order is rejected: %v", problem)
 	}
 	if again, problem := evaluateOrder(begun, order, documentAge{}); problem != nil || again != begun {
-		t.Errorf("the order that is sent again changes something, or %v", problem)
+		t.Errorf("the repeated order changes the value, or is rejected: %v", problem)
 	}
 	if _, problem := evaluateOrder(begun, other, documentAge{}); status(problem) != http.StatusConflict {
-		t.Errorf("another version while one is running: %v", problem)
+		t.Errorf("an order for another version during the rollout: %v", problem)
 	}
 	reverted, problem := evaluateRevert(begun, "s")
 	if problem != nil || reverted == begun {
-		t.Fatalf("it is not reverted: %v", problem)
+		t.Fatalf("the rollout is not reverted: %v", problem)
 	}
 	if again, problem := evaluateRevert(reverted, "s"); problem != nil || again != reverted {
-		t.Errorf("a second revert changes something, or %v", problem)
+		t.Errorf("the repeated revert changes the value, or is rejected: %v", problem)
 	}
 	if again, problem := evaluateOrder(reverted, order, documentAge{}); problem != nil || again != reverted {
-		t.Errorf("a late copy of the order begins anew, or %v", problem)
+		t.Errorf("a late copy of the order begins a new rollout, or is rejected: %v", problem)
 	}
 	if next, problem := evaluateOrder(reverted, other, documentAge{}); problem != nil || next == reverted {
-		t.Errorf("the next order is not taken: %v", problem)
+		t.Errorf("the order after the revert is rejected: %v", problem)
 	}
 	if _, problem := evaluateRevert(v, "s"); status(problem) != http.StatusNotFound {
-		t.Errorf("nothing to revert: %v", problem)
+		t.Errorf("a revert without a rollout: %v", problem)
 	}
 }
 
-// The time that has passed goes on over documents, of all running rollouts.
+// A new version of the document keeps the elapsed time of a running rollout.
 func TestOrderKeepsElapsedTime(t *testing.T) {
 	v, _ := evaluateOrder(valueWithService("s"), rollout.Order{Service: "s", TargetVersion: "v2", DurationS: 12}, documentAge{})
 	d, err := rollout.Parse(v.Document(rollout.DocumentName).Body)
@@ -74,6 +74,6 @@
 		t.Fatal(err)
 	}
 	if r := d.Find("s"); r.ElapsedMS != 3000 || r.StepElapsedMS != 0 || r.Step != 1 {
-		t.Errorf("%+v", r)
+		t.Errorf("rollout after a transition at 3 s: %+v", r)
 	}
 }
--- a/controlplane/rollout_manager.go
+++ b/controlplane/rollout_manager.go
@@ -15,36 +15,37 @@
 )
 
 const (
-	// rolloutInterval is between two looks at the running rollouts.
+	// rolloutInterval is the time between two checks of the running rollouts.
 	rolloutInterval = 100 * time.Millisecond
-	// rolloutGossipPerGateway is between two messages to a peer, for each gateway whose report they carry.
+	// rolloutGossipPerGateway is the minimum time between two messages to a peer per gateway whose report they contain.
 	rolloutGossipPerGateway = 2 * time.Millisecond
-	// rolloutTurn is how much longer each next controller leaves a transition that is due to those before it.
-	rolloutTurn = 500 * time.Millisecond
-	// rolloutTimeout is for a proposal of a transition.
+	// rolloutRankDelay is how much longer than the controller before it a controller waits before it proposes a due transition.
+	rolloutRankDelay = 500 * time.Millisecond
+	// rolloutTimeout limits a proposal of a transition.
 	rolloutTimeout = 2 * peerCallTimeout
-	// rolloutReportAge is how old a gateway's report may be to tell what it has applied.
-	rolloutReportAge = 3 * time.Second
+	// maxRolloutReportAge is the maximum age of a gateway's report that is used to determine what it has applied.
+	maxRolloutReportAge = 3 * time.Second
 )
 
-// rolloutManager conducts the rollouts: it gathers what gateways report of them and proposes the transitions that are due. All
-// controllers do, one after the other: the first one that is alive at once, each next one later. Whoever comes second proposes on top
-// of a document version that is no longer in place, and changes nothing. It belongs to the event loop.
+// rolloutManager advances the rollouts: it collects the reports of gateways and proposes the transitions that are due. Every
+// controller does this, in the order of their addresses: the first live controller without delay, each further one rolloutRankDelay
+// later. A controller whose proposal comes second is based on a version of the document that has been replaced, and changes nothing.
+// It is owned by the event loop.
 type rolloutManager struct {
 	rolloutDependencies
-	version   consensus.Version // of the document that is parsed
+	version   consensus.Version // version of document
 	document  *rollout.Document
-	analyses  map[uint64]*rollout.Analysis // by number, of the running rollouts
-	dueSince  time.Duration                // since when a transition is due, 0 = none is
-	nextAt    time.Duration
+	analyses  map[uint64]*rollout.Analysis // of the running rollouts, by number
+	dueSince  time.Duration                // when a transition became due; 0 = none is due
+	nextAt    time.Duration                // when the next check is due
 	proposing bool
 }
 
-// rolloutDependencies is what a rolloutManager works with.
+// rolloutDependencies are the components and limits that a rolloutManager uses.
 type rolloutDependencies struct {
 	self     identity
 	loop     *eventLoop
-	clock    *steadyClock
+	clock    *monotonicClock
 	learner  *learner
 	contact  *contactMonitor
 	peers    *peerSet
@@ -63,22 +64,22 @@
 // running reports whether a rollout is running.
 func (m *rolloutManager) running() bool { return m.document.AnyRunning() }
 
-// advance looks at the running rollouts when it is time, and returns when it is next, at most limit.
+// advance checks the running rollouts if that is due, and returns when to call it again, at most limit.
 func (m *rolloutManager) advance(now, limit time.Duration) (next time.Duration) {
-	m.follow()
+	m.updateDocument()
 	if !m.running() {
 		return limit
 	}
 	if now >= m.nextAt {
 		m.nextAt = now + rolloutInterval
-		m.analyze()
+		m.updateAnalyses()
 		m.proposeDue(now)
 	}
 	return min(limit, m.nextAt)
 }
 
-// follow parses the newest document.
-func (m *rolloutManager) follow() {
+// updateDocument parses the newest document of rollouts if its version has changed.
+func (m *rolloutManager) updateDocument() {
 	d := m.learner.value.Document(rollout.DocumentName)
 	if d.Version == m.version {
 		return
@@ -102,7 +103,7 @@
 	m.analyses = running
 }
 
-// recordTransitions records what has changed as events and log lines.
+// recordTransitions adds an event and a log line for each rollout whose state or step has changed.
 func (m *rolloutManager) recordTransitions(before, after *rollout.Document) {
 	for _, r := range after.Rollouts {
 		if old := before.Find(r.Service); old != nil && old.Number == r.Number && old.State == r.State && old.Step == r.Step {
@@ -118,7 +119,7 @@
 	}
 }
 
-// age is how long the document in place has been known here.
+// age returns how long this controller has known the current version of the document.
 func (m *rolloutManager) age() time.Duration {
 	known := m.learner.documentTimes[rollout.DocumentName]
 	if known.version == 0 {
@@ -127,8 +128,8 @@
 	return m.clock.now() - known.since
 }
 
-// analyze takes what the gateways report of the running rollouts.
-func (m *rolloutManager) analyze() {
+// updateAnalyses adds the gateways' reports to the analyses of the running rollouts.
+func (m *rolloutManager) updateAnalyses() {
 	for incarnation, g := range m.gateways.byIncarnation {
 		for _, report := range g.rollouts.GetRollouts() {
 			analysis := m.analyses[report.Number]
@@ -145,7 +146,7 @@
 	}
 }
 
-// progress is what is known of a running rollout.
+// progress returns the state of a running rollout on which its next transition depends.
 func (m *rolloutManager) progress(r *rollout.Rollout, now time.Duration) rollout.Progress {
 	age := m.age()
 	p := rollout.Progress{
@@ -161,7 +162,7 @@
 	}
 	for _, g := range m.gateways.byIncarnation {
 		p.Gateways++
-		if now-g.rolloutsAt > rolloutReportAge || g.rolloutsAt == 0 {
+		if now-g.rolloutsAt > maxRolloutReportAge || g.rolloutsAt == 0 {
 			continue
 		}
 		for _, report := range g.rollouts.GetRollouts() {
@@ -177,7 +178,7 @@
 	return p
 }
 
-// proposeDue proposes the first transition that is due, when it is this controller's turn.
+// proposeDue proposes the first transition that is due, once the delay for this controller's rank has passed.
 func (m *rolloutManager) proposeDue(now time.Duration) {
 	if m.proposing || !m.contact.isCurrent(now) {
 		return
@@ -194,7 +195,7 @@
 		if m.dueSince == 0 {
 			m.dueSince = now
 		}
-		if now-m.dueSince >= time.Duration(m.rank(now))*rolloutTurn {
+		if now-m.dueSince >= time.Duration(m.rank(now))*rolloutRankDelay {
 			m.proposing = true
 			go m.propose(*r, m.version, transition, m.age())
 		}
@@ -203,13 +204,13 @@
 	m.dueSince = 0
 }
 
-// rank is how many controllers come before this one.
+// rank returns the number of live controllers whose address sorts before this one's.
 func (m *rolloutManager) rank(now time.Duration) int {
 	before, _ := slices.BinarySearch(m.peers.aliveAddresses(now), m.self.address)
 	return before
 }
 
-// propose has a transition decided, unless the document has changed meanwhile. It runs on a goroutine of its own.
+// propose proposes a transition, which is not applied if the document has changed in the meantime. It is called on its own goroutine.
 func (m *rolloutManager) propose(r rollout.Rollout, version consensus.Version, transition rollout.Transition, age time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), rolloutTimeout)
 	defer cancel()
@@ -232,8 +233,9 @@
 	})
 }
 
-// gossiped returns what the gateways that poll this controller report, for the other controllers.
-func (m *rolloutManager) gossiped(now time.Duration) (reports []*rpc.GatewayRollouts) {
+// gatewayReports returns the reports of the gateways that poll this controller, to be sent to the other controllers. It returns none if
+// no rollout is running.
+func (m *rolloutManager) gatewayReports(now time.Duration) (reports []*rpc.GatewayRollouts) {
 	if !m.running() {
 		return nil
 	}
@@ -245,7 +247,7 @@
 	return reports
 }
 
-// receive takes what a gateway reports, unless a newer report of it is known.
+// receiveRollouts records a gateway's report about rollouts, unless a newer one is known.
 func (d *gatewayDirectory) receiveRollouts(report *rpc.GatewayRollouts, now time.Duration) {
 	if report == nil {
 		return
--- a/controlplane/shutdown.go
+++ b/controlplane/shutdown.go
@@ -11,24 +11,24 @@
 )
 
 const (
-	shutdownMargin         = 1500 * time.Millisecond // of the grace period, left for the end itself
-	defaultShutdownTimeout = 2 * time.Second         // without a grace period
-	shutdownPollInterval   = 20 * time.Millisecond   // between two checks whether the controller may end
+	shutdownMargin         = 1500 * time.Millisecond // part of the grace period that is reserved for stopping after the drain
+	defaultShutdownTimeout = 2 * time.Second         // if there is no grace period
+	shutdownPollInterval   = 20 * time.Millisecond   // between two checks whether the controller may stop
 )
 
-// leaveStatus is what keeps a member from ending.
+// leaveStatus describes whether a member may stop, and what prevents it.
 type leaveStatus struct {
 	reason     consensus.LeaveStatus
-	incomplete []consensus.Member // not known to hold the newest value
-	successor  *consensus.Member  // who may become a member in place of this controller; nil = there is none, or this controller is no member
+	incomplete []consensus.Member // members that are not known to hold the newest value
+	successor  *consensus.Member  // may replace this controller; nil = there is none, or this controller is not a member
 }
 
-// drainer keeps a controller that is to end running until its end loses nothing.
+// drainer delays the shutdown of a controller until no replica and no accepted value is lost by it.
 type drainer struct {
 	self       identity
 	timeout    time.Duration
 	loop       *eventLoop
-	clock      *steadyClock
+	clock      *monotonicClock
 	learner    *learner
 	acceptor   *acceptorEndpoint
 	peers      *peerSet
@@ -39,7 +39,7 @@
 	log        zerolog.Logger
 }
 
-// drainTimeout returns how long a controller with a grace period, in seconds, may take to drain.
+// drainTimeout returns the time limit for draining, given the grace period in seconds; 0 or less means that there is none.
 func drainTimeout(gracePeriodS float64) time.Duration {
 	if gracePeriodS <= 0 {
 		return defaultShutdownTimeout
@@ -47,10 +47,10 @@
 	return max(settings.Seconds(gracePeriodS)-shutdownMargin, 0)
 }
 
-// drain returns when the controller may end for good, perhaps with its disk: its membership was handed to a controller that is
-// no member, the change is confirmed, and all members that stay have reported that their disks hold the newest value. It returns
-// at once where the replicas are complete and there is no controller to hand the membership to, and after the timeout at the latest. Not
-// on the event loop.
+// drain returns when the controller may stop permanently, even if its disk is lost: its membership was handed over to a controller
+// that was not a member, the change is confirmed, and all remaining members have reported that their disks hold the newest value. It
+// returns immediately if the replicas are complete and there is no controller to which the membership can be handed over, and after
+// the timeout at the latest. It must not be called on the event loop.
 func (d *drainer) drain() {
 	ctx, cancel := context.WithTimeout(context.Background(), d.timeout)
 	defer cancel()
@@ -77,18 +77,19 @@
 	}
 }
 
-// begin starts to drain. It reports whether the controller's end may lose a replica or an accepted value that is needed: it is an
-// acceptor of the newest value, or doesn't know whether what it accepted was decided. Others may end at once.
+// begin starts the drain. It reports whether stopping now may lose a replica or an accepted value that is needed: the controller is
+// an acceptor of the newest value, or it is unknown whether the value that it accepted was decided. Other controllers may stop
+// immediately.
 func (d *drainer) begin() (needed bool) {
 	d.membership.draining = true
-	d.peers.gossipNow() // the replies report what the peers' disks hold now
+	d.peers.gossipNow() // the replies report the current replicas of the peers
 	if !d.learner.confirmed {
 		return d.acceptor.newestSlot > 0
 	}
 	return consensus.Contains(d.learner.value.Acceptors(), d.self.id) || !d.learner.decision.Resolves(d.acceptor.replica)
 }
 
-// status returns what keeps the controller from ending now.
+// status returns whether the controller may stop now, and what prevents it.
 func (d *drainer) status() leaveStatus {
 	if !d.learner.confirmed {
 		return leaveStatus{reason: consensus.UnresolvedAccept}
--- a/controlplane/status_api.go
+++ b/controlplane/status_api.go
@@ -14,13 +14,14 @@
 	"oxbowspan/registry"
 )
 
-// statusAPI shows operators what this controller knows; an operator who wants all asks all controllers. Lists of gateways and
-// servers are shown only by a controller in contact with a majority, as they would be out of date. Members and events are what a
-// controller itself saw, with their ages, and are shown always: they are what there is to see of a partitioned control plane.
+// statusAPI shows operators this controller's state; operators query all controllers to get a complete view. The lists of gateways
+// and servers are returned only by a controller in contact with a majority, as they would be out of date otherwise. Members and events
+// are observations of a single controller, with their ages, and are always returned, so that operators can examine a partitioned
+// control plane.
 type statusAPI struct {
 	self       identity
 	loop       *eventLoop
-	clock      *steadyClock
+	clock      *monotonicClock
 	learner    *learner
 	values     *valueReader
 	contact    *contactMonitor
@@ -33,7 +34,7 @@
 	events     *eventLog
 }
 
-// history shows the versions of the configuration, the oldest first, as of the request.
+// history answers with the versions of the configuration that the newest value lists, oldest first, at the time of the request.
 func (a *statusAPI) history(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), consensusTimeout)
 	defer cancel()
@@ -66,17 +67,17 @@
 		HasQuorum: a.contact.isCurrent(now), Stable: v.Confirmed()}
 	complete := 0
 	incomplete := a.completion.incomplete(now)
-	locations := a.placement.placed()
+	locations := a.placement.memberLocations()
 	for i, m := range v.Members {
-		silence := a.silence(m, now)
+		lastSeenAge := a.lastSeenAge(m, now)
 		status := controlapi.MemberStatus{
 			Identity:      strconv.FormatUint(uint64(m.ID), 16),
 			Address:       m.Address,
 			Zone:          locations[i].Zone,
-			SilentSeconds: silence.Seconds(),
+			SilentSeconds: lastSeenAge.Seconds(),
 			Complete:      a.learner.confirmed && !consensus.Contains(incomplete, m.ID),
 		}
-		if status.Complete && silence < peerLivenessTimeout {
+		if status.Complete && lastSeenAge < peerLivenessTimeout {
 			complete++
 		}
 		out.Members = append(out.Members, status)
@@ -89,8 +90,8 @@
 	return out
 }
 
-// silence is how long a member was not seen; as long as this controller runs if it never was.
-func (a *statusAPI) silence(m consensus.Member, now time.Duration) time.Duration {
+// lastSeenAge returns the time since a member was last seen, or since this controller started if it was never seen.
+func (a *statusAPI) lastSeenAge(m consensus.Member, now time.Duration) time.Duration {
 	if m.ID == a.self.id {
 		return 0
 	}
--- a/controlplane/update_schedule.go
+++ b/controlplane/update_schedule.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// updateDelay is how long changes that are not urgent are gathered before gateways are sent them.
+// updateDelay is how long changes that are not urgent are collected before they are sent to gateways.
 const updateDelay = 60 * time.Millisecond
 
-// updateSchedule holds the time at which the waiting gateways are to be checked for updates. It belongs to the event loop.
+// updateSchedule holds the time at which the pending polls are checked for updates. It is owned by the event loop.
 type updateSchedule struct {
-	clock *steadyClock
-	at    time.Duration // 0 = nothing is new
+	clock *monotonicClock
+	at    time.Duration // 0 = no check is scheduled
 }
 
-func newUpdateSchedule(clock *steadyClock) *updateSchedule { return &updateSchedule{clock: clock} }
+func newUpdateSchedule(clock *monotonicClock) *updateSchedule { return &updateSchedule{clock: clock} }
 
-// request has the gateways sent what is new, at once if it is urgent, else after updateDelay.
+// request schedules sending updates to the gateways, immediately if they are urgent, otherwise after updateDelay.
 func (s *updateSchedule) request(urgent bool) {
 	at := s.clock.now()
 	if !urgent {
@@ -22,14 +22,14 @@
 	s.requestAt(at)
 }
 
-// requestAt has the gateways sent what is new at a time, unless they are before it.
+// requestAt schedules sending updates to the gateways at a time, unless an earlier time is already scheduled.
 func (s *updateSchedule) requestAt(at time.Duration) {
 	if s.at == 0 || at < s.at {
 		s.at = max(at, 1)
 	}
 }
 
-// due reports whether the time has come, and clears it; else next is when it will come, 0 = never.
+// due reports whether the scheduled time has been reached, and clears it. Otherwise next is the scheduled time; 0 = none.
 func (s *updateSchedule) due(now time.Duration) (due bool, next time.Duration) {
 	if s.at == 0 || now < s.at {
 		return false, s.at
--- a/controlplane/value_bodies_test.go
+++ b/controlplane/value_bodies_test.go
@@ -11,7 +11,7 @@
 	"oxbowspan/rpc"
 )
 
-// newTestController returns a controller that was not started, so that the test may call what belongs to its event loop.
+// newTestController returns a controller that has not been started, so that the test may access state of its event loop.
 func newTestController(t *testing.T) *Controller {
 	t.Helper()
 	s := &settings.Settings{IPAddress: "10.0.1.1", InternalPorts: []int{7100, 7109}, SeedAddresses: []string{"10.0.1.1:8700"}, FirstStart: true,
@@ -25,6 +25,7 @@
 	return c
 }
 
+// sendPrepare sends a Prepare to the controller's acceptor and returns the reply.
 func (c *Controller) sendPrepare(number uint64, knownBodies ...string) *rpc.PrepareReply {
 	replies := make(chan *rpc.PrepareReply, 1)
 	c.acceptor.handlePrepare(&rpc.Prepare{Acceptor: uint64(c.self.id), Ballot: &rpc.Ballot{Number: number}, KnownBodies: rpc.DigestsToProto(knownBodies)},
@@ -32,6 +33,7 @@
 	return <-replies
 }
 
+// sendAccept sends an Accept to the controller's acceptor and returns the reply.
 func (c *Controller) sendAccept(number uint64, v *rpc.Value) *rpc.AcceptReply {
 	replies := make(chan *rpc.AcceptReply, 1)
 	c.acceptor.handleAccept(&rpc.Accept{Acceptor: uint64(c.self.id), Ballot: &rpc.Ballot{Number: number}, Value: v},
@@ -39,47 +41,47 @@
 	return <-replies
 }
 
-// learnMessage has a controller learn a value that another one sent. It reports whether a body is missing.
+// learnMessage passes a value to the controller as if another controller had sent it. It reports whether a body is missing.
 func (c *Controller) learnMessage(m *rpc.Value) (missing bool) {
 	return c.learner.learnMessage(m, c.acceptor.acceptedValue.Load())
 }
 
-// An acceptor restores the bodies that an Accept omits, where it holds them, and accepts no value that lacks one.
-func TestAcceptorFillsOmittedBodies(t *testing.T) {
+// An acceptor restores bodies that an Accept omits if it holds them, and refuses a value if it can't restore a body.
+func TestAcceptorRestoresOmittedBodies(t *testing.T) {
 	c := newTestController(t)
 	members := []consensus.Member{{ID: c.self.id, Address: c.self.address}}
 	first := &consensus.Value{Slot: 1, Members: members, PriorMembers: members, Version: 1, Digest: "d1", Body: []byte("one"),
 		Documents: []consensus.Document{{Name: "x", Version: 1, Digest: "dx", Body: []byte("document")}}}
 	if p := c.sendPrepare(1); !p.Ok || p.Value != nil || len(p.KnownBodies) != 0 {
-		t.Fatalf("an empty acceptor promises %v", p)
+		t.Fatalf("an empty acceptor answered the Prepare with %v", p)
 	}
 	if !c.sendAccept(1, rpc.ValueToProto(first)).Ok {
-		t.Fatal("a complete value is not accepted")
+		t.Fatal("a complete value was not accepted")
 	}
 	p := c.sendPrepare(2, "d1", "dx")
 	if len(p.KnownBodies) != 2 || !p.Value.BodyOmitted || !p.Value.Documents[0].BodyOmitted {
-		t.Fatalf("it promises %v", p)
+		t.Fatalf("the acceptor answered a Prepare with both digests with %v", p)
 	}
 	later := *first
 	later.Slot = 2
 	if !c.sendAccept(2, rpc.ValueToProto(&later, rpc.DigestsFromProto(p.KnownBodies)...)).Ok {
-		t.Fatal("a value whose bodies it holds is not accepted")
+		t.Fatal("a value with omitted bodies that the acceptor holds was not accepted")
 	}
 	p = c.sendPrepare(3)
 	if got := rpc.ValueFromProto(p.Value); got == nil || got.Slot != 2 || string(got.Body) != "one" || string(got.Document("x").Body) != "document" {
-		t.Fatalf("it accepted %v", p.Value)
+		t.Fatalf("the accepted value is %v", p.Value)
 	}
 	unknown := later
 	unknown.Digest, unknown.Body = "d2", []byte("two")
 	if a := c.sendAccept(3, rpc.ValueToProto(&unknown, "d2")); a.Ok {
-		t.Error("it accepted a value that lacks its body")
+		t.Error("a value with an omitted body that the acceptor doesn't hold was accepted")
 	}
 	if got := rpc.ValueFromProto(c.sendPrepare(4).Value); got.Digest != "d1" || string(got.Body) != "one" {
-		t.Errorf("afterwards it holds %v", got)
+		t.Errorf("the accepted value after the refusal is %v", got)
 	}
 }
 
-// A proposer of the release before names only the configuration's digest: documents are sent in full.
+// A proposer of the previous release sends only the configuration's digest. It receives documents in full.
 func TestPrepareNamingOnlyConfigurationDigest(t *testing.T) {
 	c := newTestController(t)
 	members := []consensus.Member{{ID: c.self.id, Address: c.self.address}}
@@ -90,39 +92,39 @@
 	c.acceptor.handlePrepare(&rpc.Prepare{Acceptor: uint64(c.self.id), Ballot: &rpc.Ballot{Number: 2}, KnownDigest: []byte("d1")},
 		func(reply *rpc.PrepareReply) { replies <- reply })
 	if p := <-replies; !p.Value.BodyOmitted || string(p.Value.Documents[0].Body) != "document" {
-		t.Errorf("it is sent %v", p.Value)
+		t.Errorf("the reply contains %v", p.Value)
 	}
 }
 
-// A peer that restores bodies is sent the value without them, and in full after it has reported that it lacks one; a peer of the
-// release before is sent it in full. A value that lacks a body is not learned.
+// A peer that restores bodies receives the value without bodies, and in full after it has reported a missing body. A peer of the
+// previous release receives the value in full. A value with a body that can't be restored is not learned.
 func TestCompleteValueSentAfterMissingBody(t *testing.T) {
 	c := newTestController(t)
 	members := []consensus.Member{{ID: c.self.id, Address: c.self.address}}
 	v := &consensus.Value{Slot: 3, Members: members, PriorMembers: members, Version: 1, Digest: "d1", Body: []byte("one")}
 	c.learner.value, c.learner.confirmed = v, true
 	restoring, old := &peer{restoresBodies: true, wake: make(chan struct{}, 1)}, &peer{}
-	bare := c.gossip.valueFor(restoring)
-	if !bare.BodyOmitted || c.gossip.valueFor(old).BodyOmitted {
-		t.Fatalf("one that restores bodies is sent %v", bare)
+	withoutBody := c.gossip.valueFor(restoring)
+	if !withoutBody.BodyOmitted || c.gossip.valueFor(old).BodyOmitted {
+		t.Fatalf("the value for a peer that restores bodies is %v, or bodies are omitted for one that doesn't", withoutBody)
 	}
-	reader := newTestController(t)
-	if !reader.learnMessage(bare) || reader.learner.confirmed {
-		t.Fatal("a value that lacks its body is learned")
+	receiver := newTestController(t)
+	if !receiver.learnMessage(withoutBody) || receiver.learner.confirmed {
+		t.Fatal("a value with a missing body was learned")
 	}
 	c.gossip.receiveValueReply(restoring, &rpc.GossipReply{MissingBody: true})
 	if len(restoring.wake) != 1 {
-		t.Error("the next gossip is not sent at once")
+		t.Error("the next message is not sent immediately")
 	}
-	if full := c.gossip.valueFor(restoring); full.BodyOmitted || reader.learnMessage(full) || string(reader.learner.value.Body) != "one" {
-		t.Errorf("it is sent %v", full)
+	if full := c.gossip.valueFor(restoring); full.BodyOmitted || receiver.learnMessage(full) || string(receiver.learner.value.Body) != "one" {
+		t.Errorf("the value after a missing body was reported is %v", full)
 	}
-	voter := newTestController(t)
-	voter.acceptor.acceptedValue.Store(v)
-	if voter.learnMessage(bare) || voter.learner.value.Version != 1 || string(voter.learner.value.Body) != "one" {
-		t.Error("one that has accepted it does not restore its body")
+	acceptor := newTestController(t)
+	acceptor.acceptor.acceptedValue.Store(v)
+	if acceptor.learnMessage(withoutBody) || acceptor.learner.value.Version != 1 || string(acceptor.learner.value.Body) != "one" {
+		t.Error("a controller that has accepted the value did not restore its body")
 	}
-	if voter.learnMessage(rpc.ValueToProto(&consensus.Value{Slot: 2, Digest: "d0"}, "d0")) {
-		t.Error("the body of a value older than its own is requested")
+	if acceptor.learnMessage(rpc.ValueToProto(&consensus.Value{Slot: 2, Digest: "d0"}, "d0")) {
+		t.Error("the body of a value older than the learned one was requested")
 	}
 }
--- a/controlplane/value_reader.go
+++ b/controlplane/value_reader.go
@@ -7,25 +7,26 @@
 	"oxbowspan/consensus"
 )
 
-// verifiedReadTimeout is how long a read waits for a majority to confirm the value that this controller knows, before it has the
-// newest one decided again. It is longer than a round trip between regions; where that is longer yet, reads are as slow as proposals.
+// verifiedReadTimeout is how long a read waits for a majority to confirm the value that this controller knows before it runs a
+// proposal to determine the newest one. It is longer than a round trip between regions; where a round trip takes longer than this,
+// reads are as slow as proposals.
 const verifiedReadTimeout = 150 * time.Millisecond
 
-// valueReader reads the newest decided value, as of the call.
+// valueReader reads the newest value that is decided at the time of the call.
 //
-// Where a majority replies, to what it is sent after the call, that it has accepted nothing beyond the value that this controller
-// knows to be decided, that value is the newest (docs/design/control-safety.md, section 1). That takes no ballot, so that reads
-// delay no change, however many there are. Otherwise, as when a value was accepted whose decision nobody knows, the newest is found
-// by a proposal. There is no lease: an answer never rests on a clock.
+// If a majority replies to messages sent after the call that it has accepted nothing newer than the value that this controller knows
+// to be decided, that value is the newest (docs/design/control-safety.md, section 1). This needs no ballot, so that reads don't delay
+// changes, however many reads there are. Otherwise, for instance if a value was accepted that no controller knows to be decided, a
+// proposal determines the newest value. There is no lease: a result never depends on a clock.
 type valueReader struct {
 	loop     *eventLoop
-	clock    *steadyClock
+	clock    *monotonicClock
 	learner  *learner
 	verifier *contactVerifier
 	proposer *proposer
 }
 
-// read returns the newest decided value. Its error is errNoQuorum.
+// read returns the newest decided value. The only error is errNoQuorum.
 func (r *valueReader) read(ctx context.Context) (*consensus.Value, error) {
 	if v := r.readVerified(ctx); v != nil {
 		return v, nil
@@ -33,7 +34,8 @@
 	return r.proposer.read(ctx)
 }
 
-// readVerified returns the value that this controller knows once a majority confirms it; nil = none did in time.
+// readVerified returns the value that this controller knows once a majority confirms that it is the newest, or nil if that doesn't
+// happen in time.
 func (r *valueReader) readVerified(ctx context.Context) *consensus.Value {
 	verified := make(chan *consensus.Value, 1)
 	r.loop.post(func() {
