--- a/controlapi/doc.go
+++ b/controlapi/doc.go
@@ -1,4 +1,4 @@
-// Package controlapi has the JSON forms of the operator API: what controllers answer to questions about versions, members,
-// gateways, servers, tenants, outliers and events. Controllers write them, the operators' client reads them. Field names are part
-// of the API and stay as they are; ages and durations count by the steady clock of the machine that reports them.
+// Package controlapi defines the JSON responses of the operator API: versions, members, gateways, servers, tenants, outliers, rollouts
+// and events. Controllers encode them, the operators' client decodes them. The JSON field names are part of the API and must not
+// change. Ages and durations are measured with the monotonic clock of the machine that reports them.
 package controlapi
--- a/internal/network/network.go
+++ b/internal/network/network.go
@@ -12,10 +12,10 @@
 
 // Network opens and accepts stream connections. Addresses have the form "IP:port".
 type Network interface {
-	// Listen announces on a local address. It fails if the address is not this machine's or is in use.
+	// Listen listens on a local address. It returns an error if the address isn't one of this machine's or is in use.
 	Listen(address string) (net.Listener, error)
-	// Dial connects to an address. It fails if the connection is not established within the timeout; 0 means no timeout
-	// of its own.
+	// Dial connects to an address. It returns an error if the connection is not established within the timeout; 0 means that
+	// Dial sets no timeout.
 	Dial(address string, timeout time.Duration) (net.Conn, error)
 }
 
