--- a/internal/keyring/keyring_test.go
+++ b/internal/keyring/keyring_test.go
@@ -34,12 +34,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if _, err := Parse(c.text); err == nil || !strings.Contains(err.Error(), c.want) {
-				t.Errorf("%q: %v, want %q in it", c.text, err, c.want)
+				t.Errorf("Parse(%q) returned error %v, want one that contains %q", c.text, err, c.want)
 			}
 		})
 	}
 	if _, err := Parse("# none\n"); !errors.Is(err, ErrNoKeys) {
-		t.Errorf("without a key: %v", err)
+		t.Errorf("Parse without a key returned %v, want ErrNoKeys", err)
 	}
 }
 
@@ -65,7 +65,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := mustParse(t, c.ring).Verify(c.purpose, c.id, c.message, c.mac); got != c.want {
-				t.Errorf("valid: %t, want %t", got, c.want)
+				t.Errorf("Verify returned %t, want %t", got, c.want)
 			}
 		})
 	}
