--- a/consensus/acceptor.go
+++ b/consensus/acceptor.go
@@ -1,17 +1,18 @@
 package consensus
 
-// AcceptorState is what one acceptor stores on its disk. Its methods return new states and never change it.
+// AcceptorState is the state that an acceptor stores on its disk. Its methods return new states and never modify the
+// receiver.
 //
-// Promised never falls, and is never below Accepted: an acceptor that promised a ballot accepts nothing at a lower one. This
-// is what makes prepare replies of a majority conclusive.
+// Promised never decreases and is never below Accepted: an acceptor that promised a ballot accepts nothing at a lower one.
+// The prepare replies of a majority are conclusive because of this.
 type AcceptorState struct {
 	ID       AcceptorID
-	Promised Ballot // nothing is accepted at a lower one
-	Accepted Ballot // at which Value was accepted
-	Value    *Value // accepted last; nil = none
+	Promised Ballot // highest promised ballot; nothing is accepted at a lower one
+	Accepted Ballot // ballot at which Value was accepted
+	Value    *Value // value accepted last; nil = none
 
-	// Decided is the ballot at which the acceptor had accepted a value when it learned that this value is decided. It says
-	// something about Value only where it is Accepted: a later value leaves it behind.
+	// Decided is the ballot at which the acceptor had accepted a value when it learned that this value is decided. It
+	// applies to Value only while it equals Accepted: accepting a later value does not reset it.
 	Decided Ballot
 }
 
@@ -24,10 +25,10 @@
 // PrepareReply answers a Prepare.
 type PrepareReply struct {
 	From     AcceptorID
-	OK       bool   // the ballot is promised
-	Promised Ballot // the acceptor's highest promise; where OK is false, the one for which the ballot was rejected
-	Accepted Ballot // at which Value was accepted
-	Value    *Value // accepted last; nil = none
+	OK       bool   // the acceptor promised the ballot
+	Promised Ballot // the acceptor's highest promised ballot; if OK is false, the promise because of which it rejected the Prepare
+	Accepted Ballot // ballot at which Value was accepted
+	Value    *Value // value accepted last; nil = none
 }
 
 // Accept is phase 2 of a proposal: it asks an acceptor to accept a value.
@@ -40,12 +41,12 @@
 // AcceptReply answers an Accept.
 type AcceptReply struct {
 	From     AcceptorID
-	OK       bool   // the value is accepted
-	Promised Ballot // as in a PrepareReply
+	OK       bool   // the acceptor accepted the value
+	Promised Ballot // as in PrepareReply
 }
 
-// HandlePrepare returns the state to store, and the reply to send once that is stored. A message for another acceptor, one
-// whose disk was replaced by this one, is rejected: this disk does not know what that one promised.
+// HandlePrepare returns the state to store and the reply to send once that state is stored. A Prepare for a different
+// acceptor, one whose disk was replaced by this one, is rejected: this disk does not record what the other disk promised.
 func (s AcceptorState) HandlePrepare(p Prepare) (AcceptorState, PrepareReply) {
 	if p.To != s.ID || p.Ballot.Compare(s.Promised) < 0 {
 		return s, PrepareReply{From: s.ID, Promised: s.Promised}
@@ -54,7 +55,8 @@
 	return s, PrepareReply{From: s.ID, OK: true, Promised: s.Promised, Accepted: s.Accepted, Value: s.Value}
 }
 
-// HandleAccept returns the state to store, and the reply to send once that is stored. It rejects what HandlePrepare rejects.
+// HandleAccept returns the state to store and the reply to send once that state is stored. It rejects an Accept for the same
+// reasons as HandlePrepare, and one without a value.
 func (s AcceptorState) HandleAccept(a Accept) (AcceptorState, AcceptReply) {
 	if a.To != s.ID || a.Value == nil || a.Ballot.Compare(s.Promised) < 0 {
 		return s, AcceptReply{From: s.ID, Promised: s.Promised}
@@ -67,9 +69,10 @@
 
 // WithDecision returns the state to store once the acceptor knows that a value is decided.
 //
-// It differs only where the acceptor holds that very value and the value is not confirmed. After a restart such a value is then
-// known to be decided, and its members alone decide the next, even if those before them can't be asked any more. A confirmed
-// value needs no note: its members are those before it.
+// The state changes only if the acceptor has accepted this value and the value is not confirmed. After a restart the
+// acceptor then knows that the value is decided, so that a majority of the value's members is enough to decide the next one,
+// even if the prior members can no longer be reached. A confirmed value needs no such record, as its members equal its prior
+// members.
 func (s AcceptorState) WithDecision(d Decision) AcceptorState {
 	if s.Value == nil || s.Value.Slot != d.Value.Slot || s.Value.Confirmed() || !d.ReplicatedBy(s.Replica()) {
 		return s
@@ -78,18 +81,19 @@
 	return s
 }
 
-// HoldsDecision reports whether Value is known to be decided.
+// HoldsDecision reports whether the state records that Value is decided.
 func (s AcceptorState) HoldsDecision() bool {
 	return s.Value != nil && s.Decided == s.Accepted && s.Accepted != (Ballot{})
 }
 
-// DiffersFrom reports whether the state must be stored before the reply that came with it is sent.
+// DiffersFrom reports whether the state differs from a previous one and must be stored before the reply returned with it is
+// sent.
 func (s AcceptorState) DiffersFrom(previous AcceptorState) bool {
 	return s.Promised != previous.Promised || s.Accepted != previous.Accepted || s.Value != previous.Value ||
 		s.Decided != previous.Decided
 }
 
-// Replica returns what the acceptor's disk holds.
+// Replica returns the slot and the ballot of the accepted value; the zero Replica if there is none.
 func (s AcceptorState) Replica() Replica {
 	if s.Value == nil {
 		return Replica{}
--- a/consensus/change_request.go
+++ b/consensus/change_request.go
@@ -5,30 +5,30 @@
 	"slices"
 )
 
-// Outcome is what becomes of a request to change the configuration or a document. It holds once the value that it was
-// found from is decided, not before.
+// Outcome is the outcome of a request to change the configuration or a document. It is valid only once the value from which
+// it was determined is decided.
 //
 // OutcomeConflict and OutcomeVersionTooLow are final: no copy of the request that is still in flight can be committed later,
-// as versions only rise.
+// because versions only increase.
 type Outcome uint8
 
-// The outcomes.
+// Outcomes of a change request.
 const (
-	// OutcomeCommitted: the request is committed, now or since it was first sent.
+	// OutcomeCommitted means that the request is committed, either by this evaluation or by an earlier copy of it.
 	OutcomeCommitted Outcome = iota
-	// OutcomeConflict: the newest version is not the one that the request is based on. It was never committed and
-	// never will be.
+	// OutcomeConflict means that the request is not based on the newest version. It was never committed and never will be.
 	OutcomeConflict
-	// OutcomeVersionTooLow: the request's version is not above the one that it is based on.
+	// OutcomeVersionTooLow means that the request's version is not above the version that it is based on.
 	OutcomeVersionTooLow
-	// OutcomeUnknown: the request may have been committed before all revisions that the value lists, or may be later.
+	// OutcomeUnknown means that the request may have been committed before all revisions that the value lists, or may still
+	// be committed later.
 	OutcomeUnknown
-	// OutcomeIncompatible: the document does not fit the configuration beside which it would be. Another configuration may
-	// follow that it fits.
+	// OutcomeIncompatible means that the document is incompatible with the configuration in the same value. It may be
+	// compatible with a later configuration.
 	OutcomeIncompatible
 )
 
-// String returns the outcome in words.
+// String returns a description of the outcome.
 func (o Outcome) String() string {
 	switch o {
 	case OutcomeCommitted:
@@ -45,20 +45,20 @@
 	return fmt.Sprintf("outcome %d", uint8(o))
 }
 
-// ChangeRequest asks for a configuration to be committed on top of another version.
+// ChangeRequest is a request to commit a configuration as the successor of a given version.
 type ChangeRequest struct {
 	Version Version
-	BasedOn Version // the version that must be the newest
-	Digest  string  // of Body
+	BasedOn Version // the request conflicts unless this is the newest version
+	Digest  string  // digest of Body
 	Body    []byte
 }
 
-// Evaluate returns the request's outcome where v is the newest value, and the value to propose: v itself, or one that
-// follows it with the request's configuration.
+// Evaluate returns the outcome of the request if v is the newest value, and the value to propose: either v itself or its
+// successor with the requested configuration.
 //
-// A request that was committed before is found among the revisions that v lists, whatever version is the newest now: one that is sent
-// again after an unclear answer must not be reported as a conflict. One that is older than all revisions that v lists has
-// OutcomeUnknown; a History may know more.
+// A request that was committed earlier is recognized among the revisions that v lists, whatever the newest version is: a
+// request that is sent again after an unclear reply must not be reported as a conflict. A request that is older than all
+// revisions that v lists has OutcomeUnknown; a History may contain it.
 func (r ChangeRequest) Evaluate(v *Value) (next *Value, outcome Outcome) {
 	outcome, follows := evaluate(r.revision(), v.Revisions())
 	if !follows {
@@ -72,20 +72,20 @@
 	return Revision{Version: r.Version, BasedOn: r.BasedOn, Digest: r.Digest}
 }
 
-// DocumentChangeRequest asks for a document to be committed on top of another version of it.
+// DocumentChangeRequest is a request to commit a document as the successor of a given version of that document.
 type DocumentChangeRequest struct {
 	Name       string
-	BasedOn    Version // of the document; 0 = it does not exist yet
-	Digest     string  // of Body
+	BasedOn    Version // version of the document that must be the newest; 0 = the document must not exist yet
+	Digest     string  // digest of Body
 	Body       []byte
-	Compatible func(v *Value) bool // reports whether the document may be in a value that follows v; nil = in any
+	Compatible func(v *Value) bool // reports whether a successor of v may contain the document; nil = always
 }
 
-// Evaluate returns the request's outcome as ChangeRequest.Evaluate does, and the document's version: the one that the
-// request created where it is committed, else the newest one.
+// Evaluate returns the value to propose and the outcome of the request like ChangeRequest.Evaluate, and a version of the
+// document: the one that the request created if it is committed, otherwise the newest one.
 //
-// Compatibility is checked only where the revision would be new: what was committed once is not compared with a
-// configuration that came later.
+// Compatibility is checked only if the revision would be new: a revision that is already committed is not checked against a
+// later configuration.
 func (r DocumentChangeRequest) Evaluate(v *Value) (next *Value, version Version, outcome Outcome) {
 	current := v.Document(r.Name)
 	outcome, follows := evaluate(r.revision(), current.Revisions())
@@ -105,13 +105,13 @@
 	return Revision{Version: r.BasedOn + 1, BasedOn: r.BasedOn, Digest: r.Digest}
 }
 
-// evaluate returns the outcome of a requested revision, given those that are listed, oldest first, and whether it is to
-// follow them.
+// evaluate returns the outcome of a requested revision, given the listed revisions, oldest first. The result follows reports
+// whether the revision must be added as the successor of the newest listed one.
 //
-// Versions rise, and each names the one before it. So none was committed between a listed revision and its base, and one
-// based on a version below the newest can never be committed later. What is left unknown is what came before all listed
-// revisions, and what is based on a version that is not committed yet: that version may follow, and a copy of the
-// request after it.
+// Versions only increase, and each revision names the version that it replaced. So no version between a listed revision and
+// its base was ever committed, and a revision that is based on a version below the newest can never be committed later. Two
+// cases remain unknown: a revision that is not above the base of the oldest listed one (horizon), and a revision based on a
+// version that is not committed yet. That version may still be committed, and a copy of the request after it.
 func evaluate(revision Revision, listed []Revision) (outcome Outcome, follows bool) {
 	var newest, horizon Version
 	if len(listed) > 0 {
@@ -123,7 +123,7 @@
 		return OutcomeCommitted, false
 	case revision.Version <= revision.BasedOn && revision.BasedOn == newest:
 		return OutcomeVersionTooLow, false
-	case revision.Version <= revision.BasedOn: // never to be committed, whatever the newest version is
+	case revision.Version <= revision.BasedOn: // can never be committed, whatever the newest version is
 		return OutcomeConflict, false
 	case revision.BasedOn == newest:
 		return OutcomeCommitted, true
--- a/consensus/change_request_bench_test.go
+++ b/consensus/change_request_bench_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// BenchmarkChange measures what a change of the configuration costs in this package, by the number of versions before it,
-// for docs/CAPACITY.md:
+// BenchmarkChange measures the cost of evaluating a configuration change after a given number of earlier versions, for
+// docs/CAPACITY.md:
 //
 //	go test -run xxx -bench Change -benchmem ./consensus
 func BenchmarkChange(b *testing.B) {
--- a/consensus/decision_test.go
+++ b/consensus/decision_test.go
@@ -18,7 +18,7 @@
 	}{
 		"the accepted value that was decided":  {Replica{3, Ballot{5, 1}}, true},
 		"a later slot":                         {Replica{4, Ballot{9, 1}}, true},
-		"a later slot that has lost":           {Replica{4, Ballot{7, 1}}, false},
+		"a later slot that was superseded":     {Replica{4, Ballot{7, 1}}, false},
 		"an earlier slot":                      {Replica{2, Ballot{4, 1}}, false},
 		"the slot at a lower ballot":           {Replica{3, Ballot{4, 7}}, false},
 		"an earlier slot at a higher ballot":   {Replica{2, Ballot{9, 1}}, false},
@@ -29,37 +29,37 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got := d.ReplicatedBy(c.replica); got != c.want {
-				t.Errorf("got %v", got)
+				t.Errorf("ReplicatedBy: got %v, want %v", got, c.want)
 			}
 		})
 	}
 	if (Decision{Value: v}).ReplicatedBy(Replica{3, Ballot{5, 1}}) {
-		t.Error("a replica counts though the ballot of the decision is not known")
+		t.Error("a replica counts although no ballot of the decision is known")
 	}
 	if missing := d.Unreplicated(map[AcceptorID]Replica{1: {3, Ballot{5, 1}}, 2: {3, Ballot{4, 1}}}); len(missing) != 2 {
-		t.Errorf("unreplicated: %v", missing)
+		t.Errorf("unreplicated members: got %v, want 2 members", missing)
 	}
 }
 
-// The Accept that decided a value may come late: it is accepted by an acceptor that promised no higher ballot since, and by
-// no other.
+// A late copy of the Accept that decided a value must be accepted by exactly those acceptors that have not promised a higher
+// ballot since.
 func TestCatchUpAccept(t *testing.T) {
 	d := Decision{Value: &Value{Slot: 3, Members: testMembers(1, 2, 3), PriorMembers: testMembers(1, 2, 3)}}
 	if _, ok := d.CatchUpAccept(3); ok {
-		t.Error("there is an Accept though no ballot of the decision is known")
+		t.Error("CatchUpAccept returned an Accept although no ballot of the decision is known")
 	}
 	d = d.WithBallot(Ballot{5, 1}).WithBallot(Ballot{7, 2})
 	if _, ok := d.CatchUpAccept(9); ok {
-		t.Error("there is an Accept for an acceptor that does not count")
+		t.Error("CatchUpAccept returned an Accept for an acceptor that is not one of the value's")
 	}
 	accept, ok := d.CatchUpAccept(3)
 	if !ok {
-		t.Fatal("there is no Accept")
+		t.Fatal("CatchUpAccept returned no Accept")
 	}
 	for promised, want := range map[Ballot]bool{{6, 9}: true, {7, 2}: true, {8, 1}: false} {
 		next, reply := AcceptorState{ID: 3, Promised: promised}.HandleAccept(accept)
 		if reply.OK != want || d.ReplicatedBy(next.Replica()) != want {
-			t.Errorf("promised %v: accepted %v, replicated %v", promised, reply.OK, d.ReplicatedBy(next.Replica()))
+			t.Errorf("promised %v: accepted %v, replicated %v, want both %v", promised, reply.OK, d.ReplicatedBy(next.Replica()), want)
 		}
 	}
 }
@@ -76,20 +76,20 @@
 		First: Ballot{5, 1},
 		Last:  Ballot{5, 1},
 	}
-	decidedAgain := confirmed.WithBallot(Ballot{9, 2}) // by a proposal that did not find the value of slot 4
+	decidedAgain := confirmed.WithBallot(Ballot{9, 2}) // by a proposal that did not find the value accepted in slot 4
 	for name, c := range map[string]struct {
 		decision Decision
 		own      Replica
 		others   map[AcceptorID]Replica
 		want     LeaveStatus
 	}{
-		"all hold the value":                {confirmed, complete, map[AcceptorID]Replica{2: complete, 3: complete}, LeaveAllowed},
-		"its own replica need not":          {confirmed, Replica{}, map[AcceptorID]Replica{2: complete, 3: complete}, LeaveAllowed},
+		"all store the value":               {confirmed, complete, map[AcceptorID]Replica{2: complete, 3: complete}, LeaveAllowed},
+		"its own replica is not needed":     {confirmed, Replica{}, map[AcceptorID]Replica{2: complete, 3: complete}, LeaveAllowed},
 		"one does not report":               {confirmed, complete, map[AcceptorID]Replica{2: complete}, IncompleteReplicas},
 		"one is behind":                     {confirmed, complete, map[AcceptorID]Replica{2: complete, 3: {2, Ballot{3, 1}}}, IncompleteReplicas},
 		"an accepted value is not resolved": {confirmed, Replica{4, Ballot{8, 1}}, map[AcceptorID]Replica{2: complete, 3: complete}, UnresolvedAccept},
-		"an accepted value has lost":        {decidedAgain, Replica{4, Ballot{8, 1}}, map[AcceptorID]Replica{2: complete, 3: complete}, LeaveAllowed},
-		"it is replaced, not confirmed":     {changed, complete, map[AcceptorID]Replica{9: complete, 2: complete, 3: complete}, UnconfirmedMembers},
+		"an accepted value was superseded":  {decidedAgain, Replica{4, Ballot{8, 1}}, map[AcceptorID]Replica{2: complete, 3: complete}, LeaveAllowed},
+		"replacement is not confirmed":      {changed, complete, map[AcceptorID]Replica{9: complete, 2: complete, 3: complete}, UnconfirmedMembers},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if got, _ := c.decision.CheckLeave(1, c.own, c.others); got != c.want {
--- a/consensus/document_test.go
+++ b/consensus/document_test.go
@@ -5,28 +5,28 @@
 	"testing"
 )
 
-// documentRegister commits documents beside a configuration.
+// documentRegister commits documents and configurations in successive values.
 type documentRegister struct {
 	t     *testing.T
 	value *Value
 }
 
-// commit makes a value the newest one, which must follow the one before.
+// commit makes next the newest value. It must be a confirmed value of the next slot.
 func (r *documentRegister) commit(next *Value) {
 	r.t.Helper()
 	if !next.Confirmed() || next.Slot != r.value.Slot+1 {
-		r.t.Fatalf("slot %d follows slot %d", next.Slot, r.value.Slot)
+		r.t.Fatalf("slot %d (confirmed: %v) was proposed after slot %d", next.Slot, next.Confirmed(), r.value.Slot)
 	}
 	r.value = next
 }
 
-// request evaluates a request for a document and commits what follows, and checks the request's outcome.
+// request evaluates a document change request, checks its version and outcome, and commits the resulting value if it is new.
 func (r *documentRegister) request(name string, basedOn Version, body string, wantVersion Version, wantOutcome Outcome) {
 	r.t.Helper()
 	request := DocumentChangeRequest{Name: name, BasedOn: basedOn, Digest: "digest of " + body, Body: []byte(body)}
 	next, version, outcome := request.Evaluate(r.value)
 	if version != wantVersion || outcome != wantOutcome {
-		r.t.Errorf("document %s on version %d: version %d, %s; want version %d, %s",
+		r.t.Errorf("document %s based on version %d: version %d, %s; want version %d, %s",
 			name, basedOn, version, outcome, wantVersion, wantOutcome)
 	}
 	if next != r.value {
@@ -34,8 +34,9 @@
 	}
 }
 
-// A document has versions of its own: changes of the configuration and of the members leave it as it is, and it leaves them.
-// A repeated request is found as long as its revision is listed; two on one base are told apart.
+// Documents and the configuration have independent versions: changes of the configuration or of the members must not alter
+// documents, and vice versa. A repeated request is recognized as long as its revision is listed, and two requests based on
+// the same version are distinguished.
 func TestDocumentsAreIndependentOfConfiguration(t *testing.T) {
 	r := &documentRegister{t: t, value: Genesis([]Member{{1, "a"}, {2, "b"}, {3, "c"}})}
 	r.request("x", 0, "one", 1, OutcomeCommitted)
@@ -49,18 +50,18 @@
 
 	v := r.value
 	if v.Version != 7 || string(v.Body) != "config" || string(v.Document("y").Body) != "one" || v.Document("z").Version != 0 {
-		t.Errorf("configuration %d, document %q", v.Version, v.Document("y").Body)
+		t.Errorf("configuration version %d, want 7; document y %q, want \"one\"", v.Version, v.Document("y").Body)
 	}
 	if v.Equal(v.WithDocument("y", "d", nil)) {
 		t.Error("two values with different documents are equal")
 	}
-	moved := v.WithMembers([]Member{{1, "a"}, {2, "b"}, {4, "d"}})
-	if moved.Confirmed() || !moved.Confirm().Equal(moved.Confirm()) || len(moved.Confirm().Documents) != 2 {
-		t.Error("a change of the members drops documents")
+	changed := v.WithMembers([]Member{{1, "a"}, {2, "b"}, {4, "d"}})
+	if changed.Confirmed() || !changed.Confirm().Equal(changed.Confirm()) || len(changed.Confirm().Documents) != 2 {
+		t.Error("a membership change is confirmed at once, or its confirmation drops documents")
 	}
 }
 
-// A committed document is not checked against configurations that came later; a new revision is.
+// A repeated request for a committed document must not be checked against a later configuration; a new revision must be.
 func TestDocumentCompatibilityCheckedOnlyForNewVersions(t *testing.T) {
 	compatible := func(v *Value) bool { return v.Version < 2 }
 	first := DocumentChangeRequest{Name: "x", Digest: "d", Compatible: compatible}
@@ -73,7 +74,7 @@
 	}
 	v = v.WithConfiguration(2, 1, "c2", nil)
 	if next, version, outcome := first.Evaluate(v); next != v || version != 1 || outcome != OutcomeCommitted {
-		t.Errorf("the same again, beside another configuration: version %d, %s", version, outcome)
+		t.Errorf("the same document again, with a later configuration: version %d, %s", version, outcome)
 	}
 	if next, _, outcome := second.Evaluate(v); next != v || outcome != OutcomeIncompatible {
 		t.Errorf("an incompatible document: %s", outcome)
--- a/consensus/history.go
+++ b/consensus/history.go
@@ -7,52 +7,53 @@
 	"slices"
 )
 
-// Bounds of a revisionLog.
+// Limits of a revisionLog.
 const (
-	historyBlockSize  = 1024 // entries that are dropped together
+	historyBlockSize  = 1024 // entries per block; a block is dropped at once
 	historyBlockCount = 32
 )
 
-// MinHistoryEntries is the number of revisions that a History retains at least of the configuration, and of each document,
-// once there were so many: more than a day's at 24,000 changes a day.
+// MinHistoryEntries is the minimum number of revisions that a History retains of the configuration and of each document once
+// that many have been added: more than one day's revisions at 24,000 changes a day.
 const MinHistoryEntries = historyBlockSize * (historyBlockCount - 1)
 
-// History records revisions that one process knows to be committed, for requests that are older than the revisions that a
-// value lists. It is positive evidence alone: a revision that is not in it may have been committed without the process
-// learning of it.
+// History records revisions that this process knows to be committed. It is used to answer requests that are older than the
+// revisions that a value lists. Only the presence of a revision is conclusive: a revision that is absent may have been
+// committed without the process learning of it.
 //
-// It is filled from decided values only. A value that was merely accepted may still lose.
+// A History is filled from decided values only. A value that is accepted but not decided may still lose to another value.
 type History struct {
 	configurations revisionLog
-	documents      map[string]*revisionLog // by name; those of the newest value
-	unsaved        []HistoryRecord         // learned since TakeUnsaved, MaxUnsavedHistory at most
+	documents      map[string]*revisionLog // by name; only documents that exist in the value learned last
+	unsaved        []HistoryRecord         // learned since the last TakeUnsaved, at most MaxUnsavedHistory
 }
 
-// HistoryRecord is a committed revision of the configuration or of a document, as it is stored.
+// HistoryRecord is the stored form of a committed revision of the configuration or of a document.
 type HistoryRecord struct {
-	Document    string // its name; "" = the configuration
+	Document    string // name of the document; "" = the configuration
 	Version     Version
-	Fingerprint Fingerprint // of its base and digest
+	Fingerprint Fingerprint // of the revision's base and digest
 }
 
-// MaxUnsavedHistory is how many revisions a History keeps for TakeUnsaved. Older ones are dropped: nothing depends on them.
+// MaxUnsavedHistory is the maximum number of revisions that a History retains for TakeUnsaved. Older ones are dropped, as
+// nothing depends on them.
 const MaxUnsavedHistory = 4096
 
-// Learn records a decided value. All revisions that it lists were committed before it.
+// Learn records the revisions of a decided value. The value and all revisions that it lists are committed.
 func (h *History) Learn(decided *Value) {
-	h.addAll("", decided.Revisions())
+	h.addRevisions("", decided.Revisions())
 	for name := range h.documents {
 		if decided.Document(name).Version == 0 {
 			delete(h.documents, name)
 		}
 	}
 	for _, d := range decided.Documents {
-		h.addAll(d.Name, d.Revisions())
+		h.addRevisions(d.Name, d.Revisions())
 	}
 }
 
-// addAll adds revisions of a document, "" = the configuration, oldest first.
-func (h *History) addAll(document string, revisions []Revision) {
+// addRevisions adds revisions of a document, or of the configuration if document is "". They must be ordered oldest first.
+func (h *History) addRevisions(document string, revisions []Revision) {
 	log := h.log(document)
 	for _, r := range revisions {
 		if r.Digest == "" || r.Version <= log.newest {
@@ -67,7 +68,7 @@
 	}
 }
 
-// log returns the log of a document, which it makes if there is none.
+// log returns the log of a document, or of the configuration if document is "". It creates the log if there is none.
 func (h *History) log(document string) *revisionLog {
 	if document == "" {
 		return &h.configurations
@@ -81,25 +82,27 @@
 	return h.documents[document]
 }
 
-// Restore adds records that an earlier run of the process stored, by rising versions of each document. It must be called before
-// Learn.
+// Restore adds records that an earlier run of the process stored. The records of each document must be in ascending order of
+// version. Restore must be called before Learn.
 func (h *History) Restore(records []HistoryRecord) {
 	for _, r := range records {
 		h.log(r.Document).add(r)
 	}
 }
 
-// TakeUnsaved returns the records that were learned since the last call, oldest first. The caller stores them, or calls ReturnUnsaved.
+// TakeUnsaved removes and returns the records that were learned since the last call, oldest first. The caller stores them; if
+// that fails, it calls ReturnUnsaved.
 func (h *History) TakeUnsaved() []HistoryRecord {
 	records := h.unsaved
 	h.unsaved = nil
 	return records
 }
 
-// HasUnsaved reports whether TakeUnsaved would return any.
+// HasUnsaved reports whether TakeUnsaved would return any records.
 func (h *History) HasUnsaved() bool { return len(h.unsaved) > 0 }
 
-// ReturnUnsaved takes back records that could not be stored.
+// ReturnUnsaved puts back records that could not be stored, ahead of those learned since. At most MaxUnsavedHistory are
+// retained.
 func (h *History) ReturnUnsaved(records []HistoryRecord) {
 	h.unsaved = append(records, h.unsaved...)
 	if surplus := len(h.unsaved) - MaxUnsavedHistory; surplus > 0 {
@@ -107,21 +110,21 @@
 	}
 }
 
-// ContainsChange reports whether the request's configuration is known to be committed.
+// ContainsChange reports whether the history contains the requested configuration, which is then committed.
 func (h *History) ContainsChange(r ChangeRequest) bool {
 	return h.configurations.contains(r.revision())
 }
 
-// ContainsDocumentChange reports whether the request's document is known to be committed.
+// ContainsDocumentChange reports whether the history contains the requested document revision, which is then committed.
 func (h *History) ContainsDocumentChange(r DocumentChangeRequest) bool {
 	log := h.documents[r.Name]
 	return log != nil && log.contains(r.revision())
 }
 
-// revisionLog holds the committed revisions of the configuration or of one document, by rising versions. The oldest are
-// dropped in blocks, historyBlockSize at a time.
+// revisionLog contains the committed revisions of the configuration or of one document in ascending order of version. The
+// oldest are dropped in blocks of historyBlockSize.
 type revisionLog struct {
-	blocks [][]historyEntry // none is empty
+	blocks [][]historyEntry // no block is empty
 	newest Version
 }
 
@@ -131,16 +134,18 @@
 	fingerprint Fingerprint
 }
 
-// Fingerprint stands for the base and the digest of a revision, in fewer bytes.
+// Fingerprint is a truncated SHA-256 hash of the base and the digest of a revision. It takes less memory than these.
 type Fingerprint [16]byte
 
+// fingerprintOf computes the fingerprint of a revision.
 func fingerprintOf(r Revision) Fingerprint {
 	sum := sha256.Sum256(append(binary.BigEndian.AppendUint64(nil, uint64(r.BasedOn)), r.Digest...))
 	return Fingerprint(sum[:len(Fingerprint{})])
 }
 
-// add appends a revision above all that the log holds, and skips others: those are in it already, or are older than what it
-// retains, or were missed. Skipping is safe, as the log is positive evidence alone.
+// add appends a revision if its version is above all others in the log, and skips it otherwise: it is then already present,
+// older than the retained revisions, or was missed earlier. Skipping is safe, as only the presence of a revision is
+// conclusive.
 func (l *revisionLog) add(r HistoryRecord) {
 	if r.Version <= l.newest {
 		return
@@ -157,6 +162,7 @@
 	l.blocks[last] = append(l.blocks[last], historyEntry{version: r.Version, fingerprint: r.Fingerprint})
 }
 
+// contains reports whether the log contains the revision, comparing version, base and digest.
 func (l *revisionLog) contains(r Revision) bool {
 	for _, block := range l.blocks {
 		if r.Version > block[len(block)-1].version {
--- a/consensus/history_test.go
+++ b/consensus/history_test.go
@@ -7,12 +7,12 @@
 	"unsafe"
 )
 
-// changeRequest returns a request for version n on top of the version before it.
+// changeRequest returns a request for version n based on version n-1.
 func changeRequest(n int) ChangeRequest {
 	return ChangeRequest{Version: Version(n), BasedOn: Version(n - 1), Digest: fmt.Sprintf("%032d", n)}
 }
 
-// commitUpTo commits versions up to n, and has the history learn every step-th value only.
+// commitUpTo commits versions up to n. The history learns only the values whose version is a multiple of step.
 func commitUpTo(h *History, v *Value, n, step int) *Value {
 	for i := int(v.Version) + 1; i <= n; i++ {
 		v, _ = changeRequest(i).Evaluate(v)
@@ -23,9 +23,9 @@
 	return v
 }
 
-// However many changes came since, a committed request is never a conflict: the history of a process that was there contains
-// it, and to any other its outcome is unknown. A request that lost is a conflict while the value lists its time, and unknown
-// afterwards.
+// A committed request must never be reported as a conflict, however many changes followed it: the history of a process that
+// learned of it contains it, and for any other process its outcome is unknown. A request that lost to another one is a
+// conflict while the value lists the revision that won, and unknown afterwards.
 func TestOldChangeRequestIsUnknownNotConflict(t *testing.T) {
 	const changes = 10 * RetainedRevisions
 	h := &History{}
@@ -55,22 +55,22 @@
 		want    Outcome
 	}{
 		"new version on an old base":             {ChangeRequest{Version: changes + 9, BasedOn: 3, Digest: "x"}, OutcomeConflict},
-		"base that is not in place yet":          {ChangeRequest{Version: changes + 9, BasedOn: changes + 1, Digest: "x"}, OutcomeUnknown},
+		"base that is not committed yet":         {ChangeRequest{Version: changes + 9, BasedOn: changes + 1, Digest: "x"}, OutcomeUnknown},
 		"version that is not above its own base": {ChangeRequest{Version: changes, BasedOn: changes, Digest: "x"}, OutcomeVersionTooLow},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if _, outcome := c.request.Evaluate(v); outcome != c.want {
-				t.Errorf("%s, want %s", outcome, c.want)
+				t.Errorf("got %s, want %s", outcome, c.want)
 			}
 		})
 	}
 }
 
-// A history retains more than a day of 24,000 changes, and no more than its bound.
+// A history must retain more than a day's changes at 24,000 a day, and its capacity must not exceed its limit.
 func TestHistoryIsBounded(t *testing.T) {
 	const day = 24000
 	if MinHistoryEntries < day {
-		t.Fatalf("it retains %d entries", MinHistoryEntries)
+		t.Fatalf("a history retains %d entries, want at least %d", MinHistoryEntries, day)
 	}
 	h := &History{}
 	v := commitUpTo(h, Genesis([]Member{{1, "a"}}), 3*day, RetainedRevisions)
@@ -79,12 +79,12 @@
 		capacity += cap(block)
 	}
 	if capacity > historyBlockSize*historyBlockCount {
-		t.Errorf("it has capacity for %d entries", capacity)
+		t.Errorf("the history has capacity for %d entries, want at most %d", capacity, historyBlockSize*historyBlockCount)
 	}
 	newest := int(v.Version) / RetainedRevisions * RetainedRevisions
 	for _, i := range []int{newest, newest - day + 1, newest - MinHistoryEntries + 1} {
 		if !h.ContainsChange(changeRequest(i)) {
-			t.Errorf("version %d of %d is not in it", i, newest)
+			t.Errorf("version %d of %d is not in the history", i, newest)
 		}
 	}
 	if h.ContainsChange(changeRequest(1)) {
@@ -92,7 +92,7 @@
 	}
 }
 
-// Documents have revisions of their own.
+// The history must record the revisions of each document separately.
 func TestHistoryContainsDocumentChanges(t *testing.T) {
 	const changes = 5 * RetainedDocumentRevisions
 	request := func(name string, n int) DocumentChangeRequest {
@@ -125,7 +125,7 @@
 	}
 }
 
-// BenchmarkHistory measures what a day's changes take in memory, and what learning and looking up take.
+// BenchmarkHistory measures the memory used by a day's changes and the cost of learning and of looking up a revision.
 func BenchmarkHistory(b *testing.B) {
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -143,7 +143,7 @@
 		request := changeRequest(12000)
 		for range b.N {
 			if !h.ContainsChange(request) {
-				b.Fatal("it is not in the history")
+				b.Fatal("version 12000 is not in the history")
 			}
 		}
 		b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/1024, "heap-KiB-at-24000")
--- a/consensus/leave.go
+++ b/consensus/leave.go
@@ -5,18 +5,18 @@
 	"slices"
 )
 
-// LeaveStatus says whether a member may leave for good, or why not yet.
+// LeaveStatus reports whether a member may leave permanently, and if not, the reason.
 type LeaveStatus uint8
 
-// The reasons why a member must not leave yet, after LeaveAllowed.
+// LeaveAllowed, and the reasons why a member must not leave yet.
 const (
 	LeaveAllowed       LeaveStatus = iota
-	UnresolvedAccept               // it accepted a value whose outcome it does not know
-	UnconfirmedMembers             // a change of the members is not confirmed: a majority of the members before is still needed
-	IncompleteReplicas             // a member that stays is not known to hold what this one holds
+	UnresolvedAccept               // the member accepted a value whose outcome it does not know
+	UnconfirmedMembers             // a membership change is not confirmed: a majority of the prior members is still needed
+	IncompleteReplicas             // a remaining member is not known to store the decided value
 )
 
-// String returns the status in words.
+// String returns a description of the status.
 func (s LeaveStatus) String() string {
 	switch s {
 	case LeaveAllowed:
@@ -31,11 +31,12 @@
 	return fmt.Sprintf("leave status %d", uint8(s))
 }
 
-// CheckLeave reports whether a member may end for good, perhaps with its disk, and if replicas are incomplete, of which
-// members. Own is what its disk holds; replicas are what the others reported of theirs lately.
+// CheckLeave reports whether a member may shut down permanently, possibly discarding its disk. If the status is
+// IncompleteReplicas, it also returns the members whose replicas are missing. The own replica is that of the leaving
+// member's disk; replicas contains the recent reports of the other members.
 //
-// Once it may leave, every remaining member holds the decided value or one that follows it. So the member's disk is not
-// needed to find that value, and a majority of the members before it is not needed to decide the next.
+// When the member may leave, every remaining member stores the decided value or a successor of it. So the disk of the leaving
+// member is not needed to find that value, and a majority of the prior members is not needed to decide the next one.
 func (d Decision) CheckLeave(self AcceptorID, own Replica, replicas map[AcceptorID]Replica) (LeaveStatus, []Member) {
 	if !d.Resolves(own) {
 		return UnresolvedAccept, nil
--- a/consensus/membership_events_test.go
+++ b/consensus/membership_events_test.go
@@ -1,27 +1,28 @@
 package consensus
 
-// The events of the membership model: losses, returns and planned replacements of processes.
+// This file contains the events of the membership model: losses, returns and planned replacements of processes.
 
-// powerCycle restarts all running processes at once, with their disks.
+// powerCycle restarts all running processes at the same time. Their disks are retained.
 func (m *membershipModel) powerCycle() {
 	m.inFlight = nil
 	for _, p := range m.processes {
-		if p.up && !p.gone {
+		if p.up && !p.removed {
 			m.start(p)
 		}
 	}
 }
 
-// loseOne loses a process, if one more is tolerated: its network, the process, or the process with its disk.
-func (m *membershipModel) loseOne() {
+// loseRandomProcess makes a random process fail if another loss is tolerated: it is disconnected, it ends, or it ends and its
+// disk is lost.
+func (m *membershipModel) loseRandomProcess() {
 	p := m.randomProcess()
-	if len(m.lost) >= m.tolerated || m.lost[p] || p.gone || p.leaving {
+	if len(m.lost) >= m.tolerated || m.lost[p] || p.removed || p.leaving {
 		return
 	}
 	m.lost[p] = true
 	switch m.random.IntN(3) {
 	case 0:
-		p.cut = true
+		p.disconnected = true
 	case 1:
 		p.up = false
 		p.current = nil
@@ -36,17 +37,17 @@
 	}
 }
 
-// restoreOne brings back a lost process, or a successor in its place, and lets it recover.
-func (m *membershipModel) restoreOne() {
-	for _, p := range m.processes { // in order, so that a seed repeats
+// restoreLostProcess restores a lost process or starts a successor in its place, and lets the processes recover.
+func (m *membershipModel) restoreLostProcess() {
+	for _, p := range m.processes { // in a fixed order, so that a seed is reproducible
 		if !m.lost[p] {
 			continue
 		}
 		switch {
-		case p.cut:
-			p.cut = false
+		case p.disconnected:
+			p.disconnected = false
 		case m.random.IntN(3) == 0:
-			p.gone = true
+			p.removed = true
 			m.addProcess()
 		default:
 			m.start(p)
@@ -61,10 +62,11 @@
 	}
 }
 
-// replace starts a successor, lets it recover, and tells a member to leave, which must be able to within its grace period.
+// replace starts a successor, lets the processes recover, and requests a member to leave. The member must be able to leave
+// within its grace period.
 func (m *membershipModel) replace() {
 	for len(m.lost) > 0 {
-		m.restoreOne()
+		m.restoreLostProcess()
 	}
 	p := m.randomProcess()
 	if !p.reachable() || !Contains(m.newest.Members, p.disk.ID) {
@@ -75,30 +77,31 @@
 	p.leaving = true
 	m.leaveAmidEvents(p)
 	m.leaveWithoutEvents(p)
-	if len(m.lost) > 0 { // another was lost meanwhile, and may be needed
+	if len(m.lost) > 0 { // another process was lost meanwhile, so the leaving one may be needed
 		p.leaving = false
 		return
 	}
 	if !m.mayLeave(p) {
-		m.violate("slot %d: %s can't leave within its grace period", m.newest.Slot, p.address)
+		m.recordViolation("slot %d: %s cannot leave within its grace period", m.newest.Slot, p.address)
 	}
 	p.up = false
-	p.gone = true
+	p.removed = true
 	p.leaving = false
 	p.current = nil
 	m.leaves++
 }
 
-// leaveAmidEvents makes random steps, power cycles and changes until the process may leave, or for a while.
+// leaveAmidEvents performs random steps, power cycles, network partitions and configuration changes until the process may
+// leave, for at most 400 rounds.
 func (m *membershipModel) leaveAmidEvents(p *process) {
-	splits := m.random.IntN(3) == 0
+	partitions := m.random.IntN(3) == 0
 	for range 400 {
 		m.randomSteps(1)
 		if m.random.IntN(150) == 0 {
 			m.powerCycle()
 		}
-		if splits && m.random.IntN(200) == 0 {
-			m.splitRepeatedly()
+		if partitions && m.random.IntN(200) == 0 {
+			m.partitionRepeatedly()
 		}
 		if m.random.IntN(30) == 0 {
 			m.changeConfiguration()
@@ -109,7 +112,8 @@
 	}
 }
 
-// leaveWithoutEvents lets all processes do what is due until the process may leave, or for a while.
+// leaveWithoutEvents lets all processes gossip and start the proposals that are due until the process may leave, for at most
+// 60 rounds.
 func (m *membershipModel) leaveWithoutEvents(p *process) {
 	for range 60 {
 		if m.mayLeave(p) {
@@ -119,20 +123,21 @@
 			m.gossip(o)
 			m.deliverAll()
 			if o.current == nil || m.random.IntN(4) == 0 {
-				m.tick(o)
+				m.startDueProposal(o)
 			}
 		}
 		m.deliverAll()
 	}
 }
 
-// loseTolerated loses as many at once as are tolerated, and perhaps the power of all others, before anything else happens.
-func (m *membershipModel) loseTolerated() {
+// loseMaxTolerated loses as many processes as are tolerated at the same time, and sometimes power cycles all others, before
+// any other event occurs.
+func (m *membershipModel) loseMaxTolerated() {
 	if m.violation != "" || m.random.IntN(3) == 0 {
 		return
 	}
 	for range 20 {
-		m.loseOne()
+		m.loseRandomProcess()
 	}
 	m.simultaneousLosses++
 	if m.random.IntN(2) == 0 {
--- a/consensus/membership_model_test.go
+++ b/consensus/membership_model_test.go
@@ -5,36 +5,36 @@
 	"math/rand/v2"
 )
 
-// membershipModel runs processes that come and go. They are lost, with or without their disks, as many at once as are
-// tolerated; they return and get time to recover, after which the next are lost at once; they are replaced, as planned (the
-// successor starts first, then the old one is told to leave) or after a loss; all of them lose power between any two steps.
-// What a process decides (which replicas are missing, who may leave, which proposal is due) is the package's own code. The
-// model checks that
+// membershipModel runs processes that join and leave. Processes are lost, with or without their disks, at most as many at a
+// time as are tolerated. They return and have time to recover, after which the next ones are lost immediately. They are
+// replaced as planned (the successor starts first, then the old process is requested to leave) or after a loss. All processes
+// may lose power between any two steps. The processes determine with the package's own code which replicas are missing, who
+// may leave and which proposal is due. The model checks that
 //   - no two values are decided for one slot;
-//   - nothing that was acknowledged is lost;
-//   - while no more are lost than are tolerated, a value can be decided;
-//   - a replica that counts as known is on the disk;
-//   - all members hold the newest value after a time to recover.
+//   - no acknowledged change is lost;
+//   - a value can be decided while no more processes are lost than are tolerated;
+//   - a replica that a process counts as known is stored on the member's disk;
+//   - all members store the newest value after they had time to recover.
 type membershipModel struct {
 	random       *rand.Rand
 	injected     membershipFault
 	processes    []*process
 	lost         map[*process]bool
-	tolerated    int // processes that may be lost at once
+	tolerated    int // number of processes that may be lost at the same time
 	genesis      *Value
 	inFlight     []packet
 	incarnations uint64
 	configs      int
-	secondHalf   map[*process]bool // while the network is split, the processes on one side of it
+	secondHalf   map[*process]bool // during a network partition, the processes on one side of it
 
 	decided            map[Slot]*Value
-	newest             *Value   // decided
-	acknowledged       []string // digests of configurations
-	violation          string   // of an invariant, the first found; "" = none
-	simultaneousLosses int      // losses of as many as are tolerated, right after a recovery or a planned leave
-	leaves             int      // planned leaves that came to their end in time
-	splits             int
-	reads              int // that were answered
+	newest             *Value   // newest decided value
+	acknowledged       []string // digests of acknowledged configurations
+	violation          string   // first violation of an invariant; "" = none
+	simultaneousLosses int      // losses of as many processes as are tolerated, right after a recovery or a planned leave
+	leaves             int      // planned leaves that were completed within the grace period
+	partitions         int
+	reads              int // number of reads that were answered
 }
 
 // process is an acceptor and a proposer.
@@ -42,35 +42,35 @@
 	address      string
 	disk         AcceptorState
 	up           bool
-	cut          bool // off the network
-	frozen       bool // takes nothing of what it receives
+	disconnected bool // disconnected from the network
+	frozen       bool // does not process the messages that it receives
 	leaving      bool
-	gone         bool          // for good
-	synced       AcceptorState // with copyCountsBeforeSync, what a loss of power leaves
-	known        *Value
+	removed      bool                   // permanently removed
+	synced       AcceptorState          // with copyCountsBeforeSync, the state that survives a loss of power
+	known        *Value                 // newest value known to be decided, or the base to start from
 	decidedKnown bool                   // known is decided
-	decision     Decision               // known, with its ballots
-	replicas     map[AcceptorID]Replica // that others reported lately
+	decision     Decision               // known with the ballots at which it was decided
+	replicas     map[AcceptorID]Replica // replicas that others reported recently
 	incarnation  ProposerID
-	number       uint64 // of the last ballot
-	current      *proposalAttempt
+	number       uint64           // number of the last ballot
+	current      *proposalAttempt // nil = none
 }
 
 // proposalAttempt is a change that a process proposes until it is decided, at one ballot after another.
 type proposalAttempt struct {
-	process  *process
-	proposal *Proposal
-	change   ChangeFunc
-	digest   string // of the configuration that it carries; "" = none
-	decided  *Value // with the change included
-	known    int    // configurations that were acknowledged before the attempt began
+	process            *process
+	proposal           *Proposal
+	change             ChangeFunc
+	digest             string // digest of the proposed configuration; "" = none
+	decided            *Value // decided value that includes the change; nil = not decided yet
+	acknowledgedBefore int    // number of configurations acknowledged before the attempt started
 }
 
-// packet is a message in flight. It is lost when either side is, and when its receiver starts again.
+// packet is a message in flight. It is lost if its sender or receiver is lost, or if its receiver restarts.
 type packet struct {
 	from, to    *process
-	incarnation ProposerID // of the receiver when it was sent
-	arrived     bool       // the receiver is frozen and takes it later
+	incarnation ProposerID // incarnation of the receiver when the message was sent
+	arrived     bool       // the receiver is frozen and processes the message later
 	deliver     func()
 }
 
@@ -96,8 +96,8 @@
 	return m
 }
 
-// violate records a violation, unless there was one before.
-func (m *membershipModel) violate(format string, args ...any) {
+// recordViolation records a violation unless one was recorded before.
+func (m *membershipModel) recordViolation(format string, args ...any) {
 	if m.violation == "" {
 		m.violation = fmt.Sprintf(format, args...)
 	}
@@ -139,9 +139,10 @@
 	return m.processes[m.random.IntN(len(m.processes))]
 }
 
+// processOf returns the process whose disk has the given identity; nil = there is none.
 func (m *membershipModel) processOf(id AcceptorID) *process {
 	for _, p := range m.processes {
-		if p.disk.ID == id && !p.gone {
+		if p.disk.ID == id && !p.removed {
 			return p
 		}
 	}
@@ -156,22 +157,24 @@
 	return p.known
 }
 
-func (p *process) reachable() bool { return p.up && !p.cut && !p.gone }
+func (p *process) reachable() bool { return p.up && !p.disconnected && !p.removed }
 
 func (p *process) member() Member { return Member{ID: p.disk.ID, Address: p.address} }
 
-// holds reports whether the process's disk holds a decided value, or one of a later slot.
+// holds reports whether the process's disk stores the given decided value or a value of a later slot.
 func (p *process) holds(v *Value) bool {
 	stored := p.disk.Value
 	return stored != nil && (stored.Slot > v.Slot || stored.Slot == v.Slot && stored.Equal(v))
 }
 
+// send sends a message if its receiver is reachable from its sender. The message is delivered by a call of deliver.
 func (m *membershipModel) send(from, to *process, deliver func()) {
 	if to != nil && (from == to || m.connected(from, to)) {
 		m.inFlight = append(m.inFlight, packet{from: from, to: to, incarnation: to.incarnation, deliver: deliver})
 	}
 }
 
+// deliver delivers the packet at index i of inFlight, or drops it if it is lost. A packet to a frozen process stays in flight.
 func (m *membershipModel) deliver(i int) {
 	p := m.inFlight[i]
 	if p.to.frozen {
@@ -187,7 +190,7 @@
 	}
 }
 
-// deliverAll delivers what is in flight, and what that leads to. What is in flight to frozen processes stays.
+// deliverAll delivers all messages in flight and those that are sent as a result. Messages to frozen processes stay in flight.
 func (m *membershipModel) deliverAll() {
 	for {
 		deliverable := m.deliverable()
@@ -208,13 +211,14 @@
 	return indices
 }
 
-// begin starts an attempt of a process, in place of the one before.
-func (m *membershipModel) begin(p *process, change ChangeFunc, digest string) *proposalAttempt {
-	a := &proposalAttempt{process: p, change: change, digest: digest, known: len(m.acknowledged)}
+// startAttempt starts an attempt of a process, which replaces its previous one.
+func (m *membershipModel) startAttempt(p *process, change ChangeFunc, digest string) *proposalAttempt {
+	a := &proposalAttempt{process: p, change: change, digest: digest, acknowledgedBefore: len(m.acknowledged)}
 	m.propose(a)
 	return a
 }
 
+// propose starts a proposal of an attempt at the process's next ballot.
 func (m *membershipModel) propose(a *proposalAttempt) {
 	p := a.process
 	p.number++
@@ -222,8 +226,8 @@
 	if p.disk.Value != nil && m.injected != decidedIsAlwaysBase {
 		base = ProposalBase(p.disk.Value, p.decidedValue())
 	}
-	if m.injected == majorityOfVisible {
-		base = m.visibleMembers(p, base)
+	if m.injected == majorityOfReachable {
+		base = m.withReachableMembers(p, base)
 	}
 	a.proposal = NewProposal(Ballot{Number: p.number, By: p.incarnation}, base, a.change)
 	p.current = a
@@ -242,7 +246,7 @@
 	}
 }
 
-// isCurrent reports whether a reply to a proposal still matters.
+// isCurrent reports whether a proposal is still the current one of its process, so that replies to it must be processed.
 func (a *proposalAttempt) isCurrent(proposal *Proposal) bool {
 	return a.process.current == a && a.proposal == proposal
 }
@@ -279,21 +283,22 @@
 		return
 	}
 	v, p := proposal.Value(), a.process
-	m.decide(v)
+	m.recordDecided(v)
 	p.learn(v, proposal.Ballot())
 	p.current = nil
 	if !proposal.IncludesChange() || !v.Confirmed() {
-		m.propose(a) // what precedes the change is decided first
+		m.propose(a) // a preceding value had to be decided first, or the change must be confirmed
 		return
 	}
 	a.decided = v
-	m.checkListed(v, a.known)
+	m.checkListed(v, a.acknowledgedBefore)
 	if a.digest != "" && v.Digest == a.digest {
 		m.acknowledged = append(m.acknowledged, a.digest)
 	}
 }
 
-// recordPreemption ends an attempt that was preempted, and raises the number of the next ballot above that one.
+// recordPreemption ends an attempt that was preempted and raises the process's ballot number to that of the ballot that
+// preempted it.
 func (a *proposalAttempt) recordPreemption() {
 	if by, preempted := a.proposal.Preempted(); preempted {
 		a.process.number = max(a.process.number, by.Number)
@@ -301,7 +306,7 @@
 	}
 }
 
-// learn has a process know a decided value, and ballots at which it was decided.
+// learn makes a decided value, and ballots at which it was decided, known to a process.
 func (p *process) learn(v *Value, ballots ...Ballot) {
 	if v.Slot < p.known.Slot {
 		return
@@ -317,16 +322,16 @@
 	p.disk = p.disk.WithDecision(p.decision)
 }
 
-// decide records a decided value and checks it against those of its slot and the slot before.
-func (m *membershipModel) decide(v *Value) {
+// recordDecided records a decided value and checks it against the decided values of its slot and of the previous slot.
+func (m *membershipModel) recordDecided(v *Value) {
 	if old := m.decided[v.Slot]; old != nil {
 		if !old.Equal(v) {
-			m.violate("slot %d: two values are decided", v.Slot)
+			m.recordViolation("slot %d: two values are decided", v.Slot)
 		}
 		return
 	}
 	if previous := m.decided[v.Slot-1]; previous != nil && !sameMembers(v.PriorMembers, previous.Members) {
-		m.violate("slot %d follows other members than those of the slot before", v.Slot)
+		m.recordViolation("slot %d: the prior members are not the members of the previous slot", v.Slot)
 	}
 	m.decided[v.Slot] = v
 	if v.Slot > m.newest.Slot {
--- a/consensus/membership_replicas_test.go
+++ b/consensus/membership_replicas_test.go
@@ -2,12 +2,13 @@
 
 import "slices"
 
-// What the processes of the membership model tell each other of their disks, and what they conclude from it.
+// This file contains how the processes of the membership model report their replicas to each other and what they conclude from
+// these reports.
 
-// gossip tells all others what a process knows and what its disk holds.
+// gossip sends the decided value that a process knows and the replica on its disk to all other processes.
 func (m *membershipModel) gossip(p *process) {
 	id, replica, known, decidedKnown, decision := p.disk.ID, p.disk.Replica(), p.known, p.decidedKnown, p.decision
-	if m.injected == knowledgeCountsAsReplica && decidedKnown {
+	if m.injected == knownValueCountsAsReplica && decidedKnown {
 		replica = Replica{Slot: known.Slot, Ballot: decision.Last}
 	}
 	for _, o := range m.processes {
@@ -25,9 +26,9 @@
 	}
 }
 
-// knownReplicas returns what a process knows of the replicas of the newest decision that it knows.
+// knownReplicas returns the replicas that a process knows: its own and those reported by the processes in contact.
 func (m *membershipModel) knownReplicas(p *process) map[AcceptorID]Replica {
-	for id := range p.replicas { // reports expire with the contact
+	for id := range p.replicas { // reports expire when contact is lost
 		if o := m.processOf(id); o == nil || !m.connected(p, o) {
 			delete(p.replicas, id)
 		}
@@ -47,8 +48,8 @@
 	return replicas
 }
 
-// unreplicated returns the members in contact that a process does not know to hold the decided value. Those that it does
-// know of must hold it.
+// unreplicated returns the members in contact that are not known to the process to store the decided value. It also checks
+// that the members that are known to store it really do.
 func (m *membershipModel) unreplicated(p *process) []Member {
 	decision := p.decision
 	missing := decision.Unreplicated(m.knownReplicas(p))
@@ -58,7 +59,7 @@
 			continue
 		}
 		if !o.holds(decision.Value) {
-			m.violate("slot %d: the replica of %s counts as known and is not on its disk", decision.Value.Slot, member.Address)
+			m.recordViolation("slot %d: the replica of %s counts as known but is not on its disk", decision.Value.Slot, member.Address)
 		}
 	}
 	return slices.DeleteFunc(missing, func(member Member) bool {
@@ -67,17 +68,17 @@
 	})
 }
 
-// mayLeave reports whether a process that was told to leave may go now.
+// mayLeave reports whether a process that was requested to leave may shut down now.
 func (m *membershipModel) mayLeave(p *process) bool {
 	replaced := p.decidedKnown && !Contains(p.known.Members, p.disk.ID)
 	if m.injected == leaveImmediately || m.injected == leaveUnconfirmed && replaced {
 		return true
 	}
 	if !replaced {
-		return false // its successor is there and takes its place first
+		return false // its successor is running and must replace it first
 	}
 	replicas := m.knownReplicas(p)
-	if m.injected == leaveOnKnowledge {
+	if m.injected == leaveWhenValueKnown {
 		for _, member := range p.known.Members {
 			if o := m.processOf(member.ID); o != nil && o.decidedKnown && o.known.Slot >= p.known.Slot {
 				replicas[member.ID] = Replica{Slot: p.known.Slot, Ballot: p.decision.Last}
@@ -90,7 +91,7 @@
 	}
 	for _, member := range p.known.Members {
 		if v := m.processOf(member.ID).disk.Value; v == nil || v.Slot < p.known.Slot {
-			m.violate("slot %d: %s leaves though %s does not hold what it held", p.known.Slot, p.address, member.Address)
+			m.recordViolation("slot %d: %s may leave although %s does not store the decided value", p.known.Slot, p.address, member.Address)
 		}
 	}
 	return true
--- a/consensus/membership_test.go
+++ b/consensus/membership_test.go
@@ -6,52 +6,53 @@
 	"testing"
 )
 
-// membershipFault is injected into the membership model's own part of the work, to show that its checks detect it.
+// membershipFault is a fault that is injected into the membership model's own code. The model's checks must detect it.
 type membershipFault int
 
 const (
 	noMembershipFault membershipFault = iota
 
-	knowledgeCountsAsReplica // a process reports what it knows as what its disk holds
-	slotCountsAsReplica      // a stored value of the slot counts as a replica, whatever its ballot
-	newMemberCountsAsReplica // a member that reported nothing yet counts as one that holds the value
-	leaveImmediately         // a process that is told to leave goes at once
-	leaveUnconfirmed         // it goes once it is replaced, before that is confirmed
-	leaveOnKnowledge         // it goes once those that stay know the value
-	acceptWithoutPrepare     // replicas are completed by an Accept at a ballot that nobody promised
-	catchUpAtPromisedBallot  // a catch-up Accept is accepted at the ballot that the acceptor promised last
-	replicasNeverRepaired    // replicas are completed by the next change alone
-	lostDiskKeepsIdentity    // a process whose disk was lost reports the identity of the old one
-	majorityOfVisible        // a proposer counts the majority over the members that it can reach
-	copyCountsBeforeSync     // an acceptor reports a value as accepted before it is on the disk
-	readWithoutQuorum        // a read is answered with what the process knows to be decided
-	decidedIsAlwaysBase      // a proposal starts from a decided value, however far it is behind the accepted one
-	acceptMarkedDecided      // an acceptor marks each value that it accepts as decided
+	knownValueCountsAsReplica // a process reports the decided value that it knows as the replica on its disk
+	slotCountsAsReplica       // a stored value of the slot counts as a replica, whatever its ballot
+	newMemberCountsAsReplica  // a member that has not reported a replica yet counts as one that stores the value
+	leaveImmediately          // a process leaves as soon as it is requested to
+	leaveUnconfirmed          // a process leaves once it is replaced, before the replacement is confirmed
+	leaveWhenValueKnown       // a process leaves once the remaining members know the value, though they may not store it
+	acceptWithoutPrepare      // missing replicas are stored by an Accept at a ballot that was not promised
+	catchUpAtPromisedBallot   // a catch-up Accept is accepted at the ballot that the acceptor promised last
+	replicasNeverRepaired     // missing replicas are stored only by the next change
+	lostDiskKeepsIdentity     // a process whose disk was lost reports the identity of the old disk
+	majorityOfReachable       // a proposer requires a majority only of the members that it can reach
+	copyCountsBeforeSync      // an acceptor reports a value as accepted before it is synced to disk
+	readWithoutQuorum         // a read returns the value that the process knows to be decided, without a quorum
+	decidedIsAlwaysBase       // a proposal starts from a decided value, however far that is behind the accepted one
+	acceptRecordedDecided     // an acceptor records each value that it accepts as decided
 )
 
-// membershipFaultNames are the faults that the model must detect, by name.
-var membershipFaultNames = map[string]membershipFault{
-	"knowledge counts as replica":        knowledgeCountsAsReplica,
+// membershipFaults contains the faults that the model must detect, keyed by subtest name.
+var membershipFaults = map[string]membershipFault{
+	"known value counts as replica":      knownValueCountsAsReplica,
 	"slot counts as replica":             slotCountsAsReplica,
 	"new member counts as replica":       newMemberCountsAsReplica,
 	"leaves immediately":                 leaveImmediately,
 	"leaves before confirmation":         leaveUnconfirmed,
-	"leaves when others know":            leaveOnKnowledge,
+	"leaves when others know":            leaveWhenValueKnown,
 	"accept without prepare":             acceptWithoutPrepare,
 	"catch-up accept at promised ballot": catchUpAtPromisedBallot,
 	"replicas never repaired":            replicasNeverRepaired,
 	"lost disk keeps its identity":       lostDiskKeepsIdentity,
-	"majority of the visible members":    majorityOfVisible,
+	"majority of the reachable members":  majorityOfReachable,
 	"copy counts before its sync":        copyCountsBeforeSync,
 	"read without a quorum":              readWithoutQuorum,
-	"accepted value marked as decided":   acceptMarkedDecided,
+	"accepted value recorded as decided": acceptRecordedDecided,
 	"decided value is always the base":   decidedIsAlwaysBase,
 }
 
+// unchanged is a ChangeFunc that proposes the newest value again.
 func unchanged(v *Value) *Value { return v }
 
-// tick has a process begin the proposal that is due, and reports whether there was one.
-func (m *membershipModel) tick(p *process) bool {
+// startDueProposal makes a process start the proposal or repair that is due, and reports whether there was one.
+func (m *membershipModel) startDueProposal(p *process) bool {
 	if !p.reachable() {
 		return false
 	}
@@ -62,20 +63,20 @@
 	successor := m.successor(p)
 	switch {
 	case p.decidedKnown && p.known.Confirmed() && !isMember && !p.leaving && m.replaceUnreachable(p)(p.known) != p.known:
-		m.begin(p, m.replaceUnreachable(p), "")
+		m.startAttempt(p, m.replaceUnreachable(p), "")
 	case needsProposal:
-		m.begin(p, unchanged, "")
+		m.startAttempt(p, unchanged, "")
 	case !p.decidedKnown:
 		return false
 	case isMember && p.leaving && successor != nil:
-		m.begin(p, handOver(p.member(), successor.member()), "")
+		m.startAttempt(p, replaceMember(p.member(), successor.member()), "")
 	default:
 		return m.repair(p)
 	}
 	return true
 }
 
-// repair has a process attempt to complete replicas, and reports whether any is missing.
+// repair makes a process attempt to store the decided value on members that lack it, and reports whether it did so.
 func (m *membershipModel) repair(p *process) bool {
 	missing := m.unreplicated(p)
 	if len(missing) == 0 || m.injected == replicasNeverRepaired {
@@ -100,12 +101,12 @@
 			return true
 		}
 	}
-	m.begin(p, unchanged, "")
+	m.startAttempt(p, unchanged, "")
 	return true
 }
 
-// replaceUnreachable makes a process a member in place of the one that was at its address before, or of one that can't be
-// reached.
+// replaceUnreachable returns a change that makes a process a member in place of the member with the same address, or otherwise
+// of one that cannot be reached.
 func (m *membershipModel) replaceUnreachable(p *process) ChangeFunc {
 	self := p.member()
 	return func(v *Value) *Value {
@@ -127,7 +128,7 @@
 	}
 }
 
-// successor returns a process in contact that is no member and stays; nil = there is none.
+// successor returns a process in contact that is not a member and is not leaving; nil = there is none.
 func (m *membershipModel) successor(p *process) *process {
 	for _, o := range m.processes {
 		if o != p && m.connected(p, o) && !o.leaving && !Contains(p.known.Members, o.disk.ID) {
@@ -137,7 +138,8 @@
 	return nil
 }
 
-func handOver(self, successor Member) ChangeFunc {
+// replaceMember returns a change that replaces a member by its successor.
+func replaceMember(self, successor Member) ChangeFunc {
 	return func(v *Value) *Value {
 		i := slices.IndexFunc(v.Members, func(member Member) bool { return member.ID == self.ID })
 		if i < 0 || Contains(v.Members, successor.ID) {
@@ -147,13 +149,14 @@
 	}
 }
 
+// withMember returns the value of the next slot with the member at index i replaced.
 func withMember(v *Value, i int, member Member) *Value {
 	members := slices.Clone(v.Members)
 	members[i] = member
 	return v.WithMembers(members)
 }
 
-// randomSteps makes a few random steps.
+// randomSteps performs the given number of random steps.
 func (m *membershipModel) randomSteps(steps int) {
 	for range steps {
 		p := m.randomProcess()
@@ -161,8 +164,8 @@
 		case k < 3:
 			m.gossip(p)
 		case k < 5 && p.up && p.current == nil:
-			m.tick(p)
-		case k < 6 && len(m.inFlight) > 0: // one is lost with its connection
+			m.startDueProposal(p)
+		case k < 6 && len(m.inFlight) > 0: // a message is lost with its connection
 			i := m.random.IntN(len(m.inFlight))
 			m.inFlight = slices.Delete(m.inFlight, i, i+1)
 		case len(m.inFlight) > 0:
@@ -171,8 +174,8 @@
 	}
 }
 
-// recover lets the processes complete their work: no new faults, messages arrive, proposals that are due run. All members
-// must hold the newest value then.
+// recover lets the processes recover: there are no new faults, messages arrive, and the proposals that are due run. Afterwards
+// all reachable members must store the newest value.
 func (m *membershipModel) recover() {
 	for range 40 {
 		for _, p := range m.processes {
@@ -183,7 +186,7 @@
 		for _, i := range m.random.Perm(len(m.processes)) {
 			p := m.processes[i]
 			p.current = nil
-			if m.tick(p) {
+			if m.startDueProposal(p) {
 				due = true
 				m.randomSteps(m.random.IntN(12))
 			}
@@ -199,21 +202,21 @@
 	for _, member := range m.newest.Members {
 		p := m.processOf(member.ID)
 		if p != nil && p.reachable() && m.newest.Slot > 0 && !p.holds(m.newest) {
-			m.violate("slot %d: after a recovery %s does not hold the newest value", m.newest.Slot, member.Address)
+			m.recordViolation("slot %d: after a recovery %s does not store the newest value", m.newest.Slot, member.Address)
 		}
 	}
 }
 
-// changeConfiguration has a process propose another configuration.
+// changeConfiguration makes a process propose a new configuration.
 func (m *membershipModel) changeConfiguration() {
 	p := m.randomProcess()
-	if !p.up || p.gone || !p.decidedKnown && m.configs > 0 {
+	if !p.up || p.removed || !p.decidedKnown && m.configs > 0 {
 		return
 	}
 	m.configs++
 	version := Version(10 * m.configs)
 	digest := fmt.Sprint("d", m.configs)
-	m.begin(p, func(v *Value) *Value {
+	m.startAttempt(p, func(v *Value) *Value {
 		if v.lists(digest) {
 			return v
 		}
@@ -221,12 +224,13 @@
 	}, digest)
 }
 
-// lists reports whether a configuration is in place or among those before it.
+// lists reports whether the value contains the configuration with the given digest or lists it as an earlier one.
 func (v *Value) lists(digest string) bool {
 	return v.Digest == digest || slices.ContainsFunc(v.PriorRevisions, func(r Revision) bool { return r.Digest == digest })
 }
 
-// checkAcknowledged reads the newest value, with no more lost than are tolerated, before anything is repaired.
+// checkAcknowledged reads the newest value before any repair, and checks that it lists all acknowledged configurations. No more
+// processes than are tolerated may be lost.
 func (m *membershipModel) checkAcknowledged() {
 	for range 40 {
 		p := m.randomProcess()
@@ -237,47 +241,48 @@
 			m.gossip(o)
 		}
 		m.deliverAll()
-		a := m.begin(p, unchanged, "")
+		a := m.startAttempt(p, unchanged, "")
 		m.deliverAll()
 		if a.decided == nil {
 			continue
 		}
 		for _, digest := range m.acknowledged {
 			if !a.decided.lists(digest) {
-				m.violate("slot %d: %s was acknowledged and is lost", a.decided.Slot, digest)
+				m.recordViolation("slot %d: %s was acknowledged but is lost", a.decided.Slot, digest)
 			}
 		}
 		return
 	}
-	m.violate("slot %d: with %d lost of %d tolerated nothing can be decided", m.newest.Slot, len(m.lost), m.tolerated)
+	m.recordViolation("slot %d: no value can be decided with %d processes lost, %d losses are tolerated",
+		m.newest.Slot, len(m.lost), m.tolerated)
 }
 
-// randomEvent makes one of the events of a membership happen.
+// randomEvent performs a random event.
 func (m *membershipModel) randomEvent() {
 	switch k := m.random.IntN(14); {
 	case k >= 12:
 		m.overlappingLosses()
 	case k >= 10:
-		m.splitRepeatedly()
+		m.partitionRepeatedly()
 	case k < 3:
 		m.changeConfiguration()
 		m.randomSteps(m.random.IntN(80))
 	case k < 5:
-		m.loseOne()
+		m.loseRandomProcess()
 		m.changeConfiguration()
 		m.randomSteps(m.random.IntN(60))
 	case k < 7:
-		m.restoreOne()
-		m.loseTolerated()
+		m.restoreLostProcess()
+		m.loseMaxTolerated()
 	case k < 9:
 		m.replace()
-		m.loseTolerated()
+		m.loseMaxTolerated()
 	default:
 		m.powerCycle()
 	}
 }
 
-// runMembershipModel runs a model and returns it as it ended, or as it was at the first violation.
+// runMembershipModel runs a model for a fixed number of events or until the first violation, and returns the model.
 func runMembershipModel(seed uint64, injected membershipFault) *membershipModel {
 	m := newMembershipModel(seed, injected)
 	m.changeConfiguration()
@@ -296,7 +301,7 @@
 
 func TestMembershipModelKeepsAcknowledgedChanges(t *testing.T) {
 	var slots Slot
-	acknowledged, losses, leaves, splits, reads := 0, 0, 0, 0, 0
+	acknowledged, losses, leaves, partitions, reads := 0, 0, 0, 0, 0
 	for seed := range uint64(2500) {
 		m := runMembershipModel(seed, noMembershipFault)
 		if m.violation != "" {
@@ -306,18 +311,18 @@
 		acknowledged += len(m.acknowledged)
 		losses += m.simultaneousLosses
 		leaves += m.leaves
-		splits += m.splits
+		partitions += m.partitions
 		reads += m.reads
 	}
-	t.Logf("%d slots, %d changes acknowledged, %d simultaneous losses of as many as are tolerated, %d planned leaves, %d splits, %d reads",
-		slots, acknowledged, losses, leaves, splits, reads)
-	if acknowledged < 5000 || losses < 2500 || leaves < 1000 || splits < 5000 || reads < 2000 {
+	t.Logf("%d slots, %d changes acknowledged, %d simultaneous losses of the tolerated number, %d planned leaves, %d partitions, %d reads",
+		slots, acknowledged, losses, leaves, partitions, reads)
+	if acknowledged < 5000 || losses < 2500 || leaves < 1000 || partitions < 5000 || reads < 2000 {
 		t.Fatal("too few to be conclusive")
 	}
 }
 
 func TestMembershipModelDetectsInjectedFaults(t *testing.T) {
-	for name, injected := range membershipFaultNames {
+	for name, injected := range membershipFaults {
 		t.Run(name, func(t *testing.T) {
 			requireDetected(t, 30000, func(seed uint64) string { return runMembershipModel(seed, injected).violation })
 		})
--- a/consensus/model_fault_test.go
+++ b/consensus/model_fault_test.go
@@ -1,36 +1,36 @@
 package consensus
 
-// fault is injected into the model's own part of the work, to show that its checks detect it.
+// fault is a fault that is injected into the model's own code. The model's checks must detect it.
 type fault int
 
 const (
 	noFault fault = iota
 
 	replyBeforeStore            // a reply is sent before the state is on the disk
-	wipedDiskKeepsIdentity      // an empty disk accepts under its old identity
-	ballotsReused               // a proposer that starts again uses the ballots of its earlier incarnation
+	wipedDiskKeepsIdentity      // an acceptor whose disk was wiped accepts under its old identity
+	ballotsReused               // a restarted proposer reuses the ballots of its earlier incarnation
 	promiseForgotten            // an acceptor accepts below the ballot that it promised
 	prepareReplyOmitsAccepted   // a prepare reply omits the accepted value
-	membersWithoutPriorMajority // members change without a majority of those before
-	twoMembersAtOnce            // two members are replaced in one slot, without a majority of those before
-	acceptTakenAsDecided        // an accepted value is taken as decided
-	prepareTakenAsDecided       // the value of a majority's prepare replies is taken as decided without Accepts
-	replyFromOtherDisk          // a reply from another disk counts as from the acceptor that was asked
-	lowerBallotWins             // of two accepted values that with the lower ballot is taken as the newest
-	conflictBeforeHistory       // a repeated request is compared with the version in place before it is looked up
-	revisionsDropped            // a new configuration drops the revisions before it
+	membersWithoutPriorMajority // members change without a majority of the prior members
+	membersRemovedAtOnce        // all members but one are removed in one slot, without a majority of the prior members
+	acceptTakenAsDecided        // an accepted value is treated as decided
+	prepareTakenAsDecided       // the value chosen from a majority's prepare replies is treated as decided without Accepts
+	replyFromOtherDisk          // a reply from another disk counts as one from the acceptor that the request was sent to
+	lowerBallotWins             // of two accepted values the one with the lower ballot is treated as the newest
+	conflictBeforeHistory       // a repeated request is compared with the newest version before it is looked up
+	revisionsDropped            // a new configuration drops the earlier revisions
 
-	rejectBeforeDecision       // a request is rejected because of a value that may still lose
+	rejectBeforeDecision       // a request is rejected because of a value that may not be decided
 	rejectBelowHorizon         // a request older than all listed revisions is rejected
-	rejectAboveNewest          // a request based on a version that is not in place yet is rejected, with a copy still in flight
-	rejectMissingFromHistory   // a request older than all listed revisions is rejected where the history lacks it
+	rejectAboveNewest          // a request based on a version that is not committed yet is rejected while a copy is in flight
+	rejectMissingFromHistory   // a request older than all listed revisions is rejected if the history does not contain it
 	historyFromAccepts         // the history is filled from accepted values
-	historyIgnoresDigest       // the history is asked for a version without its digest
-	valueIgnoresDigest         // the value is asked for a version without its digest
+	historyIgnoresDigest       // the history is searched for a version without comparing the digest
+	valueIgnoresDigest         // the value is searched for a version without comparing the digest
 	compatibilityBeforeOutcome // a document is checked against the known configuration before it is looked up
 )
 
-// protocolFaults are those that runModel must detect.
+// protocolFaults lists the faults that runModel must detect.
 var protocolFaults = []fault{
 	replyBeforeStore,
 	wipedDiskKeepsIdentity,
@@ -38,7 +38,7 @@
 	promiseForgotten,
 	prepareReplyOmitsAccepted,
 	membersWithoutPriorMajority,
-	twoMembersAtOnce,
+	membersRemovedAtOnce,
 	acceptTakenAsDecided,
 	prepareTakenAsDecided,
 	replyFromOtherDisk,
@@ -47,7 +47,7 @@
 	revisionsDropped,
 }
 
-// requestFaults are those that runRequestModel must detect.
+// requestFaults lists the faults that runRequestModel must detect.
 var requestFaults = []fault{
 	rejectBeforeDecision,
 	rejectBelowHorizon,
@@ -59,7 +59,7 @@
 	compatibilityBeforeOutcome,
 }
 
-// String returns the fault's name, for subtests.
+// String returns the fault's name, which is used as the name of its subtest.
 func (f fault) String() string {
 	return map[fault]string{
 		noFault:                     "none",
@@ -69,7 +69,7 @@
 		promiseForgotten:            "promise forgotten",
 		prepareReplyOmitsAccepted:   "prepare reply omits the accepted value",
 		membersWithoutPriorMajority: "member change without the prior majority",
-		twoMembersAtOnce:            "two members at once",
+		membersRemovedAtOnce:        "members removed at once",
 		acceptTakenAsDecided:        "accepted value taken as decided",
 		prepareTakenAsDecided:       "prepared value taken as decided",
 		replyFromOtherDisk:          "reply from another disk",
--- a/consensus/model_protocol_test.go
+++ b/consensus/model_protocol_test.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// The messages of the model, and what its nodes do with them.
+// This file contains the messages of the model and how its nodes handle them.
 
 func (m *model) sendPrepares(p *activeProposal) {
 	for _, to := range p.proposal.NextPrepares() {
@@ -11,13 +11,13 @@
 }
 
 func (m *model) handlePrepare(n *node, prepare Prepare, p *activeProposal) {
-	asked := prepare.To
+	recipient := prepare.To
 	if m.injected == replyFromOtherDisk {
 		prepare.To = n.state.ID
 	}
 	next, reply := n.state.HandlePrepare(prepare)
 	if m.injected == replyFromOtherDisk {
-		reply.From = asked
+		reply.From = recipient
 	}
 	if m.injected == prepareReplyOmitsAccepted && reply.OK {
 		reply.Value = nil
@@ -39,7 +39,7 @@
 		m.sendPrepares(p)
 	}
 	if m.injected == prepareTakenAsDecided && acceptors != nil {
-		m.decide(p.proposal.Value())
+		m.recordDecided(p.proposal.Value())
 	}
 	for _, to := range acceptors {
 		accept := Accept{To: to.ID, Ballot: p.proposal.Ballot(), Value: p.proposal.Value()}
@@ -49,7 +49,7 @@
 }
 
 func (m *model) handleAccept(n *node, accept Accept, p *activeProposal) {
-	asked, state := accept.To, n.state
+	recipient, state := accept.To, n.state
 	if m.injected == promiseForgotten {
 		state.Promised = Ballot{}
 	}
@@ -58,7 +58,7 @@
 	}
 	next, reply := state.HandleAccept(accept)
 	if m.injected == replyFromOtherDisk {
-		reply.From = asked
+		reply.From = recipient
 	}
 	if reply.OK {
 		m.store(n, next)
@@ -79,10 +79,10 @@
 	p.recordPreemption()
 }
 
-// complete ends a proposal whose value is decided, and tells some nodes.
+// complete ends a proposal whose value is decided. Some of the other nodes learn the value.
 func (m *model) complete(p *activeProposal) {
 	v := p.proposal.Value()
-	m.decide(v)
+	m.recordDecided(v)
 	if v.Slot >= p.node.known.Slot {
 		m.learn(p.node, v)
 	}
@@ -97,7 +97,7 @@
 	p.node.proposals = slices.DeleteFunc(p.node.proposals, func(o *activeProposal) bool { return o == p })
 }
 
-// recordPreemption raises the number of the node's next ballot above one that preempted the proposal.
+// recordPreemption raises the node's ballot number to that of the ballot that preempted the proposal, if any.
 func (p *activeProposal) recordPreemption() {
 	if by, preempted := p.proposal.Preempted(); preempted {
 		p.node.number = max(p.node.number, by.Number)
--- a/consensus/model_request_test.go
+++ b/consensus/model_request_test.go
@@ -6,26 +6,26 @@
 	"testing"
 )
 
-// requestModel is the part of the model that concerns operators' requests to change the configuration or a document: what
-// was answered to them is compared with what is committed.
+// requestModel is the part of the model for operators' requests to change the configuration or a document. It compares the
+// outcomes reported to operators with the committed revisions.
 type requestModel struct {
-	requestsOnly   bool // many requests, many sent again; values list few revisions
+	requestsOnly   bool // many requests, many of them repeated; values list few revisions
 	version        Version
 	requests       []*testRequest
 	committed      map[revisionKey]bool
 	foundInHistory int // requests that a history contained and the value did not list
-	unknown        int // requests that neither had
+	unknown        int // requests that neither contained
 }
 
-// retainedInModel is the number of earlier revisions that a value lists where requestsOnly is set.
+// retainedInModel is the maximum number of earlier revisions that a value lists if requestsOnly is set.
 const retainedInModel = 1
 
-// testRequest is a request, as its operator knows it.
+// testRequest is a request with the outcomes reported to its operator.
 type testRequest struct {
 	ChangeRequest
-	document  *DocumentChangeRequest // nil = it is for the configuration
-	committed bool                   // reported as such
-	rejected  bool                   // reported as such, for good
+	document  *DocumentChangeRequest // nil = the request is for the configuration
+	committed bool                   // reported as committed
+	rejected  bool                   // reported as finally rejected
 }
 
 // revisionKey is a revision of the configuration or of a document.
@@ -41,12 +41,12 @@
 	return revisionKey{revision: r.revision()}
 }
 
-// newOrRepeatedRequest returns a request based on the version that a node knows, or one that had no clear answer, to be sent
-// again to this node.
+// newOrRepeatedRequest returns a new request based on the version that a node knows, or an earlier request that was not
+// rejected, to be sent again to this node.
 func (m *model) newOrRepeatedRequest(n *node) *testRequest {
-	open := slices.DeleteFunc(slices.Clone(m.requests), func(r *testRequest) bool { return r.rejected })
-	if len(open) > 0 && m.random.IntN(4) == 0 {
-		return open[len(open)-1-m.random.IntN(min(len(open), 2))]
+	repeatable := slices.DeleteFunc(slices.Clone(m.requests), func(r *testRequest) bool { return r.rejected })
+	if len(repeatable) > 0 && m.random.IntN(4) == 0 {
+		return repeatable[len(repeatable)-1-m.random.IntN(min(len(repeatable), 2))]
 	}
 	m.version++
 	version := m.version * 10
@@ -58,8 +58,8 @@
 	return r
 }
 
-// randomRequest returns a new request of one of two operators, or one of any age again: one without a clear answer that is
-// repeated, or a copy of any request that was in flight for long.
+// randomRequest returns a new request of one of two operators, or an earlier one of any age: a request repeated after an
+// unclear reply, or a copy of any request that was in flight for a long time.
 func (m *model) randomRequest(n *node, document bool) *testRequest {
 	if len(m.requests) > 0 && m.random.IntN(2) == 0 {
 		if m.random.IntN(2) == 0 {
@@ -82,7 +82,7 @@
 	} else {
 		version := n.known.Version + 10 + Version(m.random.IntN(3))
 		r.ChangeRequest = ChangeRequest{Version: version, BasedOn: n.known.Version, Digest: digest}
-		if m.random.IntN(8) == 0 { // on top of one whose answer is still to come
+		if m.random.IntN(8) == 0 { // based on a version whose own request may still be unanswered
 			r.BasedOn = r.Version
 			r.Version += 10
 		}
@@ -91,7 +91,7 @@
 	return r
 }
 
-// evaluateWithFaults evaluates a request of newOrRepeatedRequest.
+// evaluateWithFaults evaluates a request returned by newOrRepeatedRequest, with the injected faults of runModel.
 func (m *model) evaluateWithFaults(p *activeProposal, v *Value) *Value {
 	next, outcome := p.request.Evaluate(v)
 	if m.injected == conflictBeforeHistory && v.Version != p.request.BasedOn {
@@ -104,7 +104,7 @@
 	return next
 }
 
-// evaluate evaluates a request of randomRequest.
+// evaluate evaluates a request returned by randomRequest, with the injected faults of runRequestModel.
 func (m *model) evaluate(p *activeProposal, v *Value) *Value {
 	if p.request.document != nil {
 		return m.evaluateDocument(p, v)
@@ -147,7 +147,8 @@
 	return next
 }
 
-// setOutcome records a request's outcome. It is reported only once the proposal is decided, but for rejectBeforeDecision.
+// setOutcome records a request's outcome. The outcome is reported once the proposal is decided; rejectBeforeDecision reports
+// conflicts at once.
 func (m *model) setOutcome(p *activeProposal, outcome Outcome) {
 	p.outcome = outcome
 	if m.injected == rejectBeforeDecision && outcome == OutcomeConflict {
@@ -155,7 +156,7 @@
 	}
 }
 
-// lookUpHistory asks a node's history for a request whose outcome the value does not tell.
+// lookUpHistory looks up a request in a node's history when its outcome cannot be determined from the value.
 func (m *model) lookUpHistory(p *activeProposal) Outcome {
 	r := p.request
 	contains := func(r *testRequest) bool {
@@ -194,9 +195,9 @@
 	case OutcomeCommitted:
 		r.committed = true
 	case OutcomeUnknown:
-	case OutcomeIncompatible: // not for good: a configuration that it fits may follow
+	case OutcomeIncompatible: // not final: the document may be compatible with a later configuration
 		if m.committed[r.key()] {
-			m.violate("version %d of the document is committed and was rejected", r.key().revision.Version)
+			m.recordViolation("version %d of the document is committed and was rejected", r.key().revision.Version)
 		}
 	default:
 		r.rejected = true
@@ -205,28 +206,28 @@
 	m.checkSingleSuccessor(r)
 }
 
-// checkOutcome compares what was reported of a request with what is committed.
+// checkOutcome compares the reported outcome of a request with the committed revisions.
 func (m *model) checkOutcome(r *testRequest) {
 	committed := m.committed[r.key()]
 	switch {
 	case r.rejected && committed:
-		m.violate("version %d was rejected and is committed", r.key().revision.Version)
+		m.recordViolation("version %d was rejected and is committed", r.key().revision.Version)
 	case r.committed && !committed:
-		m.violate("version %d was acknowledged and is not committed", r.key().revision.Version)
+		m.recordViolation("version %d was acknowledged and is not committed", r.key().revision.Version)
 	}
 }
 
-// checkSingleSuccessor checks that no other request on the same base was acknowledged.
+// checkSingleSuccessor checks that no other request based on the same version was acknowledged.
 func (m *model) checkSingleSuccessor(r *testRequest) {
 	for _, o := range m.requests {
 		sameKind := (o.document == nil) == (r.document == nil)
 		if o != r && o.committed && r.committed && sameKind && o.key().revision.BasedOn == r.key().revision.BasedOn {
-			m.violate("two changes of version %d are both acknowledged", r.key().revision.BasedOn)
+			m.recordViolation("two changes of version %d are both acknowledged", r.key().revision.BasedOn)
 		}
 	}
 }
 
-// recordCommitted records the revisions that a decided value lists, and checks every request against them.
+// recordCommitted records the revisions that a decided value lists and checks every request against them.
 func (m *model) recordCommitted(v *Value) {
 	for _, r := range v.Revisions() {
 		m.committed[revisionKey{revision: r}] = true
@@ -241,7 +242,8 @@
 	}
 }
 
-// runRequestModel runs a model of requests and returns it as it ended, or as it was at the first violation.
+// runRequestModel runs the model with requestsOnly set, for the given number of steps or until the first violation, and
+// returns the model.
 func runRequestModel(seed uint64, steps int, injected fault) *model {
 	m := newModel(seed, testNodeCount(seed), injected)
 	m.requestsOnly = true
@@ -254,9 +256,10 @@
 	return m
 }
 
-// Requests of two operators, many with one version and many on one base, are sent to all nodes at once and sent again at any
-// age, with copies that were in flight for long. Each is committed once or never, acknowledged only if it is committed, and
-// rejected only if it never is; of those on one base one at most is acknowledged.
+// Requests of two operators, many for the same version and many based on the same version, are sent to all nodes at the same
+// time and are repeated at any age, with copies that were in flight for a long time. Each must be committed at most once,
+// acknowledged only if it is committed, and rejected only if it is never committed. At most one of the requests based on the
+// same version is acknowledged.
 func TestModelChangeRequestOutcomes(t *testing.T) {
 	committed, foundInHistory, unknown, contested := 0, 0, 0, 0
 	for seed := range uint64(500) {
@@ -276,7 +279,7 @@
 	}
 }
 
-// contestedVersions counts the versions that more than one request asked for, on the same base.
+// contestedVersions counts the versions that were requested by more than one request with the same base.
 func contestedVersions(requests []*testRequest) (contested int) {
 	counts := map[revisionKey]int{}
 	for _, r := range requests {
--- a/consensus/model_test.go
+++ b/consensus/model_test.go
@@ -7,46 +7,46 @@
 	"testing"
 )
 
-// model runs acceptors with disks and proposers against messages that are lost, duplicated and reordered, crashes that lose
-// what was not stored, and lost disks, as many as are tolerated; a node whose disk was lost comes back under a new identity
-// and is made a member again. After each step it checks that no two values are decided for one slot, and that each follows
-// the value before it.
+// model runs acceptors with disks and proposers with lost, duplicated and reordered messages, crashes that lose all state that
+// was not stored, and no more lost disks than are tolerated. A node whose disk was lost returns under a new identity and is
+// made a member again. After each step the model checks that no two values are decided for one slot, and that each value is
+// a valid successor of the previous one.
 type model struct {
 	random       *rand.Rand
 	injected     fault
 	nodes        []*node
 	genesis      *Value
-	inFlight     []func() // messages: each is delivered by a call
+	inFlight     []func() // messages in flight; a call delivers the message
 	incarnations uint64
 	requestModel // requests of operators and their outcomes
 
 	decided   map[Slot]*Value
-	newest    *Value // decided
-	violation string // of an invariant, the first found; "" = none
+	newest    *Value // newest decided value
+	violation string // first violation of an invariant; "" = none
 }
 
 // node is an acceptor and a proposer in one process.
 type node struct {
 	address     string
-	disk        AcceptorState // what is stored
-	state       AcceptorState // what it acts on
+	disk        AcceptorState // state stored on disk
+	state       AcceptorState // state in memory
 	up          bool
-	known       *Value // decided, or a base to start from
+	known       *Value // newest value known to be decided, or the base to start from
 	incarnation ProposerID
-	number      uint64 // of the last ballot
+	number      uint64 // number of the last ballot
 	proposals   []*activeProposal
 	history     History
 }
 
-// activeProposal is a proposal of a node's present incarnation.
+// activeProposal is a proposal of a node's current incarnation.
 type activeProposal struct {
 	node     *node
 	proposal *Proposal
-	request  *testRequest // nil = it carries none
+	request  *testRequest // nil = the proposal is not for a request
 	outcome  Outcome
 }
 
-// testNodeCount alternates between clusters of three and five.
+// testNodeCount returns the number of nodes for a seed, three or five.
 func testNodeCount(seed uint64) int { return 3 + 2*int(seed%2) }
 
 func newModel(seed uint64, nodes int, injected fault) *model {
@@ -99,14 +99,15 @@
 	return nil
 }
 
-// mayLoseDisk reports whether another disk may be lost now: every member has its disk, and no change is under way.
+// mayLoseDisk reports whether another disk may be lost now: every member has its disk, and no membership change is
+// unconfirmed.
 func (m *model) mayLoseDisk() bool {
 	return m.newest.Confirmed() && !slices.ContainsFunc(m.newest.Members, func(member Member) bool {
 		return m.nodeAt(member.Address).disk.ID != member.ID
 	})
 }
 
-// learn has a node know a decided value.
+// learn makes a decided value known to a node.
 func (m *model) learn(n *node, v *Value) {
 	n.known = v
 	if m.requestsOnly {
@@ -114,7 +115,7 @@
 	}
 }
 
-// step makes one random event happen.
+// step performs one random event.
 func (m *model) step() {
 	n := m.nodes[m.random.IntN(len(m.nodes))]
 	switch k := m.random.IntN(100); {
@@ -124,7 +125,7 @@
 		m.beginProposal(n)
 	case m.requestsOnly && k < 14 && m.random.IntN(8) > 0: // fewer faults, so that more requests are committed
 	case k < 8 || k < 24 && m.injected == ballotsReused:
-		m.start(n) // it crashes and starts again
+		m.start(n) // the node crashes and restarts
 	case k < 9 && m.mayLoseDisk():
 		m.loseDisk(n)
 	case k < 14 && len(m.inFlight) > 0:
@@ -141,10 +142,10 @@
 	}
 	n.disk = AcceptorState{ID: id}
 	m.start(n)
-	n.known = m.newest // a new node learns from those that know
+	n.known = m.newest // a node with a new identity learns the newest decided value from other nodes
 }
 
-// deliverOne delivers one of the oldest messages, and sometimes leaves it to be delivered again.
+// deliverOne delivers one of the oldest messages. Sometimes the message stays in flight and is delivered again.
 func (m *model) deliverOne() {
 	if len(m.inFlight) == 0 {
 		return
@@ -171,7 +172,7 @@
 	}
 	if m.injected == acceptTakenAsDecided && n.state.Value != nil && n.state.Value.Slot > n.known.Slot {
 		n.known = n.state.Value
-		m.decide(n.known)
+		m.recordDecided(n.known)
 	}
 	n.number++
 	p.proposal = NewProposal(Ballot{Number: n.number, By: n.incarnation}, n.known, change)
@@ -192,7 +193,7 @@
 		return func(v *Value) *Value { return m.evaluateWithFaults(p, v) }
 	case kind == 1:
 		return m.rejoin(p.node)
-	case m.injected == twoMembersAtOnce:
+	case m.injected == membersRemovedAtOnce:
 		return func(v *Value) *Value {
 			next := v.WithMembers(v.Members[:1])
 			next.PriorMembers = next.Members
@@ -202,7 +203,7 @@
 	return func(v *Value) *Value { return v }
 }
 
-// rejoin makes a node, whose disk was lost, a member in place of its old identity.
+// rejoin returns a change that makes a node whose disk was lost a member in place of its old identity.
 func (m *model) rejoin(n *node) ChangeFunc {
 	self := Member{ID: n.disk.ID, Address: n.address}
 	return func(v *Value) *Value {
@@ -223,7 +224,7 @@
 	}
 }
 
-// store puts a state on a node's disk, before the reply is sent. With replyBeforeStore it sometimes doesn't.
+// store stores a state on a node's disk, before the reply is sent. With replyBeforeStore it sometimes does not store it.
 func (m *model) store(n *node, next AcceptorState) {
 	n.state = next
 	if m.injected != replyBeforeStore || m.random.IntN(2) == 0 {
@@ -231,18 +232,18 @@
 	}
 }
 
-// violate records a violation, unless there was one before.
-func (m *model) violate(format string, args ...any) {
+// recordViolation records a violation unless one was recorded before.
+func (m *model) recordViolation(format string, args ...any) {
 	if m.violation == "" {
 		m.violation = fmt.Sprintf(format, args...)
 	}
 }
 
-// decide records a decided value and checks the invariants.
-func (m *model) decide(v *Value) {
+// recordDecided records a decided value and checks the invariants.
+func (m *model) recordDecided(v *Value) {
 	if old := m.decided[v.Slot]; old != nil {
 		if !old.Equal(v) {
-			m.violate("slot %d: version %d with %v and version %d with %v are both decided",
+			m.recordViolation("slot %d: version %d with %v and version %d with %v are both decided",
 				v.Slot, old.Version, old.Members, v.Version, v.Members)
 		}
 		return
@@ -257,21 +258,22 @@
 	}
 }
 
-// checkFollows checks that a value may follow the one of the slot before.
+// checkFollows checks that a value is a valid successor of that of the previous slot.
 func (m *model) checkFollows(previous, v *Value) {
 	changed := v.Digest != previous.Digest
 	revision := Revision{Version: previous.Version, BasedOn: previous.BasedOn, Digest: previous.Digest}
 	switch {
 	case !sameMembers(v.PriorMembers, previous.Members):
-		m.violate("slot %d follows other members than those of the slot before", v.Slot)
+		m.recordViolation("slot %d: the prior members are not the members of the previous slot", v.Slot)
 	case changed && v.BasedOn != previous.Version:
-		m.violate("slot %d: version %d is based on %d, %d was in place", v.Slot, v.Version, v.BasedOn, previous.Version)
+		m.recordViolation("slot %d: version %d is based on %d, but the previous version is %d",
+			v.Slot, v.Version, v.BasedOn, previous.Version)
 	case changed && previous.Digest != "" && !slices.Contains(v.Revisions(), revision):
-		m.violate("slot %d no longer lists version %d", v.Slot, previous.Version)
+		m.recordViolation("slot %d no longer lists version %d", v.Slot, previous.Version)
 	}
 }
 
-// runModel runs a model and returns it as it ended, or as it was at the first violation.
+// runModel runs a model for the given number of steps or until the first violation, and returns the model.
 func runModel(seed uint64, steps int, injected fault) *model {
 	m := newModel(seed, testNodeCount(seed), injected)
 	for range steps {
@@ -305,7 +307,8 @@
 	}
 }
 
-// requireDetected runs a model with an injected fault until it violates an invariant, and fails if it never does.
+// requireDetected runs a model with an injected fault for one seed after another until a run violates an invariant. It fails
+// the test if none does.
 func requireDetected(t *testing.T, seeds uint64, run func(seed uint64) (violation string)) {
 	t.Helper()
 	for seed := range seeds {
@@ -314,10 +317,10 @@
 			return
 		}
 	}
-	t.Errorf("no check detects it in %d runs", seeds)
+	t.Errorf("no check detected the injected fault in %d runs", seeds)
 }
 
-// With no message lost, a proposal that nothing preempts is decided.
+// A proposal that is not preempted must be decided if no message is lost.
 func TestUncontendedProposalDecides(t *testing.T) {
 	m := newModel(1, 3, noFault)
 	n := m.nodes[0]
@@ -328,6 +331,6 @@
 		deliver()
 	}
 	if len(n.proposals) != 0 || m.decided[m.newest.Slot] == nil {
-		t.Fatal("an uncontended proposal is not decided")
+		t.Fatal("the proposal is not decided")
 	}
 }
--- a/consensus/proposal.go
+++ b/consensus/proposal.go
@@ -1,14 +1,14 @@
 package consensus
 
-// ChangeFunc returns the value to propose, given the newest value that may have been decided. It returns that value itself
-// where nothing is to be changed: the proposal then makes sure that it is decided.
+// ChangeFunc returns the value to propose, given the newest value that may have been decided. If there is nothing to change,
+// it returns that same value, and the proposal ensures that it is decided.
 type ChangeFunc func(newest *Value) *Value
 
-// Proposal is a proposer's attempt at one ballot, from the first Prepare to the decision. It is used once: a proposer that
-// was preempted, or whose messages were lost, starts another with a higher ballot.
+// Proposal is a proposer's attempt at one ballot, from the first Prepare to the decision. It is used only once: a proposer
+// that was preempted, or whose messages were lost, starts another Proposal with a higher ballot.
 //
-// The caller sends a Prepare to the acceptors of NextPrepares, hands the replies to HandlePrepareReply, sends an Accept of
-// Value to the acceptors that it returns, and hands the replies to HandleAcceptReply.
+// The caller sends a Prepare to the acceptors that NextPrepares returns, passes the replies to HandlePrepareReply, sends an
+// Accept of Value to the acceptors that HandlePrepareReply returns, and passes the replies to HandleAcceptReply.
 type Proposal struct {
 	ballot Ballot
 	change ChangeFunc
@@ -16,19 +16,20 @@
 
 	prepareSent     map[AcceptorID]bool
 	promised        map[AcceptorID]bool
-	newest          *Value // that may have been decided, so far
-	highestAccepted Ballot // in a prepare reply; none is taken from a lower one
+	newest          *Value // newest value that may have been decided, by the replies so far
+	highestAccepted Ballot // highest Accepted of the prepare replies; values accepted at lower ballots are ignored
 
-	value         *Value // proposed; nil during phase 1
-	changeApplied bool   // value is what change returned
+	value         *Value // proposed value; nil during phase 1
+	changeApplied bool   // value was returned by change
 	accepted      map[AcceptorID]bool
 	decided       bool
 
 	preempted   bool
-	preemptedBy Ballot // the highest known for which ballot was rejected
+	preemptedBy Ballot // highest promised ballot that caused a rejection
 }
 
-// NewProposal starts a proposal. Base is a value that the proposer knows to be decided, or the genesis value.
+// NewProposal returns a proposal at the given ballot. The base is a value that the proposer knows to be decided, or the
+// genesis value.
 func NewProposal(ballot Ballot, base *Value, change ChangeFunc) *Proposal {
 	return &Proposal{
 		ballot:      ballot,
@@ -48,17 +49,18 @@
 // Base returns the value that the proposal started from.
 func (p *Proposal) Base() *Value { return p.base }
 
-// Value returns the proposed value, which the Accepts carry; nil until enough acceptors have promised the ballot.
+// Value returns the proposed value, to be sent in Accepts; nil until enough acceptors have promised the ballot.
 func (p *Proposal) Value() *Value { return p.value }
 
-// IncludesChange reports whether the proposed value is what the ChangeFunc returned. Where it is not, a change of the members
-// had to be decided first, and the caller starts another proposal after this one.
+// IncludesChange reports whether the proposed value was returned by the ChangeFunc. If it was not, a membership change must
+// be decided first, and the caller starts another proposal after this one.
 func (p *Proposal) IncludesChange() bool { return p.changeApplied }
 
-// Preempted reports whether a higher ballot ended the proposal, and which. A later proposal takes a higher number.
+// Preempted returns the higher ballot that ended the proposal, if there was one. A later proposal must use a higher number.
 func (p *Proposal) Preempted() (Ballot, bool) { return p.preemptedBy, p.preempted }
 
-// NextPrepares returns the acceptors to send a Prepare to now, each once. Replies may make further ones necessary.
+// NextPrepares returns the acceptors to which a Prepare must be sent now. It returns each acceptor only once. Replies may
+// add acceptors to later results.
 func (p *Proposal) NextPrepares() []Member {
 	if p.value != nil || p.preempted {
 		return nil
@@ -73,8 +75,9 @@
 	return acceptors
 }
 
-// HandlePrepareReply takes an acceptor's reply to a Prepare. It returns the acceptors to send an Accept of Value to now,
-// none while too few have promised the ballot. NextPrepares may return further acceptors afterwards.
+// HandlePrepareReply processes an acceptor's reply to a Prepare. It returns the acceptors to which an Accept of Value must
+// be sent now, or none while too few acceptors have promised the ballot. In that case NextPrepares may return further
+// acceptors.
 func (p *Proposal) HandlePrepareReply(reply PrepareReply) []Member {
 	if p.value != nil || p.preempted {
 		return nil
@@ -84,7 +87,7 @@
 		return nil
 	}
 	p.promised[reply.From] = true
-	p.learn(reply)
+	p.updateNewest(reply)
 	if !p.hasPrepareQuorum() {
 		return nil
 	}
@@ -92,11 +95,13 @@
 	return p.value.Acceptors()
 }
 
-// learn takes the value of a prepare reply as the newest that may have been decided, if it is.
+// updateNewest sets newest from the value of a prepare reply if that value was accepted at a higher ballot than those of
+// earlier replies.
 //
-// The newest is the one accepted at the highest ballot, whatever was received before. Where that value is of no later slot
-// than the base, which is decided, the base stands: a value of a later slot that was accepted at a lower ballot has lost.
-func (p *Proposal) learn(reply PrepareReply) {
+// The newest value that may have been decided is the one accepted at the highest ballot, regardless of the order of the
+// replies. If its slot is not above that of the base, which is decided, newest is reset to the base: a value of a later slot
+// that was accepted at a lower ballot was not decided and can no longer be.
+func (p *Proposal) updateNewest(reply PrepareReply) {
 	if reply.Value == nil || reply.Accepted.Compare(p.highestAccepted) <= 0 {
 		return
 	}
@@ -108,11 +113,13 @@
 	}
 }
 
-// hasPrepareQuorum reports whether the acceptors that promised the ballot show every value that may have been decided.
+// hasPrepareQuorum reports whether the acceptors that promised the ballot are enough to reveal every value that may have
+// been decided.
 //
-// A value that follows one known to be decided needs a majority of the known value's members to be decided, whichever others accepted
-// the values before: a majority of these members is enough. Of a value that was only found in prepare replies it is not
-// known whether its prior members gave way: majorities of both sets are needed.
+// A successor of the base, which is known to be decided, can only be decided with a majority of the base's members, no
+// matter which acceptors accepted the values before it. So promises from a majority of these members suffice. For a value
+// that is known only from prepare replies, it is not known whether its members have taken over from its prior members.
+// Majorities of both sets are needed.
 func (p *Proposal) hasPrepareQuorum() bool {
 	promised := func(id AcceptorID) bool { return p.promised[id] }
 	if p.newest.Equal(p.base) {
@@ -121,8 +128,9 @@
 	return hasQuorum(p.newest, promised)
 }
 
-// chooseValue ends phase 1. No value may follow one that is not confirmed: a change of the members that is known to be
-// decided is confirmed, by its own members alone; one that is not known to be decided is proposed again as it is.
+// chooseValue ends phase 1 by setting the proposed value. An unconfirmed value must not be succeeded by a change: if the
+// newest value is a membership change that is known to be decided, the proposal confirms it, for which a majority of its own
+// members suffices; if it is not known to be decided, the proposal proposes it again unchanged.
 func (p *Proposal) chooseValue() {
 	switch {
 	case p.newest.Confirmed():
@@ -135,7 +143,7 @@
 	}
 }
 
-// HandleAcceptReply takes an acceptor's reply to an Accept. It reports whether Value is decided now.
+// HandleAcceptReply processes an acceptor's reply to an Accept and reports whether Value is now decided.
 func (p *Proposal) HandleAcceptReply(reply AcceptReply) bool {
 	if p.preempted || p.value == nil {
 		return false
@@ -151,8 +159,9 @@
 	return p.decided
 }
 
-// handleRejection ends the proposal if an acceptor has promised a higher ballot. The rejection of an acceptor with another disk
-// names no such ballot; the acceptor just does not count. A decision can't be undone.
+// handleRejection ends the proposal if an acceptor has promised a higher ballot. A rejection because the acceptor has a
+// different disk need not report a higher ballot; then the acceptor is just not counted. A proposal that is already decided
+// is not ended, as a decision is permanent.
 func (p *Proposal) handleRejection(promised Ballot) {
 	if p.decided || promised.Compare(p.ballot) <= 0 {
 		return
--- a/consensus/proposal_test.go
+++ b/consensus/proposal_test.go
@@ -5,9 +5,10 @@
 	"testing"
 )
 
-// A value of a later slot that was accepted and lost must not be proposed again, in whatever order replies come. Of three
-// acceptors the first accepted a value for slot 5 and then one for slot 6 on top of it. Neither was decided, and another value
-// was decided for slot 5, by the other two at a higher ballot. A proposal that knows slot 5 receives the lost slot 6 first.
+// A value of a later slot that was accepted but can no longer be decided must not be proposed again, whatever the order of
+// the replies. The first of three acceptors accepted a value for slot 5 and then its successor for slot 6. Neither was
+// decided: the other two acceptors decided another value for slot 5 at a higher ballot. A proposal that knows slot 5 may
+// receive the reply with the superseded slot 6 first.
 func TestLostAcceptOfLaterSlotIsNotProposedAgain(t *testing.T) {
 	base := Genesis(testMembers(1, 2, 3)).WithConfiguration(4, 0, "d4", nil)
 	base.Slot = 4
@@ -28,16 +29,16 @@
 					p.HandlePrepareReply(replies[id])
 				}
 				if v := p.Value(); v == nil || v.Digest != "decided" {
-					t.Errorf("slot 5 was decided and is lost: proposed is %+v", v)
+					t.Errorf("the value decided for slot 5 is lost: the proposal is %+v", v)
 				}
 			})
 		}
 	}
 }
 
-// One member of five was replaced, which is decided and not yet confirmed. The replaced one is gone, and two of the others
-// are lost: of the members before only two reply, of the new ones three. A proposer that knows that the change is decided
-// confirms it with these three; one that does not know it can't.
+// The replacement of one of five members is decided but not confirmed. The replaced member has left and two of the others are
+// lost, so only two of the prior members reply, but three of the new members. A proposer that knows that the change is
+// decided must be able to confirm it with these three; one that does not know it must not.
 func TestDecidedMemberChangeIsConfirmedByNewMembers(t *testing.T) {
 	before := &Value{Slot: 4, Members: testMembers(1, 2, 3, 4, 5), PriorMembers: testMembers(1, 2, 3, 4, 5)}
 	change := before.WithMembers(testMembers(9, 2, 3, 4, 5))
@@ -56,23 +57,23 @@
 
 	t.Run("change is not known to be decided", func(t *testing.T) {
 		if _, acceptors := prepare(before); acceptors != nil {
-			t.Error("a change that may still lose is followed without the majority of the members before it")
+			t.Error("phase 1 ended without a majority of the prior members, although the change may not be decided")
 		}
 	})
 	t.Run("change is known to be decided", func(t *testing.T) {
 		p, acceptors := prepare(change)
 		if acceptors == nil {
-			t.Fatal("a decided change still waits for the majority of the members before it")
+			t.Fatal("phase 1 waits for a majority of the prior members, although the change is known to be decided")
 		}
 		if v := p.Value(); !v.Confirmed() || v.Slot != 6 {
-			t.Errorf("proposed is slot %d, confirmed %v", v.Slot, v.Confirmed())
+			t.Errorf("the proposed value is of slot %d, confirmed %v; want slot 6, confirmed true", v.Slot, v.Confirmed())
 		}
 		decided := false
 		for _, id := range reachable {
 			decided = p.HandleAcceptReply(AcceptReply{From: id, OK: true})
 		}
 		if !decided {
-			t.Error("the confirmation is not decided by the new members")
+			t.Error("the confirmation is not decided by a majority of the new members")
 		}
 	})
 }
--- a/consensus/repair.go
+++ b/consensus/repair.go
@@ -5,41 +5,44 @@
 	"time"
 )
 
-// MaxRepairBackoff is the longest backoff between two attempts to complete replicas, before jitter.
+// MaxRepairBackoff is the maximum backoff between two repair attempts, before jitter.
 const MaxRepairBackoff = 10 * time.Second
 
-// maxRepairDoublings bounds the doublings of the backoff, so that it does not overflow.
+// maxRepairDoublings limits how often the backoff is doubled, so that the shift does not overflow.
 const maxRepairDoublings = 10
 
-// RepairSchedule decides when to attempt to complete replicas that members lack, with exponential backoff and jitter.
-// Times are durations on the caller's monotonic clock. A schedule with only a Delay has seen nothing yet.
+// RepairSchedule determines when to attempt a repair, that is, to store the decided value on members that lack it. It uses
+// exponential backoff with jitter. Times are durations on the caller's monotonic clock. A schedule with only Delay set is
+// ready for use.
 type RepairSchedule struct {
-	// Delay is how long a missing replica is waited for before the first attempt, and up to as long again by jitter.
+	// Delay is the time from when a replica is first missing to the first attempt. Jitter extends it to at most twice its
+	// length.
 	Delay time.Duration
 
-	slot             Slot     // at the last call of Due
-	missing          []Member // at the last call of Due
-	storedBallot     Ballot   // of this process's own replica, at the last call of Due
+	slot             Slot     // as of the last call of Due
+	missing          []Member // as of the last call of Due
+	storedBallot     Ballot   // ballot of this process's own replica as of the last call of Due
 	attempts         int
-	lastAttemptLocal bool // the last attempt was this process's own
+	lastAttemptLocal bool // the last attempt was made by this process
 	nextAttempt      time.Duration
 }
 
-// Due reports whether an attempt is due now. Missing are the members in contact that are not known to hold the value of the
-// slot. StoredBallot is the ballot of this process's own replica: where it rises, some proposal stored the value again,
-// which counts as an attempt of any process. Jitter is drawn from [0, 1), so that not all processes begin at once.
+// Due reports whether an attempt is due now. The missing members are those that are in contact but not known to store the
+// value of the slot. The storedBallot is the ballot of this process's own replica: when it increases, a proposal of some
+// process stored the value again, which counts as an attempt. The jitter is a random number from [0, 1) that prevents all
+// processes from starting at the same time.
 func (r *RepairSchedule) Due(now time.Duration, slot Slot, missing []Member, storedBallot Ballot, jitter float64) bool {
 	if len(missing) == 0 {
 		*r = RepairSchedule{Delay: r.Delay}
 		return false
 	}
-	if r.slot != slot || r.hasNew(missing) {
+	if r.slot != slot || r.hasNewlyMissing(missing) {
 		*r = RepairSchedule{Delay: r.Delay, slot: slot, storedBallot: storedBallot, nextAttempt: now + withJitter(r.Delay, jitter)}
 	}
 	r.missing = missing
 	if storedBallot.Compare(r.storedBallot) > 0 {
 		r.storedBallot = storedBallot
-		if !r.lastAttemptLocal { // else RecordAttempt has counted it
+		if !r.lastAttemptLocal { // a local attempt was already counted by RecordAttempt
 			r.scheduleNext(now, jitter)
 		}
 		r.lastAttemptLocal = false
@@ -47,25 +50,25 @@
 	return now >= r.nextAttempt
 }
 
-// RecordAttempt records that this process's own attempt has ended.
+// RecordAttempt records that an attempt of this process has ended.
 func (r *RepairSchedule) RecordAttempt(now time.Duration, jitter float64) {
 	r.lastAttemptLocal = true
 	r.scheduleNext(now, jitter)
 }
 
-// hasNew reports whether a member is missing that was not at the last call of Due.
-func (r *RepairSchedule) hasNew(missing []Member) bool {
+// hasNewlyMissing reports whether missing contains a member that was not missing at the last call of Due.
+func (r *RepairSchedule) hasNewlyMissing(missing []Member) bool {
 	return slices.ContainsFunc(missing, func(m Member) bool { return !Contains(r.missing, m.ID) })
 }
 
-// scheduleNext doubles the backoff, up to its bound.
+// scheduleNext schedules the next attempt with twice the previous backoff, at most MaxRepairBackoff before jitter.
 func (r *RepairSchedule) scheduleNext(now time.Duration, jitter float64) {
 	r.attempts++
 	backoff := min(r.Delay<<min(r.attempts, maxRepairDoublings), MaxRepairBackoff)
 	r.nextAttempt = now + withJitter(backoff, jitter)
 }
 
-// withJitter lengthens a duration by a share of itself.
+// withJitter returns d multiplied by 1 + jitter.
 func withJitter(d time.Duration, jitter float64) time.Duration {
 	return time.Duration((1 + jitter) * float64(d))
 }
--- a/consensus/repair_test.go
+++ b/consensus/repair_test.go
@@ -7,7 +7,7 @@
 
 const testRepairDelay = 500 * time.Millisecond
 
-// A member that is in contact and never stores the value is repaired again and again, with longer and longer pauses.
+// Repairs of a member that is in contact but never stores the value must be attempted repeatedly, with increasing intervals.
 func TestRepairScheduleBacksOff(t *testing.T) {
 	const duration = 4 * time.Minute
 	r := RepairSchedule{Delay: testRepairDelay}
@@ -19,29 +19,29 @@
 		}
 	}
 	if attempts[0] > 2*testRepairDelay {
-		t.Errorf("the first attempt is due after %v", attempts[0])
+		t.Errorf("the first attempt is due after %v, want at most %v", attempts[0], 2*testRepairDelay)
 	}
 	if len(attempts) < 15 || len(attempts) > 25 {
-		t.Errorf("%d attempts in %v: %v", len(attempts), duration, attempts)
+		t.Errorf("%d attempts in %v, want 15 to 25: %v", len(attempts), duration, attempts)
 	}
 	for i := 2; i < len(attempts); i++ {
-		pause, previous := attempts[i]-attempts[i-1], attempts[i-1]-attempts[i-2]
-		if pause < previous && pause < MaxRepairBackoff {
-			t.Errorf("the pause before attempt %d is %v, shorter than the one before", i, pause)
+		interval, previous := attempts[i]-attempts[i-1], attempts[i-1]-attempts[i-2]
+		if interval < previous && interval < MaxRepairBackoff {
+			t.Errorf("the interval before attempt %d is %v, shorter than the previous one, %v", i, interval, previous)
 		}
 	}
 
-	// A member that is newly missing is repaired soon.
+	// An attempt for a member that is newly missing is due after Delay.
 	now := duration
 	r.Due(now, 7, testMembers(3, 4), Ballot{5, 1}, 0)
 	now += testRepairDelay
 	if !r.Due(now, 7, testMembers(3, 4), Ballot{5, 1}, 0) {
-		t.Error("a newly missing member is not repaired soon")
+		t.Error("no attempt is due for a newly missing member after the delay")
 	}
 	if r.Due(now, 7, testMembers(3, 4), Ballot{6, 2}, 0) {
-		t.Error("the proposal of another process does not count as an attempt")
+		t.Error("a proposal of another process does not count as an attempt")
 	}
 	if r.Due(now+time.Hour, 7, nil, Ballot{6, 2}, 0) {
-		t.Error("an attempt is due though nothing is missing")
+		t.Error("an attempt is due although no member is missing")
 	}
 }
--- a/consensus/value.go
+++ b/consensus/value.go
@@ -5,45 +5,46 @@
 // Revision identifies a decided version of the configuration or of a document.
 type Revision struct {
 	Version Version
-	BasedOn Version // the version before it
-	Digest  string  // of its body
+	BasedOn Version // version that it replaced
+	Digest  string  // digest of its body
 }
 
-// RetainedRevisions is the number of earlier configurations that a value lists. They travel with every value that is
-// accepted; a History retains more.
+// RetainedRevisions is the maximum number of earlier configurations that a value lists. They are sent with every value in an
+// Accept; a History retains more.
 const RetainedRevisions = 32
 
-// Value is what is decided for one slot. Values are immutable: the With methods return new ones that share parts with them.
+// Value is the value that is proposed and decided for one slot. Values are immutable: the With methods return new values that
+// share memory with the receiver.
 type Value struct {
 	Slot           Slot
 	Members        []Member   // the acceptors from this slot on
-	PriorMembers   []Member   // the acceptors of the slot before
-	Version        Version    // of the configuration
-	BasedOn        Version    // the version before it
-	Digest         string     // of Body; "" = no configuration yet
+	PriorMembers   []Member   // the acceptors of the previous slot
+	Version        Version    // version of the configuration
+	BasedOn        Version    // version that the configuration replaced
+	Digest         string     // digest of Body; "" = no configuration yet
 	Body           []byte     // the configuration
-	PriorRevisions []Revision // earlier configurations, oldest first, RetainedRevisions at most
-	Documents      []Document // ordered by name
+	PriorRevisions []Revision // earlier configurations, oldest first, at most RetainedRevisions
+	Documents      []Document // sorted by name
 }
 
-// Genesis returns the value of slot 0, with the acceptors that the first start of a cluster names.
+// Genesis returns the value of slot 0. The members are the acceptors given at the first start of the cluster.
 func Genesis(members []Member) *Value { return &Value{Members: members, PriorMembers: members} }
 
-// RecoveryBase returns the value that a proposer may start from after a restart of its process, given the value that its
-// disk accepted last.
+// RecoveryBase returns the base from which a proposer may start after a restart of its process, given the value accepted last
+// according to its disk.
 //
-// The members of the slot before the accepted value are known. What they decided is not known, as the accepted value may
-// follow a value that was itself never decided. So the base is at slot 0, where any value that a majority of these members
-// reports is newer.
+// The accepted value shows the members of the slot before it, but not what these members decided: it may succeed a value that
+// was itself never decided. So the base is at slot 0, and any value that a majority of these members reports is newer.
 func RecoveryBase(accepted *Value) *Value {
 	return &Value{Members: accepted.PriorMembers, PriorMembers: accepted.PriorMembers}
 }
 
-// ProposalBase returns the value that a proposer starts from, given the value that its disk accepted last and the newest value that
-// it knows to be decided; each may be nil, but not both.
+// ProposalBase returns the base from which a proposer starts, given the value accepted last according to its disk and the
+// newest value that the proposer knows to be decided. Either may be nil, but not both.
 //
-// A decided value that is two slots or more behind the accepted one says less of the members: those after it may have left with
-// their disks since. A process learns such a value from one that was away for long.
+// A decided value that is two or more slots behind the accepted value is not used, as its list of members is less reliable
+// than that of the accepted value: its members may have left since, together with their disks. A process learns such a value
+// from a process that was unavailable for a long time.
 func ProposalBase(accepted, decided *Value) *Value {
 	if decided == nil || accepted != nil && decided.Slot+1 < accepted.Slot {
 		return RecoveryBase(accepted)
@@ -51,10 +52,10 @@
 	return decided
 }
 
-// Confirmed reports whether the value's members are those of the slot before. Only then may another value follow it.
+// Confirmed reports whether the value's members equal its prior members. Only then may a successor with a change be proposed.
 func (v *Value) Confirmed() bool { return sameMembers(v.Members, v.PriorMembers) }
 
-// Equal reports whether two values are the same. Bodies are compared by their digests.
+// Equal reports whether two values are equal. Bodies are compared by their digests.
 func (v *Value) Equal(other *Value) bool {
 	return v.Slot == other.Slot &&
 		v.Version == other.Version &&
@@ -64,7 +65,7 @@
 		slices.EqualFunc(v.Documents, other.Documents, Document.sameRevision)
 }
 
-// Revisions returns the configurations that the value lists, oldest first, its own last.
+// Revisions returns the configurations that the value lists, oldest first, including its own as the last.
 func (v *Value) Revisions() []Revision {
 	if v.Digest == "" {
 		return v.PriorRevisions
@@ -73,7 +74,7 @@
 	return append(slices.Clone(v.PriorRevisions), own)
 }
 
-// Acceptors returns the acceptors whose replies count for the value: its members and those before them.
+// Acceptors returns the acceptors whose replies count towards the quorum of the value: its members and its prior members.
 func (v *Value) Acceptors() []Member {
 	all := slices.Clone(v.Members)
 	for _, m := range v.PriorMembers {
@@ -84,7 +85,7 @@
 	return all
 }
 
-// WithConfiguration returns the value of the next slot with another configuration. The value must be confirmed.
+// WithConfiguration returns the value of the next slot with a new configuration. The receiver must be confirmed.
 func (v *Value) WithConfiguration(version, basedOn Version, digest string, body []byte) *Value {
 	next := v.Confirm()
 	next.Version = version
@@ -95,8 +96,8 @@
 	return next
 }
 
-// WithMembers returns the value of the next slot with another set of acceptors. The value must be confirmed, or the members
-// be its own.
+// WithMembers returns the value of the next slot with a new set of acceptors. The receiver must be confirmed unless its
+// members are passed unchanged.
 func (v *Value) WithMembers(members []Member) *Value {
 	next := *v
 	next.Slot++
@@ -105,10 +106,10 @@
 	return &next
 }
 
-// Confirm returns the value of the next slot with the same members, which confirms a change of them.
+// Confirm returns the value of the next slot with the same members, which confirms a preceding membership change.
 func (v *Value) Confirm() *Value { return v.WithMembers(v.Members) }
 
-// newestRevisions returns the last revisions of a list, limit of them at most.
+// newestRevisions returns the last revisions of a list, at most limit.
 func newestRevisions(revisions []Revision, limit int) []Revision {
 	return revisions[max(0, len(revisions)-limit):]
 }
