--- a/quorum/model_test.go
+++ b/quorum/model_test.go
@@ -9,34 +9,35 @@
 	"oxbowspan/consensus"
 )
 
-// The model: one process, the observer, sends requests to the acceptors, of which it may be one, while they decide slots and replace
-// members with or without it. Requests, replies and unsolicited messages are lost, delayed and reordered; acceptors restart; the
-// observer is frozen for up to 20 s and reads what arrived meanwhile when it wakes. After each step the tracker's result is checked
-// against what was decided and what was replied.
+// In the model, one process, the observer, sends requests to the acceptors, of which it may be one, while these decide slots
+// and replace members, with or without the observer's acceptor taking part. Requests, replies and unsolicited messages are
+// lost, delayed and reordered; acceptors restart; the observer is frozen for up to 20 s and reads the messages received
+// meanwhile when it resumes. After each step the result of the tracker is checked against the decisions and the replies.
 
-// injectedFault is an error in the use of the tracker, to see that the checks detect it.
+// injectedFault is an incorrect use of the tracker that the checks must detect.
 type injectedFault int
 
 const (
 	noFault           injectedFault = iota
-	acceptUnsolicited               // a message that is no reply counts as contact
-	useReceiveTime                  // a reply counts from when it was read
-	mixIncarnations                 // replies of before an acceptor's restart count
-	useFirstMembers                 // the majority is one of the first members
-	ignoreSlots                     // an acceptor confirms whatever it has accepted
-	ignoreOwnAccept                 // the observer confirms whatever it has accepted itself
-	reportAcceptLate                // an accepted value counts before replies report it
+	acceptUnsolicited               // a message that is not a reply counts as contact
+	useReceiveTime                  // a reply counts from the time when it is read
+	mixIncarnations                 // replies from before an acceptor's restart count
+	useFirstMembers                 // the majority is determined over the initial members
+	ignoreSlots                     // an acceptor counts as confirming, whatever slot it has accepted
+	ignoreOwnAccept                 // the observer's own acceptor counts as confirming, whatever slot it has accepted
+	reportAcceptLate                // an accepted value counts towards a decision before replies report it
 )
 
-// contactLifetime is how long contact lasts.
+// contactLifetime is how long contact remains valid.
 const contactLifetime = 2 * time.Second
 
 type acceptor struct {
 	id                 consensus.AcceptorID
 	incarnation        uint64
-	accepted, previous consensus.Slot // of the accepted value, and of the one before it
+	accepted, previous consensus.Slot // slots of the accepted value and of the one accepted before it
 }
 
+// decision is a decided slot, its members and the time when it was decided.
 type decision struct {
 	slot    consensus.Slot
 	members []consensus.Member
@@ -49,23 +50,24 @@
 	acceptor           *acceptor
 	incarnation        uint64
 	slot               consensus.Slot
-	sentAt             time.Duration // of the request
+	sentAt             time.Duration // when the request was sent
 }
 
+// model is the state of one run.
 type model struct {
 	random          *rand.Rand
 	fault           injectedFault
 	now             time.Duration
-	acceptors       []*acceptor // the first is the observer
+	acceptors       []*acceptor // the first belongs to the observer
 	decided         []decision
-	known           int // index of the newest of decided that the observer knows
+	known           int // index in decided of the newest decision that the observer knows
 	inFlight        []message
-	received        []message // by the observer, and not read yet
-	wakesAt         time.Duration
+	received        []message // messages received by the observer but not read yet
+	resumesAt       time.Duration
 	tracker         *ContactTracker
 	lastIncarnation map[consensus.AcceptorID]uint64
-	repliedAt       map[consensus.AcceptorID]map[uint64]time.Duration // when the newest request was sent to which an incarnation replied
-	inContact       int                                               // steps
+	repliedAt       map[consensus.AcceptorID]map[uint64]time.Duration // when the newest request was sent to which each incarnation replied
+	contactSteps    int                                               // number of steps after which the observer was in contact
 }
 
 func newModel(seed uint64, fault injectedFault) *model {
@@ -83,29 +85,29 @@
 	return m
 }
 
-// step has one random thing happen.
+// step performs one random event.
 func (m *model) step() {
 	m.now += time.Duration(1+m.random.IntN(60)) * time.Millisecond
 	a := m.acceptors[1+m.random.IntN(4)]
-	awake := m.now >= m.wakesAt
+	running := m.now >= m.resumesAt
 	switch k := m.random.IntN(100); {
-	case k < 18 && awake:
+	case k < 18 && running:
 		m.inFlight = append(m.inFlight, message{isRequest: true, acceptor: a, sentAt: m.now})
 	case k < 62 && len(m.inFlight) > 0:
 		m.deliver()
-	case k < 78 && awake && len(m.received) > 0:
+	case k < 78 && running && len(m.received) > 0:
 		m.process()
 	case k < 83:
 		m.inFlight = append(m.inFlight, message{acceptor: a, incarnation: a.incarnation, slot: m.reportedSlot(a)})
 	case k < 84:
 		m.decide()
-	case k < 85: // accepted but not decided
+	case k < 85: // a value is accepted but not decided
 		m.accept(a, m.decided[len(m.decided)-1].slot+1)
 	case k < 86 && m.random.IntN(3) == 0:
 		a.incarnation++
 	case k < 87 && m.random.IntN(8) == 0:
-		m.wakesAt = m.now + time.Duration(m.random.IntN(20000))*time.Millisecond
-	case k < 95 && awake: // the observer learns what is decided
+		m.resumesAt = m.now + time.Duration(m.random.IntN(20000))*time.Millisecond
+	case k < 95 && running: // the observer learns of decisions
 		m.known = max(m.known, len(m.decided)-1-m.random.IntN(2))
 	case len(m.inFlight) > 0 && m.random.IntN(4) == 0: // a message is lost
 		i := m.random.IntN(len(m.inFlight))
@@ -113,7 +115,7 @@
 	}
 }
 
-// reportedSlot is the slot that an acceptor's messages report.
+// reportedSlot returns the slot that an acceptor reports in its messages.
 func (m *model) reportedSlot(a *acceptor) consensus.Slot {
 	if m.fault == reportAcceptLate {
 		return a.previous
@@ -121,13 +123,14 @@
 	return a.accepted
 }
 
+// accept sets the slot of the value that an acceptor accepted last.
 func (m *model) accept(a *acceptor, slot consensus.Slot) {
 	if slot != a.accepted {
 		a.previous, a.accepted = a.accepted, slot
 	}
 }
 
-// deliver delivers one message, in random order.
+// deliver delivers a random message in flight. If it is a request, the acceptor sends a reply.
 func (m *model) deliver() {
 	i := m.random.IntN(len(m.inFlight))
 	next := m.inFlight[i]
@@ -140,7 +143,7 @@
 	m.received = append(m.received, next)
 }
 
-// process has the observer read a message.
+// process makes the observer read the oldest received message.
 func (m *model) process() {
 	next := m.received[0]
 	m.received = m.received[1:]
@@ -166,8 +169,8 @@
 	}
 }
 
-// decide has a majority of the members accept a value in the next slot. That may replace one of them: then a majority of the new
-// members accepts it as well.
+// decide makes a majority of the members accept a value in the next slot. The value may replace one of the members; then a
+// majority of the new members accepts it as well.
 func (m *model) decide() {
 	old := m.decided[len(m.decided)-1]
 	next := decision{old.slot + 1, slices.Clone(old.members), m.now}
@@ -182,9 +185,9 @@
 	m.decided = append(m.decided, next)
 }
 
-// check returns what is wrong with the tracker's result; "" = nothing.
+// check returns a description of the error in the tracker's result; "" = none.
 func (m *model) check() string {
-	if m.now < m.wakesAt {
+	if m.now < m.resumesAt {
 		return ""
 	}
 	known, self := m.decided[m.known], m.acceptors[0]
@@ -202,7 +205,7 @@
 		return ""
 	}
 	if m.now-since < contactLifetime {
-		m.inContact++
+		m.contactSteps++
 	}
 	if m.known+1 < len(m.decided) {
 		if d := m.decided[m.known+1]; d.at < since {
@@ -212,12 +215,13 @@
 	if !consensus.HasMajority(known.members, func(id consensus.AcceptorID) bool {
 		return id == self.id || m.repliedAt[id][m.lastIncarnation[id]] >= since && m.lastIncarnation[id] > 0
 	}) {
-		return fmt.Sprintf("at %v contact since %v, but no majority of the processes that run now has replied since", m.now, since)
+		return fmt.Sprintf("at %v contact since %v, but no majority of the current incarnations has replied since then", m.now, since)
 	}
 	return ""
 }
 
-// runModel runs a number of steps, until the first violation.
+// runModel runs the given number of steps, or until the first violation. It returns the violation, "" if there was none, and
+// the number of steps after which the observer was in contact.
 func runModel(seed uint64, steps int, fault injectedFault) (violation string, contactSteps int) {
 	m := newModel(seed, fault)
 	for range steps {
@@ -226,5 +230,5 @@
 			break
 		}
 	}
-	return violation, m.inContact
+	return violation, m.contactSteps
 }
--- a/quorum/placement.go
+++ b/quorum/placement.go
@@ -6,47 +6,52 @@
 	"slices"
 )
 
-// Location is where a member's machine stands. "" = not known.
+// Location is the failure domains of a member's machine. "" means that a domain is not known.
 type Location struct {
 	Zone   string
 	Region string
 }
 
-// Tolerance is what must be tolerated, each by itself: so many members, zones or regions may be lost at once, and those that stay
-// are a majority and hold what was acknowledged.
+// Tolerance is the number of members (Machines), zones or regions whose simultaneous loss must be tolerated, each kind by
+// itself: the remaining members are a majority and store all acknowledged changes.
 type Tolerance struct {
 	Machines, Zones, Regions int
 }
 
-// MemberCount returns the number of members that the tolerance takes: n losses take 2n+1 members, each in a domain of its own.
+// MemberCount returns the number of members that the tolerance requires: n losses require 2n+1 members, each in a separate
+// domain.
 func (t Tolerance) MemberCount() int { return 2*max(t.Machines, t.Zones, t.Regions) + 1 }
 
-// Shortfall returns by how many members the worst loss of the tolerated zones exceeds a minority, and adds the same for regions.
-// At 0 the tolerance holds.
+// Shortfall returns by how many members the worst-case loss of t.Zones zones exceeds a minority, plus the same for t.Regions
+// regions. The tolerance for zones and regions is met if the result is 0.
 func (t Tolerance) Shortfall(members []Location) int {
-	return excess(members, zoneOf, t.Zones) + excess(members, regionOf, t.Regions)
+	return lossBeyondMinority(members, zoneOf, t.Zones) + lossBeyondMinority(members, regionOf, t.Regions)
 }
 
-func excess(members []Location, domain func(Location) string, tolerated int) int {
+// lossBeyondMinority returns by how many members the loss of the largest domains, as many as tolerated, exceeds a minority.
+func lossBeyondMinority(members []Location, domain func(Location) string, tolerated int) int {
 	lost := 0
-	for _, size := range firstOf(domainSizes(members, domain), tolerated) {
+	for _, size := range firstN(domainSizes(members, domain), tolerated) {
 		lost += size
 	}
 	return max(lost-(len(members)-1)/2, 0)
 }
 
-// firstOf returns the first values of a list, all where there are fewer.
-func firstOf(values []int, count int) []int { return values[:min(max(count, 0), len(values))] }
+// firstN returns the first count values of a list, or all values if there are fewer.
+func firstN(values []int, count int) []int { return values[:min(max(count, 0), len(values))] }
 
-// TolerableZones returns how many zones may be lost, whichever they are, such that a majority of the members stays.
+// TolerableZones returns the largest number of zones such that a majority of the members remains whichever of them are lost.
 func TolerableZones(members []Location) int { return tolerableDomains(members, zoneOf) }
 
-// TolerableRegions is TolerableZones for regions.
+// TolerableRegions returns the largest number of regions such that a majority of the members remains whichever of them are
+// lost.
 func TolerableRegions(members []Location) int { return tolerableDomains(members, regionOf) }
 
 func zoneOf(l Location) string   { return l.Zone }
 func regionOf(l Location) string { return l.Region }
 
+// tolerableDomains returns the largest number of domains such that a majority of the members remains when the largest ones
+// are lost.
 func tolerableDomains(members []Location, domain func(Location) string) (domains int) {
 	lost := 0
 	for _, size := range domainSizes(members, domain) {
@@ -58,8 +63,8 @@
 	return domains
 }
 
-// domainSizes returns how many members are in each domain, the largest first, and zeros for domains beyond those, as many as there
-// are members. Members whose domain is not known count as in the largest one, as they may be.
+// domainSizes returns the number of members in each domain in descending order, padded with zeros to one more than the number
+// of members. Members whose domain is not known are counted in the largest one, as they may belong to it.
 func domainSizes(members []Location, domain func(Location) string) []int {
 	counts := map[string]int{}
 	unknown := 0
--- a/quorum/placement_test.go
+++ b/quorum/placement_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// locations returns members in zones that are named by letters; "?" = not known.
+// locations returns members in the zones and regions named by the letters of zones; "?" means not known.
 func locations(zones string) (members []Location) {
 	for _, zone := range strings.Split(zones, "") {
 		if zone == "?" {
@@ -28,8 +28,8 @@
 	}
 }
 
-// Whichever zones are lost, as many as are said to be tolerable, more than half of the members stay; with one more, some choice
-// leaves no majority.
+// TestTolerableZonesMatchesEnumeration compares TolerableZones with an enumeration of all sets of zones: whichever of that
+// many zones are lost, more than half of the members remain, and the loss of some set with one more zone leaves no majority.
 func TestTolerableZonesMatchesEnumeration(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	for range 3000 {
@@ -39,29 +39,29 @@
 			members[i].Zone = string(rune('a' + random.IntN(zoneCount)))
 		}
 		if got, want := TolerableZones(members), enumerateTolerable(members, zoneCount); got != want {
-			t.Fatalf("%v: %d zones, by enumeration %d", members, got, want)
+			t.Fatalf("members in %v survive the loss of %d zones, want %d by enumeration", members, got, want)
 		}
 	}
 }
 
-// enumerateTolerable tries every set of zones.
+// enumerateTolerable computes the number of tolerable zones by trying every set of zones.
 func enumerateTolerable(members []Location, zoneCount int) int {
-	worst := zoneCount + 1 // the smallest set of zones whose loss leaves no majority
+	smallest := zoneCount + 1 // size of the smallest set of zones whose loss leaves no majority
 	for set := range 1 << zoneCount {
-		size, stay := 0, 0
+		size, remaining := 0, 0
 		for zone := range zoneCount {
 			size += set >> zone & 1
 		}
 		for _, m := range members {
 			if set>>(m.Zone[0]-'a')&1 == 0 {
-				stay++
+				remaining++
 			}
 		}
-		if 2*stay <= len(members) {
-			worst = min(worst, size)
+		if 2*remaining <= len(members) {
+			smallest = min(smallest, size)
 		}
 	}
-	return worst - 1
+	return smallest - 1
 }
 
 func TestToleranceShortfall(t *testing.T) {
@@ -81,10 +81,10 @@
 		{Tolerance{Zones: 9}, "abc", 19, 2},
 	} {
 		if got := test.tolerance.MemberCount(); got != test.count {
-			t.Errorf("%+v takes %d members, want %d", test.tolerance, got, test.count)
+			t.Errorf("%+v requires %d members, want %d", test.tolerance, got, test.count)
 		}
 		if got := test.tolerance.Shortfall(locations(test.zones)); got != test.shortfall {
-			t.Errorf("%+v in zones %s falls short by %d, want %d", test.tolerance, test.zones, got, test.shortfall)
+			t.Errorf("%+v with members in zones %s: shortfall %d, want %d", test.tolerance, test.zones, got, test.shortfall)
 		}
 	}
 }
--- a/quorum/quorum.go
+++ b/quorum/quorum.go
@@ -1,7 +1,8 @@
-// Package quorum determines since when a process knows that nothing newer was decided than what it knows: the time of its last
-// contact with a majority of the acceptors. Contact counts from when a request was sent, never from when its reply was received or read: a
-// process that was frozen, or that its peers reach while it reaches none of them, has no contact. The package has no I/O, clock or
-// goroutine; times are those of the caller's steady clock.
+// Package quorum determines up to which time a process is certain that nothing was decided beyond the slot that it knows: the
+// time of its last contact with a majority of the acceptors. Contact counts from the time at which a request was sent, never
+// from when its reply was received or read. So a process that was frozen, or one that receives messages from its peers but
+// cannot reach them, has no contact. The package performs no I/O, reads no clock and starts no goroutines; times are durations
+// on the caller's monotonic clock.
 package quorum
 
 import (
@@ -13,20 +14,21 @@
 
 // Reply is an acceptor's reply to a request.
 type Reply struct {
-	Incarnation uint64         // of the process that replied
+	Incarnation uint64         // incarnation of the process that replied
 	SentAt      time.Duration  // when the request was sent
-	Slot        consensus.Slot // the newest in which the acceptor had accepted a value, or which it knew to be decided
+	Slot        consensus.Slot // newest slot in which the acceptor had accepted a value or which it knew to be decided
 }
 
-// ContactTracker holds the newest replies of each acceptor. ObserveIncarnation and Prune remove them.
+// ContactTracker records the newest replies of each acceptor. ObserveIncarnation and Prune remove them.
 type ContactTracker struct {
 	acceptors map[consensus.AcceptorID]*replyRecord
 }
 
+// replyRecord is the record of one acceptor's replies from its current incarnation.
 type replyRecord struct {
 	newest       Reply
-	hasConfirmed bool          // a reply before the newest reported no slot beyond the one that was known,
-	confirmedAt  time.Duration // and its request was sent then
+	hasConfirmed bool          // a reply before the newest reported no slot beyond the one known at the time
+	confirmedAt  time.Duration // when the request of the last such reply was sent
 }
 
 // NewContactTracker returns a tracker without replies.
@@ -34,8 +36,9 @@
 	return &ContactTracker{acceptors: map[consensus.AcceptorID]*replyRecord{}}
 }
 
-// ObserveReply takes an acceptor's reply. Known is the newest slot that the caller knows to be decided. A reply to a request that was
-// sent before that of the newest one, as of a process that has ended since, is ignored.
+// ObserveReply records an acceptor's reply. The known slot is the newest one that the caller knows to be decided. A reply is
+// ignored if its request was sent before that of the newest reply, for example a late reply of a process that has ended
+// since.
 func (t *ContactTracker) ObserveReply(id consensus.AcceptorID, reply Reply, known consensus.Slot) {
 	r := t.acceptors[id]
 	switch {
@@ -51,15 +54,15 @@
 	r.newest = reply
 }
 
-// ObserveIncarnation notes that an acceptor's process runs under an incarnation: replies of another one no longer count. That is no
-// contact: the acceptor reaches this process, but this process may not reach it.
+// ObserveIncarnation records the incarnation under which an acceptor's process runs now: replies of other incarnations no
+// longer count. It is not contact: the acceptor can reach this process, but this process may be unable to reach it.
 func (t *ContactTracker) ObserveIncarnation(id consensus.AcceptorID, incarnation uint64) {
 	if r := t.acceptors[id]; r != nil && r.newest.Incarnation != incarnation {
 		delete(t.acceptors, id)
 	}
 }
 
-// Prune drops the acceptors that replied to no request sent at a time or later.
+// Prune removes the acceptors that have not replied to any request sent at the given time or later.
 func (t *ContactTracker) Prune(before time.Duration) {
 	for id, r := range t.acceptors {
 		if r.newest.SentAt < before {
@@ -68,16 +71,16 @@
 	}
 }
 
-// Since returns the newest time such that a majority of the members replied to requests sent then or later, and reported no slot
-// beyond the known one; ok is false when there is none. Members are those of the value that is decided in the known slot, the caller
-// among them if it votes.
+// Since returns the latest time such that a majority of the members replied to requests sent at that time or later without
+// reporting a slot beyond the known one. It returns ok = false if there is no such time. The members must be those of the
+// value decided in the known slot, including the caller if it votes.
 //
-// No later slot was decided before that time: a majority of these members would have accepted a value in it first, and any two
-// majorities share a member, which would have reported it.
+// No later slot was decided before that time: a majority of these members would have had to accept a value in it first, and
+// any two majorities have a member in common, which would have reported that slot.
 func (t *ContactTracker) Since(members []consensus.Member, known consensus.Slot) (since time.Duration, ok bool) {
 	var times []time.Duration
 	for _, m := range members {
-		if at, confirmed := t.lastConfirmed(m.ID, known); confirmed {
+		if at, confirmed := t.lastConfirmation(m.ID, known); confirmed {
 			times = append(times, at)
 		}
 	}
@@ -89,8 +92,9 @@
 	return times[len(times)-majority], true
 }
 
-// lastConfirmed returns when the newest request was sent to which an acceptor replied without a slot beyond the known one.
-func (t *ContactTracker) lastConfirmed(id consensus.AcceptorID, known consensus.Slot) (at time.Duration, confirmed bool) {
+// lastConfirmation returns the time at which the newest request was sent to which the acceptor replied without reporting a
+// slot beyond the known one.
+func (t *ContactTracker) lastConfirmation(id consensus.AcceptorID, known consensus.Slot) (at time.Duration, confirmed bool) {
 	r := t.acceptors[id]
 	switch {
 	case r == nil:
--- a/quorum/quorum_test.go
+++ b/quorum/quorum_test.go
@@ -18,7 +18,7 @@
 		contactSteps += n
 	}
 	if contactSteps < runs*steps/5 {
-		t.Errorf("in contact after %d of %d steps: too few to tell", contactSteps, runs*steps)
+		t.Errorf("in contact after %d of %d steps: too few to be conclusive", contactSteps, runs*steps)
 	}
 }
 
@@ -39,18 +39,18 @@
 					return
 				}
 			}
-			t.Error("no check detects it")
+			t.Error("no check detected the injected fault in 3000 runs")
 		})
 	}
 }
 
-// A reply older than one that was observed changes nothing, of whatever incarnation it is.
+// A reply to a request older than that of the newest reply must be ignored, whatever its incarnation.
 func TestStaleRepliesAreIgnored(t *testing.T) {
 	tracker, members := NewContactTracker(), []consensus.Member{{ID: 1}}
 	expect := func(want time.Duration, ok bool) {
 		t.Helper()
-		if got, is := tracker.Since(members, 5); got != want || is != ok {
-			t.Errorf("contact since %v, %v; want %v, %v", got, is, want, ok)
+		if got, gotOK := tracker.Since(members, 5); got != want || gotOK != ok {
+			t.Errorf("contact since %v, %v; want %v, %v", got, gotOK, want, ok)
 		}
 	}
 	expect(0, false)
@@ -58,7 +58,7 @@
 	tracker.ObserveReply(1, Reply{1, 5, 4}, 5)
 	tracker.ObserveReply(1, Reply{2, 5, 4}, 5)
 	expect(10, true)
-	tracker.ObserveReply(1, Reply{1, 20, 6}, 5) // it accepted a value in a later slot: only its reply before counts
+	tracker.ObserveReply(1, Reply{1, 20, 6}, 5) // a value was accepted in a later slot: only the earlier reply counts
 	tracker.ObserveReply(1, Reply{1, 30, 6}, 5)
 	expect(10, true)
 	tracker.ObserveIncarnation(1, 1)
@@ -71,6 +71,6 @@
 	tracker.ObserveIncarnation(1, 2)
 	expect(0, false)
 	if _, ok := tracker.Since(nil, 5); ok {
-		t.Error("no members have a majority")
+		t.Error("an empty set of members is in contact, want no contact")
 	}
 }
