--- a/balancer/actions.go
+++ b/balancer/actions.go
@@ -1,21 +1,21 @@
 package balancer
 
-// Action is an output of Balancer.Handle, to be performed at once and in order.
+// Action is an output of Balancer.Handle. Actions must be performed at once and in order.
 type Action interface{ action() }
 
-// AttemptReason says why an attempt is sent.
+// AttemptReason is the reason for which an attempt is sent.
 type AttemptReason uint8
 
 // Reasons of attempts.
 const (
 	FirstAttempt     AttemptReason = iota
-	RetryAttempt                   // none is in flight any more
-	HedgeAttempt                   // beside one that is overdue
-	ProbationAttempt               // beside the first one, to learn whether its server responds again
-	AttemptReasons                 // how many there are
+	RetryAttempt                   // no other attempt is in flight
+	HedgeAttempt                   // sent while another attempt is overdue
+	ProbationAttempt               // sent with the first attempt, to test whether its server responds again
+	AttemptReasons                 // number of reasons
 )
 
-// String returns the reason in one word, as metrics name it.
+// String returns the reason as a single word, which metrics use as a label.
 func (r AttemptReason) String() string {
 	switch r {
 	case FirstAttempt:
@@ -30,21 +30,21 @@
 	return "unknown"
 }
 
-// The actions. Answer, Shed and Fail end a request, except that the Answer of a first phase does not.
+// The actions. Answer, Shed and Fail end a request, except for the Answer of a first phase.
 type (
 	// Send sends an attempt of a call to a server.
 	Send struct {
 		Call    ShardCallID
 		Server  ServerID
-		Timeout Time // from now
+		Timeout Time // counts from now
 		Reason  AttemptReason
 	}
-	// Cancel cancels an attempt. Its AttemptEnded still follows.
+	// Cancel cancels an attempt. The AttemptEnded event still follows.
 	Cancel struct {
 		Call    ShardCallID
 		Attempt AttemptNumber
 	}
-	// Answer answers a request, or completes its first phase, with the calls that are answered.
+	// Answer answers a request, or completes its first phase, with the calls answered so far.
 	Answer struct {
 		Request  RequestID
 		Complete bool
@@ -56,7 +56,7 @@
 	}
 	// Fail ends a request that may have run.
 	Fail struct{ Request RequestID }
-	// SetTimer requests a TimerFired at a moment.
+	// SetTimer requests a TimerFired event at a time.
 	SetTimer struct {
 		At    Time
 		Timer TimerID
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -6,73 +6,73 @@
 	estimates
 
 	types     []*typePolicy
-	customers []customer // the last one counts the requests of all
+	customers []customer // the last one counts the requests of all customers
 	rand      mwc
 	now       Time
 	actions   []Action
 
-	servers          map[ServerID]*server // removed ones stay until nothing is in flight or was sent lately
-	ready            []*server            // in order of cell and id
-	replicas         [][]*server          // ready servers of each shard, in the same order
+	servers          map[ServerID]*server // removed servers stay while calls are in flight or were sent recently
+	ready            []*server            // sorted by cell and id
+	replicas         [][]*server          // ready servers of each shard, sorted by cell and id
 	zones            map[ZoneIndex]*zone
-	requests         map[RequestID]*request // open ones
+	requests         map[RequestID]*request // open requests
 	requestsByNumber map[RequestNumber]*request
 	inFlight         map[ShardCallID]*shardCall // calls with an attempt in flight
-	plannedWork      map[*server]float64        // of the plan being drawn
+	plannedWork      map[*server]float64        // work that the plan in preparation assigns to each server
 
-	cells        int            // grows with the shards where the replication factor is 1
-	baseEjection Time           // first ejection time of a server
-	budgets      []*retryBudget // of each shard, or one for all
-	budgetFrom   Time           // no base retry budget before it
-	shrinkAt     Time           // when fewer instances begin to share the budget
-	listBackoff  Time           // until the next request for the server list
+	cells        int            // grows with the shards if the replication factor is 1
+	baseEjection Time           // duration of a server's first ejection
+	budgets      []*retryBudget // one for each shard, or one for all
+	budgetFrom   Time           // start of the base retry budget
+	shrinkAt     Time           // when the budget is divided among fewer instances
+	listBackoff  Time           // delay of the next request for the server list
 	listTimerSet bool
 }
 
-// settings are the parts of the Config that stay as they are.
+// settings are the parts of the Config that do not change.
 type settings struct {
 	replicationFactor, maxAttempts int
-	margin                         Time // by which work finishes ahead of a deadline
+	margin                         Time // time by which work must finish before a deadline
 	maxRetryAfter                  Time // 0 = none
 	maxListBackoff                 Time
 	allowCancel, allowHedging      bool
 	listOnRequest, retriesMarked   bool
-	hedgeProbation                 bool // probation attempts go beside an attempt on a healthy server
+	hedgeProbation                 bool // probation attempts are hedges of an attempt at a healthy server
 	checkFirst                     bool // a health check precedes each probation attempt
 	slowStartDuration              Time
 	slowStartShare                 float64
-	slowStartMultiple              float64 // of the work of a warm server, the allowance at full capacity
+	slowStartMultiple              float64 // allowance at full capacity, as a multiple of the work of a warm server
 	overloadWindow, budgetWindow   Time
 	budgetBase, budgetRatio        float64
-	sharedBudgetBase               float64 // of all instances, for each shard; 0 = one budget for all shards
+	sharedBudgetBase               float64 // for each shard, over all instances; 0 = one budget for all shards
 	networkDelay                   Time
 	inferTimeout, preferLocal      bool
 	localZone                      ZoneIndex
-	millisPerTick                  float64         // 0 = the sizes of calls are not learned
-	callCost                       float64         // part of each size: most attempts are frames of their own
+	millisPerTick                  float64         // 0 = call sizes are not measured
+	callCost                       float64         // added to each size: most attempts are frames of their own
 	limiter                        CapacityLimiter // nil = none
 }
 
-// estimates are what the balancer learns of the cluster as a whole. Unit latency is latency over work.
+// estimates are measurements of the cluster as a whole. Unit latency is latency divided by work.
 type estimates struct {
-	meanLatency     float64 // unit latency of the ready servers that are measured; 0 = none is
+	meanLatency     float64 // harmonic mean unit latency of the ready servers that are measured; 0 = none
 	currentLatency  float64 // median unit latency of recent answers; 0 = none
-	baseLatency     float64 // lowest currentLatency, slowly forgotten; 0 = none
-	latencySamples  int     // answers in these two
-	meanSize        float64 // of a call
-	meanQueue       float64 // of reported queue lengths
-	retrySuccess    float64 // share of retries and hedges that win
-	warmWork        float64 // sent to a warm server within overloadWindow, when there last was one
+	baseLatency     float64 // minimum of currentLatency, which rises slowly; 0 = none
+	latencySamples  int     // number of answers in currentLatency and baseLatency
+	meanSize        float64 // mean size of a call
+	meanQueue       float64 // mean of reported queue lengths
+	retrySuccess    float64 // share of retries and hedges that provide the answer
+	warmWork        float64 // mean work sent to a warm server within overloadWindow, as last measured
 	deadIdleShare   float64 // share of idle connections found dead
 	deadIdleAt      Time
-	widestRequest   int     // most calls of a request
+	widestRequest   int     // largest number of calls of a request
 	stuckCalls      int     // attempts in flight at silent servers
-	limit           float64 // of calls in flight
+	limit           float64 // maximum number of calls in flight
 	instances       float64
-	recentInstances float64 // most instances within the budget window
+	recentInstances float64 // largest number of instances within the budget window
 }
 
-// New returns a balancer that has measured nothing yet.
+// New returns a balancer without measurements.
 func New(config Config) *Balancer {
 	b := &Balancer{
 		settings: newSettings(config), rand: newMWC(config.Seed),
@@ -102,7 +102,7 @@
 	return b
 }
 
-// newSettings derives the settings from the configuration. A retry budget that is not stated has defaults.
+// newSettings derives the settings from the configuration, with defaults for a retry budget that is not set.
 func newSettings(config Config) settings {
 	s := settings{
 		replicationFactor: min(config.ReplicationFactor, config.Cells),
@@ -139,7 +139,7 @@
 	return s
 }
 
-// addCustomers sets up the quotas. There are none where requests above quota are worth as much as others.
+// addCustomers creates the customers with their quotas. There are no quotas if requests above quota have full value.
 func (b *Balancer) addCustomers(config Config) {
 	windowSeconds := float64(quotaWindow) / float64(1000*Millisecond) / b.instances
 	all := customer{0, newWindowCounter(quotaWindow)}
@@ -153,8 +153,8 @@
 	b.customers = append(b.customers, all)
 }
 
-// Handle processes one event at a moment and returns the actions to perform, in order. A moment before the
-// last one counts as the last one.
+// Handle processes an event at a time and returns the actions to perform, in order. A time earlier than that of the
+// previous event counts as that one.
 func (b *Balancer) Handle(now Time, event Event) []Action {
 	b.now, b.actions = max(now, b.now), nil
 	switch e := event.(type) {
@@ -187,10 +187,10 @@
 			b.budgets[e.Shard] = b.budgets[e.With]
 		}
 	case PeerUpdate:
-		b.peerUpdate(e)
+		b.applyPeerUpdate(e)
 	}
 	return b.actions
 }
 
-// emit appends an action to those that Handle returns.
+// emit appends an action to the result of Handle.
 func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
--- a/balancer/completion.go
+++ b/balancer/completion.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// review completes or abandons a request, or else reviews its calls and sets the timer for the next review.
-func (b *Balancer) review(req *request) {
+// evaluate completes or abandons a request, or else evaluates its calls and schedules the next evaluation.
+func (b *Balancer) evaluate(req *request) {
 	policy := req.policy
 	minimum, complete := policy.MinCoverage-weightTolerance, policy.CompleteCoverage-weightTolerance
 	if req.inSecondPhase && minimum >= complete {
@@ -13,23 +13,23 @@
 	}
 	skippable := func(call *shardCall) bool { return call.skipped || b.cannotFinish(call, Never) }
 	covered := b.coveredWithout(req, skippable)
-	got, reachable := 0.0, 0.0 // coverage so far, and at most
+	current, reachable := 0.0, 0.0 // current and highest possible coverage
 	if req.inSecondPhase && len(req.calls) == 0 {
 		reachable = 1 // its calls have not arrived yet
 	}
 	for _, call := range req.calls {
 		if call.answered {
-			got += call.weight
+			current += call.weight
 		}
 		if call.answered || (call.inFlight > 0 || b.canAttempt(call)) && !(covered && skippable(call)) {
 			reachable += call.weight
 		}
 	}
-	partial := policy.partialCounts && b.now >= req.targetAt && got >= policy.partialCoverage-weightTolerance
-	final := b.now >= req.deadline || reachable <= got || partial
+	partial := policy.partialCounts && b.now >= req.targetAt && current >= policy.partialCoverage-weightTolerance
+	final := b.now >= req.deadline || reachable <= current || partial
 	switch {
-	case got >= complete || got >= minimum && final:
-		b.answer(req, got >= complete && (!req.inSecondPhase || req.firstComplete))
+	case current >= complete || current >= minimum && final:
+		b.answer(req, current >= complete && (!req.inSecondPhase || req.firstComplete))
 		return
 	case b.now >= req.deadline || reachable < minimum:
 		b.abandon(req)
@@ -41,14 +41,14 @@
 	}
 	for _, call := range req.calls {
 		if !call.answered && !(covered && skippable(call)) {
-			next = min(next, b.reviewCall(call))
+			next = min(next, b.evaluateCall(call))
 		}
 	}
-	b.scheduleReview(req, next)
+	b.scheduleEvaluation(req, next)
 }
 
-// reviewCall retries or hedges a call, unless an attempt of it is in time. It returns when to review it next.
-func (b *Balancer) reviewCall(call *shardCall) (next Time) {
+// evaluateCall retries or hedges a call that has no timely attempt. It returns when to evaluate it again.
+func (b *Balancer) evaluateCall(call *shardCall) (next Time) {
 	p := attemptProgress(call)
 	if p.firstDue > b.now && p.inFlight > 0 {
 		return p.firstDue
@@ -57,21 +57,21 @@
 	switch {
 	case s == nil || p.inFlight == 0 && !healthy && b.now < p.retryFrom:
 	case p.inFlight == 0 && (len(call.attempts) == 0 || b.withinBudget(call, 1)):
-		b.dispatch(call, s, call.firstOr(RetryAttempt))
-	case p.inFlight == 1 && p.probation >= 0: // no more than two may be in flight
+		b.dispatch(call, s, call.nextReason(RetryAttempt))
+	case p.inFlight == 1 && p.probation >= 0: // at most two attempts may be in flight
 		b.emit(Cancel{call.id, AttemptNumber(p.probation)})
 	case p.inFlight == 0 || !healthy || b.now+b.predict(s, call) >= call.req.targetAt ||
 		!b.withinBudget(call, max(minHedgeShare, b.retrySuccess)):
 	case p.inFlight == 1 && b.allowHedging:
 		b.dispatch(call, s, HedgeAttempt)
 	case b.allowCancel && (!b.allowHedging || p.lastDue <= b.now && b.silenceRatio(call.attempts[p.oldest]) > 1):
-		// A retry follows once this one has ended. Two overdue ones may both be lost in a partitioned zone.
+		// A retry follows when this attempt has ended. Two overdue ones may both be lost in a partitioned zone.
 		b.emit(Cancel{call.id, AttemptNumber(p.oldest)})
 	}
-	return b.now + b.baseEjection/reviewDivisor
+	return b.now + b.baseEjection/evaluationDivisor
 }
 
-// attemptProgress sums up the attempts of a call.
+// attemptProgress summarizes the attempts of a call.
 func attemptProgress(call *shardCall) progress {
 	p := progress{firstDue: Never, oldest: -1, probation: -1}
 	for number, a := range call.attempts {
@@ -84,13 +84,13 @@
 				p.oldest = number
 			}
 		}
-		// Spread over the time left: servers that return errors would use up all retries at once.
+		// Spread over the time left: otherwise servers that return errors would use up all retries at once.
 		p.retryFrom = a.sentAt + (call.req.deadline-a.sentAt)/retrySpread
 	}
 	return p
 }
 
-// answer completes a phase of a request with the calls that are answered.
+// answer completes a phase of a request with the calls answered so far.
 func (b *Balancer) answer(req *request, complete bool) {
 	b.emit(Answer{req.id, complete})
 	if req.inSecondPhase || req.policy.SecondPhaseCalls <= 0 {
@@ -99,10 +99,10 @@
 	}
 	b.cancel(req.calls...)
 	req.inSecondPhase, req.firstComplete, req.calls = true, complete, nil
-	b.scheduleReview(req, req.deadline)
+	b.scheduleEvaluation(req, req.deadline)
 }
 
-// abandon ends a request without an answer: shed if none of it can have run or it is idempotent, else failed.
+// abandon ends a request without an answer: shed if it is idempotent or cannot have run, failed otherwise.
 func (b *Balancer) abandon(req *request) {
 	mayHaveRun := req.inSecondPhase // the first phase has run
 	for _, call := range req.calls {
@@ -119,7 +119,7 @@
 	b.close(req)
 }
 
-// cancel cancels the attempts of calls, except probation attempts: their outcome is what they are made for.
+// cancel cancels the attempts of calls, except probation attempts, whose outcome shows the server's health.
 func (b *Balancer) cancel(calls ...*shardCall) {
 	for _, call := range calls {
 		for number, a := range call.attempts {
@@ -130,8 +130,8 @@
 	}
 }
 
-// retryAfter returns when a shed client should retry: early enough for its target where that is measured at
-// the client and all of its shards have a replica.
+// retryAfter returns when the client of a shed request should retry. That is early enough for its target if
+// latency targets are measured at the client and all of the request's shards have a replica.
 func (b *Balancer) retryAfter(req *request) Time {
 	empty := slices.ContainsFunc(req.calls, func(c *shardCall) bool { return len(b.replicas[c.shard]) == 0 })
 	if b.networkDelay == 0 || empty {
--- a/balancer/completion_test.go
+++ b/balancer/completion_test.go
@@ -12,9 +12,9 @@
 	}
 	for b.requests[1] != nil && b.at < 1000000+25000 {
 		b.at += 50
-		b.do(TimerFired{1})
+		b.handle(TimerFired{1})
 	}
-	failIf(t, !slices.Contains(b.last, Action(Answer{Request: 1})), "no partial answer at the latency target: %v", b.last)
+	failIf(t, !slices.Contains(b.lastActions, Action(Answer{Request: 1})), "no partial answer at the latency target: %v", b.lastActions)
 }
 
 func TestNoStateLeaksAfterRequests(t *testing.T) {
@@ -25,17 +25,17 @@
 		}
 	}
 	failIf(t, len(b.requests)+len(b.requestsByNumber)+len(b.inFlight) != 0,
-		"left over: %v, %v, %v", b.requests, b.requestsByNumber, b.inFlight)
+		"not removed after the end: %v, %v, %v", b.requests, b.requestsByNumber, b.inFlight)
 }
 
-// Clients that do not mark their retries would retry a request shed at the target as a whole.
+// Clients that do not mark their retries would retry the whole of a request that is shed at its target.
 func TestRequestRunsPastTargetWhenRetriesAreUnmarked(t *testing.T) {
 	for _, marked := range []bool{false, true} {
 		b := newHarness(1, func(c *Config) { c.QueryTypes[0].LateValue, c.RetriesMarked = 0, marked })
 		b.answer(4, 1000)
 		b.arrive(1)
 		b.at += 26000 // past the target of 25000, before the timeout of 60000
-		shed := slices.ContainsFunc(b.do(TimerFired{TimerID(b.next)}), func(a Action) bool { _, is := a.(Shed); return is })
-		failIf(t, shed != marked, "marked %v: shed %v at the target", marked, shed)
+		shed := slices.ContainsFunc(b.handle(TimerFired{TimerID(b.lastID)}), func(a Action) bool { _, is := a.(Shed); return is })
+		failIf(t, shed != marked, "retries marked %v: shed at the target %v", marked, shed)
 	}
 }
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -13,43 +13,43 @@
 	Draining
 )
 
-// Server is one entry of the server list.
+// Server is an entry of the server list.
 type Server struct {
 	ID          ServerID
 	Zone        ZoneIndex
 	Cell        CellIndex
 	State       ServerState
 	StartedAt   Time // 0 = long ago
-	MaxInFlight int  // attempts of this instance in flight there; 0 = no limit
+	MaxInFlight int  // limit of this instance's attempts in flight at it; 0 = no limit
 }
 
-// OutlierVerdict is what the instances together conclude about a server.
+// OutlierVerdict is the joint verdict of the instances on a server.
 type OutlierVerdict struct {
 	ID             ServerID
-	Ejected        bool    // avoid it while another replica can be used
+	Ejected        bool    // avoid it while another replica is available
 	Recovered      bool    // an instance has found that it answers again
-	SlowdownFactor float64 // by which its predicted latency grows; 0 = unchanged
+	SlowdownFactor float64 // factor by which its predicted latency increases; 0 = unchanged
 }
 
-// ServerRecord is what was measured of one server. Its JSON form is stored across restarts.
+// ServerRecord holds the measurements of one server. Its JSON form is stored across restarts.
 type ServerRecord struct {
 	ID           ServerID
 	StartedAt    Time    `json:"UpSince"`
-	Latency      float64 `json:"Took"` // smoothed, as a Time
+	Latency      float64 `json:"Took"` // smoothed, in units of Time
 	Work         float64 `json:"Size"` // smoothed work that took Latency
 	MeasuredAt   Time    `json:"TaughtAt"`
 	EjectedUntil Time    `json:"OutUntil"`
 	FailureRate  float64 `json:"Failing"` // smoothed, 0 to 1
 }
 
-// ServerListKind says how a ServerList relates to the list before it.
+// ServerListKind is the relation of a ServerList to the previous one.
 type ServerListKind uint8
 
 // Kinds of server list updates.
 const (
 	ListDelta    ServerListKind = iota // only the entries that changed
 	ListComplete                       // all servers; others are removed
-	ListCached                         // all servers, from a possibly old copy
+	ListCached                         // all servers, from a copy that may be outdated
 	ListFailed                         // a request or the subscription failed; there are no entries
 )
 
@@ -57,11 +57,11 @@
 type ShardCall struct {
 	ID     ShardCallID
 	Shard  ShardIndex
-	Weight float64 // in the coverage of the answer; the weights of a request add up to 1
+	Weight float64 // share of the answer's coverage; the weights of a request add up to 1
 	Size   float64 // expected work in milliseconds; 0 = unknown
 }
 
-// WeightedShard is a shard that may serve a request, with its weight in the choice.
+// WeightedShard is a shard that may serve a request, with its weight in the selection.
 type WeightedShard struct {
 	Shard  ShardIndex
 	Weight float64
@@ -73,7 +73,7 @@
 	InFlight float64
 }
 
-// LoadReport is the load that a server reports. A negative figure was not reported.
+// LoadReport is the load that a server reports. Negative values were not reported.
 type LoadReport struct {
 	Queued   float64 // calls waiting
 	InFlight float64 // calls in execution
@@ -86,24 +86,24 @@
 		Kind    ServerListKind
 		Servers []Server
 	}
-	// RequestArrived carries all calls of the first phase. The calls of a second one come as SecondPhaseArrived.
+	// RequestArrived starts a request with all calls of its first phase. SecondPhaseArrived adds those of a second one.
 	RequestArrived struct {
 		Request    RequestID
 		Number     RequestNumber
 		Type       QueryType
 		Customer   CustomerIndex
-		Timeout    Time // until the client gives up this attempt
+		Timeout    Time // time until the client gives up this attempt
 		Retry      bool // the client marks it as a retry
 		MayHaveRun bool // a request with the same idempotency key was sent, and its outcome is unknown
 		Calls      []ShardCall
-		Candidates []WeightedShard // of a request with one call: shards to choose from; empty = use the call's own
+		Candidates []WeightedShard // for a request with one call: shards to select from; empty = use the call's shard
 	}
-	// SecondPhaseArrived carries the calls of a second phase.
+	// SecondPhaseArrived adds the calls of a second phase.
 	SecondPhaseArrived struct {
 		Number RequestNumber
 		Calls  []ShardCall
 	}
-	// AttemptEnded comes exactly once for each Send.
+	// AttemptEnded reports the end of an attempt, exactly once for each Send.
 	AttemptEnded struct {
 		Call    ShardCallID
 		Attempt AttemptNumber
@@ -112,20 +112,20 @@
 		Outcome Outcome
 		Report  *LoadReport // nil = none
 	}
-	// RequestCancelled says that the client has gone away.
+	// RequestCancelled reports that the client has disconnected or cancelled the request.
 	RequestCancelled struct{ Request RequestID }
-	// TimerFired says that a timer of SetTimer has expired.
+	// TimerFired reports that a timer of SetTimer has expired.
 	TimerFired struct{ Timer TimerID }
-	// HealthCheckEnded comes exactly once for each HealthCheck.
+	// HealthCheckEnded reports the result of a health check, exactly once for each HealthCheck.
 	HealthCheckEnded struct {
 		Server  ServerID
 		Outcome Outcome
 		Report  *LoadReport // nil = none
 	}
-	// RecordsRestored carries the records of an earlier run, once the server list is known. Records that are too
-	// old, or of another incarnation of their server, are ignored.
+	// RecordsRestored supplies the records of an earlier run, after the first server list. Records that are too old, or of
+	// another incarnation of their server, are ignored.
 	RecordsRestored struct{ Servers []ServerRecord }
-	// QueryTypeChanged adds or replaces a query type. Open requests keep the one they arrived with.
+	// QueryTypeChanged adds or replaces a query type. Open requests keep the configuration with which they arrived.
 	QueryTypeChanged struct {
 		Type   QueryType
 		Config QueryTypeConfig
@@ -135,9 +135,10 @@
 	ClusterResized struct {
 		Shards, Instances int
 	}
-	// BudgetShared gives a shard the retry budget of another from now on, where each shard has one: both hold servers of one service.
+	// BudgetShared makes a shard use the retry budget of another from now on, if each shard has a budget: both shards have
+	// servers of the same service.
 	BudgetShared struct{ Shard, With ShardIndex }
-	// PeerUpdate carries what other instances have in flight at servers, and verdicts on servers.
+	// PeerUpdate supplies the calls that other instances have in flight at servers, and verdicts on servers.
 	PeerUpdate struct {
 		Loads    []PeerLoad
 		Verdicts []OutlierVerdict
@@ -157,15 +158,15 @@
 func (BudgetShared) event()       {}
 func (PeerUpdate) event()         {}
 
-// Outcome is how an attempt or a health check ended.
+// Outcome is the result of an attempt or a health check.
 type Outcome uint8
 
-// Outcomes. The order matters: up to Rejected the server has responded.
+// Outcomes. The order matters: with those up to Rejected, the server has responded.
 const (
 	Answered      Outcome = iota
 	Errored               // may have run
 	Rejected              // never ran: the server is full or draining
-	TimedOut              // may have run, or be running
+	TimedOut              // may have run, or may still be running
 	ConnectFailed         // never ran
 	Reset                 // the connection broke; may have run
 	Cancelled             // may have run
--- a/balancer/gateway_test.go
+++ b/balancer/gateway_test.go
@@ -4,37 +4,37 @@
 	"testing"
 )
 
-// gatewayHarness returns a balancer as the data plane configures it, with three servers for each shard, the first of them
-// in the local zone.
+// gatewayHarness returns a balancer configured like that of the data plane, with three servers for each shard, the first
+// of which is in the local zone.
 func gatewayHarness(shards int, queryType QueryTypeConfig) *harness {
 	config := Config{Seed: 5, Instances: 1, ClockResolution: Millisecond, Cells: 1, ReplicationFactor: 1, MaxAttempts: 2,
 		AllowHedging: true, HasRetryBudget: true, RetryBudgetPerShard: true, RetryBudgetBase: 54, RetryBudgetRatio: 0.2,
 		RetryBudgetWindow: 10000 * Millisecond, MaxRetryAfter: 400 * Millisecond, InferClientTimeout: true,
 		MeasuredAtClient: true, PreferLocalZone: true, OverQuotaValue: 1}
 	b := &harness{Balancer: New(config), at: 1000000}
-	b.do(ClusterResized{Shards: shards, Instances: 1})
-	b.do(QueryTypeChanged{Type: 0, Config: queryType})
+	b.handle(ClusterResized{Shards: shards, Instances: 1})
+	b.handle(QueryTypeChanged{Type: 0, Config: queryType})
 	var list []Server
 	for s := range shards {
 		for i := range 3 {
 			list = append(list, Server{ID: ServerID(10*s + i + 1), Cell: CellIndex(s), Zone: ZoneIndex(i), State: Ready})
 		}
 	}
-	b.do(ServerList{ListDelta, list})
+	b.handle(ServerList{ListDelta, list})
 	return b
 }
 
 var gatewayQueryType = QueryTypeConfig{LatencyTarget: 120 * Millisecond, ClientTimeout: 1200 * Millisecond, LateValue: 0.3,
 	MinCoverage: 0.5, CompleteCoverage: 1, MaxAttempts: 2, QuadraticPartialValue: true}
 
-// request lets a request arrive with one call to each of the first shards.
+// request starts a request with one call to each of the first shards.
 func (b *harness) request(shards int) (sends []Send, actions []Action) {
-	b.next++
-	e := RequestArrived{Request: RequestID(b.next), Number: RequestNumber(b.next), Timeout: 1200 * Millisecond}
+	b.lastID++
+	e := RequestArrived{Request: RequestID(b.lastID), Number: RequestNumber(b.lastID), Timeout: 1200 * Millisecond}
 	for s := range shards {
-		e.Calls = append(e.Calls, ShardCall{ID: ShardCallID(b.next*100 + uint64(s)), Shard: ShardIndex(s), Weight: 1 / float64(shards)})
+		e.Calls = append(e.Calls, ShardCall{ID: ShardCallID(b.lastID*100 + uint64(s)), Shard: ShardIndex(s), Weight: 1 / float64(shards)})
 	}
-	actions = b.do(e)
+	actions = b.handle(e)
 	for _, a := range actions {
 		if s, ok := a.(Send); ok {
 			sends = append(sends, s)
@@ -62,21 +62,21 @@
 			if all++; s.Server%10 == 1 {
 				local++
 			}
-			b.do(AttemptEnded{Call: s.Call, Server: s.Server, Elapsed: 20 * Millisecond, Outcome: Answered})
+			b.handle(AttemptEnded{Call: s.Call, Server: s.Server, Elapsed: 20 * Millisecond, Outcome: Answered})
 		}
 	}
 	failIf(t, local*10 < all*9, "%d of %d calls went to local servers while all servers are idle", local, all)
 	// Busy local servers are not preferred.
 	for s := range 4 {
-		b.do(PeerUpdate{Loads: []PeerLoad{{Server: ServerID(10*s + 1), InFlight: 50}}})
+		b.handle(PeerUpdate{Loads: []PeerLoad{{Server: ServerID(10*s + 1), InFlight: 50}}})
 	}
 	sends, _ := b.request(4)
 	for _, s := range sends {
-		failIf(t, s.Server%10 == 1, "a call went to a local server with 50 calls before it")
+		failIf(t, s.Server%10 == 1, "a call was sent to a local server with 50 calls in flight")
 	}
 }
 
-func TestUnavailableShardIsNotWaitedFor(t *testing.T) {
+func TestAnswerDoesNotWaitForUnavailableShard(t *testing.T) {
 	b := gatewayHarness(4, gatewayQueryType)
 	var lost []Send
 	for range 40 {
@@ -86,13 +86,13 @@
 		for _, s := range sends {
 			if s.Server > 30 {
 				lost = append(lost, s)
-				b.do(AttemptEnded{Call: s.Call, Server: s.Server, Elapsed: 20 * Millisecond, Outcome: ConnectFailed})
+				b.handle(AttemptEnded{Call: s.Call, Server: s.Server, Elapsed: 20 * Millisecond, Outcome: ConnectFailed})
 			} else {
-				b.do(AttemptEnded{Call: s.Call, Server: s.Server, Elapsed: 20 * Millisecond, Outcome: Answered})
+				b.handle(AttemptEnded{Call: s.Call, Server: s.Server, Elapsed: 20 * Millisecond, Outcome: Answered})
 			}
 		}
 	}
-	// Now the servers of shard 3 are ejected: three calls make the answer at once.
+	// The servers of shard 3 are ejected now: three calls are sufficient for the answer.
 	sends, _ := b.request(4)
 	b.at += 20 * Millisecond
 	answered := false
@@ -100,14 +100,14 @@
 		if s.Server > 30 {
 			continue // a probation attempt
 		}
-		for _, a := range b.do(AttemptEnded{Call: s.Call, Server: s.Server, Elapsed: 20 * Millisecond, Outcome: Answered}) {
+		for _, a := range b.handle(AttemptEnded{Call: s.Call, Server: s.Server, Elapsed: 20 * Millisecond, Outcome: Answered}) {
 			if _, ok := a.(Answer); ok {
 				answered = true
 			}
 		}
 	}
-	failIf(t, !answered, "the answer waits for a shard that is unavailable")
-	failIf(t, len(lost) > 60, "%d attempts at an unavailable shard, by 40 requests", len(lost))
+	failIf(t, !answered, "the answer waits for an unavailable shard")
+	failIf(t, len(lost) > 60, "%d attempts at an unavailable shard for 40 requests", len(lost))
 }
 
 func TestRetryBudgetPerShard(t *testing.T) {
@@ -119,16 +119,16 @@
 		b.budgetFor(0).retries.add(b.at, 1)
 	}
 	b.now = b.at
-	failIf(t, b.withinBudget(call, 1), "the spent budget of a shard is still available")
+	failIf(t, b.withinBudget(call, 1), "a retry is allowed although the budget of the shard is spent")
 	failIf(t, !b.withinBudget(other, 1), "a shard spent the budget of another")
 	for n := 1; n <= 64; n *= 4 {
-		b.do(ClusterResized{Shards: 2, Instances: n})
+		b.handle(ClusterResized{Shards: 2, Instances: n})
 		spent := 0.0
 		for b.withinBudget(other, 1) {
 			b.budgetFor(1).retries.add(b.at, 1)
 			spent++
 		}
-		failIf(t, spent*float64(n) > 54, "%d instances may spend %v each", n, spent)
+		failIf(t, spent*float64(n) > 54, "%d instances may spend %v retries each, more than 54 in all", n, spent)
 		b.at += 30000 * Millisecond
 		b.now = b.at
 	}
@@ -139,7 +139,7 @@
 		RetryBudgetBase: 54, RetryBudgetWindow: 100000, RetryBudgetDelayed: true, OverQuotaValue: 1})
 	b.Handle(1000, ClusterResized{Shards: 1, Instances: 2})
 	call := &shardCall{req: &request{}, size: 1}
-	failIf(t, b.withinBudget(call, 1), "a base budget in the window that an earlier incarnation may have spent")
+	failIf(t, b.withinBudget(call, 1), "there is a base budget in the window in which an earlier incarnation may have spent it")
 	b.now = 1000 + 100001
 	failIf(t, !b.withinBudget(call, 1), "no base budget after the first window")
 }
@@ -149,14 +149,14 @@
 		MinCoverage: 1, CompleteCoverage: 1, MaxAttempts: 2})
 	got := map[ServerID]int{}
 	request := func() {
-		b.next++
-		e := RequestArrived{Request: RequestID(b.next), Number: RequestNumber(b.next), Timeout: 1200 * Millisecond,
-			Calls: []ShardCall{{ID: ShardCallID(b.next), Weight: 1}}, Candidates: []WeightedShard{{0, 3}, {1, 1}, {2, 0}}}
-		for _, a := range b.do(e) {
+		b.lastID++
+		e := RequestArrived{Request: RequestID(b.lastID), Number: RequestNumber(b.lastID), Timeout: 1200 * Millisecond,
+			Calls: []ShardCall{{ID: ShardCallID(b.lastID), Weight: 1}}, Candidates: []WeightedShard{{0, 3}, {1, 1}, {2, 0}}}
+		for _, a := range b.handle(e) {
 			if s, ok := a.(Send); ok {
 				got[s.Server/10]++
 				b.at += 20 * Millisecond
-				b.do(AttemptEnded{Call: s.Call, Server: s.Server, Elapsed: 20 * Millisecond, Outcome: Answered})
+				b.handle(AttemptEnded{Call: s.Call, Server: s.Server, Elapsed: 20 * Millisecond, Outcome: Answered})
 			}
 		}
 	}
@@ -165,7 +165,7 @@
 	}
 	failIf(t, got[2] != 0 || got[0] < 250 || got[0] > 350 || got[0]+got[1] != 400,
 		"400 requests with weights 3, 1 and 0: %v", got)
-	b.do(ServerList{ListDelta, []Server{{ID: 1, State: Removed}, {ID: 2, State: Removed}, {ID: 3, State: Removed}}})
+	b.handle(ServerList{ListDelta, []Server{{ID: 1, State: Removed}, {ID: 2, State: Removed}, {ID: 3, State: Removed}}})
 	clear(got)
 	for range 20 {
 		request()
@@ -173,63 +173,63 @@
 	failIf(t, got[1] != 20, "a shard without servers was chosen: %v", got)
 }
 
-// A changed query type applies to later requests; open ones keep the one they arrived with.
+// A changed query type applies to later requests. Open requests keep the configuration with which they arrived.
 func TestQueryTypeChange(t *testing.T) {
 	b := gatewayHarness(2, gatewayQueryType)
 	sends, _ := b.request(2)
-	open := b.requests[RequestID(b.next)]
+	open := b.requests[RequestID(b.lastID)]
 	next := gatewayQueryType
 	next.Idempotency, next.LatencyTarget = NonIdempotent, 60*Millisecond
-	b.do(QueryTypeChanged{Type: 0, Config: next})
+	b.handle(QueryTypeChanged{Type: 0, Config: next})
 	failIf(t, open.policy.Idempotency != Idempotent || len(sends) != 2, "the policy of an open request changed")
 	b.request(2)
-	failIf(t, b.requests[RequestID(b.next)].policy.Idempotency != NonIdempotent, "a new request has the old policy")
+	failIf(t, b.requests[RequestID(b.lastID)].policy.Idempotency != NonIdempotent, "a new request has the old policy")
 }
 
 func TestMaxInFlightPerServer(t *testing.T) {
 	b := gatewayHarness(1, gatewayQueryType)
-	b.do(ServerList{ListDelta, []Server{{ID: 1, State: Ready, MaxInFlight: 2}, {ID: 2, State: Removed}, {ID: 3, State: Removed}}})
+	b.handle(ServerList{ListDelta, []Server{{ID: 1, State: Ready, MaxInFlight: 2}, {ID: 2, State: Removed}, {ID: 3, State: Removed}}})
 	for range 6 {
 		b.request(1)
 	}
-	failIf(t, len(b.servers[1].inFlight) > 2, "%d calls in flight at a server that may have 2", len(b.servers[1].inFlight))
+	failIf(t, len(b.servers[1].inFlight) > 2, "%d calls in flight at a server with a limit of 2", len(b.servers[1].inFlight))
 }
 
-// A busy local server is no reason to leave the zone while another local one is free; that holds for retries too.
-func TestNextLocalServerIsTried(t *testing.T) {
+// A call, or a retry, must not leave the zone because one local server is busy while another one is idle.
+func TestIdleLocalServerIsPreferredToRemote(t *testing.T) {
 	b := gatewayHarness(1, gatewayQueryType)
 	var list []Server
 	for i := range 6 { // 1, 2 and 3 are in the local zone
 		list = append(list, Server{ID: ServerID(i + 1), Zone: ZoneIndex(i / 3), State: Ready})
 	}
-	b.do(ServerList{ListDelta, list})
-	for range 200 { // all are measured at 20 ms
+	b.handle(ServerList{ListDelta, list})
+	for range 200 { // all have a measured latency of 20 ms
 		sends, _ := b.request(1)
 		b.at += 20 * Millisecond
 		for _, s := range sends {
-			b.do(AttemptEnded{Call: s.Call, Server: s.Server, Elapsed: 20 * Millisecond, Outcome: Answered})
+			b.handle(AttemptEnded{Call: s.Call, Server: s.Server, Elapsed: 20 * Millisecond, Outcome: Answered})
 		}
 	}
 	remote := 0
 	for range 60 {
-		b.do(PeerUpdate{Loads: []PeerLoad{{Server: 1, InFlight: 20}, {Server: 2, InFlight: 20}}})
+		b.handle(PeerUpdate{Loads: []PeerLoad{{Server: 1, InFlight: 20}, {Server: 2, InFlight: 20}}})
 		sends, _ := b.request(1)
 		b.at += 20 * Millisecond
 		for _, s := range sends {
 			if s.Server > 3 {
 				remote++
 			}
-			b.do(AttemptEnded{Call: s.Call, Server: s.Server, Elapsed: 20 * Millisecond, Outcome: Answered})
+			b.handle(AttemptEnded{Call: s.Call, Server: s.Server, Elapsed: 20 * Millisecond, Outcome: Answered})
 		}
 	}
-	failIf(t, remote > 0, "%d of 60 calls left the zone although a local server is free", remote)
+	failIf(t, remote > 0, "%d of 60 calls left the zone although a local server is idle", remote)
 	req := &request{policy: b.types[0], targetAt: b.at + 100*Millisecond, deadline: b.at + 1000*Millisecond}
 	s, healthy := b.bestReplica(&shardCall{req: req, size: 1})
 	failIf(t, !healthy || !s.local, "the best replica is remote although local ones are as good")
 }
 
-// Shards are added while servers are ready in cells that hold none yet. Each server then serves the shard of its cell, and may leave
-// its list again.
+// Shards may be added while servers are ready in cells without a shard. Each server then serves the shard of its cell
+// and can still be removed from it.
 func TestResizeWithMoreCellsThanShards(t *testing.T) {
 	for cells := 1; cells <= 6; cells++ {
 		for shards := 0; shards <= cells; shards++ {
@@ -258,13 +258,13 @@
 	}
 }
 
-// Shards that share a budget spend it together, however often that is said, and no other shard's.
+// Shards that share a budget use it jointly, even if BudgetShared is repeated, and do not use that of another shard.
 func TestSharedRetryBudget(t *testing.T) {
 	b := gatewayHarness(3, gatewayQueryType)
 	b.at += 20000 * Millisecond
 	for range 2 {
-		b.do(BudgetShared{Shard: 2, With: 0})
-		b.do(BudgetShared{Shard: 7, With: 0}) // not there yet
+		b.handle(BudgetShared{Shard: 2, With: 0})
+		b.handle(BudgetShared{Shard: 7, With: 0}) // no such shard yet
 	}
 	b.now = b.at
 	of := func(shard ShardIndex) *shardCall {
@@ -274,13 +274,13 @@
 	for ; b.withinBudget(of(ShardIndex(2*(spent%2))), 1); spent++ {
 		b.budgetFor(ShardIndex(2*(spent%2))).retries.add(b.at, 1)
 	}
-	failIf(t, spent > 54 || spent < 40, "two shards that share a budget of 54 spend %d", spent)
+	failIf(t, spent > 54 || spent < 40, "two shards that share a budget of 54 spent %d", spent)
 	failIf(t, b.withinBudget(of(0), 1) || b.withinBudget(of(2), 1), "the spent budget is still available")
 	failIf(t, !b.withinBudget(of(1), 1), "another shard's budget is spent")
 }
 
-// A probation attempt counts as an attempt: a call that may be sent to one server only has none beside its first one.
-func TestProbationKeepsAttemptLimit(t *testing.T) {
+// A probation attempt counts as an attempt: a call with a limit of one attempt has no probation attempt beside its first one.
+func TestProbationCountsTowardsAttemptLimit(t *testing.T) {
 	for _, limit := range []int{1, 2} {
 		queryType := gatewayQueryType
 		queryType.MaxAttempts = limit
@@ -294,9 +294,9 @@
 			sends, _ := b.request(1)
 			most = max(most, len(sends))
 			for number, a := range sends {
-				b.do(AttemptEnded{Call: a.Call, Attempt: AttemptNumber(number), Server: a.Server, Elapsed: 20 * Millisecond, Outcome: Answered})
+				b.handle(AttemptEnded{Call: a.Call, Attempt: AttemptNumber(number), Server: a.Server, Elapsed: 20 * Millisecond, Outcome: Answered})
 			}
 		}
-		failIf(t, most != limit, "%d servers at once for a call that may be sent to %d", most, limit)
+		failIf(t, most != limit, "at most %d attempts at once for a call with a limit of %d, want equal numbers", most, limit)
 	}
 }
--- a/balancer/harness_test.go
+++ b/balancer/harness_test.go
@@ -4,12 +4,12 @@
 	"testing"
 )
 
-// harness drives a Balancer with its own clock and request numbers.
+// harness drives a Balancer with a clock and request numbers of its own.
 type harness struct {
 	*Balancer
-	at   Time
-	next uint64
-	last []Action
+	at          Time
+	lastID      uint64
+	lastActions []Action
 }
 
 func failIf(t *testing.T, failed bool, format string, args ...any) {
@@ -34,24 +34,24 @@
 	for i := range n {
 		list = append(list, Server{ID: ServerID(i + 1), State: Ready})
 	}
-	b.do(ServerList{ListCached, list})
+	b.handle(ServerList{ListCached, list})
 	return b
 }
 
-func (b *harness) do(e Event) []Action {
-	b.last = b.Handle(b.at, e)
-	return b.last
+func (b *harness) handle(e Event) []Action {
+	b.lastActions = b.Handle(b.at, e)
+	return b.lastActions
 }
 
-// arrive lets a request arrive and returns what is sent for it.
+// arrive starts a request with a number of calls and returns the attempts that are sent for it.
 func (b *harness) arrive(calls int) []Send {
-	b.next++
-	e := RequestArrived{Request: RequestID(b.next), Number: RequestNumber(b.next), Timeout: 60000}
+	b.lastID++
+	e := RequestArrived{Request: RequestID(b.lastID), Number: RequestNumber(b.lastID), Timeout: 60000}
 	for i := range calls {
-		e.Calls = append(e.Calls, ShardCall{ID: ShardCallID(b.next*100 + uint64(i)), Weight: 1 / float64(calls)})
+		e.Calls = append(e.Calls, ShardCall{ID: ShardCallID(b.lastID*100 + uint64(i)), Weight: 1 / float64(calls)})
 	}
 	var out []Send
-	for _, a := range b.do(e) {
+	for _, a := range b.handle(e) {
 		if s, ok := a.(Send); ok {
 			out = append(out, s)
 		}
@@ -62,17 +62,17 @@
 // finish ends the first attempt of a call.
 func (b *harness) finish(s Send, after Time, o Outcome) []Action {
 	b.at += after
-	return b.do(AttemptEnded{Call: s.Call, Server: s.Server, Elapsed: after, Outcome: o})
+	return b.handle(AttemptEnded{Call: s.Call, Server: s.Server, Elapsed: after, Outcome: o})
 }
 
-// answer answers n requests of one call each.
+// answer starts and answers n requests of one call each.
 func (b *harness) answer(n int, latency Time) {
 	for range n {
 		b.finish(b.arrive(1)[0], latency, Answered)
 	}
 }
 
-// sendTo answers requests until one is sent to a server, and leaves that one open.
+// sendTo starts and answers requests until one is sent to the given server. That one stays open.
 func (b *harness) sendTo(t *testing.T, id ServerID, latency Time) Send {
 	t.Helper()
 	for range 200 {
@@ -88,9 +88,9 @@
 	return Send{}
 }
 
-// sends returns the Send actions among the last ones.
+// sends returns the Send actions of the last event.
 func (b *harness) sends() (out []Send) {
-	for _, a := range b.last {
+	for _, a := range b.lastActions {
 		if s, ok := a.(Send); ok {
 			out = append(out, s)
 		}
@@ -98,8 +98,8 @@
 	return out
 }
 
-// advance lets time pass and fires the timer of the last request.
+// advance advances the clock and fires the timer of the last request.
 func (b *harness) advance(after Time) []Action {
 	b.at += after
-	return b.do(TimerFired{TimerID(b.next)})
+	return b.handle(TimerFired{TimerID(b.lastID)})
 }
--- a/balancer/health.go
+++ b/balancer/health.go
@@ -1,15 +1,15 @@
 package balancer
 
-// surveyServers updates the estimates over all ready servers and starts the health checks that are due.
-func (b *Balancer) surveyServers() {
-	speed, measured, work, warm := 0.0, 0.0, 0.0, 0.0
+// updateEstimates updates the estimates over all ready servers and requests the health checks that are due.
+func (b *Balancer) updateEstimates() {
+	inverseSum, measured, work, warm := 0.0, 0.0, 0.0, 0.0
 	b.stuckCalls = 0
 	for _, s := range b.ready {
 		if b.silenceRatio(s.inFlight...) > 1 {
 			b.stuckCalls += len(s.inFlight)
 		}
 		if s.unitLatency > 0 {
-			speed, measured = speed+1/s.unitLatency, measured+1
+			inverseSum, measured = inverseSum+1/s.unitLatency, measured+1
 		}
 		if b.checkFirst && s.probation && s.ejectedUntil <= b.now && s.checkedAt < s.ejectedUntil && !s.checking {
 			s.checking = true
@@ -20,25 +20,25 @@
 		}
 	}
 	if measured > 0 { // the harmonic mean: a few slow servers must not make unmeasured ones look slow
-		b.meanLatency = measured / speed
+		b.meanLatency = measured / inverseSum
 	}
 	if warm > 0 {
 		b.warmWork += (work/warm - b.warmWork) * slowWeight
 	}
 }
 
-// recordQueue records the queue length that a server reports, or that other instances report of it.
+// recordQueue records the queue length of a server, as reported by the server or by other instances.
 func (b *Balancer) recordQueue(s *server, length float64) {
 	s.reportedQueue, s.reportedAt = max(length, 0), b.now
 	b.meanQueue += (s.reportedQueue - b.meanQueue) * slowWeight
 }
 
-// peerUpdate takes in what other instances report. Their calls in flight at a server stand for its queue.
-func (b *Balancer) peerUpdate(e PeerUpdate) {
+// applyPeerUpdate applies the reports of other instances. Their calls in flight count as a server's queue.
+func (b *Balancer) applyPeerUpdate(e PeerUpdate) {
 	for _, verdict := range e.Verdicts {
 		if s := b.servers[verdict.ID]; s != nil {
 			s.clusterEjected, s.slowdown = verdict.Ejected, verdict.SlowdownFactor
-			if verdict.Recovered { // another instance's probation attempt counts as one of this
+			if verdict.Recovered { // a probation attempt of another instance counts as one of this instance
 				s.probation, s.ejectedUntil = false, min(s.ejectedUntil, b.now)
 			}
 		}
@@ -50,8 +50,8 @@
 	}
 }
 
-// healthCheckEnded records the end of a health check. A failed one extends the ejection. A successful one
-// only allows probation attempts, as a server that hangs may still answer it.
+// healthCheckEnded processes the result of a health check. A failure extends the ejection. A success only
+// permits probation attempts, because a server that hangs may still answer health checks.
 func (b *Balancer) healthCheckEnded(e HealthCheckEnded) {
 	if s := b.servers[e.Server]; s != nil {
 		switch s.checking = false; e.Outcome {
@@ -64,7 +64,7 @@
 	}
 }
 
-// recordOutcome updates the health of an attempt's server.
+// recordOutcome updates the health of an attempt's server and zone.
 func (b *Balancer) recordOutcome(ended *attempt, e AttemptEnded, lost bool) {
 	s := ended.server
 	switch {
@@ -76,7 +76,7 @@
 		if s.failureRate < successWeight {
 			s.nextEjection = b.baseEjection
 		}
-	case e.Outcome == Rejected: // full or draining: no failure, but other servers are preferred for a while
+	case e.Outcome == Rejected: // full or draining: not a failure, but other servers are preferred for a while
 		s.ejectedUntil = max(s.ejectedUntil, b.now+b.baseEjection)
 	case e.Outcome == Errored:
 		b.recordFailure(s, errorWeight)
@@ -87,8 +87,8 @@
 	}
 }
 
-// recordFailure counts a failure and ejects the server when its failure rate is high or it is on probation.
-// The cost: errors that coincide by chance may idle a healthy server for one ejection time.
+// recordFailure counts a failure and ejects the server if its failure rate is high or it is on probation. The
+// drawback: errors that coincide by chance may leave a healthy server idle for one ejection time.
 func (b *Balancer) recordFailure(s *server, weight float64) {
 	s.failureRate += (1 - s.failureRate) * weight
 	if s.ejectedUntil <= b.now && (s.failureRate > ejectionThreshold || s.probation) {
@@ -97,14 +97,14 @@
 	}
 }
 
-// eject takes a server out for its next ejection time, which doubles.
+// eject ejects a server for its next ejection time, which then doubles.
 func (b *Balancer) eject(s *server) {
 	s.ejectedUntil = b.now + s.nextEjection
 	s.nextEjection = min(2*s.nextEjection, maxEjectionFactor*b.baseEjection)
 }
 
-// trackIdleLoss learns whether idle connections are found dead, as behind a middlebox that drops them: an
-// attempt on one is lost in silence, and the next one, on a new connection, is answered.
+// trackIdleLoss estimates how often idle connections are dead, for instance because a middlebox dropped them:
+// an attempt on one is lost in silence, and the next attempt, on a new connection, is answered.
 func (b *Balancer) trackIdleLoss(ended *attempt, answered, lost bool) {
 	switch s := ended.server; {
 	case lost && ended.onIdleConn:
@@ -119,27 +119,27 @@
 	}
 }
 
-// idleConnsUnsafe reports whether idle connections are too often found dead to be reused.
+// idleConnsUnsafe reports whether idle connections are found dead too often to be reused.
 func (b *Balancer) idleConnsUnsafe() bool {
 	return b.deadIdleShare*b.freshness(b.deadIdleAt, deadIdleAge) > deadIdleLimit
 }
 
-// silenceRatio returns how long the first of some attempts has been out without any response from its server,
-// as a multiple of the time after which it is overdue.
-func (b *Balancer) silenceRatio(out ...*attempt) float64 {
-	if len(out) == 0 {
+// silenceRatio returns the time that the first of some attempts has been in flight without any response from
+// its server, as a multiple of the time after which it is overdue.
+func (b *Balancer) silenceRatio(attempts ...*attempt) float64 {
+	if len(attempts) == 0 {
 		return 0
 	}
-	silence := b.now - max(out[0].sentAt, out[0].server.respondedAt)
-	return float64(silence) / float64(max(out[0].overdueAfter, 1))
+	silence := b.now - max(attempts[0].sentAt, attempts[0].server.respondedAt)
+	return float64(silence) / float64(max(attempts[0].overdueAfter, 1))
 }
 
-// restoreRecords adopts the records of an earlier run that still count: not those of a clock since set back.
+// restoreRecords restores records of an earlier run, except those that a clock set back dates in the future.
 func (b *Balancer) restoreRecords(e RecordsRestored) {
 	for _, record := range e.Servers {
 		s := b.servers[record.ID]
-		old := record.MeasuredAt > b.now || b.freshness(record.MeasuredAt, latencyMaxAge) == 0
-		if s == nil || s.startedAt != record.StartedAt || s.unitLatency > 0 || s.respondedAt > 0 || old ||
+		stale := record.MeasuredAt > b.now || b.freshness(record.MeasuredAt, latencyMaxAge) == 0
+		if s == nil || s.startedAt != record.StartedAt || s.unitLatency > 0 || s.respondedAt > 0 || stale ||
 			record.Latency <= 0 || record.Work <= 0 {
 			continue
 		}
--- a/balancer/health_test.go
+++ b/balancer/health_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// The ejection time must fit what requests can wait.
+// The base ejection time must not exceed what requests can wait within their latency target.
 func TestBaseEjectionFollowsLatencyTarget(t *testing.T) {
 	for target, want := range map[Time]Time{2500: 1250, 25000: firstBackoff} {
 		b := newHarness(2, func(c *Config) { c.QueryTypes[0].LatencyTarget = target })
@@ -32,12 +32,12 @@
 			t.Fatalf("a request depends on the server on probation: %v", out)
 		}
 		if len(out) == 2 {
-			failIf(t, out[1].Server != 1, "the hedge went to server %d", out[1].Server)
+			failIf(t, out[1].Server != 1, "the probation attempt was sent to server %d, want 1", out[1].Server)
 			b.finish(out[0], 100, Answered)
-			failIf(t, slices.ContainsFunc(b.last, func(a Action) bool { _, ok := a.(Cancel); return ok }),
+			failIf(t, slices.ContainsFunc(b.lastActions, func(a Action) bool { _, ok := a.(Cancel); return ok }),
 				"the probation attempt was cancelled")
 			b.at += 100
-			b.do(AttemptEnded{Call: out[1].Call, Attempt: 1, Server: 1, Elapsed: 200, Outcome: Answered})
+			b.handle(AttemptEnded{Call: out[1].Call, Attempt: 1, Server: 1, Elapsed: 200, Outcome: Answered})
 			failIf(t, s.probation, "its answer did not end the probation")
 			return
 		}
@@ -46,14 +46,14 @@
 	t.Error("no probation attempt was made")
 }
 
-// Losses at some servers of a zone raise the predictions of the others, until those respond or the losses are old.
+// Lost attempts at some servers of a zone increase the predictions of the others, until these respond or the losses are old.
 func TestZoneFailureRateAffectsItsServers(t *testing.T) {
 	b := newHarness(0, func(c *Config) { c.MaxAttempts = 1 })
 	var list []Server
 	for id := range 12 {
 		list = append(list, Server{ID: ServerID(id + 1), State: Ready, Zone: ZoneIndex(id % 2)})
 	}
-	b.do(ServerList{ListComplete, list})
+	b.handle(ServerList{ListComplete, list})
 	b.answer(300, 1000)
 	predicted := func(id ServerID) Time {
 		return b.predict(b.servers[id], &shardCall{req: &request{policy: b.types[0]}, size: 1})
@@ -81,17 +81,17 @@
 	}
 	b.servers[8].respondedAt = b.at + 1
 	if now := predicted(8); now > 3*before/2 {
-		t.Errorf("predicted %d for one that has responded since, %d before", now, before)
+		t.Errorf("predicted %d for a server that has responded since, %d before", now, before)
 	}
 	b.servers[8].respondedAt = 0
 	b.at += latencyMaxAge
-	b.do(TimerFired{})
+	b.handle(TimerFired{})
 	if now := predicted(8); now > 3*before/2 {
 		t.Errorf("predicted %d long after the losses, %d before", now, before)
 	}
 }
 
-// Where a call has one attempt only, that attempt is the probation attempt.
+// If a call may have only one attempt, that attempt is the probation attempt.
 func TestNoHedgedProbationWithSingleAttempt(t *testing.T) {
 	b := newHarness(2, func(c *Config) { c.MaxAttempts = 1 })
 	b.answer(20, 100)
@@ -113,7 +113,7 @@
 	b := newHarness(1, nil)
 	b.answer(4, 1000)
 	closed := func() bool {
-		return slices.ContainsFunc(b.last, func(a Action) bool { _, is := a.(CloseIdle); return is })
+		return slices.ContainsFunc(b.lastActions, func(a Action) bool { _, is := a.(CloseIdle); return is })
 	}
 	for range 12 {
 		b.at += 20000
@@ -130,7 +130,7 @@
 	t.Errorf("twelve idle connections were dead and none is closed, share %v", b.deadIdleShare)
 }
 
-// A failed health check saves the request that would have been the probation attempt.
+// A failed health check avoids a probation attempt that would have failed a request.
 func TestHealthCheckPrecedesProbation(t *testing.T) {
 	b := newHarness(2, func(c *Config) { c.AllowHedging, c.AllowHealthChecks = false, true })
 	b.answer(4, 1000)
@@ -138,11 +138,11 @@
 	b.at = b.servers[1].ejectedUntil
 	s := b.arrive(1)[0]
 	failIf(t, s.Server == 1, "a call was sent to an ejected server without a health check")
-	failIf(t, !slices.Contains(b.last, Action(HealthCheck{1})), "no health check: %v", b.last)
-	b.do(HealthCheckEnded{Server: 1, Outcome: TimedOut})
+	failIf(t, !slices.Contains(b.lastActions, Action(HealthCheck{1})), "no health check: %v", b.lastActions)
+	b.handle(HealthCheckEnded{Server: 1, Outcome: TimedOut})
 	failIf(t, b.servers[1].ejectedUntil <= b.at, "a failed health check does not extend the ejection")
 	b.at = b.servers[1].ejectedUntil
 	b.arrive(1)
-	b.do(HealthCheckEnded{Server: 1, Outcome: Answered})
+	b.handle(HealthCheckEnded{Server: 1, Outcome: Answered})
 	failIf(t, b.sendTo(t, 1, 1000).Server != 1, "the server that answered its health check gets no probation attempt")
 }
--- a/balancer/invariants_test.go
+++ b/balancer/invariants_test.go
@@ -20,17 +20,17 @@
 	os.Exit(m.Run())
 }
 
-// simulation feeds generated events to two equal balancers and checks their actions against the reference model.
+// simulation feeds generated events to two identical balancers and checks their actions against the reference model.
 type simulation struct {
 	*referenceModel
 	balancer, twin *Balancer
 	timers         []SetTimer
-	healthChecks   []ServerID // in flight
+	healthChecks   []ServerID // servers with a health check in flight
 	nextID         uint64
-	maxCalls       int // of a request
+	maxCalls       int // maximum number of calls of a request
 }
 
-// newSimulation draws a configuration; as a gateway, one of those that the data plane uses, with several servers for each shard.
+// newSimulation draws a configuration. With asGateway, it is one that the data plane uses, with several servers per shard.
 func newSimulation(t *rapid.T, asGateway bool) *simulation {
 	config := Config{
 		Seed: rapid.Uint64().Draw(t, "seed"), Instances: rapid.IntRange(1, 4).Draw(t, "instances"), ClockResolution: 50,
@@ -45,10 +45,10 @@
 		RetryBudgetWindow: 50000, OverQuotaValue: 0.1, Customers: []CustomerConfig{{20}, {0}},
 	}
 	config.ReplicationFactor = rapid.IntRange(1, config.Cells).Draw(t, "replication factor")
-	if asGateway { // the shards come later, each with a budget and servers of its own
+	if asGateway { // shards are added later, each with its own budget and servers
 		config.HasRetryBudget, config.RetryBudgetPerShard, config.AllowHedging = true, true, true
 		config.RetryBudgetBase = rapid.SampledFrom([]float64{1, 8, 50}).Draw(t, "base")
-		config.Shards = rapid.IntRange(1, 2).Draw(t, "shards of a gateway") // several servers each
+		config.Shards = rapid.IntRange(1, 2).Draw(t, "shards of a gateway") // few shards, so that each has several servers
 		config.ReplicationFactor, config.Cells = 1, config.Shards
 	}
 	for _, idempotency := range []Idempotency{Idempotent, Deduplicated, NonIdempotent} {
@@ -67,7 +67,7 @@
 	}
 	w := &simulation{referenceModel: m, balancer: New(initial), twin: New(initial), maxCalls: 5}
 	if asGateway {
-		w.maxCalls = 2 // so that most attempts end, and servers are idle when their ejection is over
+		w.maxCalls = 2 // so that most attempts end and servers are idle when their ejection ends
 		w.event(ClusterResized{Shards: config.Shards, Instances: config.Instances})
 	}
 	var list []Server
@@ -92,7 +92,8 @@
 		w.applyServerList(l)
 	}
 	actions, again := w.balancer.Handle(w.now, e), w.twin.Handle(w.now, e)
-	w.failIf(!reflect.DeepEqual(actions, again), "the same events gave %v and %v", actions, again)
+	w.failIf(!reflect.DeepEqual(actions, again),
+		"identical balancers returned different actions for the same events: %v and %v", actions, again)
 	for _, a := range actions {
 		w.check(a)
 		if timer, ok := a.(SetTimer); ok {
@@ -137,7 +138,7 @@
 		Customer: CustomerIndex(rapid.IntRange(0, 1).Draw(w.t, "customer")), Calls: calls})
 }
 
-// endAttempt ends an attempt in flight, or if late repeats the end of one that has ended.
+// endAttempt ends an attempt in flight. With late, it may also repeat the end of an attempt that has already ended.
 func (w *simulation) endAttempt(late bool) {
 	var candidates []*modelAttempt
 	for _, s := range w.attempts {
@@ -164,7 +165,7 @@
 	w.event(e)
 }
 
-// advance moves the clock and fires each timer at the first tick at or after its moment.
+// advance advances the clock and fires each timer at the first clock tick at or after its time.
 func (w *simulation) advance(by Time) {
 	for end := w.now + by; w.now < end; {
 		w.now = (w.now/w.config.ClockResolution + 1) * w.config.ClockResolution
@@ -184,7 +185,7 @@
 
 func TestInvariants(t *testing.T) { checkInvariants(t, false, 60) }
 
-// A gateway's balancer hedges attempts at servers on probation, which takes more steps to come about.
+// A gateway's balancer hedges attempts at servers on probation, which occurs only after more steps.
 func TestGatewayInvariants(t *testing.T) { checkInvariants(t, true, 240) }
 
 func checkInvariants(t *testing.T, asGateway bool, maxSteps int) {
@@ -221,6 +222,6 @@
 		}
 		b := w.balancer
 		w.failIf(len(b.requests)+len(b.requestsByNumber)+len(b.inFlight) > 0,
-			"left over: %d requests, %d calls", len(b.requests), len(b.inFlight))
+			"not removed after the end: %d requests, %d calls", len(b.requests), len(b.inFlight))
 	})
 }
--- a/balancer/limit.go
+++ b/balancer/limit.go
@@ -5,12 +5,12 @@
 	"math"
 )
 
-// setQueryType installs the policy of a query type for requests that arrive from now on.
+// setQueryType sets the policy of a query type for requests that arrive from now on.
 func (b *Balancer) setQueryType(at QueryType, config QueryTypeConfig) {
 	config.LatencyTarget -= min(b.networkDelay, config.LatencyTarget/2)
 	config.MaxAttempts = cmp.Or(config.MaxAttempts, b.maxAttempts)
 	b.baseEjection = min(b.baseEjection, max(config.LatencyTarget/backoffDivisor, Millisecond))
-	policy := &typePolicy{QueryTypeConfig: config, partialCoverage: config.MinCoverage, learned: unlearned}
+	policy := &typePolicy{QueryTypeConfig: config, partialCoverage: config.MinCoverage, typeState: newTypeState}
 	policy.partialCounts = config.PartialValue*config.MinCoverage >= config.LateValue
 	if config.QuadraticPartialValue {
 		policy.partialCoverage, policy.partialCounts = max(config.MinCoverage, math.Sqrt(config.LateValue)), true
@@ -20,16 +20,16 @@
 		b.types = append(b.types, nil)
 	}
 	if old := b.types[at]; old != nil {
-		policy.learned = old.learned
+		policy.typeState = old.typeState
 	}
 	b.types[at] = policy
 }
 
-// requestArrived sets the deadlines of a request and sheds it above the in-flight limit.
+// requestArrived sets the deadlines of a request and sheds it if the in-flight limit is reached.
 func (b *Balancer) requestArrived(e RequestArrived) {
 	policy := b.types[e.Type]
 	if e.MayHaveRun && policy.Idempotency != Idempotent {
-		b.emit(Fail{e.Request}) // sent again it might run twice, and Shed would promise that it has not run
+		b.emit(Fail{e.Request}) // a repeat could run twice, and Shed would state that it has not run
 		return
 	}
 	req := &request{id: e.Request, number: e.Number, queryType: e.Type, policy: policy}
@@ -44,13 +44,13 @@
 	b.widestRequest = max(b.widestRequest, len(e.Calls))
 	b.limit = max(b.limit, minLimitPerServer*float64(len(b.ready))/b.instances,
 		float64(minLimitWidest*b.widestRequest))
-	b.surveyServers()
+	b.updateEstimates()
 	last := len(b.customers) - 1
 	customer, all := &b.customers[min(int(e.Customer), last)], &b.customers[last]
 	admitted, allowed := customer.admitted.lower(b.now), b.limit
 	if customer.quota > 0 && admitted >= customer.quota &&
 		admitted*all.quota > all.admitted.lower(b.now)*customer.quota {
-		allowed *= pressureShare // above its quota, and its share of this instance's own requests
+		allowed *= pressureShare // over its quota, and over its share of this instance's requests
 	}
 	if len(e.Calls) == 0 || b.activeCalls() >= allowed*b.limitShare(req) {
 		b.abandon(req)
@@ -61,19 +61,19 @@
 	b.fanOut(req, e.Calls)
 }
 
-// setDeadlines sets the latency target and the deadline of a request. A retry keeps the target of its first
-// attempt, or a retry storm would be served as if it were new load. Where clients mark no retries, one is
-// recognized by a shorter timeout; a client that is merely less patient is then taken to have waited.
+// setDeadlines sets the latency target and deadline of a request. A retry keeps the target of its first
+// attempt: otherwise a retry storm would be served like new load. If clients do not mark retries, a shorter
+// timeout identifies one; a client that is only less patient is then assumed to have waited.
 func (b *Balancer) setDeadlines(req *request, e RequestArrived) {
 	policy := req.policy
 	req.deadline = b.now + max(min(e.Timeout-b.networkDelay/2, policy.ClientTimeout)-b.margin, 0)
 	req.targetAt = b.now + policy.LatencyTarget - b.margin
 	policy.longestTimeout = max(policy.longestTimeout-policy.longestTimeout/timeoutDecay, e.Timeout)
-	full := policy.ClientTimeout
+	fullTimeout := policy.ClientTimeout
 	if b.inferTimeout {
-		full = policy.longestTimeout
+		fullTimeout = policy.longestTimeout
 	}
-	waited := full - e.Timeout
+	waited := fullTimeout - e.Timeout
 	isRetry := e.Retry || !b.retriesMarked && (b.inferTimeout || policy.abandonedAt >= b.now-waited)
 	if isRetry && e.Timeout < policy.longestTimeout-b.margin {
 		req.targetAt -= waited
@@ -84,10 +84,10 @@
 	}
 }
 
-// activeCalls returns the calls in flight without those at silent servers, which must not fill the limit.
+// activeCalls returns the calls in flight, except at silent servers: those must not exhaust the limit.
 func (b *Balancer) activeCalls() float64 { return float64(len(b.inFlight) - b.stuckCalls) }
 
-// adjustLimit moves the in-flight limit by base over current (median) unit latency, as gradient limiters do.
+// adjustLimit scales the in-flight limit by base over current (median) unit latency, as gradient limiters do.
 func (b *Balancer) adjustLimit(unitLatency float64) {
 	if b.latencySamples++; b.latencySamples <= warmupSamples { // start from the mean
 		b.currentLatency += (unitLatency - b.currentLatency) / float64(b.latencySamples)
@@ -101,7 +101,7 @@
 	}
 }
 
-// chooseShard returns the shard at a point of [0, 1), by weight, among those with a ready server if any.
+// chooseShard maps a point in [0, 1) to a shard by weight, among those with a ready server if there are any.
 func (b *Balancer) chooseShard(candidates []WeightedShard, point float64) (chosen ShardIndex) {
 	total, available := 0.0, 0.0
 	for _, c := range candidates {
@@ -109,10 +109,10 @@
 			available += c.Weight
 		}
 	}
-	left := cmp.Or(available, total) * point
+	remaining := cmp.Or(available, total) * point
 	for _, c := range candidates {
-		if c.Weight > 0 && left >= 0 && (available == 0 || len(b.replicas[c.Shard]) > 0) {
-			chosen, left = c.Shard, left-c.Weight
+		if c.Weight > 0 && remaining >= 0 && (available == 0 || len(b.replicas[c.Shard]) > 0) {
+			chosen, remaining = c.Shard, remaining-c.Weight
 		}
 	}
 	return chosen
--- a/balancer/limit_test.go
+++ b/balancer/limit_test.go
@@ -7,8 +7,8 @@
 func TestRetryDeadlineCountsFromFirstAttempt(t *testing.T) {
 	b := newHarness(1, func(c *Config) { c.QueryTypes[0].LateValue, c.RetriesMarked = 0, true })
 	calls := []ShardCall{{ID: 1, Weight: 1}}
-	b.do(RequestArrived{Request: 1, Number: 1, Timeout: 50000, Calls: calls})
-	got := b.do(RequestArrived{Request: 2, Number: 2, Timeout: 30000, Retry: true, Calls: calls})
+	b.handle(RequestArrived{Request: 1, Number: 1, Timeout: 50000, Calls: calls})
+	got := b.handle(RequestArrived{Request: 2, Number: 2, Timeout: 30000, Retry: true, Calls: calls})
 	failIf(t, len(got) != 1 || got[0] != (Shed{Request: 2}),
 		"a retry 30000 after the first attempt, with a target of 25000: %v", got)
 }
@@ -19,23 +19,23 @@
 	b.servers[1].unitLatency = 1e6
 	for range 5 {
 		got := b.arrive(2)
-		failIf(t, len(got) != 2, "%d of 2 calls sent with one healthy replica: %v", len(got), b.last)
+		failIf(t, len(got) != 2, "%d of 2 calls sent with one healthy replica: %v", len(got), b.lastActions)
 		for i, s := range got {
 			b.finish(s, []Time{1000, 10}[i], Answered)
 		}
 	}
 }
 
-// An idle server is used however slow it was measured; a server with work pending is not.
+// An idle server is used even if its measured latency is high. A server with pending work is not.
 func TestIdleServersAreUsedDespiteLatePrediction(t *testing.T) {
 	b := newHarness(2, func(c *Config) { c.QueryTypes[0].LateValue = 0 })
 	b.answer(20, 1000)
 	b.servers[1].unitLatency, b.servers[2].unitLatency = 1e6, 1e6
 	first := b.arrive(1)
-	failIf(t, len(first) != 1, "idle servers were not used: %v", b.last)
+	failIf(t, len(first) != 1, "idle servers were not used: %v", b.lastActions)
 	b.arrive(1)
 	got := b.arrive(1)
-	failIf(t, len(got) != 0, "a call was sent behind one that takes 100 s: %v", b.last)
+	failIf(t, len(got) != 0, "a call was sent although another one ahead of it takes 100 s: %v", b.lastActions)
 }
 
 func TestOverQuotaCustomerIsShedOnlyUnderPressure(t *testing.T) {
@@ -54,15 +54,15 @@
 	b.at += 15000
 	b.servers[1].unitLatency, b.servers[1].measuredAt = 100, b.at
 	failIf(t, !full || len(b.arrive(1)) != 1,
-		"full: %v; later shed with %d in flight, %d stuck", full, len(b.inFlight), b.stuckCalls)
+		"limit reached at first: %v; later shed with %d calls in flight, %d of them stuck", full, len(b.inFlight), b.stuckCalls)
 }
 
-// A request whose calls may have run under the same idempotency key is neither sent nor shed, unless it is idempotent.
+// If calls with the same idempotency key may have run, a request is neither sent nor shed, unless it is idempotent.
 func TestRequestThatMayHaveRunFailsImmediately(t *testing.T) {
 	for idempotency, want := range map[Idempotency]string{NonIdempotent: "fail", Deduplicated: "fail", Idempotent: "send"} {
 		b := newHarness(3, func(c *Config) { c.QueryTypes[0].Idempotency = idempotency })
 		got := ""
-		for _, a := range b.do(RequestArrived{Request: 9, Number: 9, Timeout: 60000, MayHaveRun: true, Calls: []ShardCall{{ID: 900, Weight: 1}}}) {
+		for _, a := range b.handle(RequestArrived{Request: 9, Number: 9, Timeout: 60000, MayHaveRun: true, Calls: []ShardCall{{ID: 900, Weight: 1}}}) {
 			switch a.(type) {
 			case Send:
 				got += "send"
@@ -72,7 +72,7 @@
 				got += "shed"
 			}
 		}
-		failIf(t, got != want, "idempotency %d: %q, want %q", idempotency, got, want)
+		failIf(t, got != want, "idempotency %d: actions %q, want %q", idempotency, got, want)
 		failIf(t, idempotency != Idempotent && (len(b.requests) > 0 || len(b.requestsByNumber) > 0),
 			"idempotency %d: the request is still open", idempotency)
 	}
@@ -82,10 +82,10 @@
 	b := newHarness(1, func(c *Config) { c.QueryTypes[0].LateValue = 0 })
 	b.answer(4, 1000) // client timeout 60000
 	target := func(timeout Time) Time {
-		b.next++
-		b.do(RequestArrived{Request: RequestID(b.next), Number: RequestNumber(b.next), Timeout: timeout,
-			Calls: []ShardCall{{ID: ShardCallID(b.next * 100), Weight: 1}}})
-		return b.requests[RequestID(b.next)].targetAt - b.at
+		b.lastID++
+		b.handle(RequestArrived{Request: RequestID(b.lastID), Number: RequestNumber(b.lastID), Timeout: timeout,
+			Calls: []ShardCall{{ID: ShardCallID(b.lastID * 100), Weight: 1}}})
+		return b.requests[RequestID(b.lastID)].targetAt - b.at
 	}
 	failIf(t, target(45000) < 24000,
 		"a first attempt with a shorter timeout is taken for a retry though no request was abandoned")
@@ -93,15 +93,16 @@
 	b.types[0].abandonedAt = b.at - 1000
 	failIf(t, target(45000) > 10000, "a request with 15000 less time after one was abandoned is taken for a first attempt")
 	b.types[0].abandonedAt = b.at - 16000
-	failIf(t, target(45000) < 24000, "a retry of what was abandoned before its first attempt came")
+	failIf(t, target(45000) < 24000,
+		"taken for a retry though the last request was abandoned before its first attempt could have arrived")
 }
 
-// One of many instances sees an overload as high latency, long before it reaches its own limit.
+// An instance among many observes an overload as high latency, long before its own in-flight limit is reached.
 func TestOverloadShedsByLatencyTarget(t *testing.T) {
 	b := newHarness(1, nil)
 	b.answer(120, 1000)
 	b.arrive(4)
-	b.servers[1].unitLatency, b.meanLatency = 7000, 7000 // four calls behind four: past the target, before the deadline
+	b.servers[1].unitLatency, b.meanLatency = 7000, 7000 // 4 calls behind 4: after the target, before the deadline
 	sent := len(b.arrive(1))
 	b.currentLatency = 4 * b.baseLatency
 	shed := len(b.arrive(1))
--- a/balancer/model_test.go
+++ b/balancer/model_test.go
@@ -7,13 +7,13 @@
 	"pgregory.net/rapid"
 )
 
-// referenceModel is a slow and simple model of the rules that every action must keep. It records everything that happened and
-// checks each action against all of it. It shares only the interface with the balancer.
+// referenceModel is a slow and simple model of the rules that all actions must obey. It records all events and checks
+// each action against all of them. It shares only the interface with the balancer.
 type referenceModel struct {
 	t           *rapid.T
 	config      Config
 	now         Time
-	admitted    []Time // requests and calls
+	admitted    []Time // arrival times of requests and calls
 	requests    []*modelRequest
 	servers     map[ServerID]*modelServer
 	attempts    []*modelAttempt
@@ -49,7 +49,7 @@
 
 type modelServer struct {
 	Server
-	unavailableSince Time // when it was listed as draining or removed; -1 = it is ready
+	unavailableSince Time // when it was listed as draining or removed; -1 = ready
 	attempts         []*modelAttempt
 }
 
@@ -127,7 +127,7 @@
 		m.failIf(!m.config.AllowCancel || int(a.Attempt) >= len(call.attempts),
 			"cancel of call %d, attempt %d is not allowed", a.Call, a.Attempt)
 	case SetTimer:
-		m.failIf(a.At <= m.now, "timer set for %d at %d", a.At, m.now)
+		m.failIf(a.At <= m.now, "timer set for %d, which is not after the current time %d", a.At, m.now)
 	}
 }
 
@@ -153,7 +153,7 @@
 	}
 	m.failIf(got < minimum-1e-4, "coverage: request %d answered with coverage %v, minimum %v", req.id, got, minimum)
 	m.failIf(a.Complete && (got < complete-1e-4 || req.phase == 2 && !req.firstComplete),
-		"coverage: request %d marked complete at coverage %v of %v", req.id, got, complete)
+		"coverage: request %d answered as complete with coverage %v, required %v", req.id, got, complete)
 	m.finish(req)
 	if req.queryType.SecondPhaseCalls > 0 && req.phase == 1 {
 		req.phase, req.firstComplete, req.ended = 2, a.Complete, false
@@ -171,7 +171,7 @@
 	m.failIf(s == nil || (int(s.Cell)-int(call.Shard)%cells+cells)%cells >= m.config.ReplicationFactor,
 		"server %d does not hold shard %d", a.Server, call.Shard)
 	m.failIf(s.unavailableSince >= 0 && m.now > s.unavailableSince+m.config.DrainGrace,
-		"drain: server %d sent to %d after it was listed as unavailable", a.Server, m.now-s.unavailableSince)
+		"drain: a call was sent to server %d, %d after it was listed as unavailable", a.Server, m.now-s.unavailableSince)
 	firstRisk := Time(-1)
 	for _, before := range call.attempts {
 		m.failIf(!before.ended && !m.config.AllowHedging, "two attempts of call %d in flight at once", call.ID)
@@ -194,7 +194,7 @@
 	m.checkSlowStart(s)
 }
 
-// checkBudget checks the retry budget that pays for the calls of a shard.
+// checkBudget checks the retry budget of the calls of a shard.
 func (m *referenceModel) checkBudget(shard ShardIndex) {
 	retries, admitted := 0.0, 0.0
 	for _, s := range m.attempts {
@@ -212,7 +212,8 @@
 		"retry budget: %v retries with %v admitted", retries, admitted)
 }
 
-// checkSlowStart takes the most work that a warm server was sent in any window as the capacity of one.
+// checkSlowStart checks the work sent to a server during slow start. The capacity of a server is the largest amount of
+// work that a warm server was sent in any window.
 func (m *referenceModel) checkSlowStart(s *modelServer) {
 	load := func(s *modelServer, span Time) (sum float64) {
 		for _, r := range s.attempts {
@@ -231,5 +232,5 @@
 	sent := load(s, m.config.OverloadWindow)
 	allowed := max(s.attempts[len(s.attempts)-1].size, m.config.OverloadMultiple*capacity*m.maxWarmWork+1e-9)
 	m.failIf(sent > allowed,
-		"slow start: cold server %d was sent %v, warm ones bear %v, its capacity is %v", s.ID, sent, m.maxWarmWork, capacity)
+		"slow start: server %d was sent %v, a warm one at most %v, its capacity share is %v", s.ID, sent, m.maxWarmWork, capacity)
 }
--- a/balancer/overload_test.go
+++ b/balancer/overload_test.go
@@ -9,13 +9,13 @@
 
 // Parameters of the simulated overload.
 const (
-	overloadSlots = 3                  // calls that a server executes at once
-	overloadCalm  = 3000 * Millisecond // at low load before it
-	overloadGap   = 22                 // longest time between two requests: about 870 arrive in a second
-	overloadShort = 4                  // one request in so many is short
+	slotsPerServer    = 3                  // calls that a server executes concurrently
+	lowLoadTime       = 3000 * Millisecond // duration of the low load before the overload
+	maxRequestGap     = 22                 // longest interval between two requests: about 870 arrive per second
+	shortRequestEvery = 4                  // one of this many requests is short
 )
 
-// overloadTypes are the long and the short requests of the simulated overload.
+// overloadTypes are the long and the short request type of the simulated overload.
 var overloadTypes = [2]struct{ work, target, timeout Time }{
 	{20 * Millisecond, 120 * Millisecond, 1200 * Millisecond},
 	{7 * Millisecond, 60 * Millisecond, 600 * Millisecond},
@@ -32,13 +32,13 @@
 // overloadEvent is an event of the balancer, or the end of a job.
 type overloadEvent struct {
 	at    Time
-	seq   int // in order of creation
+	seq   int // order of creation
 	event Event
 	ended *overloadJob
 }
 
-// overloadSimulation simulates a shard of three servers, first at low load and then at twice its capacity, with three
-// long requests to each short one.
+// overloadSimulation simulates a shard of three servers, first at low load and then at twice its capacity. One of four
+// requests is short.
 type overloadSimulation struct {
 	*harness
 	overloadAt Time
@@ -50,27 +50,27 @@
 	types      map[ShardCallID]QueryType
 	attempts   map[ShardCallID]AttemptNumber
 
-	arrived, inTime [2]int // by type, under overload: requests, and those answered in time
+	arrived, inTime [2]int // by type, during the overload: all requests, and those answered in time
 }
 
 func newOverloadSimulation() *overloadSimulation {
 	s := &overloadSimulation{harness: gatewayHarness(1, gatewayQueryType),
 		busy: map[ServerID]int{}, waiting: map[ServerID][]overloadJob{}, arrivedAt: map[RequestID]Time{},
 		types: map[ShardCallID]QueryType{}, attempts: map[ShardCallID]AttemptNumber{}}
-	s.overloadAt = s.at + overloadCalm
+	s.overloadAt = s.at + lowLoadTime
 	short := gatewayQueryType
 	short.LatencyTarget, short.ClientTimeout = overloadTypes[1].target, overloadTypes[1].timeout
-	s.do(QueryTypeChanged{Type: 1, Config: short})
-	s.do(ClusterResized{Shards: 2, Instances: 1})
+	s.handle(QueryTypeChanged{Type: 1, Config: short})
+	s.handle(ClusterResized{Shards: 2, Instances: 1})
 	idle := ServerList{Kind: ListDelta} // servers of another shard: the in-flight limit covers all shards
 	for i := range 9 {
 		idle.Servers = append(idle.Servers, Server{ID: ServerID(100 + i), Cell: 1, State: Ready})
 	}
-	s.do(idle)
+	s.handle(idle)
 	return s
 }
 
-// push queues an event by its moment.
+// push inserts an event into the queue, which is sorted by time.
 func (s *overloadSimulation) push(e overloadEvent) {
 	s.seq++
 	e.seq = s.seq
@@ -80,17 +80,17 @@
 	s.queue = slices.Insert(s.queue, i, e)
 }
 
-// pushRequests queues the requests of the calm time and of some seconds of overload.
+// pushRequests queues the requests of the low-load phase and of an overload of the given duration.
 func (s *overloadSimulation) pushRequests(seconds int) {
 	random := rand.New(rand.NewPCG(3, 4))
 	end := s.overloadAt + Time(seconds)*1000*Millisecond
-	for at := s.at; at < end; at += Time(1 + random.IntN(overloadGap)) {
+	for at := s.at; at < end; at += Time(1 + random.IntN(maxRequestGap)) {
 		if at < s.overloadAt {
 			at += Time(random.IntN(40))
 		}
 		s.seq++
 		id, queryType := RequestID(s.seq), QueryType(0)
-		if random.IntN(overloadShort) == 0 {
+		if random.IntN(shortRequestEvery) == 0 {
 			queryType = 1
 		}
 		if at >= s.overloadAt {
@@ -115,7 +115,7 @@
 		if a, ok := e.event.(RequestArrived); ok {
 			s.arrivedAt[a.Request] = s.at
 		}
-		s.perform(s.do(e.event))
+		s.perform(s.handle(e.event))
 	}
 }
 
@@ -125,7 +125,7 @@
 		case Send:
 			job := overloadJob{a, s.attempts[a.Call], s.types[a.Call], s.at}
 			s.attempts[a.Call]++
-			if s.busy[a.Server] < overloadSlots {
+			if s.busy[a.Server] < slotsPerServer {
 				s.start(job)
 			} else {
 				s.waiting[a.Server] = append(s.waiting[a.Server], job)
@@ -141,13 +141,13 @@
 	}
 }
 
-// start starts a job in a free slot of its server.
+// start starts a job on its server, which has a free slot.
 func (s *overloadSimulation) start(job overloadJob) {
 	s.busy[job.send.Server]++
 	s.push(overloadEvent{at: s.at + overloadTypes[job.queryType].work, ended: &job})
 }
 
-// end ends a job and starts the next one that waits for its slot.
+// end ends a job and starts the next one waiting at its server.
 func (s *overloadSimulation) end(job *overloadJob) {
 	server := job.send.Server
 	s.busy[server]--
@@ -155,12 +155,12 @@
 		s.start(waiting[0])
 		s.waiting[server] = waiting[1:]
 	}
-	s.perform(s.do(AttemptEnded{Call: job.send.Call, Attempt: job.number, Server: server, Elapsed: s.at - job.sentAt,
+	s.perform(s.handle(AttemptEnded{Call: job.send.Call, Attempt: job.number, Server: server, Elapsed: s.at - job.sentAt,
 		Outcome: Answered}))
 }
 
-// At twice the capacity queues must stay so short that short requests are still answered in time. Queues as long as the target
-// of long requests would shed only the short ones, and complete no more of the long.
+// At twice the capacity, queues must stay short enough for short requests to be answered in time. Queues as long as the
+// target of long requests would shed only short requests, without completing more long ones.
 func TestLongQueueDoesNotShedShortRequests(t *testing.T) {
 	s := newOverloadSimulation()
 	s.pushRequests(8)
@@ -170,5 +170,5 @@
 	t.Logf("in time: %.2f of %d long, %.2f of %d short requests", long, arrived[0], short, arrived[1])
 	failIf(t, short < 0.4, "only %.2f of the short requests are answered in time", short)
 	work := inTime[0]*20 + inTime[1]*7
-	failIf(t, float64(work) < 0.7*9*8000, "the servers worked only %d ms on answers in time", work)
+	failIf(t, float64(work) < 0.7*9*8000, "the servers spent only %d ms on answers in time", work)
 }
--- a/balancer/prediction_test.go
+++ b/balancer/prediction_test.go
@@ -37,13 +37,13 @@
 	first, second := b.arrive(1)[0], b.arrive(1)[0]
 	b.at += 10000
 	b.finish(second, 9000, Answered) // a response: the first attempt is slow, not lost
-	learned := b.servers[1].unitLatency
+	updated := b.servers[1].unitLatency
 	b.finish(first, 10000, TimedOut)
-	failIf(t, b.servers[1].unitLatency < learned+before,
-		"unit latency %v after a time-out at ten times %v, %v before it", b.servers[1].unitLatency, before, learned)
+	failIf(t, b.servers[1].unitLatency < updated+before,
+		"unit latency %v after a time-out at ten times %v, %v before it", b.servers[1].unitLatency, before, updated)
 }
 
-// Attempts lost with their connections must not make servers look slow, or requests are shed while servers are idle.
+// Attempts lost with their connections must not increase a server's latency, or requests are shed while servers are idle.
 func TestSilentTimeoutDoesNotUpdateLatency(t *testing.T) {
 	b := newHarness(1, nil)
 	b.finish(b.arrive(1)[0], 1000, Answered)
@@ -58,29 +58,29 @@
 	b := newHarness(1, nil)
 	for i := range 60 {
 		call := ShardCall{ID: 1, Weight: 1, Size: []float64{2, 100}[i%2]}
-		b.do(RequestArrived{Request: 1, Number: 1, Timeout: 60000, Calls: []ShardCall{call}})
+		b.handle(RequestArrived{Request: 1, Number: 1, Timeout: 60000, Calls: []ShardCall{call}})
 		b.finish(Send{Call: 1, Server: 1}, 1000, Answered)
 	}
 	latency := b.servers[1].unitLatency
-	failIf(t, latency > 30, "unit latency %v where a mean call of 51 takes 1000", latency)
+	failIf(t, latency > 30, "unit latency %v, calls with a mean size of 51 take 1000", latency)
 }
 
 func TestCallCostIsIncludedInWork(t *testing.T) {
 	b := newHarness(1, func(c *Config) { c.CallCost = 44 })
 	for i := range 60 {
 		call := ShardCall{ID: 1, Weight: 1, Size: []float64{2, 28}[i%2]}
-		b.do(RequestArrived{Request: 1, Number: 1, Timeout: 60000, Calls: []ShardCall{call}})
+		b.handle(RequestArrived{Request: 1, Number: 1, Timeout: 60000, Calls: []ShardCall{call}})
 		b.finish(Send{Call: 1, Server: 1}, []Time{460, 720}[i%2], Answered)
 	}
 	latency := b.servers[1].unitLatency
-	failIf(t, latency < 9.9 || latency > 10.1, "unit latency %v where work of 46 and 72 takes 460 and 720", latency)
+	failIf(t, latency < 9.9 || latency > 10.1, "unit latency %v, work of 46 and 72 takes 460 and 720", latency)
 }
 
-func TestReportsAgeAndLatencyIsSmoothed(t *testing.T) {
+func TestLatencyIsSmoothedAndReportsExpire(t *testing.T) {
 	b := newHarness(2, nil)
 	b.finish(b.sendTo(t, 1, 1000), 1000, Answered)
 	b.arrive(1)
-	b.finish(Send{Call: ShardCallID(b.next * 100), Server: 2}, 20000, Answered)
+	b.finish(Send{Call: ShardCallID(b.lastID * 100), Server: 2}, 20000, Answered)
 	s, call := b.servers[2], &shardCall{req: &request{policy: b.types[0]}, size: 1}
 	failIf(t, b.meanLatency != 1000 || s.unitLatency > 6000,
 		"unit latency %v after a first answer at 20000, the mean is %v", s.unitLatency, b.meanLatency)
--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -6,7 +6,7 @@
 func (b *Balancer) dispatch(call *shardCall, s *server, reason AttemptReason) {
 	sent := &attempt{call: call, server: s, sentAt: b.now, queuedWork: s.backlog + b.queueLength(s)*b.meanSize,
 		predicted: max(b.predict(s, call), 1), reason: reason}
-	// Overdue at half the time left to the target, past that to the deadline: a hedge gets as long as it had.
+	// Overdue at half the time left to the target, or past it to the deadline: a hedge gets as long as this had.
 	remaining := cmp.Or(max(call.req.targetAt-b.now, 0), call.req.deadline-b.now)
 	sent.overdueAfter = max(remaining/2, sent.predicted)
 	sent.onIdleConn = len(s.inFlight) == 0 && b.now-s.respondedAt > idleAfter
@@ -18,35 +18,35 @@
 	b.emit(Send{call.id, s.id, call.req.deadline - b.now, reason})
 }
 
-// attemptEnded processes the outcome of an attempt, also of one whose call or request is already over.
+// attemptEnded processes the outcome of an attempt, even if its call or request has already ended.
 func (b *Balancer) attemptEnded(e AttemptEnded) {
 	ended := b.releaseAttempt(e)
 	if ended == nil {
 		return
 	}
 	call, s := ended.call, ended.server
-	if report := e.Report; report != nil && report.Queued < 0 { // no queue: the calls in execution stand for it
+	if report := e.Report; report != nil && report.Queued < 0 { // no queue reported: use the calls in execution
 		b.recordQueue(s, report.InFlight)
 	} else if report != nil {
 		b.recordQueue(s, report.Queued)
 	}
-	open := b.requests[call.req.id] == call.req
-	wins := open && e.Outcome == Answered && !call.answered
+	isOpen := b.requests[call.req.id] == call.req
+	firstAnswer := isOpen && e.Outcome == Answered && !call.answered
 	if (ended.reason == RetryAttempt || ended.reason == HedgeAttempt) && e.Outcome != NotDispatched {
 		b.retrySuccess -= b.retrySuccess * slowWeight
-		if wins {
+		if firstAnswer {
 			b.retrySuccess += slowWeight
 		}
 	}
-	waited := e.Outcome == TimedOut || e.Outcome == Cancelled
-	lost := e.Outcome == Reset || waited && b.silenceRatio(ended) > 1
-	// Not errors, as they come fast, but time-outs: else only the quick attempts would be measured.
-	if e.Outcome == Answered || e.Elapsed > ended.predicted && waited && !lost {
+	noResponse := e.Outcome == TimedOut || e.Outcome == Cancelled
+	lost := e.Outcome == Reset || noResponse && b.silenceRatio(ended) > 1
+	// Errors are excluded, as they return fast. Time-outs are not, or only fast attempts would be measured.
+	if e.Outcome == Answered || e.Elapsed > ended.predicted && noResponse && !lost {
 		latency, work := float64(max(e.Elapsed, 1)), call.size+ended.queuedWork
 		if s.unitLatency == 0 {
 			s.latency, s.latencyWork = cmp.Or(b.meanLatency*work, latency), work
 		}
-		// Not the mean of the ratios, in which small calls would weigh like large ones.
+		// Not a mean of ratios: that would give small calls the same weight as large ones.
 		s.latency += (latency - s.latency) * latencyWeight
 		s.latencyWork += (work - s.latencyWork) * latencyWeight
 		s.unitLatency, s.measuredAt = s.latency/s.latencyWork, b.now
@@ -59,16 +59,16 @@
 	if e.Outcome <= Rejected {
 		s.respondedAt = b.now
 	}
-	if wins {
+	if firstAnswer {
 		call.answered = true
 		b.cancel(call)
 	}
-	if open {
-		b.review(call.req)
+	if isOpen {
+		b.evaluate(call.req)
 	}
 }
 
-// canAttempt reports whether idempotency and the limit of attempts allow one more attempt of a call.
+// canAttempt reports whether idempotency and the attempt limit allow another attempt of a call.
 func (b *Balancer) canAttempt(call *shardCall) bool {
 	policy := call.req.policy
 	for _, a := range call.attempts {
@@ -80,7 +80,7 @@
 	return len(call.attempts) < policy.MaxAttempts
 }
 
-// withinBudget reports whether one more retry of a call stays within a share of the retry budget.
+// withinBudget reports whether another retry of a call stays within a share of the retry budget.
 func (b *Balancer) withinBudget(call *shardCall, share float64) bool {
 	budget, base := b.budgetFor(call.shard), b.budgetBase
 	if b.sharedBudgetBase > 0 {
@@ -94,8 +94,8 @@
 	return budget.retries.upper(b.now)+1 <= share*(base+b.budgetRatio*budget.admitted.lower(b.now))
 }
 
-// resize adopts the number of instances and shards. Fewer instances share the budget only once the retries of
-// those that left have passed out of the window.
+// resize sets the number of instances and shards. If instances leave, the others share their part of the
+// budget only after the retries of those have left the window.
 func (b *Balancer) resize(e ClusterResized) {
 	if b.budgetFrom == Never {
 		b.budgetFrom = b.now + b.budgetWindow
--- a/balancer/serverlist.go
+++ b/balancer/serverlist.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// applyServerList applies an update of the server list. After a failed request for one it schedules the next,
-// with exponential backoff and jitter so that instances do not flood a list service that is already late.
+// applyServerList applies an update of the server list. If a request for the list failed, it schedules
+// another, with exponential backoff and jitter so that the instances do not overload a slow list service.
 func (b *Balancer) applyServerList(e ServerList) {
 	if e.Kind == ListFailed {
 		if b.listOnRequest && !b.listTimerSet {
@@ -28,7 +28,7 @@
 			s = &server{id: entry.ID, startedAt: -1, sentWork: newWindowCounter(b.overloadWindow)}
 			b.servers[entry.ID] = s
 		}
-		b.setState(s, Removed) // its place among the replicas depends on the cell
+		b.setState(s, Removed) // its position among the replicas depends on the cell
 		s.local = b.preferLocal && entry.Zone == b.localZone
 		s.cell, s.maxInFlight = entry.Cell, entry.MaxInFlight
 		if s.zone = b.zones[entry.Zone]; s.zone == nil {
@@ -36,7 +36,7 @@
 			b.zones[entry.Zone] = s.zone
 		}
 		b.setState(s, entry.State)
-		if entry.StartedAt != s.startedAt { // a restart resets all that was measured
+		if entry.StartedAt != s.startedAt { // a restart discards all measurements
 			s.startedAt, s.nextEjection = entry.StartedAt, b.baseEjection
 			s.unitLatency, s.reportedAt, s.failureRate, s.ejectedUntil, s.probation = 0, 0, 0, 0, false
 		}
--- a/balancer/serverlist_test.go
+++ b/balancer/serverlist_test.go
@@ -9,10 +9,11 @@
 	b := newHarness(1, func(c *Config) { c.ListOnRequest = true })
 	longest := Time(0)
 	for range 12 {
-		timer := b.do(ServerList{Kind: ListFailed})[0].(SetTimer)
-		failIf(t, len(b.do(ServerList{Kind: ListFailed})) != 0, "a second failure: %v", b.last)
+		timer := b.handle(ServerList{Kind: ListFailed})[0].(SetTimer)
+		failIf(t, len(b.handle(ServerList{Kind: ListFailed})) != 0, "actions after a second failure: %v, want none", b.lastActions)
 		longest, b.at = max(longest, timer.At-b.at), timer.At
-		failIf(t, !slices.Equal(b.do(TimerFired{timer.Timer}), []Action{Subscribe{}}), "when the timer fires: %v", b.last)
+		failIf(t, !slices.Equal(b.handle(TimerFired{timer.Timer}), []Action{Subscribe{}}),
+			"actions when the timer fires: %v, want Subscribe", b.lastActions)
 	}
-	failIf(t, longest < 20000 || longest > 100000, "longest backoff %d", longest)
+	failIf(t, longest < 20000 || longest > 100000, "longest backoff %d, want 20000 to 100000", longest)
 }
--- a/balancer/split_test.go
+++ b/balancer/split_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// Three hundred requests over ninety instances are split close to their weights, whatever these are; so is each instance's own
-// share of many, and a weight that changes is followed at once.
+// 300 requests over 90 instances are split close to their weights, for any weights, and so are many requests of a single
+// instance. A changed weight takes effect at once.
 func TestSplitFollowsWeights(t *testing.T) {
 	for seed := range uint64(50) {
 		random := rand.New(rand.NewPCG(seed, 5))
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -9,26 +9,26 @@
 // listTimer is the timer of the next server list request. All other timers carry a request number.
 const listTimer = TimerID(math.MaxUint32)
 
-// typePolicy is what decisions use of one query type. Its LatencyTarget counts at this instance.
+// typePolicy is the policy of one query type. Its LatencyTarget is the one measured at this instance.
 type typePolicy struct {
 	QueryTypeConfig
-	partialCoverage float64 // that makes a partial answer at the target worthwhile
-	partialCounts   bool    // a partial answer in time is worth as much as a late one
-	learned
+	partialCoverage float64 // coverage that makes a partial answer at the target worthwhile
+	partialCounts   bool    // a partial answer in time has at least the value of a late one
+	typeState
 }
 
-// learned is what was learned of a query type; a new configuration keeps it.
-type learned struct {
-	size           float64 // of a call in milliseconds; 0 = not learned
-	longestTimeout Time    // longest client timeout lately seen
-	abandonedAt    Time    // when a request was last abandoned
+// typeState is the run-time state of a query type, which survives a change of its configuration.
+type typeState struct {
+	size           float64 // mean size of a call in milliseconds; 0 = not measured
+	longestTimeout Time    // longest recent client timeout
+	abandonedAt    Time    // when the last request was abandoned
 	split          splitSequence
 }
 
-// unlearned is what is known of a new query type.
-var unlearned = learned{abandonedAt: -Never}
+// newTypeState is the state of a new query type.
+var newTypeState = typeState{abandonedAt: -Never}
 
-// server is a listed server, or one that was listed and still matters.
+// server is a server of the list, or a removed one with calls in flight or recently sent.
 type server struct {
 	id          ServerID
 	local       bool // in the local zone
@@ -39,28 +39,28 @@
 	startedAt   Time // 0 = long ago
 
 	inFlight    []*attempt    // in order of sending
-	backlog     float64       // their sizes
+	backlog     float64       // sum of their sizes
 	sentWork    windowCounter // sizes sent within overloadWindow
 	respondedAt Time
 
-	latency, latencyWork float64 // smoothed latency, and smoothed work that took it
-	unitLatency          float64 // the one over the other; 0 = not measured
+	latency, latencyWork float64 // smoothed latency, and smoothed work that took this time
+	unitLatency          float64 // latency / latencyWork; 0 = not measured
 	measuredAt           Time
 	reportedQueue        float64
 	reportedAt           Time
-	slowdown             float64 // by which all instances predict it slower; 0 = unchanged
+	slowdown             float64 // factor by which all instances increase its predicted latency; 0 = unchanged
 
 	failureRate    float64 // smoothed
 	ejectedUntil   Time
-	nextEjection   Time // duration
-	clusterEjected bool // by all instances together
-	probation      bool // gets one call at a time until it answers
+	nextEjection   Time // duration of the next ejection
+	clusterEjected bool // ejected by the instances jointly
+	probation      bool // receives one call at a time until it answers
 	checking       bool // a health check is in flight
-	checkedAt      Time // when one last succeeded
-	idleLossAt     Time // when an attempt on an idle connection was lost; 0 = an answer came since
+	checkedAt      Time // when a health check last succeeded
+	idleLossAt     Time // when an attempt on an idle connection was lost; 0 = answered since
 
-	lottery      float64 // drawn for slow start, 0 to 1
-	lotteryUntil Time    // when it is drawn anew
+	draw     float64 // random number in [0, 1) for slow start
+	redrawAt Time    // when draw is renewed
 }
 
 // request is an open request.
@@ -69,95 +69,95 @@
 	number        RequestNumber
 	queryType     QueryType
 	policy        *typePolicy
-	calls         []*shardCall // of the present phase
+	calls         []*shardCall // of the current phase
 	inSecondPhase bool
 	firstComplete bool // the answer of the first phase was complete
 	targetAt      Time
 	deadline      Time
-	reviewAt      Time // of the pending timer; 0 = none
+	evaluateAt    Time // time of the pending timer; 0 = none
 }
 
-// shardCall is a call of an open request. It outlives the request while an attempt is in flight.
+// shardCall is a call of an open request. It remains while an attempt is in flight, even after the request.
 type shardCall struct {
 	req          *request
 	id           ShardCallID
 	shard        ShardIndex
 	weight, size float64
 	attempts     []*attempt
-	inFlight     int // attempts
+	inFlight     int // number of attempts in flight
 	answered     bool
-	skipped      bool // given up from the start: its shard is down or overloaded, and the others suffice
+	skipped      bool // not to be sent: its shard is down or overloaded, and the other calls suffice
 }
 
-// firstOr returns the reason of the next attempt: the first one of a call is FirstAttempt, whatever else it is sent for.
-func (c *shardCall) firstOr(reason AttemptReason) AttemptReason {
+// nextReason returns the reason of the next attempt: FirstAttempt if the call has none yet, else the given one.
+func (c *shardCall) nextReason(reason AttemptReason) AttemptReason {
 	if len(c.attempts) == 0 {
 		return FirstAttempt
 	}
 	return reason
 }
 
-// attempt is one sending of a call to a server.
+// attempt is one dispatch of a call to a server.
 type attempt struct {
 	call         *shardCall
 	server       *server
 	sentAt       Time
-	predicted    Time    // latency
-	overdueAfter Time    // latency above which a retry or hedge is due
-	queuedWork   float64 // known at the server when it was sent
+	predicted    Time    // predicted latency
+	overdueAfter Time    // latency from which a retry or hedge is due
+	queuedWork   float64 // estimated work at the server when it was sent
 	ended        bool
 	neverRan     bool
-	onIdleConn   bool // sent when the connection to the server was idle
+	onIdleConn   bool // the connection to the server was idle before
 	reason       AttemptReason
 }
 
-// placement is the place of one call in a plan.
+// placement is the assignment of a call in a plan.
 type placement struct {
 	call      *shardCall
-	server    *server // nil = no replica can be used
-	probation *server // to be sent a probation attempt as well; nil = none
-	finish    Time    // predicted, from now
+	server    *server // nil = no replica is available
+	probation *server // receives a probation attempt as well; nil = none
+	finish    Time    // predicted time from now
 }
 
-// compareFinish orders placements by their predicted finish.
+// compareFinish sorts placements by predicted finish.
 func compareFinish(a, b placement) int { return cmp.Compare(a.finish, b.finish) }
 
-// progress sums up the attempts of a call. Numbers are -1 where there is no such attempt.
+// progress summarizes the attempts of a call. Numbers are -1 if there is no such attempt.
 type progress struct {
-	inFlight          int  // attempts, without one on probation
-	oldest, probation int  // numbers of the first of these and of the one on probation
-	firstDue, lastDue Time // when the first and the last of them are overdue
-	retryFrom         Time // before it no retry goes to an unhealthy replica
+	inFlight          int  // attempts in flight, without a probation attempt
+	oldest, probation int  // numbers of the first of these and of the probation attempt
+	firstDue, lastDue Time // when the first and the last of these are overdue
+	retryFrom         Time // no retry goes to an unhealthy replica before
 }
 
-// zone is the failure domain of servers. One that fails takes all of its servers along, and at a low request
-// rate they would be found out one by one.
+// zone is the failure domain of servers. When it fails, all of its servers fail, and at a low request rate they would
+// be detected one by one.
 type zone struct {
 	failureRate float64 // smoothed share of lost attempts
 	failedAt    Time
 }
 
-// customer counts the requests of a customer.
+// customer counts the requests of a customer against its quota.
 type customer struct {
-	quota    float64 // of this instance within quotaWindow; 0 = none
+	quota    float64 // requests at this instance within quotaWindow; 0 = no quota
 	admitted windowCounter
 }
 
-// retryBudget limits the retries of one shard, or of all.
+// retryBudget limits the retries of one shard, or of all shards.
 type retryBudget struct {
 	retries        windowCounter
-	admitted       windowCounter // requests, or calls of one shard
+	admitted       windowCounter // requests, or calls of the shard
 	shortestTarget Time          // shortest latency target of recent requests for the shard
-	shortestUntil  Time          // when it is forgotten
+	shortestUntil  Time          // when shortestTarget expires
 }
 
-// newRetryBudget returns an empty budget.
+// newRetryBudget returns an unused budget.
 func (b *Balancer) newRetryBudget() *retryBudget {
 	return &retryBudget{retries: newWindowCounter(b.budgetWindow), admitted: newWindowCounter(b.budgetWindow)}
 }
 
-// admit counts a request or call and returns the shortest of the recent latency targets, which counts until
-// a moment.
+// admit counts a request or call and returns the shortest recent latency target. The target of this one counts until a
+// moment.
 func (r *retryBudget) admit(target, now, until Time) Time {
 	r.admitted.add(now, 1)
 	if target <= r.shortestTarget || now >= r.shortestUntil {
@@ -174,7 +174,7 @@
 	return b.budgets[shard]
 }
 
-// readyInCell returns the ready servers of a cell that no shard was in before.
+// readyInCell returns the ready servers of a cell that had no shard yet.
 func (b *Balancer) readyInCell(cell int) (servers []*server) {
 	for _, s := range b.ready {
 		if cell < b.cells && (int(s.cell)%b.cells+b.cells)%b.cells == cell {
@@ -184,7 +184,7 @@
 	return servers
 }
 
-// setState changes the state of a server and its membership among the ready servers and the replicas.
+// setState changes the state of a server and updates the lists of ready servers and of replicas.
 func (b *Balancer) setState(s *server, state ServerState) {
 	if (s.state == Ready) != (state == Ready) {
 		lists := []*[]*server{&b.ready}
@@ -222,7 +222,7 @@
 	}
 }
 
-// releaseAttempt records that an attempt has ended. It returns nil if it is unknown or has ended before.
+// releaseAttempt records the end of an attempt. It returns nil if the attempt is unknown or has already ended.
 func (b *Balancer) releaseAttempt(e AttemptEnded) *attempt {
 	call := b.inFlight[e.Call]
 	if call == nil || int(e.Attempt) >= len(call.attempts) || call.attempts[e.Attempt].ended {
@@ -236,34 +236,34 @@
 	}
 	s.inFlight = slices.DeleteFunc(s.inFlight, func(a *attempt) bool { return a == ended })
 	if s.backlog -= call.size; len(s.inFlight) == 0 {
-		s.backlog = 0 // without rounding errors
+		s.backlog = 0 // discards rounding errors
 	}
 	return ended
 }
 
-// close forgets a request and cancels its attempts.
+// close removes a request and cancels its attempts.
 func (b *Balancer) close(req *request) {
 	delete(b.requests, req.id)
 	delete(b.requestsByNumber, req.number)
 	b.cancel(req.calls...)
 }
 
-// scheduleReview sets a timer for the review of a request, unless an earlier one is pending.
-func (b *Balancer) scheduleReview(req *request, at Time) {
-	if at = max(at, b.now+1); req.reviewAt != 0 && req.reviewAt <= at {
+// scheduleEvaluation sets a timer for the evaluation of a request, unless an earlier one is pending.
+func (b *Balancer) scheduleEvaluation(req *request, at Time) {
+	if at = max(at, b.now+1); req.evaluateAt != 0 && req.evaluateAt <= at {
 		return
 	}
-	req.reviewAt = at
+	req.evaluateAt = at
 	b.emit(SetTimer{at, TimerID(req.number)})
 }
 
-// timerFired requests the server list or reviews the request that the timer was set for.
+// timerFired requests the server list or evaluates the request of the timer.
 func (b *Balancer) timerFired(t TimerID) {
 	if t == listTimer {
 		b.listTimerSet = false
 		b.emit(Subscribe{})
-	} else if req := b.requestsByNumber[RequestNumber(t)]; req != nil && req.reviewAt <= b.now {
-		req.reviewAt = 0
-		b.review(req)
+	} else if req := b.requestsByNumber[RequestNumber(t)]; req != nil && req.evaluateAt <= b.now {
+		req.evaluateAt = 0
+		b.evaluate(req)
 	}
 }
--- a/balancer/stats_test.go
+++ b/balancer/stats_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// Records of an earlier run lose weight with age, and are ignored when they are too old, from the future, or of another
+// Records of an earlier run lose weight with age. They are ignored if they are too old, from the future, or of another
 // incarnation of their server.
 func TestRestoredRecordsAge(t *testing.T) {
 	before := newHarness(2, nil)
@@ -15,7 +15,7 @@
 		before.finish(s, Time(100*s.Server*s.Server*s.Server), Answered)
 	}
 	records := before.ServerRecords()
-	failIf(t, len(records) != 2, "records of %d servers", len(records))
+	failIf(t, len(records) != 2, "records of %d servers, want 2", len(records))
 	start := func(later Time, change func(*ServerRecord)) *harness {
 		b := newHarness(2, nil)
 		b.at = before.at + later
@@ -26,24 +26,24 @@
 				change(&all[i])
 			}
 		}
-		b.do(RecordsRestored{all})
+		b.handle(RecordsRestored{all})
 		return b
 	}
 	ratio := func(b *harness) float64 {
 		call := &shardCall{req: &request{policy: b.types[0]}, size: 1}
-		b.surveyServers()
+		b.updateEstimates()
 		return float64(b.predict(b.servers[2], call)) / float64(b.predict(b.servers[1], call))
 	}
 	now, soon, old := ratio(start(0, nil)), ratio(start(latencyMaxAge/2, nil)), ratio(start(2*latencyMaxAge, nil))
 	failIf(t, now < 4 || soon >= now || soon <= 1 || old != 1,
-		"slow over fast: %.2f at once, %.2f later, %.2f when old", now, soon, old)
+		"predicted latency ratio of the slow to the fast server: %.2f at once, %.2f later, %.2f when old", now, soon, old)
 	for what, change := range map[string]func(*ServerRecord){
-		"from the future":     func(r *ServerRecord) { r.MeasuredAt += 1000 },
-		"another incarnation": func(r *ServerRecord) { r.StartedAt = 77 },
-		"invalid":             func(r *ServerRecord) { r.Work = 0 },
+		"from the future":        func(r *ServerRecord) { r.MeasuredAt += 1000 },
+		"of another incarnation": func(r *ServerRecord) { r.StartedAt = 77 },
+		"without work":           func(r *ServerRecord) { r.Work = 0 },
 	} {
 		if got := ratio(start(0, change)); got != 1 {
-			t.Errorf("%s: %.2f", what, got)
+			t.Errorf("record %s: ratio %.2f, want 1", what, got)
 		}
 	}
 	b := start(0, func(r *ServerRecord) {
@@ -52,10 +52,10 @@
 		}
 	})
 	failIf(t, b.servers[1].ejectedUntil > b.now+maxEjectionFactor*b.baseEjection,
-		"ejected for longer than any failure ejects it")
+		"ejected for longer than the longest ejection time")
 }
 
-// Records that earlier versions stored must stay readable: their keys are older than the names of the fields.
+// Records stored by earlier versions must stay readable: the JSON keys are older than the field names.
 func TestServerRecordJSON(t *testing.T) {
 	const stored = `{"ID":3,"UpSince":10,"Took":2.5,"Size":40,"TaughtAt":20,"OutUntil":30,"Failing":0.25}`
 	want := ServerRecord{ID: 3, StartedAt: 10, Latency: 2.5, Work: 40, MeasuredAt: 20, EjectedUntil: 30, FailureRate: 0.25}
--- a/balancer/window_test.go
+++ b/balancer/window_test.go
@@ -6,7 +6,7 @@
 	"pgregory.net/rapid"
 )
 
-// The bounds of a windowCounter must hold for any times of its events.
+// The bounds of a windowCounter must hold for events at any times.
 func TestWindowCounterBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		window := counterSlots * Time(rapid.IntRange(1, 400).Draw(t, "slot length"))
