--- a/admission/admission.go
+++ b/admission/admission.go
@@ -1,26 +1,26 @@
-// Package admission decides how long a request may be held that could not be dispatched to any server yet. It is pure: no I/O,
-// no clock, no goroutines.
+// Package admission decides how long a request is held that could not yet be dispatched to any server. The package has no
+// I/O, clock or goroutines.
 package admission
 
 import "time"
 
-// A request that was never dispatched is held for no longer than holdShare of its latency target. Its client then learns that the
-// request has not run and when to retry, while there is still time for another attempt within the target.
+// A request that was never dispatched is held for at most holdShare of its latency target. Its client then learns that the
+// request has not run and when to retry, in time for another attempt within the target.
 const (
 	holdShare        = 0.25
-	clientRoundTrip  = 8 * time.Millisecond // taken off the share for the network between client and gateway
+	clientRoundTrip  = 8 * time.Millisecond // deducted from the share for the network between client and gateway
 	minHold          = 5 * time.Millisecond
-	warmupHeartbeats = 2 // heartbeat intervals after its start in which a gateway may still learn of servers at any moment
+	warmupHeartbeats = 2 // heartbeat intervals after the start of a gateway within which it may still discover servers
 )
 
-// WarmingUp reports whether a gateway that has run for the given time may not know all servers yet. Each server sends one
-// heartbeat in an interval.
+// WarmingUp reports whether a gateway with the given uptime may not have discovered all servers yet. Each server sends one
+// heartbeat per interval.
 func WarmingUp(uptime, heartbeatInterval time.Duration) bool {
 	return uptime < warmupHeartbeats*heartbeatInterval
 }
 
-// HoldLimit returns how long a request with the given latency target may wait for its first dispatch. A request without a
-// target (zero or negative) has no limit: ok is false.
+// HoldLimit returns how long a request with the given latency target may wait for its first dispatch. ok is false if the
+// request has no target (zero or negative): there is then no limit.
 func HoldLimit(target time.Duration) (limit time.Duration, ok bool) {
 	if target <= 0 {
 		return 0, false
@@ -29,24 +29,24 @@
 	return max(share-clientRoundTrip, minHold), true
 }
 
-// DispatchState is how far the shard calls of an unanswered request have come, taken together.
+// DispatchState is the combined dispatch progress of the shard calls of an unanswered request.
 type DispatchState struct {
-	Dispatched bool // a connection has carried a shard call
-	Pending    bool // a connection is being made for a shard call, or a shard call waits for one
-	WarmingUp  bool // the gateway has just started
+	Dispatched bool // a shard call has been sent on a connection
+	Pending    bool // a connection for a shard call is being opened, or a shard call waits for one
+	WarmingUp  bool // the gateway may not have discovered all servers yet
 }
 
-// Decision is what to do with a request whose hold limit has passed.
+// Decision is the action for a request whose hold limit has expired.
 type Decision uint8
 
-// The decisions.
+// Decisions.
 const (
-	AwaitResponse Decision = iota // it was dispatched: keep waiting for the response
-	Recheck                       // it may still be dispatched: check again after another hold limit
-	Reject                        // no server can take it
+	AwaitResponse Decision = iota // dispatched: keep waiting for the response
+	Recheck                       // may still be dispatched: check again after another hold limit
+	Reject                        // no server can accept it
 )
 
-// Decide returns what to do with a request whose hold limit has passed.
+// Decide returns the decision for a request whose hold limit has expired.
 func (s DispatchState) Decide() Decision {
 	switch {
 	case s.Dispatched:
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// The client must hear of a rejection before a quarter of its target has passed, and no request is rejected at once.
+// The client must receive a rejection before a quarter of its target has passed, and no request is rejected at once.
 func TestHoldLimit(t *testing.T) {
 	for _, target := range []time.Duration{
 		10 * time.Millisecond,
@@ -33,11 +33,11 @@
 		state DispatchState
 		want  Decision
 	}{
-		{"no server can be asked", DispatchState{}, Reject},
-		{"a shard call waits", DispatchState{Pending: true}, Recheck},
-		{"the gateway warms up", DispatchState{WarmingUp: true}, Recheck},
+		{"no server is available", DispatchState{}, Reject},
+		{"a shard call is pending", DispatchState{Pending: true}, Recheck},
+		{"the gateway is warming up", DispatchState{WarmingUp: true}, Recheck},
 		{"dispatched", DispatchState{Dispatched: true}, AwaitResponse},
-		{"dispatched while others wait", DispatchState{Dispatched: true, Pending: true, WarmingUp: true}, AwaitResponse},
+		{"dispatched while other calls are pending", DispatchState{Dispatched: true, Pending: true, WarmingUp: true}, AwaitResponse},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			if got := test.state.Decide(); got != test.want {
@@ -54,7 +54,7 @@
 		uptime time.Duration
 		want   bool
 	}{
-		{"at the start", 0, true},
+		{"at start", 0, true},
 		{"just before two heartbeats", 2*interval - 1, true},
 		{"after two heartbeats", 2 * interval, false},
 	} {
