--- a/topk/topk.go
+++ b/topk/topk.go
@@ -6,20 +6,21 @@
 	"slices"
 )
 
-// RecordBytes is the length of a record. Records are compared byte by byte. A shorter remainder of a list is ignored.
+// RecordBytes is the length of a record. Records are ordered bytewise. A shorter remainder at the end of a list is
+// ignored.
 const RecordBytes = 16
 
-// sortBelow is the length from which a range is sorted rather than partitioned further.
-const sortBelow = 8
+// maxSortLength is the length up to which a range is sorted instead of partitioned.
+const maxSortLength = 8
 
-// record is a record as two big-endian words, which compare as its bytes do.
+// record holds the bytes of a record as two big-endian words, whose numeric order is the bytewise order.
 type record struct{ high, low uint64 }
 
 func (r record) greater(other record) bool {
 	return r.high > other.high || r.high == other.high && r.low > other.low
 }
 
-// descending orders records, the greatest first.
+// descending is a comparison function that sorts records in descending order.
 func descending(a, b record) int {
 	switch {
 	case a.greater(b):
@@ -30,11 +31,11 @@
 	return 0
 }
 
-// Selector selects the greatest records. Its zero value is ready for use; it keeps its buffer from one call to the next, so that calls must
-// not be concurrent.
+// Selector selects the greatest records. Its zero value is ready to use. It reuses a buffer between calls, so calls
+// must not be concurrent.
 type Selector struct{ buffer []record }
 
-// Append appends the k greatest records of all lists to dst, the greatest first. Equal records are all counted.
+// Append appends the k greatest records of all lists to dst in descending order. Duplicates are kept.
 func (s *Selector) Append(dst []byte, k int, lists ...[]byte) []byte {
 	records := s.buffer[:0]
 	for _, list := range lists {
@@ -52,22 +53,23 @@
 	return dst
 }
 
-// selectTop returns the k greatest records in no order. It reorders the records by quickselect: [low, high) always contains position k, all
-// records before it are at least as great as those in it, and all after it at most.
+// selectTop returns the k greatest records in no particular order. It reorders the records by quickselect. Invariant:
+// [low, high) contains position k, all records before low are at least as great as those in [low, high), and all
+// records from high on are at most as great.
 func selectTop(records []record, k int) []record {
 	k = max(k, 0)
 	if k >= len(records) {
 		return records
 	}
 	low, high := 0, len(records)
-	for high-low > sortBelow {
+	for high-low > maxSortLength {
 		i, j := partition(records, low, high)
 		switch {
 		case k <= j:
 			high = j + 1
 		case k >= i:
 			low = i
-		default: // between the parts all records are equal
+		default: // all records between the two parts are equal
 			return records[:k]
 		}
 	}
@@ -75,7 +77,8 @@
 	return records[:k]
 }
 
-// partition reorders records[low:high] around a pivot: records up to j are at least as great, records from i on at most; j < i.
+// partition reorders records[low:high] around a pivot. Records up to j are at least as great as the pivot, records from
+// i on at most as great; j < i.
 func partition(records []record, low, high int) (i, j int) {
 	pivot := median(records[low], records[(low+high)/2], records[high-1])
 	i, j = low, high-1
--- a/topk/topk_test.go
+++ b/topk/topk_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// Selecting gives the same records as sorting all of them, for lists with equal records and with remainders.
+// The selected records are those that sorting all records gives, also for lists with equal records and with remainders.
 func TestSelectorMatchesSorting(t *testing.T) {
 	var selector Selector
 	rapid.Check(t, func(t *rapid.T) {
@@ -39,7 +39,8 @@
 	})
 }
 
-// BenchmarkSelector measures the response to a listing: twelve shards with 200 records each, of which the greatest 200 are returned.
+// BenchmarkSelector measures the merge of a listing: twelve shards with 200 records each, of which the greatest 200 are
+// returned.
 func BenchmarkSelector(b *testing.B) {
 	const shards, records = 12, 200
 	lists := make([][]byte, shards)
