--- a/internal/deadlineheap/heap.go
+++ b/internal/deadlineheap/heap.go
@@ -1,15 +1,15 @@
-// Package deadlineheap provides priority queues ordered by deadline, earliest first. The unit of deadlines is the caller's.
-// Entries with equal deadlines leave in the order of container/heap, which is deterministic but not the order of insertion.
+// Package deadlineheap provides priority queues ordered by deadline, earliest first. The caller chooses the unit of deadlines.
+// Entries with equal deadlines are removed in the order of container/heap, which is deterministic but not the insertion order.
 package deadlineheap
 
 import "container/heap"
 
-// Heap is a queue of values. The zero Heap is empty and ready to use. It must not be used concurrently.
+// Heap is a priority queue of values. The zero Heap is empty and ready to use. It must not be used concurrently.
 type Heap[T any] struct {
 	entries entries[T]
 }
 
-// Push adds a value with its deadline.
+// Push inserts a value with its deadline.
 func (h *Heap[T]) Push(deadline int64, value T) {
 	heap.Push(&h.entries, entry[T]{deadline: deadline, value: value})
 }
@@ -44,7 +44,7 @@
 func (e *entries[T]) Pop() any {
 	old := *e
 	last := old[len(old)-1]
-	old[len(old)-1] = entry[T]{} // so that the value can be collected
+	old[len(old)-1] = entry[T]{} // so that the value can be garbage-collected
 	*e = old[:len(old)-1]
 	return last
 }
--- a/internal/deadlineheap/heap_test.go
+++ b/internal/deadlineheap/heap_test.go
@@ -7,14 +7,15 @@
 	"testing"
 )
 
-// reference is a heap written out by hand. Equal deadlines must leave the package's heaps in the same order as this one.
+// reference is a handwritten heap for container/heap. The heaps of the package must return elements with equal deadlines in
+// the same order.
 type reference []*item
 
 type item struct {
 	Position
 	deadline int64
 	value    int
-	index    int // in the reference
+	index    int // position in the reference
 }
 
 func (r reference) Len() int           { return len(r) }
@@ -39,14 +40,14 @@
 func TestEmptyHeap(t *testing.T) {
 	var h Heap[string]
 	if deadline, ok := h.Next(); ok || h.Len() != 0 {
-		t.Errorf("an empty heap has %d entries, the first due at %d", h.Len(), deadline)
+		t.Errorf("an empty heap has %d entries, the first with deadline %d", h.Len(), deadline)
 	}
 	var indexed Indexed[*item]
 	if first, ok := indexed.First(); ok || indexed.Len() != 0 {
 		t.Errorf("an empty heap has %d elements, the first is %v", indexed.Len(), first)
 	}
 	if deadline, ok := indexed.Next(); ok {
-		t.Errorf("the first element of an empty heap is due at %d", deadline)
+		t.Errorf("the first element of an empty heap has deadline %d", deadline)
 	}
 }
 
@@ -56,7 +57,7 @@
 	var want reference
 	for step := range 20_000 {
 		if h.Len() == 0 || rng.IntN(5) < 3 {
-			deadline := int64(rng.IntN(50)) // many are equal
+			deadline := int64(rng.IntN(50)) // small range, so that many are equal
 			h.Push(deadline, step)
 			heap.Push(&want, &item{deadline: deadline, value: step})
 			continue
--- a/internal/deadlineheap/indexed.go
+++ b/internal/deadlineheap/indexed.go
@@ -5,28 +5,28 @@
 	"iter"
 )
 
-// Element is what an Indexed heap holds: a pointer to a struct that embeds Position.
+// Element is the constraint for the elements of an Indexed heap: a pointer to a struct that embeds Position.
 type Element interface {
 	position() *Position
 }
 
-// Position is embedded in the elements of an Indexed heap and keeps an element's place in it. An element can be in one heap at a
-// time.
+// Position is embedded in the elements of an Indexed heap and records an element's position in it. An element can be in only
+// one heap at a time.
 type Position struct {
 	index    int
 	deadline int64
-	element  any // that it is embedded in; nil outside a heap
+	element  any // the element that embeds this Position; nil outside a heap
 }
 
 func (p *Position) position() *Position { return p }
 
-// Indexed is a queue of elements that can be removed or rescheduled wherever they are in it. The zero Indexed is empty and ready
+// Indexed is a priority queue whose elements can be removed or rescheduled at any position. The zero Indexed is empty and ready
 // to use. It must not be used concurrently.
 type Indexed[E Element] struct {
 	positions positions
 }
 
-// Push adds an element with its deadline.
+// Push inserts an element with its deadline.
 func (h *Indexed[E]) Push(deadline int64, element E) {
 	p := element.position()
 	p.deadline, p.element = deadline, element
@@ -66,7 +66,7 @@
 // Len returns the number of elements.
 func (h *Indexed[E]) Len() int { return len(h.positions) }
 
-// All returns the elements in the order of the heap: the first has the earliest deadline, the rest are sorted in part. The heap
+// All iterates over the elements in heap order: the first has the earliest deadline, the others are only partly sorted. The heap
 // must not be changed during the iteration.
 func (h *Indexed[E]) All() iter.Seq[E] {
 	return func(yield func(E) bool) {
@@ -78,8 +78,8 @@
 	}
 }
 
-// positions implements heap.Interface. It is not generic, so that comparisons and swaps cost no more than in a heap written out
-// for one type.
+// positions implements heap.Interface. It is not generic, so that comparisons and swaps cost no more than in a heap implemented
+// for a single type.
 type positions []*Position
 
 func (p positions) Len() int           { return len(p) }
@@ -99,7 +99,7 @@
 func (p *positions) Pop() any {
 	old := *p
 	last := old[len(old)-1]
-	old[len(old)-1] = nil // so that the element can be collected
+	old[len(old)-1] = nil // so that the element can be garbage-collected
 	*p = old[:len(old)-1]
 	return last
 }
--- a/internal/timerwheel/wheel_test.go
+++ b/internal/timerwheel/wheel_test.go
@@ -12,7 +12,7 @@
 	"oxbowspan/internal/deadlineheap"
 )
 
-// reference is a wheel beside a plain list of its entries.
+// reference pairs a wheel with a map of the entries that it must hold.
 type reference struct {
 	wheel   *Wheel
 	now     int64
@@ -38,7 +38,7 @@
 	for value, e := range r.entries {
 		if value%3 == uint32(r.now)%3 {
 			if !r.wheel.Cancel(e.handle) || r.wheel.Cancel(e.handle) {
-				t.Fatalf("entry %d is not cancelled once", value)
+				t.Fatalf("entry %d was not cancelled exactly once", value)
 			}
 			delete(r.entries, value)
 		}
@@ -51,7 +51,7 @@
 	r.wheel.Advance(to, func(value uint32) {
 		e, ok := r.entries[value]
 		if !ok || e.deadline > to || e.deadline < last || e.deadline != r.wheel.now {
-			t.Fatalf("entry %d due at %d fires at %d, after one due at %d, known %t", value, e.deadline, r.wheel.now, last, ok)
+			t.Fatalf("entry %d due at %d fired at %d, after one due at %d; entry exists: %t", value, e.deadline, r.wheel.now, last, ok)
 		}
 		last = e.deadline
 		delete(r.entries, value)
@@ -70,7 +70,7 @@
 	}
 	next, ok := r.wheel.Next()
 	if ok != (len(r.entries) > 0) {
-		t.Fatalf("next is %t with %d entries", ok, len(r.entries))
+		t.Fatalf("Next returns ok = %t with %d entries", ok, len(r.entries))
 	}
 	for value, e := range r.entries {
 		if e.deadline < next {
@@ -79,7 +79,7 @@
 	}
 }
 
-// Every entry fires at its deadline, once, and none that was cancelled.
+// Every entry fires exactly once, at its deadline. Cancelled entries do not fire.
 func TestWheelMatchesReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := rapid.Int64Range(0, 1<<30).Draw(t, "start")
@@ -104,17 +104,17 @@
 	w.Advance(5, func(uint32) {})
 	w.Add(9, 2)
 	if w.Cancel(stale) || w.Len() != 1 || w.Cancel(0) {
-		t.Error("a stale handle cancels another entry")
+		t.Error("a stale or zero handle cancelled another entry")
 	}
 	var fired []uint32
 	w.Advance(20, func(value uint32) {
 		fired = append(fired, value)
 		if value == 2 {
-			w.Add(1, 3) // in the past: at the next tick
+			w.Add(1, 3) // in the past: fires at the next tick
 		}
 	})
 	if !slices.Equal(fired, []uint32{2, 3}) {
-		t.Errorf("fired %v", fired)
+		t.Errorf("fired %v, want 2 and 3", fired)
 	}
 }
 
@@ -124,7 +124,7 @@
 	resetsPerTick    = 64
 )
 
-// BenchmarkLimits measures what an active connection causes: its timeout is cancelled and set again, and time advances.
+// BenchmarkLimits measures the timer work of an active connection: its timeout is cancelled and set again, and time advances.
 //
 //	go test -run xxx -bench Limits -benchmem ./internal/timerwheel
 func BenchmarkLimits(b *testing.B) {
@@ -159,7 +159,7 @@
 	runtime.KeepAlive(w)
 }
 
-// heapEntry is a timeout in a heap.
+// heapEntry is a timeout in a deadlineheap.
 type heapEntry struct{ deadlineheap.Position }
 
 func benchmarkHeap(b *testing.B, n int) {
