--- a/balancer/completion_test.go
+++ b/balancer/completion_test.go
@@ -10,8 +10,8 @@
 	for _, s := range b.arrive(5)[:4] {
 		b.finish(s, 100, Answered)
 	}
-	for b.requests[1] != nil && b.at < 1000000+25000 {
-		b.at += 50
+	for b.requests[1] != nil && b.clock < 1000000+25000 {
+		b.clock += 50
 		b.handle(TimerFired{1})
 	}
 	failIf(t, !slices.Contains(b.lastActions, Action(Answer{Request: 1})), "no partial answer at the latency target: %v", b.lastActions)
@@ -34,7 +34,7 @@
 		b := newHarness(1, func(c *Config) { c.QueryTypes[0].LateValue, c.RetriesMarked = 0, marked })
 		b.answer(4, 1000)
 		b.arrive(1)
-		b.at += 26000 // past the target of 25000, before the timeout of 60000
+		b.clock += 26000 // past the target of 25000, before the timeout of 60000
 		shed := slices.ContainsFunc(b.handle(TimerFired{TimerID(b.lastID)}), func(a Action) bool { _, is := a.(Shed); return is })
 		failIf(t, shed != marked, "retries marked %v: shed at the target %v", marked, shed)
 	}
--- a/balancer/config.go
+++ b/balancer/config.go
@@ -51,7 +51,7 @@
 type Config struct {
 	Seed            uint64 // seed of all random choices
 	Instances       int    // number of instances that share the load, including this one
-	ClockResolution Time   // minimum time between two events
+	ClockResolution Time   // smallest difference between the times of events
 	QueryTypes      []QueryTypeConfig
 	Customers       []CustomerConfig
 
--- a/balancer/gateway_test.go
+++ b/balancer/gateway_test.go
@@ -11,7 +11,7 @@
 		AllowHedging: true, HasRetryBudget: true, RetryBudgetPerShard: true, RetryBudgetBase: 54, RetryBudgetRatio: 0.2,
 		RetryBudgetWindow: 10000 * Millisecond, MaxRetryAfter: 400 * Millisecond, InferClientTimeout: true,
 		MeasuredAtClient: true, PreferLocalZone: true, OverQuotaValue: 1}
-	b := &harness{Balancer: New(config), at: 1000000}
+	b := &harness{Balancer: New(config), clock: 1000000}
 	b.handle(ClusterResized{Shards: shards, Instances: 1})
 	b.handle(QueryTypeChanged{Type: 0, Config: queryType})
 	var list []Server
@@ -57,7 +57,7 @@
 	local, all := 0, 0
 	for range 200 {
 		sends, _ := b.request(4)
-		b.at += 20 * Millisecond
+		b.clock += 20 * Millisecond
 		for _, s := range sends {
 			if all++; s.Server%10 == 1 {
 				local++
@@ -82,7 +82,7 @@
 	for range 40 {
 		sends, actions := b.request(4)
 		failIf(t, containsShed(actions), "a request was shed although three of four shards are idle")
-		b.at += 20 * Millisecond
+		b.clock += 20 * Millisecond
 		for _, s := range sends {
 			if s.Server > 30 {
 				lost = append(lost, s)
@@ -94,7 +94,7 @@
 	}
 	// The servers of shard 3 are ejected now: three calls are sufficient for the answer.
 	sends, _ := b.request(4)
-	b.at += 20 * Millisecond
+	b.clock += 20 * Millisecond
 	answered := false
 	for _, s := range sends {
 		if s.Server > 30 {
@@ -112,25 +112,25 @@
 
 func TestRetryBudgetPerShard(t *testing.T) {
 	b := gatewayHarness(2, gatewayQueryType)
-	b.at += 20000 * Millisecond
+	b.clock += 20000 * Millisecond
 	call := &shardCall{req: &request{policy: b.types[0]}, shard: 0, size: 1}
 	other := &shardCall{req: call.req, shard: 1, size: 1}
 	for range 200 {
-		b.budgetFor(0).retries.add(b.at, 1)
+		b.budgetFor(0).retries.add(b.clock, 1)
 	}
-	b.now = b.at
+	b.now = b.clock
 	failIf(t, b.withinBudget(call, 1), "a retry is allowed although the budget of the shard is spent")
 	failIf(t, !b.withinBudget(other, 1), "a shard spent the budget of another")
 	for n := 1; n <= 64; n *= 4 {
 		b.handle(ClusterResized{Shards: 2, Instances: n})
 		spent := 0.0
 		for b.withinBudget(other, 1) {
-			b.budgetFor(1).retries.add(b.at, 1)
+			b.budgetFor(1).retries.add(b.clock, 1)
 			spent++
 		}
 		failIf(t, spent*float64(n) > 54, "%d instances may spend %v retries each, more than 54 in all", n, spent)
-		b.at += 30000 * Millisecond
-		b.now = b.at
+		b.clock += 30000 * Millisecond
+		b.now = b.clock
 	}
 }
 
@@ -155,7 +155,7 @@
 		for _, a := range b.handle(e) {
 			if s, ok := a.(Send); ok {
 				got[s.Server/10]++
-				b.at += 20 * Millisecond
+				b.clock += 20 * Millisecond
 				b.handle(AttemptEnded{Call: s.Call, Server: s.Server, Elapsed: 20 * Millisecond, Outcome: Answered})
 			}
 		}
@@ -205,7 +205,7 @@
 	b.handle(ServerList{ListDelta, list})
 	for range 200 { // all have a measured latency of 20 ms
 		sends, _ := b.request(1)
-		b.at += 20 * Millisecond
+		b.clock += 20 * Millisecond
 		for _, s := range sends {
 			b.handle(AttemptEnded{Call: s.Call, Server: s.Server, Elapsed: 20 * Millisecond, Outcome: Answered})
 		}
@@ -214,7 +214,7 @@
 	for range 60 {
 		b.handle(PeerUpdate{Loads: []PeerLoad{{Server: 1, InFlight: 20}, {Server: 2, InFlight: 20}}})
 		sends, _ := b.request(1)
-		b.at += 20 * Millisecond
+		b.clock += 20 * Millisecond
 		for _, s := range sends {
 			if s.Server > 3 {
 				remote++
@@ -223,7 +223,7 @@
 		}
 	}
 	failIf(t, remote > 0, "%d of 60 calls left the zone although a local server is idle", remote)
-	req := &request{policy: b.types[0], targetAt: b.at + 100*Millisecond, deadline: b.at + 1000*Millisecond}
+	req := &request{policy: b.types[0], targetAt: b.clock + 100*Millisecond, deadline: b.clock + 1000*Millisecond}
 	s, healthy := b.bestReplica(&shardCall{req: req, size: 1})
 	failIf(t, !healthy || !s.local, "the best replica is remote although local ones are as good")
 }
@@ -251,7 +251,7 @@
 			b.Handle(30, ServerList{ListComplete, servers})
 			for shard, replicas := range b.replicas {
 				if len(replicas) != 0 {
-					t.Errorf("%d cells, %d shards at first: shard %d keeps %d replicas", cells, shards, shard, len(replicas))
+					t.Errorf("%d cells, %d shards at first: shard %d still has %d replicas", cells, shards, shard, len(replicas))
 				}
 			}
 		}
@@ -261,18 +261,18 @@
 // Shards that share a budget use it jointly, even if BudgetShared is repeated, and do not use that of another shard.
 func TestSharedRetryBudget(t *testing.T) {
 	b := gatewayHarness(3, gatewayQueryType)
-	b.at += 20000 * Millisecond
+	b.clock += 20000 * Millisecond
 	for range 2 {
 		b.handle(BudgetShared{Shard: 2, With: 0})
 		b.handle(BudgetShared{Shard: 7, With: 0}) // no such shard yet
 	}
-	b.now = b.at
+	b.now = b.clock
 	of := func(shard ShardIndex) *shardCall {
 		return &shardCall{req: &request{policy: b.types[0]}, shard: shard, size: 1}
 	}
 	spent := 0
 	for ; b.withinBudget(of(ShardIndex(2*(spent%2))), 1); spent++ {
-		b.budgetFor(ShardIndex(2*(spent%2))).retries.add(b.at, 1)
+		b.budgetFor(ShardIndex(2*(spent%2))).retries.add(b.clock, 1)
 	}
 	failIf(t, spent > 54 || spent < 40, "two shards that share a budget of 54 spent %d", spent)
 	failIf(t, b.withinBudget(of(0), 1) || b.withinBudget(of(2), 1), "the spent budget is still available")
@@ -285,12 +285,12 @@
 		queryType := gatewayQueryType
 		queryType.MaxAttempts = limit
 		b := gatewayHarness(1, queryType)
-		b.at += 20000 * Millisecond
+		b.clock += 20000 * Millisecond
 		most := 0
 		for range 200 {
-			b.at += 100 * Millisecond
+			b.clock += 100 * Millisecond
 			s := b.servers[1]
-			s.probation, s.ejectedUntil = true, b.at-1
+			s.probation, s.ejectedUntil = true, b.clock-1
 			sends, _ := b.request(1)
 			most = max(most, len(sends))
 			for number, a := range sends {
--- a/balancer/harness_test.go
+++ b/balancer/harness_test.go
@@ -7,7 +7,7 @@
 // harness drives a Balancer with a clock and request numbers of its own.
 type harness struct {
 	*Balancer
-	at          Time
+	clock       Time
 	lastID      uint64
 	lastActions []Action
 }
@@ -29,7 +29,7 @@
 	if change != nil {
 		change(&config)
 	}
-	b := &harness{Balancer: New(config), at: 1000000}
+	b := &harness{Balancer: New(config), clock: 1000000}
 	var list []Server
 	for i := range n {
 		list = append(list, Server{ID: ServerID(i + 1), State: Ready})
@@ -39,7 +39,7 @@
 }
 
 func (b *harness) handle(e Event) []Action {
-	b.lastActions = b.Handle(b.at, e)
+	b.lastActions = b.Handle(b.clock, e)
 	return b.lastActions
 }
 
@@ -61,7 +61,7 @@
 
 // finish ends the first attempt of a call.
 func (b *harness) finish(s Send, after Time, o Outcome) []Action {
-	b.at += after
+	b.clock += after
 	return b.handle(AttemptEnded{Call: s.Call, Server: s.Server, Elapsed: after, Outcome: o})
 }
 
@@ -100,6 +100,6 @@
 
 // advance advances the clock and fires the timer of the last request.
 func (b *harness) advance(after Time) []Action {
-	b.at += after
+	b.clock += after
 	return b.handle(TimerFired{TimerID(b.lastID)})
 }
--- a/balancer/health_test.go
+++ b/balancer/health_test.go
@@ -25,7 +25,7 @@
 	for _, again := range b.sends() {
 		b.finish(again, 100, Answered)
 	}
-	b.at = max(b.at, s.ejectedUntil) + 1
+	b.clock = max(b.clock, s.ejectedUntil) + 1
 	for range 100 {
 		out := b.arrive(1)
 		if len(out) == 0 || out[0].Server == 1 {
@@ -36,7 +36,7 @@
 			b.finish(out[0], 100, Answered)
 			failIf(t, slices.ContainsFunc(b.lastActions, func(a Action) bool { _, ok := a.(Cancel); return ok }),
 				"the probation attempt was cancelled")
-			b.at += 100
+			b.clock += 100
 			b.handle(AttemptEnded{Call: out[1].Call, Attempt: 1, Server: 1, Elapsed: 200, Outcome: Answered})
 			failIf(t, s.probation, "its answer did not end the probation")
 			return
@@ -79,12 +79,12 @@
 	if now := predicted(7); now > 3*other/2 {
 		t.Errorf("predicted %d for a server of the other zone, %d before", now, other)
 	}
-	b.servers[8].respondedAt = b.at + 1
+	b.servers[8].respondedAt = b.clock + 1
 	if now := predicted(8); now > 3*before/2 {
 		t.Errorf("predicted %d for a server that has responded since, %d before", now, before)
 	}
 	b.servers[8].respondedAt = 0
-	b.at += latencyMaxAge
+	b.clock += latencyMaxAge
 	b.handle(TimerFired{})
 	if now := predicted(8); now > 3*before/2 {
 		t.Errorf("predicted %d long after the losses, %d before", now, before)
@@ -95,7 +95,7 @@
 func TestNoHedgedProbationWithSingleAttempt(t *testing.T) {
 	b := newHarness(2, func(c *Config) { c.MaxAttempts = 1 })
 	b.answer(20, 100)
-	b.servers[1].probation, b.servers[1].ejectedUntil = true, b.at-1
+	b.servers[1].probation, b.servers[1].ejectedUntil = true, b.clock-1
 	used := false
 	for range 50 {
 		out := b.arrive(1)
@@ -116,7 +116,7 @@
 		return slices.ContainsFunc(b.lastActions, func(a Action) bool { _, is := a.(CloseIdle); return is })
 	}
 	for range 12 {
-		b.at += 20000
+		b.clock += 20000
 		s := b.arrive(1)[0]
 		failIf(t, closed() && !b.idleConnsUnsafe(), "idle connections are closed though few were found dead")
 		if closed() {
@@ -124,7 +124,7 @@
 		}
 		b.finish(s, 12600, Cancelled)
 		failIf(t, b.servers[s.Server].idleLossAt == 0, "a silent loss on an idle connection is not recorded")
-		b.at += 6000
+		b.clock += 6000
 		b.finish(b.arrive(1)[0], 1000, Answered)
 	}
 	t.Errorf("twelve idle connections were dead and none is closed, share %v", b.deadIdleShare)
@@ -135,13 +135,13 @@
 	b := newHarness(2, func(c *Config) { c.AllowHedging, c.AllowHealthChecks = false, true })
 	b.answer(4, 1000)
 	b.finish(b.sendTo(t, 1, 1000), 10, ConnectFailed)
-	b.at = b.servers[1].ejectedUntil
+	b.clock = b.servers[1].ejectedUntil
 	s := b.arrive(1)[0]
 	failIf(t, s.Server == 1, "a call was sent to an ejected server without a health check")
 	failIf(t, !slices.Contains(b.lastActions, Action(HealthCheck{1})), "no health check: %v", b.lastActions)
 	b.handle(HealthCheckEnded{Server: 1, Outcome: TimedOut})
-	failIf(t, b.servers[1].ejectedUntil <= b.at, "a failed health check does not extend the ejection")
-	b.at = b.servers[1].ejectedUntil
+	failIf(t, b.servers[1].ejectedUntil <= b.clock, "a failed health check does not extend the ejection")
+	b.clock = b.servers[1].ejectedUntil
 	b.arrive(1)
 	b.handle(HealthCheckEnded{Server: 1, Outcome: Answered})
 	failIf(t, b.sendTo(t, 1, 1000).Server != 1, "the server that answered its health check gets no probation attempt")
--- a/balancer/invariants_test.go
+++ b/balancer/invariants_test.go
@@ -91,9 +91,9 @@
 	if l, ok := e.(ServerList); ok {
 		w.applyServerList(l)
 	}
-	actions, again := w.balancer.Handle(w.now, e), w.twin.Handle(w.now, e)
-	w.failIf(!reflect.DeepEqual(actions, again),
-		"identical balancers returned different actions for the same events: %v and %v", actions, again)
+	actions, twinActions := w.balancer.Handle(w.now, e), w.twin.Handle(w.now, e)
+	w.failIf(!reflect.DeepEqual(actions, twinActions),
+		"identical balancers returned different actions for the same events: %v and %v", actions, twinActions)
 	for _, a := range actions {
 		w.check(a)
 		if timer, ok := a.(SetTimer); ok {
--- a/balancer/limit_test.go
+++ b/balancer/limit_test.go
@@ -51,8 +51,8 @@
 func TestStuckCallsDoNotFillInFlightLimit(t *testing.T) {
 	b := newHarness(2, func(c *Config) { c.Instances = 90 })
 	full := len(b.arrive(1))+len(b.arrive(1))+len(b.arrive(1)) == 3 && len(b.arrive(1)) == 0
-	b.at += 15000
-	b.servers[1].unitLatency, b.servers[1].measuredAt = 100, b.at
+	b.clock += 15000
+	b.servers[1].unitLatency, b.servers[1].measuredAt = 100, b.clock
 	failIf(t, !full || len(b.arrive(1)) != 1,
 		"limit reached at first: %v; later shed with %d calls in flight, %d of them stuck", full, len(b.inFlight), b.stuckCalls)
 }
@@ -85,16 +85,16 @@
 		b.lastID++
 		b.handle(RequestArrived{Request: RequestID(b.lastID), Number: RequestNumber(b.lastID), Timeout: timeout,
 			Calls: []ShardCall{{ID: ShardCallID(b.lastID * 100), Weight: 1}}})
-		return b.requests[RequestID(b.lastID)].targetAt - b.at
+		return b.requests[RequestID(b.lastID)].targetAt - b.clock
 	}
 	failIf(t, target(45000) < 24000,
-		"a first attempt with a shorter timeout is taken for a retry though no request was abandoned")
-	b.at += 40000
-	b.types[0].abandonedAt = b.at - 1000
-	failIf(t, target(45000) > 10000, "a request with 15000 less time after one was abandoned is taken for a first attempt")
-	b.types[0].abandonedAt = b.at - 16000
+		"a first attempt with a shorter timeout is treated as a retry though no request was abandoned")
+	b.clock += 40000
+	b.types[0].abandonedAt = b.clock - 1000
+	failIf(t, target(45000) > 10000, "a request with 15000 less time after one was abandoned is treated as a first attempt")
+	b.types[0].abandonedAt = b.clock - 16000
 	failIf(t, target(45000) < 24000,
-		"taken for a retry though the last request was abandoned before its first attempt could have arrived")
+		"treated as a retry though the last request was abandoned before its first attempt could have arrived")
 }
 
 // An instance among many observes an overload as high latency, long before its own in-flight limit is reached.
--- a/balancer/model_test.go
+++ b/balancer/model_test.go
@@ -172,15 +172,15 @@
 		"server %d does not hold shard %d", a.Server, call.Shard)
 	m.failIf(s.unavailableSince >= 0 && m.now > s.unavailableSince+m.config.DrainGrace,
 		"drain: a call was sent to server %d, %d after it was listed as unavailable", a.Server, m.now-s.unavailableSince)
-	firstRisk := Time(-1)
+	firstPossibleRun := Time(-1)
 	for _, before := range call.attempts {
 		m.failIf(!before.ended && !m.config.AllowHedging, "two attempts of call %d in flight at once", call.ID)
-		if firstRisk < 0 && !(before.ended && before.outcome.NeverRan()) {
-			firstRisk = before.at
+		if firstPossibleRun < 0 && !(before.ended && before.outcome.NeverRan()) {
+			firstPossibleRun = before.at
 		}
 	}
-	m.failIf(firstRisk >= 0 && (req.queryType.Idempotency == NonIdempotent ||
-		req.queryType.Idempotency == Deduplicated && m.now > firstRisk+req.queryType.DedupWindow), "no unsafe retry: call %d retried, first sent at %d", call.ID, firstRisk)
+	m.failIf(firstPossibleRun >= 0 && (req.queryType.Idempotency == NonIdempotent ||
+		req.queryType.Idempotency == Deduplicated && m.now > firstPossibleRun+req.queryType.DedupWindow), "no unsafe retry: call %d retried, first sent at %d", call.ID, firstPossibleRun)
 	send := &modelAttempt{call: call.ID, number: AttemptNumber(len(call.attempts)), at: m.now, server: a.Server, size: call.Size}
 	if call.Size == 0 {
 		send.size = 1
--- a/balancer/overload_test.go
+++ b/balancer/overload_test.go
@@ -57,7 +57,7 @@
 	s := &overloadSimulation{harness: gatewayHarness(1, gatewayQueryType),
 		busy: map[ServerID]int{}, waiting: map[ServerID][]overloadJob{}, arrivedAt: map[RequestID]Time{},
 		types: map[ShardCallID]QueryType{}, attempts: map[ShardCallID]AttemptNumber{}}
-	s.overloadAt = s.at + lowLoadTime
+	s.overloadAt = s.clock + lowLoadTime
 	short := gatewayQueryType
 	short.LatencyTarget, short.ClientTimeout = overloadTypes[1].target, overloadTypes[1].timeout
 	s.handle(QueryTypeChanged{Type: 1, Config: short})
@@ -84,7 +84,7 @@
 func (s *overloadSimulation) pushRequests(seconds int) {
 	random := rand.New(rand.NewPCG(3, 4))
 	end := s.overloadAt + Time(seconds)*1000*Millisecond
-	for at := s.at; at < end; at += Time(1 + random.IntN(maxRequestGap)) {
+	for at := s.clock; at < end; at += Time(1 + random.IntN(maxRequestGap)) {
 		if at < s.overloadAt {
 			at += Time(random.IntN(40))
 		}
@@ -107,13 +107,13 @@
 	for len(s.queue) > 0 {
 		e := s.queue[0]
 		s.queue = s.queue[1:]
-		s.at = max(s.at, e.at)
+		s.clock = max(s.clock, e.at)
 		if e.ended != nil {
 			s.end(e.ended)
 			continue
 		}
 		if a, ok := e.event.(RequestArrived); ok {
-			s.arrivedAt[a.Request] = s.at
+			s.arrivedAt[a.Request] = s.clock
 		}
 		s.perform(s.handle(e.event))
 	}
@@ -123,7 +123,7 @@
 	for _, action := range actions {
 		switch a := action.(type) {
 		case Send:
-			job := overloadJob{a, s.attempts[a.Call], s.types[a.Call], s.at}
+			job := overloadJob{a, s.attempts[a.Call], s.types[a.Call], s.clock}
 			s.attempts[a.Call]++
 			if s.busy[a.Server] < slotsPerServer {
 				s.start(job)
@@ -134,7 +134,7 @@
 			s.push(overloadEvent{at: a.At, event: TimerFired{a.Timer}})
 		case Answer:
 			queryType, arrivedAt := s.types[ShardCallID(a.Request)], s.arrivedAt[a.Request]
-			if arrivedAt >= s.overloadAt && s.at-arrivedAt <= overloadTypes[queryType].target {
+			if arrivedAt >= s.overloadAt && s.clock-arrivedAt <= overloadTypes[queryType].target {
 				s.inTime[queryType]++
 			}
 		}
@@ -144,7 +144,7 @@
 // start starts a job on its server, which has a free slot.
 func (s *overloadSimulation) start(job overloadJob) {
 	s.busy[job.send.Server]++
-	s.push(overloadEvent{at: s.at + overloadTypes[job.queryType].work, ended: &job})
+	s.push(overloadEvent{at: s.clock + overloadTypes[job.queryType].work, ended: &job})
 }
 
 // end ends a job and starts the next one waiting at its server.
@@ -155,7 +155,7 @@
 		s.start(waiting[0])
 		s.waiting[server] = waiting[1:]
 	}
-	s.perform(s.handle(AttemptEnded{Call: job.send.Call, Attempt: job.number, Server: server, Elapsed: s.at - job.sentAt,
+	s.perform(s.handle(AttemptEnded{Call: job.send.Call, Attempt: job.number, Server: server, Elapsed: s.clock - job.sentAt,
 		Outcome: Answered}))
 }
 
--- a/balancer/prediction_test.go
+++ b/balancer/prediction_test.go
@@ -35,7 +35,7 @@
 	b.finish(b.arrive(1)[0], 1000, Answered)
 	before := b.servers[1].unitLatency
 	first, second := b.arrive(1)[0], b.arrive(1)[0]
-	b.at += 10000
+	b.clock += 10000
 	b.finish(second, 9000, Answered) // a response: the first attempt is slow, not lost
 	updated := b.servers[1].unitLatency
 	b.finish(first, 10000, TimedOut)
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -8,10 +8,10 @@
 func TestAttemptIsOverdueAtHalfTheRemainingTime(t *testing.T) {
 	b := newHarness(3, func(c *Config) { c.HasRetryBudget, c.RetryBudgetBase, c.RetryBudgetWindow = true, 10, 50000 })
 	b.arrive(1)
-	for start := b.at; b.at < start+20000; b.at += 200 {
+	for start := b.clock; b.clock < start+20000; b.clock += 200 {
 		b.handle(TimerFired{1})
 		attempts := b.requestsByNumber[1].calls[0].attempts
-		failIf(t, (len(attempts) > 1) != (b.at-start > 12400), "attempts %v after %d, the target is 25000", attempts, b.at-start)
+		failIf(t, (len(attempts) > 1) != (b.clock-start > 12400), "attempts %v after %d, the target is 25000", attempts, b.clock-start)
 	}
 }
 
@@ -19,7 +19,7 @@
 	b := newHarness(2, nil)
 	b.arrive(1)
 	attempts := func() []*attempt { return b.requestsByNumber[1].calls[0].attempts }
-	for start := b.at; b.at < start+10000; b.at += 200 {
+	for start := b.clock; b.clock < start+10000; b.clock += 200 {
 		b.handle(TimerFired{1})
 		for number, a := range attempts() {
 			b.handle(AttemptEnded{Call: 100, Attempt: AttemptNumber(number), Server: a.server.id, Elapsed: 30, Outcome: Rejected})
@@ -35,10 +35,10 @@
 	b.answer(100, 100)
 	most := 0.0
 	for range 400 {
-		b.at += 100
+		b.clock += 100
 		for id := range 4 {
 			s := b.servers[ServerID(id+1)]
-			s.probation, s.ejectedUntil = true, b.at-1
+			s.probation, s.ejectedUntil = true, b.clock-1
 		}
 		for i, s := range b.arrive(1) {
 			b.handle(AttemptEnded{Call: s.Call, Attempt: AttemptNumber(i), Server: s.Server, Elapsed: 50, Outcome: Answered})
@@ -74,7 +74,7 @@
 		t.Fatalf("actions for an overdue call: %v, want one hedge", b.lastActions)
 	}
 	for range 200 {
-		if b.advance(100); len(b.lastActions) > 0 && b.at >= call.attempts[1].sentAt+call.attempts[1].overdueAfter {
+		if b.advance(100); len(b.lastActions) > 0 && b.clock >= call.attempts[1].sentAt+call.attempts[1].overdueAfter {
 			break
 		}
 	}
@@ -94,7 +94,7 @@
 	b.answer(4, 1000)
 	s := b.arrive(1)[0]
 	first := b.inFlight[s.Call].attempts[0]
-	b.at = first.sentAt + first.overdueAfter
+	b.clock = first.sentAt + first.overdueAfter
 	actions := b.handle(TimerFired{TimerID(b.lastID)})
 	failIf(t, !slices.Contains(actions, Action(Cancel{s.Call, 0})),
 		"actions for an overdue attempt without hedging: %v, want it cancelled", actions)
--- a/balancer/serverlist_test.go
+++ b/balancer/serverlist_test.go
@@ -11,7 +11,7 @@
 	for range 12 {
 		timer := b.handle(ServerList{Kind: ListFailed})[0].(SetTimer)
 		failIf(t, len(b.handle(ServerList{Kind: ListFailed})) != 0, "actions after a second failure: %v, want none", b.lastActions)
-		longest, b.at = max(longest, timer.At-b.at), timer.At
+		longest, b.clock = max(longest, timer.At-b.clock), timer.At
 		failIf(t, !slices.Equal(b.handle(TimerFired{timer.Timer}), []Action{Subscribe{}}),
 			"actions when the timer fires: %v, want Subscribe", b.lastActions)
 	}
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -7,8 +7,8 @@
 func TestColdClusterRecovers(t *testing.T) {
 	b := newHarness(2, nil)
 	b.answer(40, 500)
-	b.at += 20000
-	b.handle(ServerList{ListComplete, []Server{{ID: 1, State: Ready, StartedAt: b.at - 40000}, {ID: 2, State: Ready, StartedAt: b.at - 40000}}})
+	b.clock += 20000
+	b.handle(ServerList{ListComplete, []Server{{ID: 1, State: Ready, StartedAt: b.clock - 40000}, {ID: 2, State: Ready, StartedAt: b.clock - 40000}}})
 	got := len(b.arrive(4)) + len(b.arrive(4))
 	failIf(t, got < 5, "%d of 8 calls sent to a cluster at half its capacity", got)
 }
@@ -22,13 +22,13 @@
 	chance := newMWC(5)
 	for step := range Time(2000) { // one request per instance in about five windows, 18 per window in all
 		b := all[chance.intN(90)]
-		b.at = 1000000 + step*555
-		if b.at > 1800000 && b.servers[1].state == Ready {
+		b.clock = 1000000 + step*555
+		if b.clock > 1800000 && b.servers[1].state == Ready {
 			b.handle(ServerList{ListComplete, []Server{{ID: 2, State: Ready, StartedAt: 1800000}}})
 		}
 		for _, s := range b.arrive(1) {
 			if b.servers[1].state != Ready {
-				sent[(b.at-1800000)/1000]++
+				sent[(b.clock-1800000)/1000]++
 			}
 			b.finish(s, 300, Answered)
 		}
--- a/balancer/state.go
+++ b/balancer/state.go
@@ -19,7 +19,7 @@
 
 // typeState is the run-time state of a query type, which survives a change of its configuration.
 type typeState struct {
-	size           float64 // mean size of a call in milliseconds; 0 = not measured
+	size           float64 // estimated size of a call in milliseconds; 0 = not estimated
 	longestTimeout Time    // longest recent client timeout
 	abandonedAt    Time    // when the last request was abandoned
 	split          splitSequence
@@ -59,7 +59,7 @@
 	checkedAt      Time // when a health check last succeeded
 	idleLossAt     Time // when an attempt on an idle connection was lost; 0 = answered since
 
-	draw     float64 // random number in [0, 1) for slow start
+	draw     float64 // random number in [0, 1) that decides on a call during slow start
 	redrawAt Time    // when draw is renewed
 }
 
@@ -156,8 +156,7 @@
 	return &retryBudget{retries: newWindowCounter(b.budgetWindow), admitted: newWindowCounter(b.budgetWindow)}
 }
 
-// admit counts a request or call and returns the shortest recent latency target. The target of this one counts until a
-// moment.
+// admit counts a request or call, includes its latency target until a time, and returns the shortest recent target.
 func (r *retryBudget) admit(target, now, until Time) Time {
 	r.admitted.add(now, 1)
 	if target <= r.shortestTarget || now >= r.shortestUntil {
--- a/balancer/stats_test.go
+++ b/balancer/stats_test.go
@@ -18,8 +18,8 @@
 	failIf(t, len(records) != 2, "records of %d servers, want 2", len(records))
 	start := func(later Time, change func(*ServerRecord)) *harness {
 		b := newHarness(2, nil)
-		b.at = before.at + later
-		b.Handle(b.at, TimerFired{})
+		b.clock = before.clock + later
+		b.Handle(b.clock, TimerFired{})
 		all := slices.Clone(records)
 		for i := range all {
 			if change != nil {
@@ -48,7 +48,7 @@
 	}
 	b := start(0, func(r *ServerRecord) {
 		if r.ID == 1 {
-			r.EjectedUntil = before.at + 1<<40
+			r.EjectedUntil = before.clock + 1<<40
 		}
 	})
 	failIf(t, b.servers[1].ejectedUntil > b.now+maxEjectionFactor*b.baseEjection,
--- a/balancer/window_test.go
+++ b/balancer/window_test.go
@@ -45,6 +45,6 @@
 		}
 	}
 	if a, b := newMWC(1), newMWC(2); a.intN(1<<30) == b.intN(1<<30) {
-		t.Error("two seeds give the same number")
+		t.Error("two seeds generate the same number")
 	}
 }
