--- a/balancer/window_test.go
+++ b/balancer/window_test.go
@@ -6,7 +6,7 @@
 	"pgregory.net/rapid"
 )
 
-// The bounds of a windowCounter must hold for any times of its events.
+// The bounds of a windowCounter must hold for events at any times.
 func TestWindowCounterBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		window := counterSlots * Time(rapid.IntRange(1, 400).Draw(t, "slot length"))
@@ -45,6 +45,6 @@
 		}
 	}
 	if a, b := newMWC(1), newMWC(2); a.intN(1<<30) == b.intN(1<<30) {
-		t.Error("two seeds give the same number")
+		t.Error("two seeds generate the same number")
 	}
 }
