--- a/registry/digest.go
+++ b/registry/digest.go
@@ -6,11 +6,12 @@
 	"slices"
 )
 
-// RangeCount is the number of ranges of instance ids that Digests are made over.
+// RangeCount is the number of ranges into which instance ids are hashed. Digests returns one digest for each range.
 const RangeCount = 16
 
 // Digests returns a digest of each range of records, for anti-entropy between controllers. Equal tables have equal digests,
-// whatever way they were filled. What changes with each heartbeat is left out.
+// regardless of the order in which they were filled. A digest covers instance ids, states and addresses; fields that change
+// with each heartbeat are excluded.
 func (t *Table) Digests() [RangeCount]uint64 {
 	var digests [RangeCount]uint64
 	for id, r := range t.records {
@@ -18,17 +19,17 @@
 		h.Write([]byte(id))
 		h.Write([]byte{0, byte(r.State)})
 		h.Write([]byte(r.Address))
-		// XOR, as the records of a range come in no order.
+		// XOR is independent of the map's iteration order.
 		digests[rangeOf(id)] ^= h.Sum64()
 	}
 	return digests
 }
 
-// Range returns the records of one range, by instance id.
-func (t *Table) Range(number int) []*Record {
+// Range returns the records of one range (0 to RangeCount-1), sorted by instance id.
+func (t *Table) Range(index int) []*Record {
 	var records []*Record
 	for id, r := range t.records {
-		if rangeOf(id) == number {
+		if rangeOf(id) == index {
 			records = append(records, r)
 		}
 	}
@@ -36,7 +37,7 @@
 	return records
 }
 
-// rangeOf returns the range of an instance. All controllers must agree on it.
+// rangeOf returns the index of an instance's range. All controllers must compute the same index.
 func rangeOf(id InstanceID) int {
 	h := fnv.New32a()
 	h.Write([]byte(id))
--- a/registry/doc.go
+++ b/registry/doc.go
@@ -1,16 +1,17 @@
-// Package registry keeps the state of the servers that send heartbeats. Any controller may receive a server's heartbeat;
-// controllers exchange records, and tables that received the same records are equal, whatever the order and however often
-// they came.
+// Package registry holds the membership records of the servers that send heartbeats. Any controller may receive a server's
+// heartbeat, and controllers exchange records by gossip. Tables that have received the same records converge, regardless of
+// the order and the number of deliveries.
 //
 // # Invariants
 //
-//   - A server's state only rises: ready, draining, deregistered. The other fields are those of the heartbeat with the highest
-//     sequence, which is one heartbeat alone, as sequences rise. So merging is commutative, associative and idempotent in all
-//     that Digests cover.
-//   - A server is unresponsive once its heartbeats stay away while most others arrive. While most stay away, the fault is
-//     taken to be between servers and controllers, and no server is marked.
-//   - The table is bounded: records of servers that deregistered or stay unresponsive expire (Table.Expire).
+//   - The state of a server is monotonic: ready, draining, deregistered. The other fields are those of the heartbeat with the
+//     highest sequence number, which identifies a single heartbeat, since sequence numbers only increase. Merging is therefore
+//     commutative, associative and idempotent for all fields that Digests covers.
+//   - A server becomes unresponsive when its heartbeats are missing while those of most other servers arrive. While the
+//     heartbeats of most servers are missing, the fault is assumed to lie between servers and controllers, and no server
+//     becomes unresponsive.
+//   - The size of the table is bounded: records of servers that have deregistered or remain unresponsive expire (Table.Expire).
 //
-// The package has no I/O, no clock and no goroutines. Times are durations on the caller's monotonic clock. Records that go to
-// another process carry ages in place of times, which the receiver turns into times of its own clock.
+// The package has no I/O, no clock and no goroutines. Times are durations on the caller's monotonic clock. Records sent to
+// another process carry ages instead of times, and the receiver converts them to times on its own clock.
 package registry
--- a/registry/expire.go
+++ b/registry/expire.go
@@ -6,27 +6,29 @@
 	"oxbowspan/lease"
 )
 
-// How long a server may be without a heartbeat, in heartbeat intervals.
+// Limits on the time since the last heartbeat of a server, in heartbeat intervals.
 const (
-	unresponsiveIntervals = 3.5 // then it is unresponsive
-	expiryIntervals       = 25  // then it is forgotten
-	// outageSpreadIntervals bounds the time between the marks of servers whose heartbeats were cut off at one moment. They
-	// come one by one, as each server sends at its own time.
+	unresponsiveIntervals = 3.5 // after which the server is unresponsive
+	expiryIntervals       = 25  // after which its record may be removed
+	// outageSpreadIntervals bounds the time within which servers that were cut off at the same moment exceed
+	// unresponsiveIntervals. They do so one by one, as each server sends its heartbeats at its own times.
 	outageSpreadIntervals = 2
 )
 
 const (
-	// confirmationTTL is how long a lease holder's statement that a server is healthy counts. It covers the time until
-	// another gateway takes over the lease of a holder that died.
+	// confirmationTTL is how long a lease holder's confirmation that a server is healthy remains valid. It covers the time
+	// until another gateway takes over the lease of a holder that has crashed.
 	confirmationTTL = 8 * time.Second
-	// deregisteredTTL is how long a server that deregistered is remembered, against late heartbeats.
+	// deregisteredTTL is how long the record of a deregistered server is kept, so that late heartbeats do not add it again.
 	deregisteredTTL = 60 * time.Second
 )
 
-// Expire marks unresponsive servers and removes the records that have expired. It reports whether any mark changed.
+// Expire updates the Unresponsive and HeartbeatMissed flags of all records and removes expired records. It reports whether
+// any flag changed.
 //
-// While most servers miss their heartbeats, the fault is taken to be between servers and controllers: no server is marked,
-// and the marks that were set just before are removed. Servers marked already count among those that miss them.
+// While most servers miss heartbeats (an outage), the fault is assumed to lie between servers and controllers: no flag is
+// set, and flags that were set just before the outage are cleared. Servers whose flags are set already count as missing
+// heartbeats.
 func (t *Table) Expire(now time.Duration) (changed bool) {
 	outage := t.removeExpired(now)
 	for _, r := range t.records {
@@ -45,8 +47,8 @@
 	return changed
 }
 
-// removeExpired removes expired records, and reports whether the heartbeats of most other servers are missed. Those that were
-// marked are kept while no heartbeat of any server arrives.
+// removeExpired removes expired records, and reports whether most of the remaining servers miss heartbeats. Expired records
+// of servers that did not deregister are kept while no heartbeat of any server arrives.
 func (t *Table) removeExpired(now time.Duration) (outage bool) {
 	received, missed := 0, 0
 	for id, r := range t.records {
@@ -65,8 +67,8 @@
 	return missed > received
 }
 
-// expired reports whether a server deregistered more than deregisteredTTL ago, or has been unresponsive, or draining without a
-// heartbeat, for more than expiryIntervals.
+// expired reports whether a server deregistered more than deregisteredTTL ago, or is unresponsive or draining and has sent no
+// heartbeat for more than expiryIntervals.
 func (t *Table) expired(r *Record, now time.Duration) bool {
 	age := now - r.HeartbeatAt
 	if r.State == Deregistered && age > deregisteredTTL {
@@ -75,8 +77,8 @@
 	return age > expiryIntervals*t.heartbeatInterval && (r.Unresponsive || r.State == Draining)
 }
 
-// missesHeartbeats reports whether a server's heartbeats stay away. A mark that was set stays until a heartbeat arrives, or
-// until an outage begins so soon after that the mark was its first sign.
+// missesHeartbeats returns the new value of a record's HeartbeatMissed flag. Once set, the flag remains set until a heartbeat
+// arrives. An outage clears it if the last heartbeat is so recent that the outage itself may have caused the miss.
 func (t *Table) missesHeartbeats(r *Record, now time.Duration, outage bool) bool {
 	age := now - r.HeartbeatAt
 	if outage {
@@ -85,12 +87,12 @@
 	return r.HeartbeatMissed || t.exceeds(age, unresponsiveIntervals)
 }
 
-// confirmedHealthy reports whether a lease holder saw the server healthy within confirmationTTL.
+// confirmedHealthy reports whether a lease holder has confirmed the server healthy within confirmationTTL.
 func (r *Record) confirmedHealthy(now time.Duration) bool {
 	return r.State == Ready && r.Lease != (lease.Lease{}) && now-r.HealthyAt < confirmationTTL
 }
 
-// exceeds reports whether a duration is longer than so many heartbeat intervals.
+// exceeds reports whether a duration is longer than the given number of heartbeat intervals.
 func (t *Table) exceeds(d time.Duration, intervals float64) bool {
 	return float64(d) > intervals*float64(t.heartbeatInterval)
 }
--- a/registry/merge.go
+++ b/registry/merge.go
@@ -6,8 +6,8 @@
 	"oxbowspan/lease"
 )
 
-// Merge merges a record that was received from the server itself (source "") or from another controller. It reports whether
-// the record held anything new.
+// Merge merges a record received from the server itself (source "") or from another controller, which source identifies. It
+// reports whether the record contained new information.
 func (t *Table) Merge(in Record, source string) bool {
 	r := t.records[in.Instance]
 	if r == nil {
@@ -33,16 +33,17 @@
 	return changed || updated
 }
 
-// insert adds the record of a server that is not known, unless it is incomplete or about to be forgotten.
+// insert adds the record of an unknown server, unless the record is incomplete or has expired here. It reports whether the
+// record was added.
 func (t *Table) insert(in Record, source string) bool {
 	if in.HeartbeatOnly {
-		return false // the complete record follows, as the digests differ
+		return false // the digests differ, so the complete record will be sent
 	}
 	if in.Unresponsive && t.exceeds(t.lastHeartbeat-in.HeartbeatAt, expiryIntervals) {
-		return false // it was forgotten here, and soon will be by the sender
+		return false // the record has expired here, and is about to expire at the sender
 	}
 	if in.State != Ready && in.Service == "" {
-		in.Unresponsive = false // a deregistration of an unknown server, kept against late heartbeats
+		in.Unresponsive = false // the deregistration of an unknown server, kept so that late heartbeats do not add it
 	}
 	r := &in
 	t.records[r.Instance] = r
@@ -52,7 +53,8 @@
 	return true
 }
 
-// mergeHeartbeat takes a newer heartbeat, and reports whether it changes more than its time.
+// mergeHeartbeat applies a newer heartbeat to the record. It reports whether the service, the address, the slots or the flags
+// of missing heartbeats changed.
 func (r *Record) mergeHeartbeat(in Record) (changed bool) {
 	r.Sequence = in.Sequence
 	r.HeartbeatAt = max(r.HeartbeatAt, in.HeartbeatAt)
@@ -73,41 +75,43 @@
 	return changed
 }
 
-// supersedeAddress marks earlier incarnations at the address of a new record as unresponsive. Should the new record have been
-// the late heartbeat of an incarnation that is over, the next heartbeat of the present one undoes the mark.
+// supersedeAddress marks earlier incarnations at the address of a new record as unresponsive. If the new record came from a
+// late heartbeat of an incarnation that has ended, the next heartbeat of the running incarnation clears the flag.
 func (t *Table) supersedeAddress(r *Record) {
 	if r.State != Ready || r.Address == "" {
 		return
 	}
-	for _, o := range t.records {
-		if o != r && o.Address == r.Address && o.State != Deregistered && !o.Unresponsive && o.HeartbeatAt < r.HeartbeatAt {
-			o.Unresponsive = true
-			o.HeartbeatMissed = true
-			t.markChanged(o, "")
+	for _, other := range t.records {
+		if other != r && other.Address == r.Address && other.State != Deregistered && !other.Unresponsive && other.HeartbeatAt < r.HeartbeatAt {
+			other.Unresponsive = true
+			other.HeartbeatMissed = true
+			t.markChanged(other, "")
 		}
 	}
 }
 
-// mergeConfirmation takes a lease holder's statement that it saw the server healthy at a time, and reports whether it is
-// newer than the one held. Statements under older leases than the newest are rejected: their holders were replaced.
-func (r *Record) mergeConfirmation(asserted lease.Lease, healthyAt time.Duration) bool {
+// mergeConfirmation applies a lease holder's confirmation that the server was healthy at a time, and reports whether it is
+// newer than the stored one. Confirmations under a lease older than the newest are rejected, as their holders have been
+// replaced.
+func (r *Record) mergeConfirmation(confirmedBy lease.Lease, healthyAt time.Duration) bool {
 	none := lease.Lease{}
-	if asserted == none || asserted.Compare(r.Lease) < 0 || asserted == r.Lease && healthyAt <= r.HealthyAt {
+	if confirmedBy == none || confirmedBy.Compare(r.Lease) < 0 || confirmedBy == r.Lease && healthyAt <= r.HealthyAt {
 		return false
 	}
 	if r.Lease == none {
 		r.HealthyAt = healthyAt
 	}
-	r.Lease = asserted
+	r.Lease = confirmedBy
 	r.HealthyAt = max(r.HealthyAt, healthyAt)
 	return true
 }
 
-// ConfirmHealthy takes a gateway's statement, under its lease, that it saw a server healthy at a time although the server's
-// heartbeats stay away. It reports whether that was new.
-func (t *Table) ConfirmHealthy(id InstanceID, asserted lease.Lease, healthyAt time.Duration) bool {
+// ConfirmHealthy records a gateway's confirmation, under its lease, that a server was healthy at a time although the server's
+// heartbeats are missing. It reports whether the confirmation was newer than the stored one; it is ignored for servers that
+// are unknown, draining or deregistered.
+func (t *Table) ConfirmHealthy(id InstanceID, confirmedBy lease.Lease, healthyAt time.Duration) bool {
 	r := t.records[id]
-	if r == nil || r.State != Ready || !r.mergeConfirmation(asserted, healthyAt) {
+	if r == nil || r.State != Ready || !r.mergeConfirmation(confirmedBy, healthyAt) {
 		return false
 	}
 	if r.Unresponsive {
@@ -119,7 +123,7 @@
 	return true
 }
 
-// Deregister records that a server has ended as planned.
+// Deregister records that a server has shut down as planned.
 func (t *Table) Deregister(id InstanceID, now time.Duration) {
 	r := Record{Instance: id, State: Deregistered, HeartbeatAt: now}
 	if old := t.records[id]; old != nil {
--- a/registry/model_gossip_test.go
+++ b/registry/model_gossip_test.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// sentRecord is a record in a message, with its age. The time of day is sent for an injected fault alone.
+// sentRecord is a record in a gossip message, with the age of its newest heartbeat.
 type sentRecord struct {
 	record    Record
 	age       time.Duration
-	timeOfDay time.Duration
+	timeOfDay time.Duration // of the newest heartbeat by the sender's wall clock; only for ageByWallClock
 }
 
-// gossip has a replica send another its updates, and the records of the ranges that differ.
+// gossip sends one replica's updates, and its records of the ranges that differ, to another replica.
 func (m *model) gossip(from, to *replica) {
-	if m.cut[link{from.index, to.index}] || m.cut[link{to.index, from.index}] {
+	if m.cutLinks[link{from.index, to.index}] || m.cutLinks[link{to.index, from.index}] {
 		return
 	}
 	peer := &from.peers[to.index]
@@ -27,12 +27,12 @@
 	upTo, digests := from.table.Cursor(), from.table.Digests()
 	sender, receiver := from.incarnation, to.incarnation
 	m.send(modelStep, func() {
-		if to.incarnation != receiver || m.cut[link{from.index, to.index}] {
+		if to.incarnation != receiver || m.cutLinks[link{from.index, to.index}] {
 			return
 		}
 		m.receiveRecords(to, records, fmt.Sprint(from.index))
 		differing := m.differingRanges(to, digests)
-		if m.cut[link{to.index, from.index}] {
+		if m.cutLinks[link{to.index, from.index}] {
 			return
 		}
 		m.send(modelStep, func() {
@@ -48,8 +48,8 @@
 	})
 }
 
-// recordsFor returns what a replica sends another: all fields of what changed and of ranges that differ, else the heartbeat
-// alone.
+// recordsFor returns the records that one replica sends to another: complete records where they changed or their range
+// differs, heartbeat-only records otherwise.
 func (m *model) recordsFor(from, to *replica) (sent []sentRecord) {
 	peer := &from.peers[to.index]
 	unreachable := func(source string) bool { return m.unreachable(to, source) }
@@ -86,7 +86,7 @@
 	}
 }
 
-// differingRanges returns the ranges in which a replica differs from the sender of digests.
+// differingRanges returns the ranges in which a replica's digests differ from the received ones.
 func (m *model) differingRanges(to *replica, digests [RangeCount]uint64) (differing []int) {
 	if m.injected == cursorsSurviveRestart {
 		return nil
@@ -99,11 +99,11 @@
 	return differing
 }
 
-// unreachable reports whether a replica does not receive from the source of a record.
+// unreachable reports whether a link between a replica and the source of a record is cut, in either direction.
 func (m *model) unreachable(to *replica, source string) bool {
 	for _, r := range m.replicas {
 		if fmt.Sprint(r.index) == source {
-			return m.cut[link{r.index, to.index}] || m.cut[link{to.index, r.index}]
+			return m.cutLinks[link{r.index, to.index}] || m.cutLinks[link{to.index, r.index}]
 		}
 	}
 	return true
--- a/registry/model_test.go
+++ b/registry/model_test.go
@@ -7,25 +7,25 @@
 	"time"
 )
 
-// fault is injected into how records are carried, to show that the model's checks detect it.
+// fault is a defect injected into the model, which its checks must detect.
 type fault int
 
 const (
 	noFault fault = iota
 
-	ageByWallClock             // the time of a heartbeat is sent as a time of day, not as an age
-	acknowledgeWithoutMajority // a draining is acknowledged by the replica that received it, before others hold it
-	cursorsSurviveRestart      // cursors count for a replica that restarted since, and digests are not compared
-	stateOfNewestHeartbeat     // the state is that of the newest heartbeat, not the furthest
-	unresponsiveDuringOutage   // servers without heartbeats are unresponsive, however many they are
-	deregistrationForgotten    // a deregistration is forgotten at once
-	agesIgnored                // a record that is received counts as a heartbeat at that time
+	ageByWallClock             // heartbeat times are sent as wall-clock times instead of ages
+	acknowledgeWithoutMajority // a replica acknowledges a draining before a majority has the record
+	cursorsSurviveRestart      // cursors of peers are not reset when a peer restarts, and digests are not compared
+	stateOfNewestHeartbeat     // a record takes the state of the newest heartbeat instead of the highest state
+	unresponsiveDuringOutage   // servers without heartbeats are unresponsive, regardless of their number
+	deregistrationForgotten    // records of deregistered servers are removed at once
+	agesIgnored                // a received record counts as a heartbeat at the time of receipt
 )
 
-// model runs replicas of a table, with monotonic clocks of their own and times of day that jump, against servers that send
-// heartbeats, crash, drain, deregister and follow one another at their addresses; heartbeats that come late or twice; links
-// between replicas that are cut; replicas that restart with nothing; and outages in which no heartbeat reaches any replica.
-// After each step it checks the invariants.
+// model simulates replicas of the table and servers, and checks the invariants after each step. Replicas have separate
+// monotonic clocks and wall clocks that jump, and restart with empty tables; links between them are cut. Servers send
+// heartbeats, crash, drain, deregister and are replaced by others at the same address. Heartbeats are delayed or duplicated,
+// and during outages none reaches any replica.
 type model struct {
 	random   *rand.Rand
 	injected fault
@@ -33,15 +33,15 @@
 	replicas []*replica
 	servers  []*server
 	inFlight []message
-	cut      map[link]bool
+	cutLinks map[link]bool
 
 	lastDisruption     time.Duration // when a replica last restarted or a link last changed
 	partitionChangedAt time.Duration // when a link last changed
-	outageSince        time.Duration
+	outageStartedAt    time.Duration
 	outageUntil        time.Duration
-	lastOutage         time.Duration // when there last was an outage
+	lastOutage         time.Duration // last step during an outage
 
-	violation string // of an invariant, the first found; "" = none
+	violation string // first violation of an invariant; "" = none
 }
 
 // replica is one controller's table.
@@ -49,18 +49,18 @@
 	index       int
 	table       *Table
 	incarnation int
-	clockOrigin time.Duration // of its monotonic clock
-	wallOffset  time.Duration // of its time of day
+	clockOrigin time.Duration // origin of its monotonic clock
+	wallOffset  time.Duration // offset of its wall clock
 	startedAt   time.Duration
-	peers       []peerState // by index
-	states      map[InstanceID]State
+	peers       []peerState          // by index
+	states      map[InstanceID]State // as of the last check
 }
 
-// peerState is what a replica knows of another.
+// peerState is a replica's state about a peer.
 type peerState struct {
-	incarnation     int    // that the rest is about
-	cursor          Cursor // up to where it has this replica's updates
-	differingRanges []int
+	incarnation     int    // incarnation of the peer to which the other fields apply
+	cursor          Cursor // position up to which the peer has received this replica's updates
+	differingRanges []int  // ranges in which the digests differed
 }
 
 // server is one incarnation of a server.
@@ -70,18 +70,18 @@
 	sequence       Sequence
 	state          State
 	nextHeartbeat  time.Duration
-	endedAt        time.Duration // 0 = it is running
-	acknowledgedAt time.Duration // when its draining was; 0 = not yet
+	endedAt        time.Duration // 0 = running
+	acknowledgedAt time.Duration // when its draining was acknowledged; 0 = not yet
 	deregisteredAt time.Duration // 0 = not yet
 }
 
-// message is delivered at a time.
+// message is delivered at a given time.
 type message struct {
 	at      time.Duration
 	deliver func()
 }
 
-// link is one direction between two replicas, by index.
+// link is one direction of the connection between two replicas, identified by index.
 type link struct{ from, to int }
 
 const (
@@ -90,7 +90,7 @@
 )
 
 func newModel(seed uint64, injected fault) *model {
-	m := &model{random: rand.New(rand.NewPCG(seed, 3)), injected: injected, cut: map[link]bool{}}
+	m := &model{random: rand.New(rand.NewPCG(seed, 3)), injected: injected, cutLinks: map[link]bool{}}
 	count := 3 + 2*m.random.IntN(2)
 	for i := range count {
 		r := &replica{index: i}
@@ -136,7 +136,7 @@
 	m.inFlight = append(m.inFlight, message{at: m.now + delay, deliver: deliver})
 }
 
-// sendHeartbeat has a server send a heartbeat to a replica. Some come late, and some twice.
+// sendHeartbeat sends a server's heartbeat to a random replica. Some heartbeats are delayed, some are duplicated.
 func (m *model) sendHeartbeat(s *server) {
 	s.sequence++
 	heartbeat := Record{Instance: s.id, Service: "s", Address: s.address, State: s.state, Sequence: s.sequence}
@@ -169,19 +169,19 @@
 	}
 }
 
-// acknowledge tells a server that its draining is held by a majority, once it is.
+// acknowledge sends a server the acknowledgement of its draining once a majority of the replicas has received the draining.
 func (m *model) acknowledge(r *replica, s *server, cursor Cursor, incarnation int) {
-	holding := 1
+	replicasUpToDate := 1
 	for i, peer := range r.peers[:len(m.replicas)] {
 		if i != r.index && peer.cursor >= cursor && peer.incarnation == m.replicas[i].incarnation {
-			holding++
+			replicasUpToDate++
 		}
 	}
 	switch {
 	case r.incarnation != incarnation || s.acknowledgedAt != 0:
-	case 2*holding > len(m.replicas) || m.injected == acknowledgeWithoutMajority:
+	case 2*replicasUpToDate > len(m.replicas) || m.injected == acknowledgeWithoutMajority:
 		s.acknowledgedAt = m.now
-		// The replica that received it restarts at once, and the server ends.
+		// In some runs the replica that received the draining restarts at once, and the server ends.
 		if m.random.IntN(3) == 0 && m.now-m.lastDisruption > 8*testHeartbeatInterval {
 			m.restart(r)
 			m.lastDisruption = m.now
@@ -194,26 +194,26 @@
 
 func (m *model) merge(r *replica, in Record, source string) {
 	r.table.Merge(in, source)
-	held := r.table.Get(in.Instance)
-	if m.injected == stateOfNewestHeartbeat && held != nil && held.Sequence == in.Sequence {
-		held.State = in.State
+	record := r.table.Get(in.Instance)
+	if m.injected == stateOfNewestHeartbeat && record != nil && record.Sequence == in.Sequence {
+		record.State = in.State
 	}
 }
 
-// disrupt makes one of the disruptions happen, now and then.
+// disrupt injects a random disruption with a small probability.
 func (m *model) disrupt() {
 	switch m.random.IntN(160) {
 	case 0:
 		r := m.randomReplica()
-		if m.now-m.lastDisruption > 8*testHeartbeatInterval { // one at a time, as is tolerated
+		if m.now-m.lastDisruption > 8*testHeartbeatInterval { // the design tolerates one restart at a time
 			m.restart(r)
 			m.lastDisruption = m.now
 		}
 	case 1:
 		m.cutLink()
 	case 2, 3:
-		if len(m.cut) > 0 {
-			clear(m.cut)
+		if len(m.cutLinks) > 0 {
+			clear(m.cutLinks)
 			m.lastDisruption = m.now
 			m.partitionChangedAt = m.now
 		}
@@ -228,25 +228,25 @@
 		}
 	case 9:
 		if m.random.IntN(4) == 0 && m.now > m.outageUntil {
-			m.outageSince = m.now
+			m.outageStartedAt = m.now
 			m.outageUntil = m.now + time.Duration(2+m.random.IntN(8))*testHeartbeatInterval
 		}
 	}
 }
 
-// cutLink cuts a link between two replicas, in one direction or both.
+// cutLink cuts a random link between two replicas, in one direction or both.
 func (m *model) cutLink() {
 	a, b := m.random.IntN(len(m.replicas)), m.random.IntN(len(m.replicas))
 	if a == b {
 		return
 	}
-	m.cut[link{a, b}] = true
-	m.cut[link{b, a}] = m.random.IntN(3) > 0
+	m.cutLinks[link{a, b}] = true
+	m.cutLinks[link{b, a}] = m.random.IntN(3) > 0
 	m.lastDisruption = m.now
 	m.partitionChangedAt = m.now
 }
 
-// crashServer ends a server and starts another, at the same address or elsewhere.
+// crashServer ends a random server without deregistration and starts another, at the same address or a new one.
 func (m *model) crashServer() {
 	s := m.randomServer()
 	if s.endedAt != 0 || s.state != Ready {
@@ -260,7 +260,7 @@
 	}
 }
 
-// step lets a step of time pass.
+// step advances the model by modelStep and checks the invariants.
 func (m *model) step() {
 	m.now += modelStep
 	m.disrupt()
@@ -270,8 +270,8 @@
 	for _, s := range m.servers {
 		m.stepServer(s)
 	}
-	for _, due := range m.takeDue() {
-		due.deliver()
+	for _, msg := range m.removeDueMessages() {
+		msg.deliver()
 	}
 	for _, r := range m.replicas {
 		if int(m.now/modelStep)%4 == r.index%4 {
@@ -281,7 +281,8 @@
 	m.check()
 }
 
-// stepServer has a server send its heartbeat, and end some time after its draining was acknowledged.
+// stepServer sends a server's heartbeat if it is due, and deregisters the server some time after its draining was
+// acknowledged.
 func (m *model) stepServer(s *server) {
 	if s.endedAt == 0 && m.now >= s.nextHeartbeat {
 		m.sendHeartbeat(s)
@@ -296,8 +297,8 @@
 	}
 }
 
-// takeDue removes the messages that are due and returns them.
-func (m *model) takeDue() (due []message) {
+// removeDueMessages removes the messages that are due and returns them.
+func (m *model) removeDueMessages() (due []message) {
 	var later []message
 	for _, msg := range m.inFlight {
 		if msg.at <= m.now {
@@ -310,11 +311,11 @@
 	return due
 }
 
-// stepReplica has a replica gossip and expire.
+// stepReplica exchanges a replica's records with all others and expires its records.
 func (m *model) stepReplica(r *replica) {
-	for _, o := range m.replicas {
-		if o != r {
-			m.gossip(r, o)
+	for _, peer := range m.replicas {
+		if peer != r {
+			m.gossip(r, peer)
 		}
 	}
 	r.table.Expire(m.clock(r))
@@ -328,6 +329,7 @@
 	}
 }
 
+// runModel runs a number of steps and returns the first violation, "" = none.
 func runModel(seed uint64, injected fault, steps int) (violation string) {
 	m := newModel(seed, injected)
 	for range steps {
--- a/registry/table.go
+++ b/registry/table.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// Table holds the records of one controller. Expire keeps it bounded.
+// Table holds the records of one controller. Expire bounds its size.
 type Table struct {
 	heartbeatInterval time.Duration
 	records           map[InstanceID]*Record
 	cursor            Cursor
-	lastHeartbeat     time.Duration // when any was received
+	lastHeartbeat     time.Duration // when the last heartbeat of any server was received
 }
 
 // minHeartbeatInterval keeps times derived from the interval above zero.
 const minHeartbeatInterval = time.Millisecond
 
-// NewTable returns an empty table of servers that send a heartbeat once in an interval.
+// NewTable returns an empty table of servers that send one heartbeat per interval.
 func NewTable(heartbeatInterval time.Duration) *Table {
 	return &Table{
 		heartbeatInterval: max(heartbeatInterval, minHeartbeatInterval),
@@ -34,7 +34,7 @@
 // Len returns the number of records.
 func (t *Table) Len() int { return len(t.records) }
 
-// LastChange returns the position of a server's last change, 0 if there is no record of it.
+// LastChange returns the position of the last change of a server's record, 0 if there is none.
 func (t *Table) LastChange(id InstanceID) Cursor {
 	if r := t.records[id]; r != nil {
 		return r.lastChange
@@ -42,14 +42,14 @@
 	return 0
 }
 
-// ChangesAfter returns the records with a change after a cursor, in the order of the changes.
+// ChangesAfter returns the records that changed after a cursor, in the order of their last changes.
 func (t *Table) ChangesAfter(after Cursor) []*Record {
 	return t.recordsAfter(func(r *Record) Cursor { return r.lastChange }, after, "")
 }
 
-// UpdatesFor returns the records with an update after a cursor that another controller must be sent, in the order of the
-// updates: those of servers that sent their heartbeat here, those that changed, and those of third controllers that it
-// can't reach itself, as unreachable reports.
+// UpdatesFor returns the records updated after a cursor that must be sent to another controller, in the order of their last
+// updates: those whose heartbeat was received here, those that changed, and those received from a third controller that the
+// other one cannot reach itself, as reported by unreachable. Records received from the other controller are left out.
 func (t *Table) UpdatesFor(after Cursor, to string, unreachable func(source string) bool) []*Record {
 	all := t.recordsAfter(func(r *Record) Cursor { return r.lastUpdate }, after, to)
 	return slices.DeleteFunc(all, func(r *Record) bool {
@@ -57,8 +57,8 @@
 	})
 }
 
-// recordsAfter returns the records whose position is after a cursor, in the order of the positions, without those that came
-// from a source; "" = from none.
+// recordsAfter returns the records whose position is after a cursor, sorted by position, except those whose last update came
+// from exceptSource; "" = no exception.
 func (t *Table) recordsAfter(position func(*Record) Cursor, after Cursor, exceptSource string) []*Record {
 	if after >= t.cursor {
 		return nil
@@ -73,13 +73,13 @@
 	return records
 }
 
-// markChanged records a change of a record that came from a source.
+// markChanged assigns the next cursor to a change of a record, and stores the source of the change.
 func (t *Table) markChanged(r *Record, source string) {
 	t.markUpdated(r, source)
 	r.lastChange = t.cursor
 }
 
-// markUpdated records an update of a record, which may be no change, that came from a source.
+// markUpdated assigns the next cursor to an update of a record, which need not be a change, and stores its source.
 func (t *Table) markUpdated(r *Record, source string) {
 	t.cursor++
 	r.lastUpdate = t.cursor
--- a/registry/table_bench_test.go
+++ b/registry/table_bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// The benchmarks measure what a controller spends on records, by the number of servers, for docs/CAPACITY.md:
+// Benchmarks of a controller's table operations by the number of servers, for docs/CAPACITY.md:
 //
 //	go test -run xxx -bench Table -benchmem ./registry
 
@@ -14,8 +14,8 @@
 
 var benchSizes = []int{1000, 10_000, 30_000, 96_000}
 
-// benchTable returns a table of servers that all sent a heartbeat a moment ago, and their records. It is filled without
-// Merge, whose cost grows with the square of their number.
+// benchTable returns a table of servers that have all just sent a heartbeat, their records and the current time. It does not
+// use Merge, as filling a table with it takes time quadratic in the number of servers.
 func benchTable(servers int) (*Table, []Record, time.Duration) {
 	const now = time.Hour
 	t, records := NewTable(benchHeartbeatInterval), make([]Record, servers)
@@ -57,7 +57,7 @@
 			})
 		}
 		run("heartbeat", heartbeat)
-		run("heartbeat and its changes", func() { // as a controller receives one: ChangesAfter visits all records
+		run("heartbeat and its changes", func() { // as on receipt of a heartbeat; ChangesAfter scans all records
 			before := t.Cursor()
 			heartbeat()
 			t.ChangesAfter(before)
@@ -74,7 +74,7 @@
 		run("expire", func() { t.Expire(now) })
 		run("digests", func() { t.Digests() })
 		run("range", func() { t.Range(3) })
-		run("new server", func() { // supersedeAddress visits all records for one at its address
+		run("new server", func() { // supersedeAddress scans all records for the same address
 			r := records[0]
 			r.Instance, r.Address = InstanceID(fmt.Sprint("new-", next)), fmt.Sprint("new-", next)
 			next++
@@ -84,7 +84,7 @@
 	}
 }
 
-// BenchmarkTableFill merges all records into an empty table, as a controller that restarts does.
+// BenchmarkTableFill merges all records into an empty table, as a controller does after a restart.
 func BenchmarkTableFill(b *testing.B) {
 	for _, servers := range []int{300, 1000, 3000, 10_000} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
--- a/registry/table_test.go
+++ b/registry/table_test.go
@@ -13,14 +13,14 @@
 
 const testHeartbeatInterval = time.Second
 
-// testID returns the id, and the address, of a test's server.
+// testID returns the id of a test server, which is also its address.
 func testID(i int) InstanceID { return InstanceID(fmt.Sprint("i-", i)) }
 
 func testRecord(id InstanceID, sequence Sequence, at time.Duration) Record {
 	return Record{Instance: id, Service: "s", Address: string(id), Sequence: sequence, HeartbeatAt: at}
 }
 
-// newFilledTable returns a table with n servers, i-0 and so on, that sent one heartbeat.
+// newFilledTable returns a table of n servers, i-0 to i-(n-1), that have sent one heartbeat each.
 func newFilledTable(n int) *Table {
 	t := NewTable(testHeartbeatInterval)
 	for i := range n {
@@ -31,21 +31,21 @@
 
 func everySource(string) bool { return true }
 
-// Tables that received different heartbeats of the same servers, in whatever order and however often, are equal once each has
-// sent the others its records. States never go back.
+// Tables that received different heartbeats of the same servers, in any order and with duplicates, are equal once they have
+// exchanged all records, and hold the highest state received for each server.
 func TestMergeConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tables := make([]*Table, rapid.IntRange(2, 4).Draw(t, "tables"))
 		for i := range tables {
 			tables[i] = NewTable(testHeartbeatInterval)
 		}
-		furthest := map[InstanceID]State{}
+		highestStates := map[InstanceID]State{}
 		for k := range rapid.IntRange(1, 40).Draw(t, "heartbeats") {
 			id := testID(rapid.IntRange(0, 5).Draw(t, "id"))
 			sequence := Sequence(rapid.IntRange(1, 9).Draw(t, "sequence"))
 			in := testRecord(id, sequence, time.Duration(k)*time.Millisecond)
 			in.State = rapid.SampledFrom([]State{Ready, Ready, Ready, Draining, Deregistered}).Draw(t, "state")
-			furthest[id] = max(furthest[id], in.State)
+			highestStates[id] = max(highestStates[id], in.State)
 			tables[rapid.IntRange(0, len(tables)-1).Draw(t, "table")].Merge(in, "")
 		}
 		for range tables {
@@ -53,18 +53,18 @@
 		}
 		for i, table := range tables[1:] {
 			if table.Digests() != tables[0].Digests() {
-				t.Fatalf("tables 0 and %d differ after they exchanged all records", i+1)
+				t.Fatalf("tables 0 and %d differ after the exchange of all records", i+1)
 			}
 		}
-		for id, state := range furthest {
+		for id, state := range highestStates {
 			if got := tables[0].Get(id).State; got != state {
-				t.Fatalf("%s is %s, and was %s once", id, got, state)
+				t.Fatalf("the state of %s is %s, but %s was received", id, got, state)
 			}
 		}
 	})
 }
 
-// exchangeAll has each table send the others all its records.
+// exchangeAll sends all records of each table to all others.
 func exchangeAll(tables []*Table) {
 	for i, from := range tables {
 		for j, to := range tables {
@@ -82,13 +82,13 @@
 	const now = 10 * testHeartbeatInterval
 	table := newFilledTable(10)
 	if table.Expire(now) || table.Get("i-0").Unresponsive {
-		t.Fatal("all servers became unresponsive at once: it is the controller that receives nothing")
+		t.Fatal("a server is unresponsive although no heartbeat of any server arrives")
 	}
 	for i := range 8 {
 		table.Merge(testRecord(testID(i), 2, now), "")
 	}
 	if !table.Expire(now) || table.Get("i-0").Unresponsive || !table.Get("i-9").Unresponsive {
-		t.Fatal("two of ten without heartbeats are not unresponsive")
+		t.Fatal("after heartbeats of eight of ten servers: want i-0 responsive and i-9 unresponsive")
 	}
 	table.Merge(testRecord("i-9", 2, now), "")
 	if table.Get("i-9").Unresponsive {
@@ -113,16 +113,17 @@
 	table := newFilledTable(3)
 	table.Merge(Record{Instance: "i-new", Service: "other", Address: "i-1", Sequence: 1, HeartbeatAt: 9}, "")
 	if !table.Get("i-1").Unresponsive || table.Get("i-new").Unresponsive {
-		t.Fatal("the earlier incarnation at the address is still in use")
+		t.Fatal("want the earlier incarnation at the address unresponsive and the new one responsive")
 	}
-	// Had that been the late heartbeat of an older incarnation, the next one of the present incarnation would show it.
+	// If the superseding heartbeat was a late one of an older incarnation, the next heartbeat of the running incarnation clears
+	// the flag.
 	table.Merge(testRecord("i-1", 2, 12), "")
 	if table.Get("i-1").Unresponsive {
 		t.Fatal("a server that sends a heartbeat stays unresponsive")
 	}
 }
 
-// Servers that are over are forgotten, however many incarnations there were.
+// Records of ended servers expire, regardless of the number of incarnations.
 func TestTableSizeIsBounded(t *testing.T) {
 	const running, incarnations = 4, 2000
 	table := newFilledTable(running)
@@ -140,11 +141,11 @@
 		table.Expire(now)
 	}
 	if table.Len() > 200 {
-		t.Fatalf("%d records after %d incarnations of one server", table.Len(), incarnations)
+		t.Fatalf("%d records after %d incarnations of one server, want at most 200", table.Len(), incarnations)
 	}
 }
 
-// A record of a heartbeat alone changes nothing else, and is dropped where the server is not known.
+// A heartbeat-only record updates only the sequence number and the heartbeat time, and is dropped if the server is unknown.
 func TestHeartbeatOnlyRecordChangesOnlyLiveness(t *testing.T) {
 	table := newFilledTable(1)
 	before := table.Cursor()
@@ -152,18 +153,18 @@
 	table.Merge(Record{Instance: "i-9", HeartbeatOnly: true, Sequence: 5, HeartbeatAt: 7}, "b")
 	r := table.Get("i-0")
 	if r.Sequence != 5 || r.HeartbeatAt != 7 || r.Address != "i-0" {
-		t.Errorf("the known server is %+v", r)
+		t.Errorf("record of the known server: %+v", r)
 	}
 	if changes := table.ChangesAfter(before); len(changes) != 0 {
-		t.Errorf("%d changes", len(changes))
+		t.Errorf("%d changes, want none", len(changes))
 	}
 	if r := table.Get("i-9"); r != nil {
-		t.Errorf("the unknown server is %+v", r)
+		t.Errorf("record of the unknown server: %+v, want none", r)
 	}
 }
 
-// No heartbeat arrives any more. As each server sent its last at its own time, they are missed one by one, a few at each call
-// of Expire.
+// When heartbeats of all servers stop at once, the servers miss heartbeats one by one, a few at each call of Expire, because
+// each sent its last heartbeat at a different time. None of them may stay unresponsive.
 func TestExpireDuringGradualOutage(t *testing.T) {
 	const servers = 12
 	table := NewTable(testHeartbeatInterval)
@@ -175,12 +176,12 @@
 	}
 	for i := range servers {
 		if table.Get(testID(i)).Unresponsive {
-			t.Fatalf("server %d is unresponsive, though none can send heartbeats", i)
+			t.Fatalf("server %d is unresponsive during an outage of all heartbeats", i)
 		}
 	}
 }
 
-// heartbeatsExcept merges a heartbeat of each of a number of servers but some, and expires.
+// heartbeatsExcept merges a heartbeat of each server but the excepted ones, and calls Expire.
 func heartbeatsExcept(table *Table, servers int, now time.Duration, except ...InstanceID) {
 	for i := range servers {
 		if id := testID(i); !slices.Contains(except, id) {
@@ -190,8 +191,8 @@
 	table.Expire(now)
 }
 
-// What a lease holder sees keeps a server without heartbeats in service for a while, under the newest lease only. It undoes
-// neither a draining nor a deregistration, and says nothing of servers that send heartbeats.
+// A lease holder's confirmation keeps a server without heartbeats in use for confirmationTTL. It is accepted under the newest
+// lease only, undoes neither a draining nor a deregistration, and does not affect servers that send heartbeats.
 func TestConfirmHealthy(t *testing.T) {
 	const servers, second = 8, testHeartbeatInterval
 	table := newFilledTable(servers)
@@ -200,34 +201,34 @@
 	heartbeatsExcept(table, servers, 10*second, "i-0", "i-1")
 	table.Merge(Record{Instance: "i-2", State: Draining, Service: "s", Address: "i-2", Sequence: 99, HeartbeatAt: 10 * second}, "")
 	if r := table.Get("i-0"); !r.Unresponsive || !r.HeartbeatMissed {
-		t.Fatal("a server without heartbeats is not unresponsive")
+		t.Fatal("a server without heartbeats is not unresponsive or its heartbeats are not missed")
 	}
 	if !table.ConfirmHealthy("i-0", newer, 10*second) {
-		t.Fatal("the statement of the lease holder is not taken")
+		t.Fatal("the confirmation of the lease holder is rejected")
 	}
 	if r := table.Get("i-0"); r.Unresponsive || !r.HeartbeatMissed {
-		t.Fatal("a server that the lease holder saw healthy stays out of service")
+		t.Fatal("a confirmed server is unresponsive or its heartbeats are not missed")
 	}
 	for name, id := range map[string]InstanceID{"draining server": "i-2", "unknown server": "i-9"} {
 		if table.ConfirmHealthy(id, newer, 11*second) {
-			t.Fatalf("a statement about a %s is taken", name)
+			t.Fatalf("a confirmation of a %s is accepted", name)
 		}
 	}
 	if table.ConfirmHealthy("i-0", older, 11*second) {
-		t.Fatal("a statement under an older lease is taken")
+		t.Fatal("a confirmation under an older lease is accepted")
 	}
 
 	heartbeatsExcept(table, servers, 14*second, "i-0", "i-1")
 	if table.Get("i-0").Unresponsive || !table.Get("i-1").Unresponsive {
-		t.Fatal("the statement does not last, or counts for another server")
+		t.Fatal("the confirmation expired too early, or applies to another server")
 	}
 	heartbeatsExcept(table, servers, 20*second, "i-0", "i-1")
 	if !table.Get("i-0").Unresponsive {
-		t.Fatal("the statement does not expire")
+		t.Fatal("the confirmation does not expire")
 	}
 	heartbeatsExcept(table, servers, 21*second)
 	if r := table.Get("i-0"); r.Unresponsive || r.HeartbeatMissed {
-		t.Fatal("a server that sends heartbeats again is not in service")
+		t.Fatal("a server that sends heartbeats again is unresponsive or its heartbeats are missed")
 	}
 
 	other := NewTable(testHeartbeatInterval)
@@ -235,6 +236,6 @@
 		other.Merge(*r, "a")
 	}
 	if other.Get("i-0").Lease != newer {
-		t.Fatal("the lease is not sent to other controllers")
+		t.Fatal("the lease is not part of the records for other controllers")
 	}
 }
--- a/registry/versions.go
+++ b/registry/versions.go
@@ -1,6 +1,6 @@
 package registry
 
-// ReadyByVersion returns how many servers of a service can take requests, by the version of their program.
+// ReadyByVersion returns the number of servers of a service that accept requests, by program version.
 func (t *Table) ReadyByVersion(service ServiceID) map[string]int {
 	ready := map[string]int{}
 	for _, r := range t.records {
