--- a/rendezvous/rendezvous_bench_test.go
+++ b/rendezvous/rendezvous_bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// BenchmarkRendezvous measures what a gateway spends on assignments, by the number of gateways, for docs/CAPACITY.md:
+// BenchmarkRendezvous measures the cost of assignments at one gateway by the number of gateways, for docs/CAPACITY.md:
 //
 //	go test -run xxx -bench . -benchmem ./rendezvous
 func BenchmarkRendezvous(b *testing.B) {
--- a/rendezvous/rendezvous_test.go
+++ b/rendezvous/rendezvous_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// testNames returns count names with a prefix.
+// testNames returns count names: the prefix followed by a number from 0.
 func testNames(prefix string, count int) (names []Name) {
 	for i := range count {
 		names = append(names, Name(fmt.Sprint(prefix, i)))
@@ -14,7 +14,7 @@
 	return names
 }
 
-// A node that leaves changes one peer at most of each node.
+// The removal of a node changes at most one peer of each other node.
 func TestPeersChangeLittleOnRemoval(t *testing.T) {
 	nodes := testNames("g", 90)
 	for _, self := range nodes[1:] {
@@ -26,12 +26,12 @@
 			}
 		}
 		if kept < PeerCount-1 || len(after) != PeerCount {
-			t.Fatalf("the peers of %s are %v, then %v", self, before, after)
+			t.Fatalf("peers of %s: %v before and %v after the removal of a node", self, before, after)
 		}
 	}
 }
 
-// The owner does not depend on the order of the nodes, and changes only when it leaves.
+// The owner does not depend on the order of the nodes, and changes only when it is removed.
 func TestOwnerChangesOnlyWhenItLeaves(t *testing.T) {
 	nodes := testNames("g", 20)
 	reversed := slices.Clone(nodes)
@@ -39,16 +39,16 @@
 	for _, key := range testNames("key", 100) {
 		owner := Owner(key, nodes)
 		if got := Owner(key, reversed); got != owner {
-			t.Fatalf("%s is owned by %s, and by %s in another order of the nodes", key, owner, got)
+			t.Fatalf("owner of %s: %s, and %s when the nodes are reversed", key, owner, got)
 		}
-		for i, left := range nodes {
+		for i, removed := range nodes {
 			remaining := slices.Delete(slices.Clone(nodes), i, i+1)
-			if got := Owner(key, remaining); (got == owner) == (left == owner) {
-				t.Fatalf("%s is owned by %s, and by %s once %s left", key, owner, got, left)
+			if got := Owner(key, remaining); (got == owner) == (removed == owner) {
+				t.Fatalf("owner of %s: %s, and %s after the removal of %s", key, owner, got, removed)
 			}
 		}
 	}
 	if got := Owner("key", nil); got != "" {
-		t.Errorf("without nodes the owner is %q", got)
+		t.Errorf("owner without nodes: %q, want none", got)
 	}
 }
--- a/rendezvous/slots.go
+++ b/rendezvous/slots.go
@@ -5,11 +5,13 @@
 	"slices"
 )
 
-// reservedShare is the share of a server's connections that is kept for gateways that start before all others know of them.
+// reservedShare is the fraction of a server's connections that is reserved for gateways that have started but are not yet
+// in the membership of all other gateways.
 const reservedShare = 0.1
 
-// ConnectionSlots returns how many gateways may use a server at once that accepts limit connections from all of them together;
-// 0 = any number. Each gateway needs one connection at least.
+// ConnectionSlots returns the number of gateways that may use a server at the same time, where limit is the number of
+// connections that the server accepts from all gateways together; 0 = unlimited, for both. Each gateway needs at least one
+// connection.
 func ConnectionSlots(limit int) int {
 	if limit <= 0 {
 		return 0
@@ -17,8 +19,8 @@
 	return max(1, int(float64(limit)*(1-reservedShare)))
 }
 
-// ConnectionShare returns one gateway's share of the connections that a server accepts from all gateways together, one at
-// least; 0 = any number.
+// ConnectionShare returns one gateway's share of the limit of connections that a server accepts from all gateways
+// together, at least 1; 0 = unlimited, for both.
 func ConnectionShare(limit, gateways int) int {
 	if limit <= 0 {
 		return 0
@@ -26,46 +28,47 @@
 	return max(1, ConnectionSlots(limit)/max(gateways, 1))
 }
 
-// AssignedServers returns the servers that a gateway may use, where each server has slots for fewer gateways than there are.
-// All gateways that know the same gateways and servers compute the same assignment. It has two passes:
+// AssignedServers returns the servers that a gateway may use, where each server has slots for fewer gateways than there
+// are. All gateways with the same lists of gateways and servers compute the same assignment, in two passes:
 //
-//  1. Each gateway, in an order given by its name, takes a slot at the server that ranks it highest of those with a slot left.
-//     Where there are not enough slots for all gateways, the remaining ones take a server beyond its slots, as no gateway must
-//     be without a server.
-//  2. The slots that are left go to the gateways that their servers rank highest.
+//  1. The gateways, in ascending order of their weights for the empty key, are each assigned to the server that ranks them
+//     highest among the servers with a free slot. If there are fewer slots than gateways, the remaining gateways are
+//     assigned to servers without a free slot, as each gateway must have a server.
+//  2. The remaining slots of each server are assigned to the gateways that it ranks highest.
 func AssignedServers(self Name, gateways, servers []Name, slots int) []Name {
 	servers = slices.Clone(servers)
 	slices.Sort(servers)
-	first, used := firstServers(gateways, servers, slots)
+	first, slotsUsed := assignFirstServers(gateways, servers, slots)
 	var assigned []Name
 	for _, server := range servers {
-		if first[self] == server || rankBehindFirst(self, gateways, server, first) < slots-used[server] {
+		if first[self] == server || rankInSecondPass(self, gateways, server, first) < slots-slotsUsed[server] {
 			assigned = append(assigned, server)
 		}
 	}
 	return assigned
 }
 
-// firstServers returns the server that each gateway takes first, "" if there are no servers, and how many gateways took each
-// server. Servers are sorted.
-func firstServers(gateways, servers []Name, slots int) (first map[Name]Name, used map[Name]int) {
+// assignFirstServers is the first pass. It returns the server assigned to each gateway, "" if there are no servers, and
+// the number of gateways assigned to each server. The servers must be sorted.
+func assignFirstServers(gateways, servers []Name, slots int) (first map[Name]Name, slotsUsed map[Name]int) {
 	gateways = slices.Clone(gateways)
 	slices.SortFunc(gateways, func(a, b Name) int {
 		return cmp.Or(cmp.Compare(Weight(a, ""), Weight(b, "")), cmp.Compare(a, b))
 	})
 	first = map[Name]Name{}
-	used = map[Name]int{}
+	slotsUsed = map[Name]int{}
 	for _, gateway := range gateways {
-		server := preferredServer(gateway, servers, func(s Name) bool { return used[s] < slots })
+		server := preferredServer(gateway, servers, func(s Name) bool { return slotsUsed[s] < slots })
 		first[gateway] = server
 		if server != "" {
-			used[server]++
+			slotsUsed[server]++
 		}
 	}
-	return first, used
+	return first, slotsUsed
 }
 
-// preferredServer returns the server that ranks a gateway highest, of those with a free slot if there are any.
+// preferredServer returns the server that ranks a gateway highest among those with a free slot, or among all servers if
+// none has a free slot.
 func preferredServer(gateway Name, servers []Name, hasFreeSlot func(server Name) bool) Name {
 	var preferred Name
 	preferredFree := false
@@ -81,9 +84,9 @@
 	return preferred
 }
 
-// rankBehindFirst returns how many gateways precede a gateway in the second pass at a server: those that took another server
-// first and that it ranks higher.
-func rankBehindFirst(self Name, gateways []Name, server Name, first map[Name]Name) int {
+// rankInSecondPass returns the number of gateways that precede a gateway in a server's second pass: those that the first
+// pass assigned to other servers and that the server ranks higher.
+func rankInSecondPass(self Name, gateways []Name, server Name, first map[Name]Name) int {
 	rank := 0
 	own := Weight(self, server)
 	for _, gateway := range gateways {
