--- a/lease/model_test.go
+++ b/lease/model_test.go
@@ -10,17 +10,17 @@
 	"oxbowspan/rendezvous"
 )
 
-// fault is injected into the model's own part of the work, to show that its checks detect it.
+// fault is a defect injected into the model, which its checks must detect.
 type fault int
 
 const (
 	noFault fault = iota
 
-	leaseIgnored        // a gateway acts on the members that it has, however old they are
-	waitIgnored         // a role is taken over at once when the members change
-	fencingIgnored      // the resource takes what any gateway sends
-	leaseReused         // a gateway that takes a role over goes on under the lease of the one before
-	waitIgnoredAfterGap // a gateway that lost contact resumes at once where its members are the same
+	leaseIgnored        // a gateway acts on its membership regardless of its age
+	waitIgnored         // a gateway takes over a role immediately after the membership changes
+	fencingIgnored      // the resource accepts operations regardless of their fencing tokens
+	leaseReused         // a gateway that takes over a role continues to use the lease of the former holder
+	waitIgnoredAfterGap // a gateway that lost contact resumes immediately if its membership is unchanged
 )
 
 const (
@@ -28,35 +28,35 @@
 	modelStep     = 50 * time.Millisecond
 	modelStart    = 10 * time.Second
 	modelEnd      = 100 * time.Second
-	memberTimeout = 4 * time.Second // then a gateway is dropped from the membership
+	memberTimeout = 4 * time.Second // after which a gateway is removed from the membership
 	maxGateways   = 12
 )
 
-// model runs gateways that receive the membership late, and that are suspended, also in the middle of an act, cut off and
-// killed; and a resource that takes what the holder of its role sends, under its lease.
+// model simulates gateways and a resource that accepts operations under the newest lease of its role. Gateways receive the
+// membership late, and are suspended (also between a decision and its operation), partitioned and restarted.
 type model struct {
-	random    *rand.Rand
-	injected  fault
-	now       time.Duration
-	gateways  []*gateway
-	lastSeen  map[rendezvous.Name]time.Duration // by the controller
-	responses []response
-	resource  resource
-	acts      int // that the resource took
+	random             *rand.Rand
+	injected           fault
+	now                time.Duration
+	gateways           []*gateway
+	lastSeen           map[rendezvous.Name]time.Duration // when the controller received a gateway's last request
+	responses          []response
+	resource           resource
+	acceptedOperations int // by the resource
 }
 
 type gateway struct {
-	name           rendezvous.Name
-	incarnation    uint64
-	tracker        *Tracker
-	suspendedUntil time.Duration
-	cutUntil       time.Duration
-	knownLease     Lease
-	inFlight       []Lease // acts that it was about to send when it was suspended
-	requesting     bool    // for the membership
+	name              rendezvous.Name
+	incarnation       uint64
+	tracker           *Tracker
+	suspendedUntil    time.Duration
+	partitionedUntil  time.Duration
+	newestLease       Lease   // newest lease of the role that it has received
+	pendingOperations []Lease // leases of operations that a suspension delays
+	requesting        bool    // a request for the membership has no response yet
 }
 
-// response carries the membership to a gateway.
+// response is a response with the membership to a gateway's request.
 type response struct {
 	arrivesAt   time.Duration
 	requestedAt time.Duration
@@ -64,10 +64,10 @@
 	members     []rendezvous.Name
 }
 
-// resource is what the role is about.
+// resource is the resource that the singleton role protects.
 type resource struct {
-	lease  Lease
-	holder uint64 // incarnation that acted last
+	lease      Lease  // of the last accepted operation
+	lastHolder uint64 // incarnation that sent it
 }
 
 func newModel(seed uint64, injected fault) *model {
@@ -95,7 +95,7 @@
 	return time.Duration(m.random.IntN(int(limit/time.Millisecond))) * time.Millisecond
 }
 
-// disrupt makes one of the disruptions happen, now and then.
+// disrupt injects a random disruption with a small probability.
 func (m *model) disrupt() {
 	i := m.random.IntN(len(m.gateways))
 	if m.random.IntN(40) != 0 {
@@ -106,7 +106,7 @@
 	case 0, 1:
 		g.suspendedUntil = m.now + m.randomDuration(9*time.Second)
 	case 2:
-		g.cutUntil = m.now + m.randomDuration(9*time.Second)
+		g.partitionedUntil = m.now + m.randomDuration(9*time.Second)
 	case 3:
 		m.gateways[i] = m.startGateway(g.name)
 	case 4:
@@ -116,7 +116,7 @@
 	}
 }
 
-// requestMembers has the gateways ask for the membership, which arrives later.
+// requestMembers sends the gateways' requests for the membership. The responses arrive later.
 func (m *model) requestMembers() {
 	var members []rendezvous.Name
 	for name, at := range m.lastSeen {
@@ -125,7 +125,7 @@
 		}
 	}
 	for _, g := range m.gateways {
-		if m.now < g.suspendedUntil || m.now < g.cutUntil || g.requesting {
+		if m.now < g.suspendedUntil || m.now < g.partitionedUntil || g.requesting {
 			continue
 		}
 		g.requesting = true
@@ -133,7 +133,7 @@
 		if !slices.Contains(members, g.name) {
 			members = append(members, g.name)
 		}
-		g.knownLease = m.resource.lease // it comes with the controllers' responses, soon
+		g.newestLease = m.resource.lease // as the controllers' responses contain it
 		m.responses = append(m.responses, response{
 			arrivesAt:   m.now + m.randomDuration(900*time.Millisecond),
 			requestedAt: m.now,
@@ -143,7 +143,7 @@
 	}
 }
 
-// deliverResponses hands the responses that have arrived to gateways that are not suspended.
+// deliverResponses delivers the responses that are due to gateways that are not suspended.
 func (m *model) deliverResponses() {
 	var later []response
 	for _, r := range m.responses {
@@ -167,33 +167,33 @@
 	tracker.Renew(r.requestedAt, m.now)
 }
 
-// act has the resource receive what a gateway sends under a lease. It returns a violation, "" = none.
-func (m *model) act(g *gateway, l Lease) (violation string) {
-	older := l.Compare(m.resource.lease) < 0
-	replaces := m.resource.holder != g.incarnation && m.resource.holder != 0
+// sendOperation sends a gateway's operation under a lease to the resource. It returns a violation, "" = none.
+func (m *model) sendOperation(g *gateway, l Lease) (violation string) {
+	outdated := l.Compare(m.resource.lease) < 0
+	takesOver := m.resource.lastHolder != g.incarnation && m.resource.lastHolder != 0
 	switch {
-	case older && m.injected != fencingIgnored:
+	case outdated && m.injected != fencingIgnored:
 		return ""
-	case older:
-		return fmt.Sprintf("%v: an act of %s counts under fencing token %d, after another took the role over under %d",
+	case outdated:
+		return fmt.Sprintf("%v: an operation of %s is accepted with fencing token %d after another gateway took over the role with %d",
 			m.now, g.name, l.FencingToken, m.resource.lease.FencingToken)
-	case replaces && l.Compare(m.resource.lease) <= 0:
-		return fmt.Sprintf("%v: %s took the role over, and its fencing token is not above %d", m.now, g.name, m.resource.lease.FencingToken)
+	case takesOver && l.Compare(m.resource.lease) <= 0:
+		return fmt.Sprintf("%v: %s took over the role with a fencing token not above %d", m.now, g.name, m.resource.lease.FencingToken)
 	}
-	m.acts++
-	m.resource = resource{lease: l, holder: g.incarnation}
+	m.acceptedOperations++
+	m.resource = resource{lease: l, lastHolder: g.incarnation}
 	return ""
 }
 
-// stepGateway has a gateway that is not suspended act, if it holds the role, which it reports. It returns a violation, "" =
-// none.
+// stepGateway sends the operations of a gateway that is not suspended. It reports whether the gateway holds the role, and
+// returns a violation, "" = none.
 func (m *model) stepGateway(g *gateway) (holds bool, violation string) {
-	for _, l := range g.inFlight { // it resumes, and sends what it was about to send
-		if violation := m.act(g, l); violation != "" {
+	for _, l := range g.pendingOperations { // operations delayed by a suspension that has ended
+		if violation := m.sendOperation(g, l); violation != "" {
 			return false, violation
 		}
 	}
-	g.inFlight = nil
+	g.pendingOperations = nil
 	switch m.injected {
 	case leaseIgnored:
 		g.tracker.renewedAt = m.now
@@ -203,22 +203,22 @@
 	if !g.tracker.Holds(modelKey, m.now) {
 		return false, ""
 	}
-	l := g.knownLease.Acquire(g.incarnation)
+	l := g.newestLease.Acquire(g.incarnation)
 	if m.injected == leaseReused {
-		l = Lease{FencingToken: max(g.knownLease.FencingToken, 1), Holder: 1}
+		l = Lease{FencingToken: max(g.newestLease.FencingToken, 1), Holder: 1}
 	}
-	if m.random.IntN(30) == 0 { // it is suspended before it sends
+	if m.random.IntN(30) == 0 { // the gateway is suspended before it sends the operation
 		g.suspendedUntil = m.now + m.randomDuration(12*time.Second)
-		g.inFlight = append(g.inFlight, l)
+		g.pendingOperations = append(g.pendingOperations, l)
 		return true, ""
 	}
-	if m.now < g.cutUntil {
+	if m.now < g.partitionedUntil {
 		return true, ""
 	}
-	return true, m.act(g, l)
+	return true, m.sendOperation(g, l)
 }
 
-// step lets a step of time pass. It returns a violation, "" = none.
+// step simulates one step of the model. It returns a violation, "" = none.
 func (m *model) step() (violation string) {
 	m.disrupt()
 	m.requestMembers()
@@ -237,22 +237,22 @@
 		}
 	}
 	if holders > 1 {
-		return fmt.Sprintf("%v: %d gateways hold one role", m.now, holders)
+		return fmt.Sprintf("%v: %d gateways hold the role at the same time", m.now, holders)
 	}
 	return ""
 }
 
-// runModel returns the first violation, "" = none.
+// runModel returns the first violation in a run, "" = none.
 func runModel(seed uint64, injected fault) (violation string) {
-	const minActs = 20
+	const minOperations = 20
 	m := newModel(seed, injected)
 	for m.now = modelStart; m.now < modelEnd; m.now += modelStep {
 		if violation := m.step(); violation != "" {
 			return violation
 		}
 	}
-	if m.acts < minActs {
-		return fmt.Sprintf("%d acts: too few to be conclusive", m.acts)
+	if m.acceptedOperations < minOperations {
+		return fmt.Sprintf("%d accepted operations: too few to be conclusive", m.acceptedOperations)
 	}
 	return ""
 }
--- a/lease/tracker.go
+++ b/lease/tracker.go
@@ -7,18 +7,19 @@
 	"oxbowspan/rendezvous"
 )
 
-// Tracker decides which singleton roles one gateway holds. It holds none until it has received a membership.
+// Tracker decides which singleton roles a gateway holds. The gateway holds none before its first membership is received.
 type Tracker struct {
 	self      rendezvous.Name
 	members   []rendezvous.Name // sorted
-	renewedAt time.Duration     // when the newest request that confirmed members was sent
-	changedAt time.Duration     // when members changed, or may have changed without this gateway
+	renewedAt time.Duration     // when the latest request whose response confirmed members was sent
+	changedAt time.Duration     // when members changed, or may have changed without notice
 }
 
-// NewTracker returns the tracker of one gateway.
+// NewTracker returns a tracker for the gateway self.
 func NewTracker(self rendezvous.Name) *Tracker { return &Tracker{self: self, renewedAt: -TTL} }
 
-// SetMembers takes the list of live gateways, this one among them. A change starts the wait for former owners to stop.
+// SetMembers sets the list of live gateways, which includes this one. After a change the gateway holds no role for TTL,
+// so that former owners have stopped.
 func (t *Tracker) SetMembers(members []rendezvous.Name, now time.Duration) {
 	members = slices.Clone(members)
 	slices.Sort(members)
@@ -28,9 +29,9 @@
 	}
 }
 
-// Renew records that the members were confirmed now, by the response to a request that was sent at a time: the members
-// count from then, as the response may be old. After a gap of a TTL others may have replaced this gateway and left again,
-// so it waits as after a change, though the members are the same.
+// Renew records that a response received now confirmed the members. Their TTL starts when the request was sent, as the
+// response may be old. After a gap of at least TTL between requests, other gateways may have taken over roles of this one
+// and left again, so the gateway waits as after a change even if the members are the same.
 func (t *Tracker) Renew(requestedAt, now time.Duration) {
 	if requestedAt-t.renewedAt >= TTL {
 		t.changedAt = now
@@ -38,12 +39,13 @@
 	t.renewedAt = max(t.renewedAt, requestedAt)
 }
 
-// Holds reports whether this gateway holds the role of a key now.
+// Holds reports whether this gateway currently holds the role of a key.
 func (t *Tracker) Holds(key rendezvous.Name, now time.Duration) bool {
 	return t.HoldsAmong(key, t.members, now)
 }
 
-// HoldsAmong reports whether it holds a role that only some of the members may hold.
+// HoldsAmong reports whether this gateway currently holds a role that only the candidates, a subset of the members, may
+// hold.
 func (t *Tracker) HoldsAmong(key rendezvous.Name, candidates []rendezvous.Name, now time.Duration) bool {
 	confirmed := now-t.renewedAt < TTL
 	settled := now-t.changedAt > TTL
--- a/lease/tracker_bench_test.go
+++ b/lease/tracker_bench_test.go
@@ -8,7 +8,7 @@
 	"oxbowspan/rendezvous"
 )
 
-// BenchmarkSetMembers measures what a gateway spends on an unchanged membership, by its size, for docs/CAPACITY.md:
+// BenchmarkSetMembers measures the cost of an unchanged membership by its size, for docs/CAPACITY.md:
 //
 //	go test -run xxx -bench . -benchmem ./lease
 func BenchmarkSetMembers(b *testing.B) {
