--- a/quota/allocator_model_test.go
+++ b/quota/allocator_model_test.go
@@ -7,26 +7,27 @@
 	"time"
 )
 
-// The model of one service's pool. Gateways request grants from the role holder, freeze, are partitioned and killed; the role changes
-// hands, and a new holder waits before it grants. The invariant at each step: all gateways together may use no more than the total.
+// The allocator model simulates the pool of one service. Gateways request grants from the holder of the quota role, and
+// are suspended, partitioned and killed. The role holder changes, and a new holder waits before it grants. The invariant
+// at each step: all gateways together may use no more connections than the total.
 
-// allocatorDefect is a defect planted in the model, which the invariant must detect.
+// allocatorDefect is a defect injected into the model, which the invariant must detect.
 type allocatorDefect int
 
 const (
 	noAllocatorDefect    allocatorDefect = iota
-	leaseFromReply                       // a gateway counts its lease from the reply instead of the request
-	noHandoverWait                       // a new holder grants at once
-	grantKeptAfterExpiry                 // a gateway uses its grant after it expired
-	grantsForgotten                      // the holder forgets grants
-	inUseNotReported                     // a gateway does not report what it still uses
-	baseIgnoresPool                      // gateways divide the total among themselves although a pool is granted beside it
+	leaseFromReply                       // a gateway starts its lease at the receipt of the reply, not at the request
+	noHandoverWait                       // a new holder grants connections without waiting
+	grantKeptAfterExpiry                 // a gateway uses its grant after its expiry
+	grantsForgotten                      // the holder loses grants
+	inUseNotReported                     // a gateway does not report the connections that it still uses
+	baseIgnoresPool                      // the bases use up the total although a pool is granted in addition
 )
 
 const (
 	modelStep       = 50 * time.Millisecond
 	modelEnd        = 60 * time.Second
-	handoverWait    = 2500 * time.Millisecond // as rendezvous leases
+	handoverWait    = 2500 * time.Millisecond // equal to lease.TTL
 	requestInterval = 500 * time.Millisecond
 )
 
@@ -35,7 +36,7 @@
 	demand           float64
 	granted          int
 	expiresAt        time.Duration
-	frozenUntil      time.Duration
+	suspendedUntil   time.Duration
 	partitionedUntil time.Duration
 	requestedAt      time.Duration
 	reply            *modelReply // in transit
@@ -52,10 +53,10 @@
 	defect       allocatorDefect
 	total        int
 	base, pool   int
-	fleet        []*modelGateway
-	incarnations uint64
+	gateways     []*modelGateway
+	incarnations uint64 // assigned so far
 	allocator    *Allocator
-	readyAt      time.Duration // when the present holder begins to grant
+	readyAt      time.Duration // when the current holder begins to grant
 }
 
 func newAllocatorModel(seed uint64, gateways int, defect allocatorDefect) *allocatorModel {
@@ -67,12 +68,12 @@
 		m.base = max(m.total/gateways, 1)
 	}
 	for i := range gateways {
-		m.fleet = append(m.fleet, &modelGateway{incarnation: uint64(i + 1)})
+		m.gateways = append(m.gateways, &modelGateway{incarnation: uint64(i + 1)})
 	}
 	return m
 }
 
-// runAllocatorModel returns the first violation of the invariant, or "".
+// runAllocatorModel returns the first violation of the invariant, "" = none.
 func runAllocatorModel(seed uint64, gateways int, defect allocatorDefect) string {
 	m := newAllocatorModel(seed, gateways, defect)
 	if m.base*gateways+m.pool > max(m.total, gateways) && defect == noAllocatorDefect {
@@ -80,47 +81,47 @@
 	}
 	for now := time.Second; now < modelEnd; now += modelStep {
 		m.injectFaults(now)
-		for _, gateway := range m.fleet {
-			if now >= gateway.frozenUntil {
+		for _, gateway := range m.gateways {
+			if now >= gateway.suspendedUntil {
 				m.step(gateway, now)
 			}
 		}
 		if usable := m.usable(now); usable > max(m.total, gateways) {
-			return fmt.Sprintf("%v: %d gateways may use %d connections of %d", now, gateways, usable, m.total)
+			return fmt.Sprintf("%v: %d gateways may use %d connections, the total is %d", now, gateways, usable, m.total)
 		}
 	}
 	return ""
 }
 
 func (m *allocatorModel) injectFaults(now time.Duration) {
-	if m.rng.IntN(300) == 0 { // a new holder
+	if m.rng.IntN(300) == 0 { // a new holder takes over the role
 		m.allocator, m.readyAt = NewAllocator(), now+handoverWait
 		if m.defect == noHandoverWait {
 			m.readyAt = now
 		}
 	}
-	i := m.rng.IntN(len(m.fleet))
+	i := m.rng.IntN(len(m.gateways))
 	if m.rng.IntN(4) > 0 {
 		return
 	}
-	switch gateway := m.fleet[i]; m.rng.IntN(8) {
+	switch gateway := m.gateways[i]; m.rng.IntN(8) {
 	case 0:
-		gateway.frozenUntil = now + time.Duration(m.rng.IntN(9000))*time.Millisecond
+		gateway.suspendedUntil = now + time.Duration(m.rng.IntN(9000))*time.Millisecond
 	case 1:
 		gateway.partitionedUntil = now + time.Duration(m.rng.IntN(9000))*time.Millisecond
 	case 2: // killed, and replaced by a new process without connections
 		m.incarnations++
-		m.fleet[i] = &modelGateway{incarnation: m.incarnations}
+		m.gateways[i] = &modelGateway{incarnation: m.incarnations}
 	default:
 		gateway.demand = []float64{0, 1, 5, 40}[m.rng.IntN(4)]
 	}
 }
 
-// step has a gateway take a reply that arrived, give up an expired grant and send a request that is due.
+// step processes a gateway's reply if it has arrived, drops an expired grant and sends a request if one is due.
 func (m *allocatorModel) step(gateway *modelGateway, now time.Duration) {
 	if reply := gateway.reply; reply != nil && now >= reply.arrivesAt {
 		gateway.reply = nil
-		m.takeReply(gateway, reply, now)
+		m.receiveReply(gateway, reply, now)
 	}
 	if now >= gateway.expiresAt && m.defect != grantKeptAfterExpiry {
 		gateway.granted = 0
@@ -131,7 +132,7 @@
 	}
 }
 
-func (m *allocatorModel) takeReply(gateway *modelGateway, reply *modelReply, now time.Duration) {
+func (m *allocatorModel) receiveReply(gateway *modelGateway, reply *modelReply, now time.Duration) {
 	expiresAt := reply.requestedAt + LeaseDuration
 	switch {
 	case m.defect == leaseFromReply:
@@ -163,9 +164,9 @@
 	}
 }
 
-// usable returns the connections that all gateways may use, with those that are frozen or partitioned.
+// usable returns the number of connections that all gateways may use, including suspended and partitioned ones.
 func (m *allocatorModel) usable(now time.Duration) (connections int) {
-	for _, gateway := range m.fleet {
+	for _, gateway := range m.gateways {
 		connections += m.base
 		if now < gateway.expiresAt || m.defect == grantKeptAfterExpiry && gateway.granted > 0 {
 			connections += gateway.granted
--- a/quota/allocator_test.go
+++ b/quota/allocator_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// requester sends the requests of some gateways, each with what it was granted before.
+// requester sends the requests of gateways, each with its last grant as the connections in use.
 type requester struct {
 	allocator *Allocator
 	pool      int
@@ -23,7 +23,7 @@
 	return connections
 }
 
-// settle repeats the requests until connections that were granted before are back.
+// settle repeats the requests until the connections of larger earlier grants have been returned.
 func (r *requester) settle(requests func()) {
 	for range 4 {
 		r.now += 500 * time.Millisecond
@@ -31,13 +31,14 @@
 	}
 }
 
-// A tenant that floods one gateway gets what is free and takes nothing from another tenant's share elsewhere.
+// A tenant with excessive demand at one gateway is granted the free connections, but none of another tenant's share at
+// other gateways.
 func TestGrantsFollowDemand(t *testing.T) {
 	const pool = 60
 	r := newRequester(pool)
 	flood := Demand{Tenant: "letters", Connections: 500, Weight: 1}
 	if got := r.request(1, flood); got != pool {
-		t.Errorf("the only tenant was granted %d of %d connections", got, pool)
+		t.Errorf("the only tenant was granted %d of %d connections, want all", got, pool)
 	}
 
 	small := Demand{Tenant: "counter", Connections: 20, Weight: 1}
--- a/quota/bench_test.go
+++ b/quota/bench_test.go
@@ -6,11 +6,12 @@
 	"time"
 )
 
-// Costs of fair shares by number of servers and gateways, for docs/CAPACITY.md:
+// Benchmarks of the limiter and the allocator by the number of servers and gateways, for docs/CAPACITY.md:
 //
 //	go test -run xxx -bench . -benchmem ./quota
 
-// BenchmarkLimiterSetServer sets all servers, as a gateway does with its first list and when the number of gateways changes.
+// BenchmarkLimiterSetServer sets all servers, as a gateway does when it receives its first server list and when the
+// number of gateways changes.
 func BenchmarkLimiterSetServer(b *testing.B) {
 	for _, servers := range []int{300, 1000, 3000, 10_000} {
 		b.Run(fmt.Sprintf("servers=%d", servers), func(b *testing.B) {
@@ -25,7 +26,7 @@
 	}
 }
 
-// BenchmarkAllocator measures one request of a gateway.
+// BenchmarkAllocator measures one request of a gateway when all gateways have grants.
 func BenchmarkAllocator(b *testing.B) {
 	for _, gateways := range []int{30, 300, 3300} {
 		b.Run(fmt.Sprintf("gateways=%d", gateways), func(b *testing.B) {
--- a/quota/decision.go
+++ b/quota/decision.go
@@ -6,82 +6,87 @@
 	"time"
 )
 
-// shareTolerance absorbs rounding errors where shares are compared with whole connections.
+// shareTolerance compensates for rounding errors when shares are compared with whole numbers of connections.
 const shareTolerance = 1e-9
 
-// wantsMore reports whether a tenant was denied a connection lately and still waits for one.
-func (l *Limiter) wantsMore(server *serverState, usage *tenantUsage, now time.Duration) bool {
+// hasUnmetDemand reports whether a tenant was denied a connection within denialWindow and still waits for one.
+func (l *Limiter) hasUnmetDemand(server *serverState, usage *tenantUsage, now time.Duration) bool {
 	return now-usage.deniedAt < denialWindow && l.Waiting(server.service, usage.tenant) > 0
 }
 
-// share returns a tenant's share of a server's connections among the tenants that were there lately, whatever each uses.
+// share returns a tenant's share of a server's connections among the recently active tenants, regardless of how many each
+// uses.
 func (l *Limiter) share(server *serverState, tenant *tenantUsage, now time.Duration) float64 {
 	if server.limit == 0 {
 		return math.Inf(1)
 	}
 	competing := []*tenantUsage{tenant}
 	for _, usage := range server.tenants {
-		if usage != tenant && (usage.inUse > 0 || now-usage.lastUsed < presenceWindow || now-usage.deniedAt < denialWindow) {
+		if usage != tenant && (usage.inUse > 0 || now-usage.lastUsed < activityWindow || now-usage.deniedAt < denialWindow) {
 			competing = append(competing, usage)
 		}
 	}
 	return l.maxMinShares(server, float64(server.limit), competing, false)[0]
 }
 
-// withinShare reports whether a tenant may take another connection of a server with a free one. It may as long as that keeps no
-// tenant that wants connections from its share, and leaves the floors and the reserve of tenants that are expected back.
+// withinShare reports whether a tenant may acquire another connection of a server that has a free one. It may if this
+// prevents no tenant with unmet demand from reaching its share, and leaves free the unused floors of other tenants and
+// the reserve for recently active ones.
 func (l *Limiter) withinShare(server *serverState, requester *tenantUsage, now time.Duration) bool {
-	wanting, free := l.wantingTenants(server, requester, now)
-	own, inUse := l.share(server, requester, now), float64(requester.inUse)
-	reserved := min(l.unusedFloors(server, requester, wanting), float64(server.limit-1))
-	if inUse+1 > own { // the reserve limits borrowing, not the tenant's own share
-		reserved = max(reserved, float64(l.reserve(server, requester.tenant, now)))
+	contenders, free := l.contendingTenants(server, requester, now)
+	ownShare, inUse := l.share(server, requester, now), float64(requester.inUse)
+	reserved := min(l.unusedFloors(server, requester, contenders), float64(server.limit-1))
+	if inUse+1 > ownShare { // the reserve limits borrowing only, not the use of the tenant's own share
+		reserved = max(reserved, float64(l.reservedConnections(server, requester.tenant, now)))
 	}
 	free -= reserved
-	shares := l.maxMinShares(server, free, wanting, true)
+	shares := l.maxMinShares(server, free, contenders, true)
 	share := shares[0]
 	policy := l.policies[requester.tenant]
 	if policy.MaxBorrowed >= 0 {
-		share = min(share, own+server.scale(policy.MaxBorrowed))
+		share = min(share, ownShare+server.scale(policy.MaxBorrowed))
 	}
 	if inUse+1 <= server.scale(policy.Floor) {
 		return true
 	}
 	if inUse >= share-shareTolerance {
-		// A share below one connection would otherwise never get one: it does when nothing is reserved and no one else wants it.
-		return requester.inUse == 0 && len(wanting) == 1 && free > 0
+		// A tenant with a share below one connection could otherwise never acquire one. It may if no other tenant has
+		// unmet demand and a connection remains beside the reserved ones.
+		return requester.inUse == 0 && len(contenders) == 1 && free > 0
 	}
-	wholeShare := inUse+1 <= share+shareTolerance
-	shortfall, othersFirst := l.competition(wanting, shares, wholeShare)
+	fullyWithinShare := inUse+1 <= share+shareTolerance
+	shortfall, outranked := l.competingClaims(contenders, shares, fullyWithinShare)
 	sufficient := server.inUse+shortfall < server.limit
-	if !wholeShare {
-		return sufficient && !othersFirst
+	if !fullyWithinShare {
+		return sufficient && !outranked
 	}
-	return sufficient || !othersFirst
+	return sufficient || !outranked
 }
 
-// wantingTenants returns the tenants that want connections, the requester first, and the connections that the others leave to them.
-func (l *Limiter) wantingTenants(server *serverState, requester *tenantUsage, now time.Duration) (wanting []*tenantUsage, free float64) {
+// contendingTenants returns the tenants that contend for connections, which are the requester, as the first, and the
+// tenants with unmet demand. It also returns the number of connections that the other tenants leave to them.
+func (l *Limiter) contendingTenants(server *serverState, requester *tenantUsage, now time.Duration) (contenders []*tenantUsage, free float64) {
 	free = float64(server.limit)
-	wanting = []*tenantUsage{requester}
+	contenders = []*tenantUsage{requester}
 	for _, usage := range server.tenants {
 		if usage == requester {
 			continue
 		}
-		if l.wantsMore(server, usage, now) {
-			wanting = append(wanting, usage)
+		if l.hasUnmetDemand(server, usage, now) {
+			contenders = append(contenders, usage)
 			continue
 		}
 		free -= float64(usage.inUse)
 	}
-	return wanting, free
+	return contenders, free
 }
 
-// unusedFloors returns the connections that tenants which don't want any at present may still claim by their floors.
-func (l *Limiter) unusedFloors(server *serverState, requester *tenantUsage, wanting []*tenantUsage) (connections float64) {
+// unusedFloors returns the number of connections below their floors that tenants without unmet demand do not use but may
+// still claim. The requester is excluded.
+func (l *Limiter) unusedFloors(server *serverState, requester *tenantUsage, contenders []*tenantUsage) (connections float64) {
 	for _, tenant := range l.floors[server.service] {
-		isWanting := slices.ContainsFunc(wanting, func(usage *tenantUsage) bool { return usage.tenant == tenant })
-		if tenant == requester.tenant || isWanting {
+		isContender := slices.ContainsFunc(contenders, func(usage *tenantUsage) bool { return usage.tenant == tenant })
+		if tenant == requester.tenant || isContender {
 			continue
 		}
 		inUse := 0
@@ -95,49 +100,51 @@
 	return connections
 }
 
-// competition returns the whole connections by which the other wanting tenants are below their shares, and whether one of them has
-// precedence over the first, the requester. Where the requester's next connection is wholly within its share, the tenant with fewer
-// connections by weight has precedence; where only a fraction is, the one with more credit that is below its share.
-func (l *Limiter) competition(wanting []*tenantUsage, shares []float64, wholeShare bool) (shortfall int, othersFirst bool) {
-	requester := wanting[0]
-	weighted := func(usage *tenantUsage) float64 {
+// competingClaims returns the whole connections by which the other contenders are below their shares, and whether one of
+// them has precedence over the requester, the first contender. If the requester's next connection is fully within its
+// share, a contender with fewer connections relative to its weight has precedence, provided that it lacks a whole
+// connection. If only a fraction is within the share, a contender below its share with more credit has precedence.
+func (l *Limiter) competingClaims(contenders []*tenantUsage, shares []float64, fullyWithinShare bool) (shortfall int, outranked bool) {
+	requester := contenders[0]
+	inUsePerWeight := func(usage *tenantUsage) float64 {
 		return (float64(usage.inUse) + 1) / l.policies[usage.tenant].Weight
 	}
-	for i, usage := range wanting[1:] {
+	for i, usage := range contenders[1:] {
 		share := shares[i+1]
-		short := int(share+shareTolerance) - usage.inUse
-		shortfall += max(short, 0)
+		deficit := int(share+shareTolerance) - usage.inUse
+		shortfall += max(deficit, 0)
 		switch {
-		case !wholeShare:
+		case !fullyWithinShare:
 			belowShare := float64(usage.inUse) < share-shareTolerance
-			othersFirst = othersFirst || belowShare && usage.credit > requester.credit
-		case short > 0:
-			othersFirst = othersFirst || weighted(usage) < weighted(requester)
+			outranked = outranked || belowShare && usage.credit > requester.credit
+		case deficit > 0:
+			outranked = outranked || inUsePerWeight(usage) < inUsePerWeight(requester)
 		}
 	}
-	return shortfall, othersFirst
+	return shortfall, outranked
 }
 
-// reserve returns how many connections of a server are kept for tenants that used its service lately and are expected back: for each its
-// usual number and one more, less what it uses. They may use any server of the service, so the total is spread over the servers by rank.
-func (l *Limiter) reserve(server *serverState, requester TenantID, now time.Duration) int {
+// reservedConnections returns the number of a server's connections that are kept free for tenants that used its service
+// within activityWindow and may return: for each tenant its mean number in use plus one, minus the number in use. The
+// tenants may use any server of the service, so the total is distributed over the servers by rank.
+func (l *Limiter) reservedConnections(server *serverState, requester TenantID, now time.Duration) int {
 	service := l.service(server.service)
 	if service.totalLimit < 2 {
 		return 0
 	}
-	own, needed := l.queue(server.service, requester), 0
+	ownQueue, needed := l.queue(server.service, requester), 0
 	for _, queue := range service.recentTenants {
-		if queue == own || now-queue.lastUsed >= presenceWindow {
+		if queue == ownQueue || now-queue.lastUsed >= activityWindow {
 			continue
 		}
-		alreadyWanting := slices.ContainsFunc(server.tenants, func(usage *tenantUsage) bool {
-			return usage.tenant == queue.tenant && l.wantsMore(server, usage, now)
+		alreadyContends := slices.ContainsFunc(server.tenants, func(usage *tenantUsage) bool {
+			return usage.tenant == queue.tenant && l.hasUnmetDemand(server, usage, now)
 		})
-		if !alreadyWanting {
+		if !alreadyContends {
 			needed += max(int(math.Ceil(queue.meanInUse))+1-queue.inUse, 0)
 		}
 	}
 	needed = min(needed, max(service.totalLimit/reserveDivisor, 1))
-	here := (needed + service.serverCount - 1 - server.rank) / service.serverCount
-	return min(here, server.limit-1)
+	reserved := (needed + service.serverCount - 1 - server.rank) / service.serverCount
+	return min(reserved, server.limit-1)
 }
--- a/quota/demand.go
+++ b/quota/demand.go
@@ -1,34 +1,35 @@
 package quota
 
-// Demand is the number of connections at each of a service's servers that a tenant would use at one gateway, beyond the gateway's base.
+// Demand is a tenant's demand at one gateway: the number of connections to each server of a service that the tenant would
+// use beyond the gateway's base.
 type Demand struct {
 	Tenant      string
 	Connections float64
 	Weight      float64
 }
 
-// TenantUse is a tenant's present use of a service at one gateway.
+// TenantUse is a tenant's current use of a service at one gateway.
 type TenantUse struct {
 	Tenant  string
 	Weight  float64
-	InUse   float64 // connections at the server where it has most
-	Waiting float64 // shard calls that wait, per server
+	InUse   float64 // connections to the server to which it has the most
+	Waiting float64 // waiting shard calls per server
 }
 
 const (
 	demandSmoothing = 0.6  // weight of the previous estimate
-	baseUtilization = 0.75 // portion of the base up to which nothing is requested
-	growthHeadroom  = 0.25 // requested beyond present use, so that growing demand finds connections; one connection at least
-	minDemand       = 0.1  // connections; less counts as none
+	baseUtilization = 0.75 // portion of the base that demand must exceed before connections are requested
+	growthHeadroom  = 0.25 // portion requested beyond current use, at least one connection, so that demand can grow
+	minDemand       = 0.1  // connections; a demand at or below it counts as none
 )
 
-// DemandEstimator estimates what a gateway needs of a service's pool beyond its base, smoothed from one request to the next. Its zero value
-// is ready for use.
+// DemandEstimator estimates the number of connections that a gateway needs from a service's pool beyond its base.
+// Estimates are smoothed exponentially from one request to the next. The zero value is ready for use.
 type DemandEstimator struct {
 	smoothed map[string]float64 // connections, by tenant
 }
 
-// Demands returns what to request; none = the base is enough.
+// Demands returns the demands to request; none = the base is sufficient.
 func (e *DemandEstimator) Demands(base int, usages []TenantUse) (demands []Demand) {
 	smoothed, total := map[string]float64{}, 0.0
 	for _, use := range usages {
--- a/quota/estimate.go
+++ b/quota/estimate.go
@@ -2,14 +2,15 @@
 
 import "time"
 
-// Portions of the gateway's in-flight limit that a tenant's requests may fill while other tenants are present: one that uses less than its
-// share is still admitted when one that uses more is not.
+// Portions of the gateway's in-flight limit up to which a tenant's requests are admitted while other tenants are active.
+// They differ so that a tenant that uses less than its share is still admitted when one that uses more is rejected.
 const (
 	underShareFactor = 1.25
 	overShareFactor  = 0.9
 )
 
-// InFlightFactor returns the portion of the gateway's in-flight limit that a tenant's requests may fill; 1 = all of it.
+// InFlightFactor returns the portion of the gateway's in-flight limit up to which a tenant's requests are admitted. It is
+// 1 if no other tenant is active, and may be above 1.
 func (l *Limiter) InFlightFactor(tenant TenantID, now time.Duration) float64 {
 	inUse, own, others := 0, 0, false
 	weights := l.policies[tenant].Weight
@@ -17,7 +18,7 @@
 		switch {
 		case id == tenant:
 			own = total.inUse
-		case total.inUse == 0 && now-total.lastUsed >= presenceWindow:
+		case total.inUse == 0 && now-total.lastUsed >= activityWindow:
 			delete(l.totals, id)
 			continue
 		default:
@@ -35,8 +36,8 @@
 	return overShareFactor
 }
 
-// EstimatedWait returns how long a shard call without a free connection is likely to wait for one: as long as the tenant's calls that wait
-// already take, one after another, on the connections of its share.
+// EstimatedWait returns the estimated time that a new shard call waits for a connection: the time in which the
+// connections of the tenant's share serve the calls that already wait and the new one, at the mean hold time.
 func (l *Limiter) EstimatedWait(service Service, tenant TenantID, now time.Duration) time.Duration {
 	holdTime, waiting := initialHoldTime, 0
 	if queue := l.queues[queueKey{service, tenant}]; queue != nil {
@@ -54,23 +55,23 @@
 	return time.Duration(float64(holdTime) * float64(waiting+1) / connections)
 }
 
-// ConnectionUsage is a tenant's use of one server, for operators.
+// ConnectionUsage is a tenant's use of the connections to one server, as reported to operators.
 type ConnectionUsage struct {
 	Server    ServerID
 	Tenant    string
 	InUse     int     // connections
-	Borrowed  int     // of these, beyond the tenant's share
-	Limit     int     // of all tenants of this gateway at the server; 0 = no limit
-	Share     float64 // of the limit
-	WantsMore bool    // the tenant was denied another lately and still waits
+	Borrowed  int     // connections in use that were acquired beyond the tenant's share
+	Limit     int     // of this gateway's connections to the server, for all tenants; 0 = no limit
+	Share     float64 // the tenant's share of the limit
+	WantsMore bool    // the tenant was recently denied another connection and still waits
 }
 
-// ConnectionUsages returns the tenants that use or want connections, at all servers, in no order.
+// ConnectionUsages returns the usages of all tenants that use connections or have unmet demand, at all servers, unordered.
 func (l *Limiter) ConnectionUsages(now time.Duration) (usages []ConnectionUsage) {
 	for id, server := range l.servers {
 		for _, usage := range server.tenants {
-			wantsMore := l.wantsMore(server, usage, now)
-			if usage.inUse == 0 && !wantsMore {
+			hasUnmetDemand := l.hasUnmetDemand(server, usage, now)
+			if usage.inUse == 0 && !hasUnmetDemand {
 				continue
 			}
 			usages = append(usages, ConnectionUsage{
@@ -80,7 +81,7 @@
 				Borrowed:  usage.borrowed,
 				Limit:     server.limit,
 				Share:     l.share(server, usage, now),
-				WantsMore: wantsMore,
+				WantsMore: hasUnmetDemand,
 			})
 		}
 	}
--- a/quota/fairshare.go
+++ b/quota/fairshare.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// Shares returns each tenant's share of a number of connections while all of them want all of them.
+// Shares returns each tenant's share of a number of connections while the demand of every tenant is unlimited.
 func Shares(connections int, policies []TenantPolicy) []float64 {
 	limiter := &Limiter{policies: policies}
 	server := &serverState{limit: connections, globalLimit: connections}
@@ -13,9 +13,9 @@
 	return limiter.maxMinShares(server, float64(connections), usages, false)
 }
 
-// maxMinShares divides the available connections by weighted max-min fairness: no tenant gets more than its maximum, or, when
-// limited to demand, than it uses and waits for; none gets less than its floor; weights divide the rest. It returns a share for
-// each usage.
+// maxMinShares divides the available connections by weighted max-min fairness and returns a share for each usage. No
+// share is below the tenant's floor or above its maximum; if limited to demand, none is above the sum of the tenant's
+// connections and waiting calls. The remainder is divided by weight. Floors take precedence over limits.
 func (l *Limiter) maxMinShares(server *serverState, available float64, usages []*tenantUsage, limitToDemand bool) []float64 {
 	d := division{
 		limiter:       l,
@@ -37,16 +37,18 @@
 	limitToDemand bool
 
 	shares    []float64
-	fixed     []bool  // shares that are at a floor or a limit
-	remaining float64 // connections beside the fixed shares
-	weights   float64 // sum of the tenants whose shares are not fixed
+	fixed     []bool  // whether a share is fixed at its floor or limit
+	remaining float64 // connections not covered by fixed shares
+	weights   float64 // sum of the weights of the tenants whose shares are not fixed
 }
 
-// divide divides what is not yet fixed by weight, again and again. Floors above that level are fixed first, as they lower the level
-// for the others; only when none is left are the limits below it, which raise it. As each iteration fixes at least one share, it ends.
+// divide repeatedly divides the remaining connections by weight among the shares that are not fixed. Each iteration fixes
+// shares at floors above their weighted shares, which lowers the weighted shares of the others. Only if there are none
+// does it fix shares at limits below their weighted shares, which raises those of the others. Each iteration but the last
+// fixes at least one share, so the loop ends.
 func (d *division) divide(available float64) {
 	for {
-		d.sum(available)
+		d.sumUnfixed(available)
 		if d.weights <= 0 {
 			return
 		}
@@ -55,14 +57,15 @@
 		}
 		for i := range d.usages {
 			if !d.fixed[i] {
-				d.shares[i] = d.level(i)
+				d.shares[i] = d.weightShare(i)
 			}
 		}
 		return
 	}
 }
 
-func (d *division) sum(available float64) {
+// sumUnfixed computes the connections that remain and the sum of the weights for the shares that are not fixed.
+func (d *division) sumUnfixed(available float64) {
 	d.remaining, d.weights = max(available, 0), 0
 	for i := range d.usages {
 		if d.fixed[i] {
@@ -76,10 +79,10 @@
 
 func (d *division) policy(i int) *TenantPolicy { return &d.limiter.policies[d.usages[i].tenant] }
 
-// level returns a tenant's part by weight of what remains.
-func (d *division) level(i int) float64 { return d.remaining * d.policy(i).Weight / d.weights }
+// weightShare returns a tenant's weighted part of the remaining connections.
+func (d *division) weightShare(i int) float64 { return d.remaining * d.policy(i).Weight / d.weights }
 
-// limit returns the most that a tenant may get.
+// limit returns the upper limit of a tenant's share.
 func (d *division) limit(i int) float64 {
 	limit := math.Inf(1)
 	if maximum := d.policy(i).Max; maximum > 0 {
@@ -93,27 +96,27 @@
 	return limit
 }
 
-// fixFloors fixes the shares of tenants whose level is below their floor, and reports whether there were any.
+// fixFloors fixes shares at floors above the weighted share, and reports whether there were any.
 func (d *division) fixFloors() (changed bool) {
 	for i := range d.usages {
 		policy := d.policy(i)
 		if d.fixed[i] || policy.Floor <= 0 {
 			continue
 		}
-		if floor := d.server.scale(policy.Floor); d.level(i) < floor {
+		if floor := d.server.scale(policy.Floor); d.weightShare(i) < floor {
 			d.shares[i], d.fixed[i], changed = floor, true, true
 		}
 	}
 	return changed
 }
 
-// fixLimits fixes the shares of tenants whose level is above their limit, and reports whether there were any.
+// fixLimits fixes shares at limits below the weighted share, and reports whether there were any.
 func (d *division) fixLimits() (changed bool) {
 	for i := range d.usages {
 		if d.fixed[i] {
 			continue
 		}
-		if limit := d.limit(i); d.level(i) > limit {
+		if limit := d.limit(i); d.weightShare(i) > limit {
 			d.shares[i], d.fixed[i], changed = limit, true, true
 		}
 	}
--- a/quota/limiter.go
+++ b/quota/limiter.go
@@ -6,31 +6,31 @@
 )
 
 const (
-	denialWindow      = 50 * time.Millisecond // how long a denied tenant counts as wanting a connection
-	creditDecay       = time.Second           // after which a tenant's credit is forgotten
-	presenceWindow    = 2 * time.Second       // how long a tenant is expected back after it used a server
-	reserveDivisor    = 8                     // at most 1/8 of a service's connections is kept in reserve, but 1 at least
+	denialWindow      = 50 * time.Millisecond // how long a denial counts as unmet demand
+	creditDecay       = time.Second           // time constant of the decay of credits
+	activityWindow    = 2 * time.Second       // how long a tenant counts as active, and may return, after it used a server
+	reserveDivisor    = 8                     // at most 1/8 of a service's connections is reserved, but at least 1
 	inUseSmoothing    = 0.05                  // weight of a new sample in tenantQueue.meanInUse
 	holdTimeSmoothing = 0.05                  // weight of a new sample in tenantQueue.meanHoldTime
-	initialHoldTime   = 20 * time.Millisecond // assumed before a connection was released
+	initialHoldTime   = 20 * time.Millisecond // assumed until the first connection is released
 )
 
-// Limiter shares the connections of one gateway. Its tables hold entries for the servers and services that exist and the tenants
-// that have a policy or still use or await connections.
+// Limiter divides the connections of one gateway among tenants. Its maps hold entries only for existing servers and
+// services, and for tenants that have a policy or still use or wait for connections.
 type Limiter struct {
 	rankOffset uint64
 	policies   []TenantPolicy // by tenant ID
 	byName     map[string]TenantID
-	freeIDs    []TenantID // for reuse
+	freeIDs    []TenantID // IDs of removed tenants, for reuse
 	servers    map[ServerID]*serverState
-	floors     map[Service][]TenantID
+	floors     map[Service][]TenantID // tenants with a floor
 	queues     map[queueKey]*tenantQueue
 	services   map[Service]*serviceState
 	totals     map[TenantID]*tenantTotal
 }
 
-// NewLimiter returns a limiter without tenants and servers. Gateways with different rank offsets keep their reserves at different
-// servers.
+// NewLimiter returns a limiter without tenants and servers. Gateways with different rank offsets reserve connections of
+// different servers.
 func NewLimiter(rankOffset uint64) *Limiter {
 	return &Limiter{
 		rankOffset: rankOffset,
@@ -43,21 +43,21 @@
 	}
 }
 
-// SetPolicies replaces all policies and returns the tenants' IDs in the same order. A tenant keeps its ID and its connections; one
-// without a policy any more keeps its old one until it neither uses nor awaits connections.
+// SetPolicies replaces all policies and returns the tenants' IDs in the same order. Tenants that remain keep their IDs and
+// connections. A tenant whose policy is removed keeps its old policy until it neither uses nor waits for connections.
 func (l *Limiter) SetPolicies(policies []TenantPolicy) (ids []TenantID) {
-	named := map[string]bool{}
+	hasPolicy := map[string]bool{}
 	for _, policy := range policies {
-		named[policy.Name] = true
+		hasPolicy[policy.Name] = true
 	}
 	for name, id := range l.byName {
-		if !named[name] && !l.isActive(id) {
+		if !hasPolicy[name] && !l.isActive(id) {
 			l.removeTenant(name, id)
 		}
 	}
 	for _, policy := range policies {
-		id, known := l.byName[policy.Name]
-		if !known {
+		id, exists := l.byName[policy.Name]
+		if !exists {
 			id = l.addTenant(policy)
 		}
 		l.policies[id] = policy
@@ -66,6 +66,7 @@
 	return ids
 }
 
+// addTenant adds a tenant and returns its ID, a free one if there is any.
 func (l *Limiter) addTenant(policy TenantPolicy) TenantID {
 	id := TenantID(len(l.policies))
 	if free := len(l.freeIDs); free > 0 {
@@ -77,6 +78,7 @@
 	return id
 }
 
+// removeTenant frees a tenant's ID and removes its state at all servers and services.
 func (l *Limiter) removeTenant(name string, id TenantID) {
 	delete(l.byName, name)
 	l.freeIDs = append(l.freeIDs, id)
@@ -90,7 +92,7 @@
 	}
 }
 
-// isActive reports whether a tenant uses or awaits connections.
+// isActive reports whether a tenant uses or waits for connections.
 func (l *Limiter) isActive(tenant TenantID) bool {
 	for _, server := range l.servers {
 		for _, usage := range server.tenants {
@@ -107,15 +109,15 @@
 	return false
 }
 
-// SetFloors sets which tenants with a floor have routes to a service.
+// SetFloors sets the tenants with a floor that have routes to a service.
 func (l *Limiter) SetFloors(service Service, tenants []TenantID) {
 	if l.floors[service] = tenants; len(tenants) == 0 {
 		delete(l.floors, service)
 	}
 }
 
-// SetServer adds or changes a server. The limit is the number of its connections that this gateway may use, 0 = no limit; the global
-// limit is that of all gateways together.
+// SetServer adds or updates a server. limit is the number of its connections that this gateway may use, 0 = no limit;
+// globalLimit is the number that all gateways together may use.
 func (l *Limiter) SetServer(id ServerID, service Service, limit, globalLimit int) {
 	server := l.servers[id]
 	if server == nil {
@@ -128,7 +130,7 @@
 	}
 }
 
-// rankServers orders the servers of a service. The order decides which of them keep connections in reserve.
+// rankServers ranks the servers of a service. The rank determines which of them reserve connections.
 func (l *Limiter) rankServers(name Service) {
 	service := l.service(name)
 	service.serverCount, service.totalLimit = 0, 0
@@ -146,7 +148,7 @@
 	}
 }
 
-// RemoveServer removes a server. Its state is kept until its last connection is released.
+// RemoveServer removes a server. Its state remains until its last connection is released.
 func (l *Limiter) RemoveServer(id ServerID) {
 	server := l.servers[id]
 	if server == nil {
@@ -159,13 +161,14 @@
 	l.pruneService(server.service)
 }
 
-// CanAcquire reports whether a tenant may take one more connection to a server. A denial counts as demand for a while.
+// CanAcquire reports whether a tenant may acquire another connection to a server. A denial counts as unmet demand for
+// denialWindow.
 func (l *Limiter) CanAcquire(id ServerID, tenant TenantID, now time.Duration) bool {
 	server := l.servers[id]
 	if server == nil || server.limit == 0 {
 		return true
 	}
-	l.advance(server, now)
+	l.updateServer(server, now)
 	usage := server.usage(tenant)
 	allowed := server.inUse < server.limit && l.withinShare(server, usage, now)
 	if !allowed {
@@ -174,13 +177,13 @@
 	return allowed
 }
 
-// Acquire records that a tenant took a connection. It does not check whether it may: see CanAcquire.
+// Acquire records that a tenant acquired a connection. It does not check whether the tenant may: see CanAcquire.
 func (l *Limiter) Acquire(id ServerID, tenant TenantID, now time.Duration) {
 	server := l.servers[id]
 	if server == nil {
 		return
 	}
-	l.advance(server, now)
+	l.updateServer(server, now)
 	usage := server.usage(tenant)
 	if server.limit > 0 && float64(usage.inUse) >= l.share(server, usage, now) {
 		usage.borrowed++
@@ -206,7 +209,7 @@
 func (l *Limiter) acquireQueue(name Service, tenant TenantID, now time.Duration) {
 	queue := l.queue(name, tenant)
 	queue.inUse++
-	if now-queue.lastUsed >= presenceWindow {
+	if now-queue.lastUsed >= activityWindow {
 		queue.meanInUse = 0
 	}
 	queue.meanInUse += (float64(queue.inUse) - queue.meanInUse) * inUseSmoothing
@@ -215,19 +218,19 @@
 	if slices.Contains(service.recentTenants, queue) {
 		return
 	}
-	present := slices.DeleteFunc(service.recentTenants, func(other *tenantQueue) bool {
-		return other.inUse == 0 && now-other.lastUsed >= presenceWindow
+	active := slices.DeleteFunc(service.recentTenants, func(other *tenantQueue) bool {
+		return other.inUse == 0 && now-other.lastUsed >= activityWindow
 	})
-	service.recentTenants = append(present, queue)
+	service.recentTenants = append(active, queue)
 }
 
-// Release records that a tenant released a connection that it had held for a time.
+// Release records that a tenant released a connection after it had held it for holdTime.
 func (l *Limiter) Release(id ServerID, tenant TenantID, holdTime, now time.Duration) {
 	server := l.servers[id]
 	if server == nil {
 		return
 	}
-	l.advance(server, now)
+	l.updateServer(server, now)
 	usage := server.usage(tenant)
 	if usage.inUse == 0 {
 		return
@@ -248,7 +251,7 @@
 	}
 }
 
-// AddWaiting changes the number of a tenant's shard calls that wait for a connection of a service.
+// AddWaiting adds delta to the number of a tenant's shard calls that wait for a connection of a service.
 func (l *Limiter) AddWaiting(service Service, tenant TenantID, delta int) {
 	queue := l.queue(service, tenant)
 	queue.waiting = max(queue.waiting+delta, 0)
@@ -257,7 +260,7 @@
 	}
 }
 
-// Waiting returns how many of a tenant's shard calls wait for a connection of a service.
+// Waiting returns the number of a tenant's shard calls that wait for a connection of a service.
 func (l *Limiter) Waiting(service Service, tenant TenantID) int {
 	if queue := l.queues[queueKey{service, tenant}]; queue != nil {
 		return queue.waiting
--- a/quota/limiter_model_test.go
+++ b/quota/limiter_model_test.go
@@ -8,22 +8,23 @@
 	"time"
 )
 
-// The model of one gateway: tenants whose shard calls come in bursts, wait for a connection to one of a few servers and hold it for a while.
-// After each step the limiter's decisions are checked against an independent computation of fair shares.
+// The limiter model simulates one gateway. Its tenants' shard calls arrive in bursts, wait for a connection to one of a
+// few servers and hold it for some time. The limiter's decisions are checked against an independent computation of fair
+// shares.
 
-// limiterDefect is a defect planted in the model, which the checks must detect.
+// limiterDefect is a defect injected into the model, which the checks must detect.
 type limiterDefect int
 
 const (
 	noLimiterDefect   limiterDefect = iota
-	denialIgnored                   // a connection is used although it was denied
+	denialIgnored                   // a connection is acquired despite a denial
 	releaseLost                     // a release is not recorded
 	releaseDuplicated               // a release is recorded twice
 	weightsIgnored                  // all tenants have the same weight
 	floorsIgnored                   // floors are not set
-	reserveIgnored                  // tenants that were there lately are not expected back
-	denialsForgotten                // denials don't count as demand
-	creditIgnored                   // credit does not decide who is next
+	reserveIgnored                  // no connections are reserved for recently active tenants
+	denialsForgotten                // denials don't count as unmet demand
+	creditIgnored                   // credits do not determine precedence
 	maximaIgnored                   // maxima are not set
 )
 
@@ -31,9 +32,9 @@
 	modelService     Service = "x"
 	limiterModelStep         = 2 * time.Millisecond
 	limiterModelEnd          = 26 * time.Second
-	maxWaiting               = 600 // of a tenant
-	burst                    = 200 // calls that come at once when the highest rate begins
-	backlogged               = 40  // calls that wait, from which a tenant counts as backlogged
+	maxWaiting               = 600 // waiting calls of a tenant
+	burstSize                = 200 // calls that arrive at once when the highest rate begins
+	backlogThreshold         = 40  // waiting calls from which a tenant counts as backlogged
 	minBacklogSteps          = 3500
 	never                    = -time.Hour
 )
@@ -51,26 +52,26 @@
 	now     time.Duration
 
 	policies []TenantPolicy
-	tenants  []TenantID // of the policies
-	limit    int        // of each server
+	tenants  []TenantID // by index of the policy
+	limit    int        // connections of each server
 	servers  int
 
 	connections []modelConnection
-	rates       []float64         // calls a step, by tenant
-	waiting     []int             // calls, by tenant
-	lastHeld    [][]time.Duration // when a tenant last released a connection, by server and tenant
-	lastDenied  [][]time.Duration // the same for denials
-	lastServed  []time.Duration   // when a tenant last got a connection or had no call waiting
+	rates       []float64         // calls per step, by tenant
+	waiting     []int             // waiting calls, by tenant
+	lastHeld    [][]time.Duration // when a tenant last acquired or released a connection, by server and tenant
+	lastDenied  [][]time.Duration // when a tenant was last denied a connection, by server and tenant
+	lastServed  []time.Duration   // when a tenant last acquired a connection or had no call waiting
 	longestHold time.Duration
 
-	backlogSteps    float64   // steps in which all tenants were backlogged
-	connectionSteps []float64 // connections in these steps, summed, by tenant
+	backlogSteps    float64   // number of steps in which all tenants were backlogged
+	connectionSteps []float64 // sum of the connections in use in these steps, by tenant
 }
 
 func newLimiterModel(seed uint64, defect limiterDefect) *limiterModel {
 	rng := rand.New(rand.NewPCG(seed, 11))
 	m := &limiterModel{rng: rng, limiter: NewLimiter(seed), defect: defect, servers: 1 + rng.IntN(4), limit: 1 + rng.IntN(12)}
-	m.drawPolicies()
+	m.generatePolicies()
 	m.setPolicies()
 	for server := range m.servers {
 		m.limiter.SetServer(ServerID(server), modelService, m.limit, m.limit)
@@ -84,7 +85,8 @@
 	return m
 }
 
-func (m *limiterModel) drawPolicies() {
+// generatePolicies generates random policies.
+func (m *limiterModel) generatePolicies() {
 	for i := range 2 + m.rng.IntN(4) {
 		policy := TenantPolicy{Name: fmt.Sprint("t", i), Weight: float64(1 + m.rng.IntN(4)), MaxBorrowed: -1}
 		if m.rng.IntN(3) == 0 && m.limit > 3 {
@@ -125,7 +127,7 @@
 
 const anyTenant = -1
 
-// inUse returns the connections to a server, of one tenant or of all.
+// inUse returns the number of connections to a server that one tenant or, for anyTenant, all tenants use.
 func (m *limiterModel) inUse(server ServerID, tenant int) (connections int) {
 	for _, connection := range m.connections {
 		if connection.server == server && (tenant == anyTenant || connection.tenant == tenant) {
@@ -135,15 +137,15 @@
 	return connections
 }
 
-// acquire requests one more connection for a tenant from each server in turn. It returns the first violation of a check, or "", and whether
-// there is a new connection.
+// acquire requests another connection for a tenant from each server in turn until one allows it. It returns the first
+// violation of a check, "" = none, and whether a connection was acquired.
 func (m *limiterModel) acquire(tenant int, hold time.Duration) (violation string, acquired bool) {
 	first := m.rng.IntN(m.servers)
 	for offset := range m.servers {
 		server := ServerID((first + offset) % m.servers)
 		inUse, own := m.inUse(server, anyTenant), m.inUse(server, tenant)
 		allowed := m.limiter.CanAcquire(server, m.tenants[tenant], m.now)
-		m.forget(server)
+		m.loseState(server)
 		if !allowed {
 			m.lastDenied[server][tenant] = m.now
 			if violation := m.checkDenial(server, tenant, inUse, own); violation != "" {
@@ -156,7 +158,7 @@
 		if violation := m.checkLimits(server, tenant, inUse, own); violation != "" {
 			return violation, true
 		}
-		if violation := m.checkGrant(server, tenant, own); violation != "" {
+		if violation := m.checkAcquisition(server, tenant, own); violation != "" {
 			return violation, true
 		}
 		m.limiter.Acquire(server, m.tenants[tenant], m.now)
@@ -168,8 +170,8 @@
 	return "", false
 }
 
-// forget applies the defects that lose a server's state.
-func (m *limiterModel) forget(server ServerID) {
+// loseState applies the defects that lose parts of a server's state.
+func (m *limiterModel) loseState(server ServerID) {
 	for _, usage := range m.limiter.servers[server].tenants {
 		switch m.defect {
 		case denialsForgotten:
@@ -180,21 +182,22 @@
 	}
 }
 
-func (m *limiterModel) deniedLately(server ServerID, tenant int) bool {
+// recentlyDenied reports whether a server denied a tenant a connection within half of denialWindow.
+func (m *limiterModel) recentlyDenied(server ServerID, tenant int) bool {
 	return m.now-m.lastDenied[server][tenant] < denialWindow/2
 }
 
-// competitors returns the other tenants that use or want connections of a server.
+// competitors returns the other tenants that use connections of a server or were recently denied one.
 func (m *limiterModel) competitors(server ServerID, tenant int) (others []int) {
 	for other := range m.policies {
-		if other != tenant && (m.inUse(server, other) > 0 || m.deniedLately(server, other)) {
+		if other != tenant && (m.inUse(server, other) > 0 || m.recentlyDenied(server, other)) {
 			others = append(others, other)
 		}
 	}
 	return others
 }
 
-// runLimiterModel returns the first violation of a check, or "".
+// runLimiterModel returns the first violation of a check, "" = none.
 func runLimiterModel(seed uint64, defect limiterDefect) string {
 	m := newLimiterModel(seed, defect)
 	for m.now = time.Second; m.now < limiterModelEnd; m.now += limiterModelStep {
@@ -209,7 +212,7 @@
 		if violation := m.checkCounts(); violation != "" {
 			return violation
 		}
-		m.measureBacklog()
+		m.recordBacklog()
 	}
 	return m.checkMeanShares()
 }
@@ -221,7 +224,7 @@
 	tenant := m.rng.IntN(len(m.rates))
 	m.rates[tenant] = []float64{0, 0.02, 0.2, 3}[m.rng.IntN(4)]
 	if m.rates[tenant] == 3 {
-		m.addWaiting(tenant, burst)
+		m.addWaiting(tenant, burstSize)
 	}
 }
 
@@ -245,7 +248,7 @@
 		}
 		if m.defect == reserveIgnored {
 			for _, queue := range m.limiter.queues {
-				queue.lastUsed = -presenceWindow
+				queue.lastUsed = -activityWindow
 			}
 		}
 	}
@@ -259,7 +262,7 @@
 	return 1
 }
 
-// addCalls adds the calls of one step and returns which tenants had none waiting before.
+// addCalls adds the calls that arrive in one step, and returns which tenants had no waiting calls before.
 func (m *limiterModel) addCalls() (newlyWaiting []bool) {
 	newlyWaiting = make([]bool, len(m.rates))
 	for tenant, rate := range m.rates {
@@ -271,12 +274,12 @@
 	return newlyWaiting
 }
 
-// serve acquires connections for a tenant's calls until it is denied one.
+// serve acquires connections for a tenant's waiting calls until one is denied.
 func (m *limiterModel) serve(tenant int, newlyWaiting bool) string {
 	for m.waiting[tenant] > 0 {
 		hold := time.Duration(4+m.rng.IntN(60)) * time.Millisecond
 		if tenant == 0 {
-			hold *= 3 // as a search over all shards
+			hold *= 3 // longer calls, as of a search over all shards
 		}
 		violation, acquired := m.acquire(tenant, hold)
 		if violation != "" {
@@ -300,8 +303,9 @@
 	return m.checkStarvation(tenant)
 }
 
-func (m *limiterModel) measureBacklog() {
-	if slices.ContainsFunc(m.waiting, func(calls int) bool { return calls < backlogged }) {
+// recordBacklog counts the connections in use if all tenants are backlogged.
+func (m *limiterModel) recordBacklog() {
+	if slices.ContainsFunc(m.waiting, func(calls int) bool { return calls < backlogThreshold }) {
 		return
 	}
 	m.backlogSteps++
@@ -339,7 +343,7 @@
 					return
 				}
 			}
-			t.Error("no check detected it")
+			t.Error("no check detected the defect")
 		})
 	}
 }
--- a/quota/prune_test.go
+++ b/quota/prune_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Services come and go with each repartition of the index. No state of a removed one may stay, in whatever order its servers are removed, its
-// connections released and its waiting calls given up.
+// Each repartition of the index adds and removes services. No state of a removed service may remain, regardless of the
+// order in which its servers are removed, its connections are released and its waiting calls are cancelled.
 func TestStateOfRemovedServiceIsPruned(t *testing.T) {
 	for _, order := range [][3]int{{0, 1, 2}, {0, 2, 1}, {1, 0, 2}, {1, 2, 0}, {2, 0, 1}, {2, 1, 0}} {
 		t.Run(fmt.Sprint(order), func(t *testing.T) {
--- a/quota/state.go
+++ b/quota/state.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// tenantTotal is what a tenant uses at all servers together.
+// tenantTotal is a tenant's use of all servers together.
 type tenantTotal struct {
 	inUse    int
 	lastUsed time.Duration
@@ -20,17 +20,17 @@
 type tenantQueue struct {
 	tenant       TenantID
 	waiting      int     // shard calls that wait for a connection
-	inUse        int     // connections, at all servers of the service
-	meanInUse    float64 // smoothed over acquisitions
+	inUse        int     // connections to all servers of the service
+	meanInUse    float64 // moving average of inUse, updated by each acquisition
 	lastUsed     time.Duration
-	meanHoldTime time.Duration // smoothed over releases
+	meanHoldTime time.Duration // moving average, updated by each release
 }
 
 // serviceState is the state of one service.
 type serviceState struct {
 	serverCount   int            // servers with a limit
 	totalLimit    int            // sum of these servers' limits
-	recentTenants []*tenantQueue // those that acquired a connection lately
+	recentTenants []*tenantQueue // tenants that recently acquired a connection
 }
 
 // serverState is the state of one server.
@@ -39,35 +39,37 @@
 	limit       int // connections that this gateway may use; 0 = no limit
 	globalLimit int // connections that all gateways together may use
 	inUse       int
-	tenants     []*tenantUsage // those that use, used or were denied connections lately
-	updatedAt   time.Duration  // when credits were last advanced
+	tenants     []*tenantUsage // tenants that use, or recently used or were denied, connections
+	updatedAt   time.Duration  // when credits were last updated
 	rank        int            // among the servers of its service, in this gateway's order
-	removed     bool           // kept until its last connection is released
+	removed     bool           // removed, but not all connections are released yet
 }
 
 // tenantUsage is the state of one tenant at one server.
 type tenantUsage struct {
 	tenant   TenantID
 	inUse    int
-	borrowed int           // of these, acquired beyond the tenant's share
-	lastUsed time.Duration // when it last acquired or released one
-	deniedAt time.Duration // when it was last denied one
-	credit   float64       // connection-seconds received less than its share, while it and others wanted more; negative = received more
+	borrowed int           // connections in use that were acquired beyond the tenant's share
+	lastUsed time.Duration // when the tenant last acquired or released a connection
+	deniedAt time.Duration // when the tenant was last denied a connection
+	// credit is the number of connection-seconds that the tenant used less than its share while it and others had unmet
+	// demand; negative = used more.
+	credit float64
 }
 
-// usage returns the state of a tenant, which it adds if there is none.
+// usage returns the state of a tenant at the server, and creates it if there is none.
 func (s *serverState) usage(tenant TenantID) *tenantUsage {
 	for _, usage := range s.tenants {
 		if usage.tenant == tenant {
 			return usage
 		}
 	}
-	usage := &tenantUsage{tenant: tenant, lastUsed: -presenceWindow, deniedAt: -denialWindow}
+	usage := &tenantUsage{tenant: tenant, lastUsed: -activityWindow, deniedAt: -denialWindow}
 	s.tenants = append(s.tenants, usage)
 	return usage
 }
 
-// scale converts a number of connections over all gateways to this gateway's portion.
+// scale converts a number of connections of all gateways to this gateway's portion.
 func (s *serverState) scale(connections float64) float64 {
 	if s.globalLimit <= 0 {
 		return connections
@@ -75,6 +77,7 @@
 	return connections * float64(s.limit) / float64(s.globalLimit)
 }
 
+// service returns the state of a service, and creates it if there is none.
 func (l *Limiter) service(name Service) *serviceState {
 	service := l.services[name]
 	if service == nil {
@@ -84,6 +87,7 @@
 	return service
 }
 
+// queue returns the state of a tenant at a service, and creates it if there is none.
 func (l *Limiter) queue(service Service, tenant TenantID) *tenantQueue {
 	key := queueKey{service, tenant}
 	queue := l.queues[key]
@@ -94,46 +98,49 @@
 	return queue
 }
 
-// advance brings a server's credits up to a time, and drops tenants that have neither used nor wanted it lately.
-func (l *Limiter) advance(server *serverState, now time.Duration) {
+// updateServer updates a server's credits to the current time, and removes tenants that have neither used nor been denied
+// a connection within activityWindow.
+func (l *Limiter) updateServer(server *serverState, now time.Duration) {
 	if now == server.updatedAt {
 		return
 	}
-	elapsed := min(now-server.updatedAt, presenceWindow)
+	elapsed := min(now-server.updatedAt, activityWindow)
 	server.updatedAt = now
 	if server.limit > 0 && len(server.tenants) > 1 {
-		l.advanceCredits(server, elapsed, now)
+		l.updateCredits(server, elapsed, now)
 	}
 	server.tenants = slices.DeleteFunc(server.tenants, func(usage *tenantUsage) bool {
-		return usage.inUse == 0 && now-usage.lastUsed >= presenceWindow && now-usage.deniedAt >= presenceWindow
+		return usage.inUse == 0 && now-usage.lastUsed >= activityWindow && now-usage.deniedAt >= activityWindow
 	})
 }
 
-// advanceCredits decays all credits. Tenants that want more then earn the difference between their share and their use. Credits
-// of the others don't change: they have lent the rest of their share or don't need it.
-func (l *Limiter) advanceCredits(server *serverState, elapsed, now time.Duration) {
+// updateCredits decays all credits and then, if at least two tenants have unmet demand, adds to the credit of each of
+// them the difference between its share and its use. The credits of other tenants only decay: these tenants have lent the
+// rest of their share or do not need it.
+func (l *Limiter) updateCredits(server *serverState, elapsed, now time.Duration) {
 	seconds := elapsed.Seconds()
 	available := float64(server.limit)
-	var wanting []*tenantUsage
+	var contenders []*tenantUsage
 	for _, usage := range server.tenants {
-		if l.wantsMore(server, usage, now) {
-			wanting = append(wanting, usage)
+		if l.hasUnmetDemand(server, usage, now) {
+			contenders = append(contenders, usage)
 		} else {
 			available -= float64(usage.inUse)
 		}
 		usage.credit -= usage.credit * min(seconds/creditDecay.Seconds(), 1)
 	}
-	if len(wanting) < 2 {
+	if len(contenders) < 2 {
 		return
 	}
 	bound := float64(server.limit)
-	for i, share := range l.maxMinShares(server, available, wanting, true) {
-		usage := wanting[i]
+	for i, share := range l.maxMinShares(server, available, contenders, true) {
+		usage := contenders[i]
 		usage.credit = max(min(usage.credit+seconds*(share-float64(usage.inUse)), bound), -bound)
 	}
 }
 
-// pruneService drops the state of a service whose last server is gone and whose last connection is released.
+// pruneService removes the state of a service that has no servers left. A removed server counts until its last connection
+// is released.
 func (l *Limiter) pruneService(name Service) {
 	for _, server := range l.servers {
 		if server.service == name {
