--- a/outlier/cluster_model_test.go
+++ b/outlier/cluster_model_test.go
@@ -10,68 +10,70 @@
 	"oxbowspan/rendezvous"
 )
 
-// The model of a cluster: gateways in zones call the replicas of some shards, observe the outcomes and forward observations to their
-// subscribers. Servers respond, respond slowly, refuse or stay silent, to all gateways or to some.
+// This file holds a simulation of a cluster. Gateways in zones call the replicas of some shards, observe the outcomes and forward
+// observations to their subscribers. Servers respond, respond slowly, refuse connections or do not respond, to all gateways or to some.
 
-// condition is how a server behaves to a gateway.
+// condition determines how a server behaves towards a gateway.
 type condition int
 
 const (
-	conditionFine condition = iota
+	conditionHealthy condition = iota
 	conditionSlow
-	conditionDead // refuses connections
-	conditionMute // accepts requests and never responds
+	conditionRefusing     // refuses connections
+	conditionUnresponsive // accepts requests and never responds
 )
 
-// defect is a defect planted in the model, which the checks must detect.
+// defect is a defect injected into the model, which the checks must detect.
 type defect int
 
 const (
 	noDefect               defect = iota
-	agesIgnored                   // a received observation counts as just made
-	recoveryNotSent               // observations of healthy servers are not forwarded
-	everyoneProbes                // all gateways probe an ejected server
-	impairmentIgnored             // a gateway without network blames the servers
+	agesIgnored                   // a received observation is treated as if it had just been made
+	recoveryNotForwarded          // observations of healthy servers are not forwarded
+	allGatewaysProbe              // all gateways probe an ejected server, not only its lease holder
+	impairmentIgnored             // a gateway without network records failures of the servers
 	singleObserverSuffices        // one observation of slowness counts as three
-	nothingSent                   // observations are not forwarded
+	forwardingDisabled            // no observation is forwarded
 )
 
 const (
 	modelStep       = 50 * time.Millisecond
-	stepsPerAdvance = 5                      // of each gateway's detector
-	overdueAfter    = 150 * time.Millisecond // when a call without response is recorded as failed
-	callRate        = 45                     // per second and gateway
-	slowFactor      = 10
+	stepsPerAdvance = 5                      // model steps between two advances of a gateway's detector
+	overdueAfter    = 150 * time.Millisecond // age at which a call without response is recorded as failed
+	callRate        = 45                     // calls per second of each gateway
+	slowFactor      = 10                     // factor by which slow servers take longer
 )
 
+// modelGateway is a gateway of the simulated cluster.
 type modelGateway struct {
 	name         rendezvous.Name
 	zone         int
 	detector     *Detector
 	unitTimes    map[Instance]float64       // smoothed time per unit of work
-	pendingSince map[Instance]time.Duration // first of the calls without response
+	pendingSince map[Instance]time.Duration // start of the oldest call without response
 	frozenUntil  time.Duration
-	slowdown     float64       // by which everything takes longer on it; 0 = none
-	isolated     bool          // it reaches no server
-	partition    int           // it exchanges observations within its partition only
-	unsent       []Observation // made before it froze
+	slowdown     float64       // factor by which all responses take longer on this gateway; 0 = none
+	isolated     bool          // the gateway reaches no server
+	partition    int           // observations are exchanged within a partition only
+	unsent       []Observation // observations made before the gateway was frozen
 }
 
+// cluster is the simulated cluster.
 type cluster struct {
 	rng          *rand.Rand
 	defect       defect
 	now          time.Duration
 	gateways     []*modelGateway
-	subscribers  map[int][]int // gateways that receive the observations of a gateway
+	subscribers  map[int][]int // by index of a gateway, the gateways that receive its observations
 	servers      []Instance
 	shard        map[Instance]Shard
 	conditions   map[Instance]condition
-	conditionFor func(g *modelGateway, server Instance) condition // nil = conditions
-	pauses       bool                                             // servers pause now and then
+	conditionFor func(g *modelGateway, server Instance) condition // overrides conditions if set
+	pauses       bool                                             // servers pause occasionally
 	probes       map[Instance]int
-	faultyCalls  map[Instance]int // calls to a server that was not fine
-	observations int              // sent
-	changes      int              // between healthy and not, over all gateways
+	faultyCalls  map[Instance]int // calls to a server while it was not healthy
+	observations int              // number of observations sent
+	changes      int              // transitions between healthy and any other state, over all gateways
 	previous     map[string]State
 }
 
@@ -109,7 +111,7 @@
 	return c
 }
 
-// subscribe has each gateway receive the observations of some in its zone and one beyond.
+// subscribe subscribes each gateway to the observations of some gateways in its zone and of one in another zone.
 func (c *cluster) subscribe() {
 	byZone := map[int][]rendezvous.Name{}
 	index := map[rendezvous.Name]int{}
@@ -124,8 +126,8 @@
 				remote = append(remote, names...)
 			}
 		}
-		near := rendezvous.Peers(g.name, byZone[g.zone], rendezvous.PeerCount)
-		for _, name := range append(near, rendezvous.Peers(g.name, remote, 1)...) {
+		inZone := rendezvous.Peers(g.name, byZone[g.zone], rendezvous.PeerCount)
+		for _, name := range append(inZone, rendezvous.Peers(g.name, remote, 1)...) {
 			c.subscribers[index[name]] = append(c.subscribers[index[name]], i)
 		}
 	}
@@ -133,7 +135,7 @@
 
 func (c *cluster) condition(g *modelGateway, server Instance) condition {
 	if g.isolated {
-		return conditionMute
+		return conditionUnresponsive
 	}
 	if c.conditionFor != nil {
 		return c.conditionFor(g, server)
@@ -150,16 +152,16 @@
 	return c.gateways[slices.Index(names, rendezvous.Owner(rendezvous.Name(server), names))]
 }
 
-// call makes one call and records its outcome, if there is one yet.
+// call makes one call and records its outcome. A call to an unresponsive server stays pending.
 func (c *cluster) call(g *modelGateway, server Instance) {
 	condition := c.condition(g, server)
-	if condition != conditionFine {
+	if condition != conditionHealthy {
 		c.faultyCalls[server]++
 	}
 	switch condition {
-	case conditionDead:
+	case conditionRefusing:
 		g.detector.RecordFailure(server, ObservedRefused, c.now)
-	case conditionMute:
+	case conditionUnresponsive:
 		if g.pendingSince[server] == 0 {
 			g.pendingSince[server] = c.now
 		}
@@ -170,6 +172,7 @@
 	}
 }
 
+// unitTime draws the time per unit of work of one call.
 func (c *cluster) unitTime(g *modelGateway, condition condition) float64 {
 	unit := math.Exp(c.rng.NormFloat64() * 0.4)
 	if condition == conditionSlow {
@@ -184,14 +187,15 @@
 	return unit
 }
 
+// recordUnitTime adds a sample to the gateway's moving average for a server.
 func (g *modelGateway) recordUnitTime(server Instance, unit float64) {
 	if g.unitTimes[server] == 0 {
-		g.unitTimes[server] = 1 // records begin at the average
+		g.unitTimes[server] = 1 // averages start at the typical value
 	}
 	g.unitTimes[server] += (unit - g.unitTimes[server]) * 0.2
 }
 
-// peerUnitTime returns the harmonic mean over the server's peers, 0 = not known.
+// peerUnitTime returns the harmonic mean of the unit times of the server's peers, or 0 if none is known.
 func (g *modelGateway) peerUnitTime(server Instance, shard Shard) float64 {
 	speed, count := 0.0, 0.0
 	for _, peer := range g.detector.shards[shard] {
@@ -205,6 +209,7 @@
 	return count / speed
 }
 
+// advance runs the simulation for a duration.
 func (c *cluster) advance(duration time.Duration) {
 	for end := c.now + duration; c.now < end; c.now += modelStep {
 		for i, g := range c.gateways {
@@ -223,6 +228,7 @@
 	}
 }
 
+// makeCalls makes the calls of one gateway in one step. Ejected servers on probation are called by their lease holder only.
 func (c *cluster) makeCalls(g *modelGateway) {
 	for n := callRate * modelStep.Seconds(); n > c.rng.Float64(); n-- {
 		shard := c.shard[c.servers[c.rng.IntN(len(c.servers))]]
@@ -232,7 +238,7 @@
 		case Avoided, Ejected:
 			continue
 		case Probation:
-			if c.leaseHolder(server) != g && c.defect != everyoneProbes {
+			if c.leaseHolder(server) != g && c.defect != allGatewaysProbe {
 				continue
 			}
 			c.probes[server]++
@@ -241,7 +247,7 @@
 	}
 }
 
-// recordOverdue records calls without response as failed. A gateway to which many servers don't respond is impaired.
+// recordOverdue records overdue calls as failed. A gateway that receives no responses from many servers is impaired.
 func (c *cluster) recordOverdue(g *modelGateway) {
 	overdue := 0
 	for _, since := range g.pendingSince {
@@ -268,7 +274,7 @@
 	g.unsent = nil
 	for _, observation := range batch {
 		c.observations++
-		if c.defect == nothingSent || c.defect == recoveryNotSent && observation.Kind == ObservedHealthy {
+		if c.defect == forwardingDisabled || c.defect == recoveryNotForwarded && observation.Kind == ObservedHealthy {
 			continue
 		}
 		for _, subscriber := range c.subscribers[index] {
@@ -280,6 +286,7 @@
 	}
 }
 
+// deliver hands an observation to a gateway.
 func (c *cluster) deliver(to *modelGateway, observation Observation) {
 	if c.defect == agesIgnored {
 		observation.ObservedAt = c.now
@@ -293,6 +300,7 @@
 	}
 }
 
+// countChanges counts the servers that became healthy, or ceased to be, at each gateway in this step.
 func (c *cluster) countChanges() {
 	for _, g := range c.gateways {
 		for _, server := range c.servers {
@@ -315,7 +323,7 @@
 	return gateways
 }
 
-// avoidances counts the pairs of gateways and servers that are not used.
+// avoidances counts the pairs of a gateway and a server that it does not use.
 func (c *cluster) avoidances() (pairs int) {
 	for _, server := range c.servers {
 		pairs += c.avoiding(server)
@@ -323,7 +331,7 @@
 	return pairs
 }
 
-// advanceUntil advances until a condition holds, and returns how long that took; the limit if it does not hold by then.
+// advanceUntil advances until a predicate holds or the limit is reached, and returns the time that passed.
 func (c *cluster) advanceUntil(limit time.Duration, holds func() bool) time.Duration {
 	began := c.now
 	for !holds() && c.now-began < limit {
@@ -332,7 +340,8 @@
 	return c.now - began
 }
 
-// freeze stops a gateway for a time. Before, it observed that some servers refuse connections, and sends that when it continues.
+// freeze suspends a gateway for a duration. When it resumes it sends observations, made at observedAt, that some servers refuse
+// connections.
 func (c *cluster) freeze(g *modelGateway, duration time.Duration, refusing []Instance, observedAt time.Duration) {
 	for _, server := range refusing {
 		g.detector.sequence++
--- a/outlier/detector.go
+++ b/outlier/detector.go
@@ -8,53 +8,53 @@
 )
 
 const (
-	repeatInterval   = time.Second // after which an observation that still holds is sent again
-	maxResponses     = 20          // counted in an observation; bounds the weight of one observer
-	smoothingSamples = 6           // responses over which the local ratio is smoothed
-	maxBatch         = 64          // observations sent at once
-	maxOutbox        = 4 * maxBatch
+	repeatInterval   = time.Second  // interval at which an observation that still holds is sent again
+	maxResponses     = 20           // upper limit of Observation.Responses; bounds the weight of one observer in the median
+	smoothingSamples = 6            // number of responses over which the local ratio is smoothed
+	maxBatch         = 64           // maximum number of observations that DrainOutbox returns
+	maxOutbox        = 4 * maxBatch // capacity of the outbox; the oldest observations beyond it are dropped
 )
 
-// serverRecord is what a detector knows of one server.
+// serverRecord holds a detector's state for one server.
 type serverRecord struct {
 	shard        Shard
-	observations map[Observer]*Observation // dropped as they expire
+	observations map[Observer]*Observation // latest of each observer; expired ones are removed by evidence
 	status       Status
-	backoff      time.Duration // until probation, the next time that it is ejected
-	ejectedAt    time.Duration // last, or when it recovered from that
-	slowSince    time.Duration // 0 = it is not slow
-	avoidance    time.Duration // how long it is avoided the next time
+	backoff      time.Duration // delay from the next ejection to probation
+	recoveredAt  time.Duration // when the server last responded after an ejection; 0 = never
+	slowSince    time.Duration // start of the current slow period; 0 = not slow
+	avoidance    time.Duration // duration of the next avoidance
 	local        localStats
 }
 
-// localStats is what this gateway measured of a server.
+// localStats holds this gateway's own measurements of a server.
 type localStats struct {
-	lastObservation Observation   // last sent
-	reportedAt      time.Duration // when it was sent
-	responses       int
-	logRatio        float64 // smoothed logarithm of its time relative to its peers
+	lastObservation Observation   // most recent observation of this gateway
+	reportedAt      time.Duration // when lastObservation was made
+	responses       int           // number of responses in logRatio
+	logRatio        float64       // smoothed natural logarithm of the server's time per unit of work relative to its peers
 }
 
-// Detector holds one gateway's view of all servers.
+// Detector derives the status of all servers from the observations of one gateway and of its peers.
 type Detector struct {
 	self     Observer
-	sequence uint32 // of the last own observation
+	sequence uint32 // sequence number of this gateway's last observation
 	servers  map[Instance]*serverRecord
-	shards   map[Shard][]Instance       // sorted
-	outbox   []Observation              // to forward
-	active   map[Instance]*serverRecord // with observations, or not healthy at factor 1
-	changed  []Instance                 // whose status changed
-	peers    int                        // other gateways
+	shards   map[Shard][]Instance       // servers of each shard, sorted
+	outbox   []Observation              // observations to forward, oldest first
+	active   map[Instance]*serverRecord // servers that have observations, or are not healthy with a factor of 1
+	changed  []Instance                 // servers whose status changed since TakeChanged was called
+	peers    int                        // number of other gateways
 	impaired bool                       // this gateway itself has a fault
 }
 
-// NewDetector returns a detector without servers, for a gateway.
+// NewDetector returns a detector without servers for the gateway self.
 func NewDetector(self Observer) *Detector {
 	return &Detector{self: self, servers: map[Instance]*serverRecord{}, shards: map[Shard][]Instance{}, active: map[Instance]*serverRecord{}}
 }
 
-// SetServers sets all servers with their shards, and the number of other gateways. Servers that are not listed, or that changed shard,
-// lose their state.
+// SetServers replaces the set of servers, each with its shard, and sets the number of other gateways. The state of servers that are
+// not listed, or that changed shard, is discarded.
 func (d *Detector) SetServers(servers map[Instance]Shard, peers int) {
 	d.peers = peers
 	for instance, server := range d.servers {
@@ -75,8 +75,8 @@
 	}
 }
 
-// RecordSuccess records that a server responded to this gateway, in a time per unit of work. peerUnitTime is that of its peers in
-// the same unit, 0 = not known: only their ratio matters.
+// RecordSuccess records that a server responded to this gateway. unitTime is the server's time per unit of work and peerUnitTime that of
+// its peers in the same unit, 0 if unknown. Only their ratio matters.
 func (d *Detector) RecordSuccess(instance Instance, unitTime, peerUnitTime float64, now time.Duration) {
 	server := d.servers[instance]
 	if server == nil {
@@ -105,8 +105,8 @@
 	}
 }
 
-// RecordFailure records that a server did not respond to this gateway: the kind is [ObservedUnresponsive] or [ObservedRefused]. It is
-// ignored while the gateway is impaired.
+// RecordFailure records that a server did not respond to this gateway. The kind is [ObservedUnresponsive] or [ObservedRefused]. Failures
+// are ignored while the gateway is impaired.
 func (d *Detector) RecordFailure(instance Instance, kind Kind, now time.Duration) {
 	server := d.servers[instance]
 	if server == nil || d.impaired || server.status.State == Ejected {
@@ -123,10 +123,11 @@
 	d.report(server, instance, observation, now)
 }
 
-// SetImpaired sets whether this gateway itself has a fault, such as a broken network: its observations then say little about servers.
+// SetImpaired sets whether this gateway itself has a fault, such as a broken network connection. Failures that it observes are then no
+// evidence against the servers.
 func (d *Detector) SetImpaired(impaired bool) { d.impaired = impaired }
 
-// report records an observation of this gateway's own.
+// report completes and records an observation made by this gateway.
 func (d *Detector) report(server *serverRecord, instance Instance, observation Observation, now time.Duration) {
 	d.sequence++
 	observation.Server = instance
@@ -137,7 +138,8 @@
 	d.apply(server, observation, now)
 }
 
-// Receive records an observation of another gateway. It reports whether it was new.
+// Receive records an observation made by another gateway. It reports whether the observation was recorded: those of unknown servers, of
+// this gateway, expired ones and those that are not newer than the observer's last one are ignored.
 func (d *Detector) Receive(observation Observation, now time.Duration) bool {
 	server := d.servers[observation.Server]
 	if server == nil || observation.Observer == d.self || now-observation.ObservedAt >= observationTTL {
@@ -150,7 +152,7 @@
 	return true
 }
 
-// apply records an observation and queues it for forwarding if it is significant.
+// apply records an observation, updates the server's status, and queues the observation for forwarding if it is significant.
 func (d *Detector) apply(server *serverRecord, observation Observation, now time.Duration) {
 	if server.observations == nil {
 		server.observations = map[Observer]*Observation{}
@@ -161,12 +163,13 @@
 	d.evaluate(observation.Server, server, now)
 	if observation.Hops < MaxHops && isSignificant(observation, before, server.status.State) {
 		d.outbox = append(d.outbox, observation)
-		d.outbox = slices.Delete(d.outbox, 0, max(len(d.outbox)-maxOutbox, 0)) // the oldest are dropped
+		d.outbox = slices.Delete(d.outbox, 0, max(len(d.outbox)-maxOutbox, 0)) // drops the oldest beyond the capacity
 	}
 }
 
-// isSignificant reports whether an observation may change a status at other gateways. Many observe the same at once, and an observation that
-// changes nothing here changes nothing there.
+// isSignificant reports whether an observation may change a server's status at other gateways. before and after are the server's states
+// around its evaluation. Many gateways observe the same event at once, and an observation that changes nothing at this gateway changes
+// nothing at the others.
 func isSignificant(observation Observation, before, after State) bool {
 	switch observation.Kind {
 	case ObservedHealthy:
@@ -181,7 +184,8 @@
 	return after != before || observation.Backoff > 0
 }
 
-// DrainOutbox returns the observations to send to other gateways, each once and a bounded number at a time.
+// DrainOutbox removes up to maxBatch of the oldest observations from the outbox and returns them for sending to other gateways, with
+// their hop count incremented.
 func (d *Detector) DrainOutbox() []Observation {
 	count := min(len(d.outbox), maxBatch)
 	batch := slices.Clone(d.outbox[:count])
@@ -192,7 +196,7 @@
 	return batch
 }
 
-// Advance updates all statuses to a time: observations expire, probation and slow start begin and end.
+// Advance updates the status of all active servers to the time now: observations expire, probation and slow start begin and end.
 func (d *Detector) Advance(now time.Duration) {
 	for instance, server := range d.active {
 		d.evaluate(instance, server, now)
@@ -202,7 +206,7 @@
 	}
 }
 
-// Pin holds a server in a state whatever is observed; nil ends that.
+// Pin fixes a server in a state regardless of observations. A nil state removes the pin. Unknown servers are ignored.
 func (d *Detector) Pin(instance Instance, state *State, now time.Duration) {
 	server := d.servers[instance]
 	if server == nil {
@@ -222,7 +226,7 @@
 	server.setState(*state, factor, reasonPinned, now)
 }
 
-// Status returns the status of a server. One that is not known is healthy.
+// Status returns the status of a server. An unknown server is healthy with a factor of 1.
 func (d *Detector) Status(instance Instance) Status {
 	if server := d.servers[instance]; server != nil {
 		return server.status
@@ -230,7 +234,7 @@
 	return Status{Factor: 1}
 }
 
-// Observations returns the observations of a server that have not expired, by observer.
+// Observations returns the recorded observations of a server, sorted by observer.
 func (d *Detector) Observations(instance Instance) (observations []Observation) {
 	if server := d.servers[instance]; server != nil {
 		for _, observation := range server.observations {
@@ -241,7 +245,7 @@
 	return observations
 }
 
-// TakeChanged returns the servers whose status changed since the last call; one may be listed more than once.
+// TakeChanged returns the servers whose status changed since the last call. A server may be listed more than once.
 func (d *Detector) TakeChanged() []Instance {
 	changed := d.changed
 	d.changed = nil
--- a/outlier/detector_bench_test.go
+++ b/outlier/detector_bench_test.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// Costs of outlier detection at a gateway by number of servers and observations, for docs/CAPACITY.md:
+// These benchmarks measure the cost of outlier detection at a gateway by number of servers and observations, for docs/CAPACITY.md:
 //
 //	go test -run xxx -bench Detector -benchmem ./outlier
 
-const benchPeers = 3299 // other gateways
+const benchPeers = 3299 // number of other gateways
 
 func benchServers(count int) map[Instance]Shard {
 	servers := map[Instance]Shard{}
--- a/outlier/doc.go
+++ b/outlier/doc.go
@@ -2,9 +2,9 @@
 // significant observations to each other over a few hops. A [Detector] merges the observations and derives each server's [Status] by rules
 // that depend on the observations alone, so that gateways with the same observations reach the same status without a leader.
 //
-// The status tells the balancer how much slower than its own record to predict a server, and which servers to eject. The choice among the
-// remaining servers is the balancer's.
+// From the status the balancer learns which servers to exclude, and the factor by which to predict a server slower than the balancer's
+// own measurements of it. The balancer chooses among the remaining servers.
 //
-// The package has no I/O, clock or goroutines. Times are offsets on the caller's monotonic clock; between gateways only ages are sent.
-// Callers serialize calls.
+// The package performs no I/O, reads no clock and starts no goroutines. Times are offsets on the caller's monotonic clock; gateways
+// exchange only ages. A Detector is not safe for concurrent use.
 package outlier
--- a/outlier/evaluate.go
+++ b/outlier/evaluate.go
@@ -8,31 +8,31 @@
 )
 
 const (
-	observationTTL = 3 * time.Second
+	observationTTL = 3 * time.Second // age at which an observation expires
 
-	// Slow servers are avoided from the enter ratio and, once that slow, until below the exit ratio. It takes some observers, and in large
-	// clusters a portion of all gateways: those that see nothing unusual report nothing.
+	// A server counts as slow from the enter ratio on, and then until its ratio falls below the exit ratio (hysteresis). Avoiding it requires
+	// a minimum number of observers, and in large clusters a fraction of all gateways. Gateways that observe nothing unusual report nothing.
 	slowEnterRatio      = 3.0
 	slowExitRatio       = 1.5
-	slowDwell           = 400 * time.Millisecond // how long a server must be slow
-	minSlowResponses    = 3                      // in an observation
-	minSlowObservers    = 3                      // or all, where there are fewer
-	slowObserverDivisor = 8                      // one observer for each so many gateways
+	slowDwell           = 400 * time.Millisecond // how long a server must be slow before it is avoided
+	minSlowResponses    = 3                      // responses that a gateway needs before it reports a server as slow
+	minSlowObservers    = 3                      // minimum number of observers; all gateways if there are fewer
+	slowObserverDivisor = 8                      // the minimum is at least the number of gateways divided by this
 	initialAvoidance    = 4 * time.Second        // doubled each time, unless several observers find the server as fast as its peers
 	maxAvoidance        = 16 * time.Second
 
-	minUnresponsiveObservers = 2                      // or all, where there are fewer
-	initialEjection          = 500 * time.Millisecond // until probation; doubled after each failed probe
+	minUnresponsiveObservers = 2                      // minimum number of observers; all gateways if there are fewer
+	initialEjection          = 500 * time.Millisecond // delay until probation; doubled after each failed probe
 	maxEjection              = 4 * time.Second
-	flapWindow               = 30 * time.Second // within which another ejection continues the previous backoff
+	flapWindow               = 30 * time.Second // an ejection within this time after a recovery continues the previous backoff
 
-	slowStartDuration = 2 * time.Second // how long a server that is used again is predicted to be slower
-	slowStartFactor   = 3.0             // at the beginning
-	slowStartSteps    = 4               // of the factor, for each whole unit
+	slowStartDuration = 2 * time.Second // how long a server is predicted to be slower after it returns to service
+	slowStartFactor   = 3.0             // factor at the beginning of slow start
+	slowStartSteps    = 4               // the factor is rounded up to a multiple of 1/slowStartSteps
 )
 
-// evaluate updates the status of a server. The rules depend on the observations and their times alone, except that a gateway's own record
-// scales the factor of an avoided server.
+// evaluate updates the status of a server and records whether it changed. Pinned servers are left as they are. The rules depend only on the
+// observations and their times, except that the factor of an avoided server is scaled by the gateway's own measurements.
 func (d *Detector) evaluate(instance Instance, server *serverRecord, now time.Duration) {
 	if server.status.Pinned {
 		return
@@ -44,6 +44,7 @@
 	}
 }
 
+// updateStatus applies the rules for the server's current state.
 func (d *Detector) updateStatus(server *serverRecord, now time.Duration) {
 	evidence := server.evidence(now)
 	switch server.status.State {
@@ -66,18 +67,18 @@
 	server.updateHealthy(isSlow, ratio, now)
 }
 
-// evidence is what the unexpired observations of a server say together. Times are of the newest; -1 = none.
+// evidence summarizes the unexpired observations of a server. Times are those of the newest observation of a kind; -1 = none.
 type evidence struct {
 	refusedAt    time.Duration
 	failedAt     time.Duration // refused or unresponsive
 	healthyAt    time.Duration
-	unresponsive int           // observers that receive no responses
-	responsive   int           // observers that do
-	backoff      time.Duration // the longest of failed probes
-	ratios       []Observation // those with a measured ratio
+	unresponsive int           // number of observers that receive no responses
+	responsive   int           // number of observers that receive responses
+	backoff      time.Duration // longest backoff reported with a failed probe; 0 = no probe failed
+	ratios       []Observation // observations with a measured ratio
 }
 
-// evidence drops expired observations and summarizes the others.
+// evidence removes expired observations and summarizes the others.
 func (s *serverRecord) evidence(now time.Duration) evidence {
 	e := evidence{refusedAt: -1, failedAt: -1, healthyAt: -1}
 	for observer, observation := range s.observations {
@@ -108,8 +109,9 @@
 	return e
 }
 
-// ejectionReason returns why a server is to be ejected; "" = it is not. One observer that is refused suffices: a server without a listener
-// can't serve anyone. A server that does not respond may do so to others, so that this takes several observers.
+// ejectionReason returns the reason for which a server must be ejected, or "". A single refused connection suffices, as a server without
+// a listener can't serve any gateway. A server that does not respond to one gateway may respond to others, so several observers must
+// agree, and more than two thirds of those that observe the server.
 func (d *Detector) ejectionReason(server *serverRecord, e evidence) string {
 	if e.refusedAt >= 0 && e.refusedAt > e.healthyAt {
 		return reasonRefused
@@ -121,8 +123,8 @@
 	return ""
 }
 
-// canRemove reports whether one more server of a shard may be avoided or ejected: the others take over its load, so at least half of the
-// shard's servers stay. Servers that refuse connections take no load in any case, and are not subject to this.
+// canRemove reports whether one more server of a shard may be avoided or ejected. The remaining servers take over its load, so at least
+// half of the shard's servers must stay in use. The limit does not apply to servers that refuse connections, as they can't serve any load.
 func (d *Detector) canRemove(shard Shard) bool {
 	healthy := 0
 	for _, instance := range d.shards[shard] {
@@ -133,6 +135,7 @@
 	return 2*(healthy-1) >= len(d.shards[shard])
 }
 
+// setState sets the state and the factor. The reason and the time of entry are updated only if the state changes.
 func (s *serverRecord) setState(state State, factor float64, reason string, now time.Duration) {
 	if s.status.State != state {
 		s.status.Since, s.status.Reason = now, reason
@@ -140,9 +143,10 @@
 	s.status.State, s.status.Factor = state, factor
 }
 
-// eject counts the backoff from the newest failure, on which all gateways with the same observations agree.
+// eject ejects the server and doubles its backoff for the next time. The backoff runs from the newest failure, which is the same at all
+// gateways that have the same observations.
 func (s *serverRecord) eject(reason string, failedAt, now time.Duration) {
-	if now-s.ejectedAt > flapWindow || s.ejectedAt == 0 {
+	if now-s.recoveredAt > flapWindow || s.recoveredAt == 0 {
 		s.backoff = initialEjection
 	}
 	s.setState(Ejected, 1, reason, now)
@@ -150,27 +154,28 @@
 	s.backoff = min(2*s.backoff, maxEjection)
 }
 
-// updateEjected ends an ejection when the server responded, extends it when a probe failed, and begins probation when it is due.
+// updateEjected ends an ejection if the server responded or is no longer probed, extends it if a probe failed, and begins probation when
+// the backoff has elapsed.
 func (s *serverRecord) updateEjected(e evidence, now time.Duration) {
 	responded := e.healthyAt > s.status.Since && e.healthyAt > e.failedAt
 	probeFailed := e.backoff > 0 && e.failedAt > s.status.Since && e.failedAt+e.backoff > s.status.ProbationAt
 	switch {
 	case responded:
-		s.ejectedAt, s.backoff = now, max(s.backoff, initialEjection)
+		s.recoveredAt, s.backoff = now, max(s.backoff, initialEjection)
 		s.setState(Healthy, slowStartFactor, reasonRecovered, now)
 	case probeFailed:
 		s.backoff = min(2*e.backoff, maxEjection)
 		s.status.ProbationAt = e.failedAt + e.backoff
 		s.status.State = Ejected
 	case e.failedAt < 0 && now-s.status.ProbationAt > observationTTL:
-		// No gateway probes the server any more: each gateway's own records decide again.
+		// No gateway probes the server any more, so each gateway relies on its own measurements again.
 		s.setState(Healthy, slowStartFactor, reasonUnobserved, now)
 	case now >= s.status.ProbationAt && s.status.State == Ejected:
 		s.status.State = Probation
 	}
 }
 
-// updateAvoided uses a server again that is fast or was avoided for long enough.
+// updateAvoided returns a server to service if it is fast or its avoidance has elapsed. The avoidance doubles unless the server is fast.
 func (s *serverRecord) updateAvoided(fast bool, now time.Duration) {
 	if !fast && now-s.status.Since < s.avoidance {
 		return
@@ -183,8 +188,8 @@
 	s.setState(Healthy, slowStartFactor, reasonRetried, now)
 }
 
-// updateHealthy avoids a server that has been slow for long enough. Otherwise it advances the slow start, which follows from the time of the
-// last change and is thus the same at all gateways.
+// updateHealthy avoids a server that has been slow for slowDwell. Otherwise it advances slow start, whose factor depends only on the time of
+// the last state change and is thus the same at all gateways.
 func (s *serverRecord) updateHealthy(isSlow bool, ratio float64, now time.Duration) {
 	switch {
 	case !isSlow:
@@ -204,7 +209,8 @@
 	}
 }
 
-// ratio returns the slowness that this gateway measured itself. The balancer's record contains it already, so that it must not count twice.
+// ratio returns the server's time relative to its peers as measured by this gateway, 1 if there are no measurements. The balancer's own
+// prediction already includes this ratio, so callers divide by it to avoid counting it twice.
 func (l *localStats) ratio() float64 {
 	if l.responses == 0 {
 		return 1
@@ -212,8 +218,8 @@
 	return math.Exp(l.logRatio)
 }
 
-// medianRatio returns the median of what observers measured, weighted by their responses, and their number. By the median a single faulty
-// observer has little effect. The ratio is at least 1; 0 = no observers.
+// medianRatio returns the median of the observed ratios, weighted by the number of responses, and the number of observers. The median
+// limits the effect of a single faulty observer. The ratio is at least 1, or 0 if there are no observers.
 func medianRatio(observations []Observation) (ratio float64, observers int) {
 	if len(observations) == 0 {
 		return 0, 0
@@ -221,14 +227,14 @@
 	slices.SortFunc(observations, func(a, b Observation) int {
 		return cmp.Or(cmp.Compare(a.Ratio, b.Ratio), cmp.Compare(a.Observer, b.Observer))
 	})
-	total := 0
+	totalWeight := 0
 	for _, observation := range observations {
-		total += max(observation.Responses, 1)
+		totalWeight += max(observation.Responses, 1)
 	}
-	sum := 0
+	weight := 0
 	for _, observation := range observations {
-		sum += max(observation.Responses, 1)
-		if 2*sum >= total {
+		weight += max(observation.Responses, 1)
+		if 2*weight >= totalWeight {
 			return max(observation.Ratio, 1), len(observations)
 		}
 	}
--- a/outlier/observation.go
+++ b/outlier/observation.go
@@ -3,21 +3,21 @@
 import "time"
 
 type (
-	// Observer is one incarnation of a gateway.
+	// Observer identifies one incarnation of a gateway.
 	Observer uint64
-	// Instance is one incarnation of a server.
+	// Instance identifies one incarnation of a server.
 	Instance string
-	// Shard names servers that can substitute for each other.
+	// Shard identifies a set of servers that are interchangeable.
 	Shard string
 )
 
-// Kind is what an observer saw of a server. The values are sent between gateways.
+// Kind classifies an observation. The values are part of the protocol between gateways.
 type Kind uint8
 
 const (
-	// ObservedHealthy means that the server responds, as fast as its peers.
+	// ObservedHealthy means that the server responds about as fast as its peers.
 	ObservedHealthy Kind = iota
-	// ObservedSlow means that the server responds several times slower than its peers.
+	// ObservedSlow means that the server takes several times as long per unit of work as its peers.
 	ObservedSlow
 	// ObservedUnresponsive means that responses of the server are overdue.
 	ObservedUnresponsive
@@ -25,23 +25,24 @@
 	ObservedRefused
 )
 
-// String returns the name that is sent to operators.
+// String returns the name that operators read.
 func (k Kind) String() string {
 	return [...]string{"well", "slow", "silent", "refused"}[min(k, ObservedRefused)]
 }
 
-// Observation is what one observer last saw of one server.
+// Observation is the latest observation of one server by one observer.
 type Observation struct {
 	Server     Instance
 	Observer   Observer
-	Sequence   uint32 // of two observations of an observer the one with the higher number is newer
+	Sequence   uint32 // increases with each observation of the observer
 	Kind       Kind
-	Ratio      float64       // time per unit of work, relative to the server's peers; 0 = not measured
-	Responses  int           // that it is based on
-	Backoff    time.Duration // set when a probe of an ejected server failed: the time until the next probe
-	ObservedAt time.Duration // on the receiver's clock
-	Hops       int           // how often it was forwarded
+	Ratio      float64       // time per unit of work relative to the server's peers; 0 = not measured
+	Responses  int           // number of responses on which the observation is based
+	Backoff    time.Duration // if a probe of an ejected server failed, the delay until the next probe; otherwise 0
+	ObservedAt time.Duration // time of the observation on the receiver's clock
+	Hops       int           // number of times that the observation was forwarded
 }
 
-// MaxHops is how often an observation is forwarded. Each gateway forwards to four others, so that this reaches several hundred.
+// MaxHops is the maximum number of times that an observation is forwarded. Each gateway forwards to four others, so five hops reach
+// several hundred gateways.
 const MaxHops = 5
--- a/outlier/status.go
+++ b/outlier/status.go
@@ -2,34 +2,34 @@
 
 import "time"
 
-// State is what gateways do about a server.
+// State determines whether gateways send requests to a server.
 type State uint8
 
 const (
 	// Healthy means that the server is used.
 	Healthy State = iota
-	// Avoided means that the server is slow, and not used for a while.
+	// Avoided means that the server is slow and temporarily not used.
 	Avoided
-	// Ejected means that the server does not respond, and is not used.
+	// Ejected means that the server does not respond and is not used.
 	Ejected
-	// Probation means that the server is ejected, and its lease holder may probe it with a request.
+	// Probation means that the server is ejected, but the gateway that holds its lease may probe it with a request.
 	Probation
 )
 
-// String returns the name that is sent to operators.
+// String returns the name that operators read.
 func (s State) String() string { return [...]string{"in", "avoided", "out", "on trial"}[s] }
 
-// Status is what gateways do about a server, and why.
+// Status is the state of a server, with the reason for it.
 type Status struct {
 	State       State
-	Factor      float64       // by which the server is predicted to be slower than this gateway's record of it; 1 = as recorded
-	Reason      string        // for operators
-	Since       time.Duration // when it entered the state
-	ProbationAt time.Duration // of an ejected server: when it enters probation
-	Pinned      bool          // held by an operator whatever is observed
+	Factor      float64       // factor by which to predict the server slower than this gateway measured it; 1 = as measured
+	Reason      string        // why the server entered the state, for operators
+	Since       time.Duration // when the server entered the state
+	ProbationAt time.Duration // for an ejected server, when it enters probation
+	Pinned      bool          // fixed by an operator regardless of observations
 }
 
-// Reasons of a status, for operators.
+// Reasons for a status. Operators read them.
 const (
 	reasonPinned       = "pinned by an operator"
 	reasonUnpinned     = "the pin has ended"
