--- a/rollout/analysis.go
+++ b/rollout/analysis.go
@@ -5,58 +5,63 @@
 	"math"
 )
 
-// Parameters of the analysis. Its false alarms and its power are in docs/measured/rollouts.md.
+// Parameters of the analysis. docs/measured/rollouts.md has its rate of false alarms and its statistical power.
 const (
-	// alarmLevel is the cumulative log likelihood ratio above which a version is found to be bad. A single test alarms falsely in
-	// less than one of e to this many runs of bad answers.
-	alarmLevel = 9.0
-	// baselineFactor times the share of bad answers of the other versions is taken for good.
+	// alarmThreshold is the cumulative log likelihood ratio from which a version is classified as bad. Fewer than one in
+	// e^alarmThreshold runs of bad responses leads a single test to a false alarm.
+	alarmThreshold = 9.0
+	// A good version is assumed to have a share of bad responses of baselineFactor times the baseline, which is that of the other
+	// versions, within the bounds minGoodShare and maxGoodShare.
 	baselineFactor = 1.5
-	minGoodShare   = 0.04 // and at least this share
+	minGoodShare   = 0.04
 	maxGoodShare   = 0.5
-	minBadShare    = 0.2 // a bad version is taken to answer at least this share badly,
-	badFactor      = 3.0 // and at least so many times the good share
-	maxBadShare    = 0.9
-	// The baseline is the larger of the shares among the last longBaseline and among the last shortBaseline answers of the other
-	// versions: the former is steady, the latter shows a fault that both versions meet as soon as the target version does.
-	longBaseline  = 1000
-	shortBaseline = 30
-	// maxRoutes bounds the routes that are told apart.
+	// A bad version is assumed to have a share of bad responses of badFactor times that of a good version, within the bounds
+	// minBadShare and maxBadShare.
+	minBadShare = 0.2
+	badFactor   = 3.0
+	maxBadShare = 0.9
+	// The baseline is the larger of the shares of bad responses among the last longWindowSize and the last shortWindowSize responses
+	// of the other versions. The long window is stable; the short one shows a fault that affects both versions as soon as the
+	// target version shows it.
+	longWindowSize  = 1000
+	shortWindowSize = 30
+	// maxRoutes is the maximum number of routes that are analyzed separately.
 	maxRoutes = 64
 )
 
-// Counts are the answers of the servers of one version.
+// Counts counts the responses of the servers of one version.
 type Counts struct {
-	Answers uint64 // failures, and requests broken off as too slow, among them
-	Bad     uint64 // failures, and those that were several times slower than usual
+	Answers uint64 // all responses, including failures and requests that were cancelled because they took too long
+	Bad     uint64 // failures, and responses that took several times longer than usual
 }
 
-// RouteCounts are the answers to the requests of one route.
+// RouteCounts counts the responses to the requests of one route.
 type RouteCounts struct {
-	Old, New Counts
+	Old, New Counts // of all other versions, and of the target version
 }
 
-// Analysis compares the answers of the target version with those of the others, route by route, as they come (CUSUM: a sequential
-// probability ratio test that begins anew whenever it speaks for the version, so that one that turns bad late is found as soon as
-// one that was bad from the start).
+// Analysis compares the responses of the target version with those of the other versions, for each route as responses are
+// reported. It is a CUSUM test: a sequential probability ratio test that restarts whenever its result favors the version, so that a
+// version that turns bad late is detected as quickly as one that was bad from the start.
 type Analysis struct {
 	routes   map[string]*routeAnalysis
-	reported map[uint64]map[string]RouteCounts // by gateway, by route: the last that it reported
+	reported map[uint64]map[string]RouteCounts // last report of each gateway, by gateway and route
 	total    RouteCounts
 }
 
 // routeAnalysis is the analysis of one route.
 type routeAnalysis struct {
-	long, short window  // of answers of the other versions
-	score       float64 // log likelihood ratio, 0 or above
-	new         Counts
+	longWindow, shortWindow window  // responses of the other versions
+	score                   float64 // cumulative log likelihood ratio, at least 0
+	target                  Counts  // responses of the target version
 }
 
-// window counts the newest answers; older ones fade.
+// window estimates a share of bad responses from the newest responses: the weight of older ones decays once it holds size.
 type window struct {
 	size, answers, bad float64
 }
 
+// add adds newer responses.
 func (w *window) add(c Counts) {
 	w.answers += float64(c.Answers)
 	w.bad += float64(c.Bad)
@@ -66,7 +71,7 @@
 	}
 }
 
-// share returns the share of bad answers, 0 where there are none.
+// share returns the share of bad responses, or 0 if there are no responses.
 func (w *window) share() float64 {
 	if w.answers == 0 {
 		return 0
@@ -79,75 +84,78 @@
 	return &Analysis{routes: map[string]*routeAnalysis{}, reported: map[uint64]map[string]RouteCounts{}}
 }
 
-// Report takes what a gateway, named by its incarnation, counted on a route since the rollout began.
+// Report records what a gateway, identified by its incarnation, has counted on a route since the rollout began. A report with lower
+// counts than the gateway's previous one is ignored.
 func (a *Analysis) Report(gateway uint64, route string, counts RouteCounts) {
 	byRoute := a.reported[gateway]
 	if byRoute == nil {
 		byRoute = map[string]RouteCounts{}
 		a.reported[gateway] = byRoute
 	}
-	before := byRoute[route]
-	if counts.Old.Answers < before.Old.Answers || counts.New.Answers < before.New.Answers {
-		return // an older report that came late
+	previous := byRoute[route]
+	if counts.Old.Answers < previous.Old.Answers || counts.New.Answers < previous.New.Answers {
+		return // an older report that arrived late
 	}
 	byRoute[route] = counts
 	r := a.routes[route]
 	if r == nil {
 		if len(a.routes) >= maxRoutes {
-			route = "" // all others together
+			route = "" // all further routes are analyzed as one
 			r = a.routes[route]
 		}
 		if r == nil {
-			r = &routeAnalysis{long: window{size: longBaseline}, short: window{size: shortBaseline}}
+			r = &routeAnalysis{longWindow: window{size: longWindowSize}, shortWindow: window{size: shortWindowSize}}
 			a.routes[route] = r
 		}
 	}
-	added := RouteCounts{Old: counts.Old.since(before.Old), New: counts.New.since(before.New)}
+	added := RouteCounts{Old: counts.Old.since(previous.Old), New: counts.New.since(previous.New)}
 	a.total.Old.add(added.Old)
 	a.total.New.add(added.New)
 	r.add(added)
 }
 
-// since returns what was counted after an earlier report.
-func (c Counts) since(before Counts) Counts {
-	return Counts{Answers: c.Answers - before.Answers, Bad: c.Bad - before.Bad}
+// since returns the responses that were counted after an earlier report.
+func (c Counts) since(previous Counts) Counts {
+	return Counts{Answers: c.Answers - previous.Answers, Bad: c.Bad - previous.Bad}
 }
 
+// add adds other counts.
 func (c *Counts) add(other Counts) {
 	c.Answers += other.Answers
 	c.Bad += other.Bad
 }
 
-// add takes further answers. Those of the other versions are counted first: a fault that both meet speaks against neither.
+// add adds responses and updates the score. Those of the other versions are added first, so that a fault that affects both versions
+// is not held against the target version.
 func (r *routeAnalysis) add(added RouteCounts) {
-	r.long.add(added.Old)
-	r.short.add(added.Old)
-	r.new.add(added.New)
-	good, bad := r.shares()
-	forBad, forGood := math.Log(bad/good), math.Log((1-bad)/(1-good))
+	r.longWindow.add(added.Old)
+	r.shortWindow.add(added.Old)
+	r.target.add(added.New)
+	good, bad := r.assumedShares()
+	badLogRatio, goodLogRatio := math.Log(bad/good), math.Log((1-bad)/(1-good))
 	goodAnswers := float64(added.New.Answers - min(added.New.Bad, added.New.Answers))
-	// Their order is not known: a controller that has just started is told all of a rollout at once.
-	r.score = max(0, r.score+goodAnswers*forGood+float64(added.New.Bad)*forBad)
+	// The order of the responses is unknown: a controller that has just started receives those of the whole rollout in one report.
+	r.score = max(0, r.score+goodAnswers*goodLogRatio+float64(added.New.Bad)*badLogRatio)
 }
 
-// shares returns the shares of bad answers that a good and a bad version are taken to have.
-func (r *routeAnalysis) shares() (good, bad float64) {
-	baseline := max(r.long.share(), r.short.share())
+// assumedShares returns the shares of bad responses that a good and a bad version are assumed to have.
+func (r *routeAnalysis) assumedShares() (good, bad float64) {
+	baseline := max(r.longWindow.share(), r.shortWindow.share())
 	good = min(max(minGoodShare, baselineFactor*baseline), maxGoodShare)
 	bad = min(max(minBadShare, badFactor*good), maxBadShare)
 	return good, bad
 }
 
-// Suspect returns why the target version is found to be bad, "" = it is not.
+// Suspect returns why the target version is classified as bad, or "" if it is not.
 func (a *Analysis) Suspect() string {
 	for route, r := range a.routes {
-		if r.score >= alarmLevel {
-			return fmt.Sprintf("%d of %d answers on %q are failures or too slow, %.0f of the last %.0f of the other versions", r.new.Bad,
-				r.new.Answers, route, r.long.bad, r.long.answers)
+		if r.score >= alarmThreshold {
+			return fmt.Sprintf("%d of %d answers on %q are failures or too slow, %.0f of the last %.0f of the other versions", r.target.Bad,
+				r.target.Answers, route, r.longWindow.bad, r.longWindow.answers)
 		}
 	}
 	return ""
 }
 
-// Answers returns how many answers were counted, of the other versions and of the target version.
+// Answers returns the number of responses that were counted, of the other versions and of the target version.
 func (a *Analysis) Answers() (other, target uint64) { return a.total.Old.Answers, a.total.New.Answers }
--- a/rollout/document.go
+++ b/rollout/document.go
@@ -8,43 +8,43 @@
 	"time"
 )
 
-// DocumentName is the name of the document beside the configuration.
+// DocumentName is the name under which the document is committed beside the configuration.
 const DocumentName = "rollouts"
 
-// State is the state of a rollout, as operators read it.
+// State is the state of a rollout. Operators read it.
 type State string
 
-// States. The last two are final.
+// States of a rollout. Completed and Reverted are final.
 const (
 	Running   State = "running"
-	Completed State = "completed" // all requests go to the target version; servers of the one before may stop at once
+	Completed State = "completed" // all requests go to the target version; servers of the previous version may stop immediately
 	Reverted  State = "reverted"  // no request goes to the target version
 )
 
-// Rollout is one service's newest rollout.
+// Rollout is the most recent rollout of one service.
 type Rollout struct {
-	Number        uint64  `json:"number"` // of the document version that began it
+	Number        uint64  `json:"number"` // version of the document in which the rollout began
 	Service       string  `json:"service"`
 	TargetVersion string  `json:"target_version"`
-	StableVersion string  `json:"stable_version,omitempty"` // completed before it; "" = all versions without a rollout
-	DurationS     float64 `json:"duration_s"`               // within which it is to be completed or reverted
+	StableVersion string  `json:"stable_version,omitempty"` // target version of the last completed rollout; "" = all versions, none was completed
+	DurationS     float64 `json:"duration_s"`               // time within which the rollout must be completed or reverted
 	State         State   `json:"state"`
 	Step          int     `json:"step"`
-	StepShare     float64 `json:"step_share"`      // of the service's requests that may reach the target version in this step
-	ElapsedMS     uint64  `json:"elapsed_ms"`      // from its beginning until the document was proposed
-	StepElapsedMS uint64  `json:"step_elapsed_ms"` // from the beginning of the step until then
+	StepShare     float64 `json:"step_share"`      // share of the service's requests that may reach the target version in this step
+	ElapsedMS     uint64  `json:"elapsed_ms"`      // time from the beginning of the rollout until the document was proposed
+	StepElapsedMS uint64  `json:"step_elapsed_ms"` // time from the beginning of the step until the document was proposed
 	Reason        string  `json:"reason,omitempty"`
 }
 
-// Document holds the newest rollout of each service.
+// Document holds the most recent rollout of each service.
 type Document struct {
 	Rollouts []Rollout `json:"rollouts"`
 }
 
-// maxRollouts bounds the document: one rollout a service.
+// maxRollouts is the maximum number of rollouts in a document, which holds one for each service.
 const maxRollouts = 512
 
-// Parse reads a document; an empty one where there is no text.
+// Parse parses a document. An empty text yields an empty document.
 func Parse(text []byte) (*Document, error) {
 	d := &Document{}
 	if len(text) == 0 {
@@ -56,16 +56,16 @@
 	return d, nil
 }
 
-// Encode returns the document's text.
+// Encode returns the document in its JSON form.
 func (d *Document) Encode() []byte {
 	text, err := json.Marshal(d)
 	if err != nil {
-		panic(err) // a document holds nothing that has no JSON form
+		panic(err) // can't happen: a document holds no value without a JSON form
 	}
 	return text
 }
 
-// Find returns a service's rollout, nil = none was ever begun.
+// Find returns the rollout of a service, or nil if none was ever begun.
 func (d *Document) Find(service string) *Rollout {
 	i := slices.IndexFunc(d.Rollouts, func(r Rollout) bool { return r.Service == service })
 	if i < 0 {
@@ -79,7 +79,7 @@
 	return slices.ContainsFunc(d.Rollouts, func(r Rollout) bool { return r.State == Running })
 }
 
-// advance counts the time that has passed since the document was proposed.
+// advance adds the time that has passed since the document was proposed to the elapsed times of running rollouts.
 func (d *Document) advance(age time.Duration) {
 	for i := range d.Rollouts {
 		if r := &d.Rollouts[i]; r.State == Running {
@@ -89,17 +89,17 @@
 	}
 }
 
-// Order asks for a rollout.
+// Order is an operator's request to begin a rollout.
 type Order struct {
 	Service       string  `json:"service"`
 	TargetVersion string  `json:"target_version"`
 	DurationS     float64 `json:"duration_s"`
 }
 
-// maxDuration bounds the duration of a rollout.
+// maxDuration is the maximum duration of a rollout.
 const maxDuration = 24 * time.Hour
 
-// Validate returns what is wrong with an order, a sentence each.
+// Validate returns the problems of an order, one sentence for each. An order without problems is valid.
 func (o Order) Validate() (problems []string) {
 	if o.Service == "" {
 		problems = append(problems, "service is missing")
@@ -113,41 +113,42 @@
 	return problems
 }
 
-// OrderOutcome is what becomes of an order.
+// OrderOutcome is the outcome of an order.
 type OrderOutcome uint8
 
 // Outcomes of orders.
 const (
-	Begun      OrderOutcome = iota // now, or when it was sent before
-	Conflict                       // another rollout of the service is running
-	TooMany                        // the document is full
-	Unreadable                     // the document in place can't be read
+	Begun              OrderOutcome = iota // the rollout begins, or began when the order was first submitted
+	Conflict                               // another rollout of the service is running
+	TooManyRollouts                        // the document holds maxRollouts rollouts
+	UnreadableDocument                     // the current document can't be parsed
 )
 
-// Begin returns the text of the document that follows one of an age, with a rollout begun. Next is nil where nothing changes: the
-// order was taken before, or is not taken. Version is that of the document that would follow.
+// Begin begins a rollout: it returns the text of the document that replaces the given one. age is the time since the given document was
+// proposed, and version is the version of the document that replaces it. next is nil if the document does not change, because the
+// order was accepted before or is rejected.
 func Begin(text []byte, age time.Duration, order Order, version uint64) (next []byte, outcome OrderOutcome) {
 	d, err := Parse(text)
 	if err != nil {
-		return nil, Unreadable
+		return nil, UnreadableDocument
 	}
 	current := d.Find(order.Service)
 	begun := Rollout{Number: version, Service: order.Service, TargetVersion: order.TargetVersion, DurationS: order.DurationS, State: Running}
 	switch {
 	case current != nil && current.TargetVersion == order.TargetVersion && current.DurationS == order.DurationS:
-		return nil, Begun // an order that is sent again can't be told from the first one
+		return nil, Begun // a repeated order can't be distinguished from the first one
 	case current != nil && current.State == Running:
 		return nil, Conflict
 	case current != nil && current.State == Completed && current.TargetVersion == order.TargetVersion:
-		return nil, Begun // the version is in place
+		return nil, Begun // the version already gets all requests
 	case current == nil && len(d.Rollouts) >= maxRollouts:
-		return nil, TooMany
+		return nil, TooManyRollouts
 	case current == nil:
 		d.Rollouts = append(d.Rollouts, Rollout{Service: order.Service})
 		current = d.Find(order.Service)
 	case current.State == Completed:
 		begun.StableVersion = current.TargetVersion
-	default: // reverted: the one before it stays in place
+	default: // after a reverted rollout, the stable version is still that from before it
 		begun.StableVersion = current.StableVersion
 	}
 	d.advance(age)
--- a/rollout/model_test.go
+++ b/rollout/model_test.go
@@ -7,85 +7,87 @@
 	"time"
 )
 
-// mistake is planted into the model's own part of the work, to show that its checks find it.
-type mistake int
+// defect is a defect injected into the model's own part of the work, which the checks must detect.
+type defect int
 
 const (
-	noMistake mistake = iota
+	noDefect defect = iota
 
-	fenceIgnored   // a transition is made on top of a document that its controller does not know
-	touchIgnored   // a gateway that is out of touch goes on as before
-	barrierIgnored // a rollout is completed while a gateway has requests open at the old version
-	timeForgotten  // another controller goes on from the step's beginning, not from what has passed
-	evidenceLost   // what gateways report is not analyzed
+	fencingIgnored     // a transition is applied to a document other than the one from which it was derived
+	contactLossIgnored // a gateway without contact to the controllers keeps the share of its step
+	drainIgnored       // a rollout is completed while a gateway has requests open at the old version
+	elapsedTimeLost    // a controller counts the elapsed time anew, without the time that has passed since the document was proposed
+	reportsIgnored     // the reports of gateways are not analyzed
 )
 
 const (
-	modelStep     = 100 * time.Millisecond
-	modelDuration = 15 * time.Second
-	modelEnd      = 22 * time.Second
-	modelRate     = 30.0 // requests a second at each gateway
-	touchTime     = 2500 * time.Millisecond
-	forgetTime    = 4 * time.Second // after which controllers drop a silent gateway
-	rollbackTime  = 5 * time.Second
-	openTime      = 600 * time.Millisecond // that a request is open
+	modelStep      = 100 * time.Millisecond
+	modelDuration  = 15 * time.Second // duration of the rollout
+	modelEnd       = 22 * time.Second
+	modelRate      = 30.0                    // requests per second at each gateway
+	contactTimeout = 2500 * time.Millisecond // time since the last contact after which a gateway has lost contact
+	gatewayTimeout = 4 * time.Second         // time since the last report after which controllers ignore a gateway
+	rollbackLimit  = 5 * time.Second         // time within which all gateways must apply a reverted rollout
+	requestTime    = 600 * time.Millisecond  // duration of a request
 )
 
-// modelGateway is a gateway as it is.
+// modelGateway is a gateway of the model.
 type modelGateway struct {
-	incarnation   uint64
-	document      Document
-	version       uint64 // of the document
-	touchedAt     time.Duration
-	cutFrom, cut  time.Duration // is cut off then, for so long
-	counts        RouteCounts
-	split         float64
-	oldOpenUntil  time.Duration
-	reported      Rollout // the step that it reported last
-	reportedCount RouteCounts
-	reportedOpen  bool
-	reportedAt    time.Duration
+	incarnation                       uint64
+	document                          Document
+	version                           uint64 // version of the document
+	lastContact                       time.Duration
+	disconnectedFrom, disconnectedFor time.Duration // beginning and duration of a loss of its connections to controllers
+	counts                            RouteCounts
+	split                             float64 // position in a low-discrepancy sequence that assigns requests to versions
+	oldOpenUntil                      time.Duration
+	reported                          Rollout // rollout as last reported to controllers
+	reportedCounts                    RouteCounts
+	reportedOpen                      bool // requests were open at the old version
+	reportedAt                        time.Duration
 }
 
-func (g *modelGateway) isCut(now time.Duration) bool {
-	return now >= g.cutFrom && now < g.cutFrom+g.cut
+// isDisconnected reports whether the gateway has no connection to controllers.
+func (g *modelGateway) isDisconnected(now time.Duration) bool {
+	return now >= g.disconnectedFrom && now < g.disconnectedFrom+g.disconnectedFor
 }
 
-// modelController is a controller as it is: it sees the document late, and stands still at times.
+// modelController is a controller of the model. It receives the document with a delay, and may be frozen for a time.
 type modelController struct {
-	text               []byte
-	document           Document
-	version            uint64
-	knownAt            time.Duration
-	analysis           *Analysis
-	frozenFrom, frozen time.Duration
-	pending            func(now time.Duration) // a proposal on its way
-	pendingAt          time.Duration
+	text                  []byte
+	document              Document
+	version               uint64
+	receivedAt            time.Duration // when it received the document
+	analysis              *Analysis
+	frozenFrom, frozenFor time.Duration           // beginning and duration of the freeze
+	pending               func(now time.Duration) // submits a proposal that is not decided yet
+	pendingAt             time.Duration           // when pending is called
 }
 
-// model is one day of a fleet with one rollout.
+// model is a cluster with one rollout.
 type model struct {
-	mistake     mistake
+	defect      defect
 	random      *rand.Rand
-	badFrom     time.Duration // the target version is bad from then on, Never = it is good
-	badShare    float64
-	badAbove    float64 // only while at least this share goes there
+	badFrom     time.Duration // time from which the target version is bad; never = it is good
+	badShare    float64       // share of bad responses of a bad version
+	badAbove    float64       // share of requests from which a bad version shows its fault
 	gateways    []*modelGateway
 	controllers []*modelController
-	text        []byte // in place
+	text        []byte // decided document
 	version     uint64
-	settledAt   time.Duration // when the state became final
+	finalAt     time.Duration // when the state became final
 
-	parsed        Rollout // of the version
-	parsedVersion uint64
-	all, target   int // requests until the term
-	calm          bool
+	parsed                   Rollout // rollout in the document of parsedVersion
+	parsedVersion            uint64
+	requests, targetRequests int  // requests of gateways in contact during the rollout's duration, and those that reached the target version
+	undisturbed              bool // no gateway is disconnected and no controller is frozen
 }
 
 const never = time.Hour
 
-func newModel(seed uint64, planted mistake, bad, calm bool) *model {
-	m := &model{mistake: planted, random: rand.New(rand.NewPCG(seed, 3)), badFrom: never, calm: calm}
+// newModel returns a model of the given seed with a defect and with a good or a bad target version.
+func newModel(seed uint64, injected defect, bad, undisturbed bool) *model {
+	m := &model{defect: injected, random: rand.New(rand.NewPCG(seed, 3)), badFrom: never, undisturbed: undisturbed}
 	if bad {
 		m.badShare = 0.3 + 0.2*m.random.Float64()
 		m.badFrom = time.Duration(m.random.IntN(2)) * 3300 * time.Millisecond
@@ -93,15 +95,15 @@
 	}
 	for i := range 12 {
 		g := &modelGateway{incarnation: uint64(i + 1), split: m.random.Float64()}
-		if !calm && m.random.IntN(3) == 0 {
-			g.cutFrom, g.cut = time.Duration(m.random.Int64N(int64(modelEnd))), time.Duration(m.random.Int64N(int64(8*time.Second)))
+		if !undisturbed && m.random.IntN(3) == 0 {
+			g.disconnectedFrom, g.disconnectedFor = time.Duration(m.random.Int64N(int64(modelEnd))), time.Duration(m.random.Int64N(int64(8*time.Second)))
 		}
 		m.gateways = append(m.gateways, g)
 	}
 	for range 3 {
 		c := &modelController{analysis: NewAnalysis()}
-		if !calm && m.random.IntN(2) == 0 {
-			c.frozenFrom, c.frozen = time.Duration(m.random.Int64N(int64(modelEnd))), time.Duration(m.random.Int64N(int64(4*time.Second)))
+		if !undisturbed && m.random.IntN(2) == 0 {
+			c.frozenFrom, c.frozenFor = time.Duration(m.random.Int64N(int64(modelEnd))), time.Duration(m.random.Int64N(int64(4*time.Second)))
 		}
 		m.controllers = append(m.controllers, c)
 	}
@@ -110,7 +112,7 @@
 	return m
 }
 
-// rollout returns the rollout in place.
+// rollout returns the rollout of the decided document.
 func (m *model) rollout() Rollout {
 	if m.parsedVersion != m.version {
 		d, _ := Parse(m.text)
@@ -119,22 +121,22 @@
 	return m.parsed
 }
 
-// run plays the day and returns the first violation, nil = there is none.
+// run runs the model to its end and returns the first violation, or nil.
 func (m *model) run() error {
 	for now := modelStep; now < modelEnd; now += modelStep {
 		before := m.rollout()
 		for rank, c := range m.controllers {
-			m.control(c, rank, now)
+			m.stepController(c, rank, now)
 		}
 		after := m.rollout()
 		if before.State != Running && after != before || after.Step < before.Step {
-			return fmt.Errorf("at %v: %+v follows %+v", now, after, before)
+			return fmt.Errorf("at %v: invalid change to %+v from %+v", now, after, before)
 		}
 		if before.State == Running && after.State != Running {
-			m.settledAt = now
+			m.finalAt = now
 		}
 		for _, g := range m.gateways {
-			if err := m.serve(g, now, after); err != nil {
+			if err := m.stepGateway(g, now, after); err != nil {
 				return err
 			}
 		}
@@ -142,25 +144,26 @@
 	return m.checkEnd()
 }
 
+// checkEnd checks the outcome of the rollout.
 func (m *model) checkEnd() error {
 	r := m.rollout()
-	if m.badFrom != never && float64(m.target) > 0.1*float64(m.all)+50 {
-		return fmt.Errorf("%d of %d requests reached a bad version: %+v", m.target, m.all, r)
+	if m.badFrom != never && float64(m.targetRequests) > 0.1*float64(m.requests)+50 {
+		return fmt.Errorf("%d of %d requests reached a bad version: %+v", m.targetRequests, m.requests, r)
 	}
 	switch {
 	case m.badFrom != never && r.State != Reverted:
-		return fmt.Errorf("a bad version ends as %+v", r)
-	case m.badFrom == never && m.calm && (r.State != Completed || m.settledAt > modelDuration):
-		return fmt.Errorf("a good version ends as %+v at %v", r, m.settledAt)
-	case r.State == Running || m.calm && m.settledAt > modelDuration+time.Second:
-		return fmt.Errorf("settled at %v: %+v", m.settledAt, r)
+		return fmt.Errorf("the rollout of a bad version ended as %+v", r)
+	case m.badFrom == never && m.undisturbed && (r.State != Completed || m.finalAt > modelDuration):
+		return fmt.Errorf("the rollout of a good version ended as %+v at %v", r, m.finalAt)
+	case r.State == Running || m.undisturbed && m.finalAt > modelDuration+time.Second:
+		return fmt.Errorf("final at %v: %+v", m.finalAt, r)
 	}
 	return nil
 }
 
-// control is one look of a controller at what it knows.
-func (m *model) control(c *modelController, rank int, now time.Duration) {
-	if now >= c.frozenFrom && now < c.frozenFrom+c.frozen {
+// stepController runs one step of a controller: it submits a pending proposal, or receives the document and proposes a due transition.
+func (m *model) stepController(c *modelController, rank int, now time.Duration) {
+	if now >= c.frozenFrom && now < c.frozenFrom+c.frozenFor {
 		return
 	}
 	if c.pending != nil && now >= c.pendingAt {
@@ -169,12 +172,12 @@
 		return
 	}
 	if c.version != m.version && m.random.IntN(3) > 0 {
-		c.text, c.version, c.knownAt = m.text, m.version, now
+		c.text, c.version, c.receivedAt = m.text, m.version, now
 		d, _ := Parse(c.text)
 		c.document = *d
 	}
-	if m.mistake == timeForgotten && m.random.IntN(20) == 0 {
-		c.knownAt = now
+	if m.defect == elapsedTimeLost && m.random.IntN(20) == 0 {
+		c.receivedAt = now
 	}
 	r := c.document.Find("s")
 	if r == nil || r.State != Running || c.pending != nil {
@@ -185,13 +188,14 @@
 	if !due || rank > 0 && m.random.IntN(8) > 0 {
 		return
 	}
-	from, version, age := *r, c.version, now-c.knownAt
+	from, version, age := *r, c.version, now-c.receivedAt
 	c.pendingAt = now + time.Duration(m.random.IntN(3))*modelStep
 	c.pending = func(time.Duration) { m.propose(from, version, age, t) }
 }
 
+// propose applies a transition to the decided document unless its version has changed since the transition was derived.
 func (m *model) propose(from Rollout, version uint64, age time.Duration, t Transition) {
-	if m.mistake == fenceIgnored {
+	if m.defect == fencingIgnored {
 		d, _ := Parse(m.text)
 		r := d.Find("s")
 		r.State, r.Step, r.StepShare, r.Reason = t.State, t.Step, t.Share, t.Reason
@@ -208,8 +212,9 @@
 	}
 }
 
+// progress returns the progress of a rollout as known to a controller.
 func (m *model) progress(c *modelController, r *Rollout, now time.Duration) Progress {
-	age := now - c.knownAt
+	age := now - c.receivedAt
 	p := Progress{
 		Elapsed:       time.Duration(r.ElapsedMS)*time.Millisecond + age,
 		StepElapsed:   time.Duration(r.StepElapsedMS)*time.Millisecond + age,
@@ -219,7 +224,7 @@
 		p.TargetServers = 8
 	}
 	for _, g := range m.gateways {
-		if now-g.reportedAt > forgetTime {
+		if now-g.reportedAt > gatewayTimeout {
 			continue
 		}
 		p.Gateways++
@@ -229,35 +234,35 @@
 				p.OpenOld++
 			}
 		}
-		if m.mistake != evidenceLost {
-			c.analysis.Report(g.incarnation, "route", g.reportedCount)
+		if m.defect != reportsIgnored {
+			c.analysis.Report(g.incarnation, "route", g.reportedCounts)
 		}
 	}
 	p.OldAnswers, p.NewAnswers = c.analysis.Answers()
 	p.Suspect = c.analysis.Suspect()
-	if m.mistake == evidenceLost {
+	if m.defect == reportsIgnored {
 		p.OldAnswers, p.NewAnswers = 1000, 1000
 	}
-	if m.mistake == barrierIgnored {
+	if m.defect == drainIgnored {
 		p.Applied, p.OpenOld = p.Gateways, 0
 	}
 	return p
 }
 
-// serve is a tenth of a second of a gateway: it polls, serves and reports.
-func (m *model) serve(g *modelGateway, now time.Duration, inPlace Rollout) error {
-	if !g.isCut(now) && m.random.IntN(2) == 0 { // the answer to a poll brings both
-		g.touchedAt = now
+// stepGateway runs one step of a gateway: it polls a controller, serves requests, checks the invariants and reports.
+func (m *model) stepGateway(g *modelGateway, now time.Duration, current Rollout) error {
+	if !g.isDisconnected(now) && m.random.IntN(2) == 0 { // the response to a poll renews the contact and contains the document
+		g.lastContact = now
 		if g.version != m.version {
 			d, _ := Parse(m.text)
 			g.document, g.version = *d, m.version
 		}
 	}
-	inTouch := now-g.touchedAt < touchTime
+	inContact := now-g.lastContact < contactTimeout
 	r := g.document.Find("s")
 	share := 0.0
 	if r != nil {
-		share = r.Share(inTouch || m.mistake == touchIgnored)
+		share = r.Share(inContact || m.defect == contactLossIgnored)
 	}
 	for range int(modelRate * modelStep.Seconds()) {
 		g.split += 0.6180339887498949
@@ -265,43 +270,44 @@
 			g.split--
 		}
 		if g.split < share {
-			if err := m.checkTarget(g, now, inPlace, inTouch); err != nil {
+			if err := m.checkTarget(g, now, current, inContact); err != nil {
 				return err
 			}
-			m.answer(&g.counts.New, now, share)
+			m.countResponse(&g.counts.New, now, share)
 		} else {
-			g.oldOpenUntil = now + openTime
-			m.answer(&g.counts.Old, now, -1)
+			g.oldOpenUntil = now + requestTime
+			m.countResponse(&g.counts.Old, now, -1)
 		}
-		if now < modelDuration && inTouch {
-			m.all++
+		if now < modelDuration && inContact {
+			m.requests++
 			if g.split < share {
-				m.target++
+				m.targetRequests++
 			}
 		}
 	}
-	wasCut := g.cut > 0 && now >= g.cutFrom && now-g.cutFrom-g.cut <= touchTime
-	if inPlace.State == Completed && inTouch && !wasCut && g.oldOpenUntil > now {
-		return fmt.Errorf("at %v: gateway %d has requests open at the old version, completed at %v", now, g.incarnation, m.settledAt)
+	wasDisconnected := g.disconnectedFor > 0 && now >= g.disconnectedFrom && now-g.disconnectedFrom-g.disconnectedFor <= contactTimeout
+	if current.State == Completed && inContact && !wasDisconnected && g.oldOpenUntil > now {
+		return fmt.Errorf("at %v: gateway %d has requests open at the old version although the rollout was completed at %v", now, g.incarnation, m.finalAt)
 	}
-	if !g.isCut(now) && m.random.IntN(2) == 0 && r != nil {
-		g.reported, g.reportedCount, g.reportedOpen, g.reportedAt = *r, g.counts, g.oldOpenUntil > now, now
+	if !g.isDisconnected(now) && m.random.IntN(2) == 0 && r != nil {
+		g.reported, g.reportedCounts, g.reportedOpen, g.reportedAt = *r, g.counts, g.oldOpenUntil > now, now
 	}
 	return nil
 }
 
 // checkTarget checks that a request may be sent to the target version.
-func (m *model) checkTarget(g *modelGateway, now time.Duration, inPlace Rollout, inTouch bool) error {
-	if inPlace.State == Reverted && now > m.settledAt+rollbackTime {
-		return fmt.Errorf("at %v: gateway %d sends to a version that was reverted at %v", now, g.incarnation, m.settledAt)
+func (m *model) checkTarget(g *modelGateway, now time.Duration, current Rollout, inContact bool) error {
+	if current.State == Reverted && now > m.finalAt+rollbackLimit {
+		return fmt.Errorf("at %v: gateway %d sends requests to a version that was reverted at %v", now, g.incarnation, m.finalAt)
 	}
-	if !inTouch && g.document.Find("s").Step < LastStep {
-		return fmt.Errorf("at %v: gateway %d sends to the target version while out of touch", now, g.incarnation)
+	if !inContact && g.document.Find("s").Step < LastStep {
+		return fmt.Errorf("at %v: gateway %d sends requests to the target version without contact to controllers", now, g.incarnation)
 	}
 	return nil
 }
 
-func (m *model) answer(c *Counts, now time.Duration, share float64) {
+// countResponse draws a response and counts it. share is that of the target version, or negative for a response of another version.
+func (m *model) countResponse(c *Counts, now time.Duration, share float64) {
 	c.Answers++
 	bad := 0.01
 	if share >= 0 && now >= m.badFrom && share >= m.badAbove {
@@ -312,24 +318,26 @@
 	}
 }
 
+// The invariants of the package must hold with disconnected gateways and frozen controllers, for good and for bad versions.
 func TestModelKeepsInvariants(t *testing.T) {
 	for seed := range uint64(400) {
-		if err := newModel(seed, noMistake, seed%2 == 0, seed%4 < 2).run(); err != nil {
+		if err := newModel(seed, noDefect, seed%2 == 0, seed%4 < 2).run(); err != nil {
 			t.Fatalf("seed %d: %v", seed, err)
 		}
 	}
 }
 
-func TestModelFindsMistakes(t *testing.T) {
-	for _, planted := range []mistake{fenceIgnored, touchIgnored, barrierIgnored, timeForgotten, evidenceLost} {
-		t.Run(fmt.Sprint(planted), func(t *testing.T) {
+// The checks must detect each injected defect in one of the seeds.
+func TestModelDetectsDefects(t *testing.T) {
+	for _, injected := range []defect{fencingIgnored, contactLossIgnored, drainIgnored, elapsedTimeLost, reportsIgnored} {
+		t.Run(fmt.Sprint(injected), func(t *testing.T) {
 			for seed := range uint64(2000) {
-				if err := newModel(seed, planted, seed%2 == 0, seed%4 < 2).run(); err != nil {
+				if err := newModel(seed, injected, seed%2 == 0, seed%4 < 2).run(); err != nil {
 					t.Logf("seed %d: %v", seed, err)
 					return
 				}
 			}
-			t.Error("the mistake is not found")
+			t.Error("no check detected the defect")
 		})
 	}
 }
--- a/rollout/plan.go
+++ b/rollout/plan.go
@@ -4,20 +4,21 @@
 
 // step is one step of a rollout.
 type step struct {
-	share float64 // of the service's requests that reach the target version
-	hold  float64 // how long it lasts at least, as a part of the rollout's duration
+	share float64 // share of the service's requests that reach the target version
+	hold  float64 // minimum duration of the step, as a fraction of the rollout's duration
 }
 
-// Limits are what the platform allows.
+// Limits are the limits that the platform sets for rollouts.
 type Limits struct {
-	// ExposureShare is the share of the requests of a rollout's duration that a bad version may get; 0 = nominalExposure.
+	// ExposureShare is the share of the requests during a rollout that a bad version may receive; 0 = nominalExposure.
 	ExposureShare float64
 }
 
-// nominalExposure is the exposure for which the steps are made. Where less is allowed their shares are smaller, but for the last one.
+// nominalExposure is the exposure share for which the steps are designed. If the platform allows less, the shares of all steps but the
+// last are reduced in proportion.
 const nominalExposure = 0.1
 
-// share returns the share of a step.
+// share returns the share of requests that reach the target version in a step.
 func (l Limits) share(number int) float64 {
 	if number >= LastStep || l.ExposureShare <= 0 {
 		return steps[number].share
@@ -25,11 +26,11 @@
 	return steps[number].share * min(1, l.ExposureShare/nominalExposure)
 }
 
-// steps bound the exposure of a version that turns out to be bad at any of them: the sum of share times hold up to the last step is
-// 0.065 of the requests of the duration, and what the last step adds until it is found and reverted (about half a second) stays
-// within the platform's 0.1 where the duration is 15 s. A version that is bad under load only shows in the later ones.
+// steps limit the exposure of a version that proves bad in any of them. The sum of share times hold over the steps before the last is
+// 0.065 of the requests during the rollout. What the last step adds until the version is detected and reverted (about half a second)
+// stays within the platform's limit of 0.1 for a duration of 15 s. A version that is bad only under load is detected in the later steps.
 var steps = []step{
-	{share: 0, hold: 0}, // servers of the target version are awaited
+	{share: 0, hold: 0}, // waits for servers of the target version
 	{share: 0.05, hold: 0.25},
 	{share: 0.15, hold: 0.15},
 	{share: 0.35, hold: 0.09},
@@ -37,81 +38,83 @@
 }
 
 const (
-	awaitStep = 0 // the first step
+	waitStep = 0 // the first step, which waits for servers
 	// LastStep is the step in which all requests go to the target version.
 	LastStep = 4
 
-	latestEnd   = 0.85 // part of the duration by which the last step's hold is over, where servers come late
-	minPace     = 0.3  // of the holds: they are not shortened below it
-	minAnswers  = 20   // of the target version that are awaited at each step; fewer where there is less traffic
-	awaitedMost = 0.3  // part of the duration for which more servers are awaited once one is there
+	latestEnd     = 0.85 // fraction of the duration by which the last step's hold ends if servers start late
+	minHoldFactor = 0.3  // lower bound of the factor by which holds are shortened for that
+	minResponses  = 20   // responses of the target version that each step requires; fewer if there is less traffic
+	maxServerWait = 0.3  // fraction of the duration for which a rollout waits for more servers once one is ready
 )
 
-// Share returns the share of a service's requests that a gateway may send to the target version. One that is out of touch with the
-// controllers would not learn that the version is bad; in the last step it stays, as servers of the version before may stop.
-func (r *Rollout) Share(inTouch bool) float64 {
+// Share returns the share of a service's requests that a gateway may send to the target version. A gateway without contact to the
+// controllers sends none, as it would not learn that the version is bad. In the last step it continues to send all requests there,
+// because servers of the previous version may have stopped.
+func (r *Rollout) Share(inContact bool) float64 {
 	switch {
 	case r.State == Completed:
 		return 1
-	case r.State == Reverted || !inTouch && r.Step < LastStep:
+	case r.State == Reverted || !inContact && r.Step < LastStep:
 		return 0
 	}
 	return r.StepShare
 }
 
-// Progress is what a controller knows of a running rollout.
+// Progress is the progress of a running rollout as known to a controller.
 type Progress struct {
-	Elapsed     time.Duration // since its beginning
-	StepElapsed time.Duration // since the step's
+	Elapsed     time.Duration // since the beginning of the rollout
+	StepElapsed time.Duration // since the beginning of the step
 
-	TargetServers int // ready ones
-	StableServers int // those of all other versions
+	TargetServers int // number of ready servers of the target version
+	StableServers int // number of ready servers of all other versions
 
-	Gateways int // in contact with any controller
-	Applied  int // of these, have applied the step
-	OpenOld  int // requests open at servers of other versions, at all gateways
+	Gateways int // number of gateways in contact with any controller
+	Applied  int // number of these gateways that have applied the step
+	OpenOld  int // number of requests open at servers of other versions, over all gateways
 
-	OldAnswers, NewAnswers uint64 // in this rollout, also failures
-	Suspect                string // why the target version is found to be bad, "" = it is not
+	OldAnswers, NewAnswers uint64 // responses of the other versions and of the target version in this rollout, including failures
+	Suspect                string // why the target version is classified as bad, "" = it is not
 }
 
-// drained reports whether no gateway sends or has sent requests to servers of other versions that are still open.
+// drained reports whether all gateways have applied the step and no request is open at servers of other versions.
 func (p *Progress) drained() bool { return p.Gateways > 0 && p.Applied >= p.Gateways && p.OpenOld == 0 }
 
-// evidence reports whether the target version has answered enough requests of those that came.
-func (p *Progress) evidence(share float64) bool {
+// hasEnoughResponses reports whether the target version has responded to enough requests for a decision, given the traffic.
+func (p *Progress) hasEnoughResponses(share float64) bool {
 	expected := share * float64(p.OldAnswers+p.NewAnswers)
-	return float64(p.NewAnswers) >= min(minAnswers, expected/2)
+	return float64(p.NewAnswers) >= min(minResponses, expected/2)
 }
 
-// Transition is what is to become of a running rollout.
+// Transition is a change of a running rollout to another step or state.
 type Transition struct {
 	State  State
 	Step   int
-	Share  float64 // of the step
+	Share  float64 // share of requests that may reach the target version in the step
 	Reason string
 }
 
-// Next returns the transition that is due within the limits; ok is false where there is none.
+// Next returns the transition that is due, with its share reduced to the limits. ok is false if none is due.
 func (r *Rollout) Next(p Progress, limits Limits) (next Transition, ok bool) {
 	next, ok = r.next(p)
 	next.Share = limits.share(next.Step)
 	return next, ok
 }
 
+// next returns the transition that is due, without its share.
 func (r *Rollout) next(p Progress) (next Transition, ok bool) {
 	duration := time.Duration(r.DurationS * float64(time.Second))
 	switch {
-	case r.State != Running || r.Step < awaitStep || r.Step > LastStep: // of a later program, if not over
+	case r.State != Running || r.Step < waitStep || r.Step > LastStep: // not running, or a step that only a later release defines
 		return Transition{}, false
 	case p.Suspect != "":
 		return Transition{State: Reverted, Step: r.Step, Reason: p.Suspect}, true
 	case p.Elapsed >= duration:
 		return Transition{State: Reverted, Step: r.Step, Reason: "not completed within its duration"}, true
-	case r.Step == awaitStep:
-		enough := p.TargetServers > 0 && (2*p.TargetServers >= p.StableServers || float64(p.Elapsed) >= awaitedMost*float64(duration))
+	case r.Step == waitStep:
+		enough := p.TargetServers > 0 && (2*p.TargetServers >= p.StableServers || float64(p.Elapsed) >= maxServerWait*float64(duration))
 		return Transition{State: Running, Step: r.Step + 1}, enough
-	case p.StepElapsed < r.hold(p.Elapsed-p.StepElapsed, duration) || !p.evidence(r.StepShare):
+	case p.StepElapsed < r.minStepDuration(p.Elapsed-p.StepElapsed, duration) || !p.hasEnoughResponses(r.StepShare):
 		return Transition{}, false
 	case r.Step < LastStep:
 		return Transition{State: Running, Step: r.Step + 1}, p.Applied >= p.Gateways
@@ -119,19 +122,19 @@
 	return Transition{State: Completed, Step: LastStep}, p.drained()
 }
 
-// hold returns how long the step lasts at least, where it began so long after the rollout.
-func (r *Rollout) hold(before, duration time.Duration) time.Duration {
-	left := 0.0
+// minStepDuration returns the minimum duration of the current step, which began at offset start of a rollout of the given duration.
+func (r *Rollout) minStepDuration(start, duration time.Duration) time.Duration {
+	remaining := 0.0
 	for _, s := range steps[r.Step:] {
-		left += s.hold
+		remaining += s.hold
 	}
-	available := latestEnd - before.Seconds()/duration.Seconds()
-	pace := min(1, max(minPace, available/left))
-	return time.Duration(pace * steps[r.Step].hold * float64(duration))
+	available := latestEnd - start.Seconds()/duration.Seconds()
+	factor := min(1, max(minHoldFactor, available/remaining))
+	return time.Duration(factor * steps[r.Step].hold * float64(duration))
 }
 
-// Apply returns the text of the document that follows one of an age, with a transition made; nil where the document's rollout is not
-// the one that the transition was decided from.
+// Apply applies a transition: it returns the text of the document that replaces the given one, or nil if that can't be parsed or if its
+// rollout is no longer in the state from, from which the transition was derived. age is the time since the given document was proposed.
 func Apply(text []byte, age time.Duration, from Rollout, t Transition) []byte {
 	d, err := Parse(text)
 	if err != nil {
