--- a/config/configuration_bench_test.go
+++ b/config/configuration_bench_test.go
@@ -6,6 +6,7 @@
 	"testing"
 )
 
+// benchConfiguration returns a valid configuration with a number of routes and a quarter as many services.
 func benchConfiguration(routes int) *Configuration {
 	c := &Configuration{Version: 1, Limits: Limits{HeaderBytes: 16384, BodyBytes: 1 << 18, HeaderTimeoutMS: 3000, IdleTimeoutMS: 15000}}
 	for i := range routes/4 + 1 {
@@ -27,7 +28,7 @@
 	return c
 }
 
-// BenchmarkConfiguration measures what a process spends on a configuration that it receives, by the number of routes, for
+// BenchmarkConfiguration measures the time and memory to parse, validate and use a configuration by its number of routes, for
 // docs/CAPACITY.md:
 //
 //	go test -run xxx -bench Configuration -benchmem ./config
--- a/config/configuration_test.go
+++ b/config/configuration_test.go
@@ -11,11 +11,11 @@
 func TestParseRejectsIncompleteJSON(t *testing.T) {
 	for _, text := range []string{"", "{", `{"version":1`, `{"version":1}{}`, `[]x`} {
 		if _, err := Parse([]byte(text)); !errors.Is(err, ErrIncompleteJSON) {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("%q: got %v, want ErrIncompleteJSON", text, err)
 		}
 	}
 	if _, err := Parse([]byte(`{"version":"x"}`)); err == nil || errors.Is(err, ErrIncompleteJSON) {
-		t.Errorf("a field of another type: %v", err)
+		t.Errorf("a field of another type: got %v, want another error than ErrIncompleteJSON", err)
 	}
 }
 
@@ -57,6 +57,7 @@
 	checkProblems(t, c.Validate(), want)
 }
 
+// checkProblems compares validation problems, which must also have the same order.
 func checkProblems(t *testing.T, got, want []string) {
 	t.Helper()
 	if !slices.Equal(got, want) {
@@ -102,7 +103,7 @@
 	checkProblems(t, d.Validate(), want)
 }
 
-// A tenant counts once for a service, however many of its routes lead there.
+// The reserved connections of a tenant with several routes to a service must be counted once.
 func TestTenantConflicts(t *testing.T) {
 	c := &Configuration{
 		Services: []Service{{Name: "s", ConnectionLimit: 5}, {Name: "unlimited"}},
@@ -110,7 +111,7 @@
 			{Hostname: "h", PathPrefix: "/a/", Service: "s"},
 			{Hostname: "h", PathPrefix: "/a/x/", Service: "s", GatheredServices: []string{"unlimited"}},
 			{Hostname: "h", PathPrefix: "/b/", Service: "s"},
-			{Hostname: "h", PathPrefix: "/c/", Service: "s"}, // of no tenant
+			{Hostname: "h", PathPrefix: "/c/", Service: "s"}, // belongs to no tenant
 		},
 	}
 	tenants := func(reserved int) *TenantDocument {
@@ -123,13 +124,13 @@
 	checkProblems(t, tenants(3).Conflicts(c), []string{"service s: floors of 6 connections in sum, and each server takes 5"})
 }
 
-// The JSON forms are stored and exchanged with programs of other releases. The texts were written by the program of commit
-// 2ada19f.
+// The JSON forms are stored and exchanged with programs of other releases, so they must not change. The texts were written by the
+// program as of commit 2ada19f.
 func TestCompatJSON(t *testing.T) {
 	borrowed := 3
 	for name, c := range map[string]struct {
 		value any
-		empty any // to parse into
+		empty any // value into which the text is parsed
 		text  string
 	}{
 		"configuration": {
@@ -185,10 +186,10 @@
 		t.Run(name, func(t *testing.T) {
 			text, err := json.Marshal(c.value)
 			if err != nil || string(text) != c.text {
-				t.Errorf("written\n%s\nwant\n%s (%v)", text, c.text, err)
+				t.Errorf("encoded as\n%s\nwant\n%s (%v)", text, c.text, err)
 			}
 			if err := json.Unmarshal([]byte(c.text), c.empty); err != nil || !reflect.DeepEqual(c.empty, c.value) {
-				t.Errorf("read\n%+v\nwant\n%+v (%v)", c.empty, c.value, err)
+				t.Errorf("decoded as\n%+v\nwant\n%+v (%v)", c.empty, c.value, err)
 			}
 		})
 	}
--- a/config/configuration_validate.go
+++ b/config/configuration_validate.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// Validate returns all that is wrong with a configuration, a sentence each; none = it is valid.
+// Validate returns all problems of a configuration, one sentence for each. A configuration without problems is valid.
 func (c *Configuration) Validate() []string {
 	var found problems
 	if c.Version == 0 {
@@ -21,7 +21,7 @@
 		}
 		services[s.Name] = true
 	}
-	routes := map[string]string{} // names by host and prefix
+	routes := map[string]string{} // names of routes by host and prefix
 	for i := range c.Routes {
 		r := &c.Routes[i]
 		name := cmp.Or(r.Name, fmt.Sprintf("number %d", i+1))
@@ -38,12 +38,12 @@
 	return found
 }
 
-// validate adds what is wrong with a route by itself, given the services that exist.
+// validate adds the problems of a single route. services is the set of services that exist.
 func (r *Route) validate(name string, services map[string]bool, found *problems) {
 	if r.RouteKind != Retryable && r.RouteKind != NonRetryable {
 		found.addf("route %s: kind %q is neither %s nor %s", name, r.RouteKind, Retryable, NonRetryable)
 	}
-	if !(r.TimeoutMS > 0) { // nor NaN
+	if !(r.TimeoutMS > 0) { // also true for NaN
 		found.addf("route %s: the timeout is not above 0", name)
 	}
 	if r.Service == "" && len(r.WeightedServices) == 0 && len(r.GatheredServices) == 0 {
--- a/config/parse.go
+++ b/config/parse.go
@@ -7,11 +7,11 @@
 	"github.com/rotisserie/eris"
 )
 
-// ErrIncompleteJSON says that a text is not one complete JSON value.
+// ErrIncompleteJSON is returned for a text that is not exactly one complete JSON value.
 var ErrIncompleteJSON = errors.New("not one complete JSON value")
 
-// Parse parses a configuration. It does not check what it says: see Configuration.Validate. It returns ErrIncompleteJSON,
-// wrapped, for a text that was cut off.
+// Parse parses a configuration without validating it; see Configuration.Validate. For a truncated text it returns an error that
+// wraps ErrIncompleteJSON.
 func Parse(text []byte) (*Configuration, error) {
 	c := &Configuration{}
 	if err := parse(text, c, "configuration"); err != nil {
@@ -20,7 +20,7 @@
 	return c, nil
 }
 
-// ParseTenants parses a document of tenants as Parse does a configuration.
+// ParseTenants parses a document of tenants without validating it. Its errors are those of Parse.
 func ParseTenants(text []byte) (*TenantDocument, error) {
 	d := &TenantDocument{}
 	if err := parse(text, d, "tenants"); err != nil {
@@ -29,7 +29,7 @@
 	return d, nil
 }
 
-// ParsePins parses a document of pins as Parse does a configuration.
+// ParsePins parses a document of pins without validating it. Its errors are those of Parse.
 func ParsePins(text []byte) (*PinDocument, error) {
 	d := &PinDocument{}
 	if err := parse(text, d, "pins"); err != nil {
@@ -38,7 +38,8 @@
 	return d, nil
 }
 
-// parse parses a text into a value. The generated parsers ignore what follows the value, so the whole text is checked first.
+// parse parses a text into a value; what names the kind of document in errors. The generated parsers ignore any text after the
+// value, so the syntax of the whole text is checked first.
 func parse(text []byte, into json.Unmarshaler, what string) error {
 	if !json.Valid(text) {
 		return eris.Wrapf(ErrIncompleteJSON, "parse %s", what)
--- a/config/pin_document_validate.go
+++ b/config/pin_document_validate.go
@@ -1,12 +1,12 @@
 package config
 
-// Bounds of a document of pins.
+// Limits of a document of pins.
 const (
 	maxPins       = 200
 	maxPinSeconds = 86400 // a day
 )
 
-// Validate returns all that is wrong with a document of pins, a sentence each; none = it is valid.
+// Validate returns all problems of a document of pins, one sentence for each. A document without problems is valid.
 func (d *PinDocument) Validate() []string {
 	var found problems
 	if len(d.Pins) > maxPins {
--- a/config/problems.go
+++ b/config/problems.go
@@ -5,9 +5,10 @@
 	"strings"
 )
 
-// problems collects what is wrong with a document, a sentence each, in the order in which it is found.
+// problems collects the problems of a document, one sentence for each, in the order in which they are found.
 type problems []string
 
+// addf adds a formatted problem.
 func (p *problems) addf(format string, args ...any) {
 	*p = append(*p, fmt.Sprintf(format, args...))
 }
@@ -17,5 +18,5 @@
 	return strings.HasPrefix(prefix, "/") && strings.HasSuffix(prefix, "/")
 }
 
-// hostKey returns a hostname in the form in which it is compared.
+// hostKey returns the normalized form of a hostname, in which hostnames are compared.
 func hostKey(hostname string) string { return strings.ToLower(hostname) }
--- a/config/route_table.go
+++ b/config/route_table.go
@@ -2,13 +2,14 @@
 
 import "strings"
 
-// RouteTable finds the routes of requests. It is immutable, and safe for concurrent use.
+// RouteTable looks up the routes of requests. It is immutable and safe for concurrent use.
 type RouteTable struct {
 	Limits Limits
 	routes prefixTable[*Route]
 }
 
-// NewRouteTable returns the table of a valid configuration, which must not change afterwards.
+// NewRouteTable returns the route table of a valid configuration. The table refers to the configuration's routes, so the
+// configuration must not be changed afterwards.
 func NewRouteTable(c *Configuration) *RouteTable {
 	t := &RouteTable{Limits: c.Limits, routes: prefixTable[*Route]{}}
 	for i := range c.Routes {
@@ -18,10 +19,10 @@
 	return t
 }
 
-// Find returns the route of a host, with or without a port, that has the longest prefix of a path; nil if there is none. The
-// path is without a query.
+// Find returns the route of a host with the longest prefix that matches a path, or nil if no route matches. The host may include
+// a port. The path must not include a query.
 func (t *RouteTable) Find(host, path string) *Route {
-	byPrefix := t.routes[host] // most hosts come as they are listed
+	byPrefix := t.routes[host] // most requests have the host in its normalized form
 	if byPrefix == nil {
 		byPrefix = t.routes[hostKey(withoutPort(host))]
 	}
@@ -29,7 +30,7 @@
 	return route
 }
 
-// withoutPort cuts the port off a host. A colon within brackets belongs to an IPv6 address.
+// withoutPort removes the port from a host. A colon within brackets is part of an IPv6 address.
 func withoutPort(host string) string {
 	i := strings.LastIndexByte(host, ':')
 	if i < 0 || strings.HasSuffix(host, "]") {
--- a/config/tenant_document_validate.go
+++ b/config/tenant_document_validate.go
@@ -6,10 +6,10 @@
 	"strings"
 )
 
-// MaxTenants is the highest number of tenants in a document.
+// MaxTenants is the maximum number of tenants in a document.
 const MaxTenants = 1000
 
-// Validate returns all that is wrong with a document of tenants, a sentence each; none = it is valid.
+// Validate returns all problems of a document of tenants, one sentence for each. A document without problems is valid.
 func (d *TenantDocument) Validate() []string {
 	var found problems
 	if len(d.Tenants) > MaxTenants {
@@ -36,7 +36,7 @@
 				found.addf("tenant %s: prefix %q does not begin and end with a slash", name, r.PathPrefix)
 			}
 			key := hostKey(r.Hostname) + r.PathPrefix
-			if other, taken := routes[key]; taken {
+			if other, duplicate := routes[key]; duplicate {
 				found.addf("tenants %s and %s both have %s", other, name, key)
 			}
 			routes[key] = name
@@ -45,7 +45,7 @@
 	return found
 }
 
-// validateConnections adds what is wrong with a tenant's numbers.
+// validateConnections adds the problems of a tenant's weight and numbers of connections, and of a tenant without routes.
 func (t *Tenant) validateConnections(name string, found *problems) {
 	if len(t.Routes) == 0 {
 		found.addf("tenant %s has no routes", name)
@@ -61,8 +61,8 @@
 	}
 }
 
-// Conflicts returns what a document of tenants asks of a configuration that it can't give, a sentence each: the tenants with
-// routes to a service must not have more connections reserved than each of its servers accepts.
+// Conflicts returns the conflicts of a document of tenants with a configuration, one sentence for each. A service is in conflict
+// if the tenants with routes to it have more connections reserved in total than each of its servers accepts.
 func (d *TenantDocument) Conflicts(c *Configuration) []string {
 	reserved := d.reservedByService(c)
 	var found problems
@@ -74,7 +74,8 @@
 	return found
 }
 
-// reservedByService returns the connections that tenants have reserved at each server of a service, in sum.
+// reservedByService returns the total number of connections that tenants have reserved at each server, by service. A tenant with
+// several routes to a service is counted once.
 func (d *TenantDocument) reservedByService(c *Configuration) map[string]int {
 	type use struct {
 		service string
--- a/config/tenant_table.go
+++ b/config/tenant_table.go
@@ -1,11 +1,11 @@
 package config
 
-// TenantTable finds the tenants of routes. It is immutable, and safe for concurrent use.
+// TenantTable looks up the tenants of routes. It is immutable and safe for concurrent use.
 type TenantTable struct {
-	tenants prefixTable[int] // indexes in the document
+	tenants prefixTable[int] // indexes of tenants in the document
 }
 
-// NewTenantTable returns the table of a valid document.
+// NewTenantTable returns the tenant table of a valid document.
 func (d *TenantDocument) NewTenantTable() *TenantTable {
 	t := &TenantTable{tenants: prefixTable[int]{}}
 	for i := range d.Tenants {
@@ -16,7 +16,8 @@
 	return t
 }
 
-// Lookup returns the tenant of a route, by its index in the document. A route that no tenant covers is a tenant of its own.
+// Lookup returns the index in the document of the tenant to which a route belongs. found is false for a route that no tenant
+// covers; such a route is treated as a tenant of its own.
 func (t *TenantTable) Lookup(r *Route) (tenant int, found bool) {
 	return longestPrefix(t.tenants[hostKey(r.Hostname)], r.PathPrefix)
 }
