--- a/internal/frame/answer.go
+++ b/internal/frame/answer.go
@@ -7,31 +7,32 @@
 	"unicode/utf8"
 )
 
-// Status is how a call ended at a server.
+// Status is the outcome of a call at a server.
 type Status uint8
 
 // Statuses of a call.
 const (
-	Served   Status = iota // it ran
-	Failed                 // it may have run
-	Rejected               // it never ran
+	Served   Status = iota // the call was executed
+	Failed                 // the call may have been executed
+	Rejected               // the call was not executed
 )
 
-// Names of the statuses in frames. An answer to a health check is StatusServed or StatusFailed alone.
+// Names of the statuses in frames. The response to a health check without a load report consists of StatusServed or StatusFailed only.
 const (
 	StatusServed   = "served"
 	StatusFailed   = "broke"
 	StatusRejected = "skipped"
 )
 
-// AnswerBody is the content of an AnswerFrame. Its slices alias the frame.
+// AnswerBody is the parsed content of an AnswerFrame. Its slices alias the frame.
 type AnswerBody struct {
 	ID, Report, Value []byte
 	Status            Status
 }
 
-// ParseAnswer parses the content of an AnswerFrame: a line of id, status, score and load report, then the value. Its
-// errors are *FormatError. With an error the ID is set if the line has one, as that call has run.
+// ParseAnswer parses the content of an AnswerFrame: a line with the id, status, score and load report, followed by the value.
+// Errors are of type *FormatError. The ID is set even if an error is returned, provided that the line has one, because the call
+// with that id was executed.
 func ParseAnswer(content []byte) (a AnswerBody, err error) {
 	line, value, ok := bytes.Cut(content, []byte{'\n'})
 	fields := bytes.SplitN(line, []byte{' '}, 4)
@@ -60,13 +61,13 @@
 	return a, nil
 }
 
-// ReportValue returns a figure of a load report such as "inflight=7,util=0.61". It reports false if there is none of that
-// name, or if it is not a finite number.
+// ReportValue returns the value with the given name in a load report such as "inflight=7,util=0.61". The second result is false
+// if the report has no such value or if it is not a finite number.
 func ReportValue(report []byte, name string) (float64, bool) {
 	for pair := range bytes.SplitSeq(report, []byte{','}) {
 		if key, value, ok := bytes.Cut(pair, []byte{'='}); ok && string(key) == name {
 			v, err := strconv.ParseFloat(string(value), 64)
-			return v, err == nil && v-v == 0 // infinities and NaN give NaN
+			return v, err == nil && v-v == 0 // v-v is NaN for infinities and NaN
 		}
 	}
 	return 0, false
--- a/internal/frame/frame_test.go
+++ b/internal/frame/frame_test.go
@@ -7,6 +7,7 @@
 	"testing"
 )
 
+// FuzzRead checks that any input is either read or rejected with one of the documented errors, without large allocations.
 func FuzzRead(f *testing.F) {
 	f.Add(New(AnswerFrame, "9b1f03aa5c7e2d41.3 served 1840277719 inflight=7,util=0.61\n5be2a07c"))
 	f.Add(New(LoadCheckFrame, "inflight=7"))
@@ -15,9 +16,9 @@
 	f.Fuzz(func(t *testing.T, in []byte) {
 		r := bytes.NewReader(in)
 		for {
-			letter, content, grown, err := Read(r, nil)
+			frameType, content, grown, err := Read(r, nil)
 			if cap(grown) > 2*len(in)+2*readChunk {
-				t.Fatalf("%d bytes allocated for %d", cap(grown), len(in))
+				t.Fatalf("%d bytes allocated for an input of %d bytes", cap(grown), len(in))
 			}
 			if err != nil {
 				if !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) && !IsFormatError(err) {
@@ -25,7 +26,7 @@
 				}
 				return
 			}
-			if a, err := ParseAnswer(content); letter == AnswerFrame && err == nil {
+			if a, err := ParseAnswer(content); frameType == AnswerFrame && err == nil {
 				if !bytes.HasSuffix(content, a.Value) || len(a.ID) == 0 {
 					t.Fatalf("%q parsed as %+v", content, a)
 				}
@@ -41,21 +42,21 @@
 		t.Errorf("got %+v, %v", a, err)
 	}
 	if string(a.Report) != "inflight=7,util=0.61" {
-		t.Errorf("report %q", a.Report)
+		t.Errorf("got load report %q", a.Report)
 	}
 }
 
 func TestParseAnswerErrors(t *testing.T) {
 	for name, content := range map[string]string{
-		"empty":             "",
-		"no newline":        "a b c d",
-		"three fields":      "a served c\n",
-		"no value":          "a served c d",
-		"no id":             " served c d\n",
-		"score no number":   "a served c d\n",
-		"unknown status":    "a lost 1 -\n",
-		"value not UTF-8":   "a served 1 -\n\xff",
-		"several are wrong": "a lost c d\n\xff",
+		"empty":              "",
+		"no newline":         "a b c d",
+		"three fields":       "a served c\n",
+		"no value":           "a served c d",
+		"no id":              " served c d\n",
+		"score not a number": "a served c d\n",
+		"unknown status":     "a lost 1 -\n",
+		"value not UTF-8":    "a served 1 -\n\xff",
+		"several errors":     "a lost c d\n\xff",
 	} {
 		t.Run(name, func(t *testing.T) {
 			if a, err := ParseAnswer([]byte(content)); !IsFormatError(err) {
@@ -72,7 +73,7 @@
 	for _, report := range []string{"-", "inflight", "inflight=x", "inflight=NaN", "inflight=+Inf"} {
 		t.Run(report, func(t *testing.T) {
 			if v, ok := ReportValue([]byte(report), "inflight"); ok {
-				t.Errorf("got %v, want none", v)
+				t.Errorf("got %v, want no value", v)
 			}
 		})
 	}
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,4 +1,4 @@
-// Package metrics writes a process's metrics in the Prometheus text exposition format, version 0.0.4.
+// Package metrics encodes and serves the metrics of a process in the Prometheus text exposition format, version 0.0.4.
 package metrics
 
 import (
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// ContentType is that of the text.
+// ContentType is the content type of the exposition format.
 const ContentType = "text/plain; version=0.0.4; charset=utf-8"
 
-// Path is where the metrics are served.
+// Path is the URL path under which the metrics are served.
 const Path = "/metrics"
 
-// Timeouts of the endpoint.
+// Timeouts of the HTTP server.
 const (
 	headerTimeout = 3 * time.Second
 	idleTimeout   = 15 * time.Second
@@ -24,11 +24,11 @@
 
 // Types of metrics.
 const (
-	Counter Type = "counter" // rises, and begins anew with the process
+	Counter Type = "counter" // only increases, and restarts at 0 with the process
 	Gauge   Type = "gauge"
 )
 
-// Sample is one value of a metric. A metric with a label has a sample for each of the label's values.
+// Sample is one value of a metric. A metric with a label has one sample for each value of the label.
 type Sample struct {
 	LabelValue string // "" = the metric has no label
 	Value      float64
@@ -36,14 +36,14 @@
 
 // Metric is a metric with its samples.
 type Metric struct {
-	Name    string // with the unit and, of a counter, "_total" at its end
-	Help    string // one line
+	Name    string // includes the unit; that of a counter ends in "_total"
+	Help    string // a single line
 	Type    Type
-	Label   string // name of its label, "" = none
+	Label   string // name of the label, "" = none
 	Samples []Sample
 }
 
-// Append appends the text of metrics to b.
+// Append appends metrics to b in the exposition format.
 func Append(b []byte, metrics ...Metric) []byte {
 	for _, m := range metrics {
 		b = append(b, "# HELP "+m.Name+" "+m.Help+"\n# TYPE "+m.Name+" "+string(m.Type)+"\n"...)
@@ -60,10 +60,11 @@
 	return b
 }
 
-// Single returns the samples of a metric without a label.
+// Single returns the single sample of a metric without a label.
 func Single(value float64) []Sample { return []Sample{{Value: value}} }
 
-// NewServer returns an HTTP server that serves what collect returns. It is called for each request, on a goroutine of its own.
+// NewServer returns an HTTP server that serves the metrics returned by collect. collect is called for each request on the goroutine of
+// that request, so it must be safe for concurrent use.
 func NewServer(collect func() []Metric) *http.Server {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+Path, func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-func TestServer(t *testing.T) {
+// The server must respond in the exposition format, with label values quoted.
+func TestServerWritesExpositionFormat(t *testing.T) {
 	server := httptest.NewServer(NewServer(func() []Metric {
 		return []Metric{
 			{Name: "a_total", Help: "All a.", Type: Counter, Label: "kind", Samples: []Sample{{"x", 3}, {`q"\`, 1e9}}},
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// Unknown fields of any type and in any table are ignored.
+// Unknown fields of any type and in any table must be ignored.
 func TestUnknownSettingsAreIgnored(t *testing.T) {
 	text := `node_name = "n"
 role = "r"
@@ -56,10 +56,11 @@
 	b := s.Bounds
 	if b.ContactMS != 4000 || b.RecoveryS != 12.5 || b.RetryBudgetRatio != 0.2 || !b.HasRetryBudget || s.ToleratedLosses.Machines != 2 ||
 		s.Limits.FileDescriptors != 4096 || s.FirstStart || !s.LossCounted || len(s.SeedControllers()) != 3 {
-		t.Errorf("known fields are read as %+v", s)
+		t.Errorf("known fields were read as %+v", s)
 	}
 }
 
+// writeFile writes a settings file and returns its path.
 func writeFile(t *testing.T, text string) (path string) {
 	t.Helper()
 	path = filepath.Join(t.TempDir(), "boot.toml")
@@ -90,7 +91,8 @@
 	})
 }
 
-func TestCheckFindsProblems(t *testing.T) {
+// Check must report exactly one problem for each invalid field.
+func TestCheckReportsProblems(t *testing.T) {
 	valid := func() *Settings {
 		return &Settings{
 			IPAddress:           "10.1.0.1",
@@ -105,8 +107,8 @@
 		t.Fatalf("problems in valid settings: %v", problems)
 	}
 	for _, c := range []struct {
-		field  string
-		damage func(s *Settings)
+		field      string
+		invalidate func(s *Settings)
 	}{
 		{"ip_address", func(s *Settings) { s.IPAddress = "host" }},
 		{"internal_ports", func(s *Settings) { s.InternalPorts = []int{7120, 7120} }},
@@ -123,9 +125,9 @@
 	} {
 		t.Run(c.field, func(t *testing.T) {
 			s := valid()
-			c.damage(s)
+			c.invalidate(s)
 			if problems := s.Check(true, true); len(problems) != 1 || !strings.HasPrefix(problems[0], c.field) {
-				t.Errorf("got %q, want one problem of %s", problems, c.field)
+				t.Errorf("got %q, want one problem that begins with %s", problems, c.field)
 			}
 		})
 	}
--- a/rollout/analysis_test.go
+++ b/rollout/analysis_test.go
@@ -53,7 +53,7 @@
 
 // Bad versions must be detected before their 50th bad response, also those that turn bad late. Good versions must not be classified as
 // bad, also during a fault that affects both versions.
-func TestAnalysis(t *testing.T) {
+func TestAnalysisDetectsBadVersions(t *testing.T) {
 	lateFault := func(at time.Duration) float64 {
 		if at < 3*time.Second {
 			return 0
--- a/rollout/model_test.go
+++ b/rollout/model_test.go
@@ -328,7 +328,7 @@
 }
 
 // The checks must detect each injected defect in one of the seeds.
-func TestModelDetectsDefects(t *testing.T) {
+func TestRolloutModelDetectsDefects(t *testing.T) {
 	for _, injected := range []defect{fencingIgnored, contactLossIgnored, drainIgnored, elapsedTimeLost, reportsIgnored} {
 		t.Run(fmt.Sprint(injected), func(t *testing.T) {
 			for seed := range uint64(2000) {
