--- a/connadmission/controller.go
+++ b/connadmission/controller.go
@@ -1,12 +1,12 @@
-// Package connadmission decides which client connections a gatherer keeps: which one is closed for a new one at the limit, which
-// parked connection may be served, and which client is too slow. A Controller records what it needs to know of each connection.
-// It does no I/O, reads no clock, starts no goroutine, and must not be used concurrently.
+// Package connadmission decides which client connections a gatherer keeps open: which connection is evicted when a new one arrives
+// at the limit, which parked connection may be served, and which client is too slow. A Controller tracks the state of each
+// connection. It does no I/O, reads no clock and starts no goroutine. It is not safe for concurrent use.
 //
-// It acts before the admission of requests and does not replace it: it closes connections without an open request, and rejects
-// a request on a parked connection or lets it pass at once. It queues nothing.
+// Connection admission comes before the admission of requests and does not replace it. Only connections without an open request
+// are evicted, and a request on a parked connection is either rejected or passed on immediately; nothing is queued.
 //
-// All decisions take O(1), or O(number of customers): connections are in lists by state, each in the order in which they
-// entered it, so that the one that has been there longest is always first.
+// Each decision takes O(1) or O(number of customers) time: connections are kept in one list per state, in the order in which
+// they entered that state, so that the first of a list has been in its state longest.
 package connadmission
 
 import "unsafe"
@@ -14,13 +14,13 @@
 // Millis is a time or a duration in milliseconds.
 type Millis int64
 
-// ID identifies a connection from Open until Close.
+// ID identifies a connection from Open until Close, after which it may be reused.
 type ID uint32
 
-// NoConn is no connection.
+// NoConn is the ID that stands for no connection.
 const NoConn = ^ID(0)
 
-// CustomerIndex is an index in Options.CustomerShares.
+// CustomerIndex is an index into Options.CustomerShares.
 type CustomerIndex int32
 
 // UnknownCustomer is the index of a connection whose customer is not known.
@@ -30,33 +30,34 @@
 type connState uint8
 
 const (
-	stateFree               connState = iota
-	stateNew                          // it has not sent a complete request header yet
-	stateIdleWithoutRequest           // idle, and has never sent a search: health checks, pollers
-	stateIdle                         // idle between searches
-	stateActive                       // it has an open request
-	stateSlowHeader                   // part of a request header has been received, and the rest is late
+	stateFree              connState = iota
+	stateNew                         // has not sent a complete request header yet
+	stateIdleWithoutSearch           // idle and has never sent a search: health checks, pollers
+	stateIdle                        // idle between searches
+	stateActive                      // has an open request
+	stateSlowHeader                  // part of a request header has been received, the rest is late
 )
 
-// Controller records all client connections of one gatherer.
+// Controller tracks all client connections of one gatherer.
 type Controller struct {
 	options         Options
-	conns           []connEntry // by ID; those closed are reused
-	free            int32
-	lists           []connList // listNew and so on, then idle connections by customer, the unknown customer last
-	connsOfCustomer []int32
-	count           int
-	parked          int     // of the connections
-	parkedNew       int     // of the parked connections, those in stateNew
-	shareSum        float64 // sum of Options.CustomerShares
-	unknownIndex    int
+	conns           []connEntry // by ID; entries of closed connections are reused
+	free            int32       // first entry of the free list, linked by connEntry.next; -1 = none
+	lists           []connList  // listNew to listSlowHeader, then idle connections by customer, the unknown customer last
+	connsOfCustomer []int32     // by customer, the unknown customer last
+	count           int         // open connections
+	parked          int         // parked connections
+	parkedNew       int         // parked connections in stateNew
+	shareSum        float64     // sum of Options.CustomerShares
+	unknownIndex    int         // index of the unknown customer in connsOfCustomer
 }
 
+// Indexes into Controller.lists.
 const (
 	listNew = iota
-	listIdleWithoutRequest
+	listIdleWithoutSearch
 	listSlowHeader
-	listFirstIdle
+	listFirstIdle // idle between searches, of the first customer; the lists of the other customers follow
 )
 
 // New returns a controller without connections.
@@ -72,17 +73,17 @@
 	return c
 }
 
-// Limit returns the greatest number of connections.
+// Limit returns the maximum number of connections.
 func (c *Controller) Limit() int { return c.options.MaxConns }
 
 // Len returns the number of connections.
 func (c *Controller) Len() int { return c.count }
 
-// Full reports whether the limit is reached. The caller then closes the Victim for a new connection; if there is none because
-// all have an open request, it sheds the new connection's request.
+// Full reports whether the connection limit is reached. To accept a new connection the caller then closes the one that Victim
+// returns; if there is none because all have an open request, it sheds the new connection's request.
 func (c *Controller) Full() bool { return c.count >= c.options.MaxConns }
 
-// Open records a new connection.
+// Open records a new connection and returns its ID.
 func (c *Controller) Open(now Millis) ID {
 	i := c.free
 	if i >= 0 {
@@ -97,7 +98,8 @@
 	return ID(i)
 }
 
-// BeginRequest records that a complete request header has been received: the connection is not closed while the request is open.
+// BeginRequest records that a complete request header has been received. Victim does not return the connection while the request
+// is open.
 func (c *Controller) BeginRequest(id ID) {
 	if conn := c.entry(id); conn != nil {
 		c.unpark(conn)
@@ -106,8 +108,8 @@
 	}
 }
 
-// MarkSlowHeader records that part of a request header has been received and the rest is late. The connection is the first to
-// be closed for others until the header is complete.
+// MarkSlowHeader records that part of a request header has been received and the rest is late. Until the header is complete, the
+// connection is evicted before all others.
 func (c *Controller) MarkSlowHeader(id ID, now Millis) {
 	conn := c.entry(id)
 	if conn == nil || conn.state == stateSlowHeader {
@@ -118,7 +120,7 @@
 	c.moveTo(int32(id), stateSlowHeader, listSlowHeader, now)
 }
 
-// Park records that a connection waits without a goroutine, until Wake or BeginRequest.
+// Park records that a connection waits without a goroutine until Wake or BeginRequest.
 func (c *Controller) Park(id ID) {
 	if conn := c.entry(id); conn != nil && !conn.parked {
 		conn.parked = true
@@ -128,29 +130,29 @@
 	}
 }
 
-// Decision is what is done with a new connection.
+// Decision is the outcome of the admission of a new connection.
 type Decision uint8
 
-// Decisions about a new connection.
+// The decisions about a new connection.
 const (
-	DecisionServe  Decision = iota
-	DecisionPark            // until its first byte, without a goroutine; if it cannot be parked, DecideUnparkable decides
-	DecisionReject          // its request is shed
+	DecisionServe  Decision = iota // serve it in a goroutine
+	DecisionPark                   // park it without a goroutine until its first byte; if that fails, DecideUnparkable decides
+	DecisionReject                 // shed its request
 )
 
-// Decide decides about a new connection. granted means that memory has been reserved for its goroutine, tight that memory is
-// short. The connection is parked until its first byte if memory is not granted or tight, or if connections that have a goroutine
-// and have sent nothing are more than an eighth of MaxIdleGoroutines: thousands of silent connections then cost no more than
-// parked ones.
+// Decide decides about a new connection. granted reports whether memory was reserved for its goroutine, tight whether memory is
+// scarce. The connection is parked until its first byte if no memory was granted, if memory is tight, or if the number of
+// unparked connections that have not sent a request header yet has reached an eighth of MaxIdleGoroutines (at least 4):
+// thousands of silent connections then cost no more than parked ones.
 func (c *Controller) Decide(granted, tight bool) Decision {
-	silent := int(c.lists[listNew].length) - c.parkedNew
-	if !granted || tight || c.options.MaxIdleGoroutines > 0 && silent >= max(c.options.MaxIdleGoroutines/8, 4) {
+	unparkedNew := int(c.lists[listNew].length) - c.parkedNew
+	if !granted || tight || c.options.MaxIdleGoroutines > 0 && unparkedNew >= max(c.options.MaxIdleGoroutines/8, 4) {
 		return DecisionPark
 	}
 	return DecisionServe
 }
 
-// DecideUnparkable decides about a connection that was to be parked and cannot be.
+// DecideUnparkable decides about a connection for which Decide returned DecisionPark and which could not be parked.
 func (c *Controller) DecideUnparkable(granted bool) Decision {
 	if granted {
 		return DecisionServe
@@ -173,9 +175,10 @@
 	}
 }
 
-// ParkDelay returns how long a connection that becomes idle now keeps its goroutine, in case its client sends a request soon. It
-// shrinks to a twentieth of Options.ParkDelay as idle goroutines approach MaxIdleGoroutines, so that connections with a single
-// request do not hold their goroutines and buffers at the same time. If memory is tight it is a twentieth.
+// ParkDelay returns how long a connection that becomes idle now keeps its goroutine, in case its client sends another request
+// soon. From half of MaxIdleGoroutines on, it shrinks with the number of idle goroutines, down to a twentieth of
+// Options.ParkDelay, so that many connections that send a single request do not all hold a goroutine and buffers at the same time.
+// If memory is tight, it is a twentieth as well.
 func (c *Controller) ParkDelay(tight bool) Millis {
 	shortest := max(c.options.ParkDelay/20, 1)
 	if tight {
@@ -184,46 +187,46 @@
 	if c.options.MaxIdleGoroutines <= 0 {
 		return c.options.ParkDelay
 	}
-	_, idleWithoutRequest, idle, _ := c.Counts()
-	waiting := idleWithoutRequest + idle - (c.parked - c.parkedNew)
-	if waiting*2 <= c.options.MaxIdleGoroutines {
+	_, idleWithoutSearch, idle, _ := c.Counts()
+	unparkedIdle := idleWithoutSearch + idle - (c.parked - c.parkedNew)
+	if unparkedIdle*2 <= c.options.MaxIdleGoroutines {
 		return c.options.ParkDelay
 	}
-	left := max(c.options.MaxIdleGoroutines-waiting, 0)
-	return max(c.options.ParkDelay*Millis(left)*2/Millis(c.options.MaxIdleGoroutines), shortest)
+	remaining := max(c.options.MaxIdleGoroutines-unparkedIdle, 0)
+	return max(c.options.ParkDelay*Millis(remaining)*2/Millis(c.options.MaxIdleGoroutines), shortest)
 }
 
-// IdentifyRequest records that the open request is a search of a customer.
+// IdentifyRequest records that the open request is a search by a customer. A customer out of range counts as unknown.
 func (c *Controller) IdentifyRequest(id ID, customer CustomerIndex) {
 	conn := c.entry(id)
 	if conn == nil {
 		return
 	}
-	conn.hasRequested = true
-	to := c.unknownIndex
+	conn.hasSearched = true
+	index := c.unknownIndex
 	if customer >= 0 && int(customer) < c.unknownIndex {
-		to = int(customer)
+		index = int(customer)
 	}
 	c.connsOfCustomer[conn.customer]--
-	c.connsOfCustomer[to]++
-	conn.customer = int16(to)
+	c.connsOfCustomer[index]++
+	conn.customer = int16(index)
 }
 
-// EndRequest records that the response has been sent and the connection is idle.
+// EndRequest records that the response has been sent and the connection is idle again.
 func (c *Controller) EndRequest(id ID, now Millis) {
 	conn := c.entry(id)
 	if conn == nil {
 		return
 	}
 	c.unlink(int32(id))
-	if conn.hasRequested {
+	if conn.hasSearched {
 		c.moveTo(int32(id), stateIdle, listFirstIdle+int(conn.customer), now)
 	} else {
-		c.moveTo(int32(id), stateIdleWithoutRequest, listIdleWithoutRequest, now)
+		c.moveTo(int32(id), stateIdleWithoutSearch, listIdleWithoutSearch, now)
 	}
 }
 
-// Close removes a connection. Closing it again has no effect.
+// Close removes a connection. Closing it a second time has no effect.
 func (c *Controller) Close(id ID) {
 	conn := c.entry(id)
 	if conn == nil {
@@ -237,36 +240,37 @@
 	c.count--
 }
 
-// Wake reports whether a parked connection that is readable may be served, and if so records an open request. Otherwise it is
-// rejected with advice to retry later, because MaxActive requests are open. Connections that are not parked are not subject to
-// that limit, so that clients with continuous requests keep theirs.
+// Wake reports whether a parked connection that has become readable may be served, and if so records an open request. It returns
+// false if MaxActive requests are open; the caller then rejects the request and advises the client to retry later. Connections
+// that are not parked are not subject to that limit, so that clients that send requests continuously keep their connections.
 func (c *Controller) Wake(id ID) bool {
 	conn := c.entry(id)
 	if conn == nil {
 		return false
 	}
 	_, _, _, open := c.Counts()
-	if c.options.MaxActive > 0 && open >= c.options.MaxActive && !c.underHalfShare(int(conn.customer), open) {
+	if c.options.MaxActive > 0 && open >= c.options.MaxActive && !c.mayExceedMaxActive(int(conn.customer), open) {
 		return false
 	}
 	c.BeginRequest(id)
 	return true
 }
 
-// underHalfShare reports whether a customer may wake beyond MaxActive: an eighth more is reserved for customers that hold less
-// than half of their share of the connections.
-func (c *Controller) underHalfShare(customer, open int) bool {
+// mayExceedMaxActive reports whether a parked connection of a customer may be served although MaxActive requests are open. An
+// additional eighth of MaxActive is reserved for customers that hold less than half of their share of the connections.
+func (c *Controller) mayExceedMaxActive(customer, open int) bool {
 	if customer >= c.unknownIndex || c.shareSum <= 0 || open >= c.options.MaxActive+c.options.MaxActive/8 {
 		return false
 	}
 	return float64(c.connsOfCustomer[customer]) < c.options.CustomerShares[customer]/c.shareSum*float64(c.count)/2
 }
 
-// ShouldCloseAfterResponse reports whether a connection should be closed after its response: it has sent one request only, and
-// MaxIdleOneShot others are idle. Clients keep a limited number of connections in all; if most of them are idle at clients that
-// sent a single request, few are left for other clients. A connection with more requests is kept.
+// ShouldCloseAfterResponse reports whether a connection should be closed after its response: it has sent only one request, and at
+// least MaxIdleOneShot other connections are idle. The total number of connections is limited: if clients that sent a single
+// request hold most of them idle, few are left for other clients. A connection that has sent more requests is kept open.
 //
-// If memory is tight, which is passed only where idle connections keep their goroutines, all connections are closed.
+// If tight is set, every connection is closed. The caller sets it if memory is scarce and idle connections cannot be parked, so
+// that each of them would keep its goroutine.
 func (c *Controller) ShouldCloseAfterResponse(id ID, requests int, tight bool) bool {
 	if tight && c.entry(id) != nil {
 		return true
@@ -278,15 +282,16 @@
 	return idle >= c.options.MaxIdleOneShot
 }
 
-// MemoryBytes returns the size of a controller's tables in bytes.
+// MemoryBytes returns the size of a controller's connection table in bytes.
 func MemoryBytes(c *Controller) int { return cap(c.conns) * int(unsafe.Sizeof(connEntry{})) }
 
-// Counts returns the numbers of connections that have not sent a header yet, that are idle and never sent a search, that are idle
-// between searches, and that have an open request. Those with a slow header count as the first.
-func (c *Controller) Counts() (withoutRequest, visiting, idle, active int) {
-	withoutRequest, visiting = int(c.lists[listNew].length+c.lists[listSlowHeader].length), int(c.lists[listIdleWithoutRequest].length)
+// Counts returns the number of connections by state: without a complete request header yet (including those with a slow header),
+// idle without ever having sent a search, idle between searches, and with an open request.
+func (c *Controller) Counts() (awaitingHeader, idleWithoutSearch, idle, active int) {
+	awaitingHeader, idleWithoutSearch = int(c.lists[listNew].length+c.lists[listSlowHeader].length),
+		int(c.lists[listIdleWithoutSearch].length)
 	for _, l := range c.lists[listFirstIdle:] {
 		idle += int(l.length)
 	}
-	return withoutRequest, visiting, idle, c.count - withoutRequest - visiting - idle
+	return awaitingHeader, idleWithoutSearch, idle, c.count - awaitingHeader - idleWithoutSearch - idle
 }
--- a/connadmission/controller_test.go
+++ b/connadmission/controller_test.go
@@ -7,16 +7,16 @@
 	"pgregory.net/rapid"
 )
 
-// referenceConn is a connection of referenceVictim.
+// referenceConn is the state of one connection for referenceVictim.
 type referenceConn struct {
-	id           ID
-	since        Millis
-	state        connState
-	hasRequested bool
-	customer     int
+	id          ID
+	since       Millis
+	state       connState
+	hasSearched bool
+	customer    int
 }
 
-// referenceVictim finds the victim by a scan of all connections.
+// referenceVictim is a reference implementation of Victim that scans all connections.
 func referenceVictim(options Options, conns map[ID]*referenceConn, now Millis) ID {
 	connsOfCustomer := make([]int, len(options.CustomerShares)+1)
 	total := 0.0
@@ -26,24 +26,24 @@
 	for _, conn := range conns {
 		connsOfCustomer[conn.customer]++
 	}
-	over := func(conn *referenceConn) float64 {
+	shareFactor := func(conn *referenceConn) float64 {
 		if conn.customer >= len(options.CustomerShares) || options.CustomerShares[conn.customer] <= 0 || total <= 0 {
 			return 1
 		}
 		return max(1, float64(connsOfCustomer[conn.customer])/(options.CustomerShares[conn.customer]/total*float64(options.MaxConns)))
 	}
-	rank := func(conn *referenceConn) int {
+	priority := func(conn *referenceConn) int {
 		age := now - conn.since
 		switch {
 		case conn.state == stateSlowHeader:
 			return 7
-		case conn.state == stateIdleWithoutRequest && age >= options.MinIdle:
+		case conn.state == stateIdleWithoutSearch && age >= options.MinIdle:
 			return 6
 		case conn.state == stateIdle && age >= options.MinIdle:
 			return 5
 		case conn.state == stateNew && age >= options.HeaderTimeout:
 			return 4
-		case conn.state == stateIdleWithoutRequest:
+		case conn.state == stateIdleWithoutSearch:
 			return 3
 		case conn.state == stateIdle:
 			return 2
@@ -54,12 +54,12 @@
 	}
 	var best *referenceConn
 	for _, conn := range conns {
-		connRank := rank(conn)
-		if connRank == 0 {
+		connPriority := priority(conn)
+		if connPriority == 0 {
 			continue
 		}
-		if best == nil || connRank > rank(best) || connRank == rank(best) && conn.state == stateIdle && over(conn) > over(best) ||
-			connRank == rank(best) && (conn.state != stateIdle || over(conn) == over(best)) && conn.since < best.since {
+		if best == nil || connPriority > priority(best) || connPriority == priority(best) && conn.state == stateIdle && shareFactor(conn) > shareFactor(best) ||
+			connPriority == priority(best) && (conn.state != stateIdle || shareFactor(conn) == shareFactor(best)) && conn.since < best.since {
 			best = conn
 		}
 	}
@@ -69,7 +69,7 @@
 	return best.id
 }
 
-// model is a controller beside plain records of its connections.
+// model runs a controller alongside a reference list of its connections.
 type model struct {
 	options    Options
 	controller *Controller
@@ -77,7 +77,7 @@
 	now        Millis
 }
 
-// open closes a victim if the limit is reached, and opens a connection.
+// open opens a connection and, if the limit is reached, closes the victim, which it compares with that of the reference.
 func (m *model) open(t *rapid.T) {
 	want := NoConn
 	if len(m.conns) >= m.options.MaxConns {
@@ -88,11 +88,11 @@
 		victim = m.controller.Victim(m.now)
 	}
 	if victim != want {
-		t.Fatalf("the victim is %d, the reference says %d", victim, want)
+		t.Fatalf("the victim is %d, want %d as of the reference", victim, want)
 	}
 	id := m.controller.Open(m.now)
 	if m.conns[id] != nil {
-		t.Fatalf("%d is given out twice", id)
+		t.Fatalf("ID %d is assigned twice", id)
 	}
 	m.conns[id] = &referenceConn{id: id, since: m.now, state: stateNew, customer: len(m.options.CustomerShares)}
 	if victim != NoConn {
@@ -106,7 +106,7 @@
 	unknown := len(m.options.CustomerShares)
 	customer := rapid.IntRange(-1, unknown).Draw(t, "customer")
 	m.controller.IdentifyRequest(conn.id, CustomerIndex(customer))
-	conn.hasRequested, conn.customer = true, unknown
+	conn.hasSearched, conn.customer = true, unknown
 	if customer >= 0 && customer < unknown {
 		conn.customer = customer
 	}
@@ -114,7 +114,7 @@
 
 func (m *model) endRequest(conn *referenceConn) {
 	m.controller.EndRequest(conn.id, m.now)
-	if conn.state, conn.since = stateIdleWithoutRequest, m.now; conn.hasRequested {
+	if conn.state, conn.since = stateIdleWithoutSearch, m.now; conn.hasSearched {
 		conn.state = stateIdle
 	}
 }
@@ -128,7 +128,7 @@
 	}
 }
 
-// step changes a connection, which is nil if that drawn is closed.
+// step performs one random operation. conn is nil if the connection drawn is closed.
 func (m *model) step(t *rapid.T, conn *referenceConn) {
 	switch rapid.IntRange(0, 6).Draw(t, "step") {
 	case 0, 1:
@@ -165,14 +165,14 @@
 			CustomerShares: rapid.SampledFrom([][]float64{nil, {1}, {3, 1}, {5, 0, 2}}).Draw(t, "shares")}
 		m := &model{options: options, controller: New(options), conns: map[ID]*referenceConn{}}
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
-			m.now++ // no two enter a state at the same time: the reference could not tell them apart
+			m.now++ // no two connections enter a state at the same time, as the reference could not order them
 			var conn *referenceConn
 			if len(m.conns) > 0 {
-				conn = m.conns[ID(rapid.IntRange(0, len(m.controller.conns)-1).Draw(t, "conn"))]
+				conn = m.conns[ID(rapid.IntRange(0, len(m.controller.conns)-1).Draw(t, "connection"))]
 			}
 			m.step(t, conn)
 			if got, want := m.controller.Victim(m.now), referenceVictim(options, m.conns, m.now); got != want {
-				t.Fatalf("the victim is %d, the reference says %d", got, want)
+				t.Fatalf("the victim is %d, want %d as of the reference", got, want)
 			}
 			if m.controller.Len() != len(m.conns) {
 				t.Fatalf("%d connections, want %d", m.controller.Len(), len(m.conns))
@@ -196,7 +196,7 @@
 		parked = append(parked, id)
 	}
 	var woken, rejected [2]int
-	for i, id := range parked { // all at once
+	for i, id := range parked { // all become readable at the same time
 		customer := 0
 		if i%10 == 0 {
 			customer = 1
@@ -214,13 +214,13 @@
 		c.Close(id)
 	}
 	if _, _, _, open := c.Counts(); c.Len() != 0 || open != 0 {
-		t.Errorf("%d connections, %d open after all are closed", c.Len(), open)
+		t.Errorf("%d connections and %d open requests after all connections were closed", c.Len(), open)
 	}
 }
 
 func TestOneShotConnsCloseWhenManyAreIdle(t *testing.T) {
 	c := New(Options{MaxConns: 100, MaxIdleOneShot: 5})
-	rest := func() ID {
+	openIdle := func() ID {
 		id := c.Open(1)
 		c.BeginRequest(id)
 		c.IdentifyRequest(id, UnknownCustomer)
@@ -228,23 +228,23 @@
 		return id
 	}
 	for range 4 {
-		rest()
+		openIdle()
 	}
 	id := c.Open(2)
 	c.BeginRequest(id)
 	if c.ShouldCloseAfterResponse(id, 1, false) {
-		t.Error("closed when few are idle")
+		t.Error("a connection should be closed although fewer than MaxIdleOneShot are idle")
 	}
-	last := rest()
+	last := openIdle()
 	if !c.ShouldCloseAfterResponse(id, 1, false) || c.ShouldCloseAfterResponse(id, 2, false) {
-		t.Error("with many idle, a connection with one request is closed, one with two is not")
+		t.Error("with MaxIdleOneShot idle connections, one with a single request should be closed and one with two requests should not")
 	}
 	c.Close(last)
 	if c.ShouldCloseAfterResponse(id, 1, false) || c.ShouldCloseAfterResponse(last, 1, false) {
-		t.Error("closed when few are idle, or after its end")
+		t.Error("a connection should be closed although fewer than MaxIdleOneShot are idle, or although it was closed before")
 	}
 	if none := New(Options{MaxConns: 100}); none.ShouldCloseAfterResponse(none.Open(1), 1, false) {
-		t.Error("closed without a limit")
+		t.Error("a connection should be closed although MaxIdleOneShot is 0")
 	}
 }
 
@@ -261,21 +261,21 @@
 	c.BeginRequest(ids[3])
 	c.IdentifyRequest(ids[3], UnknownCustomer)
 	c.EndRequest(ids[3], 3)
-	if s, v, i, act := c.Counts(); s != 1 || v != 1 || i != 1 || act != 1 {
-		t.Errorf("%d new, %d idle without request, %d idle, %d active", s, v, i, act)
+	if awaitingHeader, noSearch, idle, active := c.Counts(); awaitingHeader != 1 || noSearch != 1 || idle != 1 || active != 1 {
+		t.Errorf("%d awaiting a header, %d idle without a search, %d idle, %d active, want 1 each", awaitingHeader, noSearch, idle, active)
 	}
 }
 
-// BenchmarkVictim finds a connection to close, and closes it for another one.
+// BenchmarkVictim measures a new connection at the limit, including the eviction of another one, with the lists and with a scan.
 //
 //	go test -run xxx -bench Victim -benchmem ./connadmission
 func BenchmarkVictim(b *testing.B) {
 	for _, n := range []int{600, 10_000, 100_000} {
-		f := Options{MaxConns: n, MinIdle: 2000, HeaderTimeout: 1000, CustomerShares: []float64{5, 3, 2}}
+		options := Options{MaxConns: n, MinIdle: 2000, HeaderTimeout: 1000, CustomerShares: []float64{5, 3, 2}}
 		b.Run(fmt.Sprintf("connections=%d/index", n), func(b *testing.B) {
-			c := New(f)
+			c := New(options)
 			now := Millis(0)
-			come := func() {
+			serveNewConn := func() {
 				now++
 				if c.Full() {
 					c.Close(c.Victim(now))
@@ -286,15 +286,15 @@
 				c.EndRequest(id, now)
 			}
 			for range n {
-				come()
+				serveNewConn()
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				come()
+				serveNewConn()
 			}
 		})
 		if n > 10_000 {
-			continue // the scan takes seconds there
+			continue // a scan takes seconds with that many connections
 		}
 		b.Run(fmt.Sprintf("connections=%d/scan", n), func(b *testing.B) {
 			all := map[ID]*referenceConn{}
@@ -305,7 +305,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				now++
-				id := referenceVictim(f, all, now)
+				id := referenceVictim(options, all, now)
 				all[id].since = now
 			}
 		})
@@ -319,7 +319,7 @@
 	for i := range 120 {
 		got := c.ParkDelay(false)
 		if got > last || got < 250/20 || i < 50 && got != 250 || i >= 100 && got != 250/20 {
-			t.Fatalf("with %d idle the delay is %d ms, before %d", i, got, last)
+			t.Fatalf("with %d idle connections the park delay is %d ms, with one less %d ms", i, got, last)
 		}
 		last = got
 		id := c.Open(Millis(i))
@@ -333,45 +333,45 @@
 		c.Park(id)
 	}
 	if c.ParkedCount() != 120 || c.ParkDelay(false) != 250 {
-		t.Errorf("all parked: %d, delay %d ms", c.ParkedCount(), c.ParkDelay(false))
+		t.Errorf("%d connections are parked, want 120; park delay %d ms, want 250", c.ParkedCount(), c.ParkDelay(false))
 	}
 	if c.ParkDelay(true) != 250/20 {
-		t.Errorf("memory tight: delay %d ms", c.ParkDelay(true))
+		t.Errorf("park delay with tight memory: %d ms", c.ParkDelay(true))
 	}
 	c.BeginRequest(ids[0])
 	c.Wake(ids[1])
 	c.Close(ids[2])
 	if c.ParkedCount() != 117 {
-		t.Errorf("%d parked after three left", c.ParkedCount())
+		t.Errorf("%d connections are parked after a request, a wake and a close, want 117", c.ParkedCount())
 	}
 }
 
 func TestMinRate(t *testing.T) {
 	rate := MinRate{BytesPerSecond: 100, Grace: 500}
-	play := func(step Millis, n int, until Millis) (slowAt Millis) {
-		due := rate.FirstDeadline(0)
+	transfer := func(step Millis, n int, until Millis) (slowAt Millis) {
+		deadline := rate.FirstDeadline(0)
 		for now := Millis(0); now < until; now += step {
-			if rate.Exceeded(due, now) {
+			if rate.Exceeded(deadline, now) {
 				return now
 			}
-			due = rate.NextDeadline(due, now, n)
+			deadline = rate.NextDeadline(deadline, now, n)
 		}
 		return -1
 	}
-	if at := play(10, 1, 60_000); at >= 0 {
-		t.Errorf("a client at exactly the rate is too slow at %d ms", at)
+	if at := transfer(10, 1, 60_000); at >= 0 {
+		t.Errorf("a client at exactly the minimum rate exceeds its deadline at %d ms", at)
 	}
-	if at := play(1000, 1, 60_000); at < 500 || at > 1000 {
-		t.Errorf("a byte a second is too slow at %d ms", at)
+	if at := transfer(1000, 1, 60_000); at < 500 || at > 1000 {
+		t.Errorf("a client that sends one byte a second exceeds its deadline at %d ms, want 500 to 1000", at)
 	}
-	if at := play(100, 5, 60_000); at < 900 || at > 1300 {
-		t.Errorf("half of the rate is too slow at %d ms", at)
+	if at := transfer(100, 5, 60_000); at < 900 || at > 1300 {
+		t.Errorf("a client at half of the minimum rate exceeds its deadline at %d ms, want 900 to 1300", at)
 	}
-	// After a burst a client is ahead by at most twice the grace.
-	if due := rate.NextDeadline(rate.FirstDeadline(0), 0, 1<<20); due != 1000 {
-		t.Errorf("after a burst of a megabyte the next byte is due at %d ms", due)
+	// After a burst the deadline is at most twice the grace in the future.
+	if deadline := rate.NextDeadline(rate.FirstDeadline(0), 0, 1<<20); deadline != 1000 {
+		t.Errorf("the deadline after a burst of a megabyte is %d ms, want 1000", deadline)
 	}
 	if off := (MinRate{}); off.Enabled() || off.Exceeded(0, 1000) {
-		t.Error("a client is too slow without a lowest rate")
+		t.Error("a deadline is exceeded without a minimum rate")
 	}
 }
--- a/connadmission/list.go
+++ b/connadmission/list.go
@@ -1,20 +1,20 @@
 package connadmission
 
-// connEntry is the record of one connection.
+// connEntry holds the state of one connection and its links in a list.
 type connEntry struct {
-	since        Millis // when it entered its state
-	next, prev   int32
-	list         int16
-	state        connState
-	hasRequested bool
-	parked       bool
-	customer     int16
+	since       Millis // when it entered its state
+	next, prev  int32  // neighbors in its list; -1 = none
+	list        int16  // index into Controller.lists
+	state       connState
+	hasSearched bool // has sent a search
+	parked      bool
+	customer    int16
 }
 
-// connList is a doubly linked list of connections in the order in which they entered it.
+// connList is a doubly linked list of connections in the order in which they were appended; first and last are -1 if it is empty.
 type connList struct{ first, last, length int32 }
 
-// entry returns the record of an open connection, or nil.
+// entry returns the entry of an open connection, or nil if there is none with that ID.
 func (c *Controller) entry(id ID) *connEntry {
 	if int64(id) >= int64(len(c.conns)) || c.conns[id].state == stateFree {
 		return nil
@@ -22,7 +22,7 @@
 	return &c.conns[id]
 }
 
-// moveTo appends a connection, which is in no list, to the list of its new state.
+// moveTo sets a connection's state and appends it to a list. The connection must not be in a list.
 func (c *Controller) moveTo(i int32, state connState, to int, now Millis) {
 	conn, list := &c.conns[i], &c.lists[to]
 	if conn.state == stateFree {
@@ -38,7 +38,7 @@
 	list.length++
 }
 
-// unlink removes a connection from its list. A connection with an open request is in no list.
+// unlink removes a connection from its list. It does nothing if a request is open: the connection is then in no list.
 func (c *Controller) unlink(i int32) {
 	conn := &c.conns[i]
 	if conn.state == stateActive {
--- a/connadmission/victim.go
+++ b/connadmission/victim.go
@@ -1,21 +1,23 @@
 package connadmission
 
-// Victim returns the connection to close for a new one, or NoConn if all have an open request. In this order:
+// Victim returns the connection to evict for a new one, or NoConn if all have an open request. Candidates are, in this order:
 //
 //  1. connections with a slow header, which hold a goroutine and buffers;
-//  2. connections idle for MinIdle that never sent a search, the longest idle first;
-//  3. connections idle for MinIdle of a customer that exceeds its share of connections, then of any customer;
-//  4. new connections without a header for HeaderTimeout;
-//  5. connections idle for less than MinIdle that never sent a search;
-//  6. other connections idle for less than MinIdle: their clients can use another connection;
-//  7. new connections, the oldest first: a flood of new connections closes its own and not those with requests.
+//  2. connections that never sent a search and have been idle for at least MinIdle, the longest idle first;
+//  3. other connections idle for at least MinIdle, of the customer that exceeds its share of connections the most, or of any
+//     customer if none exceeds its share;
+//  4. new connections that have not sent a complete header within HeaderTimeout;
+//  5. connections that never sent a search and have been idle for less than MinIdle;
+//  6. other connections idle for less than MinIdle, whose clients can use another connection;
+//  7. other new connections, the oldest first: a flood of new connections evicts connections of its own and none that serve
+//     requests.
 func (c *Controller) Victim(now Millis) ID {
 	if id := c.oldestSince(listSlowHeader, now); id != NoConn {
 		return id
 	}
-	longIdle, anyIdle := c.oldestSince(listIdleWithoutRequest, now-c.options.MinIdle), c.oldestSince(listIdleWithoutRequest, now)
-	if longIdle != NoConn {
-		return longIdle
+	idleForMin, anyIdle := c.oldestSince(listIdleWithoutSearch, now-c.options.MinIdle), c.oldestSince(listIdleWithoutSearch, now)
+	if idleForMin != NoConn {
+		return idleForMin
 	}
 	if id := c.longestIdle(now - c.options.MinIdle); id != NoConn {
 		return id
@@ -32,7 +34,7 @@
 	return c.oldestSince(listNew, now)
 }
 
-// oldestSince returns the first connection of a list if it has been there since a time or longer, NoConn otherwise.
+// oldestSince returns the first connection of a list if it entered the list at since or earlier, and NoConn otherwise.
 func (c *Controller) oldestSince(list int, since Millis) ID {
 	if i := c.lists[list].first; i >= 0 && c.conns[i].since <= since {
 		return ID(i)
@@ -40,8 +42,9 @@
 	return NoConn
 }
 
-// longestIdle returns the connection that has been idle longest, at least since a time, of the customer that exceeds its share of
-// connections by the largest factor; of all customers if none exceeds its share. It returns NoConn if there is none.
+// longestIdle returns the longest idle connection among those that became idle at since or earlier: of the customer that exceeds
+// its share of connections by the largest factor, or of all customers if none exceeds its share. It returns NoConn if there is
+// none.
 func (c *Controller) longestIdle(since Millis) ID {
 	found, oldest := NoConn, Millis(0)
 	excess := 1.0
