--- a/degradation/config.go
+++ b/degradation/config.go
@@ -5,21 +5,21 @@
 	"slices"
 )
 
-// Rank is a level's index: 0 is full service, each higher rank serves less.
+// Rank is a level's index: 0 is full service, and each higher rank serves less.
 type Rank int
 
-// Condition is a hysteresis band of one signal: the level may be entered at Enter or above, and left only below Exit. Exit is less
-// than Enter.
+// Condition is a hysteresis band of one signal: the level may be entered while the signal is at Enter or above, and left only while
+// it is below Exit. Exit is less than Enter.
 type Condition struct {
 	Signal      Signal
 	Enter, Exit float64
 }
 
-// Policy is what a level serves.
+// Policy sets what a level serves.
 type Policy struct {
 	ServedShares []float64 // by query type: share of its requests that is served, from 0 to 1; types beyond the slice are served in full
-	MergeShare   float64   // share of the limits on merges, from 0 to 1
-	RetryAfter   Time      // the least Retry-After of a rejected request; the most is twice that
+	MergeShare   float64   // share of the merge limits that may be used, from 0 to 1
+	RetryAfter   Time      // minimum Retry-After of a rejected request; the maximum is twice that
 }
 
 // servedShare returns the served share of a query type.
@@ -30,34 +30,34 @@
 	return p.ServedShares[queryType]
 }
 
-// Level is one level of service.
+// Level is one degradation level.
 type Level struct {
 	Name       string
-	Conditions []Condition // any of them enters the level; all must be below Exit to leave it. Empty for full service
+	Conditions []Condition // any of them enters the level; all must be below Exit to leave it. Empty for full service only
 	Policy     Policy
 }
 
 // Config configures a Machine.
 type Config struct {
 	Levels               []Level // by rank; the first is full service
-	SmoothingTime        Time    // time constant of the exponential smoothing of signals; 0 = none
-	EnterAfter           Time    // an entry condition must hold for so long
-	ExitAfter            Time    // all exit conditions must hold for so long, times the backoff
-	FlapWindow           Time    // a level entered again within this time of having been left doubles the backoff
-	MaxBackoff           int     // the largest backoff factor
-	MaxUpgradesPerMinute int     // changes to a better level in any minute
-	StaleAfter           Time    // a signal without a known reading for so long becomes unknown
-	RampUp               Time    // after a change to a better level the served share grows over this time
+	SmoothingTime        Time    // time constant of the exponential smoothing of signals; 0 = no smoothing
+	EnterAfter           Time    // how long an entry condition must hold before its level is entered
+	ExitAfter            Time    // how long all exit conditions must hold before a level is left, multiplied by the backoff
+	FlapWindow           Time    // a level that is entered again within this time of being left doubles the backoff
+	MaxBackoff           int     // maximum backoff factor
+	MaxUpgradesPerMinute int     // maximum number of upgrades in any minute
+	StaleAfter           Time    // how long a signal may be without a known reading before it becomes unknown
+	RampUp               Time    // how long the served share takes to grow to its new value after an upgrade
 }
 
-// missingSignalFactor is how many times longer an exit takes while one of the level's signals is unknown: a missing signal neither
-// holds a level for ever nor lifts it at once.
+// missingSignalFactor is the factor by which an exit takes longer while one of the level's signals is unknown: a missing signal
+// neither holds a level forever nor ends it at once.
 const missingSignalFactor = 4
 
-// Validate returns what is wrong with the configuration, one sentence a problem.
+// Validate returns the problems of the configuration, one sentence each; none if it is valid.
 func (c Config) Validate() (problems []string) {
 	if len(c.Levels) == 0 {
-		problems = append(problems, "there is no level")
+		problems = append(problems, "no level is configured")
 	}
 	names := map[string]bool{}
 	for i, l := range c.Levels {
@@ -69,7 +69,7 @@
 	}
 	if c.ExitAfter <= 0 || c.EnterAfter < 0 || c.FlapWindow < 0 || c.SmoothingTime < 0 || c.StaleAfter <= 0 ||
 		c.MaxUpgradesPerMinute < 1 || c.MaxBackoff < 1 {
-		problems = append(problems, "a time or a number is missing")
+		problems = append(problems, "a time is negative, or ExitAfter, StaleAfter, MaxUpgradesPerMinute or MaxBackoff is not positive")
 	}
 	return problems
 }
@@ -77,15 +77,15 @@
 func (c Config) validateLevel(rank int) (problems []string) {
 	l := c.Levels[rank]
 	if rank == 0 && len(l.Conditions) > 0 {
-		problems = append(problems, fmt.Sprintf("level %s is full service and has conditions", l.Name))
+		problems = append(problems, fmt.Sprintf("level %s has conditions, but the first level is full service and must have none", l.Name))
 	}
 	if rank > 0 && len(l.Conditions) == 0 {
 		problems = append(problems, fmt.Sprintf("level %s is never entered: it has no condition", l.Name))
 	}
-	for _, band := range l.Conditions {
-		if !(band.Exit < band.Enter) {
-			problems = append(problems, fmt.Sprintf("level %s: %s is left at %g, not under the %g at which it is entered",
-				l.Name, band.Signal, band.Exit, band.Enter))
+	for _, condition := range l.Conditions {
+		if !(condition.Exit < condition.Enter) {
+			problems = append(problems, fmt.Sprintf("level %s: the exit threshold of %s is %g, not under the %g at which the level is entered",
+				l.Name, condition.Signal, condition.Exit, condition.Enter))
 		}
 	}
 	for t, share := range l.Policy.ServedShares {
@@ -96,13 +96,13 @@
 	return problems
 }
 
-// MaxChangesPerMinute returns an upper bound on level changes in any minute: upgrades are limited, and each downgrade but the first
-// few needs an upgrade before it.
+// MaxChangesPerMinute returns an upper bound on the number of level changes in any minute. Upgrades are limited, and all downgrades
+// but the first len(Levels)-1 require an upgrade before them.
 func (c Config) MaxChangesPerMinute() int { return 2*c.MaxUpgradesPerMinute + len(c.Levels) - 1 }
 
-// UsesSignal reports whether any level is entered by a signal.
+// UsesSignal reports whether any level has a condition on a signal.
 func (c Config) UsesSignal(s Signal) bool {
 	return slices.ContainsFunc(c.Levels, func(l Level) bool {
-		return slices.ContainsFunc(l.Conditions, func(band Condition) bool { return band.Signal == s })
+		return slices.ContainsFunc(l.Conditions, func(condition Condition) bool { return condition.Signal == s })
 	})
 }
--- a/degradation/config_test.go
+++ b/degradation/config_test.go
@@ -20,7 +20,7 @@
 		{"not under the", func(c *Config) { c.Levels[1].Conditions[0].Exit = 0.5 }},
 		{"has conditions", func(c *Config) { c.Levels[0].Conditions = c.Levels[1].Conditions }},
 		{"serves more", func(c *Config) { c.Levels[3].Policy.ServedShares = []float64{0, 1} }},
-		{"a time or a number", func(c *Config) { c.MaxUpgradesPerMinute = 0 }},
+		{"MaxUpgradesPerMinute or MaxBackoff is not positive", func(c *Config) { c.MaxUpgradesPerMinute = 0 }},
 	} {
 		t.Run(c.want, func(t *testing.T) {
 			config := testConfig()
@@ -36,13 +36,13 @@
 func TestParseSignal(t *testing.T) {
 	for s := range NumSignals {
 		if got, ok := ParseSignal(s.String()); !ok || got != s {
-			t.Errorf("%s is parsed as %s, %t", s, got, ok)
+			t.Errorf("ParseSignal(%s) = %s, %t", s, got, ok)
 		}
 	}
 	if s, ok := ParseSignal("list_age"); !ok || s != ServerListAge {
-		t.Errorf("list_age is parsed as %s, %t", s, ok)
+		t.Errorf("ParseSignal(list_age) = %s, %t", s, ok)
 	}
 	if _, ok := ParseSignal("weather"); ok {
-		t.Error("an unknown name is parsed")
+		t.Error("an unknown name is accepted")
 	}
 }
--- a/degradation/gate_test.go
+++ b/degradation/gate_test.go
@@ -2,14 +2,14 @@
 
 import "testing"
 
-func TestGateIsFairAndSpreadsRetryAfter(t *testing.T) {
-	f := testConfig()
-	m := New(f, 0)
+func TestGateSharesAreEqualAndRetryAfterIsSpread(t *testing.T) {
+	config := testConfig()
+	m := New(config, 0)
 	g := NewGate(m, 2, 2)
 	if ok, _ := g.Admit(0, 0, 1, 0); !ok {
-		t.Error("a request is rejected at full service")
+		t.Error("a request was rejected at full service")
 	}
-	for _, c := range play(m, 0, 10_000, func(Time) Readings { return signalReadings(LostCapacity, 0.2) }) {
+	for _, c := range run(m, 0, 10_000, func(Time) Readings { return signalReadings(LostCapacity, 0.2) }) {
 		g.HandleChange(c)
 	}
 	served, retryAfter := [3]int{}, map[Time]int{}
@@ -31,28 +31,29 @@
 			}
 		}
 		if ok, _ := g.Admit(10_000, 0, 0, customer); !ok {
-			t.Fatal("a look-up is rejected")
+			t.Fatal("a request of a query type that is served in full was rejected")
 		}
 	}
 	if served[0] < 1300 || served[0] > 1400 || served[1] < 130 || served[1] > 142 || served[2] < 14 {
-		t.Errorf("served %v, want half of each customer's requests", served)
+		t.Errorf("%v requests served by customer, want half of each customer's requests", served)
 	}
 	for tenth, n := range retryAfter {
 		if n > 2*1500/10 {
-			t.Errorf("%d rejected requests have a Retry-After of about %d ms", n, tenth*100)
+			t.Errorf("%d rejected requests have a Retry-After of %d to %d ms, want at most twice an even share",
+				n, tenth*100, tenth*100+99)
 		}
 	}
-	// A request for a segment with a worse level is decided by that level.
+	// A request that needs a segment with a worse level is admitted or rejected by that level.
 	if ok, delay := g.Admit(10_000, 3, 0, 0); ok || delay < 5000 {
-		t.Errorf("segment without capacity: served %t, Retry-After %d", ok, delay)
+		t.Errorf("request for a segment at the level closed: served %t, Retry-After %d ms, want false and at least 5000", ok, delay)
 	}
-	// After a change to a better level the share ramps up.
-	back := play(m, 10_000, 30_000, func(Time) Readings { return signalReadings(LostCapacity, 0) })
-	for _, c := range back {
+	// After an upgrade the share ramps up.
+	upgrades := run(m, 10_000, 30_000, func(Time) Readings { return signalReadings(LostCapacity, 0) })
+	for _, c := range upgrades {
 		g.HandleChange(c)
 	}
-	at := back[len(back)-1].At
-	if a, b, c := g.Share(at, 1), g.Share(at+f.RampUp/2, 1), g.Share(at+f.RampUp, 1); a != 0.5 || b != 0.75 || c != 1 {
-		t.Errorf("shares while ramping up: %g, %g, %g", a, b, c)
+	at := upgrades[len(upgrades)-1].At
+	if first, mid, last := g.Share(at, 1), g.Share(at+config.RampUp/2, 1), g.Share(at+config.RampUp, 1); first != 0.5 || mid != 0.75 || last != 1 {
+		t.Errorf("shares at the start, in the middle and at the end of the ramp: %g, %g, %g, want 0.5, 0.75, 1", first, mid, last)
 	}
 }
--- a/degradation/machine.go
+++ b/degradation/machine.go
@@ -11,35 +11,35 @@
 type Change struct {
 	At       Time
 	From, To Rank
-	Reason   string // the conditions and their values, or that the level is pinned
-	Readings Readings
+	Reason   string   // the conditions and their values, or that the level is pinned
+	Readings Readings // smoothed signals at the time of the change
 }
 
-// Pin holds a level until a point in time, whatever the signals say.
+// Pin holds a level until a point in time, regardless of the signals.
 type Pin struct {
 	Rank  Rank
 	Until Time
 }
 
-// Machine is the level of one scope: the whole gatherer, or one segment.
+// Machine determines the level of one scope: the whole gatherer, or one segment.
 type Machine struct {
 	config     Config
-	now        Time
+	now        Time // latest time passed in; it never decreases
 	rank       Rank
-	since      Time
+	since      Time // when the current level was entered
 	smoothed   Readings
 	receivedAt [NumSignals]Time // when each signal was last known
-	observedAt Time
-	pin        *Pin
+	observedAt Time             // time of the last Observe
+	pin        *Pin             // nil = not pinned
 
 	enteringSince []Time // by rank: since when an entry condition holds; unset = none does
 	clearSince    Time   // since when all exit conditions of the current level hold; unset = they do not
-	signalMissing bool   // one of the level's signals was unknown in that time
+	signalMissing bool   // one of the level's signals was unknown since clearSince
 
-	leftAt           []Time // by rank: when the level was last left for a better one
+	leftAt           []Time // by rank: when the level was last left by an upgrade
 	backoff          int    // factor on Config.ExitAfter, from 1 to Config.MaxBackoff
 	backoffChangedAt Time
-	upgrades         []Time // changes to a better level within the last minute
+	upgrades         []Time // times of the upgrades within the last minute
 }
 
 const (
@@ -47,8 +47,8 @@
 	never = Time(math.MinInt64 / 4) // longer ago than any window
 )
 
-// New returns a machine at full service. It starts there after a restart, too: its signals take it to the right level within
-// Config.EnterAfter.
+// New returns a machine at full service. The level is not kept over a restart of the process: the machine starts at full service
+// and its signals lead to the right level within Config.EnterAfter.
 func New(config Config, now Time) *Machine {
 	m := &Machine{config: config, now: now, since: now, clearSince: unset, backoff: 1, backoffChangedAt: never}
 	for range config.Levels {
@@ -73,7 +73,7 @@
 // Readings returns the smoothed signals.
 func (m *Machine) Readings() Readings { return m.smoothed }
 
-// Pin holds a level until a point in time. It returns false where there is no level of that rank.
+// Pin holds a level until a point in time. It returns false if there is no level with that rank.
 func (m *Machine) Pin(r Rank, until Time) bool {
 	if r < 0 || int(r) >= len(m.config.Levels) {
 		return false
@@ -82,7 +82,7 @@
 	return true
 }
 
-// Unpin removes the pin: the signals decide again.
+// Unpin removes the pin: the level depends on the signals again.
 func (m *Machine) Unpin() { m.pin = nil }
 
 // Pinned returns the pin in force, and whether there is one.
@@ -93,16 +93,16 @@
 	return *m.pin, true
 }
 
-// Reconfigure replaces the configuration, as on a reload. The level of the same name stays in force; where there is none, the level
-// of the same rank, or the last one.
+// Reconfigure replaces the configuration, as on a reload. The level with the same name stays in force; if there is none, the level
+// with the same rank; if there is none either, the last level.
 func (m *Machine) Reconfigure(config Config) {
 	name := m.Level().Name
 	next := New(config, m.now)
 	next.smoothed, next.receivedAt, next.observedAt = m.smoothed, m.receivedAt, m.observedAt
 	next.upgrades, next.backoff, next.backoffChangedAt = m.upgrades, m.backoff, m.backoffChangedAt
 	next.rank = min(m.rank, Rank(len(config.Levels)-1))
-	if at := slices.IndexFunc(config.Levels, func(l Level) bool { return l.Name == name }); at >= 0 {
-		next.rank = Rank(at)
+	if i := slices.IndexFunc(config.Levels, func(l Level) bool { return l.Name == name }); i >= 0 {
+		next.rank = Rank(i)
 	}
 	next.since = m.since
 	if m.pin != nil && int(m.pin.Rank) < len(config.Levels) {
@@ -111,12 +111,13 @@
 	*m = *next
 }
 
-// Observe adds a reading of each signal to the smoothed ones. A clock that steps back stands still here until it has caught up.
+// Observe adds a reading of each signal to the smoothed signals. If the clock steps back, the machine's time does not advance until
+// the clock has caught up.
 func (m *Machine) Observe(now Time, readings Readings) {
 	m.now = max(m.now, now)
-	keep := 0.0
+	previousWeight := 0.0
 	if m.config.SmoothingTime > 0 && m.observedAt > 0 {
-		keep = math.Exp(-float64(m.now-m.observedAt) / float64(m.config.SmoothingTime))
+		previousWeight = math.Exp(-float64(m.now-m.observedAt) / float64(m.config.SmoothingTime))
 	}
 	for s, reading := range readings {
 		smoothed := &m.smoothed[s]
@@ -126,36 +127,36 @@
 		case !smoothed.Known:
 			*smoothed, m.receivedAt[s] = reading, m.now
 		default:
-			smoothed.Value = reading.Value + (smoothed.Value-reading.Value)*keep
+			smoothed.Value = reading.Value + (smoothed.Value-reading.Value)*previousWeight
 			m.receivedAt[s] = m.now
 		}
 	}
 	m.observedAt = m.now
 }
 
-// Evaluate advances the machine to a point in time and returns the change of level, if there is one. It goes to a worse level at once,
-// as far as the signals ask for, and to a better one rank by rank.
+// Evaluate advances the machine to a point in time and returns the change of level, if there is one. A downgrade goes directly to the
+// worst level whose entry condition has held long enough; an upgrade goes one rank at a time.
 func (m *Machine) Evaluate(now Time) (Change, bool) {
 	m.now = max(m.now, now)
 	m.trackConditions()
 	if m.pin != nil {
 		switch {
 		case m.now >= m.pin.Until:
-			m.pin = nil // from here on the signals decide
+			m.pin = nil // the pin has expired, and the signals decide again
 		case m.rank != m.pin.Rank:
-			return m.transition(m.pin.Rank, "pinned"), true
+			return m.changeLevel(m.pin.Rank, "pinned"), true
 		default:
 			return Change{}, false
 		}
 	}
 	for to := Rank(len(m.config.Levels) - 1); to > m.rank; to-- {
 		if since := m.enteringSince[to]; since >= 0 && m.now-since >= m.config.EnterAfter {
-			return m.transition(to, m.entryReason(to)), true
+			return m.changeLevel(to, m.entryReason(to)), true
 		}
 	}
 	if m.rank > 0 && m.clearSince >= 0 && m.now-m.clearSince >= m.exitDelay() && m.canUpgrade() {
 		reason := fmt.Sprintf("%s is over for %.1f s", m.Level().Name, float64(m.now-m.clearSince)/float64(Second))
-		return m.transition(m.rank-1, reason), true
+		return m.changeLevel(m.rank-1, reason), true
 	}
 	return Change{}, false
 }
@@ -169,8 +170,8 @@
 	return delay
 }
 
-// trackConditions updates since when the entry conditions of each level and the exit conditions of the current one hold, and lowers
-// the backoff of a machine that has not flapped for a while.
+// trackConditions updates enteringSince, clearSince and signalMissing from the smoothed signals, and halves the backoff after each
+// Config.FlapWindow in which it has not changed.
 func (m *Machine) trackConditions() {
 	for i, level := range m.config.Levels {
 		entering := slices.ContainsFunc(level.Conditions, func(c Condition) bool {
@@ -203,17 +204,19 @@
 	}
 }
 
-// canUpgrade reports whether a change to a better level is within the limit a minute.
+// canUpgrade reports whether another upgrade is within Config.MaxUpgradesPerMinute.
 func (m *Machine) canUpgrade() bool {
 	m.dropOldUpgrades()
 	return len(m.upgrades) < m.config.MaxUpgradesPerMinute
 }
 
+// dropOldUpgrades removes upgrades that are a minute old or older.
 func (m *Machine) dropOldUpgrades() {
 	m.upgrades = slices.DeleteFunc(m.upgrades, func(at Time) bool { return m.now-at >= minute })
 }
 
-func (m *Machine) transition(to Rank, reason string) Change {
+// changeLevel enters a level and returns the change.
+func (m *Machine) changeLevel(to Rank, reason string) Change {
 	c := Change{At: m.now, From: m.rank, To: to, Reason: reason, Readings: m.smoothed}
 	if to < m.rank {
 		m.leftAt[m.rank] = m.now
@@ -226,7 +229,8 @@
 	return c
 }
 
-// backOffIfFlapping doubles the backoff where a level that is entered now was left only a short time ago.
+// backOffIfFlapping doubles the backoff, up to Config.MaxBackoff, if a level that is entered by a downgrade to a rank was left within
+// Config.FlapWindow.
 func (m *Machine) backOffIfFlapping(to Rank) {
 	for rank := m.rank + 1; rank <= to; rank++ {
 		if m.now-m.leftAt[rank] < m.config.FlapWindow {
@@ -237,18 +241,18 @@
 	}
 }
 
-// entryReason lists the conditions that enter a level.
+// entryReason lists the conditions of a level that are at or above their entry thresholds, with the values of their signals.
 func (m *Machine) entryReason(rank Rank) string {
-	var all []string
+	var reasons []string
 	for _, c := range m.config.Levels[rank].Conditions {
 		if r := m.smoothed[c.Signal]; r.Known && r.Value >= c.Enter {
-			all = append(all, fmt.Sprintf("%s %.3g >= %.3g", c.Signal, r.Value, c.Enter))
+			reasons = append(reasons, fmt.Sprintf("%s %.3g >= %.3g", c.Signal, r.Value, c.Enter))
 		}
 	}
-	return strings.Join(all, ", ")
+	return strings.Join(reasons, ", ")
 }
 
-// Explain returns a line for each condition of each level with its signal's smoothed value and state.
+// Explain returns one line for each condition of each level, with the smoothed value of its signal, its thresholds and its state.
 func (m *Machine) Explain() (lines []string) {
 	for i, level := range m.config.Levels {
 		for _, c := range level.Conditions {
@@ -260,7 +264,7 @@
 	return lines
 }
 
-// state describes how a reading stands to the condition's band.
+// state describes a reading relative to the condition's thresholds.
 func (c Condition) state(r Reading) string {
 	switch {
 	case !r.Known:
--- a/degradation/monitor.go
+++ b/degradation/monitor.go
@@ -2,44 +2,47 @@
 
 import "math"
 
-// Monitor measures the signals from what a gatherer sees: which servers are ready compared with those that usually are, and which
-// requests end late. Its memory is proportional to the configured cells and query types.
+// Monitor measures the signals from what a gatherer observes: the number of ready servers compared with the usual number, and the
+// requests that end late. Its memory is proportional to the number of configured cells and query types.
 type Monitor struct {
-	reach            int       // consecutive cells that hold a segment's replicas
-	baseline         []float64 // usual number of ready servers by cell; the last is of all cells
-	readyByCell      []float64 // at the last Measure
-	lateness         []latenessCounter
-	listFailingSince Time // when the discovery service began to fail; 0 = it answered last time
-	measuredAt       Time
+	replicaCells     int               // number of consecutive cells that hold the replicas of a segment
+	baseline         []float64         // usual number of ready servers by cell; the last element is for all cells
+	readyByCell      []float64         // ready servers by cell at the last Measure
+	lateness         []latenessCounter // by query type
+	listFailingSince Time              // when the discovery service began to fail; 0 = its last request succeeded
+	measuredAt       Time              // time of the last Measure; 0 = none yet
 }
 
-// latenessCounter counts the requests of one query type, with exponential decay.
+// latenessCounter counts the late requests and all requests of one query type, with exponential decay.
 type latenessCounter struct{ late, total float64 }
 
 // Server is the state of one server of the endpoint list.
 type Server struct {
 	Cell         int
 	Ready        bool // not draining
-	WarmingUp    bool // in its slow start
+	WarmingUp    bool // in slow start
 	EjectedUntil Time // end of its last ejection as an outlier; 0 = never ejected
 }
 
 const (
-	baselineDecay = 600 * Second // capacity that is gone for good is forgotten with this time constant
-	latenessDecay = 2 * Second
-	minRequests   = 5.0 // decayed requests below which a query type's lateness says nothing
-	// recoveryDelay is how long after its ejection a server still counts as lost: a dead one that is probed every now and then has not
-	// recovered. It is not awaited until a server has proved healthy, as at a reduced level it may get no request at all.
+	baselineDecay = 600 * Second // time constant with which the baseline adapts to a permanent loss of capacity
+	latenessDecay = 2 * Second   // time constant of the latenessCounters
+	minRequests   = 5.0          // decayed number of requests below which a query type's lateness is not significant
+	// recoveryDelay is how long a server still counts as lost after the end of its ejection: a failed server that is probed from time to
+	// time has not recovered. Successful requests are not required for it to count again, as at a reduced level a server may receive no
+	// requests at all.
 	recoveryDelay = 3 * Second
 )
 
-// NewMonitor returns a monitor for a cluster of so many cells in which a segment's replicas lie in reach consecutive cells.
-func NewMonitor(cells, reach, queryTypes int) *Monitor {
-	return &Monitor{reach: reach, baseline: make([]float64, cells+1), readyByCell: make([]float64, cells),
+// NewMonitor returns a monitor for a cluster with a number of cells, in which the replicas of a segment are in replicaCells
+// consecutive cells.
+func NewMonitor(cells, replicaCells, queryTypes int) *Monitor {
+	return &Monitor{replicaCells: replicaCells, baseline: make([]float64, cells+1), readyByCell: make([]float64, cells),
 		lateness: make([]latenessCounter, queryTypes)}
 }
 
-// RecordRequest counts a request that has ended. latencyTarget 0 = any latency is in time.
+// RecordRequest counts a request that has ended. It is late if it was not answered or took longer than latencyTarget; a target of 0
+// means that any latency is in time.
 func (m *Monitor) RecordRequest(queryType int, answered bool, latency, latencyTarget Time) {
 	c := &m.lateness[queryType]
 	c.total++
@@ -48,7 +51,7 @@
 	}
 }
 
-// RecordListResult records whether the discovery service answered.
+// RecordListResult records whether the discovery service returned the server list.
 func (m *Monitor) RecordListResult(now Time, ok bool) {
 	if ok {
 		m.listFailingSince = 0
@@ -57,8 +60,8 @@
 	}
 }
 
-// Measure returns the signals of the whole cluster. load is the load ratio and store the reading of StoreUnavailable, which the
-// monitor does not know of itself.
+// Measure returns the signals of the whole cluster. load is the value of LoadRatio and store the reading of StoreUnavailable; the
+// monitor does not measure these two itself.
 func (m *Monitor) Measure(now Time, servers []Server, load float64, store Reading) (r Readings) {
 	elapsed := max(now-m.measuredAt, 0)
 	if m.measuredAt == 0 {
@@ -80,7 +83,7 @@
 	return r
 }
 
-// countReady counts the ready servers, in all and by cell.
+// countReady counts the ready servers and those of them that are warming up, and updates readyByCell.
 func (m *Monitor) countReady(now Time, servers []Server) (ready, warmingUp float64) {
 	clear(m.readyByCell)
 	for _, s := range servers {
@@ -98,16 +101,16 @@
 	return ready, warmingUp
 }
 
-// updateBaseline raises the usual number of servers to the present one, and lowers it slowly.
+// updateBaseline raises the usual number of servers to the current number at once, and lowers it slowly.
 func (m *Monitor) updateBaseline(elapsed Time, ready float64) {
-	decay, all := math.Exp(-float64(elapsed)/float64(baselineDecay)), len(m.readyByCell)
+	decay, total := math.Exp(-float64(elapsed)/float64(baselineDecay)), len(m.readyByCell)
 	for i, n := range m.readyByCell {
 		m.baseline[i] = max(m.baseline[i]*decay, n)
 	}
-	m.baseline[all] = max(m.baseline[all]*decay, ready)
+	m.baseline[total] = max(m.baseline[total]*decay, ready)
 }
 
-// worstLateness decays the counters and returns the largest share of late requests of any query type.
+// worstLateness decays the counters and returns the highest share of late requests among the query types.
 func (m *Monitor) worstLateness(elapsed Time) (worst float64) {
 	decay := math.Exp(-float64(elapsed) / float64(latenessDecay))
 	for i := range m.lateness {
@@ -121,7 +124,7 @@
 	return worst
 }
 
-// listAge returns for how many seconds the discovery service has been failing.
+// listAge returns the number of seconds for which the discovery service has been failing.
 func (m *Monitor) listAge(now Time) float64 {
 	if m.listFailingSince == 0 {
 		return 0
@@ -129,10 +132,10 @@
 	return float64(now-m.listFailingSince) / float64(Second)
 }
 
-// MeasureSegment returns the signal of one segment, as of the last Measure.
+// MeasureSegment returns SegmentLostCapacity of the segment of one shard as of the last Measure; all other signals are unknown.
 func (m *Monitor) MeasureSegment(shard int) (r Readings) {
 	usual, ready := 0.0, 0.0
-	for j := range m.reach {
+	for j := range m.replicaCells {
 		cell := (shard + j) % len(m.readyByCell)
 		usual += m.baseline[cell]
 		ready += m.readyByCell[cell]
--- a/degradation/signal.go
+++ b/degradation/signal.go
@@ -5,19 +5,19 @@
 	"slices"
 )
 
-// Signal is an input of the level decision. For every signal a higher value is worse.
+// Signal is an input of the level decision. A higher value is worse for every signal.
 type Signal uint8
 
 // The signals.
 const (
-	LostCapacity        Signal = iota // share of the servers' usual capacity that is missing, from 0 to 1
+	LostCapacity        Signal = iota // share of the usual number of servers that is missing, from 0 to 1
 	LoadRatio                         // shard calls in flight divided by the in-flight limit
-	LateRatio                         // share of requests that were late or unanswered, of the worst query type
-	ServerListAge                     // seconds since the discovery service last answered
-	WarmingUp                         // share of the ready servers that have just started
+	LateRatio                         // share of the requests of the worst query type that were late or unanswered
+	ServerListAge                     // seconds for which the discovery service has been failing
+	WarmingUp                         // share of the ready servers that are in slow start
 	StoreUnavailable                  // 1 = the store accepts no writes, 0 = it does
-	SegmentLostCapacity               // share of a segment's usual capacity that is missing; known only in the segment's own machine
-	NumSignals                        // the number of signals
+	SegmentLostCapacity               // share of a segment's usual number of servers that is missing; known only to the segment's machine
+	NumSignals                        // number of signals
 )
 
 var signalNames = [NumSignals]string{"lost", "load", "late", "list_age", "cold", "store", "segment_lost"}
@@ -30,13 +30,13 @@
 	return signalNames[s]
 }
 
-// ParseSignal returns the signal with a name, and whether there is one.
+// ParseSignal returns the signal with a name, and whether such a signal exists.
 func ParseSignal(name string) (Signal, bool) {
 	i := slices.Index(signalNames[:], name)
 	return Signal(max(i, 0)), i >= 0
 }
 
-// Reading is the value of one signal. An unknown reading neither enters nor holds a level.
+// Reading is the value of one signal, if known. An unknown reading neither enters nor holds a level.
 type Reading struct {
 	Value float64
 	Known bool
