--- a/idempotency/codec.go
+++ b/idempotency/codec.go
@@ -6,20 +6,21 @@
 	"fmt"
 )
 
-// ErrMalformed is returned for a stored value that is not an entry of a table.
+// ErrMalformed is returned for a stored value that is not an encoded entry.
 var ErrMalformed = errors.New("malformed idempotency entry")
 
 // flagAnswer is set in the first byte of a stored entry that ends with an answer.
 const flagAnswer = 0x80
 
-// encode returns the stored form of an entry: a byte with the stage and flagAnswer, the digest in big endian, the times of arrival
-// and expiry as varints, and the answer. An intent is stored as open: once it is on disk the request may have been dispatched.
+// encode returns the stored form of an entry: one byte with the stage and flagAnswer, the digest as a big-endian 64-bit integer, the
+// times of arrival and expiry as varints, and the answer. An intent is stored with the stage open, because once it is on disk the
+// request may have been dispatched.
 func (e *entry) encode() []byte {
-	s := e.stage
-	if s == stageIntended {
-		s = stageOpen
+	stored := e.stage
+	if stored == stageIntended {
+		stored = stageOpen
 	}
-	b := []byte{byte(s)}
+	b := []byte{byte(stored)}
 	if e.stage == stageAnswered && e.answer != nil {
 		b[0] |= flagAnswer
 	}
@@ -29,7 +30,7 @@
 	return append(b, e.answer...)
 }
 
-// decode reads the stored form of an entry.
+// decode returns the entry with a stored form. Its error wraps ErrMalformed.
 func decode(key Key, b []byte) (*entry, error) {
 	malformed := fmt.Errorf("%w of key %.40q", ErrMalformed, string(key))
 	const header = 1 + 8 // stage and digest
@@ -57,7 +58,7 @@
 	return e, nil
 }
 
-// Describe returns a description of a stored value, for operators.
+// Describe returns a description of a stored value for operators. Its error is ErrMalformed.
 func Describe(value []byte) (string, error) {
 	e, err := decode("", value)
 	if err != nil {
--- a/idempotency/codec_test.go
+++ b/idempotency/codec_test.go
@@ -12,8 +12,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		e := &entry{key: "k", stage: stage(rapid.IntRange(int(stageIntended), int(stageUnknown)).Draw(t, "stage")),
 			digest:    Digest(rapid.Uint64().Draw(t, "digest")),
-			arrivedAt: Time(rapid.Int64().Draw(t, "at")), expiresAt: Time(rapid.Int64().Draw(t, "until"))}
-		if e.stage == stageAnswered && rapid.Bool().Draw(t, "held") {
+			arrivedAt: Time(rapid.Int64().Draw(t, "arrivedAt")), expiresAt: Time(rapid.Int64().Draw(t, "expiresAt"))}
+		if e.stage == stageAnswered && rapid.Bool().Draw(t, "has answer") {
 			e.answer = rapid.SliceOf(rapid.Byte()).Draw(t, "answer")
 			if e.answer == nil {
 				e.answer = []byte{}
@@ -29,7 +29,7 @@
 		}
 		if got.stage != e.stage || got.digest != e.digest || got.arrivedAt != e.arrivedAt || got.expiresAt != e.expiresAt ||
 			(got.answer == nil) != (e.answer == nil) || !bytes.Equal(got.answer, e.answer) {
-			t.Fatalf("decoded %+v, encoded %+v", got, e)
+			t.Fatalf("decoded %+v, want %+v", got, e)
 		}
 		if _, err := Describe(b); err != nil {
 			t.Fatal(err)
@@ -37,7 +37,7 @@
 	})
 }
 
-// The stored form must stay readable: these entries were written before the package got its present name.
+// Entries written by earlier versions must remain readable. These were written before the package was renamed.
 func TestDecodeStoredEntries(t *testing.T) {
 	for name, c := range map[string]struct {
 		stored, description string
@@ -57,7 +57,7 @@
 				t.Fatal(err)
 			}
 			if e.digest != 77 || !bytes.Equal(e.encode(), stored) {
-				t.Errorf("digest %d, encoded again %x, stored %x", e.digest, e.encode(), stored)
+				t.Errorf("digest %d, want 77; encoded again as %x, want %x", e.digest, e.encode(), stored)
 			}
 			if got, err := Describe(stored); err != nil || got != c.description {
 				t.Errorf("described as %q, %v", got, err)
--- a/idempotency/diskguard.go
+++ b/idempotency/diskguard.go
@@ -1,46 +1,48 @@
 package idempotency
 
-// DiskGuard decides whether requests that need an intent on disk are accepted while the disk is slow. Without it each of them would
-// wait for a hanging disk past its client's timeout, and all of them together would hold memory and descriptors. Requests that need
-// no intent are not affected.
+// DiskGuard decides whether requests that need an intent on disk are accepted while the disk is slow. Without it every such request
+// would wait for a hanging disk until after its client's timeout, and together they would hold memory and descriptors. Requests that
+// need no intent are not affected.
 type DiskGuard struct {
-	SlowAfter Time // a write that takes longer is late: the request gives up, and no new one is accepted meanwhile; 0 = never
-	startedAt []Time
-	finished  int // writes at the head of startedAt that have ended
+	// SlowAfter is the duration after which a pending write is late: its request stops waiting, and no new request is accepted until
+	// the write has ended; 0 = never.
+	SlowAfter Time
+	startedAt []Time // of writes, in order; the first ones have ended
+	ended     int    // number of ended writes at the start of startedAt
 }
 
-// compactAfter is how many finished writes are kept at least before startedAt is compacted.
+// compactAfter is the number of ended writes that startedAt must exceed before it is compacted.
 const compactAfter = 64
 
-// Begin records that the write of an intent has begun. Writes end in the order in which they begin.
+// Begin records that the write of an intent has begun. Writes must end in the order in which they begin.
 func (d *DiskGuard) Begin(now Time) { d.startedAt = append(d.startedAt, now) }
 
 // End records that the oldest pending write has ended, successfully or not.
 func (d *DiskGuard) End() {
-	if d.finished < len(d.startedAt) {
-		d.finished++
+	if d.ended < len(d.startedAt) {
+		d.ended++
 	}
-	if d.finished == len(d.startedAt) {
-		d.startedAt, d.finished = d.startedAt[:0], 0
-	} else if d.finished > compactAfter && d.finished*2 > len(d.startedAt) {
-		d.startedAt = append(d.startedAt[:0], d.startedAt[d.finished:]...)
-		d.finished = 0
+	if d.ended == len(d.startedAt) {
+		d.startedAt, d.ended = d.startedAt[:0], 0
+	} else if d.ended > compactAfter && d.ended*2 > len(d.startedAt) {
+		d.startedAt = append(d.startedAt[:0], d.startedAt[d.ended:]...)
+		d.ended = 0
 	}
 }
 
-// Timeout returns how long a request may wait for its intent, given the time left until its client's timeout. It leaves enough of
-// that to answer the client.
-func (d *DiskGuard) Timeout(left Time) Time {
+// Timeout returns how long a request may wait for its intent, given the time remaining until its client's timeout. It is at most half
+// of that, so that enough time is left to respond to the client.
+func (d *DiskGuard) Timeout(remaining Time) Time {
 	if d.SlowAfter <= 0 {
-		return left / 2
+		return remaining / 2
 	}
-	return min(left/2, d.SlowAfter)
+	return min(remaining/2, d.SlowAfter)
 }
 
 // Pending returns the number of writes that have not ended.
-func (d *DiskGuard) Pending() int { return len(d.startedAt) - d.finished }
+func (d *DiskGuard) Pending() int { return len(d.startedAt) - d.ended }
 
-// Available reports whether another write may begin: the oldest pending one is not late.
+// Available reports whether another write may begin, which is the case unless the oldest pending write is late.
 func (d *DiskGuard) Available(now Time) bool {
-	return d.Pending() == 0 || d.SlowAfter <= 0 || now-d.startedAt[d.finished] < d.SlowAfter
+	return d.Pending() == 0 || d.SlowAfter <= 0 || now-d.startedAt[d.ended] < d.SlowAfter
 }
--- a/idempotency/diskguard_test.go
+++ b/idempotency/diskguard_test.go
@@ -3,26 +3,26 @@
 import "testing"
 
 func TestDiskGuardRejectsWhileWritesAreLate(t *testing.T) {
-	d := DiskGuard{SlowAfter: 100}
+	guard := DiskGuard{SlowAfter: 100}
 	for i := range Time(500) {
-		d.Begin(i)
+		guard.Begin(i)
 		if i%2 == 0 {
-			d.End()
+			guard.End()
 		}
 	}
-	if d.Pending() != 250 || d.Available(500) {
-		t.Errorf("%d writes pending, the oldest for 250 ms: available %t", d.Pending(), d.Available(500))
+	if guard.Pending() != 250 || guard.Available(500) {
+		t.Errorf("%d writes pending, available %t, want 250, the oldest of them late", guard.Pending(), guard.Available(500))
 	}
 	for range 200 {
-		d.End()
+		guard.End()
 	}
-	if !d.Available(500) || d.Available(551) {
-		t.Error("the oldest pending write began at 450")
+	if !guard.Available(500) || guard.Available(551) {
+		t.Error("available until 550 ms expected, as the oldest pending write began at 450 ms")
 	}
 	for range 60 {
-		d.End()
+		guard.End()
 	}
-	if d.Pending() != 0 || !d.Available(10_000) {
-		t.Error("not available without pending writes")
+	if guard.Pending() != 0 || !guard.Available(10_000) {
+		t.Error("writes are pending after all have ended, or none may begin")
 	}
 }
--- a/idempotency/doc.go
+++ b/idempotency/doc.go
@@ -1,16 +1,17 @@
-// Package idempotency decides what a gatherer may do with requests that must not run twice, across crashes and restarts: whether a
-// request may be dispatched, must be answered from the stored answer of an earlier one with the same key, or must be answered with
-// the fact that the outcome is unknown. It does no I/O, reads no clock and starts no goroutine. It is not safe for concurrent use:
-// one goroutine owns a Table. What must be written to disk is returned to the caller as Changes.
+// Package idempotency decides, across crashes and restarts, how a gatherer handles a request that must not run twice: whether it may
+// be dispatched, is answered with the stored answer of an earlier request with the same key, or fails because the outcome of that
+// earlier request is unknown. The package does no I/O, reads no clock and starts no goroutine. It is not safe for concurrent use:
+// one goroutine owns a Table. Writes to disk are returned to the caller as Changes.
 //
 // The stages of a request:
 //
-//	intended   its intent is being written; nothing was dispatched    after a crash: never seen, or outcome unknown
+//	intended   its intent is being written; nothing was dispatched    after a crash: no entry, or outcome unknown
 //	open       its intent is on disk; it may be dispatched            after a crash: outcome unknown
-//	answered   its answer is known                                    repeats get the same answer
-//	unknown    it may have run, the outcome is unknown                repeats fail at once and are never dispatched
-//	(none)     it is known not to have run                            repeats are new requests
+//	answered   its answer is known                                    retries receive the same answer
+//	unknown    it may have run, the outcome is unknown                retries fail at once and are never dispatched
+//	(none)     it is known not to have run                            retries are new requests
 //
-// The invariant behind all of them: a stage is on disk before what it permits is done. Only an intent permits anything, so only
-// intents are waited for. A later stage that is lost in a crash leaves the outcome unknown, which is always true.
+// Invariant: a stage is durable before any action that it permits. Only an intent permits an action, the dispatch, so the caller
+// waits only for writes of intents. If a later stage is lost in a crash, the outcome is unknown after the restart, which is a
+// correct description in every case.
 package idempotency
--- a/idempotency/table.go
+++ b/idempotency/table.go
@@ -5,46 +5,47 @@
 // Time is a point in Unix time or a duration, in milliseconds.
 type Time int64
 
-// Key identifies a request and its repeats: it is derived from the customer, the query type and the client's idempotency key.
+// Key identifies a request and its retries: it is derived from the customer, the query type and the client's idempotency key.
 type Key string
 
-// Digest is a digest of a request's contents; two requests with the same key must have the same digest.
+// Digest is a digest of a request's contents. Requests with the same key must have the same digest.
 type Digest uint64
 
-// Verdict is what is to be done with a request that has arrived.
+// Verdict is the decision on how to handle a request that has arrived.
 type Verdict uint8
 
 const (
-	// WriteIntent means that the key is new. The intent must be written; the request may be dispatched after ConfirmIntent.
+	// WriteIntent means that the key is new. The intent must be written; after ConfirmIntent the request may be dispatched.
 	WriteIntent Verdict = iota
-	// Replay means that the request was answered before; the stored answer is given again.
+	// Replay means that the request was answered before. The stored answer must be sent again.
 	Replay
-	// InProgress means that an earlier request with the key is still running. This one fails at once.
+	// InProgress means that an earlier request with the key is still in progress. This one must fail at once.
 	InProgress
-	// OutcomeUnknown means that an earlier request with the key may have run. This one fails at once.
+	// OutcomeUnknown means that an earlier request with the key may have run. This one must fail at once.
 	OutcomeUnknown
-	// KeyReused means that the key belongs to a request with another digest: this one is invalid.
+	// KeyReused means that the key belongs to a request with another digest. This request is invalid.
 	KeyReused
-	// TableFull means that the table is at Config.MaxRequests. The request is shed; nothing of it was dispatched.
+	// TableFull means that the table holds Config.MaxRequests entries. The request must be shed; nothing of it was dispatched.
 	TableFull
 )
 
 // Config sets the limits of a table.
 type Config struct {
-	Retention      Time // how long an entry is kept beyond the request's own timeout
-	MaxRequests    int  // entries; 0 = no limit
-	MaxAnswerBytes int  // bytes of all stored answers; 0 = no limit
+	Retention      Time // how long an entry is kept after the request's timeout
+	MaxRequests    int  // maximum number of entries; 0 = no limit
+	MaxAnswerBytes int  // maximum total size of the stored answers in bytes; 0 = no limit
 }
 
-// Change is a write to the store: a value for a key, or its removal.
+// Change is a write to the store: the new value of a key, or the key's removal.
 type Change struct {
 	Key   Key
 	Value []byte // nil = remove the key
 }
 
+// stage is the stage of a request; the package documentation describes the stages.
 type stage uint8
 
-// The stages; their numbers are stored.
+// The stages. Their numbers are part of the stored form.
 const (
 	stageIntended stage = iota + 1
 	stageOpen
@@ -52,7 +53,7 @@
 	stageUnknown
 )
 
-// describe returns what a stored stage means, for operators.
+// describe returns the meaning of a stored stage, for operators.
 func (s stage) describe() string {
 	switch s {
 	case stageAnswered:
@@ -63,9 +64,10 @@
 	return "intended, may have run"
 }
 
-// inProgress reports whether a request in this stage is still running in this process.
+// inProgress reports whether a request in this stage is still in progress in this process.
 func (s stage) inProgress() bool { return s == stageIntended || s == stageOpen }
 
+// entry is the state of one request.
 type entry struct {
 	key       Key
 	stage     stage
@@ -80,10 +82,10 @@
 // Table holds an entry for each request whose key is in use. Entries expire Config.Retention after the request's timeout.
 type Table struct {
 	config      Config
-	now         Time // the latest time seen: a clock that steps back does not make anything younger
+	now         Time // latest time passed in: a clock that steps back does not extend the retention of entries
 	entries     map[Key]*entry
 	byExpiry    deadlineheap.Indexed[*entry]
-	answerBytes int
+	answerBytes int // total size of the stored answers
 }
 
 // New returns an empty table.
@@ -92,17 +94,19 @@
 // Len returns the number of entries.
 func (t *Table) Len() int { return len(t.entries) }
 
-// Bytes returns the size of all stored answers.
+// Bytes returns the total size of the stored answers.
 func (t *Table) Bytes() int { return t.answerBytes }
 
-// advanceClock moves the table's time forward. A clock that went back between two runs stands still here until it has caught up.
+// advanceClock advances the table's time to now and returns it. If the clock was set back, even between two runs of the process,
+// the table's time does not advance until the clock has caught up.
 func (t *Table) advanceClock(now Time) Time {
 	t.now = max(t.now, now)
 	return t.now
 }
 
-// Restore adds an entry that an earlier process wrote. A request that was in progress then has an unknown outcome now. An error
-// says that the value is malformed; the key's outcome is then unknown for the full retention.
+// Restore adds an entry that an earlier process wrote. The outcome of a request that was in progress then is unknown. If the value
+// is malformed, Restore returns an error that wraps ErrMalformed, and the outcome of the key is unknown for Config.Retention, counted
+// from the latest arrival that the table has recorded or restored so far.
 func (t *Table) Restore(key Key, value []byte) error {
 	e, err := decode(key, value)
 	if err != nil {
@@ -116,8 +120,8 @@
 	return err
 }
 
-// Arrive decides about a request that has arrived with a timeout. answer is set for Replay. changes are to be written in any case;
-// for WriteIntent the last one is the intent.
+// Arrive decides how to handle a request that has arrived. timeout is the request's own timeout. answer is set for Replay. The
+// caller must write changes whatever the verdict; for WriteIntent the last one is the intent.
 func (t *Table) Arrive(now Time, key Key, digest Digest, timeout Time) (v Verdict, answer []byte, changes []Change) {
 	now = t.advanceClock(now)
 	changes = t.expire(now)
@@ -133,7 +137,7 @@
 	return WriteIntent, nil, append(changes, Change{key, e.encode()})
 }
 
-// verdict decides about a request whose key has an entry. The digest of a malformed entry is 0 and matches any.
+// verdict decides how to handle a request whose key has an entry. The digest of a malformed entry is 0 and matches every digest.
 func (e *entry) verdict(digest Digest) (v Verdict, answer []byte) {
 	switch {
 	case e.digest != digest && e.digest != 0:
@@ -143,11 +147,11 @@
 	case e.stage.inProgress():
 		return InProgress, nil
 	}
-	return OutcomeUnknown, nil // also for an answer that was evicted
+	return OutcomeUnknown, nil // also if the answer was evicted
 }
 
-// ConfirmIntent records that a request's intent is on disk: it may be dispatched from now on. It returns false where the table does
-// not wait for the intent.
+// ConfirmIntent records that a request's intent is on disk, so that the request may be dispatched. It returns false if the table is
+// not waiting for that intent.
 func (t *Table) ConfirmIntent(key Key) bool {
 	e := t.entries[key]
 	if e == nil || e.stage != stageIntended {
@@ -157,7 +161,8 @@
 	return true
 }
 
-// RecordAnswer stores a request's final answer; it must be called before the answer is sent.
+// RecordAnswer stores a request's final answer. It must be called before the answer is sent. An answer that exceeds
+// Config.MaxAnswerBytes is not stored, but the request still counts as answered.
 func (t *Table) RecordAnswer(key Key, answer []byte) (changes []Change) {
 	e := t.entries[key]
 	if e == nil || e.stage != stageOpen {
@@ -184,8 +189,8 @@
 	return []Change{{key, e.encode()}}
 }
 
-// Discard removes a request of which nothing has run or will run: its intent could not be written, or all its shard calls are known
-// not to have run and none will follow. Its key may be used again.
+// Discard removes a request that has not run and will not run: its intent could not be written, or all its shard calls are known not
+// to have run and no others will follow. Its key may be used again.
 func (t *Table) Discard(key Key) []Change {
 	e := t.entries[key]
 	if e == nil || !e.stage.inProgress() {
@@ -195,13 +200,13 @@
 	return []Change{{key, nil}}
 }
 
-// evictAnswers drops old answers until n more bytes fit, and returns the entries changed. That the requests were answered stays
-// known.
+// evictAnswers drops old answers until n more bytes fit, and returns the changed entries. Their requests remain in the stage
+// answered.
 func (t *Table) evictAnswers(n int) (evicted []*entry) {
 	if t.config.MaxAnswerBytes <= 0 || n > t.config.MaxAnswerBytes {
 		return nil
 	}
-	for e := range t.byExpiry.All() { // in heap order: the first ones are among the oldest
+	for e := range t.byExpiry.All() { // in heap order, so the first entries are among the oldest
 		if t.answerBytes+n <= t.config.MaxAnswerBytes {
 			break
 		}
@@ -214,10 +219,11 @@
 	return evicted
 }
 
-// maxExpiredPerArrival bounds the work that one arrival does on expired entries.
+// maxExpiredPerArrival limits the number of expired entries that one arrival removes.
 const maxExpiredPerArrival = 16
 
-// expire removes expired entries. One that is in progress in this process is kept.
+// expire removes up to maxExpiredPerArrival expired entries and returns the changes. The expiry of a request that is in progress in
+// this process is postponed.
 func (t *Table) expire(now Time) (changes []Change) {
 	for range maxExpiredPerArrival {
 		e, ok := t.byExpiry.First()
@@ -235,6 +241,7 @@
 	return changes
 }
 
+// add adds an entry and replaces that of the same key, if there is one.
 func (t *Table) add(e *entry) {
 	if old := t.entries[e.key]; old != nil {
 		t.remove(old)
@@ -244,6 +251,7 @@
 	t.byExpiry.Push(int64(e.expiresAt), e)
 }
 
+// remove removes an entry.
 func (t *Table) remove(e *entry) {
 	delete(t.entries, e.key)
 	t.answerBytes -= len(e.answer)
