--- a/memorybudget/budget.go
+++ b/memorybudget/budget.go
@@ -1,12 +1,12 @@
-// Package memorybudget accounts for the memory that a gatherer's work uses: connections, request bodies, open searches, merges,
-// responses and connections to shard servers. It decides who may use more. It does no I/O, reads no clock, starts no goroutine,
-// and may be used concurrently.
+// Package memorybudget accounts for the memory that a gatherer uses for connections, request bodies, open searches, merges,
+// responses and connections to shard servers, and decides which of them may use more. It does no I/O, reads no clock and
+// starts no goroutine. A Budget is safe for concurrent use.
 //
-// Each account has a reservation, which the others leave free, and a limit. Memory beyond the reservations is for whoever
-// requests it first. So merges of long lists, or many clients that become active at once, cannot use up the memory of plain
-// look-ups.
+// Each account has a reservation, which other accounts must leave free, and a limit. Memory that is not reserved is allocated
+// in the order of requests. Thus neither merges of long lists nor many clients that become active at once can use up the
+// memory that plain look-ups need.
 //
-// Amounts are estimates of what work uses, not of what the runtime has mapped: see Options.MaxTotal.
+// Amounts are estimates of the memory in use, not of the memory that the runtime has mapped: see Options.MaxTotal.
 package memorybudget
 
 import (
@@ -17,7 +17,7 @@
 // Bytes is an amount of memory.
 type Bytes int64
 
-// Account is what memory is used for.
+// Account is a purpose for which memory is used.
 type Account uint8
 
 // The accounts.
@@ -25,10 +25,10 @@
 	ActiveConns  Account = iota // client connections with a goroutine: stacks, buffers, headers
 	ParkedConns                 // parked client connections: table entries
 	Bodies                      // request bodies
-	Requests                    // open searches, their shard calls, and the values received
+	Requests                    // open searches, their shard calls and the values received
 	Merges                      // rows of open merges
 	Answers                     // responses being written
-	ServerConns                 // connections to shard servers, and incomplete frames on them
+	ServerConns                 // connections to shard servers, with incomplete frames
 	AccountCount                // number of accounts
 )
 
@@ -42,29 +42,29 @@
 	return accountNames[a]
 }
 
-// Limit bounds what an account may use.
+// Limit sets the reservation and the limit of an account.
 type Limit struct {
-	Reserved Bytes // left free by the others
-	Max      Bytes // 0 = no limit of its own
+	Reserved Bytes // memory that other accounts must leave free
+	Max      Bytes // maximum use; 0 = only Options.MaxTotal applies
 }
 
-// Options configure a Budget.
+// Options configures a Budget.
 type Options struct {
-	// MaxTotal is what all accounts together may use; 0 = no limit. It must leave room in the machine's memory for the runtime,
-	// garbage and the program itself: see TotalFor.
+	// MaxTotal is the maximum memory that all accounts together may use; 0 = no limit. The rest of the machine's memory must
+	// suffice for the runtime, garbage and the program itself: see TotalFor.
 	MaxTotal Bytes
 	Limits   [AccountCount]Limit
 }
 
-// Pressure is the degree to which a budget is used.
+// Pressure is the memory pressure: how close the total use is to Options.MaxTotal.
 type Pressure uint8
 
-// Degrees of pressure. They are entered and left at different thresholds, so that work near a threshold does not change the
-// pressure with each search.
+// The degrees of pressure. They have different thresholds for entry and exit, so that the pressure does not change with each
+// search while the use is near a threshold.
 const (
 	PressureNone     Pressure = iota
-	PressureHigh              // from 85% until below 70%: optional memory should be avoided
-	PressureCritical          // from 97% until below 90%: new work should be rejected
+	PressureHigh              // entered at 85%, left below 70%: optional use of memory should be avoided
+	PressureCritical          // entered at 97%, left below 90%: new work should be rejected
 )
 
 // String returns the pressure's name in log lines.
@@ -78,18 +78,18 @@
 	criticalEnterPercent, criticalExitPercent = 97, 90
 )
 
-// Snapshot is the state of a budget at one time.
+// Snapshot is the state of a budget at a point in time.
 type Snapshot struct {
 	Used          [AccountCount]Bytes
-	Peak          Bytes               // greatest Total so far
-	Rejections    [AccountCount]int64 // failed calls of Reserve
-	MaxOvercommit Bytes               // the most by which ForceReserve has exceeded MaxTotal
-	Total         Bytes
-	MaxTotal      Bytes
+	Peak          Bytes               // maximum of Total so far
+	Rejections    [AccountCount]int64 // calls of Reserve that returned false
+	MaxOvercommit Bytes               // maximum excess over MaxTotal after a call of ForceReserve
+	Total         Bytes               // sum of Used
+	MaxTotal      Bytes               // Options.MaxTotal
 	Pressure      Pressure
 }
 
-// Budget accounts for memory. It may be used concurrently.
+// Budget accounts for memory. It is safe for concurrent use.
 type Budget struct {
 	onPressureChange func(from, to Pressure, s Snapshot)
 
@@ -97,24 +97,24 @@
 	options        Options
 	usage          Snapshot
 	pendingChanges []pressureChange // changes not yet passed to onPressureChange
-	notifying      bool             // a caller is passing them
+	notifying      bool             // a caller is passing pending changes to onPressureChange
 }
 
-// pressureChange is a call of onPressureChange.
+// pressureChange holds the arguments of a call of onPressureChange.
 type pressureChange struct {
 	from, to Pressure
 	usage    Snapshot
 }
 
-// New returns an unused budget. onPressureChange, if not nil, is called after each change of pressure, in order, in the goroutine
-// of some caller and without a lock held.
+// New returns an empty budget. If onPressureChange is not nil, it is called after each change of pressure, in the order of the
+// changes, in a goroutine that called a method of the budget and without holding a lock.
 func New(o Options, onPressureChange func(from, to Pressure, s Snapshot)) *Budget {
 	b := &Budget{onPressureChange: onPressureChange}
 	b.SetOptions(o)
 	return b
 }
 
-// SetOptions changes the options. Memory in use is not affected.
+// SetOptions replaces the options. Memory already in use stays accounted for, even if it exceeds the new limits.
 func (b *Budget) SetOptions(o Options) {
 	b.mu.Lock()
 	b.options, b.usage.MaxTotal = o, o.MaxTotal
@@ -122,8 +122,9 @@
 	b.notifyAndUnlock()
 }
 
-// Reserve adds n bytes to an account. It returns false and adds nothing if that would exceed the account's limit, or the total
-// less the unused reservations of the others; the work should then be rejected at once.
+// Reserve adds n bytes to an account. It returns false and adds nothing if the account's limit, MaxTotal, or, beyond the
+// account's own reservation, MaxTotal less the unused reservations of the other accounts would be exceeded; the caller should
+// then reject the work at once.
 func (b *Budget) Reserve(a Account, n Bytes) bool {
 	b.mu.Lock()
 	if !b.canReserve(a, n) {
@@ -136,8 +137,8 @@
 	return true
 }
 
-// ForceReserve adds n bytes to an account whatever the limits are, for work that can no longer be rejected: a response in
-// progress, a value received for a search that may not be shed. Later work is rejected instead.
+// ForceReserve adds n bytes to an account regardless of the limits, for work that can no longer be rejected, such as a
+// response in progress or a value received for a search that must not be shed. Later work is rejected instead.
 func (b *Budget) ForceReserve(a Account, n Bytes) {
 	b.mu.Lock()
 	b.add(a, n)
@@ -147,14 +148,15 @@
 	b.notifyAndUnlock()
 }
 
-// Release subtracts what Reserve or ForceReserve added.
+// Release subtracts n bytes that Reserve or ForceReserve added to an account.
 func (b *Budget) Release(a Account, n Bytes) {
 	b.mu.Lock()
 	b.add(a, -n)
 	b.notifyAndUnlock()
 }
 
-// Transfer moves n bytes from one account to another, so that they are neither counted twice nor missing in between.
+// Transfer moves n bytes from one account to another in one step, so that they are at no time counted twice or not at all.
+// Limits are not checked.
 func (b *Budget) Transfer(from, to Account, n Bytes) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -162,21 +164,21 @@
 	b.usage.Used[to] += n
 }
 
-// Snapshot returns the present state.
+// Snapshot returns the current state.
 func (b *Budget) Snapshot() Snapshot {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.usage
 }
 
-// Pressure returns the present pressure.
+// Pressure returns the current pressure.
 func (b *Budget) Pressure() Pressure {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.usage.Pressure
 }
 
-// canReserve reports whether an account may use n bytes more. The caller holds mu.
+// canReserve reports whether an account may use n more bytes. The caller must hold mu.
 func (b *Budget) canReserve(a Account, n Bytes) bool {
 	used := b.usage.Used[a] + n
 	if limit := b.options.Limits[a].Max; limit > 0 && used > limit {
@@ -189,7 +191,7 @@
 		return false
 	}
 	if used <= b.options.Limits[a].Reserved {
-		return true // within its reservation
+		return true // within the account's own reservation
 	}
 	free := b.options.MaxTotal - b.usage.Total - n
 	for other := range AccountCount {
@@ -200,6 +202,7 @@
 	return free >= 0
 }
 
+// add adds n bytes, which may be negative, to an account. The caller must hold mu.
 func (b *Budget) add(a Account, n Bytes) {
 	b.usage.Used[a] += n
 	b.usage.Total += n
@@ -207,25 +210,27 @@
 	b.updatePressure()
 }
 
-// updatePressure recomputes the pressure and records a change. The caller holds mu.
+// updatePressure recomputes the pressure and records a change in pendingChanges. The caller must hold mu.
 func (b *Budget) updatePressure() {
-	was, now := b.usage.Pressure, PressureNone
+	previous, next := b.usage.Pressure, PressureNone
 	if b.options.MaxTotal > 0 {
-		at := b.usage.Total * 100
+		used := b.usage.Total * 100 // compared with percentages of MaxTotal
 		switch {
-		case at >= criticalEnterPercent*b.options.MaxTotal, was == PressureCritical && at >= criticalExitPercent*b.options.MaxTotal:
-			now = PressureCritical
-		case at >= highEnterPercent*b.options.MaxTotal, was >= PressureHigh && at >= highExitPercent*b.options.MaxTotal:
-			now = PressureHigh
+		case used >= criticalEnterPercent*b.options.MaxTotal,
+			previous == PressureCritical && used >= criticalExitPercent*b.options.MaxTotal:
+			next = PressureCritical
+		case used >= highEnterPercent*b.options.MaxTotal,
+			previous >= PressureHigh && used >= highExitPercent*b.options.MaxTotal:
+			next = PressureHigh
 		}
 	}
-	if b.usage.Pressure = now; now != was && b.onPressureChange != nil {
-		b.pendingChanges = append(b.pendingChanges, pressureChange{was, now, b.usage})
+	if b.usage.Pressure = next; next != previous && b.onPressureChange != nil {
+		b.pendingChanges = append(b.pendingChanges, pressureChange{previous, next, b.usage})
 	}
 }
 
-// notifyAndUnlock unlocks mu and passes on recorded changes of pressure. One caller at a time does so, which keeps their order;
-// the others do not wait for it.
+// notifyAndUnlock unlocks mu and calls onPressureChange for each pending change. Only one caller at a time does so, which
+// preserves their order; other callers return without waiting for it.
 func (b *Budget) notifyAndUnlock() {
 	if b.notifying {
 		b.mu.Unlock()
@@ -233,11 +238,11 @@
 	}
 	b.notifying = true
 	for len(b.pendingChanges) > 0 {
-		queue := b.pendingChanges
+		changes := b.pendingChanges
 		b.pendingChanges = nil
 		b.mu.Unlock()
-		for _, t := range queue {
-			b.onPressureChange(t.from, t.to, t.usage)
+		for _, change := range changes {
+			b.onPressureChange(change.from, change.to, change.usage)
 		}
 		b.mu.Lock()
 	}
--- a/memorybudget/budget_test.go
+++ b/memorybudget/budget_test.go
@@ -8,34 +8,35 @@
 	"pgregory.net/rapid"
 )
 
-// referenceCanReserve is the definition of Reserve: free for an account is what the others neither use nor have reserved.
+// referenceCanReserve is a reference implementation of canReserve: an account may use the memory that the others neither use
+// nor have reserved.
 func referenceCanReserve(options Options, used [AccountCount]Bytes, a Account, n Bytes) bool {
-	sum, reserved := Bytes(0), Bytes(0)
+	sum, usedOrReserved := Bytes(0), Bytes(0)
 	for b := range AccountCount {
-		h := used[b]
+		usedNext := used[b]
 		if b == a {
-			h += n
+			usedNext += n
 		}
-		sum += h
-		reserved += max(h, options.Limits[b].Reserved)
+		sum += usedNext
+		usedOrReserved += max(usedNext, options.Limits[b].Reserved)
 	}
-	if m := options.Limits[a].Max; m > 0 && used[a]+n > m {
+	if limit := options.Limits[a].Max; limit > 0 && used[a]+n > limit {
 		return false
 	}
 	if options.MaxTotal <= 0 {
 		return true
 	}
-	within := used[a]+n <= options.Limits[a].Reserved
-	return sum <= options.MaxTotal && (within || reserved <= options.MaxTotal)
+	withinReservation := used[a]+n <= options.Limits[a].Reserved
+	return sum <= options.MaxTotal && (withinReservation || usedOrReserved <= options.MaxTotal)
 }
 
-func TestReserveMatchesDefinition(t *testing.T) {
+func TestReserveMatchesReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var options Options
-		options.MaxTotal = Bytes(rapid.SampledFrom([]int{0, 100, 1000}).Draw(t, "most"))
+		options.MaxTotal = Bytes(rapid.SampledFrom([]int{0, 100, 1000}).Draw(t, "MaxTotal"))
 		for a := range AccountCount {
-			options.Limits[a].Reserved = Bytes(rapid.IntRange(0, 12).Draw(t, "least"))
-			options.Limits[a].Max = Bytes(rapid.SampledFrom([]int{0, 40, 300}).Draw(t, "most of one"))
+			options.Limits[a].Reserved = Bytes(rapid.IntRange(0, 12).Draw(t, "Reserved"))
+			options.Limits[a].Max = Bytes(rapid.SampledFrom([]int{0, 40, 300}).Draw(t, "Max"))
 		}
 		budget := New(options, nil)
 		var used [AccountCount]Bytes
@@ -43,11 +44,11 @@
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			a := Account(rapid.IntRange(0, int(AccountCount)-1).Draw(t, "account"))
 			n := Bytes(rapid.IntRange(0, 60).Draw(t, "bytes"))
-			switch rapid.IntRange(0, 9).Draw(t, "what") {
+			switch rapid.IntRange(0, 9).Draw(t, "operation") {
 			case 0, 1, 2, 3, 4:
 				want := referenceCanReserve(options, used, a, n)
 				if got := budget.Reserve(a, n); got != want {
-					t.Fatalf("reserve %d for %s with %v in use: %t, by definition %t", n, a, used, got, want)
+					t.Fatalf("reserve %d for %s with %v in use: %t, want %t", n, a, used, got, want)
 				}
 				if want {
 					used[a] += n
@@ -71,20 +72,20 @@
 			}
 			s := budget.Snapshot()
 			sum := Bytes(0)
-			for _, h := range used {
-				sum += h
+			for _, amount := range used {
+				sum += amount
 			}
 			if s.Used != used || s.Total != sum || s.Peak < sum {
-				t.Fatalf("%+v, want %v in use", s, used)
+				t.Fatalf("snapshot %+v, want %v in use", s, used)
 			}
 			if !forced && options.MaxTotal > 0 && s.Total > options.MaxTotal {
-				t.Fatalf("%d of %d in use, and nothing was forced", s.Total, options.MaxTotal)
+				t.Fatalf("%d of %d bytes in use without ForceReserve", s.Total, options.MaxTotal)
 			}
 		}
 	})
 }
 
-// A reservation is available whatever the others use.
+// A reservation is available regardless of the use by other accounts.
 func TestReservedBytesAreAvailable(t *testing.T) {
 	options := Options{MaxTotal: 1000}
 	options.Limits[Bodies].Reserved, options.Limits[Answers].Reserved = 100, 50
@@ -92,25 +93,25 @@
 	for budget.Reserve(Merges, 7) {
 	}
 	if used := budget.Snapshot().Used[Merges]; used < 840 || used > 850 {
-		t.Errorf("merges use %d of 1000 with 150 reserved by others", used)
+		t.Errorf("merges use %d of 1000 bytes with 150 reserved by others, want 840 to 850", used)
 	}
 	if budget.Reserve(ActiveConns, 10) {
-		t.Error("an account without a reservation uses that of others")
+		t.Error("an account without a reservation uses that of another account")
 	}
 	if !budget.Reserve(Bodies, 100) || !budget.Reserve(Answers, 50) {
 		t.Errorf("reservations are not available: %+v", budget.Snapshot())
 	}
 	if budget.Reserve(Bodies, 10) || budget.Snapshot().Rejections[Bodies] != 1 {
-		t.Errorf("beyond its reservation: %+v", budget.Snapshot())
+		t.Errorf("an account exceeds its reservation, or the rejection is not counted: %+v", budget.Snapshot())
 	}
-	// What is forced beyond the limit uses up reservations too: the limit is the machine's.
+	// Memory forced beyond MaxTotal uses up reservations as well, because MaxTotal is derived from the memory of the machine.
 	budget.Release(Bodies, 100)
 	budget.ForceReserve(ServerConns, 200)
 	if budget.Reserve(Bodies, 60) {
-		t.Errorf("reserved beyond the limit: %+v", budget.Snapshot())
+		t.Errorf("Reserve exceeds MaxTotal: %+v", budget.Snapshot())
 	}
 	if s := budget.Snapshot(); s.MaxOvercommit != s.Total-1000 || s.MaxOvercommit <= 0 {
-		t.Errorf("forced: %+v", s)
+		t.Errorf("MaxOvercommit is not the excess over MaxTotal: %+v", s)
 	}
 }
 
@@ -118,17 +119,17 @@
 	var changes []Pressure
 	budget := New(Options{MaxTotal: 1000}, func(_, to Pressure, s Snapshot) {
 		if s.Pressure != to {
-			t.Errorf("notified of %s with %+v", to, s)
+			t.Errorf("notified of pressure %s with snapshot %+v", to, s)
 		}
 		changes = append(changes, to)
 	})
 	budget.ForceReserve(Requests, 800)
-	for range 500 { // 80% to 95%: around the threshold
+	for range 500 { // 80% to 95%: on both sides of the threshold
 		budget.ForceReserve(Requests, 150)
 		budget.Release(Requests, 150)
 	}
 	if want := []Pressure{PressureHigh}; !slices.Equal(changes, want) {
-		t.Errorf("changes at one threshold: %v, want %v", changes, want)
+		t.Errorf("changes of pressure near one threshold: %v, want %v", changes, want)
 	}
 	budget.ForceReserve(Requests, 180)
 	for range 500 { // 92% to 98%
@@ -138,15 +139,15 @@
 	budget.Release(Requests, 280)
 	budget.Release(Requests, 50)
 	if want := []Pressure{PressureHigh, PressureCritical, PressureHigh, PressureNone}; !slices.Equal(changes, want) {
-		t.Errorf("changes: %v, want %v", changes, want)
+		t.Errorf("changes of pressure: %v, want %v", changes, want)
 	}
-	budget.SetOptions(Options{MaxTotal: 650}) // it holds exactly that
+	budget.SetOptions(Options{MaxTotal: 650}) // exactly the memory in use
 	if budget.Pressure() != PressureCritical {
-		t.Errorf("a lower limit: %s", budget.Pressure())
+		t.Errorf("pressure with MaxTotal equal to the memory in use: %s", budget.Pressure())
 	}
 	budget.SetOptions(Options{})
 	if budget.Pressure() != PressureNone {
-		t.Errorf("no limit: %s", budget.Pressure())
+		t.Errorf("pressure without a limit: %s", budget.Pressure())
 	}
 }
 
@@ -157,15 +158,15 @@
 		mu.Lock()
 		defer mu.Unlock()
 		if from != last {
-			t.Errorf("notified of %s after %s", from, last)
+			t.Errorf("notified of a change from %s, want from %s", from, last)
 		}
 		last = to
 	})
-	var all sync.WaitGroup
+	var workers sync.WaitGroup
 	for g := range 8 {
-		all.Add(1)
+		workers.Add(1)
 		go func() {
-			defer all.Done()
+			defer workers.Done()
 			a := Account(g) % AccountCount
 			for i := range 2000 {
 				n := Bytes(i%900) + 1
@@ -175,46 +176,46 @@
 			}
 		}()
 	}
-	all.Wait()
+	workers.Wait()
 	if s := budget.Snapshot(); s.Total != 0 || s.Used != [AccountCount]Bytes{} || s.Peak > 5000 || s.Pressure != PressureNone {
-		t.Errorf("in use at the end: %+v", s)
+		t.Errorf("state after all memory was released: %+v", s)
 	}
 }
 
 func TestSizeEstimator(t *testing.T) {
 	e := NewSizeEstimator(2, 512)
 	if e.Estimate(0) != 512 || e.Estimate(7) != 512 {
-		t.Error("no value has been observed")
+		t.Error("want the fallback before a value is observed, and for an unknown query type")
 	}
 	for range 200 {
 		e.Observe(0, 1000)
 	}
 	if got := e.Estimate(0); got < 1000 || got > 1010 {
-		t.Errorf("values of 1000 bytes: the estimate is %d", got)
+		t.Errorf("the estimate for values of 1000 bytes is %d, want 1000 to 1010", got)
 	}
-	short, all := Bytes(0), Bytes(0)
-	for i := range 1000 { // nine of ten are short, one is long
+	exceeding, total := Bytes(0), Bytes(0)
+	for i := range 1000 { // nine of ten values are small, one is large
 		n := Bytes(1000)
 		if i%10 == 0 {
 			n = 4000
 		}
 		if i > 100 {
-			short += max(n-e.Estimate(0), 0)
-			all += n
+			exceeding += max(n-e.Estimate(0), 0)
+			total += n
 		}
 		e.Observe(0, n)
 	}
-	if short*20 > all {
-		t.Errorf("%d of %d bytes exceeded the estimates", short, all)
+	if exceeding*20 > total {
+		t.Errorf("%d of %d bytes exceeded the estimates, want at most a twentieth", exceeding, total)
 	}
 	for range 400 {
 		e.Observe(0, 100)
 	}
 	if got := e.Estimate(0); got > 150 {
-		t.Errorf("long after the last large value the estimate is %d", got)
+		t.Errorf("400 small values after the last large one the estimate is %d, want at most 150", got)
 	}
 	if e.Estimate(1) != 512 {
-		t.Error("a type's values change the estimate of another")
+		t.Error("values of one query type change the estimate of another")
 	}
 	e.Observe(-1, 5)
 	e.Observe(9, 5)
@@ -234,16 +235,16 @@
 
 func TestDefaultOptions(t *testing.T) {
 	if TotalFor(0) != 0 || TotalFor(48<<20) != 16<<20 || TotalFor(1<<20) != minTotal {
-		t.Error("the total for a memory")
+		t.Error("TotalFor returns a wrong total for 0, 48 MiB or 1 MiB")
 	}
 	if options := DefaultOptions(0, 99); options.MaxTotal != 0 || options.Limits != ([AccountCount]Limit{Bodies: {Max: 99}}) {
-		t.Errorf("no total: %+v", options)
+		t.Errorf("options without a total: %+v", options)
 	}
 	options, reserved := DefaultOptions(1<<20, 1<<30), Bytes(0)
-	for _, s := range options.Limits {
-		reserved += s.Reserved
+	for _, limit := range options.Limits {
+		reserved += limit.Reserved
 	}
 	if options.Limits[Bodies].Max != 1<<19 || reserved <= 0 || reserved > options.MaxTotal/2 {
-		t.Errorf("a total: %+v", options)
+		t.Errorf("options for a total: %+v", options)
 	}
 }
--- a/memorybudget/estimator.go
+++ b/memorybudget/estimator.go
@@ -1,24 +1,26 @@
 package memorybudget
 
-// SizeEstimator estimates the size of a shard's value by query type, so that a search can be rejected before its shard calls are
-// dispatched rather than when their values, which can no longer be rejected, are received. It must not be used concurrently.
+// SizeEstimator estimates the size of the value that a shard returns, by query type. With an estimate a search can be
+// rejected before its shard calls are dispatched; when their values arrive they can no longer be rejected. It is not safe for
+// concurrent use.
 //
-// An estimate follows a larger value at once and smaller ones slowly: too high an estimate rejects a search, which is retried
-// later, too low a one may exhaust the process's memory.
+// An estimate rises at once to a larger value and falls slowly with smaller ones: if it is too high, a search is rejected and
+// retried later; if it is too low, the process may run out of memory.
 type SizeEstimator struct {
-	estimates []float64 // by query type; 0 = no value observed yet
-	fallback  Bytes
+	estimates []float64 // in bytes, by query type; 0 = no value observed yet
+	fallback  Bytes     // estimate until a value is observed
 }
 
-// decayFactor is the part of the difference by which one smaller value lowers the estimate.
+// decayFactor is the fraction of the difference by which a smaller value lowers the estimate.
 const decayFactor = 1.0 / 64
 
-// NewSizeEstimator returns an estimator for a number of query types. fallback is the estimate until a value is observed.
+// NewSizeEstimator returns an estimator for a number of query types. fallback is the estimate for a type without an observed
+// value.
 func NewSizeEstimator(types int, fallback Bytes) *SizeEstimator {
 	return &SizeEstimator{estimates: make([]float64, types), fallback: fallback}
 }
 
-// Observe records the size of a value. Unknown query types are ignored.
+// Observe records the size of a value in bytes. Unknown query types are ignored.
 func (e *SizeEstimator) Observe(queryType int, n Bytes) {
 	if queryType < 0 || queryType >= len(e.estimates) {
 		return
@@ -27,7 +29,7 @@
 	*estimate = max(float64(n), *estimate-decayFactor*(*estimate-float64(n)), 1)
 }
 
-// Estimate returns the memory to reserve for one value of a query type.
+// Estimate returns the number of bytes to reserve for one value of a query type.
 func (e *SizeEstimator) Estimate(queryType int) Bytes {
 	if queryType < 0 || queryType >= len(e.estimates) || e.estimates[queryType] == 0 {
 		return e.fallback
