--- a/connadmission/controller.go
+++ b/connadmission/controller.go
@@ -1,6 +1,6 @@
-// Package connadmission decides which client connections a gatherer keeps open: which connection is evicted when a new one arrives
-// at the limit, which parked connection may be served, and which client is too slow. A Controller tracks the state of each
-// connection. It does no I/O, reads no clock and starts no goroutine. It is not safe for concurrent use.
+// Package connadmission decides which client connections a gatherer keeps open: which connection is evicted when a new one
+// arrives at the limit, which parked connection may be served, and which client is too slow. A Controller tracks the state of
+// each connection. It does no I/O, reads no clock and starts no goroutine. It is not safe for concurrent use.
 //
 // Connection admission comes before the admission of requests and does not replace it. Only connections without an open request
 // are evicted, and a request on a parked connection is either rejected or passed on immediately; nothing is queued.
@@ -98,8 +98,8 @@
 	return ID(i)
 }
 
-// BeginRequest records that a complete request header has been received. Victim does not return the connection while the request
-// is open.
+// BeginRequest records that a complete request header has been received. Victim does not return the connection while the
+// request is open.
 func (c *Controller) BeginRequest(id ID) {
 	if conn := c.entry(id); conn != nil {
 		c.unpark(conn)
@@ -108,8 +108,8 @@
 	}
 }
 
-// MarkSlowHeader records that part of a request header has been received and the rest is late. Until the header is complete, the
-// connection is evicted before all others.
+// MarkSlowHeader records that part of a request header has been received and the rest is late. Until the header is complete,
+// the connection is evicted before all others.
 func (c *Controller) MarkSlowHeader(id ID, now Millis) {
 	conn := c.entry(id)
 	if conn == nil || conn.state == stateSlowHeader {
@@ -177,8 +177,8 @@
 
 // ParkDelay returns how long a connection that becomes idle now keeps its goroutine, in case its client sends another request
 // soon. From half of MaxIdleGoroutines on, it shrinks with the number of idle goroutines, down to a twentieth of
-// Options.ParkDelay, so that many connections that send a single request do not all hold a goroutine and buffers at the same time.
-// If memory is tight, it is a twentieth as well.
+// Options.ParkDelay, so that many connections that send a single request do not all hold a goroutine and buffers at the same
+// time. If memory is tight, it is a twentieth as well.
 func (c *Controller) ParkDelay(tight bool) Millis {
 	shortest := max(c.options.ParkDelay/20, 1)
 	if tight {
@@ -240,9 +240,10 @@
 	c.count--
 }
 
-// Wake reports whether a parked connection that has become readable may be served, and if so records an open request. It returns
-// false if MaxActive requests are open; the caller then rejects the request and advises the client to retry later. Connections
-// that are not parked are not subject to that limit, so that clients that send requests continuously keep their connections.
+// Wake reports whether a parked connection that has become readable may be served, and if so records an open request. It
+// returns false if MaxActive requests are open; the caller then rejects the request and advises the client to retry later.
+// Connections that are not parked are not subject to that limit, so that clients that send requests continuously keep their
+// connections.
 func (c *Controller) Wake(id ID) bool {
 	conn := c.entry(id)
 	if conn == nil {
@@ -265,9 +266,10 @@
 	return float64(c.connsOfCustomer[customer]) < c.options.CustomerShares[customer]/c.shareSum*float64(c.count)/2
 }
 
-// ShouldCloseAfterResponse reports whether a connection should be closed after its response: it has sent only one request, and at
-// least MaxIdleOneShot other connections are idle. The total number of connections is limited: if clients that sent a single
-// request hold most of them idle, few are left for other clients. A connection that has sent more requests is kept open.
+// ShouldCloseAfterResponse reports whether a connection should be closed after its response: it has sent only one request,
+// and at least MaxIdleOneShot other connections are idle. The total number of connections is limited: if clients that sent a
+// single request hold most of them idle, few are left for other clients. A connection that has sent more requests is kept
+// open.
 //
 // If tight is set, every connection is closed. The caller sets it if memory is scarce and idle connections cannot be parked, so
 // that each of them would keep its goroutine.
@@ -285,8 +287,8 @@
 // MemoryBytes returns the size of a controller's connection table in bytes.
 func MemoryBytes(c *Controller) int { return cap(c.conns) * int(unsafe.Sizeof(connEntry{})) }
 
-// Counts returns the number of connections by state: without a complete request header yet (including those with a slow header),
-// idle without ever having sent a search, idle between searches, and with an open request.
+// Counts returns the number of connections by state: without a complete request header yet (including those with a slow
+// header), idle without ever having sent a search, idle between searches, and with an open request.
 func (c *Controller) Counts() (awaitingHeader, idleWithoutSearch, idle, active int) {
 	awaitingHeader, idleWithoutSearch = int(c.lists[listNew].length+c.lists[listSlowHeader].length),
 		int(c.lists[listIdleWithoutSearch].length)
--- a/connadmission/controller_test.go
+++ b/connadmission/controller_test.go
@@ -266,7 +266,8 @@
 	}
 }
 
-// BenchmarkVictim measures a new connection at the limit, including the eviction of another one, with the lists and with a scan.
+// BenchmarkVictim measures a new connection at the limit, including the eviction of another one, with the lists and with a
+// scan.
 //
 //	go test -run xxx -bench Victim -benchmem ./connadmission
 func BenchmarkVictim(b *testing.B) {
--- a/connadmission/list.go
+++ b/connadmission/list.go
@@ -11,7 +11,8 @@
 	customer    int16
 }
 
-// connList is a doubly linked list of connections in the order in which they were appended; first and last are -1 if it is empty.
+// connList is a doubly linked list of connections in the order in which they were appended; first and last are -1 if it is
+// empty.
 type connList struct{ first, last, length int32 }
 
 // entry returns the entry of an open connection, or nil if there is none with that ID.
--- a/connadmission/victim.go
+++ b/connadmission/victim.go
@@ -42,9 +42,9 @@
 	return NoConn
 }
 
-// longestIdle returns the longest idle connection among those that became idle at since or earlier: of the customer that exceeds
-// its share of connections by the largest factor, or of all customers if none exceeds its share. It returns NoConn if there is
-// none.
+// longestIdle returns the longest idle connection among those that became idle at since or earlier: of the customer that
+// exceeds its share of connections by the largest factor, or of all customers if none exceeds its share. It returns NoConn if
+// there is none.
 func (c *Controller) longestIdle(since Millis) ID {
 	found, oldest := NoConn, Millis(0)
 	excess := 1.0
--- a/degradation/config.go
+++ b/degradation/config.go
@@ -8,8 +8,8 @@
 // Rank is a level's index: 0 is full service, and each higher rank serves less.
 type Rank int
 
-// Condition is a hysteresis band of one signal: the level may be entered while the signal is at Enter or above, and left only while
-// it is below Exit. Exit is less than Enter.
+// Condition is a hysteresis band of one signal: the level may be entered while the signal is at Enter or above, and left only
+// while it is below Exit. Exit is less than Enter.
 type Condition struct {
 	Signal      Signal
 	Enter, Exit float64
@@ -96,8 +96,8 @@
 	return problems
 }
 
-// MaxChangesPerMinute returns an upper bound on the number of level changes in any minute. Upgrades are limited, and all downgrades
-// but the first len(Levels)-1 require an upgrade before them.
+// MaxChangesPerMinute returns an upper bound on the number of level changes in any minute. Upgrades are limited, and all
+// downgrades but the first len(Levels)-1 require an upgrade before them.
 func (c Config) MaxChangesPerMinute() int { return 2*c.MaxUpgradesPerMinute + len(c.Levels) - 1 }
 
 // UsesSignal reports whether any level has a condition on a signal.
--- a/degradation/gate.go
+++ b/degradation/gate.go
@@ -35,8 +35,8 @@
 	return levels[min(rank, Rank(len(levels)-1))]
 }
 
-// Share returns the share of a query type's requests that is served, from 0 to 1. After an upgrade it grows over Config.RampUp, so
-// that clients do not all return at the same time, to servers that have just started.
+// Share returns the share of a query type's requests that is served, from 0 to 1. After an upgrade it grows over
+// Config.RampUp, so that clients do not all return at the same time, to servers that have just started.
 func (g *Gate) Share(now Time, queryType int) float64 {
 	return g.shareAt(now, g.machine.rank, queryType)
 }
@@ -53,8 +53,8 @@
 	return start + (target-start)*math.Min(1, math.Max(0, progress))
 }
 
-// Admit decides whether a request is served. worstRank is the highest rank among the segments that the request needs. The caller
-// must reject a request that is not served immediately, with retryAfter.
+// Admit decides whether a request is served. worstRank is the highest rank among the segments that the request needs. The
+// caller must reject a request that is not served immediately, with retryAfter.
 func (g *Gate) Admit(now Time, worstRank Rank, queryType, customer int) (served bool, retryAfter Time) {
 	share := g.shareAt(now, worstRank, queryType)
 	if share >= 1 || queryType < 0 || queryType >= len(g.credit) {
--- a/degradation/machine.go
+++ b/degradation/machine.go
@@ -47,8 +47,8 @@
 	never = Time(math.MinInt64 / 4) // longer ago than any window
 )
 
-// New returns a machine at full service. The level is not kept over a restart of the process: the machine starts at full service
-// and its signals lead to the right level within Config.EnterAfter.
+// New returns a machine at full service. The level is not kept over a restart of the process: the machine starts at full
+// service and its signals lead to the right level within Config.EnterAfter.
 func New(config Config, now Time) *Machine {
 	m := &Machine{config: config, now: now, since: now, clearSince: unset, backoff: 1, backoffChangedAt: never}
 	for range config.Levels {
@@ -93,8 +93,8 @@
 	return *m.pin, true
 }
 
-// Reconfigure replaces the configuration, as on a reload. The level with the same name stays in force; if there is none, the level
-// with the same rank; if there is none either, the last level.
+// Reconfigure replaces the configuration, as on a reload. The level with the same name stays in force; if there is none, the
+// level with the same rank; if there is none either, the last level.
 func (m *Machine) Reconfigure(config Config) {
 	name := m.Level().Name
 	next := New(config, m.now)
@@ -111,8 +111,8 @@
 	*m = *next
 }
 
-// Observe adds a reading of each signal to the smoothed signals. If the clock steps back, the machine's time does not advance until
-// the clock has caught up.
+// Observe adds a reading of each signal to the smoothed signals. If the clock steps back, the machine's time does not advance
+// until the clock has caught up.
 func (m *Machine) Observe(now Time, readings Readings) {
 	m.now = max(m.now, now)
 	previousWeight := 0.0
@@ -134,8 +134,8 @@
 	m.observedAt = m.now
 }
 
-// Evaluate advances the machine to a point in time and returns the change of level, if there is one. A downgrade goes directly to the
-// worst level whose entry condition has held long enough; an upgrade goes one rank at a time.
+// Evaluate advances the machine to a point in time and returns the change of level, if there is one. A downgrade goes
+// directly to the worst level whose entry condition has held long enough; an upgrade goes one rank at a time.
 func (m *Machine) Evaluate(now Time) (Change, bool) {
 	m.now = max(m.now, now)
 	m.trackConditions()
@@ -170,8 +170,8 @@
 	return delay
 }
 
-// trackConditions updates enteringSince, clearSince and signalMissing from the smoothed signals, and halves the backoff after each
-// Config.FlapWindow in which it has not changed.
+// trackConditions updates enteringSince, clearSince and signalMissing from the smoothed signals, and halves the backoff after
+// each Config.FlapWindow in which it has not changed.
 func (m *Machine) trackConditions() {
 	for i, level := range m.config.Levels {
 		entering := slices.ContainsFunc(level.Conditions, func(c Condition) bool {
@@ -229,8 +229,8 @@
 	return c
 }
 
-// backOffIfFlapping doubles the backoff, up to Config.MaxBackoff, if a level that is entered by a downgrade to a rank was left within
-// Config.FlapWindow.
+// backOffIfFlapping doubles the backoff, up to Config.MaxBackoff, if a level that is entered by a downgrade to a rank was
+// left within Config.FlapWindow.
 func (m *Machine) backOffIfFlapping(to Rank) {
 	for rank := m.rank + 1; rank <= to; rank++ {
 		if m.now-m.leftAt[rank] < m.config.FlapWindow {
@@ -252,7 +252,8 @@
 	return strings.Join(reasons, ", ")
 }
 
-// Explain returns one line for each condition of each level, with the smoothed value of its signal, its thresholds and its state.
+// Explain returns one line for each condition of each level, with the smoothed value of its signal, its thresholds and its
+// state.
 func (m *Machine) Explain() (lines []string) {
 	for i, level := range m.config.Levels {
 		for _, c := range level.Conditions {
--- a/degradation/machine_test.go
+++ b/degradation/machine_test.go
@@ -49,8 +49,8 @@
 	return changes
 }
 
-// countPlainThresholdChanges counts the level changes that the entry thresholds alone, without hysteresis or dwell times, cause on
-// the same signals.
+// countPlainThresholdChanges counts the level changes that the entry thresholds alone, without hysteresis or dwell times,
+// cause on the same signals.
 func countPlainThresholdChanges(config Config, from, to Time, signals func(Time) Readings) (n int) {
 	previous := 0
 	for now := from; now < to; now += 100 {
@@ -109,8 +109,8 @@
 	}
 }
 
-// Noise at a threshold, and square and sawtooth waves with periods near the dwell times, must cause at most a third of the changes of
-// level that thresholds without hysteresis and dwell times cause.
+// Noise at a threshold, and square and sawtooth waves with periods near the dwell times, must cause at most a third of the
+// changes of level that thresholds without hysteresis and dwell times cause.
 func TestHysteresisLimitsChanges(t *testing.T) {
 	config := testConfig()
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -136,8 +136,8 @@
 	}
 }
 
-// While the discovery service is unavailable the lost capacity becomes unknown. That must neither hold the level forever nor end
-// it at once.
+// While the discovery service is unavailable the lost capacity becomes unknown. That must neither hold the level forever nor
+// end it at once.
 func TestUnknownSignalDelaysExit(t *testing.T) {
 	config := testConfig()
 	m := New(config, 0)
@@ -228,8 +228,8 @@
 	}
 }
 
-// On random traces the number of changes in any minute stays within MaxChangesPerMinute, upgrades skip no level, and signals that
-// are clear or unknown lead back to full service within a bounded time.
+// On random traces the number of changes in any minute stays within MaxChangesPerMinute, upgrades skip no level, and signals
+// that are clear or unknown lead back to full service within a bounded time.
 func TestRandomTracesKeepBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		config := testConfig()
@@ -278,8 +278,8 @@
 	})
 }
 
-// From every combination of rank, backoff and signal value the machine returns to full service once the signals are clear or unknown,
-// and together the combinations reach every level.
+// From every combination of rank, backoff and signal value the machine returns to full service once the signals are clear or
+// unknown, and together the combinations reach every level.
 func TestEveryStateReturnsToFullService(t *testing.T) {
 	config := testConfig()
 	values := []float64{0, 0.12, 0.25, 0.35, 0.95}
--- a/degradation/monitor.go
+++ b/degradation/monitor.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// Monitor measures the signals from what a gatherer observes: the number of ready servers compared with the usual number, and the
-// requests that end late. Its memory is proportional to the number of configured cells and query types.
+// Monitor measures the signals from what a gatherer observes: the number of ready servers compared with the usual number, and
+// the requests that end late. Its memory is proportional to the number of configured cells and query types.
 type Monitor struct {
 	replicaCells     int               // number of consecutive cells that hold the replicas of a segment
 	baseline         []float64         // usual number of ready servers by cell; the last element is for all cells
@@ -28,9 +28,9 @@
 	baselineDecay = 600 * Second // time constant with which the baseline adapts to a permanent loss of capacity
 	latenessDecay = 2 * Second   // time constant of the latenessCounters
 	minRequests   = 5.0          // decayed number of requests below which a query type's lateness is not significant
-	// recoveryDelay is how long a server still counts as lost after the end of its ejection: a failed server that is probed from time to
-	// time has not recovered. Successful requests are not required for it to count again, as at a reduced level a server may receive no
-	// requests at all.
+	// recoveryDelay is how long a server still counts as lost after the end of its ejection: a failed server that is probed
+	// from time to time has not recovered. Successful requests are not required for it to count again, as at a reduced level
+	// a server may receive no requests at all.
 	recoveryDelay = 3 * Second
 )
 
@@ -41,8 +41,8 @@
 		lateness: make([]latenessCounter, queryTypes)}
 }
 
-// RecordRequest counts a request that has ended. It is late if it was not answered or took longer than latencyTarget; a target of 0
-// means that any latency is in time.
+// RecordRequest counts a request that has ended. It is late if it was not answered or took longer than latencyTarget; a
+// target of 0 means that any latency is in time.
 func (m *Monitor) RecordRequest(queryType int, answered bool, latency, latencyTarget Time) {
 	c := &m.lateness[queryType]
 	c.total++
@@ -60,8 +60,8 @@
 	}
 }
 
-// Measure returns the signals of the whole cluster. load is the value of LoadRatio and store the reading of StoreUnavailable; the
-// monitor does not measure these two itself.
+// Measure returns the signals of the whole cluster. load is the value of LoadRatio and store the reading of StoreUnavailable;
+// the monitor does not measure these two itself.
 func (m *Monitor) Measure(now Time, servers []Server, load float64, store Reading) (r Readings) {
 	elapsed := max(now-m.measuredAt, 0)
 	if m.measuredAt == 0 {
--- a/idempotency/codec.go
+++ b/idempotency/codec.go
@@ -12,9 +12,9 @@
 // flagAnswer is set in the first byte of a stored entry that ends with an answer.
 const flagAnswer = 0x80
 
-// encode returns the stored form of an entry: one byte with the stage and flagAnswer, the digest as a big-endian 64-bit integer, the
-// times of arrival and expiry as varints, and the answer. An intent is stored with the stage open, because once it is on disk the
-// request may have been dispatched.
+// encode returns the stored form of an entry: one byte with the stage and flagAnswer, the digest as a big-endian 64-bit
+// integer, the times of arrival and expiry as varints, and the answer. An intent is stored with the stage open, because once
+// it is on disk the request may have been dispatched.
 func (e *entry) encode() []byte {
 	stored := e.stage
 	if stored == stageIntended {
--- a/idempotency/diskguard.go
+++ b/idempotency/diskguard.go
@@ -1,11 +1,11 @@
 package idempotency
 
-// DiskGuard decides whether requests that need an intent on disk are accepted while the disk is slow. Without it every such request
-// would wait for a hanging disk until after its client's timeout, and together they would hold memory and descriptors. Requests that
-// need no intent are not affected.
+// DiskGuard decides whether requests that need an intent on disk are accepted while the disk is slow. Without it every such
+// request would wait for a hanging disk until after its client's timeout, and together they would hold memory and
+// descriptors. Requests that need no intent are not affected.
 type DiskGuard struct {
-	// SlowAfter is the duration after which a pending write is late: its request stops waiting, and no new request is accepted until
-	// the write has ended; 0 = never.
+	// SlowAfter is the duration after which a pending write is late: its request stops waiting, and no new request is
+	// accepted until the write has ended; 0 = never.
 	SlowAfter Time
 	startedAt []Time // of writes, in order; the first ones have ended
 	ended     int    // number of ended writes at the start of startedAt
@@ -30,8 +30,8 @@
 	}
 }
 
-// Timeout returns how long a request may wait for its intent, given the time remaining until its client's timeout. It is at most half
-// of that, so that enough time is left to respond to the client.
+// Timeout returns how long a request may wait for its intent, given the time remaining until its client's timeout. It is at
+// most half of that, so that enough time is left to respond to the client.
 func (d *DiskGuard) Timeout(remaining Time) Time {
 	if d.SlowAfter <= 0 {
 		return remaining / 2
--- a/idempotency/model_test.go
+++ b/idempotency/model_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-// This file is a model checker for Table. It explores all interleavings, up to a depth, of a gatherer with a disk, one server and a
-// client that retries one request: arrivals, writes that become durable, dispatches, runs, answers, timeouts, retries and crashes.
-// The gatherer of the model uses a real Table. Two properties must hold in every state: the shard call never runs twice, and no
-// response advises the client to retry while the shard call has run or may still run.
+// This file is a model checker for Table. It explores all interleavings, up to a depth, of a gatherer with a disk, one server
+// and a client that retries one request: arrivals, writes that become durable, dispatches, runs, answers, timeouts, retries
+// and crashes. The gatherer of the model uses a real Table. Two properties must hold in every state: the shard call never
+// runs twice, and no response advises the client to retry while the shard call has run or may still run.
 
 // modelState is one state of the model.
 type modelState struct {
--- a/idempotency/table.go
+++ b/idempotency/table.go
@@ -97,16 +97,16 @@
 // Bytes returns the total size of the stored answers.
 func (t *Table) Bytes() int { return t.answerBytes }
 
-// advanceClock advances the table's time to now and returns it. If the clock was set back, even between two runs of the process,
-// the table's time does not advance until the clock has caught up.
+// advanceClock advances the table's time to now and returns it. If the clock was set back, even between two runs of the
+// process, the table's time does not advance until the clock has caught up.
 func (t *Table) advanceClock(now Time) Time {
 	t.now = max(t.now, now)
 	return t.now
 }
 
-// Restore adds an entry that an earlier process wrote. The outcome of a request that was in progress then is unknown. If the value
-// is malformed, Restore returns an error that wraps ErrMalformed, and the outcome of the key is unknown for Config.Retention, counted
-// from the latest arrival that the table has recorded or restored so far.
+// Restore adds an entry that an earlier process wrote. The outcome of a request that was in progress then is unknown. If the
+// value is malformed, Restore returns an error that wraps ErrMalformed, and the outcome of the key is unknown for
+// Config.Retention, counted from the latest arrival that the table has recorded or restored so far.
 func (t *Table) Restore(key Key, value []byte) error {
 	e, err := decode(key, value)
 	if err != nil {
@@ -137,7 +137,8 @@
 	return WriteIntent, nil, append(changes, Change{key, e.encode()})
 }
 
-// verdict decides how to handle a request whose key has an entry. The digest of a malformed entry is 0 and matches every digest.
+// verdict decides how to handle a request whose key has an entry. The digest of a malformed entry is 0 and matches every
+// digest.
 func (e *entry) verdict(digest Digest) (v Verdict, answer []byte) {
 	switch {
 	case e.digest != digest && e.digest != 0:
@@ -150,8 +151,8 @@
 	return OutcomeUnknown, nil // also if the answer was evicted
 }
 
-// ConfirmIntent records that a request's intent is on disk, so that the request may be dispatched. It returns false if the table is
-// not waiting for that intent.
+// ConfirmIntent records that a request's intent is on disk, so that the request may be dispatched. It returns false if the
+// table is not waiting for that intent.
 func (t *Table) ConfirmIntent(key Key) bool {
 	e := t.entries[key]
 	if e == nil || e.stage != stageIntended {
@@ -189,8 +190,8 @@
 	return []Change{{key, e.encode()}}
 }
 
-// Discard removes a request that has not run and will not run: its intent could not be written, or all its shard calls are known not
-// to have run and no others will follow. Its key may be used again.
+// Discard removes a request that has not run and will not run: its intent could not be written, or all its shard calls are
+// known not to have run and no others will follow. Its key may be used again.
 func (t *Table) Discard(key Key) []Change {
 	e := t.entries[key]
 	if e == nil || !e.stage.inProgress() {
@@ -222,8 +223,8 @@
 // maxExpiredPerArrival limits the number of expired entries that one arrival removes.
 const maxExpiredPerArrival = 16
 
-// expire removes up to maxExpiredPerArrival expired entries and returns the changes. The expiry of a request that is in progress in
-// this process is postponed.
+// expire removes up to maxExpiredPerArrival expired entries and returns the changes. The expiry of a request that is in
+// progress in this process is postponed.
 func (t *Table) expire(now Time) (changes []Change) {
 	for range maxExpiredPerArrival {
 		e, ok := t.byExpiry.First()
