--- a/degradation/gate_test.go
+++ b/degradation/gate_test.go
@@ -39,8 +39,7 @@
 	}
 	for tenth, n := range retryAfter {
 		if n > 2*1500/10 {
-			t.Errorf("%d rejected requests have a Retry-After of %d to %d ms, want at most twice an even share",
-				n, tenth*100, tenth*100+99)
+			t.Errorf("%d rejected requests have a Retry-After in the tenth of a second from %d ms, want at most 300", n, tenth*100)
 		}
 	}
 	// A request that needs a segment with a worse level is admitted or rejected by that level.
