--- a/internal/acceptorstore/compat_test.go
+++ b/internal/acceptorstore/compat_test.go
@@ -20,10 +20,10 @@
 	"oxbowspan/rpc"
 )
 
-// compatIdentity is the acceptor of the files in testdata/compat, whose README says how they were made.
+// compatIdentity is the acceptor of the files in testdata/compat; the README there describes how they were created.
 const compatIdentity consensus.AcceptorID = 11
 
-// compatDigest is a body's digest as controllers compute it.
+// compatDigest returns a body's digest as controllers compute it.
 func compatDigest(body string) string {
 	sum := sha256.Sum256([]byte(body))
 	return string(sum[:])
@@ -39,7 +39,7 @@
 	compatPins     = `{"pins":[{"instance":"i-1","stance":"out","for_s":60,"why":"test"}]}`
 )
 
-// compatValue is the value in the files. It is written out, so that the test states it without the code under test.
+// compatValue returns the value in the files. It is a literal, so that the expectation does not depend on the code under test.
 func compatValue() *consensus.Value {
 	revision := func(version, basedOn consensus.Version, body string) consensus.Revision {
 		return consensus.Revision{Version: version, BasedOn: basedOn, Digest: compatDigest(body)}
@@ -68,7 +68,7 @@
 		Version: "v1", Slots: 3, Sequence: 7, AgeMs: 100}}}
 }
 
-// compatDirectory unpacks a file of testdata/compat into a new data directory.
+// compatDirectory decompresses a file of testdata/compat into a new data directory.
 func compatDirectory(t *testing.T, name string) string {
 	t.Helper()
 	packed, err := os.Open(filepath.Join("testdata", "compat", name))
@@ -91,13 +91,13 @@
 	return dir
 }
 
-// openCompat opens a store that must be read as it stands, not set aside.
+// openCompat opens a store whose file must be readable and not be set aside.
 func openCompat(t *testing.T, dir string) *acceptorstore.Store {
 	t.Helper()
-	// A genesis identity other than the file's: a file that is not recognised would show it.
-	s, setAside, err := acceptorstore.Open(dir, compatIdentity+1)
-	if err != nil || setAside != "" {
-		t.Fatalf("open: %v, set aside as %q", err, setAside)
+	// The genesis identity differs from the file's, so that the tests detect a file whose identity was not read.
+	s, setAsidePath, err := acceptorstore.Open(dir, compatIdentity+1)
+	if err != nil || setAsidePath != "" {
+		t.Fatalf("open: %v, set aside as %q", err, setAsidePath)
 	}
 	return s
 }
@@ -142,12 +142,12 @@
 	compatPromised = consensus.Ballot{Number: 22, By: 92}
 )
 
-// TestCompatEarlierFilesAreReadAndUpdated opens files that earlier releases wrote, of both formats, and goes on with them.
+// TestCompatEarlierFilesAreReadAndUpdated opens files of both formats that earlier releases wrote, and updates them.
 func TestCompatEarlierFilesAreReadAndUpdated(t *testing.T) {
 	for format := 1; format <= acceptorstore.FormatVersion; format++ {
 		t.Run(fmt.Sprintf("format=%d", format), func(t *testing.T) {
 			dir := compatDirectory(t, fmt.Sprintf("format-%d.db.gz", format))
-			// Twice: as it was left, and after the upgrade that Open may have made.
+			// First as the earlier release wrote it, then after the conversion by the first Open.
 			for range 2 {
 				s := openCompat(t, dir)
 				checkCompatState(t, s.State(), compatPromised, compatAccepted, compatValue())
@@ -172,13 +172,13 @@
 			checkCompatState(t, s.State(), accepted, accepted, next)
 			contents, err := acceptorstore.Inspect(dir)
 			if err == nil {
-				t.Errorf("a file in use was inspected: %+v", contents)
+				t.Errorf("Inspect returned contents of a file that is in use: %+v", contents)
 			}
 		})
 	}
 }
 
-// TestCompatInspectOutput compares what operators are shown of a file with what the earlier release showed of it.
+// TestCompatInspectOutput compares the JSON output of Inspect with that of the earlier release.
 func TestCompatInspectOutput(t *testing.T) {
 	for format := 1; format <= acceptorstore.FormatVersion; format++ {
 		t.Run(fmt.Sprintf("format=%d", format), func(t *testing.T) {
@@ -201,7 +201,7 @@
 	}
 }
 
-// storedKeys returns every key of a file with its value, by the path of its buckets.
+// storedKeys returns the value of every key of a file, by the key's path of buckets.
 func storedKeys(t *testing.T, dir string) map[string]string {
 	t.Helper()
 	db, err := bbolt.Open(filepath.Join(dir, "hive.db"), 0o644, &bbolt.Options{ReadOnly: true})
@@ -231,8 +231,8 @@
 	return keys
 }
 
-// TestCompatStoredBytes repeats the steps of the earlier release's program: the buckets, keys and values must be the same bytes,
-// so that either release can go on with the other's file.
+// TestCompatStoredBytes repeats the updates with which the earlier release created its file: all buckets, keys and values must be
+// byte for byte the same, so that either release can use the other's file.
 func TestCompatStoredBytes(t *testing.T) {
 	dir := t.TempDir()
 	s, _, err := acceptorstore.Open(dir, compatIdentity)
@@ -247,7 +247,7 @@
 	}
 	saved := make(chan error, 1)
 	if !s.SaveHints(hints, nil, func(err error) { saved <- err }) {
-		t.Fatal("hints were not taken")
+		t.Fatal("an idle store does not save hints")
 	}
 	if err := <-saved; err != nil {
 		t.Fatal(err)
@@ -257,7 +257,7 @@
 	}
 	got, want := storedKeys(t, dir), storedKeys(t, compatDirectory(t, "format-2.db.gz"))
 	if len(want) < 10 {
-		t.Fatalf("the earlier file holds %d keys: too few to tell", len(want))
+		t.Fatalf("the earlier file has only %d keys, want at least 10", len(want))
 	}
 	for name := range want {
 		if got[name] != want[name] {
@@ -266,7 +266,7 @@
 	}
 	for name := range got {
 		if _, found := want[name]; !found {
-			t.Errorf("%s is not in the earlier file", name)
+			t.Errorf("%s is missing from the earlier file", name)
 		}
 	}
 }
--- a/internal/acceptorstore/directory.go
+++ b/internal/acceptorstore/directory.go
@@ -6,7 +6,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// syncDirectory makes the names in a directory durable: without it a loss of power may undo the creation or renaming of a file.
+// syncDirectory makes the entries of a directory durable: without it a power loss may undo the creation or renaming of a file.
 // Tests replace it.
 var syncDirectory = func(dir string) error {
 	d, err := os.Open(dir)
@@ -17,8 +17,9 @@
 	return d.Sync()
 }
 
-// syncName makes the name of a store's file durable, or closes the file. An earlier run may have ended before it did.
-func syncName(s *Store, dir string) error {
+// syncDirectoryOrClose makes the directory entry of a store's file durable, and closes the file if that fails. This is needed for
+// existing files as well, as an earlier run may have ended before its sync.
+func syncDirectoryOrClose(s *Store, dir string) error {
 	if err := syncDirectory(dir); err != nil {
 		s.db.Close()
 		s.db = nil
--- a/internal/acceptorstore/directory_test.go
+++ b/internal/acceptorstore/directory_test.go
@@ -7,13 +7,13 @@
 	"testing"
 )
 
-// A file's name survives a loss of power only once its directory was synced: no store is returned before that.
+// A new file may be lost in a power failure until its directory has been synced, so Open must not return a store before that.
 func TestDirectoryIsSyncedBeforeUse(t *testing.T) {
 	realSync := syncDirectory
 	defer func() { syncDirectory = realSync }()
 	dir := t.TempDir()
 	path := filepath.Join(dir, fileName)
-	for _, test := range []struct { // in order, in one directory
+	for _, test := range []struct { // run in order, in the same directory
 		name    string
 		prepare func()
 	}{
@@ -30,14 +30,14 @@
 			syncDirectory = func(string) error { return errors.New("no") }
 			if s, _, err := Open(dir, 0); err == nil {
 				s.Close()
-				t.Error("a store is returned though its directory could not be synced")
+				t.Error("Open returned a store although its directory could not be synced")
 			}
 			files, synced := countFiles(t, path), 0
-			syncDirectory = func(synchronized string) error {
-				if synced = countFiles(t, path); synchronized != dir {
-					t.Errorf("%s was synced", synchronized)
+			syncDirectory = func(syncedDir string) error {
+				if synced = countFiles(t, path); syncedDir != dir {
+					t.Errorf("%s was synced, want %s", syncedDir, dir)
 				}
-				return realSync(synchronized)
+				return realSync(syncedDir)
 			}
 			s, _, err := Open(dir, 0)
 			if err != nil {
@@ -45,16 +45,16 @@
 			}
 			defer s.Close()
 			if count := countFiles(t, path); synced != files || count != files {
-				t.Errorf("the directory was synced with %d files, there are %d", synced, count)
+				t.Errorf("the directory was synced with %d files, it has %d now", synced, count)
 			}
 		})
 	}
 }
 
-// countFiles counts the files whose paths begin with one.
-func countFiles(t *testing.T, path string) int {
+// countFiles returns the number of files whose paths begin with a prefix.
+func countFiles(t *testing.T, prefix string) int {
 	t.Helper()
-	names, err := filepath.Glob(path + "*")
+	names, err := filepath.Glob(prefix + "*")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/acceptorstore/format.go
+++ b/internal/acceptorstore/format.go
@@ -13,11 +13,11 @@
 	"oxbowspan/rpc"
 )
 
-// FormatVersion is the version of the file's format that is written. Files of the version before are read, and converted as they
-// are opened; others are not.
+// FormatVersion is the format version of the files that the store writes. Files of the previous version, formatInlineBodies, are
+// converted when they are opened; files of other versions are rejected.
 //
-// In version 1 the value contained its bodies, so that each promise wrote them again. In version 2 each body is in a bucket of its
-// own, under its digest: it is written once, however often a value with it is accepted.
+// Version 1 stored the bodies inside the value, so that each promise wrote them again. Version 2 stores each body in its own
+// bucket, named by its digest: it is written once, however often a value that contains it is accepted.
 const (
 	FormatVersion      = 2
 	formatInlineBodies = 1
@@ -25,28 +25,28 @@
 
 const (
 	fileName    = "hive.db"
-	ballotBytes = 16 // of an encoded ballot
+	ballotBytes = 16 // size of an encoded ballot
 )
 
-// The file's buckets and their keys.
+// Names of the file's buckets and keys.
 var (
 	stateBucket = []byte("hive")
 	formatKey   = []byte("format")   // 8 bytes, big-endian
 	identityKey = []byte("identity") // 8 bytes, big-endian
-	stateKey    = []byte("state")    // an rpc.PrepareReply with the ballots alone
+	stateKey    = []byte("state")    // an rpc.PrepareReply with only the ballots set
 	valueKey    = []byte("value")    // an rpc.Value without bodies
-	decidedKey  = []byte("decided")  // the ballot at which the value was accepted when it was known to be decided; may be absent
+	decidedKey  = []byte("decided")  // the ballot of the last acceptance that was known to be decided; may be absent
 
-	bodiesBucket = []byte("bodies") // has a bucket for each body, named by its digest
+	bodiesBucket = []byte("bodies") // contains a bucket for each body, named by its digest
 	bodyKey      = []byte("body")
 
-	historyBucket = []byte("history") // a key for each revision, of the document's name and the version; may be absent
+	historyBucket = []byte("history") // maps historyKey to the fingerprint of each revision; may be absent
 
 	hintsBucket = []byte("others")
-	hintsKey    = []byte("hints") // an rpc.Gossip with reports alone; in version 1 in stateBucket
+	hintsKey    = []byte("hints") // an rpc.Gossip with only the reports set; in version 1 in stateBucket
 )
 
-// readFormat returns the format's version; 0 = the file was not used yet.
+// readFormat returns the format version; 0 if none has been written.
 func readFormat(b *bbolt.Bucket) uint64 {
 	if format := b.Get(formatKey); len(format) == 8 {
 		return binary.BigEndian.Uint64(format)
@@ -58,10 +58,10 @@
 	return b.Put(formatKey, binary.BigEndian.AppendUint64(nil, FormatVersion))
 }
 
-// isReadable reports whether files of a format can be read.
+// isReadable reports whether a format version is supported.
 func isReadable(format uint64) bool { return format == FormatVersion || format == formatInlineBodies }
 
-// readIdentity returns the acceptor's identifier; ok is false while there is none.
+// readIdentity returns the acceptor's identifier; ok is false if none is stored.
 func readIdentity(b *bbolt.Bucket) (id consensus.AcceptorID, ok bool) {
 	value := b.Get(identityKey)
 	if len(value) != 8 {
@@ -74,11 +74,11 @@
 	return b.Put(identityKey, binary.BigEndian.AppendUint64(nil, uint64(id)))
 }
 
-// checkIntegrity checks all pages of a file.
+// checkIntegrity checks the file's size and the consistency of all its pages.
 func checkIntegrity(db *bbolt.DB, path string) error {
 	return db.View(func(tx *bbolt.Tx) error {
 		if info, err := os.Stat(path); err != nil || info.Size() < tx.Size() {
-			return fmt.Errorf("%w: it is shorter than its header says", ErrCorrupt)
+			return fmt.Errorf("%w: it is shorter than the size in its header", ErrCorrupt)
 		}
 		for err := range tx.Check() {
 			return fmt.Errorf("%w: %w", ErrCorrupt, err)
@@ -87,7 +87,7 @@
 	})
 }
 
-// readState reads the ballots and the value, with its bodies, into a state.
+// readState reads the ballots and the value with its bodies into a state.
 func readState(tx *bbolt.Tx, b *bbolt.Bucket, state *consensus.AcceptorState) error {
 	if encoded := b.Get(stateKey); encoded != nil {
 		m := &rpc.PrepareReply{}
@@ -109,7 +109,7 @@
 	return nil
 }
 
-// readBodies returns a value that holds all bodies of the file and nothing else.
+// readBodies returns all bodies of the file as documents of an otherwise empty value, as rpc.ValueFromProto expects them.
 func readBodies(tx *bbolt.Tx) *consensus.Value {
 	v := &consensus.Value{}
 	bodies := tx.Bucket(bodiesBucket)
@@ -124,7 +124,7 @@
 	return v
 }
 
-// writeState writes the ballots of a state and, withValue, its value.
+// writeState writes the ballots of a state and, if withValue is set, its value.
 func writeState(tx *bbolt.Tx, next consensus.AcceptorState, withValue bool) error {
 	b := tx.Bucket(stateBucket)
 	encoded, err := proto.Marshal(&rpc.PrepareReply{Promised: rpc.BallotToProto(next.Promised), Accepted: rpc.BallotToProto(next.Accepted)})
@@ -152,10 +152,10 @@
 	return b.Put(valueKey, encoded)
 }
 
-// writeDecided stores the ballot of a known decision. Most files have none.
+// writeDecided stores the ballot of a known decision; most files have none.
 //
-// A program of before this key ignores it, and may accept other values beside it. That is harmless: the ballot names the
-// acceptance that it is about.
+// A release that does not support this key ignores it, and may accept other values while the key remains. That is harmless, as
+// the ballot identifies the acceptance that the decision refers to.
 func writeDecided(b *bbolt.Bucket, decided consensus.Ballot) error {
 	if decided == (consensus.Ballot{}) || decodeBallot(b.Get(decidedKey)) == decided {
 		return nil
@@ -164,7 +164,7 @@
 	return b.Put(decidedKey, binary.BigEndian.AppendUint64(encoded, uint64(decided.By)))
 }
 
-// decodeBallot returns the ballot that writeDecided stored; the zero Ballot where there is none.
+// decodeBallot decodes a ballot that writeDecided stored; it returns the zero Ballot if there is none.
 func decodeBallot(encoded []byte) consensus.Ballot {
 	if len(encoded) != ballotBytes {
 		return consensus.Ballot{}
@@ -175,8 +175,8 @@
 	}
 }
 
-// writeBodies makes the file hold the bodies of a value and no others. What it holds already is not written again. That is read
-// from the file, as after a failed write nothing else knows.
+// writeBodies stores the bodies of a value and deletes all others. Bodies that the file already contains are not written again.
+// Which these are is read from the file, as after a failed write no state in memory shows it.
 func writeBodies(tx *bbolt.Tx, v *consensus.Value) error {
 	bodies, err := tx.CreateBucketIfNotExists(bodiesBucket)
 	if err != nil {
@@ -201,7 +201,7 @@
 	return nil
 }
 
-// deleteBodies deletes all bodies except those to keep, by digest.
+// deleteBodies deletes all bodies except those whose digests are keys of keep.
 func deleteBodies(bodies *bbolt.Bucket, keep map[string][]byte) error {
 	var unwanted [][]byte
 	bodies.ForEachBucket(func(digest []byte) error {
@@ -218,7 +218,7 @@
 	return nil
 }
 
-// readHints returns the hints; nil = none.
+// readHints returns the hints, from where either format version stores them; nil if there are none.
 func readHints(tx *bbolt.Tx, b *bbolt.Bucket) []byte {
 	if hints := tx.Bucket(hintsBucket); hints != nil {
 		return hints.Get(hintsKey)
@@ -226,7 +226,7 @@
 	return b.Get(hintsKey)
 }
 
-// migrateHints returns the hints, which it moves to where version 2 has them.
+// migrateHints returns the hints. It moves those of version 1 from the state bucket to the hints bucket of version 2.
 func migrateHints(tx *bbolt.Tx, b *bbolt.Bucket) ([]byte, error) {
 	hints, err := tx.CreateBucketIfNotExists(hintsBucket)
 	if err != nil {
--- a/internal/acceptorstore/format_test.go
+++ b/internal/acceptorstore/format_test.go
@@ -20,8 +20,8 @@
 	"oxbowspan/rpc"
 )
 
-// directoryOfFormat returns a directory with a file that an earlier release wrote in a format. It holds identity 77, a value
-// accepted in slot 11 at ballot 12, a promise of ballot 13, and hints of one server.
+// directoryOfFormat returns a data directory with a file of a format version that an earlier release wrote. It contains identity
+// 77, a value accepted in slot 11 at ballot 12, a promise of ballot 13, and hints about one server.
 func directoryOfFormat(t *testing.T, format uint64) (dir string) {
 	t.Helper()
 	packed, err := os.Open(fmt.Sprintf("testdata/format-%d.db.gz", format))
@@ -44,7 +44,7 @@
 	return dir
 }
 
-// Files of the earlier releases are read as they were left, and again once they were opened, which converts them.
+// Files of earlier releases are readable both as those releases wrote them and after Open has converted them.
 func TestEarlierFormatsAreRead(t *testing.T) {
 	for _, written := range []uint64{formatInlineBodies, FormatVersion} {
 		t.Run(fmt.Sprint("format ", written), func(t *testing.T) {
@@ -57,7 +57,7 @@
 	}
 }
 
-// checkContents inspects a file of directoryOfFormat.
+// checkContents checks the result of Inspect for a file of directoryOfFormat.
 func checkContents(t *testing.T, dir string, format uint64) {
 	t.Helper()
 	c, err := Inspect(dir)
@@ -67,7 +67,7 @@
 	}
 }
 
-// checkState opens and closes a file of directoryOfFormat.
+// checkState opens a file of directoryOfFormat, checks its state and hints, and closes it.
 func checkState(t *testing.T, dir string) {
 	t.Helper()
 	s, setAsidePath, err := Open(dir, 1)
@@ -78,7 +78,7 @@
 	got := s.State()
 	if got.ID != 77 || got.Promised.Number != 13 || got.Accepted.Number != 12 || got.Value.Version != 9 || string(got.Value.Body) != `{"version":9}` ||
 		string(got.Value.Document("tenants").Body) != `{"tenants":[]}` || got.Value.PriorRevisions[0].Version != 8 || len(got.Value.Members) != 3 {
-		t.Fatalf("read as %+v", got)
+		t.Fatalf("Open read %+v", got)
 	}
 	hints := &rpc.Gossip{}
 	if proto.Unmarshal(s.Hints(), hints) != nil || len(hints.Reports) != 1 {
@@ -103,7 +103,7 @@
 	s.Close()
 }
 
-// The value must not be read without one of its bodies.
+// A value whose body is missing must not be returned: the file is treated as corrupt.
 func TestMissingBodyIsCorruption(t *testing.T) {
 	dir := directoryOfFormat(t, formatInlineBodies)
 	s, _, err := Open(dir, 1)
@@ -124,7 +124,7 @@
 	s.Close()
 }
 
-// acceptBodyStep accepts, at a ballot, a version whose body has a size in bytes.
+// acceptBodyStep returns a step that accepts, at a ballot, a version with a body of size bytes that begins with the version.
 func acceptBodyStep(ballot uint64, version consensus.Version, size int) StepFunc {
 	body := bytes.Repeat([]byte(strconv.FormatUint(uint64(version)%10, 10)), size)
 	copy(body, fmt.Sprint(version, " "))
@@ -137,7 +137,7 @@
 	}
 }
 
-// prepareStep promises a ballot.
+// prepareStep returns a step that promises a ballot.
 func prepareStep(ballot uint64) StepFunc {
 	return func(s consensus.AcceptorState) consensus.AcceptorState {
 		next, _ := s.HandlePrepare(consensus.Prepare{To: s.ID, Ballot: consensus.Ballot{Number: ballot, By: 1}})
@@ -145,7 +145,7 @@
 	}
 }
 
-// Neither promises nor further values with the same body write it again.
+// Neither promises nor further values with the same body write that body again.
 func TestBodyIsWrittenOnce(t *testing.T) {
 	const size = 1 << 20
 	s, _, err := Open(t.TempDir(), 1)
@@ -153,7 +153,7 @@
 		t.Fatal(err)
 	}
 	defer s.Close()
-	wrote := func(step StepFunc) int64 {
+	bytesWritten := func(step StepFunc) int64 {
 		before := s.db.Stats()
 		if err := update(t, s, step); err != nil {
 			t.Fatal(err)
@@ -161,14 +161,14 @@
 		after := s.db.Stats()
 		return after.TxStats.GetPageAlloc() - before.TxStats.GetPageAlloc()
 	}
-	if n := wrote(acceptBodyStep(1, 1, size)); n < size || n > size+size/8 {
+	if n := bytesWritten(acceptBodyStep(1, 1, size)); n < size || n > size+size/8 {
 		t.Errorf("accepting a new version writes %d bytes", n)
 	}
 	for ballot := uint64(2); ballot < 20; ballot += 2 {
-		if n := wrote(prepareStep(ballot)); n > 64<<10 {
+		if n := bytesWritten(prepareStep(ballot)); n > 64<<10 {
 			t.Errorf("a promise writes %d bytes", n)
 		}
-		if n := wrote(acceptBodyStep(ballot+1, 1, size)); n > 64<<10 {
+		if n := bytesWritten(acceptBodyStep(ballot+1, 1, size)); n > 64<<10 {
 			t.Errorf("accepting the same version again writes %d bytes", n)
 		}
 	}
@@ -181,19 +181,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.db.NoSync = true // 2,000 writes, of which only the size matters
+	s.db.NoSync = true // the test checks only the size after 2,000 writes, not durability
 	const size = 64 << 10
-	half := int64(0)
+	usedAfter500 := int64(0)
 	for n := uint64(1); n <= 1000; n++ {
 		if err := errors.Join(update(t, s, prepareStep(2*n)), update(t, s, acceptBodyStep(2*n+1, consensus.Version(n), size))); err != nil {
 			t.Fatal(err)
 		}
 		if n == 500 {
-			half = usedBytes(t, s)
+			usedAfter500 = usedBytes(t, s)
 		}
 	}
-	if used := usedBytes(t, s); used > half || used > 16*size {
-		t.Errorf("after 500 versions of %d bytes the file uses %d bytes, after 1,000 %d", size, half, used)
+	if used := usedBytes(t, s); used > usedAfter500 || used > 16*size {
+		t.Errorf("after 500 versions of %d bytes the file uses %d bytes, after 1,000 %d", size, usedAfter500, used)
 	}
 	s.Close()
 	s, _, err = Open(dir, 1)
@@ -202,18 +202,19 @@
 	}
 	defer s.Close()
 	if got := s.State().Value; got.Version != 1000 || !strings.HasPrefix(string(got.Body), "1000 ") {
-		t.Errorf("version %d is read with body %.10q", got.Version, got.Body)
+		t.Errorf("Open read version %d with body %.10q", got.Version, got.Body)
 	}
 }
 
-// usedBytes returns how much of the file was ever used.
+// usedBytes returns the number of bytes of the file up to the end of the last page ever allocated.
 func usedBytes(t *testing.T, s *Store) (n int64) {
 	t.Helper()
 	s.db.View(func(tx *bbolt.Tx) error { n = tx.Size(); return nil })
 	return n
 }
 
-// A write with a new body is in the file though its sync failed. What is stored next is for the version before.
+// A write with a new body may reach the file although its sync failed, so that the store reports an error. The next write must
+// restore the previous version with its own body.
 func TestFailedBodyWriteLeavesConsistentState(t *testing.T) {
 	dir := t.TempDir()
 	s, _, err := Open(dir, 1)
@@ -230,7 +231,7 @@
 		return errors.New("input/output error")
 	}
 	if update(t, s, acceptBodyStep(2, 2, 100)) == nil {
-		t.Fatal("a write whose sync failed is reported as stored")
+		t.Fatal("an update whose sync failed returned no error")
 	}
 	s.commit = s.db.Update
 	if err := update(t, s, prepareStep(3)); err != nil {
@@ -243,6 +244,6 @@
 	}
 	defer s.Close()
 	if got := s.State(); got.Accepted.Number != 1 || got.Value.Version != 1 || !strings.HasPrefix(string(got.Value.Body), "1 ") {
-		t.Errorf("ballot %d beside version %d with %.10q", got.Accepted.Number, got.Value.Version, got.Value.Body)
+		t.Errorf("the file has ballot %d, version %d and body %.10q", got.Accepted.Number, got.Value.Version, got.Value.Body)
 	}
 }
--- a/internal/acceptorstore/full_disk.go
+++ b/internal/acceptorstore/full_disk.go
@@ -8,59 +8,61 @@
 	"time"
 )
 
-// createRetryInterval is how long a store without a file waits at least before it tries to create it again.
+// createRetryInterval is the minimum time between attempts to create a missing file.
 const createRetryInterval = 200 * time.Millisecond
 
-// ErrNoFile is wrapped by the errors of updates while the disk refuses to create the file.
+// ErrNoFile is wrapped by the errors of updates while the file can't be created.
 var ErrNoFile = errors.New("the disk does not take the state file")
 
-// isWriteRefused reports whether an error says that the disk takes no writes now, and nothing about what is on it.
+// isWriteRefused reports whether an error means that the disk currently accepts no writes (no space, quota exceeded, read-only).
+// Such an error is no evidence that the stored data is damaged.
 func isWriteRefused(err error) bool {
 	return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT) || errors.Is(err, syscall.EROFS)
 }
 
-// isUsed reports whether a file holds anything. Only a file that holds something may have promised anything to anybody.
-func isUsed(path string) bool {
+// isNonEmpty reports whether a file exists and is not empty. An empty file cannot contain promises.
+func isNonEmpty(path string) bool {
 	info, err := os.Stat(path)
 	return err == nil && info.Size() > 0
 }
 
-// createMissing opens the file of a store that was opened without one, or creates it under the identity that the store has told.
-// On the store's goroutine.
-func (s *Store) createMissing() error {
+// ensureFile opens or creates the file of a store that was opened without one, under the identity that State has returned. It
+// must be called on the store's goroutine.
+func (s *Store) ensureFile() error {
 	if s.db != nil {
 		return nil
 	}
-	if time.Since(s.createdAt) < createRetryInterval {
-		return errors.Join(ErrNoFile, s.refused)
+	if time.Since(s.lastCreateAttempt) < createRetryInterval {
+		return errors.Join(ErrNoFile, s.openErr)
 	}
-	s.createdAt = time.Now()
-	known := s.state
+	s.lastCreateAttempt = time.Now()
+	previous := s.state
 	err := s.create()
 	if err != nil {
-		s.state = known
+		s.state = previous
 		return errors.Join(ErrNoFile, err)
 	}
 	return nil
 }
 
+// create opens or creates the file and makes its directory entry durable. It removes an incomplete new file after a failure.
 func (s *Store) create() error {
 	if err := os.MkdirAll(s.dir, 0o755); err != nil {
 		return err
 	}
 	path := filepath.Join(s.dir, fileName)
-	isNew := !isUsed(path)
+	isNew := !isNonEmpty(path)
 	if err := s.openFile(path, s.state.ID); err != nil {
 		if isNew {
-			removeUnfinished(path)
+			removeIncomplete(path)
 		}
 		return err
 	}
-	return syncName(s, s.dir)
+	return syncDirectoryOrClose(s, s.dir)
 }
 
-// removeUnfinished removes what a failed creation left, so that it is not taken for a damaged file later.
-func removeUnfinished(path string) {
+// removeIncomplete removes a partially created file, so that it is not treated as a damaged file later.
+func removeIncomplete(path string) {
 	if info, err := os.Lstat(path); err == nil && info.Mode().IsRegular() {
 		os.Remove(path)
 	}
--- a/internal/acceptorstore/history.go
+++ b/internal/acceptorstore/history.go
@@ -9,24 +9,26 @@
 	"oxbowspan/consensus"
 )
 
-// MaxStoredHistory is the number of committed revisions of each document, and of the configuration, that the file keeps, and
-// historyPruneSize how many more it may hold before the oldest are deleted: about 200 kB in all for each.
+// MaxStoredHistory is the number of committed revisions that the file retains for the configuration and for each document, and
+// historyPruneSize the number of further ones that it may contain before the oldest are deleted: about 200 kB for each.
 //
-// A request for an older revision that is sent again after a restart gets an unclear answer: whether it was committed is not known.
+// When a change whose revision is no longer stored is retried after a restart, whether it was committed is unknown, and the
+// response says so.
 const (
 	MaxStoredHistory = 4096
 	historyPruneSize = 256
 )
 
-const versionBytes = 8 // at the end of a key
+const versionBytes = 8 // size of the version at the end of a key
 
-// historyKey orders the revisions of a document by their versions. The name ends at a zero byte, which no name contains.
+// historyKey returns the key of a revision: the document's name, a zero byte, which no name contains, and the version in
+// big-endian order, so that the keys of a document are sorted by version.
 func historyKey(document string, version consensus.Version) []byte {
 	key := append([]byte(document), 0)
 	return binary.BigEndian.AppendUint64(key, uint64(version))
 }
 
-// readHistory returns the stored revisions, by document and version.
+// readHistory returns the stored revisions, ordered by document and version. Malformed entries are skipped.
 func readHistory(tx *bbolt.Tx) (records []consensus.HistoryRecord) {
 	b := tx.Bucket(historyBucket)
 	if b == nil {
@@ -64,7 +66,7 @@
 	return nil
 }
 
-// pruneHistory deletes the oldest revisions of a document, so many at most.
+// pruneHistory deletes the oldest revisions of a document, at most count of them.
 func pruneHistory(tx *bbolt.Tx, document string, count int) error {
 	prefix := historyKey(document, 0)
 	prefix = prefix[:len(prefix)-versionBytes]
@@ -82,7 +84,8 @@
 	return len(key) == len(prefix)+versionBytes && bytes.HasPrefix(key, prefix)
 }
 
-// saveHistory stores revisions and deletes the oldest beyond the bound. On the store's goroutine.
+// saveHistory stores revisions and prunes documents that exceed MaxStoredHistory by historyPruneSize. It must be called on the
+// store's goroutine.
 func (s *Store) saveHistory(tx *bbolt.Tx, records []consensus.HistoryRecord) error {
 	if err := writeHistory(tx, records); err != nil {
 		return err
@@ -103,7 +106,7 @@
 	return nil
 }
 
-// countHistory counts revisions that were stored, as saveHistory did.
+// countHistory updates historyCounts for revisions that saveHistory stored, including its pruning.
 func (s *Store) countHistory(records []consensus.HistoryRecord) {
 	for _, r := range records {
 		s.historyCounts[r.Document]++
--- a/internal/acceptorstore/history_test.go
+++ b/internal/acceptorstore/history_test.go
@@ -10,7 +10,7 @@
 	t.Helper()
 	saved := make(chan error, 1)
 	if !s.SaveHints(nil, records, func(err error) { saved <- err }) {
-		t.Fatal("an idle disk does not save hints")
+		t.Fatal("an idle store does not save hints")
 	}
 	if err := <-saved; err != nil {
 		t.Fatal(err)
@@ -24,7 +24,7 @@
 	return records
 }
 
-// The committed revisions that are stored are bounded for each document, and the newest are kept, over restarts as well.
+// The number of stored revisions of each document is bounded, and the newest are retained, also across restarts.
 func TestHistoryIsBounded(t *testing.T) {
 	dir := t.TempDir()
 	s, _, err := Open(dir, 77)
@@ -50,7 +50,7 @@
 	}
 	count := len(configurations)
 	if count < MaxStoredHistory || count >= MaxStoredHistory+historyPruneSize || tenants != 3 {
-		t.Errorf("%d configurations and %d tenants are stored", count, tenants)
+		t.Errorf("%d revisions of the configuration and %d of the tenants are stored", count, tenants)
 	}
 	for i, r := range configurations {
 		want := last - consensus.Version(count-1-i)
--- a/internal/acceptorstore/inspect.go
+++ b/internal/acceptorstore/inspect.go
@@ -16,34 +16,34 @@
 	"oxbowspan/rpc"
 )
 
-// ErrUnused is returned by Inspect for a file that was created but never used.
+// ErrUnused is returned by Inspect for a file that was created but never written to.
 var ErrUnused = errors.New("the state file was never used")
 
-// Contents is what the file of a stopped controller holds.
+// Contents is the decoded state file of a controller.
 type Contents struct {
 	Format   uint64               `json:"format"`
 	Identity consensus.AcceptorID `json:"identity"`
 	Promised consensus.Ballot     `json:"promised"`
 	Accepted consensus.Ballot     `json:"accepted"`
 
-	// Of the accepted value, which may not have been decided.
+	// Fields of the accepted value, which may not have been decided.
 	Slot    consensus.Slot      `json:"turn"`
 	Version consensus.Version   `json:"version"` // of the configuration
 	BasedOn consensus.Version   `json:"based_on"`
 	Digest  string              `json:"digest"` // SHA-256 of the configuration, in hexadecimal
 	Members []consensus.Member  `json:"members"`
-	Prior   []consensus.Member  `json:"prior"` // members of the slot before
-	History []consensus.Version `json:"past"`  // of the configuration, the oldest first
+	Prior   []consensus.Member  `json:"prior"` // members of the previous slot
+	History []consensus.Version `json:"past"`  // prior versions of the configuration, the oldest first
 
-	Servers int   `json:"servers"` // in the hints
-	Bytes   int64 `json:"bytes"`   // of the file
+	Servers int   `json:"servers"` // number of servers in the hints
+	Bytes   int64 `json:"bytes"`   // size of the file
 
-	Body      []byte               `json:"-"` // the configuration
+	Body      []byte               `json:"-"` // the configuration's JSON
 	Documents []consensus.Document `json:"-"`
 }
 
-// Inspect reads the file in the directory of a controller that doesn't run. It changes nothing. It returns ErrUnused, an
-// [*UnsupportedFormatError], ErrCorrupt, wrapped, or the error of opening the file.
+// Inspect reads the state file in the data directory of a stopped controller, without changing it. It returns ErrUnused, an
+// [*UnsupportedFormatError], an error that wraps ErrCorrupt, or the error of opening the file.
 func Inspect(dir string) (c *Contents, err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true)) // as in openFile
 	defer func() {
--- a/internal/acceptorstore/store.go
+++ b/internal/acceptorstore/store.go
@@ -1,5 +1,6 @@
-// Package acceptorstore keeps an acceptor's state in a file. Only its own goroutine waits for the disk: an update that can't be
-// stored soon is refused, and the rest of the program goes on.
+// Package acceptorstore persists the state of a consensus acceptor in a bbolt file. Only the store's own goroutine blocks on
+// disk I/O: an update that does not fit into the bounded queue is rejected at once with ErrBusy, so that a slow disk does not
+// block the rest of the program.
 package acceptorstore
 
 import (
@@ -20,59 +21,60 @@
 )
 
 const (
-	queueLength     = 64          // of updates that wait for the disk
-	lockTimeout     = time.Second // for another process that has the file open
-	initialMmapSize = 4 << 20     // bytes of address space, so that the file seldom has to be mapped anew
+	queueLength     = 64          // updates that may be queued for the disk
+	lockTimeout     = time.Second // how long to wait for the file lock of another process
+	initialMmapSize = 4 << 20     // bytes of address space; avoids most remappings as the file grows
 )
 
 var (
-	// ErrBusy is returned for an update that the disk has no time for, or that comes after Close.
+	// ErrBusy is returned for an update when the queue is full or the store is closed.
 	ErrBusy = errors.New("the disk is busy")
 
-	// ErrCorrupt is wrapped by errors of a file whose contents can't be right.
+	// ErrCorrupt is wrapped by the errors for a file with invalid contents.
 	ErrCorrupt = errors.New("the state file is corrupt")
 )
 
-// UnsupportedFormatError is the error for a file of a format that this program doesn't read.
+// UnsupportedFormatError reports a file whose format version this program does not support.
 type UnsupportedFormatError struct{ Format uint64 }
 
 func (e *UnsupportedFormatError) Error() string {
-	return fmt.Sprintf("the state file has format %d, this program reads %d and %d", e.Format, formatInlineBodies, FormatVersion)
+	return fmt.Sprintf("the state file has format version %d, this program supports versions %d and %d", e.Format, formatInlineBodies, FormatVersion)
 }
 
-// StepFunc returns the state that follows from one.
+// StepFunc computes the next state from the current one.
 type StepFunc func(consensus.AcceptorState) consensus.AcceptorState
 
-// StoredFunc takes the state that is on the disk, and the error of a state that could not be stored.
+// StoredFunc is called after an update with the state that is on the disk, and with the error if the new state could not be
+// stored.
 type StoredFunc func(consensus.AcceptorState, error)
 
-// Store is one acceptor's file. Its methods may be called from any goroutine, except where they say otherwise.
+// Store is the state file of one acceptor. Its methods may be called from any goroutine unless their documentation restricts it.
 type Store struct {
 	dir     string
 	queue   chan func()
 	closing chan struct{}
 	done    chan struct{}             // closed when the store's goroutine has ended
-	hints   []byte                    // as found by Open
-	history []consensus.HistoryRecord // as found by Open
-	refused error                     // why Open could not create the file; nil = it is open
+	hints   []byte                    // as read by Open
+	history []consensus.HistoryRecord // as read by Open
+	openErr error                     // why Open could not create the file; nil if the file was opened
 
-	// The store's goroutine's.
-	db             *bbolt.DB               // nil while the disk refuses to create the file
-	createdAt      time.Time               // when that was tried last
-	state          consensus.AcceptorState // the last that is known to be on the disk; without a file its identity alone
-	historyCounts  map[string]int          // of stored revisions, by document
-	writeUncertain bool                    // a write failed: the file may hold what it wrote, or not
+	// The following fields belong to the store's goroutine.
+	db                *bbolt.DB               // nil while the file could not be created or its directory not be synced
+	lastCreateAttempt time.Time               // when opening or creating the file was last attempted
+	state             consensus.AcceptorState // the last state known to be on the disk; only the identity if there is no file
+	historyCounts     map[string]int          // numbers of stored revisions, by document
+	writeUncertain    bool                    // the last write failed: the file may or may not contain its data
 
 	commit func(func(*bbolt.Tx) error) error // db.Update; tests replace it
 }
 
-// Open opens or creates the file in a directory, which it creates if necessary. A file without an identity gets the genesis one,
-// or a random one if that is 0. A file that can't be read is renamed to setAsidePath, and a new one is created with a random
-// identity: the old identity's promises are lost, so it must not vote again.
+// Open opens or creates the state file in a directory, which it creates if necessary. A file without an identity gets the genesis
+// identity, or a random one if genesis is 0. An unreadable file is renamed to setAsidePath, and a new one is created with a random
+// identity: the promises made under the old identity are lost, so that identity must not vote again.
 //
-// Where the disk is full and a new file can't be created, or its name not be made durable, the store is opened without it
-// (Refused): it refuses every update until the disk takes the file. A file that is there is never given up for a disk that
-// refuses writes.
+// If a new file can't be created because the disk is full or read-only, or its directory entry can't be made durable for that
+// reason, the store is opened without a file (see Refused): every update fails until the file can be created. An existing
+// non-empty file is never replaced because the disk rejects writes.
 func Open(dir string, genesis consensus.AcceptorID) (s *Store, setAsidePath string, err error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil && !isWriteRefused(err) {
 		return nil, "", eris.Wrap(err, "creating the data directory")
@@ -80,17 +82,17 @@
 	s = newStore(dir)
 	setAsidePath, err = s.openOrReplace(filepath.Join(dir, fileName), genesis)
 	if err == nil {
-		err = syncName(s, dir)
-	} else if isWriteRefused(err) && !isUsed(filepath.Join(dir, fileName)) {
-		s.state = consensus.AcceptorState{ID: firstIdentity(genesis, setAsidePath)}
+		err = syncDirectoryOrClose(s, dir)
+	} else if isWriteRefused(err) && !isNonEmpty(filepath.Join(dir, fileName)) {
+		s.state = consensus.AcceptorState{ID: initialIdentity(genesis, setAsidePath)}
 	} else {
 		return nil, setAsidePath, err
 	}
 	if err != nil && !isWriteRefused(err) {
 		return nil, setAsidePath, err
 	}
-	s.refused = err
-	s.createdAt = time.Now()
+	s.openErr = err
+	s.lastCreateAttempt = time.Now()
 	go s.run()
 	return s, setAsidePath, nil
 }
@@ -99,40 +101,43 @@
 	return &Store{dir: dir, historyCounts: map[string]int{}, queue: make(chan func(), queueLength), closing: make(chan struct{}), done: make(chan struct{})}
 }
 
-// Refused returns why the disk did not take a new file at Open; nil = the file was opened. It is created with the first update that
-// the disk takes.
-func (s *Store) Refused() error { return s.refused }
+// Refused returns why Open could not create the file or sync its directory; nil if the file was opened. Later updates retry the
+// creation.
+func (s *Store) Refused() error { return s.openErr }
 
-// openOrReplace opens the file. One whose contents can't be right is set aside.
+// openOrReplace opens the file, or creates it if it does not exist. An unreadable file is set aside and replaced.
 func (s *Store) openOrReplace(path string, genesis consensus.AcceptorID) (setAsidePath string, err error) {
 	if _, err := os.Stat(path); err == nil {
-		// The file is from an earlier run. If it has no identity, that run ended before it accepted anything.
+		// The file is from an earlier run. If it has no identity, that run ended before it accepted a value or made a promise,
+		// so that the genesis identity may be used.
 		err = s.openFile(path, genesis)
 		if err == nil || isWriteRefused(err) {
 			return "", err
 		}
 		setAsidePath = path + ".damaged-" + time.Now().UTC().Format("20060102T150405")
 		if renameErr := os.Rename(path, setAsidePath); renameErr != nil {
-			return "", eris.Wrapf(err, "the state file can't be read, nor set aside (%v)", renameErr)
+			return "", eris.Wrapf(err, "the state file can't be read, and renaming it failed (%v)", renameErr)
 		}
 	}
-	err = s.openFile(path, firstIdentity(genesis, setAsidePath))
+	err = s.openFile(path, initialIdentity(genesis, setAsidePath))
 	if err != nil {
-		removeUnfinished(path)
+		removeIncomplete(path)
 	}
 	return setAsidePath, err
 }
 
-// firstIdentity returns the identity of a new file: the genesis one, unless a file that may have had it was set aside.
-func firstIdentity(genesis consensus.AcceptorID, setAsidePath string) consensus.AcceptorID {
+// initialIdentity returns the identity for a new file: the genesis identity, or a random one if genesis is 0 or a file that may
+// have had the genesis identity was set aside.
+func initialIdentity(genesis consensus.AcceptorID, setAsidePath string) consensus.AcceptorID {
 	if genesis == 0 || setAsidePath != "" {
 		return NewAcceptorID()
 	}
 	return genesis
 }
 
+// openFile opens or creates the file, checks its integrity and loads its contents into the store.
 func (s *Store) openFile(path string, genesis consensus.AcceptorID) (err error) {
-	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true)) // reading a page beyond the file's end must not end the process
+	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true)) // turns the fault of reading a mapped page beyond the end of the file into a panic
 	defer func() {
 		if r := recover(); r != nil { // bbolt panics on malformed pages
 			err = fmt.Errorf("%w: %v", ErrCorrupt, r)
@@ -159,7 +164,8 @@
 	return nil
 }
 
-// load reads the file. It writes only to a file that is new or of an earlier format, so that a sound one is read on a full disk.
+// load reads the file. It writes only to a file that is new or has an earlier format, so that an intact file of the current
+// format can be opened on a full disk.
 func (s *Store) load(db *bbolt.DB, genesis consensus.AcceptorID) error {
 	current := false
 	err := db.View(func(tx *bbolt.Tx) error {
@@ -182,7 +188,7 @@
 	return db.Update(func(tx *bbolt.Tx) error { return s.loadOrInitialize(tx, genesis) })
 }
 
-// loadOrInitialize reads the file, converts it to the current format, and gives it an identity if it has none.
+// loadOrInitialize reads the file, converts it to the current format, and writes an identity if it has none.
 func (s *Store) loadOrInitialize(tx *bbolt.Tx, genesis consensus.AcceptorID) error {
 	b, err := tx.CreateBucketIfNotExists(stateBucket)
 	if err != nil {
@@ -211,14 +217,14 @@
 	return writeIdentity(b, s.state.ID)
 }
 
-// NewAcceptorID draws a random identifier. It is never 0.
+// NewAcceptorID returns a random identifier, which is never 0.
 func NewAcceptorID() consensus.AcceptorID {
 	var b [8]byte
 	rand.Read(b[:])
 	return consensus.AcceptorID(binary.BigEndian.Uint64(b[:]) | 1)
 }
 
-// run executes what is queued until the store is closed. What was queued before that is executed still.
+// run executes queued functions until the store is closed, including those that were queued before that.
 func (s *Store) run() {
 	defer close(s.done)
 	for {
@@ -234,7 +240,7 @@
 	}
 }
 
-// enqueue queues a function for the store's goroutine, unless the queue is full.
+// enqueue queues a function for the store's goroutine. It reports false if the queue is full.
 func (s *Store) enqueue(f func()) bool {
 	select {
 	case s.queue <- f:
@@ -244,8 +250,9 @@
 	}
 }
 
-// Update has step return the next state, stores that and calls after. Updates run in the order of the calls. Both functions run on the store's goroutine and must
-// not wait. ErrBusy is returned at once, and neither is called, when the queue is full or the store closed.
+// Update calls step, stores the state that it returns, and calls after with the result. Updates are processed in the order of the
+// calls. Both functions run on the store's goroutine and must not block. If the queue is full or the store is closed, Update
+// returns ErrBusy at once and calls neither.
 func (s *Store) Update(step StepFunc, after StoredFunc) error {
 	select {
 	case <-s.closing:
@@ -258,8 +265,9 @@
 	return nil
 }
 
+// update executes one update on the store's goroutine. A state that equals the stored one is not written.
 func (s *Store) update(step StepFunc, after StoredFunc) {
-	if err := s.createMissing(); err != nil {
+	if err := s.ensureFile(); err != nil {
 		after(s.state, err)
 		return
 	}
@@ -276,8 +284,8 @@
 	after(s.state, err)
 }
 
-// commitState stores a state. After a failed write the file may hold what it wrote nevertheless: the value is then written again
-// with the next state, as otherwise that state's ballots might stand beside another state's value.
+// commitState writes a state to the file. A failed write may nevertheless have reached the file, so the next write includes the
+// value even if it has not changed: otherwise the file could combine the ballots of one state with the value of another.
 func (s *Store) commitState(next consensus.AcceptorState) (err error) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -288,20 +296,20 @@
 	return s.commit(func(tx *bbolt.Tx) error { return writeState(tx, next, withValue) })
 }
 
-// Hints returns what SaveHints stored last before Open; nil = nothing. Nothing depends on hints.
+// Hints returns the hints that were last saved before Open; nil if there are none. Hints are optional: nothing depends on them.
 func (s *Store) Hints() []byte { return s.hints }
 
-// History returns the revisions that SaveHints had stored before Open, by document and version.
+// History returns the committed revisions that were saved before Open, ordered by document and version.
 func (s *Store) History() []consensus.HistoryRecord { return s.history }
 
-// SaveHints stores hints, in place of those before, and further committed revisions if the disk is idle, and calls after on the
-// store's goroutine. It reports whether it does.
+// SaveHints queues a write that replaces the hints and adds committed revisions, and calls after on the store's goroutine when it
+// has ended. If the disk is not idle, i.e. other work is queued, it does nothing and returns false.
 func (s *Store) SaveHints(hints []byte, history []consensus.HistoryRecord, after func(error)) bool {
 	if len(s.queue) > 0 {
 		return false
 	}
 	return s.enqueue(func() {
-		if err := s.createMissing(); err != nil {
+		if err := s.ensureFile(); err != nil {
 			after(err)
 			return
 		}
@@ -318,10 +326,10 @@
 	})
 }
 
-// State returns the state as found by Open. It must not be called after the first Update.
+// State returns the state as read by Open. It must not be called after the first Update.
 func (s *Store) State() consensus.AcceptorState { return s.state }
 
-// Close executes what is queued and closes the file. It must be called once.
+// Close executes the queued functions and closes the file. It must be called exactly once.
 func (s *Store) Close() error {
 	close(s.closing)
 	<-s.done
--- a/internal/acceptorstore/store_test.go
+++ b/internal/acceptorstore/store_test.go
@@ -44,12 +44,12 @@
 	}
 	saved := make(chan error, 1)
 	if !s.SaveHints([]byte{}, nil, func(err error) { saved <- err }) || <-saved != nil {
-		t.Fatal("an idle disk does not save hints")
+		t.Fatal("an idle store does not save hints")
 	}
 	s.Close()
 	c, err := Inspect(dir)
 	if err != nil || c.Slot != 5 || c.Identity != 77 || c.Version != 5 || len(c.History) != 1 || string(c.Body) != "{}" {
-		t.Fatalf("inspected %+v, %v", c, err)
+		t.Fatalf("Inspect returned %+v, %v", c, err)
 	}
 	s, _, err = Open(dir, 0)
 	if err != nil {
@@ -57,21 +57,21 @@
 	}
 	defer s.Close()
 	if got := s.State(); got.ID != 77 || got.Accepted.Number != 5 || got.Value.Slot != 5 || got.Value.PriorRevisions[0].Version != 1 {
-		t.Fatalf("read as %+v", got)
+		t.Fatalf("Open read %+v", got)
 	}
 }
 
-// An acceptor whose file is damaged may have forgotten promises: it must not vote under the old identity.
+// The promises in a damaged file may be lost, so the acceptor must not vote under the old identity.
 func TestCorruptFileIsSetAsideWithNewIdentity(t *testing.T) {
 	for name, damage := range map[string]func(content []byte) []byte{
-		"cut short": func(b []byte) []byte { return b[:3*4096] },
+		"truncated": func(b []byte) []byte { return b[:3*4096] },
 		"overwritten": func(b []byte) []byte {
 			for i := range b {
 				b[i] ^= 0x5a
 			}
 			return b
 		},
-		"one page": func(b []byte) []byte {
+		"first three pages": func(b []byte) []byte {
 			for i := 0; i < 3*4096; i++ {
 				b[i] = 0xff
 			}
@@ -95,7 +95,7 @@
 			}
 			defer s.Close()
 			if _, err := os.Stat(setAsidePath); err != nil {
-				t.Fatalf("nothing was set aside: %v", err)
+				t.Fatalf("the damaged file was not set aside: %v", err)
 			}
 		})
 	}
@@ -108,21 +108,21 @@
 	}
 	release := make(chan struct{})
 	s.Update(func(st consensus.AcceptorState) consensus.AcceptorState { <-release; return st }, func(consensus.AcceptorState, error) {})
-	refused := false
+	rejected := false
 	for range 200 {
 		if err := s.Update(func(st consensus.AcceptorState) consensus.AcceptorState { return st }, func(consensus.AcceptorState, error) {}); errors.Is(err, ErrBusy) {
-			refused = true
+			rejected = true
 		}
 	}
-	if !refused || s.SaveHints(nil, nil, func(error) {}) {
-		t.Fatal("a busy disk accepts all updates")
+	if !rejected || s.SaveHints(nil, nil, func(error) {}) {
+		t.Fatal("a store with a full queue accepted all updates or saved hints")
 	}
 	close(release)
 	s.Close()
 }
 
-// A write is in the file though its sync failed, so that it was not acknowledged. The ballots that are stored next must not stand
-// beside its value.
+// A write may reach the file although its sync failed, so that it is not acknowledged. The next write must not combine its ballots
+// with the value of the failed one.
 func TestFailedWriteLeavesConsistentState(t *testing.T) {
 	dir := t.TempDir()
 	s, _, err := Open(dir, 77)
@@ -140,13 +140,13 @@
 		return errors.New("input/output error")
 	}
 	if update(t, s, acceptStep(6)) == nil {
-		t.Fatal("a write whose sync failed is reported as stored")
+		t.Fatal("an update whose sync failed returned no error")
 	}
 	s.commit = s.db.Update
 	must(update(t, s, func(st consensus.AcceptorState) consensus.AcceptorState {
 		next, p := st.HandlePrepare(consensus.Prepare{To: st.ID, Ballot: consensus.Ballot{Number: 9, By: 2}})
 		if !p.OK || p.Value.Slot != 5 {
-			t.Errorf("after the failure it promises with the value of slot %d", p.Value.Slot)
+			t.Errorf("the promise after the failed write returned the value of slot %d, want 5", p.Value.Slot)
 		}
 		return next
 	}))
@@ -155,12 +155,12 @@
 	must(err)
 	defer s.Close()
 	if got := s.State(); got.Accepted.Number != 5 || got.Value.Slot != 5 || got.Promised.Number != 9 {
-		t.Fatalf("ballot %d beside the value of slot %d", got.Accepted.Number, got.Value.Slot)
+		t.Fatalf("the file has ballot %d and the value of slot %d, want 5 and 5", got.Accepted.Number, got.Value.Slot)
 	}
 }
 
-// Power is lost while an accepted value is written: each of the pages that were not synced is written, not written, or torn. The
-// state before or the one after is read, never a mixture, and never is the file set aside.
+// After a power loss during a write, each page that was not synced is written, not written, or torn. Open must then read either the
+// previous or the new state, never a mixture, and must not set the file aside.
 func TestPowerLossDuringWrite(t *testing.T) {
 	t.Run("one body", func(t *testing.T) {
 		testPowerLoss(t, 60, acceptStep, func(v *consensus.Value) bool { return string(v.Body) == "{}" })
@@ -174,19 +174,20 @@
 	})
 }
 
-// loseWrites returns what a file may hold after power was lost while it was written.
+// loseWrites returns a possible content of a file after a power loss during a write, given its content before and after the
+// write.
 func loseWrites(r *rand.Rand, before, after []byte) []byte {
 	const page = 4096
 	content := append(append([]byte(nil), before...), after[len(before):]...) // bbolt syncs the length first
-	first := r.IntN(3)                                                        // lost among the data, in the meta pages, or after both
+	phase := r.IntN(3)                                                        // of the power loss: 0 = writing data, 1 = writing meta pages, 2 = after both
 	for at := 0; at < len(after); at += page {
-		meta := at < 2*page // bbolt writes these two pages once all others are synced
+		meta := at < 2*page // bbolt writes the two meta pages after all others are synced
 		switch keep := r.IntN(3); {
-		case meta && first == 0, !meta && first == 0 && keep == 0:
-		case meta && first == 1:
+		case meta && phase == 0, !meta && phase == 0 && keep == 0:
+		case meta && phase == 1:
 			cut := at + r.IntN(page/8)*8
 			copy(content[at:cut], after[at:cut])
-		case !meta && first == 0 && keep == 1:
+		case !meta && phase == 0 && keep == 1:
 			cut := at + r.IntN(page)
 			copy(content[at:cut], after[at:cut])
 		default:
@@ -196,7 +197,7 @@
 	return content
 }
 
-// testPowerLoss stores one state after another, loses power during each write, and checks what is read afterwards.
+// testPowerLoss stores a sequence of states, simulates a power loss during each write, and checks the state that Open reads.
 func testPowerLoss(t *testing.T, writes uint64, step func(n uint64) StepFunc, complete func(v *consensus.Value) bool) {
 	dir := t.TempDir()
 	path := filepath.Join(dir, fileName)
@@ -213,50 +214,50 @@
 	}
 	defer s.Close()
 	r := rand.New(rand.NewPCG(1, 2))
-	befores, afters := 0, 0
+	oldStates, newStates := 0, 0
 	for n := uint64(1); n <= writes; n++ {
 		before := read()
 		if err := update(t, s, step(n)); err != nil {
 			t.Fatal(err)
 		}
 		after := read()
-		lost := filepath.Join(t.TempDir(), fileName)
-		if err := os.WriteFile(lost, loseWrites(r, before, after), 0o644); err != nil {
+		copyPath := filepath.Join(t.TempDir(), fileName)
+		if err := os.WriteFile(copyPath, loseWrites(r, before, after), 0o644); err != nil {
 			t.Fatal(err)
 		}
-		reopened, setAsidePath, err := Open(filepath.Dir(lost), 1)
+		reopened, setAsidePath, err := Open(filepath.Dir(copyPath), 1)
 		if err != nil || setAsidePath != "" {
 			t.Fatalf("write %d: %v, set aside as %q", n, err, setAsidePath)
 		}
 		switch got := reopened.State(); {
 		case got.Value != nil && !complete(got.Value):
-			t.Fatalf("write %d: version %d is read with a body of %d bytes", n, got.Value.Version, len(got.Value.Body))
+			t.Fatalf("write %d: Open read version %d with a body of %d bytes", n, got.Value.Version, len(got.Value.Body))
 		case got.ID != 77:
-			t.Fatalf("write %d: read with identity %d", n, got.ID)
+			t.Fatalf("write %d: Open read identity %d, want 77", n, got.ID)
 		case got.Accepted.Number == n && got.Value.Slot == consensus.Slot(n):
-			afters++
+			newStates++
 		case n == 1 && got.Value == nil, got.Accepted.Number == n-1 && got.Value.Slot == consensus.Slot(n-1):
-			befores++
+			oldStates++
 		default:
-			t.Fatalf("write %d: read with ballot %d", n, got.Accepted.Number)
+			t.Fatalf("write %d: Open read ballot %d", n, got.Accepted.Number)
 		}
 		reopened.Close()
 	}
-	if befores < int(writes/6) || afters < int(writes/6) {
-		t.Fatalf("%d were read as before the write and %d as after it: too few to tell", befores, afters)
+	if oldStates < int(writes/6) || newStates < int(writes/6) {
+		t.Fatalf("Open read the state before the write %d times and the state after it %d times: too few of one kind", oldStates, newStates)
 	}
 }
 
-// Calls may be in flight when the program ends.
+// Update may be called concurrently with Close, and must return ErrBusy after it.
 func TestUpdateAfterCloseReturnsErrBusy(t *testing.T) {
 	for range 20 {
 		s, _, err := Open(t.TempDir(), 1)
 		if err != nil {
 			t.Fatal(err)
 		}
-		var late sync.WaitGroup
+		var updaters sync.WaitGroup
 		for range 4 {
-			late.Go(func() {
+			updaters.Go(func() {
 				for range 200 {
 					s.Update(func(st consensus.AcceptorState) consensus.AcceptorState { return st }, func(consensus.AcceptorState, error) {})
 				}
@@ -265,9 +266,9 @@
 		if err := s.Close(); err != nil {
 			t.Fatal(err)
 		}
-		late.Wait()
+		updaters.Wait()
 		if err := s.Update(acceptStep(1), func(consensus.AcceptorState, error) {}); !errors.Is(err, ErrBusy) {
-			t.Fatalf("an update after Close returns %v", err)
+			t.Fatalf("an update after Close returned %v, want ErrBusy", err)
 		}
 	}
 }
