--- a/rpc/compat_messages_test.go
+++ b/rpc/compat_messages_test.go
@@ -2,7 +2,7 @@
 
 import "oxbowspan/rpc"
 
-// The messages of testdata/compat, whose README says how they were recorded.
+// The messages recorded in testdata/compat; the README there describes how they were recorded.
 
 func compatBallot(number, proposer uint64) *rpc.Ballot {
 	return &rpc.Ballot{Number: number, Proposer: proposer}
@@ -129,13 +129,13 @@
 	}
 }
 
-// compatExchange is a request and its reply, with the files that hold their bytes.
+// compatExchange is a request and its reply, with the names of the files that contain their encoded frames.
 type compatExchange struct {
 	name      string
 	replyName string
 	request   *rpc.Frame
 	reply     *rpc.Frame
-	pushed    bool // the reply bears no request's id
+	pushed    bool // the reply is a one-way message without the request's id
 }
 
 func compatExchanges() []compatExchange {
--- a/rpc/compat_test.go
+++ b/rpc/compat_test.go
@@ -18,6 +18,7 @@
 	"oxbowspan/rpc"
 )
 
+// compatFile returns a recorded frame.
 func compatFile(t *testing.T, name string) []byte {
 	t.Helper()
 	content, err := os.ReadFile(filepath.Join("testdata", "compat", name+".bin"))
@@ -27,14 +28,14 @@
 	return content
 }
 
-// compatFrame is a frame as the other side receives it.
+// compatFrame returns a copy of a frame with the id and response flag that its receiver is expected to read.
 func compatFrame(f *rpc.Frame, id uint64, response bool) *rpc.Frame {
-	out := proto.Clone(f).(*rpc.Frame)
-	out.Id, out.Response = id, response
-	return out
+	clone := proto.Clone(f).(*rpc.Frame)
+	clone.Id, clone.Response = id, response
+	return clone
 }
 
-// checkCompatFrame compares a frame that was read with the one that the earlier release sent.
+// checkCompatFrame compares a decoded frame with the one that the earlier release sent.
 func checkCompatFrame(t *testing.T, got, want *rpc.Frame) {
 	t.Helper()
 	if !proto.Equal(got, want) {
@@ -43,7 +44,7 @@
 	checkNoUnknownFields(t, got.ProtoReflect())
 }
 
-// checkNoUnknownFields reports fields whose numbers this release does not have.
+// checkNoUnknownFields reports fields whose numbers this release does not define.
 func checkNoUnknownFields(t *testing.T, m protoreflect.Message) {
 	t.Helper()
 	if len(m.GetUnknown()) > 0 {
@@ -63,7 +64,7 @@
 	})
 }
 
-// compatTimeout ends a test whose peer says nothing.
+// compatTimeout limits how long a test waits for its peer.
 const compatTimeout = 10 * time.Second
 
 func listenCompat(t *testing.T) net.Listener {
@@ -76,7 +77,8 @@
 	return l
 }
 
-// TestCompatClient has the client of this release talk to a peer that sends the earlier release's bytes and expects them.
+// TestCompatClient checks the client against recorded frames: its requests must be the bytes that the earlier release sent, and it
+// must decode that release's replies.
 func TestCompatClient(t *testing.T) {
 	for _, e := range compatExchanges() {
 		t.Run(e.name, func(t *testing.T) {
@@ -125,17 +127,18 @@
 		}
 		return got
 	}
-	go client.Call(ctx, e.request) // its response is not awaited: none comes
+	go client.Call(ctx, e.request) // it gets no response, so its result is not awaited
 	select {
 	case got := <-pushed:
 		return got
 	case <-ctx.Done():
-		t.Fatal("nothing was pushed")
+		t.Fatal("no message was pushed")
 		return nil
 	}
 }
 
-// TestCompatServer has the server of this release answer a peer that sends the earlier release's bytes and expects them.
+// TestCompatServer checks the server against recorded frames: it must decode the requests of the earlier release, and its replies
+// must be the bytes that that release sent.
 func TestCompatServer(t *testing.T) {
 	for _, e := range compatExchanges() {
 		t.Run(e.name, func(t *testing.T) {
@@ -175,8 +178,8 @@
 	}
 }
 
-// TestCompatExchangesSetEveryField makes sure that the recorded frames cover the schema: every message kind of a frame, and
-// every field of every message. Fields that are added later are to be listed here, as the earlier release has none of them.
+// TestCompatExchangesSetEveryField checks that the recorded frames cover the schema: every message kind of a frame and every field
+// of every message. Fields added since the recording must be listed here, as the earlier release does not have them.
 func TestCompatExchangesSetEveryField(t *testing.T) {
 	added := map[protoreflect.FullName]bool{
 		"rpc.Gossip.rollouts":             true,
--- a/rpc/conn.go
+++ b/rpc/conn.go
@@ -12,16 +12,16 @@
 
 const (
 	unacknowledgedTimeout = 2500 * time.Millisecond // TCP_USER_TIMEOUT
-	writeTimeout          = 2500 * time.Millisecond // of one frame
+	writeTimeout          = 2500 * time.Millisecond // for one frame
 
 	keepAliveIdle     = 2 * time.Second
 	keepAliveInterval = time.Second
 	keepAliveProbes   = 3
 )
 
-// ConfigureTCP makes a connection to a dead peer fail soon: data that stays unacknowledged for 2.5 seconds ends it, and so do
-// three unanswered keep-alive probes. It has no effect on a connection that is not TCP. Errors of single options are
-// ignored: the connection works without them.
+// ConfigureTCP sets socket options that make a connection to a dead peer fail quickly: it ends when data stays unacknowledged for
+// 2.5 seconds or after three unanswered keep-alive probes. It does nothing if the connection is not TCP. Errors of individual
+// options are ignored, as the connection works without them.
 func ConfigureTCP(c net.Conn) {
 	tcp, ok := c.(*net.TCPConn)
 	if !ok {
@@ -37,15 +37,15 @@
 	}
 }
 
-// Conn is one connection, of either side. Its methods may be called concurrently.
+// Conn is the client's or the server's end of a connection. Its methods may be called concurrently.
 type Conn struct {
 	conn net.Conn
 
 	writeMu sync.Mutex
-	buffer  []byte // reused for the next frame sent
+	buffer  []byte // reused for encoding frames
 }
 
-// Send writes a frame. After a write error the connection is closed.
+// Send writes a frame. A write error closes the connection.
 func (c *Conn) Send(f *Frame) error {
 	c.writeMu.Lock()
 	defer c.writeMu.Unlock()
@@ -63,13 +63,13 @@
 	return err
 }
 
-// Respond sends the response to the request with an ID. It sets the frame's Id and Response.
+// Respond sends a frame as the response to the request with the given ID. It sets the frame's Id and Response.
 func (c *Conn) Respond(requestID uint64, f *Frame) error {
 	f.Id, f.Response = requestID, true
 	return c.Send(f)
 }
 
-// Close ends the connection.
+// Close closes the connection.
 func (c *Conn) Close() { c.conn.Close() }
 
 // readFrames passes each frame to handle until the connection ends.
--- a/rpc/conn_test.go
+++ b/rpc/conn_test.go
@@ -12,7 +12,7 @@
 	"oxbowspan/internal/network"
 )
 
-// startServer serves on a loopback port until the test ends and returns the port's address.
+// startServer runs a server on a loopback port until the test ends and returns its address.
 func startServer(t *testing.T, s *Server) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -38,7 +38,7 @@
 func TestClientReceivesTheResponseToItsRequest(t *testing.T) {
 	var first *Frame
 	server := &Server{Handle: func(c *Conn, f *Frame) {
-		if first == nil { // respond to the first request last
+		if first == nil { // responds to the first request after the second
 			first = f
 			return
 		}
@@ -52,7 +52,7 @@
 		go func() {
 			response, err := client.Call(t.Context(), pollFrame(slot+1))
 			if err == nil && response.GetUpdate().GetSlot() != slot+1 {
-				err = errors.New("response of another request")
+				err = errors.New("the response is that of another request")
 			}
 			failures <- err
 		}()
@@ -63,7 +63,7 @@
 		}
 	}
 	if !client.Connected() {
-		t.Error("not connected after the calls")
+		t.Error("the client is not connected after the calls")
 	}
 }
 
@@ -96,7 +96,7 @@
 func TestServerRejectsConnectionWithoutPreface(t *testing.T) {
 	closed := make(chan struct{})
 	server := &Server{
-		Handle:  func(*Conn, *Frame) { t.Error("a frame was handled") },
+		Handle:  func(*Conn, *Frame) { t.Error("a frame was handled without a preface") },
 		OnClose: func(*Conn) { close(closed) },
 	}
 	conn, err := net.Dial("tcp", startServer(t, server))
--- a/rpc/convert.go
+++ b/rpc/convert.go
@@ -6,7 +6,8 @@
 	"oxbowspan/consensus"
 )
 
-// ValueToProto encodes a value for a reader that has the bodies with the known digests: those bodies are omitted.
+// ValueToProto encodes a value. It omits the bodies with the known digests, which the receiver has stored. A nil value is encoded
+// as nil.
 func ValueToProto(v *consensus.Value, knownDigests ...string) *Value {
 	if v == nil {
 		return nil
@@ -34,13 +35,14 @@
 	return m
 }
 
-// omitBody reports whether the reader has a body. The empty digest stands for no body, which is not omitted.
+// omitBody reports whether the body with a digest is omitted because the receiver has it. The empty digest means that there is no
+// body, and is never marked as omitted.
 func omitBody(digest string, knownDigests []string) bool {
 	return digest != "" && slices.Contains(knownDigests, digest)
 }
 
-// ValueFromProto decodes a value and restores omitted bodies from the known values. It returns nil when one of the omitted
-// bodies is in none of them: the value is incomplete and must not be used.
+// ValueFromProto decodes a value and restores omitted bodies from the known values. It returns nil for a nil message, and if an
+// omitted body is in none of the known values: the value is then incomplete and must not be used.
 func ValueFromProto(m *Value, known ...*consensus.Value) *consensus.Value {
 	if m == nil {
 		return nil
@@ -77,7 +79,7 @@
 	return v
 }
 
-// BodyDigests returns the digests of the bodies that a value contains, in no order.
+// BodyDigests returns the digests of the bodies that a value contains, in arbitrary order.
 func BodyDigests(v *consensus.Value) (digests []string) {
 	for digest := range BodiesByDigest(v) {
 		digests = append(digests, digest)
@@ -85,7 +87,7 @@
 	return digests
 }
 
-// BodiesByDigest returns the bodies of the configurations and documents of some values. Nil values are skipped.
+// BodiesByDigest returns the bodies of the configurations and documents of the values, by digest. Nil values are skipped.
 func BodiesByDigest(values ...*consensus.Value) map[string][]byte {
 	bodies := map[string][]byte{}
 	for _, v := range values {
@@ -120,7 +122,7 @@
 	return digests
 }
 
-// DocumentToProto encodes a document with its body. Its age is left at 0.
+// DocumentToProto encodes a document with its body. It does not set the age.
 func DocumentToProto(d consensus.Document) *Document {
 	return &Document{
 		Name:           d.Name,
@@ -178,7 +180,7 @@
 	return &Ballot{Number: b.Number, Proposer: uint64(b.By)}
 }
 
-// BallotFromProto decodes a ballot; nil is the zero ballot.
+// BallotFromProto decodes a ballot; nil is decoded as the zero ballot.
 func BallotFromProto(m *Ballot) consensus.Ballot {
 	return consensus.Ballot{Number: m.GetNumber(), By: consensus.ProposerID(m.GetProposer())}
 }
--- a/rpc/convert_test.go
+++ b/rpc/convert_test.go
@@ -65,7 +65,7 @@
 	}
 }
 
-// BenchmarkAccept measures encoding and decoding an Accept, with and without its body, and its encoded size.
+// BenchmarkAccept measures encoding and decoding an Accept, with and without its body, and reports its encoded size.
 func BenchmarkAccept(b *testing.B) {
 	for _, size := range []int{2 << 10, 170 << 10, 1700 << 10} {
 		v := testValue()
--- a/rpc/frame.go
+++ b/rpc/frame.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	// Preface is what the dialing side sends first.
+	// Preface is sent by the dialing side at the start of a connection. It names the protocol and its version.
 	Preface = "hive/1\r\n"
-	// MaxFrameBytes is the largest encoded frame that a reader accepts.
+	// MaxFrameBytes is the maximum length of an encoded frame that a reader accepts.
 	MaxFrameBytes = 8 << 20
 
 	frameHeaderBytes = 4
-	// maxRetainedBuffer is the largest buffer that a connection keeps for its next frame: larger frames are rare, and
-	// their memory is released at once.
+	// maxRetainedBuffer is the maximum capacity, in bytes, of a buffer that a connection retains for the next frame. Larger
+	// frames are rare, and their memory is released at once.
 	maxRetainedBuffer = 64 << 10
 )
 
-// FrameTooLargeError reports a frame whose length exceeds [MaxFrameBytes].
+// FrameTooLargeError reports a received frame whose length exceeds [MaxFrameBytes].
 type FrameTooLargeError struct {
 	Bytes int // the length in the frame's header
 }
@@ -30,8 +30,8 @@
 	return fmt.Sprintf("frame of %d bytes exceeds the limit of %d", e.Bytes, MaxFrameBytes)
 }
 
-// readFrame reads one frame. It decodes from buf, which it grows as needed, and returns the buffer to pass to the next
-// call. Its errors are those of the reader, of decoding, and [FrameTooLargeError].
+// readFrame reads one frame. It reads into buf, which it grows as needed, and returns the buffer to pass to the next call. Its
+// errors are those of the reader, those of decoding, and [FrameTooLargeError].
 func readFrame(r *bufio.Reader, buf []byte) (*Frame, []byte, error) {
 	var header [frameHeaderBytes]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
@@ -58,7 +58,7 @@
 	return f, buf, nil
 }
 
-// appendFrame appends the encoded frame with its header to an empty buffer.
+// appendFrame encodes a frame with its header into buf, whose previous contents are overwritten.
 func appendFrame(buf []byte, f *Frame) ([]byte, error) {
 	var header [frameHeaderBytes]byte
 	buf, err := proto.MarshalOptions{}.MarshalAppend(append(buf[:0], header[:]...), f)
--- a/rpc/server.go
+++ b/rpc/server.go
@@ -12,17 +12,18 @@
 
 const (
 	prefaceTimeout = 2 * time.Second
-	acceptBackoff  = 20 * time.Millisecond // after a failed accept, as when no file descriptor is free
+	acceptBackoff  = 20 * time.Millisecond // after a failed accept, for instance without free file descriptors
 )
 
-// Server accepts connections on a listener and hands their frames to a handler. The exported functions are set before Serve.
+// Server accepts connections on a listener and passes their frames to a handler. The exported functions must be set before Serve.
 type Server struct {
-	// Handle is called for each frame, sequentially for each connection. It may respond later.
+	// Handle is called for each frame: sequentially for the frames of one connection, concurrently for different connections.
+	// The response may be sent after it has returned.
 	Handle func(c *Conn, f *Frame)
-	// OnClose is called once when a connection has ended; nil = not called.
+	// OnClose is called once for each connection after it has ended; it may be nil.
 	OnClose func(c *Conn)
 
-	// HandshakeFailures counts connections that did not send the preface in time.
+	// HandshakeFailures counts connections that did not send the preface within prefaceTimeout.
 	HandshakeFailures atomic.Int64
 
 	mu      sync.Mutex
@@ -30,7 +31,8 @@
 	readers sync.WaitGroup
 }
 
-// Serve accepts connections until the listener is closed. It then closes all connections and returns after the last OnClose.
+// Serve accepts connections until the listener is closed. It then closes all connections and returns after the last call of
+// OnClose.
 func (s *Server) Serve(l net.Listener) {
 	s.mu.Lock()
 	s.conns = map[*Conn]bool{}
@@ -60,6 +62,7 @@
 	s.readers.Wait()
 }
 
+// read checks the preface of a connection and handles its frames until it ends.
 func (s *Server) read(c *Conn) {
 	defer s.remove(c)
 	r := bufio.NewReader(c.conn)
@@ -70,6 +73,7 @@
 	c.readFrames(r, func(f *Frame) { s.Handle(c, f) })
 }
 
+// remove closes a connection, removes it from the open ones and calls OnClose.
 func (s *Server) remove(c *Conn) {
 	c.Close()
 	s.mu.Lock()
@@ -81,6 +85,7 @@
 	s.readers.Done()
 }
 
+// readPreface reports whether the preface was received within prefaceTimeout.
 func readPreface(conn net.Conn, r *bufio.Reader) bool {
 	var preface [len(Preface)]byte
 	conn.SetReadDeadline(time.Now().Add(prefaceTimeout))
