--- a/internal/shardconn/attempts.go
+++ b/internal/shardconn/attempts.go
@@ -6,9 +6,11 @@
 	"oxbowspan/internal/frame"
 )
 
-// maxSilentConns is how many silent connections are kept open, so that a server that hangs costs few descriptors.
+// maxSilentConns is the maximum number of silent connections that stay open, which limits the descriptors that an
+// unresponsive server uses.
 const maxSilentConns = 2
 
+// attemptKey identifies an attempt among those of a client.
 type attemptKey struct {
 	id     balancer.ShardCallID
 	number balancer.AttemptNumber
@@ -22,13 +24,14 @@
 	deadlineheap.Position // in Client.deadlines
 }
 
-// batch is the attempts of one frame.
+// batch is the set of attempts that are sent in one frame.
 type batch struct {
 	attempts    []*pendingAttempt
-	conn        *conn // nil = it waits for one
-	frameNumber int   // of the frames on the connection
+	conn        *conn // nil while the batch waits for a connection
+	frameNumber int   // the frame's sequence number on the connection, as returned by conn.enqueue
 }
 
+// remove removes an attempt from the batch.
 func (b *batch) remove(a *pendingAttempt) {
 	for i, other := range b.attempts {
 		if other == a {
@@ -38,7 +41,7 @@
 	}
 }
 
-// dispatch queues attempts in batches and assigns them to connections.
+// dispatch groups attempts into batches, queues them and assigns them to connections.
 func (cl *Client) dispatch(attempts []Attempt) {
 	for len(attempts) > 0 {
 		n := min(len(attempts), cl.config.CallsPerFrame, cl.config.StreamsPerConn)
@@ -55,20 +58,20 @@
 	cl.assignQueued()
 }
 
-// assignQueued writes queued batches and a queued health check to connections with capacity, and opens
-// connections for the others.
+// assignQueued sends queued batches and a queued health check on connections with capacity, and opens connections for
+// the remaining ones. If no connection is being opened and none can be, the queued batches fail.
 func (cl *Client) assignQueued() {
 	defer cl.sendHealthCheck()
-	kept := cl.queued[:0]
+	remaining := cl.queued[:0]
 	for _, b := range cl.queued {
 		if c := cl.availableConn(len(b.attempts)); c != nil {
 			cl.writeBatch(c, b)
 		} else {
-			kept = append(kept, b)
+			remaining = append(remaining, b)
 		}
 	}
-	clear(cl.queued[len(kept):])
-	cl.queued = kept
+	clear(cl.queued[len(remaining):])
+	cl.queued = remaining
 	waiting := 0
 	for _, b := range cl.queued {
 		waiting += len(b.attempts)
@@ -83,9 +86,9 @@
 	}
 }
 
-// availableConn returns a connection with capacity for n more attempts. A silent connection has none, as its
-// server may be partitioned, which only a new connection shows. Nor has one with an incomplete frame, which may
-// never be completed.
+// availableConn returns a connection with capacity for n more attempts, or nil. It skips silent connections, as the
+// server may be unreachable, which only opening a new connection shows, and connections on which part of a frame was
+// received, as the frame may never be completed.
 func (cl *Client) availableConn(n int) *conn {
 	for _, c := range cl.conns {
 		if !c.closed && c.drainReason == "" && !c.silent && c.partialSince == 0 &&
@@ -96,6 +99,7 @@
 	return nil
 }
 
+// writeBatch enqueues the frame of a batch on a connection. Time limits are rounded up to milliseconds, at least 1.
 func (cl *Client) writeBatch(c *conn, b *batch) {
 	now := cl.now()
 	buf := frame.Begin(nil, frame.CallFrame)
@@ -105,28 +109,28 @@
 	}
 	b.conn, b.frameNumber = c, c.enqueue(frame.End(buf, 0))
 	c.inFlight += len(b.attempts)
-	c.usedAt = now
+	c.lastUsedAt = now
 }
 
-// finish ends an attempt with an outcome.
+// finish ends an attempt with an outcome and an optional load report.
 func (cl *Client) finish(a *pendingAttempt, outcome balancer.Outcome, report *balancer.LoadReport) {
-	cl.report(a, AttemptEnded{Outcome: outcome, Report: report})
+	cl.reportEnd(a, AttemptEnded{Outcome: outcome, Report: report})
 }
 
-// report forgets an attempt and reports its end.
-func (cl *Client) report(a *pendingAttempt, e AttemptEnded) {
+// reportEnd removes an attempt from the pending ones and reports its end to the handler.
+func (cl *Client) reportEnd(a *pendingAttempt, e AttemptEnded) {
 	delete(cl.pending, attemptKey{a.ID, a.Number})
 	cl.deadlines.Remove(a)
 	if c := a.batch.conn; c != nil {
 		c.inFlight--
-		c.usedAt = cl.now()
+		c.lastUsedAt = cl.now()
 	}
 	e.ID, e.Number, e.Server, e.Elapsed = a.ID, a.Number, cl.id, cl.now()-a.SentAt
 	cl.handler.AttemptEnded(e)
 }
 
-// abandon ends an attempt that is cancelled or past its deadline. One that was never written cannot have run, nor
-// can one that is withdrawn before its first byte is written.
+// abandon ends an attempt that is cancelled or past its deadline. An attempt that was never assigned to a connection, or
+// whose frame is withdrawn before its first byte is written, cannot have run, and its outcome is changed accordingly.
 func (cl *Client) abandon(a *pendingAttempt, outcome balancer.Outcome) {
 	c := a.batch.conn
 	if c == nil {
@@ -145,17 +149,17 @@
 	} else {
 		c.enqueue(frame.New(frame.CancelFrame, a.WireID))
 		c.recordFinished(a.WireID, false)
-		if c.receivedAt <= a.SentAt {
+		if c.lastReceivedAt <= a.SentAt {
 			cl.markSilent(c)
 		}
 	}
 	a.batch.remove(a)
 	cl.finish(a, outcome, nil)
-	c.closeIfDone()
+	c.closeIfDrained()
 }
 
-// markSilent marks a connection on which an attempt was abandoned while nothing was received. It closes the oldest
-// silent connections above maxSilentConns.
+// markSilent marks a connection as silent: an attempt was abandoned on it while nothing was received, or a health check
+// timed out. It closes the oldest silent connections in excess of maxSilentConns.
 func (cl *Client) markSilent(c *conn) {
 	c.silent = true
 	n := 0
@@ -168,6 +172,7 @@
 	}
 }
 
+// dequeue removes a batch from the queue.
 func (cl *Client) dequeue(b *batch) {
 	for i, other := range cl.queued {
 		if other == b {
@@ -177,7 +182,7 @@
 	}
 }
 
-// failQueued fails all attempts that wait for a connection.
+// failQueued ends all attempts that wait for a connection with ConnectFailed.
 func (cl *Client) failQueued() {
 	for _, b := range cl.queued {
 		for _, a := range b.attempts {
--- a/internal/shardconn/client.go
+++ b/internal/shardconn/client.go
@@ -9,11 +9,11 @@
 	"oxbowspan/internal/deadlineheap"
 )
 
-// mailboxSize is how many commands, and how many events of connections, may wait.
+// mailboxSize is the capacity of the queue of commands and of the queue of connection events.
 const mailboxSize = 256
 
-// tick is the time.Duration of one balancer.Time.
-const tick = time.Millisecond / time.Duration(balancer.Millisecond)
+// timeUnit is the duration of one unit of balancer.Time.
+const timeUnit = time.Millisecond / time.Duration(balancer.Millisecond)
 
 // Client is the client of one shard server. Its exported methods may be called from any goroutine.
 type Client struct {
@@ -26,26 +26,26 @@
 	connect dialFunc
 
 	mailbox chan Command
-	events  chan event // of its own connections
+	events  chan event // from the goroutines of its connections
 	done    chan struct{}
 
-	// The rest belongs to the client's goroutine.
+	// The following fields belong to the client's goroutine.
 	addr          string
-	conns         []*conn  // in order of opening
-	openConns     int      // connections whose goroutines have not ended
-	dialing       int      // connections being opened
+	conns         []*conn  // in the order of opening
+	openConns     int      // number of connections whose goroutines have not ended
+	dialing       int      // number of connections being opened
 	queued        []*batch // batches that wait for a connection
 	pending       map[attemptKey]*pendingAttempt
-	deadlines     deadlineheap.Indexed[*pendingAttempt] // the same, by deadline
-	healthChecks  []*conn                               // connections with a health check in flight, in order
-	checkDeadline balancer.Time                         // of the requested health check; 0 = none is requested
-	checkQueued   bool                                  // it waits for a connection
+	deadlines     deadlineheap.Indexed[*pendingAttempt] // the pending attempts, by deadline
+	healthChecks  []*conn                               // connections with a health check in flight, in the order of sending
+	checkDeadline balancer.Time                         // deadline of the requested health check; 0 if none is requested
+	checkQueued   bool                                  // the requested health check waits for a connection
 }
 
 type dialFunc func(addr string, timeout time.Duration) (net.Conn, error)
 
-// Start returns a running client of a server. Its outcomes go to the handler. After Stop it ends once nothing is
-// in flight.
+// Start starts a client of a server, which reports outcomes to the handler. After Stop it ends as soon as no attempt is
+// pending.
 func Start(id balancer.ServerID, host, addr string, config Config, now func() balancer.Time,
 	handler EventHandler, budget DescriptorBudget) *Client {
 	return start(id, host, addr, config, now, handler, budget, connect)
@@ -70,7 +70,7 @@
 		done: make(chan struct{}), pending: map[attemptKey]*pendingAttempt{}}
 }
 
-// TrySubmit hands over a command without blocking. It reports false if the mailbox is full.
+// TrySubmit submits a command without blocking. It returns false if the mailbox is full.
 func (cl *Client) TrySubmit(c Command) bool {
 	select {
 	case cl.mailbox <- c:
@@ -80,19 +80,20 @@
 	}
 }
 
-// Stop lets the client end once nothing is in flight. No command may follow.
+// Stop makes the client end as soon as no attempt is pending. No command may be submitted after it.
 func (cl *Client) Stop() { close(cl.mailbox) }
 
-// Done is closed once the client has ended and its connections are closed.
+// Done returns a channel that is closed when the client has ended and its connections are closed.
 func (cl *Client) Done() <-chan struct{} { return cl.done }
 
+// run executes commands, processes connection events and enforces timeouts until the client has been stopped.
 func (cl *Client) run() {
 	defer close(cl.done)
 	timer := time.NewTimer(time.Hour)
 	defer timer.Stop()
 	mailbox := cl.mailbox
 	for {
-		timer.Reset(cl.untilNext())
+		timer.Reset(cl.untilNextTimeout())
 		select {
 		case c, ok := <-mailbox:
 			if !ok {
@@ -117,9 +118,9 @@
 	}
 }
 
-// untilNext returns the time until the next deadline or idle timeout.
-func (cl *Client) untilNext() time.Duration {
-	next := cl.now() + balancer.Time(time.Hour/tick)
+// untilNextTimeout returns the time until the earliest deadline or connection timeout, at least 0.
+func (cl *Client) untilNextTimeout() time.Duration {
+	next := cl.now() + balancer.Time(time.Hour/timeUnit)
 	if first, ok := cl.deadlines.First(); ok {
 		next = first.Deadline
 	}
@@ -127,31 +128,31 @@
 		next = min(next, cl.checkDeadline)
 	}
 	for _, c := range cl.conns {
-		// A closed connection stays until its goroutines have ended. If it counted here the client would spin until
-		// then, and on a single core keep those goroutines from running.
+		// A closed connection stays in the list until its goroutines have ended. If its timeouts were considered, the
+		// client would spin until then and, on a single core, prevent those goroutines from running.
 		if c.closed {
 			continue
 		}
 		if c.inFlight == 0 {
-			next = min(next, c.usedAt+cl.idleTimeout())
+			next = min(next, c.lastUsedAt+cl.idleTimeout())
 		}
 		if c.partialSince > 0 {
 			next = min(next, c.partialSince+cl.config.ConnectTimeout)
 		}
 	}
-	return max(0, time.Duration(next-cl.now())*tick)
+	return max(0, time.Duration(next-cl.now())*timeUnit)
 }
 
-// idleTimeout returns how long a connection may be idle: a quarter less than the server allows, for the time that
-// our last bytes were on their way.
+// idleTimeout returns how long a connection may be idle: three quarters of the server's idle timeout, so that the
+// connection is closed before the server closes it. The margin allows for the transit time of the last bytes sent.
 func (cl *Client) idleTimeout() balancer.Time {
 	if cl.config.IdleTimeout <= 0 {
-		return balancer.Time(time.Hour / tick)
+		return balancer.Time(time.Hour / timeUnit)
 	}
 	return cl.config.IdleTimeout * 3 / 4
 }
 
-// expire ends attempts past their deadline, an overdue health check, and connections past a timeout.
+// expire ends the attempts and the health check whose deadlines have passed, and closes connections past a timeout.
 func (cl *Client) expire() {
 	now := cl.now()
 	for first, ok := cl.deadlines.First(); ok && first.Deadline <= now; first, ok = cl.deadlines.First() {
@@ -159,12 +160,12 @@
 	}
 	if cl.checkDeadline != 0 && now >= cl.checkDeadline {
 		for _, c := range cl.healthChecks {
-			cl.markSilent(c) // the next attempt opens a new connection, which shows whether the machine is reachable
+			cl.markSilent(c) // the next attempt opens a new connection, which shows whether the host is reachable
 		}
 		cl.finishHealthCheck(balancer.HealthCheckEnded{Outcome: balancer.TimedOut})
 	}
 	for _, c := range cl.conns {
-		if c.inFlight == 0 && now >= c.usedAt+cl.idleTimeout() {
+		if c.inFlight == 0 && now >= c.lastUsedAt+cl.idleTimeout() {
 			c.close(endIdle)
 		}
 		if c.partialSince > 0 && !c.closed && now >= c.partialSince+cl.config.ConnectTimeout {
@@ -173,6 +174,7 @@
 	}
 }
 
+// execute executes a command.
 func (cl *Client) execute(command Command) {
 	switch c := command.(type) {
 	case Dispatch:
@@ -201,25 +203,27 @@
 	}
 }
 
-// drain closes connections as they become idle. During a rolling restart they would otherwise hold descriptors
-// that the connections to the new servers need. Batches that wait for a connection never ran and may go elsewhere.
+// drain closes each connection as soon as it is idle. During a rolling restart idle connections to draining servers would
+// otherwise use descriptors that the connections to the new servers need. Batches that wait for a connection fail: their
+// attempts never ran and may be sent to other servers.
 func (cl *Client) drain() {
 	cl.failQueued()
 	for _, c := range cl.conns {
 		c.drainReason = endDraining
-		c.closeIfDone()
+		c.closeIfDrained()
 	}
 }
 
-// changeAddress adopts a new address or incarnation of the server. Connections opened before its start lead to a
-// process that is gone. Those to an old address finish what is in flight.
+// changeAddress sets a new address or start time of the server. Connections opened before the server's start belong to
+// an earlier process, which has ended, and are closed. Connections to an old address are closed once nothing is in
+// flight.
 func (cl *Client) changeAddress(command AddressChanged) {
 	for _, c := range cl.conns {
 		if command.StartedAt > c.openedAt {
 			c.close(endRestarted)
 		} else if command.Addr != cl.addr {
 			c.drainReason = endMoved
-			c.closeIfDone()
+			c.closeIfDrained()
 		}
 	}
 	cl.addr = command.Addr
--- a/internal/shardconn/client_test.go
+++ b/internal/shardconn/client_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// A frame that was written partly never ran; one that was written completely may have.
+// The attempts of a partly written frame never ran; those of a completely written frame may have run.
 func TestOutcomeWhenConnectionBreaksDuringWrite(t *testing.T) {
 	h := newHarness(t)
 	written := h.dispatch("a.0")
@@ -43,7 +43,7 @@
 		t.Fatal(err)
 	}
 	queued := h.dispatch("a.2")
-	for len(h.client.mailbox) > 0 { // until the last one is queued behind the partly written one
+	for len(h.client.mailbox) > 0 { // until the client has queued the last frame behind the partly written one
 	}
 	c.Close()
 	got := map[balancer.ShardCallID]balancer.Outcome{}
@@ -68,14 +68,15 @@
 	}
 }
 
-// Deadlines are kept though the server reads nothing, and a frame that is withdrawn before it is written never ran.
+// Deadlines are enforced although the server reads nothing, and the attempts of a frame that is withdrawn before it is
+// written never ran.
 func TestDeadlineWhileServerDoesNotRead(t *testing.T) {
 	h := newHarness(t)
-	stuck := h.dispatch("a.0")
+	partial := h.dispatch("a.0")
 	if _, err := io.ReadFull(receive(t, h.dials), make([]byte, 7)); err != nil { // not the whole frame
 		t.Fatal(err)
 	}
-	behind := h.dispatch("a.1")
+	queued := h.dispatch("a.1")
 	h.advance(10000)
 	h.wakeUp()
 	got := map[balancer.ShardCallID]balancer.Outcome{}
@@ -83,7 +84,7 @@
 		e := receive(t, h.ends)
 		got[e.ID] = e.Outcome
 	}
-	if got[stuck[0].ID] != balancer.TimedOut || got[behind[0].ID] != balancer.ConnectFailed {
+	if got[partial[0].ID] != balancer.TimedOut || got[queued[0].ID] != balancer.ConnectFailed {
 		t.Errorf("got %v", got)
 	}
 }
@@ -102,14 +103,14 @@
 	second := h.dispatch("b.0")
 	d := receive(t, h.dials) // a new connection
 	h.readFrame(d)
-	// A response on the old connection makes it available again; the answer to the cancelled call is ignored.
+	// An answer on the old connection makes it available again; the answer to the cancelled call itself is ignored.
 	h.advance(100)
 	c.Write(frame.New(frame.AnswerFrame, "a.0 served 5 -\nlate"))
 	c.Write(frame.New(frame.AnswerFrame, "a.1 served 5 -\nv"))
 	h.expectOutcome(first[1].ID, balancer.Answered)
 	third := h.dispatch("c.0")
 	h.readFrame(c)
-	// One of the two suffices now; the other would hold a descriptor until its idle timeout.
+	// One of the two connections has enough capacity now; the other would use a descriptor until its idle timeout.
 	d.Write(frame.New(frame.AnswerFrame, "b.0 served 5 -\nv"))
 	h.expectOutcome(second[0].ID, balancer.Answered)
 	c.Write(frame.New(frame.AnswerFrame, "c.0 served 5 -\nv"))
@@ -127,7 +128,7 @@
 	h.readFrame(c)
 	h.client.TrySubmit(Drain{})
 	h.refuse.Store(true)
-	late := h.dispatch("b.0") // dispatched before the drain was known: fails, as it would need a new connection
+	late := h.dispatch("b.0") // a dispatch that was decided before the drain: fails, as it would need a new connection
 	h.expectOutcome(late[0].ID, balancer.ConnectFailed)
 	c.Write(frame.New(frame.AnswerFrame, "a.0 served 5 -\nv"))
 	h.expectOutcome(attempts[0].ID, balancer.Answered)
@@ -152,7 +153,8 @@
 	attempts := h.dispatch("a.0")
 	c := receive(t, h.dials)
 	h.readFrame(c)
-	h.client.TrySubmit(AddressChanged{Addr: "a:2", StartedAt: h.now() - 10}) // before the connection was opened: it leads to the new process
+	// This start time is before the connection was opened, so the connection belongs to the new process.
+	h.client.TrySubmit(AddressChanged{Addr: "a:2", StartedAt: h.now() - 10})
 	c.Write(frame.New(frame.AnswerFrame, "a.0 served 5 -\nv"))
 	h.expectOutcome(attempts[0].ID, balancer.Answered)
 	attempts = h.dispatch("b.0")
@@ -168,7 +170,7 @@
 	for i := range 10 {
 		h.dispatch("a."+string(rune('0'+i)), "b."+string(rune('0'+i)))
 	}
-	for range 4 { // five connections would be needed, four are allowed
+	for range 4 { // five connections are needed, maxDescriptors allows four
 		if e := receive(t, h.ends); e.Outcome != balancer.ConnectFailed {
 			t.Fatalf("call %d ended with outcome %d", e.ID, e.Outcome)
 		}
@@ -183,28 +185,30 @@
 
 func (stuckConn) Close() error { return nil }
 
-// The client must not spin while the goroutines of a closed connection end: on a single core they would not run.
+// The client must not spin while the goroutines of a closed connection end: on a single core it would prevent them from
+// running.
 func TestClosedIdleConnectionIsNotScheduled(t *testing.T) {
-	ours, theirs := net.Pipe()
-	defer theirs.Close()
-	defer ours.Close()
+	clientEnd, serverEnd := net.Pipe()
+	defer serverEnd.Close()
+	defer clientEnd.Close()
 	var at balancer.Time = 1e9
-	p := newClient(1, "s-a", "a:1", Config{ConnectTimeout: 2500, IdleTimeout: 300000, StreamsPerConn: 4}, func() balancer.Time { return at }, nil, nil, nil)
-	p.conns = append(p.conns, newConn(p, dialResult{netConn: stuckConn{ours}, addr: p.addr}))
-	if got, want := p.untilNext(), 22500*time.Millisecond; got != want {
-		t.Errorf("idle timeout of a new connection in %v, want %v", got, want)
+	cl := newClient(1, "s-a", "a:1", Config{ConnectTimeout: 2500, IdleTimeout: 300000, StreamsPerConn: 4}, func() balancer.Time { return at }, nil, nil, nil)
+	cl.conns = append(cl.conns, newConn(cl, dialResult{netConn: stuckConn{clientEnd}, addr: cl.addr}))
+	if got, want := cl.untilNextTimeout(), 22500*time.Millisecond; got != want {
+		t.Errorf("a new connection times out in %v, want %v", got, want)
 	}
 	at += 225000
-	p.expire()
-	if c := p.conns[0]; !c.closed || c.endReason != endIdle {
-		t.Fatalf("an idle connection is not closed: reason %q", c.endReason)
+	cl.expire()
+	if c := cl.conns[0]; !c.closed || c.endReason != endIdle {
+		t.Fatalf("an idle connection was not closed after its timeout: reason %q", c.endReason)
 	}
-	if got := p.untilNext(); got <= 0 {
-		t.Errorf("the client wakes up after %v while the goroutines of a closed connection end", got)
+	if got := cl.untilNextTimeout(); got <= 0 {
+		t.Errorf("the next timeout is in %v while the goroutines of a closed connection end, want more than 0", got)
 	}
 }
 
-// Attempts after CloseIdle open a new connection; connections with attempts in flight stay.
+// CloseIdle closes idle connections, so that the next attempt opens a new one, but not connections with attempts in
+// flight.
 func TestCloseIdle(t *testing.T) {
 	h := newHarness(t)
 	attempts := h.dispatch("a.0")
--- a/internal/shardconn/conn.go
+++ b/internal/shardconn/conn.go
@@ -13,90 +13,92 @@
 	"oxbowspan/internal/frame"
 )
 
-// connBytes is the memory of a connection: the stacks of its goroutines, its read buffer and finished ids.
+// connBytes is the approximate memory of a connection in bytes: the stacks of its goroutines, its read buffer and its
+// finished ids.
 const connBytes = 24 << 10
 
-// maxFinishedIDs is how many finished ids a connection remembers, to tell a late or duplicate answer from one to an
-// id that was never sent. It is several times what is in flight at once.
+// maxFinishedIDs is the number of finished ids that a connection retains to distinguish a late or duplicate answer from
+// an answer to an id that was never sent. It is several times the number of attempts in flight at once.
 const maxFinishedIDs = 256
 
-// endReason is why a connection ended, or could not be opened: the reason code in the log.
+// endReason is the reason code, in the log, for the end of a connection or the failure to open one.
 type endReason string
 
 const (
-	endIdle         endReason = "idle"            // closed here: unused for most of the server's idle timeout
+	endIdle         endReason = "idle"            // closed here: idle for three quarters of the server's idle timeout
 	endUnlisted     endReason = "unlisted"        // closed here: the server was removed from the list
-	endStopped      endReason = "stopped"         // closed here: the program ends
-	endRestarted    endReason = "restarted"       // closed here: it led to an earlier process of the server
-	endDraining     endReason = "draining"        // closed here: the server drains
-	endIdleUnsafe   endReason = "rested"          // closed here: idle connections have been found dead
-	endSurplus      endReason = "surplus"         // closed here: idle beside another connection
+	endStopped      endReason = "stopped"         // closed here: the program is ending
+	endRestarted    endReason = "restarted"       // closed here: it was opened to an earlier process of the server
+	endDraining     endReason = "draining"        // closed here: the server is draining
+	endIdleUnsafe   endReason = "rested"          // closed here: idle connections were found to be broken
+	endSurplus      endReason = "surplus"         // closed here: idle, and another connection has enough capacity
 	endMoved        endReason = "moved"           // closed here: the server has another address
-	endSilent       endReason = "silent"          // closed here: silent, as are newer ones
+	endSilent       endReason = "silent"          // closed here: silent, and newer connections are silent as well
 	endMalformed    endReason = "bad_form"        // closed here: the server violated the protocol
 	endServerFault  endReason = "server_fault"    // the server reported that it could not parse a frame
 	endServerClosed endReason = "server_closed"   // the server closed it
-	endReset        endReason = "reset"           // it broke
+	endReset        endReason = "reset"           // the connection broke
 	failRefused     endReason = "refused"         // not opened: connection refused
 	failTimeout     endReason = "connect_timeout" // not opened: timeout
 	failOther       endReason = "connect_failed"  // not opened: another failure
 )
 
-// conn is one connection. Its reader and its writer are goroutines.
+// conn is one connection. It has a goroutine that reads and one that writes.
 type conn struct {
 	client   *Client
 	netConn  net.Conn
 	addr     string
 	openedAt balancer.Time
 
-	// The client's goroutine owns these.
-	inFlight       int // attempts
-	usedAt         balancer.Time
-	receivedAt     balancer.Time
-	silent         bool      // an attempt was abandoned, and nothing received since it was sent
-	drainReason    endReason // why it gets no attempts and is closed when none is in flight; "" = it stays
+	// The following fields belong to the client's goroutine.
+	inFlight       int // number of attempts in flight
+	lastUsedAt     balancer.Time
+	lastReceivedAt balancer.Time
+	silent         bool      // an attempt was abandoned, and nothing was received since it was sent
+	drainReason    endReason // why no attempts are sent and the connection is closed once idle; "" if it is not draining
 	closed         bool
 	malformed      bool          // closed because of a protocol violation
-	partialSince   balancer.Time // since when a frame is incomplete; 0 = none is
+	partialSince   balancer.Time // when the first bytes of an incomplete frame were received; 0 if there are none
 	framesReceived int
-	finished       [maxFinishedIDs]finishedID // a ring of the ids that were answered or cancelled last
-	finishedCount  int                        // of all finished ids so far
-	unanswered     int                        // finished ids that were cancelled and not answered since
+	finished       [maxFinishedIDs]finishedID // ring buffer of the ids that were answered or cancelled last
+	finishedCount  int                        // total number of finished ids
+	unanswered     int                        // number of cancelled ids that have not been answered since
 
 	mu            sync.Mutex
-	ready         sync.Cond // the queue is not empty, or the connection has ended
-	queue         [][]byte  // frames to be written; nil = withdrawn
-	framesBegun   int       // frames taken from the queue
-	framesWritten int       // frames written completely; read only after both goroutines have ended
+	ready         sync.Cond // signals that the queue is not empty or the connection has ended
+	queue         [][]byte  // frames to be written; nil for a withdrawn frame
+	framesBegun   int       // number of frames removed from the queue for writing
+	framesWritten int       // number of frames written completely; read only after both goroutines have ended
 	ended         bool
 	endReason     endReason
 	endDetail     string
 }
 
+// finishedID is the id of an attempt that was answered or cancelled.
 type finishedID struct {
 	id       string
 	answered bool
 }
 
-// event is what the goroutines of connections send to the client's.
+// event is a message from a connection's goroutines, or from a dial, to the client's goroutine.
 type event interface{ event() }
 
 type (
-	// dialResult is the end of an attempt to open a connection.
+	// dialResult is the result of opening a connection.
 	dialResult struct {
 		netConn net.Conn
 		addr    string
 		err     error
 	}
-	// received carries all frames that were read at once.
+	// received contains all frames that were read at once.
 	received struct {
 		conn      *conn
 		at        balancer.Time
 		frames    []inboundFrame
-		partial   bool  // the beginning of another frame was read
-		formatErr error // of the last frame; nil = it is valid
+		partial   bool  // the first bytes of another frame were read
+		formatErr error // the format error of the last frame; nil if it is valid
 	}
-	// connClosed says that both goroutines of a connection have ended.
+	// connClosed means that both goroutines of a connection have ended.
 	connClosed struct{ conn *conn }
 )
 
@@ -104,13 +106,13 @@
 func (received) event()   {}
 func (connClosed) event() {}
 
-// dial opens a connection in the background. It reports false if no descriptor is available.
+// dial opens a connection in the background. It returns false if no descriptor is available.
 func (cl *Client) dial() bool {
 	if !cl.budget.Acquire() {
 		return false
 	}
 	cl.dialing++
-	addr, timeout := cl.addr, time.Duration(cl.config.ConnectTimeout)*tick
+	addr, timeout := cl.addr, time.Duration(cl.config.ConnectTimeout)*timeUnit
 	go func() {
 		c, err := cl.connect(addr, timeout)
 		if err != nil {
@@ -121,8 +123,9 @@
 	return true
 }
 
+// connect opens a TCP connection to a server.
 func connect(addr string, timeout time.Duration) (net.Conn, error) {
-	d := net.Dialer{Timeout: timeout, KeepAlive: -1} // the protocol gives no meaning to keep-alive probes
+	d := net.Dialer{Timeout: timeout, KeepAlive: -1} // the protocol defines no use for keep-alive probes
 	return d.Dial("tcp", addr)
 }
 
@@ -138,20 +141,21 @@
 	return string(failOther)
 }
 
+// newConn returns a conn for a successful dial and starts its goroutines.
 func newConn(cl *Client, result dialResult) *conn {
 	now := cl.now()
-	c := &conn{client: cl, netConn: result.netConn, addr: result.addr, openedAt: now, usedAt: now}
+	c := &conn{client: cl, netConn: result.netConn, addr: result.addr, openedAt: now, lastUsedAt: now}
 	c.ready.L = &c.mu
 	cl.config.Memory.ForceAcquire(connBytes)
-	var both sync.WaitGroup
-	both.Add(2)
-	go func() { defer both.Done(); c.readLoop() }()
-	go func() { defer both.Done(); c.writeLoop() }()
-	go func() { both.Wait(); cl.events <- connClosed{c} }()
+	var loops sync.WaitGroup
+	loops.Add(2)
+	go func() { defer loops.Done(); c.readLoop() }()
+	go func() { defer loops.Done(); c.writeLoop() }()
+	go func() { loops.Wait(); cl.events <- connClosed{c} }()
 	return c
 }
 
-// enqueue queues a frame for writing and returns its number.
+// enqueue queues a frame for writing and returns its sequence number on the connection, from 1.
 func (c *conn) enqueue(b []byte) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -160,7 +164,7 @@
 	return c.framesBegun + len(c.queue)
 }
 
-// withdraw removes a frame from the queue. It reports false if writing may have begun.
+// withdraw removes a frame from the queue. It returns false if the write may have begun.
 func (c *conn) withdraw(frameNumber int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -171,6 +175,7 @@
 	return true
 }
 
+// writeLoop writes queued frames until the connection ends.
 func (c *conn) writeLoop() {
 	for {
 		c.mu.Lock()
@@ -193,7 +198,7 @@
 	}
 }
 
-// recordFinished remembers an id that was answered or cancelled.
+// recordFinished records an id that was answered or cancelled. It overwrites the oldest one.
 func (c *conn) recordFinished(id string, answered bool) {
 	c.finished[c.finishedCount%maxFinishedIDs] = finishedID{id, answered}
 	c.finishedCount++
@@ -202,23 +207,24 @@
 	}
 }
 
-// acceptLateAnswer processes an answer to a finished id. It reports false if the id is unknown.
+// acceptLateAnswer processes an answer to a finished id. It returns false if the id is not among the recorded ones.
 func (c *conn) acceptLateAnswer(id string) bool {
-	at := slices.IndexFunc(c.finished[:], func(f finishedID) bool { return f.id == id && id != "" })
+	index := slices.IndexFunc(c.finished[:], func(f finishedID) bool { return f.id == id && id != "" })
 	switch {
-	case at < 0:
+	case index < 0:
 		return false
-	case c.finished[at].answered: // a duplicate: what is in flight may still be answered, but nothing new is sent
+	case c.finished[index].answered: // a duplicate: attempts in flight may still be answered, but no new ones are sent
 		c.drainReason = endMalformed
-	default: // the answer crossed the cancellation
-		c.finished[at].answered = true
+	default: // the answer was sent before the cancellation arrived
+		c.finished[index].answered = true
 		c.unanswered--
 	}
 	return true
 }
 
-// outcomeOfLoss returns the outcome of an attempt that was in flight when the connection ended.
-func (c *conn) outcomeOfLoss(frameNumber int) balancer.Outcome {
+// outcomeAfterClose returns the outcome of an attempt that was in flight when the connection ended: it never ran if its
+// frame was not written completely.
+func (c *conn) outcomeAfterClose(frameNumber int) balancer.Outcome {
 	switch {
 	case frameNumber > c.framesWritten:
 		return balancer.ConnectFailed
@@ -228,7 +234,7 @@
 	return balancer.Reset
 }
 
-// closeReason returns why a connection ended by its error.
+// closeReason returns the reason code for a read or write error.
 func closeReason(err error) endReason {
 	switch {
 	case frame.IsFormatError(err):
@@ -239,7 +245,7 @@
 	return endReset
 }
 
-// stop ends both goroutines. The first reason is kept.
+// stop closes the network connection and ends both goroutines. Only the reason of the first call is recorded.
 func (c *conn) stop(reason endReason, detail string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -250,7 +256,7 @@
 	}
 }
 
-// close closes the connection for the client's goroutine. The event connClosed follows.
+// close closes the connection. It must be called from the client's goroutine; the event connClosed follows.
 func (c *conn) close(reason endReason) {
 	if !c.closed {
 		c.closed = true
@@ -258,7 +264,8 @@
 	}
 }
 
-func (c *conn) closeIfDone() {
+// closeIfDrained closes the connection if it is draining and no attempt is in flight.
+func (c *conn) closeIfDrained() {
 	if c.drainReason != "" && c.inFlight == 0 {
 		c.close(c.drainReason)
 	}
--- a/internal/shardconn/harness_test.go
+++ b/internal/shardconn/harness_test.go
@@ -11,7 +11,7 @@
 	"oxbowspan/internal/frame"
 )
 
-// harness is a client whose connections are pipes, with a manual clock. It records what the client reports.
+// harness is a client with a manual clock whose connections are pipes. It records the events that the client reports.
 type harness struct {
 	t           *testing.T
 	client      *Client
@@ -19,9 +19,9 @@
 	ends        chan AttemptEnded
 	checks      chan balancer.HealthCheckEnded
 	dials       chan net.Conn // the server's ends of the pipes
-	refuse      atomic.Bool
-	descriptors atomic.Int64 // in use
-	next        uint64
+	refuse      atomic.Bool   // dials fail
+	descriptors atomic.Int64  // number in use
+	lastID      uint64        // ID of the last attempt
 }
 
 func (h *harness) AttemptEnded(e AttemptEnded) { h.ends <- e }
@@ -53,17 +53,18 @@
 	if h.refuse.Load() {
 		return nil, io.ErrClosedPipe
 	}
-	ours, theirs := net.Pipe()
-	h.dials <- theirs
-	return ours, nil
+	clientEnd, serverEnd := net.Pipe()
+	h.dials <- serverEnd
+	return clientEnd, nil
 }
 
-// maxDescriptors is how many connections the harness allows.
+// maxDescriptors is the number of connections that the harness allows at once.
 const maxDescriptors = 4
 
-// testTimeout is for whatever should happen by itself.
+// testTimeout limits how long a test waits for an event.
 const testTimeout = 10 * time.Second
 
+// receive returns the next value of a channel, or fails the test after testTimeout.
 func receive[T any](t *testing.T, c <-chan T) T {
 	t.Helper()
 	select {
@@ -75,13 +76,13 @@
 	}
 }
 
-// dispatch sends attempts with these wire ids and a time limit of a second.
+// dispatch submits attempts with these wire ids and a time limit of one second.
 func (h *harness) dispatch(wireIDs ...string) []Attempt {
 	h.t.Helper()
 	var attempts []Attempt
 	for _, id := range wireIDs {
-		h.next++
-		attempts = append(attempts, Attempt{ID: balancer.ShardCallID(h.next), WireID: id, Text: []byte("text"), SentAt: h.now(), Deadline: h.now() + 10000})
+		h.lastID++
+		attempts = append(attempts, Attempt{ID: balancer.ShardCallID(h.lastID), WireID: id, Text: []byte("text"), SentAt: h.now(), Deadline: h.now() + 10000})
 	}
 	if !h.client.TrySubmit(Dispatch{attempts}) {
 		h.t.Fatal("the mailbox is full")
@@ -91,10 +92,10 @@
 
 func (h *harness) cancel(a Attempt) { h.client.TrySubmit(Cancel{a.ID, a.Number}) }
 
-// wakeUp makes the client look at its clock.
+// wakeUp makes the client process its timeouts after a change of the manual clock, by cancelling an unknown attempt.
 func (h *harness) wakeUp() { h.cancel(Attempt{}) }
 
-// readFrame reads one frame as the server.
+// readFrame reads one frame from the server's end of a connection.
 func (h *harness) readFrame(c net.Conn) string {
 	h.t.Helper()
 	c.SetReadDeadline(time.Now().Add(testTimeout))
@@ -105,6 +106,7 @@
 	return string(letter) + string(content)
 }
 
+// expectOutcome waits for the next end of an attempt and checks its id and outcome.
 func (h *harness) expectOutcome(id balancer.ShardCallID, want balancer.Outcome) AttemptEnded {
 	h.t.Helper()
 	e := receive(h.t, h.ends)
@@ -119,6 +121,6 @@
 	h.t.Helper()
 	c.SetReadDeadline(time.Now().Add(testTimeout))
 	if _, err := c.Read(make([]byte, 1)); err != io.EOF {
-		h.t.Errorf("reading a connection that should be closed: %v", err)
+		h.t.Errorf("reading a connection that should be closed returned %v, want EOF", err)
 	}
 }
--- a/internal/shardconn/healthcheck_test.go
+++ b/internal/shardconn/healthcheck_test.go
@@ -29,7 +29,7 @@
 	h.expectOutcome(attempts[0].ID, balancer.Reset)
 }
 
-// A health check opens a connection where none has capacity, and times out if it is not answered.
+// A health check opens a connection if none has capacity, and times out if it is not answered.
 func TestHealthCheckOpensConnectionAndTimesOut(t *testing.T) {
 	h := newHarness(t)
 	h.client.TrySubmit(HealthCheck{})
@@ -38,11 +38,12 @@
 		t.Errorf("got %q", got)
 	}
 	h.advance(2500)
-	h.client.TrySubmit(CloseIdle{}) // wakes the client up, and must not close a connection with a health check in flight
+	// Makes the client process its timeouts, and must not close a connection with a health check in flight.
+	h.client.TrySubmit(CloseIdle{})
 	if e := receive(t, h.checks); e.Outcome != balancer.TimedOut {
 		t.Errorf("got %+v", e)
 	}
-	// The next one opens a new connection, as the silent one proves nothing. A late answer on the old one is accepted.
+	// The next check opens a new connection, as the old one is silent. A late answer on the old one is accepted.
 	h.client.TrySubmit(HealthCheck{})
 	d := receive(t, h.dials)
 	h.readFrame(d)
--- a/internal/shardconn/reader.go
+++ b/internal/shardconn/reader.go
@@ -7,36 +7,36 @@
 	"oxbowspan/internal/frame"
 )
 
-// maxKeptBuffer is how large the frame buffer of a connection may stay between frames.
-const maxKeptBuffer = 8 << 10
+// maxRetainedBuffer is the maximum capacity, in bytes, of a frame buffer that a connection retains between frames.
+const maxRetainedBuffer = 8 << 10
 
-// readBufferSize is the size of the buffered reader of a connection.
+// readBufferSize is the size of the buffered reader of a connection, in bytes.
 const readBufferSize = 4 << 10
 
-// maxFaultText is how much of a server's error message is logged, in bytes.
-const maxFaultText = 100
+// maxServerFaultBytes is the maximum length of a server's error message in the log, in bytes; longer ones are truncated.
+const maxServerFaultBytes = 100
 
-// inboundFrame is a frame of the server.
+// inboundFrame is a parsed frame from the server.
 type inboundFrame struct {
 	letter            byte
 	id, report, value string
 	status            frame.Status
 }
 
-// serverFaultError is the content of an error frame: the server could not parse a frame.
+// serverFaultError is the error of an error frame, with which the server reports that it could not parse a frame.
 type serverFaultError struct{ message string }
 
 func (e *serverFaultError) Error() string { return e.message }
 
-// frameReader reads the frames of a connection and accounts for its buffer.
+// frameReader reads the frames of a connection and accounts for the memory of its buffer.
 type frameReader struct {
 	conn      *conn
 	r         *bufio.Reader
 	buf       []byte
-	accounted int // bytes of buf that are accounted for
+	accounted int // capacity of buf that is accounted for, in bytes
 }
 
-// account accounts for a change of the buffer's capacity.
+// account updates the memory account after a change of the buffer's capacity.
 func (f *frameReader) account() {
 	memory := f.conn.client.config.Memory
 	if grown := cap(f.buf) - f.accounted; grown > 0 {
@@ -47,23 +47,23 @@
 	f.accounted = cap(f.buf)
 }
 
-// release frees the buffer.
+// release frees the buffer and its accounted memory.
 func (f *frameReader) release() {
 	f.buf = nil
 	f.account()
 }
 
-// await waits for the first byte of a frame. Before that it frees a large buffer, so that one long value does not
-// stay on each connection for as long as it lasts.
-func (f *frameReader) await() error {
-	if cap(f.buf) > maxKeptBuffer {
+// awaitFrame waits for the first byte of a frame. Before that it frees a large buffer, so that a connection that once
+// received a long value does not retain its memory until the connection ends.
+func (f *frameReader) awaitFrame() error {
+	if cap(f.buf) > maxRetainedBuffer {
 		f.release()
 	}
 	_, err := f.r.Peek(1)
 	return err
 }
 
-// next reads one frame. With a format error the frame carries its letter and, if there is one, its id.
+// next reads one frame. With a format error it returns a frame with the letter and, if the frame contains one, the id.
 func (f *frameReader) next() (inboundFrame, error) {
 	letter, rest, grown, err := frame.Read(f.r, f.buf)
 	f.buf = grown
@@ -74,8 +74,8 @@
 	return parseFrame(letter, rest)
 }
 
-// readLoop passes all that is read at once to the client in one event, so that nothing new is sent on a connection whose
-// last answer is followed by garbage.
+// readLoop reads frames until the connection ends. It passes all frames read at once to the client in one event, so that
+// the client sends nothing new on a connection whose last answer is followed by invalid bytes.
 func (c *conn) readLoop() {
 	reader := &frameReader{conn: c, r: bufio.NewReaderSize(c.netConn, readBufferSize)}
 	defer reader.release()
@@ -92,7 +92,7 @@
 				send()
 			}
 			if reader.r.Buffered() == 0 {
-				if err := reader.await(); err != nil {
+				if err := reader.awaitFrame(); err != nil {
 					c.stop(closeReason(err), err.Error())
 					return
 				}
@@ -101,7 +101,7 @@
 		}
 		f, err := reader.next()
 		switch {
-		case frame.IsFormatError(err): // the client's goroutine closes the connection and fails the attempt
+		case frame.IsFormatError(err): // the client's goroutine closes the connection and ends the attempt with an error
 			batch.formatErr = err
 			batch.frames = append(batch.frames, f)
 			send()
@@ -121,7 +121,7 @@
 	}
 }
 
-// parseFrame parses the content of a frame. With an error it returns the id that the frame names, if any.
+// parseFrame parses the content of a frame. With an error it returns a frame with the id, if the content has one.
 func parseFrame(letter byte, rest []byte) (f inboundFrame, err error) {
 	f.letter = letter
 	switch letter {
@@ -138,7 +138,7 @@
 			f.report = ""
 		}
 	case frame.ErrorFrame:
-		err = &serverFaultError{string(rest[:min(len(rest), maxFaultText)])}
+		err = &serverFaultError{string(rest[:min(len(rest), maxServerFaultBytes)])}
 	default:
 		err = &frame.FormatError{Reason: "unknown letter " + strconv.QuoteRune(rune(letter))}
 	}
--- a/internal/shardconn/receive.go
+++ b/internal/shardconn/receive.go
@@ -10,14 +10,14 @@
 	"oxbowspan/internal/frame"
 )
 
-// Violations of the protocol by a server.
+// Protocol violations by a server.
 var (
-	errIncompleteFrame       = errors.New("a frame is not completed in time")
+	errIncompleteFrame       = errors.New("a frame was not completed within the connect timeout")
 	errUnexpectedHealthCheck = errors.New("an answer to a health check that was never sent")
-	errUnexpectedBytes       = errors.New("bytes while nothing is in flight")
+	errUnexpectedBytes       = errors.New("received bytes while nothing is in flight")
 )
 
-// unknownIDError says that an answer names an id that was never sent on its connection.
+// unknownIDError reports an answer with an id that was never sent on its connection.
 type unknownIDError struct{ id string }
 
 func (e *unknownIDError) Error() string {
@@ -36,6 +36,8 @@
 	}
 }
 
+// handleDialResult adds a new connection to the client. If the dial failed and no other is in progress, the queued
+// attempts and the queued health check fail.
 func (cl *Client) handleDialResult(result dialResult) {
 	cl.dialing--
 	if result.err != nil {
@@ -58,10 +60,10 @@
 	cl.assignQueued()
 }
 
-// handleReceived processes the frames of one read.
+// handleReceived processes the frames of one event in order, until one of them closes the connection.
 func (cl *Client) handleReceived(r received) {
 	c := r.conn
-	c.receivedAt, c.silent = r.at, false
+	c.lastReceivedAt, c.silent = r.at, false
 	c.framesReceived += len(r.frames)
 	for i, f := range r.frames {
 		switch {
@@ -81,18 +83,19 @@
 	if r.partial && c.inFlight+c.unanswered == 0 && !slices.Contains(cl.healthChecks, c) {
 		cl.handleMalformed(c, "", errUnexpectedBytes, false)
 	}
-	c.closeIfDone()
+	c.closeIfDrained()
 	cl.assignQueued()
 	cl.closeSurplus(c)
 }
 
+// handleHealthCheckAnswer processes the answer to a health check.
 func (cl *Client) handleHealthCheckAnswer(c *conn, f inboundFrame) {
-	at := slices.Index(cl.healthChecks, c)
-	if at < 0 {
+	index := slices.Index(cl.healthChecks, c)
+	if index < 0 {
 		cl.handleMalformed(c, "", errUnexpectedHealthCheck, false)
 		return
 	}
-	cl.healthChecks = slices.Delete(cl.healthChecks, at, at+1)
+	cl.healthChecks = slices.Delete(cl.healthChecks, index, index+1)
 	e := balancer.HealthCheckEnded{Report: cl.parseReport(f.report)}
 	if f.status == frame.Failed {
 		e.Outcome = balancer.Errored
@@ -100,8 +103,9 @@
 	cl.finishHealthCheck(e)
 }
 
-// closeSurplus closes idle connections beside an active one that has capacity for as much again. More than one are
-// opened while a server is silent; kept, they would use up the descriptors for other servers.
+// closeSurplus closes the other, idle connections if the active one is used to at most half of its capacity. Several
+// connections are opened while a server is silent; if they stayed open, they would use up the descriptors for other
+// servers.
 func (cl *Client) closeSurplus(active *conn) {
 	if active.closed || active.drainReason != "" || 2*active.inFlight > cl.config.StreamsPerConn {
 		return
@@ -113,6 +117,7 @@
 	}
 }
 
+// handleAnswer processes the answer to an attempt. first states whether it is the first frame of its event.
 func (cl *Client) handleAnswer(c *conn, f inboundFrame, first bool) {
 	a := cl.findAttempt(c, f.id)
 	if a == nil {
@@ -133,8 +138,8 @@
 	}
 }
 
-// handleServed ends an attempt with a value. One that cannot be decoded is an error of the server, but no reason to
-// distrust the connection.
+// handleServed ends an attempt with a value. A value that cannot be decoded counts as an error of the server, but the
+// connection stays in use.
 func (cl *Client) handleServed(a *pendingAttempt, f inboundFrame) {
 	e := AttemptEnded{Outcome: balancer.Answered, Report: cl.parseReport(f.report), Value: f.value}
 	if a.Decode != nil {
@@ -145,16 +150,16 @@
 		}
 		e.Value = ""
 	}
-	cl.report(a, e)
+	cl.reportEnd(a, e)
 }
 
 // handleMalformed closes a connection on which the server violated the protocol, as nothing that follows can be
-// trusted. The attempt that the bytes name has failed, or else the oldest one, unless a good answer came just
-// before. The others count as cancelled: they may have run, but one malformed answer must not count as a failure of
-// each attempt beside it.
-func (cl *Client) handleMalformed(c *conn, id string, violation error, wasAnswer bool) {
+// trusted. The attempt with the given id ends with Errored; if there is none and failOldest is set, which callers do
+// unless a valid answer was read just before, the oldest attempt does. The others count as cancelled: they may have run,
+// but one malformed answer must not count as a failure of every attempt in flight on the connection.
+func (cl *Client) handleMalformed(c *conn, id string, violation error, failOldest bool) {
 	failed := cl.findAttempt(c, id)
-	if failed == nil && wasAnswer {
+	if failed == nil && failOldest {
 		for a := range cl.deadlines.All() {
 			if a.batch.conn == c && (failed == nil || a.SentAt < failed.SentAt) {
 				failed = a
@@ -171,7 +176,8 @@
 	}
 }
 
-// findAttempt returns the first attempt of a call on a connection.
+// findAttempt returns the pending attempt of a call on a connection, the one with the lowest number if there are several;
+// nil if there is none.
 func (cl *Client) findAttempt(c *conn, wireID string) (found *pendingAttempt) {
 	for a := range cl.deadlines.All() {
 		if a.batch.conn == c && a.WireID == wireID && (found == nil || a.Number < found.Number) {
@@ -181,48 +187,50 @@
 	return found
 }
 
-// handleConnClosed ends what was in flight on a connection. An attempt may have run if its frame was written
-// completely, and only then.
+// handleConnClosed ends the attempts and health checks that were in flight on a connection. An attempt may have run only
+// if its frame was written completely.
 func (cl *Client) handleConnClosed(c *conn) {
 	cl.openConns--
 	cl.config.Memory.Release(connBytes)
 	cl.budget.Release()
 	for _, a := range slices.Collect(cl.deadlines.All()) {
 		if a.batch.conn == c {
-			cl.finish(a, c.outcomeOfLoss(a.batch.frameNumber), nil)
+			cl.finish(a, c.outcomeAfterClose(a.batch.frameNumber), nil)
 		}
 	}
-	if at := slices.Index(cl.conns, c); at >= 0 {
-		cl.conns = append(cl.conns[:at], cl.conns[at+1:]...)
+	if index := slices.Index(cl.conns, c); index >= 0 {
+		cl.conns = append(cl.conns[:index], cl.conns[index+1:]...)
 	}
-	kept := cl.healthChecks[:0]
+	remaining := cl.healthChecks[:0]
 	for _, other := range cl.healthChecks {
 		if other == c {
 			cl.finishHealthCheck(balancer.HealthCheckEnded{Outcome: balancer.Reset})
 		} else {
-			kept = append(kept, other)
+			remaining = append(remaining, other)
 		}
 	}
-	cl.healthChecks = kept
+	cl.healthChecks = remaining
 	slog.Info("server_conn_end", "server", cl.host, "addr", c.addr, "reason", string(c.endReason),
 		"sent", c.framesWritten, "received", c.framesReceived,
 		"age_ms", int64((cl.now()-c.openedAt)/balancer.Millisecond), "detail", c.endDetail)
 	cl.assignQueued()
 }
 
-// maxLoadFigure is above any number of calls that a server could hold. Figures above it are invalid.
-const maxLoadFigure = 1e6
+// maxReportedLoad is more than the number of calls that any server can hold. Reported numbers that are not below it are
+// invalid.
+const maxReportedLoad = 1e6
 
-// parseReport parses a load report. It returns nil if there is none, or no valid one.
+// parseReport parses a load report. It returns nil if load reports are disabled, or the report is missing or contains no
+// valid number.
 func (cl *Client) parseReport(text string) *balancer.LoadReport {
 	if !cl.config.LoadReports || text == "" || text == "-" {
 		return nil
 	}
 	r := &balancer.LoadReport{Queued: -1, InFlight: -1}
-	if v, ok := frame.ReportValue([]byte(text), "queue"); ok && 0 <= v && v < maxLoadFigure {
+	if v, ok := frame.ReportValue([]byte(text), "queue"); ok && 0 <= v && v < maxReportedLoad {
 		r.Queued = v
 	}
-	if v, ok := frame.ReportValue([]byte(text), "inflight"); ok && 0 <= v && v < maxLoadFigure {
+	if v, ok := frame.ReportValue([]byte(text), "inflight"); ok && 0 <= v && v < maxReportedLoad {
 		r.InFlight = v
 	}
 	if r.Queued < 0 && r.InFlight < 0 {
--- a/internal/shardconn/receive_test.go
+++ b/internal/shardconn/receive_test.go
@@ -8,10 +8,11 @@
 	"oxbowspan/internal/frame"
 )
 
-// A malformed answer fails its attempt; the attempts beside it are not failures of the server.
+// A malformed answer fails only its own attempt. The other attempts on the connection count as cancelled, not as
+// failures of the server.
 func TestMalformedAnswerFailsOnlyItsAttempt(t *testing.T) {
 	for text, failed := range map[string]int{
-		string(frame.New(frame.AnswerFrame, "b.0 served? 5 -\nv")): 1, // names its call
+		string(frame.New(frame.AnswerFrame, "b.0 served? 5 -\nv")): 1, // has the id of its call
 		string(frame.New(frame.AnswerFrame, "b.0 served")):         1,
 		string(frame.New(frame.AnswerFrame, "ff.0 served 5 -\nv")): 0, // unknown id: the oldest attempt fails
 		string(frame.New('z', "b.0 served 5 -\nv")):                0,
@@ -30,12 +31,12 @@
 		h.expectOutcome(attempts[failed].ID, balancer.Errored)
 		h.expectOutcome(attempts[1-failed].ID, balancer.Cancelled)
 		if _, err := c.Read(make([]byte, 1)); err != io.EOF {
-			t.Errorf("after %q reading the connection gives %v", text, err)
+			t.Errorf("after %q reading the connection returned %v, want EOF", text, err)
 		}
 	}
 }
 
-// A good answer is used whatever follows it, but nothing new is sent on its connection.
+// A valid answer is used whatever bytes follow it, but nothing new is sent on its connection.
 func TestTrailingBytesEndOnlyTheConnection(t *testing.T) {
 	answer := "a.0 served 5 queue=zz,inflight=1e300\nv"
 	for _, trailing := range []string{string(frame.New(frame.AnswerFrame, answer)), "\xde\xad", "\x00\x00\x00\x05zzzzz"} {
@@ -48,7 +49,7 @@
 			t.Errorf("got %+v", e)
 		}
 		if _, err := c.Read(make([]byte, 1)); err != io.EOF {
-			t.Errorf("after %q reading the connection gives %v", trailing, err)
+			t.Errorf("after %q reading the connection returned %v, want EOF", trailing, err)
 		}
 		next := h.dispatch("b.0")
 		d := receive(t, h.dials)
@@ -58,7 +59,7 @@
 	}
 }
 
-// A frame that is never completed fails its attempt after the connect timeout, and nothing new is sent behind it.
+// An incomplete frame fails its attempt after the connect timeout, and nothing new is sent on its connection meanwhile.
 func TestIncompleteFrameTimesOut(t *testing.T) {
 	h := newHarness(t)
 	attempts := h.dispatch("a.0", "a.1")
