--- a/rpc/client.go
+++ b/rpc/client.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// dialTimeout is shorter than a TCP retransmission: the first packet to a host without power is lost, and TCP retransmits
-	// it only after a second.
+	// dialTimeout is shorter than a TCP retransmission: the first packet to a host without power is lost, and TCP
+	// retransmits it only after a second.
 	dialTimeout = 300 * time.Millisecond
 	// dialBackoff is the time after a failed dial during which further calls fail without dialing.
 	dialBackoff = 40 * time.Millisecond
@@ -20,16 +20,16 @@
 
 // Errors of [Client.Call]. They are returned unwrapped.
 var (
-	// ErrTimeout means that the context ended before the response arrived. The peer may have handled the request, or may still
-	// handle it.
+	// ErrTimeout means that the context ended before the response arrived. The peer may have handled the request, or
+	// may still handle it.
 	ErrTimeout = errors.New("rpc: no response in time")
-	// ErrClosed means that there is no connection, or that it ended before the response arrived. In the second case the peer
-	// may have handled the request.
+	// ErrClosed means that there is no connection, or that it ended before the response arrived. In the second case the
+	// peer may have handled the request.
 	ErrClosed = errors.New("rpc: connection closed")
 )
 
-// Client sends requests to one peer over one connection, which it opens on demand. The exported fields must be set before the
-// first call; the methods may be called concurrently.
+// Client sends requests to one peer over one connection, which it opens on demand. The exported fields must be set
+// before the first call; the methods may be called concurrently.
 type Client struct {
 	Address   string          // host and port of the peer
 	Network   network.Network // used to dial
@@ -44,9 +44,9 @@
 	closed       bool
 }
 
-// Call sends a request and waits for its response until the context ends. It assigns the ID itself and ignores the frame's. It
-// returns [ErrTimeout] if the context ends first, and [ErrClosed] if there is no connection or it ends; other errors are those of
-// sending.
+// Call sends a request and waits for its response until the context ends. It assigns the ID itself and ignores the
+// frame's. It returns [ErrTimeout] if the context ends first, and [ErrClosed] if there is no connection or it ends;
+// other errors are those of sending.
 func (c *Client) Call(ctx context.Context, f *Frame) (*Frame, error) {
 	conn, err := c.connect(ctx)
 	if err != nil {
@@ -72,8 +72,8 @@
 	}
 }
 
-// register assigns an ID to a new request on a connection. The channel receives the response, or is closed when the connection
-// ends.
+// register assigns an ID to a new request on a connection. The channel receives the response, or is closed when the
+// connection ends.
 func (c *Client) register(conn *Conn) (id uint64, reply <-chan *Frame, err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -133,8 +133,8 @@
 	}
 }
 
-// connOrDial returns the open connection, or starts a dial if none is in progress and returns the channel that is closed when it
-// ends. It returns [ErrClosed] after Close and within dialBackoff of a failed dial.
+// connOrDial returns the open connection, or starts a dial if none is in progress and returns the channel that is
+// closed when it ends. It returns [ErrClosed] after Close and within dialBackoff of a failed dial.
 func (c *Client) connOrDial() (*Conn, <-chan struct{}, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -196,8 +196,8 @@
 	c.pending = nil
 }
 
-// dispatch delivers a response to the pending request with its ID, and any other frame to OnMessage. Responses without a pending
-// request are dropped.
+// dispatch delivers a response to the pending request with its ID, and any other frame to OnMessage. Responses without
+// a pending request are dropped.
 func (c *Client) dispatch(conn *Conn, f *Frame) {
 	if !f.Response {
 		if c.OnMessage != nil {
--- a/rpc/compat_test.go
+++ b/rpc/compat_test.go
@@ -77,8 +77,8 @@
 	return l
 }
 
-// TestCompatClient checks the client against recorded frames: its requests must be the bytes that the earlier release sent, and it
-// must decode that release's replies.
+// TestCompatClient checks the client against recorded frames: its requests must be the bytes that the earlier release
+// sent, and it must decode that release's replies.
 func TestCompatClient(t *testing.T) {
 	for _, e := range compatExchanges() {
 		t.Run(e.name, func(t *testing.T) {
@@ -137,8 +137,8 @@
 	}
 }
 
-// TestCompatServer checks the server against recorded frames: it must decode the requests of the earlier release, and its replies
-// must be the bytes that that release sent.
+// TestCompatServer checks the server against recorded frames: it must decode the requests of the earlier release, and
+// its replies must be the bytes that that release sent.
 func TestCompatServer(t *testing.T) {
 	for _, e := range compatExchanges() {
 		t.Run(e.name, func(t *testing.T) {
@@ -178,8 +178,9 @@
 	}
 }
 
-// TestCompatExchangesSetEveryField checks that the recorded frames cover the schema: every message kind of a frame and every field
-// of every message. Fields added since the recording must be listed here, as the earlier release does not have them.
+// TestCompatExchangesSetEveryField checks that the recorded frames cover the schema: every message kind of a frame and
+// every field of every message. Fields added since the recording must be listed here, as the earlier release does not
+// have them.
 func TestCompatExchangesSetEveryField(t *testing.T) {
 	added := map[protoreflect.FullName]bool{
 		"rpc.Gossip.rollouts":             true,
--- a/rpc/conn.go
+++ b/rpc/conn.go
@@ -19,9 +19,9 @@
 	keepAliveProbes   = 3
 )
 
-// ConfigureTCP sets socket options that make a connection to a dead peer fail quickly: it ends when data stays unacknowledged for
-// 2.5 seconds or after three unanswered keep-alive probes. It does nothing if the connection is not TCP. Errors of individual
-// options are ignored, as the connection works without them.
+// ConfigureTCP sets socket options that make a connection to a dead peer fail quickly: it ends when data stays
+// unacknowledged for 2.5 seconds or after three unanswered keep-alive probes. It does nothing if the connection is not
+// TCP. Errors of individual options are ignored, as the connection works without them.
 func ConfigureTCP(c net.Conn) {
 	tcp, ok := c.(*net.TCPConn)
 	if !ok {
--- a/rpc/convert.go
+++ b/rpc/convert.go
@@ -6,8 +6,8 @@
 	"oxbowspan/consensus"
 )
 
-// ValueToProto encodes a value. It omits the bodies with the known digests, which the receiver has stored. A nil value is encoded
-// as nil.
+// ValueToProto encodes a value. It omits the bodies with the known digests, which the receiver has stored. A nil value
+// is encoded as nil.
 func ValueToProto(v *consensus.Value, knownDigests ...string) *Value {
 	if v == nil {
 		return nil
@@ -35,14 +35,14 @@
 	return m
 }
 
-// omitBody reports whether the body with a digest is omitted because the receiver has it. The empty digest means that there is no
-// body, and is never marked as omitted.
+// omitBody reports whether the body with a digest is omitted because the receiver has it. The empty digest means that
+// there is no body, and is never marked as omitted.
 func omitBody(digest string, knownDigests []string) bool {
 	return digest != "" && slices.Contains(knownDigests, digest)
 }
 
-// ValueFromProto decodes a value and restores omitted bodies from the known values. It returns nil for a nil message, and if an
-// omitted body is in none of the known values: the value is then incomplete and must not be used.
+// ValueFromProto decodes a value and restores omitted bodies from the known values. It returns nil for a nil message,
+// and if an omitted body is in none of the known values: the value is then incomplete and must not be used.
 func ValueFromProto(m *Value, known ...*consensus.Value) *consensus.Value {
 	if m == nil {
 		return nil
--- a/rpc/frame.go
+++ b/rpc/frame.go
@@ -16,8 +16,8 @@
 	MaxFrameBytes = 8 << 20
 
 	frameHeaderBytes = 4
-	// maxRetainedBuffer is the maximum capacity, in bytes, of a buffer that a connection retains for the next frame. Larger
-	// frames are rare, and their memory is released at once.
+	// maxRetainedBuffer is the maximum capacity, in bytes, of a buffer that a connection retains for the next frame.
+	// Larger frames are rare, and their memory is released at once.
 	maxRetainedBuffer = 64 << 10
 )
 
@@ -30,8 +30,8 @@
 	return fmt.Sprintf("frame of %d bytes exceeds the limit of %d", e.Bytes, MaxFrameBytes)
 }
 
-// readFrame reads one frame. It reads into buf, which it grows as needed, and returns the buffer to pass to the next call. Its
-// errors are those of the reader, those of decoding, and [FrameTooLargeError].
+// readFrame reads one frame. It reads into buf, which it grows as needed, and returns the buffer to pass to the next
+// call. Its errors are those of the reader, those of decoding, and [FrameTooLargeError].
 func readFrame(r *bufio.Reader, buf []byte) (*Frame, []byte, error) {
 	var header [frameHeaderBytes]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
--- a/rpc/fuzz_test.go
+++ b/rpc/fuzz_test.go
@@ -8,8 +8,8 @@
 	"oxbowspan/consensus"
 )
 
-// FuzzFrames checks that arbitrary bytes either fail to decode or yield a frame of bounded size, and that encoding and decoding
-// a decoded value again does not change it.
+// FuzzFrames checks that arbitrary bytes either fail to decode or yield a frame of bounded size, and that encoding and
+// decoding a decoded value again does not change it.
 func FuzzFrames(f *testing.F) {
 	for _, frame := range []*Frame{
 		{Id: 7, Body: &Frame_Poll{Poll: &Poll{Slot: 1}}},
--- a/rpc/server.go
+++ b/rpc/server.go
@@ -15,10 +15,11 @@
 	acceptBackoff  = 20 * time.Millisecond // after a failed accept, for instance without free file descriptors
 )
 
-// Server accepts connections on a listener and passes their frames to a handler. The exported functions must be set before Serve.
+// Server accepts connections on a listener and passes their frames to a handler. The exported functions must be set
+// before Serve.
 type Server struct {
-	// Handle is called for each frame: sequentially for the frames of one connection, concurrently for different connections.
-	// The response may be sent after it has returned.
+	// Handle is called for each frame: sequentially for the frames of one connection, concurrently for different
+	// connections. The response may be sent after it has returned.
 	Handle func(c *Conn, f *Frame)
 	// OnClose is called once for each connection after it has ended; it may be nil.
 	OnClose func(c *Conn)
@@ -31,8 +32,8 @@
 	readers sync.WaitGroup
 }
 
-// Serve accepts connections until the listener is closed. It then closes all connections and returns after the last call of
-// OnClose.
+// Serve accepts connections until the listener is closed. It then closes all connections and returns after the last
+// call of OnClose.
 func (s *Server) Serve(l net.Listener) {
 	s.mu.Lock()
 	s.conns = map[*Conn]bool{}
