--- a/internal/discovery/read.go
+++ b/internal/discovery/read.go
@@ -10,12 +10,13 @@
 	"net/http"
 )
 
-// maxLineBytes bounds one list: those of clusters of some ten thousand servers fit.
+// maxLineBytes is the maximum size of one list. Lists of clusters of about ten thousand servers fit.
 const maxLineBytes = 4 << 20
 
-var errLineTooLong = errors.New("a line is too long")
+var errLineTooLong = errors.New("a line is longer than the limit of 4 MiB")
 
-// read requests the list and sends its lines, or the whole answer as one line if no watch is requested.
+// read requests the list and sends the lines of the response to a channel. With an empty query, which requests the
+// complete list without a watch, it sends the whole response body as one line.
 func (w *Watcher) read(ctx context.Context, query string, lines chan<- []byte) watchEnd {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+w.addr+"/api/targets"+query, nil)
 	if err != nil {
@@ -40,18 +41,20 @@
 	return readLines(ctx, r, lines)
 }
 
+// readAll sends the response body as one line. A body larger than maxLineBytes is truncated.
 func readAll(ctx context.Context, r io.Reader, lines chan<- []byte) watchEnd {
-	all, err := io.ReadAll(io.LimitReader(r, maxLineBytes))
+	body, err := io.ReadAll(io.LimitReader(r, maxLineBytes))
 	if err != nil {
 		return watchEnd{endReset, err.Error()}
 	}
 	select {
-	case lines <- all:
+	case lines <- body:
 	case <-ctx.Done():
 	}
 	return watchEnd{reason: endListed}
 }
 
+// readLines sends lines, without surrounding white space, until the response or the context ends.
 func readLines(ctx context.Context, r *bufio.Reader, lines chan<- []byte) watchEnd {
 	for {
 		line, err := readLine(r)
@@ -71,7 +74,7 @@
 	}
 }
 
-// readLine reads a line with its end. It returns errLineTooLong above maxLineBytes.
+// readLine reads a line including its line end. It returns errLineTooLong if the line exceeds maxLineBytes.
 func readLine(r *bufio.Reader) ([]byte, error) {
 	var line []byte
 	for {
--- a/internal/discovery/serverlist.go
+++ b/internal/discovery/serverlist.go
@@ -8,18 +8,18 @@
 	"net"
 )
 
-// Health of a server, as the list service states it.
+// Values of Server.Health, as published by the list service.
 const (
 	Up       = "up"
 	Draining = "draining"
 	Removed  = "removed"
 )
 
-// maxStartedMillis bounds the start times of servers: the year 33658.
+// maxStartedMillis is the exclusive upper bound of the start times of servers, which is in the year 33658.
 const maxStartedMillis = 1e15
 
-// maxLoggedEntry is how much of an invalid entry is logged, in bytes.
-const maxLoggedEntry = 200
+// maxLoggedEntryBytes is the maximum length of an invalid entry in the log, in bytes; longer ones are truncated.
+const maxLoggedEntryBytes = 200
 
 // Errors of lists and their entries.
 var (
@@ -27,25 +27,25 @@
 	ErrNoHost    = errors.New("entry has no host")
 )
 
-// Server is one shard server of the list. Fields of the list that are not needed here are ignored.
+// Server is an entry of the list: one shard server. Fields that this program does not need are ignored.
 type Server struct {
-	Host          string  `json:"host"` // its name
+	Host          string  `json:"host"` // name of the server
 	Address       string  `json:"dial"` // host:port
 	Zone          string  `json:"site"`
 	Cell          int     `json:"block"`
 	Health        string  `json:"health"`
-	StartedMillis float64 `json:"born_ms"` // Unix time of its latest start in milliseconds; 0 = long ago
+	StartedMillis float64 `json:"born_ms"` // Unix time of its latest start in milliseconds; 0 means long ago
 }
 
-// ServerList is a complete list of servers, or the entries that changed.
+// ServerList is a list of servers: the complete list, or only the entries that changed.
 type ServerList struct {
 	Version  uint64   `json:"seq"`
 	Complete bool     `json:"whole"`
 	Servers  []Server `json:"hosts"`
 }
 
-// Parse parses a list. Invalid entries are logged and skipped, as are those for which accept returns an error; nil =
-// all valid entries are accepted.
+// Parse parses a list. Invalid entries are logged and skipped, and so are those for which accept returns an error. If
+// accept is nil, all valid entries are accepted.
 func Parse(raw []byte, accept func(Server) error) (ServerList, error) {
 	var list struct {
 		Version  *uint64           `json:"seq"`
@@ -66,7 +66,7 @@
 		}
 		if err != nil {
 			slog.Warn("list_entry_left_out", "seq", out.Version, "error", err,
-				"entry", string(entry[:min(len(entry), maxLoggedEntry)]))
+				"entry", string(entry[:min(len(entry), maxLoggedEntryBytes)]))
 			continue
 		}
 		out.Servers = append(out.Servers, s)
@@ -74,6 +74,7 @@
 	return out, nil
 }
 
+// parseServer parses and validates an entry.
 func parseServer(raw json.RawMessage) (s Server, err error) {
 	if err := json.Unmarshal(raw, &s); err != nil {
 		return Server{}, err
@@ -81,6 +82,8 @@
 	return s, s.validate()
 }
 
+// validate returns an error for an entry with an unknown health, without a host, without a valid address, which is not
+// required of a removed server, or with a start time out of range.
 func (s Server) validate() error {
 	switch s.Health {
 	case Up, Draining:
@@ -89,13 +92,13 @@
 		}
 	case Removed:
 	default:
-		return fmt.Errorf("health %.20q is unknown", s.Health)
+		return fmt.Errorf("health %.20q is unknown: want %q, %q or %q", s.Health, Up, Draining, Removed)
 	}
 	if s.Host == "" {
 		return ErrNoHost
 	}
 	if !(s.StartedMillis >= 0 && s.StartedMillis < maxStartedMillis) {
-		return fmt.Errorf("born_ms %v is out of range", s.StartedMillis)
+		return fmt.Errorf("born_ms %v is out of range: want at least 0 and less than %v", s.StartedMillis, maxStartedMillis)
 	}
 	return nil
 }
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// The list service sends a line at least every heartbeatInterval, an empty one if nothing has changed. A watch without
-// a line for watchTimeout has failed.
+// The list service sends a line at least every heartbeatInterval, an empty one if nothing has changed. A watch on which
+// no line is received for watchTimeout has failed.
 const (
 	heartbeatInterval = 2 * time.Second
 	watchTimeout      = heartbeatInterval + heartbeatInterval/2
@@ -24,36 +24,37 @@
 	writeBufferSize = 1 << 10
 )
 
-// endReason is why a connection to the list service ended: the reason code in the log.
+// endReason is the reason code, in the log, for the end of a connection to the list service.
 type endReason string
 
 const (
 	endClosed    endReason = "discovery_closed" // the service ended the watch
 	endStatus    endReason = "bad_status"       // the service answered with a status other than 200
-	endMalformed endReason = "bad_form"         // a line is invalid
-	endSilent    endReason = "silent"           // no line for watchTimeout
+	endMalformed endReason = "bad_form"         // a line is invalid or too long
+	endSilent    endReason = "silent"           // no line was received for watchTimeout
 	endReset     endReason = "reset"            // the connection broke
-	endConnect   endReason = "connect_failed"
-	endReplaced  endReason = "replaced" // ended here: a new watch was requested
-	endMoved     endReason = "moved"    // ended here: the service has another address
-	endListed    endReason = "listed"   // the complete list was sent without a watch; a watch follows
-	endStopped   endReason = "stopped"  // ended here: the program ends
+	endConnect   endReason = "connect_failed"   // the connection could not be opened
+	endReplaced  endReason = "replaced"         // ended here: a new watch was requested
+	endMoved     endReason = "moved"            // ended here: the service has another address
+	endListed    endReason = "listed"           // the complete list was sent without a watch; a watch follows
+	endStopped   endReason = "stopped"          // ended here: the watcher was stopped
 )
 
-// errNoBase says that a new list service sent changes before a complete list.
-var errNoBase = errors.New("changes without a complete list before them")
+// errNoCompleteList reports that a new list service sent changes before a complete list.
+var errNoCompleteList = errors.New("received changes before a complete list")
 
-// Handler receives the updates of a Watcher, in order. Its methods are called from the watcher's goroutine and may
-// block for a moment.
+// Handler receives the updates of a Watcher, in order. Its methods are called from the watcher's goroutine and may block
+// only briefly.
 type Handler interface {
+	// ListReceived is called for each list, complete or of changes.
 	ListReceived(ServerList)
-	// WatchFailed says that a request failed or a watch ended.
+	// WatchFailed is called when a request has failed or a watch has ended.
 	WatchFailed()
 }
 
-// Watcher watches the server list in a goroutine. Its exported methods may be called from any goroutine.
+// Watcher watches the server list in its own goroutine. Its exported methods may be called from any goroutine.
 type Watcher struct {
-	target      atomic.Pointer[string] // address of the list service
+	target      atomic.Pointer[string] // address that the next watch uses
 	accept      func(Server) error
 	handler     Handler
 	client      *http.Client
@@ -62,15 +63,15 @@
 	stop        chan struct{}
 	done        chan struct{}
 
-	// The watcher's goroutine owns these.
-	addr         string // of the present watch
-	version      uint64 // of the last list
-	needComplete bool   // the last list is that of another service: a complete one is requested before a watch
+	// The following fields belong to the watcher's goroutine.
+	addr         string // address of the current watch
+	version      uint64 // version of the last list
+	needComplete bool   // the last list came from another service: a complete list is requested before a watch
 }
 
-// Start returns a running watcher of the list service at an address. It holds a list of a version already. Without
-// resubscribe it requests nothing until Subscribe; with it, it subscribes at once and again after each watch. The
-// accept function is that of Parse.
+// Start starts a watcher of the list service at an address. version is the version of the list that the caller already
+// has. Without resubscribe the watcher requests nothing until Subscribe is called; with it, it subscribes at once and,
+// heartbeatInterval after each watch has ended, again. The accept function is passed to Parse.
 func Start(addr string, version uint64, connectTimeout time.Duration, accept func(Server) error, handler Handler,
 	resubscribe bool) *Watcher {
 	dialer := net.Dialer{Timeout: connectTimeout, KeepAlive: -1}
@@ -91,13 +92,13 @@
 	return w
 }
 
-// Move changes the address of the list service. The watch of the old address ends, and one of the new begins.
+// Move changes the address of the list service. It ends the watch of the old address and begins one of the new address.
 func (w *Watcher) Move(addr string) {
 	w.target.Store(&addr)
 	w.Subscribe()
 }
 
-// Subscribe requests a new watch. It does nothing if one is requested that has not begun.
+// Subscribe requests a new watch, which replaces the current one. It does nothing if a requested watch has not begun yet.
 func (w *Watcher) Subscribe() {
 	select {
 	case w.requests <- struct{}{}:
@@ -105,12 +106,13 @@
 	}
 }
 
-// Stop ends the watch and waits for the watcher to end.
+// Stop ends the watch and waits until the watcher's goroutine has ended.
 func (w *Watcher) Stop() {
 	close(w.stop)
 	<-w.done
 }
 
+// run runs the requested watches until the watcher is stopped.
 func (w *Watcher) run() {
 	defer close(w.done)
 	for {
@@ -127,38 +129,38 @@
 	}
 }
 
-// watchEnd is how a watch, or the reading of its lines, ended.
+// watchEnd describes how a watch, or reading its lines, ended.
 type watchEnd struct {
 	reason endReason
 	detail string
 }
 
-// watch keeps one watch until it ends. It reports whether another one should begin at once.
+// watch runs one watch until it ends. It reports whether another one should begin at once.
 func (w *Watcher) watch() (again bool) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	if target := *w.target.Load(); target != w.addr {
-		// Another service may number its versions differently, so ours means nothing to it.
+		// Another service may number its versions differently, so the last version is not valid for it.
 		w.addr, w.version, w.needComplete = target, 0, true
 	}
 	query := "?watch=1&after=" + strconv.FormatUint(w.version, 10)
 	if w.needComplete {
 		query = ""
 	}
-	lines, began := make(chan []byte), time.Now()
+	lines, startedAt := make(chan []byte), time.Now()
 	ended := make(chan watchEnd, 1)
 	go func() { ended <- w.read(ctx, query, lines) }()
 	end, updates := w.receive(lines, ended)
 	cancel()
-	for open := true; open; { // the reader may be sending one more line
+	for reading := true; reading; { // the reader may be sending one more line
 		select {
 		case <-lines:
 		case <-ended:
-			open = false
+			reading = false
 		}
 	}
 	slog.Info("discovery_conn_end", "addr", w.addr, "reason", string(end.reason), "seq", w.version, "updates", updates,
-		"age_ms", time.Since(began).Milliseconds(), "detail", end.detail)
+		"age_ms", time.Since(startedAt).Milliseconds(), "detail", end.detail)
 	switch end.reason {
 	case endReplaced, endMoved:
 		return true
@@ -173,14 +175,15 @@
 	return false
 }
 
-// receive hands the lists of a watch over until it ends. The end that it takes from ended it puts back.
+// receive passes the lists of a watch to the handler until the watch ends. If it receives the reader's end from ended, it
+// sends it back to the channel, as the caller also waits for it there.
 func (w *Watcher) receive(lines <-chan []byte, ended chan watchEnd) (end watchEnd, updates int) {
-	silence := time.NewTimer(watchTimeout)
-	defer silence.Stop()
+	timeout := time.NewTimer(watchTimeout)
+	defer timeout.Stop()
 	for {
 		select {
 		case line := <-lines:
-			silence.Reset(watchTimeout)
+			timeout.Reset(watchTimeout)
 			if len(line) == 0 {
 				continue
 			}
@@ -191,7 +194,7 @@
 		case end := <-ended:
 			ended <- end
 			return end, updates
-		case <-silence.C:
+		case <-timeout.C:
 			return watchEnd{reason: endSilent}, updates
 		case <-w.requests:
 			if *w.target.Load() != w.addr {
@@ -204,14 +207,14 @@
 	}
 }
 
-// update parses a list and hands it over.
+// update parses a list and passes it to the handler.
 func (w *Watcher) update(line []byte) error {
 	list, err := Parse(line, w.accept)
 	if err != nil {
 		return err
 	}
 	if w.needComplete && !list.Complete {
-		return errNoBase
+		return errNoCompleteList
 	}
 	w.version, w.needComplete = list.Version, false
 	w.handler.ListReceived(list)
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -12,10 +12,10 @@
 	"time"
 )
 
-// testTimeout is for whatever should happen by itself.
+// testTimeout limits how long a test waits for an event.
 const testTimeout = 20 * time.Second
 
-// recorder is a Handler that records what it receives.
+// recorder is a Handler that sends its calls to channels.
 type recorder struct {
 	lists  chan ServerList
 	failed chan struct{}
@@ -24,6 +24,7 @@
 func (r recorder) ListReceived(l ServerList) { r.lists <- l }
 func (r recorder) WatchFailed()              { r.failed <- struct{}{} }
 
+// receive returns the next value of a channel, or fails the test after testTimeout.
 func receive[T any](t *testing.T, c <-chan T) (v T) {
 	t.Helper()
 	select {
@@ -34,7 +35,7 @@
 	return v
 }
 
-// startWatcher starts a watcher that holds version 7 of a list service.
+// startWatcher starts a list service with a handler, and a watcher of it that has version 7 of its list.
 func startWatcher(t *testing.T, resubscribe bool, h http.HandlerFunc) (*Watcher, recorder) {
 	t.Helper()
 	srv := httptest.NewServer(h)
@@ -50,7 +51,7 @@
 
 const entry = `{"host":"s-1","dial":"127.0.0.1:9","site":"a","class":"m2","block":3,"health":"up","share":1.0,"born_ms":5}`
 
-// A watch without heartbeats must not pass for one on which nothing changes.
+// A watch without heartbeats must time out: it must not be mistaken for one on which nothing changes.
 func TestSilentWatchTimesOut(t *testing.T) {
 	w, handler := startWatcher(t, false, func(res http.ResponseWriter, req *http.Request) {
 		fmt.Fprintf(res, `{"seq":8,"whole":true,"hosts":[%s]}`+"\n\n", entry)
@@ -92,7 +93,8 @@
 	}
 }
 
-// Changes are no use without a complete list of the same service, so that one is requested first.
+// Changes can only be applied to a complete list of the same service, so after a change of address that is requested
+// first.
 func TestAddressChangeRequestsCompleteList(t *testing.T) {
 	queries := make(chan string, 10)
 	w, handler := startWatcher(t, false, func(res http.ResponseWriter, req *http.Request) {
@@ -127,14 +129,14 @@
 
 func TestParseErrors(t *testing.T) {
 	if _, err := Parse([]byte(`{"whole":true}`), nil); !errors.Is(err, ErrNoVersion) {
-		t.Errorf("without a version: %v", err)
+		t.Errorf("a list without a version: %v, want ErrNoVersion", err)
 	}
 	var syntax *json.SyntaxError
 	if _, err := Parse([]byte(`{"seq":`), nil); !errors.As(err, &syntax) {
-		t.Errorf("truncated: %v", err)
+		t.Errorf("a truncated list: %v, want a syntax error", err)
 	}
 	if err := (Server{Health: Removed}).validate(); !errors.Is(err, ErrNoHost) {
-		t.Errorf("without a host: %v", err)
+		t.Errorf("an entry without a host: %v, want ErrNoHost", err)
 	}
 }
 
