--- a/internal/idleconn/idleconn_linux_test.go
+++ b/internal/idleconn/idleconn_linux_test.go
@@ -8,6 +8,7 @@
 	"time"
 )
 
+// testTimeout limits how long a test waits for an event or for I/O.
 const testTimeout = 10 * time.Second
 
 // notification is one call of a set's onReadable.
@@ -16,6 +17,7 @@
 	fd    int
 }
 
+// newSet starts a set whose notifications are sent to the returned channel.
 func newSet(t *testing.T) (*Set, <-chan notification) {
 	t.Helper()
 	notifications := make(chan notification, 10)
@@ -27,7 +29,8 @@
 	return set, notifications
 }
 
-// connect returns both ends of a TCP connection. The caller owns the server's end.
+// connect returns both ends of a TCP connection. The client's end is closed at the end of the test; the caller must close or park
+// the server's end.
 func connect(t *testing.T) (client, server *net.TCPConn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -48,6 +51,7 @@
 	return c.(*net.TCPConn), s.(*net.TCPConn)
 }
 
+// wait waits for the next notification and checks it.
 func wait(t *testing.T, notifications <-chan notification, want notification) {
 	t.Helper()
 	select {
@@ -69,17 +73,17 @@
 		t.Fatal(err)
 	}
 	if got := RemoteAddr(fd); got != address {
-		t.Errorf("the peer is %s, want %s", got, address)
+		t.Errorf("RemoteAddr returned %s, want %s", got, address)
 	}
-	if waiting, closed := Peek(fd); waiting || closed != nil {
-		t.Errorf("an idle connection: waiting %t, closed %v", waiting, closed)
+	if readable, closeErr := Peek(fd); readable || closeErr != nil {
+		t.Errorf("an idle connection: readable %t, error %v", readable, closeErr)
 	}
 	if _, err := client.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
 	wait(t, notifications, notification{7, fd})
-	if waiting, closed := Peek(fd); !waiting || closed != nil {
-		t.Errorf("after a write: waiting %t, closed %v", waiting, closed)
+	if readable, closeErr := Peek(fd); !readable || closeErr != nil {
+		t.Errorf("after a write: readable %t, error %v", readable, closeErr)
 	}
 	if err := set.Rearm(fd, 8); err != nil {
 		t.Fatal(err)
@@ -93,7 +97,7 @@
 	conn.SetDeadline(time.Now().Add(testTimeout))
 	var b [1]byte
 	if _, err := io.ReadFull(conn, b[:]); err != nil || b[0] != 'x' {
-		t.Errorf("read %q, %v", b, err)
+		t.Errorf("after Unpark read %q, %v", b, err)
 	}
 }
 
@@ -106,8 +110,8 @@
 	}
 	client.Close()
 	wait(t, notifications, notification{1, fd})
-	if waiting, closed := Peek(fd); waiting || !errors.Is(closed, io.EOF) {
-		t.Errorf("waiting %t, closed %v", waiting, closed)
+	if readable, closeErr := Peek(fd); readable || !errors.Is(closeErr, io.EOF) {
+		t.Errorf("a connection that the peer closed: readable %t, error %v", readable, closeErr)
 	}
 	set.Close(fd)
 }
@@ -125,7 +129,7 @@
 	wait(t, notifications, notification{1, fd})
 	set.Reject(fd, []byte("rejected"))
 	if response, err := io.ReadAll(client); err != nil || string(response) != "rejected" {
-		t.Errorf("%q, %v", response, err)
+		t.Errorf("the client received %q, %v", response, err)
 	}
 }
 
@@ -136,7 +140,7 @@
 	}
 	defer l.Close()
 	if HasPendingConn(l) {
-		t.Error("a connection waits before any has been opened")
+		t.Error("a connection is pending before any has been opened")
 	}
 	c, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
@@ -145,7 +149,7 @@
 	defer c.Close()
 	for deadline := time.Now().Add(testTimeout); !HasPendingConn(l); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("no connection waits")
+			t.Fatal("no connection is pending")
 		}
 	}
 }
--- a/internal/idleconn/idleconn_other.go
+++ b/internal/idleconn/idleconn_other.go
@@ -1,7 +1,7 @@
 //go:build !linux
 
-// Package idleconn keeps idle TCP connections without a goroutine each where the system supports it. Here New returns an error,
-// and connections keep their goroutines.
+// Package idleconn holds idle TCP connections without a goroutine for each on systems that support it. On this system New returns
+// an error, and each connection needs its own goroutine.
 package idleconn
 
 import (
@@ -9,10 +9,10 @@
 	"net"
 )
 
-// Supported reports whether this system can park sockets.
+// Supported reports whether parking sockets is supported on this system.
 const Supported = false
 
-// Set is a set of parked sockets. There are none on this system.
+// Set is a set of parked sockets. It is always empty on this system.
 type Set struct{}
 
 var errUnsupported = errors.New("this system does not support parking sockets")
@@ -39,10 +39,10 @@
 func (*Set) Reject(int, []byte) {}
 
 // Peek returns an error.
-func Peek(int) (waiting bool, closed error) { return false, errUnsupported }
+func Peek(int) (readable bool, closeErr error) { return false, errUnsupported }
 
 // RemoteAddr returns "unknown".
 func RemoteAddr(int) string { return "unknown" }
 
-// HasPendingConn returns false: it is not known whether a connection waits to be accepted.
+// HasPendingConn returns false: whether a connection is waiting to be accepted is unknown on this system.
 func HasPendingConn(net.Listener) bool { return false }
