--- a/internal/acceptorstore/compat_test.go
+++ b/internal/acceptorstore/compat_test.go
@@ -231,8 +231,8 @@
 	return keys
 }
 
-// TestCompatStoredBytes repeats the updates with which the earlier release created its file: all buckets, keys and values must be
-// byte for byte the same, so that either release can use the other's file.
+// TestCompatStoredBytes repeats the updates with which the earlier release created its file: all buckets, keys and values
+// must be byte for byte the same, so that either release can use the other's file.
 func TestCompatStoredBytes(t *testing.T) {
 	dir := t.TempDir()
 	s, _, err := acceptorstore.Open(dir, compatIdentity)
--- a/internal/acceptorstore/directory.go
+++ b/internal/acceptorstore/directory.go
@@ -17,8 +17,8 @@
 	return d.Sync()
 }
 
-// syncDirectoryOrClose makes the directory entry of a store's file durable, and closes the file if that fails. This is needed for
-// existing files as well, as an earlier run may have ended before its sync.
+// syncDirectoryOrClose makes the directory entry of a store's file durable, and closes the file if that fails. This is needed
+// for existing files as well, as an earlier run may have ended before its sync.
 func syncDirectoryOrClose(s *Store, dir string) error {
 	if err := syncDirectory(dir); err != nil {
 		s.db.Close()
--- a/internal/acceptorstore/format.go
+++ b/internal/acceptorstore/format.go
@@ -13,8 +13,8 @@
 	"oxbowspan/rpc"
 )
 
-// FormatVersion is the format version of the files that the store writes. Files of the previous version, formatInlineBodies, are
-// converted when they are opened; files of other versions are rejected.
+// FormatVersion is the format version of the files that the store writes. Files of the previous version, formatInlineBodies,
+// are converted when they are opened; files of other versions are rejected.
 //
 // Version 1 stored the bodies inside the value, so that each promise wrote them again. Version 2 stores each body in its own
 // bucket, named by its digest: it is written once, however often a value that contains it is accepted.
--- a/internal/acceptorstore/format_test.go
+++ b/internal/acceptorstore/format_test.go
@@ -20,8 +20,8 @@
 	"oxbowspan/rpc"
 )
 
-// directoryOfFormat returns a data directory with a file of a format version that an earlier release wrote. It contains identity
-// 77, a value accepted in slot 11 at ballot 12, a promise of ballot 13, and hints about one server.
+// directoryOfFormat returns a data directory with a file of a format version that an earlier release wrote. It contains
+// identity 77, a value accepted in slot 11 at ballot 12, a promise of ballot 13, and hints about one server.
 func directoryOfFormat(t *testing.T, format uint64) (dir string) {
 	t.Helper()
 	packed, err := os.Open(fmt.Sprintf("testdata/format-%d.db.gz", format))
--- a/internal/acceptorstore/full_disk.go
+++ b/internal/acceptorstore/full_disk.go
@@ -14,8 +14,8 @@
 // ErrNoFile is wrapped by the errors of updates while the file can't be created.
 var ErrNoFile = errors.New("the disk does not take the state file")
 
-// isWriteRefused reports whether an error means that the disk currently accepts no writes (no space, quota exceeded, read-only).
-// Such an error is no evidence that the stored data is damaged.
+// isWriteRefused reports whether an error means that the disk currently accepts no writes (no space, quota exceeded,
+// read-only). Such an error is no evidence that the stored data is damaged.
 func isWriteRefused(err error) bool {
 	return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT) || errors.Is(err, syscall.EROFS)
 }
--- a/internal/acceptorstore/full_disk_test.go
+++ b/internal/acceptorstore/full_disk_test.go
@@ -92,8 +92,8 @@
 	return content
 }
 
-// If the directory can't be synced for lack of space, the state of an existing file is read, but updates fail until the directory
-// entry is durable.
+// If the directory can't be synced for lack of space, the state of an existing file is read, but updates fail until the
+// directory entry is durable.
 func TestDirectorySyncOnFullDisk(t *testing.T) {
 	dir := closedStore(t, 5)
 	original := syncDirectory
--- a/internal/acceptorstore/store.go
+++ b/internal/acceptorstore/store.go
@@ -48,7 +48,8 @@
 // stored.
 type StoredFunc func(consensus.AcceptorState, error)
 
-// Store is the state file of one acceptor. Its methods may be called from any goroutine unless their documentation restricts it.
+// Store is the state file of one acceptor. Its methods may be called from any goroutine unless their documentation restricts
+// it.
 type Store struct {
 	dir     string
 	queue   chan func()
@@ -68,9 +69,9 @@
 	commit func(func(*bbolt.Tx) error) error // db.Update; tests replace it
 }
 
-// Open opens or creates the state file in a directory, which it creates if necessary. A file without an identity gets the genesis
-// identity, or a random one if genesis is 0. An unreadable file is renamed to setAsidePath, and a new one is created with a random
-// identity: the promises made under the old identity are lost, so that identity must not vote again.
+// Open opens or creates the state file in a directory, which it creates if necessary. A file without an identity gets the
+// genesis identity, or a random one if genesis is 0. An unreadable file is renamed to setAsidePath, and a new one is created
+// with a random identity: the promises made under the old identity are lost, so that identity must not vote again.
 //
 // If a new file can't be created because the disk is full or read-only, or its directory entry can't be made durable for that
 // reason, the store is opened without a file (see Refused): every update fails until the file can be created. An existing
@@ -250,9 +251,9 @@
 	}
 }
 
-// Update calls step, stores the state that it returns, and calls after with the result. Updates are processed in the order of the
-// calls. Both functions run on the store's goroutine and must not block. If the queue is full or the store is closed, Update
-// returns ErrBusy at once and calls neither.
+// Update calls step, stores the state that it returns, and calls after with the result. Updates are processed in the order of
+// the calls. Both functions run on the store's goroutine and must not block. If the queue is full or the store is closed,
+// Update returns ErrBusy at once and calls neither.
 func (s *Store) Update(step StepFunc, after StoredFunc) error {
 	select {
 	case <-s.closing:
@@ -302,8 +303,8 @@
 // History returns the committed revisions that were saved before Open, ordered by document and version.
 func (s *Store) History() []consensus.HistoryRecord { return s.history }
 
-// SaveHints queues a write that replaces the hints and adds committed revisions, and calls after on the store's goroutine when it
-// has ended. If the disk is not idle, i.e. other work is queued, it does nothing and returns false.
+// SaveHints queues a write that replaces the hints and adds committed revisions, and calls after on the store's goroutine
+// when it has ended. If the disk is not idle, i.e. other work is queued, it does nothing and returns false.
 func (s *Store) SaveHints(hints []byte, history []consensus.HistoryRecord, after func(error)) bool {
 	if len(s.queue) > 0 {
 		return false
--- a/internal/acceptorstore/store_bench_test.go
+++ b/internal/acceptorstore/store_bench_test.go
@@ -8,8 +8,8 @@
 	"oxbowspan/consensus"
 )
 
-// BenchmarkStore measures the time and the bytes written for a promise, for accepting the same version again and for accepting a
-// new version, by the size of the body. The file is in memory if possible, so that the times are CPU times.
+// BenchmarkStore measures the time and the bytes written for a promise, for accepting the same version again and for
+// accepting a new version, by the size of the body. The file is in memory if possible, so that the times are CPU times.
 func BenchmarkStore(b *testing.B) {
 	for _, size := range []int{2 << 10, 170 << 10, 1700 << 10} {
 		for name, step := range map[string]func(n uint64) StepFunc{
--- a/internal/acceptorstore/store_test.go
+++ b/internal/acceptorstore/store_test.go
@@ -121,8 +121,8 @@
 	s.Close()
 }
 
-// A write may reach the file although its sync failed, so that it is not acknowledged. The next write must not combine its ballots
-// with the value of the failed one.
+// A write may reach the file although its sync failed, so that it is not acknowledged. The next write must not combine its
+// ballots with the value of the failed one.
 func TestFailedWriteLeavesConsistentState(t *testing.T) {
 	dir := t.TempDir()
 	s, _, err := Open(dir, 77)
@@ -159,8 +159,8 @@
 	}
 }
 
-// After a power loss during a write, each page that was not synced is written, not written, or torn. Open must then read either the
-// previous or the new state, never a mixture, and must not set the file aside.
+// After a power loss during a write, each page that was not synced is written, not written, or torn. Open must then read
+// either the previous or the new state, never a mixture, and must not set the file aside.
 func TestPowerLossDuringWrite(t *testing.T) {
 	t.Run("one body", func(t *testing.T) {
 		testPowerLoss(t, 60, acceptStep, func(v *consensus.Value) bool { return string(v.Body) == "{}" })
--- a/internal/idleconn/idleconn_linux.go
+++ b/internal/idleconn/idleconn_linux.go
@@ -31,8 +31,8 @@
 // New starts a set. onReadable is called on the set's goroutine with the value and descriptor of each parked socket that may be
 // readable or closed; it must not block. The socket is then disarmed: no further notification follows until Rearm.
 //
-// A notification may be stale: the socket may have been closed meanwhile and its descriptor reused. The owner must therefore check
-// that this socket is still parked with this value, call Peek, and then Unpark, Close, Reject or Rearm.
+// A notification may be stale: the socket may have been closed meanwhile and its descriptor reused. The owner must therefore
+// check that this socket is still parked with this value, call Peek, and then Unpark, Close, Reject or Rearm.
 func New(onReadable func(value uint32, fd int)) (*Set, error) {
 	fd, err := unix.EpollCreate1(unix.EPOLL_CLOEXEC)
 	if err != nil {
@@ -166,8 +166,9 @@
 	unix.Close(fd)
 }
 
-// Reject sends a response on a parked socket without blocking, and closes it. It first reads and discards the received bytes, at
-// most maxDiscard: closing a socket with unread bytes would reset the connection, and the client might not receive the response.
+// Reject sends a response on a parked socket without blocking, and closes it. It first reads and discards the received bytes,
+// at most maxDiscard: closing a socket with unread bytes would reset the connection, and the client might not receive the
+// response.
 func (s *Set) Reject(fd int, response []byte) {
 	b := discardBuffers.Get().(*[discardBufferSize]byte)
 	for range maxDiscard / len(b) {
@@ -204,8 +205,8 @@
 	return "unknown"
 }
 
-// HasPendingConn reports whether a connection is waiting to be accepted. When no descriptor is left, Accept does not show this, as
-// it fails in either case.
+// HasPendingConn reports whether a connection is waiting to be accepted. When no descriptor is left, Accept does not show
+// this, as it fails in either case.
 func HasPendingConn(l net.Listener) bool {
 	c, ok := l.(syscall.Conn)
 	if !ok {
--- a/internal/idleconn/idleconn_linux_test.go
+++ b/internal/idleconn/idleconn_linux_test.go
@@ -29,8 +29,8 @@
 	return set, notifications
 }
 
-// connect returns both ends of a TCP connection. The client's end is closed at the end of the test; the caller must close or park
-// the server's end.
+// connect returns both ends of a TCP connection. The client's end is closed at the end of the test; the caller must close or
+// park the server's end.
 func connect(t *testing.T) (client, server *net.TCPConn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/idleconn/idleconn_other.go
+++ b/internal/idleconn/idleconn_other.go
@@ -1,7 +1,7 @@
 //go:build !linux
 
-// Package idleconn holds idle TCP connections without a goroutine for each on systems that support it. On this system New returns
-// an error, and each connection needs its own goroutine.
+// Package idleconn holds idle TCP connections without a goroutine for each on systems that support it. On this system New
+// returns an error, and each connection needs its own goroutine.
 package idleconn
 
 import (
--- a/internal/shardconn/receive.go
+++ b/internal/shardconn/receive.go
@@ -154,9 +154,9 @@
 }
 
 // handleMalformed closes a connection on which the server violated the protocol, as nothing that follows can be
-// trusted. The attempt with the given id ends with Errored; if there is none and failOldest is set, which callers do
-// unless a valid answer was read just before, the oldest attempt does. The others count as cancelled: they may have run,
-// but one malformed answer must not count as a failure of every attempt in flight on the connection.
+// trusted. The attempt with the given id ends with Errored; if there is none and failOldest is set, the oldest attempt
+// does. Callers do not set failOldest if a valid answer was read just before. The other attempts count as cancelled: they
+// may have run, but one malformed answer must not count as a failure of every attempt in flight on the connection.
 func (cl *Client) handleMalformed(c *conn, id string, violation error, failOldest bool) {
 	failed := cl.findAttempt(c, id)
 	if failed == nil && failOldest {
