--- a/gatherer/answer.go
+++ b/gatherer/answer.go
@@ -5,7 +5,7 @@
 	"strconv"
 )
 
-// encodeAnswer encodes an answer for the client.
+// encodeAnswer encodes the JSON body of an answer: whether it is complete, and the value of each shard.
 func encodeAnswer(complete bool, values []shardValue) []byte {
 	b := append([]byte(`{"full":`), strconv.FormatBool(complete)...)
 	b = append(b, `,"pieces":[`...)
@@ -21,7 +21,8 @@
 	return append(b, `]}`...)
 }
 
-// appendQuoted appends a valid UTF-8 text as a JSON string. Its bytes are unchanged wherever JSON allows that.
+// appendQuoted appends text, which must be valid UTF-8, as a JSON string. Text without control characters, quotes and
+// backslashes is copied byte for byte.
 func appendQuoted(b []byte, text string) []byte {
 	for _, c := range []byte(text) {
 		if c < ' ' || c == '"' || c == '\\' {
--- a/gatherer/attempts.go
+++ b/gatherer/attempts.go
@@ -9,13 +9,14 @@
 	"oxbowspan/merge"
 )
 
-// outBatch is the attempts that one Handle of the balancer sends to one server.
+// outBatch holds the attempts for one server that result from one call of Balancer.Handle.
 type outBatch struct {
 	server   *server
 	attempts []shardconn.Attempt
 }
 
-// gatherAttempt adds an attempt to the batch of its server.
+// gatherAttempt adds an attempt to the batch of its server. An attempt whose server is gone or whose request is
+// finished ends at once as never dispatched.
 func (d *dispatcher) gatherAttempt(batches []outBatch, send balancer.Send) []outBatch {
 	call, s := d.calls[send.Call], d.servers[send.Server]
 	if call == nil {
@@ -25,7 +26,7 @@
 	call.attempts = append(call.attempts, s)
 	call.inFlight++
 	if s == nil || s.client == nil || call.request.finished {
-		d.notDispatched(call, number, send.Server)
+		d.endUndispatched(call, number, send.Server)
 		return batches
 	}
 	now := d.clock.now()
@@ -45,7 +46,8 @@
 	return append(batches, outBatch{s, []shardconn.Attempt{attempt}})
 }
 
-// dispatchBatches hands batches to the clients of their servers. One that a full mailbox refuses is not dispatched.
+// dispatchBatches submits each batch to the client of its server. If that client's mailbox is full, the attempts of the
+// batch end as never dispatched.
 func (d *dispatcher) dispatchBatches(batches []outBatch) {
 	for _, b := range batches {
 		if b.server.client.TrySubmit(shardconn.Dispatch{Attempts: b.attempts}) {
@@ -53,27 +55,27 @@
 			continue
 		}
 		for _, a := range b.attempts {
-			d.notDispatched(d.calls[a.ID], a.Number, b.server.id)
+			d.endUndispatched(d.calls[a.ID], a.Number, b.server.id)
 		}
 	}
 }
 
-// notDispatched ends an attempt that was never sent.
-func (d *dispatcher) notDispatched(call *shardCall, number balancer.AttemptNumber, server balancer.ServerID) {
-	d.attemptDone(call, number)
+// endUndispatched ends an attempt that was never sent, and defers the balancer's event about it.
+func (d *dispatcher) endUndispatched(call *shardCall, number balancer.AttemptNumber, server balancer.ServerID) {
+	d.releaseAttempt(call, number)
 	d.deferred = append(d.deferred, balancer.AttemptEnded{Call: call.id, Attempt: number, Server: server,
 		Outcome: balancer.NotDispatched})
 }
 
-// attemptDone records that an attempt has ended.
-func (d *dispatcher) attemptDone(call *shardCall, number balancer.AttemptNumber) {
+// releaseAttempt removes an attempt that has ended from its call.
+func (d *dispatcher) releaseAttempt(call *shardCall, number balancer.AttemptNumber) {
 	call.attempts[number] = nil
 	call.inFlight--
-	d.forgetCall(call)
+	d.removeCallIfDone(call)
 }
 
-// forgetCall forgets a call once its request is finished and no attempt is in flight.
-func (d *dispatcher) forgetCall(call *shardCall) {
+// removeCallIfDone removes a call once its request is finished and none of its attempts is in flight.
+func (d *dispatcher) removeCallIfDone(call *shardCall) {
 	if _, known := d.calls[call.id]; !known || !call.request.finished || call.inFlight > 0 {
 		return
 	}
@@ -84,17 +86,18 @@
 	}
 }
 
+// cancel asks the client of a server to cancel an attempt.
 func (d *dispatcher) cancel(c balancer.Cancel) {
 	call := d.calls[c.Call]
 	if call == nil || int(c.Attempt) >= len(call.attempts) {
 		return
 	}
 	if s := call.attempts[c.Attempt]; s != nil {
-		s.client.TrySubmit(shardconn.Cancel{ID: c.Call, Number: c.Attempt}) // if refused the deadline ends it
+		s.client.TrySubmit(shardconn.Cancel{ID: c.Call, Number: c.Attempt}) // if refused, the attempt ends at its deadline
 	}
 }
 
-// attemptEnded processes the outcome of an attempt.
+// attemptEnded processes the outcome of an attempt. The first value received for a call is its answer.
 func (d *dispatcher) attemptEnded(e shardconn.AttemptEnded) {
 	call := d.calls[e.ID]
 	if call == nil || call.attempts[e.Number] == nil {
@@ -111,13 +114,14 @@
 			call.request.merge.MarkUnusable(merge.Segment(call.shard))
 		}
 	}
-	d.attemptDone(call, e.Number)
+	d.releaseAttempt(call, e.Number)
 	d.releaseServer(s)
 	d.handle(balancer.AttemptEnded{Call: e.ID, Attempt: e.Number, Server: e.Server, Elapsed: e.Elapsed,
 		Outcome: e.Outcome, Report: e.Report})
 }
 
-// accountValue accounts for a value out of what its request has reserved, and beyond that in any case: it is in memory.
+// accountValue charges n bytes of a received value to the reservation of its request. Bytes beyond the reservation are
+// reserved regardless of the limit, as the value is already in memory.
 func (d *dispatcher) accountValue(req *clientRequest, n memorybudget.Bytes) {
 	d.valueSizes.Observe(int(req.queryType), n)
 	req.inUse += n
@@ -127,8 +131,8 @@
 	}
 }
 
-// mergeValue adds a decoded value to the merge of its request. If all merges together would become too large the
-// request is shed at once, which is safe as only idempotent requests are merged.
+// mergeValue adds a decoded value to the merge of its request. If that would exceed the memory limit of all merges, the
+// request is shed at once. This is safe because only idempotent requests are merged.
 func (d *dispatcher) mergeValue(call *shardCall, decoded any) {
 	req := call.request
 	if req.merge == nil {
--- a/gatherer/calls_test.go
+++ b/gatherer/calls_test.go
@@ -23,7 +23,7 @@
 	if conns, frames := a.Counts(); conns != 1 || frames != 3 {
 		t.Errorf("%d connections and %d frames, want 1 and 3", conns, frames)
 	}
-	// More calls than fit one frame, and a body of unknown length.
+	// A request with more calls than fit in one frame, and with a body of unknown length.
 	r, _ := newRequest(context.Background(), p.addr, "lookup", 0, 1, 2, 3, 4)
 	r.ContentLength, r.Body = -1, struct{ io.ReadCloser }{r.Body}
 	res, err := http.DefaultClient.Do(r)
@@ -35,7 +35,7 @@
 		t.Errorf("got %s with length %d", b, res.ContentLength)
 	}
 	if _, frames := a.Counts(); frames != 5 {
-		t.Errorf("%d frames, want two more", frames)
+		t.Errorf("%d frames, want 5", frames)
 	}
 }
 
@@ -44,10 +44,10 @@
 	b := startShard(t, "s-b", func(c *standin.ShardConn, _ standin.ShardCall) { c.Reset() })
 	l := startList(t, a, b)
 	p := start(t, l, nil)
-	// A call that is not idempotent may have run on the broken connection: it is neither retried nor shed.
+	// A call that is not idempotent may have run on the broken connection, so its request is neither retried nor shed.
 	status, _, id := p.ask("post", 0)
 	if status != http.StatusGatewayTimeout {
-		t.Errorf("a request that may have run ended with %d", status)
+		t.Errorf("a request whose call may have run got status %d, want 504", status)
 	}
 	first := a
 	if len(b.Received) > 0 {
@@ -57,7 +57,7 @@
 		t.Errorf("sent %s and %d more, want %s.0 alone", got, len(a.Received)+len(b.Received), id)
 	}
 	p.line("event=server_conn_end", "server="+first.Host, "reason=reset")
-	// An idempotent one is retried at the other server.
+	// An idempotent request is retried on the other server.
 	c := startShard(t, "s-c", nil)
 	l.Update(c.Entry())
 	await(t, l.Requests, func(string) bool { return true })
@@ -66,7 +66,7 @@
 			return
 		}
 	}
-	t.Error("no idempotent request is answered with two servers that crash")
+	t.Error("of 20 idempotent requests none was answered, although one of three servers works")
 }
 
 func TestRefusedConnectionIsRetried(t *testing.T) {
@@ -93,24 +93,24 @@
 	broken := startShard(t, "s-broken", func(c *standin.ShardConn, p standin.ShardCall) { c.Respond(p.ID, "broke", "") })
 	p = start(t, startList(t, broken), nil)
 	if status, _, _ := p.ask("post", 0); status != http.StatusGatewayTimeout {
-		t.Errorf("a call that may have run ended its request with %d", status)
+		t.Errorf("a request whose call may have run got status %d, want 504", status)
 	}
 }
 
 func TestClientDisconnectCancelsCalls(t *testing.T) {
 	a := startShard(t, "s-a", func(*standin.ShardConn, standin.ShardCall) {})
-	p := start(t, startList(t, a), func(s *Config) { // so long that no deadline cancels the call
+	p := start(t, startList(t, a), func(s *Config) { // the limit is so long that no deadline cancels the call
 		s.Settings = json.RawMessage(strings.ReplaceAll(testSettings, `"hardLimit":2000.0`, `"hardLimit":600000`))
 	})
-	ctx, leave := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	r, id := newRequest(ctx, p.addr, "lookup", 3)
 	r.Header.Set("Req-Deadline-Ms", "600000")
 	go func() {
 		await(t, a.Received, func(s string) bool { return s == id+".3" })
-		leave()
+		cancel()
 	}()
 	if _, err := http.DefaultClient.Do(r); err == nil {
-		t.Error("a client that disconnected was answered")
+		t.Error("the request of a client that disconnected got a response")
 	}
 	await(t, a.Received, func(s string) bool { return s == "c "+id+".3" })
 	p.line("event=client_conn_end", "reason=client_left")
@@ -126,14 +126,14 @@
 }
 
 func TestMalformedServersAreReset(t *testing.T) {
-	junk := map[string]string{
+	malformed := map[string]string{
 		"bad_form":      "\xff\xff\xff\xffa",
 		"bad_form ":     "\x00\x00\x00\x02zz",
 		"bad_form  ":    string(frame.New(frame.AnswerFrame, "one two\nx")),
 		"server_fault":  string(frame.New(frame.ErrorFrame, "not understood")),
 		"server_closed": "",
 	}
-	for reason, text := range junk {
+	for reason, text := range malformed {
 		bad := startShard(t, "s-bad", func(c *standin.ShardConn, _ standin.ShardCall) {
 			io.WriteString(c, text)
 			c.Close()
--- a/gatherer/connmemory_test.go
+++ b/gatherer/connmemory_test.go
@@ -20,7 +20,7 @@
 	"oxbowspan/memorybudget"
 )
 
-// rawDial connects a socket and uses no other descriptor.
+// rawDial connects a socket without using any other descriptor.
 func rawDial(t testing.TB, addr string) int {
 	t.Helper()
 	at, err := netip.ParseAddrPort(addr)
@@ -37,8 +37,9 @@
 	return fd
 }
 
-// rawClients connects clients without the Go runtime on their side, so that only the listener's memory grows.
-func rawClients(t testing.TB, r *listenerHarness, n int) (fds []int) {
+// dialRawClients connects n clients that have sent one request each. They use system calls only, so that no memory of
+// the Go runtime but the listener's grows.
+func dialRawClients(t testing.TB, r *listenerHarness, n int) (fds []int) {
 	request, answer := []byte(post("/", "")), make([]byte, 1024)
 	for i := range n {
 		fd := rawDial(t, r.addr)
@@ -53,7 +54,8 @@
 	return fds
 }
 
-func memoryHeld() uint64 {
+// memoryInUse returns the bytes of heap and stacks in use after garbage collection.
+func memoryInUse() uint64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -61,12 +63,12 @@
 	return m.HeapInuse + m.StackInuse
 }
 
-// The memory of a parked connection must not grow by more than a half over the measured 88 bytes without a goroutine
-// (docs/measured/idle-connections.md).
+// A parked connection has no goroutine and takes 88 bytes (docs/measured/idle-connections.md). That must not grow by
+// more than about a half.
 func TestParkedConnectionMemory(t *testing.T) {
-	const n, most = 1500, 140
+	const n, maxBytes = 1500, 140
 	r := startHarness(t, 4*n, 0, 0)
-	for _, fd := range rawClients(t, r, 20) { // warm up
+	for _, fd := range dialRawClients(t, r, 20) { // warm up
 		unix.Close(fd)
 	}
 	r.until("first clients closed", func() bool {
@@ -74,35 +76,36 @@
 		defer r.listener.mu.Unlock()
 		return r.listener.admission.Len() == 0
 	})
-	before, goroutines := memoryHeld(), runtime.NumGoroutine()
-	fds := rawClients(t, r, n)
+	before, goroutines := memoryInUse(), runtime.NumGoroutine()
+	fds := dialRawClients(t, r, n)
 	defer func() {
 		for _, fd := range fds {
 			unix.Close(fd)
 		}
 	}()
 	r.awaitParked(n)
-	// What net/http pooled is collected.
+	// Once the goroutines have ended, garbage collection frees what net/http had pooled for them.
 	r.until("goroutines ended", func() bool { return runtime.NumGoroutine() <= goroutines+2 })
-	cost := float64(int64(memoryHeld())-int64(before)) / n
-	own := float64(cap(r.listener.conns)*int(unsafe.Sizeof(connSlot{}))+connadmission.MemoryBytes(r.listener.admission)) / n
-	t.Logf("%.0f bytes a connection by the runtime's figures, %.0f of them in the tables", cost, own)
-	if own > most {
-		t.Errorf("the tables use %.0f bytes a connection, %d are allowed", own, most)
+	cost := float64(int64(memoryInUse())-int64(before)) / n
+	tableBytes := float64(cap(r.listener.conns)*int(unsafe.Sizeof(connSlot{}))+connadmission.MemoryBytes(r.listener.admission)) / n
+	t.Logf("%.0f bytes per connection according to the runtime, %.0f of them in the tables", cost, tableBytes)
+	if tableBytes > maxBytes {
+		t.Errorf("the tables use %.0f bytes per connection, want at most %d", tableBytes, maxBytes)
 	}
-	if cost > 4*most {
-		t.Errorf("the runtime uses %.0f bytes a connection more than before", cost)
+	if cost > 4*maxBytes {
+		t.Errorf("the runtime uses %.0f more bytes per connection than before", cost)
 	}
 }
 
-// One operation is a request on a parked connection, which is parked again after it.
+// BenchmarkWakeup measures a request on an idle connection. In mode parked the connection is parked again after each
+// request; in mode kept it keeps its goroutine.
 //
 //	go test -run xxx -bench Wakeup -benchmem ./gatherer
 func BenchmarkWakeup(b *testing.B) {
-	for _, way := range []string{"parked", "kept"} {
-		b.Run(way, func(b *testing.B) {
+	for _, mode := range []string{"parked", "kept"} {
+		b.Run(mode, func(b *testing.B) {
 			r := startHarness(b, 100, 0, 0)
-			if way == "kept" {
+			if mode == "kept" {
 				r.listener.admission.SetParkDelay(3600_000)
 			}
 			c := r.dial()
@@ -110,7 +113,7 @@
 			for b.Loop() {
 				c.send(post("/", ""))
 				c.expect("/ ")
-				if way == "parked" {
+				if mode == "parked" {
 					r.awaitParked(1)
 				}
 			}
@@ -118,7 +121,7 @@
 	}
 }
 
-// memoryHarness starts a listener with a memory budget of its own.
+// memoryHarness starts a listener with its own memory budget, with or without parking.
 func memoryHarness(t *testing.T, options memorybudget.Options, park bool) (*listenerHarness, *memorybudget.Budget) {
 	t.Helper()
 	nl, err := net.Listen("tcp", "127.0.0.1:0")
@@ -133,34 +136,35 @@
 	return startUnparkedHarness(t, nl, config), budget
 }
 
-// If all connections have a request and memory suffices for few, the others are shed at once, and the limit is kept.
+// If all parked connections send a request at once but memory suffices for only a few, the other requests are shed at
+// once and memory stays within its limit.
 func TestWakeupsStayWithinMemoryLimit(t *testing.T) {
-	const n, room = 60, 10
-	f := memorybudget.Options{MaxTotal: room*activeConnMemory + n*idleConnMemory}
+	const n, maxActive = 60, 10
+	f := memorybudget.Options{MaxTotal: maxActive*activeConnMemory + n*idleConnMemory}
 	r, budget := memoryHarness(t, f, true)
 	var all []*harnessClient
 	for range n {
 		c := r.dial()
 		c.send(post("/", ""))
 		c.expect("/ ")
-		if all = append(all, c); len(all)%(room/2) == 0 {
-			r.awaitParked(len(all)) // those being parked use memory as well
+		if all = append(all, c); len(all)%(maxActive/2) == 0 {
+			r.awaitParked(len(all)) // connections that are not parked yet use memory of active ones
 		}
 	}
 	r.awaitParked(n)
 	if s := budget.Snapshot(); s.Used[memorybudget.ActiveConns] != 0 ||
 		s.Used[memorybudget.ParkedConns] != n*idleConnMemory {
-		t.Errorf("memory with all parked: %+v", s)
+		t.Errorf("memory with all connections parked: %+v", s)
 	}
 	var mu sync.Mutex
 	got := map[int]int{}
-	var both sync.WaitGroup
+	var wg sync.WaitGroup
 	for _, c := range all {
-		both.Add(1)
+		wg.Add(1)
 		go func() {
-			defer both.Done()
+			defer wg.Done()
 			io.WriteString(c, post("/wait", "x"))
-			status, _, err := c.answer()
+			status, _, err := c.readResponse()
 			if err != nil {
 				t.Errorf("a request got no response: %v", err)
 			}
@@ -169,13 +173,13 @@
 			mu.Unlock()
 		}()
 	}
-	r.until("requests are shed", func() bool { mu.Lock(); defer mu.Unlock(); return got[503] >= n-room-1 })
+	r.until("requests are shed", func() bool { mu.Lock(); defer mu.Unlock(); return got[503] >= n-maxActive-1 })
 	if s := budget.Snapshot(); s.Peak > f.MaxTotal || s.MaxOvercommit > 0 || s.Rejections[memorybudget.ActiveConns] == 0 {
 		t.Errorf("memory during the requests: %+v", s)
 	}
 	close(r.gate)
-	both.Wait()
-	if got[200]+got[503] != n || got[200] < room-1 {
+	wg.Wait()
+	if got[200]+got[503] != n || got[200] < maxActive-1 {
 		t.Errorf("responses by status: %v", got)
 	}
 	for _, c := range all {
@@ -184,12 +188,13 @@
 	r.until("memory released", func() bool { return budget.Snapshot().Total == 0 })
 }
 
-// Without parking, connections above the memory limit are shed, and idle ones are closed under pressure.
+// Without parking, the requests of connections above the memory limit are shed, and idle connections are closed under
+// memory pressure.
 func TestKeepAliveConnectionsStayWithinMemoryLimit(t *testing.T) {
-	const room = 10
-	r, budget := memoryHarness(t, memorybudget.Options{MaxTotal: room * activeConnMemory}, false)
+	const maxActive = 10
+	r, budget := memoryHarness(t, memorybudget.Options{MaxTotal: maxActive * activeConnMemory}, false)
 	var closing, overLimit int
-	for range room + 3 {
+	for range maxActive + 3 {
 		c := r.dial()
 		c.send(post("/", ""))
 		c.SetReadDeadline(time.Now().Add(testTimeout))
@@ -205,11 +210,11 @@
 			}
 		}
 		r.listener.mu.Unlock()
-		if c := r.last(); c != nil && r.listener.shouldClose(c) {
+		if c := r.lastConn(); c != nil && r.listener.shouldClose(c) {
 			closing++
 		}
 	}
 	if closing == 0 || overLimit == 0 {
-		t.Errorf("%d would be closed, %d are above the memory limit; %+v", closing, overLimit, budget.Snapshot())
+		t.Errorf("%d connections would be closed and %d are above the memory limit, want some of each; %+v", closing, overLimit, budget.Snapshot())
 	}
 }
--- a/gatherer/descriptors_test.go
+++ b/gatherer/descriptors_test.go
@@ -20,17 +20,17 @@
 	"oxbowspan/internal/testing/standin"
 )
 
-// noDescriptors lets this process open no more descriptors until give is called.
+// exhaustDescriptors prevents this process from opening descriptors until restore is called.
 //
-// The limit is on the number of a new descriptor, not on their count. So it is set above all that are open, and those that are
-// free below it are taken: then whichever is closed makes room for another.
-func noDescriptors(t *testing.T) (give func()) {
+// RLIMIT_NOFILE limits the number of a new descriptor, not how many are open. The limit is therefore set just above the
+// highest open descriptor, and all free ones below it are taken: whichever is closed then allows another to be opened.
+func exhaustDescriptors(t *testing.T) (restore func()) {
 	t.Helper()
-	var was unix.Rlimit
-	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &was); err != nil {
+	var previous unix.Rlimit
+	if err := unix.Getrlimit(unix.RLIMIT_NOFILE, &previous); err != nil {
 		t.Fatal(err)
 	}
-	if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: uint64(highestDescriptor(t)) + 1, Max: was.Max}); err != nil {
+	if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &unix.Rlimit{Cur: uint64(highestDescriptor(t)) + 1, Max: previous.Max}); err != nil {
 		t.Fatal(err)
 	}
 	var fill []int
@@ -46,7 +46,7 @@
 			unix.Close(fd)
 		}
 		fill = nil
-		if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &was); err != nil {
+		if err := unix.Setrlimit(unix.RLIMIT_NOFILE, &previous); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -69,10 +69,10 @@
 	return highest
 }
 
-// exhaustedListener fails a number of accepts for want of a descriptor while a connection waits.
+// exhaustedListener fails a number of accepts with EMFILE while a connection waits in the backlog.
 type exhaustedListener struct {
 	*net.TCPListener
-	failures atomic.Int32 // still to come
+	failures atomic.Int32 // accepts that are still to fail
 }
 
 func (l *exhaustedListener) Accept() (net.Conn, error) {
@@ -87,8 +87,8 @@
 	return l.TCPListener.Accept()
 }
 
-// If another goroutine holds the descriptor of an evicted connection for a moment, accept fails once more. No second connection
-// is evicted for the same client.
+// If another goroutine briefly takes the descriptor that an eviction has freed, accept fails once more. No second
+// connection must be evicted for the same client.
 func TestAcceptEvictsOneConnectionForOneClient(t *testing.T) {
 	nl, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -103,13 +103,13 @@
 	}
 	r.awaitParked(3)
 	exhausted.failures.Store(2)
-	for range 2 { // an accept of before the failures waits for the first of these; that of the second fails
+	for range 2 { // the pending accept serves the first client; accepts fail for the second
 		c := r.dial()
 		c.send(post("/new", "x"))
 		c.expect("/new x")
 	}
-	if _, _, err := oldest.answer(); err == nil {
-		t.Error("the connection that is idle longest was not evicted")
+	if _, _, err := oldest.readResponse(); err == nil {
+		t.Error("the longest idle connection was not evicted")
 	}
 	for _, c := range []*harnessClient{second, third} {
 		c.send(post("/still", "x"))
@@ -117,7 +117,7 @@
 	}
 }
 
-// If descriptors run out when a parked connection has a request, the request is shed with a Retry-After.
+// If descriptors are exhausted when a parked connection receives a request, the request is shed with a Retry-After.
 func TestWakeupWithoutDescriptorIsAnswered(t *testing.T) {
 	r := startHarness(t, 200, 0, 0)
 	c, later := r.dial(), r.dial()
@@ -126,12 +126,12 @@
 		c.expect("/ ")
 	}
 	r.awaitParked(2)
-	give := noDescriptors(t)
-	defer give()
+	restore := exhaustDescriptors(t)
+	defer restore()
 	c.send(post("/now", "x"))
 	c.SetReadDeadline(time.Now().Add(testTimeout))
 	res, err := http.ReadResponse(c.r, nil)
-	give()
+	restore()
 	if err != nil || res.StatusCode != http.StatusServiceUnavailable || res.Header.Get("Retry-After") != "0.5" {
 		t.Errorf("got %v, %v", res, err)
 	}
@@ -139,13 +139,13 @@
 	later.expect("/later x")
 }
 
-// If descriptors run out in accept the connection that is idle longest is evicted, parked or not, so that clients in the
-// backlog are served.
+// If accept fails for lack of descriptors, the longest idle connection is evicted, parked or not, so that clients in
+// the backlog are served.
 func TestAcceptWithoutDescriptorEvicts(t *testing.T) {
-	for _, parks := range []bool{true, false} {
-		t.Run(fmt.Sprintf("parked=%t", parks), func(t *testing.T) {
+	for _, parking := range []bool{true, false} {
+		t.Run(fmt.Sprintf("parked=%t", parking), func(t *testing.T) {
 			r := startHarness(t, 200, 0, 0)
-			if !parks {
+			if !parking {
 				r.listener.admission.SetParkDelay(3600_000)
 			}
 			oldest, other := r.dial(), r.dial()
@@ -159,23 +159,23 @@
 					return visiting == i+1
 				})
 			}
-			if parks {
+			if parking {
 				r.awaitParked(2)
 			}
-			raw := rawDial(t, r.addr) // before, as it needs a descriptor itself
+			raw := rawDial(t, r.addr) // dialed before, as it needs a descriptor itself
 			defer unix.Close(raw)
-			give := noDescriptors(t)
-			defer give()
+			restore := exhaustDescriptors(t)
+			defer restore()
 			unix.Write(raw, []byte(post("/new", "x")))
 			answer := make([]byte, 1024)
 			unix.SetsockoptTimeval(raw, unix.SOL_SOCKET, unix.SO_RCVTIMEO, &unix.Timeval{Sec: int64(testTimeout / time.Second)})
 			k, err := unix.Read(raw, answer)
-			give()
+			restore()
 			if err != nil || !strings.HasSuffix(string(answer[:max(k, 0)]), "/new x") {
 				t.Errorf("the new client got %q, %v", answer[:max(k, 0)], err)
 			}
-			if _, _, err := oldest.answer(); err == nil {
-				t.Error("the connection that is idle longest was not evicted")
+			if _, _, err := oldest.readResponse(); err == nil {
+				t.Error("the longest idle connection was not evicted")
 			}
 			other.send(post("/still", "x"))
 			other.expect("/still x")
@@ -183,8 +183,8 @@
 	}
 }
 
-// The machine has fewer descriptors than the configuration says, and clients use all of them: connections to servers fail.
-// Every request gets a result, shed or failed, by its timeout; once descriptors are available again requests are served.
+// The machine has fewer descriptors than configured and clients use all of them, so that connections to servers fail.
+// Each request must be shed or fail by its timeout. Once descriptors are available again, requests are served.
 func TestDescriptorExhaustion(t *testing.T) {
 	a := startShard(t, "s-a", nil)
 	p := start(t, startList(t, a), nil)
@@ -194,7 +194,7 @@
 		s := standin.Request{ID: id, QueryType: "lookup", Customer: "acme",
 			Timeout: 1500 * time.Millisecond, Shards: []int{1}, Statement: "c41e77d0"}
 		r, err := s.Send(t.Context(), client, p.addr)
-		if err != nil { // its connection was evicted: by the protocol the client retries once on a new one
+		if err != nil { // its connection was evicted: the protocol makes the client retry once on a new one
 			r, err = s.Send(t.Context(), client, p.addr)
 		}
 		if err != nil {
@@ -203,46 +203,46 @@
 		return r.Status, r.Elapsed
 	}
 	if status, _ := ask("a1"); status != http.StatusOK {
-		t.Fatalf("at the start: %d", status)
+		t.Fatalf("before the limit is lowered: got status %d, want 200", status)
 	}
 	pid := p.cmd.Process.Pid
 	entries, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid))
 	if err != nil {
 		t.Skip(err)
 	}
-	var was unix.Rlimit
-	few := unix.Rlimit{Cur: uint64(len(entries) + 4), Max: 4096}
-	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, nil, &was); err != nil {
+	var previous unix.Rlimit
+	reduced := unix.Rlimit{Cur: uint64(len(entries) + 4), Max: 4096}
+	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, nil, &previous); err != nil {
 		t.Fatal(err)
 	}
-	few.Max = was.Max
-	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, &few, nil); err != nil {
+	reduced.Max = previous.Max
+	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, &reduced, nil); err != nil {
 		t.Fatal(err)
 	}
-	var crowd []net.Conn // connections without requests, which take all descriptors
+	var idleConns []net.Conn // connections without requests that use up all descriptors
 	for range 12 {
 		c, err := net.Dial("tcp", p.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer c.Close()
-		crowd = append(crowd, c)
+		idleConns = append(idleConns, c)
 	}
 	p.line("event=accept_no_descriptor")
-	a.ResetConnections() // now the server needs a new connection
+	a.ResetConnections() // the gatherer now needs a new connection to the server
 	for i := range 4 {
 		status, took := ask(fmt.Sprintf("b%d", i))
 		if status != http.StatusOK && status != http.StatusServiceUnavailable && status != http.StatusGatewayTimeout {
-			t.Errorf("without descriptors: %d", status)
+			t.Errorf("without descriptors: got status %d, want 200, 503 or 504", status)
 		}
 		if took > 1600*time.Millisecond {
-			t.Errorf("the result took %s, longer than the client's timeout", took)
+			t.Errorf("the result took %s, want at most the client's timeout", took)
 		}
 	}
-	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, &was, nil); err != nil {
+	if err := unix.Prlimit(pid, unix.RLIMIT_NOFILE, &previous, nil); err != nil {
 		t.Fatal(err)
 	}
-	for _, c := range crowd {
+	for _, c := range idleConns {
 		c.Close()
 	}
 	n := 0
@@ -251,7 +251,7 @@
 			break
 		}
 		if time.Now().After(end) {
-			t.Fatal("timeout: descriptors are available again, but nothing is answered")
+			t.Fatal("timeout: descriptors are available again, but no request is answered")
 		}
 	}
 }
--- a/gatherer/framing_test.go
+++ b/gatherer/framing_test.go
@@ -8,11 +8,11 @@
 func TestRequestFramer(t *testing.T) {
 	const head = "POST / HTTP/1.1\r\nHost: x\r\n"
 	for name, test := range map[string]struct {
-		text       string
-		heads      int
-		atBoundary bool
-		inHead     bool
-		ambiguous  bool
+		text          string
+		requestsBegun int
+		atBoundary    bool
+		inHead        bool
+		ambiguous     bool
 	}{
 		"no body":                 {head + "\r\n", 1, true, false, false},
 		"two requests":            {head + "\r\n" + head + "\r\n", 2, true, false, false},
@@ -39,10 +39,10 @@
 				bytewise.feed([]byte(test.text[i : i+1]))
 			}
 			for how, f := range map[string]*requestFramer{"at once": &whole, "byte by byte": &bytewise} {
-				if f.heads != test.heads || f.atRequestBoundary() != test.atBoundary || f.inHead() != test.inHead ||
-					(f.ambiguousAt > 0) != test.ambiguous {
-					t.Errorf("%s: %d heads, at boundary %t, in head %t, ambiguous at %d", how, f.heads,
-						f.atRequestBoundary(), f.inHead(), f.ambiguousAt)
+				if f.requestsBegun != test.requestsBegun || f.atRequestBoundary() != test.atBoundary || f.inHead() != test.inHead ||
+					(f.firstAmbiguous > 0) != test.ambiguous {
+					t.Errorf("%s: %d requests begun, at boundary %t, in head %t, first ambiguous request %d", how, f.requestsBegun,
+						f.atRequestBoundary(), f.inHead(), f.firstAmbiguous)
 				}
 			}
 		})
--- a/gatherer/frontend.go
+++ b/gatherer/frontend.go
@@ -22,23 +22,24 @@
 	"oxbowspan/memorybudget"
 )
 
-// Limits of a request, in bytes.
+// Size limits of a request, in bytes.
 const (
 	maxBodyBytes   = 64 << 10
 	maxHeaderBytes = 16 << 10
 )
 
-// readTimeout is the time in which a request must be read completely, from the opening of its connection if it is the
-// first. Clients expect an answer or a close if they have not sent one within 3 s.
+// readTimeout is the time within which a request must be read completely. For the first request of a connection it
+// counts from the opening of the connection. Clients that have not sent a complete request within 3 s expect a response
+// or a close.
 const readTimeout = 2 * time.Second
 
-// Times of a drain.
+// Durations of a drain.
 const (
-	drainDelay = 700 * time.Millisecond // after SIGTERM, in which the protocol allows new requests
-	drainGrace = 50 * time.Millisecond  // beyond the longest client timeout
+	drainDelay = 700 * time.Millisecond // after SIGTERM: the time in which the protocol still allows new requests
+	drainGrace = 50 * time.Millisecond  // waited for open requests beyond the longest client timeout
 )
 
-// copyBufferSize is the size of the reverse proxy's buffers: most answers fit.
+// copyBufferSize is the size in bytes of the reverse proxy's buffers. Most answers fit in one.
 const copyBufferSize = 4 << 10
 
 // Paths of health checks.
@@ -47,25 +48,26 @@
 	pathHealthy = "/-/healthy"
 )
 
-// frontend is the HTTP side. It reads requests completely, answers those that are not for the shards, and hands the
-// others to a reverse proxy, whose transport sends them to the dispatcher.
+// frontend is the http.Handler for clients. It reads each request completely, responds to health checks and invalid
+// requests itself, and passes the others to a reverse proxy, whose transport sends them to the dispatcher.
 type frontend struct {
 	proxy            *httputil.ReverseProxy
 	isKnownType      func(queryType string) bool
 	maxClientTimeout time.Duration
-	retryAfter       balancer.Time // of requests shed here; 0 = none
+	retryAfter       balancer.Time // Retry-After of requests shed here; 0 = none
 	memory           *memorybudget.Budget
 	customer         func(name string) connadmission.CustomerIndex
 	quotas           []float64 // of the customers, in requests per second
 	maxActiveConns   int       // 0 = no limit
 	connections      operatorconfig.Connections
-	hasServers       atomic.Bool // the server list has a server
+	hasServers       atomic.Bool // a server list with at least one server was received
 	draining         atomic.Bool
 }
 
+// connKey is the context key of a request's *clientConn.
 type connKey struct{}
 
-// connOf returns the connection of a request; nil if the server is not this package's.
+// connOf returns the connection of a request; nil if it is not served through a listener of this package.
 func connOf(r *http.Request) *clientConn {
 	c, _ := r.Context().Value(connKey{}).(*clientConn)
 	return c
@@ -90,8 +92,8 @@
 	return f
 }
 
-// closeAfterResponse tells the client to close its connection where it is to be closed. During a drain that also holds
-// for requests that were open before, or the next one on the connection would be lost.
+// closeAfterResponse sets Connection: close on a response if the connection is to be closed after it. During a drain
+// this includes the responses to requests that were open before, or the next request on the connection would be lost.
 func (f *frontend) closeAfterResponse(res *http.Response) error {
 	c := connOf(res.Request)
 	if f.draining.Load() || c != nil && c.listener.shouldClose(c) {
@@ -108,20 +110,20 @@
 	e := exchange{f, w, r, connOf(r)}
 	e.setReadDeadline()
 	if f.draining.Load() {
-		e.closeConn(endConnectionClose)
+		e.closeConnAfterResponse(endConnectionClose)
 	} else if r.Close && e.conn != nil {
 		e.conn.setEndReason(endConnectionClose)
 	}
 	switch r.URL.Path {
 	case pathReady:
-		e.serveStatus(f.hasServers.Load() && !f.draining.Load())
+		e.serveHealthCheck(f.hasServers.Load() && !f.draining.Load())
 		return
 	case pathHealthy:
-		e.serveStatus(true)
+		e.serveHealthCheck(true)
 		return
 	}
 	queryType := firstSegment(r.URL.Path)
-	if !f.isKnownType(queryType) && r.Header.Get(headerType) != queryType || queryType == "" {
+	if !f.isKnownType(queryType) && r.Header.Get(headerQueryType) != queryType || queryType == "" {
 		http.Error(w, "there is nothing under this path", http.StatusNotFound)
 		return
 	}
@@ -138,19 +140,19 @@
 	*frontend
 	w    http.ResponseWriter
 	r    *http.Request
-	conn *clientConn // nil = the server is not this package's
+	conn *clientConn // nil = not served through a listener of this package
 }
 
-// closeConn lets the response close the connection.
-func (e *exchange) closeConn(reason endReason) {
+// closeConnAfterResponse sets Connection: close on the response and records the reason.
+func (e *exchange) closeConnAfterResponse(reason endReason) {
 	e.w.Header().Set("Connection", "close")
 	if e.conn != nil {
 		e.conn.setEndReason(reason)
 	}
 }
 
-// setReadDeadline limits the reading of the request. The limit also holds where a response is written before the body is
-// read, which net/http then reads to its end.
+// setReadDeadline sets the deadline for reading the request. It also applies if a response is written before the body
+// is read, as net/http then reads the body to its end.
 func (e *exchange) setReadDeadline() {
 	deadline := time.Now().Add(readTimeout)
 	if e.conn != nil {
@@ -162,8 +164,8 @@
 	}
 }
 
-// serveStatus answers a health check.
-func (e *exchange) serveStatus(ok bool) {
+// serveHealthCheck responds to a health check with 200 if ok, or else with 503.
+func (e *exchange) serveHealthCheck(ok bool) {
 	if e.r.Method != http.MethodGet && e.r.Method != http.MethodHead {
 		e.w.Header().Set("Allow", "GET, HEAD")
 		http.Error(e.w, "ask with GET", http.StatusMethodNotAllowed)
@@ -176,17 +178,17 @@
 	io.WriteString(e.w, "ok\n")
 }
 
-// serveRequest admits a request, reads its body and hands it to the reverse proxy.
+// serveRequest checks a request against the limits, reads its body and passes it to the reverse proxy.
 func (e *exchange) serveRequest() {
 	size := cmp.Or(max(e.r.ContentLength, 0), maxBodyBytes)
 	reserved := memorybudget.Bytes(bodyCopies * size)
 	switch {
 	case e.conn != nil && e.conn.isAmbiguous():
-		e.closeConn(endBadRequest)
+		e.closeConnAfterResponse(endBadRequest)
 		http.Error(e.w, "the request's length can be read in two ways", http.StatusBadRequest)
 		return
 	case size > maxBodyBytes:
-		e.bodyTooLarge()
+		e.rejectLargeBody()
 		return
 	case e.conn != nil && e.conn.overLimit:
 		e.shed("too many connections, asking again is harmless")
@@ -203,28 +205,30 @@
 	e.r.Body, e.r.ContentLength = io.NopCloser(bytes.NewReader(body)), int64(len(body))
 	defer func() {
 		if e.r.Context().Err() != nil && e.conn != nil {
-			e.conn.setEndReason(endLeft)
+			e.conn.setEndReason(endClientLeft)
 		}
 	}()
 	e.proxy.ServeHTTP(e.w, e.r)
 }
 
+// shed responds with 503 and a Retry-After, and closes the connection.
 func (e *exchange) shed(text string) {
-	e.closeConn(endOverLimit)
+	e.closeConnAfterResponse(endOverLimit)
 	setRetryAfter(e.w.Header(), e.retryAfter)
 	http.Error(e.w, text, http.StatusServiceUnavailable)
 }
 
-func (e *exchange) bodyTooLarge() {
-	e.closeConn(endConnectionClose)
+// rejectLargeBody responds with 413 and closes the connection.
+func (e *exchange) rejectLargeBody() {
+	e.closeConnAfterResponse(endConnectionClose)
 	http.Error(e.w, "the body is over 64 KiB", http.StatusRequestEntityTooLarge)
 }
 
-// readBody reads the body. It reports false if that failed and the request is answered. A request that is incomplete or
-// not HTTP is aborted.
+// readBody reads the body. It reports false if the body was too large, after the response to that is written. If the
+// body is incomplete or invalid, it aborts the request by a panic with http.ErrAbortHandler.
 func (e *exchange) readBody() ([]byte, bool) {
 	if e.conn != nil {
-		e.conn.listener.requestStarted(e.conn, e.customer(e.r.Header.Get(headerOwner)))
+		e.conn.listener.requestStarted(e.conn, e.customer(e.r.Header.Get(headerCustomer)))
 		e.conn.listener.enterPhase(e.conn, readingBody)
 	}
 	body, err := readBody(e.w, e.r)
@@ -234,19 +238,19 @@
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		e.bodyTooLarge()
+		e.rejectLargeBody()
 		return nil, false
 	case err != nil:
 		if e.conn != nil && errors.Is(err, io.ErrUnexpectedEOF) {
-			e.conn.setEndReason(endLeft)
+			e.conn.setEndReason(endClientLeft)
 		}
 		panic(http.ErrAbortHandler)
 	}
 	return body, true
 }
 
-// readBody reads a body to its end. From then on net/http detects, without the read deadline, when the client
-// disconnects.
+// readBody reads a body of at most maxBodyBytes to its end. From then on net/http detects a disconnect of the client,
+// and the read deadline no longer applies.
 func readBody(w http.ResponseWriter, r *http.Request) ([]byte, error) {
 	var b bytes.Buffer
 	if r.ContentLength > 0 {
@@ -256,8 +260,9 @@
 	return b.Bytes(), err
 }
 
-// serve serves clients on a listener until ctx is done, then drains: it is not ready, still accepts connections for
-// drainDelay, tells clients to close theirs, and waits for open requests up to the longest client timeout.
+// serve serves clients on a listener until ctx is done and then drains. During a drain the readiness check fails,
+// connections are accepted for drainDelay, responses ask clients to close their connections, and open requests are
+// waited for up to the longest client timeout and drainGrace.
 func (f *frontend) serve(ctx context.Context, nl net.Listener, descriptors int, maxClientTimeout time.Duration) error {
 	l := newListener(nl, listenerConfig{descriptors: descriptors, quotas: f.quotas, maxActiveConns: f.maxActiveConns,
 		memory: f.memory, connections: f.connections})
@@ -270,7 +275,7 @@
 	go func() { failed <- srv.Serve(l.resumed) }()
 	select {
 	case err := <-failed:
-		l.stop() // parked connections end as well
+		l.stop() // closes the parked connections as well
 		srv.Close()
 		return err
 	case <-ctx.Done():
@@ -291,8 +296,8 @@
 	return err
 }
 
-// newServer returns the HTTP server of a listener. Its write timeout covers the reading of a request, the longest client
-// timeout, and as long again for the writing of the answer.
+// newServer returns the HTTP server of a listener. Its write timeout covers reading a request, the longest client
+// timeout, and the same time again for writing the answer.
 func (f *frontend) newServer(l *listener) *http.Server {
 	return &http.Server{
 		Handler:           f,
@@ -323,7 +328,7 @@
 // Put implements httputil.BufferPool.
 func (p *bufferPool) Put(b []byte) { p.pool.Put(&b) }
 
-// httpLogWriter logs the messages of net/http.
+// httpLogWriter is an io.Writer that logs the error messages of net/http.
 type httpLogWriter struct{}
 
 func (httpLogWriter) Write(b []byte) (int, error) {
--- a/gatherer/limits.go
+++ b/gatherer/limits.go
@@ -11,25 +11,25 @@
 	"oxbowspan/memorybudget"
 )
 
-// Limits are the resources of the machine. Zero means unknown.
+// Limits are the resources of the machine that the program may use. Zero means unknown.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB float64 `json:"memory_mb"`
 	Sockets  float64 `json:"sockets"` // file descriptors
 }
 
-// Shares of the descriptors. Servers get half, as each of them needs a connection: with a quarter, 154 of 640, the rest of
-// 200 servers could not be reached while those were open. Clients get the other half; the protocol gives them a third of
-// all.
+// Shares of the file descriptors. Half of those that are not reserved are for connections to servers, as each server
+// needs one: with a quarter, 154 of 640, the other servers of a cluster of 200 were unreachable while those connections
+// were open. The other half is for clients, to which the protocol grants a third of all descriptors.
 const (
-	defaultDescriptors      = 1024 // if unknown
-	reservedDescriptors     = 24   // files, the listener, discovery and the runtime
-	serverDescriptorDivisor = 2    // of the rest
-	minDescriptors          = 8    // of the rest, however few there are
+	defaultDescriptors      = 1024 // if their number is unknown
+	reservedDescriptors     = 24   // for files, the listener, discovery and the runtime
+	serverDescriptorDivisor = 2    // divisor of the unreserved descriptors for the share of servers
+	minDescriptors          = 8    // lower bound of the unreserved descriptors
 	minServerDescriptors    = 2
 )
 
-// splitDescriptors returns the descriptors for connections of clients and to servers.
+// splitDescriptors returns the numbers of descriptors for connections of clients and for connections to servers.
 func (l Limits) splitDescriptors() (clients, servers int) {
 	all := int(l.Sockets)
 	if all <= 0 {
@@ -40,8 +40,8 @@
 	return left - servers, servers
 }
 
-// bodyBytes returns how many bytes of request bodies may be in memory at once: an eighth of the memory, as each is copied
-// and the heap is larger than what is live.
+// bodyBytes returns how many bytes of request bodies may be in memory at once. It is an eighth of the memory, as each
+// body is copied and the heap is larger than the live objects.
 func (l Limits) bodyBytes() int64 {
 	if l.MemoryMB <= 0 {
 		return math.MaxInt64 / 2
@@ -49,13 +49,14 @@
 	return max(int64(l.MemoryMB*(1<<20))/8, 2*maxBodyBytes)
 }
 
-// Limits of active connections: those with a goroutine.
+// Limits of active connections, which are those with a goroutine.
 const (
-	activeConnBytes = 48 << 10 // estimate of one with its stacks, buffers and a request
+	activeConnBytes = 48 << 10 // estimate for a connection with its stacks, buffers and a request
 	minActiveConns  = 64
 )
 
-// maxActiveConns returns how many connections may be active at once, by a quarter of the memory; 0 = no limit.
+// maxActiveConns returns how many connections may be active at once, so that they use a quarter of the memory; it is at
+// least minActiveConns. 0 = no limit.
 func (l Limits) maxActiveConns() int {
 	if l.MemoryMB <= 0 {
 		return 0
@@ -63,17 +64,19 @@
 	return max(int(l.MemoryMB*(1<<20))/4/activeConnBytes, minActiveConns)
 }
 
-// Memory of work in bytes, measured in docs/measured/idle-connections.md. The bytes of requests come on top.
+// Memory charged to the budget, in bytes, according to docs/measured/idle-connections.md. The texts of requests are
+// charged in addition.
 const (
 	activeConnMemory = 24 << 10 // a connection with its goroutine, stacks and buffers
 	idleConnMemory   = 192      // a parked connection
 	requestMemory    = 4 << 10  // an open request, without its calls
 	callMemory       = 1 << 10  // a call, without its value
-	bodyCopies       = 3        // of a body: as read, while it is parsed, and its content
-	initialValueSize = 256      // a value, before one of its query type was received
+	bodyCopies       = 3        // copies of a body: as read, while it is parsed, and its content
+	initialValueSize = 256      // a value, until one of its query type was received
 )
 
-// memoryLimits returns the limits of memory. Without the section [memory] only bodies are limited.
+// memoryLimits returns the options of the memory budget. If m, the section [memory] of the operator's configuration, is
+// nil, only bodies are limited.
 func (l Limits) memoryLimits(m *operatorconfig.Memory) memorybudget.Options {
 	total := memorybudget.Bytes(0)
 	if m != nil {
@@ -82,11 +85,12 @@
 	return memorybudget.DefaultOptions(total, bodyCopies*memorybudget.Bytes(l.bodyBytes()))
 }
 
-// memoryLimitShare is the share of the memory that the Go runtime may use. The rest is for buffers of the kernel and the
-// heap's growth between collections.
+// memoryLimitShare is the share of the memory that is set as the Go runtime's memory limit. The rest is for kernel
+// buffers and for growth of the heap between garbage collections.
 const memoryLimitShare = 0.7
 
-// Apply applies the limits to the Go runtime. It is for a program of its own, not for one that embeds a gatherer.
+// Apply sets GOMAXPROCS and the memory limit of the Go runtime. It is for a stand-alone program, not for one that
+// embeds a gatherer.
 func (l Limits) Apply() {
 	if l.Cores > 0 {
 		runtime.GOMAXPROCS(int(math.Ceil(l.Cores)))
@@ -96,7 +100,7 @@
 	}
 }
 
-// descriptorPool is the descriptors for connections to servers. It implements shardconn.DescriptorBudget.
+// descriptorPool counts the available descriptors for connections to servers. It implements shardconn.DescriptorBudget.
 type descriptorPool struct {
 	available atomic.Int64
 }
@@ -107,7 +111,7 @@
 	return p
 }
 
-// Acquire takes a descriptor. It reports false if none is available.
+// Acquire reserves a descriptor. It reports false if none is available.
 func (p *descriptorPool) Acquire() bool {
 	if p.available.Add(-1) < 0 {
 		p.available.Add(1)
--- a/gatherer/limits_test.go
+++ b/gatherer/limits_test.go
@@ -20,7 +20,8 @@
 	"oxbowspan/memorybudget"
 )
 
-// Connections that send nothing delay no client, and are closed in time.
+// Connections that send nothing, or only part of a request line, must not delay other clients and must be closed within
+// 3 s.
 func TestSilentConnectionsAreEvicted(t *testing.T) {
 	a := startShard(t, "s-a", nil)
 	p := start(t, startList(t, a), func(s *Config) { s.Limits.Sockets = 64 })
@@ -38,7 +39,7 @@
 	}
 	for range 10 {
 		if status, body, _ := p.ask("lookup", 0); status != 200 || body != completeAnswer(0) {
-			t.Errorf("a client got %d %s", status, body)
+			t.Errorf("a client beside silent connections got %d %s", status, body)
 		}
 	}
 	if took := time.Since(began); took > readTimeout/2 {
@@ -71,7 +72,8 @@
 			c.Close()
 		}
 	}()
-	// Incomplete requests fill the clients' share; another client is shed at once, and the servers' share is not touched.
+	// Incomplete requests use up the descriptors for clients. Another client is shed at once, and the descriptors for
+	// servers are not used.
 	for range clients - max(clients/8, 1) {
 		c := dial()
 		fmt.Fprintf(c, "POST /lookup HTTP/1.1\r\nHost: x\r\nContent-Length: 100\r\nExpect: 100-continue\r\n\r\n")
@@ -98,9 +100,9 @@
 	p.line("event=client_conn_end", "reason=over_limit")
 	open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid))
 	if err != nil || len(open) > 64-servers {
-		t.Errorf("%d descriptors in use, %d are for servers, %v", len(open), servers, err)
+		t.Errorf("%d descriptors in use, of 64 with %d for servers; %v", len(open), servers, err)
 	}
-	// Clients that disconnect make room, and an idle one is evicted for a new one.
+	// Clients that disconnect free descriptors, and an idle connection is evicted for a new one.
 	for _, c := range conns {
 		c.Close()
 	}
@@ -120,8 +122,9 @@
 	p.line("event=client_conn_end", "reason=made_room")
 }
 
-// Clients that send one request and keep their connection would use up all descriptors (incident r776d5d). When there are
-// many, the first response closes the connection; one with more requests stays.
+// Clients that send one request and keep their connection open would use up all descriptors (incident r776d5d). Above a
+// threshold of idle connections, the first response therefore closes its connection. A connection with more requests
+// stays.
 func TestIdleConnectionsPastThresholdAreClosed(t *testing.T) {
 	p := start(t, startList(t, startShard(t, "s-a", nil)), func(s *Config) { s.Limits.Sockets = 256 })
 	clients, _ := Limits{Sockets: 256}.splitDescriptors()
@@ -150,7 +153,7 @@
 	steady := dial()
 	for range 2 {
 		if ask(steady) {
-			t.Error("a connection is closed though there is no other")
+			t.Error("the only connection is closed")
 		}
 	}
 	released, kept := 0, 0
@@ -161,9 +164,9 @@
 			kept++
 		}
 	}
-	if kept > clients/crowdDivisor+1 || released == 0 {
+	if kept > clients/idleOneShotDivisor+1 || released == 0 {
 		t.Errorf("%d connections with one request are kept, %d closed, %d may be idle",
-			kept, released, clients/crowdDivisor)
+			kept, released, clients/idleOneShotDivisor)
 	}
 	if ask(steady) {
 		t.Error("a connection with many requests is closed")
@@ -171,40 +174,41 @@
 	p.line("event=client_conn_end", "reason=told_close", "requests=1")
 }
 
-// budgetFor returns a memory budget with a limit for bodies; 0 = none.
-func budgetFor(bodies memorybudget.Bytes) *memorybudget.Budget {
+// newBodyBudget returns a memory budget that limits bodies only, in bytes; 0 = no limit.
+func newBodyBudget(bodies memorybudget.Bytes) *memorybudget.Budget {
 	var f memorybudget.Options
 	f.Limits[memorybudget.Bodies].Max = bodies
 	return memorybudget.New(f, nil)
 }
 
-// The descriptors suffice for the requests of clients and a connection to each server of a cluster.
+// The descriptors must suffice for a third of all for clients and for a connection to each server of a cluster.
 func TestServerDescriptorShare(t *testing.T) {
 	for _, c := range []struct{ sockets, hosts int }{{512, 200}, {640, 200}, {256, 100}, {1024, 400}} {
 		clients, servers := Limits{Sockets: float64(c.sockets)}.splitDescriptors()
 		if servers < c.hosts || clients < c.sockets/3 || clients+servers > c.sockets-reservedDescriptors {
-			t.Errorf("of %d descriptors clients get %d, servers %d; want a third and %d",
+			t.Errorf("of %d descriptors %d are for clients and %d for servers, want at least a third and %d",
 				c.sockets, clients, servers, c.hosts)
 		}
 	}
 }
 
+// serversOf returns the descriptors for servers.
 func serversOf(l Limits) int {
 	_, servers := l.splitDescriptors()
 	return servers
 }
 
-// A shed request has a Retry-After, also if it took longer than the read timeout.
+// The response to a shed request has a Retry-After, even if it comes after the read timeout.
 func TestShedSetsRetryAfter(t *testing.T) {
 	d, err := balancerconfig.FromJSON([]byte(testSettings), 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	box := mailbox{make(chan message, 1), make(chan struct{})}
-	srv := httptest.NewServer(newFrontend(newTransport(d, box, budgetFor(0)), time.Second, budgetFor(0)))
+	inbox := mailbox{make(chan message, 1), make(chan struct{})}
+	srv := httptest.NewServer(newFrontend(newTransport(d, inbox, newBodyBudget(0)), time.Second, newBodyBudget(0)))
 	defer srv.Close()
 	go func() {
-		s := (<-box.messages).(requestArrived).request
+		s := (<-inbox.messages).(requestArrived).request
 		time.AfterFunc(readTimeout+readTimeout/8, func() { s.result <- result{kind: resultShed, retryAfter: 2500} })
 	}()
 	r, _ := newRequest(context.Background(), srv.Listener.Addr().String(), "lookup", 0)
@@ -223,24 +227,25 @@
 	p := start(t, startList(t, a), func(s *Config) {
 		s.Settings = json.RawMessage(strings.Replace(testSettings, `"limits":{`, `"limits":{"mostHeld":5,`, 1))
 	})
-	ctx, leave := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	r, _ := newRequest(ctx, p.addr, "lookup", 0, 1)
-	left := make(chan struct{})
+	clientReturned := make(chan struct{})
 	go func() {
 		http.DefaultClient.Do(r)
-		close(left)
+		close(clientReturned)
 	}()
 	await(t, a.Received, func(string) bool { return true })
 	if status, _, id := p.ask("lookup", 2, 3); status != http.StatusServiceUnavailable || len(a.Received) > 1 {
 		t.Errorf("request %s above the limit got %d", id, status)
 	}
-	leave()
-	<-left
+	cancel()
+	<-clientReturned
 	p.line("event=client_conn_end", "reason=client_left")
-	p.ask("lookup", 4) // below the limit again
+	p.ask("lookup", 4) // the open calls are below the limit again
 	await(t, a.Received, func(part string) bool { return strings.HasSuffix(part, ".4") && !strings.HasPrefix(part, "c") })
 }
 
+// pipeListener is a net.Listener that accepts the connections sent to the channel.
 type pipeListener chan net.Conn
 
 func (l pipeListener) Accept() (net.Conn, error) { return <-l, nil }
@@ -249,29 +254,29 @@
 
 func (l pipeListener) Addr() net.Addr { return nil }
 
-// A client that does not read its answer must not keep its connection forever.
+// A client that does not read its response must not keep its connection open forever.
 func TestWriteTimeout(t *testing.T) {
-	ours, theirs := net.Pipe() // unbuffered: a write waits for its reader
+	ours, theirs := net.Pipe() // unbuffered: a write blocks until it is read
 	l := make(pipeListener, 1)
 	l <- theirs
-	f := newFrontend(newTransport(balancerconfig.Deployment{}, mailbox{}, budgetFor(0)), 50*time.Millisecond, budgetFor(0))
+	f := newFrontend(newTransport(balancerconfig.Deployment{}, mailbox{}, newBodyBudget(0)), 50*time.Millisecond, newBodyBudget(0))
 	go f.serve(context.Background(), l, 8, time.Second)
 	if _, err := io.WriteString(ours, "GET /-/healthy HTTP/1.1\r\nHost: x\r\n\r\n"); err != nil {
 		t.Fatal(err)
 	}
 	ours.SetWriteDeadline(time.Now().Add(testTimeout))
 	if _, err := io.WriteString(ours, strings.Repeat("x", 1<<16)); err != io.ErrClosedPipe {
-		t.Errorf("reading the connection gives %v", err)
+		t.Errorf("writing to the connection gives %v, want it closed", err)
 	}
 }
 
-// Bodies above their memory limit are shed at once, with a Retry-After.
+// Requests whose bodies exceed the memory limit are shed at once, with a Retry-After.
 func TestBodyMemoryLimit(t *testing.T) {
 	d, err := balancerconfig.FromJSON([]byte(testSettings), 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	srv := httptest.NewServer(newFrontend(newTransport(d, mailbox{}, budgetFor(10)), time.Second, budgetFor(10)))
+	srv := httptest.NewServer(newFrontend(newTransport(d, mailbox{}, newBodyBudget(10)), time.Second, newBodyBudget(10)))
 	defer srv.Close()
 	for range 3 {
 		r, _ := newRequest(context.Background(), srv.Listener.Addr().String(), "lookup", 0)
--- a/gatherer/listener.go
+++ b/gatherer/listener.go
@@ -17,66 +17,70 @@
 	"oxbowspan/memorybudget"
 )
 
-// Limits of clients' connections.
+// Limits of client connections.
 const (
-	// idleGrace is how long the protocol lets clients keep a connection without an open request.
-	idleGrace = 2 * time.Second
-	// slowHeadAfter is when a connection with an incomplete head is the first to be evicted.
-	slowHeadAfter = readTimeout / 2
-	// linger is how long an idle connection keeps its goroutine, so that a request soon after another is not delayed.
-	linger = 250 * time.Millisecond
-	// minIdleConns is how many idle connections may keep their goroutines at least.
+	// minIdleTime is how long the protocol guarantees clients a connection without an open request.
+	minIdleTime = 2 * time.Second
+	// headerTimeout is the age from which a new connection without a complete request head is evicted before others.
+	headerTimeout = readTimeout / 2
+	// parkDelay is how long an idle connection keeps its goroutine, so that a request soon after another is not delayed
+	// by resuming the connection.
+	parkDelay = 250 * time.Millisecond
+	// minIdleConns is the lower bound for the number of idle connections that may keep their goroutines.
 	minIdleConns = 128
-	// crowdDivisor gives the share of descriptors of idle connections above which those that asked once are closed. It
-	// is less than a quarter of the third of all descriptors that the protocol gives clients.
-	crowdDivisor = 8
-	// reserveDivisor gives the share of descriptors for connections above the limit, whose requests are shed.
+	// idleOneShotDivisor is the divisor of the descriptors for the number of idle connections from which on connections
+	// with a single request are closed after the response. An eighth is less than a quarter of the third of all
+	// descriptors that the protocol grants clients.
+	idleOneShotDivisor = 8
+	// reserveDivisor is the divisor of the descriptors for connections above the limit, whose requests are shed.
 	reserveDivisor = 8
-	// keepAliveProbes is how many unanswered keep-alive probes end a connection.
+	// keepAliveProbes is the number of unanswered TCP keep-alive probes after which a connection fails.
 	keepAliveProbes = 3
-	// resumedBacklog is how many resumed connections may wait for net/http in a channel.
+	// resumedBacklog is the capacity of the channel of resumed connections that wait for net/http.
 	resumedBacklog = 64
 )
 
-// listener accepts the connections of clients within their share of the descriptors, and parks idle ones: those wait
-// without a goroutine. Package connadmission decides which connections are admitted, parked and evicted. If none can be
-// evicted a new one is accepted all the same and its request shed, as a client in the backlog believes to be connected.
-// Above the reserve for these, accepting waits.
+// listener accepts client connections within their share of the descriptors. Idle connections are parked: they wait for
+// the next request without a goroutine. Package connadmission decides which connections are admitted, parked and
+// evicted. If none can be evicted, a new connection is accepted nevertheless and its request is shed, because a client
+// in the backlog is already connected from its own point of view. Once the reserve for such connections is used up,
+// Accept blocks.
 //
-// The lock of the listener is taken before that of a connection.
+// Lock order: the lock of the listener is taken before that of a connection.
 type listener struct {
 	net.Listener
-	reserve      int // connections above the limit
+	reserve      int // the number of connections accepted above the limit
 	startedAt    time.Time
-	shedResponse []byte           // to a request on a parked connection that cannot be resumed
+	shedResponse []byte           // sent to a request on a parked connection that cannot be resumed
 	resumed      *resumedListener // serves connections that are resumed
 	minRates     [phaseCount]connadmission.MinRate
-	keepAlive    time.Duration // interval of keep-alive probes; 0 = as the system has it
-	sendBuffer   int           // bytes; 0 = as the system has it
+	keepAlive    time.Duration // interval of TCP keep-alive probes; 0 = the default of package net
+	sendBuffer   int           // bytes of the socket's send buffer; 0 = the default of the system
 
 	mu                 sync.Mutex
-	capacity           sync.Cond // a connection has ended, or the listener is closed
+	capacity           sync.Cond // signaled when a connection has ended or the listener is closed
 	admission          *connadmission.Controller
 	memory             *memorybudget.Budget
 	conns              []connSlot    // by connadmission.ID
-	idleSet            *idleconn.Set // nil = idle connections are not parked
+	idleSet            *idleconn.Set // nil = parking is disabled
 	closed             bool
 	idleTimeout        time.Duration     // of parked connections; 0 = none
-	wheel              *timerwheel.Wheel // idle timeouts and minimum rates, in ticks since startedAt; nil = there are none
-	timer              *time.Timer       // for the next of them
-	parkedSinceRelease int               // connections parked since memory was last released
+	wheel              *timerwheel.Wheel // idle timeouts and rate checks, in wheelTicks since startedAt; nil = there are none
+	timer              *time.Timer       // fires at the next entry of the wheel
+	parkedSinceRelease int               // connections parked since memory was last returned to the system
 	releaseTimer       *time.Timer
 }
 
 // listenerConfig configures a listener.
 type listenerConfig struct {
-	descriptors    int       // for clients
-	quotas         []float64 // of the customers
-	maxActiveConns int       // up to which a parked connection is resumed; 0 = no limit
+	descriptors    int       // for client connections
+	quotas         []float64 // of the customers, in requests per second
+	maxActiveConns int       // the number of open requests up to which parked connections are resumed; 0 = no limit
 	memory         *memorybudget.Budget
 	connections    operatorconfig.Connections
 }
 
+// newListener returns a listener that accepts from nl. Parking is disabled until enableParking is called.
 func newListener(nl net.Listener, config listenerConfig) *listener {
 	reserve := max(config.descriptors/reserveDivisor, 1)
 	l := &listener{
@@ -84,12 +88,12 @@
 		keepAlive: config.connections.KeepAlive, sendBuffer: config.connections.SendBuffer,
 		admission: connadmission.New(connadmission.Options{
 			MaxConns:          max(config.descriptors-reserve, 1),
-			MinIdle:           millis(idleGrace),
-			HeaderTimeout:     millis(slowHeadAfter),
+			MinIdle:           millis(minIdleTime),
+			HeaderTimeout:     millis(headerTimeout),
 			CustomerShares:    config.quotas,
 			MaxActive:         config.maxActiveConns,
-			MaxIdleOneShot:    cmp.Or(config.connections.IdleThreshold, max(config.descriptors/crowdDivisor, 1)),
-			ParkDelay:         millis(linger),
+			MaxIdleOneShot:    cmp.Or(config.connections.IdleThreshold, max(config.descriptors/idleOneShotDivisor, 1)),
+			ParkDelay:         millis(parkDelay),
 			MaxIdleGoroutines: max(config.maxActiveConns, minIdleConns),
 		}),
 		resumed: &resumedListener{Listener: nl, conns: make(chan net.Conn, resumedBacklog), done: make(chan struct{})},
@@ -116,23 +120,23 @@
 
 func (l *listener) underPressure() bool { return l.memory.Pressure() >= memorybudget.PressureHigh }
 
-// Accept implements net.Listener. It returns only connections with a goroutine: others are parked until their first byte.
+// Accept implements net.Listener. It does not return connections that are parked until their first byte.
 func (l *listener) Accept() (net.Conn, error) {
 	l.mu.Lock()
 	for l.admission.Len() >= l.admission.Limit()+l.reserve && !l.closed {
 		l.capacity.Wait()
 	}
 	l.mu.Unlock()
-	var room acceptRoom
+	var reclaimer descriptorReclaimer
 	for {
 		raw, err := l.Listener.Accept()
 		if err != nil {
-			if isDescriptorExhausted(err) && idleconn.HasPendingConn(l.Listener) && room.make(l.evictOne) {
+			if isDescriptorExhausted(err) && idleconn.HasPendingConn(l.Listener) && reclaimer.reclaim(l.evictOne) {
 				continue
 			}
 			return nil, err
 		}
-		room = acceptRoom{}
+		reclaimer = descriptorReclaimer{}
 		if c := l.admit(raw); c != nil {
 			return c, nil
 		}
@@ -140,42 +144,45 @@
 }
 
 const (
-	// acceptRetries is how often a connection is accepted again after an eviction before another connection is evicted.
+	// acceptRetries is the number of further attempts to accept after an eviction before another connection is evicted.
 	acceptRetries = 5
 
-	// acceptRetryDelay is waited before each of these. Parking and resuming hold a further descriptor for microseconds.
+	// acceptRetryDelay is the delay before each of these attempts. Parking or resuming a connection uses an additional
+	// descriptor for microseconds.
 	acceptRetryDelay = time.Millisecond
 )
 
-// acceptRoom makes room for one connection to be accepted while descriptors are exhausted. The descriptor that an eviction
-// frees may be taken at once by another goroutine that needs it for a moment only: it is waited for before a second
-// connection is evicted.
-type acceptRoom struct {
+// descriptorReclaimer frees a descriptor for one connection to be accepted while descriptors are exhausted. Another
+// goroutine may take the freed descriptor at once but briefly, so accepting is retried before a second connection is
+// evicted.
+type descriptorReclaimer struct {
 	evicted bool
 	retries int // since the eviction
 }
 
-// make evicts a connection, or waits for the descriptor of the one that it evicted. It reports false if there is none to evict.
-func (r *acceptRoom) make(evict func() bool) bool {
-	if r.evicted && r.retries < acceptRetries {
-		r.retries++
+// reclaim evicts a connection, or waits for the descriptor of the connection evicted before. It reports false if no
+// connection can be evicted.
+func (d *descriptorReclaimer) reclaim(evict func() bool) bool {
+	if d.evicted && d.retries < acceptRetries {
+		d.retries++
 		time.Sleep(acceptRetryDelay)
 		return true
 	}
-	r.evicted, r.retries = evict(), 0
-	return r.evicted
+	d.evicted, d.retries = evict(), 0
+	return d.evicted
 }
 
-// isDescriptorExhausted reports whether accepting failed because descriptors, or the kernel's memory for them, have run
-// out.
+// isDescriptorExhausted reports whether accept failed because descriptors, or the kernel's memory for them, are
+// exhausted.
 func isDescriptorExhausted(err error) bool {
 	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) || errors.Is(err, syscall.ENOBUFS) ||
 		errors.Is(err, syscall.ENOMEM)
 }
 
-// evictOne closes the connection that can be evicted first. It is for descriptors that run out below the limit, as
-// something else in the process uses them or the machine has fewer than it says: clients in the backlog would otherwise
-// wait until one leaves. It reports false if no connection can be evicted.
+// evictOne evicts the connection that is first in the eviction order. It is called if descriptors are exhausted below
+// the connection limit, because something else in the process uses them or the machine has fewer than configured:
+// clients in the backlog would otherwise wait until another client disconnects. It reports false if no connection can
+// be evicted.
 func (l *listener) evictOne() bool {
 	l.mu.Lock()
 	id := l.admission.Victim(l.now())
@@ -186,31 +193,32 @@
 	victim := l.conns[id].conn
 	slog.Warn("accept_no_descriptor", "connections", l.admission.Len(), "limit", l.admission.Limit())
 	if victim == nil {
-		l.closeUnlessReadable(id, endMadeRoom)
+		l.closeUnlessReadable(id, endEvicted)
 	}
 	l.mu.Unlock()
 	l.evict(victim)
 	return true
 }
 
-// evict closes a connection with a goroutine; nil = there is none. The listener's lock must not be held.
+// evict closes a connection that is not parked; nil = there is none. The caller must not hold l.mu.
 func (l *listener) evict(victim *clientConn) {
 	if victim != nil {
-		victim.setEndReason(endMadeRoom)
+		victim.setEndReason(endEvicted)
 		victim.Close()
 	}
 }
 
-// admit admits a new connection. It returns nil if the connection is parked until its first byte.
+// admit registers a new connection, and evicts another if the limit is reached. It returns nil if the new connection is
+// parked until its first byte.
 func (l *listener) admit(raw net.Conn) *clientConn {
 	l.setSocketOptions(raw)
 	c := &clientConn{Conn: raw, listener: l, startedAt: time.Now()}
 	l.mu.Lock()
 	var victim *clientConn
-	victim, c.overLimit = l.makeRoom()
+	victim, c.overLimit = l.ensureCapacity()
 	granted := l.memory.Reserve(memorybudget.ActiveConns, activeConnMemory)
 	if !granted {
-		l.memory.ForceReserve(memorybudget.ActiveConns, activeConnMemory) // until it is parked or shed
+		l.memory.ForceReserve(memorybudget.ActiveConns, activeConnMemory) // released when it is parked or closed
 	}
 	decision := l.admission.Decide(granted, l.underPressure())
 	c.id = l.admission.Open(l.now())
@@ -227,6 +235,7 @@
 	return c
 }
 
+// setSocketOptions sets the configured keep-alive and send buffer of a TCP connection.
 func (l *listener) setSocketOptions(raw net.Conn) {
 	tcp, ok := raw.(*net.TCPConn)
 	if !ok {
@@ -241,9 +250,10 @@
 	}
 }
 
-// makeRoom makes room for a new connection: it closes parked ones, or returns one with a goroutine for the caller to
-// close. A parked one with a request is resumed instead. It reports overLimit if none can be evicted.
-func (l *listener) makeRoom() (victim *clientConn, overLimit bool) {
+// ensureCapacity evicts connections until a new one is within the limit. It closes parked connections itself, but
+// resumes those that have received a request; a connection that is not parked is returned for the caller to close. It
+// reports overLimit if no connection can be evicted. The caller holds l.mu.
+func (l *listener) ensureCapacity() (victim *clientConn, overLimit bool) {
 	for l.admission.Full() {
 		id := l.admission.Victim(l.now())
 		if id == connadmission.NoConn {
@@ -252,12 +262,12 @@
 		if c := l.conns[id].conn; c != nil {
 			return c, false
 		}
-		l.closeUnlessReadable(id, endMadeRoom)
+		l.closeUnlessReadable(id, endEvicted)
 	}
 	return nil, false
 }
 
-// track stores a connection under its id.
+// track stores a connection in the slot of its id.
 func (l *listener) track(c *clientConn) {
 	for int(c.id) >= len(l.conns) {
 		l.conns = append(l.conns, connSlot{})
@@ -265,12 +275,12 @@
 	l.conns[c.id] = connSlot{conn: c}
 }
 
-// tracks reports whether a connection is stored under its id: it has not ended and is not parked.
+// tracks reports whether the slot of its id holds a connection, which is so until the connection ends or is parked.
 func (l *listener) tracks(c *clientConn) bool {
 	return int(c.id) < len(l.conns) && l.conns[c.id].conn == c
 }
 
-// release frees the slot of a connection that has ended.
+// release frees the slot and the memory reservation of a connection that has ended.
 func (l *listener) release(id connadmission.ID) {
 	l.cancelTimeout(id)
 	l.admission.Close(id)
@@ -303,7 +313,7 @@
 	return tracked
 }
 
-// shouldClose reports whether a connection is to be closed after the present response.
+// shouldClose reports whether a connection is to be closed after the current response.
 func (l *listener) shouldClose(c *clientConn) bool {
 	c.mu.Lock()
 	requests := c.requests
@@ -314,7 +324,7 @@
 		l.admission.ShouldCloseAfterResponse(c.id, requests, l.idleSet == nil && l.underPressure())
 }
 
-// requestStarted records the customer of the present request of a connection.
+// requestStarted records the customer of the current request of a connection.
 func (l *listener) requestStarted(c *clientConn, customer connadmission.CustomerIndex) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -323,7 +333,8 @@
 	}
 }
 
-// connStateChanged follows the states of connections in net/http.
+// connStateChanged implements http.Server's ConnState hook. It counts requests and reports their begin and end to the
+// admission controller.
 func (l *listener) connStateChanged(nc net.Conn, state http.ConnState) {
 	c, ok := nc.(*clientConn)
 	if !ok {
@@ -332,9 +343,9 @@
 	c.mu.Lock()
 	if c.idle = state == http.StateIdle; state == http.StateActive {
 		c.requests++
-		c.graceLeft, c.resumed = 0, false
+		c.remainingGrace, c.resumed = 0, false
 	}
-	partialHead := state == http.StateIdle && c.hasPartialHead() // of the next request, read with the last one
+	partialHead := state == http.StateIdle && c.hasPartialHead() // the next request was partly read with the last one
 	c.mu.Unlock()
 	if partialHead && l.enforcesMinRate() {
 		defer l.enterPhase(c, readingHead)
@@ -352,8 +363,8 @@
 	}
 }
 
-// stop closes the connections that net/http's shutdown would wait for without a request, and parked ones without one. It
-// records the reason of idle ones that net/http is going to close.
+// stop closes the connections that have not sent a byte, for which net/http's Shutdown would wait, and the parked
+// connections without a request. It records the end reason of idle connections, which net/http closes.
 func (l *listener) stop() {
 	l.mu.Lock()
 	unused := l.closeAll()
@@ -373,8 +384,8 @@
 	}
 }
 
-// closeAll closes the parked connections without a request, and returns those that have never had one for the caller to
-// close. Nothing is parked after it.
+// closeAll marks the listener as closed, so that nothing is parked any more, and closes the parked connections without
+// a request. It returns the other connections that have not sent a byte for the caller to close. The caller holds l.mu.
 func (l *listener) closeAll() (unused []*clientConn) {
 	l.closed = true
 	for i := range l.conns {
--- a/gatherer/listenerharness_test.go
+++ b/gatherer/listenerharness_test.go
@@ -15,15 +15,16 @@
 	"oxbowspan/internal/idleconn"
 )
 
-// listenerHarness is a listener with net/http, as frontend.serve sets them up, and a handler that echoes requests.
+// listenerHarness runs a listener and an http.Server as frontend.serve does, with a handler that echoes requests.
 type listenerHarness struct {
 	t        testing.TB
 	listener *listener
 	srv      *http.Server
 	addr     string
-	gate     chan struct{} // requests for /wait are answered once it is closed
+	gate     chan struct{} // closed to let the requests for /wait be answered
 }
 
+// startHarness starts a harness with parking on a new TCP listener.
 func startHarness(t testing.TB, descriptors, maxActive int, idle time.Duration) *listenerHarness {
 	nl, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -32,6 +33,7 @@
 	return startHarnessOn(t, nl, listenerConfig{descriptors: descriptors, maxActiveConns: maxActive}, idle)
 }
 
+// startHarnessOn starts a harness with parking. Connections are parked after 1 ms.
 func startHarnessOn(t testing.TB, nl net.Listener, config listenerConfig, idle time.Duration) *listenerHarness {
 	r := &listenerHarness{t: t, listener: newListener(nl, config), addr: nl.Addr().String(), gate: make(chan struct{})}
 	r.listener.admission.SetParkDelay(1)
@@ -40,20 +42,21 @@
 	return r
 }
 
-// startUnparkedHarness starts a listener that parks nothing.
+// startUnparkedHarness starts a harness without parking.
 func startUnparkedHarness(t testing.TB, nl net.Listener, config listenerConfig) *listenerHarness {
 	r := &listenerHarness{t: t, listener: newListener(nl, config), addr: nl.Addr().String(), gate: make(chan struct{})}
 	r.serve()
 	return r
 }
 
-// last returns the connection of the last slot; nil = it is parked.
-func (r *listenerHarness) last() *clientConn {
+// lastConn returns the connection in the last slot; nil = it is parked or the slot is free.
+func (r *listenerHarness) lastConn() *clientConn {
 	r.listener.mu.Lock()
 	defer r.listener.mu.Unlock()
 	return r.listener.conns[len(r.listener.conns)-1].conn
 }
 
+// serve starts an http.Server on the listener until the test ends.
 func (r *listenerHarness) serve() {
 	r.srv = &http.Server{ReadHeaderTimeout: readTimeout, ConnState: r.listener.connStateChanged, Handler: http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		b, _ := io.ReadAll(q.Body)
@@ -70,6 +73,7 @@
 	})
 }
 
+// parked returns the number of parked connections.
 func (r *listenerHarness) parked() (n int) {
 	r.listener.mu.Lock()
 	defer r.listener.mu.Unlock()
@@ -81,27 +85,30 @@
 	return n
 }
 
-// until waits until a condition is true.
-func (r *listenerHarness) until(what string, is func() bool) {
+// until polls a condition until it is true, and fails the test after testTimeout.
+func (r *listenerHarness) until(condition string, met func() bool) {
 	r.t.Helper()
-	for end := time.Now().Add(testTimeout); !is(); runtime.Gosched() {
+	for end := time.Now().Add(testTimeout); !met(); runtime.Gosched() {
 		if time.Now().After(end) {
-			r.t.Fatalf("timeout: not %s", what)
+			r.t.Fatalf("timeout: not %s", condition)
 		}
 	}
 }
 
+// awaitParked waits until exactly n connections are parked.
 func (r *listenerHarness) awaitParked(n int) {
 	r.t.Helper()
 	r.until(fmt.Sprintf("%d connections parked", n), func() bool { return r.parked() == n })
 }
 
+// harnessClient is a client connection to a listenerHarness.
 type harnessClient struct {
 	net.Conn
 	t testing.TB
 	r *bufio.Reader
 }
 
+// dial opens a connection, which is closed at the end of the test.
 func (r *listenerHarness) dial() *harnessClient {
 	r.t.Helper()
 	c, err := net.Dial("tcp", r.addr)
@@ -112,6 +119,7 @@
 	return &harnessClient{c, r.t, bufio.NewReader(c)}
 }
 
+// send writes text to the connection.
 func (c *harnessClient) send(text string) {
 	c.t.Helper()
 	if _, err := io.WriteString(c, text); err != nil {
@@ -119,7 +127,8 @@
 	}
 }
 
-func (c *harnessClient) answer() (status int, body string, err error) {
+// readResponse reads a response within testTimeout.
+func (c *harnessClient) readResponse() (status int, body string, err error) {
 	c.SetReadDeadline(time.Now().Add(testTimeout))
 	res, err := http.ReadResponse(c.r, nil)
 	if err != nil {
@@ -130,24 +139,27 @@
 	return res.StatusCode, string(b), err
 }
 
+// expect reads a response and checks that it is 200 with a body.
 func (c *harnessClient) expect(body string) {
 	c.t.Helper()
-	if status, got, err := c.answer(); err != nil || status != 200 || got != body {
+	if status, got, err := c.readResponse(); err != nil || status != 200 || got != body {
 		c.t.Fatalf("got %d %q, %v, want %q", status, got, err, body)
 	}
 }
 
+// post returns the text of a POST request.
 func post(path, body string) string {
 	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: x\r\nContent-Length: %d\r\n\r\n%s", path, len(body), body)
 }
 
-// hold locks the listener until a request is unread on a parked connection, and then calls a function under the lock.
-func (r *listenerHarness) hold(place int, c *harnessClient, request string, done func()) {
+// withPendingRequest sends a request on the parked connection in a slot, and calls f once the request is readable. The
+// listener is locked all the time, so that it cannot resume the connection before.
+func (r *listenerHarness) withPendingRequest(slot int, c *harnessClient, request string, f func()) {
 	r.t.Helper()
 	r.listener.mu.Lock()
-	fd := int(r.listener.conns[place].fd)
+	fd := int(r.listener.conns[slot].fd)
 	c.send(request)
-	r.until("bytes waiting", func() bool { waiting, _ := idleconn.Peek(fd); return waiting })
-	done()
+	r.until("request readable", func() bool { readable, _ := idleconn.Peek(fd); return readable })
+	f()
 	r.listener.mu.Unlock()
 }
--- a/gatherer/mailbox.go
+++ b/gatherer/mailbox.go
@@ -8,31 +8,31 @@
 	"oxbowspan/internal/shardconn"
 )
 
-// mailboxSize is how many messages may wait for the dispatcher. Whoever sends one more blocks: a client's request, the
-// client of a server. The dispatcher itself never blocks on another goroutine.
+// mailboxSize is the capacity of the dispatcher's mailbox. If it is full, senders block: the goroutines of client
+// requests and the clients of servers. The dispatcher itself never blocks on another goroutine.
 const mailboxSize = 1024
 
-// message is what the dispatcher receives.
+// message is a message to the dispatcher.
 type message interface{ message() }
 
-// The messages.
+// Messages to the dispatcher.
 type (
 	requestArrived   struct{ request *clientRequest }
-	clientGone       struct{ request *clientRequest }
+	clientGone       struct{ request *clientRequest } // the client has disconnected
 	listReceived     struct{ list discovery.ServerList }
 	watchFailed      struct{}
 	attemptEnded     struct{ event shardconn.AttemptEnded }
 	healthCheckEnded struct{ event balancer.HealthCheckEnded }
-	// levelsReplaced carries a new configuration of degradation.
+	// levelsReplaced replaces the configuration of degradation.
 	levelsReplaced struct{ config degradation.Config }
-	// operatorRequest carries a request of the admin socket.
+	// operatorRequest is a request on the admin socket.
 	operatorRequest struct{ request admin.Request }
-	// intentWritten says that the intent of a request is durable, or why it could not be written.
+	// intentWritten reports that the intent of a request is durable, or the error of writing it.
 	intentWritten struct {
 		request *clientRequest
 		err     error
 	}
-	// intentTimeout says that the intent of a request is not written in time.
+	// intentTimeout reports that the intent of a request was not written in time.
 	intentTimeout struct{ request *clientRequest }
 )
 
@@ -47,10 +47,11 @@
 func (intentWritten) message()    {}
 func (intentTimeout) message()    {}
 
-// mailbox is the dispatcher as other goroutines see it. It implements shardconn.EventHandler and discovery.Handler.
+// mailbox is the dispatcher's queue of messages from other goroutines. It implements shardconn.EventHandler and
+// discovery.Handler.
 type mailbox struct {
 	messages chan message
-	done     chan struct{} // closed when the dispatcher has ended
+	done     chan struct{} // closed when the dispatcher stops
 }
 
 var (
@@ -62,7 +63,7 @@
 	return mailbox{messages: make(chan message, mailboxSize), done: make(chan struct{})}
 }
 
-// send sends a message. It reports false if the dispatcher has ended.
+// send sends a message, and blocks while the mailbox is full. It reports false if the dispatcher has stopped.
 func (m mailbox) send(msg message) bool {
 	select {
 	case m.messages <- msg:
--- a/gatherer/memory.go
+++ b/gatherer/memory.go
@@ -9,7 +9,7 @@
 	"oxbowspan/memorybudget"
 )
 
-// logPressure logs a change of memory pressure.
+// logPressure logs a change of the memory pressure: as a warning if it becomes critical.
 func logPressure(from, to memorybudget.Pressure, s memorybudget.Snapshot) {
 	level := slog.LevelInfo
 	if to == memorybudget.PressureCritical {
@@ -19,7 +19,7 @@
 	slog.Log(context.Background(), level, "memory_pressure", fields...)
 }
 
-// memoryFields returns the log fields of a snapshot, in bytes.
+// memoryFields returns the log attributes of a snapshot. Sizes are in bytes.
 func memoryFields(s memorybudget.Snapshot) []any {
 	fields := []any{"held", int64(s.Total), "most", int64(s.MaxTotal), "peak", int64(s.Peak)}
 	for a := range memorybudget.AccountCount {
@@ -32,7 +32,7 @@
 	return append(fields, "refused", rejections, "forced", int64(s.MaxOvercommit))
 }
 
-// reportMemory logs the use of memory at an interval until done is closed.
+// reportMemory logs the memory use of the budget and of the Go runtime at an interval until done is closed.
 func reportMemory(budget *memorybudget.Budget, interval time.Duration, done <-chan struct{}) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
@@ -62,7 +62,7 @@
 	}
 }
 
-// memoryAccount is one account of a budget. It implements merge.ParentBudget and shardconn.MemoryAccount.
+// memoryAccount is a single account of a memory budget. It implements merge.ParentBudget and shardconn.MemoryAccount.
 type memoryAccount struct {
 	budget  *memorybudget.Budget
 	account memorybudget.Account
--- a/gatherer/parking.go
+++ b/gatherer/parking.go
@@ -19,29 +19,30 @@
 	"oxbowspan/memorybudget"
 )
 
-// After releaseMemoryAfter parked connections the memory of their goroutines is returned to the system, once within
-// releaseMemoryDelay: the runtime alone would keep the pages of a peak for minutes.
+// Once releaseMemoryThreshold connections were parked, the memory of their goroutines is returned to the operating
+// system after releaseMemoryDelay, and at most once in that time. The runtime alone would keep the pages of a peak for
+// minutes.
 const (
-	releaseMemoryAfter = 512
-	releaseMemoryDelay = 2 * time.Second
+	releaseMemoryThreshold = 512
+	releaseMemoryDelay     = 2 * time.Second
 )
 
 // parkedShedText is the body of the response to a request on a parked connection that cannot be resumed.
 const parkedShedText = "too many clients ask at once, asking again is harmless\n"
 
-// connSlot is a connection of a client, with a goroutine or parked. As there is one for each connection it is kept small:
-// 40 bytes.
+// connSlot is the table entry of a client connection, parked or not. It is kept small, 40 bytes, because there is one
+// for each connection.
 type connSlot struct {
-	conn *clientConn // nil = it is parked, or the slot is free
+	conn *clientConn // nil = the connection is parked or the slot is free
 
-	// Of a parked connection.
-	startedMillis int64   // Unix time
-	fd            int32   // 0 = it is not parked
-	requests      int32   // 0 = it never had one
-	ip            [4]byte // of the client, as a broken socket does not know it any more
+	// State of a parked connection.
+	startedMillis int64   // when it was opened, Unix time in milliseconds
+	fd            int32   // 0 = not parked
+	requests      int32   // requests so far; 0 = it has never sent one
+	ip            [4]byte // address of the client, which can no longer be queried once the socket has failed
 	port          uint16  // 0 = the client has no IPv4 address
 
-	timeout timerwheel.Handle // idle timeout if parked, else minimum rate; 0 = none
+	timeout timerwheel.Handle // idle timeout if parked, or else the rate check; 0 = none
 }
 
 // remoteAddr returns the address of the client of a parked connection.
@@ -52,10 +53,10 @@
 	return netip.AddrPortFrom(netip.AddrFrom4(s.ip), s.port).String()
 }
 
-// enableParking lets idle connections be parked from now on, if the system supports that. A parked one is closed after
-// the idle timeout; 0 = never.
+// enableParking enables the parking of idle connections, if the system supports it. A parked connection is closed after
+// the idle timeout; 0 = never. retryAfter is for requests on parked connections that are shed.
 func (l *listener) enableParking(retryAfter balancer.Time, idleTimeout time.Duration) {
-	set, err := idleconn.New(l.parkedReadable)
+	set, err := idleconn.New(l.onParkedReadable)
 	if err != nil {
 		slog.Warn("parking_off", "error", err)
 		return
@@ -66,7 +67,7 @@
 	l.startWheel()
 }
 
-// parkedShedResponse returns the response to a request on a parked connection that cannot be resumed.
+// parkedShedResponse encodes the response to a request on a parked connection that cannot be resumed.
 func parkedShedResponse(retryAfter balancer.Time) []byte {
 	header := http.Header{"Connection": {"close"}, "Content-Type": {contentText},
 		"Content-Length": {strconv.Itoa(len(parkedShedText))}}
@@ -78,27 +79,28 @@
 	return b.Bytes()
 }
 
-// lingerDuration returns how long a connection that is idle now keeps its goroutine.
-func (l *listener) lingerDuration() time.Duration {
+// currentParkDelay returns how long a connection that becomes idle now keeps its goroutine.
+func (l *listener) currentParkDelay() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return time.Duration(l.admission.ParkDelay(l.underPressure())) * time.Millisecond
 }
 
-// park takes over the socket of an idle connection. It reports false if that keeps its goroutine.
+// park parks an idle connection. It reports false if the connection could not be parked and so keeps its goroutine.
 func (l *listener) park(c *clientConn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.parkLocked(c, l.idleTimeout) {
 		return false
 	}
-	if l.parkedSinceRelease++; l.parkedSinceRelease == releaseMemoryAfter {
+	if l.parkedSinceRelease++; l.parkedSinceRelease == releaseMemoryThreshold {
 		l.releaseTimer = time.AfterFunc(releaseMemoryDelay, l.releaseMemory)
 	}
 	return true
 }
 
-// parkLocked takes over the socket of a connection, to be closed after a timeout; 0 = never. The listener's lock is held.
+// parkLocked moves the socket of a connection to the idle set, to be closed after a timeout; 0 = never. It reports
+// false if the connection could not be parked. The caller holds l.mu.
 func (l *listener) parkLocked(c *clientConn, timeout time.Duration) bool {
 	tcp, ok := c.Conn.(*net.TCPConn)
 	if !ok || l.closed || l.idleSet == nil || !l.tracks(c) {
@@ -107,7 +109,7 @@
 	remote, _ := tcp.RemoteAddr().(*net.TCPAddr)
 	fd, err := l.idleSet.Park(tcp, uint32(c.id))
 	if err != nil {
-		return false // out of descriptors: for a moment it takes one more
+		return false // probably out of descriptors: parking briefly needs an additional one
 	}
 	l.cancelTimeout(c.id)
 	c.mu.Lock()
@@ -129,6 +131,7 @@
 	return true
 }
 
+// releaseMemory returns free memory to the operating system.
 func (l *listener) releaseMemory() {
 	debug.FreeOSMemory()
 	l.mu.Lock()
@@ -136,20 +139,20 @@
 	l.parkedSinceRelease = 0
 }
 
-// parkedReadable is called when a parked connection may be readable. A request that cannot be served is shed here, before
-// it costs a goroutine and buffers.
-func (l *listener) parkedReadable(value uint32, fd int) {
+// onParkedReadable is called by the idle set when a parked connection may be readable. value is the id of the
+// connection. A request that cannot be served is shed here, before a goroutine and buffers are allocated for it.
+func (l *listener) onParkedReadable(value uint32, fd int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	id := connadmission.ID(value)
 	if int(value) >= len(l.conns) || l.conns[value].fd != int32(fd) {
-		return // it was closed or resumed meanwhile
+		return // stale: the connection was closed or resumed meanwhile
 	}
 	switch readable, err := idleconn.Peek(fd); {
 	case errors.Is(err, io.EOF):
-		l.closeParked(id, endClient)
+		l.closeParked(id, endClientClosed)
 	case err != nil:
-		l.closeParked(id, endReset)
+		l.closeParked(id, endClientReset)
 	case readable:
 		if !l.memory.Reserve(memorybudget.ActiveConns, activeConnMemory) {
 			l.rejectParked(id)
@@ -157,16 +160,16 @@
 			l.memory.Release(memorybudget.ActiveConns, activeConnMemory)
 			l.rejectParked(id)
 		} else {
-			l.resumeAccounted(id)
+			l.resumeReserved(id)
 		}
 	default:
 		if l.idleSet.Rearm(fd, value) != nil {
-			l.closeParked(id, endReset)
+			l.closeParked(id, endClientReset)
 		}
 	}
 }
 
-// closeUnlessReadable closes a parked connection, or resumes it if it has a request.
+// closeUnlessReadable closes a parked connection, or resumes it if it has unread bytes, which are taken for a request.
 func (l *listener) closeUnlessReadable(id connadmission.ID, reason endReason) {
 	if readable, _ := idleconn.Peek(int(l.conns[id].fd)); readable {
 		l.resume(id)
@@ -175,15 +178,17 @@
 	l.closeParked(id, reason)
 }
 
-// resume hands a parked connection to net/http, whatever memory is in use: it has a request that must not be closed.
+// resume hands a parked connection to net/http. Its memory is reserved regardless of the limit, because the connection
+// has a request and must not be closed.
 func (l *listener) resume(id connadmission.ID) {
 	l.memory.ForceReserve(memorybudget.ActiveConns, activeConnMemory)
-	l.resumeAccounted(id)
+	l.resumeReserved(id)
 }
 
-// resumeAccounted hands a parked connection to net/http once its memory is reserved. If descriptors have run out, as for
-// a moment it takes one more, its request is shed: a request is never closed without a response.
-func (l *listener) resumeAccounted(id connadmission.ID) {
+// resumeReserved hands a parked connection to net/http after its memory was reserved. Resuming briefly needs an
+// additional descriptor; if none is available, the request is shed, because a connection with a request is never closed
+// without a response.
+func (l *listener) resumeReserved(id connadmission.ID) {
 	slot := l.conns[id]
 	raw, err := l.idleSet.Unpark(int(slot.fd))
 	if err != nil {
@@ -198,25 +203,25 @@
 	c.hasRead.Store(true)
 	l.conns[id] = connSlot{conn: c}
 	l.memory.Release(memorybudget.ParkedConns, idleConnMemory)
-	l.admission.BeginRequest(id) // so that it is not evicted
+	l.admission.BeginRequest(id) // protects it from eviction
 	l.resumed.enqueue(c)
 }
 
 // closeParked closes a parked connection.
 func (l *listener) closeParked(id connadmission.ID, reason endReason) {
-	l.dropParked(id, reason, func() { l.idleSet.Close(int(l.conns[id].fd)) })
+	l.endParked(id, reason, func() { l.idleSet.Close(int(l.conns[id].fd)) })
 }
 
-// rejectParked sheds the request of a parked connection and closes it.
+// rejectParked sheds the request of a parked connection and closes the connection.
 func (l *listener) rejectParked(id connadmission.ID) {
-	l.dropParked(id, endOverLimit, func() { l.idleSet.Reject(int(l.conns[id].fd), l.shedResponse) })
+	l.endParked(id, endOverLimit, func() { l.idleSet.Reject(int(l.conns[id].fd), l.shedResponse) })
 }
 
-// dropParked ends a parked connection by a function and releases its slot.
-func (l *listener) dropParked(id connadmission.ID, reason endReason, end func()) {
+// endParked ends a parked connection: it calls closeSocket, releases the slot and logs the end.
+func (l *listener) endParked(id connadmission.ID, reason endReason, closeSocket func()) {
 	slot := l.conns[id]
 	client := slot.remoteAddr()
-	end()
+	closeSocket()
 	l.release(id)
 	logClientEnd(client, reason, int(slot.requests), time.UnixMilli(slot.startedMillis))
 }
--- a/gatherer/parking_test.go
+++ b/gatherer/parking_test.go
@@ -44,13 +44,13 @@
 	c.send(post("/1", "a") + post("/2", "b") + third[:3])
 	c.expect("/1 a")
 	c.expect("/2 b")
-	// net/http has read three bytes of the next request and waits for more: the connection must not be parked.
+	// net/http has read three bytes of the next request and waits for more, so the connection must not be parked.
 	r.listener.mu.Lock()
 	conn := r.listener.conns[0].conn
 	r.listener.mu.Unlock()
 	r.until("idle", func() bool { return conn != nil && conn.isMarkedIdle() })
 	if conn.isIdle() || r.listener.admission.Len() != 1 {
-		t.Error("a connection may be parked with part of a request read")
+		t.Error("a connection with a partly read request would be parked")
 	}
 	c.send(third[3:])
 	c.expect("/3 c")
@@ -62,24 +62,24 @@
 
 func TestParkedConnectionClose(t *testing.T) {
 	r := startHarness(t, 100, 0, 0)
-	closed, half, asking, reset := r.dial(), r.dial(), r.dial(), r.dial()
-	for _, c := range []*harnessClient{closed, half, asking, reset} {
+	closed, halfClosed, requesting, reset := r.dial(), r.dial(), r.dial(), r.dial()
+	for _, c := range []*harnessClient{closed, halfClosed, requesting, reset} {
 		c.send(post("/", ""))
 		c.expect("/ ")
 	}
 	r.awaitParked(4)
 	closed.Close()
-	half.Conn.(*net.TCPConn).CloseWrite()
+	halfClosed.Conn.(*net.TCPConn).CloseWrite()
 	reset.Conn.(*net.TCPConn).SetLinger(0)
 	reset.Close()
 	r.awaitParked(1)
-	if _, _, err := half.answer(); !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
+	if _, _, err := halfClosed.readResponse(); !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
 		t.Errorf("a half-closed connection got %v", err)
 	}
-	// A request before the half-close is answered.
-	asking.send(post("/last", "x"))
-	asking.Conn.(*net.TCPConn).CloseWrite()
-	asking.expect("/last x")
+	// A request sent before the half-close is answered.
+	requesting.send(post("/last", "x"))
+	requesting.Conn.(*net.TCPConn).CloseWrite()
+	requesting.expect("/last x")
 	r.until("all closed", func() bool {
 		r.listener.mu.Lock()
 		defer r.listener.mu.Unlock()
@@ -96,9 +96,9 @@
 	r.listener.mu.Lock()
 	fd := int(r.listener.conns[0].fd)
 	r.listener.mu.Unlock()
-	r.listener.parkedReadable(0, fd)      // nothing to read
-	r.listener.parkedReadable(0, fd+1000) // of another socket
-	r.listener.parkedReadable(77, fd)     // of no connection
+	r.listener.onParkedReadable(0, fd)      // nothing to read
+	r.listener.onParkedReadable(0, fd+1000) // a different descriptor
+	r.listener.onParkedReadable(77, fd)     // no connection has this id
 	if r.parked() != 1 {
 		t.Fatal("the connection is no longer parked")
 	}
@@ -117,13 +117,13 @@
 		all = append(all, c)
 	}
 	r.awaitParked(n)
-	var both sync.WaitGroup
+	var wg sync.WaitGroup
 	var mu sync.Mutex
 	got := map[int]int{}
 	for _, c := range all {
-		both.Add(1)
+		wg.Add(1)
 		go func() {
-			defer both.Done()
+			defer wg.Done()
 			io.WriteString(c, post("/wait", "x"))
 			c.SetReadDeadline(time.Now().Add(testTimeout))
 			res, err := http.ReadResponse(c.r, nil)
@@ -139,10 +139,10 @@
 			mu.Unlock()
 		}()
 	}
-	// Shed requests are answered while the others still wait.
+	// Shed requests get their responses while the others still wait.
 	r.until("requests are shed", func() bool { mu.Lock(); defer mu.Unlock(); return got[http.StatusServiceUnavailable] == n-active })
 	close(r.gate)
-	both.Wait()
+	wg.Wait()
 	if got[http.StatusOK] != active || got[http.StatusOK]+got[http.StatusServiceUnavailable] != n {
 		t.Errorf("responses by status: %v, want %d of %d served", got, active, n)
 	}
@@ -156,19 +156,20 @@
 	})
 }
 
-// The idle timeout and a request come at the same moment: the request is answered; a connection without one is closed.
+// If a request arrives just before the idle timeout expires, the request is answered. A connection without a request is
+// closed.
 func TestWakeupAtIdleTimeoutIsAnswered(t *testing.T) {
 	r := startHarness(t, 200, 0, time.Hour)
-	silent, asking := r.dial(), r.dial()
-	for _, c := range []*harnessClient{silent, asking} {
+	silent, requesting := r.dial(), r.dial()
+	for _, c := range []*harnessClient{silent, requesting} {
 		c.send(post("/", ""))
 		c.expect("/ ")
 	}
 	r.awaitParked(2)
-	r.hold(1, asking, post("/again", "x"), func() { r.listener.expireUntil(2 * int64(time.Hour/wheelTick)) })
-	asking.expect("/again x")
-	if _, _, err := silent.answer(); !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
-		t.Errorf("a silent connection got %v, want its end", err)
+	r.withPendingRequest(1, requesting, post("/again", "x"), func() { r.listener.expireUntil(2 * int64(time.Hour/wheelTick)) })
+	requesting.expect("/again x")
+	if _, _, err := silent.readResponse(); !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
+		t.Errorf("a silent connection got %v, want it closed", err)
 	}
 }
 
@@ -177,12 +178,13 @@
 	c := r.dial()
 	c.send(post("/", ""))
 	c.expect("/ ")
-	if _, _, err := c.answer(); !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
-		t.Errorf("a silent connection got %v, want its end", err)
+	if _, _, err := c.readResponse(); !errors.Is(err, io.EOF) && !errors.Is(err, io.ErrUnexpectedEOF) {
+		t.Errorf("a silent connection got %v, want it closed", err)
 	}
 }
 
-// A head that comes at one byte a second, the first of which resumes the connection, must meet the read timeout.
+// A request head sent at one byte per second, of which the first byte resumes the connection, must not last longer than
+// the read timeout.
 func TestSlowHeadAcrossParking(t *testing.T) {
 	r := startHarness(t, 100, 0, 0)
 	c := r.dial()
@@ -208,7 +210,7 @@
 		t.Error(err)
 	}
 	if took := time.Since(began); took > readTimeout+time.Second {
-		t.Errorf("it was open for %s", took)
+		t.Errorf("the connection was open for %s, want at most about the read timeout", took)
 	}
 	c.Close()
 	<-over
@@ -219,7 +221,8 @@
 	})
 }
 
-// In the built program a parked connection survives SIGHUP and is closed at its idle timeout.
+// In the built program a parked connection stays open when SIGHUP reloads the configuration, and is closed at its idle
+// timeout.
 func TestParkedConnectionSurvivesReload(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "operator.ini")
 	write := func(text string) {
@@ -238,7 +241,7 @@
 	health := "GET /-/healthy HTTP/1.1\r\nHost: x\r\n\r\n"
 	c.send(health)
 	c.expect("ok\n")
-	for answered := time.Now(); time.Since(answered) < 2*linger; { // it is parked meanwhile
+	for answered := time.Now(); time.Since(answered) < 2*parkDelay; { // the connection is parked meanwhile
 		p.cmd.Process.Signal(syscall.SIGHUP)
 		p.line("event=reload ", "needs_restart=none")
 	}
@@ -252,17 +255,17 @@
 
 func TestDrainClosesIdleAndAnswersPending(t *testing.T) {
 	r := startHarness(t, 200, 0, 0)
-	quiet, asking := r.dial(), r.dial()
-	for _, c := range []*harnessClient{quiet, asking} {
+	idle, requesting := r.dial(), r.dial()
+	for _, c := range []*harnessClient{idle, requesting} {
 		c.send(post("/", ""))
 		c.expect("/ ")
 	}
 	r.awaitParked(2)
-	r.hold(1, asking, post("/late", "x"), func() { r.listener.closeAll() })
+	r.withPendingRequest(1, requesting, post("/late", "x"), func() { r.listener.closeAll() })
 	r.listener.stop()
-	asking.expect("/late x")
-	if _, _, err := quiet.answer(); err == nil {
-		t.Error("a parked connection survives the drain")
+	requesting.expect("/late x")
+	if _, _, err := idle.readResponse(); err == nil {
+		t.Error("a parked connection without a request stays open during the drain")
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
@@ -272,7 +275,7 @@
 }
 
 func TestOldestParkedConnectionIsEvictedFirst(t *testing.T) {
-	r := startHarness(t, 9, 0, 0) // eight, and one in reserve
+	r := startHarness(t, 9, 0, 0) // a limit of eight, and a reserve of one
 	var all []*harnessClient
 	for i := range 8 {
 		c := r.dial()
@@ -284,8 +287,8 @@
 	fresh := r.dial()
 	fresh.send(post("/fresh", ""))
 	fresh.expect("/fresh ")
-	if _, _, err := all[0].answer(); err == nil {
-		t.Error("the connection that is idle longest was not evicted")
+	if _, _, err := all[0].readResponse(); err == nil {
+		t.Error("the longest idle connection was not evicted")
 	}
 	all[1].send(post("/still", ""))
 	all[1].expect("/still ")
--- a/gatherer/parse.go
+++ b/gatherer/parse.go
@@ -23,25 +23,25 @@
 	"oxbowspan/merge"
 )
 
-// Headers of a request.
+// Names of request headers.
 const (
-	headerID       = "Req-Id"
-	headerType     = "Req-Kind"
-	headerOwner    = "Req-Owner" // the customer
-	headerRetry    = "Req-Retry"
-	headerDeadline = "Req-Deadline-Ms"
+	headerRequestID = "Req-Id"
+	headerQueryType = "Req-Kind"
+	headerCustomer  = "Req-Owner" // name of the customer
+	headerRetry     = "Req-Retry"
+	headerDeadline  = "Req-Deadline-Ms"
 )
 
-// maxIDLength is the most hex digits of a Req-Id.
+// maxIDLength is the greatest number of hex digits of a Req-Id.
 const maxIDLength = 32
 
-// weightTolerance is the rounding error allowed in the sum of weights: ten times that of the balancer.
+// weightTolerance is the rounding error allowed in the sum of weights. It is ten times the tolerance of the balancer.
 const weightTolerance = 1e-3
 
-// guessPerMillisecond is the unit of a call's guess, microseconds.
-const guessPerMillisecond = 1000
+// microsPerMillisecond converts the expected work of a call, which clients specify in microseconds, to milliseconds.
+const microsPerMillisecond = 1000
 
-// Errors of requests: their texts are sent to the client.
+// Errors in requests. Their texts are sent to the client.
 var (
 	errBadID       = errors.New("Req-Id must be 1 to 32 hex digits")
 	errBadDeadline = errors.New("Req-Deadline-Ms must be a whole number of milliseconds above 0")
@@ -53,28 +53,28 @@
 	errStatement   = errors.New("statement is not a JSON string")
 )
 
-// requestBody is what is used of the body of a request.
+// requestBody is the JSON body of a request. Other members are ignored.
 type requestBody struct {
 	Calls     []bodyCall      `json:"tablets"`
 	Statement json.RawMessage `json:"statement"` // sent with each call
 	Merge     json.RawMessage `json:"merge"`
 }
 
-// bodyCall is a call of a request.
+// bodyCall is a call in the body of a request: the part of a search that one shard answers.
 type bodyCall struct {
-	Shard  *int64   `json:"tablet"`
-	Weight *float64 `json:"fraction"`
-	Guess  float64  `json:"guess"` // expected work in microseconds
+	Shard          *int64   `json:"tablet"`
+	Weight         *float64 `json:"fraction"`
+	ExpectedMicros float64  `json:"guess"` // expected work in microseconds
 }
 
-// parseRequest parses a request. The text of an error is for the client.
+// parseRequest parses and checks a request. The text of an error is sent to the client.
 func (t *transport) parseRequest(r *http.Request) (*clientRequest, error) {
-	req := &clientRequest{wireID: r.Header.Get(headerID), retry: r.Header.Get(headerRetry) == "1",
+	req := &clientRequest{wireID: r.Header.Get(headerRequestID), retry: r.Header.Get(headerRetry) == "1",
 		result: make(chan result, 1)}
 	if err := t.parseHeader(req, r); err != nil {
 		return nil, err
 	}
-	raw, err := readText(r)
+	raw, err := readBodyText(r)
 	if err != nil {
 		return nil, err
 	}
@@ -106,20 +106,20 @@
 	return req, nil
 }
 
-// parseHeader parses the headers of a request.
+// parseHeader parses the headers of a request into req, and checks that the path names the same query type.
 func (t *transport) parseHeader(req *clientRequest, r *http.Request) error {
 	if !isHexID(req.wireID) {
 		return errBadID
 	}
-	kind, ok := r.Header.Get(headerType), false
-	if req.queryType, ok = t.types[kind]; !ok {
-		return fmt.Errorf("Req-Kind %.60q is not a known query type", kind)
+	queryType, ok := r.Header.Get(headerQueryType), false
+	if req.queryType, ok = t.types[queryType]; !ok {
+		return fmt.Errorf("Req-Kind %.60q is not a known query type", queryType)
 	}
-	if first := firstSegment(r.URL.Path); first != kind {
-		return fmt.Errorf("the path is for %.60q, Req-Kind for %.60q", first, kind)
+	if first := firstSegment(r.URL.Path); first != queryType {
+		return fmt.Errorf("the path is for %.60q, Req-Kind for %.60q", first, queryType)
 	}
 	if len(t.customers) > 0 {
-		owner := r.Header.Get(headerOwner)
+		owner := r.Header.Get(headerCustomer)
 		if req.customer, ok = t.customers[owner]; !ok {
 			return fmt.Errorf("Req-Owner %.60q is not a known customer", owner)
 		}
@@ -138,7 +138,8 @@
 	return first
 }
 
-func readText(r *http.Request) ([]byte, error) {
+// readBodyText reads the body, which must be valid UTF-8.
+func readBodyText(r *http.Request) ([]byte, error) {
 	if r.Body == nil {
 		return nil, errNoBody
 	}
@@ -152,7 +153,8 @@
 	return raw, nil
 }
 
-// parseCalls checks the calls of a request: each shard at most once, weights that add up to 1.
+// parseCalls checks the calls of a request and adds them to req. Each shard may occur once, and the weights must add up
+// to 1.
 func (t *transport) parseCalls(req *clientRequest, calls []bodyCall) error {
 	shards := t.deployment.Balancer.Shards
 	sum, seen := 0.0, map[int64]bool{}
@@ -164,13 +166,13 @@
 			return fmt.Errorf("tablet %d is named twice", *c.Shard)
 		case c.Weight == nil || !(0 <= *c.Weight && *c.Weight <= 1+weightTolerance):
 			return fmt.Errorf("the fraction of tablet %d is missing or not from 0 to 1", *c.Shard)
-		case c.Guess < 0 || math.IsInf(c.Guess, 0):
+		case c.ExpectedMicros < 0 || math.IsInf(c.ExpectedMicros, 0):
 			return fmt.Errorf("the guess of tablet %d is below 0", *c.Shard)
 		}
 		seen[*c.Shard] = true
 		sum += *c.Weight
 		req.callSpecs = append(req.callSpecs,
-			callSpec{shard: balancer.ShardIndex(*c.Shard), weight: *c.Weight, size: c.Guess / guessPerMillisecond})
+			callSpec{shard: balancer.ShardIndex(*c.Shard), weight: *c.Weight, size: c.ExpectedMicros / microsPerMillisecond})
 	}
 	if math.Abs(sum-1) > weightTolerance {
 		return fmt.Errorf("the fractions add up to %.6g, not to 1", sum)
@@ -178,28 +180,29 @@
 	return nil
 }
 
-// idempotencyKey returns the key of a request that must not run twice, and the digest of its body. The key is that of the
-// client, or else the Req-Id, as a client may send a request again after its connection was closed.
+// idempotencyKey returns the idempotency key of a request that must not run twice, and the digest of its body. The key
+// is a hash of the customer, the query type and the key that the client sent, or the Req-Id if it sent none: a client
+// may send a request again under the same Req-Id after its connection was closed.
 func idempotencyKey(r *http.Request, header string, body []byte) (idempotency.Key, idempotency.Digest) {
-	own := "id " + r.Header.Get(headerID)
-	if given := r.Header.Get(header); given != "" {
-		own = "key " + given
+	source := "id " + r.Header.Get(headerRequestID)
+	if clientKey := r.Header.Get(header); clientKey != "" {
+		source = "key " + clientKey
 	}
 	h := blake3.New()
-	for _, s := range []string{r.Header.Get(headerOwner), r.Header.Get(headerType), own} {
+	for _, s := range []string{r.Header.Get(headerCustomer), r.Header.Get(headerQueryType), source} {
 		fmt.Fprintf(h, "%d:%s", len(s), s)
 	}
 	digest := blake3.Sum256(body)
 	return idempotency.Key(hex.EncodeToString(h.Sum(nil)[:16])), idempotency.Digest(binary.BigEndian.Uint64(digest[:]))
 }
 
-// mergeQuery parses what a request asks to be merged.
+// mergeQuery parses the merge member of a request body and checks it against the configuration of its query type.
 func (t *transport) mergeQuery(m *operatorconfig.Merging, r *http.Request, req *clientRequest,
 	raw json.RawMessage) (*merge.Query, error) {
-	kind := r.Header.Get(headerType)
-	allowed := m.Types[kind]
+	queryType := r.Header.Get(headerQueryType)
+	allowed := m.Types[queryType]
 	if allowed == nil {
-		return nil, fmt.Errorf("searches of query type %s are not merged", kind)
+		return nil, fmt.Errorf("searches of query type %s are not merged", queryType)
 	}
 	terms, err := merge.ParseRequest(raw)
 	if err != nil {
@@ -211,10 +214,11 @@
 	}
 	completeOnly := t.deployment.Balancer.QueryTypes[req.queryType].MinCoverage >= 1
 	return allowed.NewQuery(terms, segments, completeOnly, merge.Paging{Keys: m.Keys, Lifetime: m.CursorLifetime.Milliseconds(),
-		MaxLength: m.MaxCursorBytes, Now: time.Now().UnixMilli(), QueryType: kind, Customer: r.Header.Get(headerOwner),
+		MaxLength: m.MaxCursorBytes, Now: time.Now().UnixMilli(), QueryType: queryType, Customer: r.Header.Get(headerCustomer),
 		Statement: req.text})
 }
 
+// isHexID reports whether an id consists of 1 to maxIDLength hex digits.
 func isHexID(id string) bool {
 	for _, c := range []byte(id) {
 		if !('0' <= c && c <= '9' || 'a' <= c && c <= 'f' || 'A' <= c && c <= 'F') {
@@ -224,7 +228,7 @@
 	return 0 < len(id) && len(id) <= maxIDLength
 }
 
-// unquote returns the content of a JSON string. Without escapes that is a copy of its bytes.
+// unquote decodes a JSON string. A string without escapes is copied byte for byte.
 func unquote(raw []byte) ([]byte, error) {
 	if bytes.IndexByte(raw, '\\') < 0 {
 		return bytes.Clone(raw[1 : len(raw)-1]), nil
--- a/gatherer/parse_test.go
+++ b/gatherer/parse_test.go
@@ -15,7 +15,8 @@
 	"oxbowspan/internal/testing/standin"
 )
 
-// A request whose length other servers might read differently is refused, and nothing after it is served.
+// A request whose length other servers might parse differently is rejected, and no later request on the connection is
+// served.
 func TestAmbiguousRequestLengthIsRejected(t *testing.T) {
 	a := startShard(t, "s-a", nil)
 	p := start(t, startList(t, a), nil)
@@ -53,7 +54,7 @@
 	}
 }
 
-// Answers to the calls of two requests with one id could not be told apart.
+// The answers to the calls of two open requests with the same Req-Id could not be distinguished.
 func TestDuplicateRequestIDIsRejected(t *testing.T) {
 	hold := make(chan struct{})
 	a := startShard(t, "s-a", func(c *standin.ShardConn, p standin.ShardCall) {
@@ -86,25 +87,25 @@
 		return res.StatusCode
 	}
 	if status := again(); status != http.StatusBadRequest {
-		t.Errorf("a second request with the id of an open one got %d", status)
+		t.Errorf("a second request with the id of an open one got status %d, want 400", status)
 	}
 	close(hold)
 	if status := <-first; status != http.StatusOK {
-		t.Errorf("the first request got %d", status)
+		t.Errorf("the first request got status %d, want 200", status)
 	}
 	if status := again(); status != http.StatusOK {
-		t.Errorf("after the first has ended it got %d", status)
+		t.Errorf("after the first request has ended, one with its id got status %d, want 200", status)
 	}
 }
 
-// callsBody returns the body of a request with calls.
+// callsBody returns the body of a request with calls, which are a list of JSON objects.
 func callsBody(calls string) string { return `{"tablets":[` + calls + `],"statement":"x"}` }
 
 // validBody is the body of a valid request.
 var validBody = callsBody(`{"tablet":0,"fraction":1}`)
 
-// invalidRequests are requests that are refused with a status and one line of text. The header replaces one of a valid
-// request; "" = none.
+// invalidRequests are requests that are rejected with a status and one line of text. The header replaces that of a
+// valid request; "" = none is replaced.
 var invalidRequests = []struct {
 	name                       string
 	status                     int
@@ -169,11 +170,12 @@
 		t.Error("an invalid request reached a server")
 	}
 	if status, _, _ := p.ask("lookup", 0); status != http.StatusOK {
-		t.Errorf("after all that a request got %d", status)
+		t.Errorf("a valid request after the invalid ones got status %d, want 200", status)
 	}
 }
 
-// An incomplete request ends at the read timeout, and one that is not HTTP at once.
+// The connection of an incomplete request is closed at the read timeout, and that of a request that is not HTTP at
+// once.
 func TestIncompleteRequests(t *testing.T) {
 	a := startShard(t, "s-a", nil)
 	p := start(t, startList(t, a), nil)
@@ -193,6 +195,6 @@
 		t.Error("an incomplete request reached a server")
 	}
 	if status, _, _ := p.ask("lookup", 0); status != http.StatusOK {
-		t.Errorf("after all that a request got %d", status)
+		t.Errorf("a valid request after the invalid ones got status %d, want 200", status)
 	}
 }
--- a/gatherer/ratelimit.go
+++ b/gatherer/ratelimit.go
@@ -6,7 +6,8 @@
 	"oxbowspan/connadmission"
 )
 
-// ioPhase is what a connection is doing. Each phase has a minimum rate at which the client must send or read.
+// ioPhase is the kind of transfer in progress on a connection. Each phase may have a minimum rate at which the client
+// must send or read.
 type ioPhase uint8
 
 const (
@@ -17,7 +18,7 @@
 	phaseCount
 )
 
-// slowReasons are the reasons of closing a client below the minimum rate, by phase.
+// slowReasons are the end reasons of connections below the minimum rate, by phase.
 var slowReasons = [phaseCount]endReason{
 	readingHead: endSlowHead, readingBody: endSlowBody, writingAnswer: endSlowAnswer,
 }
@@ -28,8 +29,9 @@
 		l.minRates[writingAnswer].Enabled()
 }
 
-// enterPhase begins a phase of a connection; noPhase ends the present one. The connection has one entry in the wheel, at
-// the moment when the client is too slow if it transfers nothing. Transferred bytes are considered only then.
+// enterPhase begins a phase of a connection; noPhase ends the current one. During a phase the connection has one entry
+// in the timer wheel, at the time when the client is too slow if it transfers nothing. Bytes transferred meanwhile do
+// not move the entry: they are considered when it expires.
 func (l *listener) enterPhase(c *clientConn, phase ioPhase) {
 	if !l.enforcesMinRate() {
 		return
@@ -42,43 +44,44 @@
 	now := l.now()
 	c.mu.Lock()
 	if c.phase == writingAnswer {
-		c.graceLeft = max(c.slowAt-now, 1)
+		c.remainingGrace = max(c.rateDeadline-now, 1)
 	}
 	c.phase = phase
 	switch {
-	case phase == writingAnswer && c.graceLeft > 0:
-		c.slowAt = now + c.graceLeft
+	case phase == writingAnswer && c.remainingGrace > 0:
+		c.rateDeadline = now + c.remainingGrace
 	case phase != noPhase:
-		c.slowAt = l.minRates[phase].FirstDeadline(now)
+		c.rateDeadline = l.minRates[phase].FirstDeadline(now)
 	}
-	slowAt := c.slowAt
+	rateDeadline := c.rateDeadline
 	c.mu.Unlock()
 	l.cancelTimeout(c.id)
 	if phase != noPhase {
-		l.scheduleCheck(c.id, slowAt-now)
+		l.scheduleRateCheck(c.id, rateDeadline-now)
 	}
 }
 
-// scheduleCheck sets the entry of a connection in the wheel.
-func (l *listener) scheduleCheck(id connadmission.ID, after connadmission.Millis) {
+// scheduleRateCheck adds an entry for a connection to the timer wheel.
+func (l *listener) scheduleRateCheck(id connadmission.ID, after connadmission.Millis) {
 	l.conns[id].timeout = l.wheel.Add(l.tick(time.Duration(after)*time.Millisecond), uint32(id))
 	l.resetTimer()
 }
 
-// recordProgress records bytes that were transferred in the present phase. The connection's lock is held.
+// recordProgress extends the deadline by the bytes that were transferred in the current phase. The caller holds c.mu.
 func (c *clientConn) recordProgress(bytes int) {
 	if c.phase != noPhase {
-		c.slowAt = c.listener.minRates[c.phase].NextDeadline(c.slowAt, c.listener.now(), bytes)
+		c.rateDeadline = c.listener.minRates[c.phase].NextDeadline(c.rateDeadline, c.listener.now(), bytes)
 	}
 }
 
-// isTooSlow reports whether a connection is below its minimum rate and must be closed. If not it is checked again when it
-// may be. One with an incomplete head is the first to be evicted from now on. The listener's lock is held.
+// isTooSlow reports whether a connection is below its minimum rate and must be closed. If it is not, it is checked
+// again at its deadline, and if its request head is still incomplete, it is evicted before others from now on. The
+// caller holds l.mu.
 func (l *listener) isTooSlow(c *clientConn) bool {
 	now := l.now()
 	c.mu.Lock()
-	phase, slowAt := c.phase, c.slowAt
-	slow := phase != noPhase && l.minRates[phase].Exceeded(slowAt, now)
+	phase, rateDeadline := c.phase, c.rateDeadline
+	slow := phase != noPhase && l.minRates[phase].Exceeded(rateDeadline, now)
 	if slow && c.endReason == "" {
 		c.endReason = slowReasons[phase]
 	}
@@ -89,6 +92,6 @@
 	if phase == readingHead {
 		l.admission.MarkSlowHeader(c.id, now)
 	}
-	l.scheduleCheck(c.id, slowAt-now)
+	l.scheduleRateCheck(c.id, rateDeadline-now)
 	return false
 }
--- a/gatherer/request.go
+++ b/gatherer/request.go
@@ -9,67 +9,67 @@
 	"oxbowspan/merge"
 )
 
-// clientRequest is one request of a client.
+// clientRequest is a request of a client.
 type clientRequest struct {
-	// The transport sets these.
-	wireID    string // its Req-Id
-	text      []byte // sent with each call
+	// Set by the transport.
+	wireID    string // the Req-Id
+	text      []byte // the statement, sent with each call
 	queryType balancer.QueryType
 	customer  balancer.CustomerIndex
 	timeout   balancer.Time
 	retry     bool
 	callSpecs []callSpec
-	result    chan result  // has room for the one result
-	query     *merge.Query // nil = the values are passed on as they are
+	result    chan result  // buffered, for the only result
+	query     *merge.Query // nil = the values are not merged
 
-	// The dispatcher's goroutine owns the rest.
+	// The other fields belong to the dispatcher's goroutine.
 	id         balancer.RequestID
 	calls      []*shardCall
-	merge      *merge.Merge       // nil = no query; closed with the answer made of it, or else by the dispatcher
-	finished   bool               // it has a result, or its client is gone
-	clientGone bool               // before a result was sent
-	reserved   memorybudget.Bytes // in the account Requests
-	inUse      memorybudget.Bytes // of that, by the request itself and the values received
+	merge      *merge.Merge       // nil = no query; closed by the receiver of the result, or else by the dispatcher
+	finished   bool               // it has a result, or its client has disconnected
+	clientGone bool               // the client disconnected before it received the result
+	reserved   memorybudget.Bytes // bytes reserved in the account Requests
+	inUse      memorybudget.Bytes // bytes of reserved that the request and the values received use
 	admittedAt balancer.Time      // 0 = it does not count for degradation
 
-	// Of a request that must not run twice, if there is a store.
-	key           idempotency.Key // "" = it may run twice
+	// Set for a request that must not run twice, if there is a store.
+	key           idempotency.Key // "" = it may run twice, or there is no store
 	digest        idempotency.Digest
 	intentPending bool // its intent is being written
-	intentDurable bool // its intent is written, or it mayHaveRun
+	intentDurable bool // its intent is written, or mayHaveRun is set
 	mayHaveRun    bool // an earlier request with its key may have run
 	intentAt      balancer.Time
 	intentTimer   *time.Timer
 }
 
-// callSpec is a call as the client specifies it.
+// callSpec is a call as specified by the client.
 type callSpec struct {
 	shard  balancer.ShardIndex
 	weight float64
 	size   float64 // expected work in milliseconds; 0 = unknown
 }
 
-// shardCall is one call of a request.
+// shardCall is a call of a request to a shard.
 type shardCall struct {
 	request  *clientRequest
 	id       balancer.ShardCallID
 	shard    balancer.ShardIndex
 	wireID   string
-	attempts []*server // by number, the server of each; nil = the attempt has ended
-	inFlight int       // attempts
+	attempts []*server // the server of each attempt, by attempt number; nil = the attempt has ended
+	inFlight int       // number of attempts in flight
 	value    string
 	answered bool
 }
 
-// result is the one result of a request.
+// result is the result of a request. Each request has exactly one.
 type result struct {
 	kind       resultKind
 	complete   bool
-	retryAfter balancer.Time      // of resultShed; 0 = none
-	values     []shardValue       // of resultAnswer
-	merge      *merge.Merge       // of resultMerged; the receiver closes it
-	text       []byte             // the encoded answer; nil = it is made of values
-	reserved   memorybudget.Bytes // in the account Answers, until the answer is written
+	retryAfter balancer.Time      // for resultShed; 0 = none
+	values     []shardValue       // for resultAnswer
+	merge      *merge.Merge       // for resultMerged; the receiver closes it
+	text       []byte             // the encoded answer; nil = it is encoded from values
+	reserved   memorybudget.Bytes // bytes reserved in the account Answers until the answer is written
 }
 
 // resultKind is the kind of a result.
@@ -80,13 +80,13 @@
 	resultMerged
 	resultShed
 	resultFailed
-	resultDuplicateID // another open request has its Req-Id
-	resultStored      // the answer to an earlier request with its idempotency key
-	resultKeyOpen     // a request with its idempotency key is open
-	resultKeyMismatch // a different request has its idempotency key
+	resultDuplicateID // another open request has the same Req-Id
+	resultStored      // the stored answer to an earlier request with the same idempotency key
+	resultKeyOpen     // another request with the same idempotency key is open
+	resultKeyMismatch // an earlier request with the same idempotency key had a different body
 )
 
-// shardValue is the value of one call.
+// shardValue is the value that a shard returned for a call.
 type shardValue struct {
 	shard balancer.ShardIndex
 	value string
--- a/gatherer/requests.go
+++ b/gatherer/requests.go
@@ -8,14 +8,14 @@
 	"oxbowspan/merge"
 )
 
-// maxRequestNumber is the highest number of a request; the balancer's own timers use numbers above it.
+// maxRequestNumber is the highest number of a request. The balancer's own timers use the numbers above it.
 const maxRequestNumber = 1<<32 - 3
 
-// valueOverhead is the size of the encoding around a value in an answer, in bytes.
+// valueOverhead is the size in bytes accounted for the encoding around a value in an answer.
 const valueOverhead = 64
 
-// requestArrived admits a request or sends its result. A request whose intent must be durable first comes here again
-// once it is.
+// requestArrived admits a request, or sends its result if it is rejected. For a request whose intent must be durable
+// first, it is called again once the intent is durable.
 func (d *dispatcher) requestArrived(req *clientRequest) {
 	if d.degradation != nil && !req.intentDurable && !d.degradation.admit(req) {
 		return
@@ -28,7 +28,7 @@
 		d.shedBeforeDispatch(req)
 		return
 	}
-	if d.callsByWireID[req.wireID] > 0 { // the answers to their calls could not be told apart
+	if d.callsByWireID[req.wireID] > 0 { // the answers to their calls could not be distinguished
 		d.rejectBeforeDispatch(req, result{kind: resultDuplicateID})
 		return
 	}
@@ -50,8 +50,9 @@
 	d.handle(d.openRequest(req))
 }
 
-// reserveMemory reserves the memory of a request, while rejecting it is still safe: the values of its calls cannot be
-// refused later. The frame of each call holds the text again.
+// reserveMemory reserves the memory of a request and of the values expected for its calls, while rejecting the request
+// is still safe: values cannot be refused once they are received. The frame of each call contains another copy of the
+// text.
 func (d *dispatcher) reserveMemory(req *clientRequest) bool {
 	calls := memorybudget.Bytes(len(req.callSpecs))
 	req.inUse = requestMemory + calls*(callMemory+memorybudget.Bytes(len(req.text)))
@@ -59,18 +60,20 @@
 	return d.memory.Reserve(memorybudget.Requests, req.reserved)
 }
 
-// rejectBeforeDispatch sends the result of a request of which nothing was sent.
+// rejectBeforeDispatch sends the result of a request none of whose calls was dispatched.
 func (d *dispatcher) rejectBeforeDispatch(req *clientRequest, r result) {
 	req.finished = true
 	d.intentUnused(req)
 	req.result <- r
 }
 
+// shedBeforeDispatch sheds a request none of whose calls was dispatched.
 func (d *dispatcher) shedBeforeDispatch(req *clientRequest) {
 	d.rejectBeforeDispatch(req, result{kind: resultShed, retryAfter: d.deployment.Balancer.MaxRetryAfter})
 }
 
-// openRequest gives a request and its calls their ids. It returns the event of its arrival.
+// openRequest registers a request and its calls under new ids. It returns the balancer's event of the request's
+// arrival.
 func (d *dispatcher) openRequest(req *clientRequest) balancer.RequestArrived {
 	d.lastID++
 	req.id = balancer.RequestID(d.lastID)
@@ -100,16 +103,16 @@
 		d.handle(balancer.RequestCancelled{Request: req.id})
 	}
 	if req.merge != nil {
-		req.merge.Close() // whether or not it is closed with the result
+		req.merge.Close() // it may be closed already
 	}
 	select {
-	case r := <-req.result: // no goroutine receives it
+	case r := <-req.result: // the transport no longer receives it
 		d.memory.Release(memorybudget.Answers, r.reserved)
 	default:
 	}
 }
 
-// answer finishes a request with the values received.
+// answer finishes a request with the values received, or with their merge.
 func (d *dispatcher) answer(a balancer.Answer) {
 	r := result{kind: resultAnswer, complete: a.Complete}
 	if req := d.requests[a.Request]; req != nil && req.merge != nil {
@@ -118,7 +121,7 @@
 		for _, call := range req.calls {
 			if call.answered {
 				r.values = append(r.values, shardValue{call.shard, call.value})
-				// As received, and in the encoded answer.
+				// The value as received, and its copy in the encoded answer.
 				r.reserved += 2*memorybudget.Bytes(len(call.value)) + valueOverhead
 			}
 		}
@@ -127,7 +130,7 @@
 	d.finish(a.Request, r)
 }
 
-// finish sends the result of an open request.
+// finish closes an open request, sends its result and records the outcome.
 func (d *dispatcher) finish(id balancer.RequestID, r result) {
 	req := d.requests[id]
 	if req == nil {
@@ -145,7 +148,7 @@
 	req.result <- r
 }
 
-// closeRequest forgets an open request.
+// closeRequest removes an open request and releases its reserved memory. Its calls stay while attempts are in flight.
 func (d *dispatcher) closeRequest(req *clientRequest) {
 	req.finished = true
 	d.memory.Release(memorybudget.Requests, req.reserved)
@@ -153,6 +156,6 @@
 	d.pending -= 1 + len(req.calls)
 	delete(d.requests, req.id)
 	for _, call := range req.calls {
-		d.forgetCall(call)
+		d.removeCallIfDone(call)
 	}
 }
--- a/gatherer/slowclient_test.go
+++ b/gatherer/slowclient_test.go
@@ -23,7 +23,7 @@
 	"oxbowspan/internal/testing/standin"
 )
 
-// logLines receives the lines that are logged.
+// logLines is an io.Writer for log lines. Lines beyond its capacity are dropped.
 type logLines chan string
 
 func (l logLines) Write(b []byte) (int, error) {
@@ -34,15 +34,15 @@
 	return len(b), nil
 }
 
-// logged redirects the log until the test ends.
-func logged(t *testing.T) logLines {
-	lines, was := make(logLines, 10_000), slog.Default()
+// captureLog redirects the default logger until the test ends.
+func captureLog(t *testing.T) logLines {
+	lines, previous := make(logLines, 10_000), slog.Default()
 	slog.SetDefault(slog.New(slog.NewTextHandler(lines, nil)))
-	t.Cleanup(func() { slog.SetDefault(was) })
+	t.Cleanup(func() { slog.SetDefault(previous) })
 	return lines
 }
 
-// slowClientHarness starts a listener with minimum rates.
+// slowClientHarness starts a harness with minimum rates and a grace of 300 ms.
 func slowClientHarness(t *testing.T, connections operatorconfig.Connections) *listenerHarness {
 	t.Helper()
 	nl, err := net.Listen("tcp", "127.0.0.1:0")
@@ -53,8 +53,9 @@
 	return startHarnessOn(t, nl, listenerConfig{descriptors: 200, connections: connections}, 0)
 }
 
-// trickle sends a text byte by byte until it is sent or the connection ends. It returns how long that took.
-func trickle(t *testing.T, c *harnessClient, text string, pause time.Duration) time.Duration {
+// sendSlowly sends text with a pause after each byte, until all is sent or the connection ends. It returns the time
+// until the connection has ended.
+func sendSlowly(t *testing.T, c *harnessClient, text string, pause time.Duration) time.Duration {
 	began := time.Now()
 	ended := make(chan struct{})
 	go func() {
@@ -78,38 +79,39 @@
 	return time.Since(began)
 }
 
-// A head below the minimum rate closes its connection well before the read timeout, with a reason of its own, on new and on
-// parked connections; others are served meanwhile.
+// The connection of a request head sent below the minimum rate is closed well before the read timeout, with its own
+// reason, whether it is new or was parked. Other clients are served meanwhile.
 func TestSlowHeadIsClosed(t *testing.T) {
-	lines := logged(t)
+	lines := captureLog(t)
 	r := slowClientHarness(t, operatorconfig.Connections{MinHeaderRate: 200})
-	usual := r.dial()
+	normal := r.dial()
 	fresh, kept := r.dial(), r.dial()
 	kept.send(post("/kept", ""))
 	kept.expect("/kept ")
 	r.awaitParked(1)
 	long := "POST /slow HTTP/1.1\r\nHost: x\r\nX-Long: " + strings.Repeat("x", 300) + "\r\n"
-	var both sync.WaitGroup
+	var wg sync.WaitGroup
 	for _, c := range []*harnessClient{fresh, kept} {
-		both.Add(1)
+		wg.Add(1)
 		go func() {
-			defer both.Done()
-			if took := trickle(t, c, long, 20*time.Millisecond); took > readTimeout-200*time.Millisecond {
-				t.Errorf("it was open for %s", took)
+			defer wg.Done()
+			if took := sendSlowly(t, c, long, 20*time.Millisecond); took > readTimeout-200*time.Millisecond {
+				t.Errorf("the connection was open for %s, want less than the read timeout", took)
 			}
 		}()
-		usual.send(post("/usual", "x"))
-		usual.expect("/usual x")
+		normal.send(post("/usual", "x"))
+		normal.expect("/usual x")
 	}
-	both.Wait()
+	wg.Wait()
 	for _, c := range []*harnessClient{fresh, kept} {
-		lines.awaitAny(t, c.LocalAddr().String(), "reason="+string(endSlowHead))
+		lines.awaitLine(t, c.LocalAddr().String(), "reason="+string(endSlowHead))
 	}
-	usual.send(post("/usual", "y"))
-	usual.expect("/usual y")
+	normal.send(post("/usual", "y"))
+	normal.expect("/usual y")
 }
 
-// In the built program a body below the minimum rate is closed with a reason of its own, and one above it is answered.
+// In the built program the connection of a body sent below the minimum rate is closed with its own reason, and a
+// request whose body is sent above the rate is answered.
 func TestSlowBodyIsClosed(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "operator.ini")
 	if err := os.WriteFile(file, []byte("[connections]\nbody_rate = 500\ngrace = 300ms\n"), 0o600); err != nil {
@@ -137,15 +139,15 @@
 		return c
 	}
 	steady := client(time.Millisecond)
-	if status, _, err := steady.answer(); status != http.StatusOK {
+	if status, _, err := steady.readResponse(); status != http.StatusOK {
 		t.Errorf("a body above the minimum rate: %d, %v", status, err)
 	}
 	slow := client(10 * time.Millisecond)
 	p.line("event=client_conn_end", "client="+slow.LocalAddr().String(), "reason="+string(endSlowBody))
 }
 
-// awaitAny waits for a line about one client among lines about others.
-func (l logLines) awaitAny(t *testing.T, client, words string) string {
+// awaitLine waits for a line with words about a client, and keeps the other lines for later calls.
+func (l logLines) awaitLine(t *testing.T, client, words string) string {
 	t.Helper()
 	var seen []string
 	end := time.After(testTimeout)
@@ -154,7 +156,7 @@
 		case line := <-l:
 			if strings.Contains(line, client) && strings.Contains(line, words) {
 				for _, s := range seen {
-					l <- s // for later calls
+					l <- s
 				}
 				return line
 			}
@@ -165,14 +167,14 @@
 	}
 }
 
-// The minimum rate is of bytes, not of packets.
+// The minimum rate counts bytes, not packets: small packets at a sufficient byte rate are accepted.
 func TestClientAboveMinRateIsServed(t *testing.T) {
 	r := slowClientHarness(t, operatorconfig.Connections{MinHeaderRate: 200, MinResponseRate: 200})
 	c := r.dial()
 	text := post("/steady", strings.Repeat("b", 200))
 	tick := time.NewTicker(20 * time.Millisecond)
 	defer tick.Stop()
-	for rest := text; rest != ""; { // 400 bytes a second
+	for rest := text; rest != ""; { // 400 bytes per second
 		n := min(8, len(rest))
 		c.send(rest[:n])
 		rest = rest[n:]
@@ -183,9 +185,10 @@
 	c.expect("/at-once x")
 }
 
-// A client that does not read its answer is closed by the minimum rate, long before the write timeout.
+// The connection of a client that does not read its answer is closed for falling below the minimum rate, long before
+// the write timeout.
 func TestSlowReaderIsClosed(t *testing.T) {
-	lines := logged(t)
+	lines := captureLog(t)
 	nl, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -226,24 +229,25 @@
 	if got < len(answer) {
 		t.Errorf("a client that reads got %d bytes", got)
 	}
-	lines.awaitAny(t, stuck.LocalAddr().String(), "reason="+string(endSlowAnswer))
+	lines.awaitLine(t, stuck.LocalAddr().String(), "reason="+string(endSlowAnswer))
 	if took := time.Since(began); took > testTimeout/2 {
 		t.Errorf("the slow client was closed after %s", took)
 	}
 }
 
-// Connections that never send anything use no goroutine and are closed at the read timeout, while others are served.
+// Connections that never send anything use no goroutines and are closed at the read timeout. Other clients are served
+// meanwhile.
 func TestSilentConnectionsUseNoGoroutine(t *testing.T) {
-	lines := logged(t)
+	lines := captureLog(t)
 	nl, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	const n = 600
 	r := startHarnessOn(t, nl, listenerConfig{descriptors: 2 * n}, 0)
-	usual := r.dial()
-	usual.send(post("/0", ""))
-	usual.expect("/0 ")
+	normal := r.dial()
+	normal.send(post("/0", ""))
+	normal.expect("/0 ")
 	began := time.Now()
 	var fds []int
 	defer func() {
@@ -255,8 +259,8 @@
 		fd := rawDial(t, nl.Addr().String())
 		fds = append(fds, fd)
 		if i%100 == 0 {
-			usual.send(post("/still", fmt.Sprint(i)))
-			usual.expect(fmt.Sprintf("/still %d", i))
+			normal.send(post("/still", fmt.Sprint(i)))
+			normal.expect(fmt.Sprintf("/still %d", i))
 		}
 	}
 	r.until("silent connections parked", func() bool { return r.parked() >= n-minIdleConns || time.Since(began) > readTimeout })
@@ -266,7 +270,7 @@
 	if awake > minIdleConns/8+4 {
 		t.Errorf("%d connections have a goroutine, %d are silent", awake, n)
 	}
-	// One of them sends a request after all, and is served.
+	// A silent connection that then sends a request is served.
 	if _, err := unix.Write(fds[n-1], []byte(post("/late", "x"))); err != nil {
 		t.Fatal(err)
 	}
@@ -274,21 +278,22 @@
 	if k, err := unix.Read(fds[n-1], answer); err != nil || !strings.HasSuffix(string(answer[:max(k, 0)]), "/late x") {
 		t.Errorf("a request on a silent connection got %q, %v", answer[:max(k, 0)], err)
 	}
-	lines.awaitAny(t, "requests=0", "reason="+string(endReadLimit))
+	lines.awaitLine(t, "requests=0", "reason="+string(endReadLimit))
 	r.until("silent connections closed", func() bool {
 		r.listener.mu.Lock()
 		defer r.listener.mu.Unlock()
 		return r.listener.admission.Len() <= 2
 	})
 	if took := time.Since(began); took < readTimeout-wheelTick || took > readTimeout+3*time.Second {
-		t.Errorf("closed after %s, not at the read timeout", took)
+		t.Errorf("the silent connections were closed after %s, want the read timeout", took)
 	}
-	usual.send(post("/end", ""))
-	usual.expect("/end ")
+	normal.send(post("/end", ""))
+	normal.expect("/end ")
 }
 
-// vanish makes a peer unreachable: every packet to it is dropped before its socket, so that nothing is acknowledged.
-func vanish(t *testing.T, c net.Conn) {
+// dropIncomingPackets makes a peer unreachable: a socket filter drops every packet to it, so that nothing is
+// acknowledged.
+func dropIncomingPackets(t *testing.T, c net.Conn) {
 	t.Helper()
 	raw, err := c.(*net.TCPConn).SyscallConn()
 	if err != nil {
@@ -300,26 +305,27 @@
 		set = unix.SetsockoptSockFprog(int(fd), unix.SOL_SOCKET, unix.SO_ATTACH_FILTER, &unix.SockFprog{Len: 1, Filter: &drop[0]})
 	})
 	if err := errors.Join(err, set); err != nil {
-		t.Skipf("this system lets no socket drop what comes: %v", err)
+		t.Skipf("this system does not allow a socket filter that drops all packets: %v", err)
 	}
 }
 
-// A client that vanishes while it is parked is detected by keep-alive, long before an idle timeout of hours.
+// A client that becomes unreachable while its connection is parked is detected by TCP keep-alive, long before an idle
+// timeout of an hour.
 func TestKeepAliveDetectsVanishedClient(t *testing.T) {
-	lines := logged(t)
+	lines := captureLog(t)
 	nl, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	r := startHarnessOn(t, nl, listenerConfig{descriptors: 100, connections: operatorconfig.Connections{KeepAlive: time.Second}}, time.Hour)
-	gone, there := r.dial(), r.dial()
-	for _, c := range []*harnessClient{gone, there} {
+	vanished, alive := r.dial(), r.dial()
+	for _, c := range []*harnessClient{vanished, alive} {
 		c.send(post("/", ""))
 		c.expect("/ ")
 	}
 	r.awaitParked(2)
-	vanish(t, gone.Conn)
-	lines.awaitAny(t, gone.LocalAddr().String(), "reason="+string(endReset))
-	there.send(post("/still", "x"))
-	there.expect("/still x")
+	dropIncomingPackets(t, vanished.Conn)
+	lines.awaitLine(t, vanished.LocalAddr().String(), "reason="+string(endClientReset))
+	alive.send(post("/still", "x"))
+	alive.expect("/still x")
 }
--- a/gatherer/transport.go
+++ b/gatherer/transport.go
@@ -21,8 +21,8 @@
 	contentText = "text/plain; charset=utf-8"
 )
 
-// transport is the RoundTripper of the reverse proxy: it sends requests to the dispatcher and makes responses of their
-// results.
+// transport is the http.RoundTripper of the reverse proxy. It sends requests to the dispatcher and converts their
+// results to responses.
 type transport struct {
 	deployment balancerconfig.Deployment
 	types      map[string]balancer.QueryType
@@ -30,9 +30,10 @@
 	dispatcher mailbox
 	memory     *memorybudget.Budget
 	keyHeader  string                                 // header of the idempotency key; "" = there is no store
-	merging    atomic.Pointer[operatorconfig.Merging] // nil = nothing is merged
+	merging    atomic.Pointer[operatorconfig.Merging] // nil = merging is disabled
 }
 
+// newTransport returns a transport that sends requests to a dispatcher and releases the memory of answers to a budget.
 func newTransport(deployment balancerconfig.Deployment, dispatcher mailbox, memory *memorybudget.Budget) *transport {
 	t := &transport{deployment: deployment, dispatcher: dispatcher, memory: memory,
 		types: map[string]balancer.QueryType{}, customers: map[string]balancer.CustomerIndex{}}
@@ -50,7 +51,7 @@
 	return ok
 }
 
-// customerIndex returns the index of a customer by name.
+// customerIndex returns the index of a customer by name; UnknownCustomer if there is no such customer.
 func (t *transport) customerIndex(name string) connadmission.CustomerIndex {
 	if i, ok := t.customers[name]; ok {
 		return connadmission.CustomerIndex(i)
@@ -58,8 +59,8 @@
 	return connadmission.UnknownCustomer
 }
 
-// RoundTrip implements http.RoundTripper. The body of the request was read completely before, so that its context ends
-// when the client disconnects.
+// RoundTrip implements http.RoundTripper. As the frontend has read the body completely, the request's context ends when
+// the client disconnects.
 func (t *transport) RoundTrip(r *http.Request) (*http.Response, error) {
 	req, err := t.parseRequest(r)
 	if err != nil {
@@ -79,7 +80,7 @@
 	}
 }
 
-// response makes the response of a result.
+// response returns the response for a result.
 func (t *transport) response(r *http.Request, res result) *http.Response {
 	switch res.kind {
 	case resultShed:
@@ -104,8 +105,8 @@
 	return t.answerResponse(r, answer, res.reserved)
 }
 
-// mergedResponse answers with a merge. The merge refuses a partial answer where that is not allowed, and a number that
-// is not known to be right.
+// mergedResponse returns the response for a merge. The merge returns an error for a partial answer where that is not
+// allowed, and for a number that is not certain to be correct.
 func (t *transport) mergedResponse(r *http.Request, res result) *http.Response {
 	defer res.merge.Close()
 	answer, err := res.merge.Result(res.complete)
@@ -118,7 +119,8 @@
 	return t.answerResponse(r, text, reserved)
 }
 
-// answerResponse answers with a text whose memory is reserved until it is written or the client is gone.
+// answerResponse returns a response with an encoded answer. Its reserved memory is released when the answer was written
+// or the client has disconnected.
 func (t *transport) answerResponse(r *http.Request, text []byte, reserved memorybudget.Bytes) *http.Response {
 	res := response(r, http.StatusOK, contentJSON, text)
 	release := sync.OnceFunc(func() { t.memory.Release(memorybudget.Answers, reserved) })
@@ -126,28 +128,31 @@
 	return res
 }
 
-// accountedBody releases memory when it is closed.
+// accountedBody is a response body that releases its reserved memory when it is closed.
 type accountedBody struct {
 	io.ReadCloser
 	release func()
 }
 
+// Close implements io.Closer.
 func (b *accountedBody) Close() error {
 	b.release()
 	return b.ReadCloser.Close()
 }
 
-// setRetryAfter sets the Retry-After of a shed request; 0 = none.
+// setRetryAfter sets the header Retry-After of a shed request, in seconds; 0 = none is set.
 func setRetryAfter(h http.Header, after balancer.Time) {
 	if after > 0 {
 		h.Set("Retry-After", strconv.FormatFloat(balancerconfig.Millis(after)/1000, 'f', -1, 64))
 	}
 }
 
+// textResponse returns a plain-text response with one line of text.
 func textResponse(r *http.Request, status int, text string) *http.Response {
 	return response(r, status, contentText, []byte(text+"\n"))
 }
 
+// response returns a response with a body.
 func response(r *http.Request, status int, contentType string, body []byte) *http.Response {
 	return &http.Response{StatusCode: status, Proto: "HTTP/1.1", ProtoMajor: 1, ProtoMinor: 1, Request: r,
 		Header:        http.Header{"Content-Type": {contentType}, "Content-Length": {strconv.Itoa(len(body))}},
