--- a/gatherer/adminstate.go
+++ b/gatherer/adminstate.go
@@ -11,7 +11,7 @@
 	"oxbowspan/internal/admin"
 )
 
-// States of a server in admin.Server.
+// Values of admin.Server.State.
 const (
 	serverReady    = "ready"
 	serverDraining = "draining"
@@ -19,10 +19,11 @@
 	serverWarmUp   = "cold"
 )
 
-// unknownCustomer stands for requests of customers that the settings do not name.
+// unknownCustomer is the name under which requests of customers that are not in the settings are counted.
 const unknownCustomer = "unknown"
 
-// publishState sends the state to the operators that watch it. One that does not receive misses it.
+// publishState sends the state to the watching operators at every publishEvery-th evaluation. It never blocks: a watcher
+// that is not ready to receive misses this state.
 func (s *degradationState) publishState() {
 	if len(s.watchers) == 0 || int64(s.evaluatedAt/evaluationInterval)%publishEvery != 0 {
 		return
@@ -39,7 +40,7 @@
 	}
 }
 
-// state returns what operators see.
+// state returns the state that is shown to operators.
 func (s *degradationState) state() admin.State {
 	state := admin.State{
 		At:           time.Now(),
@@ -73,9 +74,11 @@
 	return state
 }
 
+// seconds converts a time in milliseconds to seconds.
 func seconds(t degradation.Time) float64 { return (time.Duration(t) * time.Millisecond).Seconds() }
 
-// typeStates returns what was served and shed by query type and customer.
+// typeStates returns the numbers of requests served and shed by query type and customer. Customers without requests are
+// left out.
 func (s *degradationState) typeStates() (types []admin.QueryType) {
 	deployment := s.dispatcher.deployment
 	for t, name := range deployment.QueryTypes {
@@ -95,7 +98,7 @@
 	return types
 }
 
-// serverStates returns the listed servers by zone and host.
+// serverStates returns the states of the listed servers, sorted by zone and host.
 func (s *degradationState) serverStates() (servers []admin.Server) {
 	records := map[balancer.ServerID]balancer.ServerRecord{}
 	for _, record := range s.dispatcher.balancer.ServerRecords() {
--- a/gatherer/clock.go
+++ b/gatherer/clock.go
@@ -6,14 +6,14 @@
 	"oxbowspan/balancer"
 )
 
-// tick is the time.Duration of one balancer.Time.
+// tick is one unit of balancer.Time as a time.Duration.
 const tick = time.Millisecond / time.Duration(balancer.Millisecond)
 
-// clock returns Unix time as it was at the start plus the monotonic time since then, so that it never goes back and can
-// be compared with the start times in the server list.
+// clock is a monotonic clock: the Unix time at its creation plus the monotonic time elapsed since then. It never goes
+// backwards, and its readings can be compared with the start times in the server list.
 type clock struct {
 	start time.Time
-	unix  balancer.Time // at the start
+	unix  balancer.Time // Unix time at start
 }
 
 func newClock() clock {
--- a/gatherer/counters.go
+++ b/gatherer/counters.go
@@ -2,12 +2,13 @@
 
 import "sync/atomic"
 
-// Counts is the number of requests since the start by result.
+// Counts holds the numbers of requests since the gatherer was created, by result.
 type Counts struct{ Answered, Shed, Errored uint64 }
 
-// counters count results. The dispatcher adds, any goroutine reads.
+// counters counts requests by result. Only the dispatcher increments it; any goroutine may read it.
 type counters struct{ answered, shed, errored atomic.Uint64 }
 
+// add counts one request with a result of the given kind. Results of other kinds are not counted.
 func (c *counters) add(kind resultKind) {
 	switch kind {
 	case resultAnswer, resultMerged, resultStored:
@@ -19,10 +20,11 @@
 	}
 }
 
-// Counts returns the number of requests so far by result.
+// Counts returns the numbers of requests so far, by result.
 func (g *Gatherer) Counts() Counts {
 	return Counts{g.counters.answered.Load(), g.counters.shed.Load(), g.counters.errored.Load()}
 }
 
-// Ready reports whether the gatherer can serve requests: the server list has a server.
+// Ready reports whether the gatherer can serve requests, which it can once it has received a server list with at least
+// one server.
 func (g *Gatherer) Ready() bool { return g.frontend.hasServers.Load() }
--- a/gatherer/degradation.go
+++ b/gatherer/degradation.go
@@ -13,33 +13,35 @@
 )
 
 const (
-	// evaluationInterval is how often the signals are measured.
+	// evaluationInterval is the interval at which the signals are measured.
 	evaluationInterval = 100 * balancer.Millisecond
-	// publishEvery is the number of evaluations between two states that operators watch.
+	// publishEvery is the number of evaluations per state that is published to watching operators.
 	publishEvery = 5
-	// maxChanges is how many changes of level operators see.
+	// maxChanges is the number of the most recent level changes that are kept for operators.
 	maxChanges = 50
 )
 
-// scopeAll is the scope of the level that is not of one segment.
+// scopeAll is the scope, in logs, of the level of the entire gatherer. Other scopes are single segments.
 const scopeAll = "all"
 
-// degradationState is degraded service as the dispatcher runs it: it measures the signals, moves the levels, and admits
-// or sheds requests before the balancer sees them. It belongs to the dispatcher's goroutine.
+// degradationState controls degraded service: it measures the signals, changes the degradation levels, and admits or
+// sheds requests before they reach the balancer. It is accessed only by the dispatcher's goroutine.
 type degradationState struct {
 	dispatcher  *dispatcher
 	config      degradation.Config
 	machine     *degradation.Machine
 	segments    []*degradation.Machine // by shard
 	gate        *degradation.Gate
-	gauge       *degradation.Monitor
+	monitor     *degradation.Monitor
 	evaluatedAt balancer.Time
 
-	served, shed [][]int64 // by query type and customer; the last customer stands for unknown ones
-	changes      []degradation.Change
-	watchers     []chan<- []byte
+	served, shed [][]int64            // requests by query type and customer; the last index counts unknown customers
+	changes      []degradation.Change // the most recent ones, at most maxChanges, oldest first
+	watchers     []chan<- []byte      // of operators, for states encoded as JSON
 }
 
+// newDegradation returns the state of degradation for a dispatcher. It returns an error if the levels do not match the
+// query types of the deployment.
 func newDegradation(d *dispatcher, levels *operatorconfig.Levels) (*degradationState, error) {
 	config, err := levels.ConfigFor(d.deployment.QueryTypes)
 	if err != nil {
@@ -48,7 +50,7 @@
 	types, customers := len(d.deployment.QueryTypes), len(d.deployment.Customers)
 	s := &degradationState{
 		dispatcher: d,
-		gauge:      degradation.NewMonitor(d.deployment.Balancer.Cells, d.deployment.Balancer.ReplicationFactor, types),
+		monitor:    degradation.NewMonitor(d.deployment.Balancer.Cells, d.deployment.Balancer.ReplicationFactor, types),
 	}
 	for range types {
 		s.served = append(s.served, make([]int64, customers+1))
@@ -58,7 +60,7 @@
 	return s, nil
 }
 
-// applyConfig applies a configuration, at the start and on reload.
+// applyConfig applies a configuration. It is called at the start and on reload.
 func (s *degradationState) applyConfig(config degradation.Config) {
 	now, deployment := s.now(), s.dispatcher.deployment
 	s.config = config
@@ -78,38 +80,41 @@
 	s.applyMergeLimits(s.machine.Level())
 }
 
+// applyMergeLimits applies the share of the merge limits that a level allows.
 func (s *degradationState) applyMergeLimits(level degradation.Level) {
 	if s.dispatcher.setMergeLimits != nil {
 		s.dispatcher.setMergeLimits(level.Policy.MergeShare)
 	}
 }
 
+// now returns the dispatcher's clock time in milliseconds.
 func (s *degradationState) now() degradation.Time {
 	return degradation.Time(s.dispatcher.clock.now() / balancer.Millisecond)
 }
 
-// admit reports whether the present level serves a request. If not the request is shed.
+// admit reports whether the current level, and those of the segments of its calls, allow a request to be served. If not,
+// it sheds the request.
 func (s *degradationState) admit(req *clientRequest) bool {
-	worst := degradation.Rank(0)
+	segmentRank := degradation.Rank(0)
 	for _, spec := range req.callSpecs {
-		worst = max(worst, s.segments[spec.shard].Rank())
+		segmentRank = max(segmentRank, s.segments[spec.shard].Rank())
 	}
 	customers := len(s.dispatcher.deployment.Customers)
 	customer := int(req.customer)
 	if customers == 0 {
 		customer = -1
 	}
-	ok, retryAfter := s.gate.Admit(s.now(), worst, int(req.queryType), customer)
-	counter := customer
+	admitted, retryAfter := s.gate.Admit(s.now(), segmentRank, int(req.queryType), customer)
+	countIndex := customer
 	if customer < 0 || customer >= customers {
-		counter = customers
+		countIndex = customers
 	}
-	if ok {
-		s.served[req.queryType][counter]++
+	if admitted {
+		s.served[req.queryType][countIndex]++
 		req.admittedAt = s.dispatcher.clock.now()
 		return true
 	}
-	s.shed[req.queryType][counter]++
+	s.shed[req.queryType][countIndex]++
 	req.finished = true
 	r := result{kind: resultShed}
 	if maximum := s.dispatcher.deployment.Balancer.MaxRetryAfter; maximum > 0 {
@@ -119,7 +124,7 @@
 	return false
 }
 
-// requestEnded measures the result of an admitted request.
+// requestEnded records the result and latency of a request that degradation has admitted, as input of the signals.
 func (s *degradationState) requestEnded(req *clientRequest, kind resultKind) {
 	if req.admittedAt == 0 {
 		return
@@ -127,40 +132,40 @@
 	answered := kind == resultAnswer || kind == resultMerged
 	latency := s.dispatcher.clock.now() - req.admittedAt
 	target := s.dispatcher.deployment.Balancer.QueryTypes[req.queryType].LatencyTarget
-	s.gauge.RecordRequest(int(req.queryType), answered, degradation.Time(latency/balancer.Millisecond),
+	s.monitor.RecordRequest(int(req.queryType), answered, degradation.Time(latency/balancer.Millisecond),
 		degradation.Time(target/balancer.Millisecond))
 }
 
-// evaluate measures the signals and moves the levels.
+// evaluate measures the signals, changes the levels accordingly and publishes the state.
 func (s *degradationState) evaluate() {
 	s.evaluatedAt = s.dispatcher.clock.now()
 	now := s.now()
-	s.machine.Observe(now, s.readings(now))
+	s.machine.Observe(now, s.measureSignals(now))
 	if change, changed := s.machine.Evaluate(now); changed {
 		s.gate.HandleChange(change)
-		s.logChange(scopeAll, change)
+		s.levelChanged(scopeAll, change)
 	}
-	if s.config.UsesSignal(degradation.SegmentLostCapacity) { // costly with thousands of segments
+	if s.config.UsesSignal(degradation.SegmentLostCapacity) { // skipped otherwise, as it is costly with thousands of segments
 		for shard, segment := range s.segments {
-			segment.Observe(now, s.gauge.MeasureSegment(shard))
+			segment.Observe(now, s.monitor.MeasureSegment(shard))
 			if change, changed := segment.Evaluate(now); changed {
-				s.logChange(fmt.Sprint("segment-", shard), change)
+				s.levelChanged(fmt.Sprint("segment-", shard), change)
 			}
 		}
 	}
 	s.publishState()
 }
 
-// readings measures the signals.
-func (s *degradationState) readings(now degradation.Time) degradation.Readings {
+// measureSignals measures the signals from the listed servers, the balancer's utilization and the state of the store.
+func (s *degradationState) measureSignals(now degradation.Time) degradation.Readings {
 	ejectedUntil := map[balancer.ServerID]balancer.Time{}
 	for _, record := range s.dispatcher.balancer.ServerRecords() {
 		ejectedUntil[record.ID] = record.EjectedUntil
 	}
-	var seen []degradation.Server
+	var servers []degradation.Server
 	for _, server := range s.dispatcher.servers {
 		if server.listed {
-			seen = append(seen, degradation.Server{Cell: server.cell, Ready: !server.draining,
+			servers = append(servers, degradation.Server{Cell: server.cell, Ready: !server.draining,
 				WarmingUp: s.isWarmingUp(server), EjectedUntil: degradation.Time(ejectedUntil[server.id] / balancer.Millisecond)})
 		}
 	}
@@ -168,22 +173,24 @@
 	if store.Known && s.dispatcher.persistence.failing {
 		store.Value = 1
 	}
-	return s.gauge.Measure(now, seen, s.dispatcher.balancer.Utilization(), store)
+	return s.monitor.Measure(now, servers, s.dispatcher.balancer.Utilization(), store)
 }
 
-// isWarmingUp reports whether a server was started recently.
+// isWarmingUp reports whether a server was started less than the slow start duration ago.
 func (s *degradationState) isWarmingUp(server *server) bool {
 	slowStart := s.dispatcher.deployment.Balancer.SlowStartDuration
 	return slowStart > 0 && server.startedAt > 0 && s.dispatcher.clock.now()-server.startedAt < slowStart
 }
 
-// levelName returns the name of a level. Its rank may be of a configuration with more levels.
+// levelName returns the name of a level. The rank may stem from an earlier configuration with more levels: beyond the
+// last level it returns the name of that one.
 func (s *degradationState) levelName(rank degradation.Rank) string {
 	return s.config.Levels[min(int(rank), len(s.config.Levels)-1)].Name
 }
 
-// logChange logs a change of level and, if it is not of a segment, applies its limits of merges.
-func (s *degradationState) logChange(scope string, change degradation.Change) {
+// levelChanged logs a change of level. Unless it is the level of a segment, the change is also kept for operators and the
+// merge limits of the new level are applied.
+func (s *degradationState) levelChanged(scope string, change degradation.Change) {
 	fields := []any{"scope", scope, "from", s.levelName(change.From), "to", s.levelName(change.To), "why", change.Reason}
 	for signal := range degradation.NumSignals {
 		if reading := change.Readings[signal]; reading.Known {
@@ -200,7 +207,7 @@
 	s.applyMergeLimits(s.config.Levels[change.To])
 }
 
-// handleRequest answers a request of the admin socket.
+// handleRequest handles a request from the admin socket and sends the response if the request has a reply channel.
 func (s *degradationState) handleRequest(request admin.Request) {
 	response := admin.Response{}
 	switch request.Verb {
@@ -225,7 +232,7 @@
 	}
 }
 
-// explain returns why the present levels apply, in lines for operators.
+// explain returns lines for operators that explain why the current levels apply.
 func (s *degradationState) explain() []string {
 	seconds := float64(s.now()-s.machine.Since()) / 1000
 	lines := append([]string{fmt.Sprintf("level %s for %.1f s", s.machine.Level().Name, seconds)}, s.machine.Explain()...)
@@ -237,7 +244,7 @@
 	return lines
 }
 
-// pin pins the level for a time.
+// pin pins the level for the requested number of seconds, at most admin.MaxPinDuration.
 func (s *degradationState) pin(request admin.Request) admin.Response {
 	rank := slices.IndexFunc(s.config.Levels, func(l degradation.Level) bool { return l.Name == request.Level })
 	switch {
--- a/gatherer/dispatcher.go
+++ b/gatherer/dispatcher.go
@@ -12,8 +12,9 @@
 	"oxbowspan/merge"
 )
 
-// dispatcher is the goroutine that owns the balancer. It turns messages into events of the balancer and performs the
-// resulting actions. All fields below the mailbox belong to that goroutine, except where noted.
+// dispatcher owns the balancer and runs it on one goroutine, which converts messages into events of the balancer and
+// performs the resulting actions. Once run has started only that goroutine may access the fields below the mailbox, except
+// where noted.
 type dispatcher struct {
 	mailbox
 	deployment     balancerconfig.Deployment
@@ -22,32 +23,32 @@
 	watcher        *discovery.Watcher
 	descriptors    *descriptorPool
 	connConfig     shardconn.Config
-	onListReady    func()              // called whenever the list has a server
-	setMergeLimits func(share float64) // applies a share of the configured limits of merges; nil = there are none
+	onListReady    func()              // called after each update that leaves a server in the list
+	setMergeLimits func(share float64) // applies a share of the configured merge limits; nil = no degradation
 
-	requests      map[balancer.RequestID]*clientRequest // without result
-	calls         map[balancer.ShardCallID]*shardCall   // of these, and those with an attempt in flight
-	callsByWireID map[string]int                        // the number of calls by the wire id of their request
-	pending       int                                   // requests without result, and their calls
-	lastID        uint64                                // of requests and calls
+	requests      map[balancer.RequestID]*clientRequest // requests without a result
+	calls         map[balancer.ShardCallID]*shardCall   // calls of these requests, and calls with an attempt in flight
+	callsByWireID map[string]int                        // number of calls by the wire id of their request
+	pending       int                                   // number of requests without a result plus their calls
+	lastID        uint64                                // last id of a request or call
 	lastNumber    balancer.RequestNumber
 	timers        deadlineheap.Heap[balancer.TimerID]
-	deferred      []balancer.Event // results of actions, to be handled after them
+	deferred      []balancer.Event // events caused by actions, handled after the current batch of actions
 
-	servers       map[balancer.ServerID]*server // those removed from the list stay until they outnumber the others
-	serverIDs     map[string]balancer.ServerID  // the same, by host
+	servers       map[balancer.ServerID]*server // may include unlisted ones, see pruneServers
+	serverIDs     map[string]balancer.ServerID  // ids of the servers, by host
 	lastServerID  balancer.ServerID
-	listedServers int
+	listedServers int // number of servers with listed set
 
-	merges     *merge.Budget // of open merges
+	merges     *merge.Budget // shared by all open merges
 	memory     *memorybudget.Budget
 	valueSizes *memorybudget.SizeEstimator
-	counters   *counters // of results
+	counters   *counters // of requests by result; any goroutine may read them
 
 	degradation    *degradationState // nil = service is never degraded
 	persistence    *persistence      // nil = nothing is stored
 	recordsSavedAt balancer.Time
-	ended          chan struct{} // closed once the connections to servers are closed as well
+	ended          chan struct{} // closed at the end of shutdown, after the connections to servers
 }
 
 // run handles messages and timers until stop is closed.
@@ -75,8 +76,8 @@
 	}
 }
 
-// shutdown closes the connections to servers. The mailbox is closed first, so that none of their clients waits for the
-// dispatcher.
+// shutdown saves the records of servers and closes the connections to servers. It closes done first, so that no server's
+// client blocks on sending to the mailbox.
 func (d *dispatcher) shutdown() {
 	close(d.done)
 	if d.persistence != nil {
@@ -96,7 +97,7 @@
 	close(d.ended)
 }
 
-// fireTimers does what is due: saving records, evaluating degradation, and the balancer's timers.
+// fireTimers performs what is due: it saves the records of servers, evaluates degradation and fires the balancer's timers.
 func (d *dispatcher) fireTimers() {
 	now := d.clock.now()
 	if d.persistence != nil && now-d.recordsSavedAt >= saveInterval {
@@ -110,6 +111,7 @@
 	}
 }
 
+// receive handles one message from the mailbox.
 func (d *dispatcher) receive(msg message) {
 	switch m := msg.(type) {
 	case requestArrived:
@@ -128,7 +130,7 @@
 		d.listReceived(m.list)
 	case watchFailed:
 		if d.degradation != nil {
-			d.degradation.gauge.RecordListResult(d.degradation.now(), false)
+			d.degradation.monitor.RecordListResult(d.degradation.now(), false)
 		}
 		d.handle(balancer.ServerList{Kind: balancer.ListFailed})
 	case levelsReplaced:
@@ -140,7 +142,8 @@
 	}
 }
 
-// handle hands an event to the balancer and performs its actions, and does so for the events that these defer.
+// handle passes an event to the balancer and performs the resulting actions. It then does the same with each event that
+// those actions have deferred, until none is left.
 func (d *dispatcher) handle(event balancer.Event) {
 	d.perform(d.balancer.Handle(d.clock.now(), event))
 	for len(d.deferred) > 0 {
@@ -151,8 +154,9 @@
 	d.deferred = nil
 }
 
-// perform performs actions in order. Attempts are sent in batches; a Cancel comes after the attempts before it. A
-// command that a full mailbox of a server's client refuses is lost where that does no harm.
+// perform performs actions in order, except that attempts are collected into one batch per server and sent at the end, or
+// before the next Cancel, which may refer to one of them. If the mailbox of a server's client is full a command is dropped
+// where that does no harm, and otherwise reported to the balancer as not dispatched.
 func (d *dispatcher) perform(actions []balancer.Action) {
 	var batches []outBatch
 	for _, action := range actions {
@@ -175,7 +179,7 @@
 			d.watcher.Subscribe()
 		case balancer.CloseIdle:
 			if s := d.servers[a.Server]; s != nil && s.client != nil {
-				s.client.TrySubmit(shardconn.CloseIdle{}) // if refused the connections are used as they are
+				s.client.TrySubmit(shardconn.CloseIdle{}) // if its mailbox is full the connections remain in use
 			}
 		case balancer.HealthCheck:
 			if s := d.servers[a.Server]; s == nil || s.client == nil || !s.client.TrySubmit(shardconn.HealthCheck{}) {
--- a/gatherer/gatherer.go
+++ b/gatherer/gatherer.go
@@ -19,7 +19,7 @@
 	"oxbowspan/merge"
 )
 
-// Gatherer is one gatherer.
+// Gatherer is one instance of a gatherer. New creates it, Run serves.
 type Gatherer struct {
 	deployment   balancerconfig.Deployment
 	knownServers discovery.ServerList
@@ -30,11 +30,12 @@
 	counters     counters
 
 	mu      sync.Mutex
-	config  Config             // as reloaded last
-	watcher *discovery.Watcher // nil = Run has not begun or has returned
+	config  Config             // including what was reloaded since
+	watcher *discovery.Watcher // nil before Run starts it and after Run has returned
 }
 
-// New validates a configuration and returns a gatherer for it. It opens nothing.
+// New validates a configuration and returns a gatherer for it. It opens no files, sockets or connections. Invalid known
+// servers are logged and ignored.
 func New(config Config) (*Gatherer, error) {
 	deployment, err := config.validate()
 	if err != nil {
@@ -44,7 +45,7 @@
 		memory: memorybudget.New(memorybudget.Options{}, logPressure)}
 	if len(config.KnownServers) > 0 && string(config.KnownServers) != "null" {
 		if g.knownServers, err = discovery.Parse(config.KnownServers, g.acceptServer); err != nil {
-			slog.Warn("known_left_out", "error", err) // the list service will send a list
+			slog.Warn("known_left_out", "error", err) // not fatal, as the discovery service will send a list
 		}
 	}
 	g.dispatcher = g.newDispatcher(config)
@@ -66,6 +67,8 @@
 	return g, nil
 }
 
+// newDispatcher returns a dispatcher with its balancer and its memory accounts. Degradation and persistence are added by
+// New and Run.
 func (g *Gatherer) newDispatcher(config Config) *dispatcher {
 	deployment := g.deployment
 	_, serverDescriptors := config.Limits.splitDescriptors()
@@ -99,33 +102,35 @@
 	return d
 }
 
-// acceptServer checks an entry of the server list against the settings.
+// acceptServer returns an error if an entry of the server list has a cell that the settings do not have. Entries that
+// remove a server are always accepted.
 func (g *Gatherer) acceptServer(s discovery.Server) error {
 	if s.Health != discovery.Removed && (s.Cell < 0 || s.Cell >= g.deployment.Balancer.Cells) {
-		return fmt.Errorf("block %d is out of range, 0 to %d are known", s.Cell, g.deployment.Balancer.Cells-1)
+		return fmt.Errorf("block %d is out of range, 0 to %d are allowed", s.Cell, g.deployment.Balancer.Cells-1)
 	}
 	return nil
 }
 
-// applyOperatorConfig applies the sections of the operator's file that need no restart.
+// applyOperatorConfig applies the sections on merging and memory of the operator's file, which need no restart.
 func (g *Gatherer) applyOperatorConfig(config Config) {
 	g.transport.merging.Store(config.mergingConfig())
 	g.setMergeLimits(1)
 	g.memory.SetOptions(config.Limits.memoryLimits(config.memoryConfig()))
 }
 
-// setMergeLimits applies a share of the configured limits of merges.
+// setMergeLimits sets the limits of all open merges to a share of the configured ones. The share is from 0 to 1.
 func (g *Gatherer) setMergeLimits(share float64) {
 	if m := g.transport.merging.Load(); m != nil {
-		part := func(n int64) int64 { return int64(float64(n) * share) }
-		g.dispatcher.merges.SetLimits(part(m.MaxBytes), part(m.MaxRows), part(m.MaxOpen))
+		scale := func(n int64) int64 { return int64(float64(n) * share) }
+		g.dispatcher.merges.SetLimits(scale(m.MaxBytes), scale(m.MaxRows), scale(m.MaxOpen))
 	}
 }
 
-// Handler returns the HTTP side alone, for a program with a server of its own. It answers requests while Run is running.
+// Handler returns the HTTP handler, for a program that has its own HTTP server. It answers requests while Run is running.
 func (g *Gatherer) Handler() http.Handler { return g.frontend }
 
-// Run listens and serves until ctx is done, then drains and returns.
+// Run listens and serves until ctx is done, then drains and returns. It returns an error if the listen address, the store
+// or the admin socket cannot be opened, or if serving fails.
 func (g *Gatherer) Run(ctx context.Context) error {
 	l, err := net.Listen("tcp", g.config.Listen)
 	if err != nil {
@@ -170,6 +175,7 @@
 	return err
 }
 
+// startWatcher starts watching the server list of the discovery service.
 func (g *Gatherer) startWatcher() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -179,7 +185,7 @@
 	g.watcher = d.watcher
 }
 
-// listenAdmin opens the admin socket; nil = none is configured.
+// listenAdmin opens the admin socket. It returns nil if none is configured.
 func (g *Gatherer) listenAdmin() (*admin.Socket, error) {
 	levels := g.config.levelsConfig()
 	if levels == nil || levels.Socket == "" {
@@ -188,10 +194,10 @@
 	return admin.Listen(levels.Socket, func(r admin.Request) bool { return g.dispatcher.send(operatorRequest{r}) })
 }
 
-// Reload applies a configuration that was read anew. It may be called at any time. A changed address of the list service
-// is used at once, and the operator's file applies to all later requests. Other differences need a restart and are
-// logged; the known servers and the seed are only used at the start. A configuration that New would refuse changes
-// nothing.
+// Reload applies a configuration that was read again. It may be called at any time. A changed address of the discovery
+// service takes effect immediately, and the operator's file applies to all later requests, except for the sections that
+// need a restart. Differences that need a restart are logged and not applied; the known servers and the seed are used only
+// at the start. If the configuration is invalid Reload returns an error and changes nothing.
 func (g *Gatherer) Reload(config Config) error {
 	if _, err := config.validate(); err != nil {
 		return err
@@ -202,15 +208,15 @@
 	g.config.Operator = config.Operator
 	g.applyOperatorConfig(config)
 	if levels := config.levelsConfig(); levels != nil && g.dispatcher.degradation != nil {
-		if figures, err := levels.ConfigFor(g.deployment.QueryTypes); err == nil { // always, as it is validated
-			g.dispatcher.send(levelsReplaced{figures})
+		if degradationConfig, err := levels.ConfigFor(g.deployment.QueryTypes); err == nil { // validate has checked this
+			g.dispatcher.send(levelsReplaced{degradationConfig})
 		}
 	}
-	moved := config.Discovery != g.config.Discovery
-	if g.config.Discovery = config.Discovery; moved && g.watcher != nil {
+	addressChanged := config.Discovery != g.config.Discovery
+	if g.config.Discovery = config.Discovery; addressChanged && g.watcher != nil {
 		g.watcher.Move(config.Discovery)
 	}
-	slog.Info("reload", "discovery", config.Discovery, "moved", moved,
+	slog.Info("reload", "discovery", config.Discovery, "moved", addressChanged,
 		"needs_restart", cmp.Or(strings.Join(restart, ","), "none"))
 	return nil
 }
--- a/gatherer/intent.go
+++ b/gatherer/intent.go
@@ -9,22 +9,22 @@
 	"oxbowspan/idempotency"
 )
 
-// Reasons why the intent of a request is not durable.
+// Reasons for shedding a request because its intent is not durable. They appear only in logs.
 var (
-	errDiskSlow      = errors.New("the disk is slow")
-	errIntentExpired = errors.New("its intent is not expected any more")
+	errDiskSlow      = errors.New("intents are not written in time, the disk is slow")
+	errIntentExpired = errors.New("the intent was written, but the idempotency table no longer waits for it")
 )
 
-// checkIntent deals with a request that must not run twice before anything of it is sent: its intent must be durable
-// first, or a crash could hide that it was sent and a retry would run it again. It reports false if the request has its
-// result or waits for its intent.
+// checkIntent checks a request that must not run twice, before any of its calls is sent. Its intent must be durable first:
+// otherwise the knowledge that it was sent could be lost in a crash, and a retry would run it again. It reports whether the
+// request can proceed now. If not, either its result has been sent or its intent is being written.
 func (d *dispatcher) checkIntent(req *clientRequest) bool {
 	p := d.persistence
 	if p == nil || req.key == "" || req.intentDurable {
 		return true
 	}
 	now := unixNow()
-	if !p.disk.Available(now) {
+	if !p.diskGuard.Available(now) {
 		d.rejectIntent(req, errDiskSlow)
 		return false
 	}
@@ -36,7 +36,7 @@
 		return false
 	case idempotency.OutcomeUnknown:
 		p.write(changes)
-		req.intentDurable, req.mayHaveRun = true, true // the balancer decides
+		req.intentDurable, req.mayHaveRun = true, true // the balancer decides how to treat it
 		return true
 	}
 	p.write(changes)
@@ -54,17 +54,19 @@
 	return false
 }
 
-// writeIntent writes the intent of a request. A message follows when it is durable, and another if that takes too long.
+// writeIntent starts writing the intent of a request. The dispatcher receives intentWritten when the write has ended, and
+// intentTimeout if that takes too long.
 func (d *dispatcher) writeIntent(req *clientRequest, now, timeout idempotency.Time, changes []idempotency.Change) {
 	p := d.persistence
 	req.intentPending, req.intentAt = true, d.clock.now()
-	p.disk.Begin(now)
-	wait := time.Duration(p.disk.Timeout(timeout)) * time.Millisecond
+	p.diskGuard.Begin(now)
+	wait := time.Duration(p.diskGuard.Timeout(timeout)) * time.Millisecond
 	req.intentTimer = time.AfterFunc(wait, func() { d.send(intentTimeout{req}) })
 	p.store.CommitAsync(func(err error) { d.send(intentWritten{req, err}) }, storeOps(changes)...)
 }
 
-// rejectIntent sheds a request whose intent is not durable: nothing of it was sent.
+// rejectIntent sheds a request whose intent is not durable, which is safe as none of its calls was sent. The reason is
+// logged only for the first request until an intent is written again.
 func (d *dispatcher) rejectIntent(req *clientRequest, reason error) {
 	if p := d.persistence; !p.failing {
 		p.failing = true
@@ -74,21 +76,22 @@
 	req.result <- result{kind: resultShed, retryAfter: d.deployment.Balancer.MaxRetryAfter}
 }
 
-// intentWritten continues with a request whose intent is durable.
+// intentWritten handles the end of an intent's write. The request proceeds if its intent is durable and it still waits,
+// and otherwise its key is released.
 func (d *dispatcher) intentWritten(m intentWritten) {
 	p, req := d.persistence, m.request
-	p.disk.End()
+	p.diskGuard.End()
 	req.intentTimer.Stop()
-	wanted := req.intentPending && !req.clientGone
+	stillWaiting := req.intentPending && !req.clientGone
 	req.intentPending = false
 	switch {
 	case m.err != nil:
 		p.table.Discard(req.key)
-		if wanted {
+		if stillWaiting {
 			d.rejectIntent(req, m.err)
 		}
 		return
-	case !wanted: // the client is gone, or the request was shed: nothing of it was or will be sent
+	case !stillWaiting: // its client has disconnected or it was shed: no call of it was or will be sent
 		p.write(p.table.Discard(req.key))
 		return
 	}
@@ -105,7 +108,7 @@
 	d.requestArrived(req)
 }
 
-// intentTimedOut sheds a request whose intent takes too long to be written, while its client still waits.
+// intentTimedOut sheds a request whose intent is still being written after the timeout, unless its client has disconnected.
 func (d *dispatcher) intentTimedOut(req *clientRequest) {
 	if req.intentPending && !req.clientGone {
 		req.intentPending = false
@@ -113,20 +116,22 @@
 	}
 }
 
-// ownsIntent reports whether the outcome of a request is to be recorded under its key.
+// ownsIntent reports whether this request has written the intent under its key, so that its outcome is to be recorded.
+// That is not so if an earlier request with the key may have run.
 func (d *dispatcher) ownsIntent(req *clientRequest) bool {
 	return d.persistence != nil && req.intentDurable && !req.mayHaveRun
 }
 
-// intentUnused records that nothing of a request was sent.
+// intentUnused records that no call of a request was sent, which releases its key.
 func (d *dispatcher) intentUnused(req *clientRequest) {
 	if d.ownsIntent(req) {
 		d.persistence.write(d.persistence.table.Discard(req.key))
 	}
 }
 
-// recordOutcome records the result of a request that must not run twice, and encodes its answer for retries. The
-// balancer sheds a request only if none of its attempts can have run.
+// recordOutcome records the result of a request that must not run twice. An answer is stored in encoded form, for retries.
+// A shed request is discarded, as the balancer sheds one only if none of its attempts can have run. Any other result is
+// recorded as unknown.
 func (d *dispatcher) recordOutcome(req *clientRequest, r *result) {
 	if !d.ownsIntent(req) {
 		return
@@ -143,7 +148,8 @@
 	}
 }
 
-// recordAbandoned records the outcome of a request whose client is gone.
+// recordAbandoned records the outcome of a request whose client has disconnected: unknown if an attempt was sent, otherwise
+// the request is discarded.
 func (d *dispatcher) recordAbandoned(req *clientRequest) {
 	if !d.ownsIntent(req) {
 		return
--- a/gatherer/persistence.go
+++ b/gatherer/persistence.go
@@ -17,30 +17,32 @@
 
 // Tables of the store.
 const (
-	// TableRequests holds requests that must not run twice: the values of package idempotency, by key.
+	// TableRequests holds the requests that must not run twice, encoded by package idempotency, by idempotency key.
 	TableRequests store.Table = 1
-	// TableServerList holds the last server list: its entries as JSON, by host, and its version under listVersionKey.
+	// TableServerList holds the last server list: its entries as JSON, by host, and its version in decimal under
+	// listVersionKey.
 	TableServerList store.Table = 2
 	// TableServerRecords holds the balancer's records of servers as JSON, by host.
 	TableServerRecords store.Table = 3
 )
 
-// listVersionKey is the key of the list's version in TableServerList.
+// listVersionKey is the key of the list's version in TableServerList. No host has this name.
 const listVersionKey = ""
 
-// saveInterval is how often the records of servers are saved. They count for ten seconds, so that losing the last ones
-// does no harm.
+// saveInterval is the interval at which the records of servers are saved. A record is used for ten seconds, so losing
+// those since the last save does no harm.
 const saveInterval = 1000 * balancer.Millisecond
 
-// persistence is what is kept across restarts. It belongs to the dispatcher's goroutine.
+// persistence is the state that survives restarts. It is accessed only by the dispatcher's goroutine.
 type persistence struct {
-	store   *store.Store
-	table   *idempotency.Table
-	disk    idempotency.DiskGuard
-	failing bool // intents could not be written, which is logged once
+	store     *store.Store
+	table     *idempotency.Table
+	diskGuard idempotency.DiskGuard
+	failing   bool // the last intent could not be written; logged once until one is written again
 }
 
-// openPersistence opens the store that the operator's file names, and logs what it holds.
+// openPersistence opens the store that is configured in the operator's file, restores the idempotency table from it, and
+// logs what it contains and any damage.
 func openPersistence(o *operatorconfig.Store) (*persistence, error) {
 	disk, err := store.OpenDisk(o.Path)
 	if err != nil {
@@ -54,8 +56,8 @@
 		return nil, fmt.Errorf("store %s: %w", o.Path, err)
 	}
 	p := &persistence{
-		store: s,
-		disk:  idempotency.DiskGuard{SlowAfter: idempotency.Time(o.SlowAfter.Milliseconds())},
+		store:     s,
+		diskGuard: idempotency.DiskGuard{SlowAfter: idempotency.Time(o.SlowAfter.Milliseconds())},
 		table: idempotency.New(idempotency.Config{Retention: idempotency.Time(o.Retention.Milliseconds()), MaxRequests: o.MaxRequests,
 			MaxAnswerBytes: int(o.MaxAnswerBytes)}),
 	}
@@ -70,15 +72,17 @@
 	return p, nil
 }
 
+// close closes the store and logs an error.
 func (p *persistence) close() {
 	if err := p.store.Close(); err != nil {
 		slog.Error("store_close", "error", err)
 	}
 }
 
+// unixNow returns the Unix time in milliseconds.
 func unixNow() idempotency.Time { return idempotency.Time(time.Now().UnixMilli()) }
 
-// write writes changes that nothing waits for. If that fails the outcome of their requests stays unknown, which is safe.
+// write writes changes without waiting for them. If that fails the outcome of their requests stays unknown, which is safe.
 func (p *persistence) write(changes []idempotency.Change) {
 	if len(changes) == 0 {
 		return
@@ -90,6 +94,7 @@
 	}, storeOps(changes)...)
 }
 
+// storeOps converts changes of the idempotency table into operations of the store.
 func storeOps(changes []idempotency.Change) (ops []store.Op) {
 	for _, c := range changes {
 		ops = append(ops, store.Op{Table: TableRequests, Key: string(c.Key), Value: c.Value, Delete: c.Value == nil})
@@ -97,8 +102,8 @@
 	return ops
 }
 
-// saveServerList saves an update of the server list. An error is ignored: an old list is better than none, and the list
-// service will send a new one.
+// saveServerList saves an update of the server list. An error is ignored: an old list is better than none, and the
+// discovery service will send a new one.
 func (p *persistence) saveServerList(list discovery.ServerList) {
 	var changes []store.Op
 	if list.Complete {
@@ -125,8 +130,8 @@
 	p.store.CommitAsync(func(error) {}, changes...)
 }
 
-// loadServerList returns the stored server list, or the known one if that is newer. Entries that are not accepted are
-// skipped.
+// loadServerList returns the stored server list, or the known one if that is newer or the stored one is missing, empty or
+// invalid. Entries that are not accepted are skipped.
 func (p *persistence) loadServerList(known discovery.ServerList, accept func(discovery.Server) error) discovery.ServerList {
 	stored := p.store.All(TableServerList)
 	if len(stored) == 0 {
@@ -155,8 +160,8 @@
 	return known
 }
 
-// saveServerRecords saves the records of servers that are newer than the last save. An error is ignored: the servers are
-// soon measured again.
+// saveServerRecords saves the records of servers that were measured since the last save, and deletes those of servers that
+// are no longer listed. An error is ignored, as the servers are soon measured again.
 func (d *dispatcher) saveServerRecords(now balancer.Time) {
 	since := d.recordsSavedAt
 	d.recordsSavedAt = now
@@ -180,7 +185,7 @@
 	}
 }
 
-// restoreServerRecords hands the stored records of listed servers to the balancer.
+// restoreServerRecords passes the stored records of servers in the list to the balancer.
 func (d *dispatcher) restoreServerRecords() {
 	var event balancer.RecordsRestored
 	for host, raw := range d.persistence.store.All(TableServerRecords) {
--- a/gatherer/resumed.go
+++ b/gatherer/resumed.go
@@ -5,23 +5,23 @@
 	"sync"
 )
 
-// resumedListener is a net.Listener of connections that were parked. Resuming one never blocks on net/http: connections
-// that the channel has no room for wait in a queue.
+// resumedListener is a net.Listener from which net/http accepts connections that were parked and are active again. Handing
+// one over never blocks on net/http: connections are queued while the channel is full.
 type resumedListener struct {
-	net.Listener // provides the address
-	conns        chan net.Conn
-	done         chan struct{}
+	net.Listener               // provides Addr
+	conns        chan net.Conn // received by Accept
+	done         chan struct{} // closed by Close
 	once         sync.Once
 
-	mu      sync.Mutex
-	queue   []net.Conn     // sent by feed
-	feeding bool           // feed is running
-	served  sync.WaitGroup // connections that are not accepted
+	mu         sync.Mutex
+	queue      []net.Conn     // sent to conns by sendQueued
+	sending    bool           // sendQueued is running
+	unaccepted sync.WaitGroup // enqueued connections that are neither accepted nor closed
 }
 
-// enqueue hands a connection over without blocking.
+// enqueue hands a connection over to Accept without blocking.
 func (w *resumedListener) enqueue(c net.Conn) {
-	w.served.Add(1)
+	w.unaccepted.Add(1)
 	select {
 	case w.conns <- c:
 		return
@@ -29,18 +29,18 @@
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.queue = append(w.queue, c); !w.feeding {
-		w.feeding = true
-		go w.feed()
+	if w.queue = append(w.queue, c); !w.sending {
+		w.sending = true
+		go w.sendQueued()
 	}
 }
 
-// feed sends queued connections until the queue is empty.
-func (w *resumedListener) feed() {
+// sendQueued sends queued connections until the queue is empty.
+func (w *resumedListener) sendQueued() {
 	for {
 		w.mu.Lock()
 		if len(w.queue) == 0 {
-			w.feeding, w.queue = false, nil
+			w.sending, w.queue = false, nil
 			w.mu.Unlock()
 			return
 		}
@@ -51,19 +51,19 @@
 		case w.conns <- c:
 		case <-w.done:
 			c.Close()
-			w.served.Done()
+			w.unaccepted.Done()
 		}
 	}
 }
 
-// wait blocks until all connections are accepted or closed.
-func (w *resumedListener) wait() { w.served.Wait() }
+// wait blocks until all enqueued connections are accepted or closed.
+func (w *resumedListener) wait() { w.unaccepted.Wait() }
 
 // Accept implements net.Listener.
 func (w *resumedListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-w.conns:
-		w.served.Done()
+		w.unaccepted.Done()
 		return c, nil
 	case <-w.done:
 		return nil, net.ErrClosed
--- a/gatherer/servers.go
+++ b/gatherer/servers.go
@@ -7,24 +7,24 @@
 	"oxbowspan/internal/shardconn"
 )
 
-// unknownZone is the index of a zone that the settings do not name.
+// unknownZone is the index of all zones that are not in the settings.
 const unknownZone balancer.ZoneIndex = -1
 
-// server is a shard server.
+// server is a shard server that is or was in the server list.
 type server struct {
 	id        balancer.ServerID
 	host      string
-	client    *shardconn.Client // nil = it is not listed
+	client    *shardconn.Client // nil = not listed and no attempt in flight
 	address   string
 	startedAt balancer.Time
-	inFlight  int // attempts
+	inFlight  int // number of attempts in flight
 	listed    bool
 	draining  bool
 	cell      int
 	zone      string
 }
 
-// listReceived processes an update of the list service.
+// listReceived applies and saves an update of the server list from the discovery service.
 func (d *dispatcher) listReceived(list discovery.ServerList) {
 	kind := balancer.ListDelta
 	if list.Complete {
@@ -35,12 +35,12 @@
 		d.persistence.saveServerList(list)
 	}
 	if d.degradation != nil {
-		d.degradation.gauge.RecordListResult(d.degradation.now(), true)
+		d.degradation.monitor.RecordListResult(d.degradation.now(), true)
 	}
 }
 
-// applyServerList hands a server list to the balancer, with hosts and zones as numbers, and runs a client for each
-// listed server.
+// applyServerList passes a server list to the balancer, with hosts and zones converted to numbers, and starts a client for
+// each listed server that has none.
 func (d *dispatcher) applyServerList(kind balancer.ServerListKind, list discovery.ServerList) {
 	event := balancer.ServerList{Kind: kind}
 	if kind != balancer.ListDelta {
@@ -58,9 +58,9 @@
 	}
 }
 
-// applyServer applies one entry of the list and returns it in the form of the balancer.
+// applyServer applies one entry of the server list to its server and returns the entry as a value for the balancer.
 func (d *dispatcher) applyServer(entry discovery.Server) balancer.Server {
-	s, startedAt := d.serverOf(entry.Host), balancerconfig.TimeFromMillis(entry.StartedMillis)
+	s, startedAt := d.findOrAddServer(entry.Host), balancerconfig.TimeFromMillis(entry.StartedMillis)
 	out := balancer.Server{ID: s.id, Zone: d.zoneIndex(entry.Zone), Cell: balancer.CellIndex(entry.Cell),
 		State: serverState(entry.Health), StartedAt: startedAt}
 	s.listed = out.State != balancer.Removed
@@ -70,20 +70,20 @@
 		s.client = d.startClient(s, entry.Address)
 	case s.address != entry.Address || s.startedAt != startedAt:
 		if !s.client.TrySubmit(shardconn.AddressChanged{Addr: entry.Address, StartedAt: startedAt}) {
-			s.client.Stop() // its mailbox is full: it finishes what is in flight, and a new client takes over
+			s.client.Stop() // its mailbox is full: it finishes the attempts in flight, and a new client replaces it
 			s.client = d.startClient(s, entry.Address)
 		}
 	}
 	if out.State == balancer.Draining && s.client != nil {
-		s.client.TrySubmit(shardconn.Drain{}) // if refused its connections end with the server
+		s.client.TrySubmit(shardconn.Drain{}) // if its mailbox is full the connections last until the server ends
 	}
 	s.address, s.startedAt = entry.Address, startedAt
 	s.draining, s.cell, s.zone = out.State == balancer.Draining, entry.Cell, entry.Zone
 	return out
 }
 
-// serverOf returns the server of a host, a new one if it is unknown.
-func (d *dispatcher) serverOf(host string) *server {
+// findOrAddServer returns the server of a host, a new one if it is unknown.
+func (d *dispatcher) findOrAddServer(host string) *server {
 	id, known := d.serverIDs[host]
 	if !known {
 		d.lastServerID++
@@ -94,10 +94,12 @@
 	return d.servers[id]
 }
 
+// startClient starts the client that manages the connections to a server.
 func (d *dispatcher) startClient(s *server, address string) *shardconn.Client {
 	return shardconn.Start(s.id, s.host, address, d.connConfig, d.clock.now, d.mailbox, d.descriptors)
 }
 
+// serverState converts the health in the server list to a state of the balancer. Any unknown health means removed.
 func serverState(health string) balancer.ServerState {
 	switch health {
 	case discovery.Up:
@@ -108,7 +110,8 @@
 	return balancer.Removed
 }
 
-// pruneServers counts the listed servers, and forgets the others when they are the majority.
+// pruneServers updates the number of listed servers and releases the clients of the others. When unlisted servers are the
+// majority, those without a client are deleted.
 func (d *dispatcher) pruneServers() {
 	d.listedServers = 0
 	for _, s := range d.servers {
@@ -136,6 +139,7 @@
 	}
 }
 
+// zoneIndex returns the index of a zone in the settings, or unknownZone.
 func (d *dispatcher) zoneIndex(name string) balancer.ZoneIndex {
 	for i, zone := range d.deployment.Zones {
 		if zone == name {
