--- a/gatherer/degradation_test.go
+++ b/gatherer/degradation_test.go
@@ -14,7 +14,7 @@
 	"oxbowspan/internal/testing/standin"
 )
 
-// levelsConfig sheds posts when a fifth of the servers is lost, and lookups when most are.
+// levelsConfig is an operator's file that sheds posts when a fifth of the servers is lost, and lookups when 90% are.
 const levelsConfig = `[levels]
 socket = admin.sock
 smooth = 0s
@@ -36,7 +36,7 @@
 // writeLevelsFile writes an operator's file. It returns its path and that of the admin socket.
 func writeLevelsFile(t *testing.T, text string) (file, socket string) {
 	t.Helper()
-	dir, err := os.MkdirTemp("", "levels") // the path of a socket must be short
+	dir, err := os.MkdirTemp("", "levels") // not t.TempDir: the length of a Unix socket path is limited
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -48,7 +48,7 @@
 	return file, filepath.Join(dir, "admin.sock")
 }
 
-// queryState returns the state that operators see.
+// queryState requests the state that is shown to operators.
 func queryState(t *testing.T, c *admin.Client) admin.State {
 	t.Helper()
 	a, err := c.Do(admin.Request{Verb: admin.Show})
@@ -58,7 +58,7 @@
 	return *a.State
 }
 
-// awaitLevel waits until a level applies.
+// awaitLevel waits until the gatherer is at the named level and returns its state.
 func awaitLevel(t *testing.T, c *admin.Client, name string) admin.State {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); ; {
@@ -70,7 +70,7 @@
 	}
 }
 
-// degradationEnv is a program with four servers and levels, and the connection of an operator.
+// degradationEnv is a program with degradation levels, its four servers, and a connection to its admin socket.
 type degradationEnv struct {
 	t            *testing.T
 	file, socket string
@@ -80,7 +80,8 @@
 	admin        *admin.Client
 }
 
-// startDegradationEnv starts a program with levels and servers in so many cells, and waits until it knows all of them.
+// startDegradationEnv starts a program with levels and four servers that are spread over the given number of cells, and
+// waits until it lists all of them.
 func startDegradationEnv(t *testing.T, levels string, cells int, edit func(*Config)) *degradationEnv {
 	t.Helper()
 	e := &degradationEnv{t: t}
@@ -102,6 +103,7 @@
 	return e
 }
 
+// dial opens another connection to the admin socket.
 func (e *degradationEnv) dial() *admin.Client {
 	e.t.Helper()
 	c, err := admin.Dial(e.socket)
@@ -112,13 +114,14 @@
 	return c
 }
 
-// expect sends a request to shards 1 and 5, checks its status and returns its Retry-After.
-func (e *degradationEnv) expect(id, queryType string, status int) string {
+// expectStatus sends a request with calls to shards 1 and 5, checks its status and returns its Retry-After.
+func (e *degradationEnv) expectStatus(id, queryType string, status int) string {
 	e.t.Helper()
-	return e.expectFrom([]int{1, 5}, id, queryType, status)
+	return e.expectStatusFrom([]int{1, 5}, id, queryType, status)
 }
 
-func (e *degradationEnv) expectFrom(shards []int, id, queryType string, status int) string {
+// expectStatusFrom is expectStatus with other shards.
+func (e *degradationEnv) expectStatusFrom(shards []int, id, queryType string, status int) string {
 	e.t.Helper()
 	request := standin.Request{ID: id, QueryType: queryType, Customer: "acme", Timeout: 1500 * time.Millisecond,
 		Shards: shards, Statement: "c41e77d0"}
@@ -149,25 +152,25 @@
 	return a
 }
 
-// With a quarter of the servers lost posts are shed with a Retry-After and lookups are served, which is logged and shown to
-// operators; and service recovers, which an operator who watches sees.
+// With a quarter of the servers lost, posts are shed with a Retry-After and lookups are still served. The change of level is
+// logged and shown to operators. Service recovers when the server returns, which is published to a watching operator.
 func TestDegradationShedsLowPriorityFirst(t *testing.T) {
 	e := startDegradationEnv(t, levelsConfig, 1, nil)
 	if s, err := os.Stat(e.socket); err != nil || s.Mode().Perm() != 0o600 {
 		t.Errorf("mode of the socket: %v, %v", s.Mode(), err)
 	}
-	e.expect("a1", "lookup", 200)
-	e.expect("a2", "post", 200)
+	e.expectStatus("a1", "lookup", 200)
+	e.expectStatus("a2", "post", 200)
 	e.removeServer(3)
 	line := e.program.line("event=level ", "to=trimmed")
 	if !strings.Contains(line, "scope=all") || !strings.Contains(line, "from=full") ||
 		!strings.Contains(line, "lost 0.25") {
 		t.Errorf("log line %q", line)
 	}
-	if after := e.expect("b1", "post", 503); !strings.HasPrefix(after, "0.") {
+	if after := e.expectStatus("b1", "post", 503); !strings.HasPrefix(after, "0.") {
 		t.Errorf("Retry-After %q", after)
 	}
-	e.expect("b2", "lookup", 200)
+	e.expectStatus("b2", "lookup", 200)
 	s := awaitLevel(t, e.admin, "trimmed")
 	if len(s.Servers) != 3 || len(s.Changes) != 1 || s.Types[1].Name != "post" || s.Types[1].Share != 0 ||
 		len(s.Types[1].Customers) != 1 || s.Types[1].Customers[0].Shed != 1 {
@@ -191,8 +194,8 @@
 			break
 		}
 	}
-	e.expect("c1", "post", 200)
-	// The same program is pinned, loses the server again, reloads its levels and ends, all with a watcher connected.
+	e.expectStatus("c1", "post", 200)
+	// Pinning, losing the server again, reloading the levels and draining must also work with a watcher connected.
 	e.checkPin()
 	e.removeServer(3)
 	awaitLevel(t, e.admin, "trimmed")
@@ -203,7 +206,7 @@
 	startDegradationEnv(t, levelsConfig, 1, nil).checkPin()
 }
 
-// checkPin pins a program at full service to a level, and unpins it.
+// checkPin pins a program that is at full service to a level, checks that it sheds requests, and unpins it.
 func (e *degradationEnv) checkPin() {
 	e.t.Helper()
 	if _, err := e.admin.Do(admin.Request{Verb: admin.Pin, Level: "nowhere", Seconds: 1}); err == nil {
@@ -211,13 +214,13 @@
 	}
 	e.do(admin.Request{Verb: admin.Pin, Level: "closed", Seconds: 3600})
 	awaitLevel(e.t, e.admin, "closed")
-	e.expect("d1", "lookup", 503)
+	e.expectStatus("d1", "lookup", 503)
 	e.do(admin.Request{Verb: admin.Unpin})
 	awaitLevel(e.t, e.admin, "full")
-	e.expect("d2", "lookup", 200)
+	e.expectStatus("d2", "lookup", 200)
 }
 
-// A reload changes the levels while one applies. When the program ends the socket is removed.
+// A reload replaces the configuration of the current level. When the program ends the socket is removed.
 func TestLevelsReload(t *testing.T) {
 	e := startDegradationEnv(t, levelsConfig, 1, nil)
 	e.removeServer(3)
@@ -225,7 +228,7 @@
 	e.checkReloadAndDrain()
 }
 
-// checkReloadAndDrain reloads the levels of a program at level trimmed, and ends the program.
+// checkReloadAndDrain reloads the levels of a program that is at level trimmed, and drains the program.
 func (e *degradationEnv) checkReloadAndDrain() {
 	e.t.Helper()
 	changed := strings.Replace(levelsConfig, "share = post 0", "share = post 1", 1)
@@ -234,7 +237,7 @@
 	}
 	e.program.cmd.Process.Signal(syscall.SIGHUP)
 	e.program.line("event=reload ", "needs_restart=none")
-	e.expect("e1", "post", 200)
+	e.expectStatus("e1", "post", 200)
 	awaitLevel(e.t, e.admin, "trimmed")
 	if err := e.program.run.Drain(testTimeout); err != nil {
 		e.t.Error(err)
@@ -244,7 +247,7 @@
 	}
 }
 
-// Requests for a segment without replicas are shed, others are served.
+// Requests for a segment that has lost all replicas are shed promptly, and those for other segments are served.
 func TestLostSegmentDoesNotDegradeOthers(t *testing.T) {
 	const levels = `[levels]
 socket = admin.sock
@@ -257,16 +260,16 @@
 	e := startDegradationEnv(t, levels, 4, func(c *Config) {
 		c.Settings = []byte(strings.Replace(testSettings, `"positions":1,"slices":8`, `"positions":4,"slices":4`, 1))
 	})
-	e.expectFrom([]int{2}, "a1", "lookup", 200)
+	e.expectStatusFrom([]int{2}, "a1", "lookup", 200)
 	e.removeServer(2)
 	e.program.line("event=level ", "scope=segment-2", "to=gone")
 	began := time.Now()
-	e.expectFrom([]int{2}, "b1", "lookup", 503)
+	e.expectStatusFrom([]int{2}, "b1", "lookup", 503)
 	if took := time.Since(began); took > time.Second {
 		t.Errorf("a request for the lost segment took %s", took)
 	}
 	for i, segment := range []int{0, 1, 3} {
-		e.expectFrom([]int{segment}, []string{"c1", "c2", "c3"}[i], "lookup", 200)
+		e.expectStatusFrom([]int{segment}, []string{"c1", "c2", "c3"}[i], "lookup", 200)
 	}
 	if s := queryState(t, e.admin); s.Level != "full" || len(s.Segments) != 1 || s.Segments[0].Segment != 2 {
 		t.Errorf("state %+v", s)
--- a/gatherer/merge_test.go
+++ b/gatherer/merge_test.go
@@ -20,15 +20,15 @@
 		t.Run(name, func(t *testing.T) {
 			s := startMergeEnv(t, shape, nil, nil)
 			for _, order := range [][]string{{"due"}, {"-amount", "due"}, {"-customer", "-bills"}} {
-				for _, at := range []struct{ offset, limit int }{{0, 1}, {0, 50}, {17, 40}, {290, 30}, {400, 5}} {
-					m := s.merged("report", merge.Request{Kind: "ranked", Order: order, Offset: at.offset, Limit: at.limit})
-					if err := s.expected(true).CheckRanked(m, order, at.offset, at.limit, true); err != nil {
-						t.Errorf("%v from %d, %d rows: %v", order, at.offset, at.limit, err)
+				for _, page := range []struct{ offset, limit int }{{0, 1}, {0, 50}, {17, 40}, {290, 30}, {400, 5}} {
+					m := s.sendMerge("report", merge.Request{Kind: "ranked", Order: order, Offset: page.offset, Limit: page.limit})
+					if err := s.oracle(true).CheckRanked(m, order, page.offset, page.limit, true); err != nil {
+						t.Errorf("%v from %d, %d rows: %v", order, page.offset, page.limit, err)
 					}
 				}
-				if w := s.walk("report", order, 7, nil); w.Rows != shape.Accounts || w.Late > 0 {
-					t.Errorf("a walk of %v gave %d rows, %d late, the data set has %d",
-						order, w.Rows, w.Late, shape.Accounts)
+				if pages := s.readPages("report", order, 7, nil); pages.Rows != shape.Accounts || pages.Late > 0 {
+					t.Errorf("the pages of %v have %d rows, %d late, the data set has %d",
+						order, pages.Rows, pages.Late, shape.Accounts)
 				}
 			}
 			for _, terms := range []merge.Request{
@@ -36,7 +36,7 @@
 				{Kind: "aggregated", Limit: 100, Group: []string{"customer"}, Aggregates: []string{"count", "sum(amount)", "max(due)"}, By: "sum(amount)"},
 				{Kind: "aggregated", Limit: 9, Group: []string{"due", "customer"}, Aggregates: []string{"sum(bills)", "mean(amount)"}},
 			} {
-				if err := s.expected(true).CheckAggregated(s.merged("report", terms), terms, terms.Limit != 9); err != nil {
+				if err := s.oracle(true).CheckAggregated(s.sendMerge("report", terms), terms, terms.Limit != 9); err != nil {
 					t.Errorf("%v: %v", terms, err)
 				}
 			}
@@ -46,10 +46,10 @@
 
 func TestDisallowedMergesAreRejected(t *testing.T) {
 	s := startMergeEnv(t, standin.DatasetShape{Segments: 4, Accounts: 40}, nil, nil)
-	page := s.merged("report", merge.Request{Kind: "paged", Order: []string{"due"}, Limit: 5})
+	page := s.sendMerge("report", merge.Request{Kind: "paged", Order: []string{"due"}, Limit: 5})
 	cursor := page.Result.Next
-	turned := []byte(cursor)
-	turned[len(turned)/2] ^= 3
+	tampered := []byte(cursor)
+	tampered[len(tampered)/2] ^= 3
 	for want, terms := range map[string]merge.Request{
 		"kind":                  {Kind: "sorted", Limit: 5},
 		"limit":                 {Kind: "ranked", Order: []string{"due"}, Limit: 201},
@@ -58,21 +58,21 @@
 		"twice":                 {Kind: "ranked", Order: []string{"due", "-due"}, Limit: 5},
 		"figure":                {Kind: "aggregated", Aggregates: []string{"sum(account)"}, Limit: 5},
 		"longer than any":       {Kind: "paged", Order: []string{"due"}, Limit: 5, Cursor: strings.Repeat("A", 9000)},
-		"changed":               {Kind: "paged", Order: []string{"due"}, Limit: 5, Cursor: string(turned)},
+		"changed":               {Kind: "paged", Order: []string{"due"}, Limit: 5, Cursor: string(tampered)},
 		"for another search":    {Kind: "paged", Order: []string{"amount"}, Limit: 5, Cursor: cursor},
 		"cursor is for":         {Kind: "ranked", Order: []string{"due"}, Limit: 5, Cursor: cursor},
 		"goes on by its cursor": {Kind: "paged", Order: []string{"due"}, Limit: 5, Offset: 3},
 	} {
-		r, err := s.search("report", terms).Send(context.Background(), http.DefaultClient, s.addr)
+		r, err := s.newSearch("report", terms).Send(context.Background(), http.DefaultClient, s.addr)
 		if err != nil || r.Status != http.StatusBadRequest || !strings.Contains(string(r.Body), want) ||
 			strings.Count(string(r.Body), "\n") != 1 {
 			t.Errorf("%+v: got %d %q, error %v, want 400 with %q", terms, r.Status, r.Body, err, want)
 		}
 	}
-	foreign := s.search("report", merge.Request{Kind: "paged", Order: []string{"due"}, Limit: 5, Cursor: cursor})
+	foreign := s.newSearch("report", merge.Request{Kind: "paged", Order: []string{"due"}, Limit: 5, Cursor: cursor})
 	foreign.Customer = "other"
-	post := s.search("post", merge.Request{Kind: "ranked", Order: []string{"due"}, Limit: 5})
-	unknown := s.search("report", merge.Request{})
+	post := s.newSearch("post", merge.Request{Kind: "ranked", Order: []string{"due"}, Limit: 5})
+	unknown := s.newSearch("report", merge.Request{})
 	unknown.Merge = json.RawMessage(`{"kind":"ranked","limit":5,"order":["due"],"sort":"up"}`)
 	for want, q := range map[string]standin.Request{"for another search": foreign, "not merged": post, "sort": unknown} {
 		r, err := q.Send(context.Background(), http.DefaultClient, s.addr)
@@ -99,7 +99,8 @@
 	}
 }
 
-// Merges that wait for one segment reach their common limit: requests above it are shed at once.
+// Merges that wait for one segment reach their common memory limit: requests beyond it are shed immediately, and the memory
+// is released afterwards.
 func TestMergeMemoryLimit(t *testing.T) {
 	release := make(chan struct{})
 	s := startMergeEnv(t, standin.DatasetShape{Segments: 4, Accounts: 2000},
@@ -116,7 +117,7 @@
 	replies := make(chan standin.Response, n)
 	for range n {
 		go func() {
-			r, err := s.search("report", merge.Request{Kind: "ranked", Order: []string{"due"}, Limit: 200}).Send(context.Background(), http.DefaultClient, s.addr)
+			r, err := s.newSearch("report", merge.Request{Kind: "ranked", Order: []string{"due"}, Limit: 200}).Send(context.Background(), http.DefaultClient, s.addr)
 			if err != nil {
 				t.Error(err)
 			}
@@ -128,23 +129,23 @@
 		t.Errorf("a request above the limit got %d after %s, Retry-After %q", r.Status, r.Elapsed, r.RetryAfter)
 	}
 	close(release)
-	good := 0
+	answered := 0
 	for range n - 1 {
 		if r := <-replies; r.Status == http.StatusOK {
-			good++
+			answered++
 		}
 	}
-	if good == 0 || good == n-1 {
-		t.Errorf("%d of %d were answered, want some", good, n-1)
+	if answered == 0 || answered == n-1 {
+		t.Errorf("%d of %d were answered, want some", answered, n-1)
 	}
-	// The memory is released.
-	m := s.merged("report", merge.Request{Kind: "ranked", Order: []string{"due"}, Limit: 50})
-	if err := s.expected(true).CheckRanked(m, []string{"due"}, 0, 50, true); err != nil {
+	// The memory must have been released.
+	m := s.sendMerge("report", merge.Request{Kind: "ranked", Order: []string{"due"}, Limit: 50})
+	if err := s.oracle(true).CheckRanked(m, []string{"due"}, 0, 50, true); err != nil {
 		t.Error(err)
 	}
 }
 
-// Clients that disconnect during a merge leave no memory in use.
+// Clients that disconnect during a merge leave no merge open and no memory in use.
 func TestClientGoneDuringMergeReleasesMemory(t *testing.T) {
 	var hold atomic.Bool
 	hold.Store(true)
@@ -152,73 +153,74 @@
 		func(c *standin.ShardConn, p standin.ShardCall, rows string) bool {
 			return p.Shard == 3 && hold.Load()
 		}, func(f string) string { return strings.Replace(f, "open = 200", "open = 3", 1) })
-	for range 9 { // three times as many as may be open
-		ctx, leave := context.WithCancel(context.Background())
-		q := s.search("report", merge.Request{Kind: "ranked", Order: []string{"due"}, Limit: 100})
-		left := make(chan error, 1)
+	for range 9 { // three times the limit of open merges
+		ctx, disconnect := context.WithCancel(context.Background())
+		q := s.newSearch("report", merge.Request{Kind: "ranked", Order: []string{"due"}, Limit: 100})
+		sendErr := make(chan error, 1)
 		go func() {
 			_, err := q.Send(ctx, http.DefaultClient, s.addr)
-			left <- err
+			sendErr <- err
 		}()
-		await(t, s.shards[3].Received, func(part string) bool { return strings.HasPrefix(part, q.ID) || strings.HasPrefix(part, "c "+q.ID) })
-		leave()
-		if err := <-left; err == nil {
-			t.Fatal("a request was answered whose client had disconnected")
+		await(t, s.shards[3].Received, func(call string) bool { return strings.HasPrefix(call, q.ID) || strings.HasPrefix(call, "c "+q.ID) })
+		disconnect()
+		if err := <-sendErr; err == nil {
+			t.Fatal("a request was answered although its client had disconnected")
 		}
 		s.line("event=client_conn_end", "reason=client_left")
 	}
 	hold.Store(false)
-	m := s.merged("report", merge.Request{Kind: "ranked", Order: []string{"due"}, Limit: 100})
-	if err := s.expected(true).CheckRanked(m, []string{"due"}, 0, 100, true); err != nil {
+	m := s.sendMerge("report", merge.Request{Kind: "ranked", Order: []string{"due"}, Limit: 100})
+	if err := s.oracle(true).CheckRanked(m, []string{"due"}, 0, 100, true); err != nil {
 		t.Error(err)
 	}
 }
 
-// A cursor key is replaced between two pages, with and without an overlap; an invalid operator's file changes nothing.
+// Reloading the operator's file replaces a cursor key between two pages, first with an overlap and then without. A reload
+// of an invalid file changes nothing.
 func TestOperatorFileReload(t *testing.T) {
 	const newKey = "k2 ff112233445566778899aabbccddeeff00112233445566778899aabbccddeeff\n"
 	s := startMergeEnv(t, standin.DatasetShape{Segments: 4, Accounts: 60}, nil, nil)
 	page := func(cursor string) (standin.Response, standin.MergedResponse) {
-		r, err := s.search("report", merge.Request{Kind: "paged", Order: []string{"due"}, Limit: 10, Cursor: cursor}).Send(context.Background(), http.DefaultClient, s.addr)
+		r, err := s.newSearch("report", merge.Request{Kind: "paged", Order: []string{"due"}, Limit: 10, Cursor: cursor}).Send(context.Background(), http.DefaultClient, s.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
 		m, _ := standin.ParseMergedResponse(r.Body)
 		return r, m
 	}
-	hup := func(event string) {
+	reload := func(event string) {
 		t.Helper()
 		s.cmd.Process.Signal(syscall.SIGHUP)
 		s.line(event)
 	}
 	_, first := page("")
-	s.write("operator.ini", "[merging]\nmemory = much\n")
-	hup("event=reload_failed")
+	s.writeFile("operator.ini", "[merging]\nmemory = much\n")
+	reload("event=reload_failed")
 	if r, _ := page(first.Result.Next); r.Status != http.StatusOK {
 		t.Errorf("after an invalid file: %d %s", r.Status, r.Body)
 	}
-	s.write("operator.ini", writeMergeFile(nil))
-	s.write("cursor.keys", newKey+testKey)
-	hup("event=reload ")
+	s.writeFile("operator.ini", writeMergeFile(nil))
+	s.writeFile("cursor.keys", newKey+testKey)
+	reload("event=reload ")
 	r, second := page(first.Result.Next)
 	if r.Status != http.StatusOK {
 		t.Fatalf("during the overlap: %d %s", r.Status, r.Body)
 	}
-	s.write("cursor.keys", newKey)
-	hup("event=reload ")
+	s.writeFile("cursor.keys", newKey)
+	reload("event=reload ")
 	if r, _ := page(first.Result.Next); r.Status != http.StatusBadRequest ||
 		!strings.Contains(string(r.Body), "key is no longer") {
-		t.Errorf("a cursor of a removed key: %d %s", r.Status, r.Body)
+		t.Errorf("a cursor signed by a removed key: %d %s", r.Status, r.Body)
 	}
 	if r, _ := page(second.Result.Next); r.Status != http.StatusOK {
-		t.Errorf("a cursor made during the overlap: %d %s", r.Status, r.Body)
+		t.Errorf("a cursor signed during the overlap: %d %s", r.Status, r.Body)
 	}
-	s.write("operator.ini", writeMergeFile(func(f string) string { return strings.Replace(f, "[merge report]", "[merge post]", 1) }))
+	s.writeFile("operator.ini", writeMergeFile(func(f string) string { return strings.Replace(f, "[merge report]", "[merge post]", 1) }))
 	s.cmd.Process.Signal(syscall.SIGHUP)
 	s.line("event=reload_failed", "not idempotent")
-	s.write("operator.ini", "[merging]\nopen = 1\n")
-	hup("event=reload ")
+	s.writeFile("operator.ini", "[merging]\nopen = 1\n")
+	reload("event=reload ")
 	if r, _ := page(second.Result.Next); r.Status != http.StatusOK || strings.Contains(string(r.Body), "merged") {
-		t.Errorf("once nothing is merged: %d %.100s", r.Status, r.Body)
+		t.Errorf("after merging was disabled: %d %.100s", r.Status, r.Body)
 	}
 }
--- a/gatherer/mergeenv_test.go
+++ b/gatherer/mergeenv_test.go
@@ -15,6 +15,8 @@
 	"oxbowspan/merge"
 )
 
+// mergeSettings has four cells and four segments, each in two cells. Type report requires complete answers, type loose
+// those of half of the segments, and type post is not idempotent.
 const mergeSettings = `{"classes":[
 	{"name":"report","effect":"free","slo":1000.0,"hardLimit":3000.0,"lateWorth":0.3},
 	{"name":"loose","effect":"free","slo":300.0,"hardLimit":2000.0,"lateWorth":0.3},
@@ -28,7 +30,7 @@
 
 const testKey = "k1 00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff\n"
 
-// writeMergeFile returns an operator's file for the query types of the test; edit changes it.
+// writeMergeFile returns the text of an operator's file that merges types report and loose, after edit unless that is nil.
 func writeMergeFile(edit func(string) string) string {
 	text := "[merging]\nmemory = 4MiB\nrows = 50000\nopen = 200\ncursor_keys = cursor.keys\n" +
 		"[schema arrears/1]\n" + standin.DatasetSchema
@@ -43,19 +45,21 @@
 	return text
 }
 
-// mergeEnv is a gatherer with shard servers that serve the rows of a known data set.
+// mergeEnv is a running gatherer with shard servers that serve the rows of a generated data set.
 type mergeEnv struct {
 	*program
 	t       *testing.T
 	dataset *standin.Dataset
 	shards  []*standin.ShardServer
 	list    *standin.DiscoveryService
-	file    string       // of the operator
-	last    atomic.Int64 // request id
+	file    string       // the operator's file
+	last    atomic.Int64 // last request id
 }
 
-// startMergeEnv starts a mergeEnv of four cells, two of them for each segment. If respond returns true it has answered a call
-// itself, otherwise the rows are sent.
+// startMergeEnv starts a mergeEnv with one server in each of four cells, so that each segment has two replicas. For each
+// merged call it calls respond, unless that is nil, with the rows of the segment. If respond returns false the rows are
+// sent; otherwise respond answers the call itself or leaves it unanswered. The text of the operator's file is changed by
+// edit unless that is nil.
 func startMergeEnv(t *testing.T, shape standin.DatasetShape,
 	respond func(c *standin.ShardConn, p standin.ShardCall, rows string) bool, edit func(string) string) *mergeEnv {
 	t.Helper()
@@ -68,7 +72,7 @@
 			}
 			rows, err := s.dataset.Respond(p.Shard, p.Attributes["m"], 0)
 			if err != nil {
-				t.Errorf("a segment got the terms %q: %v", p.Attributes["m"], err)
+				t.Errorf("a segment received the merge parameters %q: %v", p.Attributes["m"], err)
 			}
 			if respond == nil || !respond(c, p, rows) {
 				c.Respond(p.ID, "served", rows)
@@ -80,27 +84,29 @@
 	s.list = startList(t, s.shards...)
 	dir := t.TempDir()
 	s.file = filepath.Join(dir, "operator.ini")
-	s.write("operator.ini", writeMergeFile(edit))
-	s.write("cursor.keys", testKey)
+	s.writeFile("operator.ini", writeMergeFile(edit))
+	s.writeFile("cursor.keys", testKey)
 	s.program = start(t, s.list, func(c *Config) { c.Settings = json.RawMessage(mergeSettings) }, "--operator", s.file)
 	return s
 }
 
-func (s *mergeEnv) write(name, text string) {
+// writeFile writes a file to the directory of the operator's file.
+func (s *mergeEnv) writeFile(name, text string) {
 	s.t.Helper()
 	if err := os.WriteFile(filepath.Join(filepath.Dir(s.file), name), []byte(text), 0o600); err != nil {
 		s.t.Fatal(err)
 	}
 }
 
-func (s *mergeEnv) search(kind string, terms merge.Request) standin.Request {
-	return standin.Request{ID: fmt.Sprintf("%016x", 1<<40+s.last.Add(1)), QueryType: kind, Customer: "acme",
+// newSearch returns a request of a query type for all segments, with a new id.
+func (s *mergeEnv) newSearch(queryType string, terms merge.Request) standin.Request {
+	return standin.Request{ID: fmt.Sprintf("%016x", 1<<40+s.last.Add(1)), QueryType: queryType, Customer: "acme",
 		Timeout: 2900 * time.Millisecond,
-		Shards:  []int{0, 1, 2, 3}, Statement: "c41e77d0", Merge: wire(terms)}
+		Shards:  []int{0, 1, 2, 3}, Statement: "c41e77d0", Merge: wireTerms(terms)}
 }
 
-// wire returns the terms as a client sends them, without those that are not set.
-func wire(t merge.Request) map[string]any {
+// wireTerms returns a merge request in the form in which a client sends it, without the fields that are not set.
+func wireTerms(t merge.Request) map[string]any {
 	raw, _ := json.Marshal(t)
 	var out map[string]any
 	json.Unmarshal(raw, &out)
@@ -112,9 +118,10 @@
 	return out
 }
 
-func (s *mergeEnv) merged(kind string, terms merge.Request) standin.MergedResponse {
+// sendMerge sends a merge request and returns the parsed response, whose status must be 200.
+func (s *mergeEnv) sendMerge(queryType string, terms merge.Request) standin.MergedResponse {
 	s.t.Helper()
-	r, err := s.search(kind, terms).Send(context.Background(), http.DefaultClient, s.addr)
+	r, err := s.newSearch(queryType, terms).Send(context.Background(), http.DefaultClient, s.addr)
 	if err != nil || r.Status != http.StatusOK {
 		s.t.Fatalf("got %d %s, error %v", r.Status, r.Body, err)
 	}
@@ -125,20 +132,22 @@
 	return m
 }
 
-func (s *mergeEnv) expected(requireComplete bool) standin.Oracle {
+// oracle returns the reference for checking responses. It may require that no segment is missing.
+func (s *mergeEnv) oracle(requireComplete bool) standin.Oracle {
 	return standin.Oracle{Dataset: s.dataset, Segments: []int{0, 1, 2, 3}, RequireComplete: requireComplete}
 }
 
-// walk reads a paged list to its end; before is called with the number of each page before it is requested.
-func (s *mergeEnv) walk(kind string, order []string, limit int, before func(page int)) standin.PagedCheck {
+// readPages requests and checks all pages of a paged search. Unless it is nil, before is called before each request with the
+// number of pages read so far.
+func (s *mergeEnv) readPages(queryType string, order []string, limit int, before func(page int)) standin.PagedCheck {
 	s.t.Helper()
-	w := standin.PagedCheck{Oracle: s.expected(kind == "report"), Order: order, Limit: limit}
-	// While a segment is missing there is always a next page, until it is back.
+	w := standin.PagedCheck{Oracle: s.oracle(queryType == "report"), Order: order, Limit: limit}
+	// While a segment is missing every page has a next one, until the segment is back.
 	for cursor, end := "", time.Now().Add(testTimeout); time.Now().Before(end); {
 		if before != nil {
 			before(w.Pages)
 		}
-		m := s.merged(kind, merge.Request{Kind: "paged", Order: order, Limit: limit, Cursor: cursor})
+		m := s.sendMerge(queryType, merge.Request{Kind: "paged", Order: order, Limit: limit, Cursor: cursor})
 		if err := w.CheckPage(m, false); err != nil {
 			s.t.Fatalf("page %d: %v", w.Pages, err)
 		}
@@ -147,6 +156,6 @@
 		}
 		cursor = m.Result.Next
 	}
-	s.t.Fatalf("timeout: the walk does not end: %d pages, %d rows, %d of them late", w.Pages, w.Rows, w.Late)
+	s.t.Fatalf("timeout: the pages do not end: %d pages, %d rows, %d of them late", w.Pages, w.Rows, w.Late)
 	return w
 }
--- a/gatherer/persistence_test.go
+++ b/gatherer/persistence_test.go
@@ -16,30 +16,31 @@
 	"oxbowspan/internal/testing/standin"
 )
 
-// writeStoreFile writes an operator's file with a store in the same directory.
-func writeStoreFile(t *testing.T, more string) (file, dir string) {
+// writeStoreFile writes an operator's file with a store in the same directory and further lines. It returns the paths of
+// the file and of the store.
+func writeStoreFile(t *testing.T, lines string) (file, dir string) {
 	t.Helper()
 	dir = t.TempDir()
 	file = filepath.Join(dir, "operator.ini")
-	if err := os.WriteFile(file, []byte("[store]\npath = kept\n"+more), 0o600); err != nil {
+	if err := os.WriteFile(file, []byte("[store]\npath = kept\n"+lines), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	return file, filepath.Join(dir, "kept")
 }
 
-// postKeyed sends a post with an idempotency key.
-func postKeyed(t *testing.T, p *program, id, key, text string) (status int, body string, after string) {
+// postKeyed sends a post with an idempotency key, which may be empty, and reports a failure to the test.
+func postKeyed(t *testing.T, p *program, id, key, text string) (status int, body string, retryAfter string) {
 	t.Helper()
-	r, err := post2(context.Background(), p.addr, id, key, text)
+	r, err := sendKeyedPost(context.Background(), p.addr, id, key, text)
 	if err != nil {
 		t.Error(err)
 		return 0, "", ""
 	}
-	return r.status, r.body, r.after
+	return r.status, r.body, r.retryAfter
 }
 
-// postUntilAdmitted sends a post until it is not shed: on loaded cores the first one may arrive before the program has a
-// connection to its server.
+// postUntilAdmitted repeats a post, with changing ids, until it is not shed: on a loaded machine the first one may arrive
+// before the program has a connection to its server.
 func postUntilAdmitted(t *testing.T, p *program, id, key, text string) (status int, body string) {
 	t.Helper()
 	for try, end := 0, time.Now().Add(testTimeout); time.Now().Before(end); try++ {
@@ -50,14 +51,16 @@
 	return status, body
 }
 
+// keyedResponse is the response to a post with an idempotency key.
 type keyedResponse struct {
-	status      int
-	body, after string
+	status           int
+	body, retryAfter string
 }
 
 var keyedClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: testTimeout}
 
-func post2(ctx context.Context, addr, id, key, text string) (keyedResponse, error) {
+// sendKeyedPost sends a post with an idempotency key, which may be empty.
+func sendKeyedPost(ctx context.Context, addr, id, key, text string) (keyedResponse, error) {
 	s := standin.Request{ID: id, QueryType: "post", Customer: "acme", Shards: []int{2}, Statement: text}
 	r, _ := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/post", strings.NewReader(string(s.Body())))
 	for k, v := range map[string]string{"Req-Id": id, "Req-Kind": "post", "Req-Owner": "acme", "Req-Deadline-Ms": "1500", "Idempotency-Key": key} {
@@ -74,27 +77,28 @@
 	return keyedResponse{res.StatusCode, string(b), res.Header.Get("Retry-After")}, err
 }
 
-// runCounter counts how often a shard server ran a text.
+// runCounter counts how often shard servers ran each statement.
 type runCounter struct {
-	mu sync.Mutex
-	by map[string]int
+	mu     sync.Mutex
+	counts map[string]int
 }
 
 func (r *runCounter) add(text string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.by[text]++
+	r.counts[text]++
 }
 
-func (r *runCounter) of(text string) int {
+func (r *runCounter) count(text string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.by[text]
+	return r.counts[text]
 }
 
-// Retries after a crash, by key and by id, of a post that was answered and of one that was open.
+// After a crash, the retry of an answered post gets the stored answer, and the retry of an open one, whether it is
+// identified by its key or by its id, gets an error: it may have run and must not run again.
 func TestRetryAfterCrashFindsOutcome(t *testing.T) {
-	runs := &runCounter{by: map[string]int{}}
+	runs := &runCounter{counts: map[string]int{}}
 	a := startShard(t, "s-a", func(c *standin.ShardConn, p standin.ShardCall) {
 		runs.add(string(p.Query))
 		if !strings.HasPrefix(string(p.Query), "dead") { // these run and are never answered
@@ -114,9 +118,9 @@
 	if status, _, _ := postKeyed(t, p, "a3", "key-1", "c0ffee02"); status != http.StatusUnprocessableEntity {
 		t.Errorf("another request with its key: %d", status)
 	}
-	// Open at the crash, with a key and without.
+	// These posts are open when the program crashes, one with a key and one without.
 	for _, key := range []string{"key-2", ""} {
-		go post2(t.Context(), p.addr, "b"+fmt.Sprint(len(key)), key, "dead"+fmt.Sprint(len(key)))
+		go sendKeyedPost(t.Context(), p.addr, "b"+fmt.Sprint(len(key)), key, "dead"+fmt.Sprint(len(key)))
 		await(t, a.Received, func(id string) bool { return strings.HasPrefix(id, "b"+fmt.Sprint(len(key))) })
 	}
 	if status, _, _ := postKeyed(t, p, "c1", "key-2", "dead5"); status != http.StatusConflict {
@@ -131,9 +135,9 @@
 	}
 	for _, key := range []string{"key-2", ""} {
 		began := time.Now()
-		status, body, after := postKeyed(t, p, "b"+fmt.Sprint(len(key)), key, "dead"+fmt.Sprint(len(key)))
-		if status != http.StatusGatewayTimeout || after != "" {
-			t.Errorf("after the crash, the retry of one that may have run: %d %s, Retry-After %q", status, body, after)
+		status, body, retryAfter := postKeyed(t, p, "b"+fmt.Sprint(len(key)), key, "dead"+fmt.Sprint(len(key)))
+		if status != http.StatusGatewayTimeout || retryAfter != "" {
+			t.Errorf("after the crash, the retry of one that may have run: %d %s, Retry-After %q", status, body, retryAfter)
 		}
 		if took := time.Since(began); took > time.Second {
 			t.Errorf("that took %s", took)
@@ -143,11 +147,11 @@
 		t.Errorf("a new post: %d", status)
 	}
 	for _, text := range []string{"c0ffee01", "dead5", "dead0", "c0ffee03"} {
-		if n := runs.of(text); n != 1 {
+		if n := runs.count(text); n != 1 {
 			t.Errorf("%s ran %d times", text, n)
 		}
 	}
-	// It ends without an error, and the store is intact.
+	// The program must end without an error, so that the store is closed properly.
 	if err := p.run.Drain(testTimeout); err != nil {
 		t.Error(err)
 	}
@@ -176,17 +180,18 @@
 	}
 }
 
-// expectShed checks that a response says that nothing ran.
+// expectShed checks that a response is that of a shed post, which means that nothing ran.
 func expectShed(t *testing.T, r keyedResponse) {
 	t.Helper()
 	if r.status != http.StatusServiceUnavailable {
-		t.Fatalf("beside posts that were shed one got %d %s", r.status, r.body)
+		t.Fatalf("one post was shed, but another got %d %s", r.status, r.body)
 	}
 }
 
-// SIGTERM while many intents are being written: each post gets its result, and the program ends without an error.
+// SIGTERM while many intents are being written: each post gets its result, the program ends without an error, and after a
+// restart no retry runs again.
 func TestShutdownDuringGroupCommit(t *testing.T) {
-	runs := &runCounter{by: map[string]int{}}
+	runs := &runCounter{counts: map[string]int{}}
 	a := startShard(t, "s-a", func(c *standin.ShardConn, p standin.ShardCall) {
 		runs.add(string(p.Query))
 		c.Respond(p.ID, "served", "paid")
@@ -196,7 +201,8 @@
 	p := start(t, l, nil, "--operator", file)
 	const n = 8 // as many as the limit admits for one server
 	results := make(chan keyedResponse, n)
-	// On loaded cores all may be shed before anything is written. Then a SIGTERM would test nothing, and all are sent again.
+	// On a loaded machine all posts may be shed before any intent is written. The SIGTERM would then test nothing, so all are
+	// sent again.
 	var first keyedResponse
 	for try, end := 0, time.Now().Add(testTimeout); first.status != http.StatusOK; try++ {
 		if time.Now().After(end) {
@@ -210,19 +216,19 @@
 		}
 		for i := range n {
 			go func() {
-				r, _ := post2(t.Context(), p.addr, fmt.Sprintf("%x", 0x1000*(try+1)+i), fmt.Sprint("k", i), fmt.Sprintf("%04x", i))
+				r, _ := sendKeyedPost(t.Context(), p.addr, fmt.Sprintf("%x", 0x1000*(try+1)+i), fmt.Sprint("k", i), fmt.Sprintf("%04x", i))
 				results <- r
 			}()
 		}
 		first = <-results // the others are in the same group commit or the next
 	}
 	p.cmd.Process.Signal(syscall.SIGTERM)
-	by := map[int]int{first.status: 1}
+	byStatus := map[int]int{first.status: 1}
 	for range n - 1 {
-		by[(<-results).status]++
+		byStatus[(<-results).status]++
 	}
-	if by[200] != n {
-		t.Errorf("responses by status: %v, the first is %q", by, first.body)
+	if byStatus[200] != n {
+		t.Errorf("responses by status: %v, the first is %q", byStatus, first.body)
 	}
 	select {
 	case err := <-p.exit:
@@ -237,30 +243,31 @@
 		if status, _, _ := postKeyed(t, p, fmt.Sprintf("%x", 0x500+i), fmt.Sprint("k", i), fmt.Sprintf("%04x", i)); status != 200 {
 			t.Errorf("post %d after the restart: %d", i, status)
 		}
-		if got := runs.of(fmt.Sprintf("%04x", i)); got != 1 {
+		if got := runs.count(fmt.Sprintf("%04x", i)); got != 1 {
 			t.Errorf("post %d ran %d times", i, got)
 		}
 	}
 }
 
-// If the store cannot be written posts are shed at once with a Retry-After, and lookups are served.
+// When the store is full posts are shed immediately with a Retry-After, lookups are served, and stored answers are still
+// sent.
 func TestFullStoreShedsWritesOnly(t *testing.T) {
 	a := startShard(t, "s-a", nil)
 	l := startList(t, a)
 	file, _ := writeStoreFile(t, "size = 1MiB\nsearches = 10\n")
 	p := start(t, l, nil, "--operator", file)
-	refused := 0
+	shed := 0
 	for i := range 14 {
-		status, _, after := postKeyed(t, p, fmt.Sprintf("%x", i+1), fmt.Sprint("k", i), "c0ffee01")
+		status, _, retryAfter := postKeyed(t, p, fmt.Sprintf("%x", i+1), fmt.Sprint("k", i), "c0ffee01")
 		switch {
-		case status == http.StatusServiceUnavailable && after != "":
-			refused++
+		case status == http.StatusServiceUnavailable && retryAfter != "":
+			shed++
 		case status != 200:
 			t.Errorf("post %d: %d", i, status)
 		}
 	}
-	if refused != 4 {
-		t.Errorf("%d posts were shed, ten fit the store", refused)
+	if shed != 4 {
+		t.Errorf("%d of 14 posts were shed, the store has capacity for ten", shed)
 	}
 	client := &http.Client{Timeout: testTimeout}
 	s := standin.Request{ID: "ff", QueryType: "lookup", Customer: "acme",
@@ -268,39 +275,39 @@
 	if r, err := s.Send(t.Context(), client, p.addr); err != nil || r.Status != 200 {
 		t.Errorf("a lookup: %d, %v", r.Status, err)
 	}
-	// The stored answers of the ten are still sent.
+	// The stored answers of the ten admitted posts must still be sent.
 	if status, _, _ := postKeyed(t, p, "fe", "k3", "c0ffee01"); status != 200 {
 		t.Errorf("a retry: %d", status)
 	}
 }
 
-// A directory that another gatherer uses, or that is not a store, gives one message and exit code 1.
+// A directory that another gatherer uses, or that is not a store, makes the program exit with code 1 and one message.
 func TestUnusableStoreIsReported(t *testing.T) {
 	a := startShard(t, "s-a", nil)
 	l := startList(t, a)
 	file, dir := writeStoreFile(t, "")
 	first := start(t, l, nil, "--operator", file)
-	fails := func(words string) {
+	expectStartError := func(words string) {
 		t.Helper()
-		_, err := standin.StartProgram(serveAgain(first, file), nil)
+		_, err := standin.StartProgram(newServeCommand(first, file), nil)
 		if err == nil || !strings.Contains(err.Error(), words) {
 			t.Errorf("got %v, want %q", err, words)
 		}
 	}
-	fails("in use by another process")
+	expectStartError("in use by another process")
 	if err := first.run.Drain(testTimeout); err != nil {
 		t.Error(err)
 	}
 	os.RemoveAll(dir)
 	os.MkdirAll(dir, 0o700)
 	os.WriteFile(filepath.Join(dir, "letters.txt"), nil, 0o600)
-	fails("letters.txt lies in it")
+	expectStartError("letters.txt lies in it")
 	os.RemoveAll(dir)
 	os.WriteFile(dir, nil, 0o600)
-	fails("not a directory")
+	expectStartError("not a directory")
 }
 
-// The last server list and the records of servers survive a restart without the list service.
+// The last server list and the records of servers survive a restart without the discovery service.
 func TestServerListSurvivesRestart(t *testing.T) {
 	a := startShard(t, "s-a", nil)
 	l := startList(t, a)
@@ -313,33 +320,34 @@
 		t.Fatal(err)
 	}
 	l.Stop()
-	p = start(t, l, nil, "--operator", file) // it is ready only with a server
+	p = start(t, l, nil, "--operator", file) // it becomes ready only if it has a server
 	p.line("event=stored_list ", "hosts=1")
 	p.line("event=learned_recalled", "servers=1")
 	if status, _, _ := postKeyed(t, p, "a1", "key-1", "c0ffee01"); status != 200 {
-		t.Errorf("without the list service: %d", status)
+		t.Errorf("without the discovery service: %d", status)
 	}
 }
 
-// After a crash during a retry of a post at a second server it may have run there: it is neither sent again nor shed.
+// The program crashes during a retry of a post at a second server. The post may have run there, so its retries are neither
+// sent again nor shed.
 func TestCrashDuringRetry(t *testing.T) {
-	runs := &runCounter{by: map[string]int{}}
+	runs := &runCounter{counts: map[string]int{}}
 	a := startShard(t, "s-a", func(c *standin.ShardConn, p standin.ShardCall) { c.Respond(p.ID, "skipped", "") })
 	b := startShard(t, "s-b", func(c *standin.ShardConn, p standin.ShardCall) { runs.add(string(p.Query)) })
 	l := startList(t, a, b)
 	file, _ := writeStoreFile(t, "")
 	p := start(t, l, nil, "--operator", file)
-	go post2(t.Context(), p.addr, "a1", "key-1", "c0ffee01")
+	go sendKeyedPost(t.Context(), p.addr, "a1", "key-1", "c0ffee01")
 	await(t, b.Received, func(id string) bool { return strings.HasPrefix(id, "a1") })
 	p.run.Kill()
 	<-p.run.Exited
 	p = start(t, l, nil, "--operator", file)
 	for i := range 3 {
-		if status, _, after := postKeyed(t, p, fmt.Sprint("b", i), "key-1", "c0ffee01"); status != http.StatusGatewayTimeout || after != "" {
-			t.Errorf("its retry: %d, Retry-After %q", status, after)
+		if status, _, retryAfter := postKeyed(t, p, fmt.Sprint("b", i), "key-1", "c0ffee01"); status != http.StatusGatewayTimeout || retryAfter != "" {
+			t.Errorf("its retry: %d, Retry-After %q", status, retryAfter)
 		}
 	}
-	if n := runs.of("c0ffee01"); n != 1 {
+	if n := runs.count("c0ffee01"); n != 1 {
 		t.Errorf("it ran %d times", n)
 	}
 }
--- a/gatherer/program_test.go
+++ b/gatherer/program_test.go
@@ -18,6 +18,8 @@
 	"oxbowspan/internal/testing/standin"
 )
 
+// On SIGTERM the program is no longer ready, but requests in flight and new ones are answered, with connections that close,
+// before it ends without an error. An unused client connection does not prevent the end.
 func TestGracefulShutdown(t *testing.T) {
 	hold := make(chan struct{})
 	a := startShard(t, "s-a", func(c *standin.ShardConn, p standin.ShardCall) {
@@ -28,7 +30,7 @@
 	})
 	p := start(t, startList(t, a), nil)
 	var all sync.WaitGroup
-	one := func() {
+	sendOne := func() {
 		defer all.Done()
 		r, id := newRequest(context.Background(), p.addr, "lookup", 0)
 		res, err := http.DefaultClient.Do(r)
@@ -43,7 +45,7 @@
 	}
 	all.Add(8)
 	for range 4 {
-		go one()
+		go sendOne()
 	}
 	for range 4 {
 		await(t, a.Received, func(string) bool { return true })
@@ -53,13 +55,13 @@
 		t.Fatal(err)
 	}
 	defer unused.Close()
-	p.term()
+	p.terminate()
 	p.line("event=drain_begin")
 	if status, _, err := p.get("/-/ready"); err != nil || status != http.StatusServiceUnavailable {
 		t.Errorf("ready answers %d, %v", status, err)
 	}
-	for range 4 { // new connections are still accepted
-		go one()
+	for range 4 { // new connections must still be accepted
+		go sendOne()
 	}
 	for range 4 {
 		await(t, a.Received, func(string) bool { return true })
@@ -71,15 +73,16 @@
 	}
 }
 
+// A second SIGTERM ends the program with an error although a request is open.
 func TestSecondSignalExitsImmediately(t *testing.T) {
 	a := startShard(t, "s-a", func(*standin.ShardConn, standin.ShardCall) {})
 	p := start(t, startList(t, a), nil)
 	r, _ := newRequest(context.Background(), p.addr, "lookup", 0)
 	go http.DefaultClient.Do(r)
 	await(t, a.Received, func(string) bool { return true })
-	p.term()
+	p.terminate()
 	p.line("event=drain_begin")
-	p.term()
+	p.terminate()
 	if err := p.ends(); err == nil {
 		t.Error("a second signal ended it without an error")
 	}
@@ -108,48 +111,48 @@
 			t.Errorf("%q ended with %d and output %s", args, code, out)
 		}
 	}
-	// A required setting is missing, or an address is in use.
+	// An address in use makes Run fail, and a missing required setting makes New fail.
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	good := Config{Listen: l.Addr().String(), Discovery: "127.0.0.1:1", Settings: json.RawMessage(testSettings)}
-	g, err := New(good)
+	valid := Config{Listen: l.Addr().String(), Discovery: "127.0.0.1:1", Settings: json.RawMessage(testSettings)}
+	g, err := New(valid)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := g.Run(context.Background()); err == nil || !strings.Contains(err.Error(), "in use") {
 		t.Errorf("an address in use gives %v", err)
 	}
-	odd := good // neither an invalid list nor the form of a number must prevent the start
-	odd.KnownServers = json.RawMessage(`{"hosts":7}`)
-	if _, err := New(odd); err != nil {
+	lenient := valid // an invalid server list or a number such as 192.0 or 1e3 must not prevent the start
+	lenient.KnownServers = json.RawMessage(`{"hosts":7}`)
+	if _, err := New(lenient); err != nil {
 		t.Error(err)
 	}
-	if err := json.Unmarshal([]byte(`{"cores":1,"memory_mb":192.0,"sockets":1e3}`), &odd.Limits); err != nil ||
-		odd.Limits.Sockets != 1000 {
-		t.Errorf("got %+v, %v", odd.Limits, err)
+	if err := json.Unmarshal([]byte(`{"cores":1,"memory_mb":192.0,"sockets":1e3}`), &lenient.Limits); err != nil ||
+		lenient.Limits.Sockets != 1000 {
+		t.Errorf("got %+v, %v", lenient.Limits, err)
 	}
-	tokened := good
-	tokened.Settings = json.RawMessage(strings.Replace(testSettings, "free", "guarded", 1))
-	if g, err := New(tokened); err != nil || g.deployment.Balancer.QueryTypes[0].Idempotency != balancer.NonIdempotent {
-		t.Errorf("a deduplicated type, whose token no frame carries, may be retried: %v", err)
+	deduplicated := valid
+	deduplicated.Settings = json.RawMessage(strings.Replace(testSettings, "free", "guarded", 1))
+	if g, err := New(deduplicated); err != nil || g.deployment.Balancer.QueryTypes[0].Idempotency != balancer.NonIdempotent {
+		t.Errorf("a deduplicated query type is not treated as not idempotent, although frames carry no token: %v", err)
 	}
 	for cut, want := range map[string]string{`"slo":1000.0,`: "slo is missing", `"positions":1,`: "positions is missing", `"dialTimeout":250.0,`: "dialTimeout is missing"} {
-		bad := good
-		bad.Settings = json.RawMessage(strings.Replace(testSettings, cut, "", 1))
-		if _, err := New(bad); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
+		invalid := valid
+		invalid.Settings = json.RawMessage(strings.Replace(testSettings, cut, "", 1))
+		if _, err := New(invalid); err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("without %s: %v", cut, err)
 		}
 	}
 }
 
-// After many requests at an embedded gatherer, with a server that never answers, one that crashes and clients that
-// disconnect, no request, call or goroutine is left.
+// An embedded gatherer serves many requests, with a server that never answers, one that resets connections and clients that
+// disconnect. Afterwards no request, call, descriptor, goroutine or accounted memory is left.
 func TestNoResourceLeaks(t *testing.T) {
 	silent := startShard(t, "s-silent", func(*standin.ShardConn, standin.ShardCall) {})
-	dying := startShard(t, "s-dying", func(c *standin.ShardConn, _ standin.ShardCall) { c.Reset() })
+	crashing := startShard(t, "s-dying", func(c *standin.ShardConn, _ standin.ShardCall) { c.Reset() })
 	a := startShard(t, "s-a", nil)
 	l := startList(t)
 	g, err := New(Config{Listen: "127.0.0.1:0", Discovery: l.Addr(), Settings: json.RawMessage(testSettings),
@@ -164,7 +167,7 @@
 	ended := make(chan error, 1)
 	go func() { ended <- g.Run(ctx) }()
 	await(t, l.Requests, func(string) bool { return true })
-	ready := func() int { // not ready without a server
+	readyStatus := func() int { // of the readiness check, which fails without a server
 		res, err := http.Get(server.URL + "/-/ready")
 		if err != nil {
 			t.Fatal(err)
@@ -172,13 +175,13 @@
 		res.Body.Close()
 		return res.StatusCode
 	}
-	if got := ready(); got != http.StatusServiceUnavailable {
+	if got := readyStatus(); got != http.StatusServiceUnavailable {
 		t.Errorf("the ready check without a server: %d", got)
 	}
-	for _, s := range []*standin.ShardServer{silent, dying, a} {
+	for _, s := range []*standin.ShardServer{silent, crashing, a} {
 		l.Update(s.Entry())
 	}
-	for end := time.Now().Add(testTimeout); ready() != http.StatusOK; {
+	for end := time.Now().Add(testTimeout); readyStatus() != http.StatusOK; {
 		if time.Now().After(end) {
 			t.Fatal("timeout: not ready")
 		}
@@ -188,13 +191,13 @@
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
-	m := g.dispatcher
-	if len(m.requests) > 0 || m.pending != 0 || m.descriptors.available.Load() != int64(serversOf(Limits{})) {
+	d := g.dispatcher
+	if len(d.requests) > 0 || d.pending != 0 || d.descriptors.available.Load() != int64(serversOf(Limits{})) {
 		t.Errorf("%d requests, %d pending, %d descriptors available of %d",
-			len(m.requests), m.pending, m.descriptors.available.Load(), serversOf(Limits{}))
+			len(d.requests), d.pending, d.descriptors.available.Load(), serversOf(Limits{}))
 	}
-	const ofStandins = 4 // goroutines
-	for end := time.Now().Add(testTimeout); runtime.NumGoroutine() > before+ofStandins || g.memory.Snapshot().Total != 0; {
+	const standinGoroutines = 4 // that the stand-ins may keep running
+	for end := time.Now().Add(testTimeout); runtime.NumGoroutine() > before+standinGoroutines || g.memory.Snapshot().Total != 0; {
 		if time.Now().After(end) {
 			t.Fatalf("%d goroutines, %d before; memory %+v", runtime.NumGoroutine(), before, g.memory.Snapshot())
 		}
@@ -202,7 +205,7 @@
 	}
 }
 
-// sendAndDisconnect sends many requests at once, with clients that disconnect after a short time.
+// sendAndDisconnect sends 320 requests from eight goroutines. Their clients disconnect after 20 to 59 ms.
 func sendAndDisconnect(addr string) {
 	var all sync.WaitGroup
 	for worker := range 8 {
--- a/gatherer/testenv_test.go
+++ b/gatherer/testenv_test.go
@@ -18,11 +18,12 @@
 	"oxbowspan/internal/testing/standin"
 )
 
-// The stand-ins for shard servers, the list service and clients are those of package standin.
+// Package standin has the stand-ins for shard servers, the discovery service and clients.
 
-// testTimeout is for whatever should happen by itself.
+// testTimeout limits how long a test waits for an event that should happen without further action.
 const testTimeout = 20 * time.Second
 
+// testSettings has one cell and eight segments, an idempotent type lookup and a type post that is not.
 const testSettings = `{"classes":[
 	{"name":"lookup","effect":"free","slo":1000.0,"hardLimit":2000.0,"lateWorth":0.3},
 	{"name":"post","effect":"single_shot","slo":1000.0,"hardLimit":2000.0,"lateWorth":0.3}],
@@ -33,7 +34,7 @@
 	"feedback":{"how":"answers","names":["waiting","active"]},
 	"guarantees":{"askWithin":10000,"stopSendingWithin":500}}`
 
-// builtProgram is the path of the program, which is built once.
+// builtProgram is the path of the program's binary, which TestMain builds with the race detector.
 var builtProgram string
 
 func TestMain(m *testing.M) {
@@ -52,9 +53,11 @@
 	}())
 }
 
-func startShard(t *testing.T, host string, do func(*standin.ShardConn, standin.ShardCall)) *standin.ShardServer {
+// startShard starts a shard server that handles calls with respond, or answers them if that is nil. It is stopped when the
+// test ends.
+func startShard(t *testing.T, host string, respond func(*standin.ShardConn, standin.ShardCall)) *standin.ShardServer {
 	t.Helper()
-	s, err := standin.StartShardServer(host, do, func(what string) { t.Error(what) })
+	s, err := standin.StartShardServer(host, respond, func(what string) { t.Error(what) })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -62,6 +65,7 @@
 	return s
 }
 
+// startList starts a discovery service that lists shard servers. It is stopped when the test ends.
 func startList(t *testing.T, shards ...*standin.ShardServer) *standin.DiscoveryService {
 	t.Helper()
 	l, err := standin.StartDiscoveryService(shards...)
@@ -72,19 +76,20 @@
 	return l
 }
 
-// program is the built program, or an embedded gatherer, under test.
+// program is a running process of the built program.
 type program struct {
 	t      *testing.T
 	run    *standin.Program
 	cmd    *exec.Cmd
-	config Config // of its configuration file
+	config Config // content of its configuration file
 	file   string
 	addr   string
-	lines  chan string // its log
+	lines  chan string // lines of its log
 	exit   chan error
 }
 
-// start starts the program with a list of servers; edit changes its configuration first.
+// start starts the program with a discovery service and further arguments. Unless it is nil, edit changes the configuration
+// first.
 func start(t *testing.T, l *standin.DiscoveryService, edit func(*Config), args ...string) *program {
 	t.Helper()
 	s := Config{Name: "n0", Listen: "127.0.0.1:0", Discovery: l.Addr(), Seed: "8c1f30d27a5be964",
@@ -98,7 +103,7 @@
 	p.cmd.Env = append(os.Environ(), "PROXY_DISCOVERY="+l.Addr()) // as the platform sets it
 	run, err := standin.StartProgram(p.cmd, func(line string) {
 		if strings.Contains(line, "DATA RACE") || strings.Contains(line, "panic") {
-			t.Errorf("the program logs %q", line)
+			t.Errorf("the program logged %q", line)
 		}
 	})
 	if err != nil {
@@ -121,10 +126,10 @@
 	}
 }
 
-// line waits for a log line with all the words.
+// line waits for a log line that contains all the words, and returns it. It skips other lines.
 func (p *program) line(words ...string) string {
 	p.t.Helper()
-	limit := time.After(testTimeout)
+	timeout := time.After(testTimeout)
 next:
 	for {
 		select {
@@ -138,12 +143,13 @@
 				}
 			}
 			return line
-		case <-limit:
+		case <-timeout:
 			p.t.Fatalf("no line with %q", words)
 		}
 	}
 }
 
+// get requests a path and returns the response.
 func (p *program) get(path string) (status int, body string, err error) {
 	res, err := http.Get("http://" + p.addr + path)
 	if err != nil {
@@ -154,8 +160,10 @@
 	return res.StatusCode, string(b), err
 }
 
-func (p *program) term() { p.cmd.Process.Signal(syscall.SIGTERM) }
+// terminate sends SIGTERM.
+func (p *program) terminate() { p.cmd.Process.Signal(syscall.SIGTERM) }
 
+// ends waits until the program ends and returns the error of its exit.
 func (p *program) ends() error {
 	p.t.Helper()
 	select {
@@ -167,12 +175,13 @@
 	}
 }
 
+// lastID is the last id of a request of newRequest.
 var lastID struct {
 	sync.Mutex
 	n uint64
 }
 
-// newRequest returns a request with calls of equal weight.
+// newRequest returns a request with one call per shard, all of equal weight, and the request's id.
 func newRequest(ctx context.Context, addr, queryType string, shards ...int) (*http.Request, string) {
 	lastID.Lock()
 	lastID.n++
@@ -193,7 +202,7 @@
 	return r, id
 }
 
-// ask sends a request and returns the response.
+// ask sends a request of newRequest and returns the response and the request's id.
 func (p *program) ask(queryType string, shards ...int) (status int, body, id string) {
 	p.t.Helper()
 	r, id := newRequest(context.Background(), p.addr, queryType, shards...)
@@ -210,7 +219,7 @@
 	return res.StatusCode, string(b), id
 }
 
-// completeAnswer returns the answer when all shards serve their calls.
+// completeAnswer returns the body of the response to a request whose calls were all answered.
 func completeAnswer(shards ...int) string {
 	var b strings.Builder
 	for i, shard := range shards {
@@ -219,24 +228,24 @@
 	return `{"full":true,"pieces":[` + b.String() + `]}`
 }
 
-// await receives from a channel until a value is the wanted one.
+// await receives from a channel until a value satisfies want, and returns that value.
 func await(t *testing.T, c <-chan string, want func(string) bool) string {
 	t.Helper()
-	limit := time.After(testTimeout)
+	timeout := time.After(testTimeout)
 	for {
 		select {
 		case got := <-c:
 			if want(got) {
 				return got
 			}
-		case <-limit:
+		case <-timeout:
 			t.Fatal("timeout")
 		}
 	}
 }
 
-// serveAgain returns the command of another program with the same configuration.
-func serveAgain(p *program, operator string) *exec.Cmd {
+// newServeCommand returns a command that runs another process with the configuration of p and an operator's file.
+func newServeCommand(p *program, operator string) *exec.Cmd {
 	c := exec.Command(builtProgram, "serve", "--config", p.file, "--operator", operator)
 	c.Env = p.cmd.Env
 	return c
