--- a/merge/aggregate.go
+++ b/merge/aggregate.go
@@ -14,49 +14,51 @@
 	"github.com/cockroachdb/apd/v3"
 )
 
-// aggregateKind is a function over the values of a column.
+// aggregateKind is an aggregate function.
 type aggregateKind uint8
 
 const (
-	aggregateCount aggregateKind = iota // of rows
-	aggregateSum                        // exact; null values are ignored
+	aggregateCount aggregateKind = iota // number of rows
+	aggregateSum                        // exact sum; null values are ignored
 	aggregateMin                        // null values are ignored
 	aggregateMax
-	aggregateMean     // over the values that are not null
-	aggregateDistinct // number of different values that are not null, estimated
-	aggregateQuantile // estimated
+	aggregateMean     // mean of the non-null values
+	aggregateDistinct // estimated number of distinct non-null values
+	aggregateQuantile // estimated quantile of the non-null values
 )
 
-// aggregate is one that a client requests.
+// aggregate is an aggregate that a client requested.
 type aggregate struct {
 	name     string
 	kind     aggregateKind
 	column   int
 	quantile float64
-	partials []int // indexes in Query.partials of what it is computed from
+	partials []int // indexes in Query.partials of the partial aggregates that it is computed from
 }
 
-// partialAggregate is an aggregate of one segment's rows, of which those of several segments can be merged.
+// partialAggregate is an aggregate over the rows of one segment that can be merged with those of other segments.
 type partialAggregate struct {
 	kind   partialKind
 	column int
 }
 
+// partialKind is the function of a partial aggregate.
 type partialKind uint8
 
 const (
-	partialCount     partialKind = iota // rows: an integer
-	partialValues                       // values that are not null: an integer
-	partialSum                          // an exact decimal in a string
+	partialCount     partialKind = iota // number of rows: an integer
+	partialValues                       // number of non-null values: an integer
+	partialSum                          // an exact decimal, as a string
 	partialMin                          // a value, or null
 	partialMax                          // a value, or null
-	partialDistinct                     // a HyperLogLog in a base64 string
-	partialQuantiles                    // a DDSketch in a base64 string
+	partialDistinct                     // a HyperLogLog sketch, as a base64 string
+	partialQuantiles                    // a DDSketch, as a base64 string
 )
 
+// partialNames are the names of partial aggregates in requests to segments, by partialKind.
 var partialNames = [...]string{"count", "values", "sum", "min", "max", "distinct", "sketch"}
 
-// name returns the name in a SegmentRequest: count, or NAME:COLUMN.
+// name returns the name of the partial aggregate in a SegmentRequest: "count", or NAME:COLUMN.
 func (p partialAggregate) name(s *Schema) string {
 	if p.kind == partialCount {
 		return partialNames[p.kind]
@@ -64,52 +66,53 @@
 	return partialNames[p.kind] + ":" + s.Columns[p.column].Name
 }
 
-// parseAggregate parses count, sum(C), min(C), max(C), mean(C), distinct(C), or p1(C) to p99(C).
+// parseAggregate parses the name of an aggregate: count, sum(C), min(C), max(C), mean(C), distinct(C), or p1(C) to p99(C) for
+// quantiles, where C is a column. Clients see the texts of its errors.
 func (s *Schema) parseAggregate(text string) (aggregate, error) {
 	if text == "count" {
 		return aggregate{name: text, kind: aggregateCount}, nil
 	}
 	name, rest, ok := strings.Cut(text, "(")
 	column, closed := strings.CutSuffix(rest, ")")
-	f := aggregate{name: text, column: s.ColumnIndex(column)}
-	if !ok || !closed || f.column < 0 {
-		return f, fmt.Errorf("figure %.60q is not count or NAME(COLUMN) with a column of the schema", text)
+	a := aggregate{name: text, column: s.ColumnIndex(column)}
+	if !ok || !closed || a.column < 0 {
+		return a, fmt.Errorf("figure %.60q is not count or NAME(COLUMN) with a column of the schema", text)
 	}
-	number := s.Columns[f.column].Kind == Int || s.Columns[f.column].Kind == Money
+	number := s.Columns[a.column].Kind == Int || s.Columns[a.column].Kind == Money
 	switch name {
 	case "sum":
-		f.kind = aggregateSum
+		a.kind = aggregateSum
 	case "min":
-		return aggregate{name: text, kind: aggregateMin, column: f.column}, nil
+		return aggregate{name: text, kind: aggregateMin, column: a.column}, nil
 	case "max":
-		return aggregate{name: text, kind: aggregateMax, column: f.column}, nil
+		return aggregate{name: text, kind: aggregateMax, column: a.column}, nil
 	case "mean":
-		f.kind = aggregateMean
+		a.kind = aggregateMean
 	case "distinct":
-		return aggregate{name: text, kind: aggregateDistinct, column: f.column}, nil
+		return aggregate{name: text, kind: aggregateDistinct, column: a.column}, nil
 	default:
 		n, err := strconv.Atoi(strings.TrimPrefix(name, "p"))
 		if err != nil || !strings.HasPrefix(name, "p") || n < 1 || n > 99 || name != "p"+strconv.Itoa(n) {
-			return f, fmt.Errorf("figure %.60q is not known", text)
+			return a, fmt.Errorf("figure %.60q is not known", text)
 		}
-		f.kind, f.quantile = aggregateQuantile, float64(n)/100
+		a.kind, a.quantile = aggregateQuantile, float64(n)/100
 	}
 	if !number {
-		return f, fmt.Errorf("figure %.60q needs a column of numbers", text)
+		return a, fmt.Errorf("figure %.60q needs a column of numbers", text)
 	}
-	return f, nil
+	return a, nil
 }
 
-// CheckAggregate checks whether an aggregate can be permitted for the schema.
+// CheckAggregate returns an error unless text is a valid aggregate for the schema.
 func (s *Schema) CheckAggregate(text string) error {
 	_, err := s.parseAggregate(text)
 	return err
 }
 
 // requiredPartials returns the partial aggregates that the aggregate is computed from.
-func (f aggregate) requiredPartials() []partialAggregate {
-	c := f.column
-	switch f.kind {
+func (a aggregate) requiredPartials() []partialAggregate {
+	c := a.column
+	switch a.kind {
 	case aggregateSum:
 		return []partialAggregate{{partialSum, c}}
 	case aggregateMin:
@@ -126,19 +129,19 @@
 	return []partialAggregate{{partialCount, 0}}
 }
 
-// Parameters of sketches, at gateways and segments: sketches with others are rejected.
+// Parameters of sketches. Gateways and segments must use the same ones: sketches with other parameters are rejected.
 const (
-	// DistinctPrecision is the HyperLogLog's: 2^12 registers, at most 4 KiB.
+	// DistinctPrecision is the precision of the HyperLogLog sketches: 2^12 registers, at most 4 KiB.
 	DistinctPrecision = 12
-	// DistinctError is its standard error, as a share of the estimate.
+	// DistinctError is the relative standard error of the HyperLogLog sketches.
 	DistinctError = 0.01625 // 1.04 / sqrt(2^12)
-	// QuantileError is the DDSketch's: a quantile is off by at most this share of itself.
+	// QuantileError is the relative accuracy of the DDSketches: the largest relative error of a quantile.
 	QuantileError = 0.01
-	// QuantileBins bounds a DDSketch: enough for amounts from a cent to 10^15.
+	// QuantileBins is the largest number of bins of a DDSketch: enough for amounts from 0.01 to 10^15.
 	QuantileBins = 2048
 )
 
-// NewDistinct returns an empty sketch of distinct values with the parameters required of segments.
+// NewDistinct returns an empty HyperLogLog sketch with the parameters that segments must use.
 func NewDistinct() *hyperloglog.Sketch {
 	s, err := hyperloglog.NewSketch(DistinctPrecision, true)
 	if err != nil {
@@ -147,9 +150,9 @@
 	return s
 }
 
-// NewQuantiles returns an empty sketch of quantiles with the parameters required of segments.
+// NewQuantiles returns an empty DDSketch with the parameters that segments must use.
 func NewQuantiles() *ddsketch.DDSketch {
-	return ddsketch.NewDDSketch(quantileMapping(), collapsing(), collapsing())
+	return ddsketch.NewDDSketch(quantileMapping(), newBinStore(), newBinStore())
 }
 
 func quantileMapping() mapping.IndexMapping {
@@ -160,34 +163,35 @@
 	return m
 }
 
-func collapsing() store.Store { return store.NewCollapsingLowestDenseStore(QuantileBins) }
+// newBinStore returns an empty bin store of a DDSketch. It collapses its lowest bins when it exceeds QuantileBins.
+func newBinStore() store.Store { return store.NewCollapsingLowestDenseStore(QuantileBins) }
 
 // partialValue is the value of a partial aggregate. Only the fields of its kind are used.
 type partialValue struct {
 	count        int64
 	sum          apd.Decimal
-	value        scalar // min, max; null or zero if there is none
+	value        scalar // minimum or maximum; null or the zero value if there is none
 	sortKey      string // of value
 	distinct     *hyperloglog.Sketch
 	quantiles    *ddsketch.DDSketch
 	sketchMemory int  // estimated, in bytes
-	overflow     bool // a sum or count does not fit and has no value
+	overflow     bool // the count or sum exceeds its range, or sketches could not be merged; there is no value
 }
 
-// exact computes without rounding: an inexact result is an error.
-var exact = apd.Context{Precision: 3 * MaxDigits, MaxExponent: 3 * MaxDigits, MinExponent: -3 * MaxDigits,
+// exactContext is the decimal context of exact sums: an inexact or rounded result is an error.
+var exactContext = apd.Context{Precision: 3 * MaxDigits, MaxExponent: 3 * MaxDigits, MinExponent: -3 * MaxDigits,
 	Traps: apd.DefaultTraps | apd.Inexact | apd.Rounded}
 
-// parsePartialValue parses and checks one partial aggregate of a segment's group.
-func (s *Schema) parsePartialValue(p partialAggregate, v scalar) (c partialValue, err error) {
+// parsePartialValue parses and validates one partial aggregate of a segment's group.
+func (s *Schema) parsePartialValue(p partialAggregate, v scalar) (parsed partialValue, err error) {
 	col := s.Columns[p.column]
-	bad := func() (partialValue, error) {
-		return c, fmt.Errorf("%.40s is not a valid %s", v.raw, p.name(s))
+	invalid := func() (partialValue, error) {
+		return parsed, fmt.Errorf("%.40s is not a valid %s", v.raw, p.name(s))
 	}
 	switch p.kind {
 	case partialCount, partialValues:
-		if c.count, err = strconv.ParseInt(v.text, 10, 64); err != nil || v.kind != 'i' || c.count < 0 {
-			return bad()
+		if parsed.count, err = strconv.ParseInt(v.text, 10, 64); err != nil || v.kind != 'i' || parsed.count < 0 {
+			return invalid()
 		}
 	case partialSum:
 		scale := 0
@@ -196,40 +200,40 @@
 		}
 		negative, _, _, ok := splitDecimal(v.text, s.Digits, scale)
 		if v.kind != 's' || !ok || negative && col.Unsigned {
-			return bad()
+			return invalid()
 		}
-		if _, _, err := c.sum.SetString(v.text); err != nil {
-			return bad()
+		if _, _, err := parsed.sum.SetString(v.text); err != nil {
+			return invalid()
 		}
 	case partialMin, partialMax:
 		if err := col.check(v, s.Digits); err != nil {
-			return c, err
+			return parsed, err
 		}
-		c.value = v
-		c.sortKey = string(s.appendValue(nil, p.column, v, false))
+		parsed.value = v
+		parsed.sortKey = string(s.appendValue(nil, p.column, v, false))
 	case partialDistinct:
 		b, err := base64.StdEncoding.DecodeString(v.text)
 		if err != nil || v.kind != 's' {
-			return bad()
+			return invalid()
 		}
-		if c.distinct, err = readDistinct(b); err != nil {
-			return bad()
+		if parsed.distinct, err = readDistinct(b); err != nil {
+			return invalid()
 		}
-		c.sketchMemory = min(2*len(b), 2<<DistinctPrecision) + sketchOverhead
+		parsed.sketchMemory = min(2*len(b), 2<<DistinctPrecision) + sketchOverhead
 	case partialQuantiles:
 		b, err := base64.StdEncoding.DecodeString(v.text)
 		if err != nil || v.kind != 's' {
-			return bad()
+			return invalid()
 		}
-		if c.quantiles, err = readQuantiles(b); err != nil {
-			return bad()
+		if parsed.quantiles, err = readQuantiles(b); err != nil {
+			return invalid()
 		}
-		c.sketchMemory = binCount(c.quantiles)*8 + sketchOverhead
+		parsed.sketchMemory = binCount(parsed.quantiles)*8 + sketchOverhead
 	}
-	return c, nil
+	return parsed, nil
 }
 
-// readDistinct decodes a sketch of a segment. The library may panic on malformed bytes.
+// readDistinct decodes a HyperLogLog sketch of a segment. Panics are recovered because the library may panic on malformed input.
 func readDistinct(b []byte) (s *hyperloglog.Sketch, err error) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -248,7 +252,8 @@
 	return s, nil
 }
 
-// readQuantiles decodes a sketch of a segment into one of bounded size. The library may panic on malformed bytes.
+// readQuantiles decodes a DDSketch of a segment into a sketch of bounded size. Panics are recovered because the library may panic
+// on malformed input.
 func readQuantiles(b []byte) (s *ddsketch.DDSketch, err error) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -265,14 +270,14 @@
 	return s, nil
 }
 
-// sketchOverhead is the memory of a sketch beside its registers or bins.
+// sketchOverhead is the estimated memory of a sketch in bytes, without its registers or bins.
 const sketchOverhead = 600
 
-// binCount returns the number of bins that a sketch holds in memory: from its smallest to its largest, on either side of
-// 0.
+// binCount returns the number of bins that a sketch holds in memory: all from the lowest to the highest bin in use, for negative
+// and positive values separately.
 func binCount(s *ddsketch.DDSketch) int {
-	type span struct{ least, most int }
-	var spans [2]*span
+	type binRange struct{ lowest, highest int }
+	var ranges [2]*binRange
 	s.ForEach(func(value, _ float64) bool {
 		side := 0
 		if value < 0 {
@@ -280,57 +285,57 @@
 		}
 		if value > 0 {
 			bin := s.Index(value)
-			if spans[side] == nil {
-				spans[side] = &span{bin, bin}
+			if ranges[side] == nil {
+				ranges[side] = &binRange{bin, bin}
 			}
-			spans[side].least, spans[side].most = min(spans[side].least, bin), max(spans[side].most, bin)
+			ranges[side].lowest, ranges[side].highest = min(ranges[side].lowest, bin), max(ranges[side].highest, bin)
 		}
 		return false
 	})
 	n := 0
-	for _, x := range spans {
+	for _, x := range ranges {
 		if x != nil {
-			n += min(x.most-x.least+1, QuantileBins) + 64 // the sketch allocates in steps of 64
+			n += min(x.highest-x.lowest+1, QuantileBins) + 64 // the sketch allocates bins in steps of 64
 		}
 	}
 	return n
 }
 
-// add merges the value of another segment into this one.
-func (c *partialValue) add(p partialAggregate, from *partialValue) {
+// add merges the value of another segment into v.
+func (v *partialValue) add(p partialAggregate, from *partialValue) {
 	switch p.kind {
 	case partialCount, partialValues:
-		if c.count += from.count; c.count < 0 {
-			c.overflow = true
+		if v.count += from.count; v.count < 0 {
+			v.overflow = true
 		}
 	case partialSum:
-		if _, err := exact.Add(&c.sum, &c.sum, &from.sum); err != nil {
-			c.overflow = true
+		if _, err := exactContext.Add(&v.sum, &v.sum, &from.sum); err != nil {
+			v.overflow = true
 		}
 	case partialMin, partialMax:
 		if from.value.isNull() {
 			return
 		}
-		if c.value.raw == "" || c.value.isNull() || (from.sortKey < c.sortKey) == (p.kind == partialMin) {
-			c.value, c.sortKey = from.value, from.sortKey
+		if v.value.raw == "" || v.value.isNull() || (from.sortKey < v.sortKey) == (p.kind == partialMin) {
+			v.value, v.sortKey = from.value, from.sortKey
 		}
 	case partialDistinct:
-		if c.distinct == nil {
-			c.distinct = NewDistinct()
+		if v.distinct == nil {
+			v.distinct = NewDistinct()
 		}
-		if err := c.distinct.Merge(from.distinct); err != nil {
-			c.overflow = true
+		if err := v.distinct.Merge(from.distinct); err != nil {
+			v.overflow = true
 		}
 	case partialQuantiles:
-		if c.quantiles == nil {
-			c.quantiles = NewQuantiles()
+		if v.quantiles == nil {
+			v.quantiles = NewQuantiles()
 		}
-		if err := c.quantiles.MergeWith(from.quantiles); err != nil {
-			c.overflow = true
+		if err := v.quantiles.MergeWith(from.quantiles); err != nil {
+			v.overflow = true
 		}
 	}
 }
 
-// exceedsDigits reports whether a sum has more digits than the schema permits. It is then reported as an overflow and
-// never rounded.
+// exceedsDigits reports whether a sum has more digits than the schema permits. Such a sum is reported as an overflow and never
+// rounded.
 func exceedsDigits(d *apd.Decimal, digits int) bool { return d.NumDigits() > int64(digits) }
--- a/merge/aggregation.go
+++ b/merge/aggregation.go
@@ -7,20 +7,21 @@
 	"github.com/cockroachdb/apd/v3"
 )
 
-// aggregation is the merge of the groups of all segments. Slices are parallel to groups.
+// aggregation is the state of merging the groups of all included segments. uncertainties, ranks and overflow are indexed like
+// groups.
 type aggregation struct {
 	query         *Query
 	groups        []*group
 	uncertainties []uncertainty
 	ranks         []apd.Decimal // the values that groups are ranked by
-	overflow      []bool        // the rank does not fit the digits
+	overflow      []bool        // the rank exceeds its range
 	order         []int         // indexes of groups by rank
-	maxUnseen     apd.Decimal   // the largest rank of a group that every segment omitted or does not have
+	maxUnseen     apd.Decimal   // largest possible rank of a group that no segment returned
 	omitted       bool          // a segment omitted groups
 	missing       bool          // a segment is missing
 }
 
-// mergeAggregates merges the groups of the segments, and states the quality of each value.
+// mergeAggregates merges the groups of the included segments into r and sets the quality of each value.
 func (m *Merge) mergeAggregates(r *Result) error {
 	q := m.query
 	for _, c := range q.groupColumns {
@@ -32,27 +33,27 @@
 	included := m.included()
 	a := aggregation{query: q, missing: len(included) < len(m.responses)}
 	a.mergeGroups(included)
-	if err := a.bound(included); err != nil {
+	if err := a.computeUncertainties(included); err != nil {
 		return err
 	}
-	a.rank()
-	shown := a.appendGroups(r)
-	r.More = shown < len(a.order) || a.omitted || a.missing && len(q.groupColumns) > 0
+	a.sortByRank()
+	count := a.appendGroups(r)
+	r.More = count < len(a.order) || a.omitted || a.missing && len(q.groupColumns) > 0
 	switch {
 	case a.missing:
 		r.CertainCount, r.MaxUnseen = 0, ""
 	case q.rankBy >= 0:
-		r.CertainCount, r.MaxUnseen = a.certainCount(shown), a.maxUnseen.Text('f')
+		r.CertainCount, r.MaxUnseen = a.certainCount(count), a.maxUnseen.Text('f')
 	default:
-		r.CertainCount = shown
+		r.CertainCount = count
 	}
-	if r.CertainCount < shown {
+	if r.CertainCount < count {
 		r.Complete = false
 	}
 	return nil
 }
 
-// mergeGroups adds up the partial aggregates of each group.
+// mergeGroups merges the partial aggregates of each group over all responses.
 func (a *aggregation) mergeGroups(responses []*SegmentResponse) {
 	partials := a.query.partials
 	byKey := map[string]*group{}
@@ -76,8 +77,9 @@
 	}
 }
 
-// bound computes how far ranks may be off because segments omitted groups.
-func (a *aggregation) bound(responses []*SegmentResponse) error {
+// computeUncertainties sets uncertainties and maxUnseen from the bounds of the groups that segments omitted. It returns an error if
+// a sum of bounds exceeds the range of decimals.
+func (a *aggregation) computeUncertainties(responses []*SegmentResponse) error {
 	a.uncertainties = make([]uncertainty, len(a.groups))
 	for _, response := range responses {
 		omitted := response.omitted
@@ -85,8 +87,8 @@
 			continue
 		}
 		a.omitted = true
-		if !omitted.most.Negative {
-			if _, err := exact.Add(&a.maxUnseen, &a.maxUnseen, &omitted.most); err != nil {
+		if !omitted.maxRank.Negative {
+			if _, err := exactContext.Add(&a.maxUnseen, &a.maxUnseen, &omitted.maxRank); err != nil {
 				return err
 			}
 		}
@@ -102,8 +104,8 @@
 	return nil
 }
 
-// rank orders the groups by their ranks, largest first, and then by their keys.
-func (a *aggregation) rank() {
+// sortByRank computes the ranks of the groups and sets order: by descending rank and then by key.
+func (a *aggregation) sortByRank() {
 	a.ranks, a.overflow = make([]apd.Decimal, len(a.groups)), make([]bool, len(a.groups))
 	a.order = make([]int, len(a.groups))
 	for i, g := range a.groups {
@@ -114,7 +116,7 @@
 	}
 	sort.SliceStable(a.order, func(x, y int) bool {
 		i, j := a.order[x], a.order[y]
-		if a.overflow[i] != a.overflow[j] { // ranks that do not fit come first
+		if a.overflow[i] != a.overflow[j] { // groups whose rank exceeds its range come first
 			return a.overflow[i]
 		}
 		if d := a.ranks[i].Cmp(&a.ranks[j]); d != 0 && !a.overflow[i] {
@@ -124,12 +126,13 @@
 	})
 }
 
-// appendGroups appends the first groups to a result, up to the limits of the query and the policy, and returns their number.
+// appendGroups appends the first groups of the order to r, up to the query's limit and the policy's MaxResultBytes, and returns
+// their number. It clears r.Complete if a value is neither exact nor approximate, or if MaxResultBytes is reached.
 func (a *aggregation) appendGroups(r *Result) int {
 	q := a.query
 	size := 0
-	shown := min(len(a.order), q.limit)
-	for n, i := range a.order[:shown] {
+	count := min(len(a.order), q.limit)
+	for n, i := range a.order[:count] {
 		g := GroupResult{Key: a.groups[i].raw}
 		for _, aggregate := range q.aggregates {
 			v := q.aggregateValue(aggregate, a.groups[i], a.missing, &a.uncertainties[i])
@@ -139,66 +142,70 @@
 			g.Values = append(g.Values, v)
 		}
 		if size += g.jsonSize(); size > q.policy.MaxResultBytes && n > 0 {
-			r.Complete = false // fewer groups than requested, though there are more
+			r.Complete = false // fewer groups than requested although there are more
 			return n
 		}
 		r.Groups = append(r.Groups, g)
 	}
-	return shown
+	return count
 }
 
-// certainCount returns how many of the first groups no other group, shown or not, returned or omitted, can precede in truth.
-func (a *aggregation) certainCount(shown int) int {
-	// highest[k] is the largest possible rank of the groups from k on, those that no segment returned included.
-	highest := make([]*apd.Decimal, len(a.order)+1)
+// certainCount returns how many of the first count groups are at their true position: no later group in the order and no group
+// that a segment omitted can precede them.
+func (a *aggregation) certainCount(count int) int {
+	// highestRanks[k] is the largest possible rank of the groups from index k of the order on and of groups that no segment
+	// returned.
+	highestRanks := make([]*apd.Decimal, len(a.order)+1)
 	if a.omitted {
-		highest[len(a.order)] = &a.maxUnseen
+		highestRanks[len(a.order)] = &a.maxUnseen
 	}
 	for k := len(a.order) - 1; k >= 0; k-- {
 		i, h := a.order[k], new(apd.Decimal)
 		if a.overflow[i] {
 			return 0
 		}
-		if _, err := exact.Add(h, &a.ranks[i], &a.uncertainties[i].above); err != nil {
+		if _, err := exactContext.Add(h, &a.ranks[i], &a.uncertainties[i].above); err != nil {
 			return 0
 		}
-		if highest[k] = h; highest[k+1] != nil && highest[k+1].Cmp(h) > 0 {
-			highest[k] = highest[k+1]
+		if highestRanks[k] = h; highestRanks[k+1] != nil && highestRanks[k+1].Cmp(h) > 0 {
+			highestRanks[k] = highestRanks[k+1]
 		}
 	}
-	for k := range shown {
+	for k := range count {
 		i, low := a.order[k], new(apd.Decimal)
-		if _, err := exact.Add(low, &a.ranks[i], &a.uncertainties[i].below); err != nil {
+		if _, err := exactContext.Add(low, &a.ranks[i], &a.uncertainties[i].below); err != nil {
 			return k
 		}
-		next := highest[k+1]
+		next := highestRanks[k+1]
 		if next == nil {
 			continue
 		}
-		// Equal ranks are ordered by key, which is certain only if nothing was omitted.
+		// Equal ranks are ordered by key, and that order is certain only if no groups were omitted.
 		if d := low.Cmp(next); d < 0 || d == 0 && a.omitted {
 			return k
 		}
 	}
-	return shown
+	return count
 }
 
-// uncertainty is how far a group's rank may be off because segments omitted groups.
+// uncertainty bounds the error of a group's rank that results from groups omitted by segments.
 type uncertainty struct {
-	incomplete   bool // a segment that omitted groups did not return this one
+	incomplete bool // a segment that omitted groups did not return this one
+	// The true rank is from rank + below to rank + above; below is 0 or negative, above 0 or positive.
 	below, above apd.Decimal
 }
 
-// widen adds a segment that may have omitted the group, or may not have it at all.
+// widen extends the bounds by those of a segment that did not return the group: the segment may have omitted the group or may hold
+// no rows of it.
 func (u *uncertainty) widen(omitted *omittedBounds) error {
 	u.incomplete = true
-	if omitted.most.Sign() > 0 {
-		if _, err := exact.Add(&u.above, &u.above, &omitted.most); err != nil {
+	if omitted.maxRank.Sign() > 0 {
+		if _, err := exactContext.Add(&u.above, &u.above, &omitted.maxRank); err != nil {
 			return err
 		}
 	}
-	if omitted.least.Sign() < 0 {
-		if _, err := exact.Add(&u.below, &u.below, &omitted.least); err != nil {
+	if omitted.minRank.Sign() < 0 {
+		if _, err := exactContext.Add(&u.below, &u.below, &omitted.minRank); err != nil {
 			return err
 		}
 	}
--- a/merge/aggregation_test.go
+++ b/merge/aggregation_test.go
@@ -31,7 +31,7 @@
 	const largest = "9999999999999999.99"
 	got := sum(`"`+largest+`",9223372036854775806,1`, `"0.00",1,0`, `"-0.01",0,1`).Result.Groups[0].Values
 	if string(got[0].Value) != `"9999999999999999.98"` || got[0].Precision != "exact" || string(got[1].Value) != "9223372036854775807" {
-		t.Errorf("at the limit: %s %s, count %s", got[0].Value, got[0].Precision, got[1].Value)
+		t.Errorf("at the limit: sum %s %s, count %s", got[0].Value, got[0].Precision, got[1].Value)
 	}
 	over := sum(`"`+largest+`",9223372036854775807,1`, `"0.01",1,1`, `"0.00",0,1`)
 	for i, v := range over.Result.Groups[0].Values[:2] {
@@ -40,16 +40,17 @@
 		}
 	}
 	if over.Full {
-		t.Error("a result with a sum that does not fit is complete")
+		t.Error("a result with a sum that exceeds the schema's digits is complete")
 	}
-	// In between it may exceed the limit, whatever the order of arrival.
+	// Intermediate sums may exceed the limit, so that the result does not depend on the order of arrival.
 	back := sum(`"`+largest+`",1,1`, `"1.00",1,1`, `"-1.00",1,1`).Result.Groups[0].Values
 	if string(back[0].Value) != `"`+largest+`"` || back[0].Precision != "exact" {
-		t.Errorf("beyond the limit and back: %s %s", back[0].Value, back[0].Precision)
+		t.Errorf("intermediate sum beyond the limit: %s %s", back[0].Value, back[0].Precision)
 	}
 }
 
-// A group that no segment returned may tie with one that all returned, if negative amounts make up the difference.
+// TestUncertainTie checks that a group is not reported as certain if a group that a segment omitted may have the same rank and a
+// smaller key. Here negative amounts reduce the rank of the returned group to the bound of the omitted one.
 func TestUncertainTie(t *testing.T) {
 	q, err := testPolicy().NewQuery(merge.Request{Kind: "aggregated", Group: []string{"customer"}, Limit: 5, Aggregates: []string{"sum(amount)"}},
 		weights(2), false, merge.Paging{})
@@ -62,7 +63,7 @@
 	}
 	for segment, value := range []string{
 		`{"schema":"arrears/1","as_of":1,"rows":1,"cut":{"groups":1,"most":"0.00","least":"0.00"}}` + "\n" + `["c-05","5.00"]`,
-		`{"schema":"arrears/1","as_of":1,"rows":1}` + "\n" + `["c-05","-5.00"]`, // the one cut, c-03 say, is at 0 as well, and comes first
+		`{"schema":"arrears/1","as_of":1,"rows":1}` + "\n" + `["c-05","-5.00"]`, // the omitted group, say c-03, may rank equal and sorts first
 	} {
 		p, err := q.ReadResponse(merge.Segment(segment), value)
 		if err != nil || m.Add(p) != nil {
--- a/merge/bench_test.go
+++ b/merge/bench_test.go
@@ -8,11 +8,12 @@
 	"testing"
 )
 
-// The loser tree against a heap of runs and a sort of everything, at the sizes of docs/measured/merging.md:
+// The benchmarks compare the loser tree with a binary heap of runs and with sorting all rows, at the sizes listed in
+// docs/measured/merging.md:
 //
 //	go test -run xxx -bench Merge -benchmem ./merge
 
-// benchRuns makes sorted runs as segments give them: each as long as the page, with keys of the usual length.
+// benchRuns returns one sorted run per segment. Each run has as many rows as the page, with sort keys of typical length.
 func benchRuns(segments, page int) [][]Row {
 	x := uint64(42)
 	runs := make([][]Row, segments)
@@ -38,7 +39,7 @@
 	return out
 }
 
-// runHeap is the plain way: container/heap over the runs' first rows.
+// runHeap is a binary heap of runs, ordered by their first rows, for container/heap.
 type runHeap [][]Row
 
 func (h runHeap) Len() int           { return len(h) }
@@ -81,8 +82,8 @@
 }
 
 var mergeMethods = []struct {
-	name string
-	take func([][]Row, int) []Row
+	name  string
+	merge func([][]Row, int) []Row
 }{{"tree", mergeByTree}, {"heap", mergeByHeap}, {"sort", mergeBySort}}
 
 func TestMergeMethodsAgree(t *testing.T) {
@@ -90,9 +91,9 @@
 		for _, page := range []int{0, 1, 7} {
 			runs := benchRuns(segments, page)
 			want := fmt.Sprint(mergeBySort(runs, segments*page))
-			for _, way := range mergeMethods {
-				if got := fmt.Sprint(way.take(append([][]Row(nil), runs...), segments*page)); got != want {
-					t.Errorf("%s of %d runs of %d:\n%s\nnot\n%s", way.name, segments, page, got, want)
+			for _, method := range mergeMethods {
+				if got := fmt.Sprint(method.merge(append([][]Row(nil), runs...), segments*page)); got != want {
+					t.Errorf("%s of %d runs of %d rows:\n%s\nwant\n%s", method.name, segments, page, got, want)
 				}
 			}
 		}
@@ -103,21 +104,22 @@
 	for _, page := range []int{50, 1000} {
 		for _, segments := range []int{8, 64, 512} {
 			runs := benchRuns(segments, page)
-			for _, way := range mergeMethods {
-				b.Run(fmt.Sprintf("page=%d/segments=%d/%s", page, segments, way.name), func(b *testing.B) {
+			for _, method := range mergeMethods {
+				b.Run(fmt.Sprintf("page=%d/segments=%d/%s", page, segments, method.name), func(b *testing.B) {
 					b.ReportAllocs()
 					for b.Loop() {
-						way.take(append([][]Row(nil), runs...), page)
+						method.merge(append([][]Row(nil), runs...), page)
 					}
 					b.ReportMetric(float64(page)*float64(b.N)/b.Elapsed().Seconds(), "rows/s")
-					b.ReportMetric(float64(peakMemory(func() { way.take(append([][]Row(nil), runs...), page) })), "peak-B")
+					b.ReportMetric(float64(peakMemory(func() { method.merge(append([][]Row(nil), runs...), page) })), "peak-B")
 				})
 			}
 		}
 	}
 }
 
-// peakMemory is how many bytes a call allocates, all of which live until it ends.
+// peakMemory returns the number of bytes that a call allocates. It equals the peak memory of a call that retains all allocations
+// until it returns.
 func peakMemory(do func()) uint64 {
 	var before, after runtime.MemStats
 	runtime.GC()
--- a/merge/budget.go
+++ b/merge/budget.go
@@ -5,39 +5,43 @@
 	"sync/atomic"
 )
 
-// Budget bounds what all open merges together hold; nothing may be held before SetLimits. It may be used concurrently. It
-// protects the process: a thousand long lists that wait for one late segment would otherwise be in memory at once.
+// Budget limits the memory, rows and number of all open merges together. Before SetLimits is called all limits are 0. It is safe
+// for concurrent use. Without it the process could run out of memory: a thousand long lists that wait for one slow segment would
+// all be in memory at once.
 type Budget struct {
 	maxBytes, maxRows, maxOpen atomic.Int64
 	bytes, rows, open          atomic.Int64
 	parent                     ParentBudget
 }
 
-// ParentBudget is a wider budget, of which merges are one use. It must be safe for concurrent use.
+// ParentBudget is a memory budget that merges share with other uses. Implementations must be safe for concurrent use.
 type ParentBudget interface {
+	// Reserve reserves memory, or returns false and reserves nothing.
 	Reserve(bytes int64) bool
+	// Release releases reserved memory.
 	Release(bytes int64)
 }
 
-// SetParent makes the budget reserve its memory from a wider one. It must be called before the first merge.
-func (b *Budget) SetParent(s ParentBudget) { b.parent = s }
+// SetParent sets the budget from which this one reserves its memory in addition to its own limits. It must be called before the
+// first merge is opened.
+func (b *Budget) SetParent(parent ParentBudget) { b.parent = parent }
 
 // ErrBudgetExceeded means that a merge would exceed the limits of its budget.
 var ErrBudgetExceeded = errors.New("merges hold as much as they may")
 
-// SetLimits sets the limits from now on: bytes, rows, and open merges. What is held already is not affected.
+// SetLimits sets the limits of bytes, rows and open merges for later reservations. Existing reservations are not affected.
 func (b *Budget) SetLimits(bytes, rows, open int64) {
 	b.maxBytes.Store(bytes)
 	b.maxRows.Store(rows)
 	b.maxOpen.Store(open)
 }
 
-// Usage returns what is held: bytes, rows, and open merges.
+// Usage returns the reserved bytes and rows and the number of open merges.
 func (b *Budget) Usage() (bytes, rows, open int64) {
 	return b.bytes.Load(), b.rows.Load(), b.open.Load()
 }
 
-// openMerge counts an open merge, or returns false if the limit is reached.
+// openMerge increments the number of open merges, or returns false if the limit is reached.
 func (b *Budget) openMerge() bool {
 	if b.open.Add(1) > b.maxOpen.Load() {
 		b.open.Add(-1)
@@ -46,10 +50,10 @@
 	return true
 }
 
-// reserve reserves memory, or returns false and reserves nothing.
+// reserve reserves bytes and rows, or returns false and reserves nothing.
 func (b *Budget) reserve(bytes, rows int64) bool {
-	held, count := b.bytes.Add(bytes), b.rows.Add(rows)
-	if held > b.maxBytes.Load() || count > b.maxRows.Load() || b.parent != nil && !b.parent.Reserve(bytes) {
+	totalBytes, totalRows := b.bytes.Add(bytes), b.rows.Add(rows)
+	if totalBytes > b.maxBytes.Load() || totalRows > b.maxRows.Load() || b.parent != nil && !b.parent.Reserve(bytes) {
 		b.bytes.Add(-bytes)
 		b.rows.Add(-rows)
 		return false
@@ -57,7 +61,7 @@
 	return true
 }
 
-// release returns memory that has been reserved.
+// release releases reserved bytes and rows.
 func (b *Budget) release(bytes, rows int64) {
 	b.bytes.Add(-bytes)
 	b.rows.Add(-rows)
--- a/merge/budget_test.go
+++ b/merge/budget_test.go
@@ -61,13 +61,13 @@
 		t.Errorf("%d of 1000 merges were rejected", rejected)
 	}
 	if _, err := merge.New(q, b); !errors.Is(err, merge.ErrBudgetExceeded) {
-		t.Errorf("a merge beyond the limit of open ones: %v", err)
+		t.Errorf("opening a merge beyond the limit of open merges: %v", err)
 	}
 	for _, m := range open {
 		m.Close()
 		m.Close()
 	}
 	if bytes, rows, n := b.Usage(); bytes != 0 || rows != 0 || n != 0 {
-		t.Errorf("closed merges hold %d bytes, %d rows, %d open", bytes, rows, n)
+		t.Errorf("after all merges were closed %d bytes, %d rows and %d open merges are in use", bytes, rows, n)
 	}
 }
--- a/merge/cursor.go
+++ b/merge/cursor.go
@@ -14,28 +14,29 @@
 
 // pagination is the state of a paged list between two pages.
 //
-// Each segment has a position: the row after which it continues. A segment that was included in a page continues after the
-// last row of the page, whether or not that row is its own. A missing segment keeps its position, so that none of its rows
-// is skipped; rows that it later returns from before the furthest position are reported as late. Most segments have the
-// same position, so a cursor holds the few different ones and an index for each segment.
+// Each segment has a position: the row after which it continues. A segment that was included in a page continues after the last
+// row of the page, even if that row belongs to another segment. The position of a missing segment does not change, so that none
+// of its rows is skipped; rows that it returns later and that sort before the furthest position are reported as late. Most
+// segments have the same position, so a cursor holds the distinct positions and one index per segment.
 type pagination struct {
-	positions        []position // different positions; the first is the beginning of the list
-	segmentPositions []int      // by index in Query.segments: index in positions
-	versions         []*Version // by index in Query.segments: version last included; nil = none
-	rowsBefore       int        // rows on all pages so far
+	positions        []position // distinct positions; the first one is the start of the list
+	segmentPositions []int      // by index in Query.segments: index into positions
+	versions         []*Version // by index in Query.segments: version of the last included response; nil = none
+	rowsBefore       int        // number of rows on all previous pages
 	changed          bool       // a segment's version has changed between two pages
 }
 
 // furthestKey returns the sort key of the furthest position of any segment.
-func (w *pagination) furthestKey() string {
+func (p *pagination) furthestKey() string {
 	furthest := ""
-	for _, m := range w.positions {
-		furthest = max(furthest, m.sortKey)
+	for _, pos := range p.positions {
+		furthest = max(furthest, pos.sortKey)
 	}
 	return furthest
 }
 
-// finishPage counts late rows, detects changed versions, and encodes the cursor of the next page.
+// finishPage sets the fields of result that only pages have: the number of late rows, whether versions have changed, and the cursor
+// of the next page. more states whether included segments have, or may have, rows after the page.
 func (m *Merge) finishPage(result *Result, more bool) {
 	q, current := m.query, &m.query.pagination
 	furthest := current.furthestKey()
@@ -52,7 +53,7 @@
 	if n := len(result.Rows); n > 0 {
 		last = q.policy.Schema.positionAfter(q.order, result.Rows[n-1])
 	}
-	behind := more
+	unfinished := more
 	for i, response := range m.responses {
 		position := current.positions[current.segmentPositions[i]]
 		next.versions[i] = current.versions[i]
@@ -62,37 +63,37 @@
 			}
 			next.versions[i] = &response.version
 		} else {
-			behind = true
+			unfinished = true
 		}
 		next.segmentPositions[i] = next.positionIndex(position)
 	}
 	if result.Changed {
-		result.Complete = false // pages of different versions are not one list
+		result.Complete = false // pages of different versions do not form one consistent list
 	}
-	if !behind {
+	if !unfinished {
 		result.End = true
 		return
 	}
 	result.NextCursor = q.encodeCursor(&next)
 	if len(result.NextCursor) > q.binding.maxLength {
-		result.NextCursor, result.CursorTooLong = "", true // a cursor of this length would not be accepted
+		result.NextCursor, result.CursorTooLong = "", true // decodeCursor would reject a cursor of this length
 		result.Complete = false
 	}
 }
 
-// positionIndex returns the index of a position, which is added if it is new.
-func (w *pagination) positionIndex(m position) int {
-	for i := range w.positions {
-		if w.positions[i].sortKey == m.sortKey {
+// positionIndex returns the index of a position in positions, to which it adds the position if it is new.
+func (p *pagination) positionIndex(pos position) int {
+	for i := range p.positions {
+		if p.positions[i].sortKey == pos.sortKey {
 			return i
 		}
 	}
-	w.positions = append(w.positions, m)
-	return len(w.positions) - 1
+	p.positions = append(p.positions, pos)
+	return len(p.positions) - 1
 }
 
-// cursorBinding identifies the list that a cursor belongs to: query type, customer, statement, order, schema, and
-// segments.
+// cursorBinding identifies the list that a cursor belongs to, by a hash of schema, query type, customer, statement, order and
+// segments. maxLength is the largest length of a cursor in bytes.
 type cursorBinding struct {
 	hash      [16]byte
 	maxLength int
@@ -104,42 +105,43 @@
 		b = binary.AppendUvarint(b, uint64(len(s)))
 		b = append(b, s...)
 	}
-	for _, a := range q.segments {
-		b = binary.AppendUvarint(b, uint64(a.Segment))
+	for _, segment := range q.segments {
+		b = binary.AppendUvarint(b, uint64(segment.Segment))
 	}
 	sum := blake3.Sum256(b)
 	return cursorBinding{[16]byte(sum[:16]), p.MaxLength}
 }
 
-// A cursor, in base64 for URLs: a version, the key's id and its length before, the binding, when it ends, the walk, and
-// a keyed BLAKE3 over all of that. It is signed, not hidden: it holds values of a row that its owner has been given.
+// cursorVersion is the version of the cursor format. A cursor is unpadded base64 for URLs of: the version, the length and id of the
+// signing key, the hash of the cursorBinding, the expiry in Unix milliseconds, the pagination state, and a keyed BLAKE3 MAC over
+// all of these. It is signed but not encrypted, because it holds only values of rows that the client has already received.
 const cursorVersion = 1
 
-// encodeCursor returns a signed cursor.
-func (q *Query) encodeCursor(w *pagination) string {
+// encodeCursor returns the signed cursor of a pagination state.
+func (q *Query) encodeCursor(state *pagination) string {
 	key := q.keys.Primary()
 	b := append([]byte{cursorVersion, byte(len(key.ID))}, key.ID...)
 	b = append(b, q.binding.hash[:]...)
 	b = binary.AppendUvarint(b, uint64(max(q.now+q.cursorLifetime, 0)))
-	b = binary.AppendUvarint(b, uint64(w.rowsBefore))
-	b = append(b, boolByte(w.changed))
-	b = binary.AppendUvarint(b, uint64(len(w.positions)-1))
-	for _, m := range w.positions[1:] {
-		for _, v := range m.keys {
+	b = binary.AppendUvarint(b, uint64(state.rowsBefore))
+	b = append(b, boolByte(state.changed))
+	b = binary.AppendUvarint(b, uint64(len(state.positions)-1))
+	for _, pos := range state.positions[1:] {
+		for _, v := range pos.keys {
 			b = appendText(b, v.raw)
 		}
-		b = appendText(b, m.account.raw)
-		b = binary.AppendUvarint(b, uint64(m.segment))
+		b = appendText(b, pos.account.raw)
+		b = binary.AppendUvarint(b, uint64(pos.segment))
 		if q.policy.Schema.Row >= 0 {
-			b = appendText(b, m.row.raw)
+			b = appendText(b, pos.row.raw)
 		}
 	}
-	for i, at := range w.segmentPositions {
-		b = binary.AppendUvarint(b, uint64(at))
-		if s := w.versions[i]; s == nil {
+	for i, positionIndex := range state.segmentPositions {
+		b = binary.AppendUvarint(b, uint64(positionIndex))
+		if version := state.versions[i]; version == nil {
 			b = append(b, 0)
 		} else {
-			b = binary.AppendUvarint(append(b, 1), uint64(*s))
+			b = binary.AppendUvarint(append(b, 1), uint64(*version))
 		}
 	}
 	return base64.RawURLEncoding.EncodeToString(append(b, key.MAC(b)...))
@@ -156,7 +158,7 @@
 	return append(binary.AppendUvarint(b, uint64(len(s))), s...)
 }
 
-// Errors of cursors. Clients see their texts.
+// Errors of decodeCursor. Clients see their texts.
 var (
 	errCursorTooLong   = errors.New("the cursor is longer than any that is given out")
 	errCursorMalformed = errors.New("the cursor was not given out here, or has been changed")
@@ -165,7 +167,7 @@
 	errCursorExpired   = errors.New("the cursor has expired: begin the list again")
 )
 
-// decodeCursor verifies a cursor and continues its list.
+// decodeCursor verifies a cursor and sets the query's pagination state from it.
 func (q *Query) decodeCursor(text string, p Paging) error {
 	if len(text) > q.binding.maxLength {
 		return errCursorTooLong
@@ -183,66 +185,66 @@
 		return errCursorMalformed
 	}
 	r := cursorReader{b: b[2+len(key.ID):]}
-	if !bytes.Equal(r.take(len(q.binding.hash)), q.binding.hash[:]) {
+	if !bytes.Equal(r.next(len(q.binding.hash)), q.binding.hash[:]) {
 		return errCursorMismatch
 	}
-	if ends := r.uvarint(math.MaxInt64); !r.invalid && p.Now >= int64(ends) {
+	if expiry := r.uvarint(math.MaxInt64); !r.invalid && p.Now >= int64(expiry) {
 		return errCursorExpired
 	}
-	w := pagination{positions: []position{{}}, rowsBefore: int(r.uvarint(math.MaxInt32)), changed: r.uvarint(1) == 1}
+	state := pagination{positions: []position{{}}, rowsBefore: int(r.uvarint(math.MaxInt32)), changed: r.uvarint(1) == 1}
 	schema := q.policy.Schema
 	for range r.uvarint(uint64(len(q.segments))) {
-		var p position
+		var pos position
 		for range q.order {
-			p.keys = append(p.keys, r.scalar())
+			pos.keys = append(pos.keys, r.scalar())
 		}
-		p.account = r.scalar()
-		p.segment = Segment(r.uvarint(math.MaxUint32))
+		pos.account = r.scalar()
+		pos.segment = Segment(r.uvarint(math.MaxUint32))
 		if schema.Row >= 0 {
-			p.row = r.scalar()
+			pos.row = r.scalar()
 		}
-		if r.invalid || schema.restorePosition(q.order, &p) != nil {
+		if r.invalid || schema.restorePosition(q.order, &pos) != nil {
 			return errCursorMalformed
 		}
-		w.positions = append(w.positions, p)
+		state.positions = append(state.positions, pos)
 	}
 	for range q.segments {
-		w.segmentPositions = append(w.segmentPositions, int(r.uvarint(uint64(len(w.positions)-1))))
-		var s *Version
+		state.segmentPositions = append(state.segmentPositions, int(r.uvarint(uint64(len(state.positions)-1))))
+		var version *Version
 		if r.uvarint(1) == 1 {
 			v := Version(r.uvarint(math.MaxUint64))
-			s = &v
+			version = &v
 		}
-		w.versions = append(w.versions, s)
+		state.versions = append(state.versions, version)
 	}
 	if r.invalid || len(r.b) > 0 {
 		return errCursorMalformed
 	}
-	q.pagination = w
+	q.pagination = state
 	return nil
 }
 
-// cursorReader decodes the fields of a cursor. After an error all further fields are zero.
+// cursorReader decodes the fields of a cursor. After an error invalid is set and all further fields are zero.
 type cursorReader struct {
 	b       []byte
 	invalid bool
 }
 
-// take returns the next n bytes.
-func (r *cursorReader) take(n int) []byte {
+// next returns the next n bytes.
+func (r *cursorReader) next(n int) []byte {
 	if r.invalid || n > len(r.b) {
 		r.invalid = true
 		return nil
 	}
-	bytes := r.b[:n]
+	field := r.b[:n]
 	r.b = r.b[n:]
-	return bytes
+	return field
 }
 
-// uvarint returns the next integer, which must not exceed a limit.
-func (r *cursorReader) uvarint(most uint64) uint64 {
+// uvarint returns the next unsigned varint. A value above limit is an error.
+func (r *cursorReader) uvarint(limit uint64) uint64 {
 	v, n := binary.Uvarint(r.b)
-	if r.invalid || n <= 0 || v > most {
+	if r.invalid || n <= 0 || v > limit {
 		r.invalid = true
 		return 0
 	}
@@ -252,7 +254,7 @@
 
 // scalar returns the next value of a row.
 func (r *cursorReader) scalar() scalar {
-	text := string(r.take(int(r.uvarint(math.MaxInt32))))
+	text := string(r.next(int(r.uvarint(math.MaxInt32))))
 	s, n, err := scanScalar(text)
 	if err != nil || n != len(text) {
 		r.invalid = true
--- a/merge/cursor_test.go
+++ b/merge/cursor_test.go
@@ -9,7 +9,7 @@
 	"oxbowspan/merge"
 )
 
-// firstCursor returns the cursor of the second page of a list.
+// firstCursor returns the cursor that the first page of a list ends with.
 func firstCursor(t testing.TB, p merge.Paging) string {
 	dataset := standin.NewDataset(4, standin.DatasetShape{Segments: 3, Accounts: 40})
 	q, err := testPolicy().NewQuery(pageRequest(""), weights(3), false, p)
@@ -27,17 +27,19 @@
 	return merge.Request{Kind: "paged", Order: []string{"-amount", "due"}, Limit: 5, Cursor: cursor}
 }
 
+// TestCursorBinding checks that a cursor is accepted only for the list it was issued for, before it expires, unmodified, and as long
+// as its key is in use.
 func TestCursorBinding(t *testing.T) {
 	p := paging(t)
 	cursor := firstCursor(t, p)
-	check := func(terms merge.Request, segments []merge.SegmentWeight, p merge.Paging) error {
-		_, err := testPolicy().NewQuery(terms, segments, false, p)
+	check := func(request merge.Request, segments []merge.SegmentWeight, p merge.Paging) error {
+		_, err := testPolicy().NewQuery(request, segments, false, p)
 		return err
 	}
 	if err := check(pageRequest(cursor), weights(3), p); err != nil {
 		t.Fatalf("the same search: %v", err)
 	}
-	other := func(change func(*merge.Paging)) merge.Paging {
+	with := func(change func(*merge.Paging)) merge.Paging {
 		p := paging(t)
 		change(&p)
 		return p
@@ -45,31 +47,31 @@
 	order := pageRequest(cursor)
 	order.Order = []string{"amount", "due"}
 	long := pageRequest(strings.Repeat("A", 8<<10+1))
-	for what, err := range map[string]error{
-		"another customer":  check(pageRequest(cursor), weights(3), other(func(p *merge.Paging) { p.Customer = "x" })),
-		"another type":      check(pageRequest(cursor), weights(3), other(func(p *merge.Paging) { p.QueryType = "x" })),
-		"another statement": check(pageRequest(cursor), weights(3), other(func(p *merge.Paging) { p.Statement = []byte("x") })),
+	for name, err := range map[string]error{
+		"another customer":  check(pageRequest(cursor), weights(3), with(func(p *merge.Paging) { p.Customer = "x" })),
+		"another type":      check(pageRequest(cursor), weights(3), with(func(p *merge.Paging) { p.QueryType = "x" })),
+		"another statement": check(pageRequest(cursor), weights(3), with(func(p *merge.Paging) { p.Statement = []byte("x") })),
 		"another order":     check(order, weights(3), p),
 		"other segments":    check(pageRequest(cursor), weights(2), p),
-		"expired":           check(pageRequest(cursor), weights(3), other(func(p *merge.Paging) { p.Now += p.Lifetime })),
-		"key withdrawn":     check(pageRequest(cursor), weights(3), other(func(p *merge.Paging) { p.Keys = ring(t, keyTwo) })),
-		"id of another key": check(pageRequest(cursor), weights(3), other(func(p *merge.Paging) { p.Keys = ring(t, strings.Replace(keyTwo, "two", "one", 1)) })),
+		"expired":           check(pageRequest(cursor), weights(3), with(func(p *merge.Paging) { p.Now += p.Lifetime })),
+		"key withdrawn":     check(pageRequest(cursor), weights(3), with(func(p *merge.Paging) { p.Keys = ring(t, keyTwo) })),
+		"id of another key": check(pageRequest(cursor), weights(3), with(func(p *merge.Paging) { p.Keys = ring(t, strings.Replace(keyTwo, "two", "one", 1)) })),
 		"over-long":         check(long, weights(3), p),
 		"not base64":        check(pageRequest("*"), weights(3), p),
 	} {
 		if err == nil || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: %v", what, err)
+			t.Errorf("%s: got error %v, want one of a single line", name, err)
 		}
 	}
-	// Key rotation: the new key signs, the old one is still accepted.
-	overlap := other(func(p *merge.Paging) { p.Keys = ring(t, keyTwo+keyOne) })
-	if err := check(pageRequest(cursor), weights(3), overlap); err != nil {
+	// During a key rotation the new key signs cursors and those signed with the old key are still accepted.
+	rotating := with(func(p *merge.Paging) { p.Keys = ring(t, keyTwo+keyOne) })
+	if err := check(pageRequest(cursor), weights(3), rotating); err != nil {
 		t.Errorf("during the rotation: %v", err)
 	}
-	if fresh := firstCursor(t, overlap); check(pageRequest(fresh), weights(3), other(func(p *merge.Paging) { p.Keys = ring(t, keyTwo) })) != nil {
-		t.Error("a cursor made during the rotation is not signed by the new key")
+	if fresh := firstCursor(t, rotating); check(pageRequest(fresh), weights(3), with(func(p *merge.Paging) { p.Keys = ring(t, keyTwo) })) != nil {
+		t.Error("a cursor issued during the rotation is not signed with the new key")
 	}
-	// No byte can be changed.
+	// A cursor with any byte changed, or truncated at any byte, is rejected.
 	raw, err := base64.RawURLEncoding.DecodeString(cursor)
 	if err != nil {
 		t.Fatal(err)
@@ -77,16 +79,16 @@
 	for i := range raw {
 		raw[i] ^= 0x10
 		if check(pageRequest(base64.RawURLEncoding.EncodeToString(raw)), weights(3), p) == nil {
-			t.Errorf("byte %d can be changed", i)
+			t.Errorf("accepted with byte %d changed", i)
 		}
 		raw[i] ^= 0x10
 		if check(pageRequest(base64.RawURLEncoding.EncodeToString(raw[:i])), weights(3), p) == nil && i > 0 {
-			t.Errorf("it can be truncated at byte %d", i)
+			t.Errorf("accepted after truncation at byte %d", i)
 		}
 	}
 }
 
-// FuzzCursor checks that no cursor but the package's own is accepted.
+// FuzzCursor checks that no cursor is accepted except one that the package has issued.
 func FuzzCursor(f *testing.F) {
 	p := paging(f)
 	own := firstCursor(f, p)
@@ -101,7 +103,7 @@
 	})
 }
 
-// FuzzRows checks that a response is either rejected, or results in a well-formed result with the rows as received.
+// FuzzRows checks that a response is either rejected or leads to a well-formed result that contains only rows of the response.
 func FuzzRows(f *testing.F) {
 	q, err := testPolicy().NewQuery(merge.Request{Kind: "ranked", Order: []string{"-amount", "due"}, Limit: 50}, weights(1), false, merge.Paging{})
 	if err != nil {
@@ -139,7 +141,7 @@
 				continue
 			}
 			if _, err := standin.ParseMergedResponse(a.AppendJSON(nil)); err != nil {
-				t.Errorf("%v: %s of %q", err, a.AppendJSON(nil), value)
+				t.Errorf("%v: result %s of response %q", err, a.AppendJSON(nil), value)
 			}
 			for _, r := range a.Rows {
 				if !strings.Contains(value, r.Raw()) {
--- a/merge/group.go
+++ b/merge/group.go
@@ -9,22 +9,22 @@
 	"github.com/cockroachdb/apd/v3"
 )
 
-// group is the partial aggregates of one group, of one segment or merged.
+// group holds the partial aggregates of one group, either of one segment or merged over several.
 type group struct {
-	key      string // sort key of its columns
-	raw      string // its columns' values as received, separated by commas
+	key      string // sort key of the values of the group's columns
+	raw      string // values of the group's columns as received, separated by commas
 	values   []partialValue
-	segments []Segment // merged: the segments that returned it
+	segments []Segment // merged groups only: the segments that returned the group
 }
 
-// omittedBounds bounds the ranks of the groups that a segment omitted.
+// omittedBounds holds the number of the groups that a segment omitted, and bounds on their ranks.
 type omittedBounds struct {
-	groups      int
-	most, least apd.Decimal
+	groups           int
+	maxRank, minRank apd.Decimal
 }
 
-// readGroups reads a segment's groups. They must be ranked, the largest first and then by key, each once, and omitted
-// groups must not rank before the last one.
+// readGroups parses the groups of a segment's response, one per line. They must be sorted by descending rank and then by key,
+// without duplicates, and no omitted group may have a larger rank than the last group returned.
 func (q *Query) readGroups(response *SegmentResponse, lines []string, omitted *omittedGroups) error {
 	if len(lines) > q.policy.MaxGroups {
 		return fmt.Errorf("the response has %d groups, the limit is %d", len(lines), q.policy.MaxGroups)
@@ -34,7 +34,7 @@
 	}
 	values := make([]scalar, 0, len(q.groupColumns)+len(q.partials))
 	seen := map[string]bool{}
-	var last apd.Decimal // rank of the group before
+	var last apd.Decimal // rank of the previous group
 	var lastKey string
 	for n, line := range lines {
 		row, err := scanRow(line, values[:0])
@@ -73,7 +73,7 @@
 	return err
 }
 
-// parseGroupKey returns a group with the values of its columns, which are at the beginning of a row.
+// parseGroupKey returns a group with the values of its columns, which are the first values of a row.
 func (q *Query) parseGroupKey(row []scalar) (group, error) {
 	s := q.policy.Schema
 	g := group{values: make([]partialValue, len(q.partials))}
@@ -90,7 +90,7 @@
 	return g, nil
 }
 
-// parsePartials sets the partial aggregates of a group.
+// parsePartials parses the partial aggregates of a group.
 func (q *Query) parsePartials(g *group, values []scalar) (err error) {
 	for i, partial := range q.partials {
 		if g.values[i], err = q.policy.Schema.parsePartialValue(partial, values[i]); err != nil {
@@ -100,14 +100,14 @@
 	return q.checkSketches(g)
 }
 
-// parseOmitted checks what a segment states about omitted groups, after a number of groups that it returned. last is the rank
-// of the last of these.
+// parseOmitted parses and validates the bounds that a segment states for the groups it omitted. returned is the number of groups
+// it returned, and last the rank of the last of them.
 func (q *Query) parseOmitted(omitted *omittedGroups, returned int, last *apd.Decimal) (*omittedBounds, error) {
 	b := &omittedBounds{groups: omitted.Groups}
 	for _, bound := range []struct {
 		text  string
 		value *apd.Decimal
-	}{{omitted.Most, &b.most}, {omitted.Least, &b.least}} {
+	}{{omitted.MaxRank, &b.maxRank}, {omitted.MinRank, &b.minRank}} {
 		if _, _, _, ok := splitDecimal(bound.text, MaxDigits, maxScale); !ok {
 			return nil, fmt.Errorf("the bound %.40q of omitted groups is not a decimal", bound.text)
 		}
@@ -115,13 +115,13 @@
 			return nil, fmt.Errorf("the bound %.40q of omitted groups is not a decimal", bound.text)
 		}
 	}
-	if omitted.Groups < 0 || returned == 0 || b.most.Cmp(last) > 0 || b.least.Cmp(&b.most) > 0 || q.rankUnsigned() && b.least.Negative {
+	if omitted.Groups < 0 || returned == 0 || b.maxRank.Cmp(last) > 0 || b.minRank.Cmp(&b.maxRank) > 0 || q.rankUnsigned() && b.minRank.Negative {
 		return nil, errors.New("the bounds of omitted groups contradict the groups returned")
 	}
 	return b, nil
 }
 
-// memory returns the memory of the group beside its bytes, estimated.
+// memory returns the estimated memory of the group in bytes, without the bytes of its line in the response.
 func (g *group) memory() int {
 	memory := groupOverhead + len(g.values)*partialValueOverhead
 	for i := range g.values {
@@ -130,38 +130,39 @@
 	return memory
 }
 
-// Memory of a group and of a partial value beside their bytes, estimated.
+// Estimated memory of a group and of a partial value in bytes, without their bytes in the response.
 const (
 	groupOverhead        = 160
 	partialValueOverhead = 160
 )
 
-// checkSketches checks that each quantile sketch of a group has as many values as the group.
+// checkSketches returns an error if a quantile sketch of a group holds another number of values than the group's count of
+// non-null values.
 func (q *Query) checkSketches(g *group) error {
 	for i, p := range q.partials {
 		if p.kind != partialQuantiles {
 			continue
 		}
-		at := slices.Index(q.partials, partialAggregate{partialValues, p.column})
-		if n := g.values[i].quantiles.GetCount(); n != float64(g.values[at].count) {
-			return fmt.Errorf("a sketch has %v values, the group has %d", n, g.values[at].count)
+		countIndex := slices.Index(q.partials, partialAggregate{partialValues, p.column})
+		if n := g.values[i].quantiles.GetCount(); n != float64(g.values[countIndex].count) {
+			return fmt.Errorf("a sketch has %v values, the group has %d", n, g.values[countIndex].count)
 		}
 	}
 	return nil
 }
 
-// rankValue returns the value that groups are ranked by.
+// rankValue returns a group's rank: the count or sum that groups are ranked by.
 func (q *Query) rankValue(g *group) (d apd.Decimal) {
-	c := &g.values[q.rankBy]
+	v := &g.values[q.rankBy]
 	if q.partials[q.rankBy].kind == partialCount {
-		d.SetInt64(c.count)
+		d.SetInt64(v.count)
 	} else {
-		d.Set(&c.sum)
+		d.Set(&v.sum)
 	}
 	return d
 }
 
-// rankUnsigned reports whether ranks are never below 0.
+// rankUnsigned reports whether ranks are never negative.
 func (q *Query) rankUnsigned() bool {
 	p := q.partials[q.rankBy]
 	return p.kind == partialCount || q.policy.Schema.Columns[p.column].Unsigned
--- a/merge/merge_test.go
+++ b/merge/merge_test.go
@@ -65,8 +65,8 @@
 	return b
 }
 
-// addResponses returns a merge of the responses of segments, in an order of arrival. limit returns how many rows or groups a
-// segment returns at most; 0 = all.
+// addResponses returns a merge to which the responses of the segments in order have been added, in this order. limit returns the
+// largest number of rows or groups that a segment returns; 0 = all.
 func addResponses(t interface{ Fatalf(string, ...any) }, q *merge.Query, dataset *standin.Dataset, order []int, limit func(int) int) *merge.Merge {
 	m, err := merge.New(q, unlimitedBudget())
 	if err != nil {
@@ -80,7 +80,7 @@
 		}
 		response, err := q.ReadResponse(merge.Segment(segment), value)
 		if err != nil {
-			t.Fatalf("segment %d gave %.300s: %v", segment, value, err)
+			t.Fatalf("segment %d: response %.300s: %v", segment, value, err)
 		}
 		if err := m.Add(response); err != nil {
 			t.Fatalf("segment %d: %v", segment, err)
@@ -122,7 +122,7 @@
 	return order
 }
 
-// drawIncluded draws which segments respond, and in what order.
+// drawIncluded draws which of n segments respond and in which order.
 func drawIncluded(t *rapid.T, n int) []int {
 	all := make([]int, n)
 	for i := range all {
@@ -149,16 +149,16 @@
 		if err != nil {
 			t.Fatalf("%v", err)
 		}
-		sent := rapid.IntRange(0, 12).Draw(t, "cut") // 0 = none
-		limitOf := func(int) int { return sent }
+		maxRows := rapid.IntRange(0, 12).Draw(t, "cut") // rows that a segment returns at most; 0 = all
+		limitOf := func(int) int { return maxRows }
 		included := drawIncluded(t, n)
 		got, body := result(t, addResponses(t, q, dataset, included, limitOf), len(included) == n)
 		oracle := standin.Oracle{Dataset: dataset, Segments: segments(n)}
-		if err := oracle.CheckRanked(got, order, offset, limit, sent == 0); err != nil {
+		if err := oracle.CheckRanked(got, order, offset, limit, maxRows == 0); err != nil {
 			t.Fatalf("%v: %s", err, body)
 		}
 		if _, again := result(t, addResponses(t, q, dataset, shuffled(included, 5), limitOf), len(included) == n); again != body {
-			t.Fatalf("another order of arrival results in\n%s\nnot\n%s", again, body)
+			t.Fatalf("another order of arrival results in\n%s\nwant\n%s", again, body)
 		}
 	})
 }
@@ -176,11 +176,11 @@
 		order, limit := drawOrder(t), rapid.IntRange(1, 25).Draw(t, "limit")
 		check := standin.PagedCheck{Oracle: standin.Oracle{Dataset: dataset, Segments: segments(n)}, Order: order, Limit: limit}
 		p := merge.Paging{Keys: mustRing(), Lifetime: 1000, MaxLength: 8 << 10, QueryType: "r"}
-		sent := rapid.IntRange(0, 12).Draw(t, "cut")
+		maxRows := rapid.IntRange(0, 12).Draw(t, "cut")
 		advance := rapid.Bool().Draw(t, "moves")
 		for cursor, page := "", 0; ; page++ {
 			if page > 400 {
-				t.Fatalf("the list does not end")
+				t.Fatalf("the list has more than 400 pages")
 			}
 			q, err := testPolicy().NewQuery(merge.Request{Kind: "paged", Order: order, Limit: limit, Cursor: cursor}, weights(n), false, p)
 			if err != nil {
@@ -193,15 +193,15 @@
 					dataset.Advance(rapid.IntRange(0, n-1).Draw(t, "which"))
 				}
 			}
-			got, body := result(t, addResponses(t, q, dataset, included, func(int) int { return sent }), len(included) == n)
-			if err := check.CheckPage(got, sent == 0); err != nil {
+			got, body := result(t, addResponses(t, q, dataset, included, func(int) int { return maxRows }), len(included) == n)
+			if err := check.CheckPage(got, maxRows == 0); err != nil {
 				t.Fatalf("page %d: %v: %s", page, err, body)
 			}
 			if got.Result.Last {
 				return
 			}
 			if cursor = got.Result.Next; cursor == "" {
-				t.Fatalf("page %d has no next one: %s", page, body)
+				t.Fatalf("page %d is not the last one but has no cursor: %s", page, body)
 			}
 		}
 	})
@@ -231,23 +231,24 @@
 		if err != nil {
 			t.Fatalf("%v", err)
 		}
-		sent := 0
+		maxRows := 0
 		if len(request.Group) > 0 {
-			sent = rapid.IntRange(0, 9).Draw(t, "cut")
+			maxRows = rapid.IntRange(0, 9).Draw(t, "cut")
 		}
 		included := drawIncluded(t, n)
-		got, body := result(t, addResponses(t, q, dataset, included, func(int) int { return sent }), len(included) == n)
+		got, body := result(t, addResponses(t, q, dataset, included, func(int) int { return maxRows }), len(included) == n)
 		oracle := standin.Oracle{Dataset: dataset, Segments: segments(n)}
-		if err := oracle.CheckAggregated(got, request, sent == 0); err != nil {
+		if err := oracle.CheckAggregated(got, request, maxRows == 0); err != nil {
 			t.Fatalf("%v: %s", err, body)
 		}
-		if _, again := result(t, addResponses(t, q, dataset, shuffled(included, 3), func(int) int { return sent }), len(included) == n); again != body {
-			t.Fatalf("another order of arrival results in\n%s\nnot\n%s", again, body)
+		if _, again := result(t, addResponses(t, q, dataset, shuffled(included, 3), func(int) int { return maxRows }), len(included) == n); again != body {
+			t.Fatalf("another order of arrival results in\n%s\nwant\n%s", again, body)
 		}
 	})
 }
 
-// A segment returns more rows than requested: the first ones are used, and the list continues after them.
+// TestExcessRowsDropped checks that if segments return more rows than requested, only the first ones are used and the list continues
+// after them.
 func TestExcessRowsDropped(t *testing.T) {
 	dataset := standin.NewDataset(8, standin.DatasetShape{Segments: 3, Accounts: 90})
 	order := []string{"due"}
@@ -294,16 +295,16 @@
 	m := addResponses(t, q, dataset, []int{0}, all)
 	before, _ := result(t, m, false)
 	if before.Full || before.Result.Groups[0].Values[0].Precision != "lower_bound" || before.Result.Groups[0].Values[1].Precision != "partial" {
-		t.Errorf("with one of two segments it says %+v", before)
+		t.Errorf("with one of two segments the result is %+v", before)
 	}
 	if got, _ := result(t, m, true); got.Full {
-		t.Error("a result without a segment is complete because the caller says so")
+		t.Error("a result without one segment is complete because the caller considers it complete")
 	}
 	m.MarkUnusable(1)
 	if got, _ := result(t, m, false); got.Result.Complete.Segments[1].State != "unusable" {
-		t.Errorf("a segment with an unusable response is %s", got.Result.Complete.Segments[1].State)
+		t.Errorf("the state of a segment with an unusable response is %s", got.Result.Complete.Segments[1].State)
 	}
-	for _, segment := range []int{1, 0, 1} { // the late one, and duplicates
+	for _, segment := range []int{1, 0, 1} { // the late response of segment 1, and duplicates
 		item, _ := strings.CutPrefix(q.SegmentItem(merge.Segment(segment)), "m=")
 		value, _ := dataset.Respond(segment, item, 0)
 		p, err := q.ReadResponse(merge.Segment(segment), value)
@@ -325,10 +326,10 @@
 	}
 	m := addResponses(t, q, dataset, []int{0, 2}, func(int) int { return 0 })
 	if _, err := m.Result(true); !errors.Is(err, merge.ErrIncomplete) {
-		t.Errorf("a result without a segment: %v", err)
+		t.Errorf("a result without one segment: %v", err)
 	}
-	light := []merge.SegmentWeight{{Segment: 0, Weight: 1}, {Segment: 1, Weight: 0}}
-	if _, err := testPolicy().NewQuery(merge.Request{Kind: "ranked", Order: []string{"due"}, Limit: 5}, light, true, merge.Paging{}); err == nil {
-		t.Error("a segment without weight is accepted, whose absence would not show")
+	weightless := []merge.SegmentWeight{{Segment: 0, Weight: 1}, {Segment: 1, Weight: 0}}
+	if _, err := testPolicy().NewQuery(merge.Request{Kind: "ranked", Order: []string{"due"}, Limit: 5}, weightless, true, merge.Paging{}); err == nil {
+		t.Error("a segment of weight 0 is accepted, whose absence would not reduce the included share")
 	}
 }
--- a/merge/quality.go
+++ b/merge/quality.go
@@ -7,35 +7,35 @@
 	"github.com/cockroachdb/apd/v3"
 )
 
-// Quality states how far a value can be relied on.
+// Quality states how a reported value relates to the true value.
 type Quality string
 
 // Qualities of values.
 const (
 	Exact       Quality = "exact"
-	LowerBound  Quality = "lower_bound" // the true value is this or more
-	UpperBound  Quality = "upper_bound" // the true value is this or less
-	Between     Quality = "between"     // from Low to High
-	Approximate Quality = "approximate" // with Error
-	Partial     Quality = "partial"     // of the included segments only; no bound of the true value
-	Overflow    Quality = "overflow"    // it does not fit the schema's digits, and has no value
+	LowerBound  Quality = "lower_bound" // the true value is not smaller
+	UpperBound  Quality = "upper_bound" // the true value is not larger
+	Between     Quality = "between"     // the true value is from Low to High
+	Approximate Quality = "approximate" // estimated or rounded; Error bounds or estimates the deviation
+	Partial     Quality = "partial"     // covers the included segments only and bounds the true value in neither direction
+	Overflow    Quality = "overflow"    // exceeds the schema's digits or the range of integers; there is no value
 )
 
-// AggregateValue is the value of an aggregate for one group.
+// AggregateValue is the value of one aggregate for one group, with its quality.
 type AggregateValue struct {
-	Value     string // JSON; null where there is none
+	Value     string // JSON; "null" if there is no value
 	Quality   Quality
-	Low, High string // Between
-	Error     string // Approximate, and Partial if it is estimated; relative, or absolute for means
+	Low, High string // set for Between; JSON
+	Error     string // set for Approximate, and for Partial if the value is estimated; a relative error, or an absolute one for means
 }
 
 // GroupResult is one group of a result.
 type GroupResult struct {
-	Key    string // its columns' values as received, separated by commas
+	Key    string // values of the group's columns as received, separated by commas
 	Values []AggregateValue
 }
 
-// jsonSize returns the approximate length of the group in a body.
+// jsonSize returns the approximate length in bytes of the group in a response body.
 func (g GroupResult) jsonSize() int {
 	n := len(g.Key) + len(`{"key":[],"values":[]},`)
 	for _, v := range g.Values {
@@ -44,7 +44,7 @@
 	return n
 }
 
-// aggregateValue returns one aggregate of a merged group. missing means that a segment is missing.
+// aggregateValue returns the value of one aggregate for a merged group. missing states whether a segment is missing.
 func (q *Query) aggregateValue(a aggregate, g *group, missing bool, u *uncertainty) AggregateValue {
 	v := &g.values[a.partials[0]]
 	for _, i := range a.partials {
@@ -78,16 +78,16 @@
 	return quantileValue(v.quantiles, a.quantile, incomplete)
 }
 
-// boundedValue returns a count or a sum. What segments omitted is bounded if groups are ranked by this aggregate. unsigned means
-// that the values are never below 0.
+// boundedValue returns the value of a count or a sum. If segments omitted groups, the value has bounds only if groups are ranked by
+// this aggregate. unsigned states that the column's values are never negative.
 func (q *Query) boundedValue(v *apd.Decimal, a aggregate, unsigned, missing bool, u *uncertainty) AggregateValue {
 	value := AggregateValue{Value: v.Text('f'), Quality: Exact}
 	switch {
 	case !missing && !u.incomplete:
 	case !missing && a.partials[0] == q.rankBy:
 		var low, high apd.Decimal
-		_, lowErr := exact.Add(&low, v, &u.below)
-		_, highErr := exact.Add(&high, v, &u.above)
+		_, lowErr := exactContext.Add(&low, v, &u.below)
+		_, highErr := exactContext.Add(&high, v, &u.above)
 		if lowErr != nil || highErr != nil {
 			value.Quality = Partial
 			break
@@ -101,7 +101,7 @@
 	return value
 }
 
-// extremeValue returns a minimum or maximum.
+// extremeValue returns the value of a minimum or maximum.
 func extremeValue(kind aggregateKind, extreme scalar, incomplete bool) AggregateValue {
 	value := AggregateValue{Value: "null", Quality: Exact}
 	if extreme.raw != "" {
@@ -110,7 +110,7 @@
 	switch {
 	case !incomplete:
 	case extreme.raw == "" || extreme.isNull():
-		value.Quality = Partial // there is no value that could be a bound
+		value.Quality = Partial // a missing value is no bound
 	case kind == aggregateMin:
 		value.Quality = UpperBound
 	default:
@@ -119,6 +119,7 @@
 	return value
 }
 
+// quantileValue returns the value of a quantile, which is null if the sketch is empty.
 func quantileValue(sketch *ddsketch.DDSketch, quantile float64, incomplete bool) AggregateValue {
 	if sketch == nil || sketch.GetCount() == 0 {
 		value := AggregateValue{Value: "null", Quality: Exact}
@@ -134,7 +135,7 @@
 	return estimatedValue(strconv.FormatFloat(x, 'g', 8, 64), QuantileError, incomplete)
 }
 
-// estimatedValue returns an estimate with its relative error.
+// estimatedValue returns an estimated value with its relative error.
 func estimatedValue(text string, relativeError float64, incomplete bool) AggregateValue {
 	value := AggregateValue{Value: text, Quality: Approximate, Error: strconv.FormatFloat(relativeError, 'g', -1, 64)}
 	if incomplete {
@@ -143,38 +144,39 @@
 	return value
 }
 
-// meanDigits is the number of digits after the point that a mean has more than its column.
+// meanDigits is the number of additional digits after the decimal point that a mean has compared with its column.
 const meanDigits = 4
 
-// mean divides a sum by a count. If the quotient is rounded the error is stated.
-func (q *Query) mean(sum *apd.Decimal, n int64, col Column, lacks bool) AggregateValue {
+// mean returns the quotient of a sum and a count. If it is rounded, its error is half a unit of the last digit.
+func (q *Query) mean(sum *apd.Decimal, n int64, col Column, incomplete bool) AggregateValue {
 	v := AggregateValue{Value: "null", Quality: Exact}
 	if n > 0 {
 		scale := int32(meanDigits)
 		if col.Kind == Money {
 			scale += int32(col.Scale)
 		}
-		wide := apd.Context{Precision: 3 * MaxDigits, MaxExponent: 3 * MaxDigits, MinExponent: -3 * MaxDigits,
+		highPrecision := apd.Context{Precision: 3 * MaxDigits, MaxExponent: 3 * MaxDigits, MinExponent: -3 * MaxDigits,
 			Traps: apd.DefaultTraps, Rounding: apd.RoundHalfEven}
-		// The sum has at most MaxDigits digits, so that the rounding of the quotient is far below the digits kept.
+		// The sum has at most MaxDigits digits, so the rounding error of the quotient is far smaller than its last digit that is
+		// kept.
 		quotient, rounded := new(apd.Decimal), new(apd.Decimal)
-		c1, err1 := wide.Quo(quotient, sum, apd.New(n, 0))
-		c2, err2 := wide.Quantize(rounded, quotient, -scale)
+		quotientCondition, err1 := highPrecision.Quo(quotient, sum, apd.New(n, 0))
+		roundingCondition, err2 := highPrecision.Quantize(rounded, quotient, -scale)
 		if err1 != nil || err2 != nil {
 			return AggregateValue{Value: "null", Quality: Overflow}
 		}
-		if v.Value = rounded.Text('f'); (c1 | c2).Inexact() {
+		if v.Value = rounded.Text('f'); (quotientCondition | roundingCondition).Inexact() {
 			v.Quality, v.Error = Approximate, apd.New(5, -scale-1).Text('f')
 		}
 		v.quote()
 	}
-	if lacks {
+	if incomplete {
 		v.Quality = Partial
 	}
 	return v
 }
 
-// quote makes the value and its bounds JSON strings.
+// quote encloses the value and its bounds in quotation marks, which makes them JSON strings.
 func (v *AggregateValue) quote() {
 	for _, s := range []*string{&v.Value, &v.Low, &v.High} {
 		if *s != "" {
--- a/merge/request.go
+++ b/merge/request.go
@@ -14,40 +14,41 @@
 
 // Kinds of merges.
 const (
-	Ranked     = "ranked"     // the first rows of a list, or those after an offset
-	Paged      = "paged"      // a list page by page, with a cursor
-	Aggregated = "aggregated" // aggregates over all rows, or over groups of them
+	Ranked     = "ranked"     // the first rows of a sorted list after an offset
+	Paged      = "paged"      // one page of a sorted list, continued by a cursor
+	Aggregated = "aggregated" // aggregates over all rows, or over groups of rows
 )
 
-// Policy is what the operator permits the searches of one query type to merge.
+// Policy holds the merges that the operator permits for searches of one query type, and their limits.
 type Policy struct {
 	Schema           *Schema
 	Kinds            []string
-	Orders           []string // columns that lists may be ordered by
-	Groups           []string // columns that aggregates may be grouped by
-	Aggregates       []string // aggregates that may be requested; count always may
-	MaxRows          int      // rows or groups of a result
-	MaxOffset        int
-	MaxGroups        int // of one segment's response
-	MaxResponseBytes int // length of one segment's response
-	MaxResultBytes   int // length of a result's rows or groups; the first is always included
+	Orders           []string // columns by which lists may be ordered
+	Groups           []string // columns by which aggregates may be grouped
+	Aggregates       []string // aggregates that may be requested; count is always permitted
+	MaxRows          int      // largest limit of a request: rows or groups of the result
+	MaxOffset        int      // largest offset of a request
+	MaxGroups        int      // groups of one segment's response
+	MaxResponseBytes int      // length of one segment's response
+	MaxResultBytes   int      // total length of a result's rows or groups; the first one is always included
 }
 
-// Request is a client's request for a merge: the merge object of a search's body.
+// Request is a client's request for a merge: the merge object in the body of a search.
 type Request struct {
 	Kind       string   `json:"kind"`
-	Order      []string `json:"order"`  // ranked, paged: columns, "-" before one for downwards
-	Limit      int      `json:"limit"`  // rows or groups of the result
-	Offset     int      `json:"offset"` // ranked
-	Cursor     string   `json:"cursor"` // paged: of the page before
-	Group      []string `json:"group"`  // aggregated
-	Aggregates []string `json:"figures"`
-	By         string   `json:"by"` // aggregated: the aggregate that groups are ranked by, largest first
+	Order      []string `json:"order"`   // ranked, paged: columns, each prefixed with "-" if descending
+	Limit      int      `json:"limit"`   // largest number of rows or groups of the result
+	Offset     int      `json:"offset"`  // ranked: number of rows to skip
+	Cursor     string   `json:"cursor"`  // paged: from the previous page; "" = first page
+	Group      []string `json:"group"`   // aggregated: columns to group by
+	Aggregates []string `json:"figures"` // aggregated
+	By         string   `json:"by"`      // aggregated: the aggregate by which groups are ranked in descending order
 }
 
-// ParseRequest parses a merge object. Unknown fields are rejected: what they ask for would silently be ignored.
+// ParseRequest parses a merge object. Unknown fields are rejected, because otherwise they would silently be ignored. Clients see
+// the texts of its errors.
 func ParseRequest(raw []byte) (Request, error) {
-	type Terms Request // clients see the name of this type in the decoder's error texts
+	type Terms Request // the decoder's error texts, which clients see, contain the name of this type
 	var request Terms
 	d := json.NewDecoder(bytes.NewReader(raw))
 	d.DisallowUnknownFields()
@@ -60,48 +61,49 @@
 	return Request(request), nil
 }
 
-// SegmentWeight is a segment of a search with its share of the data, from 0 to 1.
+// SegmentWeight is a segment of a search and its share of the data, from 0 to 1.
 type SegmentWeight struct {
 	Segment Segment
 	Weight  float64
 }
 
-// Query is a request that has been checked against a policy. It is immutable and may be used concurrently.
+// Query is a request that has been validated against a policy. It is immutable and safe for concurrent use.
 type Query struct {
 	policy         *Policy
 	kind           string
 	segments       []SegmentWeight // sorted by segment
 	order          []OrderKey
-	orderNames     []string // as in the request
+	orderNames     []string // the order as in the request
 	limit          int
 	offset         int
-	groupColumns   []int
+	groupColumns   []int // indexes of columns
 	aggregates     []aggregate
 	partials       []partialAggregate
-	rankBy         int // index in partials of the one that groups are ranked by; -1 = none
+	rankBy         int // index in partials of the partial aggregate by which groups are ranked; -1 = none
 	requireAll     bool
-	pagination     pagination // paged: state after the page before
+	pagination     pagination // paged: state after the previous page
 	binding        cursorBinding
 	keys           *keyring.Ring
-	now            int64
-	cursorLifetime int64
+	now            int64 // Unix milliseconds
+	cursorLifetime int64 // milliseconds
 }
 
-// Paging is what a paged list needs besides its request.
+// Paging holds the parameters of a paged list that are not in its request.
 type Paging struct {
 	Keys      *keyring.Ring
 	Lifetime  int64 // of a cursor, in milliseconds
 	MaxLength int   // of a cursor, in bytes
 	Now       int64 // Unix milliseconds
+	// A cursor is valid only for the query type, customer and statement for which it was issued.
 	QueryType string
 	Customer  string
 	Statement []byte
 }
 
-// NewQuery checks a request against the policy. Clients see the texts of its errors. requireAll means that the query type
-// forbids missing segments: Merge.Result then returns ErrIncomplete if one is missing, whatever its weight.
-func (a *Policy) NewQuery(request Request, segments []SegmentWeight, requireAll bool, paging Paging) (*Query, error) {
-	q := &Query{policy: a, kind: request.Kind, segments: slices.Clone(segments), limit: request.Limit, rankBy: -1,
+// NewQuery validates a request against the policy. Clients see the texts of its errors. requireAll states that the query type does
+// not permit missing segments: Merge.Result then returns ErrIncomplete if a segment is missing, whatever its weight.
+func (p *Policy) NewQuery(request Request, segments []SegmentWeight, requireAll bool, paging Paging) (*Query, error) {
+	q := &Query{policy: p, kind: request.Kind, segments: slices.Clone(segments), limit: request.Limit, rankBy: -1,
 		requireAll: requireAll, keys: paging.Keys, now: paging.Now, cursorLifetime: paging.Lifetime}
 	slices.SortFunc(q.segments, func(x, y SegmentWeight) int { return int(x.Segment - y.Segment) })
 	for _, s := range q.segments {
@@ -110,11 +112,11 @@
 				s.Segment, minWeight)
 		}
 	}
-	if !contains(a.Kinds, request.Kind) {
+	if !contains(p.Kinds, request.Kind) {
 		return nil, fmt.Errorf("merge kind %.40q is not allowed for this query type", request.Kind)
 	}
-	if request.Limit < 1 || request.Limit > a.MaxRows {
-		return nil, fmt.Errorf("merge limit must be from 1 to %d", a.MaxRows)
+	if request.Limit < 1 || request.Limit > p.MaxRows {
+		return nil, fmt.Errorf("merge limit must be from 1 to %d", p.MaxRows)
 	}
 	if request.Kind == Aggregated {
 		return q, q.parseAggregation(request)
@@ -122,7 +124,7 @@
 	if len(request.Group) > 0 || len(request.Aggregates) > 0 || request.By != "" {
 		return nil, fmt.Errorf("group, figures and by are for merge kind aggregated")
 	}
-	order, err := a.Schema.parseOrder(request.Order, a.Orders)
+	order, err := p.Schema.parseOrder(request.Order, p.Orders)
 	if err != nil {
 		return nil, fmt.Errorf("merge %w", err)
 	}
@@ -130,8 +132,8 @@
 	switch {
 	case request.Kind == Paged && request.Offset != 0:
 		return nil, fmt.Errorf("offset is for merge kind ranked; a paged list goes on by its cursor")
-	case request.Offset < 0 || request.Offset > a.MaxOffset:
-		return nil, fmt.Errorf("merge offset must be from 0 to %d", a.MaxOffset)
+	case request.Offset < 0 || request.Offset > p.MaxOffset:
+		return nil, fmt.Errorf("merge offset must be from 0 to %d", p.MaxOffset)
 	case request.Kind == Ranked && request.Cursor != "":
 		return nil, fmt.Errorf("cursor is for merge kind paged")
 	case request.Kind == Ranked:
@@ -151,13 +153,13 @@
 	return q, nil
 }
 
-// minWeight is the smallest weight of a segment. It exceeds the rounding errors of sums of weights, so that a missing
-// segment always shows in the included share.
+// minWeight is the smallest valid weight of a segment. It exceeds the rounding errors of sums of weights, so that a missing segment
+// always reduces Result.IncludedShare.
 const minWeight = 1e-3
 
-// parseAggregation checks the parts of a request that are for aggregates.
+// parseAggregation validates a request of kind Aggregated and sets the group columns, aggregates and ranking of the query.
 func (q *Query) parseAggregation(request Request) error {
-	a := q.policy
+	policy := q.policy
 	if len(request.Order) > 0 || request.Offset != 0 || request.Cursor != "" {
 		return fmt.Errorf("order, offset and cursor are for lists, not for merge kind aggregated")
 	}
@@ -165,31 +167,31 @@
 		return fmt.Errorf("merge needs 1 to %d figures and at most %d columns in group", maxAggregates, maxKeys)
 	}
 	for _, name := range request.Group {
-		at := a.Schema.ColumnIndex(name)
-		if at < 0 || !contains(a.Groups, name) {
+		column := policy.Schema.ColumnIndex(name)
+		if column < 0 || !contains(policy.Groups, name) {
 			return fmt.Errorf("merge group by %.60q is not allowed", name)
 		}
-		if slices.Contains(q.groupColumns, at) {
+		if slices.Contains(q.groupColumns, column) {
 			return fmt.Errorf("merge group names %q twice", name)
 		}
-		q.groupColumns = append(q.groupColumns, at)
+		q.groupColumns = append(q.groupColumns, column)
 	}
 	by := request.By
 	for _, text := range request.Aggregates {
-		f, err := a.Schema.parseAggregate(text)
+		a, err := policy.Schema.parseAggregate(text)
 		if err != nil {
 			return fmt.Errorf("merge %w", err)
 		}
-		if text != "count" && !contains(a.Aggregates, text) {
+		if text != "count" && !contains(policy.Aggregates, text) {
 			return fmt.Errorf("merge figure %.60q is not allowed", text)
 		}
-		for _, p := range f.requiredPartials() {
-			f.partials = append(f.partials, q.partialIndex(p))
+		for _, p := range a.requiredPartials() {
+			a.partials = append(a.partials, q.partialIndex(p))
 		}
-		if by == "" && (f.kind == aggregateCount || f.kind == aggregateSum) {
+		if by == "" && (a.kind == aggregateCount || a.kind == aggregateSum) {
 			by = text
 		}
-		q.aggregates = append(q.aggregates, f)
+		q.aggregates = append(q.aggregates, a)
 	}
 	if len(q.groupColumns) == 0 {
 		if request.By != "" {
@@ -197,9 +199,9 @@
 		}
 		return nil
 	}
-	for _, f := range q.aggregates {
-		if f.name == by && (f.kind == aggregateCount || f.kind == aggregateSum) {
-			q.rankBy = f.partials[0]
+	for _, a := range q.aggregates {
+		if a.name == by && (a.kind == aggregateCount || a.kind == aggregateSum) {
+			q.rankBy = a.partials[0]
 		}
 	}
 	if q.rankBy < 0 {
@@ -208,17 +210,17 @@
 	return nil
 }
 
-// partialIndex returns the index of a partial aggregate, which is added if it is new.
+// partialIndex returns the index of a partial aggregate in partials, to which it adds the aggregate if it is new.
 func (q *Query) partialIndex(p partialAggregate) int {
-	if at := slices.Index(q.partials, p); at >= 0 {
-		return at
+	if i := slices.Index(q.partials, p); i >= 0 {
+		return i
 	}
 	q.partials = append(q.partials, p)
 	return len(q.partials) - 1
 }
 
-// maxAggregates is the largest number of aggregates of a request.
+// maxAggregates is the largest number of aggregates in a request.
 const maxAggregates = 16
 
-// Kind returns the kind of the merge.
+// Kind returns the kind of the merge: Ranked, Paged or Aggregated.
 func (q *Query) Kind() string { return q.kind }
--- a/merge/request_test.go
+++ b/merge/request_test.go
@@ -6,7 +6,7 @@
 	"oxbowspan/merge"
 )
 
-// Clients see these texts.
+// TestParseRequestErrors checks the error texts of malformed requests, because clients see them.
 func TestParseRequestErrors(t *testing.T) {
 	for name, test := range map[string]struct{ raw, want string }{
 		"type":     {`{"limit":"x"}`, "merge is not in its form: cannot unmarshal string into Go struct field Terms.limit of type int"},
--- a/merge/result.go
+++ b/merge/result.go
@@ -2,58 +2,58 @@
 
 import "errors"
 
-// SegmentStatus states whether a segment is included in a result.
+// SegmentStatus states whether the response of a segment is included in a result.
 type SegmentStatus string
 
 // Statuses of segments.
 const (
 	StatusIncluded SegmentStatus = "in"
-	StatusMissing  SegmentStatus = "missing"
-	StatusUnusable SegmentStatus = "unusable" // its response could not be read
+	StatusMissing  SegmentStatus = "missing"  // no response was received
+	StatusUnusable SegmentStatus = "unusable" // its response was malformed
 )
 
 // SegmentResult describes one segment in a result.
 type SegmentResult struct {
 	Segment Segment
 	Status  SegmentStatus
-	Version Version // if included
-	Rows    int     // rows or groups it returned
-	More    bool    // it has more of them
-	Changed bool    // its version differs from that of the page before
+	Version Version // of the segment's data; only if included
+	Rows    int     // number of rows or groups it returned
+	More    bool    // the segment has more rows or groups than it returned
+	Changed bool    // paged: its version differs from that of the last page that included it
 }
 
-// Result is a merged result and the statement of its completeness.
+// Result is a merged result with a statement of its completeness.
 type Result struct {
 	Kind          string
-	Complete      bool
+	Complete      bool // see Merge.Result
 	Segments      []SegmentResult
 	IncludedShare float64 // sum of the weights of the included segments
 
 	// Lists.
 	Columns       []string
 	Rows          []Row
-	CertainCount  int    // the first rows or groups that no other one can precede
-	More          bool   // ranked, aggregated: there are, or may be, rows or groups after the last one
-	LateCount     int    // paged: the first rows that belong on earlier pages
-	Preceding     int    // ranked: the offset; paged: rows on the pages before
+	CertainCount  int    // number of leading rows or groups that no other row or group can precede
+	More          bool   // there are, or may be, rows or groups after the last one
+	LateCount     int    // paged: number of leading rows that belong on earlier pages
+	Preceding     int    // ranked: the offset; paged: number of rows on previous pages
 	Changed       bool   // paged: a segment's version has changed since the first page
 	NextCursor    string // paged: the cursor of the next page; "" = there is none
 	End           bool   // paged: all rows of all segments have been returned
-	CursorTooLong bool   // paged: there is more, but the cursor would exceed its length limit
+	CursorTooLong bool   // paged: the list continues, but the cursor would exceed its length limit
 
 	// Aggregates.
 	GroupColumns []string
 	Aggregates   []string
 	Groups       []GroupResult
-	MaxUnseen    string // largest rank that a group not returned by any segment may have; "" = not known
+	MaxUnseen    string // largest possible rank of a group that no segment returned; "" = not known
 }
 
-// ErrIncomplete means that a segment is missing and the query type forbids that.
+// ErrIncomplete means that a segment is missing although the query type does not permit that.
 var ErrIncomplete = errors.New("the query type forbids missing parts, and one is missing")
 
-// Result merges the responses added so far. complete states whether the caller considers them, by weight, a complete
-// answer. The result is complete only if, in addition, all segments are included, all rows or values are certain, and no
-// version changed between pages.
+// Result merges the responses added so far. complete states whether the caller considers them, by their weights, sufficient for a
+// complete result. The result is complete only if in addition all segments are included, all rows or groups are certain and
+// all values exact or approximate, and no segment's version has changed between pages.
 func (m *Merge) Result(complete bool) (*Result, error) {
 	q := m.query
 	r := &Result{Kind: q.kind, Complete: complete}
@@ -93,17 +93,17 @@
 	for _, c := range q.policy.Schema.Columns {
 		r.Columns = append(r.Columns, c.Name)
 	}
-	var after bool
-	r.Rows, r.CertainCount, after = m.mergeRuns()
-	r.Preceding, r.More = q.offset, after
-	if r.CertainCount < len(r.Rows) || q.kind == Ranked && after && len(r.Rows) < q.limit {
-		r.Complete = false // fewer rows than requested, though there are more
+	var hasMore bool
+	r.Rows, r.CertainCount, hasMore = m.mergeRuns()
+	r.Preceding, r.More = q.offset, hasMore
+	if r.CertainCount < len(r.Rows) || q.kind == Ranked && hasMore && len(r.Rows) < q.limit {
+		r.Complete = false // uncertain rows, or fewer rows than requested although there are more
 	}
 	if included < len(q.segments) {
 		r.More = true
 	}
 	if q.kind == Paged {
-		m.finishPage(r, after)
+		m.finishPage(r, hasMore)
 	}
 	return r, nil
 }
--- a/merge/result_json.go
+++ b/merge/result_json.go
@@ -2,7 +2,7 @@
 
 import "strconv"
 
-// AppendJSON appends the body of the response. Rows and group keys are as received.
+// AppendJSON appends the response body to b. Rows and group keys are copied as received from the segments.
 func (r *Result) AppendJSON(b []byte) []byte {
 	b = append(b, `{"full":`...)
 	b = strconv.AppendBool(b, r.Complete)
@@ -22,7 +22,7 @@
 	return r.appendSegments(b)
 }
 
-// appendRows appends the rows of a list and the segments they are from.
+// appendRows appends the columns and rows of a list and the segment of each row.
 func (r *Result) appendRows(b []byte) []byte {
 	b = append(b, `,"columns":`...)
 	b = appendStrings(b, r.Columns)
@@ -44,7 +44,7 @@
 	return appendInt(b, "before", int64(r.Preceding))
 }
 
-// appendPage appends what only pages have.
+// appendPage appends the fields that only pages have.
 func (r *Result) appendPage(b []byte) []byte {
 	b = appendInt(b, "late", int64(r.LateCount))
 	b = appendBool(b, "moved", r.Changed)
@@ -59,7 +59,7 @@
 	return b
 }
 
-// appendSegments appends the statement of completeness and ends the body.
+// appendSegments appends the statement of completeness and the end of the body.
 func (r *Result) appendSegments(b []byte) []byte {
 	included := 0
 	for _, s := range r.Segments {
@@ -111,7 +111,7 @@
 	return strconv.AppendBool(b, v)
 }
 
-// appendAggregates appends the groups.
+// appendAggregates appends the columns of groups, the names of the aggregates, and the groups.
 func (r *Result) appendAggregates(b []byte) []byte {
 	b = append(b, `,"group":`...)
 	b = appendStrings(b, r.GroupColumns)
--- a/merge/scan.go
+++ b/merge/scan.go
@@ -9,18 +9,18 @@
 	"unicode/utf8"
 )
 
-// scalar is one value of a row: its JSON as received, and its text without quotes and escapes.
+// scalar is one value of a row.
 type scalar struct {
-	raw  string
-	text string
-	kind byte // 's' a string, 'i' an integer, '0' null
+	raw  string // JSON as received
+	text string // without quotation marks and escapes; "" for null
+	kind byte   // 's' = string, 'i' = integer, '0' = null
 }
 
 // isNull reports whether the value is null.
 func (s scalar) isNull() bool { return s.kind == '0' }
 
-// scanRow parses a compact JSON array of strings, integers and nulls into at most cap(out) scalars. All other JSON is
-// rejected: rows are forwarded to clients as received.
+// scanRow parses a JSON array of strings, integers and nulls without white space into at most cap(out) scalars. All other JSON is
+// rejected, because rows are forwarded to clients as received.
 func scanRow(line string, out []scalar) ([]scalar, error) {
 	if len(line) < 2 || line[0] != '[' || line[len(line)-1] != ']' {
 		return out, fmt.Errorf("row %.60q is not a JSON array", line)
@@ -48,7 +48,7 @@
 	return out, nil
 }
 
-// scanScalar parses the value at the beginning of a text and returns its length.
+// scanScalar parses the value at the beginning of rest and returns its length in bytes.
 func scanScalar(rest string) (s scalar, n int, err error) {
 	switch {
 	case rest == "":
@@ -93,7 +93,8 @@
 	return scalar{raw: rest[:n], text: rest[:n], kind: 'i'}, n, nil
 }
 
-// unescape is a separate function so that strings without escapes are not moved to the heap.
+// unescape returns the text of a JSON string. It is a separate function so that its variable, which escapes to the heap, is
+// allocated only for strings with escapes.
 func unescape(raw string) (text string, err error) {
 	if json.Unmarshal([]byte(raw), &text) != nil {
 		return "", fmt.Errorf("a string is not JSON")
@@ -101,33 +102,34 @@
 	return text, nil
 }
 
-// check returns an error if a value is not valid for the column.
+// check returns an error if a value is not valid for the column. digits is the schema's limit of decimal digits.
 func (c Column) check(s scalar, digits int) error {
 	if s.isNull() {
 		return nil
 	}
-	bad := false
+	invalid := false
 	switch c.Kind {
 	case Text:
-		bad = s.kind != 's'
+		invalid = s.kind != 's'
 	case Date:
 		_, err := time.Parse(time.DateOnly, s.text)
-		bad = s.kind != 's' || err != nil
+		invalid = s.kind != 's' || err != nil
 	case Int:
 		v, err := strconv.ParseInt(s.text, 10, 64)
-		bad = s.kind != 'i' || err != nil || c.Unsigned && v < 0
+		invalid = s.kind != 'i' || err != nil || c.Unsigned && v < 0
 	case Money:
 		negative, _, _, ok := splitDecimal(s.text, digits, c.Scale)
-		bad = s.kind != 's' || !ok || c.Unsigned && negative
+		invalid = s.kind != 's' || !ok || c.Unsigned && negative
 	}
-	if bad {
+	if invalid {
 		return fmt.Errorf("%.40s is not a valid value of column %s, which is %s", s.raw, c.Name, c.Kind)
 	}
 	return nil
 }
 
-// splitDecimal splits a decimal into its sign and the digits before and after the point. ok is false if it is not in plain
-// notation or exceeds the digits or the scale.
+// splitDecimal splits a decimal into its sign and the digits before and after the decimal point. ok is false if the text is not in
+// plain notation, as with an exponent or a leading zero, has more than digits-scale digits before the point, or more than scale
+// digits after it. negative is false for zero.
 func splitDecimal(text string, digits, scale int) (negative bool, integer, fraction string, ok bool) {
 	text, negative = strings.CutPrefix(text, "-")
 	integer, fraction, point := strings.Cut(text, ".")
--- a/merge/schema.go
+++ b/merge/schema.go
@@ -6,40 +6,41 @@
 	"strings"
 )
 
-// Segment is the number of a shard.
+// Segment is the number of an index segment, that is, of a shard.
 type Segment int
 
-// Version is the version of a segment's data, as counted by the segment. Equal versions mean equal data.
+// Version is the version number that a segment assigns to its data. Equal versions of a segment mean equal data.
 type Version uint64
 
-// Kind is the kind of a column's values.
+// Kind is the type of a column's values.
 type Kind uint8
 
-// Kinds of values and their form in JSON.
+// Kinds of values and their JSON representations.
 const (
 	Text  Kind = iota // a JSON string
 	Date              // a JSON string, YYYY-MM-DD
-	Int               // a JSON integer of 64 bits
+	Int               // a JSON integer, signed 64-bit
 	Money             // a JSON string, an exact decimal such as "-12.50"
 )
 
+// kindNames are the names of kinds in the operator's file.
 var kindNames = [...]string{"text", "date", "int", "money"}
 
 // String returns the kind's name in the operator's file.
 func (k Kind) String() string { return kindNames[k] }
 
-// MaxDigits is the largest number of decimal digits of an amount, before and after the point together.
+// MaxDigits is the largest number of decimal digits of an amount, before and after the decimal point together.
 const MaxDigits = 38
 
-// maxScale is the largest number of digits of an amount after the point.
+// maxScale is the largest number of digits of an amount after the decimal point.
 const maxScale = 12
 
-// Column is one column of a schema. All values may be null except those of the account and row columns.
+// Column is one column of a schema. Values may be null except in the account and row columns.
 type Column struct {
 	Name     string
 	Kind     Kind
-	Scale    int  // Money: digits after the point, at most
-	Unsigned bool // values are never below 0: a sum without some segment is a lower bound
+	Scale    int  // Money: largest number of digits after the decimal point
+	Unsigned bool // values are never negative, so a sum over some of the segments is a lower bound
 }
 
 // Schema describes the rows of all segments.
@@ -47,11 +48,11 @@
 	Name    string // name in requests to segments and in their responses
 	Columns []Column
 	Account int // index of the account column, which breaks ties
-	Row     int // index of the column that distinguishes the rows of an account; -1 = one row for each account
+	Row     int // index of the column with the row id, which is unique within an account; -1 = one row per account
 	Digits  int // largest number of digits of an amount or a sum
 }
 
-// ColumnIndex returns the index of a column, or -1 if there is none of that name.
+// ColumnIndex returns the index of the column with a name, or -1 if there is none.
 func (s *Schema) ColumnIndex(name string) int {
 	for i, c := range s.Columns {
 		if c.Name == name {
@@ -61,16 +62,16 @@
 	return -1
 }
 
-// ParseColumn parses a column of the operator's file: NAME:KIND, with KIND one of text, date, int, money or money(SCALE),
-// followed by + if values are never below 0.
+// ParseColumn parses the definition of a column in the operator's file: NAME:KIND, where KIND is text, date, int, money or
+// money(SCALE). The scale is 2 by default. A trailing + marks numbers that are never negative.
 func ParseColumn(text string) (Column, error) {
 	name, kind, ok := strings.Cut(text, ":")
-	if !ok || !plainName(name) {
+	if !ok || !isValidName(name) {
 		return Column{}, fmt.Errorf("column %.60q is not NAME:KIND", text)
 	}
 	c := Column{Name: name, Scale: 2}
 	kind, c.Unsigned = strings.CutSuffix(kind, "+")
-	if scale, is := strings.CutPrefix(kind, "money("); is {
+	if scale, isMoney := strings.CutPrefix(kind, "money("); isMoney {
 		n, err := strconv.Atoi(strings.TrimSuffix(scale, ")"))
 		if err != nil || !strings.HasSuffix(scale, ")") || n < 0 || n > maxScale {
 			return Column{}, fmt.Errorf("the scale of column %q is not a number from 0 to %d", name, maxScale)
@@ -116,11 +117,11 @@
 	return nil
 }
 
-// maxColumns bounds the cost of reading a row.
+// maxColumns is the largest number of columns of a schema. It bounds the cost of parsing a row.
 const maxColumns = 64
 
-// plainName reports whether a name consists of 1 to 60 letters, digits, underscores and hyphens.
-func plainName(s string) bool {
+// isValidName reports whether a name consists of 1 to 60 letters, digits, underscores and hyphens.
+func isValidName(s string) bool {
 	for _, c := range []byte(s) {
 		if !('a' <= c && c <= 'z' || 'A' <= c && c <= 'Z' || '0' <= c && c <= '9' || c == '_' || c == '-') {
 			return false
--- a/merge/segment_request.go
+++ b/merge/segment_request.go
@@ -6,26 +6,26 @@
 	"slices"
 )
 
-// SegmentRequest is what a segment is requested to return for a search. Segments receive it as the list item m of their
-// shard call's options: this object as JSON, in unpadded base64 for URLs.
+// SegmentRequest is the request to one segment. It is sent in the list item "m" of the shard call's options, as JSON in unpadded
+// base64 for URLs.
 type SegmentRequest struct {
 	Kind       string   `json:"kind"` // Ranked or Aggregated
 	Schema     string   `json:"schema"`
 	Order      []string `json:"order,omitempty"`
-	Limit      int      `json:"limit"` // rows or groups, at most
+	Limit      int      `json:"limit"` // largest number of rows or groups to return
 	After      *After   `json:"after,omitempty"`
 	Group      []string `json:"group,omitempty"`
-	Aggregates []string `json:"figures,omitempty"` // partial aggregates
-	By         string   `json:"by,omitempty"`      // the partial aggregate that groups are ranked by
+	Aggregates []string `json:"figures,omitempty"` // names of partial aggregates
+	By         string   `json:"by,omitempty"`      // the partial aggregate by which groups are ranked
 }
 
-// After is the position in a list after which a segment continues.
+// After is the position in a list after which a segment returns rows: the sort position of one row.
 type After struct {
 	Keys    []json.RawMessage `json:"keys"` // values of the order's columns
 	Account json.RawMessage   `json:"account"`
 	Row     json.RawMessage   `json:"row,omitempty"`
-	// Edge states which rows with the same keys and account are requested: "from" all of them, "past" none, "row" those whose
-	// row id is after Row.
+	// Edge states which rows with exactly these keys and account are requested: all of them (EdgeFrom), none (EdgePast), or those
+	// with a row id after Row (EdgeRow).
 	Edge string `json:"edge"`
 }
 
@@ -36,56 +36,56 @@
 	EdgeRow  = "row"
 )
 
-// SegmentItem returns the list item for a segment.
+// SegmentItem returns the list item "m" with the request to a segment.
 func (q *Query) SegmentItem(segment Segment) string {
 	s := q.policy.Schema
-	a := SegmentRequest{Kind: Ranked, Schema: s.Name, Order: q.orderNames, Limit: q.offset + q.limit}
+	request := SegmentRequest{Kind: Ranked, Schema: s.Name, Order: q.orderNames, Limit: q.offset + q.limit}
 	if q.kind == Aggregated {
-		a = SegmentRequest{Kind: Aggregated, Schema: s.Name, Limit: q.policy.MaxGroups}
+		request = SegmentRequest{Kind: Aggregated, Schema: s.Name, Limit: q.policy.MaxGroups}
 		for _, c := range q.groupColumns {
-			a.Group = append(a.Group, s.Columns[c].Name)
+			request.Group = append(request.Group, s.Columns[c].Name)
 		}
 		for _, p := range q.partials {
-			a.Aggregates = append(a.Aggregates, p.name(s))
+			request.Aggregates = append(request.Aggregates, p.name(s))
 		}
 		if q.rankBy >= 0 {
-			a.By = q.partials[q.rankBy].name(s)
+			request.By = q.partials[q.rankBy].name(s)
 		}
 	}
-	if m := q.segmentPosition(segment); m.sortKey != "" {
-		a.After = &After{Account: json.RawMessage(m.account.raw), Edge: EdgeFrom}
-		for _, k := range m.keys {
-			a.After.Keys = append(a.After.Keys, json.RawMessage(k.raw))
+	if pos := q.segmentPosition(segment); pos.sortKey != "" {
+		request.After = &After{Account: json.RawMessage(pos.account.raw), Edge: EdgeFrom}
+		for _, k := range pos.keys {
+			request.After.Keys = append(request.After.Keys, json.RawMessage(k.raw))
 		}
 		switch {
-		case segment < m.segment:
-			a.After.Edge = EdgePast
-		case segment == m.segment && s.Row >= 0:
-			a.After.Edge, a.After.Row = EdgeRow, json.RawMessage(m.row.raw)
-		case segment == m.segment:
-			a.After.Edge = EdgePast
+		case segment < pos.segment:
+			request.After.Edge = EdgePast
+		case segment == pos.segment && s.Row >= 0:
+			request.After.Edge, request.After.Row = EdgeRow, json.RawMessage(pos.row.raw)
+		case segment == pos.segment:
+			request.After.Edge = EdgePast
 		}
 	}
-	return "m=" + a.Encode()
+	return "m=" + request.Encode()
 }
 
-// Encode returns the value of the list item.
-func (a SegmentRequest) Encode() string {
-	b, _ := json.Marshal(a) // cannot fail: there are only strings and numbers
+// Encode returns the encoded request, which is the value of the list item.
+func (r SegmentRequest) Encode() string {
+	b, _ := json.Marshal(r) // cannot fail: the fields are strings, numbers and valid JSON
 	return base64.RawURLEncoding.EncodeToString(b)
 }
 
-// ParseSegmentRequest is the inverse of Encode, for stand-ins of segments.
-func ParseSegmentRequest(item string) (a SegmentRequest, err error) {
+// ParseSegmentRequest decodes the value of a list item that Encode returned. Test servers use it.
+func ParseSegmentRequest(item string) (request SegmentRequest, err error) {
 	b, err := base64.RawURLEncoding.DecodeString(item)
 	if err != nil {
-		return a, err
+		return request, err
 	}
-	err = json.Unmarshal(b, &a)
-	return a, err
+	err = json.Unmarshal(b, &request)
+	return request, err
 }
 
-// segmentPosition returns the position after which a segment continues.
+// segmentPosition returns the position after which a segment continues: the start of the list unless the query is paged.
 func (q *Query) segmentPosition(segment Segment) position {
 	if q.kind != Paged {
 		return position{}
@@ -99,5 +99,5 @@
 
 // segmentIndex returns the index of a segment in Query.segments.
 func (q *Query) segmentIndex(segment Segment) (int, bool) {
-	return slices.BinarySearchFunc(q.segments, segment, func(a SegmentWeight, s Segment) int { return int(a.Segment - s) })
+	return slices.BinarySearchFunc(q.segments, segment, func(w SegmentWeight, s Segment) int { return int(w.Segment - s) })
 }
--- a/merge/tree.go
+++ b/merge/tree.go
@@ -1,19 +1,20 @@
 package merge
 
-// loserTree is a tree of losers over sorted runs: each inner node holds the run that lost there, so that the next row
-// takes one comparison a level, where a binary heap takes two. Rows are removed from the runs as they are returned.
+// loserTree is a tournament tree over sorted runs for a k-way merge. Each inner node holds the run that lost the match at that
+// node, so that removing the first row takes one comparison per level instead of the two of a binary heap. Rows are removed from
+// the runs as they are returned.
 type loserTree struct {
-	runs [][]Row // remaining rows; an empty run loses to all others
-	tree []int   // tree[0] is the winner, tree[i] the loser at node i
+	runs [][]Row // remaining rows of each run; an empty run loses to all others
+	tree []int   // index of a run: tree[0] is the overall winner, tree[i] the loser at node i
 }
 
-// newLoserTree returns a tree over runs, which it changes.
+// newLoserTree returns a tree over runs. The tree modifies the slice as rows are returned.
 func newLoserTree(runs [][]Row) *loserTree {
 	l := &loserTree{runs: runs, tree: make([]int, max(len(runs), 1))}
 	if len(runs) == 0 {
 		return l
 	}
-	// Play all matches from the leaves up. The parent of leaf i is node (i + k) / 2.
+	// Run all matches from the leaves to the root. The parent of leaf i is node (i + k) / 2.
 	k := len(runs)
 	winners := make([]int, 2*k)
 	for i := range k {
@@ -30,7 +31,7 @@
 	return l
 }
 
-// less reports whether the next row of run a is before that of run b.
+// less reports whether the next row of run a sorts before the next row of run b.
 func (l *loserTree) less(a, b int) bool {
 	switch {
 	case len(l.runs[a]) == 0:
@@ -41,7 +42,7 @@
 	return l.runs[a][0].key < l.runs[b][0].key
 }
 
-// next removes and returns the first row of all runs; ok is false if there is none.
+// next removes and returns the first remaining row of all runs; the second result is false if there is none.
 func (l *loserTree) next() (Row, bool) {
 	if len(l.runs) == 0 {
 		return Row{}, false
