--- a/merge/aggregate.go
+++ b/merge/aggregate.go
@@ -233,7 +233,8 @@
 	return parsed, nil
 }
 
-// readDistinct decodes a HyperLogLog sketch of a segment. Panics are recovered because the library may panic on malformed input.
+// readDistinct decodes a HyperLogLog sketch of a segment. Panics are recovered because the library may panic on malformed
+// input.
 func readDistinct(b []byte) (s *hyperloglog.Sketch, err error) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -252,8 +253,8 @@
 	return s, nil
 }
 
-// readQuantiles decodes a DDSketch of a segment into a sketch of bounded size. Panics are recovered because the library may panic
-// on malformed input.
+// readQuantiles decodes a DDSketch of a segment into a sketch of bounded size. Panics are recovered because the library may
+// panic on malformed input.
 func readQuantiles(b []byte) (s *ddsketch.DDSketch, err error) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -273,8 +274,8 @@
 // sketchOverhead is the estimated memory of a sketch in bytes, without its registers or bins.
 const sketchOverhead = 600
 
-// binCount returns the number of bins that a sketch holds in memory: all from the lowest to the highest bin in use, for negative
-// and positive values separately.
+// binCount returns the number of bins that a sketch holds in memory: all from the lowest to the highest bin in use, for
+// negative and positive values separately.
 func binCount(s *ddsketch.DDSketch) int {
 	type binRange struct{ lowest, highest int }
 	var ranges [2]*binRange
--- a/merge/aggregation.go
+++ b/merge/aggregation.go
@@ -77,8 +77,8 @@
 	}
 }
 
-// computeUncertainties sets uncertainties and maxUnseen from the bounds of the groups that segments omitted. It returns an error if
-// a sum of bounds exceeds the range of decimals.
+// computeUncertainties sets uncertainties and maxUnseen from the bounds of the groups that segments omitted. It returns an
+// error if a sum of bounds exceeds the range of decimals.
 func (a *aggregation) computeUncertainties(responses []*SegmentResponse) error {
 	a.uncertainties = make([]uncertainty, len(a.groups))
 	for _, response := range responses {
@@ -126,8 +126,8 @@
 	})
 }
 
-// appendGroups appends the first groups of the order to r, up to the query's limit and the policy's MaxResultBytes, and returns
-// their number. It clears r.Complete if a value is neither exact nor approximate, or if MaxResultBytes is reached.
+// appendGroups appends the first groups of the order to r, up to the query's limit and the policy's MaxResultBytes, and
+// returns their number. It clears r.Complete if a value is neither exact nor approximate, or if MaxResultBytes is reached.
 func (a *aggregation) appendGroups(r *Result) int {
 	q := a.query
 	size := 0
@@ -195,8 +195,8 @@
 	below, above apd.Decimal
 }
 
-// widen extends the bounds by those of a segment that did not return the group: the segment may have omitted the group or may hold
-// no rows of it.
+// widen extends the bounds by those of a segment that did not return the group: the segment may have omitted the group or
+// may hold no rows of it.
 func (u *uncertainty) widen(omitted *omittedBounds) error {
 	u.incomplete = true
 	if omitted.maxRank.Sign() > 0 {
--- a/merge/aggregation_test.go
+++ b/merge/aggregation_test.go
@@ -49,8 +49,8 @@
 	}
 }
 
-// TestUncertainTie checks that a group is not reported as certain if a group that a segment omitted may have the same rank and a
-// smaller key. Here negative amounts reduce the rank of the returned group to the bound of the omitted one.
+// TestUncertainTie checks that a group is not reported as certain if a group that a segment omitted may have the same rank
+// and a smaller key. Here negative amounts reduce the rank of the returned group to the bound of the omitted one.
 func TestUncertainTie(t *testing.T) {
 	q, err := testPolicy().NewQuery(merge.Request{Kind: "aggregated", Group: []string{"customer"}, Limit: 5, Aggregates: []string{"sum(amount)"}},
 		weights(2), false, merge.Paging{})
--- a/merge/bench_test.go
+++ b/merge/bench_test.go
@@ -118,8 +118,8 @@
 	}
 }
 
-// peakMemory returns the number of bytes that a call allocates. It equals the peak memory of a call that retains all allocations
-// until it returns.
+// peakMemory returns the number of bytes that a call allocates. It equals the peak memory of a call that retains all
+// allocations until it returns.
 func peakMemory(do func()) uint64 {
 	var before, after runtime.MemStats
 	runtime.GC()
--- a/merge/budget.go
+++ b/merge/budget.go
@@ -5,9 +5,9 @@
 	"sync/atomic"
 )
 
-// Budget limits the memory, rows and number of all open merges together. Before SetLimits is called all limits are 0. It is safe
-// for concurrent use. Without it the process could run out of memory: a thousand long lists that wait for one slow segment would
-// all be in memory at once.
+// Budget limits the memory, rows and number of all open merges together. Before SetLimits is called all limits are 0. It is
+// safe for concurrent use. Without it the process could run out of memory: a thousand long lists that wait for one slow
+// segment would all be in memory at once.
 type Budget struct {
 	maxBytes, maxRows, maxOpen atomic.Int64
 	bytes, rows, open          atomic.Int64
@@ -22,8 +22,8 @@
 	Release(bytes int64)
 }
 
-// SetParent sets the budget from which this one reserves its memory in addition to its own limits. It must be called before the
-// first merge is opened.
+// SetParent sets the budget from which this one reserves its memory in addition to its own limits. It must be called before
+// the first merge is opened.
 func (b *Budget) SetParent(parent ParentBudget) { b.parent = parent }
 
 // ErrBudgetExceeded means that a merge would exceed the limits of its budget.
--- a/merge/compatibility_test.go
+++ b/merge/compatibility_test.go
@@ -6,9 +6,9 @@
 	"oxbowspan/merge"
 )
 
-// compatibilityPages holds the segment responses of two pages of a list over three segments, of which the last never responds, and
-// what an earlier revision of this package produced from them: the list items sent to segment 0, the results and the cursors. The
-// second page continues from the cursor of the first.
+// compatibilityPages holds the segment responses of two pages of a list over three segments, of which the last never
+// responds, and what an earlier revision of this package produced from them: the list items sent to segment 0, the results
+// and the cursors. The second page continues from the cursor of the first.
 var compatibilityPages = []struct {
 	responses []string
 	item      string
@@ -44,8 +44,8 @@
 	},
 }
 
-// TestCompatibility checks that list items, cursors and results are byte for byte those of an earlier revision, and that its cursors
-// are accepted.
+// TestCompatibility checks that list items, cursors and results are byte for byte those of an earlier revision, and that
+// its cursors are accepted.
 func TestCompatibility(t *testing.T) {
 	paging := merge.Paging{Keys: ring(t, "k1 00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff\n"), Lifetime: 60_000,
 		MaxLength: 4096, Now: 1_700_000_000_000, QueryType: "report", Customer: "c", Statement: []byte("statement")}
--- a/merge/cursor.go
+++ b/merge/cursor.go
@@ -14,10 +14,10 @@
 
 // pagination is the state of a paged list between two pages.
 //
-// Each segment has a position: the row after which it continues. A segment that was included in a page continues after the last
-// row of the page, even if that row belongs to another segment. The position of a missing segment does not change, so that none
-// of its rows is skipped; rows that it returns later and that sort before the furthest position are reported as late. Most
-// segments have the same position, so a cursor holds the distinct positions and one index per segment.
+// Each segment has a position: the row after which it continues. A segment that was included in a page continues after the
+// last row of the page, even if that row belongs to another segment. The position of a missing segment does not change, so
+// that none of its rows is skipped; rows that it returns later and that sort before the furthest position are reported as
+// late. Most segments have the same position, so a cursor holds the distinct positions and one index per segment.
 type pagination struct {
 	positions        []position // distinct positions; the first one is the start of the list
 	segmentPositions []int      // by index in Query.segments: index into positions
@@ -35,8 +35,8 @@
 	return furthest
 }
 
-// finishPage sets the fields of result that only pages have: the number of late rows, whether versions have changed, and the cursor
-// of the next page. more states whether included segments have, or may have, rows after the page.
+// finishPage sets the fields of result that only pages have: the number of late rows, whether versions have changed, and
+// the cursor of the next page. more states whether included segments have, or may have, rows after the page.
 func (m *Merge) finishPage(result *Result, more bool) {
 	q, current := m.query, &m.query.pagination
 	furthest := current.furthestKey()
@@ -112,9 +112,10 @@
 	return cursorBinding{[16]byte(sum[:16]), p.MaxLength}
 }
 
-// cursorVersion is the version of the cursor format. A cursor is unpadded base64 for URLs of: the version, the length and id of the
-// signing key, the hash of the cursorBinding, the expiry in Unix milliseconds, the pagination state, and a keyed BLAKE3 MAC over
-// all of these. It is signed but not encrypted, because it holds only values of rows that the client has already received.
+// cursorVersion is the version of the cursor format. A cursor is unpadded base64 for URLs of: the version, the length and
+// id of the signing key, the hash of the cursorBinding, the expiry in Unix milliseconds, the pagination state, and a keyed
+// BLAKE3 MAC over all of these. It is signed but not encrypted, because it holds only values of rows that the client has
+// already received.
 const cursorVersion = 1
 
 // encodeCursor returns the signed cursor of a pagination state.
--- a/merge/cursor_test.go
+++ b/merge/cursor_test.go
@@ -27,8 +27,8 @@
 	return merge.Request{Kind: "paged", Order: []string{"-amount", "due"}, Limit: 5, Cursor: cursor}
 }
 
-// TestCursorBinding checks that a cursor is accepted only for the list it was issued for, before it expires, unmodified, and as long
-// as its key is in use.
+// TestCursorBinding checks that a cursor is accepted only for the list it was issued for, before it expires, unmodified,
+// and as long as its key is in use.
 func TestCursorBinding(t *testing.T) {
 	p := paging(t)
 	cursor := firstCursor(t, p)
--- a/merge/group.go
+++ b/merge/group.go
@@ -100,8 +100,8 @@
 	return q.checkSketches(g)
 }
 
-// parseOmitted parses and validates the bounds that a segment states for the groups it omitted. returned is the number of groups
-// it returned, and last the rank of the last of them.
+// parseOmitted parses and validates the bounds that a segment states for the groups it omitted. returned is the number of
+// groups it returned, and last the rank of the last of them.
 func (q *Query) parseOmitted(omitted *omittedGroups, returned int, last *apd.Decimal) (*omittedBounds, error) {
 	b := &omittedBounds{groups: omitted.Groups}
 	for _, bound := range []struct {
--- a/merge/merge.go
+++ b/merge/merge.go
@@ -22,8 +22,8 @@
 func (m *Merge) Query() *Query { return m.query }
 
 // Add adds a response that Query.ReadResponse returned. A second response of the same segment, for example from another
-// replica, is ignored: it may be of another version, and rows of two versions do not form one sorted run. If the response would
-// exceed the budget of all merges together, Add returns ErrBudgetExceeded and adds nothing.
+// replica, is ignored: it may be of another version, and rows of two versions do not form one sorted run. If the response
+// would exceed the budget of all merges together, Add returns ErrBudgetExceeded and adds nothing.
 func (m *Merge) Add(response *SegmentResponse) error {
 	i, requested := m.query.segmentIndex(response.segment)
 	if !m.open || !requested || m.responses[i] != nil {
@@ -68,9 +68,10 @@
 	return included
 }
 
-// mergeRuns merges the sorted runs of the included segments. It returns the rows of the result, the number of leading rows that
-// are certain, and whether there are or may be rows after them. A row is certain if no row outside the result can precede it.
-// Rows after the last received row of a segment that has more rows are not certain, and no row is if a segment is missing.
+// mergeRuns merges the sorted runs of the included segments. It returns the rows of the result, the number of leading rows
+// that are certain, and whether there are or may be rows after them. A row is certain if no row outside the result can
+// precede it. Rows after the last received row of a segment that has more rows are not certain, and no row is if a segment
+// is missing.
 func (m *Merge) mergeRuns() (rows []Row, certain int, hasMore bool) {
 	included := m.included()
 	runs := make([][]Row, len(included))
--- a/merge/merge_test.go
+++ b/merge/merge_test.go
@@ -65,8 +65,8 @@
 	return b
 }
 
-// addResponses returns a merge to which the responses of the segments in order have been added, in this order. limit returns the
-// largest number of rows or groups that a segment returns; 0 = all.
+// addResponses returns a merge to which the responses of the segments in order have been added, in this order. limit
+// returns the largest number of rows or groups that a segment returns; 0 = all.
 func addResponses(t interface{ Fatalf(string, ...any) }, q *merge.Query, dataset *standin.Dataset, order []int, limit func(int) int) *merge.Merge {
 	m, err := merge.New(q, unlimitedBudget())
 	if err != nil {
@@ -247,8 +247,8 @@
 	})
 }
 
-// TestExcessRowsDropped checks that if segments return more rows than requested, only the first ones are used and the list continues
-// after them.
+// TestExcessRowsDropped checks that if segments return more rows than requested, only the first ones are used and the list
+// continues after them.
 func TestExcessRowsDropped(t *testing.T) {
 	dataset := standin.NewDataset(8, standin.DatasetShape{Segments: 3, Accounts: 90})
 	order := []string{"due"}
--- a/merge/order.go
+++ b/merge/order.go
@@ -14,12 +14,14 @@
 }
 
 // Each row has a sort key: a byte string whose lexicographic order is the order of the list. It is the concatenation of the
-// values of the order's columns, the account, the segment and, if the schema has a row column, the row id. The last three break
-// ties, so that no two rows have equal sort keys. Two rows are compared by one byte comparison, whatever the types of the columns.
+// values of the order's columns, the account, the segment and, if the schema has a row column, the row id. The last three
+// break ties, so that no two rows have equal sort keys. Two rows are compared by one byte comparison, whatever the types of
+// the columns.
 //
-// Each value starts with a prefix byte that sorts null values last. Text is followed by 0 0, and each zero byte within it is
-// encoded as 0 255. Integers are big-endian with an inverted sign bit. Amounts are a sign byte and digits of fixed width, which
-// are inverted if the amount is negative. In a descending order all bytes of a value except the prefix are inverted.
+// Each value starts with a prefix byte that sorts null values last. Text is followed by 0 0, and each zero byte within it
+// is encoded as 0 255. Integers are big-endian with an inverted sign bit. Amounts are a sign byte and digits of fixed
+// width, which are inverted if the amount is negative. In a descending order all bytes of a value except the prefix are
+// inverted.
 
 // appendSortKey appends the sort key of a row to b.
 func (s *Schema) appendSortKey(b []byte, order []OrderKey, row []scalar, segment Segment) []byte {
--- a/merge/quality.go
+++ b/merge/quality.go
@@ -78,8 +78,8 @@
 	return quantileValue(v.quantiles, a.quantile, incomplete)
 }
 
-// boundedValue returns the value of a count or a sum. If segments omitted groups, the value has bounds only if groups are ranked by
-// this aggregate. unsigned states that the column's values are never negative.
+// boundedValue returns the value of a count or a sum. If segments omitted groups, the value has bounds only if groups are
+// ranked by this aggregate. unsigned states that the column's values are never negative.
 func (q *Query) boundedValue(v *apd.Decimal, a aggregate, unsigned, missing bool, u *uncertainty) AggregateValue {
 	value := AggregateValue{Value: v.Text('f'), Quality: Exact}
 	switch {
@@ -157,8 +157,8 @@
 		}
 		highPrecision := apd.Context{Precision: 3 * MaxDigits, MaxExponent: 3 * MaxDigits, MinExponent: -3 * MaxDigits,
 			Traps: apd.DefaultTraps, Rounding: apd.RoundHalfEven}
-		// The sum has at most MaxDigits digits, so the rounding error of the quotient is far smaller than its last digit that is
-		// kept.
+		// The sum has at most MaxDigits digits, so the rounding error of the quotient is far smaller than its last digit
+		// that is kept.
 		quotient, rounded := new(apd.Decimal), new(apd.Decimal)
 		quotientCondition, err1 := highPrecision.Quo(quotient, sum, apd.New(n, 0))
 		roundingCondition, err2 := highPrecision.Quantize(rounded, quotient, -scale)
--- a/merge/request.go
+++ b/merge/request.go
@@ -45,8 +45,8 @@
 	By         string   `json:"by"`      // aggregated: the aggregate by which groups are ranked in descending order
 }
 
-// ParseRequest parses a merge object. Unknown fields are rejected, because otherwise they would silently be ignored. Clients see
-// the texts of its errors.
+// ParseRequest parses a merge object. Unknown fields are rejected, because otherwise they would silently be ignored.
+// Clients see the texts of its errors.
 func ParseRequest(raw []byte) (Request, error) {
 	type Terms Request // the decoder's error texts, which clients see, contain the name of this type
 	var request Terms
@@ -100,8 +100,9 @@
 	Statement []byte
 }
 
-// NewQuery validates a request against the policy. Clients see the texts of its errors. requireAll states that the query type does
-// not permit missing segments: Merge.Result then returns ErrIncomplete if a segment is missing, whatever its weight.
+// NewQuery validates a request against the policy. Clients see the texts of its errors. requireAll states that the query
+// type does not permit missing segments: Merge.Result then returns ErrIncomplete if a segment is missing, whatever its
+// weight.
 func (p *Policy) NewQuery(request Request, segments []SegmentWeight, requireAll bool, paging Paging) (*Query, error) {
 	q := &Query{policy: p, kind: request.Kind, segments: slices.Clone(segments), limit: request.Limit, rankBy: -1,
 		requireAll: requireAll, keys: paging.Keys, now: paging.Now, cursorLifetime: paging.Lifetime}
@@ -153,8 +154,8 @@
 	return q, nil
 }
 
-// minWeight is the smallest valid weight of a segment. It exceeds the rounding errors of sums of weights, so that a missing segment
-// always reduces Result.IncludedShare.
+// minWeight is the smallest valid weight of a segment. It exceeds the rounding errors of sums of weights, so that a missing
+// segment always reduces Result.IncludedShare.
 const minWeight = 1e-3
 
 // parseAggregation validates a request of kind Aggregated and sets the group columns, aggregates and ranking of the query.
--- a/merge/result.go
+++ b/merge/result.go
@@ -51,9 +51,9 @@
 // ErrIncomplete means that a segment is missing although the query type does not permit that.
 var ErrIncomplete = errors.New("the query type forbids missing parts, and one is missing")
 
-// Result merges the responses added so far. complete states whether the caller considers them, by their weights, sufficient for a
-// complete result. The result is complete only if in addition all segments are included, all rows or groups are certain and
-// all values exact or approximate, and no segment's version has changed between pages.
+// Result merges the responses added so far. complete states whether the caller considers them, by their weights, sufficient
+// for a complete result. The result is complete only if in addition all segments are included, all rows or groups are
+// certain and all values exact or approximate, and no segment's version has changed between pages.
 func (m *Merge) Result(complete bool) (*Result, error) {
 	q := m.query
 	r := &Result{Kind: q.kind, Complete: complete}
--- a/merge/scan.go
+++ b/merge/scan.go
@@ -19,8 +19,8 @@
 // isNull reports whether the value is null.
 func (s scalar) isNull() bool { return s.kind == '0' }
 
-// scanRow parses a JSON array of strings, integers and nulls without white space into at most cap(out) scalars. All other JSON is
-// rejected, because rows are forwarded to clients as received.
+// scanRow parses a JSON array of strings, integers and nulls without white space into at most cap(out) scalars. All other
+// JSON is rejected, because rows are forwarded to clients as received.
 func scanRow(line string, out []scalar) ([]scalar, error) {
 	if len(line) < 2 || line[0] != '[' || line[len(line)-1] != ']' {
 		return out, fmt.Errorf("row %.60q is not a JSON array", line)
@@ -127,9 +127,9 @@
 	return nil
 }
 
-// splitDecimal splits a decimal into its sign and the digits before and after the decimal point. ok is false if the text is not in
-// plain notation, as with an exponent or a leading zero, has more than digits-scale digits before the point, or more than scale
-// digits after it. negative is false for zero.
+// splitDecimal splits a decimal into its sign and the digits before and after the decimal point. ok is false if the text is
+// not in plain notation, as with an exponent or a leading zero, has more than digits-scale digits before the point, or more
+// than scale digits after it. negative is false for zero.
 func splitDecimal(text string, digits, scale int) (negative bool, integer, fraction string, ok bool) {
 	text, negative = strings.CutPrefix(text, "-")
 	integer, fraction, point := strings.Cut(text, ".")
--- a/merge/segment_request.go
+++ b/merge/segment_request.go
@@ -6,8 +6,8 @@
 	"slices"
 )
 
-// SegmentRequest is the request to one segment. It is sent in the list item "m" of the shard call's options, as JSON in unpadded
-// base64 for URLs.
+// SegmentRequest is the request to one segment. It is sent in the list item "m" of the shard call's options, as JSON in
+// unpadded base64 for URLs.
 type SegmentRequest struct {
 	Kind       string   `json:"kind"` // Ranked or Aggregated
 	Schema     string   `json:"schema"`
@@ -24,8 +24,8 @@
 	Keys    []json.RawMessage `json:"keys"` // values of the order's columns
 	Account json.RawMessage   `json:"account"`
 	Row     json.RawMessage   `json:"row,omitempty"`
-	// Edge states which rows with exactly these keys and account are requested: all of them (EdgeFrom), none (EdgePast), or those
-	// with a row id after Row (EdgeRow).
+	// Edge states which rows with exactly these keys and account are requested: all of them (EdgeFrom), none (EdgePast), or
+	// those with a row id after Row (EdgeRow).
 	Edge string `json:"edge"`
 }
 
--- a/merge/segment_response.go
+++ b/merge/segment_response.go
@@ -49,8 +49,8 @@
 // Segment returns the segment that sent the response.
 func (p *SegmentResponse) Segment() Segment { return p.segment }
 
-// ReadResponse parses and validates a segment's response. The guarantees of a Result, that no row is invented, duplicated or out of
-// order, depend on rejecting malformed responses here. After an error no part of the response may be used.
+// ReadResponse parses and validates a segment's response. The guarantees of a Result, that no row is invented, duplicated
+// or out of order, depend on rejecting malformed responses here. After an error no part of the response may be used.
 func (q *Query) ReadResponse(segment Segment, value string) (*SegmentResponse, error) {
 	if len(value) > q.policy.MaxResponseBytes {
 		return nil, fmt.Errorf("the response has %d bytes, the limit is %d", len(value), q.policy.MaxResponseBytes)
@@ -87,8 +87,8 @@
 // rowOverhead is the estimated memory of a row in bytes, without its JSON and its sort key.
 const rowOverhead = 48
 
-// readRows parses the rows of a segment's response, which must be valid for the schema and sorted without duplicates, and all sort
-// after the requested position.
+// readRows parses the rows of a segment's response, which must be valid for the schema and sorted without duplicates, and
+// all sort after the requested position.
 func (q *Query) readRows(response *SegmentResponse, lines []string) error {
 	s := q.policy.Schema
 	if response.more && len(lines) == 0 {
@@ -126,8 +126,8 @@
 			response.rows = append(response.rows, Row{raw: line, segment: response.segment})
 			keyEnds = append(keyEnds, len(keys))
 		} else {
-			// The segment returned more rows than requested. The excess rows are validated and dropped: the remaining ones are still a
-			// sorted run.
+			// The segment returned more rows than requested. The excess rows are validated and dropped: the remaining ones
+			// are still a sorted run.
 			response.more = true
 		}
 	}
--- a/merge/tree.go
+++ b/merge/tree.go
@@ -1,8 +1,8 @@
 package merge
 
-// loserTree is a tournament tree over sorted runs for a k-way merge. Each inner node holds the run that lost the match at that
-// node, so that removing the first row takes one comparison per level instead of the two of a binary heap. Rows are removed from
-// the runs as they are returned.
+// loserTree is a tournament tree over sorted runs for a k-way merge. Each inner node holds the run that lost the match at
+// that node, so that removing the first row takes one comparison per level instead of the two of a binary heap. Rows are
+// removed from the runs as they are returned.
 type loserTree struct {
 	runs [][]Row // remaining rows of each run; an empty run loses to all others
 	tree []int   // index of a run: tree[0] is the overall winner, tree[i] the loser at node i
