--- a/store/bench_test.go
+++ b/store/bench_test.go
@@ -18,8 +18,8 @@
 
 var benchmarkValue = []byte("0123456789012345678901234567890123456789012345678901234567890123456789012345678901234567890123456789")
 
-// BenchmarkCommit is one durable commit of 100 bytes by a number of concurrent callers, on the disk of the temporary
-// directory: by this store, and by bbolt with its own group commit (Batch).
+// BenchmarkCommit compares durable commits of 100 bytes by concurrent callers in this store and in bbolt with its own group
+// commit (Batch), on the disk of the temporary directory.
 //
 //	go test -run xxx -bench Commit -benchmem ./store
 func BenchmarkCommit(b *testing.B) {
@@ -33,7 +33,7 @@
 		b.Run(fmt.Sprintf("callers=%d/bbolt", callers), func(b *testing.B) {
 			bucket := []byte("t")
 			db := openBbolt(b, bucket)
-			db.MaxBatchDelay = time.Duration(min(callers-1, 1)) * time.Millisecond // a single caller has nothing to wait for
+			db.MaxBatchDelay = time.Duration(min(callers-1, 1)) * time.Millisecond // a single caller gains nothing from waiting for others
 			commitConcurrently(b, callers, func(key string) error {
 				return db.Batch(func(tx *bbolt.Tx) error { return tx.Bucket(bucket).Put([]byte(key), benchmarkValue) })
 			})
@@ -41,17 +41,17 @@
 	}
 }
 
-// commitConcurrently makes b.N commits from a number of goroutines.
+// commitConcurrently calls commit b.N times in total from a number of goroutines and reports commits per second.
 func commitConcurrently(b *testing.B, callers int, commit func(key string) error) {
 	b.Helper()
 	var commits atomic.Int64
-	var all sync.WaitGroup
+	var callersDone sync.WaitGroup
 	b.ReportAllocs()
 	b.ResetTimer()
 	for range callers {
-		all.Add(1)
+		callersDone.Add(1)
 		go func() {
-			defer all.Done()
+			defer callersDone.Done()
 			for n := commits.Add(1); n <= int64(b.N); n = commits.Add(1) {
 				if err := commit(benchmarkKey(int(n))); err != nil {
 					b.Error(err)
@@ -59,7 +59,7 @@
 			}
 		}()
 	}
-	all.Wait()
+	callersDone.Wait()
 	b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "commits/s")
 }
 
@@ -96,7 +96,7 @@
 	return db
 }
 
-// BenchmarkRecovery reads a store of a number of records, of which 10,000 keys are live.
+// BenchmarkRecovery measures the recovery of a store by its number of records; 10,000 keys are live.
 func BenchmarkRecovery(b *testing.B) {
 	for _, n := range []int{10_000, 100_000, 1_000_000} {
 		b.Run(fmt.Sprintf("records=%d", n), func(b *testing.B) {
--- a/store/compaction.go
+++ b/store/compaction.go
@@ -9,19 +9,21 @@
 	"slices"
 )
 
-// compactionFactor is how many times as large as the live data the files must be for a compaction.
+// compactionFactor is the smallest ratio of the size of one mirror's files to that of the live data at which they are
+// compacted.
 const compactionFactor = 4
 
 // compactionResult is the outcome of a compaction.
 type compactionResult struct {
-	covered uint64 // the snapshot covers the logs up to this number
-	size    int64  // of the snapshot, in bytes
+	covered uint64 // number of the last log file that the snapshot covers
+	size    int64  // size of the snapshot in bytes
 	err     error
 }
 
-// maybeCompact starts a compaction if the files are large and little of them is live.
+// maybeCompact starts a compaction if the files have reached Options.CompactionThreshold and compactionFactor times the
+// size of the live data, unless a compaction is in progress.
 func (s *Store) maybeCompact() {
-	if s.compaction != nil || s.failed() != nil {
+	if s.compaction != nil || s.failureReason() != nil {
 		return
 	}
 	s.mu.Lock()
@@ -33,7 +35,8 @@
 	s.startCompaction()
 }
 
-// startCompaction writes a snapshot in another goroutine. Commits continue meanwhile, in a new log.
+// startCompaction starts a new log file and writes a snapshot of the index in another goroutine. Meanwhile commits continue
+// in the new log file.
 func (s *Store) startCompaction() {
 	covered, next := s.logNumber, s.nextRecord
 	s.mu.Lock()
@@ -54,7 +57,7 @@
 	}()
 }
 
-// compactAndWait starts a compaction unless one is in progress, and waits for its end.
+// compactAndWait waits for the compaction in progress, or starts one and waits for it.
 func (s *Store) compactAndWait() error {
 	if s.compaction == nil {
 		s.startCompaction()
@@ -66,14 +69,15 @@
 			return result.err
 		}
 	}
-	return s.failed()
+	return s.failureReason()
 }
 
-// finishCompaction removes the files that a compaction has made obsolete.
+// finishCompaction removes the files that a compaction has made obsolete. If it has failed, all files remain.
 func (s *Store) finishCompaction(result compactionResult) {
 	s.compaction = nil
 	if result.err != nil {
-		// There is no complete snapshot: the logs stay, and nothing is lost. A full disk is no reason to fail.
+		// There is no complete snapshot, so the logs remain and no record is lost. The store need not fail if the disk is
+		// full.
 		if !isDiskFull(result.err) {
 			s.fail(result.err)
 		}
@@ -95,8 +99,8 @@
 	s.mu.Unlock()
 }
 
-// writeSnapshot writes an index to both mirrors as a snapshot that covers the logs up to a number and all records before
-// nextRecord. It returns the snapshot's size in bytes.
+// writeSnapshot writes an index to both mirrors as a snapshot that covers the log files up to number covered and all
+// records before nextRecord. It returns the snapshot's size in bytes.
 func (s *Store) writeSnapshot(covered, nextRecord uint64, index tables) (int64, error) {
 	h := header{version: Version, kind: kindSnapshot, file: covered, first: nextRecord, storeID: s.id}
 	b := h.encode()
@@ -108,7 +112,7 @@
 			b, _ = appendRecord(b, salt, count, encodeOps([]Op{{Table: t, Key: key, Value: index[t][key]}}))
 		}
 	}
-	// The last record holds the number of the others, so that a truncation between two records is detected.
+	// The last record holds the number of the other records, so that a truncation between two records is detected.
 	b, _ = appendRecord(b, salt, 0, binary.BigEndian.AppendUint64(nil, count))
 	for _, mirror := range mirrors {
 		temporary, name := path.Join(mirror, temporarySnapshotName), path.Join(mirror, snapshotName(covered))
@@ -119,8 +123,8 @@
 	return int64(len(b)), nil
 }
 
-// removeCovered removes what the snapshot of a number replaces: logs up to that number, older snapshots and incomplete ones.
-// names are the files of each mirror.
+// removeCovered removes the files that the snapshot with a number makes obsolete: log files up to that number, older
+// snapshots and incomplete snapshots. names are the files of each mirror.
 func (s *Store) removeCovered(snapshot uint64, names [2][]string) error {
 	for i, mirror := range mirrors {
 		removed := false
@@ -130,7 +134,7 @@
 			}
 			err := s.files.Remove(path.Join(mirror, name))
 			if errors.Is(err, fs.ErrNotExist) {
-				continue // an incomplete snapshot, which has been written again and renamed since
+				continue // the temporary file of a snapshot that has been written again and renamed since
 			}
 			if err != nil {
 				return err
@@ -146,7 +150,7 @@
 	return nil
 }
 
-// isCovered reports whether a mirror's file is obsolete beside the snapshot of a number.
+// isCovered reports whether the snapshot with a number makes a mirror's file obsolete.
 func isCovered(name string, snapshot uint64) bool {
 	number, kind, ok := parseName(name)
 	if !ok {
--- a/store/compatibility_test.go
+++ b/store/compatibility_test.go
@@ -14,9 +14,8 @@
 	"oxbowspan/store"
 )
 
-// testdata/v1 was written by an earlier revision of this package, by the commits of writeVersion1.
-
-// writeVersion1 makes the commits of testdata/v1 and returns the contents that result from them.
+// writeVersion1 makes the commits with which an earlier revision of this package wrote testdata/v1, and returns the
+// contents that result from them.
 func writeVersion1(t *testing.T, s *store.Store) map[store.Table]map[string]string {
 	t.Helper()
 	want := map[store.Table]map[string]string{1: {}, 2: {}}
@@ -42,7 +41,7 @@
 	return want
 }
 
-// readTestdata returns the files below a directory by their names relative to it.
+// readTestdata returns the files in a directory and in its mirrors by their names relative to the directory.
 func readTestdata(t *testing.T, dir string) map[string][]byte {
 	t.Helper()
 	files := map[string][]byte{}
@@ -50,11 +49,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	inMirrors, err := filepath.Glob(filepath.Join(dir, "?", "*"))
+	mirrorPaths, err := filepath.Glob(filepath.Join(dir, "?", "*"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, path := range append(paths, inMirrors...) {
+	for _, path := range append(paths, mirrorPaths...) {
 		if info, err := os.Stat(path); err != nil || info.IsDir() {
 			continue
 		}
@@ -69,11 +68,12 @@
 		files[filepath.ToSlash(name)] = b
 	}
 	if len(files) != 7 {
-		t.Fatalf("%s has the files %v, want 7", dir, slices.Sorted(maps.Keys(files)))
+		t.Fatalf("%s has the files %v, want 7 files", dir, slices.Sorted(maps.Keys(files)))
 	}
 	return files
 }
 
+// checkTables compares the tables of a store with the expected ones.
 func checkTables(t *testing.T, got map[store.Table]map[string][]byte, want map[store.Table]map[string]string) {
 	t.Helper()
 	if len(got) != len(want) {
@@ -87,7 +87,8 @@
 	}
 }
 
-// Files of version 1 are read, and the same commits write the same bytes.
+// TestVersion1Files checks that files of format version 1 are read and opened unchanged, and that the same commits still
+// write the same bytes.
 func TestVersion1Files(t *testing.T) {
 	files := readTestdata(t, filepath.Join("testdata", "v1"))
 	d := faultdisk.New(1)
--- a/store/crash_test.go
+++ b/store/crash_test.go
@@ -14,8 +14,8 @@
 	"oxbowspan/store"
 )
 
-// crashWorkload makes commits and compactions until one fails. It returns what is acknowledged and, if a commit failed, what
-// the store may hold instead.
+// crashWorkload makes commits and compactions until one fails. It returns the acknowledged contents. If a commit failed, it
+// also returns the contents with that commit, which the store may hold as well after recovery.
 func crashWorkload(d *faultdisk.Disk) (acknowledged, alternative contents) {
 	acknowledged = contents{}
 	s, _, err := store.Open(d, smallSegments())
@@ -45,17 +45,18 @@
 	return acknowledged, nil
 }
 
-// equal reports whether a table holds exactly this.
+// equal reports whether a table holds exactly these contents.
 func (want contents) equal(got map[string][]byte) bool {
 	return maps.EqualFunc(got, want, func(a []byte, b string) bool { return string(a) == b })
 }
 
-// The machine crashes before any one operation of commits, of a new segment and of a compaction, and again at one of the
-// recovery after that.
+// TestCrashAtAnyOperation crashes the machine before each file operation of commits, of the start of a segment and of
+// compactions, and for some seeds again before an operation of the following recovery. All acknowledged commits must be
+// recovered.
 func TestCrashAtAnyOperation(t *testing.T) {
-	intact := faultdisk.New(0)
-	crashWorkload(intact)
-	operations := intact.OperationCount()
+	reference := faultdisk.New(0)
+	crashWorkload(reference)
+	operations := reference.OperationCount()
 	for operation := 1; operation <= operations; operation++ {
 		for seed := range uint64(3) {
 			d := faultdisk.New(uint64(operation)*10 + seed)
@@ -77,7 +78,7 @@
 			}
 			got := s.All(1)
 			if !acknowledged.equal(got) && (alternative == nil || !alternative.equal(got)) {
-				t.Fatalf("%s: %q, acknowledged is %q", when, got, acknowledged)
+				t.Fatalf("%s: recovered %q, acknowledged %q", when, got, acknowledged)
 			}
 			if err := s.Commit(set("after", "all")); err != nil {
 				t.Fatalf("%s: a commit after recovery: %v", when, err)
@@ -87,7 +88,8 @@
 	}
 }
 
-// A sync fails once: that commit and all later ones are rejected, although the next sync would succeed.
+// TestFailedSyncStopsWrites checks that after one failed sync that commit and all later ones are rejected, although the
+// next sync would succeed: after a failed sync it is unknown which bytes are durable.
 func TestFailedSyncStopsWrites(t *testing.T) {
 	d := faultdisk.New(1)
 	s, _ := open(t, d)
@@ -116,11 +118,12 @@
 	s, _ = open(t, d.Crash())
 	defer s.Close()
 	if value, _ := s.Get(1, "a"); string(value) != "1" {
-		t.Error("a commit acknowledged before is lost")
+		t.Error("a commit acknowledged before the failed sync is lost")
 	}
 }
 
-// Syncs of one mirror succeed without effect: after a crash the other mirror holds all commits.
+// TestMirrorWithFalseSyncs checks that no commit is lost in a crash if syncs of one mirror report success without effect,
+// because the other mirror holds all commits.
 func TestMirrorWithFalseSyncs(t *testing.T) {
 	for seed := range uint64(20) {
 		d := faultdisk.New(seed)
--- a/store/damage_test.go
+++ b/store/damage_test.go
@@ -15,8 +15,8 @@
 	"oxbowspan/store"
 )
 
-// Any one file, truncated at any byte or removed: every acknowledged record is recovered and nothing else is, the damage is
-// reported, and the store is repaired.
+// TestOneFileTruncated truncates each file at each byte, or removes it. Exactly the acknowledged records must be recovered,
+// the damage reported and the store repaired.
 func TestOneFileTruncated(t *testing.T) {
 	for name, closed := range map[string]bool{"closed": true, "killed": false} {
 		t.Run(name, func(t *testing.T) {
@@ -35,26 +35,27 @@
 					if truncated[file] = b[:max(size, 0)]; size == removed {
 						delete(truncated, file)
 					}
-					reported := file != "mark" || size >= 0 // a missing watermark is no damage
+					reported := file != "mark" || size >= 0 // a missing watermark file does not count as damage
 					when := fmt.Sprintf("%s truncated to %d of %d", file, size, len(b))
 					checkRepair(t, faultdisk.NewWithFiles(uint64(size+1), truncated), want, reported, when)
 					cases++
 				}
 			}
 			if cases < 3000 {
-				t.Errorf("only %d cases", cases)
+				t.Errorf("%d cases, want at least 3000", cases)
 			}
 		})
 	}
 }
 
-// checkRepair opens a damaged store that has lost nothing, and checks that it is recovered and repaired.
+// checkRepair opens a damaged store that has lost no records, and checks that it is recovered and repaired. reported states
+// whether damage must be reported.
 func checkRepair(t *testing.T, d *faultdisk.Disk, want contents, reported bool, when string) {
 	t.Helper()
 	s, report := open(t, d)
 	want.check(t, s, when)
 	if reported && len(report.Damage) == 0 {
-		t.Fatalf("%s: not reported", when)
+		t.Fatalf("%s: the damage is not reported", when)
 	}
 	if len(report.Lost) > 0 {
 		t.Fatalf("%s: %v are reported as lost", when, report.Lost)
@@ -63,11 +64,11 @@
 		t.Fatalf("%s: close: %v", when, err)
 	}
 	if report, err := store.Check(d); err != nil || len(report.Damage) > 0 {
-		t.Fatalf("%s: not repaired: %v, %v", when, report.Damage, err)
+		t.Fatalf("%s: not repaired: damage %v, error %v", when, report.Damage, err)
 	}
 }
 
-// Any one byte changed in any one file.
+// TestOneByteFlipped flips one bit of each byte of each file. All records must be recovered and the damage reported.
 func TestOneByteFlipped(t *testing.T) {
 	d := faultdisk.New(1)
 	s, _ := open(t, d)
@@ -82,19 +83,21 @@
 			s, report := open(t, faultdisk.NewWithFiles(1, flipped))
 			when := fmt.Sprintf("%s, byte %d", name, i)
 			if want.check(t, s, when); len(report.Damage) == 0 {
-				t.Fatalf("%s: not reported", when)
+				t.Fatalf("%s: the damage is not reported", when)
 			}
 			s.Close()
 		}
 	}
 }
 
+// The commits of TestBothMirrorsTruncated.
 const (
 	mirrorsTestCommits = 30
-	mirrorsTestValue   = 30 // bytes
+	mirrorsTestValue   = 30 // length of a value in bytes
 )
 
-// Both mirrors truncated: what is recovered was committed, and what is not is reported.
+// TestBothMirrorsTruncated truncates files in both mirrors. Exactly the records that either mirror still holds must be
+// recovered, and all others reported as lost.
 func TestBothMirrorsTruncated(t *testing.T) {
 	d := faultdisk.New(1)
 	s, _ := open(t, d)
@@ -119,7 +122,8 @@
 	})
 }
 
-// keysInFiles returns the keys whose records either mirror still holds, found without the package's code.
+// keysInFiles returns the keys whose records either mirror still holds. It searches the files without using the package's
+// code.
 func keysInFiles(files, truncated map[string][]byte) map[string]bool {
 	const headerSize = 76
 	keys := map[string]bool{}
@@ -135,13 +139,14 @@
 	return keys
 }
 
-// checkLoss opens a store that has lost all keys of TestBothMirrorsTruncated but some, and accepts the loss.
+// checkLoss opens a store of TestBothMirrorsTruncated that has lost all keys except the given ones, and checks that the
+// loss is reported and that the store opens once it is accepted.
 func checkLoss(t *rapid.T, files map[string][]byte, keys map[string]bool) {
 	d := faultdisk.NewWithFiles(1, files)
 	s, report, err := store.Open(d, smallSegments())
 	var loss *store.LossError
 	if (len(keys) < mirrorsTestCommits) != errors.As(err, &loss) {
-		t.Fatalf("%d of %d are in the files, open returns %v", len(keys), mirrorsTestCommits, err)
+		t.Fatalf("%d of %d records are in the files, open returns %v", len(keys), mirrorsTestCommits, err)
 	}
 	if err == nil {
 		s.Close()
@@ -152,7 +157,7 @@
 		lost += int(r.Last - r.First + 1)
 	}
 	if lost != mirrorsTestCommits-len(keys) {
-		t.Fatalf("%d of %d are in the files, reported as lost are %v", len(keys), mirrorsTestCommits, report.Lost)
+		t.Fatalf("%d of %d records are in the files, %v are reported as lost", len(keys), mirrorsTestCommits, report.Lost)
 	}
 	o := smallSegments()
 	o.AcceptLoss = true
@@ -162,11 +167,11 @@
 	got := s.All(1)
 	for key := range got {
 		if !keys[key] {
-			t.Fatalf("%s is recovered, and neither mirror holds it", key)
+			t.Fatalf("%s is recovered although neither mirror holds it", key)
 		}
 	}
 	if len(got) != len(keys) {
-		t.Fatalf("%d are recovered, %d are in the files", len(got), len(keys))
+		t.Fatalf("%d records are recovered, %d are in the files", len(got), len(keys))
 	}
 	s.Close()
 	if s, _, err = store.Open(d, smallSegments()); err != nil {
@@ -175,7 +180,8 @@
 	s.Close()
 }
 
-// Files of a newer version are left unchanged.
+// TestNewerVersionRejected checks that a store with files of a newer format version is rejected and its files are not
+// modified.
 func TestNewerVersionRejected(t *testing.T) {
 	d := faultdisk.New(1)
 	s, _ := open(t, d)
@@ -190,7 +196,7 @@
 	d = faultdisk.NewWithFiles(1, files)
 	var newer store.VersionError
 	if _, _, err := store.Open(d, smallSegments()); !errors.As(err, &newer) || !strings.Contains(err.Error(), "version 2") {
-		t.Errorf("got %v", err)
+		t.Errorf("got error %v, want a VersionError of version 2", err)
 	}
 	after := d.Files()
 	for name, b := range files {
@@ -200,7 +206,8 @@
 	}
 }
 
-// A log of another store in one mirror contradicts the other mirror.
+// TestForeignSegmentRejected checks that a store is rejected if one mirror holds a log file of another store, which
+// contradicts the other mirror.
 func TestForeignSegmentRejected(t *testing.T) {
 	d := faultdisk.New(1)
 	s, _ := open(t, d)
--- a/store/disk.go
+++ b/store/disk.go
@@ -10,10 +10,10 @@
 	"syscall"
 )
 
-// Disk implements Files by a directory of the operating system's file system.
+// Disk implements Files with a directory of the operating system's file system.
 type Disk struct {
 	dir      string
-	readOnly bool // no lock file is created
+	readOnly bool // Lock does not create the lock file
 }
 
 // OpenDisk returns the files of a directory, which it creates if necessary.
@@ -36,6 +36,7 @@
 	return &Disk{dir: dir, readOnly: true}, nil
 }
 
+// path returns the operating system's path of a file of the store.
 func (d *Disk) path(name string) string { return filepath.Join(d.dir, filepath.FromSlash(name)) }
 
 // MakeDir implements Files.
@@ -90,7 +91,7 @@
 	return f.Sync()
 }
 
-// Lock implements Files. The operating system releases the lock when the process ends, however it ends.
+// Lock implements Files with a lock on the lock file, which the operating system releases even if the process crashes.
 func (d *Disk) Lock() (func(), error) {
 	flags := os.O_RDWR | os.O_CREATE
 	if d.readOnly {
@@ -98,7 +99,7 @@
 	}
 	f, err := os.OpenFile(d.path(lockName), flags, 0o600)
 	if d.readOnly && errors.Is(err, fs.ErrNotExist) {
-		return func() {}, nil // no store has been opened here yet
+		return func() {}, nil // no store has been opened in the directory, so no process can hold the lock
 	}
 	if err != nil {
 		return nil, err
--- a/store/disk_full_test.go
+++ b/store/disk_full_test.go
@@ -11,8 +11,8 @@
 	"oxbowspan/store"
 )
 
-// commitUntilFull makes commits, and a compaction, on a disk that may become full. It returns what is acknowledged and how
-// many commits were rejected.
+// commitUntilFull makes 60 commits and a compaction on a disk that may become full. It returns the acknowledged contents
+// and the number of rejected commits.
 func commitUntilFull(t *testing.T, s *store.Store) (acknowledged contents, rejected int) {
 	t.Helper()
 	acknowledged = contents{}
@@ -23,7 +23,7 @@
 			acknowledged[key] = value
 		case errors.Is(err, store.ErrFull):
 			rejected++
-		case errors.Is(err, store.ErrFailed): // a new segment could not be started
+		case errors.Is(err, store.ErrFailed): // the next segment could not be started
 			rejected++
 		default:
 			t.Fatal(err)
@@ -35,8 +35,9 @@
 	return acknowledged, rejected
 }
 
-// The disk becomes full within a record or within a compaction: commits are rejected and not applied. Once there is space
-// again commits are accepted, and nothing that was acknowledged is lost.
+// TestDiskFull checks that commits are rejected and not applied if the disk becomes full during a commit or a compaction.
+// Once there is free space again, commits must be accepted, unless the store has failed, and no acknowledged commit may be
+// lost.
 func TestDiskFull(t *testing.T) {
 	for capacity := 1500; capacity < 9000; capacity += 37 {
 		t.Run(fmt.Sprintf("capacity=%d", capacity), func(t *testing.T) {
@@ -44,7 +45,7 @@
 			d.Capacity = capacity
 			s, _, err := store.Open(d, smallSegments())
 			if err != nil {
-				return // not even the first files fit
+				return // the disk is too small for the first files
 			}
 			want, rejected := commitUntilFull(t, s)
 			if rejected == 0 && capacity < 3000 {
@@ -55,7 +56,7 @@
 			d.Capacity = 0
 			if !failed {
 				if err := s.Commit(set("space", "again")); err != nil {
-					t.Fatalf("with space again: %v", err)
+					t.Fatalf("a commit after space was freed: %v", err)
 				}
 				want["space"] = "again"
 			}
@@ -68,7 +69,8 @@
 	}
 }
 
-// A record that a full disk cuts short in both mirrors is truncated in both: what is written after it is recovered.
+// TestShortWriteIsTruncated checks that a record of which a full disk accepts only a part is truncated in both mirrors, so
+// that the records written after it are recovered.
 func TestShortWriteIsTruncated(t *testing.T) {
 	d := faultdisk.New(1)
 	s, _ := open(t, d)
--- a/store/disk_test.go
+++ b/store/disk_test.go
@@ -10,6 +10,7 @@
 	"oxbowspan/store"
 )
 
+// TestDisk checks locking, closing and opening again on the operating system's file system.
 func TestDisk(t *testing.T) {
 	disk, err := store.OpenDisk(t.TempDir())
 	if err != nil {
@@ -18,7 +19,7 @@
 	s, _ := open(t, disk)
 	want := fill(t, s, 60)
 	if _, _, err := store.Open(disk, smallSegments()); !errors.Is(err, store.ErrLocked) {
-		t.Errorf("opened twice: %v", err)
+		t.Errorf("opened while it is open: got error %v, want ErrLocked", err)
 	}
 	s.Close()
 	if err := s.Commit(set("a", "b")); !errors.Is(err, store.ErrClosed) {
@@ -27,11 +28,13 @@
 	s, report := open(t, disk)
 	want.check(t, s, "opened again")
 	if len(report.Damage) > 0 || report.Repaired {
-		t.Errorf("after a clean end: %+v", report)
+		t.Errorf("after a clean shutdown: %+v", report)
 	}
 	s.Close()
 }
 
+// TestDiskWithForeignFiles checks that no store is created in a directory with other files, and that a file is not accepted
+// as a directory.
 func TestDiskWithForeignFiles(t *testing.T) {
 	dir := t.TempDir()
 	file := filepath.Join(dir, "letters.txt")
--- a/store/errors.go
+++ b/store/errors.go
@@ -6,20 +6,20 @@
 	"strings"
 )
 
-// Errors of a store. Those of the file system are wrapped with them.
+// Errors of a store. They wrap the file system's error if there is one.
 var (
 	// ErrLocked means that another process has the directory open.
 	ErrLocked = errors.New("the store is in use by another process")
 	// ErrFull means that the disk is full or that Options.MaxBytes is reached. A later commit may succeed.
 	ErrFull = errors.New("the disk is full, or the store has reached its size limit")
-	// ErrFailed means that a write failed in a way that leaves the files' contents unknown. The store rejects all further
-	// commits; opening it again recovers it.
+	// ErrFailed means that a file operation has failed in a way that leaves the contents of the files unknown. The store
+	// rejects all further commits. Opening it again recovers it.
 	ErrFailed = errors.New("the store has failed and accepts no commits until it is opened again")
 	// ErrClosed means that Close has been called.
 	ErrClosed = errors.New("the store is closed")
 )
 
-// LossError reports records that were written and that neither mirror holds any longer. Options.AcceptLoss opens the store
+// LossError reports records that were written and that neither mirror holds. With Options.AcceptLoss the store opens
 // without them.
 type LossError struct{ Lost []RecordRange }
 
@@ -33,13 +33,13 @@
 		" in both mirrors; 'oxbowspan store repair --accept-loss' continues without them"
 }
 
-// ForeignError reports a directory whose files are not those of one store.
+// ForeignError reports that the files in a directory are not those of exactly one store.
 type ForeignError struct{ Reason string }
 
 // Error implements error.
-func (e *ForeignError) Error() string { return "the directory is not a store's: " + e.Reason }
+func (e *ForeignError) Error() string { return "not a store directory: " + e.Reason }
 
-// VersionError reports a file whose format is newer than Version. Such a store is left unchanged.
+// VersionError reports a file whose format version is higher than Version. The files of such a store are not modified.
 type VersionError struct{ Version uint16 }
 
 // Error implements error.
@@ -47,4 +47,5 @@
 	return fmt.Sprintf("the store is of version %d, this program supports versions up to %d", e.Version, Version)
 }
 
+// errMalformedRecord means that the body of a record cannot be decoded although its checksum is valid.
 var errMalformedRecord = errors.New("a record with a valid checksum is malformed")
--- a/store/export_test.go
+++ b/store/export_test.go
@@ -2,7 +2,7 @@
 
 import "encoding/binary"
 
-// WithVersion returns a file of a store with another version in its header.
+// WithVersion returns a copy of a file of a store with another format version in its header.
 func WithVersion(file []byte, version uint16) []byte {
 	changed := append([]byte(nil), file...)
 	binary.BigEndian.PutUint16(changed[len(magic):], version)
--- a/store/format.go
+++ b/store/format.go
@@ -11,29 +11,29 @@
 	"github.com/zeebo/blake3"
 )
 
-// Version is the format that this package writes. It reads this one and all earlier ones.
+// Version is the format version that this package writes. It reads this version and all earlier ones.
 const Version = 1
 
-// A file is a header followed by records. Both mirrors hold files of the same names and bytes:
+// A file consists of a header followed by records. Both mirrors hold files with the same names and bytes:
 //
-//	MIRROR/00000007.log    records in the order of their numbers, appended to
-//	MIRROR/00000007.base   snapshot of all records up to the end of log 7, written under another name and then renamed
+//	MIRROR/00000007.log    log file: records in the order of their numbers, append-only
+//	MIRROR/00000007.base   snapshot of all records up to the end of log file 7, written under a temporary name and then renamed
 //
-// A record's checksum covers its file header's checksum, its number and its body, so that a record of another file or
-// position is not accepted. A log's header contains the checksum of the last record of the log before, so that a missing,
-// outdated or exchanged log is detected.
+// A record's checksum covers the checksum of its file's header, its length and number, and its body, so that a record from
+// another file or position is rejected. The header of a log file contains the checksum of the last record of the previous
+// log file, so that a missing, outdated or exchanged log file is detected.
 const (
 	magic            = "oxbowsto"
 	storeIDSize      = 16
 	checksumSize     = 16
 	headerSize       = len(magic) + 2 + 2 + 8 + 8 + storeIDSize + checksumSize + checksumSize
-	recordPrefixSize = 4 + 8 // length of what follows it, record number
+	recordPrefixSize = 4 + 8 // length of the rest of the record, record number
 	recordHeaderSize = recordPrefixSize + checksumSize
-	// maxRecordSize is the largest body of a record, in bytes.
+	// maxRecordSize is the largest size of a record's body in bytes.
 	maxRecordSize = 1 << 20
 )
 
-// Names of files outside the mirrors, and of files that are not complete yet.
+// Names of the files outside the mirrors, and temporary names of files that are being written.
 const (
 	lockName              = "lock"
 	watermarkName         = "mark"
@@ -41,9 +41,10 @@
 	temporarySnapshotName = "base.new"
 )
 
-// checksum is the first bytes of a BLAKE3 hash.
+// checksum is a truncated BLAKE3 hash.
 type checksum [checksumSize]byte
 
+// checksumOf returns the checksum of the concatenated parts.
 func checksumOf(parts ...[]byte) (sum checksum) {
 	h := blake3.New()
 	for _, p := range parts {
@@ -54,6 +55,7 @@
 	return sum
 }
 
+// fileKind is the kind of a file as stored in its header.
 type fileKind uint16
 
 const (
@@ -63,14 +65,15 @@
 
 // header is the beginning of a file.
 type header struct {
-	version uint16
-	kind    fileKind
-	file    uint64
-	first   uint64 // log: number of its first record; snapshot: number of the first record that it does not cover
-	storeID [storeIDSize]byte
-	chain   checksum // log: checksum of the last record of the log before
+	version          uint16
+	kind             fileKind
+	file             uint64
+	first            uint64 // log: number of its first record; snapshot: number of the first record after it
+	storeID          [storeIDSize]byte
+	previousChecksum checksum // log: checksum of the last record of the previous log file
 }
 
+// encode returns the encoded header, which ends with its checksum.
 func (h header) encode() []byte {
 	b := make([]byte, 0, headerSize)
 	b = append(b, magic...)
@@ -79,11 +82,13 @@
 	b = binary.BigEndian.AppendUint64(b, h.file)
 	b = binary.BigEndian.AppendUint64(b, h.first)
 	b = append(b, h.storeID[:]...)
-	b = append(b, h.chain[:]...)
+	b = append(b, h.previousChecksum[:]...)
 	sum := checksumOf(b)
 	return append(b, sum[:]...)
 }
 
+// decodeHeader decodes the header at the beginning of a file. It returns a VersionError if the header's format version is
+// higher than Version.
 func decodeHeader(b []byte) (h header, err error) {
 	if len(b) < headerSize {
 		return h, fmt.Errorf("truncated within its header, at byte %d", len(b))
@@ -102,7 +107,7 @@
 	h.file = binary.BigEndian.Uint64(b[12:])
 	h.first = binary.BigEndian.Uint64(b[20:])
 	copy(h.storeID[:], b[28:44])
-	copy(h.chain[:], b[44:60])
+	copy(h.previousChecksum[:], b[44:60])
 	return h, nil
 }
 
@@ -111,14 +116,15 @@
 	return checksum(file[headerSize-checksumSize : headerSize])
 }
 
-// record is one record of a file.
+// record is one record of a file: the changes of a commit, or in a snapshot one entry or the number of records.
 type record struct {
 	number   uint64
 	checksum checksum
 	body     []byte
 }
 
-// appendRecord appends a record to b and returns its checksum as well.
+// appendRecord appends a record to b. It returns the extended b and the record's checksum, which is computed over the salt
+// as well.
 func appendRecord(b []byte, salt checksum, number uint64, body []byte) ([]byte, checksum) {
 	var prefix [recordPrefixSize]byte
 	binary.BigEndian.PutUint32(prefix[:], uint32(8+checksumSize+len(body)))
@@ -129,8 +135,8 @@
 	return append(b, body...), sum
 }
 
-// readRecords reads the records of a file. damage describes what is wrong with the file, "" if nothing. Reading continues
-// after a damaged record of plausible length: the other mirror may hold that one.
+// readRecords reads the records of a file. damage describes the damage that was found; "" = the file is intact. Reading
+// continues after a record with a wrong checksum and a valid length, because the other mirror may hold that record.
 func readRecords(file []byte, salt checksum) (records []record, damage string) {
 	offset := headerSize
 	for offset < len(file) {
@@ -140,7 +146,7 @@
 		}
 		length := int(binary.BigEndian.Uint32(rest))
 		if length < 8+checksumSize || length > 8+checksumSize+maxRecordSize {
-			return records, joinDamage(damage, fmt.Sprintf("no record at byte %d", offset))
+			return records, joinDamage(damage, fmt.Sprintf("invalid record length at byte %d", offset))
 		}
 		end := 4 + length
 		if len(rest) < end {
@@ -158,6 +164,7 @@
 	return records, damage
 }
 
+// joinDamage joins two descriptions of damage. a may be empty.
 func joinDamage(a, b string) string {
 	if a == "" {
 		return b
@@ -173,7 +180,7 @@
 	return append(b, sum[:]...)
 }
 
-// decodeWatermark is the inverse of encodeWatermark. damage is "" if the file is intact.
+// decodeWatermark decodes the contents of the watermark file. damage is "" if the file is intact.
 func decodeWatermark(b []byte) (storeID [storeIDSize]byte, nextRecord uint64, damage string) {
 	const size = len(magic) + storeIDSize + 8
 	if len(b) != size+checksumSize {
@@ -189,7 +196,7 @@
 func logName(number uint64) string      { return fmt.Sprintf("%08d.log", number) }
 func snapshotName(number uint64) string { return fmt.Sprintf("%08d.base", number) }
 
-// parseName returns the number and kind of a mirror's file; ok is false if the name is not that of a log or snapshot.
+// parseName returns the number and kind of a mirror's file. ok is false if the name is not that of a log file or a snapshot.
 func parseName(name string) (number uint64, kind fileKind, ok bool) {
 	digits, extension, _ := strings.Cut(name, ".")
 	number, err := strconv.ParseUint(digits, 10, 64)
--- a/store/mirror.go
+++ b/store/mirror.go
@@ -10,7 +10,7 @@
 	"slices"
 )
 
-// mirrorFile is a file of one mirror, read as far as it is intact.
+// mirrorFile is a file of one mirror with its intact records.
 type mirrorFile struct {
 	name    string
 	number  uint64
@@ -18,10 +18,10 @@
 	header  header
 	records []record
 	raw     []byte
-	damage  string // what is wrong with it; "" = nothing
+	damage  string // description of the damage; "" = the file is intact
 }
 
-// readMirror reads the logs and snapshots of the mirror with an index, by name.
+// readMirror reads the log files and snapshots of a mirror and returns them by name. index is the mirror's index in mirrors.
 func (r *recovery) readMirror(files Files, index int, mirror string) (mirrorFiles map[string]*mirrorFile, err error) {
 	if r.names[index], err = files.List(mirror); err != nil {
 		return nil, err
@@ -29,7 +29,7 @@
 	mirrorFiles = map[string]*mirrorFile{}
 	for _, name := range r.names[index] {
 		if name == temporarySnapshotName {
-			continue // a compaction was interrupted by a crash
+			continue // left by a crash during a compaction
 		}
 		if mirrorFiles[name], err = r.readFile(files, path.Join(mirror, name)); err != nil {
 			return nil, err
@@ -38,11 +38,11 @@
 	return mirrorFiles, nil
 }
 
-// readFile reads a log or a snapshot. A damaged file is no error.
+// readFile reads a log file or a snapshot. A damaged file is not an error: its damage is set instead.
 func (r *recovery) readFile(files Files, name string) (*mirrorFile, error) {
 	number, kind, ok := parseName(path.Base(name))
 	if !ok {
-		return nil, &ForeignError{name + " is none of its files"}
+		return nil, &ForeignError{name + " is not a file of a store"}
 	}
 	raw, err := files.Read(name)
 	if err != nil {
@@ -58,20 +58,20 @@
 		f.damage = err.Error()
 		return f, nil
 	case f.header.file != number || f.header.kind != kind:
-		f.damage = fmt.Sprintf("it is file %d, under the name of another one", f.header.file)
+		f.damage = fmt.Sprintf("its header and its name differ: the header is that of file %d", f.header.file)
 		return f, nil
 	case r.id != [storeIDSize]byte{} && f.header.storeID != r.id:
-		return nil, &ForeignError{name + " is of another store"}
+		return nil, &ForeignError{name + " belongs to another store"}
 	}
 	r.id = f.header.storeID
 	f.records, f.damage = readRecords(raw, headerChecksum(raw))
 	if kind == kindSnapshot && !f.isComplete() {
-		f.damage = joinDamage(f.damage, "it is not complete")
+		f.damage = joinDamage(f.damage, "the snapshot is incomplete")
 	}
 	return f, nil
 }
 
-// isComplete reports whether a snapshot has as many records as its last one states.
+// isComplete reports whether a snapshot has the number of records that its last record states.
 func (f *mirrorFile) isComplete() bool {
 	count := len(f.records) - 1
 	if count < 0 {
@@ -81,13 +81,13 @@
 	return last.number == 0 && len(last.body) == 8 && binary.BigEndian.Uint64(last.body) == uint64(count)
 }
 
-// isCovered reports whether the file is obsolete beside a snapshot, which may be nil.
+// isCovered reports whether a snapshot, which may be nil, makes the file obsolete.
 func (f *mirrorFile) isCovered(snapshot *mirrorFile) bool {
 	return snapshot != nil && (f.number < snapshot.number || f.number == snapshot.number && f.kind == kindLog)
 }
 
-// compareMirrors finds damage and differences of the files that are needed beside a snapshot, and the sizes of those that
-// are intact.
+// compareMirrors adds damage and differences of the mirrors' files to the report, and records the sizes of the files that
+// are intact and the same in both mirrors. Files that the snapshot makes obsolete are ignored.
 func (r *recovery) compareMirrors(mirrorFiles [2]map[string]*mirrorFile, snapshot *mirrorFile) {
 	names := map[string]bool{}
 	for _, files := range mirrorFiles {
@@ -95,15 +95,15 @@
 			names[name] = true
 		}
 	}
-	var previous *mirrorFile // the log before, if it is intact
+	var previous *mirrorFile // the previous log file, or nil if it is not intact in both mirrors
 	for _, name := range slices.Sorted(maps.Keys(names)) {
 		a, b := mirrorFiles[0][name], mirrorFiles[1][name]
-		present := a
-		if present == nil {
-			present = b
+		either := a
+		if either == nil {
+			either = b
 		}
-		if present.isCovered(snapshot) {
-			continue // left by a crash after a compaction
+		if either.isCovered(snapshot) {
+			continue // a crash after a compaction left the file behind
 		}
 		if !r.compareFiles(name, a, b) {
 			r.identical, previous = false, nil
@@ -121,8 +121,8 @@
 	}
 }
 
-// compareFiles reports whether a file is intact and the same in both mirrors, and adds to Damage what is not. A missing file
-// is nil.
+// compareFiles reports whether a file is intact and the same in both mirrors, and otherwise adds a description to Damage. a
+// and b are the file in the two mirrors; nil = missing.
 func (r *recovery) compareFiles(name string, a, b *mirrorFile) bool {
 	intact := true
 	for i, f := range []*mirrorFile{a, b} {
@@ -143,10 +143,11 @@
 	return intact
 }
 
-// follows reports whether a log's header matches the end of the log before. It is true if that one is unknown or empty.
+// follows reports whether the header of a log file matches the last record of the previous log file. It returns true if
+// that file is unknown, is not the directly preceding one, or has no records.
 func (f *mirrorFile) follows(previous *mirrorFile) bool {
 	if previous == nil || previous.number != f.number-1 || len(previous.records) == 0 {
 		return true
 	}
-	return f.header.chain == previous.records[len(previous.records)-1].checksum
+	return f.header.previousChecksum == previous.records[len(previous.records)-1].checksum
 }
--- a/store/ops.go
+++ b/store/ops.go
@@ -5,26 +5,27 @@
 	"encoding/binary"
 )
 
-// Table numbers a table of a store. Which numbers are in use is up to the store's owner.
+// Table is the number of a table. Users of a store choose the numbers.
 type Table uint8
 
-// Op is one change of a commit: it sets the value of a key in a table, or deletes the key.
+// Op is one change of a commit: it sets or deletes the value of a key in a table.
 type Op struct {
 	Table  Table
 	Key    string
 	Value  []byte
-	Delete bool // Value is ignored
+	Delete bool // delete the key; Value is ignored
 }
 
+// Operations in a record's body.
 const (
 	opSet    = 0
 	opDelete = 1
 )
 
-// encodeOps returns a record's body: the changes of one commit, which are applied all or none.
+// encodeOps returns the body of a record: the changes of one commit, which are applied atomically.
 //
-// Each change is the table's number and the operation (a byte each), the key and, with opSet, the value. Key and value are
-// preceded by their lengths as uvarints.
+// A change is encoded as the table's number (one byte), the operation (one byte), the key and, for opSet, the value. Key
+// and value are each preceded by their length as a uvarint.
 func encodeOps(ops []Op) []byte {
 	var b []byte
 	for _, op := range ops {
@@ -43,7 +44,7 @@
 	return b
 }
 
-// decodeOps is the inverse of encodeOps. Values are copies.
+// decodeOps decodes the body of a record. The values are copies.
 func decodeOps(b []byte) (ops []Op, err error) {
 	for len(b) > 0 {
 		if len(b) < 2 || b[1] > opDelete {
@@ -67,7 +68,7 @@
 	return ops, nil
 }
 
-// cutField cuts a field that is preceded by its length off the beginning of b.
+// cutField splits b into the field at its beginning, which is preceded by its length as a uvarint, and the rest.
 func cutField(b []byte) (field, rest []byte, ok bool) {
 	length, n := binary.Uvarint(b)
 	if n <= 0 || length > uint64(len(b)-n) {
--- a/store/recovery.go
+++ b/store/recovery.go
@@ -9,22 +9,22 @@
 	"slices"
 )
 
-// recovery is what the files of a store hold together.
+// recovery is the state that is recovered from the files of both mirrors.
 type recovery struct {
 	Report
-	id           [storeIDSize]byte // zero = no file states it
+	id           [storeIDSize]byte // zero = no file contains it
 	index        tables
 	nextRecord   uint64
 	lastChecksum checksum
-	highestFile  uint64 // highest number of a file
-	snapshot     uint64 // number of the snapshot in use; 0 = none
-	identical    bool   // both mirrors are intact and the same
-	names        [2][]string
-	fileSizes    map[string]int64 // of the files that are the same in both mirrors, by name
+	highestFile  uint64           // highest number of any file
+	snapshot     uint64           // number of the snapshot in use; 0 = none
+	identical    bool             // both mirrors are intact and have the same files
+	names        [2][]string      // names of each mirror's files
+	fileSizes    map[string]int64 // sizes of the files that are intact and the same in both mirrors, by name
 }
 
-// recoverStore reads both mirrors and combines them. A record is recovered if either mirror holds it, whatever the state of
-// the other.
+// recoverStore reads both mirrors and combines their records. A record is recovered if either mirror holds it intact,
+// whatever the state of the other mirror. It modifies no files.
 func recoverStore(files Files) (r recovery, err error) {
 	r = recovery{index: tables{}, nextRecord: 1, identical: true, fileSizes: map[string]int64{}}
 	var mirrorFiles [2]map[string]*mirrorFile
@@ -67,7 +67,8 @@
 	return r, nil
 }
 
-// newestSnapshot returns the newest intact snapshot of either mirror, or nil. The logs that it covers are not needed.
+// newestSnapshot returns the newest intact snapshot of either mirror, or nil. The log files that it covers are not needed for
+// recovery.
 func newestSnapshot(mirrorFiles [2]map[string]*mirrorFile) (newest *mirrorFile) {
 	for _, files := range mirrorFiles {
 		for _, f := range files {
@@ -79,8 +80,9 @@
 	return newest
 }
 
+// loadSnapshot sets the index from a snapshot.
 func (r *recovery) loadSnapshot(f *mirrorFile) error {
-	for _, rec := range f.records[:len(f.records)-1] { // the last one holds their number
+	for _, rec := range f.records[:len(f.records)-1] { // the last record holds the number of the others
 		if err := r.apply(rec); err != nil {
 			return err
 		}
@@ -89,7 +91,8 @@
 	return nil
 }
 
-// collectRecords returns the records after the snapshot that either mirror holds, by number.
+// collectRecords returns the records after the snapshot that either mirror holds, by number. It returns a ForeignError if
+// the log files contradict each other.
 func (r *recovery) collectRecords(mirrorFiles [2]map[string]*mirrorFile) (map[uint64]record, error) {
 	records := map[uint64]record{}
 	for _, files := range mirrorFiles {
@@ -101,7 +104,7 @@
 				if rec.number < r.nextRecord {
 					continue
 				}
-				if other, ok := records[rec.number]; ok && !bytes.Equal(other.body, rec.body) {
+				if existing, ok := records[rec.number]; ok && !bytes.Equal(existing.body, rec.body) {
 					return nil, &ForeignError{fmt.Sprintf("record %d exists twice with different contents: "+
 						"the files are of two stores or of different times", rec.number)}
 				}
@@ -112,7 +115,7 @@
 	return records, nil
 }
 
-// replay applies records in the order of their numbers. Gaps between them are lost records.
+// replay applies records in the order of their numbers. Missing numbers are reported as lost records.
 func (r *recovery) replay(records map[uint64]record) error {
 	for _, number := range slices.Sorted(maps.Keys(records)) {
 		if number > r.nextRecord {
@@ -127,7 +130,7 @@
 	return nil
 }
 
-// apply applies the changes of a record.
+// apply applies the changes of a record to the index.
 func (r *recovery) apply(rec record) error {
 	ops, err := decodeOps(rec.body)
 	if err != nil {
@@ -146,7 +149,7 @@
 	return nil
 }
 
-// readWatermark returns the number of the next record as of the last watermark, 0 if there is no intact one.
+// readWatermark returns the number of the next record according to the watermark file, or 0 if there is no intact one.
 func (r *recovery) readWatermark(files Files) (uint64, error) {
 	b, err := files.Read(watermarkName)
 	if errors.Is(err, fs.ErrNotExist) {
@@ -161,13 +164,14 @@
 		return 0, nil
 	}
 	if r.id != [storeIDSize]byte{} && id != r.id {
-		return 0, &ForeignError{watermarkName + " is of another store"}
+		return 0, &ForeignError{watermarkName + " belongs to another store"}
 	}
 	r.id = id
 	return nextRecord, nil
 }
 
-// checkForeign returns a ForeignError for a directory that has no mirrors but other files.
+// checkForeign returns a ForeignError if the directory contains files that are not a store's. It is called if the mirrors
+// have no files, so that a new store is not created among other files.
 func checkForeign(files Files) error {
 	names, err := files.List(".")
 	if err != nil {
--- a/store/report.go
+++ b/store/report.go
@@ -2,20 +2,20 @@
 
 import "fmt"
 
-// Report describes what recovery found.
+// Report holds the findings of recovery.
 type Report struct {
 	LastRecord   uint64        // number of the last record
-	Keys         int           // live keys
-	Damage       []string      // a sentence for each file that is damaged, or missing in one mirror only
-	Lost         []RecordRange // records that neither mirror holds
-	Repaired     bool          // both mirrors have been written again
-	LossAccepted bool          // the store was opened in spite of lost records
+	Keys         int           // number of live keys
+	Damage       []string      // one entry for each file that is damaged, differs between mirrors or is missing in one
+	Lost         []RecordRange // records that were written and that neither mirror holds
+	Repaired     bool          // both mirrors have been rewritten from the recovered state
+	LossAccepted bool          // the store was opened although records are lost
 }
 
-// RecordRange is a range of record numbers, both ends included.
+// RecordRange is an inclusive range of record numbers.
 type RecordRange struct{ First, Last uint64 }
 
-// String describes the range in an error or log line.
+// String returns the description of the range in errors and log lines.
 func (r RecordRange) String() string {
 	if r.First == r.Last {
 		return fmt.Sprintf("record %d", r.First)
@@ -23,13 +23,13 @@
 	return fmt.Sprintf("records %d to %d", r.First, r.Last)
 }
 
-// Check recovers a store in memory and reports what it found. It changes no files.
+// Check recovers a store in memory and returns the findings. It modifies no files.
 func Check(files Files) (Report, error) {
 	r, err := recoverStore(files)
 	return r.Report, err
 }
 
-// Contents returns the contents of a store as Open would recover them. It changes no files.
+// Contents returns the tables of a store as Open would recover them, and the findings. It modifies no files.
 func Contents(files Files) (map[Table]map[string][]byte, Report, error) {
 	r, err := recoverStore(files)
 	return r.index, r.Report, err
--- a/store/store.go
+++ b/store/store.go
@@ -1,13 +1,14 @@
-// Package store keeps a small key-value state across restarts and crashes: an append-only log in segments, an index in
-// memory, compaction into snapshots, and recovery. A store owns the files of one directory and one goroutine that writes them.
+// Package store is a small embedded key-value store whose commits survive restarts and crashes. It consists of an
+// append-only log in segments, an index in memory, compaction into snapshots, and recovery. A store owns the files of one
+// directory and one goroutine that writes commits to them.
 //
-// A commit is acknowledged once its record is durable in both of two mirrors, directories whose files have the same bytes. No
-// acknowledged record is lost if any one file is truncated at any byte, damaged or removed: recovery reads it from the other
-// mirror, repairs the first and reports that. Records that neither mirror holds are reported as lost; such a store opens only
-// with Options.AcceptLoss.
+// Each file exists in two mirrors: directories whose files have the same names and bytes. A commit is acknowledged once its
+// record is durable in both. No acknowledged record is lost if any one file is truncated at any byte, damaged or removed:
+// recovery reads the record from the other mirror, repairs the damaged one and reports that. Records that neither mirror
+// holds are reported as lost, and such a store opens only with Options.AcceptLoss.
 //
-// Commits that arrive during a write are written together afterwards (group commit). A commit waits at most for the write in
-// progress, Options.CommitDelay, and its own write.
+// Commits that arrive during a write are written together in the next one (group commit). A commit waits at most for the
+// write in progress, Options.CommitDelay, and its own write.
 package store
 
 import (
@@ -24,23 +25,26 @@
 	defaultCompactionThreshold = 1 << 20
 )
 
-// Options configure a store. The zero value is usable.
+// Options configures a store. The zero value selects the defaults.
 type Options struct {
-	// SegmentSize is the size in bytes from which on a log is followed by a new one; 0 = 4 MiB.
+	// SegmentSize is the size in bytes at which a new segment of the log is started; 0 = 4 MiB.
 	SegmentSize int64
-	// MaxBytes is the most that the files of one mirror may take; a commit beyond it is rejected with ErrFull. 0 = no limit.
+	// MaxBytes is the limit of the total size of one mirror's files in bytes. Commits beyond it are rejected with ErrFull.
+	// 0 = no limit.
 	MaxBytes int64
-	// CommitDelay is how long a commit waits for others to be written with it; 0 = only for a write in progress.
+	// CommitDelay is the time for which a commit waits for others that are then written with it. 0 = commits wait only for
+	// the write in progress.
 	CommitDelay time.Duration
-	// CompactionThreshold is the size in bytes of one mirror's files from which on they are compacted, if it is also at least
-	// four times the size of the live data; 0 = 1 MiB.
+	// CompactionThreshold is the total size of one mirror's files in bytes at which they are compacted, provided that it is
+	// at least four times the size of the live data; 0 = 1 MiB.
 	CompactionThreshold int64
-	// AcceptLoss opens a store although records are lost.
+	// AcceptLoss opens a store even if records are lost.
 	AcceptLoss bool
-	// ID is the identity of a new store, for tests that need the same files each time; zero = random.
+	// ID is the id of a new store, for tests that need reproducible files; zero = random.
 	ID [storeIDSize]byte
 }
 
+// withDefaults returns the options with defaults in place of zero values.
 func (o Options) withDefaults() Options {
 	if o.SegmentSize <= 0 {
 		o.SegmentSize = defaultSegmentSize
@@ -54,55 +58,56 @@
 // mirrors are the directories of the mirrors.
 var mirrors = [2]string{"a", "b"}
 
-// Stats describe the state of a store and its work since it was opened.
+// Stats holds the state of a store and counters since it was opened.
 type Stats struct {
 	LastRecord  uint64 // number of the last record
-	Keys        int
-	LiveBytes   int64 // keys, values and the index's overhead
-	MirrorBytes int64 // files of one mirror
-	Files       int   // of one mirror
-	Commits     int64
-	Syncs       int64 // groups of commits written
-	Failure     error // why further commits are rejected; nil = they are accepted
+	Keys        int    // number of live keys
+	LiveBytes   int64  // estimated memory of live keys and values, with the overhead of the index
+	MirrorBytes int64  // total size of one mirror's files
+	Files       int    // number of one mirror's files
+	Commits     int64  // number of durable commits
+	Syncs       int64  // number of groups of commits written and synced
+	Failure     error  // reason why commits are rejected; nil = they are accepted
 }
 
-// tables is the index: values by key, by table. Values are never changed in place.
+// tables is the index: for each table its values by key. Values are never modified in place.
 type tables map[Table]map[string][]byte
 
-// Store is an open store. Its methods may be called concurrently.
+// Store is an open store. It is safe for concurrent use.
 type Store struct {
 	files   Files
 	options Options
 	unlock  func()
 	report  Report
 
-	wake chan struct{} // there is something in queue
-	quit chan struct{} // closed by Close
-	done chan struct{} // closed when the writer has ended
+	wake chan struct{} // signals the writer that queue is not empty
+	quit chan struct{} // closed by Close to stop the writer
+	done chan struct{} // closed when the writer has stopped
 
 	mu        sync.Mutex
 	index     tables
 	liveBytes int64
-	queue     []*pendingCommit // not yet written
-	closing   bool
-	failure   error
+	queue     []*pendingCommit // waiting for the writer
+	closing   bool             // Close has been called
+	failure   error            // reason why commits are rejected, or nil
 	stats     Stats
 
-	// The following belong to the writer's goroutine.
+	// The remaining fields are owned by the writer's goroutine.
 	id           [storeIDSize]byte
 	nextRecord   uint64
-	lastChecksum checksum // of record nextRecord-1; zero if that is in a snapshot
-	logNumber    uint64   // current log
-	logs         [2]File  // current log in each mirror
-	logSize      int64
-	logWork      sync.WaitGroup // concurrent operations on logs, and their errors
-	logErrors    [2]error
-	salt         checksum                // of the current log's records
-	fileSizes    map[string]int64        // of one mirror's other files, by name
-	compaction   <-chan compactionResult // nil = no compaction is in progress
+	lastChecksum checksum                // of record nextRecord-1; zero if that record is in a snapshot
+	logNumber    uint64                  // number of the current log file
+	logs         [2]File                 // current log file in each mirror
+	logSize      int64                   // size of the current log file in bytes
+	logWork      sync.WaitGroup          // operations in progress on logs
+	logErrors    [2]error                // results of the operations on logs
+	salt         checksum                // of the checksums of the current log's records
+	fileSizes    map[string]int64        // sizes of one mirror's files except the current log, by name
+	compaction   <-chan compactionResult // result of the compaction in progress; nil = there is none
 }
 
-// Open opens a store and recovers it, or creates it if there is none. The report is valid if there is an error as well.
+// Open opens and recovers a store, or creates it if there is none. The Report is valid even if an error is returned, except
+// if the directory cannot be locked: it is then empty.
 func Open(files Files, o Options) (*Store, Report, error) {
 	unlock, err := files.Lock()
 	if err != nil {
@@ -119,7 +124,7 @@
 	return s, s.report, nil
 }
 
-// open recovers the files, repairs them and starts a new log.
+// open recovers the store, repairs the mirrors if they are damaged or differ, and starts a new log file.
 func (s *Store) open() error {
 	r, err := recoverStore(s.files)
 	s.report = r.Report
@@ -130,7 +135,7 @@
 	if lossy && !s.options.AcceptLoss {
 		return &LossError{r.Lost}
 	}
-	s.restore(&r)
+	s.adoptRecovered(&r)
 	for _, mirror := range mirrors {
 		if err := s.files.MakeDir(mirror); err != nil {
 			return err
@@ -149,8 +154,8 @@
 	return nil
 }
 
-// restore takes over the recovered state.
-func (s *Store) restore(r *recovery) {
+// adoptRecovered initializes the store from the recovered state. A new store gets Options.ID or a random id.
+func (s *Store) adoptRecovered(r *recovery) {
 	s.index, s.id, s.nextRecord, s.lastChecksum = r.index, r.id, r.nextRecord, r.lastChecksum
 	for _, table := range s.index {
 		for key, value := range table {
@@ -165,16 +170,16 @@
 	}
 }
 
-// repair makes both mirrors complete and identical before anything is appended: if they are not, the recovered state is
-// written to a snapshot, and only then are the old files removed.
+// repair makes both mirrors complete and identical before anything is appended. If they are damaged or differ, or records
+// are lost, it writes the recovered state to a new snapshot and only then removes the old files.
 func (s *Store) repair(r *recovery, lossy bool) error {
 	s.logNumber = r.highestFile
 	if r.identical && !lossy {
 		s.fileSizes = r.fileSizes
-		return s.removeCovered(r.snapshot, r.names) // left by a crash after a compaction
+		return s.removeCovered(r.snapshot, r.names) // files that a crash after a compaction left behind
 	}
 	s.report.Repaired = true
-	s.logNumber++ // the snapshot covers all logs up to this number, which no log has
+	s.logNumber++ // the snapshot covers all logs up to this number, which no log file has
 	size, err := s.writeSnapshot(s.logNumber, s.nextRecord, s.index)
 	if err != nil {
 		return err
@@ -187,16 +192,16 @@
 	return nil
 }
 
-// entrySize is the estimated memory of an entry in bytes.
+// entrySize returns the estimated memory of an index entry in bytes.
 func entrySize(key string, value []byte) int64 {
 	const overhead = 64
 	return int64(len(key)+len(value)) + overhead
 }
 
-// Report returns what recovery found when the store was opened.
+// Report returns the findings of recovery when the store was opened.
 func (s *Store) Report() Report { return s.report }
 
-// Get returns the value of a key. The caller must not change it.
+// Get returns the value of a key. The caller must not modify it.
 func (s *Store) Get(table Table, key string) (value []byte, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -204,14 +209,14 @@
 	return value, ok
 }
 
-// All returns a copy of a table. The caller must not change its values.
+// All returns a copy of a table. The caller must not modify the values.
 func (s *Store) All(table Table) map[string][]byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.index[table])
 }
 
-// Stats returns the present figures.
+// Stats returns the current statistics.
 func (s *Store) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -223,35 +228,37 @@
 	return stats
 }
 
-// Commit applies changes, all or none of them, and returns when they are durable.
+// Commit applies changes atomically and returns when they are durable. After an error none of them is applied, except that
+// if the store has failed during the commit, they may be found applied when the store is opened again.
 func (s *Store) Commit(ops ...Op) error {
 	result := make(chan error, 1)
 	s.CommitAsync(func(err error) { result <- err }, ops...)
 	return <-result
 }
 
-// CommitAsync applies changes without waiting. done is called once, when the changes are durable or with the reason why they
-// are not applied. It is called in the store's own goroutine and must not block.
+// CommitAsync applies changes atomically without waiting. done is called exactly once: with nil when the changes are
+// durable, or with the reason why they are not applied. It is called in a goroutine of the store and must not block.
 func (s *Store) CommitAsync(done func(error), ops ...Op) {
 	s.enqueue(&pendingCommit{ops: ops, done: done})
 }
 
-// Compact compacts the store now and returns when that is done.
+// Compact compacts the store and returns when the compaction is complete.
 func (s *Store) Compact() error {
 	result := make(chan error, 1)
 	s.enqueue(&pendingCommit{done: func(err error) { result <- err }, compaction: true})
 	return <-result
 }
 
+// enqueue adds a commit to the queue and wakes the writer. If the store is closed it calls done with ErrClosed.
 func (s *Store) enqueue(p *pendingCommit) {
 	s.mu.Lock()
 	closing := s.closing
-	if !closing { // if the store has failed the writer reports that, in its own goroutine
+	if !closing { // if the store has failed, the writer reports the error in its own goroutine
 		s.queue = append(s.queue, p)
 	}
 	s.mu.Unlock()
 	if closing {
-		go p.done(ErrClosed) // not in the caller's goroutine, which may hold a lock that done needs
+		go p.done(ErrClosed) // not in the caller's goroutine, which may hold a lock that done acquires
 		return
 	}
 	select {
@@ -260,7 +267,7 @@
 	}
 }
 
-// Close writes the queued commits and closes the store.
+// Close writes the queued commits and closes the store. It returns the error with which the store has failed, if any.
 func (s *Store) Close() error {
 	s.mu.Lock()
 	first := !s.closing
--- a/store/store_test.go
+++ b/store/store_test.go
@@ -14,26 +14,26 @@
 
 var testID = [16]byte{1, 2, 3}
 
-// smallSegments are options with which a few commits fill a segment, and nothing is compacted unless Compact is called.
+// smallSegments returns options with which a few commits fill a segment and only Compact starts a compaction.
 func smallSegments() store.Options {
 	return store.Options{SegmentSize: 900, CompactionThreshold: 1 << 40, ID: testID}
 }
 
-// contents is what table 1 of a store should hold.
+// contents holds the expected contents of table 1 of a store.
 type contents map[string]string
 
-// check compares a store with what it should hold.
+// check compares table 1 of a store with the expected contents.
 func (want contents) check(t *testing.T, s *store.Store, when string) {
 	t.Helper()
 	got := s.All(1)
 	for key, value := range want {
 		if string(got[key]) != value {
-			t.Fatalf("%s: %s is %q, acknowledged was %q", when, key, got[key], value)
+			t.Fatalf("%s: %s is %q, want the acknowledged value %q", when, key, got[key], value)
 		}
 	}
 	for key := range got {
 		if _, ok := want[key]; !ok {
-			t.Fatalf("%s: %s exists and was never committed, or was deleted", when, key)
+			t.Fatalf("%s: %s exists although it was never committed or was deleted", when, key)
 		}
 	}
 }
@@ -41,7 +41,7 @@
 func set(key, value string) store.Op { return store.Op{Table: 1, Key: key, Value: []byte(value)} }
 func del(key string) store.Op        { return store.Op{Table: 1, Key: key, Delete: true} }
 
-// fill makes commits, with a compaction halfway, and returns what the store should hold.
+// fill makes commits, with a compaction halfway, and returns the contents that result from them.
 func fill(t *testing.T, s *store.Store, commits int) contents {
 	t.Helper()
 	want := contents{}
@@ -150,7 +150,7 @@
 	s, _ := open(t, faultdisk.New(1))
 	defer s.Close()
 	if err := s.Commit(set("k", strings.Repeat("x", 2<<20))); err == nil {
-		t.Error("a commit of two megabytes was accepted")
+		t.Error("a commit of 2 MiB was accepted")
 	}
 	if err := s.Commit(set("k", "small")); err != nil {
 		t.Error(err)
@@ -173,7 +173,7 @@
 	if rejected == 0 || s.Stats().MirrorBytes > 6000+1000 {
 		t.Errorf("%d rejected, %+v", rejected, s.Stats())
 	}
-	// Deleted data makes room, by compaction.
+	// After all keys have been deleted a compaction frees space.
 	for i := range 300 {
 		s.Commit(del(fmt.Sprint(i)))
 	}
--- a/store/writer.go
+++ b/store/writer.go
@@ -9,17 +9,17 @@
 	"time"
 )
 
-// pendingCommit is a commit, or a request for a compaction, that waits for the writer.
+// pendingCommit is a commit or a request for a compaction in the writer's queue.
 type pendingCommit struct {
 	ops        []Op
 	done       func(error)
-	compaction bool // compact; there are no ops
+	compaction bool // a request for a compaction, without ops
 }
 
-// maxGroupSize is the size in bytes from which on a group of commits takes no more.
+// maxGroupSize is the size of keys and values in bytes at which no more commits are added to a group.
 const maxGroupSize = 1 << 20
 
-// run is the writer's goroutine.
+// run is the writer's goroutine. It writes queued commits and ends compactions until the store is closed.
 func (s *Store) run() {
 	defer close(s.done)
 	defer s.unlock()
@@ -40,7 +40,7 @@
 	if s.compaction != nil {
 		s.finishCompaction(<-s.compaction)
 	}
-	if s.failed() == nil {
+	if s.failureReason() == nil {
 		s.writeWatermark()
 	}
 	s.closeLogs()
@@ -51,14 +51,14 @@
 	s.mu.Unlock()
 }
 
-// failed returns why the store accepts no more commits, or nil.
-func (s *Store) failed() error {
+// failureReason returns the reason why the store rejects commits, or nil.
+func (s *Store) failureReason() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.failure
 }
 
-// fail ends writing until the store is opened again.
+// fail makes the store reject all commits until it is opened again. Only the first error is kept.
 func (s *Store) fail(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -67,7 +67,7 @@
 	}
 }
 
-// writeQueued writes all that is queued, a group at a time.
+// writeQueued writes all queued commits in groups.
 func (s *Store) writeQueued() {
 	for {
 		group := s.nextGroup()
@@ -83,7 +83,7 @@
 	}
 }
 
-// nextGroup takes a group off the queue.
+// nextGroup removes the next group of commits from the queue and returns it.
 func (s *Store) nextGroup() []*pendingCommit {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -102,9 +102,10 @@
 	return group
 }
 
-// writeGroup writes the commits of a group and calls their done functions, and then compacts for those that ask for it.
+// writeGroup writes the commits of a group and calls their done functions. Afterwards it runs the compactions that the group
+// requests.
 func (s *Store) writeGroup(group []*pendingCommit) {
-	failure := s.failed()
+	failure := s.failureReason()
 	e := groupEncoding{nextRecord: s.nextRecord, lastChecksum: s.lastChecksum}
 	var compactions []*pendingCommit
 	for _, p := range group {
@@ -122,7 +123,7 @@
 	}
 }
 
-// groupEncoding is the records of a group of commits.
+// groupEncoding holds the encoded records of a group of commits and the state after them.
 type groupEncoding struct {
 	commits      []*pendingCommit
 	bytes        []byte
@@ -130,6 +131,7 @@
 	lastChecksum checksum
 }
 
+// add appends the record of a commit. It returns an error if the record would exceed maxRecordSize.
 func (e *groupEncoding) add(p *pendingCommit, salt checksum) error {
 	body := encodeOps(p.ops)
 	if len(body) > maxRecordSize {
@@ -141,7 +143,8 @@
 	return nil
 }
 
-// writeCommits writes the records of a group, unless err is set already, and applies and acknowledges its commits.
+// writeCommits writes the records of a group and then applies and acknowledges its commits. If err is not nil, or writing
+// fails, it rejects them instead.
 func (s *Store) writeCommits(e *groupEncoding, err error) {
 	if err == nil && s.options.MaxBytes > 0 && s.mirrorBytes()+int64(len(e.bytes)) > s.options.MaxBytes {
 		err = ErrFull
@@ -153,7 +156,7 @@
 		for _, p := range e.commits {
 			p.done(err)
 		}
-		s.maybeCompact() // may make room if the store is full
+		s.maybeCompact() // may free space if the store is full
 		return
 	}
 	s.nextRecord, s.lastChecksum = e.nextRecord, e.lastChecksum
@@ -170,7 +173,7 @@
 	s.maybeCompact()
 }
 
-// applyCommits changes the index and the figures.
+// applyCommits applies durable commits to the index and updates the statistics.
 func (s *Store) applyCommits(commits []*pendingCommit) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -185,6 +188,7 @@
 	s.stats.MirrorBytes, s.stats.Files = s.mirrorBytes(), len(s.fileSizes)+1
 }
 
+// apply applies one change to the index. The caller must hold mu.
 func (s *Store) apply(op Op) {
 	table := s.index[op.Table]
 	if previous, ok := table[op.Key]; ok {
@@ -202,15 +206,16 @@
 	s.liveBytes += entrySize(op.Key, op.Value)
 }
 
-// appendToLogs appends bytes to both logs and makes them durable. After a failed write, as on a full disk, both logs are
-// truncated and a later write may succeed. A failed sync is never repeated: which bytes are durable is unknown, and a second
-// sync may succeed without having written anything.
+// appendToLogs appends bytes to the logs of both mirrors and makes them durable. After a failed write, for example on a
+// full disk, both logs are truncated to their previous size and a later write may succeed. A failed sync makes the store
+// fail and is never repeated: it is unknown which bytes are durable, and a second sync may succeed without having written
+// any.
 func (s *Store) appendToLogs(b []byte) error {
 	if err := s.forEachLog(writeLog, b); err != nil {
 		for _, f := range s.logs {
 			if truncateErr := f.Truncate(s.logSize); truncateErr != nil {
 				s.fail(errors.Join(err, truncateErr))
-				return s.failed()
+				return s.failureReason()
 			}
 		}
 		if isDiskFull(err) {
@@ -220,7 +225,7 @@
 	}
 	if err := s.forEachLog(syncLog, nil); err != nil {
 		s.fail(err)
-		return s.failed()
+		return s.failureReason()
 	}
 	return nil
 }
@@ -245,11 +250,12 @@
 	return errors.Join(s.logErrors[0], s.logErrors[1])
 }
 
+// isDiskFull reports whether an error means that the disk or the disk quota is exhausted.
 func isDiskFull(err error) bool {
 	return errors.Is(err, syscall.ENOSPC) || errors.Is(err, syscall.EDQUOT)
 }
 
-// startLog closes the current log and starts the next one in both mirrors.
+// startLog closes the current log file and starts the next one in both mirrors.
 func (s *Store) startLog() error {
 	if s.logs[0] != nil {
 		s.fileSizes[logName(s.logNumber)] = s.logSize
@@ -257,7 +263,7 @@
 	s.closeLogs()
 	s.logs = [2]File{}
 	s.logNumber++
-	h := header{version: Version, kind: kindLog, file: s.logNumber, first: s.nextRecord, storeID: s.id, chain: s.lastChecksum}
+	h := header{version: Version, kind: kindLog, file: s.logNumber, first: s.nextRecord, storeID: s.id, previousChecksum: s.lastChecksum}
 	b := h.encode()
 	for i, mirror := range mirrors {
 		f, err := s.files.Create(path.Join(mirror, logName(s.logNumber)))
@@ -287,8 +293,9 @@
 	}
 }
 
-// writeWatermark records the number of the next record in a file outside the mirrors, so that a truncation of both logs is
-// detected. It is written when a log is started and when the store is closed; later records are not covered by it.
+// writeWatermark stores the number of the next record in a file outside the mirrors, so that the truncation of a log in
+// both mirrors is detected. It is called when a log file is started and when the store is closed; records written since
+// then are not covered.
 func (s *Store) writeWatermark() error {
 	err := s.writeAtomically(temporaryWatermark, watermarkName, encodeWatermark(s.id, s.nextRecord))
 	if err != nil {
@@ -297,7 +304,8 @@
 	return err
 }
 
-// writeAtomically writes a file under a temporary name, makes it durable and renames it.
+// writeAtomically writes a file under a temporary name, syncs it, renames it and syncs the directory, so that after a crash
+// the file has either its old or its new contents.
 func (s *Store) writeAtomically(temporary, name string, b []byte) error {
 	f, err := s.files.Create(temporary)
 	if err != nil {
@@ -316,7 +324,7 @@
 	return s.files.SyncDir(path.Dir(name))
 }
 
-// mirrorBytes is the size of one mirror's files.
+// mirrorBytes returns the total size of one mirror's files in bytes.
 func (s *Store) mirrorBytes() int64 {
 	bytes := s.logSize
 	for _, size := range s.fileSizes {
