--- a/maintenance/command.go
+++ b/maintenance/command.go
@@ -6,17 +6,17 @@
 	"fmt"
 )
 
-// FormatVersion is the version of the encoding of commands and snapshots. A replica that meets a newer one must stop: guessing would
-// make its state differ from the others'.
+// FormatVersion is the version of the encoding of commands and snapshots. A replica that reads a later version must
+// stop: if it guessed the meaning, its state would diverge from that of the other replicas.
 const FormatVersion = 1
 
-// ErrNewerFormat is returned for a command or snapshot that a later version of the program wrote.
+// ErrNewerFormat is returned for a command or snapshot whose format version is later than FormatVersion.
 var ErrNewerFormat = errors.New("written by a later version of the program")
 
 // Command is one entry of the log. Exactly one of the fields after At is set.
 type Command struct {
 	V             int            `json:"v"`  // FormatVersion of the writer
-	At            Time           `json:"at"` // by the clock of the replica that proposed it
+	At            Time           `json:"at"` // time of the proposal, by the clock of the proposing leader
 	Join          *Join          `json:"join,omitempty"`
 	Renew         *Renew         `json:"renew,omitempty"`
 	Leave         *Leave         `json:"leave,omitempty"`
@@ -33,7 +33,7 @@
 }
 
 type (
-	// Join makes a gatherer a member, or announces a new incarnation of one.
+	// Join registers a gatherer as a member, or a new incarnation of an existing member.
 	Join struct {
 		Name        MemberName  `json:"name"`
 		Zone        Zone        `json:"zone"`
@@ -48,40 +48,40 @@
 		Counts      RequestCounts `json:"figures"`
 		Suspects    []MemberName  `json:"suspects,omitempty"`
 	}
-	// Leave announces that a member shuts down.
+	// Leave announces that a member is shutting down.
 	Leave struct {
 		Name        MemberName  `json:"name"`
 		Incarnation Incarnation `json:"incarnation"`
 	}
-	// RequestPermit requests a permit to be out. Repeated by the same incarnation it returns the same permit.
+	// RequestPermit requests a permit to be out. While the member holds a permit, a repeated request returns that permit.
 	RequestPermit struct {
 		Name        MemberName  `json:"name"`
-		Incarnation Incarnation `json:"incarnation"` // 0 = the current one, for a request by an operator
+		Incarnation Incarnation `json:"incarnation"` // 0 = the current one, for requests by an operator
 		Reason      string      `json:"why"`
 	}
-	// ReturnPermit returns a permit: its holder is in again.
+	// ReturnPermit returns a permit because its holder is in service again.
 	ReturnPermit struct {
 		Name  MemberName `json:"name"`
 		Epoch Epoch      `json:"epoch"`
 	}
-	// Forget is an operator's statement that a member will not come back.
+	// Forget removes a member that, according to an operator, will not come back.
 	Forget struct {
 		Name MemberName `json:"name"`
 	}
-	// UpdateServers is the current server list. Servers that it does not name have gone.
+	// UpdateServers carries the current server list. Servers that are not in it count as out.
 	UpdateServers struct {
 		Servers []ListedServer `json:"servers"`
 	}
-	// ListedServer is a server of the list.
+	// ListedServer is an entry of the server list.
 	ListedServer struct {
 		Name        MemberName  `json:"name"`
 		Zone        Zone        `json:"zone"`
 		Version     Version     `json:"version,omitempty"`
-		Incarnation Incarnation `json:"incarnation"` // when it started
+		Incarnation Incarnation `json:"incarnation"` // start time of the server
 		Status      Status      `json:"status"`
 		Segments    []Segment   `json:"segments"`
 	}
-	// HaltRelease halts a release where it is.
+	// HaltRelease halts a running release: it starts no changes and gives no orders until it is resumed or rolled back.
 	HaltRelease struct {
 		ID     ReleaseID `json:"id"`
 		Reason string    `json:"why"`
@@ -94,17 +94,17 @@
 	RollBack struct {
 		ID ReleaseID `json:"id"`
 	}
-	// AdvanceTime changes nothing but the time.
+	// AdvanceTime only advances the time of the state.
 	AdvanceTime struct{}
 )
 
-// Encode returns a command's form in the log.
+// Encode returns the encoding of a command that is stored in the log.
 func (c Command) Encode() ([]byte, error) {
 	c.V = FormatVersion
 	return json.Marshal(c)
 }
 
-// Decode parses an encoded command. The error is ErrNewerFormat for one of a later version.
+// Decode parses an encoded command. The error wraps ErrNewerFormat if the command has a later format version.
 func Decode(b []byte) (Command, error) {
 	if err := checkFormat(b); err != nil {
 		return Command{}, fmt.Errorf("decode command: %w", err)
@@ -116,7 +116,7 @@
 	return c, nil
 }
 
-// checkFormat rejects what is not JSON, and what has a later format than this program's.
+// checkFormat returns an error if b is not valid JSON or has a format version later than FormatVersion.
 func checkFormat(b []byte) error {
 	var version struct {
 		V int `json:"v"`
--- a/maintenance/doc.go
+++ b/maintenance/doc.go
@@ -1,15 +1,18 @@
-// Package maintenance is the replicated state machine that keeps maintenance of a fleet of gatherers and servers within limits: who
-// is a member, who may be out of service, and how far a release has got. The same commands in the same order give the same state on
-// every replica. It does no I/O, reads no clock and starts no goroutine; time comes with the commands and never goes back.
+// Package maintenance implements the replicated state machine that keeps the maintenance of a fleet of gatherers and
+// servers within configured limits. It tracks the members of the fleet, which of them may be out of service ("out"),
+// and the progress of releases. Applying the same commands in the same order yields the same state on every replica.
+// The package performs no I/O, reads no clock and starts no goroutines; commands carry the time, which never decreases.
 //
-// The state holds the members with their leases, the permits to be out, the limits on who may be out together, and the releases. A
-// permit bears the epoch of the command that granted it. A later command that names an older epoch, or an older incarnation of a
-// member, changes nothing.
+// The state holds the members and their leases, the permits to be out, the limits on how many members may be out at the
+// same time, and the releases. A permit carries the epoch of the command that granted it. A later command that names an
+// older epoch, or an older incarnation of a member, changes nothing.
 //
-// The invariant: a permit is granted only where, by what the state machine knows, no limit is exceeded afterwards; and a permit counts
-// until its holder returned it or an operator removed the holder. The end of a lease frees no permit: a holder that was suspended may
-// resume and go on where it stopped.
+// Invariant: a permit is granted only if, according to the replicated state, no limit is exceeded afterwards. A permit
+// counts against the limits until its holder returns it or is ready again after a restart, until the release that
+// requested it has changed the holder, or until an operator removes the holder. The expiry of a lease does not end a
+// permit, because a suspended holder may resume and continue where it stopped.
 //
-// Reasons that are part of the state (Permit.Reason, Release.HaltReason) are formatted by each replica on its own. Their wording must
-// not change within a FormatVersion, as replicas of different program versions would differ in their states.
+// Permit.Reason and Release.HaltReason are part of the state, and each replica formats them independently. Their
+// wording must not change within a FormatVersion: replicas that run different program versions would otherwise have
+// different states.
 package maintenance
--- a/maintenance/drainer_test.go
+++ b/maintenance/drainer_test.go
@@ -3,36 +3,36 @@
 import "testing"
 
 func TestDrainerRequestsThenDrains(t *testing.T) {
-	h := NewDrainer(1000)
-	if got := h.Begin(0); !got.RequestPermit || got.Drain {
+	d := NewDrainer(1000)
+	if got := d.Begin(0); !got.RequestPermit || got.Drain {
 		t.Fatalf("action after Begin: %+v", got)
 	}
-	if got := h.HandleReply(10, nil); got.Drain || got.RequestPermit || got.PollAt != 50 {
+	if got := d.HandleReply(10, nil); got.Drain || got.RequestPermit || got.PollAt != 50 {
 		t.Errorf("action after a refusal: %+v", got)
 	}
-	if got := h.Poll(50); !got.RequestPermit {
+	if got := d.Poll(50); !got.RequestPermit {
 		t.Errorf("action at the next request: %+v", got)
 	}
-	if got := h.Poll(1000); !got.Drain || got.Permitted {
-		t.Errorf("action after the time-out: %+v", got)
+	if got := d.Poll(1000); !got.Drain || got.Permitted {
+		t.Errorf("action after the timeout: %+v", got)
 	}
-	if got := h.HandleReply(1001, &Permit{Epoch: 4}); got.Drain {
-		t.Errorf("action of a drainer that drains already: %+v", got)
+	if got := d.HandleReply(1001, &Permit{Epoch: 4}); got.Drain {
+		t.Errorf("action of a drainer that is already draining: %+v", got)
 	}
-	h = NewDrainer(1000)
-	h.Begin(0)
-	if got := h.HandleReply(5, &Permit{Epoch: 4}); !got.Drain || !got.Permitted {
+	d = NewDrainer(1000)
+	d.Begin(0)
+	if got := d.HandleReply(5, &Permit{Epoch: 4}); !got.Drain || !got.Permitted {
 		t.Errorf("action after a grant: %+v", got)
 	}
-	// Cancelled before the reply arrived: the late reply brings a permit that was returned.
-	h = NewDrainer(1000)
-	h.Begin(0)
-	h.permit = &Permit{Epoch: 4}
-	if p := h.Cancel(); p == nil || p.Epoch != 4 {
+	// The shutdown was cancelled and its permit returned; a delayed reply with this permit then arrives.
+	d = NewDrainer(1000)
+	d.Begin(0)
+	d.permit = &Permit{Epoch: 4}
+	if p := d.Cancel(); p == nil || p.Epoch != 4 {
 		t.Errorf("permit to return: %+v", p)
 	}
-	h.Begin(10)
-	if got := h.HandleReply(11, &Permit{Epoch: 4}); got.Drain {
-		t.Errorf("action by a returned permit: %+v", got)
+	d.Begin(10)
+	if got := d.HandleReply(11, &Permit{Epoch: 4}); got.Drain {
+		t.Errorf("action after a reply with a returned permit: %+v", got)
 	}
 }
--- a/maintenance/faults_test.go
+++ b/maintenance/faults_test.go
@@ -2,10 +2,11 @@
 
 import "fmt"
 
-// fault is a kind of fault, or of action of an operator or of the platform.
+// fault is a kind of fault, or an action of an operator or of the platform, that a test injects.
 type fault int
 
-// The faults. The numbers are drawn at random; shutdowns and releases have two, to be drawn more often.
+// The kinds of faults. Tests draw them uniformly at random; shutdowns and releases have two values each so that they
+// are drawn twice as often.
 const (
 	crash fault = iota
 	suspendOrResume
@@ -22,10 +23,10 @@
 	rollBackReleases
 	resumeReleases
 	forgetDead
-	faultKinds // how many there are
+	faultKinds // number of kinds
 )
 
-// inject injects one fault.
+// inject injects one fault; i selects the gatherer where the fault concerns only one.
 func (f *fleetModel) inject(kind fault, i int) {
 	g := f.gatherers[i%len(f.gatherers)]
 	switch kind {
@@ -62,25 +63,28 @@
 	case forgetDead:
 		if g.dead {
 			f.propose(Command{Forget: &Forget{Name: memberName(g.i)}}, func(_ Result, err error) {
-				g.permittedOut = g.permittedOut && err != nil // the operator states that it will not come back
+				g.permittedOut = g.permittedOut && err != nil // the operator has confirmed that it will not come back
 			})
 		}
 	}
 }
 
+// shutDown requests the shutdown of a running gatherer.
 func (f *fleetModel) shutDown(g *simGatherer) {
 	if !g.dead && !g.suspended {
 		f.act(g, g.drainer.Begin(f.now))
 	}
 }
 
+// proposeForReleases proposes a command for each release.
 func (f *fleetModel) proposeForReleases(command func(ReleaseID) Command) {
 	for _, r := range f.leader.Releases {
 		f.propose(command(r.Plan.ID), nil)
 	}
 }
 
-// recover ends all faults and lets ongoing changes complete.
+// recover ends all faults, lets the changes in progress complete and checks that each release has ended or has halted
+// with a reason.
 func (f *fleetModel) recover() {
 	f.loss = 0
 	for _, g := range f.gatherers {
@@ -98,7 +102,7 @@
 	for _, r := range f.leader.Releases {
 		if r.Phase == Running {
 			b, _ := f.leader.Snapshot()
-			f.t.Fatalf("release %s is stuck: %s", r.Plan.ID, b)
+			f.t.Fatalf("release %s is still running after all faults have ended: %s", r.Plan.ID, b)
 		}
 		if r.Phase == Halted && r.HaltReason == "" {
 			f.t.Fatalf("release %s halted without a reason", r.Plan.ID)
--- a/maintenance/fleetmodel_test.go
+++ b/maintenance/fleetmodel_test.go
@@ -7,19 +7,20 @@
 	"slices"
 )
 
-// fleetModel is a fleet in one process: the leader's state, a follower's that applies the same log later, gatherers with leases and
-// permits, and hooks that carry out releases. Messages between them are lost, duplicated and reordered. Who is out is counted by what
-// the gatherers do, not by what the state says.
+// fleetModel simulates a fleet in one process: the state of the leader, the state of a follower that applies the same
+// log later, gatherers with leases and permits, and hooks that carry out releases. Messages between them are lost,
+// duplicated and reordered. Which gatherers are out is determined from the behaviour of the gatherers, not from the
+// replicated state.
 type fleetModel struct {
 	t               interface{ Fatalf(string, ...any) }
 	rand            *rand.Rand
 	now             Time
 	leader          *State
 	log             []Command
-	follower        *State // applies the log later, at times from a snapshot
+	follower        *State // applies the log later, sometimes after a restore from its snapshot
 	gatherers       []*simGatherer
 	messages        []message
-	loss            float64 // share of messages that are lost, and of those that are duplicated
+	loss            float64 // probability that a message is lost, and that it is sent twice
 	maxOut          int
 	zones           int
 	maxOutPerZone   int
@@ -29,12 +30,13 @@
 
 const drainTimeout Duration = 4000
 
-// message is a message in transit and the effect of its arrival.
+// message is a message in transit: its arrival time and the effect of its arrival.
 type message struct {
-	at Time
-	do func()
+	at      Time
+	deliver func()
 }
 
+// simGatherer is a simulated gatherer.
 type simGatherer struct {
 	i            int
 	zone         Zone
@@ -42,23 +44,23 @@
 	incarnation  Incarnation
 	dead         bool
 	suspended    bool
-	partitioned  bool // no message from or to it arrives
+	partitioned  bool // messages from and to it are lost
 	joined       bool
 	readyAt      Time // end of its warm-up
 	drainer      *Drainer
-	permittedOut bool // from a permitted drain until it has warmed up again
-	draining     bool // it will exit
+	permittedOut bool // true from a drain with a permit until it is ready again
+	draining     bool // it drains and will then exit
 	renewAt      Time
 	pollAt       Time
-	lastOrder    Epoch // last order that its hook carried out
+	lastOrder    Epoch // epoch of the last order that its hook carried out
 	wrongVersion bool
 	hookHangs    bool
 	counts       RequestCounts
 }
 
-func newFleetModel(t interface{ Fatalf(string, ...any) }, seed uint64, n, zones, most, inZone int, loss float64) *fleetModel {
-	f := &fleetModel{t: t, rand: rand.New(rand.NewPCG(seed, 1)), now: 1000, maxOut: most, zones: zones, maxOutPerZone: inZone, loss: loss}
-	l := Limits{MaxGatherers: most, MaxGatherersPerZone: inZone, LeaseDuration: 3000}
+func newFleetModel(t interface{ Fatalf(string, ...any) }, seed uint64, n, zones, maxOut, maxOutPerZone int, loss float64) *fleetModel {
+	f := &fleetModel{t: t, rand: rand.New(rand.NewPCG(seed, 1)), now: 1000, maxOut: maxOut, zones: zones, maxOutPerZone: maxOutPerZone, loss: loss}
+	l := Limits{MaxGatherers: maxOut, MaxGatherersPerZone: maxOutPerZone, LeaseDuration: 3000}
 	f.leader, f.follower = New(l), New(l)
 	for i := range n {
 		f.gatherers = append(f.gatherers, &simGatherer{i: i, zone: Zone(fmt.Sprint("z", i%zones)), version: "v1", incarnation: 1,
@@ -68,10 +70,10 @@
 }
 
 // send sends a message, which may be lost, duplicated or reordered.
-func (f *fleetModel) send(do func()) {
+func (f *fleetModel) send(deliver func()) {
 	for range 2 {
 		if f.rand.Float64() >= f.loss {
-			f.messages = append(f.messages, message{f.now + Time(f.rand.IntN(40)), do})
+			f.messages = append(f.messages, message{f.now + Time(f.rand.IntN(40)), deliver})
 		}
 		if f.rand.Float64() >= f.loss {
 			return
@@ -84,7 +86,7 @@
 	c.At = f.now
 	f.log = append(f.log, c)
 	r, err := f.leader.Apply(Epoch(len(f.log)), c)
-	if n := f.newPermits(); n > 0 && c.RollBack == nil { // a rollback renews permits that were granted already
+	if n := f.newPermits(); n > 0 && c.RollBack == nil { // a rollback gives existing permits a new epoch
 		f.grants += n
 		f.checkGrant()
 	}
@@ -96,7 +98,7 @@
 	}
 }
 
-// newPermits returns how many permits the last command granted.
+// newPermits returns the number of permits that the last command granted.
 func (f *fleetModel) newPermits() (n int) {
 	for _, m := range f.leader.Members {
 		if m.Permit != nil && m.Permit.Epoch == f.leader.Applied {
@@ -106,26 +108,27 @@
 	return n
 }
 
-// checkGrant checks a grant against the limits, by a reading of the members of its own.
+// checkGrant checks a grant against the limits. It counts the members that are out independently of the code under test.
 func (f *fleetModel) checkGrant() {
-	out, zone := 0, map[Zone]int{}
+	out, outInZone := 0, map[Zone]int{}
 	for _, m := range f.leader.Members {
 		if m.Permit != nil || m.LeaseEnd <= f.leader.Now || m.Status != Ready {
 			out++
-			zone[m.Zone]++
+			outInZone[m.Zone]++
 		}
 	}
 	if out > f.maxOut {
 		f.t.Fatalf("at %d a permit was granted with %d out, at most %d may be", f.now, out, f.maxOut)
 	}
 	for _, m := range f.leader.Members {
-		if m.Permit != nil && m.Permit.Epoch == f.leader.Applied && f.maxOutPerZone > 0 && zone[m.Zone] > f.maxOutPerZone {
-			f.t.Fatalf("at %d a permit was granted with %d out in %s, at most %d may be", f.now, zone[m.Zone], m.Zone, f.maxOutPerZone)
+		if m.Permit != nil && m.Permit.Epoch == f.leader.Applied && f.maxOutPerZone > 0 && outInZone[m.Zone] > f.maxOutPerZone {
+			f.t.Fatalf("at %d a permit was granted with %d out in %s, at most %d may be", f.now, outInZone[m.Zone], m.Zone, f.maxOutPerZone)
 		}
 	}
 }
 
-// catchUp applies the rest of the log on the follower, at times from a snapshot, and compares the two states.
+// catchUp applies the rest of the log to the follower, sometimes after restoring it from its snapshot, and checks that
+// the leader and the follower have the same state.
 func (f *fleetModel) catchUp() {
 	if f.rand.IntN(3) == 0 {
 		b, err := f.follower.Snapshot()
@@ -151,53 +154,55 @@
 	a, _ := f.leader.Snapshot()
 	b, _ := f.follower.Snapshot()
 	if !bytes.Equal(a, b) {
-		f.t.Fatalf("two replicas with the same log differ:\n%s\n%s", a, b)
+		f.t.Fatalf("two replicas that applied the same log have different states:\n%s\n%s", a, b)
 	}
 }
 
-// checkLimits checks who is really out with a permit against the limits.
+// checkLimits checks the number of gatherers that are actually out with a permit against the limits.
 func (f *fleetModel) checkLimits() {
-	out, zone := 0, map[Zone]int{}
+	out, outInZone := 0, map[Zone]int{}
 	for _, g := range f.gatherers {
 		if g.permittedOut {
 			out++
-			zone[g.zone]++
+			outInZone[g.zone]++
 		}
 	}
 	if out > f.maxOut {
 		f.t.Fatalf("at %d %d gatherers are out with a permit, at most %d may be", f.now, out, f.maxOut)
 	}
-	for z, n := range zone {
+	for z, n := range outInZone {
 		if f.maxOutPerZone > 0 && n > f.maxOutPerZone {
 			f.t.Fatalf("at %d %d gatherers of %s are out with a permit, at most %d may be", f.now, n, z, f.maxOutPerZone)
 		}
 	}
 }
 
-// recordDrain records that a gatherer goes out with a permit.
+// recordDrain records that a gatherer starts to drain with a permit.
 func (f *fleetModel) recordDrain(g *simGatherer) {
 	g.permittedOut, g.draining = true, true
 	f.permittedDrains++
 	f.checkLimits()
 }
 
+// start starts a new incarnation of a gatherer.
 func (f *fleetModel) start(g *simGatherer, v Version) {
 	g.incarnation++
 	g.version, g.dead, g.suspended, g.joined, g.draining, g.drainer = v, false, false, false, false, NewDrainer(drainTimeout)
 	g.readyAt, g.renewAt, g.counts = f.now+Time(200+f.rand.IntN(800)), f.now, RequestCounts{}
 }
 
-// runGatherer does what is due for a gatherer. A reply counts only for the incarnation that asked.
+// runGatherer performs the actions of a gatherer that are due. A reply is accepted only by the incarnation that sent
+// the request.
 func (f *fleetModel) runGatherer(g *simGatherer) {
 	if g.dead || g.suspended {
 		return
 	}
-	run, name := g.incarnation, memberName(g.i)
+	incarnation, name := g.incarnation, memberName(g.i)
 	if f.now >= g.renewAt {
 		g.renewAt = f.now + 1000
 		if !g.joined {
-			f.proposeFrom(g, Command{Join: &Join{Name: name, Zone: g.zone, Version: g.version, Incarnation: run}}, func(_ Result, err error) {
-				g.joined = g.joined || err == nil && g.incarnation == run
+			f.proposeFrom(g, Command{Join: &Join{Name: name, Zone: g.zone, Version: g.version, Incarnation: incarnation}}, func(_ Result, err error) {
+				g.joined = g.joined || err == nil && g.incarnation == incarnation
 			})
 		} else {
 			status := Ready
@@ -208,9 +213,9 @@
 			}
 			g.counts.Answered += 100
 			if status == Ready {
-				g.permittedOut = false // it is ready; the state learns of it from this message at the earliest
+				g.permittedOut = false // it is ready, and the state is updated by this message at the earliest
 			}
-			f.proposeFrom(g, Command{Renew: &Renew{Name: name, Incarnation: run, Status: status, Counts: g.counts}}, nil)
+			f.proposeFrom(g, Command{Renew: &Renew{Name: name, Incarnation: incarnation, Status: status, Counts: g.counts}}, nil)
 		}
 	}
 	if f.now >= g.pollAt {
@@ -218,6 +223,7 @@
 	}
 }
 
+// proposeFrom sends a command from a gatherer to the leader, and the result back to done.
 func (f *fleetModel) proposeFrom(g *simGatherer, c Command, done func(Result, error)) {
 	if g.partitioned {
 		return
@@ -231,44 +237,45 @@
 	})
 }
 
-func (f *fleetModel) act(g *simGatherer, h DrainAction) {
+// act performs an action of a gatherer's drainer.
+func (f *fleetModel) act(g *simGatherer, action DrainAction) {
 	g.pollAt = f.now + 50
-	run := g.incarnation
-	if h.RequestPermit {
-		request := &RequestPermit{Name: memberName(g.i), Incarnation: run, Reason: "shutdown requested"}
+	incarnation := g.incarnation
+	if action.RequestPermit {
+		request := &RequestPermit{Name: memberName(g.i), Incarnation: incarnation, Reason: "shutdown requested"}
 		f.proposeFrom(g, Command{RequestPermit: request}, func(r Result, _ error) {
-			// A suspended process reads the reply when it is resumed.
-			var read func()
-			read = func() {
-				if g.incarnation != run || g.dead {
+			// A suspended process reads the reply after it has been resumed.
+			var readReply func()
+			readReply = func() {
+				if g.incarnation != incarnation || g.dead {
 					return
 				}
 				if g.suspended {
-					f.messages = append(f.messages, message{f.now + 100, read})
+					f.messages = append(f.messages, message{f.now + 100, readReply})
 					return
 				}
 				if r.Permit != nil && r.Permit.Release != "" {
-					return // a release restarts it anyway
+					return // the release restarts it, so it does not act on the permit
 				}
 				f.act(g, g.drainer.HandleReply(f.now, r.Permit))
 			}
-			read()
+			readReply()
 		})
 	}
-	if h.Drain {
-		if g.draining = true; h.Permitted {
+	if action.Drain {
+		if g.draining = true; action.Permitted {
 			f.recordDrain(g)
 		}
 		f.messages = append(f.messages, message{f.now + 500, func() {
-			if g.incarnation == run {
+			if g.incarnation == incarnation {
 				g.dead = true
 			}
 		}})
 	}
 }
 
-// hooks carries out the leader's orders, each once by its epoch.
-func (f *fleetModel) hooks() {
+// runHooks carries out the leader's orders. Each gatherer's hook recognises a repeated order by its epoch and ignores it.
+func (f *fleetModel) runHooks() {
 	for _, o := range f.leader.Orders() {
 		g := f.gatherers[slices.IndexFunc(f.gatherers, func(g *simGatherer) bool { return memberName(g.i) == o.Name })]
 		if o.Epoch == g.lastOrder || g.hookHangs {
@@ -284,26 +291,27 @@
 	}
 }
 
+// advance advances the simulated time in steps of 10 ms.
 func (f *fleetModel) advance(d Duration) {
 	for end := f.now + Time(d); f.now < end; {
 		f.now += 10
 		var due []message
-		f.messages = slices.DeleteFunc(f.messages, func(x message) bool {
-			if x.at <= f.now {
-				due = append(due, x)
+		f.messages = slices.DeleteFunc(f.messages, func(m message) bool {
+			if m.at <= f.now {
+				due = append(due, m)
 			}
-			return x.at <= f.now
+			return m.at <= f.now
 		})
 		slices.SortStableFunc(due, func(a, b message) int { return int(a.at - b.at) })
-		for _, x := range due {
-			x.do()
+		for _, m := range due {
+			m.deliver()
 		}
 		for _, g := range f.gatherers {
 			f.runGatherer(g)
 		}
 		if f.now%200 == 0 {
 			f.propose(Command{AdvanceTime: &AdvanceTime{}}, nil)
-			f.hooks()
+			f.runHooks()
 		}
 	}
 }
--- a/maintenance/format_test.go
+++ b/maintenance/format_test.go
@@ -11,7 +11,7 @@
 	"testing"
 )
 
-// logEntry is a line of a recorded log: a command as it was stored, and what became of it.
+// logEntry is a line of a recorded log: a command as it was stored, and the result of applying it.
 type logEntry struct {
 	Command  json.RawMessage `json:"command"`
 	Snapshot string          `json:"snapshot"` // first bytes of the SHA-256 of the snapshot after the command, in hex
@@ -20,7 +20,8 @@
 	Orders   int             `json:"orders"`
 }
 
-// readRecordedLog reads a log: a line with the initial limits, a line for each command, and the last snapshot.
+// readRecordedLog reads a recorded log. Its first line holds the initial limits, the last line the final snapshot, and
+// each line between them a logEntry.
 func readRecordedLog(t *testing.T, path string) (limits Limits, entries []logEntry, last []byte) {
 	t.Helper()
 	raw, err := os.ReadFile(path)
@@ -44,6 +45,7 @@
 	return limits, entries, lines[len(lines)-1]
 }
 
+// snapshotHash returns the hash of the state's snapshot, in the form of logEntry.Snapshot.
 func snapshotHash(t *testing.T, s *State) string {
 	t.Helper()
 	b, err := s.Snapshot()
@@ -54,9 +56,10 @@
 	return hex.EncodeToString(sum[:4])
 }
 
-// The logs in testdata were written by the first release of FormatVersion 1. Commands must be encoded to the same bytes, and a replica
-// that applies them must come to the same state after each command: replicas of both program versions run side by side.
-func TestRecordedLogsGiveTheSameStates(t *testing.T) {
+// Replicas of different program versions run side by side. The logs in testdata were written by the first release of
+// FormatVersion 1: their commands must still be encoded to the same bytes, and applying them must yield the recorded
+// state after each command.
+func TestRecordedLogsReplayToSameStates(t *testing.T) {
 	paths, err := filepath.Glob("testdata/*.jsonl")
 	if err != nil || len(paths) == 0 {
 		t.Fatalf("no recorded logs: %v", err)
@@ -70,8 +73,8 @@
 				if err != nil {
 					t.Fatalf("command %d: %v", i+1, err)
 				}
-				if again, err := c.Encode(); err != nil || !bytes.Equal(again, e.Command) {
-					t.Fatalf("command %d is encoded as %s, %v; recorded %s", i+1, again, err, e.Command)
+				if encoded, err := c.Encode(); err != nil || !bytes.Equal(encoded, e.Command) {
+					t.Fatalf("command %d is encoded as %s, %v; recorded %s", i+1, encoded, err, e.Command)
 				}
 				r, err := s.Apply(Epoch(i+1), c)
 				if (err != nil) != e.Error {
@@ -82,7 +85,7 @@
 				}
 				if got := snapshotHash(t, s); got != e.Snapshot || len(s.Orders()) != e.Orders {
 					b, _ := s.Snapshot()
-					t.Fatalf("command %d %s: another state than recorded, %d orders of %d:\n%s", i+1, e.Command, len(s.Orders()), e.Orders, b)
+					t.Fatalf("command %d %s: the state differs from the recorded one, %d orders, recorded %d:\n%s", i+1, e.Command, len(s.Orders()), e.Orders, b)
 				}
 			}
 			restored, err := Restore(last)
--- a/maintenance/harness_test.go
+++ b/maintenance/harness_test.go
@@ -11,7 +11,7 @@
 type harness struct {
 	*State
 	t *testing.T
-	n Epoch
+	n Epoch // log index of the last command
 }
 
 func newHarness(t *testing.T, l Limits) *harness {
@@ -21,123 +21,132 @@
 	return &harness{State: New(l), t: t}
 }
 
-func (r *harness) apply(c Command) (Result, error) {
-	r.n++
+// apply encodes, decodes and applies a command.
+func (h *harness) apply(c Command) (Result, error) {
+	h.n++
 	b, err := c.Encode()
 	if err != nil {
-		r.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	back, err := Decode(b)
+	decoded, err := Decode(b)
 	if err != nil {
-		r.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	return r.Apply(r.n, back)
+	return h.Apply(h.n, decoded)
 }
 
-func (r *harness) must(c Command) Result {
-	r.t.Helper()
-	got, err := r.apply(c)
+// must applies a command that must succeed.
+func (h *harness) must(c Command) Result {
+	h.t.Helper()
+	got, err := h.apply(c)
 	if err != nil {
-		r.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	return got
 }
 
-func (r *harness) mustFail(c Command, want string) {
-	r.t.Helper()
-	if _, err := r.apply(c); err == nil || !strings.Contains(err.Error(), want) {
-		r.t.Errorf("got %v, want an error with %q", err, want)
+// mustFail applies a command that must return an error containing want.
+func (h *harness) mustFail(c Command, want string) {
+	h.t.Helper()
+	if _, err := h.apply(c); err == nil || !strings.Contains(err.Error(), want) {
+		h.t.Errorf("got %v, want an error with %q", err, want)
 	}
 }
 
-// startGatherers starts n ready gatherers with version v1, in the zones in turn.
-func (r *harness) startGatherers(n int, zones ...Zone) {
+// startGatherers starts n ready gatherers with version v1, distributed over the zones in turn.
+func (h *harness) startGatherers(n int, zones ...Zone) {
 	for i := range n {
 		z := Zone("a")
 		if len(zones) > 0 {
 			z = zones[i%len(zones)]
 		}
-		r.start(i, 1, z, "v1")
+		h.start(i, 1, z, "v1")
 	}
 }
 
 func memberName(i int) MemberName { return MemberName(fmt.Sprintf("n%02d", i)) }
 
-func (r *harness) start(i int, inc Incarnation, z Zone, v Version) {
-	r.must(Command{At: r.Now, Join: &Join{Name: memberName(i), Zone: z, Version: v, Incarnation: inc}})
-	r.renew(i, inc, RequestCounts{})
+// start starts an incarnation of a gatherer and makes it ready.
+func (h *harness) start(i int, incarnation Incarnation, z Zone, v Version) {
+	h.must(Command{At: h.Now, Join: &Join{Name: memberName(i), Zone: z, Version: v, Incarnation: incarnation}})
+	h.renew(i, incarnation, RequestCounts{})
 }
 
-func (r *harness) renew(i int, inc Incarnation, f RequestCounts, suspects ...MemberName) {
-	r.must(Command{At: r.Now, Renew: &Renew{Name: memberName(i), Incarnation: inc, Status: Ready, Counts: f, Suspects: suspects}})
+// renew renews the lease of a ready gatherer.
+func (h *harness) renew(i int, incarnation Incarnation, counts RequestCounts, suspects ...MemberName) {
+	h.must(Command{At: h.Now, Renew: &Renew{Name: memberName(i), Incarnation: incarnation, Status: Ready, Counts: counts, Suspects: suspects}})
 }
 
-func (r *harness) advance(d Duration) {
-	r.must(Command{At: r.Now + Time(d), AdvanceTime: &AdvanceTime{}})
+// advance advances the time of the state.
+func (h *harness) advance(d Duration) {
+	h.must(Command{At: h.Now + Time(d), AdvanceTime: &AdvanceTime{}})
 }
 
-func permitRequest(i int, inc Incarnation) Command {
-	return Command{RequestPermit: &RequestPermit{Name: memberName(i), Incarnation: inc, Reason: "shutdown requested"}}
+func permitRequest(i int, incarnation Incarnation) Command {
+	return Command{RequestPermit: &RequestPermit{Name: memberName(i), Incarnation: incarnation, Reason: "shutdown requested"}}
 }
 
 func testPlan(steps ...float64) Plan {
 	return Plan{ID: "r", Kind: Gatherer, From: "v1", To: "v2", Steps: steps, Dwell: 1000, ChangeTimeout: 5000, MaxLoss: 0.02, MinRequests: 10}
 }
 
-// runHooks carries out all orders, as a working hook does: each member restarts with the ordered version. Then all gatherers report
-// requests, which succeed where healthy reports so for their version.
-func (r *harness) runHooks(healthy func(Version) bool) {
-	for _, o := range r.Orders() {
+// runHooks carries out all orders as a working hook does: each member restarts with the ordered version. Then all live
+// gatherers report 100 further requests, all of which succeed if healthy returns true for their version, and half of
+// which fail otherwise.
+func (h *harness) runHooks(healthy func(Version) bool) {
+	for _, o := range h.Orders() {
 		var i int
 		fmt.Sscanf(string(o.Name), "n%d", &i)
-		r.advance(1)
-		r.start(i, r.Members[o.Name].Incarnation+1, r.Members[o.Name].Zone, o.Version)
+		h.advance(1)
+		h.start(i, h.Members[o.Name].Incarnation+1, h.Members[o.Name].Zone, o.Version)
 	}
-	r.advance(500)
-	for _, m := range r.sortedMembers(Gatherer) {
-		f := m.Counts
+	h.advance(500)
+	for _, m := range h.sortedMembers(Gatherer) {
+		counts := m.Counts
 		if healthy(m.Version) {
-			f.Answered += 100
+			counts.Answered += 100
 		} else {
-			f.Answered, f.Errored = f.Answered+50, f.Errored+50
+			counts.Answered, counts.Errored = counts.Answered+50, counts.Errored+50
 		}
-		if m.LeaseEnd > r.Now {
-			r.must(Command{At: r.Now, Renew: &Renew{Name: m.Name, Incarnation: m.Incarnation, Status: Ready, Counts: f}})
+		if m.LeaseEnd > h.Now {
+			h.must(Command{At: h.Now, Renew: &Renew{Name: m.Name, Incarnation: m.Incarnation, Status: Ready, Counts: counts}})
 		}
 	}
 }
 
 // awaitOrders runs hooks until the release gives n orders.
-func (r *harness) awaitOrders(n int) []Order {
-	r.t.Helper()
+func (h *harness) awaitOrders(n int) []Order {
+	h.t.Helper()
 	for range 10 {
-		if len(r.Orders()) == n {
+		if len(h.Orders()) == n {
 			break
 		}
-		r.runHooks(allSucceed)
+		h.runHooks(allSucceed)
 	}
-	orders := r.Orders()
+	orders := h.Orders()
 	if len(orders) != n {
-		r.t.Fatalf("orders %v, want %d", orders, n)
+		h.t.Fatalf("orders %v, want %d", orders, n)
 	}
 	return orders
 }
 
-// awaitPhase runs hooks until the release is in a phase.
-func (r *harness) awaitPhase(phase Phase, healthy func(Version) bool) *Release {
-	r.t.Helper()
+// awaitPhase runs hooks until the release is in the given phase, and checks that no more than Limits.MaxGatherers
+// changes are in progress.
+func (h *harness) awaitPhase(phase Phase, healthy func(Version) bool) *Release {
+	h.t.Helper()
 	for range 200 {
-		if rel := r.Release("r"); rel.Phase == phase {
+		if rel := h.Release("r"); rel.Phase == phase {
 			return rel
 		}
-		r.runHooks(healthy)
-		if n := len(r.Orders()); r.Limits.MaxGatherers > 0 && n > r.Limits.MaxGatherers {
-			r.t.Fatalf("%d changes at the same time, at most %d gatherers may be out", n, r.Limits.MaxGatherers)
+		h.runHooks(healthy)
+		if n := len(h.Orders()); h.Limits.MaxGatherers > 0 && n > h.Limits.MaxGatherers {
+			h.t.Fatalf("%d changes in progress, at most %d gatherers may be out", n, h.Limits.MaxGatherers)
 		}
 	}
-	b, _ := json.Marshal(r.Release("r"))
-	r.t.Fatalf("the release does not become %s: %s", phase, b)
+	b, _ := json.Marshal(h.Release("r"))
+	h.t.Fatalf("the release has not reached phase %s: %s", phase, b)
 	return nil
 }
 
+// allSucceed reports every version as healthy.
 func allSucceed(Version) bool { return true }
--- a/maintenance/limits.go
+++ b/maintenance/limits.go
@@ -5,7 +5,8 @@
 	"fmt"
 )
 
-// OutReason returns why a member counts as out; "" = it is in. The text becomes part of the state; see the package's comment.
+// OutReason returns why a member counts as out; "" = it is in service. The text becomes part of the state, see the
+// package comment.
 func (s *State) OutReason(m *Member) string {
 	switch {
 	case m.Permit != nil:
@@ -20,56 +21,59 @@
 	return ""
 }
 
+// defaultSuspicionShare applies if Limits.SuspicionShare is 0.
 const defaultSuspicionShare = 0.5
 
-// suspected reports whether a member is suspected by so many live gatherers that it counts as out.
+// suspected reports whether the share of live gatherers that suspect a member exceeds Limits.SuspicionShare. Such a
+// member counts as out.
 func (s *State) suspected(m *Member) bool {
 	if s.suspicions == nil {
 		s.countSuspicions()
 	}
 	voters := s.liveGatherers
 	if m.Kind == Gatherer && m.alive(s.Now) {
-		voters-- // it has no vote on itself
+		voters-- // a gatherer has no vote on itself
 	}
 	votes := s.suspicions[m.Name]
 	return votes > 0 && float64(votes) > cmp.Or(s.Limits.SuspicionShare, defaultSuspicionShare)*float64(voters)
 }
 
-// countSuspicions counts by how many live gatherers each member is suspected. A gatherer that suspects more than half of a kind is
-// probably faulty itself, and its suspicions of that kind are ignored.
+// countSuspicions counts for each member how many live gatherers suspect it. A gatherer that suspects more than half of
+// the members of a kind is probably faulty itself, so its suspicions of that kind are ignored.
 func (s *State) countSuspicions() {
 	s.suspicions, s.liveGatherers = map[MemberName]int{}, 0
-	members := map[Kind]int{}
+	memberCounts := map[Kind]int{}
 	for _, m := range s.Members {
-		members[m.Kind]++
+		memberCounts[m.Kind]++
 	}
 	for _, g := range s.Members {
 		if g.Kind != Gatherer || !g.alive(s.Now) {
 			continue
 		}
 		s.liveGatherers++
-		suspects := map[Kind]int{}
+		suspectCounts := map[Kind]int{}
 		for _, name := range g.Suspects {
 			if m := s.Members[name]; m != nil {
-				suspects[m.Kind]++
+				suspectCounts[m.Kind]++
 			}
 		}
 		for _, name := range g.Suspects {
-			if m := s.Members[name]; m != nil && m != g && 2*suspects[m.Kind] <= members[m.Kind] {
+			if m := s.Members[name]; m != nil && m != g && 2*suspectCounts[m.Kind] <= memberCounts[m.Kind] {
 				s.suspicions[name]++
 			}
 		}
 	}
 }
 
-// outage counts the members of one kind that would be out, one given member among them.
+// outage counts the members of one kind that would be out if a given member went out as well.
 type outage struct {
-	members       int             // of the kind
-	out           int             // with the given member
-	outInZone     int             // of those, in the given member's zone
-	readyReplicas map[Segment]int // of servers: on those that remain in
+	members       int             // all members of the kind
+	out           int             // including the given member
+	outInZone     int             // those of them in the zone of the given member
+	readyReplicas map[Segment]int // for servers: on those that remain in service
 }
 
+// outageWith returns the outage of m's kind if m were out.
 func (s *State) outageWith(m *Member) outage {
 	o := outage{out: 1, outInZone: 1, readyReplicas: map[Segment]int{}}
 	for _, other := range s.sortedMembers(m.Kind) {
@@ -91,7 +95,7 @@
 	return o
 }
 
-// violatedLimit describes the limit that would be exceeded if a member were out, too; "" = none.
+// violatedLimit describes the limit that would be exceeded if m went out as well; "" = none.
 func (s *State) violatedLimit(m *Member) string {
 	o := s.outageWith(m)
 	maxOut, maxInZone, plural := s.Limits.MaxServers, s.Limits.MaxServersPerZone, "servers"
@@ -117,6 +121,7 @@
 	return ""
 }
 
+// violatedMinReplicas describes a segment that would have fewer than Limits.MinReplicas ready replicas; "" = none.
 func (s *State) violatedMinReplicas(m *Member, o outage) string {
 	for _, segment := range m.Segments {
 		if ready := o.readyReplicas[segment]; ready < s.Limits.MinReplicas {
--- a/maintenance/plan.go
+++ b/maintenance/plan.go
@@ -11,21 +11,21 @@
 // ReleaseID identifies a release.
 type ReleaseID string
 
-// Plan is the plan of a release: change all members of a kind from one version to another, in steps.
+// Plan describes a release: it changes all members of a kind from one version to another, in steps.
 type Plan struct {
 	ID            ReleaseID `json:"id"`
 	Kind          Kind      `json:"kind"`
 	From          Version   `json:"from"`
 	To            Version   `json:"to"`
-	Steps         []float64 `json:"steps"` // rising shares of the targets that have changed by the end of each step; the last is 1
+	Steps         []float64 `json:"steps"` // cumulative share of the targets after each step; strictly increasing, the last is 1
 	ByZone        bool      `json:"by_zone"`
 	Dwell         Duration  `json:"dwell_ms"`  // how long a step is observed before the next begins
 	ChangeTimeout Duration  `json:"within_ms"` // how long the change of one target may take
-	MaxLoss       float64   `json:"most_loss"` // by how much the success ratio of the changed targets may be lower than that of the others
-	MinRequests   uint64    `json:"least"`     // requests of the changed targets that a gate needs for its verdict; it waits for them
+	MaxLoss       float64   `json:"most_loss"` // by how much the success ratio of the changed targets may fall below that of the others
+	MinRequests   uint64    `json:"least"`     // requests to the changed targets that a gate waits for before it decides
 }
 
-// validate checks a plan by itself.
+// validate checks a plan without regard to the state of the fleet.
 func (p Plan) validate() error {
 	switch {
 	case p.ID == "":
@@ -49,7 +49,7 @@
 	return nil
 }
 
-// PlanSteps returns the members that each step of a plan would change, in order, as for a dry run.
+// PlanSteps returns the members that each step of a plan would change, in order. It changes nothing and serves as a dry run.
 func (s *State) PlanSteps(p Plan) ([][]MemberName, error) {
 	if err := p.validate(); err != nil {
 		return nil, err
@@ -59,40 +59,41 @@
 		return nil, fmt.Errorf("no %s runs version %s", p.Kind, p.From)
 	}
 	var steps [][]MemberName
-	begin := 0
+	start := 0
 	for _, share := range p.Steps {
-		end := targetCount(share, len(targets))
-		steps = append(steps, targets[begin:end])
-		begin = end
+		end := targetsForShare(share, len(targets))
+		steps = append(steps, targets[start:end])
+		start = end
 	}
 	return steps, nil
 }
 
-// targetCount returns how many of so many targets a share is, rounded up but for rounding errors of the product.
-func targetCount(share float64, targets int) int {
+// targetsForShare returns the number of targets that a share amounts to, rounded up. The epsilon prevents a rounding
+// error of the product from adding a target.
+func targetsForShare(share float64, targets int) int {
 	const epsilon = 1e-9
 	return min(targets, int(math.Ceil(share*float64(targets)-epsilon)))
 }
 
-// planTargets returns the members to change: zone by zone, or alternating between the zones, so that no zone is far ahead of the
-// others.
+// planTargets returns the members to change, in order: zone by zone if Plan.ByZone is set, otherwise alternating
+// between the zones, so that no zone is changed far ahead of the others.
 func (s *State) planTargets(p Plan) (names []MemberName) {
-	var found []*Member
-	rank, inZone := map[MemberName]int{}, map[Zone]int{}
+	var targets []*Member
+	rankInZone, targetsInZone := map[MemberName]int{}, map[Zone]int{}
 	for _, m := range s.sortedMembers(p.Kind) {
 		if m.Version == p.From {
-			found = append(found, m)
-			rank[m.Name] = inZone[m.Zone]
-			inZone[m.Zone]++
+			targets = append(targets, m)
+			rankInZone[m.Name] = targetsInZone[m.Zone]
+			targetsInZone[m.Zone]++
 		}
 	}
-	slices.SortStableFunc(found, func(a, b *Member) int {
+	slices.SortStableFunc(targets, func(a, b *Member) int {
 		if p.ByZone {
 			return cmp.Compare(a.Zone, b.Zone)
 		}
-		return cmp.Or(cmp.Compare(rank[a.Name], rank[b.Name]), cmp.Compare(a.Zone, b.Zone))
+		return cmp.Or(cmp.Compare(rankInZone[a.Name], rankInZone[b.Name]), cmp.Compare(a.Zone, b.Zone))
 	})
-	for _, m := range found {
+	for _, m := range targets {
 		names = append(names, m.Name)
 	}
 	return names
--- a/maintenance/release.go
+++ b/maintenance/release.go
@@ -7,7 +7,7 @@
 	"slices"
 )
 
-// ErrNoRelease is returned for a command that names no release.
+// ErrNoRelease is returned for a command that names an unknown release.
 var ErrNoRelease = errors.New("no such release")
 
 // Phase is the phase of a release.
@@ -21,7 +21,7 @@
 	RolledBack Phase = "went-back"
 )
 
-// TargetState is how far the change of one target has got.
+// TargetState is the progress of the change of one target.
 type TargetState string
 
 // The states of a target.
@@ -31,38 +31,39 @@
 	TargetChanged  TargetState = "changed"
 )
 
-// Target is one member in a release.
+// Target is a member that a release changes.
 type Target struct {
 	Name      MemberName  `json:"name"`
 	State     TargetState `json:"state"`
-	Epoch     Epoch       `json:"epoch,omitempty"` // of its permit
-	OrderedAt Time        `json:"since,omitempty"` // when its change was ordered: an incarnation that joined later has changed
+	Epoch     Epoch       `json:"epoch,omitempty"` // epoch of its permit
+	OrderedAt Time        `json:"since,omitempty"` // when its change was ordered; a later StartedAt of the member shows that it was restarted
 	Deadline  Time        `json:"due,omitempty"`   // the release halts if the change is not complete by then
 }
 
-// Release is the progress of a plan.
+// Release is the progress of carrying out a plan.
 type Release struct {
 	Plan        Plan     `json:"plan"`
 	Phase       Phase    `json:"phase"`
-	RollingBack bool     `json:"back,omitempty"` // Plan.To is the version from which the targets came
+	RollingBack bool     `json:"back,omitempty"` // Plan.To is the version that the targets had originally
 	Step        int      `json:"step"`
-	DwellSince  Time     `json:"dwells,omitempty"` // when the observation of the step began; 0 = its targets are still changing
-	HaltReason  string   `json:"why,omitempty"`    // see the package's comment on its wording
+	DwellSince  Time     `json:"dwells,omitempty"` // start of the step's dwell; 0 = its targets are still changing
+	HaltReason  string   `json:"why,omitempty"`    // must not be reworded, see the package comment
 	Targets     []Target `json:"targets"`
 	StartedAt   Time     `json:"started"`
 	EndedAt     Time     `json:"ended,omitempty"`
 }
 
-// Baseline is with what the gate of a release compares.
+// Baseline is the reference that the gate of a release compares with.
 type Baseline struct {
-	SuccessRatio float64                      `json:"share"` // of all gatherers before the first change; -1 = not known yet
-	Counts       map[MemberName]RequestCounts `json:"base"`  // counters when the current dwell began
+	SuccessRatio float64                      `json:"share"` // of all gatherers before the first change; -1 = not measured yet
+	Counts       map[MemberName]RequestCounts `json:"base"`  // counters at the start of the current dwell
 }
 
+// unknownSuccessRatio marks a Baseline whose success ratio is not measured yet.
 const unknownSuccessRatio = -1
 
-// Order is a change that the operator's hook must carry out. The same order is given until the member has changed; its epoch and name
-// tell one order from another.
+// Order is a change that the operator's hook must carry out. The order is repeated until the member has restarted.
+// Epoch and name together identify an order.
 type Order struct {
 	Release ReleaseID
 	Name    MemberName
@@ -70,15 +71,15 @@
 	Epoch   Epoch
 }
 
-// maxReleases is how many releases are kept.
+// maxReleases is the number of releases that the state retains.
 const maxReleases = 16
 
-// unfinished reports whether the release has not ended.
+// unfinished reports whether the release is running or halted.
 func (r *Release) unfinished() bool { return r.Phase == Running || r.Phase == Halted }
 
 func (r *Release) halt(reason string) { r.Phase, r.HaltReason = Halted, reason }
 
-// countTargets returns how many targets are in a state.
+// countTargets returns the number of targets in a state.
 func (r *Release) countTargets(state TargetState) (n int) {
 	for _, t := range r.Targets {
 		if t.State == state {
@@ -88,7 +89,7 @@
 	return n
 }
 
-// Release returns the release with an ID; nil = there is none.
+// Release returns the release with the given ID; nil = there is none.
 func (s *State) Release(id ReleaseID) *Release {
 	for _, r := range s.Releases {
 		if r.Plan.ID == id {
@@ -98,7 +99,8 @@
 	return nil
 }
 
-func (s *State) release(id ReleaseID) (*Release, error) {
+// findRelease is like Release but returns ErrNoRelease if there is none.
+func (s *State) findRelease(id ReleaseID) (*Release, error) {
 	if r := s.Release(id); r != nil {
 		return r, nil
 	}
@@ -125,7 +127,7 @@
 		s.Releases = s.Releases[1:]
 	}
 	s.Releases = append(s.Releases, r)
-	// The first dwell observes the fleet before any change.
+	// The first dwell measures the fleet before any change.
 	s.Baselines[p.ID] = Baseline{SuccessRatio: unknownSuccessRatio, Counts: s.gathererCounts()}
 	return nil
 }
@@ -139,7 +141,7 @@
 }
 
 func (s *State) haltRelease(c HaltRelease) error {
-	r, err := s.release(c.ID)
+	r, err := s.findRelease(c.ID)
 	if err != nil {
 		return err
 	}
@@ -151,7 +153,7 @@
 }
 
 func (s *State) resumeRelease(c ResumeRelease) error {
-	r, err := s.release(c.ID)
+	r, err := s.findRelease(c.ID)
 	if err != nil {
 		return err
 	}
@@ -164,12 +166,12 @@
 	return nil
 }
 
-// dropFormerMembers removes targets that are not members any more, so that they are not waited for.
+// dropFormerMembers removes the targets that are no longer members, so that the release does not wait for them.
 func (s *State) dropFormerMembers(r *Release) {
 	r.Targets = slices.DeleteFunc(r.Targets, func(t Target) bool { return s.Members[t.Name] == nil })
 }
 
-// restartTimers gives the ongoing changes their full time again and restarts the step's dwell.
+// restartTimers resets the deadlines of the changes in progress to the full change timeout and restarts the dwell of the step.
 func (s *State) restartTimers(r *Release) {
 	for i := range r.Targets {
 		if r.Targets[i].State == TargetChanging {
@@ -181,6 +183,7 @@
 	}
 }
 
+// startDwell starts the dwell of the current step and records the counters that the gate will compare with.
 func (s *State) startDwell(r *Release) {
 	r.DwellSince = s.Now
 	b := s.Baselines[r.Plan.ID]
@@ -188,9 +191,10 @@
 	s.Baselines[r.Plan.ID] = b
 }
 
-// rollBack reverses a release: changed targets change back within the same limits, and ongoing changes are ordered back.
+// rollBack reverses the direction of a release: changed targets are changed back under the same limits, and targets
+// whose change is in progress get an order for the previous version.
 func (s *State) rollBack(c RollBack) error {
-	r, err := s.release(c.ID)
+	r, err := s.findRelease(c.ID)
 	if err != nil {
 		return err
 	}
@@ -215,11 +219,11 @@
 func (s *State) reverseTarget(r *Release, t *Target) {
 	switch t.State {
 	case TargetPending:
-		t.State = TargetChanged // it still has the version to which the release goes now
+		t.State = TargetChanged // it already runs the version that the release now changes to
 	case TargetChanged:
 		t.State = TargetPending
 	case TargetChanging:
-		// A new order needs a new epoch, or the hook would take it for one that it has carried out.
+		// The reversed order needs a new epoch; otherwise the hook would treat it as one that it has already carried out.
 		t.Epoch, t.OrderedAt, t.Deadline = s.Applied, s.Now, s.Now+Time(r.Plan.ChangeTimeout)
 		if m := s.Members[t.Name]; m != nil && m.Permit != nil {
 			m.Permit.Epoch, m.Permit.RequestedAt = s.Applied, s.Now
@@ -227,8 +231,9 @@
 	}
 }
 
-// Orders returns the changes that are to be carried out now, in order. A halted release gives none, and neither does a target that has
-// been restarted since its order: if a new leader had it restarted once more, a gatherer that is just coming back would go out again.
+// Orders returns the changes that must be carried out now, in the order of the targets. It contains none of a halted
+// release, and none for a target that was restarted since its order: a new leader would otherwise have it restarted
+// once more, which would take a gatherer that is just coming back out again.
 func (s *State) Orders() (orders []Order) {
 	for _, r := range s.Releases {
 		if r.Phase != Running {
--- a/maintenance/replayfilter.go
+++ b/maintenance/replayfilter.go
@@ -5,23 +5,24 @@
 	"slices"
 )
 
-// ReplayFilter rejects messages that were seen before. Each sender numbers its messages in rising order; the filter keeps the last
-// number of each sender. Beyond maxSenders it drops the lower half of the numbers and rejects them from all senders, so that nothing
-// is accepted twice.
+// ReplayFilter rejects messages that it has already accepted. Each sender numbers its messages in increasing order, and
+// the filter stores the last number of each sender. When a sender beyond maxSenders appears, it drops the lower half of
+// the stored numbers and from then on rejects all numbers up to the highest dropped one, whoever the sender is, so that
+// no message is accepted twice.
 type ReplayFilter struct {
 	maxSenders int
-	floor      uint64 // numbers up to it are rejected
+	floor      uint64 // numbers up to and including it are rejected
 	last       map[string]uint64
 }
 
-// NewReplayFilter returns a filter that rejects all numbers up to floor: messages from before the filter existed are not known to be
-// new.
+// NewReplayFilter returns a filter for maxSenders senders that rejects all numbers up to floor. The floor covers the
+// numbers used before the filter was created, for which it cannot tell whether a message is new.
 func NewReplayFilter(floor uint64, maxSenders int) *ReplayFilter {
 	return &ReplayFilter{maxSenders: maxSenders, floor: floor, last: map[string]uint64{}}
 }
 
-// Accept reports whether a sender's message with this number is new, and records it. last is the number that the sender's next one
-// must exceed.
+// Accept reports whether a sender's message with this number is new, and records the number if it is. The sender's next
+// number must be greater than last.
 func (f *ReplayFilter) Accept(sender string, number uint64) (ok bool, last uint64) {
 	last = max(f.floor, f.last[sender])
 	if number <= last {
@@ -37,7 +38,7 @@
 	return true, number
 }
 
-// raiseFloor raises the floor to the median of the kept numbers and drops those below it.
+// raiseFloor raises the floor to the median of the stored numbers and drops the numbers up to it.
 func (f *ReplayFilter) raiseFloor() {
 	numbers := slices.Sorted(maps.Values(f.last))
 	f.floor = max(f.floor, numbers[len(numbers)/2])
--- a/maintenance/rollout.go
+++ b/maintenance/rollout.go
@@ -5,18 +5,18 @@
 	"fmt"
 )
 
-// maxGateDwells is for how many dwells a gate waits for Plan.MinRequests until the release halts.
+// maxGateDwells is the number of dwells that a gate waits for Plan.MinRequests before it halts the release.
 const maxGateDwells = 10
 
-// advanceReleases moves the releases forward as far as the state allows. It is called after each command, so that no progress waits
-// for another one.
+// advanceReleases advances the releases as far as the state allows. It is called after each command, so that possible
+// progress is made at once and not only with the next command.
 func (s *State) advanceReleases() {
 	for _, r := range s.Releases {
 		switch r.Phase {
 		case Running:
 			s.advanceRelease(r)
 		case Halted:
-			s.observeTargets(r) // ongoing changes complete all the same
+			s.observeTargets(r) // changes in progress complete regardless of the halt
 		}
 		if !r.unfinished() {
 			delete(s.Baselines, r.Plan.ID)
@@ -24,7 +24,8 @@
 	}
 }
 
-// advanceRelease carries a running release through as many steps as possible: change the step's targets, dwell, pass the gate.
+// advanceRelease advances a running release through as many steps as possible. In each step it changes the targets,
+// dwells and evaluates the gate.
 func (s *State) advanceRelease(r *Release) {
 	for r.Phase == Running {
 		if reason := s.observeTargets(r); reason != "" {
@@ -46,10 +47,11 @@
 	}
 }
 
-// dwellOver reports whether the current dwell is complete.
+// dwellOver reports whether the current dwell has lasted for Plan.Dwell.
 func (s *State) dwellOver(r *Release) bool { return s.Now-r.DwellSince >= Time(r.Plan.Dwell) }
 
-// measureBaseline observes the fleet for one dwell before the first change, and reports whether that is complete.
+// measureBaseline measures the success ratio of the fleet during one dwell before the first change, and reports whether
+// the measurement is complete. A rollback needs none.
 func (s *State) measureBaseline(r *Release) bool {
 	b := s.Baselines[r.Plan.ID]
 	if r.RollingBack || b.SuccessRatio >= 0 {
@@ -63,15 +65,16 @@
 	return true
 }
 
-// changeTargets starts as many changes of the step as the limits allow, and reports whether all of the step are complete.
+// changeTargets starts as many changes of the current step as the limits allow, and reports whether all changes of the
+// step are complete.
 func (s *State) changeTargets(r *Release) bool {
 	changed, changing := r.countTargets(TargetChanged), r.countTargets(TargetChanging)
-	want := targetCount(r.Plan.Steps[r.Step], len(r.Targets))
-	if changed >= want {
+	required := targetsForShare(r.Plan.Steps[r.Step], len(r.Targets))
+	if changed >= required {
 		return changing == 0
 	}
 	for i := range r.Targets {
-		if t := &r.Targets[i]; t.State == TargetPending && changed+changing < want {
+		if t := &r.Targets[i]; t.State == TargetPending && changed+changing < required {
 			if !s.startChange(r, t) {
 				return false
 			}
@@ -81,8 +84,8 @@
 	return false
 }
 
-// passGate dwells on a step whose targets have changed, and reports whether the next step may begin. It halts the release where the
-// gate's verdict is against it.
+// passGate dwells on a step whose targets have changed, and reports whether the next step may begin. It halts the
+// release if the gate rejects the step. A rollback has no gate after the dwell.
 func (s *State) passGate(r *Release) bool {
 	if r.DwellSince == 0 {
 		s.startDwell(r)
@@ -100,7 +103,8 @@
 	return !wait && reason == ""
 }
 
-// startChange grants a permit to a target. It returns false where a limit holds or the target is out for another reason.
+// startChange grants a permit to a target and marks it as changing. It returns false if a limit would be exceeded or
+// the target already has a permit.
 func (s *State) startChange(r *Release, t *Target) bool {
 	m := s.Members[t.Name]
 	if m.Permit != nil {
@@ -114,7 +118,8 @@
 	return true
 }
 
-// observeTargets updates all targets from the members' state, and returns why the release must halt; "" = it need not.
+// observeTargets updates all targets from the state of the members, and returns the first reason to halt the release;
+// "" = none.
 func (s *State) observeTargets(r *Release) (haltReason string) {
 	for i := range r.Targets {
 		if reason := s.observeTarget(r, &r.Targets[i]); haltReason == "" {
@@ -124,6 +129,7 @@
 	return haltReason
 }
 
+// observeTarget updates one target from the state of its member, and returns a reason to halt the release; "" = none.
 func (s *State) observeTarget(r *Release, t *Target) (haltReason string) {
 	m := s.Members[t.Name]
 	if m == nil {
@@ -138,8 +144,9 @@
 	return ""
 }
 
-// checkChanged checks a changed target: one that was restarted and is warming up comes back, but one that is gone may have crashed
-// because of its version.
+// checkChanged returns a reason to halt the release because of a target that has changed; "" = none. A target that was
+// restarted and is warming up will be ready again, but one that is not alive or is suspected may have crashed because
+// of its new version.
 func (s *State) checkChanged(r *Release, t *Target, m *Member) (haltReason string) {
 	if m.Permit == nil && (!m.alive(s.Now) || s.suspected(m)) {
 		return fmt.Sprintf("%s, which runs version %s, is out: %s", t.Name, m.Version, s.OutReason(m))
@@ -150,7 +157,8 @@
 	return ""
 }
 
-// completeChange ends the change of a target that has been restarted and is ready.
+// completeChange ends the change of a target that was restarted with the new version and is ready. It returns a reason
+// to halt the release if the target has another version or the deadline has passed; "" = none.
 func (s *State) completeChange(r *Release, t *Target, m *Member) (haltReason string) {
 	restarted := m.StartedAt > t.OrderedAt && m.Status == Ready && m.alive(s.Now)
 	switch {
@@ -164,7 +172,7 @@
 	return ""
 }
 
-// countsOfAll sums what all gatherers have counted since a baseline.
+// countsOfAll sums the requests that all gatherers have counted since a baseline.
 func (s *State) countsOfAll(b Baseline) (sum RequestCounts) {
 	for _, m := range s.sortedMembers(Gatherer) {
 		sum = sum.plus(m.Counts.since(b.Counts[m.Name]))
@@ -172,7 +180,7 @@
 	return sum
 }
 
-// countsOfTargets sums what those gatherers have counted since a baseline whose change is in a state.
+// countsOfTargets sums the requests that the gatherers among the targets in a given state have counted since a baseline.
 func (s *State) countsOfTargets(r *Release, state TargetState, b Baseline) (sum RequestCounts) {
 	states := map[MemberName]TargetState{}
 	for _, t := range r.Targets {
@@ -186,8 +194,10 @@
 	return sum
 }
 
-// evaluateGate judges a step by the success ratio during its dwell. For gatherers it compares the changed ones with the pending ones,
-// or with the whole fleet before the release where those served too few requests; for servers it compares the whole fleet with that.
+// evaluateGate evaluates a step by the success ratio during its dwell. For a release of gatherers it compares the
+// changed gatherers with the pending ones, or with the fleet's success ratio before the release if the pending ones
+// served too few requests. For a release of servers it compares all gatherers with the success ratio before the
+// release. wait is true if more requests are needed; haltReason is "" unless the release must halt.
 func (s *State) evaluateGate(r *Release) (wait bool, haltReason string) {
 	b := s.Baselines[r.Plan.ID]
 	current, reference := s.countsOfAll(b), b.SuccessRatio
--- a/maintenance/state.go
+++ b/maintenance/state.go
@@ -11,16 +11,17 @@
 )
 
 var (
-	// ErrStale is returned for a command that names an earlier incarnation or an earlier permit; it changed nothing.
+	// ErrStale is returned for a command that names an earlier incarnation or an earlier permit. Such a command changes
+	// nothing.
 	ErrStale = errors.New("it names an earlier incarnation or an earlier permit")
-	// ErrRefused is returned where a limit would be exceeded; the request may be repeated later.
+	// ErrRefused is returned for a permit request that would exceed a limit. It may be repeated later.
 	ErrRefused = errors.New("refused")
-	// ErrNotMember is returned for a command that names no member.
+	// ErrNotMember is returned for a command that names an unknown member.
 	ErrNotMember = errors.New("not a member of the fleet")
 )
 
-// State is the replicated state of a fleet. Members are removed by an operator or after Limits.ForgetAfter; of the releases the last
-// maxReleases are kept.
+// State is the replicated state of a fleet. Members are removed by an operator or after Limits.ForgetAfter. Only the
+// last maxReleases releases are retained.
 type State struct {
 	V         int                    `json:"v"`
 	Applied   Epoch                  `json:"applied"` // index of the last command applied
@@ -28,9 +29,9 @@
 	Limits    Limits                 `json:"limits"`
 	Members   map[MemberName]*Member `json:"members"`
 	Releases  []*Release             `json:"releases,omitempty"`
-	Baselines map[ReleaseID]Baseline `json:"before,omitempty"` // of releases that have not ended
+	Baselines map[ReleaseID]Baseline `json:"before,omitempty"` // of the unfinished releases
 
-	suspicions    map[MemberName]int // by how many gatherers each member is suspected; nil = not computed since the last command
+	suspicions    map[MemberName]int // number of gatherers that suspect each member; nil = not computed since the last command
 	liveGatherers int                // computed with suspicions
 }
 
@@ -44,7 +45,7 @@
 	return &State{V: FormatVersion, Limits: l, Members: map[MemberName]*Member{}, Baselines: map[ReleaseID]Baseline{}}
 }
 
-// Restore parses a snapshot. The error is ErrNewerFormat for one of a later version.
+// Restore parses a snapshot. The error wraps ErrNewerFormat if the snapshot has a later format version.
 func Restore(b []byte) (*State, error) {
 	if err := checkFormat(b); err != nil {
 		return nil, fmt.Errorf("restore snapshot: %w", err)
@@ -56,22 +57,23 @@
 	return s, nil
 }
 
-// Snapshot encodes the state; the same state always gives the same bytes.
+// Snapshot encodes the state. Equal states have equal encodings.
 func (s *State) Snapshot() ([]byte, error) { return json.Marshal(s) }
 
-// Apply applies the command with log index n. An error says why nothing but the time changed. An index that was applied before changes
-// nothing at all.
+// Apply applies the command with log index n. If it returns an error, the command itself changed nothing, but the time
+// has advanced. A command whose index was already applied has no effect at all and returns ErrStale.
 func (s *State) Apply(n Epoch, c Command) (Result, error) {
 	if n <= s.Applied {
 		return Result{}, ErrStale
 	}
 	s.Applied, s.Now, s.suspicions = n, max(s.Now, c.At), nil
 	r, err := s.dispatch(c)
-	s.forgetGone()
+	s.removeExpiredMembers()
 	s.advanceReleases()
 	return r, err
 }
 
+// dispatch executes the operation that is set in c.
 func (s *State) dispatch(c Command) (r Result, err error) {
 	switch {
 	case c.Join != nil:
@@ -102,7 +104,8 @@
 	return r, err
 }
 
-// sortedMembers returns the members of a kind by name. Iterating over the map instead would make the replicas' states differ.
+// sortedMembers returns the members of a kind, sorted by name. The random iteration order of the map would make the
+// states of the replicas differ.
 func (s *State) sortedMembers(k Kind) []*Member {
 	var all []*Member
 	for _, m := range s.Members {
@@ -114,8 +117,8 @@
 	return all
 }
 
-// member returns the member with a name.
-func (s *State) member(n MemberName) (*Member, error) {
+// findMember returns the member with a name, or ErrNotMember.
+func (s *State) findMember(n MemberName) (*Member, error) {
 	m := s.Members[n]
 	if m == nil {
 		return nil, fmt.Errorf("%s: %w", n, ErrNotMember)
@@ -123,9 +126,9 @@
 	return m, nil
 }
 
-// currentRun returns a member if the incarnation is its current one.
-func (s *State) currentRun(n MemberName, i Incarnation) (*Member, error) {
-	m, err := s.member(n)
+// findIncarnation is like findMember but returns ErrStale if i is not the member's current incarnation.
+func (s *State) findIncarnation(n MemberName, i Incarnation) (*Member, error) {
+	m, err := s.findMember(n)
 	if err != nil {
 		return nil, err
 	}
@@ -135,6 +138,7 @@
 	return m, nil
 }
 
+// leaseEnd returns the end of a lease that is granted or renewed now.
 func (s *State) leaseEnd() Time { return s.Now + Time(s.Limits.LeaseDuration) }
 
 func (s *State) join(j Join) error {
@@ -150,10 +154,11 @@
 		m = &Member{Name: j.Name, Kind: Gatherer}
 		s.Members[j.Name] = m
 	case j.Incarnation == m.Incarnation:
-		m.LeaseEnd = s.leaseEnd() // the reply to its first Join was lost
+		m.LeaseEnd = s.leaseEnd() // a retry: the reply to the first Join was lost
 		return nil
 	}
-	// A new incarnation knows nothing of what the previous one was doing; a permit of that one stays until this one is ready.
+	// A new incarnation does not continue the work of the previous one. A permit of the previous one remains until this
+	// one is ready.
 	m.Zone, m.Version, m.Incarnation, m.Status = j.Zone, j.Version, j.Incarnation, WarmingUp
 	m.StartedAt, m.LeaseEnd = s.Now, s.leaseEnd()
 	m.Counts, m.Suspects = RequestCounts{}, nil
@@ -161,7 +166,7 @@
 }
 
 func (s *State) renew(r Renew) error {
-	m, err := s.currentRun(r.Name, r.Incarnation)
+	m, err := s.findIncarnation(r.Name, r.Incarnation)
 	if err != nil {
 		return err
 	}
@@ -173,7 +178,7 @@
 }
 
 func (s *State) leave(l Leave) error {
-	m, err := s.currentRun(l.Name, l.Incarnation)
+	m, err := s.findIncarnation(l.Name, l.Incarnation)
 	if err != nil {
 		return err
 	}
@@ -182,7 +187,7 @@
 }
 
 func (s *State) requestPermit(r RequestPermit) (*Permit, error) {
-	m, err := s.member(r.Name)
+	m, err := s.findMember(r.Name)
 	if err != nil {
 		return nil, err
 	}
@@ -190,11 +195,12 @@
 		return nil, fmt.Errorf("%s: %w", r.Name, ErrStale)
 	}
 	if m.Permit != nil {
-		return m.Permit, nil // the reply was lost, or a release holds the permit
+		return m.Permit, nil // a retry after a lost reply, or the permit belongs to a release
 	}
 	return s.grant(m, r.Reason, "")
 }
 
+// grant gives m a permit, or returns ErrRefused if a limit would be exceeded.
 func (s *State) grant(m *Member, reason string, release ReleaseID) (*Permit, error) {
 	if violated := s.violatedLimit(m); violated != "" {
 		return nil, fmt.Errorf("%s may not be out now, %s: %w", m.Name, violated, ErrRefused)
@@ -204,7 +210,7 @@
 }
 
 func (s *State) returnPermit(r ReturnPermit) error {
-	m, err := s.member(r.Name)
+	m, err := s.findMember(r.Name)
 	switch {
 	case err != nil:
 		return err
@@ -218,7 +224,7 @@
 }
 
 func (s *State) forget(f Forget) error {
-	m, err := s.member(f.Name)
+	m, err := s.findMember(f.Name)
 	if err != nil {
 		return err
 	}
@@ -229,12 +235,13 @@
 	return nil
 }
 
+// updateServers updates the servers from a server list, and ends the lease of those that are not in it.
 func (s *State) updateServers(u UpdateServers) {
 	listed := map[MemberName]bool{}
 	for _, server := range u.Servers {
 		m := s.Members[server.Name]
 		if m != nil && m.Kind != Server {
-			continue // the list is wrong: this is a gatherer's name
+			continue // invalid entry: the name belongs to a gatherer
 		}
 		listed[server.Name] = true
 		if m == nil {
@@ -250,13 +257,13 @@
 	}
 	for _, m := range s.sortedMembers(Server) {
 		if !listed[m.Name] && m.alive(s.Now) {
-			m.LeaseEnd = s.Now // it left the list; it counts as out until it is forgotten
+			m.LeaseEnd = s.Now // it was removed from the list; it counts as out until it is removed from the members
 		}
 	}
 }
 
-// forgetGone removes members that have been gone for long and hold no permit.
-func (s *State) forgetGone() {
+// removeExpiredMembers removes the members without a permit whose lease ended more than Limits.ForgetAfter ago.
+func (s *State) removeExpiredMembers() {
 	if s.Limits.ForgetAfter <= 0 {
 		return
 	}
