--- a/raftlog/cluster_test.go
+++ b/raftlog/cluster_test.go
@@ -14,14 +14,14 @@
 
 // simNode is a voter of a testCluster.
 type simNode struct {
-	id        ID
-	node      *Node // nil = crashed
-	storage   *memoryStorage
-	suspended bool
-	clock     maintenance.Time // offset of its clock
+	id          ID
+	node        *Node // nil = crashed
+	storage     *memoryStorage
+	suspended   bool
+	clockOffset maintenance.Time // of its clock from the time of the cluster
 }
 
-// message is an encoded message in transit, to be delivered at a tick.
+// message is an encoded message in transit, which is delivered at a given tick.
 type message struct {
 	at   int
 	to   ID
@@ -29,20 +29,20 @@
 	data []byte
 }
 
-// testCluster is a few voters on a network that loses, duplicates, delays and partitions, also in one direction, and what they have
-// acknowledged.
+// testCluster simulates a few voters on a network that loses, duplicates and delays messages and has partitions, also
+// in one direction only. It records the commands that were acknowledged.
 type testCluster struct {
 	t            interface{ Fatalf(string, ...any) }
 	rand         *rand.Rand
-	tick         int // of 100 ms
+	tick         int // simulated time in ticks of 100 ms
 	nodes        []*simNode
 	ids          []ID
 	messages     []message
-	partitioned  map[[2]ID]bool // by sender and receiver
-	loss         float64        // share of messages that are lost, and of those that are duplicated
+	partitioned  map[[2]ID]bool // messages are lost from the first to the second
+	loss         float64        // probability that a message is lost, and that it is sent twice
 	proposals    int
 	acknowledged []maintenance.MemberName
-	stateAt      map[maintenance.Epoch][]byte // the state after each command, as the first voter that got there had it
+	stateAt      map[maintenance.Epoch][]byte // state after each command, from the first voter that applied it
 }
 
 var testLimits = maintenance.Limits{MaxGatherers: 1, LeaseDuration: 3000}
@@ -62,40 +62,41 @@
 }
 
 // start starts a crashed or new voter.
-func (c *testCluster) start(s *simNode, found bool) {
+func (c *testCluster) start(s *simNode, bootstrap bool) {
 	s.storage.failure = noFailure
-	node, err := New(Config{ID: s.id, Voters: c.ids, Limits: testLimits, Storage: s.storage, Bootstrap: found, CompactAfter: 6})
+	node, err := New(Config{ID: s.id, Voters: c.ids, Limits: testLimits, Storage: s.storage, Bootstrap: bootstrap, CompactAfter: 6})
 	if err != nil {
-		c.t.Fatalf("voter %d does not start: %v", s.id, err)
+		c.t.Fatalf("start voter %d: %v", s.id, err)
 	}
-	// Each run has a clock of its own: a new leader continues the state's time from where it stood.
-	s.node, s.suspended, s.clock = node, false, maintenance.Time(c.rand.IntN(864_000_000))
+	// The clock has another offset after each start: a new leader must nevertheless continue from the time of the state.
+	s.node, s.suspended, s.clockOffset = node, false, maintenance.Time(c.rand.IntN(864_000_000))
 }
 
-// awaitLeader advances time until there is a leader other than not. Split elections are repeated after time-outs that the library draws
-// from a source of its own, so their number does not depend on the seed.
-func (c *testCluster) awaitLeader(not *simNode) *simNode {
+// awaitLeader advances time until there is a leader other than excluded. The library draws the timeouts after which it
+// repeats a split election from its own random source, so the number of elections does not depend on the seed.
+func (c *testCluster) awaitLeader(excluded *simNode) *simNode {
 	for range 100 {
 		c.advance(10)
 		for _, s := range c.nodes {
-			if s != not && s.node != nil && s.node.IsLeader() {
+			if s != excluded && s.node != nil && s.node.IsLeader() {
 				return s
 			}
 		}
 	}
-	c.t.Fatalf("no leader after 1000 ticks")
+	c.t.Fatalf("no leader was elected within 1000 ticks")
 	return nil
 }
 
+// advance delivers due messages and advances the clocks of the voters, tick by tick.
 func (c *testCluster) advance(ticks int) {
 	for range ticks {
 		c.tick++
 		var due []message
-		c.messages = slices.DeleteFunc(c.messages, func(l message) bool {
-			if l.at <= c.tick {
-				due = append(due, l)
+		c.messages = slices.DeleteFunc(c.messages, func(m message) bool {
+			if m.at <= c.tick {
+				due = append(due, m)
 			}
-			return l.at <= c.tick
+			return m.at <= c.tick
 		})
 		c.rand.Shuffle(len(due), func(i, j int) { due[i], due[j] = due[j], due[i] })
 		for _, l := range due {
@@ -104,19 +105,20 @@
 				if err := proto.Unmarshal(l.data, m); err != nil {
 					c.t.Fatalf("message: %v", err)
 				}
-				_ = s.node.Step(m) // messages of an old term are rejected
+				_ = s.node.Step(m) // the error of a message from an earlier term is expected
 				c.process(s)
 			}
 		}
 		for _, s := range c.nodes {
 			if s.node != nil && !s.suspended {
-				s.node.Tick(maintenance.Time(100*c.tick) + s.clock)
+				s.node.Tick(maintenance.Time(100*c.tick) + s.clockOffset)
 				c.process(s)
 			}
 		}
 	}
 }
 
+// process calls Process on a voter, sends its messages, and checks its storage, its time and its state.
 func (c *testCluster) process(s *simNode) {
 	for _, m := range s.node.Process() {
 		b, err := proto.Marshal(m)
@@ -135,49 +137,51 @@
 	if s.node.Err() == nil {
 		c.checkStorage(s)
 	}
-	st := s.node.State()
-	if limit := maintenance.Time(100 * c.tick); st.Now > limit {
-		c.t.Fatalf("the time of voter %d is %d, but only %d have passed", s.id, st.Now, limit)
+	state := s.node.State()
+	if limit := maintenance.Time(100 * c.tick); state.Now > limit {
+		c.t.Fatalf("the state of voter %d has the time %d ms, but only %d ms have passed", s.id, state.Now, limit)
 	}
-	b, err := st.Snapshot()
+	b, err := state.Snapshot()
 	if err != nil {
 		c.t.Fatalf("snapshot: %v", err)
 	}
-	if seen, there := c.stateAt[st.Applied]; !there {
-		c.stateAt[st.Applied] = b
-	} else if !bytes.Equal(seen, b) {
-		c.t.Fatalf("after command %d voter %d has another state than one before it:\n%s\n%s", st.Applied, s.id, b, seen)
+	if recorded, known := c.stateAt[state.Applied]; !known {
+		c.stateAt[state.Applied] = b
+	} else if !bytes.Equal(recorded, b) {
+		c.t.Fatalf("after command %d the state of voter %d differs from that of the first voter that applied it:\n%s\n%s",
+			state.Applied, s.id, b, recorded)
 	}
 }
 
-// checkStorage compares the storage with the log from which the core reads: an extra entry would be a command that was never committed.
+// checkStorage compares the storage with the in-memory log from which the Raft library reads. An extra stored entry
+// would be a command that was never committed.
 func (c *testCluster) checkStorage(s *simNode) {
-	last, err := s.node.memory.LastIndex()
+	last, err := s.node.memoryLog.LastIndex()
 	if err != nil {
 		c.t.Fatalf("last index: %v", err)
 	}
-	first, err := s.node.memory.FirstIndex()
+	first, err := s.node.memoryLog.FirstIndex()
 	if err != nil {
 		c.t.Fatalf("first index: %v", err)
 	}
-	for no, b := range s.storage.entries {
-		if no > last {
-			c.t.Fatalf("voter %d stores entry %d, its log ends at %d", s.id, no, last)
+	for index, b := range s.storage.entries {
+		if index > last {
+			c.t.Fatalf("voter %d stores entry %d, but its log ends at %d", s.id, index, last)
 		}
-		if no < first {
+		if index < first {
 			continue
 		}
-		e, err := s.node.memory.Entries(no, no+1, 1<<30)
+		e, err := s.node.memoryLog.Entries(index, index+1, 1<<30)
 		if err != nil {
-			c.t.Fatalf("entry %d: %v", no, err)
+			c.t.Fatalf("entry %d: %v", index, err)
 		}
 		if want, err := proto.Marshal(e[0]); err != nil || !bytes.Equal(want, b) {
-			c.t.Fatalf("voter %d stores another entry %d than its log has", s.id, no)
+			c.t.Fatalf("voter %d: stored entry %d differs from that in its log", s.id, index)
 		}
 	}
 }
 
-// propose proposes a new member to every voter that takes itself for the leader, and records what is acknowledged.
+// propose proposes the join of a new member to every voter that considers itself the leader, and records the acknowledged ones.
 func (c *testCluster) propose() {
 	for _, s := range c.nodes {
 		if s.node == nil || s.suspended || !s.node.IsLeader() {
@@ -195,21 +199,22 @@
 	}
 }
 
-// describe returns the Raft state of each voter.
+// describe returns a description of the Raft state of each voter, for failure messages.
 func (c *testCluster) describe() (out string) {
 	for _, s := range c.nodes {
 		if s.node == nil {
 			out += fmt.Sprintf(" %d crashed;", s.id)
 			continue
 		}
-		st := s.node.raw.BasicStatus()
-		out += fmt.Sprintf(" %d: %v term %d leader %d commit %d applied %d compacted at %d, %v;", s.id, st.RaftState, st.GetTerm(), st.Lead,
-			st.GetCommit(), s.node.State().Applied, s.node.compactedAt, s.node.Err())
+		status := s.node.raw.BasicStatus()
+		out += fmt.Sprintf(" %d: %v term %d leader %d commit %d applied %d compacted at %d, %v;", s.id,
+			status.RaftState, status.GetTerm(), status.Lead, status.GetCommit(), s.node.State().Applied, s.node.compactedAt, s.node.Err())
 	}
 	return out
 }
 
-func (c *testCluster) leaders() (n int) {
+// countLeaders returns the number of running voters that are leader.
+func (c *testCluster) countLeaders() (n int) {
 	for _, s := range c.nodes {
 		if s.node != nil && !s.suspended && s.node.IsLeader() {
 			n++
@@ -218,10 +223,11 @@
 	return n
 }
 
-// fault is a kind of fault.
+// fault is a kind of fault that a test injects.
 type fault int
 
-// The faults, and for the rest of the numbers drawn a proposal.
+// The kinds of faults. Crashes and restarts have several values each so that they are drawn more often. The values
+// below faultKinds without a name are proposals.
 const (
 	crash fault = iota
 	crashAgain
@@ -236,13 +242,14 @@
 	faultKinds = 15
 )
 
-// inject injects a fault at voter i, and of a one-way partition towards voter j.
+// inject injects a fault at voter i. j is the receiver for a one-way partition, and selects the kind of failure for
+// failed writes.
 func (c *testCluster) inject(kind fault, i, j int) {
 	s := c.nodes[i%len(c.nodes)]
 	other := c.ids[j%len(c.ids)]
 	switch kind {
 	case crash, crashAgain:
-		s.node = nil // nobody learns the results of its proposals
+		s.node = nil // the results of its proposals are lost
 	case restart, restartAgain, restartOnceMore:
 		if s.node == nil || s.node.Err() != nil {
 			c.start(s, false)
--- a/raftlog/format_test.go
+++ b/raftlog/format_test.go
@@ -13,7 +13,7 @@
 	"oxbowspan/maintenance"
 )
 
-// readStoredLog reads a log that the first release stored: of one voter that founded a fleet and compacted once.
+// readStoredLog reads a log that the first release stored: the log of the only voter of a new fleet, compacted once.
 func readStoredLog(t *testing.T) (stored StoredLog) {
 	t.Helper()
 	raw, err := os.ReadFile("testdata/log.json")
@@ -26,7 +26,7 @@
 	return stored
 }
 
-// A log stored by the first release must be restored to the same state.
+// A log that was stored by the first release must be restored to the same state.
 func TestRestoreStoredLog(t *testing.T) {
 	stored := readStoredLog(t)
 	storage := &memoryStorage{hardState: stored.HardState, snapshot: stored.Snapshot, entries: map[uint64][]byte{}}
@@ -47,8 +47,8 @@
 	}
 }
 
-// The same commands must be stored as the same bytes as by the first release: voters of both versions run side by side, and a downgrade
-// must find a log that it can read.
+// Commands must be stored as the same bytes as by the first release: voters of both versions run side by side, and
+// after a downgrade the older version must be able to read the log.
 func TestStoredBytesAreUnchanged(t *testing.T) {
 	want := readStoredLog(t)
 	storage := &memoryStorage{entries: map[uint64][]byte{}}
--- a/raftlog/node_test.go
+++ b/raftlog/node_test.go
@@ -22,8 +22,10 @@
 	os.Exit(m.Run())
 }
 
-func TestAcknowledgedCommandsAreKept(t *testing.T) {
-	acked := 0
+// Every acknowledged command must survive random crashes, suspensions, partitions, message losses and failed writes,
+// and all voters must end in the same state.
+func TestAcknowledgedCommandsAreDurable(t *testing.T) {
+	acknowledged := 0
 	rapid.Check(t, func(t *rapid.T) {
 		c := newTestCluster(t, rapid.Uint64().Draw(t, "seed"), rapid.SampledFrom([]int{3, 3, 5}).Draw(t, "voters"),
 			rapid.SampledFrom([]float64{0, 0.05, 0.3}).Draw(t, "loss"))
@@ -44,7 +46,7 @@
 		}
 		c.advance(80)
 		c.awaitLeader(nil)
-		if n := c.leaders(); n != 1 {
+		if n := c.countLeaders(); n != 1 {
 			t.Fatalf("%d leaders after all faults have ended", n)
 		}
 		c.propose()
@@ -52,7 +54,7 @@
 		for _, s := range c.nodes {
 			for _, n := range c.acknowledged {
 				if s.node.State().Members[n] == nil {
-					t.Fatalf("voter %d does not have %s, which was acknowledged: %s", s.id, n, c.describe())
+					t.Fatalf("voter %d lacks member %s, whose join was acknowledged: %s", s.id, n, c.describe())
 				}
 			}
 			if s.node.State().Applied != c.nodes[0].node.State().Applied {
@@ -62,12 +64,12 @@
 				t.Fatalf("voter %d has stopped: %v", s.id, s.node.Err())
 			}
 		}
-		acked += len(c.acknowledged)
+		acknowledged += len(c.acknowledged)
 	})
-	if acked < 200 {
-		t.Errorf("only %d commands were acknowledged: too few to check anything", acked)
+	if acknowledged < 200 {
+		t.Errorf("only %d commands were acknowledged, want at least 200 for the checks to be meaningful", acknowledged)
 	}
-	t.Logf("%d commands acknowledged", acked)
+	t.Logf("%d commands acknowledged", acknowledged)
 }
 
 func TestNoCommitWithoutQuorum(t *testing.T) {
@@ -91,30 +93,30 @@
 	}
 }
 
-func TestNodeWithoutLogIsRejected(t *testing.T) {
+func TestMissingOrIncompleteLogIsRejected(t *testing.T) {
 	c := newTestCluster(t, 1, 3, 0)
 	c.awaitLeader(nil)
 	_, err := New(Config{ID: 1, Voters: c.ids, Limits: testLimits, Storage: &memoryStorage{entries: map[uint64][]byte{}}})
 	if !errors.Is(err, ErrNoLog) {
-		t.Errorf("a voter without a log: %v", err)
+		t.Errorf("a voter without a log: got %v, want ErrNoLog", err)
 	}
 	if _, err := New(Config{ID: 9, Voters: c.ids, Limits: testLimits, Storage: c.nodes[0].storage}); err == nil {
-		t.Error("a node that is not a voter starts")
+		t.Error("a node that is not among the voters was started")
 	}
-	d := c.nodes[0].storage
+	storage := c.nodes[0].storage
 	c.propose()
 	c.advance(10)
-	if len(d.entries) < 2 {
-		t.Fatalf("%d entries stored", len(d.entries))
+	if len(storage.entries) < 2 {
+		t.Fatalf("%d entries stored, want at least 2", len(storage.entries))
 	}
-	delete(d.entries, slices.Min(slices.Collect(maps.Keys(d.entries)))) // a gap must be an error
-	if _, err := New(Config{ID: 1, Voters: c.ids, Limits: testLimits, Storage: d}); err == nil {
-		t.Error("a log with a gap is accepted")
+	delete(storage.entries, slices.Min(slices.Collect(maps.Keys(storage.entries)))) // creates a gap, which must be an error
+	if _, err := New(Config{ID: 1, Voters: c.ids, Limits: testLimits, Storage: storage}); err == nil {
+		t.Error("a log with a gap was accepted")
 	}
 }
 
-// Both sides of a partition are asked for the only permit: the minority cannot decide, the majority grants it, and after the partition
-// there is that one.
+// Both sides of a partition receive a request for the only permit. The minority cannot commit it and the majority
+// grants it; after the partition has healed all voters have the permit of the majority only.
 func TestPartitionCommitsOnMajoritySideOnly(t *testing.T) {
 	c := newTestCluster(t, 5, 3, 0)
 	leader := c.awaitLeader(nil)
@@ -138,16 +140,16 @@
 		return maintenance.Command{RequestPermit: &maintenance.RequestPermit{Name: name, Incarnation: 1}}
 	}
 	if err := propose(leader, request("m1")); !errors.Is(err, ErrOutcomeUnknown) {
-		t.Errorf("the minority's result: %v", err)
+		t.Errorf("result of the minority: %v, want ErrOutcomeUnknown", err)
 	}
 	next := c.awaitLeader(leader)
-	// The leases have expired meanwhile: both renew in the tick in which m2 requests a permit.
+	// The leases have expired in the meantime, so both members renew in the tick in which m2 requests the permit.
 	for _, name := range []maintenance.MemberName{"m2", "m1"} {
 		renew := &maintenance.Renew{Name: name, Incarnation: 1, Status: maintenance.Ready}
 		next.node.Propose(maintenance.Command{Renew: renew}, func(maintenance.Result, error) {})
 	}
 	if err := propose(next, request("m2")); err != nil {
-		t.Errorf("the majority's result: %v", err)
+		t.Errorf("result of the majority: %v", err)
 	}
 	clear(c.partitioned)
 	c.advance(60)
--- a/raftlog/process.go
+++ b/raftlog/process.go
@@ -10,15 +10,15 @@
 	"oxbowspan/maintenance"
 )
 
-// Process stores what must be durable, applies what is committed and returns the messages to send. It must be called after each Tick,
-// Step and Propose, or a series of them.
+// Process writes what must be durable, applies the committed entries and returns the messages to send. It must be
+// called after each Tick, Step and Propose, or after a series of them.
 func (n *Node) Process() []*pb.Message {
 	var messages []*pb.Message
 	for n.err == nil && n.raw.HasReady() {
 		ready := n.raw.Ready()
 		if err := n.persist(ready); err != nil {
 			n.fail(fmt.Errorf("%w: %w", ErrStorage, err))
-			return nil // none of these messages may be sent: they rest on what was not stored
+			return nil // none of these messages may be sent, as they depend on data that was not stored
 		}
 		messages = append(messages, ready.Messages...)
 		for _, m := range ready.Messages {
@@ -41,7 +41,7 @@
 	return messages
 }
 
-// persist stores a Ready, then puts it into the memory from which the core reads.
+// persist writes a Ready to the storage and then adds it to the in-memory log from which the Raft library reads.
 func (n *Node) persist(ready raft.Ready) error {
 	batch, err := newWriteBatch(ready)
 	if err != nil {
@@ -53,19 +53,19 @@
 		}
 	}
 	if batch.Snapshot != nil {
-		if err := n.memory.ApplySnapshot(ready.Snapshot); err != nil {
+		if err := n.memoryLog.ApplySnapshot(ready.Snapshot); err != nil {
 			return err
 		}
 	}
 	if batch.HardState != nil {
-		if err := n.memory.SetHardState(ready.HardState); err != nil {
+		if err := n.memoryLog.SetHardState(ready.HardState); err != nil {
 			return err
 		}
 	}
-	return n.memory.Append(ready.Entries)
+	return n.memoryLog.Append(ready.Entries)
 }
 
-// newWriteBatch encodes what a Ready wants to have stored.
+// newWriteBatch encodes the parts of a Ready that must be stored.
 func newWriteBatch(ready raft.Ready) (batch WriteBatch, err error) {
 	if !raft.IsEmptyHardState(ready.HardState) {
 		if batch.HardState, err = proto.Marshal(ready.HardState); err != nil {
@@ -103,20 +103,21 @@
 		n.state, n.compactedAt = state, ready.Snapshot.GetMetadata().GetIndex()
 	}
 	if ready.SoftState != nil && ready.SoftState.RaftState != raft.StateLeader {
-		n.leaderSince = 0
+		n.leadershipIndex = 0
 		n.abortPending()
 	}
 	for _, e := range ready.CommittedEntries {
 		if err := n.applyEntry(e); err != nil {
-			return err // going on without it would make this voter's state differ from the others'
+			return err // if this voter skipped the entry, its state would differ from that of the other voters
 		}
 	}
 	return nil
 }
 
+// applyEntry applies a committed entry, and passes the result to the proposer if this node proposed it.
 func (n *Node) applyEntry(e *pb.Entry) error {
 	index := maintenance.Epoch(e.GetIndex())
-	if len(e.GetData()) == 0 { // a new leader's first entry
+	if len(e.GetData()) == 0 { // the empty first entry of a new leader
 		n.state.Apply(index, maintenance.Command{})
 		return nil
 	}
@@ -136,24 +137,24 @@
 	return nil
 }
 
-// updateLeadership makes this voter act as leader once all commands of earlier leaders are applied: it must know what was granted
-// before it advances the state's time.
+// updateLeadership makes this voter act as leader after it has applied all commands of earlier leaders. It must have
+// applied all permits that they granted before it advances the time of the state.
 func (n *Node) updateLeadership() {
 	status := n.raw.BasicStatus()
 	if status.RaftState != raft.StateLeader {
-		n.leaderSince = 0
+		n.leadershipIndex = 0
 		return
 	}
-	if n.leaderSince > 0 && n.term == status.GetTerm() {
+	if n.leadershipIndex > 0 && n.term == status.GetTerm() {
 		return
 	}
 	applied := uint64(n.state.Applied)
-	if term, err := n.memory.Term(applied); err == nil && term == status.GetTerm() {
-		n.leaderSince, n.term, n.clockOffset = applied, term, n.state.Now-n.clock
+	if term, err := n.memoryLog.Term(applied); err == nil && term == status.GetTerm() {
+		n.leadershipIndex, n.term, n.clockOffset = applied, term, n.state.Now-n.clock
 	}
 }
 
-// compact replaces the applied part of the log by a snapshot once it is long enough.
+// compact replaces the applied part of the log by a snapshot if at least compactAfter entries were applied since the last one.
 func (n *Node) compact() error {
 	applied := uint64(n.state.Applied)
 	if applied < n.compactedAt+n.compactAfter {
@@ -163,7 +164,7 @@
 	if err != nil {
 		return err
 	}
-	snapshot, err := n.memory.CreateSnapshot(applied, n.confState, data)
+	snapshot, err := n.memoryLog.CreateSnapshot(applied, n.confState, data)
 	if err != nil {
 		return err
 	}
@@ -171,14 +172,14 @@
 	if err != nil {
 		return err
 	}
-	// Some entries stay in memory, so that a voter that lags a little is sent these and not the whole state.
+	// Some entries remain in memory, so that a voter that is slightly behind is sent these instead of the complete state.
 	keepFrom := applied - min(n.compactAfter/4, applied-1)
-	if first, err := n.memory.FirstIndex(); err == nil && keepFrom < first {
+	if first, err := n.memoryLog.FirstIndex(); err == nil && keepFrom < first {
 		keepFrom = first
 	}
 	if err := n.storage.Write(WriteBatch{Snapshot: encoded, CompactTo: applied}); err != nil {
 		return err
 	}
 	n.compactedAt = applied
-	return n.memory.Compact(keepFrom)
+	return n.memoryLog.Compact(keepFrom)
 }
--- a/raftlog/proposal.go
+++ b/raftlog/proposal.go
@@ -5,17 +5,18 @@
 	"errors"
 )
 
-// ErrMalformedEntry is returned for an entry of the log that does not name its proposer.
+// ErrMalformedEntry is returned for a log entry that does not begin with a valid proposalID.
 var ErrMalformedEntry = errors.New("malformed log entry")
 
-// proposalID identifies a proposal, so that its proposer learns its result and nobody else's. It precedes the command in the log.
+// proposalID identifies a proposal, so that its proposer can match the applied entry with it. It precedes the command
+// in the log entry.
 type proposalID struct {
 	proposer ID
-	term     uint64 // in which the proposer was leader
-	sequence uint64 // of the proposer's proposals
+	term     uint64 // term in which the proposer was leader
+	sequence uint64 // sequence number among the proposer's proposals
 }
 
-// wrapProposal returns the data of a log entry: the three numbers as varints, and the encoded command.
+// wrapProposal returns the data of a log entry: the three numbers of the ID as varints, followed by the encoded command.
 func wrapProposal(id proposalID, command []byte) []byte {
 	data := binary.AppendUvarint(nil, uint64(id.proposer))
 	data = binary.AppendUvarint(data, id.term)
--- a/raftlog/restore.go
+++ b/raftlog/restore.go
@@ -9,13 +9,13 @@
 	"oxbowspan/maintenance"
 )
 
-// firstIndex and firstTerm are those of the snapshot with which a fleet is founded.
+// firstIndex and firstTerm are the index and the term of the initial snapshot of a new fleet.
 const (
 	firstIndex = 1
 	firstTerm  = 1
 )
 
-// bootstrap stores and returns the first snapshot: the voters and an empty fleet.
+// bootstrap stores and returns the initial snapshot, which holds the voters and the state of an empty fleet.
 func (n *Node) bootstrap() ([]byte, error) {
 	n.state.Applied = firstIndex
 	data, err := n.state.Snapshot()
@@ -37,7 +37,7 @@
 	return snapshot, nil
 }
 
-// restore loads a stored log into the state machine and into the memory from which the core reads.
+// restore loads a stored log into the state machine and into the in-memory log from which the Raft library reads.
 func (n *Node) restore(stored StoredLog) error {
 	snapshot, hardState := &pb.Snapshot{}, &pb.HardState{}
 	if err := proto.Unmarshal(stored.Snapshot, snapshot); err != nil {
@@ -50,26 +50,26 @@
 	if n.state, err = maintenance.Restore(snapshot.GetData()); err != nil {
 		return err
 	}
-	if err := n.memory.ApplySnapshot(snapshot); err != nil {
+	if err := n.memoryLog.ApplySnapshot(snapshot); err != nil {
 		return err
 	}
 	n.compactedAt = snapshot.GetMetadata().GetIndex()
 	if hardState.GetCommit() < n.compactedAt {
-		// The snapshot is durable, and with it everything up to its index.
+		// The snapshot is durable and covers only committed entries, so everything up to its index is committed.
 		hardState.Commit = proto.Uint64(n.compactedAt)
 		hardState.Term = proto.Uint64(max(hardState.GetTerm(), snapshot.GetMetadata().GetTerm()))
 	}
-	if err := n.memory.SetHardState(hardState); err != nil {
+	if err := n.memoryLog.SetHardState(hardState); err != nil {
 		return err
 	}
 	entries, err := decodeEntries(stored.Entries, n.compactedAt)
 	if err != nil {
 		return err
 	}
-	return n.memory.Append(entries)
+	return n.memoryLog.Append(entries)
 }
 
-// decodeEntries decodes the entries after an index. They must have no gap.
+// decodeEntries decodes the entries with an index greater than after. A gap between them is an error.
 func decodeEntries(stored []Entry, after uint64) (entries []*pb.Entry, err error) {
 	for _, e := range stored {
 		if e.Index <= after {
@@ -80,7 +80,7 @@
 			return nil, fmt.Errorf("decode stored entry %d: %w", e.Index, err)
 		}
 		if want := after + uint64(len(entries)) + 1; entry.GetIndex() != want {
-			return nil, fmt.Errorf("the stored log has entry %d in place of %d", entry.GetIndex(), want)
+			return nil, fmt.Errorf("stored log has a gap: found entry %d, expected entry %d", entry.GetIndex(), want)
 		}
 		entries = append(entries, entry)
 	}
--- a/raftlog/storage_test.go
+++ b/raftlog/storage_test.go
@@ -6,10 +6,10 @@
 	"slices"
 )
 
-// storageFailure says how Write of a memoryStorage fails.
+// storageFailure is the way in which Write of a memoryStorage fails.
 type storageFailure int
 
-// The failures.
+// The kinds of storage failures.
 const (
 	noFailure     storageFailure = iota
 	failsStored                  // the batch is stored and an error is returned
@@ -23,32 +23,32 @@
 	failure             storageFailure
 }
 
-func (d *memoryStorage) Load() (StoredLog, error) {
-	k := StoredLog{HardState: d.hardState, Snapshot: d.snapshot}
-	for _, no := range slices.Sorted(maps.Keys(d.entries)) {
-		k.Entries = append(k.Entries, Entry{no, d.entries[no]})
+func (s *memoryStorage) Load() (StoredLog, error) {
+	stored := StoredLog{HardState: s.hardState, Snapshot: s.snapshot}
+	for _, index := range slices.Sorted(maps.Keys(s.entries)) {
+		stored.Entries = append(stored.Entries, Entry{index, s.entries[index]})
 	}
-	return k, nil
+	return stored, nil
 }
 
-func (d *memoryStorage) Write(c WriteBatch) error {
-	if d.failure == failsUnstored {
+func (s *memoryStorage) Write(batch WriteBatch) error {
+	if s.failure == failsUnstored {
 		return errors.New("injected failure, not stored")
 	}
-	if c.HardState != nil {
-		d.hardState = c.HardState
+	if batch.HardState != nil {
+		s.hardState = batch.HardState
 	}
-	if c.Snapshot != nil {
-		d.snapshot = c.Snapshot
+	if batch.Snapshot != nil {
+		s.snapshot = batch.Snapshot
 	}
-	if c.TruncateFrom > 0 {
-		maps.DeleteFunc(d.entries, func(no uint64, _ []byte) bool { return no >= c.TruncateFrom })
+	if batch.TruncateFrom > 0 {
+		maps.DeleteFunc(s.entries, func(index uint64, _ []byte) bool { return index >= batch.TruncateFrom })
 	}
-	maps.DeleteFunc(d.entries, func(no uint64, _ []byte) bool { return no <= c.CompactTo })
-	for _, e := range c.Entries {
-		d.entries[e.Index] = e.Data
+	maps.DeleteFunc(s.entries, func(index uint64, _ []byte) bool { return index <= batch.CompactTo })
+	for _, e := range batch.Entries {
+		s.entries[e.Index] = e.Data
 	}
-	if d.failure == failsStored {
+	if s.failure == failsStored {
 		return errors.New("injected failure, stored")
 	}
 	return nil
