--- a/internal/raftnode/agent.go
+++ b/internal/raftnode/agent.go
@@ -11,23 +11,24 @@
 	"oxbowspan/maintenance"
 )
 
-// AgentOptions configure an Agent.
+// AgentOptions configures an Agent.
 type AgentOptions struct {
-	Name          string // this gatherer's
+	Name          string // name of this gatherer
 	Zone          string
 	Version       string
 	Voters        []Voter
 	Keys          *keyring.Ring
-	DrainTimeout  time.Duration // the longest wait for a permit before a shutdown
-	LeaseDuration time.Duration // renewed three times in it
+	DrainTimeout  time.Duration // maximum wait for a permit before a shutdown
+	LeaseDuration time.Duration // the lease is renewed renewalsPerLease times in it
 
 	Ready  func() bool                      // reports whether the gatherer is ready; called from the agent's goroutine
-	Counts func() maintenance.RequestCounts // returns its counters; called from the agent's goroutine
+	Counts func() maintenance.RequestCounts // returns the gatherer's request counters; called from the agent's goroutine
 }
 
+// renewalsPerLease is the number of renewals during one lease duration.
 const renewalsPerLease = 3
 
-// Agent is a gatherer's membership in the fleet: it renews the lease, and requests a permit before the gatherer goes out.
+// Agent maintains a gatherer's membership in the fleet: it renews the lease, and requests a permit before the gatherer drains.
 type Agent struct {
 	options        AgentOptions
 	incarnation    maintenance.Incarnation
@@ -35,21 +36,21 @@
 	startedAt      time.Time
 	drainRequested chan struct{} // closed by RequestDrain
 	drainOnce      sync.Once
-	drain          chan bool // with a buffer for the only value
+	drain          chan bool // buffered, receives at most one value
 	ctx            context.Context
 	cancel         context.CancelFunc
 	done           chan struct{}
 
-	// Owned by run.
-	drainer  *maintenance.Drainer
-	joined   bool
-	renewed  bool // the last renewal reached the leader
-	draining bool // drain has its value
-	renewAt  time.Time
-	pollAt   time.Time // when to poll the drainer; zero = not at all
+	// Accessed by run only.
+	drainer       *maintenance.Drainer
+	joined        bool
+	lastRenewalOK bool // the last renewal succeeded
+	draining      bool // the value was sent to drain
+	renewAt       time.Time
+	pollAt        time.Time // when to poll the drainer next; zero = not at all
 }
 
-// StartAgent makes a gatherer a member for as long as it runs.
+// StartAgent starts an agent, which keeps the gatherer a member of the fleet until Close is called.
 func StartAgent(o AgentOptions) *Agent {
 	now := time.Now()
 	a := &Agent{
@@ -61,7 +62,7 @@
 		drain:          make(chan bool, 1),
 		done:           make(chan struct{}),
 		drainer:        maintenance.NewDrainer(maintenance.Duration(o.DrainTimeout.Milliseconds())),
-		renewed:        true,
+		lastRenewalOK:  true,
 		renewAt:        now,
 	}
 	a.ctx, a.cancel = context.WithCancel(context.Background())
@@ -69,33 +70,35 @@
 	return a
 }
 
-// RequestDrain requests a shutdown of the gatherer. It must continue to serve until Drain has a value.
+// RequestDrain requests permission to shut down the gatherer. The gatherer must continue to serve until Drain receives a value.
 func (a *Agent) RequestDrain() { a.drainOnce.Do(func() { close(a.drainRequested) }) }
 
-// Done is closed once the agent has ended.
+// Done returns a channel that is closed when the agent's goroutine has ended.
 func (a *Agent) Done() <-chan struct{} { return a.done }
 
-// Drain receives one value when the gatherer must drain, after RequestDrain or by an operator's command: whether a permit was granted.
+// Drain returns a channel that receives one value when the gatherer must drain, either after RequestDrain or because an
+// operator ordered it. The value reports whether a permit was granted.
 func (a *Agent) Drain() <-chan bool { return a.drain }
 
-// Close ends the agent and announces to the leader, if there is one, that the gatherer leaves.
+// Close stops the agent and informs the leader, if it can be reached, that the gatherer leaves the fleet.
 func (a *Agent) Close() {
 	a.cancel()
 	<-a.done
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
 	leave := &maintenance.Leave{Name: a.name(), Incarnation: a.incarnation}
-	_, _ = a.client.Do(ctx, maintenance.Command{Leave: leave}) // otherwise its lease expires
+	_, _ = a.client.Do(ctx, maintenance.Command{Leave: leave}) // if this fails, the lease expires instead
 	a.client.Close()
 }
 
 func (a *Agent) name() maintenance.MemberName { return maintenance.MemberName(a.options.Name) }
 
-// now returns the time by the agent's own monotonic clock.
+// now returns the time since the agent was started, by the monotonic clock.
 func (a *Agent) now() maintenance.Time {
 	return maintenance.Time(time.Since(a.startedAt).Milliseconds())
 }
 
+// run is the agent's goroutine.
 func (a *Agent) run() {
 	defer close(a.done)
 	drainRequested := a.drainRequested
@@ -124,7 +127,7 @@
 	}
 }
 
-// act does what the drainer wants, until there is nothing to do now.
+// act performs an action of the drainer and the actions that follow from its result, until none is due.
 func (a *Agent) act(action maintenance.DrainAction) {
 	for {
 		a.pollAt = time.Time{}
@@ -134,7 +137,7 @@
 		if action.Drain && !a.draining {
 			a.draining = true
 			a.drain <- action.Permitted
-			a.renewAt = time.Now() // the new status is reported at once
+			a.renewAt = time.Now() // report the new status at once
 		}
 		if !action.RequestPermit {
 			return
@@ -143,7 +146,7 @@
 	}
 }
 
-// requestPermit returns the granted permit; nil = it was refused or could not be requested.
+// requestPermit requests a permit and returns it; nil = it was refused or the request failed.
 func (a *Agent) requestPermit() *maintenance.Permit {
 	command := &maintenance.RequestPermit{Name: a.name(), Incarnation: a.incarnation, Reason: "shutdown requested"}
 	p, err := a.client.Do(a.ctx, maintenance.Command{RequestPermit: command})
@@ -153,12 +156,12 @@
 	return p
 }
 
-// renewLease renews the lease and begins to drain where an operator wants that.
+// renewLease renews the lease, and begins to drain if an operator has requested a permit for this gatherer.
 func (a *Agent) renewLease() {
 	a.renewAt = time.Now().Add(a.options.LeaseDuration / renewalsPerLease)
 	p, err := a.renew()
-	if ok := err == nil; ok != a.renewed { // logged when it changes, not for each lease
-		a.renewed = ok
+	if ok := err == nil; ok != a.lastRenewalOK { // log changes only, not each renewal
+		a.lastRenewalOK = ok
 		if ok {
 			slog.Info("fleet_lease_renewed", "name", a.options.Name)
 		} else {
@@ -167,12 +170,12 @@
 	}
 	if p != nil && p.Release == "" && !a.draining {
 		slog.Info("fleet_drain_ordered", "name", a.options.Name, "reason", p.Reason)
-		a.drainer.Begin(a.now()) // its request for a permit is not needed
+		a.drainer.Begin(a.now()) // its permit request is dropped, as there is a permit already
 		a.act(a.drainer.HandleReply(a.now(), p))
 	}
 }
 
-// renew joins where necessary and renews the lease. It returns the permit on which this incarnation is to act, if there is one.
+// renew joins the fleet if necessary and renews the lease. It returns the active permit of this incarnation; nil = none.
 func (a *Agent) renew() (*maintenance.Permit, error) {
 	if !a.joined {
 		join := &maintenance.Join{Name: a.name(), Zone: maintenance.Zone(a.options.Zone), Version: maintenance.Version(a.options.Version),
@@ -185,11 +188,12 @@
 	renewal := &maintenance.Renew{Name: a.name(), Incarnation: a.incarnation, Status: a.status(), Counts: a.options.Counts()}
 	p, err := a.client.Do(a.ctx, maintenance.Command{Renew: renewal})
 	if err != nil && !errors.Is(err, ErrNoLeader) && !errors.Is(err, maintenance.ErrStale) {
-		a.joined = false // the fleet has forgotten this member meanwhile: it joins again
+		a.joined = false // the fleet may have removed this member in the meantime, so join again
 	}
 	return p, err
 }
 
+// status returns the status to report.
 func (a *Agent) status() maintenance.Status {
 	switch {
 	case a.draining:
--- a/internal/raftnode/client.go
+++ b/internal/raftnode/client.go
@@ -14,20 +14,20 @@
 	"oxbowspan/raftlog"
 )
 
-// requestTimeout is how long a client waits for one voter: three such waits fit into a lease.
+// requestTimeout bounds a request to one voter. It is chosen so that three such timeouts fit into a lease.
 const requestTimeout = 700 * time.Millisecond
 
-// ErrNoLeader is returned where no voter could be reached that is the leader.
+// ErrNoLeader is returned if none of the voters that could be reached is the leader.
 var ErrNoLeader = errors.New("no voter that is the leader could be reached")
 
-// Client sends commands and queries to whichever voter is the leader. It is not safe for concurrent use.
+// Client sends commands and queries to the current leader. It is not safe for concurrent use.
 type Client struct {
-	sender   string
-	voters   []Voter
-	keys     *keyring.Ring
-	http     *http.Client
-	sequence sequence
-	next     int // index of the voter to ask first: the last known leader
+	sender         string
+	voters         []Voter
+	keys           *keyring.Ring
+	http           *http.Client
+	sequence       sequence
+	preferredVoter int // index of the voter to try first, which is the last known leader
 }
 
 // NewClient returns a client that identifies itself as sender.
@@ -38,8 +38,8 @@
 // Close closes the client's connections.
 func (c *Client) Close() { c.http.CloseIdleConnections() }
 
-// Do executes a command. The error wraps maintenance.ErrRefused or ErrStale, raftlog.ErrOutcomeUnknown or ErrNoLeader where it is one
-// of these.
+// Do executes a command and returns the resulting permit, if there is one. The error wraps maintenance.ErrRefused,
+// maintenance.ErrStale, raftlog.ErrOutcomeUnknown or ErrNoLeader where one of these applies.
 func (c *Client) Do(ctx context.Context, command maintenance.Command) (*maintenance.Permit, error) {
 	res, err := c.roundTrip(ctx, request{Command: &command})
 	switch {
@@ -57,8 +57,8 @@
 	return res.Permit, nil
 }
 
-// State returns the fleet's state and the leader's name. Without a leader it is the last state that one of the voters knows, and the
-// name is "".
+// State returns the state of the fleet and the name of the leader. Without a leader it returns the state of the first
+// voter that responds with one, which may be out of date, and the name "".
 func (c *Client) State(ctx context.Context) (s *maintenance.State, leader string, err error) {
 	query := request{State: true}
 	res, err := c.roundTrip(ctx, query)
@@ -80,7 +80,8 @@
 	return nil, "", err
 }
 
-// roundTrip asks the voters in turn, or the one that another names as leader, until the leader responds.
+// roundTrip sends a request to the voters in turn until the leader responds. If a voter names another one as the
+// leader, it tries that one next.
 func (c *Client) roundTrip(ctx context.Context, r request) (response, error) {
 	body, err := json.Marshal(r)
 	if err != nil {
@@ -88,27 +89,27 @@
 	}
 	lastErr := error(ErrNoLeader)
 	for range 2 * (len(c.voters) + 1) {
-		res, err := c.post(ctx, c.voters[c.next], body)
+		res, err := c.post(ctx, c.voters[c.preferredVoter], body)
 		switch {
 		case err != nil:
 			lastErr = fmt.Errorf("%w: %w", ErrNoLeader, err)
 		case res.MinSequence > 0:
 			c.sequence.raise(res.MinSequence)
 			lastErr = ErrNoLeader
-			continue // with the same voter
+			continue // repeat the request to the same voter
 		case !res.NotLeader:
 			return res, nil
 		default:
 			lastErr = ErrNoLeader
-			if leader := c.voterIndex(res.Leader); leader >= 0 && leader != c.next {
-				c.next = leader
+			if leader := c.voterIndex(res.Leader); leader >= 0 && leader != c.preferredVoter {
+				c.preferredVoter = leader
 				continue
 			}
 		}
 		if ctx.Err() != nil {
 			return response{}, ctx.Err()
 		}
-		c.next = (c.next + 1) % len(c.voters)
+		c.preferredVoter = (c.preferredVoter + 1) % len(c.voters)
 	}
 	return response{}, lastErr
 }
@@ -125,15 +126,15 @@
 	return res, err
 }
 
-// voterIndex returns the index of a voter by name; -1 = there is none.
+// voterIndex returns the index of the voter with a name; -1 = there is none.
 func (c *Client) voterIndex(name string) int {
 	return slices.IndexFunc(c.voters, func(v Voter) bool { return v.Name == name })
 }
 
-// remoteError is an error that the leader has reported, with its text and the sentinel error that it is.
+// remoteError is an error that the leader reported.
 type remoteError struct {
 	text  string
-	cause error
+	cause error // sentinel error that it wraps; nil = none
 }
 
 func (e *remoteError) Error() string { return e.text }
--- a/internal/raftnode/doc.go
+++ b/internal/raftnode/doc.go
@@ -1,6 +1,8 @@
-// Package raftnode connects a gatherer to its fleet. The few gatherers that are voters run a Node each: it keeps the replicated log
-// (package raftlog) on disk, exchanges messages with the other voters and serves the fleet's HTTP interface. Every gatherer runs an
-// Agent, which renews its lease and requests a permit before it goes out. A Client sends commands and queries to the leader.
+// Package raftnode connects a gatherer to the replicated state of its fleet. A few gatherers are voters, and each of
+// them runs a Node, which stores the replicated log (package raftlog) on disk, exchanges messages with the other voters
+// and serves the HTTP interface of the fleet. Every gatherer runs an Agent, which renews the gatherer's lease and
+// requests a permit before the gatherer goes out of service. A Client sends commands and queries to the leader.
 //
-// The package decides nothing about who may be out: package maintenance does. In the operator's file the voters are called stewards.
+// Package maintenance, not this package, decides which gatherers may be out. The operator's configuration file calls
+// the voters stewards.
 package raftnode
--- a/internal/raftnode/handler.go
+++ b/internal/raftnode/handler.go
@@ -15,10 +15,10 @@
 	"oxbowspan/raftlog"
 )
 
-// rejectionLogInterval is how often a rejected message is logged at most.
+// rejectionLogInterval is the minimum time between two log entries about rejected messages.
 const rejectionLogInterval = time.Minute
 
-// authenticate reads a request's body and checks its MAC. Where that fails it responds itself and returns false.
+// authenticate reads the body of a request and verifies its MAC. If this fails, it sends the error response and returns false.
 func (n *Node) authenticate(w http.ResponseWriter, r *http.Request, path string) (body []byte, e envelope, ok bool) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxRequestBody))
 	if err == nil {
@@ -32,23 +32,25 @@
 	return body, e, true
 }
 
+// logRejection logs a rejected message, at most once per rejectionLogInterval.
 func (n *Node) logRejection(remote, path string, err error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if time.Since(n.lastRejection) > rejectionLogInterval {
-		n.lastRejection = time.Now()
+	if time.Since(n.lastRejectionLogged) > rejectionLogInterval {
+		n.lastRejectionLogged = time.Now()
 		slog.Warn("fleet_request_rejected", "remote", remote, "path", path, "error", err)
 	}
 }
 
-// raftMessage is the event of a message from another voter.
+// raftMessage is the event that a message from another voter has arrived.
 type raftMessage struct{ *pb.Message }
 
 func (m raftMessage) handle(n *Node) {
-	_ = n.log.Step(m.Message) // one of an old term is rejected, which is no fault
+	_ = n.log.Step(m.Message) // an error is expected for a message from an earlier term
 }
 
-// handleRaft serves messages of other voters. Replays are harmless: the message's term or index is out of date.
+// handleRaft receives messages from other voters. It does not filter replays, which are harmless: their term or index
+// is out of date.
 func (n *Node) handleRaft(w http.ResponseWriter, r *http.Request) {
 	body, e, ok := n.authenticate(w, r, pathRaft)
 	if !ok {
@@ -63,7 +65,7 @@
 	envelope{pathRaft, n.options.Name, e.sequence}.sign(n.options.Keys, w.Header(), nil)
 }
 
-// pendingRequest is the event of a request; reply takes one response without blocking.
+// pendingRequest is the event that a request has arrived. reply is buffered, so that sending the only response does not block.
 type pendingRequest struct {
 	request
 	reply chan response
@@ -78,7 +80,7 @@
 	n.mu.Lock()
 	isNew, last := n.replays.Accept(e.sender, e.sequence)
 	n.mu.Unlock()
-	if !isNew { // a replay, or a sender whose clock is behind: it learns, authenticated, what its next number must exceed
+	if !isNew { // a replay, or a sender whose clock is behind: the signed response contains the number to exceed
 		n.respond(w, e.sequence, response{MinSequence: last, NotLeader: true})
 		return
 	}
@@ -100,6 +102,7 @@
 	n.respond(w, e.sequence, res)
 }
 
+// respond sends a signed response to the request with a sequence number.
 func (n *Node) respond(w http.ResponseWriter, sequence uint64, res response) {
 	body, err := json.Marshal(res)
 	if err != nil {
@@ -110,7 +113,7 @@
 	w.Write(body)
 }
 
-// handle answers a query, or proposes a command and answers with its result.
+// handle responds to a query, or proposes a command and responds with its result.
 func (r pendingRequest) handle(n *Node) {
 	if r.Command == nil {
 		r.reply <- n.queryState()
@@ -121,7 +124,7 @@
 	})
 }
 
-// queryState returns the state if this voter is the leader, or where it knows of none.
+// queryState returns the response to a query. It contains the state if this voter is the leader or no leader is known.
 func (n *Node) queryState() response {
 	res := response{Leader: n.leaderName(), NotLeader: !n.log.IsLeader()}
 	if !res.NotLeader || res.Leader == "" {
@@ -130,6 +133,7 @@
 	return res
 }
 
+// commandResponse returns the response to a command that was applied or has failed.
 func (n *Node) commandResponse(c maintenance.Command, result maintenance.Result, err error) response {
 	res := response{Leader: n.leaderName(), Permit: result.Permit}
 	if err != nil {
@@ -148,7 +152,7 @@
 	return res
 }
 
-// leaderName returns the name of the leader; "" = it is not known.
+// leaderName returns the name of the leader; "" = no leader is known.
 func (n *Node) leaderName() string {
 	if id := n.log.Leader(); id > 0 && int(id) <= len(n.options.Voters) {
 		return n.options.Voters[id-1].Name
@@ -156,7 +160,7 @@
 	return ""
 }
 
-// copyState returns a copy of the state, as only run may access the state itself; nil = it cannot be copied.
+// copyState returns a copy of the state, because only the node's goroutine may access the state itself; nil = copying failed.
 func (n *Node) copyState() *maintenance.State {
 	snapshot, err := n.log.State().Snapshot()
 	if err != nil {
--- a/internal/raftnode/hook.go
+++ b/internal/raftnode/hook.go
@@ -14,42 +14,45 @@
 	"oxbowspan/maintenance"
 )
 
-// errNoHook is the result of an order where the operator's file names no hook.
+// errNoHook is the result of an order if the operator's configuration file names no hook.
 var errNoHook = errors.New("there is none, so nobody carries the change out")
 
-// orphanHookTimeout bounds the hook of a release that is not known any more.
-const orphanHookTimeout = time.Minute
+// unknownReleaseHookTimeout bounds the run time of a hook whose release is no longer part of the state.
+const unknownReleaseHookTimeout = time.Minute
 
-// orderKey identifies an order: one command may start the changes of several members, whose orders have the same epoch.
+// orderKey identifies an order. The epoch alone is not sufficient: one command may start the changes of several
+// members, whose orders then have the same epoch.
 type orderKey struct {
 	name  maintenance.MemberName
 	epoch maintenance.Epoch
 }
 
-// runHooks starts the operator's hook for each order, once as long as this voter is the leader. A new leader gives the ongoing orders
-// again with the same epochs, as it cannot know whether they were carried out.
+// runHooks starts the operator's hook for each order that this voter has not yet started since it became leader. A new
+// leader repeats the current orders with the same epochs, because it cannot determine whether they were carried out.
 func (n *Node) runHooks() {
 	orders := n.log.State().Orders()
-	maps.DeleteFunc(n.ordersRun, func(key orderKey, _ bool) bool {
+	maps.DeleteFunc(n.startedOrders, func(key orderKey, _ bool) bool {
 		return !slices.ContainsFunc(orders, func(o maintenance.Order) bool { return key == orderKey{o.Name, o.Epoch} })
 	})
 	for _, order := range orders {
 		key := orderKey{order.Name, order.Epoch}
-		if n.ordersRun[key] {
+		if n.startedOrders[key] {
 			continue
 		}
-		n.ordersRun[key] = true
+		n.startedOrders[key] = true
 		slog.Info("fleet_order", "release", order.Release, "name", order.Name, "version", order.Version, "epoch", order.Epoch)
 		n.startHook(order)
 	}
 }
 
+// startHook runs the operator's hook for an order in a goroutine of its own. The hook is killed after the change
+// timeout of the release.
 func (n *Node) startHook(order maintenance.Order) {
 	if n.options.Hook == "" {
 		n.enqueue(hookResult{order, errNoHook})
 		return
 	}
-	timeout := orphanHookTimeout
+	timeout := unknownReleaseHookTimeout
 	if r := n.log.State().Release(order.Release); r != nil {
 		timeout = r.Plan.ChangeTimeout.Std()
 	}
@@ -70,7 +73,7 @@
 	err   error
 }
 
-// handle halts the release of a hook that failed.
+// handle halts the release if its hook failed.
 func (h hookResult) handle(n *Node) {
 	if h.err == nil {
 		return
--- a/internal/raftnode/node.go
+++ b/internal/raftnode/node.go
@@ -18,25 +18,25 @@
 	"oxbowspan/raftlog"
 )
 
-// Voter is a gatherer that keeps the replicated log.
+// Voter is a gatherer that stores a replica of the log and votes on its entries.
 type Voter struct {
-	Name string // of the gatherer
-	Addr string // HOST:PORT of its interface for the fleet
+	Name string // name of the gatherer
+	Addr string // HOST:PORT of its HTTP interface for the fleet
 }
 
-// Options configure a Node.
+// Options configures a Node.
 type Options struct {
-	Name      string        // this gatherer's, one of Voters
-	Listen    string        // HOST:PORT to listen on for the fleet
-	Voters    []Voter       // in the same order on all gatherers
-	Keys      *keyring.Ring // authenticate the fleet's messages
-	Path      string        // directory of the log
-	Hook      string        // program that carries out a release's changes; "" = there is none
+	Name      string        // name of this gatherer, which must be one of Voters
+	Listen    string        // HOST:PORT to listen on
+	Voters    []Voter       // all voters, in the same order on all gatherers
+	Keys      *keyring.Ring // keys that authenticate the messages of the fleet
+	Path      string        // directory in which the log is stored
+	Hook      string        // path of the program that carries out the changes of releases; "" = none
 	Limits    maintenance.Limits
-	Bootstrap bool // found the fleet: create the log. Without it, a missing log is an error
+	Bootstrap bool // create the log of a new fleet if there is none; otherwise a missing log is an error
 }
 
-// voterID returns the voter's number in the log; 0 = it is not a voter.
+// voterID returns this gatherer's ID as a voter, which is its position among Voters, starting at 1; 0 = it is not a voter.
 func (o Options) voterID() raftlog.ID {
 	for i, v := range o.Voters {
 		if v.Name == o.Name {
@@ -48,46 +48,46 @@
 
 const (
 	tickInterval    = 100 * time.Millisecond
-	ticksPerAdvance = 5    // ticks after which a leader advances the state's time
-	mailboxSize     = 4096 // events
-	outboxSize      = 256  // messages to another voter; more are dropped, as if lost on the way
+	ticksPerAdvance = 5    // ticks between two AdvanceTime commands of a leader
+	mailboxSize     = 4096 // events; further ones are dropped
+	outboxSize      = 256  // messages to one other voter; further ones are dropped, as if the network had lost them
 	sendTimeout     = time.Second
 	readTimeout     = 5 * time.Second
 	idleTimeout     = time.Minute
 
-	// maxSenders bounds the senders in the replay filter: more than the members of a large fleet.
+	// maxSenders bounds the number of senders in the replay filter. It exceeds the number of members of a large fleet.
 	maxSenders = 10_000
 )
 
-// event is handled by the node's goroutine.
+// event is an input that the node's goroutine handles.
 type event interface{ handle(*Node) }
 
-// Node is a voter. One goroutine owns the log and handles the events of the mailbox.
+// Node is a voter. Its goroutine run owns the log and handles the events of the mailbox.
 type Node struct {
-	options   Options
-	id        raftlog.ID
-	log       *raftlog.Node // owned by run
-	storage   *logStorage
-	mailbox   chan event
-	outboxes  map[raftlog.ID]chan []byte
-	listener  net.Listener
-	server    *http.Server
-	sequence  sequence
-	startedAt time.Time
-	ctx       context.Context
-	cancel    context.CancelFunc
-	tasks     sync.WaitGroup
-	ordersRun map[orderKey]bool // orders passed to the hook as leader; owned by run
-
-	mu            sync.Mutex
-	replays       *maintenance.ReplayFilter
-	lastRejection time.Time // when a rejected message was last logged
+	options       Options
+	id            raftlog.ID
+	log           *raftlog.Node // accessed by run only
+	storage       *logStorage
+	mailbox       chan event
+	outboxes      map[raftlog.ID]chan []byte
+	listener      net.Listener
+	server        *http.Server
+	sequence      sequence
+	startedAt     time.Time
+	ctx           context.Context
+	cancel        context.CancelFunc
+	tasks         sync.WaitGroup
+	startedOrders map[orderKey]bool // orders passed to the hook since this voter became leader; accessed by run only
+
+	mu                  sync.Mutex // guards the fields below
+	replays             *maintenance.ReplayFilter
+	lastRejectionLogged time.Time // time of the last log entry about a rejected message
 }
 
-// Start opens the log and starts a node.
+// Start opens the log and starts a node, which runs until Close is called.
 func Start(o Options) (*Node, error) {
 	n := &Node{options: o, id: o.voterID(), mailbox: make(chan event, mailboxSize), outboxes: map[raftlog.ID]chan []byte{},
-		startedAt: time.Now(), ordersRun: map[orderKey]bool{}}
+		startedAt: time.Now(), startedOrders: map[orderKey]bool{}}
 	n.replays = maintenance.NewReplayFilter(uint64(n.startedAt.UnixNano()), maxSenders)
 	var err error
 	if n.storage, err = openStorage(o.Path); err != nil {
@@ -119,6 +119,7 @@
 	return n, nil
 }
 
+// openLog creates the voter from the stored log.
 func (n *Node) openLog() (err error) {
 	var ids []raftlog.ID
 	for i := range n.options.Voters {
@@ -131,7 +132,7 @@
 	return err
 }
 
-// Close stops the node. What it acknowledged is durable.
+// Close stops the node. Everything that it has acknowledged is durable.
 func (n *Node) Close() {
 	n.cancel()
 	n.server.Close()
@@ -139,8 +140,8 @@
 	n.storage.store.Close()
 }
 
-// deliver sends the messages for one voter, one at a time and in order. A voter that is slow or down loses messages and delays nobody
-// else's.
+// deliver sends the messages to one voter, one at a time and in order. A voter that is slow or down loses messages but
+// does not delay those to other voters.
 func (n *Node) deliver(addr string, outbox <-chan []byte) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}}
 	defer client.CloseIdleConnections()
@@ -150,7 +151,7 @@
 			return
 		case body := <-outbox:
 			ctx, cancel := context.WithTimeout(n.ctx, sendTimeout)
-			// A lost message is repeated by the protocol.
+			// Errors are ignored: the protocol repeats lost messages.
 			_, _ = post(ctx, client, n.options.Keys, addr, envelope{pathRaft, n.options.Name, n.sequence.next()}, body)
 			cancel()
 		}
@@ -171,7 +172,7 @@
 			n.tick(ticks)
 		case e := <-n.mailbox:
 			e.handle(n)
-			for pending := len(n.mailbox); pending > 0; pending-- { // one write to disk for all that wait
+			for pending := len(n.mailbox); pending > 0; pending-- { // one disk write for all waiting events
 				(<-n.mailbox).handle(n)
 			}
 		}
@@ -180,11 +181,12 @@
 		}
 		if isLeader := n.log.IsLeader(); isLeader != wasLeader {
 			wasLeader = isLeader
-			clear(n.ordersRun)
+			clear(n.startedOrders)
 			slog.Info("fleet_leader", "name", n.options.Name, "leader", isLeader, "applied", n.log.State().Applied)
 		}
 		if err := n.log.Err(); err != nil {
-			// It must send nothing more; the gatherer continues to serve, and the other voters continue without it.
+			// The voter must not send anything more. The gatherer continues to serve, and the other voters continue
+			// without this one.
 			slog.Error("fleet_voter_stopped", "name", n.options.Name, "error", err)
 			n.rejectRequests()
 			return
@@ -195,6 +197,7 @@
 	}
 }
 
+// tick advances the time of the log and, as leader, periodically the time of the state.
 func (n *Node) tick(ticks int) {
 	n.log.Tick(maintenance.Time(time.Since(n.startedAt).Milliseconds()))
 	if n.log.IsLeader() && ticks%ticksPerAdvance == 0 {
@@ -204,7 +207,7 @@
 
 func ignoreResult(maintenance.Result, error) {}
 
-// rejectRequests responds to the requests that still reach a node that has stopped.
+// rejectRequests rejects the requests that arrive after the node has stopped, until Close is called.
 func (n *Node) rejectRequests() {
 	for {
 		select {
@@ -218,7 +221,7 @@
 	}
 }
 
-// send puts a message into its receiver's outbox, or drops it.
+// send puts a message into the outbox of its receiver, or drops it if the outbox is full.
 func (n *Node) send(m *pb.Message) {
 	body, err := proto.Marshal(m)
 	outbox := n.outboxes[raftlog.ID(m.GetTo())]
@@ -231,7 +234,7 @@
 	}
 }
 
-// enqueue puts an event into the mailbox; false = it is full.
+// enqueue puts an event into the mailbox. It returns false if the mailbox is full.
 func (n *Node) enqueue(e event) bool {
 	select {
 	case n.mailbox <- e:
--- a/internal/raftnode/node_test.go
+++ b/internal/raftnode/node_test.go
@@ -18,20 +18,20 @@
 	"oxbowspan/raftlog"
 )
 
-// electionTimeout is how long a test waits for a leader.
+// electionTimeout is the maximum time that a test waits for a leader.
 const electionTimeout = 20 * time.Second
 
-// testRing returns a key ring whose only key k1 repeats a hex digit.
+// testRing returns a key ring with one key, k1, which consists of a repeated hex digit.
 func testRing(t *testing.T, digit string) *keyring.Ring {
 	t.Helper()
-	k, err := keyring.Parse("k1 " + strings.Repeat(digit, 64))
+	ring, err := keyring.Parse("k1 " + strings.Repeat(digit, 64))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return k
+	return ring
 }
 
-// testVoters is a fleet's voters in this process.
+// testVoters holds the voters of a fleet, which all run in the test process.
 type testVoters struct {
 	nodes  []*Node
 	voters []Voter
@@ -73,7 +73,7 @@
 			return v
 		}
 	}
-	t.Fatal("no leader")
+	t.Fatalf("no leader was elected within %s", electionTimeout)
 	return nil
 }
 
@@ -95,7 +95,7 @@
 	for _, voter := range v.voters {
 		e := envelope{pathCommand, "x", uint64(time.Now().UnixNano())}
 		if _, err := post(ctx, http.DefaultClient, testRing(t, "b"), voter.Addr, e, body); err == nil {
-			t.Errorf("%s responds to a request without the fleet's keys", voter.Name)
+			t.Errorf("%s responded to a request that is not signed with the fleet's keys", voter.Name)
 		}
 		e.sequence = uint64(time.Now().UnixNano())
 		if _, err := post(ctx, http.DefaultClient, v.keys, voter.Addr, e, body); err != nil {
@@ -109,13 +109,14 @@
 	}
 }
 
-// A client whose clock is an hour behind learns what its sequence numbers must exceed, and a follower names the leader.
+// A client whose clock is an hour behind gets the number that its sequence numbers must exceed, and a follower
+// redirects it to the leader.
 func TestClientClockBehindAndFollowerRedirect(t *testing.T) {
 	v := startVoters(t)
 	for i, voter := range v.voters {
-		t.Run("first asks "+voter.Name, func(t *testing.T) {
+		t.Run("first voter "+voter.Name, func(t *testing.T) {
 			c := v.newClient(t, "late")
-			c.next = i
+			c.preferredVoter = i
 			c.sequence.last.Store(uint64(time.Now().Add(-time.Hour).UnixNano()))
 			member := maintenance.MemberName(fmt.Sprint("m", i))
 			if _, err := c.Do(context.Background(), join(member)); err != nil {
@@ -132,10 +133,10 @@
 func TestThreeHundredMembersJoinAndRenew(t *testing.T) {
 	const (
 		members  = 300
-		attempts = 20 // like an agent, which repeats until it succeeds
+		attempts = 20 // an agent also repeats a command until it succeeds
 	)
 	v := startVoters(t)
-	began := time.Now()
+	start := time.Now()
 	var wg sync.WaitGroup
 	for i := range members {
 		wg.Go(func() {
@@ -156,14 +157,14 @@
 		})
 	}
 	wg.Wait()
-	t.Logf("%d members joined and renewed within %s", members, time.Since(began))
+	t.Logf("%d members joined and renewed within %s", members, time.Since(start))
 	s, _, err := v.newClient(t, "test").State(context.Background())
 	if err != nil || len(s.Members) != members {
-		t.Errorf("%d members, %v", len(s.Members), err)
+		t.Errorf("%d members, want %d; error %v", len(s.Members), members, err)
 	}
 }
 
-// mustDo repeats a command until there is a leader and the outcome is known.
+// mustDo repeats a command until there is a leader and the outcome of the command is known, for at most electionTimeout.
 func mustDo(c *Client, command maintenance.Command) (p *maintenance.Permit, err error) {
 	for deadline := time.Now().Add(electionTimeout); time.Now().Before(deadline); {
 		p, err = c.Do(context.Background(), command)
@@ -174,8 +175,8 @@
 	return p, err
 }
 
-// A permit is durable on the next leader: after the loss of the leader that granted it, a repeated request gives the same permit, and no
-// second one is granted.
+// A permit must survive the loss of the leader that granted it: the next leader returns the same permit to a repeated
+// request and grants no second one.
 func TestPermitSurvivesLeaderLoss(t *testing.T) {
 	v := startVoters(t)
 	c := v.newClient(t, "test")
@@ -196,7 +197,7 @@
 	}
 	for _, n := range v.nodes {
 		if n.options.Name == leader {
-			n.server.Close() // nothing that it sends arrives any more
+			n.server.Close() // no message reaches it from now on
 			n.cancel()
 		}
 	}
--- a/internal/raftnode/sequence.go
+++ b/internal/raftnode/sequence.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// sequence generates a sender's sequence numbers. They rise over restarts, as they follow the clock. It is safe for concurrent use.
+// sequence generates the sequence numbers of a sender. They follow the wall clock, so that they also increase across
+// restarts. It is safe for concurrent use.
 type sequence struct{ last atomic.Uint64 }
 
-// next returns a number larger than all before.
+// next returns a number that is larger than all previous ones.
 func (s *sequence) next() uint64 {
 	for {
 		last := s.last.Load()
@@ -19,7 +20,7 @@
 	}
 }
 
-// raise makes the next number larger than one that a voter has already seen.
+// raise ensures that the next number is larger than seen, which a voter has already accepted.
 func (s *sequence) raise(seen uint64) {
 	for last := s.last.Load(); last < seen && !s.last.CompareAndSwap(last, seen); last = s.last.Load() {
 	}
--- a/internal/raftnode/storage.go
+++ b/internal/raftnode/storage.go
@@ -12,33 +12,35 @@
 
 // Tables and keys of a voter's store.
 const (
-	tableState   store.Table = 10 // the hard state and the snapshot, under the keys below
-	tableEntries store.Table = 11 // the log's entries, by index in hex
+	tableState   store.Table = 10 // hard state and snapshot, under the keys below
+	tableEntries store.Table = 11 // log entries, by entryKey
 
 	keyHardState = "hard"
 	keySnapshot  = "snapshot"
 )
 
-// logStorage is a raftlog.Storage in a store: each batch is one commit, which is stored atomically in both mirrors.
+// logStorage implements raftlog.Storage with a store.Store. Each batch is one commit, which is stored atomically in
+// both mirrors.
 type logStorage struct {
 	store *store.Store
 	first uint64 // index of the first stored entry; 0 = none is stored
-	last  uint64
+	last  uint64 // index of the last stored entry
 }
 
-// openStorage opens or creates the store in a directory.
+// openStorage opens the store in the directory path, or creates it.
 func openStorage(path string) (*logStorage, error) {
 	files, err := store.OpenDisk(path)
 	if err != nil {
-		return nil, fmt.Errorf("the fleet's log at %s: %w", path, err)
+		return nil, fmt.Errorf("open the fleet's log at %s: %w", path, err)
 	}
 	s, _, err := store.Open(files, store.Options{})
 	if err != nil {
-		return nil, fmt.Errorf("the fleet's log at %s: %w", path, err)
+		return nil, fmt.Errorf("open the fleet's log at %s: %w", path, err)
 	}
 	return &logStorage{store: s}, nil
 }
 
+// entryKey returns the key of an entry: its index as 16 hex digits, so that keys sort by index.
 func entryKey(index uint64) string { return fmt.Sprintf("%016x", index) }
 
 // Load implements raftlog.Storage.
@@ -50,7 +52,7 @@
 	for _, key := range slices.Sorted(maps.Keys(entries)) {
 		index, err := strconv.ParseUint(key, 16, 64)
 		if err != nil {
-			return stored, fmt.Errorf("the fleet's log has an entry with the key %.40q", key)
+			return stored, fmt.Errorf("invalid entry key %.40q in the fleet's log, want an index in hex", key)
 		}
 		stored.Entries = append(stored.Entries, raftlog.Entry{Index: index, Data: entries[key]})
 	}
@@ -85,7 +87,8 @@
 	return nil
 }
 
-// removals returns the removals of a batch, and the first and last index of what remains.
+// removals returns the operations that remove the entries which a batch removes, and the first and last index of the
+// entries that remain.
 func (s *logStorage) removals(batch raftlog.WriteBatch) (ops []store.Op, first, last uint64) {
 	first, last = s.first, s.last
 	if first == 0 {
--- a/internal/raftnode/storage_test.go
+++ b/internal/raftnode/storage_test.go
@@ -40,7 +40,7 @@
 	if err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("loaded %+v, %v; want %+v", got, err, want)
 	}
-	// A snapshot of another voter replaces the whole log.
+	// A snapshot from another voter replaces the complete log.
 	if err := s.Write(raftlog.WriteBatch{Snapshot: []byte("s3"), CompactTo: 9, TruncateFrom: 10}); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/raftnode/wire.go
+++ b/internal/raftnode/wire.go
@@ -14,9 +14,10 @@
 	"oxbowspan/maintenance"
 )
 
-// The protocol is plain HTTP on the fleet's own addresses. In each direction a MAC covers the path, the sender, the sequence number and
-// the body. A sequence number is larger than all earlier ones of the same sender; a response's MAC covers the request's number, so that
-// no old response passes for a new one.
+// The protocol is unencrypted HTTP on the addresses of the fleet's interface. In each direction a MAC covers the path,
+// the sender, the sequence number and the body. Each sequence number is larger than all previous ones of the same
+// sender. The MAC of a response covers the sequence number of the request, so that an old response cannot be replayed
+// as the response to a later request.
 const (
 	pathRaft    = "/fleet/v1/raft" // messages between voters
 	pathCommand = "/fleet/v1/say"  // commands and queries
@@ -28,15 +29,17 @@
 
 	macPurpose = "fleet"
 
-	// maxRequestBody bounds what is read of an unauthenticated request, in bytes: a snapshot of a thousand members is a third of it.
+	// maxRequestBody bounds the body, in bytes, that is read before a request is authenticated. A snapshot of 1000
+	// members has a third of this size.
 	maxRequestBody  = 1 << 20
 	maxResponseBody = 8 * maxRequestBody
 )
 
-// errUnauthenticated is returned for a message without a valid MAC by the fleet's keys. The sender does not learn more than that.
+// errUnauthenticated is returned for a message without a valid MAC by the fleet's keys. No further detail is disclosed
+// to the sender.
 var errUnauthenticated = errors.New("the message has no valid MAC by the fleet's keys")
 
-// envelope is what a MAC authenticates besides the body.
+// envelope holds the fields that a MAC authenticates in addition to the body.
 type envelope struct {
 	path     string
 	sender   string
@@ -48,7 +51,7 @@
 	return append(fmt.Appendf(nil, "%s\n%s\n%d\n", e.path, e.sender, e.sequence), body...)
 }
 
-// sign sets the headers of a message.
+// sign sets the headers of a message, including its MAC.
 func (e envelope) sign(keys *keyring.Ring, h http.Header, body []byte) {
 	id, mac := keys.Sign(macPurpose, e.signedText(body))
 	h.Set(headerKey, id)
@@ -57,7 +60,7 @@
 	h.Set(headerNumber, strconv.FormatUint(e.sequence, 10))
 }
 
-// verify reads and checks the headers of a message.
+// verify reads the headers of a message and verifies its MAC. The only error is errUnauthenticated.
 func verify(keys *keyring.Ring, h http.Header, path string, body []byte) (envelope, error) {
 	sequence, err := strconv.ParseUint(h.Get(headerNumber), 10, 64)
 	if err != nil {
@@ -71,7 +74,7 @@
 	return e, nil
 }
 
-// request is the body of a request to a voter: a command, or a query of the state.
+// request is the body of a request to a voter: either a command or a query of the state.
 type request struct {
 	Command *maintenance.Command `json:"command,omitempty"`
 	State   bool                 `json:"state,omitempty"`
@@ -79,14 +82,14 @@
 
 // response is the body of a voter's response.
 type response struct {
-	Leader         string              `json:"leader,omitempty"`  // name of the leader, as far as it is known
-	NotLeader      bool                `json:"not_me,omitempty"`  // the leader must be asked
+	Leader         string              `json:"leader,omitempty"`  // name of the leader; "" = not known
+	NotLeader      bool                `json:"not_me,omitempty"`  // the request must be sent to the leader instead
 	Error          string              `json:"error,omitempty"`   // why the command changed nothing
 	Refused        bool                `json:"refused,omitempty"` // the error is maintenance.ErrRefused
 	Stale          bool                `json:"stale,omitempty"`   // the error is maintenance.ErrStale
 	OutcomeUnknown bool                `json:"unsure,omitempty"`  // the error is raftlog.ErrOutcomeUnknown
-	MinSequence    uint64              `json:"least,omitempty"`   // the request was rejected as a replay: the sender's next number must be larger
-	Permit         *maintenance.Permit `json:"permit,omitempty"`  // of the member that requested one or renewed its lease
+	MinSequence    uint64              `json:"least,omitempty"`   // rejected as a replay: the sender's next number must be larger
+	Permit         *maintenance.Permit `json:"permit,omitempty"`  // granted to the member, or its active permit after a Renew
 	State          *maintenance.State  `json:"state,omitempty"`
 }
 
@@ -109,7 +112,7 @@
 	if res.StatusCode != http.StatusOK {
 		return nil, fmt.Errorf("%s responds %s", addr, res.Status)
 	}
-	if answered, err := verify(keys, res.Header, e.path, responseBody); err != nil || answered.sequence != e.sequence {
+	if responseEnvelope, err := verify(keys, res.Header, e.path, responseBody); err != nil || responseEnvelope.sequence != e.sequence {
 		return nil, fmt.Errorf("response of %s: %w", addr, errUnauthenticated)
 	}
 	return responseBody, nil
--- a/internal/raftnode/wire_test.go
+++ b/internal/raftnode/wire_test.go
@@ -9,7 +9,7 @@
 	"oxbowspan/maintenance"
 )
 
-// The bodies are those of the first release: gatherers of both versions speak to each other.
+// The bodies must be the same as in the first release, because gatherers of both versions exchange messages.
 func TestBodiesAreUnchanged(t *testing.T) {
 	for name, c := range map[string]struct {
 		wire string
@@ -35,13 +35,13 @@
 				t.Fatal(err)
 			}
 			if b, err := json.Marshal(decoded); err != nil || string(b) != c.wire {
-				t.Errorf("decoded and encoded again: %s, %v; want %s", b, err, c.wire)
+				t.Errorf("decoded and re-encoded: %s, %v; want %s", b, err, c.wire)
 			}
 		})
 	}
 }
 
-// signedByFirstRelease returns the headers that the first release set for a body "body".
+// signedByFirstRelease returns the headers that the first release set for the body "body".
 func signedByFirstRelease() http.Header {
 	return http.Header{"Fleet-From": {"g1"}, "Fleet-Key": {"k1"}, "Fleet-Mac": {"UbpHXL0Vx+N2epxgGFVdjQ=="}, "Fleet-Number": {"12345"}}
 }
