--- a/internal/testing/simnet/conn.go
+++ b/internal/testing/simnet/conn.go
@@ -19,7 +19,7 @@
 
 	mu       sync.Mutex
 	closed   bool
-	halfOpen bool // the other host lost power and is back, without knowing of this connection
+	halfOpen bool // the other host lost power and restarted, without state for this connection
 }
 
 func (c *conn) Read(b []byte) (int, error) {
@@ -50,8 +50,8 @@
 	return nil
 }
 
-// shutdown closes this end. The other end sees the end of the stream or a reset, once the link delivers it; if this host
-// has no power it sees nothing.
+// shutdown closes this end. The other end reads EOF or a connection reset once the link has delivered it. If this host has
+// no power, nothing is delivered.
 func (c *conn) shutdown(reset bool) {
 	if c.markClosed() {
 		return
@@ -76,8 +76,8 @@
 	return alreadyClosed
 }
 
-// detach removes this end from its network and reports whether its host has power to notify the other end. Without power
-// the other end, if it is still open, becomes half open once power is back.
+// detach removes this end from its network and reports whether its host has power to notify the other end. If it has none
+// and the other end is still open, that end becomes half open when the power returns.
 func (c *conn) detach() (powered bool) {
 	c.network.mu.Lock()
 	defer c.network.mu.Unlock()
--- a/internal/testing/simnet/host.go
+++ b/internal/testing/simnet/host.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	listenBacklog     = 256                    // connections that wait for Accept; further ones are refused
-	reachabilityCheck = 200 * time.Millisecond // how often a dial checks whether a partition is over
+	listenBacklog     = 256                    // connections waiting for Accept; further ones are refused
+	reachabilityCheck = 200 * time.Millisecond // interval at which a blocked dial checks whether the host is reachable
 )
 
-// Host is the view of the network from one machine.
+// Host is one host's interface to the network.
 type Host struct {
 	network *Network
 	ip      string
@@ -42,7 +42,7 @@
 	return l, nil
 }
 
-// Dial implements network.Network. While the other host is unreachable it waits, as a TCP handshake does, until the timeout.
+// Dial implements network.Network. While the other host is unreachable, Dial blocks until the timeout, as a TCP handshake does.
 func (h Host) Dial(address string, timeout time.Duration) (net.Conn, error) {
 	ip, _, err := net.SplitHostPort(address)
 	if err != nil {
@@ -61,7 +61,8 @@
 	return h.connect(ip, address)
 }
 
-// connect queues a new connection at the listener of an address. A missing listener or a full backlog refuses it.
+// connect adds a new connection to the backlog of the listener at address. It returns ECONNREFUSED if there is no listener,
+// if the backlog is full or if this host has no power.
 func (h Host) connect(ip, address string) (net.Conn, error) {
 	h.network.mu.Lock()
 	defer h.network.mu.Unlock()
@@ -120,5 +121,5 @@
 
 func (l *listener) Addr() net.Addr { return tcpAddress(l.address) }
 
-// markClosed ends Accept. The caller has removed the listener from its network.
+// markClosed makes Accept return net.ErrClosed. The caller has already removed the listener from its network.
 func (l *listener) markClosed() { l.closeOnce.Do(func() { close(l.closed) }) }
--- a/internal/testing/simnet/network.go
+++ b/internal/testing/simnet/network.go
@@ -1,8 +1,8 @@
-// Package simnet is a simulated network for tests. It models hosts by IP address, links with latency, directed partitions,
-// processes that are killed and machines that lose power.
+// Package simnet is an in-memory network for tests. It models hosts by IP address, links with latency, partitions of single
+// directions, killed processes and machines that lose power.
 //
-// It uses the clock of package time, so inside a testing/synctest bubble delays take no real time. Bytes arrive in order
-// after the latency of their link; bytes on a partitioned link wait until the link is restored.
+// It uses the clock of package time, so that inside a testing/synctest bubble delays take no real time. Bytes arrive in order
+// after the latency of their link. Bytes on a partitioned link are delayed until the link is restored.
 package simnet
 
 import (
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// firstEphemeralPort is the port below the first one given to a dialing end.
+// firstEphemeralPort is one below the first port that is assigned to a dialing end.
 const firstEphemeralPort = 40000
 
 // link is a directed pair of hosts, by IP address.
@@ -18,25 +18,25 @@
 	from, to string
 }
 
-// Network is one simulated network. Its zero value is not usable: use New. All methods may be called concurrently.
+// Network is a simulated network. The zero value is not usable: call New. All methods are safe for concurrent use.
 type Network struct {
-	delay func(from, to string) time.Duration
+	linkLatency func(from, to string) time.Duration
 
 	mu          sync.Mutex
 	listeners   map[string]*listener   // by "IP:port"
-	poweredOff  map[string]bool        // hosts without power, by IP: they send nothing, not even resets
-	partitioned map[link]bool          // links that hold back what is sent
-	extraDelay  map[link]time.Duration // added to the latency of a link
+	poweredOff  map[string]bool        // hosts without power, by IP: they send nothing, not even connection resets
+	partitioned map[link]bool          // links that deliver nothing until they are restored
+	extraDelay  map[link]time.Duration // added to the latency of each link
 	conns       map[*conn]bool         // both ends of each open connection
-	halfOpen    map[string][]*conn     // by IP of a host that lost power: the surviving ends of its connections, until PowerOn
+	halfOpen    map[string][]*conn     // by IP of a host without power: the open remote ends of its connections, until PowerOn
 	lastPort    int
 }
 
-// New makes a network. The function delay returns the latency of the link from one IP address to another; it is called
-// with the network locked and must not call back.
-func New(delay func(from, to string) time.Duration) *Network {
+// New returns a network. The function linkLatency returns the latency of the link from one IP address to another. It is called
+// with the network locked and must not call the network's methods.
+func New(linkLatency func(from, to string) time.Duration) *Network {
 	return &Network{
-		delay:       delay,
+		linkLatency: linkLatency,
 		listeners:   map[string]*listener{},
 		poweredOff:  map[string]bool{},
 		partitioned: map[link]bool{},
@@ -47,11 +47,11 @@
 	}
 }
 
-// Host returns the view of the network from the machine with an IP address.
+// Host returns the network interface of the host with the given IP address.
 func (n *Network) Host(ip string) Host { return Host{network: n, ip: ip} }
 
-// SetPartitioned partitions the link in one direction, or restores it. Connections survive a partition; what they carry is
-// delivered once the link is restored.
+// SetPartitioned partitions or restores the link in one direction. Connections survive a partition: bytes that were sent
+// during it are delivered once the link is restored.
 func (n *Network) SetPartitioned(from, to string, partitioned bool) {
 	n.mu.Lock()
 	if partitioned {
@@ -63,7 +63,8 @@
 	n.wakeReaders()
 }
 
-// SetExtraDelay adds to the latency of the link in one direction, for what is sent from now on; 0 removes the addition.
+// SetExtraDelay sets a delay that is added to the latency of the link in one direction, for bytes that are sent from now on. A
+// delay of 0 removes it.
 func (n *Network) SetExtraDelay(from, to string, extra time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -83,8 +84,8 @@
 	n.wakeReaders()
 }
 
-// Kill closes all listeners and connections of a host, as if its processes were killed: peers see connection resets. With
-// powerLoss the machine itself stops: peers see nothing at all until PowerOn.
+// Kill closes all listeners and connections of a host, as if its processes were killed: peers receive connection resets.
+// With powerLoss the machine itself stops: peers receive nothing at all until PowerOn.
 func (n *Network) Kill(ip string, powerLoss bool) {
 	n.mu.Lock()
 	var closing []*conn
@@ -106,8 +107,8 @@
 	}
 }
 
-// PowerOn restores the power of a host. The host has no memory of its former connections: a peer that writes to one of
-// them sees a reset.
+// PowerOn restores the power of a host. The host has lost the state of its former connections: a peer that writes to one of
+// them receives a connection reset.
 func (n *Network) PowerOn(ip string) {
 	n.mu.Lock()
 	delete(n.poweredOff, ip)
@@ -119,14 +120,14 @@
 	}
 }
 
-// latency returns how long what is sent now over a link is in transit.
+// latency returns the current one-way latency of a link, including its extra delay.
 func (n *Network) latency(from, to string) time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.delay(from, to) + n.extraDelay[link{from, to}]
+	return n.linkLatency(from, to) + n.extraDelay[link{from, to}]
 }
 
-// roundTrip returns the latency from one host to another and back.
+// roundTrip returns the round-trip time between two hosts.
 func (n *Network) roundTrip(from, to string) time.Duration {
 	return n.latency(from, to) + n.latency(to, from)
 }
@@ -138,7 +139,7 @@
 	return !n.partitioned[link{from, to}] && !n.poweredOff[from] && !n.poweredOff[to]
 }
 
-// wakeReaders makes all blocked reads check the state of their link again.
+// wakeReaders makes all blocked reads check again whether their link delivers.
 func (n *Network) wakeReaders() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/testing/simnet/network_test.go
+++ b/internal/testing/simnet/network_test.go
@@ -19,13 +19,13 @@
 	dialTimeout   = time.Second
 )
 
-// connection is one established connection of a test.
+// connection is an established connection between clientIP and serverIP.
 type connection struct {
 	network        *Network
 	client, server net.Conn
 }
 
-// withConnection runs a test on an established connection, in a bubble with simulated time.
+// withConnection runs a test on an established connection, inside a synctest bubble.
 func withConnection(t *testing.T, test func(t *testing.T, c connection)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -46,7 +46,7 @@
 	})
 }
 
-// write sends a text and fails the test if that is not possible.
+// write sends text and ends the test if the write fails or is short.
 func write(t *testing.T, to net.Conn, text string) {
 	t.Helper()
 	if n, err := to.Write([]byte(text)); n != len(text) || err != nil {
@@ -54,7 +54,7 @@
 	}
 }
 
-// expectRead reads until the wanted text is complete and checks how long that took.
+// expectRead reads len(want) bytes and checks both the bytes and the time that the read took.
 func expectRead(t *testing.T, from net.Conn, want string, wantElapsed time.Duration) {
 	t.Helper()
 	start := time.Now()
@@ -67,7 +67,7 @@
 	}
 }
 
-// expectReadError checks the error of the next read.
+// expectReadError checks that the next read returns no bytes and the wanted error.
 func expectReadError(t *testing.T, from net.Conn, want error) {
 	t.Helper()
 	if n, err := from.Read(make([]byte, 1)); n != 0 || !errors.Is(err, want) {
--- a/internal/testing/simnet/stream.go
+++ b/internal/testing/simnet/stream.go
@@ -9,45 +9,47 @@
 	"time"
 )
 
-// idleWait bounds how long a read with nothing to wait for sleeps before it looks again; every change wakes it earlier.
-const idleWait = time.Hour
+// maxIdleWait bounds how long a read blocks while no arrival, end of the stream or deadline is due. Every change of the stream
+// wakes it earlier.
+const maxIdleWait = time.Hour
 
 // errWouldBlock is returned by stream.read while there is nothing to read.
 var errWouldBlock = errors.New("read would block")
 
-// segment is what one write put on the wire.
+// segment holds the bytes of one write and the time at which they arrive.
 type segment struct {
 	arrival time.Time
 	data    []byte
 }
 
-// stream is one direction of a connection, held by its receiving end.
+// stream is one direction of a connection. It belongs to the receiving end.
 type stream struct {
 	mu       sync.Mutex
 	segments []segment
-	closeErr error // what a read returns after the segments; nil while the stream is open
-	closedAt time.Time
-	deadline time.Time     // of reads; the zero time means none
+	closeErr error         // returned by reads after the last segment; nil while the stream is open
+	closedAt time.Time     // time from which reads return closeErr
+	deadline time.Time     // read deadline; the zero time means none
 	wakeup   chan struct{} // holds a token after each change
 }
 
 func newStream() *stream { return &stream{wakeup: make(chan struct{}, 1)} }
 
-// read takes what has arrived. If there is nothing yet it returns errWouldBlock and how long to wait for it.
+// read copies bytes that have arrived into b. If there are none yet, it returns errWouldBlock and the time until the next
+// arrival, end of the stream or deadline, at most maxIdleWait.
 func (s *stream) read(b []byte, closed, reachable bool) (n int, wait time.Duration, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	wait = idleWait
+	wait = maxIdleWait
 	switch {
 	case closed:
 		return 0, 0, net.ErrClosed
 	case !s.deadline.IsZero() && !now.Before(s.deadline):
 		return 0, 0, os.ErrDeadlineExceeded
-	case !reachable: // whatever has arrived or ended is held back by the link
+	case !reachable: // the link delivers neither data nor the end of the stream
 	case len(s.segments) > 0:
 		if !now.Before(s.segments[0].arrival) {
-			return s.take(b), 0, nil
+			return s.consume(b), 0, nil
 		}
 		wait = s.segments[0].arrival.Sub(now)
 	case s.closeErr != nil:
@@ -62,8 +64,8 @@
 	return 0, wait, errWouldBlock
 }
 
-// take copies from the first segment and removes it once it is used up.
-func (s *stream) take(b []byte) int {
+// consume copies bytes from the first segment into b and removes the segment once it is empty.
+func (s *stream) consume(b []byte) int {
 	first := &s.segments[0]
 	n := copy(b, first.data)
 	first.data = first.data[n:]
@@ -73,7 +75,7 @@
 	return n
 }
 
-// write appends a segment that arrives at a time.
+// write appends a segment that arrives at the given time. It returns EPIPE if the stream is closed.
 func (s *stream) write(b []byte, arrival time.Time) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,7 +87,7 @@
 	return len(b), nil
 }
 
-// closeWith ends the stream with an error that is seen from a time on. Only the first call has an effect.
+// closeWith ends the stream: from the time at, reads return err. Only the first call has an effect.
 func (s *stream) closeWith(err error, at time.Time) {
 	s.mu.Lock()
 	if s.closeErr == nil {
@@ -102,7 +104,7 @@
 	s.wake()
 }
 
-// wake makes the blocked read, or the next one, look again. It never blocks.
+// wake makes the blocked read, or the next one, check the stream again. It never blocks.
 func (s *stream) wake() {
 	select {
 	case s.wakeup <- struct{}{}:
@@ -110,7 +112,7 @@
 	}
 }
 
-// await blocks until something changes or a time has passed.
+// await blocks until the stream changes or wait has passed.
 func (s *stream) await(wait time.Duration) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
