--- a/internal/testing/faultdisk/crash.go
+++ b/internal/testing/faultdisk/crash.go
@@ -6,11 +6,11 @@
 	"slices"
 )
 
-// tornWriteBytes is the unit in which data that was never synced survives a crash.
+// tornWriteBytes is the size of the blocks in which unsynced data survives or is lost in a crash.
 const tornWriteBytes = 64
 
-// Crash stops the machine, unless it has crashed already, and returns the disk as it is found after the restart: everything
-// durable, and of the rest a random selection in units of tornWriteBytes. All files of the returned disk are durable.
+// Crash stops the machine, unless it has crashed already, and returns the disk as found after the restart: all durable data,
+// and of the unsynced data a random selection of blocks of tornWriteBytes. All files of the returned disk are durable.
 func (d *Disk) Crash() *Disk {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -40,8 +40,8 @@
 	return files
 }
 
-// survivingContent returns a file's content after a crash. Its length is drawn between the durable and the visible one, and
-// each unit of tornWriteBytes has either the visible or the durable bytes, zeros where there are none.
+// survivingContent returns a file's content after a crash. The length is drawn between the durable and the visible length.
+// Each block of tornWriteBytes has either the visible or the durable bytes, or zeros beyond the end of the durable content.
 func (d *Disk) survivingContent(node *inode) []byte {
 	content := bytes.Clone(node.durable)
 	if bytes.Equal(node.data, node.durable) {
--- a/internal/testing/faultdisk/disk.go
+++ b/internal/testing/faultdisk/disk.go
@@ -1,7 +1,7 @@
-// Package faultdisk is an in-memory implementation of store.Files for crash tests. It keeps apart what the store sees and what
-// is durable. After a simulated crash, data and directory changes that were never synced may be lost, torn or reordered, as on
-// a real disk. Operations can be made to fail: writes may fall short, syncs may fail or report false success, and the disk may
-// be full. All random decisions are drawn from the disk's seed.
+// Package faultdisk is an in-memory implementation of store.Files for crash tests. It tracks the visible and the durable state
+// of each file and directory separately. After a simulated crash, data and directory changes that were never synced may be
+// lost, torn or reordered, as on a real disk. Operations can be made to fail: writes may be short, syncs may fail or report
+// false success, and the disk may be full. All random decisions are drawn from the disk's seed.
 package faultdisk
 
 import (
@@ -16,14 +16,15 @@
 // ErrCrashed is returned by every operation after the simulated crash.
 var ErrCrashed = errors.New("faultdisk: the machine has crashed")
 
-// randomStream is the second word of the generator's seed. It sets the disk's draws apart from those of other generators
-// with the same seed.
+// randomStream is the second word of the generator's seed. It makes the disk's random numbers independent of those of other
+// generators with the same seed.
 const randomStream = 7
 
-// Disk holds files in memory. Its exported fields must be set before it is used; its methods may be called concurrently.
+// Disk holds files in memory. Its exported fields must be set before the first operation; its methods are safe for concurrent
+// use.
 type Disk struct {
-	// Inject, if not nil, is called before each operation and returns the fault to inject. The disk's lock is held during
-	// the call, so that Inject must not call the disk's methods.
+	// Inject, if not nil, is called before each operation and returns the fault to inject. The disk is locked during the
+	// call: Inject must not call the disk's methods.
 	Inject func(Operation) Fault
 	// CrashAt is the number of the operation before which the machine crashes; 0 disables the crash.
 	CrashAt int
@@ -35,17 +36,17 @@
 	operations     int
 	crashed        bool
 	locked         bool
-	visible        directory                      // what the store sees
-	durable        directory                      // what survives a crash for certain
-	pendingChanges map[string][]func(m directory) // changes not yet made durable, in order, by the directory they belong to
+	visible        directory                      // files as the store reads them
+	durable        directory                      // files that survive every crash
+	pendingChanges map[string][]func(m directory) // directory changes that are not durable yet, in order, by directory
 }
 
 // directory maps the full paths of files to their contents.
 type directory = map[string]*inode
 
 type inode struct {
-	data    []byte // what the store sees
-	durable []byte // what survives a crash for certain
+	data    []byte // content as the store reads it
+	durable []byte // content that survives every crash
 }
 
 var _ store.Files = (*Disk)(nil)
@@ -53,7 +54,7 @@
 // New returns an empty disk.
 func New(seed uint64) *Disk { return NewWithFiles(seed, nil) }
 
-// NewWithFiles returns a disk that holds durable files, given by path.
+// NewWithFiles returns a disk that holds the given files, keyed by path. All of them are durable.
 func NewWithFiles(seed uint64, files map[string][]byte) *Disk {
 	d := &Disk{
 		rng:            rand.New(rand.NewPCG(seed, randomStream)),
@@ -69,7 +70,7 @@
 	return d
 }
 
-// Files returns a copy of all files by path, as the store sees them.
+// Files returns a copy of the visible content of all files, keyed by path.
 func (d *Disk) Files() map[string][]byte {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/testing/faultdisk/disk_test.go
+++ b/internal/testing/faultdisk/disk_test.go
@@ -48,7 +48,8 @@
 	}
 }
 
-// The same seed must lead to the same disk: failing crash tests are replayed by their seed.
+// TestCrashIsDeterministic checks that the same seed leads to the same disk after a crash, as failing crash tests are
+// reproduced by their seed.
 func TestCrashIsDeterministic(t *testing.T) {
 	crash := func(seed uint64) map[string][]byte {
 		d := faultdisk.NewWithFiles(seed, map[string][]byte{"a/old": bytes.Repeat([]byte("o"), 300)})
@@ -72,7 +73,7 @@
 		outcomes[string(summary)] = true
 	}
 	if len(outcomes) < 10 {
-		t.Errorf("30 seeds led to %d different disks", len(outcomes))
+		t.Errorf("30 seeds led to %d different disks, want at least 10", len(outcomes))
 	}
 }
 
--- a/internal/testing/faultdisk/fault.go
+++ b/internal/testing/faultdisk/fault.go
@@ -1,6 +1,6 @@
 package faultdisk
 
-// OperationKind names a method of store.Files or store.File.
+// OperationKind identifies a method of store.Files or store.File.
 type OperationKind string
 
 // The kinds of operations.
@@ -22,20 +22,20 @@
 type Operation struct {
 	Number int // counted from 1
 	Kind   OperationKind
-	Name   string // path of the file or directory; the old one of a rename
+	Name   string // path of the file or directory; for a rename the old path
 }
 
 // Fault describes how an operation fails. The zero Fault lets it succeed.
 type Fault struct {
 	// Err is returned by the operation.
 	Err error
-	// ShortWrite is the number of bytes that a failing write stores before it returns Err.
+	// ShortWrite is the number of bytes that a failing write appends before it returns Err.
 	ShortWrite int
-	// FalseSuccess makes a sync return without error and without making anything durable.
+	// FalseSuccess makes a sync return nil without making anything durable.
 	FalseSuccess bool
 }
 
-// begin counts an operation and returns its fault. The caller holds the lock.
+// begin counts an operation and returns the fault to apply to it. The caller holds the lock.
 func (d *Disk) begin(kind OperationKind, name string) Fault {
 	d.operations++
 	if d.CrashAt > 0 && d.operations >= d.CrashAt {
--- a/internal/testing/faultdisk/file.go
+++ b/internal/testing/faultdisk/file.go
@@ -19,7 +19,7 @@
 	defer f.disk.mu.Unlock()
 	fault := f.disk.begin(OpWrite, f.name)
 	if errors.Is(fault.Err, ErrCrashed) {
-		// The write that the crash interrupts may still have reached the disk, in part or whole.
+		// A write that the crash interrupts may still have reached the disk, partly or completely.
 		f.appendData(b)
 		return 0, fault.Err
 	}
@@ -37,7 +37,7 @@
 
 func (f *file) appendData(b []byte) { f.inode.data = append(f.inode.data, b...) }
 
-// freeBytes returns the capacity that is left; limited is false if there is no limit. The caller holds the lock.
+// freeBytes returns the remaining capacity; limited is false if the disk has no limit. The caller holds the lock.
 func (d *Disk) freeBytes() (free int, limited bool) {
 	if d.Capacity <= 0 {
 		return 0, false
--- a/internal/testing/faultdisk/files.go
+++ b/internal/testing/faultdisk/files.go
@@ -9,7 +9,7 @@
 	"oxbowspan/store"
 )
 
-// MakeDir implements store.Files. Directories are always durable and need no entry of their own.
+// MakeDir implements store.Files. Directories are always durable and have no entry of their own.
 func (d *Disk) MakeDir(name string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -114,7 +114,7 @@
 	return nil
 }
 
-// Lock implements store.Files. It is no operation: it is neither counted nor made to fail.
+// Lock implements store.Files. It does not count as an operation and no fault is injected into it.
 func (d *Disk) Lock() (unlock func(), err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -129,7 +129,7 @@
 	}, nil
 }
 
-// addPendingChange notes a change of a directory that is durable only after the next SyncDir.
+// addPendingChange records a directory change that becomes durable with the next SyncDir.
 func (d *Disk) addPendingChange(dir string, change func(directory)) {
 	d.pendingChanges[dir] = append(d.pendingChanges[dir], change)
 }
