--- a/internal/testing/simcluster/acknowledgement_test.go
+++ b/internal/testing/simcluster/acknowledgement_test.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// acknowledgementBound is how long a change may take at a controller that is connected to a majority: two round trips
-// between zones and a retry or two, and nothing that waits for a lost controller.
+// acknowledgementBound is how long a change may take at a controller that is connected to a majority. It allows for two round
+// trips between zones and one or two retries, but not for waiting for a lost controller.
 const acknowledgementBound = 100 * time.Millisecond
 
-// latencies collects how long the changes of a test took.
+// latencies collects the acknowledgement latencies of a test's changes.
 type latencies []time.Duration
 
-// timedReplace sends a change, which must be acknowledged within acknowledgementBound.
+// timedReplace sends a change, checks that it is acknowledged within acknowledgementBound and records the latency.
 func (l *latencies) timedReplace(t *testing.T, cluster *Cluster, to *ControllerNode, basedOn uint64, body []byte, what string) {
 	t.Helper()
 	start := time.Now()
@@ -28,15 +28,16 @@
 	*l = append(*l, elapsed)
 }
 
+// log logs the median and the maximum.
 func (l latencies) log(t *testing.T) {
 	t.Helper()
 	slices.Sort(l)
 	t.Logf("%d changes: half within %v, all within %v", len(l), l[len(l)/2], l[len(l)-1])
 }
 
-// TestReplaceLatencyAfterControllerLoss loses one controller, by a kill or a power loss, as a member or while a spare takes
-// its place. Changes that are sent to each other controller, at once and at any moment of the following seconds, are
-// acknowledged as fast as ever: an operator loses time only on a call to the lost controller.
+// TestReplaceLatencyAfterControllerLoss kills one controller or cuts its power, with or without a spare that replaces it as a
+// member. Changes sent to the other controllers, immediately and up to three seconds later, must be acknowledged within the
+// usual bound: only calls to the lost controller itself may be delayed.
 func TestReplaceLatencyAfterControllerLoss(t *testing.T) {
 	for _, controllers := range []int{3, 4} { // one of four is a spare
 		for _, powerLoss := range []bool{false, true} {
@@ -72,8 +73,8 @@
 	elapsed.log(t)
 }
 
-// TestReplaceRetriedAfterControllerCrash loses the controller that received a change before it answers, at any moment of
-// the proposal. The same change is acknowledged by another controller at once.
+// TestReplaceRetriedAfterControllerCrash kills the controller that received a change at different moments of the proposal,
+// before it responds. Another controller must acknowledge the same change within the usual bound.
 func TestReplaceRetriedAfterControllerCrash(t *testing.T) {
 	const steps, stepDelay = 14, 500 * time.Microsecond
 	for _, powerLoss := range []bool{false, true} {
--- a/internal/testing/simcluster/change_log_test.go
+++ b/internal/testing/simcluster/change_log_test.go
@@ -14,7 +14,7 @@
 	"oxbowspan/controlapi"
 )
 
-// changeDocuments are the documents that operators change; the configuration as often as the others together.
+// changeDocuments lists the documents that operators change. The configuration is changed as often as the others together.
 var changeDocuments = []string{
 	configurationDocument, configurationDocument, config.TenantsDocumentName, config.PinsDocumentName,
 }
@@ -26,13 +26,13 @@
 	body             []byte
 }
 
-// versionKey names a version of a document.
+// versionKey identifies a version of a document.
 type versionKey struct {
 	document string
 	version  uint64
 }
 
-// changeKey identifies a change, whenever and wherever it is sent.
+// changeKey identifies a change independently of when and to which controller it is sent.
 type changeKey struct {
 	versionKey
 	basedOn uint64
@@ -48,38 +48,38 @@
 	return cluster.ReplaceDocument(to, r.document, r.basedOn, r.body)
 }
 
-// newChangeRequest makes a change whose body no change with another mark has. The version of tenants and pins is always the
-// one after their base.
-func newChangeRequest(t *testing.T, document string, version, basedOn uint64, mark int) *changeRequest {
+// newChangeRequest returns a change whose body differs from those of all changes with another bodyID. The version of tenants
+// and pins is always basedOn+1.
+func newChangeRequest(t *testing.T, document string, version, basedOn uint64, bodyID int) *changeRequest {
 	t.Helper()
 	request := &changeRequest{document: document, version: basedOn + 1, basedOn: basedOn}
 	switch document {
 	case configurationDocument:
 		request.version = version
 		request.body = editConfiguration(t, ExampleConfiguration(version, FirstSharding), func(c *config.Configuration) {
-			c.Routes[0].TargetMS = float64(100 + mark)
+			c.Routes[0].TargetMS = float64(100 + bodyID)
 		})
 	case config.TenantsDocumentName:
 		const format = `{"tenants":[{"name":"t%d","floor":40,"routes":[{"hostname":"h.example","path_prefix":"/"}]}]}`
-		request.body = fmt.Appendf(nil, format, mark)
+		request.body = fmt.Appendf(nil, format, bodyID)
 	case config.PinsDocumentName:
 		const format = `{"pins":[{"instance":"i-%d","stance":"out","for_s":4,"why":"a test"}]}`
-		request.body = fmt.Appendf(nil, format, mark)
+		request.body = fmt.Appendf(nil, format, bodyID)
 	}
 	return request
 }
 
-// changeLog compares every response to a change with all others and with the versions that are known to be committed. Its
-// methods may be called concurrently.
+// changeLog checks every response to a change against all other responses and against the versions that are known to be
+// committed. Its methods are safe for concurrent use.
 type changeLog struct {
 	mu            sync.Mutex
 	requests      []*changeRequest
 	acknowledged  map[changeKey]int
 	rejected      map[changeKey]int
-	indeterminate int                      // responses
-	successors    map[versionKey]changeKey // the acknowledged change on each version
+	indeterminate int                      // responses that leave the outcome open
+	successors    map[versionKey]changeKey // the acknowledged change based on each version
 	committed     map[versionKey]changeKey // as read from controllers
-	newest        map[string]uint64        // version of each document that operators know
+	newest        map[string]uint64        // newest version of each document that operators know
 	violations    []string
 }
 
@@ -111,7 +111,7 @@
 	return status
 }
 
-// recordResponse records a response and checks it against all others.
+// recordResponse records a response and checks it against all other responses.
 func (l *changeLog) recordResponse(request *changeRequest, status int, by string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -138,12 +138,12 @@
 	l.checkCommitted(key)
 }
 
-// isRejection reports whether a status rejects a change for good.
+// isRejection reports whether a status rejects a change permanently.
 func isRejection(status int) bool {
 	return status/100 == 4 && status != http.StatusRequestTimeout && status != http.StatusTooManyRequests
 }
 
-// checkCommitted compares the responses to a change with what is committed under its number. The caller holds the lock.
+// checkCommitted compares the responses to a change with the committed change of the same version. The caller holds the lock.
 func (l *changeLog) checkCommitted(key changeKey) {
 	committed, known := l.committed[key.versionKey]
 	switch {
@@ -154,12 +154,12 @@
 	}
 }
 
-// observeHistory records which versions of the configuration a controller knows to be committed, if it responds.
+// observeHistory records the versions of the configuration that a controller reports as committed, if it responds.
 func (l *changeLog) observeHistory(cluster *Cluster, controller *ControllerNode) {
 	l.recordHistory(cluster.ReadResource(controller, "/-/configuration/history"))
 }
 
-// awaitHistory is like observeHistory, but repeats the read while there is no response.
+// awaitHistory is like observeHistory, but repeats the read until there is a response and fails the test if there is none.
 func (l *changeLog) awaitHistory(t *testing.T, cluster *Cluster, controller *ControllerNode) {
 	t.Helper()
 	if !l.recordHistory(readWithRetry(cluster, controller, "/-/configuration/history")) {
@@ -167,7 +167,7 @@
 	}
 }
 
-// recordHistory records a controller's history and reports whether it is one.
+// recordHistory records a controller's history and reports whether the text is a valid history.
 func (l *changeLog) recordHistory(text []byte) bool {
 	var history []controlapi.HistoryEntry
 	if json.Unmarshal(text, &history) != nil {
@@ -187,8 +187,8 @@
 	return true
 }
 
-// committedChain follows the committed configurations from the newest down, and returns how many they are and whether one
-// is unknown.
+// committedChain follows the committed configurations from the newest back to the first. It returns their number and whether
+// one of them is unknown, where it stops.
 func (l *changeLog) committedChain() (count int, gap bool) {
 	for version := l.newest[configurationDocument]; version > 0; count++ {
 		key, known := l.committed[versionKey{configurationDocument, version}]
@@ -200,9 +200,9 @@
 	return count, false
 }
 
-// nextRequest draws an operator's next change: mostly a new one on the newest version, at times on an older one or on one
-// that does not exist yet, or a change of any age again.
-func (l *changeLog) nextRequest(t *testing.T, random *rand.Rand, mark int) *changeRequest {
+// nextRequest returns a random next change of an operator: usually a new one based on the newest version, sometimes based on an
+// older version or on one that does not exist yet, or a repetition of an earlier change.
+func (l *changeLog) nextRequest(t *testing.T, random *rand.Rand, bodyID int) *changeRequest {
 	t.Helper()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -220,19 +220,19 @@
 	case 1:
 		basedOn += uint64(1 + random.IntN(2))
 	}
-	request := newChangeRequest(t, document, basedOn+1+uint64(random.IntN(2)), basedOn, mark)
+	request := newChangeRequest(t, document, basedOn+1+uint64(random.IntN(2)), basedOn, bodyID)
 	l.requests = append(l.requests, request)
 	return request
 }
 
-// newestVersion returns the newest version of a document that operators know.
+// newestVersion returns the newest version of a document that is known to operators.
 func (l *changeLog) newestVersion(document string) uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.newest[document]
 }
 
-// skipVersion records that a version of a document was taken by a change whose response was lost.
+// skipVersion records that the next version of a document was used by a change whose response was lost.
 func (l *changeLog) skipVersion(document string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/testing/simcluster/change_test.go
+++ b/internal/testing/simcluster/change_test.go
@@ -11,14 +11,14 @@
 	"oxbowspan/config"
 )
 
-// injectFault isolates a controller, drops its responses to operators or kills it, and ends the fault.
+// injectFault isolates a random controller, drops its responses to operators or restarts it, and ends the fault afterwards.
 func injectFault(t *testing.T, cluster *Cluster, random *rand.Rand) {
 	t.Helper()
 	controller := cluster.Controllers[random.IntN(len(cluster.Controllers))]
 	switch random.IntN(4) {
 	case 0: // its responses are lost
 		cluster.Network.SetPartitioned(controller.IP, operatorIP, true)
-	case 1: // it receives nothing, not even from itself
+	case 1: // it receives no messages, not even its own
 		setIsolated(cluster, controller, false, true)
 		cluster.Network.SetPartitioned(controller.IP, controller.IP, true)
 	case 2:
@@ -50,11 +50,11 @@
 	log     *changeLog
 }
 
-// TestConcurrentChangesOnAllControllers has eight operators send changes to all controllers at once, many under one number
-// and many on one base, while responses are lost and controllers are isolated and killed; changes of any age are repeated.
-// Then more changes follow than the replicated state remembers, and each change is sent to every controller once more. No
-// change is both acknowledged and rejected, none that is rejected is committed, one at most is acknowledged on each base,
-// and all that are acknowledged are committed.
+// TestConcurrentChangesOnAllControllers has eight operators send changes to all controllers concurrently, many with the same
+// version and many with the same base, while responses are lost and controllers are isolated and killed. Earlier changes are
+// repeated. Then more changes are committed than the replicated state retains, and each earlier change is sent to every
+// controller once more. No change may be both acknowledged and rejected, no rejected change may be committed, at most one
+// change may be acknowledged per base, and every acknowledged change must be committed.
 func TestConcurrentChangesOnAllControllers(t *testing.T) {
 	for seed := range uint64(2 * *seedMultiplier) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -89,7 +89,7 @@
 	c.checkLog(t)
 }
 
-// sendDuringFaults runs the operators, while faults are injected and the histories of all controllers are observed.
+// sendDuringFaults runs the operators while faults are injected and the histories of all controllers are read.
 func (c *concurrentChangesTest) sendDuringFaults(t *testing.T) {
 	t.Helper()
 	const operators = 8
@@ -105,7 +105,7 @@
 	background.Wait()
 }
 
-// observeHistories reads the history of each controller in turn until done is closed.
+// observeHistories reads the history of each controller in turn, every 20 ms, until done is closed.
 func (c *concurrentChangesTest) observeHistories(done <-chan struct{}) {
 	for i := 0; ; i++ {
 		select {
@@ -129,7 +129,8 @@
 	}
 }
 
-// operate sends one operator's changes. All operators draw a change at the same moments, on what is known then.
+// operate sends one operator's changes. All operators choose their next change at the same times, every 200 ms, on top of the
+// versions that are known then.
 func (c *concurrentChangesTest) operate(t *testing.T, operator int) {
 	const (
 		changes = 20
@@ -145,10 +146,11 @@
 	}
 }
 
-// resend sends changes to every controller once more. Some controller must acknowledge each that was acknowledged before.
+// resend sends changes to every controller once more. At least one controller must acknowledge each change that was
+// acknowledged before.
 func (c *concurrentChangesTest) resend(t *testing.T, requests []*changeRequest) {
 	t.Helper()
-	clear, indeterminate := 0, 0
+	definite, indeterminate := 0, 0
 	for _, request := range requests {
 		acknowledged := false
 		for _, controller := range c.cluster.Controllers {
@@ -157,20 +159,20 @@
 			if isIndeterminate(status) {
 				indeterminate++
 			} else {
-				clear++
+				definite++
 			}
 		}
 		if c.log.acknowledged[request.key()] > 0 && !acknowledged {
 			t.Errorf("no controller acknowledges %s version %d again", request.document, request.version)
 		}
 	}
-	t.Logf("changes sent again: %d responses are clear, %d are not", clear, indeterminate)
+	t.Logf("changes sent again: %d responses are definite, %d indeterminate", definite, indeterminate)
 }
 
-// isIndeterminate reports whether a status leaves open what becomes of a change.
+// isIndeterminate reports whether a status leaves the outcome of a change open.
 func isIndeterminate(status int) bool { return status == 0 || status == http.StatusServiceUnavailable }
 
-// checkLog reports the violations, and fails the test if too little happened to find any.
+// checkLog reports the violations, and fails the test if too few changes were observed for the check to be meaningful.
 func (c *concurrentChangesTest) checkLog(t *testing.T) {
 	t.Helper()
 	log := c.log
@@ -185,17 +187,17 @@
 	}
 }
 
-// commitChanges commits so many changes of a document one after the other, with bodies marked from a number on.
-func commitChanges(t *testing.T, cluster *Cluster, log *changeLog, document string, changes, mark int) {
+// commitChanges commits a number of changes of a document one after the other, with body ids from firstBodyID on.
+func commitChanges(t *testing.T, cluster *Cluster, log *changeLog, document string, changes, firstBodyID int) {
 	t.Helper()
-	const observeEvery = 16 // before the replicated state forgets versions
+	const observeEvery = 16 // small enough that the history is read before the replicated state drops versions
 	for committed, attempts := 0, 0; committed < changes; attempts++ {
 		if attempts > 20*changes+100 {
 			t.Fatalf("only %d changes of the %s are committed", committed, document)
 		}
 		newest := log.newestVersion(document)
-		request := newChangeRequest(t, document, newest+1, newest, mark+committed)
-		if sendUntilClear(cluster, log, request, committed) != http.StatusOK {
+		request := newChangeRequest(t, document, newest+1, newest, firstBodyID+committed)
+		if sendUntilDefinite(cluster, log, request, committed) != http.StatusOK {
 			log.skipVersion(document)
 			continue
 		}
@@ -207,8 +209,9 @@
 	}
 }
 
-// sendUntilClear sends a change to controllers in turn until the outcome is clear, and returns the last status.
-func sendUntilClear(cluster *Cluster, log *changeLog, request *changeRequest, firstController int) (status int) {
+// sendUntilDefinite sends a change to controllers in turn, up to eight times, until the outcome is definite. It returns the last
+// status.
+func sendUntilDefinite(cluster *Cluster, log *changeLog, request *changeRequest, firstController int) (status int) {
 	for attempt := range 8 {
 		controller := cluster.Controllers[(firstController+attempt)%len(cluster.Controllers)]
 		status = log.send(cluster, request, controller)
@@ -220,13 +223,13 @@
 	return status
 }
 
-// historySaveTime is how long it takes at most until a controller with an idle disk has stored which changes were committed.
+// historySaveTime is the longest time until a controller with an idle disk has stored which changes were committed.
 const historySaveTime = 3 * time.Second
 
-// TestChangesResentManyVersionsLater commits hundreds of changes. Every controller acknowledges each of them again, also after a
-// restart, of one or of all; once every machine was replaced as far as the replicated state remembers. None is ever rejected, and
-// another change under the same number is never acknowledged. That holds for tenants, though they would not be valid with the current configuration, and
-// for pins.
+// TestChangesResentManyVersionsLater commits hundreds of changes. Every controller must acknowledge each of them again, also
+// after a restart of one controller or of all; after every machine was replaced, as far back as the replicated state reaches.
+// None may ever be rejected, and another change with the same version must never be acknowledged. This also holds for pins, and
+// for tenants that would not be valid with the current configuration.
 func TestChangesResentManyVersionsLater(t *testing.T) {
 	const configurations, tenants, pins = 300, 40, 40
 	runControllers(t, 950, 3, func(t *testing.T, cluster *Cluster) {
@@ -237,7 +240,7 @@
 		commitChanges(t, cluster, log, config.TenantsDocumentName, tenants, 1)
 		commitChanges(t, cluster, log, config.PinsDocumentName, pins, 1)
 		commitChanges(t, cluster, log, configurationDocument, configurations, 1)
-		commitNarrowConfiguration(t, cluster, configurations+1)
+		commitLowLimitConfiguration(t, cluster, configurations+1)
 		invalid := newChangeRequest(t, config.TenantsDocumentName, 0, tenants, 99)
 		expectStatus(t, invalid.send(cluster, cluster.Controllers[0]), http.StatusBadRequest, "tenants that do not fit the configuration")
 
@@ -246,33 +249,34 @@
 		restarted.Kill(false)
 		requireNoError(t, restarted.Start())
 		time.Sleep(catchUpTime)
-		resendEvery(t, cluster, log, 4, http.StatusOK)
+		resendEveryNth(t, cluster, log, 4, http.StatusOK)
 
 		powerCycle(t, cluster)
 		time.Sleep(catchUpTime)
-		resendEvery(t, cluster, log, 9, http.StatusOK)
+		resendEveryNth(t, cluster, log, 9, http.StatusOK)
 
 		replaceEachController(t, cluster)
-		unclear := resendEvery(t, cluster, log, 9, http.StatusServiceUnavailable)
-		if unclear < 20 {
-			t.Errorf("with all machines replaced only %d answers are unclear: the test shows nothing", unclear)
+		indeterminate := resendEveryNth(t, cluster, log, 9, http.StatusServiceUnavailable)
+		if indeterminate < 20 {
+			t.Errorf("with all machines replaced only %d responses are indeterminate, want at least 20 for a meaningful test", indeterminate)
 		}
 	})
 }
 
-// resendEvery sends every n-th committed change again, each of which takes a consensus round, and another one under its number. All
-// must be acknowledged, or answered with a status that is allowed besides; it returns how many were answered so.
-func resendEvery(t *testing.T, cluster *Cluster, log *changeLog, n, allowed int) (others int) {
+// resendEveryNth sends every n-th committed change again, each of which takes a consensus round, and another change with the
+// same version. Each committed change must be acknowledged or answered with allowedStatus. It returns the number of responses
+// with allowedStatus.
+func resendEveryNth(t *testing.T, cluster *Cluster, log *changeLog, n, allowedStatus int) (others int) {
 	t.Helper()
 	for i, request := range log.requests {
 		if i%n == 0 {
-			others += checkResent(t, cluster, request, allowed)
+			others += checkResent(t, cluster, request, allowedStatus)
 		}
 	}
 	return others
 }
 
-// replaceEachController replaces each controller by an empty one at another address, one after the other.
+// replaceEachController replaces each controller by one with an empty disk and another address, one after the other.
 func replaceEachController(t *testing.T, cluster *Cluster) {
 	t.Helper()
 	for _, lost := range cluster.runningControllers() {
@@ -284,26 +288,26 @@
 	}
 }
 
-// commitNarrowConfiguration commits a configuration on a base, with connection limits below the floor of the tenants.
-func commitNarrowConfiguration(t *testing.T, cluster *Cluster, basedOn uint64) {
+// commitLowLimitConfiguration commits a configuration based on a version, with connection limits below the tenants' floor.
+func commitLowLimitConfiguration(t *testing.T, cluster *Cluster, basedOn uint64) {
 	t.Helper()
-	wide := newChangeRequest(t, configurationDocument, basedOn+1, basedOn, 0).body
-	narrow := editConfiguration(t, wide, func(c *config.Configuration) {
+	usual := newChangeRequest(t, configurationDocument, basedOn+1, basedOn, 0).body
+	limited := editConfiguration(t, usual, func(c *config.Configuration) {
 		for i := range c.Services {
 			c.Services[i].ConnectionLimit = 30
 		}
 	})
-	requireStatus(t, replaceWithRetry(cluster, basedOn, narrow, 10), http.StatusOK, "last configuration")
+	requireStatus(t, replaceWithRetry(cluster, basedOn, limited, 10), http.StatusOK, "last configuration")
 }
 
-// checkResent sends a committed change to all controllers again, and another one under its number. It returns how many answered with
-// the status that is allowed besides an acknowledgement.
-func checkResent(t *testing.T, cluster *Cluster, request *changeRequest, allowed int) (others int) {
+// checkResent sends a committed change to all controllers again, and another change with the same version to one of them. It
+// returns the number of controllers that answered with allowedStatus instead of an acknowledgement.
+func checkResent(t *testing.T, cluster *Cluster, request *changeRequest, allowedStatus int) (others int) {
 	t.Helper()
 	for _, controller := range cluster.runningControllers() {
 		switch status := request.send(cluster, controller); status {
 		case http.StatusOK:
-		case allowed:
+		case allowedStatus:
 			others++
 		default:
 			t.Errorf("%s version %d, sent again to %s: status %d", request.document, request.version, controller.IP, status)
@@ -317,8 +321,8 @@
 	return others
 }
 
-// TestConcurrentChangesOnOneBase sends eight changes on one base to all controllers at once: one is committed. Each change,
-// sent again, gets the same answer from every controller, and changes nothing.
+// TestConcurrentChangesOnOneBase sends eight changes on one base to all controllers concurrently: exactly one is committed. Each
+// change, sent again, must get the same response from every controller and must have no effect.
 func TestConcurrentChangesOnOneBase(t *testing.T) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -333,7 +337,7 @@
 	}
 }
 
-// commitOneOfMany sends eight changes on a base at once, checks the outcomes and returns the committed version.
+// commitOneOfMany sends eight changes on a base concurrently, checks the outcomes and returns the committed version.
 func commitOneOfMany(t *testing.T, cluster *Cluster, basedOn uint64) (committed uint64) {
 	t.Helper()
 	const changes = 8
@@ -377,13 +381,13 @@
 	return committed
 }
 
-// replaceFrom sends a configuration to all controllers in turn, beginning with the i-th, until the outcome is clear. The
-// pause between attempts grows with i.
+// replaceFrom sends a configuration to all controllers in turn, starting with the i-th, until the outcome is definite, at most
+// 20 times. The pause between attempts grows with i.
 func replaceFrom(cluster *Cluster, i int, basedOn uint64, body []byte) (status int) {
 	for attempt := range 20 {
 		to := cluster.Controllers[(i+attempt)%len(cluster.Controllers)]
 		status = cluster.ReplaceConfiguration(to, basedOn, body)
-		if isClear(status) {
+		if isDefinite(status) {
 			return status
 		}
 		time.Sleep(time.Duration(50*(i+1)) * time.Millisecond)
--- a/internal/testing/simcluster/client.go
+++ b/internal/testing/simcluster/client.go
@@ -17,9 +17,9 @@
 	basedOnHeader          = "X-Based-On-Version"
 	instanceHeader         = "X-Instance-Id"
 	expectedInstanceHeader = "X-Expected-Instance"
-	serverSealHeader       = "X-Server-Seal"   // "instance.service.request"
+	serverSealHeader       = "X-Server-Seal"   // "INSTANCE.SERVICE.REQUEST-ID"
 	partSealsHeader        = "X-Part-Seals"    // seals of the gathered parts, separated by commas
-	missingPartsHeader     = "X-Missing-Parts" // how many parts were not gathered
+	missingPartsHeader     = "X-Missing-Parts" // number of parts that were not gathered
 )
 
 const (
@@ -30,7 +30,7 @@
 // configurationDocument is the name of the configuration among the documents that operators replace.
 const configurationDocument = "configuration"
 
-// httpClient makes HTTP calls from an IP address, each on a connection of its own.
+// httpClient returns a client that calls from an IP address and opens a new connection for each call.
 func (c *Cluster) httpClient(ip string, timeout time.Duration) *http.Client {
 	host := c.networkOf(ip)
 	dial := func(_ context.Context, _, address string) (net.Conn, error) {
@@ -42,7 +42,7 @@
 	}
 }
 
-// post sends a body and returns the status; 0 means that there was no response.
+// post sends a POST request with a body and returns the status; 0 means that there was no response.
 func post(ctx context.Context, client *http.Client, address, path string, body []byte, headers http.Header) int {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+path, strings.NewReader(string(body)))
 	if err != nil {
@@ -60,14 +60,14 @@
 	return response.StatusCode
 }
 
-// ReplaceConfiguration sends a configuration to one controller and returns the status; 0 means that there was no response,
-// so that the outcome is unknown.
+// ReplaceConfiguration sends a configuration that replaces version basedOn to one controller and returns the status; 0 means
+// that there was no response, so that the outcome is unknown.
 func (c *Cluster) ReplaceConfiguration(to *ControllerNode, basedOn uint64, body []byte) int {
 	return c.ReplaceDocument(to, configurationDocument, basedOn, body)
 }
 
-// ReplaceDocument sends a document, such as the configuration or the tenants, to one controller and returns the status; 0
-// means that there was no response, so that the outcome is unknown.
+// ReplaceDocument sends a document, such as the configuration or the tenants, that replaces version basedOn to one controller
+// and returns the status; 0 means that there was no response, so that the outcome is unknown.
 func (c *Cluster) ReplaceDocument(to *ControllerNode, name string, basedOn uint64, body []byte) int {
 	client := c.httpClient(operatorIP, controlCallTimeout)
 	defer client.CloseIdleConnections()
@@ -75,7 +75,7 @@
 	return post(context.Background(), client, to.ControlAddress(), "/-/"+name+"/replace", body, headers)
 }
 
-// ReadResource reads a resource of one controller. It returns nil if there was no successful response.
+// ReadResource reads a resource of one controller. It returns nil unless the response has status 200.
 func (c *Cluster) ReadResource(from *ControllerNode, path string) []byte {
 	client := c.httpClient(operatorIP, controlCallTimeout)
 	defer client.CloseIdleConnections()
@@ -91,22 +91,21 @@
 	return body
 }
 
-// ReadConfiguration reads the current configuration from one controller. It returns nil if there was no successful
-// response.
+// ReadConfiguration reads the current configuration from one controller. It returns nil unless the response has status 200.
 func (c *Cluster) ReadConfiguration(from *ControllerNode) []byte {
 	return c.ReadResource(from, "/-/configuration/read")
 }
 
-// Response is what a client received.
+// Response is the response to a client's request.
 type Response struct {
 	Status  int // 0: no response
 	Header  http.Header
 	Body    []byte
-	Elapsed time.Duration
+	Elapsed time.Duration // from sending the request to the end of the response or the failure
 }
 
-// SendRequest sends one request to a gateway and waits for the response until the timeout, which is also the request's
-// deadline.
+// SendRequest sends one request to a gateway and waits for the response until the timeout, which is also sent as the
+// request's deadline.
 func (c *Cluster) SendRequest(to *GatewayNode, method, host, path, requestID string, timeout time.Duration) Response {
 	client := c.httpClient(clientIP, timeout)
 	defer client.CloseIdleConnections()
--- a/internal/testing/simcluster/cluster.go
+++ b/internal/testing/simcluster/cluster.go
@@ -1,6 +1,6 @@
-// Package simcluster runs a whole system in one process: the real controllers and gateways, and modelled servers, operators
-// and clients, on a simulated network. The system tests and experiments of oxbowlab use it. It checks each response against
-// what the model says it must be.
+// Package simcluster runs a complete system in one process: real controllers and gateways, and simulated servers, operators
+// and clients, on a simulated network. The system tests and the experiments of oxbowlab use it. The responses of simulated
+// servers depend on the request only, so that each response of a gateway can be compared with the expected one.
 package simcluster
 
 import (
@@ -20,12 +20,13 @@
 const (
 	zoneCount         = 3
 	maxSeeds          = 3
-	nodesPerSubnet    = 200 // gateways and servers that share the first three bytes of their addresses
+	nodesPerSubnet    = 200 // gateways or servers that share the first three bytes of their addresses
 	heartbeatInterval = 1200 * time.Millisecond
 	sameZoneLatency   = 100 * time.Microsecond
 	crossZoneLatency  = time.Millisecond
 
-	// A local cluster takes the zones of 127/8 by the process id, so that several processes may run one at once.
+	// A local cluster chooses its second address bytes in 127/8 by the process id, so that several processes can run local
+	// clusters at the same time.
 	localZoneGroups = 80
 )
 
@@ -35,14 +36,14 @@
 	loopbackNetwork  = 127
 )
 
-// The third byte of the addresses of each kind of machine; the second byte is the zone.
+// The third byte of the addresses of each kind of machine; the second byte identifies the zone.
 const (
 	controllerSubnet = 1
 	serverSubnet     = 3
 	gatewaySubnet    = 100
 )
 
-// Addresses that operators and clients call from. They are no machine's of the cluster.
+// Source addresses of operators and clients. No machine of the cluster has them.
 const (
 	operatorIP = "10.0.9.9"
 	clientIP   = "10.0.9.8"
@@ -53,18 +54,18 @@
 	controlPort   = 8700
 	publicPort    = 8720
 	readinessPort = 8721
-	internalPort  = 7100 // the first of internalPorts
+	internalPort  = 7100 // the first of internalPorts consecutive ports
 	internalPorts = 10
 	serverPort    = 8000
 )
 
-// Cluster is one system and the servers, operators and clients around it.
+// Cluster is a system of controllers and gateways with its servers, operators and clients.
 type Cluster struct {
-	Network            *simnet.Network // nil: the network of the operating system
+	Network            *simnet.Network // nil: the loopback network of the operating system
 	Dir                string          // parent of the controllers' data directories
 	Log                zerolog.Logger
 	HeartbeatInterval  time.Duration
-	LocalDetectionOnly bool // setting of the gateways: they ignore the observations of others
+	LocalDetectionOnly bool // setting of the gateways: they ignore the outlier observations of other gateways
 	Controllers        []*ControllerNode
 	Gateways           []*GatewayNode
 	Servers            []*Server
@@ -72,19 +73,19 @@
 
 	random            *rand.Rand
 	seedAddresses     []string
-	fileDescriptors   int // limit of each process; 0: unset
+	fileDescriptors   int // limit of each process; 0: not set
 	firstStart        bool
-	toleratedFailures int // controllers that may be lost at once
-	toleratedZones    int // zones that may be lost at once
-	toleratedRegions  int // regions that may be lost at once; then each zone is one
+	toleratedFailures int // controllers that may be lost at the same time
+	toleratedZones    int // zones that may be lost at the same time
+	toleratedRegions  int // regions that may be lost at the same time; if above 0, each zone is a region of its own
 	firstOctet        int // the first byte of all addresses
 	firstZone         int // the second byte of the addresses in the first zone
 
-	mu sync.Mutex // guards Controllers, which grows while servers read it
+	mu sync.Mutex // guards Controllers, which AddController extends while servers read it
 }
 
-// New makes a cluster on a simulated network, its machines spread over three zones. Nothing runs yet. The controllers keep
-// their disks below dir; the seed determines the random numbers of the model.
+// New returns a cluster on a simulated network whose machines are spread over three zones. Nothing runs yet. The data
+// directories of the controllers are created below dir; the seed determines the instance ids of the servers.
 func New(dir string, seed uint64, controllers, gateways int) *Cluster {
 	cluster := newCluster(dir, seed, controllers)
 	cluster.firstOctet = simulatedNetwork
@@ -98,8 +99,8 @@
 	return cluster
 }
 
-// NewLocal makes a cluster on the loopback network whose controllers and gateways the caller starts as processes of their
-// own, from the files of WriteSettings.
+// NewLocal returns a cluster on the loopback network. The caller starts its controllers and gateways as separate processes
+// with the settings files of WriteSettings.
 func NewLocal(dir string, controllers, gateways int) *Cluster {
 	cluster := newCluster(dir, rand.Uint64(), controllers)
 	cluster.firstOctet = loopbackNetwork
@@ -132,7 +133,7 @@
 	c.SetSeeds(c.Controllers[:min(maxSeeds, controllers)]...)
 }
 
-// address composes the IP address of the i-th machine of its kind; machines take turns over the zones.
+// address returns the IP address of the i-th machine of its kind; machines are assigned to the zones round-robin.
 func (c *Cluster) address(i, subnet, host int) string {
 	return fmt.Sprintf("%d.%d.%d.%d", c.firstOctet, c.firstZone+i%zoneCount, subnet, host)
 }
@@ -142,7 +143,7 @@
 
 func zoneName(secondOctet string) string { return "zone-" + secondOctet }
 
-// networkOf returns the network as a machine sees it.
+// networkOf returns the network interface of the machine with an IP address.
 func (c *Cluster) networkOf(ip string) network.Network {
 	if c.Network == nil {
 		return network.TCP{}
@@ -150,7 +151,7 @@
 	return c.Network.Host(ip)
 }
 
-// SetSeeds changes the seed addresses that processes started from now on are configured with.
+// SetSeeds sets the seed addresses in the settings of processes that are started from now on.
 func (c *Cluster) SetSeeds(controllers ...*ControllerNode) {
 	c.seedAddresses = nil
 	for _, controller := range controllers {
@@ -158,7 +159,7 @@
 	}
 }
 
-// AddController adds a controller on a machine with an address of its own. It does not run yet.
+// AddController adds a controller on a new machine with an unused address. It does not run yet.
 func (c *Cluster) AddController() *ControllerNode {
 	i := len(c.Controllers)
 	controller := &ControllerNode{cluster: c, IP: c.address(i, controllerSubnet, i+1)}
@@ -168,7 +169,7 @@
 	return controller
 }
 
-// Start starts all controllers and gateways as on the first start of a new system.
+// Start starts all controllers and gateways with the setting for the first start of a new system. Later starts do not have it.
 func (c *Cluster) Start() error {
 	for _, controller := range c.Controllers {
 		if err := controller.Start(); err != nil {
--- a/internal/testing/simcluster/cluster_test.go
+++ b/internal/testing/simcluster/cluster_test.go
@@ -10,8 +10,8 @@
 	"oxbowspan/config"
 )
 
-// TestEndToEnd covers the whole system without faults: a configuration, servers, gathered and single responses, another
-// sharding, and a shutdown in order.
+// TestEndToEnd runs a complete system without faults: a configuration, servers, gathered and single responses, a change of
+// the sharding, and a graceful shutdown.
 func TestEndToEnd(t *testing.T) {
 	runCluster(t, 1, 3, 2, func(t *testing.T, cluster *Cluster) {
 		commitInitial(t, cluster, 3, ExampleConfiguration(3, FirstSharding))
@@ -32,7 +32,7 @@
 	})
 }
 
-// checkAllRoutes sends a request on each route of the example, and one without a route.
+// checkAllRoutes sends a request on each route of the example, and one that matches no route.
 func checkAllRoutes(t *testing.T, cluster *Cluster, gateway *GatewayNode, requestID string) {
 	t.Helper()
 	response := cluster.SendRequest(gateway, http.MethodGet, exampleHost, "/all/x?y=1", requestID, time.Second)
@@ -57,7 +57,7 @@
 	requireStatus(t, response.Status, http.StatusNotFound, "request %s without a route", requestID)
 }
 
-// TestReplaceConfigurationStatus covers the changes that an operator may get wrong, and those that are repeated.
+// TestReplaceConfigurationStatus checks the status of invalid, conflicting and repeated changes at every controller.
 func TestReplaceConfigurationStatus(t *testing.T) {
 	runCluster(t, 2, 3, 1, func(t *testing.T, cluster *Cluster) {
 		first, second := ExampleConfiguration(3, FirstSharding), ExampleConfiguration(7, FirstSharding)
@@ -74,7 +74,7 @@
 		}{
 			{"current one repeated", 3, second, http.StatusOK},
 			{"older one repeated", 0, first, http.StatusOK},
-			{"another one on the same base", 3, ExampleConfiguration(8, SecondSharding), http.StatusPreconditionFailed},
+			{"another configuration on the same base", 3, ExampleConfiguration(8, SecondSharding), http.StatusPreconditionFailed},
 			{"version not above the current one", 7, ExampleConfiguration(7, SecondSharding), http.StatusBadRequest},
 			{"truncated", 7, ExampleConfiguration(9, FirstSharding)[:200], http.StatusBadRequest},
 			{"unknown service", 7, edited(func(c *config.Configuration) {
@@ -100,8 +100,8 @@
 	})
 }
 
-// TestGatewayStartBesidePoweredOffController starts a gateway while the controller that it calls first has no power. The
-// first packet to such a machine is lost; a dial that waits a second for it would leave the gateway without a configuration.
+// TestGatewayStartBesidePoweredOffController starts a gateway while the controller that it calls first has no power. Packets to
+// such a machine are lost: a gateway that waited a second for this dial would have no configuration within the bound.
 func TestGatewayStartBesidePoweredOffController(t *testing.T) {
 	const bound = 900 * time.Millisecond
 	runCluster(t, 3, 3, 3, func(t *testing.T, cluster *Cluster) {
@@ -112,7 +112,7 @@
 			gateway.Start()
 			time.Sleep(bound)
 			if version := gateway.Gateway.ActiveVersion(); version != 1 {
-				t.Errorf("%s applies version %d %v after its start beside a controller without power", gateway.IP, version, bound)
+				t.Errorf("%s applies version %d %v after its start next to a controller without power", gateway.IP, version, bound)
 			}
 			requireNoError(t, cluster.Controllers[i].Start())
 			time.Sleep(catchUpTime)
@@ -120,8 +120,8 @@
 	})
 }
 
-// TestRoutesAddedLaterAreServed adds forty routes to a running system. Requests on them are served as those on the first routes are,
-// by each gateway, from when it applies the version on.
+// TestRoutesAddedLaterAreServed adds forty routes to a running system. Each gateway must serve requests on them like those on
+// the first routes as soon as it applies the version.
 func TestRoutesAddedLaterAreServed(t *testing.T) {
 	const added = 40
 	runCluster(t, 97, 3, 3, func(t *testing.T, cluster *Cluster) {
--- a/internal/testing/simcluster/connection_limit_test.go
+++ b/internal/testing/simcluster/connection_limit_test.go
@@ -10,16 +10,16 @@
 	"oxbowspan/config"
 )
 
-// TestConnectionLimitBelowGatewayCount runs servers that together accept fewer connections than there are gateways, and
-// close those beyond. Each gateway uses a subset of the servers, so that hardly any connection is closed, also while
-// gateways restart, and everything is served.
+// TestConnectionLimitBelowGatewayCount runs servers that each accept fewer connections than there are gateways and close
+// further ones. Each gateway uses a subset of the servers, so that only few connections are closed, also while gateways
+// restart, and nearly all requests are served.
 func TestConnectionLimitBelowGatewayCount(t *testing.T) {
 	const (
 		gateways         = 30
 		servers          = 6
 		connectionLimit  = 6
-		mostRejected     = 40  // before gateways restart
-		mostRejectedEver = 120 // and with restarts
+		maxRejected      = 40  // before gateways restart
+		maxRejectedInAll = 120 // including restarts
 	)
 	runCluster(t, 93, 3, gateways, func(t *testing.T, cluster *Cluster) {
 		limited := replaceSingleServers(t, cluster, servers, connectionLimit)
@@ -28,7 +28,7 @@
 		}))
 		time.Sleep(6 * time.Second)
 
-		var requests tally
+		var requests requestCounter
 		sendSingleLoad(cluster, &requests, 10*time.Second)
 		rejected := rejectedConnections(limited)
 		for _, gateway := range cluster.Gateways[:5] {
@@ -37,17 +37,17 @@
 		}
 		time.Sleep(2 * time.Second)
 		sendSingleLoad(cluster, &requests, 10*time.Second)
-		rejectedEver := rejectedConnections(limited)
-		t.Logf("%v served; connections beyond the limit: %d before restarts, %d in all", &requests, rejected, rejectedEver)
-		if rejected > mostRejected || rejectedEver > mostRejectedEver {
+		rejectedInAll := rejectedConnections(limited)
+		t.Logf("%v served; connections beyond the limit: %d before restarts, %d in all", &requests, rejected, rejectedInAll)
+		if rejected > maxRejected || rejectedInAll > maxRejectedInAll {
 			t.Errorf("%d connections beyond the limit before restarts, %d in all; want at most %d and %d",
-				rejected, rejectedEver, mostRejected, mostRejectedEver)
+				rejected, rejectedInAll, maxRejected, maxRejectedInAll)
 		}
 		requests.expectServed(t, 97, "requests")
 	})
 }
 
-// replaceSingleServers ends the example's servers of the single service and starts others with a connection limit.
+// replaceSingleServers crashes the example's servers of the single service and starts others with a connection limit.
 func replaceSingleServers(t *testing.T, cluster *Cluster, count, connectionLimit int) (servers []*Server) {
 	t.Helper()
 	for _, server := range serversOf(cluster, singleService) {
@@ -62,8 +62,8 @@
 	return servers
 }
 
-// sendSingleLoad sends two hundred requests a second to all gateways in turn and waits for the responses.
-func sendSingleLoad(cluster *Cluster, requests *tally, duration time.Duration) {
+// sendSingleLoad sends 200 requests per second to all gateways in turn and waits for the responses.
+func sendSingleLoad(cluster *Cluster, requests *requestCounter, duration time.Duration) {
 	const interval = 5 * time.Millisecond
 	var pending sync.WaitGroup
 	for n := range int(duration / interval) {
--- a/internal/testing/simcluster/connection_test.go
+++ b/internal/testing/simcluster/connection_test.go
@@ -13,10 +13,10 @@
 	"oxbowspan/config"
 )
 
-// rawClientIP is where raw connections of tests come from.
+// rawClientIP is the source address of raw connections.
 const rawClientIP = "10.0.9.6"
 
-// rawConnection is a connection of a client to a gateway on which a test writes requests byte by byte.
+// rawConnection is a client's connection to a gateway on which a test writes the bytes of requests itself.
 type rawConnection struct {
 	net.Conn
 	reader *bufio.Reader
@@ -50,7 +50,7 @@
 	return response, nil
 }
 
-// expectResponse reads the next response. A success must be the one to the request with this id.
+// expectResponse reads the next response and checks its status. A response with status 200 must belong to the request with the id.
 func (c *rawConnection) expectResponse(t *testing.T, requestID string, wantStatus int) {
 	t.Helper()
 	response, err := c.receive(2 * time.Second)
@@ -64,14 +64,14 @@
 	}
 }
 
-// requestHead returns a request line with the fields that every request has. The caller adds more fields and an empty line.
+// requestHead returns a request line and the header fields of every request. The caller appends further fields and an empty line.
 func requestHead(method, path, requestID string, deadline time.Duration) string {
 	return fmt.Sprintf("%s %s HTTP/1.1\r\nHost: %s\r\n%s: %d\r\n%s: %s\r\n",
 		method, path, exampleHost, deadlineHeader, deadline.Milliseconds(), attemptIDHeader, requestID)
 }
 
-// TestPipelinedRequests sends several requests at once on one connection: without a body, with a body that looks like a
-// request, in chunks. The responses come in order, and what is part of a body is never executed.
+// TestPipelinedRequests pipelines requests on one connection: without a body, with a body that looks like a request, and with a
+// chunked body. The responses must arrive in order, and a request inside a body must never be executed.
 func TestPipelinedRequests(t *testing.T) {
 	const hidden = "POST /once/x HTTP/1.1\r\nHost: h.example\r\nX-Attempt-Id: hidden\r\nContent-Length: 0\r\n\r\n"
 	const chunked = "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n"
@@ -92,7 +92,7 @@
 			connection.expectResponse(t, requestID, http.StatusOK)
 		}
 
-		// Trailer fields after the last chunk are skipped. A request in their place is an error, and ends the connection.
+		// Trailer fields after the last chunk are ignored. A request in their place is an error that closes the connection.
 		second := dialGateway(t, cluster, cluster.Gateways[0])
 		defer second.Close()
 		second.send(t, head("POST", "/once/f", "t1")+chunked+"X-Attempt-Id: other\r\n\r\n"+
@@ -112,8 +112,8 @@
 	})
 }
 
-// TestIdleConnectionsAreEvicted opens more connections than half of the gateway's file descriptors. Idle ones are closed in
-// favour of new ones, and requests are served all the while.
+// TestIdleConnectionsAreEvicted opens more connections than half of the gateway's file descriptors. Idle connections must be
+// closed in favour of new ones, and requests must be served throughout.
 func TestIdleConnectionsAreEvicted(t *testing.T) {
 	runCluster(t, 41, 3, 1, func(t *testing.T, cluster *Cluster) {
 		gateway := cluster.Gateways[0]
@@ -127,14 +127,14 @@
 			defer connection.Close()
 			if i%10 == 9 {
 				response := sendSingle(cluster, gateway, "room")
-				requireStatus(t, response.Status, http.StatusOK, "request beside %d idle connections", i+1)
+				requireStatus(t, response.Status, http.StatusOK, "request with %d idle connections open", i+1)
 			}
 		}
 	})
 }
 
-// TestRequestsWithinLimits sends requests that are just within the limits of the configuration, on a connection that has
-// been idle for four fifths of the idle time-out. Such a connection is never closed under a request.
+// TestRequestsWithinLimits sends requests just within the limits of the configuration, on a connection that has been idle for
+// four fifths of the idle time-out. Such a connection must never be closed during a request.
 func TestRequestsWithinLimits(t *testing.T) {
 	const (
 		headerBytes = 8192
--- a/internal/testing/simcluster/controller_test.go
+++ b/internal/testing/simcluster/controller_test.go
@@ -11,14 +11,14 @@
 	"oxbowspan/config"
 )
 
-// TestAllControllersReplacedInTurn loses each controller for good, one after the other, and replaces it by an empty one at
-// another address; the seeds change with them. In the end no initial controller is left, and gateways still get updates.
+// TestAllControllersReplacedInTurn loses each controller permanently, one after the other, and replaces it by one with an empty
+// disk and another address; the seeds change accordingly. Gateways must still get updates when no initial controller is left.
 func TestAllControllersReplacedInTurn(t *testing.T) {
 	for _, controllers := range []int{3, 5} {
 		t.Run(fmt.Sprint(controllers), func(t *testing.T) {
 			runCluster(t, 11, controllers, 2, func(t *testing.T, cluster *Cluster) {
 				commitFirstVersion(t, cluster)
-				time.Sleep(3 * time.Second) // of five, the two that are no seeds become members
+				time.Sleep(3 * time.Second) // of five controllers, the two that are not seeds become members
 				initial := slices.Clone(cluster.Controllers)
 				for i, lost := range initial {
 					lost.Kill(true)
@@ -37,8 +37,8 @@
 	}
 }
 
-// TestTwoOfFiveControllersLost loses two of five controllers for good at once. The other three commit a change; with two
-// new members the system tolerates the loss of two more.
+// TestTwoOfFiveControllersLost loses two of five controllers permanently at the same time. The other three must commit a change;
+// with two new members the system must tolerate the loss of two more.
 func TestTwoOfFiveControllersLost(t *testing.T) {
 	runCluster(t, 12, 5, 2, func(t *testing.T, cluster *Cluster) {
 		commitFirstVersion(t, cluster)
@@ -55,8 +55,8 @@
 	})
 }
 
-// TestWipedControllerRestartsFirst commits a version; at once one disk is lost and all machines lose power. The controller
-// with the empty disk is the first that is back.
+// TestWipedControllerRestartsFirst commits a version. Immediately afterwards one disk is lost and all machines lose power, and
+// the controller with the empty disk restarts first. The version must not be lost.
 func TestWipedControllerRestartsFirst(t *testing.T) {
 	for wiped := range 3 {
 		t.Run(fmt.Sprint(wiped), func(t *testing.T) {
@@ -85,8 +85,8 @@
 	}
 }
 
-// TestConcurrentOperatorsAcrossPartition partitions one controller, in one direction or both, with an operator on each side
-// that sends a change on the same base. The change of the majority is committed; the other is never applied.
+// TestConcurrentOperatorsAcrossPartition partitions one controller, in one direction or both, while an operator on each side
+// sends a change on the same base. The change on the majority's side must be committed; the other must never be applied.
 func TestConcurrentOperatorsAcrossPartition(t *testing.T) {
 	for _, bothDirections := range []bool{true, false} {
 		t.Run(fmt.Sprintf("both directions %t", bothDirections), func(t *testing.T) {
@@ -114,7 +114,7 @@
 	}
 }
 
-// replaceOnBothSides sends version 2 to an isolated controller and version 3 to another one at once, and returns the
+// replaceOnBothSides sends version 2 to an isolated controller and version 3 to another one concurrently. It returns the
 // statuses.
 func replaceOnBothSides(cluster *Cluster, isolated *ControllerNode) (minority, majority int) {
 	var operators sync.WaitGroup
@@ -133,8 +133,8 @@
 	return minority, majority
 }
 
-// TestGatewayIgnoresLaggingController starts a gateway beside a controller that has been partitioned for long. The gateway
-// must apply what the majority has committed since.
+// TestGatewayIgnoresLaggingController starts a gateway in the zone of a controller that has been partitioned for 3 s. The
+// gateway must apply the version that the majority has committed since.
 func TestGatewayIgnoresLaggingController(t *testing.T) {
 	runCluster(t, 17, 3, 3, func(t *testing.T, cluster *Cluster) {
 		commitFirstVersion(t, cluster)
@@ -148,13 +148,13 @@
 		gateway.Start()
 		time.Sleep(2 * time.Second)
 		if version := gateway.Gateway.ActiveVersion(); version != 2 {
-			t.Errorf("a gateway that starts beside a lagging controller applies version %d, want 2", version)
+			t.Errorf("a gateway that starts next to a lagging controller applies version %d, want 2", version)
 		}
 	})
 }
 
-// TestStalledDiskDoesNotBlockCommits stalls the disk of one controller for seconds. Changes that are sent to another
-// controller and to this one are committed by the others.
+// TestStalledDiskDoesNotBlockCommits stalls the disk of one controller for 3 s. Changes that are sent to this and to another
+// controller must be committed by the other controllers without delay.
 func TestStalledDiskDoesNotBlockCommits(t *testing.T) {
 	runCluster(t, 18, 3, 1, func(t *testing.T, cluster *Cluster) {
 		commitFirstVersion(t, cluster)
@@ -165,17 +165,17 @@
 			for _, to := range []*ControllerNode{cluster.Controllers[(i+1)%3], stalled} {
 				version++
 				status := cluster.ReplaceConfiguration(to, version-1, ExampleConfiguration(version, FirstSharding))
-				expectStatus(t, status, http.StatusOK, "version %d beside a stalled disk", version)
+				expectStatus(t, status, http.StatusOK, "version %d with one disk stalled", version)
 			}
 			if elapsed := time.Since(start); elapsed > time.Second {
-				t.Errorf("two versions beside a stalled disk took %v", elapsed)
+				t.Errorf("two versions with one disk stalled took %v, want at most 1 s", elapsed)
 			}
 			time.Sleep(4 * time.Second)
 		}
 	})
 }
 
-// TestLargeAndFrequentVersions commits a version of 256 KiB and then many small ones in a row.
+// TestLargeAndFrequentVersions commits a version of at least 256 KiB, followed by many small ones.
 func TestLargeAndFrequentVersions(t *testing.T) {
 	const smallVersions = 39
 	runCluster(t, 19, 3, 2, func(t *testing.T, cluster *Cluster) {
@@ -189,7 +189,7 @@
 		requireStatus(t, replaceWithRetry(cluster, 1, large, 5), http.StatusOK, "version of %d bytes", len(large))
 		awaitVersion(t, cluster, 2, configurationApplyMax)
 		response := cluster.SendRequest(cluster.Gateways[0], http.MethodGet, exampleHost, "/more-1000/x", "long", time.Second)
-		expectStatus(t, response.Status, http.StatusOK, "request on one of its last routes")
+		expectStatus(t, response.Status, http.StatusOK, "request on one of the last routes of the large version")
 		for version := uint64(3); version <= smallVersions; version++ {
 			status := replaceWithRetry(cluster, version-1, ExampleConfiguration(version, FirstSharding), 5)
 			requireStatus(t, status, http.StatusOK, "version %d", version)
@@ -199,7 +199,7 @@
 	})
 }
 
-// addRoutes adds so many routes like the one to the single service, with the prefixes "/more-0/", "/more-1/" and so on.
+// addRoutes adds count copies of the route to the single service, with the prefixes "/more-0/", "/more-1/" and so on.
 func addRoutes(configuration *config.Configuration, count int) {
 	for i := range count {
 		route := configuration.Routes[1]
@@ -209,7 +209,7 @@
 	}
 }
 
-// TestConfigurationThroughPeerGateway partitions a gateway from all controllers. It gets configurations from the other
+// TestConfigurationThroughPeerGateway partitions a gateway from all controllers. It must get configurations from the other
 // gateways that it knows.
 func TestConfigurationThroughPeerGateway(t *testing.T) {
 	runCluster(t, 21, 3, 3, func(t *testing.T, cluster *Cluster) {
--- a/internal/testing/simcluster/disk_test.go
+++ b/internal/testing/simcluster/disk_test.go
@@ -11,27 +11,27 @@
 	"time"
 )
 
-// fullDevice refuses every write with ENOSPC.
+// fullDevice is a device on which every write fails with ENOSPC.
 const fullDevice = "/dev/full"
 
-// fillDisk makes every write to a controller's data file fail as on a full disk, until the returned function is called. It
-// replaces the file behind the open descriptor, so that the storage library handles a real write error.
+// fillDisk makes every write to a controller's data file fail with ENOSPC until the returned function is called. It replaces
+// the file behind the open descriptor, so that the storage library handles a real write error.
 func fillDisk(t *testing.T, controller *ControllerNode) (restore func()) {
 	t.Helper()
 	descriptor := openDescriptor(t, filepath.Join(controller.dataDir(), "hive.db"))
-	kept, err := syscall.Dup(descriptor)
+	original, err := syscall.Dup(descriptor)
 	requireNoError(t, err)
 	full, err := syscall.Open(fullDevice, syscall.O_RDWR, 0)
 	requireNoError(t, err)
 	requireNoError(t, syscall.Dup3(full, descriptor, syscall.O_CLOEXEC))
 	syscall.Close(full)
 	return func() {
-		requireNoError(t, syscall.Dup3(kept, descriptor, syscall.O_CLOEXEC))
-		syscall.Close(kept)
+		requireNoError(t, syscall.Dup3(original, descriptor, syscall.O_CLOEXEC))
+		syscall.Close(original)
 	}
 }
 
-// openDescriptor returns this process's descriptor of an open file.
+// openDescriptor returns this process's file descriptor of an open file.
 func openDescriptor(t *testing.T, path string) int {
 	t.Helper()
 	const descriptors = "/proc/self/fd"
@@ -53,20 +53,21 @@
 	return -1
 }
 
-// TestFullDiskRejectsImmediately fills the disk of one controller: it rejects proposals at once and the others go on. With
-// two of three disks full no change is acknowledged; with space again the same change is committed.
+// TestFullDiskRejectsImmediately fills the disk of one controller: it must reject proposals immediately, and the others must
+// continue to commit. With two of three disks full no change may be acknowledged; once there is free space, the same change
+// must be committed.
 func TestFullDiskRejectsImmediately(t *testing.T) {
 	const bound = 300 * time.Millisecond
 	runCluster(t, 31, 3, 2, func(t *testing.T, cluster *Cluster) {
 		commitFirstVersion(t, cluster)
 		restoreFirst := fillDisk(t, cluster.Controllers[0])
-		for i, to := range cluster.Controllers { // the controller with the full disk may propose as well
+		for i, to := range cluster.Controllers { // the controller with the full disk may also propose
 			version := uint64(2 + i)
 			start := time.Now()
 			status := cluster.ReplaceConfiguration(to, version-1, ExampleConfiguration(version, FirstSharding))
-			requireStatus(t, status, http.StatusOK, "version %d by controller %d beside a full disk", version, i)
+			requireStatus(t, status, http.StatusOK, "version %d by controller %d with one disk full", version, i)
 			if elapsed := time.Since(start); elapsed > bound {
-				t.Errorf("version %d beside a full disk took %v, want at most %v", version, elapsed, bound)
+				t.Errorf("version %d with one disk full took %v, want at most %v", version, elapsed, bound)
 			}
 		}
 		awaitVersion(t, cluster, 4, time.Second)
@@ -74,7 +75,7 @@
 		restoreSecond := fillDisk(t, cluster.Controllers[1])
 		status := cluster.ReplaceConfiguration(cluster.Controllers[2], 4, ExampleConfiguration(5, SecondSharding))
 		if status/100 != 5 && status != 0 {
-			t.Fatalf("with two of three disks full a change is answered with %d", status)
+			t.Fatalf("with two of three disks full a change is answered with %d, want 5xx or no response", status)
 		}
 		for _, gateway := range cluster.Gateways {
 			if version := gateway.Gateway.ActiveVersion(); version != 4 {
@@ -93,8 +94,8 @@
 	})
 }
 
-// TestPowerLossDuringCommit cuts the power of all controllers at any moment of a commit. Afterwards the change is either
-// committed or not, and all controllers say the same of it.
+// TestPowerLossDuringCommit cuts the power of all controllers at different moments of a commit. Afterwards the change must be
+// either committed or not, consistently on all controllers.
 func TestPowerLossDuringCommit(t *testing.T) {
 	const trials, stepDelay = 14, 700 * time.Microsecond
 	committed := 0
@@ -148,7 +149,8 @@
 	return found == 2
 }
 
-// TestInterruptedFirstStart interrupts the first start of a system at different moments.
+// TestInterruptedFirstStart interrupts the first start of a system in several ways and at different moments. Changes must be
+// committed and applied afterwards.
 func TestInterruptedFirstStart(t *testing.T) {
 	interruptions := []struct {
 		name      string
--- a/internal/testing/simcluster/dispatch_test.go
+++ b/internal/testing/simcluster/dispatch_test.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// TestUndispatchedRequestsAreRejected cuts the power of all servers of two services, with no connection to them left, so
-// that requests can't be dispatched. Each is answered that it was not executed, and, once the servers are known to be
-// unresponsive, within a quarter of the target latency.
+// TestUndispatchedRequestsAreRejected cuts the power of all servers of two services, which also ends all connections to them, so
+// that requests cannot be dispatched. Each request must be answered with status 503, which reports that it was not executed, and
+// nearly all within a quarter of the target latency once the gateway has found the servers unresponsive.
 func TestUndispatchedRequestsAreRejected(t *testing.T) {
 	const (
 		requests       = 48
-		learning       = 8 // requests until the gateway knows that no server responds
+		warmUpRequests = 8 // requests until the gateway has found that no server responds
 		targetLatency  = 300 * time.Millisecond
-		mostLate       = 10 // probes find out whether a server is back
+		maxLate        = 10 // requests that the gateway uses to probe whether a server responds again
 		longestTimeout = 2500 * time.Millisecond
 	)
 	timeouts := []time.Duration{250 * time.Millisecond, 350 * time.Millisecond, time.Second, longestTimeout}
@@ -32,7 +32,7 @@
 			response := cluster.SendRequest(cluster.Gateways[0], route.method, exampleHost, route.path, fmt.Sprint("n", i), timeout)
 			expectStatus(t, response.Status, http.StatusServiceUnavailable,
 				"undispatched request on %s with time-out %v, after %v", route.path, timeout, response.Elapsed)
-			if i >= learning && response.Elapsed > targetLatency/4 {
+			if i >= warmUpRequests && response.Elapsed > targetLatency/4 {
 				late++
 			}
 			if timeout == longestTimeout && response.Elapsed > timeout/2 {
@@ -40,9 +40,9 @@
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
-		if late > mostLate {
+		if late > maxLate {
 			t.Errorf("%d of %d undispatched requests are rejected later than a quarter of the target latency, want at most %d",
-				late, requests-learning, mostLate)
+				late, requests-warmUpRequests, maxLate)
 		}
 	})
 }
--- a/internal/testing/simcluster/drain_test.go
+++ b/internal/testing/simcluster/drain_test.go
@@ -13,8 +13,8 @@
 // drainingServer is the index of the server that the tests drain, one of the single service.
 const drainingServer = 15
 
-// TestDrainSurvivesControllerCrash kills the controller that has acknowledged a drain at once. The drain reaches every
-// gateway all the same. A controller that no other hears from does not acknowledge one.
+// TestDrainSurvivesControllerCrash kills a controller immediately after it has acknowledged a drain. The drain must still reach
+// every gateway. A controller whose messages do not reach the others must not acknowledge a drain.
 func TestDrainSurvivesControllerCrash(t *testing.T) {
 	runCluster(t, 20, 3, 3, func(t *testing.T, cluster *Cluster) {
 		commitFirstVersion(t, cluster)
@@ -29,7 +29,7 @@
 
 		setIsolated(cluster, cluster.Controllers[0], true, false)
 		if drainAt(cluster.Controllers[0]) == http.StatusOK {
-			t.Fatal("a controller that no other hears from acknowledged a drain")
+			t.Fatal("a controller whose messages reach no other acknowledged a drain")
 		}
 		cluster.Network.Heal()
 		time.Sleep(3 * time.Second)
@@ -47,9 +47,9 @@
 	})
 }
 
-// TestDrainingServerReceivesNoRequests drains a server that serves on and sends heartbeats. It receives no request later
-// than the limit after the acknowledgement: no gateway uses it again, also not after a delayed heartbeat of before, its
-// sign-off and its end.
+// TestDrainingServerReceivesNoRequests drains a server that continues to serve and to send heartbeats. It must receive no
+// request later than drainLimit after the acknowledgement: no gateway may use it again, not even after a delayed heartbeat
+// from before the drain or after its sign-off.
 func TestDrainingServerReceivesNoRequests(t *testing.T) {
 	runCluster(t, 72, 3, 3, func(t *testing.T, cluster *Cluster) {
 		commitFirstVersion(t, cluster)
@@ -63,10 +63,10 @@
 		late := countLateRequests(draining, acknowledgedAt.Add(drainLimit))
 		for i := range 60 {
 			response := sendSingle(cluster, cluster.Gateways[i%3], fmt.Sprintf("l%d", i))
-			expectStatus(t, response.Status, http.StatusOK, "request %d beside a draining server", i)
+			expectStatus(t, response.Status, http.StatusOK, "request %d while a server is draining", i)
 			time.Sleep(200 * time.Millisecond)
 			switch i {
-			case 30: // a heartbeat of before the drain, held up on its way
+			case 30: // a heartbeat from before the drain that arrives late
 				delayed := draining.heartbeat(stateReady, 2)
 				timedPost(cluster, cluster.Controllers[1].ControlAddress(), heartbeatPath(instance), delayed)
 			case 40:
@@ -80,7 +80,7 @@
 	})
 }
 
-// countLateRequests counts the requests that reach a server after a deadline.
+// countLateRequests starts to count the requests that reach a server after a deadline. The returned function returns the count.
 func countLateRequests(server *Server, deadline time.Time) (count func() int) {
 	late := 0
 	server.SetOnRequest(func(arrival time.Time) {
@@ -89,7 +89,7 @@
 		}
 	})
 	return func() int {
-		server.mu.Lock() // SetOnRequest's function is called with it
+		server.mu.Lock() // the function of SetOnRequest is called with this lock held
 		defer server.mu.Unlock()
 		return late
 	}
--- a/internal/testing/simcluster/example.go
+++ b/internal/testing/simcluster/example.go
@@ -11,17 +11,17 @@
 	"oxbowspan/config"
 )
 
-// ExampleRecordCount is how many records a server of the example answers with.
+// ExampleRecordCount is the number of records in a response of an example server.
 const ExampleRecordCount = 20
 
 const (
 	exampleHost           = "h.example"
-	exampleTopRecords     = 30  // of a gathered response
-	exampleMinimumShare   = 0.5 // of the parts of a gathered response
+	exampleTopRecords     = 30  // records of a gathered response
+	exampleMinimumShare   = 0.5 // share of the parts that a gathered response must contain
 	exampleRequestTimeout = time.Second
 )
 
-// Services of the routes of the example that are not gathered.
+// Services of the example's routes to a single service.
 const (
 	singleService       = "one"  // of the retryable route
 	nonRetryableService = "once" // of the non-retryable route
@@ -33,10 +33,11 @@
 // FirstSharding names the services of the example that hold the shards of its index.
 var FirstSharding = []string{"a0", "a1", "a2"}
 
-// SecondSharding names the services that hold the same index in other shards.
+// SecondSharding names the services that hold the same index, divided into other shards.
 var SecondSharding = []string{"b0", "b1"}
 
-// ExampleConfiguration returns a configuration with a gathered, a single retryable and a non-retryable route.
+// ExampleConfiguration returns a configuration with a gathered route over shards, a retryable route to a single service and
+// a non-retryable route.
 func ExampleConfiguration(version uint64, shards []string) []byte {
 	configuration := config.Configuration{
 		Version: version,
@@ -65,7 +66,7 @@
 	return text
 }
 
-// SendExample sends a gateway a request of one of the example's routes, in turn by number, and checks the response. It
+// SendExample sends a request on one of the example's three routes, selected by number modulo 3, and checks the response. It
 // returns whether the request was served and which guarantee was violated, if any.
 func (c *Cluster) SendExample(gateway *GatewayNode, number int, requestID string) (served bool, violation Violation) {
 	switch number % 3 {
@@ -79,7 +80,7 @@
 }
 
 func (c *Cluster) sendGatheredExample(gateway *GatewayNode, requestID string) (served bool, violation Violation) {
-	c.RequestLog.RecordRequest(slices.Concat(FirstSharding, SecondSharding)...) // whichever sharding is applied
+	c.RequestLog.RecordRequest(slices.Concat(FirstSharding, SecondSharding)...) // either sharding may be applied
 	response := c.SendRequest(gateway, http.MethodGet, exampleHost, "/all/x", requestID, exampleRequestTimeout)
 	if response.Status != http.StatusOK {
 		return false, checkNotDenied(requestID, response.Status)
@@ -109,8 +110,8 @@
 	return response.Status == http.StatusOK, checkNotDenied(requestID, response.Status)
 }
 
-// checkNotDenied checks that a valid request on a route that every version has is not answered with a redirect or an error of the
-// client.
+// checkNotDenied checks that a valid request on a route that every version has is not answered with a redirect or a client
+// error. The statuses 408, 421 and 429 are allowed.
 func checkNotDenied(requestID string, status int) Violation {
 	switch {
 	case status < http.StatusMultipleChoices || status >= http.StatusInternalServerError:
@@ -121,7 +122,7 @@
 	return ""
 }
 
-// checkNonRetryable checks that a non-retryable request was executed once at most, and not at all if it was rejected.
+// checkNonRetryable checks that a non-retryable request was executed at most once, and not at all if its status is 503 or 429.
 func checkNonRetryable(requestID string, executions, status int) Violation {
 	rejected := status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
 	switch {
@@ -133,7 +134,7 @@
 	return ""
 }
 
-// exampleGathering is what gathered responses of the example must be while one of the shardings is applied.
+// exampleGathering returns the expectation of gathered responses of the example while one of the shardings is applied.
 func exampleGathering(shardings ...[]string) GatheredExpectation {
 	return GatheredExpectation{
 		ServiceSets:  shardings,
--- a/internal/testing/simcluster/gathered.go
+++ b/internal/testing/simcluster/gathered.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Violation describes how a response breaks a guarantee of the system; the empty string means that it breaks none.
+// Violation describes a violated guarantee of the system; the empty string means that none is violated.
 type Violation string
 
 func mixedResponse(format string, args ...any) Violation {
@@ -20,14 +20,14 @@
 
 // GatheredExpectation describes the successful responses to a gathered request.
 type GatheredExpectation struct {
-	ServiceSets  [][]string // the gathered services of each configuration that may be applied
-	RecordCount  int        // records that each server answers with
+	ServiceSets  [][]string // the gathered services of each configuration that may be active
+	RecordCount  int        // records in the response of each server
 	TopRecords   int        // records of the response
-	MinimumShare float64    // of the parts that must be present, 0 to 1
+	MinimumShare float64    // share of the parts that must be present, 0 to 1
 }
 
 // Check checks a successful response: its parts belong to this request and to one configuration, enough of them are
-// present, and the body is merged from exactly these.
+// present, and the body is the merge of exactly these parts. It returns the first violation that it finds.
 func (e GatheredExpectation) Check(response Response, requestID string) Violation {
 	services, violation := sealedServices(response.Header.Get(partSealsHeader), requestID)
 	if violation != "" {
@@ -47,7 +47,7 @@
 	return ""
 }
 
-// sealedServices returns the services that are named by the seals of a gathered response, each once.
+// sealedServices returns the services named by the seals of a gathered response. Two seals of one service are a violation.
 func sealedServices(seals, requestID string) (services []string, violation Violation) {
 	for seal := range strings.SplitSeq(seals, ",") {
 		fields := strings.Split(strings.TrimSpace(seal), ".")
@@ -63,15 +63,15 @@
 	return services, ""
 }
 
-// matches reports whether services are the present parts of a set of which some are missing.
+// matches reports whether services and missing further ones make up a set, and whether enough of its parts are present.
 func (e GatheredExpectation) matches(set, services []string, missing int) bool {
-	foreign := func(service string) bool { return !slices.Contains(set, service) }
+	notInSet := func(service string) bool { return !slices.Contains(set, service) }
 	return len(set) == len(services)+missing &&
 		float64(len(services)) >= e.MinimumShare*float64(len(set)) &&
-		!slices.ContainsFunc(services, foreign)
+		!slices.ContainsFunc(services, notInSet)
 }
 
-// merge returns the top records of services in descending order.
+// merge returns the top records of the services' responses in descending order.
 func (e GatheredExpectation) merge(services []string, requestID string) string {
 	var records []string
 	for _, service := range services {
--- a/internal/testing/simcluster/harness_test.go
+++ b/internal/testing/simcluster/harness_test.go
@@ -12,25 +12,25 @@
 	"github.com/rs/zerolog"
 )
 
-// seedMultiplier lengthens the seeded runs beyond what CI has time for.
+// seedMultiplier multiplies the number of seeds, for runs longer than in CI.
 var seedMultiplier = flag.Int("more", 1, "multiplies the number of seeded runs")
 
 var verbose = flag.Bool("loud", false, "write the logs of the programs, with the simulated time")
 
-// openCallsEnd is how long after the end of a cluster calls may still be open.
+// openCallsEnd is the longest time that calls may stay open after a cluster was stopped.
 const openCallsEnd = 5 * time.Second
 
-// serversPerService is how many servers each service of the example has in runCluster.
+// serversPerService is the number of servers that runCluster starts for each service of the example.
 const serversPerService = 3
 
-// exampleServiceTime is how long these servers work on each request.
+// exampleServiceTime is the service time of these servers.
 const exampleServiceTime = 10 * time.Millisecond
 
-// clusterTest is the part of a test that runs against a started cluster, inside a synctest bubble.
+// clusterTest is the body of a test that runs against a cluster, inside a synctest bubble.
 type clusterTest func(t *testing.T, cluster *Cluster)
 
-// runCluster runs a test against controllers, gateways and three servers of each service of the example. It runs in a
-// synctest bubble, where time passes only while everything waits.
+// runCluster runs a test against started controllers, gateways and serversPerService servers of each service of the example. It
+// runs in a synctest bubble, where time advances only while all goroutines are blocked.
 func runCluster(t *testing.T, seed uint64, controllers, gateways int, test clusterTest) {
 	t.Helper()
 	runBubble(t, seed, controllers, gateways, func(t *testing.T, cluster *Cluster) {
@@ -47,7 +47,7 @@
 	})
 }
 
-// runControllers runs a test against controllers alone, without gateways and servers.
+// runControllers runs a test against started controllers, without gateways and servers.
 func runControllers(t *testing.T, seed uint64, controllers int, test clusterTest) {
 	t.Helper()
 	runBubble(t, seed, controllers, 0, func(t *testing.T, cluster *Cluster) {
@@ -56,7 +56,7 @@
 	})
 }
 
-// runBubble runs a test in a synctest bubble against a cluster that is not started yet, and stops the cluster afterwards.
+// runBubble runs a test in a synctest bubble against a cluster that has not been started, and stops the cluster afterwards.
 func runBubble(t *testing.T, seed uint64, controllers, gateways int, test clusterTest) {
 	t.Helper()
 	dir := memoryDir(t)
@@ -74,13 +74,13 @@
 	})
 }
 
-// simulatedTimeLog returns a log whose lines bear the time of the bubble.
+// simulatedTimeLog returns a log whose lines have the simulated time of the bubble.
 func simulatedTimeLog() zerolog.Logger {
 	addTime := func(e *zerolog.Event, _ zerolog.Level, _ string) { e.Time("time", time.Now()) }
 	return zerolog.New(os.Stderr).Hook(zerolog.HookFunc(addTime))
 }
 
-// memoryDir returns a directory that lies in memory where the machine offers that: each accepted proposal waits for a disk.
+// memoryDir returns a temporary directory, in memory if /dev/shm is available, as each accepted proposal waits for a disk sync.
 func memoryDir(t *testing.T) string {
 	t.Helper()
 	dir, err := os.MkdirTemp("/dev/shm", "simcluster")
@@ -98,7 +98,7 @@
 	}
 }
 
-// requireStatus ends the test unless a call was answered with the wanted status. The format names the call.
+// requireStatus ends the test unless the status of a call is the wanted one. The format describes the call.
 func requireStatus(t *testing.T, got, want int, format string, args ...any) {
 	t.Helper()
 	if got != want {
@@ -106,7 +106,7 @@
 	}
 }
 
-// expectStatus fails the test unless a call was answered with the wanted status, and lets it go on.
+// expectStatus fails the test unless the status of a call is the wanted one, and lets the test continue.
 func expectStatus(t *testing.T, got, want int, format string, args ...any) {
 	t.Helper()
 	if got != want {
@@ -126,23 +126,25 @@
 	}
 }
 
-// tally counts the requests of a load and how many of them were served. It may be used concurrently.
-type tally struct {
+// requestCounter counts the requests of a load and how many of them were served. It is safe for concurrent use.
+type requestCounter struct {
 	sent, served atomic.Int64
 }
 
-// record counts a request that was sent, and as served if its status is OK.
-func (c *tally) record(served bool) {
+// record counts a request, and counts it as served if served is true.
+func (c *requestCounter) record(served bool) {
 	c.sent.Add(1)
 	if served {
 		c.served.Add(1)
 	}
 }
 
-func (c *tally) String() string { return fmt.Sprintf("%d of %d", c.served.Load(), c.sent.Load()) }
+func (c *requestCounter) String() string {
+	return fmt.Sprintf("%d of %d", c.served.Load(), c.sent.Load())
+}
 
-// expectServed fails the test unless at least so many percent of the requests were served.
-func (c *tally) expectServed(t *testing.T, percent int64, what string) {
+// expectServed fails the test unless at least a percentage of the requests were served.
+func (c *requestCounter) expectServed(t *testing.T, percent int64, what string) {
 	t.Helper()
 	if 100*c.served.Load() < percent*c.sent.Load() {
 		t.Errorf("%v %s are served, want at least %d %%", c, what, percent)
--- a/internal/testing/simcluster/helpers_test.go
+++ b/internal/testing/simcluster/helpers_test.go
@@ -12,25 +12,25 @@
 )
 
 const (
-	// catchUpTime is what the platform grants a machine that is back, or new, before others may be lost (catch_up_s).
+	// catchUpTime is the time that the platform allows a restarted or new machine before others may be lost (catch_up_s).
 	catchUpTime = 4 * time.Second
-	// retryPause is the pause of an operator between two attempts.
+	// retryPause is the time between two attempts of an operator.
 	retryPause = 300 * time.Millisecond
-	// readAttempts is how often a read without a response is repeated.
+	// readAttempts is the maximum number of attempts of a read without a response.
 	readAttempts = 10
-	// initialAttempts is how often the first configuration is sent while controllers start.
+	// initialAttempts is the maximum number of attempts to commit the first configuration while controllers start.
 	initialAttempts = 30
 )
 
-// isClear reports whether a status tells the outcome of a change: it is committed or rejected for good.
-func isClear(status int) bool { return status == http.StatusOK || status/100 == 4 }
+// isDefinite reports whether a status determines the outcome of a change: committed or permanently rejected.
+func isDefinite(status int) bool { return status == http.StatusOK || status/100 == 4 }
 
-// replaceUntilClear sends a configuration to one controller after another until the outcome is clear, and returns the last
-// status.
-func replaceUntilClear(cluster *Cluster, basedOn uint64, body []byte, attempts int, target func(attempt int) *ControllerNode) (status int) {
+// replaceUntilDefinite sends a configuration to one controller after another until the outcome is definite, and returns the
+// last status.
+func replaceUntilDefinite(cluster *Cluster, basedOn uint64, body []byte, attempts int, target func(attempt int) *ControllerNode) (status int) {
 	for attempt := range attempts {
 		status = cluster.ReplaceConfiguration(target(attempt), basedOn, body)
-		if isClear(status) {
+		if isDefinite(status) {
 			return status
 		}
 		time.Sleep(retryPause)
@@ -38,16 +38,16 @@
 	return status
 }
 
-// replaceWithRetry sends a configuration to all controllers in turn, whether they run or not, until the outcome is clear.
+// replaceWithRetry sends a configuration to all controllers in turn, whether they run or not, until the outcome is definite.
 func replaceWithRetry(cluster *Cluster, basedOn uint64, body []byte, attempts int) (status int) {
-	return replaceUntilClear(cluster, basedOn, body, attempts, func(attempt int) *ControllerNode {
+	return replaceUntilDefinite(cluster, basedOn, body, attempts, func(attempt int) *ControllerNode {
 		return cluster.Controllers[(int(basedOn)+attempt)%len(cluster.Controllers)]
 	})
 }
 
-// replaceOnRunning sends a configuration to the running controllers in turn until the outcome is clear.
+// replaceOnRunning sends a configuration to the running controllers in turn until the outcome is definite.
 func replaceOnRunning(cluster *Cluster, basedOn uint64, body []byte, attempts int) (status int) {
-	return replaceUntilClear(cluster, basedOn, body, attempts, func(attempt int) *ControllerNode {
+	return replaceUntilDefinite(cluster, basedOn, body, attempts, func(attempt int) *ControllerNode {
 		running := cluster.runningControllers()
 		return running[attempt%len(running)]
 	})
@@ -66,14 +66,14 @@
 	awaitVersion(t, cluster, version, configurationApplyMax)
 }
 
-// commitVersion commits a version of the example on top of the one before, by the running controllers.
+// commitVersion commits a version of the example, based on version-1, at the running controllers.
 func commitVersion(t *testing.T, cluster *Cluster, version uint64) {
 	t.Helper()
 	status := replaceOnRunning(cluster, version-1, ExampleConfiguration(version, FirstSharding), 20)
 	requireStatus(t, status, http.StatusOK, "version %d", version)
 }
 
-// replaceTenants replaces the tenants document, which must be committed at once.
+// replaceTenants replaces the tenants document. The first attempt must be acknowledged.
 func replaceTenants(t *testing.T, cluster *Cluster, by *ControllerNode, basedOn uint64, document string) {
 	t.Helper()
 	status := cluster.ReplaceDocument(by, config.TenantsDocumentName, basedOn, []byte(document))
@@ -120,7 +120,8 @@
 	return configuration.Version
 }
 
-// readWithRetry reads a resource of a controller, repeatedly while there is no response. It returns nil if there is none.
+// readWithRetry reads a resource of a controller, up to readAttempts times until there is a response. It returns nil if there
+// is none.
 func readWithRetry(cluster *Cluster, controller *ControllerNode, path string) (body []byte) {
 	for range readAttempts {
 		if body = cluster.ReadResource(controller, path); body != nil {
@@ -131,7 +132,7 @@
 	return nil
 }
 
-// readJSON reads a resource of a controller, which must respond to the first read, into a value.
+// readJSON reads a resource of a controller into a value. The controller must respond to the first read.
 func readJSON(t *testing.T, cluster *Cluster, controller *ControllerNode, path string, value any) {
 	t.Helper()
 	body := cluster.ReadResource(controller, path)
@@ -140,8 +141,8 @@
 	}
 }
 
-// checkReadBack checks that all running controllers return a configuration. Whatever is returned must be it: only a read
-// without a response is repeated.
+// checkReadBack checks that all running controllers return the wanted configuration. Only reads without a response are
+// repeated: a response with another configuration fails the test.
 func checkReadBack(t *testing.T, cluster *Cluster, want []byte) {
 	t.Helper()
 	for _, controller := range cluster.runningControllers() {
@@ -149,7 +150,7 @@
 	}
 }
 
-// checkFirstRead checks that all running controllers return a configuration to the first read.
+// checkFirstRead checks that all running controllers return the wanted configuration to the first read.
 func checkFirstRead(t *testing.T, cluster *Cluster, want []byte) {
 	t.Helper()
 	for _, controller := range cluster.runningControllers() {
@@ -157,7 +158,7 @@
 	}
 }
 
-// expectRead checks that what a controller returned is the wanted configuration.
+// expectRead checks that a controller returned the wanted configuration.
 func expectRead(t *testing.T, controller *ControllerNode, got, want []byte) {
 	t.Helper()
 	if !bytes.Equal(got, want) {
@@ -227,7 +228,7 @@
 	return servers
 }
 
-// restartServers ends servers, changes them and starts new instances.
+// restartServers crashes servers, changes them and starts new instances.
 func restartServers(t *testing.T, servers []*Server, change func(*Server)) {
 	t.Helper()
 	for _, server := range servers {
@@ -237,7 +238,7 @@
 	}
 }
 
-// rejectedConnections returns how many connections beyond their limits servers have closed.
+// rejectedConnections returns the number of connections that servers have closed because they exceeded their limits.
 func rejectedConnections(servers []*Server) (count int) {
 	for _, server := range servers {
 		count += server.rejectedConnectionCount()
@@ -255,7 +256,7 @@
 	return cluster.SendRequest(gateway, http.MethodGet, exampleHost, "/all/x", requestID, exampleRequestTimeout)
 }
 
-// checkGathered checks that a response is a success which is gathered from one sharding.
+// checkGathered checks that a response has status 200 and is gathered from the given sharding.
 func checkGathered(t *testing.T, response Response, requestID string, sharding []string) {
 	t.Helper()
 	violation := exampleGathering(sharding).Check(response, requestID)
@@ -264,7 +265,7 @@
 	}
 }
 
-// editConfiguration applies a change to the text of a configuration.
+// editConfiguration returns the text of a configuration with a change applied.
 func editConfiguration(t *testing.T, text []byte, change func(*config.Configuration)) []byte {
 	t.Helper()
 	var configuration config.Configuration
--- a/internal/testing/simcluster/isolation_test.go
+++ b/internal/testing/simcluster/isolation_test.go
@@ -12,15 +12,15 @@
 const (
 	isolationTime = 20 * time.Second
 	failoverBound = 2500 * time.Millisecond // from an isolation until gateways use another controller
-	recoveryBound = 4 * time.Second         // from the end of an isolation until the controller serves as before
+	recoveryBound = 4 * time.Second         // from the end of an isolation until the controller serves normally
 )
 
-// isolation is a way in which a controller loses its connection to the others.
+// isolation describes how a controller loses its connection to the others.
 type isolation struct {
 	name         string
 	start        func(cluster *Cluster, isolated *ControllerNode)
-	mayCommit    bool // it may still commit changes, slowly
-	unresponsive bool // it answers nothing
+	mayCommit    bool // the isolated controller may still commit changes, slowly
+	unresponsive bool // the isolated controller responds to nothing
 }
 
 var isolations = []isolation{
@@ -53,7 +53,7 @@
 	delayLinks(cluster, isolated, 700*time.Millisecond)
 }
 
-// flap partitions a controller again and again and restores its links for moments in between.
+// flap repeatedly partitions a controller from the others for 650 ms and restores its links for 20 ms.
 func flap(cluster *Cluster, isolated *ControllerNode) {
 	go func() {
 		for end := time.Now().Add(isolationTime - time.Second); time.Now().Before(end); {
@@ -65,13 +65,13 @@
 	}()
 }
 
-// freeze stops the event loop of a controller, and its clock as well or not.
+// freeze stops the event loop of a controller, and with clock also its clock.
 func freeze(clock bool) func(*Cluster, *ControllerNode) {
 	return func(_ *Cluster, isolated *ControllerNode) { isolated.Controller.Freeze(isolationTime, clock) }
 }
 
-// freezeAndPartition freezes a controller while its own requests are in transit. It resumes with their replies, and with
-// heartbeats of before, none of which it has read, and can't reach any other controller for the next seconds.
+// freezeAndPartition freezes a controller while its own requests are in transit. When it resumes, it reads the replies and
+// heartbeats that arrived before the partition, and it cannot reach any other controller for the next seconds.
 func freezeAndPartition(clock bool) func(*Cluster, *ControllerNode) {
 	return func(cluster *Cluster, isolated *ControllerNode) {
 		delayLinks(cluster, isolated, 150*time.Millisecond)
@@ -82,9 +82,9 @@
 	}
 }
 
-// TestIsolatedController isolates a controller for 20 s, in every way, while operators send changes to it and to the others.
-// It acknowledges and rejects nothing by what it knew before, and hands out nothing outdated as confirmed; gateways turn to
-// others in time; and after the isolation it serves as before.
+// TestIsolatedController isolates a controller for 20 s, in every way, while operators send changes to it and to the others. It
+// must not acknowledge or reject changes based on its outdated state, nor send outdated updates as confirmed by a quorum.
+// Gateways must fail over to other controllers in time, and after the isolation it must serve normally.
 func TestIsolatedController(t *testing.T) {
 	for i, kind := range isolations {
 		t.Run(kind.name, func(t *testing.T) {
@@ -96,7 +96,7 @@
 				deadline := time.Now().Add(isolationTime + recoveryBound)
 				waitPollers := operators.startPollers(cluster, isolated, deadline)
 				waitReaders := operators.startReader(cluster, isolated, deadline)
-				time.Sleep(500 * time.Millisecond) // until pollers follow it
+				time.Sleep(500 * time.Millisecond) // until pollers follow its updates
 
 				checkIsolation(t, cluster, isolated, kind, operators)
 				cluster.Network.Heal()
@@ -115,8 +115,8 @@
 	}
 }
 
-// TestReadsDoNotDelayChanges reads the configuration again and again from controllers that are close to each other, while a change
-// is sent to one whose links are slow. Reads take no ballot, so the first attempt is committed.
+// TestReadsDoNotDelayChanges reads the configuration continuously from controllers that are close to each other, while changes
+// are sent to one whose links are slow. Reads use no ballot, so that the first attempt of each change must be committed.
 func TestReadsDoNotDelayChanges(t *testing.T) {
 	const (
 		changes      = 6
@@ -147,14 +147,14 @@
 		for version := uint64(2); version < 2+changes; version++ {
 			status := cluster.ReplaceConfiguration(slow, version-1, ExampleConfiguration(version, FirstSharding))
 			operators.recordOutcome(version, status)
-			requireStatus(t, status, http.StatusOK, "version %d beside reads", version)
+			requireStatus(t, status, http.StatusOK, "version %d with concurrent reads", version)
 		}
 		operators.reportViolations(t)
 	})
 }
 
-// startReader reads the configuration from a controller again and again until a deadline. The returned function waits for
-// the end.
+// startReader reads the configuration from a controller repeatedly until a deadline. The returned function waits until the
+// reader has stopped.
 func (o *operatorLog) startReader(cluster *Cluster, controller *ControllerNode, deadline time.Time) (wait func()) {
 	var reader sync.WaitGroup
 	reader.Go(func() {
@@ -166,8 +166,8 @@
 	return reader.Wait
 }
 
-// checkIsolation isolates a controller for isolationTime and checks meanwhile that the others commit changes, that gateways
-// apply these, and what the isolated controller answers.
+// checkIsolation isolates a controller for isolationTime. Meanwhile it checks that the others commit changes, that gateways
+// apply them, and the responses of the isolated controller.
 func checkIsolation(t *testing.T, cluster *Cluster, isolated *ControllerNode, kind isolation, operators *operatorLog) {
 	t.Helper()
 	start := time.Now()
@@ -178,7 +178,7 @@
 	t.Logf("all gateways apply it %v after its acknowledgement", time.Since(acknowledgedAt))
 	for time.Since(start) < isolationTime-5*time.Second {
 		for _, status := range operators.sendConcurrently(cluster, isolated) {
-			if isClear(status) && !kind.mayCommit {
+			if isDefinite(status) && !kind.mayCommit {
 				t.Errorf("an isolated controller answers a change with %d", status)
 			}
 		}
@@ -193,7 +193,7 @@
 	time.Sleep(time.Until(start.Add(isolationTime)))
 }
 
-// checkHistory compares the versions that a controller returns as committed with what was acknowledged and rejected.
+// checkHistory compares the versions that a controller reports as committed with the acknowledged and the rejected ones.
 func (o *operatorLog) checkHistory(t *testing.T, cluster *Cluster, controller *ControllerNode) {
 	t.Helper()
 	committed := committedVersions(t, cluster, controller)
@@ -222,8 +222,8 @@
 	return versions
 }
 
-// TestCommitKnownOnlyToProposer commits a version of which only the proposer knows that it is committed, and delays the
-// proposer's links. A controller that asks the other acceptors must not take what they know for the newest.
+// TestCommitKnownOnlyToProposer commits a version of which only the proposer knows that it is committed, while the proposer's
+// messages are delayed. A controller that queries the other acceptors must not confirm their version as the newest.
 func TestCommitKnownOnlyToProposer(t *testing.T) {
 	runCluster(t, 520, 3, 3, func(t *testing.T, cluster *Cluster) {
 		commitFirstVersion(t, cluster)
@@ -243,8 +243,8 @@
 	})
 }
 
-// TestContactAfterFullRestart kills all controllers and starts them one after the other. They are connected to a quorum at
-// once, whichever starts first.
+// TestContactAfterFullRestart kills all controllers and starts them one after the other. They must be connected to a quorum
+// within the bound, although controllers that start early dial others that do not listen yet.
 func TestContactAfterFullRestart(t *testing.T) {
 	const bound = 200 * time.Millisecond
 	for trial := range 8 {
--- a/internal/testing/simcluster/main_test.go
+++ b/internal/testing/simcluster/main_test.go
@@ -13,24 +13,24 @@
 )
 
 const (
-	// aloneEnv is set in a process that runs one test.
-	aloneEnv = "COLONY_ALONE"
-	// replayFileEnv names the file to which each repetition of a test adds a line. CI prints and counts these lines, as go
-	// test shows what a package prints only where it fails.
+	// singleTestEnv is set in a process that runs a single test.
+	singleTestEnv = "COLONY_ALONE"
+	// replayFileEnv names the file to which each repetition of a test appends a line. CI prints and counts these lines, as go
+	// test shows the output of a package only if the package fails.
 	replayFileEnv = "OXBOWSPAN_REPLAYS"
-	// maxAttempts is how often a test is run at most while the race detector itself fails.
+	// maxAttempts is the maximum number of runs of a test whose earlier runs ended by a fault of the race detector itself.
 	maxAttempts = 3
-	// maxProcesses is how many tests run at once.
+	// maxProcesses is the maximum number of tests that run concurrently.
 	maxProcesses = 4
 )
 
-// TestMain gives each test a process of its own under the race detector, whose own tables fail now and then while the timers
-// of a synctest bubble run: one run of the package in ten ended with "ThreadSanitizer: CHECK failed", or with a fault inside
-// the detector under internal/synctest.Run on the system stack. Such an end says nothing of the test, which is run again. A
-// race that is found, a failure and a panic are results.
+// TestMain runs each test in a process of its own under the race detector, whose internal tables occasionally fail while the
+// timers of a synctest bubble run: one run of the package in ten ended with "ThreadSanitizer: CHECK failed", or with a fault
+// inside the detector under internal/synctest.Run on the system stack. Such an end is not a result of the test, which is run
+// again. A detected race, a failure and a panic are results.
 func TestMain(m *testing.M) {
 	flag.Parse()
-	if !raceDetector || os.Getenv(aloneEnv) != "" || isSet("test.run") || isSet("test.list") {
+	if !raceDetector || os.Getenv(singleTestEnv) != "" || isSet("test.run") || isSet("test.list") {
 		os.Exit(m.Run())
 	}
 	names, err := listTests()
@@ -67,7 +67,7 @@
 	failed bool
 }
 
-// runAll runs tests, several at once, and reports whether all passed.
+// runAll runs tests, up to maxProcesses concurrently, and reports whether all passed.
 func (r *processRunner) runAll(names []string) bool {
 	var pending sync.WaitGroup
 	slots := make(chan struct{}, maxProcesses)
@@ -82,13 +82,13 @@
 	return !r.failed
 }
 
-// run runs one test until its end is a result, and prints its output.
+// run runs one test until it ends with a result, at most maxAttempts times, and prints the output of the last run.
 func (r *processRunner) run(name string) {
 	var output []byte
 	var err error
 	for attempt := 1; attempt <= maxAttempts; attempt++ {
 		command := exec.Command(os.Args[0], slices.Concat(os.Args[1:], []string{"-test.run", "^" + name + "$"})...)
-		command.Env = append(os.Environ(), aloneEnv+"=1")
+		command.Env = append(os.Environ(), singleTestEnv+"=1")
 		output, err = command.CombinedOutput()
 		if err == nil || !detectorFailed(output) || attempt == maxAttempts {
 			break
@@ -104,7 +104,7 @@
 	os.Stdout.Write(bytes.TrimSuffix(output, []byte("PASS\n")))
 }
 
-// recordReplay prints that a run ended by a fault of the race detector itself, and adds the line to the file for CI.
+// recordReplay prints that a run ended by a fault of the race detector itself, and appends the line to the file for CI.
 func (r *processRunner) recordReplay(name string, attempt int, output []byte) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -130,7 +130,7 @@
 	return err
 }
 
-// faultLine returns the line of a process's output that names the detector's fault.
+// faultLine returns the line of a process's output that describes the race detector's fault.
 func faultLine(output []byte) string {
 	for line := range strings.Lines(string(output)) {
 		if strings.Contains(line, "ThreadSanitizer: CHECK failed") || strings.Contains(line, "SIGSEGV") {
--- a/internal/testing/simcluster/margin_test.go
+++ b/internal/testing/simcluster/margin_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// The bounds whose use is measured, by their names in the settings.
+// The measured bounds, by their names in the settings.
 const (
 	applyMargin  = "config_apply_ms"
 	drainMargin  = "drain_limit_ms"
@@ -22,12 +22,12 @@
 	cluster  *Cluster
 	random   *rand.Rand
 	version  uint64
-	requests tally
+	requests requestCounter
 	margins  map[string]float64 // the highest share of each bound that was used
 }
 
-// TestSafetyMargins plays days under load in which a third of the responses are faulty, servers crash and drain, gateways
-// restart and configurations change. It measures the highest share that is used of each bound; its log is the source of
+// TestSafetyMargins runs seeded scenarios under load in which a third of the responses are faulty, servers crash and drain,
+// gateways restart and configurations change. It measures the highest used share of each bound; its log is the source of
 // docs/measured/near-misses.md.
 func TestSafetyMargins(t *testing.T) {
 	margins := map[string]float64{}
@@ -35,7 +35,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			runCluster(t, 80+seed, 3, 5, func(t *testing.T, cluster *Cluster) {
 				run := &marginRun{cluster: cluster, random: rand.New(rand.NewPCG(seed, 8)), version: 1, margins: margins}
-				run.play(t)
+				run.runSteps(t)
 			})
 		})
 	}
@@ -50,7 +50,7 @@
 	}
 }
 
-func (m *marginRun) play(t *testing.T) {
+func (m *marginRun) runSteps(t *testing.T) {
 	const steps = 14
 	commitFirstVersion(t, m.cluster)
 	time.Sleep(3 * time.Second)
@@ -73,7 +73,7 @@
 // randomFault makes a third of the responses faulty.
 func randomFault() responseFault {
 	switch fault := responseFault(rand.IntN(9)); fault {
-	case faultTruncated, faultStatus, faultForeignReply:
+	case faultTruncated, faultStatus, faultMismatchedReply:
 		return fault
 	}
 	return noFault
@@ -103,12 +103,12 @@
 	}
 }
 
-// step draws and performs one event.
+// step performs one random event.
 func (m *marginRun) step(t *testing.T) {
 	t.Helper()
 	switch m.random.IntN(4) {
 	case 0:
-		server := m.anyServer()
+		server := m.randomServer()
 		server.Crash(m.random.IntN(2) == 0)
 		requireNoError(t, server.Start())
 	case 1:
@@ -125,7 +125,7 @@
 	}
 }
 
-// changeConfiguration measures how long all gateways take to apply a change.
+// changeConfiguration commits a change and measures the time until all gateways apply it.
 func (m *marginRun) changeConfiguration(t *testing.T) {
 	t.Helper()
 	m.version++
@@ -138,10 +138,10 @@
 	m.record(applyMargin, float64(time.Since(acknowledgedAt))/float64(configurationApplyMax))
 }
 
-// drainServer measures how long after the acknowledgement of a drain requests still reach the server.
+// drainServer drains a server, measures how long after the acknowledgement requests still reach it, and restarts it.
 func (m *marginRun) drainServer(t *testing.T) {
 	t.Helper()
-	server := m.anyServer()
+	server := m.randomServer()
 	acknowledgedAt := server.Drain()
 	if acknowledgedAt.IsZero() {
 		t.Error("a drain is not acknowledged")
@@ -152,7 +152,7 @@
 	requireNoError(t, server.Start())
 }
 
-func (m *marginRun) anyServer() *Server {
+func (m *marginRun) randomServer() *Server {
 	return m.cluster.Servers[m.random.IntN(len(m.cluster.Servers))]
 }
 
--- a/internal/testing/simcluster/node.go
+++ b/internal/testing/simcluster/node.go
@@ -30,7 +30,7 @@
 	}()
 }
 
-// stopAndWait asks the process to shut down in order and waits for its end.
+// stopAndWait requests a graceful shutdown of the process and waits until it has exited.
 func (p *processRun) stopAndWait() {
 	p.cancel()
 	<-p.done
@@ -44,7 +44,7 @@
 	processRun
 }
 
-// ControlAddress returns the "IP:port" that servers and operators call.
+// ControlAddress returns the "IP:port" of the API for servers and operators.
 func (m *ControllerNode) ControlAddress() string {
 	return net.JoinHostPort(m.IP, strconv.Itoa(controlPort))
 }
@@ -58,7 +58,7 @@
 	return s
 }
 
-// Start powers the machine on and starts the process.
+// Start powers the machine on and starts the controller's process.
 func (m *ControllerNode) Start() error {
 	m.cluster.Network.PowerOn(m.IP)
 	controller, err := controlplane.New(m.settings(), m.cluster.Network.Host(m.IP), m.cluster.nodeLog(m.IP))
@@ -70,18 +70,18 @@
 	return nil
 }
 
-// Kill kills the process, if it runs. With powerLoss the machine is off until the next Start. The disk is kept.
+// Kill kills the process if it runs. With powerLoss the machine is off until the next Start. The disk keeps its content.
 func (m *ControllerNode) Kill(powerLoss bool) {
 	if m.Controller == nil {
 		return
 	}
 	m.cluster.Network.Kill(m.IP, powerLoss)
 	m.Controller.Kill()
-	<-m.done // a killed process must not see the request to shut down in order
+	<-m.done // a killed process must not receive the request for a graceful shutdown
 	m.Shutdown()
 }
 
-// Shutdown ends the process in order, if it runs, and waits for its end.
+// Shutdown shuts the process down gracefully if it runs, and waits until it has exited.
 func (m *ControllerNode) Shutdown() {
 	if m.Controller == nil {
 		return
@@ -90,7 +90,7 @@
 	m.Controller = nil
 }
 
-// WipeDisk empties the disk of a machine whose process does not run.
+// WipeDisk deletes all data on the machine's disk. The process must not run.
 func (m *ControllerNode) WipeDisk() { os.RemoveAll(m.dataDir()) }
 
 // GatewayNode is a machine that runs a gateway.
@@ -106,7 +106,7 @@
 	return net.JoinHostPort(m.IP, strconv.Itoa(publicPort))
 }
 
-// readinessAddress returns the "IP:port" that the platform asks for readiness.
+// readinessAddress returns the "IP:port" of the readiness probe.
 func (m *GatewayNode) readinessAddress() string {
 	return net.JoinHostPort(m.IP, strconv.Itoa(readinessPort))
 }
@@ -118,25 +118,25 @@
 	return s
 }
 
-// Start powers the machine on and starts the process.
+// Start powers the machine on and starts the gateway's process.
 func (m *GatewayNode) Start() {
 	m.cluster.Network.PowerOn(m.IP)
 	m.Gateway = dataplane.New(m.settings(), m.cluster.Network.Host(m.IP), m.cluster.nodeLog(m.IP))
 	m.launch(m.Gateway.Run)
 }
 
-// Kill kills the process, if it runs. With powerLoss the machine is off until the next Start.
+// Kill kills the process if it runs. With powerLoss the machine is off until the next Start.
 func (m *GatewayNode) Kill(powerLoss bool) {
 	if m.Gateway == nil {
 		return
 	}
 	m.cluster.Network.Kill(m.IP, powerLoss)
 	m.Gateway.Kill()
-	<-m.done // a killed process must not see the request to shut down in order
+	<-m.done // a killed process must not receive the request for a graceful shutdown
 	m.Shutdown()
 }
 
-// Shutdown ends the process in order, if it runs, and waits for its end.
+// Shutdown shuts the process down gracefully if it runs, and waits until it has exited.
 func (m *GatewayNode) Shutdown() {
 	if m.Gateway == nil {
 		return
--- a/internal/testing/simcluster/operator_log_test.go
+++ b/internal/testing/simcluster/operator_log_test.go
@@ -14,21 +14,21 @@
 	"oxbowspan/rpc"
 )
 
-// maxStaleness is the most by which an update may be outdated that a controller hands to a gateway which it has handed
-// updates to before.
+// maxStaleness is how far an update may lag behind the newest acknowledged version if the gateway already follows the updates of
+// the controller that sends it.
 const maxStaleness = 2 * time.Second
 
-// operatorLog is what the operators of a run sent and received. Its methods may be called concurrently.
+// operatorLog records the changes that the operators of a run sent and the responses. Its methods are safe for concurrent use.
 type operatorLog struct {
 	mu            sync.Mutex
-	version       uint64               // the last that was sent
-	acknowledged  map[uint64]time.Time // when each version was acknowledged
+	version       uint64               // the last version that was sent
+	acknowledged  map[uint64]time.Time // time at which each version was acknowledged
 	rejected      map[uint64]bool
-	quorumReplies int // replies to polls that a quorum confirmed
+	quorumReplies int // replies to polls that were confirmed by a quorum
 	violations    []string
 }
 
-// newOperatorLog makes a log of operators who know that version 1 is committed.
+// newOperatorLog returns a log in which version 1 is acknowledged.
 func newOperatorLog() *operatorLog {
 	return &operatorLog{
 		version:      1,
@@ -43,17 +43,17 @@
 	o.violations = append(o.violations, fmt.Sprintf(format, args...))
 }
 
-// reportViolations fails the test for each violation; of many, only the first ones are named.
+// reportViolations fails the test if there are violations. It prints the first ones and the number of the others.
 func (o *operatorLog) reportViolations(t *testing.T) {
 	t.Helper()
-	const named = 5
+	const maxPrinted = 5
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	for _, violation := range o.violations[:min(named, len(o.violations))] {
+	for _, violation := range o.violations[:min(maxPrinted, len(o.violations))] {
 		t.Error(violation)
 	}
-	if count := len(o.violations); count > named {
-		t.Errorf("and %d more violations", count-named)
+	if count := len(o.violations); count > maxPrinted {
+		t.Errorf("and %d more violations", count-maxPrinted)
 	}
 }
 
@@ -75,7 +75,7 @@
 	body := ExampleConfiguration(version, [][]string{FirstSharding, SecondSharding}[version%2])
 	for range 3 {
 		status = cluster.ReplaceConfiguration(to, basedOn, body)
-		if isClear(status) {
+		if isDefinite(status) {
 			break
 		}
 		time.Sleep(100 * time.Millisecond)
@@ -102,8 +102,8 @@
 	}
 }
 
-// sendConcurrently sends eight changes on one base at once, half of them to one controller, and returns the statuses of that
-// controller.
+// sendConcurrently sends eight changes on one base concurrently, half of them to one controller, and returns that controller's
+// statuses.
 func (o *operatorLog) sendConcurrently(cluster *Cluster, controller *ControllerNode) (statuses []int) {
 	const changes = 8
 	basedOn := o.newest(time.Now())
@@ -128,10 +128,10 @@
 	return statuses
 }
 
-// readVersion reads the configuration from a controller and returns its version, 0 without a response. It must be at least
-// as new as what was acknowledged before.
+// readVersion reads the configuration from a controller and returns its version, or 0 if there is no response. A version older
+// than the newest one acknowledged before the read is a violation.
 func (o *operatorLog) readVersion(cluster *Cluster, controller *ControllerNode) uint64 {
-	least := o.newest(time.Now())
+	minVersion := o.newest(time.Now())
 	text := cluster.ReadConfiguration(controller)
 	if text == nil {
 		return 0
@@ -141,19 +141,19 @@
 		o.addViolation("%s returns a malformed configuration: %v", controller.IP, err)
 		return 0
 	}
-	if configuration.Version < least {
-		o.addViolation("stale read: %s returns version %d, %d was acknowledged before", controller.IP, configuration.Version, least)
+	if configuration.Version < minVersion {
+		o.addViolation("stale read: %s returns version %d, %d was acknowledged before", controller.IP, configuration.Version, minVersion)
 	}
 	return configuration.Version
 }
 
-// checkReports reads what an isolated controller reports to operators. Its history must contain what was acknowledged
-// before, and lists that may be outdated must not be served; what it knows of itself must be.
+// checkReports reads the reports of an isolated controller. A history that it serves must contain the newest version that was
+// acknowledged before. It must not serve lists that may be outdated, but must serve its own members and events.
 func (o *operatorLog) checkReports(cluster *Cluster, controller *ControllerNode, kind isolation) {
-	least := o.newest(time.Now())
+	minVersion := o.newest(time.Now())
 	history := cluster.ReadResource(controller, "/-/configuration/history")
-	if history != nil && !bytes.Contains(history, fmt.Appendf(nil, `"version":%d,`, least)) {
-		o.addViolation("stale read: %s returns a history without version %d, which was acknowledged before", controller.IP, least)
+	if history != nil && !bytes.Contains(history, fmt.Appendf(nil, `"version":%d,`, minVersion)) {
+		o.addViolation("stale read: %s returns a history without version %d, which was acknowledged before", controller.IP, minVersion)
 	}
 	for _, path := range []string{"/-/nodes/read", "/-/servers/read", "/-/tenants/explain", "/-/judgement/explain"} {
 		if text := cluster.ReadResource(controller, path); text != nil && !kind.mayCommit {
@@ -170,10 +170,10 @@
 // poller polls a controller as gateways do.
 type poller struct {
 	client      *rpc.Client
-	incarnation uint64 // of the controller whose updates it follows; 0: none
+	incarnation uint64 // of the controller whose updates the poller follows; 0: none
 }
 
-// newPoller makes a poller at an address that is never partitioned.
+// newPoller returns a poller at an address that is never partitioned.
 func newPoller(cluster *Cluster, controller *ControllerNode) *poller {
 	return &poller{client: &rpc.Client{
 		Address: controller.settings().InternalAddress(settings.ControllerPort),
@@ -181,7 +181,7 @@
 	}}
 }
 
-// call polls once, without waiting for an update. It returns nil if there is no reply.
+// call polls once, without waiting for an update. It returns nil if there is no response.
 func (p *poller) call(incarnation uint64) *rpc.Update {
 	ctx, cancel := context.WithTimeout(context.Background(), 700*time.Millisecond)
 	defer cancel()
@@ -193,8 +193,8 @@
 	return reply.GetUpdate()
 }
 
-// poll polls once, as a gateway that follows the controller's updates or as one that is new to it. A reply that a quorum
-// confirmed must not be outdated: not at all for a new gateway, and by maxStaleness at most for others.
+// poll polls once, as a gateway that follows the controller's updates or as a new one. An update that is confirmed by a quorum
+// must not be outdated for a new gateway, and by at most maxStaleness for others.
 func (o *operatorLog) poll(p *poller, isNew bool) {
 	incarnation := p.incarnation
 	if isNew {
@@ -203,19 +203,19 @@
 	sentAt := time.Now()
 	update := p.call(incarnation)
 	isNew = isNew || p.incarnation == 0
-	if update == nil || !update.HasQuorum { // a gateway turns to another controller, and is new to this one if it returns
+	if update == nil || !update.HasQuorum { // the gateway would use another controller, and be new to this one if it returned
 		p.incarnation = 0
 		return
 	}
 	p.incarnation = update.ControllerIncarnation
 	o.recordQuorumReply()
-	least := o.newest(sentAt)
+	minVersion := o.newest(sentAt)
 	if !isNew {
-		least = o.newest(sentAt.Add(-maxStaleness))
+		minVersion = o.newest(sentAt.Add(-maxStaleness))
 	}
-	if update.Version < least {
+	if update.Version < minVersion {
 		o.addViolation("stale update: %s confirms version %d, %d was acknowledged before (new gateway: %t)",
-			p.client.Address, update.Version, least, isNew)
+			p.client.Address, update.Version, minVersion, isNew)
 	}
 }
 
@@ -225,8 +225,8 @@
 	o.quorumReplies++
 }
 
-// startPollers polls a controller until a deadline, by gateways that follow it and by new ones in equal parts. The returned
-// function waits for the end.
+// startPollers starts pollers of a controller that run until a deadline: half of them follow its updates, the others poll as new
+// gateways. The returned function waits until they have stopped.
 func (o *operatorLog) startPollers(cluster *Cluster, controller *ControllerNode, deadline time.Time) (wait func()) {
 	const (
 		pollers  = 8
--- a/internal/testing/simcluster/outlier_test.go
+++ b/internal/testing/simcluster/outlier_test.go
@@ -12,7 +12,7 @@
 	"oxbowspan/controlapi"
 )
 
-// stateEjected is how an ejected server is named on the wire.
+// stateEjected is the state of an ejected server on the wire.
 const stateEjected = "out"
 
 // outlierTest is one run of TestHungServerIsEjected.
@@ -20,17 +20,17 @@
 	cluster  *Cluster
 	server   *Server
 	arrivals atomic.Int64 // requests that reached the server
-	requests tally
+	requests requestCounter
 }
 
-// TestHungServerIsEjected hangs one of three servers under load. All gateways eject it and one probes it; all use it again
-// once it responds. Then an operator pins it as ejected: no gateway uses it until the pin expires.
+// TestHungServerIsEjected hangs one of three servers under load. All gateways must eject it while one probes it, and all must use
+// it again once it responds. Then an operator pins it as ejected: no gateway may use it until the pin expires.
 func TestHungServerIsEjected(t *testing.T) {
 	const (
-		gateways     = 12
-		detection    = 2500 * time.Millisecond // from the fault until the server is ejected
-		recoveryMost = 9 * time.Second         // from the end of the fault until the server is used again
-		pinTime      = 4 * time.Second
+		gateways    = 12
+		detection   = 2500 * time.Millisecond // from the fault until the server is ejected
+		maxRecovery = 9 * time.Second         // from the end of the fault until the server is used again
+		pinTime     = 4 * time.Second
 	)
 	runCluster(t, 41, 3, gateways, func(t *testing.T, cluster *Cluster) {
 		commitFirstVersion(t, cluster)
@@ -42,7 +42,7 @@
 
 		test.server.SetHung(true)
 		time.Sleep(detection)
-		ejected := test.arrivalsDuring(4 * time.Second)
+		whileEjected := test.arrivalsDuring(4 * time.Second)
 		test.server.SetHung(false)
 		recovery := test.awaitTraffic(12 * time.Second)
 		time.Sleep(3 * time.Second)
@@ -50,23 +50,23 @@
 		test.pinEjected(t, pinTime)
 		pinnedAt := time.Now()
 		time.Sleep(time.Second)
-		pinned := test.arrivalsDuring(1500 * time.Millisecond)
+		whilePinned := test.arrivalsDuring(1500 * time.Millisecond)
 		reportedEarly := test.pinReports(t)
 		reported := test.awaitPinReports(t, gateways, time.Until(pinnedAt.Add(pinTime)))
 		time.Sleep(time.Until(pinnedAt.Add(pinTime + 2500*time.Millisecond)))
-		expired := test.arrivalsDuring(time.Second)
+		afterExpiry := test.arrivalsDuring(time.Second)
 		stopLoad()
 
 		t.Logf("hung: %d requests in 4 s, used again after %v; pinned: %d requests in 1.5 s, reported by %d gateways; expired: %d requests in 1 s; %v served",
-			ejected, recovery, pinned, reported, expired, &test.requests)
-		if ejected > 24 {
-			t.Errorf("%d requests reach a hung server in 4 s, want at most 24", ejected)
+			whileEjected, recovery, whilePinned, reported, afterExpiry, &test.requests)
+		if whileEjected > 24 {
+			t.Errorf("%d requests reach a hung server in 4 s, want at most 24", whileEjected)
 		}
-		if recovery > recoveryMost {
-			t.Errorf("the server is used again %v after its recovery, want at most %v", recovery, recoveryMost)
+		if recovery > maxRecovery {
+			t.Errorf("the server is used again %v after its recovery, want at most %v", recovery, maxRecovery)
 		}
-		if pinned > 0 {
-			t.Errorf("%d requests reach a server that is pinned as ejected", pinned)
+		if whilePinned > 0 {
+			t.Errorf("%d requests reach a server that is pinned as ejected", whilePinned)
 		}
 		if reportedEarly < gateways-2 {
 			t.Errorf("%d of %d gateways report the pin after 2.5 s, want at least %d", reportedEarly, gateways, gateways-2)
@@ -74,14 +74,14 @@
 		if reported < gateways {
 			t.Errorf("%d of %d gateways report the pin", reported, gateways)
 		}
-		if expired < 15 {
-			t.Errorf("%d requests reach the server in the second after the pin expired, want at least 15", expired)
+		if afterExpiry < 15 {
+			t.Errorf("%d requests reach the server in the second after the pin expired, want at least 15", afterExpiry)
 		}
 		test.requests.expectServed(t, 99, "requests")
 	})
 }
 
-// startLoad sends a hundred requests a second until the returned function is called, which waits for their responses.
+// startLoad sends about 100 requests per second until the returned function is called, which waits for the responses.
 func (o *outlierTest) startLoad() (stop func()) {
 	done := make(chan struct{})
 	var pending sync.WaitGroup
@@ -105,14 +105,14 @@
 	}
 }
 
-// arrivalsDuring returns how many requests reach the server during a time.
+// arrivalsDuring returns the number of requests that reach the server during a time.
 func (o *outlierTest) arrivalsDuring(duration time.Duration) int64 {
 	before := o.arrivals.Load()
 	time.Sleep(duration)
 	return o.arrivals.Load() - before
 }
 
-// awaitTraffic waits until the server gets about half of its share of the load, 17 requests in half a second, and returns
+// awaitTraffic waits until the server receives more than 8 requests in half a second, about half of its share of 17, and returns
 // how long that took.
 func (o *outlierTest) awaitTraffic(within time.Duration) time.Duration {
 	start := time.Now()
@@ -124,7 +124,7 @@
 	return time.Since(start)
 }
 
-// pinEjected has an operator pin the server as ejected for a time.
+// pinEjected pins the server as ejected for a time, as an operator does.
 func (o *outlierTest) pinEjected(t *testing.T, duration time.Duration) {
 	t.Helper()
 	document := fmt.Sprintf(`{"pins":[{"instance":%q,"stance":%q,"for_s":%v,"why":"a test"}]}`, o.server.Instance, stateEjected, duration.Seconds())
@@ -132,7 +132,7 @@
 	expectStatus(t, status, http.StatusOK, "pins")
 }
 
-// awaitPinReports waits until so many gateways report the pin to controllers, and returns how many do.
+// awaitPinReports waits until the wanted number of gateways report the pin to controllers, and returns how many do.
 func (o *outlierTest) awaitPinReports(t *testing.T, want int, within time.Duration) (reported int) {
 	t.Helper()
 	eventually(within, 100*time.Millisecond, func() bool {
@@ -142,7 +142,7 @@
 	return reported
 }
 
-// pinReports counts the gateways whose last report says that the server is pinned as ejected.
+// pinReports counts the gateways whose last report has the server pinned as ejected.
 func (o *outlierTest) pinReports(t *testing.T) (count int) {
 	t.Helper()
 	for _, controller := range o.cluster.Controllers {
--- a/internal/testing/simcluster/pacing_test.go
+++ b/internal/testing/simcluster/pacing_test.go
@@ -9,14 +9,14 @@
 	"oxbowspan/config"
 )
 
-// TestLargeVersionBurstIsPaced commits sixty large versions in a row. Each gateway gets far fewer of them, but the newest
-// within its bound after the acknowledgement; a drain reaches gateways at once all the same; and a single version after a
-// pause is passed on at once.
+// TestLargeVersionBurstIsPaced commits sixty large versions in succession. Each gateway must get far fewer of them, but the
+// newest one within the bound after its acknowledgement. A drain must reach the gateways without delay during the burst, and a
+// single version after a pause must be sent without delay.
 func TestLargeVersionBurstIsPaced(t *testing.T) {
 	const (
 		first, last  = 2, 61
 		drainVersion = 30
-		mostApplied  = 20 // different versions at each gateway
+		maxApplied   = 20 // distinct versions at each gateway
 		drainBound   = time.Second
 	)
 	runCluster(t, 95, 3, 3, func(t *testing.T, cluster *Cluster) {
@@ -42,8 +42,8 @@
 		}
 		awaitVersion(t, cluster, last, configurationApplyMax/2)
 		for ip, versions := range applied {
-			if len(versions) > mostApplied {
-				t.Errorf("gateway %s applied %d of %d versions, want at most %d", ip, len(versions), last-first+1, mostApplied)
+			if len(versions) > maxApplied {
+				t.Errorf("gateway %s applied %d of %d versions, want at most %d", ip, len(versions), last-first+1, maxApplied)
 			}
 		}
 		time.Sleep(5 * time.Second)
@@ -55,14 +55,14 @@
 	})
 }
 
-// commitLargeVersion commits a version with a thousand more routes than the example's.
+// commitLargeVersion commits a version of the example with a thousand additional routes.
 func commitLargeVersion(t *testing.T, cluster *Cluster, version uint64) {
 	t.Helper()
 	body := editConfiguration(t, ExampleConfiguration(version, FirstSharding), func(c *config.Configuration) { addRoutes(c, 1000) })
 	requireStatus(t, replaceWithRetry(cluster, version-1, body, 5), http.StatusOK, "version %d", version)
 }
 
-// recordApplied records for a tenth of a second which versions the gateways apply.
+// recordApplied records the versions that the gateways apply, five times in a tenth of a second.
 func recordApplied(cluster *Cluster, applied map[string]map[uint64]bool) {
 	for range 5 {
 		time.Sleep(20 * time.Millisecond)
--- a/internal/testing/simcluster/random_faults_test.go
+++ b/internal/testing/simcluster/random_faults_test.go
@@ -9,20 +9,20 @@
 	"time"
 )
 
-// versionHistory is what the operators of a run know of the versions that they sent.
+// versionHistory records the versions that the operators of a run sent and their outcomes.
 type versionHistory struct {
 	mu           sync.Mutex
 	basedOn      map[uint64]uint64
 	acknowledged map[uint64]bool
 	rejected     map[uint64]bool
-	newest       uint64 // of the acknowledged
+	newest       uint64 // newest acknowledged version
 }
 
 func newVersionHistory() *versionHistory {
 	return &versionHistory{basedOn: map[uint64]uint64{}, acknowledged: map[uint64]bool{}, rejected: map[uint64]bool{}}
 }
 
-// replace sends a version of the example until the outcome is clear: first to one controller, then to others at random.
+// replace sends a version of the example until the outcome is definite, first to one controller, then to random ones.
 func (h *versionHistory) replace(cluster *Cluster, to *ControllerNode, basedOn, version uint64, shards []string, attempts int) {
 	body := ExampleConfiguration(version, shards)
 	h.mu.Lock()
@@ -31,7 +31,7 @@
 	for range attempts {
 		status := cluster.ReplaceConfiguration(to, basedOn, body)
 		h.record(version, status)
-		if isClear(status) {
+		if isDefinite(status) {
 			return
 		}
 		time.Sleep(200 * time.Millisecond)
@@ -51,7 +51,7 @@
 	}
 }
 
-// check compares what is read back with what was acknowledged and rejected.
+// check compares the version that is read back with the acknowledged and rejected ones.
 func (h *versionHistory) check(t *testing.T, cluster *Cluster) {
 	t.Helper()
 	current := currentVersion(t, cluster)
@@ -71,16 +71,16 @@
 	}
 }
 
-// TestRandomFaults plays days of faults drawn from a seed: controllers are killed, lose power or their disks, or are
-// partitioned, gateways are killed and servers crash, two operators send changes at once, and requests are sent all the
-// while. The guarantees are checked after each step.
+// TestRandomFaults runs scenarios of random faults from a seed: controllers are killed, lose power or their disks, or are
+// partitioned, gateways are killed, servers crash, two operators send changes concurrently, and clients send requests
+// throughout. The guarantees are checked after each step.
 func TestRandomFaults(t *testing.T) {
 	for seed := range uint64(12 * *seedMultiplier) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			controllers := 3 + 2*int(seed%2)
 			runCluster(t, seed, controllers, 3, func(t *testing.T, cluster *Cluster) {
 				run := newFaultRun(cluster, rand.New(rand.NewPCG(seed, 99)))
-				run.play(t)
+				run.runSteps(t)
 			})
 		})
 	}
@@ -91,15 +91,15 @@
 	cluster     *Cluster
 	random      *rand.Rand
 	history     *versionHistory
-	down        *ControllerNode // nil: all run
+	down        *ControllerNode // the controller that does not run; nil: all run
 	nextVersion uint64
-	requests    tally
+	requests    requestCounter
 	active      map[string]activeVersion // by IP address of a gateway
 }
 
-// activeVersion is what a gateway applied when it was last looked at.
+// activeVersion is the version that a gateway applied at the last check.
 type activeVersion struct {
-	process any // the run of the gateway: another one may begin with an older version
+	process any // the run of the gateway; another run may start with an older version
 	version uint64
 }
 
@@ -113,7 +113,7 @@
 	}
 }
 
-func (r *faultRun) play(t *testing.T) {
+func (r *faultRun) runSteps(t *testing.T) {
 	const steps = 25
 	r.history.replace(r.cluster, r.cluster.Controllers[0], 0, 1, FirstSharding, 40)
 	if !r.history.acknowledged[1] {
@@ -127,7 +127,7 @@
 			r.sendRequest(t, gateway)
 			r.checkActiveVersion(t, gateway)
 		}
-		time.Sleep(r.upTo(1500))
+		time.Sleep(r.randomDuration(1500))
 	}
 	r.cluster.Network.Heal()
 	if r.down != nil {
@@ -144,7 +144,7 @@
 	requireStatus(t, status, http.StatusOK, "change after the faults")
 }
 
-// step draws and performs one fault, a recovery or a pair of changes.
+// step performs a random fault, a recovery or a pair of changes.
 func (r *faultRun) step(t *testing.T) {
 	t.Helper()
 	switch action := r.random.IntN(9); {
@@ -162,52 +162,52 @@
 		r.cluster.Network.Heal()
 	case action == 5:
 		gateway := r.cluster.Gateways[r.random.IntN(len(r.cluster.Gateways))]
-		gateway.Kill(r.coin())
+		gateway.Kill(r.randomBool())
 		gateway.Start()
 	case action == 6:
 		server := r.cluster.Servers[r.random.IntN(len(r.cluster.Servers))]
-		server.Crash(r.coin())
+		server.Crash(r.randomBool())
 		requireNoError(t, server.Start())
 	default:
 		r.replaceConcurrently()
 	}
 }
 
-// killController loses one controller, and its disk or not.
+// killController kills a random controller, with or without a power loss, and possibly wipes its disk.
 func (r *faultRun) killController() {
 	// A controller that was partitioned counts as lost until it has caught up, and only one may be lost at a time.
 	r.cluster.Network.Heal()
 	time.Sleep(catchUpTime)
-	r.down = r.anyController()
-	r.down.Kill(r.coin())
-	if r.coin() {
+	r.down = r.randomController()
+	r.down.Kill(r.randomBool())
+	if r.randomBool() {
 		r.down.WipeDisk()
 	}
 }
 
-// restartControllers kills all controllers at once and starts them with their disks.
+// restartControllers kills all controllers and restarts them with their disks.
 func (r *faultRun) restartControllers(t *testing.T) {
 	t.Helper()
 	killAll(false, r.cluster.Controllers...)
-	time.Sleep(r.upTo(800))
+	time.Sleep(r.randomDuration(800))
 	startAll(t, r.cluster.Controllers...)
 }
 
-// partitionControllers partitions the links between two controllers, in one direction or both.
+// partitionControllers partitions the link between two random controllers, in one direction or both.
 func (r *faultRun) partitionControllers() {
-	a, b := r.anyController(), r.anyController()
+	a, b := r.randomController(), r.randomController()
 	if a != b {
 		r.cluster.Network.SetPartitioned(a.IP, b.IP, true)
 		r.cluster.Network.SetPartitioned(b.IP, a.IP, r.random.IntN(3) > 0)
 	}
 }
 
-// replaceConcurrently sends two changes on the same base at once.
+// replaceConcurrently sends two changes on the same base concurrently.
 func (r *faultRun) replaceConcurrently() {
 	basedOn := r.history.newest
 	var operators sync.WaitGroup
 	for range 2 {
-		version, to := r.nextVersion, r.anyController()
+		version, to := r.nextVersion, r.randomController()
 		shards := [][]string{FirstSharding, SecondSharding}[r.random.IntN(2)]
 		r.nextVersion++
 		operators.Go(func() { r.history.replace(r.cluster, to, basedOn, version, shards, 4) })
@@ -226,13 +226,13 @@
 	r.requests.record(served)
 }
 
-// checkActiveVersion checks that a gateway goes back to no older version while it runs, and applies none that was rejected.
+// checkActiveVersion checks that a gateway never returns to an older version while it runs, and applies no rejected version.
 func (r *faultRun) checkActiveVersion(t *testing.T, gateway *GatewayNode) {
 	t.Helper()
 	now := activeVersion{process: gateway.Gateway, version: gateway.Gateway.ActiveVersion()}
 	before := r.active[gateway.IP]
 	if now.process == before.process && now.version < before.version {
-		t.Fatalf("gateway %s went back from version %d to %d", gateway.IP, before.version, now.version)
+		t.Fatalf("gateway %s returned from version %d to the older %d", gateway.IP, before.version, now.version)
 	}
 	r.active[gateway.IP] = now
 	if r.history.rejected[now.version] {
@@ -240,13 +240,13 @@
 	}
 }
 
-func (r *faultRun) anyController() *ControllerNode {
+func (r *faultRun) randomController() *ControllerNode {
 	return r.cluster.Controllers[r.random.IntN(len(r.cluster.Controllers))]
 }
 
-func (r *faultRun) coin() bool { return r.random.IntN(2) == 0 }
+func (r *faultRun) randomBool() bool { return r.random.IntN(2) == 0 }
 
-// upTo draws a time below so many milliseconds.
-func (r *faultRun) upTo(milliseconds int) time.Duration {
+// randomDuration returns a random duration below a number of milliseconds.
+func (r *faultRun) randomDuration(milliseconds int) time.Duration {
 	return time.Duration(r.random.IntN(milliseconds)) * time.Millisecond
 }
--- a/internal/testing/simcluster/repair_helpers_test.go
+++ b/internal/testing/simcluster/repair_helpers_test.go
@@ -9,7 +9,7 @@
 	"oxbowspan/controlapi"
 )
 
-// acceptors returns the acceptors of the newest committed value that any running controller knows, and its slot.
+// acceptors returns the members and the slot of the newest committed value that any running controller knows.
 func acceptors(cluster *Cluster) (members []consensus.Member, slot consensus.Slot) {
 	for _, controller := range cluster.runningControllers() {
 		if value := controller.Controller.CommittedValue(); value != nil && value.Slot >= slot {
@@ -19,12 +19,13 @@
 	return members, slot
 }
 
-// isMember reports whether a member of the acceptors is this machine.
+// isMember reports whether a member of the acceptors is the controller on this machine.
 func (m *ControllerNode) isMember(member consensus.Member) bool {
 	return member.Address == m.settings().InternalAddress(0)
 }
 
-// missingReplicas returns the addresses of the acceptors whose disks do not hold the newest committed value with a version.
+// missingReplicas returns the addresses of the acceptors that do not run or whose disks do not hold the newest committed value
+// with a version.
 func missingReplicas(cluster *Cluster, version uint64) (addresses []string) {
 	members, slot := acceptors(cluster)
 	for _, member := range members {
@@ -35,7 +36,7 @@
 	return addresses
 }
 
-// holdsReplica reports whether an acceptor runs and its disk holds a value with a version, at least as new as a slot.
+// holdsReplica reports whether an acceptor runs and its disk holds a value with a version, of the given slot or a later one.
 func holdsReplica(cluster *Cluster, member consensus.Member, slot consensus.Slot, version uint64) bool {
 	for _, controller := range cluster.runningControllers() {
 		state, ok := controller.Controller.StoredState()
@@ -49,13 +50,13 @@
 	return false
 }
 
-// storesVersion reports whether the disk of a running controller holds a version.
+// storesVersion reports whether the disk of a running controller holds a value with a version.
 func storesVersion(controller *ControllerNode, version uint64) bool {
 	state, ok := controller.Controller.StoredState()
 	return ok && state.Value != nil && uint64(state.Value.Version) == version
 }
 
-// awaitReplicated waits until the disks of all acceptors hold a version, and logs how long that took.
+// awaitReplicated waits until the disks of all acceptors hold a version, and logs the time that this took.
 func awaitReplicated(t *testing.T, cluster *Cluster, version uint64, within time.Duration) {
 	t.Helper()
 	start := time.Now()
@@ -71,7 +72,7 @@
 	t.Logf("version %d is on all disks after %v", version, time.Since(start))
 }
 
-// tolerableLosses returns how many disks may be lost, as a controller reports to operators.
+// tolerableLosses returns the number of disks that may be lost according to a controller's report.
 func tolerableLosses(t *testing.T, cluster *Cluster, controller *ControllerNode) int {
 	t.Helper()
 	var status controlapi.MembershipStatus
--- a/internal/testing/simcluster/repair_test.go
+++ b/internal/testing/simcluster/repair_test.go
@@ -11,17 +11,17 @@
 	"oxbowspan/consensus"
 )
 
-// TestReturningControllersAreRepaired keeps two of five controllers away, partitioned or killed, while a version is committed
-// by a bare majority. They return, and after the granted time their disks hold the version: then two of the others lose
-// their disks, and all lose power.
+// TestReturningControllersAreRepaired partitions or kills two of five controllers while a version is committed by a bare
+// majority. After they return, their disks must hold the version within catchUpTime. Then two of the others lose their disks
+// and all lose power: the version must not be lost.
 func TestReturningControllersAreRepaired(t *testing.T) {
 	for _, killed := range []bool{false, true} {
 		t.Run(fmt.Sprint("killed=", killed), func(t *testing.T) {
 			runCluster(t, 101, 5, 1, func(t *testing.T, cluster *Cluster) {
 				commitFirstVersion(t, cluster)
 				time.Sleep(catchUpTime)
-				away := cluster.Controllers[3:5]
-				for _, controller := range away {
+				absent := cluster.Controllers[3:5]
+				for _, controller := range absent {
 					isolate(cluster, controller)
 					if killed {
 						controller.Kill(true)
@@ -31,7 +31,7 @@
 				requireStatus(t, status, http.StatusOK, "version 2 by a bare majority")
 				cluster.Network.Heal()
 				if killed {
-					startAll(t, away...)
+					startAll(t, absent...)
 				}
 				awaitReplicated(t, cluster, 2, catchUpTime)
 				time.Sleep(catchUpTime)
@@ -47,9 +47,9 @@
 	}
 }
 
-// TestNewMemberReceivesReplica adds a controller whose disk is full, so that it becomes a member without accepting that
-// change, and holds no replica. Once there is space its replica comes, without another change. Then another controller is
-// lost with its disk, and all lose power.
+// TestNewMemberReceivesReplica adds a controller whose disk is full, so that it becomes a member without accepting that change
+// and holds no replica. Once its disk has space it must receive the replica without a further change. Then another controller
+// is lost with its disk and all lose power: the version must not be lost.
 func TestNewMemberReceivesReplica(t *testing.T) {
 	runCluster(t, 102, 3, 1, func(t *testing.T, cluster *Cluster) {
 		commitFirstVersion(t, cluster)
@@ -60,7 +60,7 @@
 		time.Sleep(catchUpTime)
 		members, _ := acceptors(cluster)
 		if !slices.ContainsFunc(members, added.isMember) {
-			t.Fatal("the added controller is no member")
+			t.Fatal("the added controller is not a member")
 		}
 		if len(missingReplicas(cluster, 1)) == 0 {
 			t.Fatal("the added controller holds a replica, though its disk is full")
@@ -84,9 +84,9 @@
 	})
 }
 
-// TestLongPartitionAndSecondLoss isolates a controller for 20 s, so that a spare replaces it as a member. Meanwhile another
-// one is lost: with the spare the rest still commit. The one that returns serves nothing outdated, and becomes a member again
-// when that is possible.
+// TestLongPartitionAndSecondLoss isolates a controller for about 20 s, so that a spare replaces it as a member. Meanwhile another
+// controller is lost: the rest must still commit with the spare. The isolated controller must serve nothing outdated after its
+// return, and becomes a member again as soon as possible.
 func TestLongPartitionAndSecondLoss(t *testing.T) {
 	runCluster(t, 140, 3, 1, func(t *testing.T, cluster *Cluster) {
 		requireNoError(t, cluster.AddController().Start())
@@ -112,12 +112,12 @@
 	cluster *Cluster
 	trial   int
 	version uint64 // the newest
-	steps   int    // done so far
+	steps   int    // completed so far
 }
 
-// TestTwoOfFiveLostInTurn loses two of five controllers in turn, in every way, and lets them return or replaces them. All may
-// lose power between any two steps. After each step what was acknowledged is read back, and after the granted time all
-// replicas are complete.
+// TestTwoOfFiveLostInTurn loses two of five controllers one after the other, in different ways, and restarts or replaces them.
+// All may lose power between any two steps. After each step the acknowledged version must be read back, and after catchUpTime
+// all replicas must be complete.
 func TestTwoOfFiveLostInTurn(t *testing.T) {
 	for trial := range 6 {
 		t.Run(fmt.Sprint(trial), func(t *testing.T) {
@@ -135,7 +135,7 @@
 	}
 }
 
-// loseTwo loses two controllers one after the other and brings both back or replaces them.
+// loseTwo loses two controllers one after the other and restarts or replaces both.
 func (l *lossTest) loseTwo(t *testing.T, round int) {
 	t.Helper()
 	running := l.cluster.runningControllers()
@@ -148,12 +148,12 @@
 	l.endStep(t)
 	for i, lost := range []*ControllerNode{first, second} {
 		switch (l.trial + round + i) % 3 {
-		case 0: // it returns with its disk
+		case 0: // it restarts with its disk
 			requireNoError(t, lost.Start())
-		case 1: // it returns with an empty disk
+		case 1: // it restarts with an empty disk
 			lost.WipeDisk()
 			requireNoError(t, lost.Start())
-		case 2: // another one replaces it
+		case 2: // a new controller replaces it
 			requireNoError(t, l.cluster.AddController().Start())
 		}
 		time.Sleep(catchUpTime)
@@ -164,7 +164,7 @@
 	}
 }
 
-// commit commits another version.
+// commit commits the next version.
 func (l *lossTest) commit(t *testing.T) {
 	t.Helper()
 	l.version++
@@ -172,7 +172,7 @@
 	requireStatus(t, status, http.StatusOK, "version %d", l.version)
 }
 
-// endStep cuts the power of all controllers at some steps, and checks what is read back.
+// endStep cuts the power of all controllers after some steps, and checks the version that is read back.
 func (l *lossTest) endStep(t *testing.T) {
 	t.Helper()
 	if (l.trial+l.steps)%3 == 0 {
@@ -186,7 +186,7 @@
 	l.steps++
 }
 
-// TestNoWritesWhenIdle checks that no acceptor writes and no proposal runs while all replicas are complete.
+// TestNoWritesWhenIdle checks that no acceptor writes, and so no proposal runs, while all replicas are complete.
 func TestNoWritesWhenIdle(t *testing.T) {
 	runCluster(t, 160, 5, 1, func(t *testing.T, cluster *Cluster) {
 		commitFirstVersion(t, cluster)
--- a/internal/testing/simcluster/replacement_test.go
+++ b/internal/testing/simcluster/replacement_test.go
@@ -8,24 +8,24 @@
 	"time"
 )
 
-// timeShutdown shuts a controller down in order and returns how long that took.
+// timeShutdown shuts a controller down gracefully and returns the time that this took.
 func timeShutdown(controller *ControllerNode) time.Duration {
 	start := time.Now()
 	controller.Shutdown()
 	return time.Since(start)
 }
 
-// expectCommitAfterReplacement checks that the running controllers commit a version right after a planned replacement, with
-// as many others lost as the system tolerates.
+// expectCommitAfterReplacement checks that the running controllers commit a version after a planned replacement, with as many
+// other controllers lost as the system tolerates.
 func expectCommitAfterReplacement(t *testing.T, cluster *Cluster, version uint64, attempts int) {
 	t.Helper()
 	status := replaceOnRunning(cluster, version-1, ExampleConfiguration(version, FirstSharding), attempts)
 	expectStatus(t, status, http.StatusOK, "version %d with %d controllers lost after a replacement", version, cluster.toleratedFailures)
 }
 
-// TestPlannedReplacementWithConcurrentLoss adds a controller, grants it its time, and shuts down another one, which is gone
-// with its disk. As many others as the system tolerates are lost at that moment. The rest commit a change and hold what was
-// acknowledged, also if all lose power in between.
+// TestPlannedReplacementWithConcurrentLoss adds a controller, waits catchUpTime, and shuts down another controller, whose disk is
+// lost. As many others as the system tolerates are lost at the same moment. The rest must commit a change and hold every
+// acknowledged version, also if all lose power in between.
 func TestPlannedReplacementWithConcurrentLoss(t *testing.T) {
 	for trial := range 8 {
 		controllers, powerLoss := 3+2*(trial%2), trial >= 4
@@ -55,9 +55,9 @@
 	}
 }
 
-// TestPlannedReplacementWithStalledDisks replaces a controller while disks stall for longer than a handover takes: those of
-// as many remaining members as may be lost, and that of the successor. The replaced controller stays until its membership is
-// handed over and the handover is durable. Then those with a stalled disk are lost.
+// TestPlannedReplacementWithStalledDisks replaces a controller while disks stall for longer than a handover takes: those of as
+// many remaining members as may be lost, and that of the successor. The replaced controller must not exit before its membership
+// is handed over and the handover is durable. Then the members with a stalled disk are lost.
 func TestPlannedReplacementWithStalledDisks(t *testing.T) {
 	const stall = 3 * time.Second
 	for _, controllers := range []int{3, 5} {
@@ -84,8 +84,8 @@
 	}
 }
 
-// TestPowerLossDuringReplacement cuts the power of all controllers at any moment of a planned replacement. The replaced one is
-// shut down again, and once it is gone as many others as the system tolerates are lost.
+// TestPowerLossDuringReplacement cuts the power of all controllers at different moments of a planned replacement. The replaced
+// controller is shut down again, and after it has exited as many others as the system tolerates are lost.
 func TestPowerLossDuringReplacement(t *testing.T) {
 	for trial := range 10 {
 		controllers := 3 + 2*(trial%2)
@@ -96,7 +96,7 @@
 				requireNoError(t, cluster.AddController().Start())
 				time.Sleep(catchUpTime)
 				replaced := cluster.Controllers[0]
-				go replaced.cancel() // the process is asked to shut down
+				go replaced.cancel() // requests a graceful shutdown
 				time.Sleep(time.Duration(trial) * 3 * time.Millisecond)
 				powerCycle(t, cluster)
 				time.Sleep(time.Duration(trial%3) * 100 * time.Millisecond)
@@ -110,19 +110,19 @@
 	}
 }
 
-// TestMemberOfBareMajorityShutsDown shuts down a member of the bare majority that committed a version, just as those who were
-// away are back. It ends only when they hold what it held.
+// TestMemberOfBareMajorityShutsDown shuts down a member of the bare majority that committed a version, just after the absent
+// controllers have restarted. It must not exit before they hold the version.
 func TestMemberOfBareMajorityShutsDown(t *testing.T) {
 	for _, controllers := range []int{3, 5} {
 		t.Run(fmt.Sprint(controllers), func(t *testing.T) {
 			runCluster(t, 120, controllers, 1, func(t *testing.T, cluster *Cluster) {
 				commitFirstVersion(t, cluster)
 				time.Sleep(catchUpTime)
-				majority, away := cluster.Controllers[:controllers/2+1], cluster.Controllers[controllers/2+1:]
-				killAll(true, away...)
+				majority, absent := cluster.Controllers[:controllers/2+1], cluster.Controllers[controllers/2+1:]
+				killAll(true, absent...)
 				status := cluster.ReplaceConfiguration(majority[0], 1, ExampleConfiguration(2, SecondSharding))
 				requireStatus(t, status, http.StatusOK, "version 2 by a bare majority")
-				startAll(t, away...)
+				startAll(t, absent...)
 				time.Sleep(50 * time.Millisecond)
 				if elapsed := timeShutdown(majority[0]); elapsed > catchUpTime {
 					t.Errorf("it shuts down after %v, want at most %v", elapsed, catchUpTime)
@@ -130,14 +130,14 @@
 				majority[0].WipeDisk()
 				expectStored(t, cluster.Controllers[1:], 2)
 
-				// More than the system tolerates: no disk is left of the majority that accepted the version.
+				// This exceeds the tolerated losses: no disk of the majority that accepted the version is left.
 				for _, controller := range majority[1:] {
 					controller.Kill(true)
 					controller.WipeDisk()
 				}
 				powerCycle(t, cluster)
 				time.Sleep(3 * time.Second)
-				expectStored(t, away, 2)
+				expectStored(t, absent, 2)
 			})
 		})
 	}
@@ -153,8 +153,9 @@
 	}
 }
 
-// TestMemberShutdownGracePeriod shuts down a member while another one is down for good and nobody can replace it. It stays,
-// accepts proposals and serves calls until its grace period is used up, then it ends. A kill meanwhile ends it at once.
+// TestMemberShutdownGracePeriod shuts down a member while another one is lost and no controller can replace it. The member must
+// accept proposals and serve calls until shortly before the end of its grace period, and then exit. A kill during the shutdown
+// must end it immediately.
 func TestMemberShutdownGracePeriod(t *testing.T) {
 	runCluster(t, 180, 3, 1, func(t *testing.T, cluster *Cluster) {
 		commitFirstVersion(t, cluster)
@@ -166,9 +167,9 @@
 		go func() { elapsed <- timeShutdown(member) }()
 		time.Sleep(time.Second)
 		status := cluster.ReplaceConfiguration(member, 2, ExampleConfiguration(3, FirstSharding))
-		expectStatus(t, status, http.StatusOK, "change at a member that shuts down and is needed")
-		if stay := <-elapsed; stay < gracePeriod/2 || stay > gracePeriod {
-			t.Errorf("the member shuts down after %v, want %v to %v", stay, gracePeriod/2, gracePeriod)
+		expectStatus(t, status, http.StatusOK, "change at a member that is shutting down and needed for the quorum")
+		if shutdownTime := <-elapsed; shutdownTime < gracePeriod/2 || shutdownTime > gracePeriod {
+			t.Errorf("the member shuts down after %v, want %v to %v", shutdownTime, gracePeriod/2, gracePeriod)
 		}
 
 		requireNoError(t, member.Start())
@@ -178,8 +179,8 @@
 			time.Sleep(time.Second)
 			running.Kill()
 		}()
-		if stay := timeShutdown(member); stay > 1100*time.Millisecond {
-			t.Errorf("killed a second after the shutdown began, the member ends after %v", stay)
+		if shutdownTime := timeShutdown(member); shutdownTime > 1100*time.Millisecond {
+			t.Errorf("killed a second after the shutdown began, the member ends after %v", shutdownTime)
 		}
 		startAll(t, member, lost)
 		awaitReplicated(t, cluster, 3, catchUpTime)
@@ -187,8 +188,8 @@
 	})
 }
 
-// TestRollingRestart shuts down and starts each controller in turn, with a change sent in between. With all replicas complete
-// each shuts down at once.
+// TestRollingRestart shuts down and starts each controller in turn while a change is sent. With all replicas complete, each
+// shutdown must complete within the bound.
 func TestRollingRestart(t *testing.T) {
 	const bound = 1500 * time.Millisecond
 	runCluster(t, 130, 5, 1, func(t *testing.T, cluster *Cluster) {
--- a/internal/testing/simcluster/request_log.go
+++ b/internal/testing/simcluster/request_log.go
@@ -5,18 +5,19 @@
 	"time"
 )
 
-// requestKey identifies a request at a service.
+// requestKey identifies a request to a service.
 type requestKey struct {
 	service, requestID string
 }
 
-// RequestLog counts what clients sent and what servers received and executed. Its methods may be called concurrently.
+// RequestLog records the requests that clients sent and that servers received and executed. Its methods are safe for
+// concurrent use.
 type RequestLog struct {
 	mu         sync.Mutex
 	executions map[requestKey]int
 	arrivals   map[requestKey]int     // executed or rejected
-	requests   map[string][]time.Time // when clients sent requests, by service
-	retries    map[string][]time.Time // when servers received a request that had arrived before, by service
+	requests   map[string][]time.Time // times at which clients sent requests, by service
+	retries    map[string][]time.Time // times of second and later arrivals of a request, by service
 }
 
 func newRequestLog() *RequestLog {
@@ -28,7 +29,7 @@
 	}
 }
 
-// RecordRequest records that a client sends a request on a route to services.
+// RecordRequest records that a client sends a request on a route to the services.
 func (l *RequestLog) RecordRequest(services ...string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -55,14 +56,14 @@
 	l.executions[requestKey{service, requestID}]++
 }
 
-// Executions returns how often servers of a service executed a request.
+// Executions returns how many times servers of a service executed a request.
 func (l *RequestLog) Executions(service, requestID string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.executions[requestKey{service, requestID}]
 }
 
-// RetryBudgetUse returns the highest share of the retry budget that any service saw used in any window, and that service.
+// RetryBudgetUse returns the highest share of the retry budget that was used at any service in any window, and that service.
 // The budget of a window is ratio times the requests sent in it plus the allowance; 1 means that all of it was used.
 func (l *RequestLog) RetryBudgetUse(window time.Duration, ratio, allowance float64) (highest float64, service string) {
 	l.mu.Lock()
@@ -78,7 +79,7 @@
 	return highest, service
 }
 
-// countWithin counts the times in the window that ends at a moment, including the end and excluding the beginning.
+// countWithin counts the times in the window before end, including end and excluding the start of the window.
 func countWithin(times []time.Time, end time.Time, window time.Duration) (count int) {
 	for _, t := range times {
 		if age := end.Sub(t); age >= 0 && age < window {
--- a/internal/testing/simcluster/rollout_test.go
+++ b/internal/testing/simcluster/rollout_test.go
@@ -11,10 +11,10 @@
 	"time"
 )
 
-// acknowledgeTime is within which the platform wants a proper order acknowledged in calm times (acknowledge_ms).
-const acknowledgeTime = 5 * time.Second
+// acknowledgeBound is the time within which a valid rollout order must be acknowledged if there are no faults (acknowledge_ms).
+const acknowledgeBound = 5 * time.Second
 
-// BeginRollout orders a rollout at one controller and returns the status; 0 means that there was no response.
+// BeginRollout sends an order for a rollout to one controller and returns the status; 0 means that there was no response.
 func (c *Cluster) BeginRollout(to *ControllerNode, service, version string, duration time.Duration) int {
 	client := c.httpClient(operatorIP, controlCallTimeout)
 	defer client.CloseIdleConnections()
@@ -22,19 +22,20 @@
 	return post(context.Background(), client, to.ControlAddress(), "/-/rollouts/begin", []byte(body), http.Header{"Content-Type": {"application/json"}})
 }
 
-// rolloutState is what a read of a rollout returns.
+// rolloutState holds the checked fields of the response to a read of a rollout.
 type rolloutState struct {
 	State         string `json:"state"`
 	TargetVersion string `json:"target_version"`
 }
 
-// An order to roll a version out is acknowledged in calm times, and every controller tells its state then.
+// TestRolloutIsAcknowledged checks that a rollout order is acknowledged in time if there are no faults, and that every controller
+// reports the state of the rollout afterwards.
 func TestRolloutIsAcknowledged(t *testing.T) {
 	runCluster(t, 71, 3, 2, func(t *testing.T, cluster *Cluster) {
 		commitFirstVersion(t, cluster)
 		start := time.Now()
 		status := 0
-		for attempt := 0; status != http.StatusOK && time.Since(start) < acknowledgeTime; attempt++ {
+		for attempt := 0; status != http.StatusOK && time.Since(start) < acknowledgeBound; attempt++ {
 			if status = cluster.BeginRollout(cluster.Controllers[attempt%3], singleService, "v2", 12*time.Second); status != http.StatusOK {
 				time.Sleep(retryPause)
 			}
@@ -44,7 +45,7 @@
 			var read rolloutState
 			body := readWithRetry(cluster, controller, "/-/rollouts/"+singleService+"/read")
 			if err := json.Unmarshal(body, &read); err != nil || read.TargetVersion != "v2" || read.State == "" {
-				t.Errorf("controller %s tells %q of the rollout", controller.IP, body)
+				t.Errorf("controller %s returns %q as the state of the rollout", controller.IP, body)
 			}
 		}
 	})
@@ -53,13 +54,13 @@
 const (
 	rolloutDuration = 15 * time.Second
 	rolloutTarget   = "v2"
-	// exposureShare and exposureSlack bound the requests that reach a bad version, rollbackTime how long any does after its 50th bad
-	// answer (exposure_share, exposure_slack, rollback_ms).
-	exposureShare    = 0.1
-	exposureSlack    = 50
-	rollbackTime     = 5 * time.Second
-	rollbackAnswers  = 50
-	rolloutRequestMS = 8
+	// exposureShare and exposureSlack bound the number of requests that reach a bad version. rollbackTime bounds how long after
+	// its 50th bad response requests may still reach it (exposure_share, exposure_slack, rollback_ms).
+	exposureShare     = 0.1
+	exposureSlack     = 50
+	rollbackTime      = 5 * time.Second
+	rollbackResponses = 50
+	rolloutRequestMS  = 8
 )
 
 // rolloutRecord counts the requests that reach a service during a rollout.
@@ -68,11 +69,12 @@
 	old, target         int
 	bad                 int
 	lastOld, lastTarget time.Time
-	rollbackAt          time.Time // rollbackTime after the 50th bad answer
+	rollbackAt          time.Time // rollbackTime after the 50th bad response of the target version
 	targetAfterRollback int
 }
 
-func (r *rolloutRecord) arrived(target bool) func(time.Time) {
+// recordArrivals returns a function that records the arrival of a request at a server of the target version or of the old one.
+func (r *rolloutRecord) recordArrivals(target bool) func(time.Time) {
 	return func(at time.Time) {
 		r.mu.Lock()
 		defer r.mu.Unlock()
@@ -89,63 +91,64 @@
 	}
 }
 
-// answeredBadly counts a bad answer of the target version.
-func (r *rolloutRecord) answeredBadly() {
+// recordBadResponse counts a failed or slow response of the target version.
+func (r *rolloutRecord) recordBadResponse() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.bad++; r.bad == rollbackAnswers {
+	if r.bad++; r.bad == rollbackResponses {
 		r.rollbackAt = time.Now().Add(rollbackTime)
 	}
 }
 
-// rolloutCase is a rollout beside a fault.
+// rolloutCase describes a rollout of a good or bad version, with or without a fault in the cluster.
 type rolloutCase struct {
-	name    string
-	service string
-	bad     func(random *rand.Rand, since time.Duration) bool // reports whether an answer of the target version fails; nil = it is good
-	slow    time.Duration                                     // service time of the target version, 0 = the usual one
-	disturb func(t *testing.T, cluster *Cluster)              // after two seconds
-	calm    bool                                              // a good version must be completed in time,
-	lost    int                                               // with so many requests failed at most
+	name         string
+	service      string
+	bad          func(random *rand.Rand, since time.Duration) bool // whether a response of the target version fails; nil: none fails
+	slow         time.Duration                                     // service time of the target version; 0: the usual one
+	injectFault  func(t *testing.T, cluster *Cluster)              // injects a fault two seconds after the start of the rollout
+	mustComplete bool                                              // the rollout must be completed in time
+	maxFailed    int                                               // failed requests that are allowed if mustComplete
 }
 
 var rolloutCases = []rolloutCase{
-	{name: "good, one of the shards", service: "a0", calm: true},
-	{name: "good, a service of its own", service: singleService, calm: true},
+	{name: "good, one of the shards", service: "a0", mustComplete: true},
+	{name: "good, a service of its own", service: singleService, mustComplete: true},
 	{name: "three in ten fail", service: "a1", bad: failing(0.3, 0)},
 	{name: "fails late", service: singleService, bad: failing(0.4, 3*time.Second)},
 	{name: "eight times slower", service: "a0", slow: 8 * exampleServiceTime},
-	{name: "good, the first controller is killed", service: "a0", calm: true, disturb: func(_ *testing.T, cluster *Cluster) {
+	{name: "good, the first controller is killed", service: "a0", mustComplete: true, injectFault: func(_ *testing.T, cluster *Cluster) {
 		cluster.Controllers[0].Kill(true)
 	}},
-	{name: "good, all controllers lose power", service: "a0", disturb: func(t *testing.T, cluster *Cluster) {
+	{name: "good, all controllers lose power", service: "a0", injectFault: func(t *testing.T, cluster *Cluster) {
 		powerCycle(t, cluster)
 	}},
-	{name: "fails late, all controllers lose power", service: "a0", bad: failing(0.4, 3*time.Second), disturb: func(t *testing.T, cluster *Cluster) {
+	{name: "fails late, all controllers lose power", service: "a0", bad: failing(0.4, 3*time.Second), injectFault: func(t *testing.T, cluster *Cluster) {
 		powerCycle(t, cluster)
 	}},
 	{name: "fails late, a gateway is cut off from the controllers", service: "a0", bad: failing(0.4, 3*time.Second),
-		disturb: func(_ *testing.T, cluster *Cluster) {
+		injectFault: func(_ *testing.T, cluster *Cluster) {
 			for _, controller := range cluster.Controllers {
 				setPartitioned(cluster, cluster.Gateways[1].IP, controller.IP, true)
 			}
 		}},
-	{name: "good, a gateway is killed", service: singleService, calm: true, lost: 3, disturb: func(_ *testing.T, cluster *Cluster) {
+	{name: "good, a gateway is killed", service: singleService, mustComplete: true, maxFailed: 3, injectFault: func(_ *testing.T, cluster *Cluster) {
 		cluster.Gateways[2].Kill(false)
 		cluster.Gateways[2].Start()
 	}},
-	{name: "good, a server of it hangs", service: "a0", disturb: func(_ *testing.T, cluster *Cluster) {
+	{name: "good, a server of it hangs", service: "a0", injectFault: func(_ *testing.T, cluster *Cluster) {
 		cluster.Servers[len(cluster.Servers)-1].SetHung(true)
 	}},
 }
 
-// failing returns what makes a share of the answers fail, from a time after the servers' start on.
+// failing returns a function that makes a share of the responses fail, starting a time after the start of the servers.
 func failing(share float64, from time.Duration) func(*rand.Rand, time.Duration) bool {
 	return func(random *rand.Rand, since time.Duration) bool { return since >= from && random.Float64() < share }
 }
 
-// Good versions are completed in time, and no request is sent to the old servers from then on, which stop at once. Bad ones are
-// reverted, and reach no more requests than they may. Both beside faults of controllers and gateways.
+// TestRollouts checks that rollouts of good versions complete in time and that no request is sent afterwards to the old servers,
+// which stop immediately. Rollouts of bad versions must be reverted, and the requests that reach a bad version must stay within
+// the bound. Both must hold during faults of controllers and gateways.
 func TestRollouts(t *testing.T) {
 	for i, test := range rolloutCases {
 		t.Run(test.name, func(t *testing.T) {
@@ -159,58 +162,59 @@
 	record := &rolloutRecord{}
 	old := serversOf(cluster, test.service)
 	for _, server := range old {
-		server.SetOnRequest(record.arrived(false))
+		server.SetOnRequest(record.recordArrivals(false))
 	}
 	stopLoad := test.startLoad(cluster)
 	time.Sleep(3 * time.Second)
 	requireStatus(t, cluster.BeginRollout(cluster.Controllers[1], test.service, rolloutTarget, rolloutDuration), http.StatusOK, "order")
-	begun := time.Now()
+	start := time.Now()
 	test.startTarget(t, cluster, record, seed)
-	if test.disturb != nil {
+	if test.injectFault != nil {
 		time.Sleep(2 * time.Second)
-		test.disturb(t, cluster)
+		test.injectFault(t, cluster)
 	}
-	state := awaitRolloutEnd(cluster, test.service, begun.Add(rolloutDuration+3*time.Second))
-	took := time.Since(begun)
+	state := awaitRolloutEnd(cluster, test.service, start.Add(rolloutDuration+3*time.Second))
+	elapsed := time.Since(start)
 	if state == "completed" {
 		for _, server := range old {
 			server.Crash(false)
 		}
 	}
-	settled := time.Now()
-	time.Sleep(max(0, rolloutDuration-took) + 4*time.Second)
-	refused := stopLoad()
-	test.check(t, record, state, took, settled, refused)
+	oldStopped := time.Now()
+	time.Sleep(max(0, rolloutDuration-elapsed) + 4*time.Second)
+	failed := stopLoad()
+	test.check(t, record, state, elapsed, oldStopped, failed)
 }
 
-func (test rolloutCase) check(t *testing.T, record *rolloutRecord, state string, took time.Duration, settled time.Time, failed int) {
+func (test rolloutCase) check(t *testing.T, record *rolloutRecord, state string, elapsed time.Duration, oldStopped time.Time, failed int) {
 	t.Helper()
 	record.mu.Lock()
 	defer record.mu.Unlock()
 	isBad := test.bad != nil || test.slow > 0
-	t.Logf("%s after %v, %d and %d requests, %d bad answers, %d requests failed", state, took, record.old, record.target, record.bad, failed)
+	t.Logf("%s after %v, %d requests to the old version, %d to the target, %d bad responses, %d requests failed", state, elapsed, record.old, record.target, record.bad, failed)
 	switch {
 	case isBad && state != "reverted":
-		t.Errorf("a bad version is %s", state)
-	case test.calm && (state != "completed" || took > rolloutDuration):
-		t.Errorf("a good version is %s after %v", state, took)
+		t.Errorf("the rollout of a bad version is %s", state)
+	case test.mustComplete && (state != "completed" || elapsed > rolloutDuration):
+		t.Errorf("the rollout of a good version is %s after %v", state, elapsed)
 	}
 	if allowed := exposureShare*float64(record.old+record.target) + exposureSlack; isBad && float64(record.target) > allowed {
 		t.Errorf("%d of %d requests reached a bad version", record.target, record.old+record.target)
 	}
 	if record.targetAfterRollback > 0 {
-		t.Errorf("%d requests reached a bad version too late after its 50th bad answer", record.targetAfterRollback)
+		t.Errorf("%d requests reached a bad version more than %v after its 50th bad response", record.targetAfterRollback, rollbackTime)
 	}
-	if state == "completed" && record.lastOld.After(settled) {
-		t.Errorf("a request reached an old server %v after the rollout was completed", record.lastOld.Sub(settled))
+	if state == "completed" && record.lastOld.After(oldStopped) {
+		t.Errorf("a request reached an old server %v after the rollout was completed", record.lastOld.Sub(oldStopped))
 	}
-	if test.calm && failed > test.lost {
-		t.Errorf("%d requests failed beside a good version, %d were lost with a gateway", failed, test.lost)
+	if test.mustComplete && failed > test.maxFailed {
+		t.Errorf("%d requests failed during the rollout of a good version, want at most %d", failed, test.maxFailed)
 	}
 }
 
-// Three rollouts at once, one of them of a bad version, and one of a version that no server has: each ends as it would alone. An order
-// at a controller that is cut off is not acknowledged; one for a service whose rollout is running is refused.
+// TestRolloutsAtOnce runs three rollouts concurrently, one of a bad version and one of a version that no server has: each must end
+// as it would alone. An order at an isolated controller must not be acknowledged; an order for a service whose rollout is running
+// and one for an unknown service must be rejected.
 func TestRolloutsAtOnce(t *testing.T) {
 	runCluster(t, 7200, 3, 3, func(t *testing.T, cluster *Cluster) {
 		commitFirstVersion(t, cluster)
@@ -228,11 +232,11 @@
 		}
 		expectStatus(t, cluster.BeginRollout(cluster.Controllers[1], "a0", "v3", rolloutDuration), http.StatusConflict, "another version")
 		expectStatus(t, cluster.BeginRollout(cluster.Controllers[1], "a9", "v3", rolloutDuration), http.StatusUnprocessableEntity, "unknown service")
-		begun := time.Now()
+		start := time.Now()
 		good.startTarget(t, cluster, records[0], 1)
 		bad.startTarget(t, cluster, records[1], 2)
 		for service, want := range map[string]string{"a0": "completed", "a1": "reverted", "a2": "reverted"} {
-			if got := awaitRolloutEnd(cluster, service, begun.Add(rolloutDuration+3*time.Second)); got != want {
+			if got := awaitRolloutEnd(cluster, service, start.Add(rolloutDuration+3*time.Second)); got != want {
 				t.Errorf("rollout of %s is %s, want %s", service, got, want)
 			}
 		}
@@ -256,16 +260,16 @@
 		server := cluster.AddServer(test.service, serviceTime)
 		server.Version = rolloutTarget
 		requireNoError(t, server.Start())
-		server.SetOnRequest(record.arrived(true))
+		server.SetOnRequest(record.recordArrivals(true))
 		server.setFaults(func() responseFault {
 			mu.Lock()
 			defer mu.Unlock()
 			if test.slow > 0 {
-				record.answeredBadly()
+				record.recordBadResponse()
 				return noFault
 			}
 			if test.bad != nil && test.bad(random, time.Since(started)) {
-				record.answeredBadly()
+				record.recordBadResponse()
 				return faultStatus
 			}
 			return noFault
@@ -273,7 +277,8 @@
 	}
 }
 
-// startLoad sends requests to all gateways in turn until the returned function is called, which returns how many failed.
+// startLoad sends requests to all gateways in turn until the returned function is called, which returns the number of requests
+// that failed or lack parts.
 func (test rolloutCase) startLoad(cluster *Cluster) (stop func() (failed int)) {
 	done := make(chan struct{})
 	var pending sync.WaitGroup
@@ -307,7 +312,7 @@
 	}
 }
 
-// awaitRolloutEnd reads a rollout until it is over, and returns its last state.
+// awaitRolloutEnd reads the state of a rollout until it is no longer running or a deadline has passed, and returns the last state.
 func awaitRolloutEnd(cluster *Cluster, service string, deadline time.Time) (state string) {
 	for n := 0; time.Now().Before(deadline); n++ {
 		var read rolloutState
--- a/internal/testing/simcluster/scale_test.go
+++ b/internal/testing/simcluster/scale_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// TestConfigurationReachesNinetyGateways runs ninety gateways and five controllers. Configurations reach all gateways, also
-// after all controllers were killed at once, when the gateways must not overload the first that is back.
+// TestConfigurationReachesNinetyGateways runs ninety gateways and five controllers. Configurations must reach all gateways, also
+// after all controllers were killed at the same time, when the gateways must not overload the first one that restarts.
 func TestConfigurationReachesNinetyGateways(t *testing.T) {
 	runCluster(t, 30, 5, 90, func(t *testing.T, cluster *Cluster) {
 		commitFirstVersion(t, cluster)
@@ -31,8 +31,8 @@
 	})
 }
 
-// awaitAllApply waits until all gateways apply a version, and looks more often than awaitVersion, to measure how long it
-// takes.
+// awaitAllApply waits until all gateways apply a version. It polls more often than awaitVersion so that the time that this takes
+// can be measured.
 func awaitAllApply(t *testing.T, cluster *Cluster, version uint64, within time.Duration) {
 	t.Helper()
 	applied := 0
@@ -60,15 +60,15 @@
 // herdTest is one run of TestNoThunderingHerdOnFreeServer.
 type herdTest struct {
 	cluster  *Cluster
-	requests tally
+	requests requestCounter
 
 	mu       sync.Mutex
 	arrivals map[*Server][]time.Time
 }
 
-// TestNoThunderingHerdOnFreeServer runs ninety gateways that see few requests each, and twelve servers that are busy for two
-// thirds of the time. Neither a server that is added, nor one that is back after a power loss, and free, may get the
-// requests of all gateways at once.
+// TestNoThunderingHerdOnFreeServer runs ninety gateways that each receive few requests, and twelve servers with a utilisation of
+// two thirds. Neither an added server nor one that restarts after a power loss, both of which are idle, may receive the requests
+// of all gateways at the same time.
 func TestNoThunderingHerdOnFreeServer(t *testing.T) {
 	runCluster(t, 33, 3, 90, func(t *testing.T, cluster *Cluster) {
 		test := &herdTest{cluster: cluster, arrivals: map[*Server][]time.Time{}}
@@ -102,7 +102,7 @@
 			addedPeak, returnedPeak, usualPeak, &test.requests)
 		for name, peak := range map[string]float64{"added": addedPeak, "returned": returnedPeak} {
 			if peak > 2*usualPeak+1 {
-				t.Errorf("a free server that was %s gets %.1f times its share at once, others %.1f", name, peak, usualPeak)
+				t.Errorf("a free server that was %s gets %.1f times its share in one window, others %.1f", name, peak, usualPeak)
 			}
 			if peak == 0 {
 				t.Errorf("a free server that was %s gets no requests", name)
@@ -125,8 +125,8 @@
 	return server
 }
 
-// startLoad sends requests at random times, herdRate a second on average, until the returned function is called, which
-// waits for their responses.
+// startLoad sends requests at random times, herdRate per second on average, until the returned function is called, which waits
+// for the responses.
 func (h *herdTest) startLoad() (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	var pending sync.WaitGroup
@@ -146,10 +146,10 @@
 	}
 }
 
-// peak returns the most requests that reached a server in any window since a time, as a multiple of its equal share of the
-// load.
+// peak returns the highest number of requests that reached a server in any herdWindow since a time, as a multiple of the
+// server's equal share of the load.
 func (h *herdTest) peak(server *Server, since time.Time) float64 {
-	const alive = herdServers + 1
+	const running = herdServers + 1
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	most := 0
@@ -166,6 +166,6 @@
 		}
 		most = max(most, count)
 	}
-	share := herdRate * herdWindow.Seconds() / alive
+	share := herdRate * herdWindow.Seconds() / running
 	return float64(most) / share
 }
--- a/internal/testing/simcluster/server.go
+++ b/internal/testing/simcluster/server.go
@@ -12,23 +12,23 @@
 	"time"
 )
 
-// defaultConcurrency is how many requests a server executes at once unless it is told otherwise.
+// defaultConcurrency is the number of requests that a server executes concurrently if Concurrency is 0.
 const defaultConcurrency = 3
 
-// Server is a modelled server of a service. It may be started again after a crash, as another instance at the same address.
+// Server simulates a server of a service. After a crash it can be started again, as a new instance at the same address.
 type Server struct {
 	Service string
 	IP      string
-	// Instance names the current run of the server. It changes with each Start.
+	// Instance is the id of the server's current run. It changes with each Start.
 	Instance string
 
-	// The following fields take effect with the next Start.
+	// The fields up to ConnectionLimit take effect with the next Start.
 
-	ServiceTime     time.Duration // of one request
-	RecordCount     int           // of a response
-	Version         string        // of its program; "": v1
-	Concurrency     int           // requests executed at once; 0: three
-	ConnectionLimit int           // connections open at once, further ones are closed; 0: unlimited
+	ServiceTime     time.Duration // time that each request takes
+	RecordCount     int           // records in each response
+	Version         string        // version of its program; "": v1
+	Concurrency     int           // requests executed concurrently; 0: defaultConcurrency
+	ConnectionLimit int           // concurrently open connections, further ones are closed; 0: unlimited
 
 	cluster        *Cluster
 	httpServer     *http.Server
@@ -36,7 +36,7 @@
 	background     sync.WaitGroup
 	hung           atomic.Bool
 
-	mu                  sync.Mutex // guards ServiceTime, what follows, and Instance against handlers of an earlier run
+	mu                  sync.Mutex // guards ServiceTime and the fields below, and Instance against handlers of an earlier run
 	semaphore           chan struct{}
 	draining            bool
 	healthChecks        int
@@ -46,7 +46,7 @@
 	injectFault         func() responseFault
 }
 
-// AddServer adds a server of a service that does not run yet.
+// AddServer adds a server of a service. It does not run yet.
 func (c *Cluster) AddServer(service string, serviceTime time.Duration) *Server {
 	i := len(c.Servers)
 	server := &Server{
@@ -60,7 +60,7 @@
 	return server
 }
 
-// Address returns the "IP:port" at which it serves.
+// Address returns the "IP:port" at which the server listens.
 func (s *Server) Address() string { return net.JoinHostPort(s.IP, strconv.Itoa(serverPort)) }
 
 // Start starts a new instance, which serves requests and sends heartbeats until Crash.
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// Crash ends the instance, if it runs, without notice. With powerLoss its machine is off until the next Start.
+// Crash ends the instance, if it runs, without a sign-off. With powerLoss its machine is off until the next Start.
 func (s *Server) Crash(powerLoss bool) {
 	if s.httpServer == nil {
 		return
@@ -102,25 +102,25 @@
 	s.httpServer = nil
 }
 
-// SetServiceTime changes how long the server works on each request, also while it runs.
+// SetServiceTime changes the time that each request takes, also while the server runs.
 func (s *Server) SetServiceTime(serviceTime time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ServiceTime = serviceTime
 }
 
-// SetOnRequest sets a function that is called with the arrival time of each request; nil removes it. The function is
-// called with the server locked and must not call back.
+// SetOnRequest sets a function that is called with the arrival time of each request except health checks; nil removes it. The
+// function is called with the server locked and must not call the server's methods.
 func (s *Server) SetOnRequest(onRequest func(time.Time)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.onRequest = onRequest
 }
 
-// SetHung makes the server accept requests without answering any, or answer again.
+// SetHung makes the server accept requests without responding to any, or makes it respond again.
 func (s *Server) SetHung(hung bool) { s.hung.Store(hung) }
 
-// SetFailing sets a function that reports for each request whether its answer is to be a failure; nil removes it.
+// SetFailing sets a function that reports for each request whether the response has status 500; nil removes it.
 func (s *Server) SetFailing(fails func() bool) {
 	if fails == nil {
 		s.setFaults(nil)
@@ -134,28 +134,28 @@
 	})
 }
 
-// setFaults sets a function that chooses the fault of each response; nil removes it.
+// setFaults sets a function that returns the fault to inject into each response; nil removes it.
 func (s *Server) setFaults(injectFault func() responseFault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.injectFault = injectFault
 }
 
-// healthCheckCount returns how many health checks the server has received.
+// healthCheckCount returns the number of health checks that the server has received.
 func (s *Server) healthCheckCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.healthChecks
 }
 
-// lastRequest returns when the server last received a request that is no health check.
+// lastRequest returns the arrival time of the last request that is not a health check.
 func (s *Server) lastRequest() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.lastRequestAt
 }
 
-// rejectedConnectionCount returns how many connections beyond its limit the server has closed.
+// rejectedConnectionCount returns the number of connections that the server has closed because they exceeded its limit.
 func (s *Server) rejectedConnectionCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testing/simcluster/server_call_test.go
+++ b/internal/testing/simcluster/server_call_test.go
@@ -11,20 +11,20 @@
 	"oxbowspan/config"
 )
 
-// What servers allow an acknowledgement to take, and how much of it they read.
+// Limits of servers on an acknowledgement: the time that they wait for it and the bytes that they read of it.
 const (
 	acknowledgementTimeout  = time.Second
 	maxAcknowledgementBytes = 4 << 10
 )
 
-// callReply is the reply to a call of a server.
+// callReply is the response to a call of a server.
 type callReply struct {
-	status  int // 0: none within twice the time-out
-	length  int // of the body
+	status  int // 0: no response within twice acknowledgementTimeout
+	length  int // bytes of the body
 	elapsed time.Duration
 }
 
-// timedPost makes one call as a server does.
+// timedPost sends a POST request as a server does and measures the response time.
 func timedPost(cluster *Cluster, address, path string, body []byte) callReply {
 	client := cluster.httpClient("10.0.9.7", 2*acknowledgementTimeout)
 	defer client.CloseIdleConnections()
@@ -41,15 +41,15 @@
 	return callReply{status: response.StatusCode, length: len(text), elapsed: time.Since(start)}
 }
 
-// serverCallTest makes the calls of servers at one controller.
+// serverCallTest makes calls to one controller as servers do.
 type serverCallTest struct {
 	cluster    *Cluster
 	controller *ControllerNode
 	sequence   uint64
 }
 
-// TestServerCallResponseTime checks that each heartbeat and sign-off is answered within a second and shortly, also where
-// most controllers are partitioned or their disks stall. A drain is not acknowledged by a controller that cannot pass it on.
+// TestServerCallResponseTime checks that each heartbeat and sign-off is answered within a second and with a short body, also if
+// most controllers are partitioned or their disks stall. A controller that cannot pass a drain on must not acknowledge it.
 func TestServerCallResponseTime(t *testing.T) {
 	runCluster(t, 71, 3, 1, func(t *testing.T, cluster *Cluster) {
 		commitFirstVersion(t, cluster)
@@ -73,8 +73,8 @@
 	})
 }
 
-// callAll makes each kind of call for a new instance. All calls must be acknowledged if the controller is connected to a
-// majority, and otherwise the drain must not be. A sign-off of an unknown instance changes nothing: it may be acknowledged.
+// callAll makes each kind of call for a new instance. If the controller is connected to a majority, all calls must be
+// acknowledged, and otherwise the drain must not be. A sign-off of an unknown instance has no effect and may be acknowledged.
 func (s *serverCallTest) callAll(t *testing.T, when string, connected bool) {
 	t.Helper()
 	for _, call := range []struct {
--- a/internal/testing/simcluster/server_handler.go
+++ b/internal/testing/simcluster/server_handler.go
@@ -15,23 +15,23 @@
 const (
 	recordSize     = 16
 	distinctScores = 50 // few, so that equal scores occur
-	recordStream   = 7  // of the random numbers
+	recordStream   = 7  // second word of the seed of the random numbers
 )
 
-// responseFault is something that goes wrong with a response.
+// responseFault is a fault injected into a response.
 type responseFault int
 
 const (
-	noFault           responseFault = iota
-	faultTruncated                  // the connection ends in the middle of the body
-	faultStatus                     // status 500
-	faultForeignReply               // the response names another request
+	noFault              responseFault = iota
+	faultTruncated                     // the connection ends in the middle of the body
+	faultStatus                        // status 500
+	faultMismatchedReply               // the response names another request
 )
 
-// foreignRequestID is what a response with faultForeignReply names.
-const foreignRequestID = "another"
+// mismatchedRequestID is the request id in a response with faultMismatchedReply.
+const mismatchedRequestID = "another"
 
-// ExpectedRecords returns the body that any server of a service answers a request with. It depends on its arguments only.
+// ExpectedRecords returns the body of the response of any server of a service to a request. It depends on its arguments only.
 func ExpectedRecords(service, requestID string, count int) []byte {
 	hash := fnv.New64a()
 	hash.Write([]byte(service + "/" + requestID))
@@ -66,7 +66,7 @@
 	s.serveRecords(w, r, instance)
 }
 
-// admit records an arrival and returns the current instance with its semaphore.
+// admit records the arrival of a request and returns the current instance and its semaphore.
 func (s *Server) admit(r *http.Request, isHealthCheck bool) (instance string, semaphore chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -116,13 +116,13 @@
 		panic(http.ErrAbortHandler)
 	case faultStatus:
 		w.WriteHeader(http.StatusInternalServerError)
-	case faultForeignReply:
-		w.Header().Set(attemptIDHeader, foreignRequestID)
+	case faultMismatchedReply:
+		w.Header().Set(attemptIDHeader, mismatchedRequestID)
 	}
 	w.Write(body)
 }
 
-// seal names who executed a request.
+// seal returns the value of the seal header, which identifies the instance that executed a request.
 func seal(instance, service, requestID string) string {
 	return instance + "." + service + "." + requestID
 }
--- a/internal/testing/simcluster/server_heartbeat.go
+++ b/internal/testing/simcluster/server_heartbeat.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	heartbeatAttempts = 4 // each at a controller drawn at random
+	heartbeatAttempts = 4 // each at a random controller
 	reportedCapacity  = 3
 	reportedVersion   = "v1"
 	stateReady        = "ready"
 
-	// drainSequence is above the sequence number of any periodic heartbeat, so that these can't revoke a drain.
+	// drainSequence is greater than the sequence number of any periodic heartbeat, so that no such heartbeat revokes a drain.
 	drainSequence = 1 << 30
 )
 
@@ -43,8 +43,8 @@
 	return stateReady
 }
 
-// Drain announces that the server is to be removed, while it serves on. It returns when a controller has acknowledged
-// that, or the zero time if none did.
+// Drain announces that the server is draining. The server continues to serve requests. Drain returns the time at which a
+// controller acknowledged the announcement, or the zero time if none did.
 func (s *Server) Drain() time.Time {
 	s.mu.Lock()
 	s.draining = true
@@ -57,11 +57,12 @@
 	return time.Now()
 }
 
-// announce sends one heartbeat to controllers until one acknowledges it, and reports whether one did.
+// announce sends a heartbeat to random controllers until one acknowledges it or heartbeatAttempts attempts have failed. It
+// reports whether the heartbeat was acknowledged.
 func (s *Server) announce(ctx context.Context, client *http.Client, state string, sequence uint64) bool {
 	body := s.heartbeat(state, sequence)
 	for range heartbeatAttempts {
-		address := s.cluster.anyController().ControlAddress()
+		address := s.cluster.randomController().ControlAddress()
 		if post(ctx, client, address, heartbeatPath(s.Instance), body, nil) == http.StatusOK {
 			return true
 		}
@@ -89,8 +90,8 @@
 
 func instancePath(instance, call string) string { return "/-/instances/" + instance + "/" + call }
 
-// anyController returns a controller drawn at random, whether it runs or not.
-func (c *Cluster) anyController() *ControllerNode {
+// randomController returns a random controller, whether it runs or not.
+func (c *Cluster) randomController() *ControllerNode {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.Controllers[rand.IntN(len(c.Controllers))]
--- a/internal/testing/simcluster/server_listener.go
+++ b/internal/testing/simcluster/server_listener.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// limitedListener closes connections beyond a server's limit as soon as they are accepted.
+// limitedListener closes connections that exceed a server's limit as soon as they are accepted.
 type limitedListener struct {
 	net.Listener
 	server *Server
@@ -25,7 +25,7 @@
 	}
 }
 
-// acquire counts a connection, as open if it is within the limit and as rejected if not.
+// acquire reports whether a new connection is within the limit, and counts it as open or as rejected.
 func (l *limitedListener) acquire() bool {
 	l.server.mu.Lock()
 	defer l.server.mu.Unlock()
@@ -43,7 +43,7 @@
 	l.open--
 }
 
-// countedConn is a connection that counts toward the limit until it is closed.
+// countedConn is a connection that counts towards the limit until it is closed.
 type countedConn struct {
 	net.Conn
 	listener *limitedListener
--- a/internal/testing/simcluster/settings.go
+++ b/internal/testing/simcluster/settings.go
@@ -15,13 +15,13 @@
 
 const region = "r"
 
-// Settings that the tests of the cluster check against.
+// Bounds in the settings that the tests check.
 const (
-	gracePeriod           = 6 * time.Second // from the signal to end until a process is killed
-	configurationApplyMax = 3 * time.Second // from an acknowledgement until all gateways apply a configuration
-	drainLimit            = 3 * time.Second // from an acknowledged drain until a server receives no more requests
+	gracePeriod           = 6 * time.Second // from the signal to shut down until a process is killed
+	configurationApplyMax = 3 * time.Second // from the acknowledgement of a configuration until all gateways apply it
+	drainLimit            = 3 * time.Second // from the acknowledgement of a drain until the server receives no more requests
 	retryBudgetWindow     = 10 * time.Second
-	retryBudgetAllowance  = 54  // retries in a window beyond the ratio
+	retryBudgetAllowance  = 54  // retries in a window in addition to the ratio
 	retryBudgetRatio      = 0.2 // retries per request
 )
 
@@ -56,7 +56,7 @@
 	return path, nil
 }
 
-// settings returns what the settings of all programs on a machine have in common.
+// settings returns the settings that the programs of all machines have in common, for the machine with an IP address.
 func (c *Cluster) settings(ip string) *settings.Settings {
 	s := &settings.Settings{
 		NodeName:            ip,
@@ -86,7 +86,7 @@
 	return s
 }
 
-// regionOf returns the region of the i-th zone. Where regions may be lost each zone is a region of its own.
+// regionOf returns the region of a zone, given by index. If the loss of regions is tolerated, each zone is its own region.
 func (c *Cluster) regionOf(zone int) string {
 	if c.toleratedRegions > 0 {
 		return fmt.Sprint(region, zone)
--- a/internal/testing/simcluster/shutdown_test.go
+++ b/internal/testing/simcluster/shutdown_test.go
@@ -11,7 +11,7 @@
 	"oxbowspan/config"
 )
 
-// readinessStatus asks a gateway for its readiness as the platform does; 0 means that it does not respond.
+// readinessStatus sends a readiness probe to a gateway and returns the status; 0 means that there was no response.
 func readinessStatus(cluster *Cluster, gateway *GatewayNode) int {
 	connection, err := cluster.Network.Host("10.0.9.5").Dial(gateway.readinessAddress(), time.Second)
 	if err != nil {
@@ -28,8 +28,8 @@
 	return response.StatusCode
 }
 
-// TestGatewayReadiness checks that a gateway is ready once it has a configuration and servers, stays ready without any
-// controller, and is no longer ready from the moment that it is asked to shut down.
+// TestGatewayReadiness checks that a gateway is ready once it has a configuration and servers, remains ready without any
+// controller, and is not ready as soon as its shutdown has been requested.
 func TestGatewayReadiness(t *testing.T) {
 	runCluster(t, 91, 3, 2, func(t *testing.T, cluster *Cluster) {
 		gateway := cluster.Gateways[0]
@@ -50,15 +50,15 @@
 		shutdown.Go(gateway.Shutdown)
 		time.Sleep(time.Millisecond)
 		if readinessStatus(cluster, gateway) == http.StatusOK {
-			t.Error("a gateway that was asked to shut down is ready")
+			t.Error("a gateway that is shutting down is ready")
 		}
 		shutdown.Wait()
 	})
 }
 
-// TestGracefulShutdownCompletesRequests checks that a gateway that is asked to shut down answers the requests that are open
-// and those that still come, and closes no connection under a request: an idle connection is closed behind a response that
-// announces it, or while it is idle.
+// TestGracefulShutdownCompletesRequests checks that a gateway that is shutting down answers the open requests and those that
+// still arrive, and closes no connection during a request: a connection is closed after a response that announces it, or while
+// it is idle.
 func TestGracefulShutdownCompletesRequests(t *testing.T) {
 	runCluster(t, 92, 3, 1, func(t *testing.T, cluster *Cluster) {
 		commitFirstVersion(t, cluster)
@@ -67,12 +67,12 @@
 		for _, server := range serversOf(cluster, nonRetryableService) {
 			server.SetServiceTime(1500 * time.Millisecond)
 		}
-		kept := dialGateway(t, cluster, gateway)
-		defer kept.Close()
-		expectKeptResponse(t, kept, "k0", false)
+		keepAlive := dialGateway(t, cluster, gateway)
+		defer keepAlive.Close()
+		expectKeepAliveResponse(t, keepAlive, "k0", false)
 
 		var pending sync.WaitGroup
-		for i := range 3 { // open when the shutdown begins
+		for i := range 3 { // requests that are open when the shutdown begins
 			pending.Go(func() {
 				response := cluster.SendRequest(gateway, http.MethodPost, exampleHost, "/once/x", fmt.Sprint("o", i), 2900*time.Millisecond)
 				expectStatus(t, response.Status, http.StatusOK, "open request, after %v", response.Elapsed)
@@ -81,8 +81,8 @@
 		time.Sleep(300 * time.Millisecond)
 		pending.Go(gateway.Shutdown)
 		time.Sleep(30 * time.Millisecond)
-		expectKeptResponse(t, kept, "k1", true)
-		for i := range 15 { // the platform still sends some
+		expectKeepAliveResponse(t, keepAlive, "k1", true)
+		for i := range 15 { // the platform still sends some requests
 			response := sendSingle(cluster, gateway, fmt.Sprint("n", i))
 			expectStatus(t, response.Status, http.StatusOK, "request %d ms after the shutdown began", 100*i)
 			time.Sleep(100 * time.Millisecond)
@@ -91,17 +91,18 @@
 	})
 }
 
-// TestShutdownAnswersWhatIsStillOpen shuts a gateway down under requests whose servers do not answer within the grace period. Each
-// gets a complete answer before the process ends: that it may have run, or, where it was sent to nobody, that it has not.
+// TestShutdownAnswersWhatIsStillOpen shuts a gateway down while requests are open whose servers do not respond within the grace
+// period. Each request must get a complete response before the process exits, which reports that it may have been executed or, if
+// it was never dispatched, that it was not.
 func TestShutdownAnswersWhatIsStillOpen(t *testing.T) {
 	const serviceTime = 30 * time.Second
 	runCluster(t, 93, 3, 1, func(t *testing.T, cluster *Cluster) {
-		patient := editConfiguration(t, ExampleConfiguration(1, FirstSharding), func(c *config.Configuration) {
+		longTimeouts := editConfiguration(t, ExampleConfiguration(1, FirstSharding), func(c *config.Configuration) {
 			for i := range c.Routes {
 				c.Routes[i].TimeoutMS = 20000
 			}
 		})
-		commitInitial(t, cluster, 1, patient)
+		commitInitial(t, cluster, 1, longTimeouts)
 		time.Sleep(3 * time.Second)
 		gateway := cluster.Gateways[0]
 		for _, server := range cluster.Servers {
@@ -117,19 +118,19 @@
 			})
 		}
 		time.Sleep(200 * time.Millisecond)
-		started := time.Now()
+		start := time.Now()
 		gateway.Shutdown()
-		if took := time.Since(started); took > gracePeriod {
-			t.Errorf("the gateway ends after %v, its grace period is %v", took, gracePeriod)
+		if elapsed := time.Since(start); elapsed > gracePeriod {
+			t.Errorf("the gateway ends after %v, its grace period is %v", elapsed, gracePeriod)
 		}
 		pending.Wait()
 		time.Sleep(serviceTime) // until the servers are done
 	})
 }
 
-// expectKeptResponse sends a request on an open connection and checks that it is served, and whether the response announces
-// the end of the connection.
-func expectKeptResponse(t *testing.T, connection *rawConnection, requestID string, wantClose bool) {
+// expectKeepAliveResponse sends a request on an open connection and checks that it is served, and whether the response
+// announces the end of the connection.
+func expectKeepAliveResponse(t *testing.T, connection *rawConnection, requestID string, wantClose bool) {
 	t.Helper()
 	connection.send(t, requestHead("GET", "/one/x", requestID, 2*time.Second)+"\r\n")
 	response, err := connection.receive(2 * time.Second)
--- a/internal/testing/simcluster/start_test.go
+++ b/internal/testing/simcluster/start_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestSeedsStartLast sends the first change from before any controller listens, until it is committed. Controllers start in
-// any order, the seeds last. Later starts get other seeds, of which one has no power and one is partitioned.
+// TestSeedsStartLast sends the first change before any controller listens, and repeats it until it is committed. Controllers start
+// in reverse order, the seeds last. Processes that start later have other seeds, one without power and one partitioned.
 func TestSeedsStartLast(t *testing.T) {
 	runBubble(t, 77, 5, 3, func(t *testing.T, cluster *Cluster) {
 		var operator sync.WaitGroup
