--- a/internal/testing/simcluster/tenant_isolation_test.go
+++ b/internal/testing/simcluster/tenant_isolation_test.go
@@ -12,7 +12,7 @@
 	"oxbowspan/config"
 )
 
-// commitTenants commits a first configuration and tenants, and waits until they are applied.
+// commitTenants commits a first configuration and tenants, and waits until all gateways apply the configuration.
 func commitTenants(t *testing.T, cluster *Cluster, configuration []byte, tenants string) {
 	t.Helper()
 	requireStatus(t, replaceWithRetry(cluster, 0, configuration, initialAttempts), http.StatusOK, "first configuration")
@@ -23,19 +23,19 @@
 // faultLoad is the load of TestNonRetryableRequestsDuringFaults.
 type faultLoad struct {
 	cluster *Cluster
-	faulty  []*GatewayNode // may lose what is open at them
+	faulty  []*GatewayNode // gateways that may lose open requests
 	done    chan struct{}
 	pending sync.WaitGroup
-	posts   tally // at the other gateways
-	lookups tally // at the other gateways
+	posts   requestCounter // at gateways without faults
+	lookups requestCounter // at gateways without faults
 
 	mu         sync.Mutex
 	violations []string
 }
 
-// TestNonRetryableRequestsDuringFaults plays faults during a batch: a gateway is killed and starts again, another is
-// partitioned from all gateways, most servers of a shard crash, and weights and limits change. No post is executed twice, none
-// that was executed is answered as not executed, and look-ups are served on.
+// TestNonRetryableRequestsDuringFaults injects faults during a batch: a gateway is killed and restarted, another is partitioned
+// from all gateways, most servers of a shard crash, and weights and limits change. No post may be executed twice, none that was
+// executed may be answered as not executed, and look-ups must still be served.
 func TestNonRetryableRequestsDuringFaults(t *testing.T) {
 	runCluster(t, 31, 3, 5, func(t *testing.T, cluster *Cluster) {
 		limitConnections(t, cluster, 30, 50*time.Millisecond)
@@ -60,8 +60,8 @@
 				server.Crash(false)
 			}
 		}
-		heavier := strings.Replace(batchTenants, `"weight":1`, `"weight":6`, 1)
-		status := cluster.ReplaceDocument(cluster.Controllers[1], config.TenantsDocumentName, 1, []byte(heavier))
+		otherWeights := strings.Replace(batchTenants, `"weight":1`, `"weight":6`, 1)
+		status := cluster.ReplaceDocument(cluster.Controllers[1], config.TenantsDocumentName, 1, []byte(otherWeights))
 		expectStatus(t, status, http.StatusOK, "tenants with other weights under load")
 		time.Sleep(2 * time.Second)
 		status = replaceWithRetry(cluster, 1, batchConfiguration(t, 3, 25), 10)
@@ -126,7 +126,8 @@
 	}
 }
 
-// checkPost checks that a post was executed once at most, and that its response, if there must be one, does not deny that.
+// checkPost checks that a post was executed at most once, that it was not answered as rejected if it was executed, and that it got
+// a response unless its gateway is faulty.
 func (l *faultLoad) checkPost(gateway *GatewayNode, requestID string, response Response) {
 	executions := l.cluster.RequestLog.Executions(postService, requestID)
 	violation := string(checkNonRetryable(requestID, executions, response.Status))
@@ -149,8 +150,8 @@
 	return false
 }
 
-// TestRouteCountDoesNotChangeTenantShare runs the batches of two tenants with equal weights at once, one of them over a
-// thousand routes. Both are served alike.
+// TestRouteCountDoesNotChangeTenantShare runs the batches of two tenants with equal weights concurrently, one of them on a
+// thousand routes. Both must get similar throughput.
 func TestRouteCountDoesNotChangeTenantShare(t *testing.T) {
 	const (
 		connectionLimit = 30
@@ -200,8 +201,8 @@
 	})
 }
 
-// TestTimingOutTenantDoesNotBlockOthers runs a batch whose every request times out, and a service whose servers accept fewer
-// connections than there are gateways. Requests of the other tenant are served.
+// TestTimingOutTenantDoesNotBlockOthers runs a batch all of whose requests time out, and a service whose servers accept fewer
+// connections than there are gateways. Requests of the other tenant and to that service must be served.
 func TestTimingOutTenantDoesNotBlockOthers(t *testing.T) {
 	const (
 		connectionLimit       = 24
@@ -233,7 +234,7 @@
 				}
 			})
 		}
-		var lookups, singles tally
+		var lookups, singles requestCounter
 		for n := 0; time.Now().Before(deadline); n++ {
 			pending.Go(func() {
 				gateway := cluster.Gateways[n%gateways]
@@ -250,13 +251,13 @@
 	})
 }
 
-// TestSlowReadersHoldNoServerConnection has clients request gathered responses that they don't read. These hold no connection
-// to a server: a response is complete before it is passed on.
+// TestSlowReadersHoldNoServerConnection has clients request gathered responses that they do not read. These requests must not hold
+// server connections: a response is complete before the gateway sends it to the client.
 func TestSlowReadersHoldNoServerConnection(t *testing.T) {
 	const (
 		connectionLimit = 12
 		clientDeadline  = 4 * time.Second
-		mostInUse       = 2
+		maxInUse        = 2
 	)
 	runCluster(t, 34, 3, 2, func(t *testing.T, cluster *Cluster) {
 		limitConnections(t, cluster, connectionLimit, 20*time.Millisecond)
@@ -267,7 +268,7 @@
 			defer connection.Close()
 			connection.send(t, requestHead(http.MethodGet, "/batch/x", fmt.Sprint("r", i), clientDeadline)+"\r\n")
 		}
-		time.Sleep(500 * time.Millisecond) // their responses are complete, and not read
+		time.Sleep(500 * time.Millisecond) // until the responses are complete; they are not read
 		served := 0
 		for n := range 100 {
 			response := sendLookup(cluster, cluster.Gateways[n%2], fmt.Sprint("c", n), 300*time.Millisecond)
@@ -276,15 +277,15 @@
 			}
 		}
 		if served < 99 {
-			t.Errorf("%d of 100 look-ups are served beside clients that read nothing", served)
+			t.Errorf("%d of 100 look-ups are served while other clients read nothing, want at least 99", served)
 		}
-		if inUse := connectionsInUse(t, cluster); inUse > mostInUse {
-			t.Errorf("%d server connections are in use beside clients that read nothing, want at most %d", inUse, mostInUse)
+		if inUse := connectionsInUse(t, cluster); inUse > maxInUse {
+			t.Errorf("%d server connections are in use by requests of clients that read nothing, want at most %d", inUse, maxInUse)
 		}
 	})
 }
 
-// connectionsInUse returns how many server connections the gateways report to be in use by tenants.
+// connectionsInUse returns the number of server connections that tenants use according to the gateways' reports.
 func connectionsInUse(t *testing.T, cluster *Cluster) (inUse int) {
 	t.Helper()
 	for _, gateway := range reportedTenants(t, cluster) {
--- a/internal/testing/simcluster/tenants_test.go
+++ b/internal/testing/simcluster/tenants_test.go
@@ -14,19 +14,19 @@
 	"oxbowspan/controlapi"
 )
 
-// Services of the routes that batchConfiguration adds. They hold shards of the batch as well.
+// Services of the single-service routes that batchConfiguration adds. The batch route gathers from them as well.
 const (
 	lookupService = "a0"
 	postService   = "a1"
 )
 
-// batchTenants gives the batch one share and the interactive routes two.
+// batchTenants gives the batch route weight 1 and the interactive routes weight 2.
 const batchTenants = `{"tenants":[
  {"name":"batch","weight":1,"routes":[{"hostname":"h.example","path_prefix":"/batch/"}]},
  {"name":"lookup","weight":2,"routes":[{"hostname":"h.example","path_prefix":"/lookup/"},{"hostname":"h.example","path_prefix":"/post/"}]}]}`
 
-// batchConfiguration has a gathered batch route, an interactive look-up route and a non-retryable post route, all over the
-// same servers, and one connection limit for all services.
+// batchConfiguration returns a configuration with a gathered batch route, an interactive look-up route and a non-retryable post
+// route, all to the same servers, and the same connection limit for all services.
 func batchConfiguration(t *testing.T, version uint64, connectionLimit int) []byte {
 	t.Helper()
 	return editConfiguration(t, ExampleConfiguration(version, FirstSharding), func(c *config.Configuration) {
@@ -46,7 +46,7 @@
 	})
 }
 
-// batchRoute returns a route that gathers all shards once.
+// batchRoute returns a route that gathers all parts with one attempt.
 func batchRoute(name, host, prefix string) config.Route {
 	return config.Route{
 		Name: name, Hostname: host, PathPrefix: prefix, RouteKind: config.Retryable,
@@ -67,7 +67,7 @@
 	return cluster.SendRequest(gateway, http.MethodPost, exampleHost, "/post/x", requestID, timeout)
 }
 
-// limitConnections restarts the servers of the first sharding with a connection limit, and so much concurrency that only
+// limitConnections restarts the servers of the first sharding with a connection limit, and with a concurrency so high that only
 // connections are scarce.
 func limitConnections(t *testing.T, cluster *Cluster, connectionLimit int, serviceTime time.Duration) {
 	t.Helper()
@@ -78,7 +78,7 @@
 	})
 }
 
-// loadResult is the outcome of an interactive load.
+// loadResult is the result of an interactive load.
 type loadResult struct {
 	lookups    []time.Duration // latencies, sorted
 	failed     int64           // look-ups that were not served
@@ -95,7 +95,7 @@
 		r.quantile(0.5), r.quantile(0.99), r.quantile(1), r.batch)
 }
 
-// runLoad sends look-ups and posts for a time, beside a batch or not.
+// runLoad sends look-ups and posts for a time, with or without a concurrent batch.
 func runLoad(cluster *Cluster, name string, withBatch bool, duration time.Duration) *loadResult {
 	var pending sync.WaitGroup
 	var batch, failed, duplicates atomic.Int64
@@ -132,7 +132,7 @@
 	return &loadResult{lookups: lookups, failed: failed.Load(), duplicates: duplicates.Load(), batch: batch.Load()}
 }
 
-// startBatch starts the clients of a batch, all at once, which send requests until a deadline.
+// startBatch starts all clients of a batch. They send requests until a deadline.
 func startBatch(cluster *Cluster, pending *sync.WaitGroup, name string, deadline time.Time, served *atomic.Int64) {
 	const clientsPerGateway = 36
 	for client := range clientsPerGateway * len(cluster.Gateways) {
@@ -150,14 +150,14 @@
 	}
 }
 
-// TestBatchTenantLeavesConnectionsToOthers runs a batch that takes idle connections. Look-ups of the other tenant are served as
-// without the batch, and the batch reaches nearly the throughput that it has without tenants.
+// TestBatchTenantLeavesConnectionsToOthers runs a batch that uses idle connections. Look-ups of the other tenant must be served
+// nearly as fast as without the batch, and the batch must reach 75 % of its throughput without tenants.
 func TestBatchTenantLeavesConnectionsToOthers(t *testing.T) {
 	const (
 		connectionLimit = 30
 		openTime        = 2 * time.Second
-		sharedTime      = 5 * time.Second // long enough that the p99 is not decided by the second-worst look-up
-		mostRejected    = 20
+		sharedTime      = 5 * time.Second // long enough that the p99 does not depend on the second-worst look-up alone
+		maxRejected     = 20
 	)
 	runCluster(t, 17, 3, 3, func(t *testing.T, cluster *Cluster) {
 		limitConnections(t, cluster, connectionLimit, 40*time.Millisecond)
@@ -176,23 +176,23 @@
 		t.Logf("without tenants: %v", open)
 		t.Logf("with tenants: %v; %d look-ups failed, %d connections rejected", shared, shared.failed, rejected)
 		if shared.failed > 0 || shared.duplicates > 0 {
-			t.Errorf("beside the batch %d look-ups fail, and %d posts are executed twice", shared.failed, shared.duplicates)
+			t.Errorf("with the batch %d look-ups fail, and %d posts are executed twice", shared.failed, shared.duplicates)
 		}
 		if got, bound := shared.quantile(0.99), alone.quantile(0.99)*3/2; got > bound {
-			t.Errorf("the p99 of look-ups beside the batch is %v, want at most %v", got, bound)
+			t.Errorf("the p99 of look-ups with the batch is %v, want at most %v", got, bound)
 		}
 		if float64(shared.batch)/sharedTime.Seconds() < 0.75*float64(open.batch)/openTime.Seconds() {
 			t.Errorf("%d batch requests are served in %v with tenants, %d in %v without", shared.batch, sharedTime, open.batch, openTime)
 		}
-		if rejected > mostRejected {
-			t.Errorf("%d connections beyond the servers' limit, want at most %d", rejected, mostRejected)
+		if rejected > maxRejected {
+			t.Errorf("%d connections beyond the servers' limit, want at most %d", rejected, maxRejected)
 		}
 	})
 }
 
-// TestTenantsDocumentIsCommitted checks that tenants are committed like configurations: of two on one base one is committed, a
-// repeated one gets the same answer, and an invalid one is rejected. A configuration and a change of members leave them as
-// they are, and all gateways apply them, also one that starts later.
+// TestTenantsDocumentIsCommitted checks that tenants are committed like configurations: of two documents on one base one is
+// committed, a repeated document gets the same response, and an invalid one is rejected. New configurations and changes of the
+// members must not change the tenants, and all gateways must apply them, including one that starts later.
 func TestTenantsDocumentIsCommitted(t *testing.T) {
 	const other = `{"tenants":[{"name":"others","routes":[{"hostname":"h.example","path_prefix":"/"}]}]}`
 	runCluster(t, 18, 3, 2, func(t *testing.T, cluster *Cluster) {
@@ -239,13 +239,13 @@
 				t.Errorf("%s returns the tenants %q", controller.IP, got)
 			}
 		}
-		runLoad(cluster, "x", true, time.Second) // so that there is something to report
+		runLoad(cluster, "x", true, time.Second) // so that gateways have usage to report
 		time.Sleep(1500 * time.Millisecond)
 		checkTenantsVersion(t, cluster, 2)
 	})
 }
 
-// checkTenantsVersion checks that every gateway reports that it applies a version of the tenants, and no other version.
+// checkTenantsVersion checks that all gateways report that they apply the given version of the tenants, and no other version.
 func checkTenantsVersion(t *testing.T, cluster *Cluster, version uint64) {
 	t.Helper()
 	reported := map[uint64]int{}
@@ -257,7 +257,7 @@
 	}
 }
 
-// reportedTenants returns the last reports of all gateways on their tenants, from all controllers.
+// reportedTenants returns the last reports of the gateways on their tenants, from all controllers.
 func reportedTenants(t *testing.T, cluster *Cluster) (reports []controlapi.GatewayTenants) {
 	t.Helper()
 	for _, controller := range cluster.Controllers {
--- a/internal/testing/simcluster/unreported_server_test.go
+++ b/internal/testing/simcluster/unreported_server_test.go
@@ -13,9 +13,9 @@
 	unreported []*Server // servers whose heartbeats reach no controller
 }
 
-// TestUnreportedServersStayInService partitions servers from all controllers while gateways reach them. They stay in service:
-// one gateway at a time holds the lease to check the health of each and reports it. Others take over after that gateway has
-// died. Servers whose heartbeats arrive are not checked.
+// TestUnreportedServersStayInService partitions servers from all controllers while gateways reach them. They must stay in service:
+// one gateway at a time holds the lease to check the health of each server and reports it. Other gateways must take over when
+// that gateway loses power. Servers whose heartbeats arrive must not be checked.
 func TestUnreportedServersStayInService(t *testing.T) {
 	const requests = 30
 	runCluster(t, 71, 3, 6, func(t *testing.T, cluster *Cluster) {
@@ -28,7 +28,7 @@
 		test.expectOneChecker(t, 20*time.Second)
 		test.expectServed(t, "later", requests, requests)
 
-		for _, gateway := range cluster.Gateways[:2] { // whatever leases they hold
+		for _, gateway := range cluster.Gateways[:2] { // including any leases that they hold
 			gateway.Kill(true)
 		}
 		cluster.Gateways = cluster.Gateways[2:]
@@ -47,7 +47,7 @@
 	})
 }
 
-// partition cuts the links between the unreported servers and all controllers.
+// partition partitions the unreported servers from all controllers.
 func (u *unreportedTest) partition() {
 	for _, server := range u.unreported {
 		for _, controller := range u.cluster.Controllers {
@@ -56,8 +56,8 @@
 	}
 }
 
-// expectServed sends requests to the unreported servers, of which at least so many must be served.
-func (u *unreportedTest) expectServed(t *testing.T, when string, requests, least int) {
+// expectServed sends requests to the unreported servers and checks that at least a number of them are served.
+func (u *unreportedTest) expectServed(t *testing.T, when string, requests, minimum int) {
 	t.Helper()
 	served := 0
 	for i := range requests {
@@ -66,20 +66,20 @@
 			served++
 		}
 	}
-	if served < least {
-		t.Errorf("%s %d of %d requests to unreported servers are served, want at least %d", when, served, requests, least)
+	if served < minimum {
+		t.Errorf("%s %d of %d requests to unreported servers are served, want at least %d", when, served, requests, minimum)
 	}
 }
 
-// expectOneChecker checks that the health checks of a time are as many as those of one gateway for each server.
+// expectOneChecker checks that the number of health checks during a time is that of one checking gateway per server.
 func (u *unreportedTest) expectOneChecker(t *testing.T, duration time.Duration) {
 	t.Helper()
 	seconds := int(duration / time.Second)
-	least, most := len(u.unreported)*seconds/2, len(u.unreported)*(seconds+2)
+	minimum, maximum := len(u.unreported)*seconds/2, len(u.unreported)*(seconds+2)
 	before := u.healthChecks()
 	time.Sleep(duration)
-	if checks := u.healthChecks() - before; checks < least || checks > most {
-		t.Errorf("%d health checks of %d servers in %v, want %d to %d", checks, len(u.unreported), duration, least, most)
+	if checks := u.healthChecks() - before; checks < minimum || checks > maximum {
+		t.Errorf("%d health checks of %d servers in %v, want %d to %d", checks, len(u.unreported), duration, minimum, maximum)
 	}
 }
 
--- a/internal/testing/simcluster/wallclock_test.go
+++ b/internal/testing/simcluster/wallclock_test.go
@@ -11,29 +11,29 @@
 	"testing"
 )
 
-// moduleRoot is the root of the module, seen from this package.
+// moduleRoot is the path of the module's root relative to this package.
 const moduleRoot = "../../.."
 
-// wallClockMethods are the methods of time.Time whose result depends on the time of day.
+// wallClockMethods are the methods of time.Time whose result depends on the wall clock.
 var wallClockMethods = map[string]bool{
 	"Unix": true, "UnixMilli": true, "UnixMicro": true, "UnixNano": true, "UTC": true, "Local": true, "Round": true,
 	"Truncate": true, "Date": true, "Hour": true, "Minute": true, "Second": true, "Format": true, "In": true,
 }
 
-// wallClockAllowed are the only uses, as "file:method": a data file that is set aside is named by the time.
+// wallClockAllowed lists the allowed uses, as "file:method": the name of a data file that is set aside contains the time.
 var wallClockAllowed = map[string]bool{
 	"internal/acceptorstore/store.go:UTC":    true,
 	"internal/acceptorstore/store.go:Format": true,
 }
 
-// monotonicPackages are the packages that must decide nothing by the time of day.
+// monotonicPackages lists the packages whose decisions must not depend on the wall clock.
 var monotonicPackages = []string{
 	"balancer", "config", "consensus", "controlapi", "controlplane", "dataplane", "lease", "quorum", "registry", "rendezvous", "rpc", "topk",
 	"internal/acceptorstore", "internal/network", "internal/settings",
 }
 
-// TestNoWallClockReads checks that no decision depends on the time of day, which jumps: the packages of the system use the
-// difference of two readings of the clock, which is monotonic, and never ask what time it is.
+// TestNoWallClockReads checks that no decision depends on the wall clock, which can jump: the packages of the system may only use
+// the difference of two clock readings, which is monotonic.
 func TestNoWallClockReads(t *testing.T) {
 	files := 0
 	for _, dir := range monotonicPackages {
@@ -47,11 +47,11 @@
 	}
 }
 
-// sourceFiles returns the names of the written, non-test Go files of a directory of the module and of those below it.
+// sourceFiles returns the names of the non-generated, non-test Go files in a directory of the module and below it.
 func sourceFiles(t *testing.T, dir string) (names []string) {
 	t.Helper()
 	visit := func(name string, _ fs.DirEntry, err error) error {
-		if err == nil && isWrittenSource(name) {
+		if err == nil && isHandwrittenSource(name) {
 			names = append(names, name)
 		}
 		return err
@@ -63,7 +63,8 @@
 	return names
 }
 
-func isWrittenSource(name string) bool {
+// isHandwrittenSource reports whether a name is that of a Go file that is neither generated nor a test.
+func isHandwrittenSource(name string) bool {
 	if !strings.HasSuffix(name, ".go") {
 		return false
 	}
@@ -75,7 +76,7 @@
 	return true
 }
 
-// checkNoWallClock fails the test for each call in a file that depends on the time of day.
+// checkNoWallClock fails the test for each call in a file that depends on the wall clock.
 func checkNoWallClock(t *testing.T, name string) {
 	t.Helper()
 	positions := token.NewFileSet()
@@ -95,7 +96,7 @@
 			return true
 		}
 		if receiver, ok := method.X.(*ast.Ident); !ok || receiver.Name != "time" {
-			t.Errorf("%s: %s depends on the time of day", positions.Position(call.Pos()), method.Sel.Name)
+			t.Errorf("%s: %s depends on the wall clock", positions.Position(call.Pos()), method.Sel.Name)
 		}
 		return true
 	})
--- a/internal/testing/simcluster/zone_loss_test.go
+++ b/internal/testing/simcluster/zone_loss_test.go
@@ -10,14 +10,14 @@
 	"oxbowspan/controlapi"
 )
 
-// placementTime is how long controllers have to spread the members over the zones: each change is two slots, and all that are no
-// members try at random moments.
+// placementTime bounds the time until the members are spread over the zones: each change of the members needs two slots, and all
+// controllers that are not members try at random moments.
 const placementTime = 15 * time.Second
 
-// zoneLossCase is a deployment that must survive the loss of a zone or region.
+// zoneLossCase describes a deployment that must tolerate the loss of a zone or region.
 type zoneLossCase struct {
 	controllers, machines, zones, regions int
-	seeds                                 []int // the first members
+	seeds                                 []int // indices of the first members
 }
 
 var zoneLossCases = []zoneLossCase{
@@ -28,8 +28,9 @@
 	{controllers: 7, machines: 3, zones: 1, seeds: []int{0, 1, 2}},             // all seven are members
 }
 
-// TestZoneLossKeepsMajority loses each zone in turn, at any step of a change, of deployments that tolerate the loss of a zone or
-// a region. The others acknowledge changes, and what was acknowledged is there, also after a loss of power by all that are left.
+// TestZoneLossKeepsMajority loses each zone in turn, at different moments of a change, in deployments that tolerate the loss of a
+// zone or a region. The remaining controllers must acknowledge changes, and no acknowledged change may be lost, also after all of
+// them lose power.
 func TestZoneLossKeepsMajority(t *testing.T) {
 	for i, test := range zoneLossCases {
 		for zone := range zoneCount {
@@ -58,7 +59,7 @@
 	commitFirstVersion(t, cluster)
 }
 
-// awaitPlacement waits until the controllers report that the tolerated zones and regions may be lost.
+// awaitPlacement waits until the first controller reports that the system tolerates the configured losses.
 func awaitPlacement(t *testing.T, cluster *Cluster) {
 	t.Helper()
 	var status controlapi.MembershipStatus
@@ -72,7 +73,8 @@
 	}
 }
 
-// loseZoneDuringChange loses a zone with its disks a moment after a change is sent.
+// loseZoneDuringChange cuts the power of a zone and wipes its disks a delay after a change is sent, and checks that the change is
+// committed and not lost.
 func loseZoneDuringChange(t *testing.T, cluster *Cluster, zone int, delay time.Duration) {
 	t.Helper()
 	var operator sync.WaitGroup
@@ -91,6 +93,6 @@
 	requireStatus(t, status, http.StatusOK, "change while a zone is lost")
 	powerCycle(t, cluster)
 	status = replaceOnRunning(cluster, 2, ExampleConfiguration(3, FirstSharding), 12)
-	expectStatus(t, status, http.StatusOK, "change without the zone, after a loss of power")
+	expectStatus(t, status, http.StatusOK, "change without the zone, after a power loss")
 	checkReadBack(t, cluster, ExampleConfiguration(3, FirstSharding))
 }
