--- a/internal/simbridge/bridge.go
+++ b/internal/simbridge/bridge.go
@@ -14,7 +14,7 @@
 // bufferSize is the size of the input and output buffers, in bytes.
 const bufferSize = 1 << 16
 
-// Errors of batches.
+// Errors of malformed batches.
 var (
 	errClock           = errors.New("the clock at byte 4 is not a number")
 	errUnknownInstance = errors.New("an event for an instance that has had no hello")
@@ -25,15 +25,16 @@
 type instance struct {
 	id           uint32
 	balancer     *balancer.Balancer
-	reportFields []string // names of the figures in load reports
+	reportFields []string // names of the values in load reports, in order
 	queryTypes   int
 	shards       int
-	// A request and its calls come as several records. They are gathered here until a record of another kind.
+	// A request and its calls arrive in several consecutive records. They are collected in request or secondPhase until a
+	// record of another kind or of another instance follows, or the batch ends.
 	request     *balancer.RequestArrived
 	secondPhase *balancer.SecondPhaseArrived
 }
 
-// bridge runs the instances of one process. They share only the server lists, which are valid for the whole process.
+// bridge runs the instances of one process. They share only the server lists, which any instance may refer to.
 type bridge struct {
 	instances   map[uint32]*instance
 	serverLists map[uint32][]balancer.Server
@@ -41,14 +42,15 @@
 	now         balancer.Time
 }
 
-// Serve reads batches until the end of the input and writes a reply to each.
+// Serve reads batches until the end of the input and writes a reply to each. It returns an error for the first batch that is
+// malformed or whose reply can't be written.
 func Serve(r io.Reader, w io.Writer) error {
 	in, out := bufio.NewReaderSize(r, bufferSize), bufio.NewWriterSize(w, bufferSize)
 	b := &bridge{instances: map[uint32]*instance{}, serverLists: map[uint32][]balancer.Server{}}
 	var buf []byte
 	for batch := 1; ; batch++ {
 		var err error
-		if buf, err = readFrame(in, buf); errors.Is(err, io.EOF) {
+		if buf, err = readBatch(in, buf); errors.Is(err, io.EOF) {
 			return nil
 		} else if err != nil {
 			return fmt.Errorf("batch %d: %w", batch, err)
@@ -66,6 +68,7 @@
 	}
 }
 
+// handleBatch processes the records of a batch in order and appends the resulting actions to the reply.
 func (b *bridge) handleBatch(content []byte) error {
 	r := &recordReader{data: content, offset: lengthBytes}
 	clock := r.f64("clock")
@@ -73,7 +76,7 @@
 		return errClock
 	}
 	b.now = balancerconfig.TimeFromMillis(clock)
-	var gathering *instance // whose request is being gathered
+	var collecting *instance // the instance whose request or calls are being collected
 	count := r.u32("number of records")
 	for i := uint32(1); i <= count; i++ {
 		at := r.offset
@@ -90,9 +93,9 @@
 			continue
 		}
 		id := record.u32("gathererId")
-		if gathering != nil && (code != eventWorkItem || gathering.id != id) {
-			b.deliverPending(gathering)
-			gathering = nil
+		if collecting != nil && (code != eventWorkItem || collecting.id != id) {
+			b.deliverPending(collecting)
+			collecting = nil
 		}
 		in, err := b.handleRecord(code, id, record)
 		if err == nil {
@@ -102,19 +105,19 @@
 			return fmt.Errorf("record %d (code %d, instance %d) at byte %d: %w", i, code, id, at, err)
 		}
 		if code == eventWorkItem {
-			gathering = in
+			collecting = in
 		}
 	}
 	if len(r.data) > 0 {
 		return fmt.Errorf("%d bytes after the last of %d records", len(r.data), count)
 	}
-	if gathering != nil {
-		b.deliverPending(gathering)
+	if collecting != nil {
+		b.deliverPending(collecting)
 	}
 	return nil
 }
 
-// handleRecord processes one record of an instance.
+// handleRecord processes one record that belongs to an instance, and returns the instance.
 func (b *bridge) handleRecord(code uint8, id uint32, r *recordReader) (*instance, error) {
 	if code == eventHello {
 		return nil, b.startInstance(id, r)
@@ -130,7 +133,7 @@
 	case eventWorkItem:
 		return in, b.readWorkItem(in, r)
 	case eventStreamHead, eventMail:
-		return in, nil // there are no streams here, and instances do not communicate (docs/standing.md says why)
+		return in, nil // ignored: streams are not used, and instances do not communicate (docs/standing.md has the reason)
 	}
 	event, err := b.readEvent(code, in, r)
 	if err != nil {
@@ -142,10 +145,10 @@
 	return in, nil
 }
 
-// startInstance starts an instance with its settings. An instance of the same id is replaced.
+// startInstance starts an instance with the settings in its hello record. It replaces an instance with the same id.
 func (b *bridge) startInstance(id uint32, r *recordReader) error {
 	seed := r.u64("salt")
-	text := r.take(int(r.u32("settings length")), "settings")
+	text := r.next(int(r.u32("settings length")), "settings")
 	if r.err != nil {
 		return r.err
 	}
@@ -158,7 +161,7 @@
 	return nil
 }
 
-// deliverPending hands over the request or calls gathered so far.
+// deliverPending passes the collected request or second-phase calls of an instance to its balancer.
 func (b *bridge) deliverPending(in *instance) {
 	if in.request != nil {
 		event := *in.request
@@ -172,14 +175,14 @@
 	}
 }
 
-// handleEvent hands an event to the balancer and writes its actions.
+// handleEvent passes an event to the balancer and appends the resulting actions to the reply.
 func (b *bridge) handleEvent(in *instance, event balancer.Event) {
 	for _, a := range in.balancer.Handle(b.now, event) {
 		b.reply.action(in.id, a)
 	}
 }
 
-// action writes an action as a record.
+// action appends an action as a record.
 func (w *replyWriter) action(instance uint32, action balancer.Action) {
 	switch a := action.(type) {
 	case balancer.Send:
--- a/internal/simbridge/bridge_test.go
+++ b/internal/simbridge/bridge_test.go
@@ -10,7 +10,7 @@
 	"oxbowspan/internal/balancerconfig"
 )
 
-// testSettings are of one query type and one shard.
+// testSettings describe a deployment with one query type and one shard.
 var testSettings = strings.ReplaceAll(`classes.count=1 classes.0.effect=free classes.0.slo=1000.0 classes.0.hardLimit=2000.0
 classes.0.lateWorth=0.3 domain.positions=1 domain.slices=1 domain.leastShare=1.0 domain.wholeAt=1.0
 limits.attemptsCap=3 limits.cancel=true instances=1 tick=5.0 unknown.key=a_b `, " ", "\n")
@@ -24,7 +24,7 @@
 	return b
 }
 
-// batch returns a batch at 240 ms.
+// batch returns a batch with the clock at 240 ms.
 func batch(records ...[]byte) []byte {
 	var w replyWriter
 	w.u32(0)
@@ -37,7 +37,7 @@
 	return w.data
 }
 
-// hello returns the record that starts instance 3.
+// hello returns the record that starts instance 3 with some settings.
 func hello(settings string) []byte {
 	var w replyWriter
 	w.begin(8, 3)
@@ -49,17 +49,17 @@
 }
 
 const (
-	// serverList is a list of one server: id 03124a07, cell 0, ready.
+	// serverList is a record with a list of one server: id 03124a07, cell 0, ready.
 	serverList = `05 0000001e 00000000 00000001 03124a07 0000 00 0000 01 3f800000 0000000000000000`
-	// listUpdate is its update for instance 3.
+	// listUpdate is a record that refers instance 3 to serverList.
 	listUpdate = `0a 00000011 00000003 0000000000000029 00000000 02`
 )
 
 const (
-	// request is a request: id 1, number 1, timeout 240 ms.
+	// request is the record of a request: id 1, number 1, timeout 240 ms.
 	request = `07 00000034 00000003 0000000000000001 00 0000 0000000000000000 406e000000000000 0000000000000000
 	3f800000 bf800000 3f800000 00`
-	// call is its one call: id 2, shard 0, weight 1, size 12 ms.
+	// call is the record of the request's only call: id 2, shard 0, weight 1, size 12 ms.
 	call = `07 00000034 00000003 0000000000000002 00 0000 0000000000000000 406e000000000000 4028000000000000
 	3f800000 00000000 3f800000 01`
 )
@@ -73,17 +73,17 @@
 
 func TestRequestIsSentAndAnswered(t *testing.T) {
 	first := batch(hello(testSettings), unhex(t, serverList), unhex(t, listUpdate), unhex(t, request), unhex(t, call))
-	// The answer to the call, with bytes after its known fields, which are skipped.
+	// The response to the call. The bytes after the last known field must be skipped.
 	second := batch(unhex(t, `03 00000020 00000003 0000000000000002 03124a07 0000 4032800000000000 00 01 00 ff ff ff`))
 	got, err := serve(t, append(first, second...))
 	if err != nil {
 		t.Fatal(err)
 	}
-	// The attempt's timeout is 230 ms, two ticks less than the client's 240. The answer is complete.
+	// The attempt's timeout is 230 ms: the client's 240 ms less two ticks of 5 ms. The answer is complete.
 	send := "0b00000018" + "00000003" + "0000000000000002" + "03124a07" + "406cc00000000000"
 	answer := "0000001600000001" + "090000000d" + "00000003" + "0000000000000001" + "01"
 	if !strings.Contains(got, send) || !strings.HasSuffix(got, answer) {
-		t.Errorf("got %s, want %s in it and %s at the end", got, send, answer)
+		t.Errorf("got %s, want it to contain %s and to end with %s", got, send, answer)
 	}
 }
 
@@ -118,12 +118,12 @@
 	got, err := serve(t, batch(hello(testSettings), unhex(t, serverList), unhex(t, listUpdate), unhex(t, other),
 		unhex(t, strings.TrimSuffix(listUpdate, "02")+"00"), unhex(t, request), unhex(t, call)))
 	if err != nil || !strings.Contains(got, "000000aa406cc0") {
-		t.Errorf("got %s, %v: want an attempt at the server of the second list", got, err)
+		t.Errorf("got %s, %v: want an attempt at the server in the second list", got, err)
 	}
 }
 
 func TestInvalidInput(t *testing.T) {
-	bad := func(from, to string) []byte { return hello(strings.Replace(testSettings, from, to, 1)) }
+	helloReplacing := func(from, to string) []byte { return hello(strings.Replace(testSettings, from, to, 1)) }
 	for want, in := range map[string][]byte{
 		"truncated after 2 of 4":       {0, 0},
 		"truncated after 3 bytes":      unhex(t, `0000000c 40c06e`),
@@ -137,17 +137,17 @@
 		"server list 0 was never sent": batch(hello(testSettings), unhex(t, listUpdate)),
 		"do not fit the 2 bytes":       batch(unhex(t, `05 0000000a 00000000 0fffffff 0000`)),
 		"unknown outcome 7":            batch(hello(testSettings), unhex(t, `03 0000001d 00000003 0000000000000002 03124a07 0000 4032800000000000 07 01 00`)),
-		"classes.0.slo is missing":     batch(bad("classes.0.slo=1000.0\n", "")),
-		"effect is unknown":            batch(bad("=free", "=odd")),
-		"is not a number":              batch(bad("hardLimit=2000.0", "hardLimit=x")),
-		"is out of range: 1e+12":       batch(bad("classes.count=1", "classes.count=1e12")),
+		"classes.0.slo is missing":     batch(helloReplacing("classes.0.slo=1000.0\n", "")),
+		"effect is unknown":            batch(helloReplacing("=free", "=odd")),
+		"is not a number":              batch(helloReplacing("hardLimit=2000.0", "hardLimit=x")),
+		"is out of range: 1e+12":       batch(helloReplacing("classes.count=1", "classes.count=1e12")),
 		"query type 1 is not among":    batch(hello(testSettings), unhex(t, strings.Replace(request, "01 00 0000", "01 01 0000", 1))),
 		"shard 1, weight":              batch(hello(testSettings), unhex(t, request), unhex(t, strings.Replace(call, "3f800000 00000000", "3f800000 3f800000", 1))),
 	} {
 		t.Run(want, func(t *testing.T) {
 			_, err := serve(t, in)
 			if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("got error %v, want one line with %q", err, want)
+				t.Errorf("got error %v, want one line that contains %q", err, want)
 			}
 		})
 	}
@@ -156,7 +156,7 @@
 func TestTimesRoundDown(t *testing.T) {
 	for ms, want := range map[float64]int64{0.3: 3, 230: 2300, 17.19: 171, 0.0999: 0, 1e300: 1e15, -2.05: -21} {
 		if got := balancerconfig.TimeFromMillis(ms); int64(got) != want {
-			t.Errorf("%v ms converted to %d tenths, want %d", ms, got, want)
+			t.Errorf("%v ms converted to %d tenths of a millisecond, want %d", ms, got, want)
 		}
 	}
 }
@@ -166,7 +166,7 @@
 	f.Fuzz(func(t *testing.T, in []byte) {
 		var out bytes.Buffer
 		if err := Serve(bytes.NewReader(in), &out); err != nil && strings.Contains(err.Error(), "\n") {
-			t.Errorf("error of several lines: %v", err)
+			t.Errorf("error text has more than one line: %v", err)
 		}
 	})
 }
--- a/internal/simbridge/codes.go
+++ b/internal/simbridge/codes.go
@@ -6,7 +6,7 @@
 	"oxbowspan/balancer"
 )
 
-// Codes of events.
+// Codes of the events that the simulator sends.
 const (
 	eventTimer            = 0
 	eventCancelled        = 1
@@ -21,7 +21,7 @@
 	eventListUpdate       = 10
 )
 
-// Codes of actions.
+// Codes of the actions in replies.
 const (
 	actionSetTimer    = 0
 	actionShed        = 1
@@ -40,10 +40,10 @@
 	flagClientRetry = 2
 )
 
-// Names of figures in load reports.
+// Names of the values in load reports, as the settings list them.
 const (
-	figureQueued   = "waiting"
-	figureInFlight = "active"
+	reportQueued   = "waiting"
+	reportInFlight = "active"
 )
 
 // serverStateOf decodes the state of a server in a list.
--- a/internal/simbridge/events.go
+++ b/internal/simbridge/events.go
@@ -8,10 +8,10 @@
 	"oxbowspan/internal/balancerconfig"
 )
 
-// serverEntryBytes is the size of a server in a list.
+// serverEntryBytes is the size of one entry of a server list.
 const serverEntryBytes = 22
 
-// readEvent decodes an event that is one record. Fields without a meaning here are skipped.
+// readEvent decodes an event that consists of one record. Fields that the balancer does not use are skipped.
 func (b *bridge) readEvent(code uint8, in *instance, r *recordReader) (balancer.Event, error) {
 	switch code {
 	case eventTimer:
@@ -53,7 +53,8 @@
 	return e, err
 }
 
-// readLoadReport reads a load report; nil = there is none.
+// readLoadReport reads a load report, or returns nil if the record has none. A value that is not reported, or is not finite,
+// is -1.
 func (in *instance) readLoadReport(r *recordReader) *balancer.LoadReport {
 	n := int(r.u8("pressure count"))
 	if n == 0 {
@@ -66,16 +67,16 @@
 			continue
 		}
 		switch in.reportFields[i] {
-		case figureQueued:
+		case reportQueued:
 			report.Queued = v
-		case figureInFlight:
+		case reportInFlight:
 			report.InFlight = v
 		}
 	}
 	return report
 }
 
-// readServerList reads a server list and keeps it under its reference.
+// readServerList reads a server list and stores it under its reference, in place of any earlier list with that reference.
 func (b *bridge) readServerList(r *recordReader) error {
 	ref, n := r.u32("ref"), r.u32("number of entries")
 	if r.err != nil {
@@ -102,7 +103,7 @@
 	return nil
 }
 
-// readListUpdate reads an update that refers to a server list.
+// readListUpdate decodes an update that refers to a server list sent before.
 func (b *bridge) readListUpdate(r *recordReader) (balancer.Event, error) {
 	r.u64("version")
 	ref, scope := r.u32("ref"), r.u8("scope")
@@ -120,11 +121,11 @@
 	return balancer.ServerList{Kind: kind, Servers: list}, nil
 }
 
-// workItem is a record of a request, or of one of its calls.
+// workItem is the content of a work item record: a request or one of its shard calls.
 type workItem struct {
 	id        uint64
 	number    balancer.RequestNumber
-	shard     float64 // below 0 = it is the request
+	shard     float64 // negative if the record is the request itself
 	queryType uint8
 	customer  uint16
 	timeout   float64 // milliseconds
@@ -144,6 +145,7 @@
 	return w
 }
 
+// validate checks the fields that index into the settings, and those that must be numbers.
 func (w *workItem) validate(in *instance) error {
 	if int(w.queryType) >= in.queryTypes {
 		return fmt.Errorf("query type %d is not among the %d of the settings", w.queryType, in.queryTypes)
@@ -154,7 +156,8 @@
 	return nil
 }
 
-// readWorkItem gathers a request with its calls, or the calls of a second phase.
+// readWorkItem adds a record to the request or the second phase that is being collected. A record that belongs to neither
+// starts a new one, after the collected one was delivered.
 func (b *bridge) readWorkItem(in *instance, r *recordReader) error {
 	w := readWorkItem(r)
 	if r.err != nil {
--- a/internal/simbridge/frame.go
+++ b/internal/simbridge/frame.go
@@ -8,17 +8,19 @@
 	"math"
 )
 
-// headerBytes is the size of a batch's header after its length: the clock and the number of records.
+// headerBytes is the size of a batch's header, which follows the length: the clock and the number of records.
 const headerBytes = 12
 
-// lengthBytes is the size of the length of a batch, a record or a string.
+// lengthBytes is the size of the length field of a batch, a record or a string.
 const lengthBytes = 4
 
-// readChunk is how many bytes are allocated at a time while a batch is read, so that a length alone allocates nothing.
+// readChunk is the number of bytes by which the buffer grows while a batch is read, so that a large length alone, without
+// the content, does not allocate a buffer of that length.
 const readChunk = 1 << 20
 
-// readFrame reads the content of one batch into buf. At the end of the input between batches the error is io.EOF.
-func readFrame(r io.Reader, buf []byte) ([]byte, error) {
+// readBatch reads the content of one batch into buf, which it extends as needed, and returns it. If the input ends between
+// two batches, the error is io.EOF.
+func readBatch(r io.Reader, buf []byte) ([]byte, error) {
 	var head [lengthBytes]byte
 	if n, err := io.ReadFull(r, head[:]); err != nil {
 		if errors.Is(err, io.EOF) && n == 0 {
@@ -44,10 +46,10 @@
 	return buf, nil
 }
 
-// truncatedError says that a field does not fit in its record.
+// truncatedError reports a field that extends beyond the end of its record.
 type truncatedError struct {
 	field           string
-	offset          int // in the batch
+	offset          int // offset of the field in the batch
 	size, bytesLeft int
 }
 
@@ -55,15 +57,16 @@
 	return fmt.Sprintf("field %s at byte %d needs %d bytes, %d are left", e.field, e.offset, e.size, e.bytesLeft)
 }
 
-// recordReader reads the fields of a record in order. After the end of the record it returns zeros, with the first such
-// field in err.
+// recordReader reads the fields of a record in order. A field that extends beyond the end of the record reads as zero, and
+// err reports the first one.
 type recordReader struct {
 	data   []byte
-	offset int // of data in the batch
-	err    error
+	offset int   // offset of data in the batch
+	err    error // a *truncatedError, or nil
 }
 
-func (r *recordReader) take(n int, field string) []byte {
+// next returns the next n bytes of the record, or nil if fewer are left. The name of the field is for the error.
+func (r *recordReader) next(n int, field string) []byte {
 	if len(r.data) < n {
 		if r.err == nil {
 			r.err = &truncatedError{field, r.offset, n, len(r.data)}
@@ -71,34 +74,34 @@
 		r.data = nil
 		return nil
 	}
-	taken := r.data[:n]
+	content := r.data[:n]
 	r.data, r.offset = r.data[n:], r.offset+n
-	return taken
+	return content
 }
 
 func (r *recordReader) u8(field string) uint8 {
-	if b := r.take(1, field); b != nil {
+	if b := r.next(1, field); b != nil {
 		return b[0]
 	}
 	return 0
 }
 
 func (r *recordReader) u16(field string) uint16 {
-	if b := r.take(2, field); b != nil {
+	if b := r.next(2, field); b != nil {
 		return binary.BigEndian.Uint16(b)
 	}
 	return 0
 }
 
 func (r *recordReader) u32(field string) uint32 {
-	if b := r.take(4, field); b != nil {
+	if b := r.next(4, field); b != nil {
 		return binary.BigEndian.Uint32(b)
 	}
 	return 0
 }
 
 func (r *recordReader) u64(field string) uint64 {
-	if b := r.take(8, field); b != nil {
+	if b := r.next(8, field); b != nil {
 		return binary.BigEndian.Uint64(b)
 	}
 	return 0
@@ -109,26 +112,27 @@
 
 // replyWriter writes the records of one reply.
 type replyWriter struct {
-	data     []byte
-	records  uint32
-	lengthAt int // offset after the length of the open record
+	data         []byte
+	records      uint32
+	contentStart int // offset of the open record's content, after its length
 }
 
-// reset begins a new reply, with room for its length and the number of records.
+// reset starts a new reply and reserves space for its length and the number of records.
 func (w *replyWriter) reset() {
 	w.data, w.records = append(w.data[:0], make([]byte, 2*lengthBytes)...), 0
 }
 
-// begin opens a record, and end closes it.
+// begin starts a record of an instance, whose length is not known yet.
 func (w *replyWriter) begin(code uint8, instance uint32) {
 	w.data = append(w.data, code, 0, 0, 0, 0)
-	w.lengthAt = len(w.data)
+	w.contentStart = len(w.data)
 	w.records++
 	w.u32(instance)
 }
 
+// end completes the open record: it sets its length.
 func (w *replyWriter) end() {
-	binary.BigEndian.PutUint32(w.data[w.lengthAt-lengthBytes:], uint32(len(w.data)-w.lengthAt))
+	binary.BigEndian.PutUint32(w.data[w.contentStart-lengthBytes:], uint32(len(w.data)-w.contentStart))
 }
 
 func (w *replyWriter) u8(v uint8)    { w.data = append(w.data, v) }
@@ -137,6 +141,7 @@
 func (w *replyWriter) u64(v uint64)  { w.data = binary.BigEndian.AppendUint64(w.data, v) }
 func (w *replyWriter) f64(v float64) { w.u64(math.Float64bits(v)) }
 
+// flag writes a boolean as one byte: 1 for true, 0 for false.
 func (w *replyWriter) flag(v bool) {
 	if v {
 		w.u8(1)
@@ -145,7 +150,7 @@
 	}
 }
 
-// frame returns the complete reply. It is valid until reset.
+// frame sets the length and the number of records and returns the complete reply. It is valid until the next reset.
 func (w *replyWriter) frame() []byte {
 	binary.BigEndian.PutUint32(w.data, uint32(len(w.data)-lengthBytes))
 	binary.BigEndian.PutUint32(w.data[lengthBytes:], w.records)
