--- a/internal/balancerconfig/config.go
+++ b/internal/balancerconfig/config.go
@@ -1,5 +1,5 @@
-// Package balancerconfig reads the settings of a deployment into the configuration of the balancer and the limits of
-// the network code. The simulator's path=value pairs and the JSON of a configuration file are read by the same code.
+// Package balancerconfig converts the settings of a deployment to the configuration of the balancer and the limits of the
+// network code. The simulator's path=value pairs and the JSON of a configuration file are converted by the same code.
 package balancerconfig
 
 import (
@@ -11,39 +11,40 @@
 	"oxbowspan/balancer"
 )
 
-// maxEntries bounds the lists of the settings, so that a wrong count allocates nothing.
+// maxEntries limits the number of query types and of customers, so that a wrong count can't cause a large allocation.
 const maxEntries = 4096
 
-// Names of idempotency in the settings.
+// Values of the effect setting, which is the idempotency of a query type.
 const (
 	effectIdempotent    = "free"
 	effectDeduplicated  = "guarded"
 	effectNonIdempotent = "single_shot"
 )
 
-// Deployment is the content of the settings.
+// Deployment holds the converted settings of a deployment.
 type Deployment struct {
 	Balancer                 balancer.Config
-	LoadReportFields         []string // names of the figures in load reports
-	LoadReportsByHealthCheck bool     // load is reported only on request
+	LoadReportFields         []string // names of the values in load reports, in order; nil = no load reports
+	LoadReportsByHealthCheck bool     // servers report load only in response to a health check
 	QueryTypes               []string // names on the wire, by balancer.QueryType
 	Customers                []string // names on the wire, by balancer.CustomerIndex
 	Zones                    []string // names on the wire, by balancer.ZoneIndex
 	ConnectTimeout           balancer.Time
 	IdleTimeout              balancer.Time // after which servers close idle connections; 0 = never
-	MaxClientTimeout         balancer.Time // of all query types
+	MaxClientTimeout         balancer.Time // the longest of all query types
 	StreamsPerConn           int           // attempts in flight on one connection to a server
-	CallsPerFrame            int
-	AllowPeers               bool // gatherers may communicate with each other
-	MaxPending               int  // requests and calls pending at once; 0 = no limit
+	CallsPerFrame            int           // calls that one frame to a server may hold
+	AllowPeers               bool          // gatherers may communicate with one another
+	MaxPending               int           // requests and calls pending at once; 0 = no limit
 }
 
-// FromPairs reads lines of path=value. Its errors are *SettingError.
+// FromPairs converts settings in lines of the form path=value; other lines are ignored. The seed is that of the balancer's
+// random choices. Its errors are of type *SettingError.
 func FromPairs(text string, seed uint64) (Deployment, error) {
 	return parsePairs(text).deployment(seed)
 }
 
-// FromJSON reads a nested JSON object. Its errors are those of package json, or *SettingError.
+// FromJSON converts settings in a nested JSON object. Its errors wrap those of package json or are of type *SettingError.
 func FromJSON(raw []byte, seed uint64) (Deployment, error) {
 	d := json.NewDecoder(bytes.NewReader(raw))
 	d.UseNumber()
@@ -56,6 +57,7 @@
 	return s.deployment(seed)
 }
 
+// deployment converts all settings. It returns the first error recorded while they are read.
 func (s *settings) deployment(seed uint64) (Deployment, error) {
 	config := s.balancerConfig(seed)
 	d := Deployment{
@@ -82,6 +84,7 @@
 	return d, s.err
 }
 
+// balancerConfig converts the settings of the balancer.
 func (s *settings) balancerConfig(seed uint64) balancer.Config {
 	c := balancer.Config{
 		Seed:              seed,
@@ -128,6 +131,7 @@
 	return c
 }
 
+// queryType converts the settings of the query type with index i.
 func (s *settings) queryType(i int) balancer.QueryTypeConfig {
 	path := fmt.Sprintf("classes.%d.", i)
 	q := balancer.QueryTypeConfig{
@@ -153,8 +157,9 @@
 	return q
 }
 
-// TimeFromMillis converts milliseconds to a balancer.Time. It rounds down, so that no limit grows; the small term makes
-// up for the error of binary fractions at whole tenths.
+// TimeFromMillis converts milliseconds to a balancer.Time. It rounds down, so that no time limit becomes longer; the small
+// term compensates for the error of binary fractions at whole tenths of a millisecond. NaN is converted to 0, and values
+// beyond 1e14 ms in either direction are limited to that.
 func TimeFromMillis(ms float64) balancer.Time {
 	if math.IsNaN(ms) {
 		return 0
--- a/internal/balancerconfig/config_test.go
+++ b/internal/balancerconfig/config_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// The simulator's pairs and the JSON of a configuration file must be read alike.
+// TestPairsAndJSONAgree checks that the same settings, as the simulator's pairs and as the JSON of a configuration file, are
+// converted to the same deployment.
 func TestPairsAndJSONAgree(t *testing.T) {
 	object := `{"classes":[{"name":"lookup","effect":"free","slo":1000.0,"hardLimit":2000,"lateWorth":0.3,"memorySpan":5000.0},
 		{"name":"post","effect":"single_shot","slo":1200.5,"hardLimit":2500.0},
@@ -63,7 +64,7 @@
 		t.Run(name, func(t *testing.T) {
 			_, err := FromJSON([]byte(test.text), 0)
 			if err == nil || !strings.Contains(err.Error(), test.want) || strings.Contains(err.Error(), "\n") {
-				t.Errorf("got %v, want one line with %q", err, test.want)
+				t.Errorf("got %v, want one line that contains %q", err, test.want)
 			}
 		})
 	}
@@ -73,6 +74,6 @@
 	_, err := FromPairs("instances=many", 0)
 	var setting *SettingError
 	if !errors.As(err, &setting) || setting.Path != "instances" {
-		t.Errorf("got %v, want a SettingError of instances", err)
+		t.Errorf("got %v, want a SettingError with the path instances", err)
 	}
 }
--- a/internal/balancerconfig/settings.go
+++ b/internal/balancerconfig/settings.go
@@ -9,21 +9,21 @@
 	"oxbowspan/balancer"
 )
 
-// SettingError says what is wrong with a setting.
+// SettingError reports a setting that is missing or invalid.
 type SettingError struct {
 	Path    string // for example limits.maxStreams
-	Problem string
+	Problem string // completes the sentence "setting PATH ..."
 }
 
 func (e *SettingError) Error() string { return fmt.Sprintf("setting %s %s", e.Path, e.Problem) }
 
-// settings are the values of a deployment's settings by path. Its methods record the first problem in err.
+// settings holds the values of a deployment's settings by path. Its methods record the first invalid setting in err.
 type settings struct {
 	values map[string]string
 	err    error
 }
 
-// parsePairs parses lines of path=value.
+// parsePairs parses lines of the form path=value and ignores all others.
 func parsePairs(text string) *settings {
 	s := &settings{values: map[string]string{}}
 	for _, line := range strings.Split(text, "\n") {
@@ -34,8 +34,9 @@
 	return s
 }
 
-// flatten adds a JSON value in the form of pairs: an object adds its fields, a list the scalars among its elements
-// joined by commas, each other element by its index, and its length as count.
+// flatten adds a JSON value in the form of path=value pairs. Each field of an object is added below the object's path. Of a
+// list, the elements that are no objects are joined with commas, with commas in them replaced by underscores; each object
+// is added below its index, and the length of the list as count. A null that is not in a list adds nothing.
 func (s *settings) flatten(path string, value any) {
 	switch value := value.(type) {
 	case map[string]any:
@@ -61,6 +62,7 @@
 	}
 }
 
+// formatScalar formats a JSON value that is no object as text; null is empty.
 func formatScalar(value any) string {
 	if value == nil {
 		return ""
@@ -68,7 +70,7 @@
 	return fmt.Sprint(value)
 }
 
-// fail records a problem unless there is one already.
+// fail records an invalid setting, unless one is recorded already.
 func (s *settings) fail(path, format string, args ...any) {
 	if s.err == nil {
 		s.err = &SettingError{path, fmt.Sprintf(format, args...)}
@@ -97,7 +99,7 @@
 	return s.number(path, 0)
 }
 
-// count returns an integer from 0 to a maximum; 0 if it is absent.
+// count returns an integer from 0 to a maximum, or 0 if it is absent or invalid. A fraction is cut off.
 func (s *settings) count(path string, maximum int) int {
 	v := s.number(path, 0)
 	if v < 0 || v > float64(maximum) {
@@ -107,15 +109,16 @@
 	return int(v)
 }
 
-// duration returns a duration that is given in milliseconds; 0 if it is absent.
+// duration returns a duration that the settings state in milliseconds, or 0 if it is absent or invalid.
 func (s *settings) duration(path string) balancer.Time { return TimeFromMillis(s.number(path, 0)) }
 
+// flag reports whether a setting is "true" or "1".
 func (s *settings) flag(path string) bool {
 	v := s.values[path]
 	return v == "true" || v == "1"
 }
 
-// list returns the elements of a list; none if it is absent.
+// list returns the elements of a list, or nil if it is absent or empty.
 func (s *settings) list(path string) []string {
 	if s.values[path] == "" {
 		return nil
@@ -123,7 +126,7 @@
 	return strings.Split(s.values[path], ",")
 }
 
-// listItem returns the n-th number of a list, or the default if it is absent or invalid.
+// listItem returns the number at index n of a list, or the default if it is absent or invalid.
 func (s *settings) listItem(path string, n int, defaultValue float64) float64 {
 	list := strings.Split(s.values[path], ",")
 	if n >= len(list) || list[n] == "" {
@@ -137,6 +140,7 @@
 	return v
 }
 
+// parseFinite parses a number and reports whether it is valid and finite.
 func parseFinite(text string) (float64, bool) {
 	v, err := strconv.ParseFloat(text, 64)
 	return v, err == nil && !math.IsNaN(v) && !math.IsInf(v, 0)
