--- a/internal/tools/checker/checker.go
+++ b/internal/tools/checker/checker.go
@@ -1,4 +1,4 @@
-// Package checker is the command line that the project's own checks of its sources share.
+// Package checker implements the command line that the project's checks of its own sources share.
 package checker
 
 import (
@@ -15,8 +15,8 @@
 // Check checks the module below a root against the rules in a file, and returns a line for each finding.
 type Check func(rulesFile, root string) (findings []string, err error)
 
-// Main runs a check with the arguments of the command line, a file of rules and optionally the module's root, prints what it finds
-// and ends the process: with 0 where nothing is found, 1 where something is, and 2 where the check could not run.
+// Main runs a check with the arguments of the command line, which are a file of rules and optionally the module's root, and prints
+// the findings. If there are findings, it exits with status 1. If the arguments are wrong or the check fails, it exits with 2.
 func Main(name string, check Check) {
 	if len(os.Args) < 2 || len(os.Args) > 3 {
 		fmt.Fprintf(os.Stderr, "usage: %s RULES [ROOT]\n", name)
--- a/internal/tools/layercheck/main.go
+++ b/internal/tools/layercheck/main.go
@@ -1,5 +1,5 @@
-// Command layercheck fails when a package of the module imports one that does not lie lower. The order stands in a file that
-// names each package once, the lowest first. Imports of tests are not checked: a test may use any package.
+// Command layercheck fails if a package of the module imports another that does not precede it in a given order. A file lists each
+// package once, the lowest layer first. Imports of tests are not checked: a test may import any package.
 //
 // Usage: layercheck ORDER [ROOT]
 package main
@@ -19,15 +19,15 @@
 
 // Findings of a check.
 var (
-	errUnlisted  = errors.New("is not in the order of packages")
-	errImportsUp = errors.New("does not lie lower")
-	errGone      = errors.New("is in the order and is no package of the module")
-	errTwice     = errors.New("is in the order twice")
+	errUnlisted   = errors.New("is not listed in the order of packages")
+	errImportsUp  = errors.New("does not precede it in the order of packages")
+	errNotFound   = errors.New("is listed in the order but is not a package of the module")
+	errDuplicated = errors.New("is listed in the order more than once")
 )
 
 func main() { checker.Main("layercheck", run) }
 
-// run checks the module below root against the order in a file.
+// run checks the module at root against the order in a file.
 func run(orderFile, root string) (findings []string, err error) {
 	file, err := os.Open(orderFile)
 	if err != nil {
@@ -48,7 +48,7 @@
 	return findings, nil
 }
 
-// readOrder reads the paths of packages below the module, one a line. A line that begins with # is a comment.
+// readOrder reads package paths relative to the module, one per line. Empty lines and lines that begin with # are ignored.
 func readOrder(r io.Reader) ([]string, error) {
 	var order []string
 	lines := bufio.NewScanner(r)
@@ -61,17 +61,17 @@
 	return order, lines.Err()
 }
 
-// modulePackage is what the go command says of a package.
+// modulePackage holds the fields of a package that are read from the output of go list.
 type modulePackage struct {
 	ImportPath string
 	Imports    []string
 	Module     struct{ Path string }
 }
 
-// path is the package's path below the module.
+// path returns the package's path relative to the module.
 func (p modulePackage) path() string { return strings.TrimPrefix(p.ImportPath, p.Module.Path+"/") }
 
-// listPackages lists the packages of the module below root.
+// listPackages lists the packages of the module at root.
 func listPackages(root string) ([]modulePackage, error) {
 	list := exec.Command("go", "list", "-json=ImportPath,Imports,Module", "./...")
 	list.Dir = root
@@ -94,12 +94,13 @@
 	}
 }
 
-// check returns a finding for each import that does not lie lower, and for each difference between the order and the module.
+// check returns a finding for each import of a package that does not precede the importing one, and for each difference between the
+// order and the packages of the module.
 func check(order []string, packages []modulePackage) (findings []error) {
 	position := map[string]int{}
 	for i, path := range order {
-		if _, twice := position[path]; twice {
-			findings = append(findings, fmt.Errorf("%s %w", path, errTwice))
+		if _, duplicated := position[path]; duplicated {
+			findings = append(findings, fmt.Errorf("%s %w", path, errDuplicated))
 		}
 		position[path] = i
 	}
@@ -112,15 +113,15 @@
 			continue
 		}
 		for _, imported := range p.Imports {
-			lower, own := strings.CutPrefix(imported, p.Module.Path+"/")
-			if importedAt, listed := position[lower]; own && listed && importedAt >= at {
-				findings = append(findings, fmt.Errorf("%s imports %s, which %w", p.path(), lower, errImportsUp))
+			importedPath, inModule := strings.CutPrefix(imported, p.Module.Path+"/")
+			if importedAt, listed := position[importedPath]; inModule && listed && importedAt >= at {
+				findings = append(findings, fmt.Errorf("%s imports %s, which %w", p.path(), importedPath, errImportsUp))
 			}
 		}
 	}
 	for _, path := range order {
 		if !found[path] {
-			findings = append(findings, fmt.Errorf("%s %w", path, errGone))
+			findings = append(findings, fmt.Errorf("%s %w", path, errNotFound))
 		}
 	}
 	return findings
--- a/internal/tools/layercheck/main_test.go
+++ b/internal/tools/layercheck/main_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestCheck(t *testing.T) {
-	listed := func(path string, imports ...string) modulePackage {
+	packageAt := func(path string, imports ...string) modulePackage {
 		p := modulePackage{ImportPath: "m/" + path, Imports: imports}
 		p.Module.Path = "m"
 		return p
@@ -18,12 +18,12 @@
 		packages []modulePackage
 		want     []error
 	}{
-		{"an import of a lower package", []string{"a", "b"}, []modulePackage{listed("a"), listed("b", "m/a", "fmt")}, nil},
-		{"an import of a higher package", []string{"a", "b"}, []modulePackage{listed("a", "m/b"), listed("b")}, []error{errImportsUp}},
-		{"a package that is not listed", []string{"a"}, []modulePackage{listed("a"), listed("b", "m/a")}, []error{errUnlisted}},
-		{"a line without a package", []string{"a", "b"}, []modulePackage{listed("a")}, []error{errGone}},
-		{"a line twice", []string{"a", "a"}, []modulePackage{listed("a")}, []error{errTwice}},
-		{"two findings", []string{"a", "b", "c"}, []modulePackage{listed("a", "m/b", "m/c"), listed("b"), listed("c")}, []error{errImportsUp, errImportsUp}},
+		{"an import of a lower package", []string{"a", "b"}, []modulePackage{packageAt("a"), packageAt("b", "m/a", "fmt")}, nil},
+		{"an import of a higher package", []string{"a", "b"}, []modulePackage{packageAt("a", "m/b"), packageAt("b")}, []error{errImportsUp}},
+		{"a package that is not listed", []string{"a"}, []modulePackage{packageAt("a"), packageAt("b", "m/a")}, []error{errUnlisted}},
+		{"a listed package that does not exist", []string{"a", "b"}, []modulePackage{packageAt("a")}, []error{errNotFound}},
+		{"a package listed twice", []string{"a", "a"}, []modulePackage{packageAt("a")}, []error{errDuplicated}},
+		{"two findings", []string{"a", "b", "c"}, []modulePackage{packageAt("a", "m/b", "m/c"), packageAt("b"), packageAt("c")}, []error{errImportsUp, errImportsUp}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			got := check(test.order, test.packages)
@@ -46,7 +46,7 @@
 	}
 }
 
-// The order in use names all packages of this module.
+// TestModuleFollowsOrder checks this module against the order in .ci/layers.
 func TestModuleFollowsOrder(t *testing.T) {
 	findings, err := run("../../../.ci/layers", "../../..")
 	if err != nil {
--- a/internal/tools/namecheck/main.go
+++ b/internal/tools/namecheck/main.go
@@ -1,5 +1,5 @@
-// Command namecheck fails when a package, a Go file or an exported identifier bears a withdrawn word. It reads names only: string
-// literals, struct tags, comments and unexported identifiers are passed over, as are folders called testdata and generated files.
+// Command namecheck fails if the name of a package, a Go file or an exported identifier contains a withdrawn word. String literals,
+// struct tags, comments, unexported identifiers, directories called testdata and the identifiers in generated files are not checked.
 //
 // Usage: namecheck WORDS [ROOT]
 package main
@@ -22,7 +22,7 @@
 
 func main() { checker.Main("namecheck", run) }
 
-// run checks all Go files below root against the words in a file.
+// run checks all Go files below root against the withdrawn words in a file.
 func run(wordsFile, root string) ([]string, error) {
 	file, err := os.Open(wordsFile)
 	if err != nil {
@@ -33,12 +33,12 @@
 	if err != nil {
 		return nil, fmt.Errorf("read %s: %w", wordsFile, err)
 	}
-	c := &scan{words: words, files: token.NewFileSet(), folders: map[string]bool{}}
+	c := &nameChecker{words: words, files: token.NewFileSet(), directories: map[string]bool{}}
 	err = filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
 		switch {
 		case err != nil:
 			return err
-		case entry.IsDir() && path != root && skipsFolder(entry.Name()):
+		case entry.IsDir() && path != root && skipsDirectory(entry.Name()):
 			return filepath.SkipDir
 		case entry.IsDir() || !strings.HasSuffix(path, ".go"):
 			return nil
@@ -48,11 +48,13 @@
 	return c.findings, err
 }
 
-func skipsFolder(name string) bool {
+// skipsDirectory reports whether directories with a name are not checked.
+func skipsDirectory(name string) bool {
 	return strings.HasPrefix(name, ".") || name == "testdata" || name == "vendor"
 }
 
-// readWords reads lines of a withdrawn word and what is said instead. A line that begins with # is a comment.
+// readWords reads lines that each consist of a withdrawn word and its replacement. Empty lines and lines that begin with # are
+// ignored.
 func readWords(r io.Reader) (map[string]string, error) {
 	words := map[string]string{}
 	lines := bufio.NewScanner(r)
@@ -61,21 +63,22 @@
 		if line == "" || strings.HasPrefix(line, "#") {
 			continue
 		}
-		word, instead, _ := strings.Cut(line, " ")
-		words[strings.ToLower(word)] = strings.TrimSpace(instead)
+		word, replacement, _ := strings.Cut(line, " ")
+		words[strings.ToLower(word)] = strings.TrimSpace(replacement)
 	}
 	return words, lines.Err()
 }
 
-// scan collects findings over the files of one module.
-type scan struct {
-	words    map[string]string // withdrawn word, in lower case, to its replacement
-	files    *token.FileSet
-	folders  map[string]bool // checked already
-	findings []string
+// nameChecker collects findings over the files of one module.
+type nameChecker struct {
+	words       map[string]string // replacements by withdrawn word in lower case
+	files       *token.FileSet
+	directories map[string]bool // whose paths are checked already
+	findings    []string
 }
 
-func (c *scan) checkFile(root, path string) error {
+// checkFile checks the path, the package and the declarations of one file.
+func (c *nameChecker) checkFile(root, path string) error {
 	parsed, err := parser.ParseFile(c.files, path, nil, parser.ParseComments|parser.SkipObjectResolution)
 	if err != nil {
 		return err
@@ -84,9 +87,9 @@
 	if err != nil {
 		return err
 	}
-	if folder := filepath.Dir(relative); !c.folders[folder] {
-		c.folders[folder] = true
-		c.checkName(folder, "package path", folder)
+	if directory := filepath.Dir(relative); !c.directories[directory] {
+		c.directories[directory] = true
+		c.checkName(directory, "package path", directory)
 	}
 	c.checkName(relative, "file", filepath.Base(relative))
 	c.checkName(relative, "package", parsed.Name.Name)
@@ -97,8 +100,9 @@
 	return nil
 }
 
-// checkDeclarations checks the exported names of package-level declarations and methods, and of all struct fields and interface methods.
-func (c *scan) checkDeclarations(file *ast.File) {
+// checkDeclarations checks the exported names of package-level declarations and methods, and of all struct fields and interface
+// methods, also in unexported types.
+func (c *nameChecker) checkDeclarations(file *ast.File) {
 	for _, declaration := range file.Decls {
 		switch d := declaration.(type) {
 		case *ast.FuncDecl:
@@ -128,7 +132,7 @@
 	})
 }
 
-func (c *scan) checkSpec(spec ast.Spec) {
+func (c *nameChecker) checkSpec(spec ast.Spec) {
 	switch s := spec.(type) {
 	case *ast.TypeSpec:
 		c.checkIdentifier("type", s.Name)
@@ -139,32 +143,34 @@
 	}
 }
 
-func (c *scan) checkIdentifier(kind string, name *ast.Ident) {
+func (c *nameChecker) checkIdentifier(kind string, name *ast.Ident) {
 	if name.IsExported() {
 		c.checkName(c.files.Position(name.Pos()).String(), kind, name.Name)
 	}
 }
 
-func (c *scan) checkName(place, kind, name string) {
+// checkName adds a finding for each withdrawn word in a name. The place and the kind of name are for the finding's text.
+func (c *nameChecker) checkName(place, kind, name string) {
 	for _, word := range split(name) {
-		if withdrawn, instead, found := c.lookup(word); found {
-			c.findings = append(c.findings, fmt.Sprintf("%s: %s %s bears the withdrawn word %q; say: %s", place, kind, name, withdrawn, instead))
+		if withdrawn, replacement, found := c.lookup(word); found {
+			c.findings = append(c.findings, fmt.Sprintf("%s: %s %s contains the withdrawn word %q; use: %s", place, kind, name, withdrawn, replacement))
 		}
 	}
 }
 
-// lookup finds a word or its singular among the withdrawn ones.
-func (c *scan) lookup(word string) (withdrawn, instead string, found bool) {
+// lookup looks up a word, and the word without a final s, among the withdrawn words.
+func (c *nameChecker) lookup(word string) (withdrawn, replacement string, found bool) {
 	for _, form := range []string{word, strings.TrimSuffix(word, "s")} {
-		if instead, found = c.words[form]; found {
-			return form, instead, true
+		if replacement, found = c.words[form]; found {
+			return form, replacement, true
 		}
 	}
 	return "", "", false
 }
 
-// split cuts a name into its words in lower case: at each character that is neither letter nor digit, where a capital follows a small
-// letter or a digit, and before the last capital of a run that a small letter follows ("HTTPServer" is "http", "server").
+// split splits a name into its words, in lower case: at each character that is neither a letter nor a digit, where an upper-case letter
+// follows a lower-case letter or a digit, and before the last upper-case letter of several that a lower-case letter follows
+// ("HTTPServer" is "http", "server").
 func split(name string) (words []string) {
 	runes := []rune(name)
 	start := 0
--- a/internal/tools/namecheck/main_test.go
+++ b/internal/tools/namecheck/main_test.go
@@ -31,18 +31,18 @@
 func TestRun(t *testing.T) {
 	for name, c := range map[string]struct {
 		path, source string
-		want         string // part of the only finding; "" = none
+		want         string // a part of the only finding; "" = no finding
 	}{
 		"clean":             {"a/b.go", "package a\n\ntype Combine struct{ Skin int }\n", ""},
-		"package path":      {"hive/b.go", "package a\n", `package path hive bears`},
-		"package clause":    {"a/b.go", "package hive\n", `package hive bears`},
-		"file":              {"a/old_hives.go", "package a\n", `file old_hives.go bears`},
-		"type":              {"a/b.go", "package a\n\ntype BigHive int\n", `a/b.go:3:6: type BigHive bears`},
-		"plural":            {"a/b.go", "package a\n\nvar Hives int\n", `value Hives bears`},
-		"method":            {"a/b.go", "package a\n\ntype x int\n\nfunc (x) HiveOf() {}\n", `func HiveOf bears`},
-		"test":              {"a/b_test.go", "package a\n\nfunc TestAHive() {}\n", `func TestAHive bears`},
-		"field":             {"a/b.go", "package a\n\ntype x struct{ Hive int }\n", `field or method Hive bears`},
-		"interface":         {"a/b.go", "package a\n\ntype x interface{ Hive() }\n", `field or method Hive bears`},
+		"package path":      {"hive/b.go", "package a\n", `package path hive contains`},
+		"package clause":    {"a/b.go", "package hive\n", `package hive contains`},
+		"file":              {"a/old_hives.go", "package a\n", `file old_hives.go contains`},
+		"type":              {"a/b.go", "package a\n\ntype BigHive int\n", `a/b.go:3:6: type BigHive contains`},
+		"plural":            {"a/b.go", "package a\n\nvar Hives int\n", `value Hives contains`},
+		"method":            {"a/b.go", "package a\n\ntype x int\n\nfunc (x) HiveOf() {}\n", `func HiveOf contains`},
+		"test":              {"a/b_test.go", "package a\n\nfunc TestAHive() {}\n", `func TestAHive contains`},
+		"field":             {"a/b.go", "package a\n\ntype x struct{ Hive int }\n", `field or method Hive contains`},
+		"interface":         {"a/b.go", "package a\n\ntype x interface{ Hive() }\n", `field or method Hive contains`},
 		"unexported":        {"a/b.go", "package a\n\nvar hive int\n", ""},
 		"string and tag":    {"a/b.go", "package a\n\ntype x struct {\n\tName string `json:\"hive\"`\n}\n\nconst file = \"hive.db\"\n", ""},
 		"testdata":          {"a/testdata/hive.go", "package hive\n", ""},
@@ -59,8 +59,8 @@
 			if c.want == "" && len(findings) > 0 {
 				t.Errorf("got %q, want no finding", findings)
 			}
-			if c.want != "" && (len(findings) != 1 || !strings.Contains(findings[0], c.want) || !strings.HasSuffix(findings[0], "say: controller")) {
-				t.Errorf("got %q, want one with %q", findings, c.want)
+			if c.want != "" && (len(findings) != 1 || !strings.Contains(findings[0], c.want) || !strings.HasSuffix(findings[0], "use: controller")) {
+				t.Errorf("got %q, want one that contains %q", findings, c.want)
 			}
 		})
 	}
@@ -69,12 +69,12 @@
 func TestRunReportsFilesItCannotRead(t *testing.T) {
 	root := t.TempDir()
 	if _, err := run(filepath.Join(root, "missing"), root); err == nil {
-		t.Error("a missing list of words is no error")
+		t.Error("no error for a missing list of words")
 	}
 	words := writeFile(t, root, "words", "hive controller\n")
 	writeFile(t, root, "a.go", "package\n")
 	if _, err := run(words, root); err == nil {
-		t.Error("a file that does not parse is no error")
+		t.Error("no error for a file that does not parse")
 	}
 }
 
