--- a/internal/controlclient/client.go
+++ b/internal/controlclient/client.go
@@ -1,5 +1,5 @@
-// Package controlclient calls the control plane's HTTP API for operators: one controller that responds, or all of them. A client has no state
-// beyond a call.
+// Package controlclient is a client of the control plane's HTTP API for operators. Depending on the call it uses one controller that
+// responds, or all controllers. A client keeps no state between calls.
 package controlclient
 
 import (
@@ -17,28 +17,28 @@
 )
 
 const (
-	requestTimeout = 3 * time.Second // of one request to one controller
+	requestTimeout = 3 * time.Second // for one request to one controller
 
-	// maxAttempts bounds how often all controllers are tried while one of them responds that the outcome is not known yet.
+	// maxAttempts is the maximum number of times that all controllers are tried while one of them responds that the outcome is not known yet.
 	maxAttempts    = 5
-	initialBackoff = 150 * time.Millisecond // between attempts; doubled after each
+	initialBackoff = 150 * time.Millisecond // before the second attempt; doubled before each further one
 )
 
-// Names of the configuration in paths, and headers of the API.
+// Names in the API: the configuration's in paths, and the headers.
 const (
 	configurationResource = "configuration"
 	baseVersionHeader     = "X-Based-On-Version"
 	versionHeader         = "X-Version"
 )
 
-// Client calls controllers by their control addresses.
+// Client calls controllers at their control addresses.
 type Client struct {
 	addresses  []string
 	httpClient http.Client
 	sleep      func(ctx context.Context, duration time.Duration) // replaced in tests
 }
 
-// New returns a client for the controllers at some addresses. It opens no connection.
+// New returns a client for the controllers at the given control addresses. It opens no connection.
 func New(addresses []string) *Client {
 	return &Client{
 		addresses:  addresses,
@@ -47,7 +47,7 @@
 	}
 }
 
-// ParseAddresses splits a comma-separated list of control addresses. Spaces and empty entries are dropped.
+// ParseAddresses splits a comma-separated list of control addresses. It drops spaces around addresses and empty entries.
 func ParseAddresses(list string) (addresses []string) {
 	for _, address := range strings.Split(list, ",") {
 		if address = strings.TrimSpace(address); address != "" {
@@ -57,6 +57,7 @@
 	return addresses
 }
 
+// sleep waits for a duration, or until the context ends.
 func sleep(ctx context.Context, duration time.Duration) {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
@@ -66,15 +67,16 @@
 	}
 }
 
-// Read returns the committed version of a resource, and its number if the controller states it. It returns [ErrNotFound] before the first
-// version.
+// Read returns the body of a resource's committed version, and the version's number if the response has it. Before the first version it
+// returns [ErrNotFound].
 func (c *Client) Read(ctx context.Context, resource string) (body []byte, version uint64, err error) {
 	response, err := c.callAny(ctx, call{method: http.MethodGet, path: "/-/" + resource + "/read"})
 	version, _ = strconv.ParseUint(response.header.Get(versionHeader), 10, 64)
 	return response.body, version, err
 }
 
-// Replace commits a new version of a resource in place of the one that it is based on, 0 = none, and returns the new version's number.
+// Replace commits a new version of a resource and returns its number. It is rejected unless basedOn is the number of the committed version;
+// 0 = there is none.
 func (c *Client) Replace(ctx context.Context, resource string, basedOn uint64, body []byte) (version uint64, err error) {
 	response, err := c.callAny(ctx, call{method: http.MethodPost, path: "/-/" + resource + "/replace", basedOn: &basedOn, body: body})
 	if err != nil {
@@ -89,7 +91,7 @@
 	return committed.Version, nil
 }
 
-// Configuration returns the committed configuration and its text.
+// Configuration returns the committed configuration, both decoded and as text.
 func (c *Client) Configuration(ctx context.Context) (*config.Configuration, []byte, error) {
 	text, _, err := c.Read(ctx, configurationResource)
 	if err != nil {
@@ -104,21 +106,22 @@
 	return c.Replace(ctx, configurationResource, basedOn, text)
 }
 
-// call is a request that can be sent to any controller, and sent again.
+// call is a request that can be sent to any controller, and can be repeated.
 type call struct {
 	method  string
 	path    string
-	basedOn *uint64 // sent as a header with the body; nil = neither
+	basedOn *uint64 // sent as a header, with the content type of JSON; nil = neither header is sent
 	body    []byte
 }
 
+// response holds a response with status 200. With [ErrNotFound] it has only headers.
 type response struct {
 	body   []byte
 	header http.Header
 }
 
-// callAny sends a call to one controller after another until one gives a final response. If none does, but one responded that the outcome is
-// not known yet, as when it is overloaded or lost a peer, all are tried again after a backoff. Calls may be repeated safely.
+// callAny sends a call to one controller after another until one returns a final response. If none does, but one responded that the outcome is
+// not known yet, for example because it is overloaded or has lost a peer, all are tried again after a backoff. Calls can be repeated safely.
 func (c *Client) callAny(ctx context.Context, call call) (response, error) {
 	if len(c.addresses) == 0 {
 		return response{}, ErrNoAddresses
@@ -143,7 +146,8 @@
 	}
 }
 
-// send sends a call to one controller. Redirects are followed. With [ErrNotFound] the response has headers.
+// send sends a call to one controller and follows redirects. It returns [ErrNotFound] together with the headers, an [*UnreachableError], or a
+// [*StatusError].
 func (c *Client) send(ctx context.Context, address string, call call) (response, error) {
 	request, err := http.NewRequestWithContext(ctx, call.method, "http://"+address+call.path, bytes.NewReader(call.body))
 	if err != nil {
--- a/internal/controlclient/client_test.go
+++ b/internal/controlclient/client_test.go
@@ -12,12 +12,12 @@
 	"time"
 )
 
-// fakeController responds with its statuses one after another, and then with the last one.
+// fakeController responds with each of its statuses in turn, and repeats the last one.
 type fakeController struct {
 	statuses []int
-	body     string // of each response
+	body     string // body of every response
 	requests int
-	received []string // base version and body of each request
+	received []string // base version and body of each request, separated by a space
 }
 
 func (c *fakeController) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -34,7 +34,7 @@
 	return &fakeController{statuses: statuses, body: `{"version":7,"error":"message"}`}
 }
 
-// newTestClient returns a client for some controllers that records its backoffs instead of sleeping.
+// newTestClient returns a client for the given controllers that records its backoffs instead of sleeping.
 func newTestClient(t *testing.T, controllers ...*fakeController) (client *Client, backoffs *[]time.Duration) {
 	t.Helper()
 	var addresses []string
@@ -113,7 +113,7 @@
 		_, _, err := client.Read(t.Context(), "configuration")
 		var unreachable *UnreachableError
 		if !errors.As(err, &unreachable) || len(*backoffs) != 0 {
-			t.Errorf("got %v, backoffs of %v; want an UnreachableError at once", err, *backoffs)
+			t.Errorf("got %v, backoffs of %v; want an UnreachableError without a retry", err, *backoffs)
 		}
 	})
 	t.Run("no addresses", func(t *testing.T) {
@@ -130,8 +130,8 @@
 	malformed := newFake(200)
 	malformed.body = "no list"
 	client, _ := newTestClient(t, stale, fresh, malformed)
-	gone := unreachableAddress()
-	client.addresses = append(client.addresses, gone)
+	noListener := unreachableAddress()
+	client.addresses = append(client.addresses, noListener)
 
 	listing, err := client.Servers(t.Context())
 	if err != nil {
@@ -148,7 +148,7 @@
 		t.Errorf("unreachable %q, want %q", listing.Unreachable, want)
 	}
 
-	if listing, err := New([]string{gone}).Servers(t.Context()); err == nil {
+	if listing, err := New([]string{noListener}).Servers(t.Context()); err == nil {
 		t.Errorf("got %+v without a response", listing)
 	}
 }
--- a/internal/controlclient/errors.go
+++ b/internal/controlclient/errors.go
@@ -8,13 +8,13 @@
 )
 
 var (
-	// ErrNoAddresses is returned when a client has no controller to call.
+	// ErrNoAddresses is returned by a client without addresses of controllers.
 	ErrNoAddresses = errors.New("no controller addresses")
 	// ErrNotFound is returned when a resource has no version yet.
 	ErrNotFound = errors.New("there is none yet")
 )
 
-// UnreachableError reports a controller that did not respond, or not completely.
+// UnreachableError reports a controller that sent no response or an incomplete one.
 type UnreachableError struct {
 	Address string
 	Err     error
@@ -30,9 +30,10 @@
 type StatusError struct {
 	Address string
 	Status  int    // HTTP status
-	Message string // the controller's; "" = none
+	Message string // the error text in the response; "" = none
 }
 
+// newStatusError returns the error for a response, with the message of its body if that is the JSON of an error.
 func newStatusError(address string, status int, body []byte) *StatusError {
 	var reply struct {
 		Error string `json:"error"`
@@ -54,19 +55,19 @@
 	return fmt.Sprintf("controller at %s: %s", e.Address, message)
 }
 
-// Rejected reports whether the response is final: every controller would reject the request. Otherwise the same request may have another
-// outcome soon.
+// Rejected reports whether the response is final, which means that every controller would reject the request. Otherwise the same request may
+// have another outcome if it is repeated.
 func (e *StatusError) Rejected() bool {
 	return e.Status/100 == 4 && e.Status != http.StatusRequestTimeout && e.Status != http.StatusTooManyRequests
 }
 
-// isFinal reports whether to call no other controller after an error.
+// isFinal reports whether an error is a final response, after which no other controller is called.
 func isFinal(err error) bool {
 	var status *StatusError
 	return errors.Is(err, ErrNotFound) || errors.As(err, &status) && status.Rejected()
 }
 
-// isRetryable reports whether a controller responded that the outcome is not known yet.
+// isRetryable reports whether an error is a response by which the outcome is not known yet.
 func isRetryable(err error) bool {
 	var status *StatusError
 	return errors.As(err, &status) && !status.Rejected()
--- a/internal/controlclient/listing.go
+++ b/internal/controlclient/listing.go
@@ -9,20 +9,20 @@
 	"oxbowspan/controlapi"
 )
 
-// Listing is what all controllers that responded know together. The methods that return one fail only if no controller gave a usable
-// response, with the error of the last one: [*UnreachableError], [*StatusError], or that of decoding.
+// Listing is the merged result of all controllers that responded. The methods that return a Listing fail only if no controller returned a
+// usable response. The error is then that of the last controller: [*UnreachableError], [*StatusError], or a decoding error.
 type Listing[T any] struct {
-	Items       []T      // in the order of the controllers
+	Items       []T      // in the order of the controllers that returned them
 	Unreachable []string // addresses of controllers without a usable response
 }
 
-// Preference reports whether a is to replace b, an entry with the same key of another controller.
+// Preference reports whether entry a replaces entry b, which has the same key and was received earlier.
 type Preference[T any] func(a, b T) bool
 
-// PreferPolling prefers the state of a gateway at a controller that it polls.
+// PreferPolling prefers the status of a gateway from a controller that the gateway polls.
 func PreferPolling(a, b controlapi.GatewayStatus) bool { return a.PollsHere && !b.PollsHere }
 
-// PreferPollingThenRecent prefers the state at a controller that the gateway polls, and the more recent one of two such.
+// PreferPollingThenRecent prefers the status from a controller that the gateway polls. Of two such, or two others, it prefers the more recent.
 func PreferPollingThenRecent(a, b controlapi.GatewayStatus) bool {
 	return PreferPolling(a, b) || a.PollsHere == b.PollsHere && a.AgeSeconds < b.AgeSeconds
 }
@@ -33,7 +33,7 @@
 	return list(ctx, c, "/-/nodes/read", key, preference)
 }
 
-// Servers lists the servers, each by its most recent heartbeat.
+// Servers lists the servers, each with the status of its most recent heartbeat.
 func (c *Client) Servers(ctx context.Context) (Listing[controlapi.ServerStatus], error) {
 	key := func(s controlapi.ServerStatus) string { return s.Instance }
 	recent := func(a, b controlapi.ServerStatus) bool { return a.AgeSeconds < b.AgeSeconds }
@@ -52,13 +52,13 @@
 	return list(ctx, c, "/-/configuration/history", key, nil)
 }
 
-// Tenants lists what tenants use at each gateway.
+// Tenants lists, by gateway, the tenants' use of connections and their waits.
 func (c *Client) Tenants(ctx context.Context) (Listing[controlapi.GatewayTenants], error) {
 	key := func(g controlapi.GatewayTenants) string { return g.Gateway }
 	return list(ctx, c, "/-/tenants/explain", key, nil)
 }
 
-// OutlierVerdicts lists each gateway's verdicts on servers that are not simply healthy.
+// OutlierVerdicts lists each gateway's verdicts on the servers that it reports; servers that are simply healthy are not reported.
 func (c *Client) OutlierVerdicts(ctx context.Context) (Listing[controlapi.GatewayOutliers], error) {
 	key := func(g controlapi.GatewayOutliers) string { return g.Gateway }
 	return list(ctx, c, "/-/judgement/explain", key, nil)
@@ -78,7 +78,7 @@
 	return listing, err
 }
 
-// list merges the lists of all controllers. Of entries with the same key it keeps the first, or the one that is preferred.
+// list merges the lists of all controllers. Of several entries with the same key it returns the preferred one, or the first without a preference.
 func list[T any](ctx context.Context, c *Client, path string, key func(T) string, preference Preference[T]) (listing Listing[T], err error) {
 	index := map[string]int{}
 	err = c.callAll(ctx, path, &listing.Unreachable, func(body []byte) error {
@@ -101,8 +101,8 @@
 	return listing, err
 }
 
-// callAll reads a path from each controller and passes the bodies to handle. It adds the controllers without a usable response to unreachable
-// and fails only if there are no others.
+// callAll reads a path from each controller and passes the bodies to handle. It appends the addresses of controllers without a usable response
+// to unreachable, and fails only if no controller returned a usable one.
 func (c *Client) callAll(ctx context.Context, path string, unreachable *[]string, handle func(body []byte) error) (err error) {
 	for _, address := range c.addresses {
 		response, callErr := c.send(ctx, address, call{method: http.MethodGet, path: path})
--- a/internal/controlclient/rollouts.go
+++ b/internal/controlclient/rollouts.go
@@ -11,7 +11,7 @@
 	"oxbowspan/rollout"
 )
 
-// BeginRollout orders a rollout. An order that was taken before is acknowledged again.
+// BeginRollout orders a rollout. Repeating an order that was accepted before succeeds.
 func (c *Client) BeginRollout(ctx context.Context, order rollout.Order) error {
 	body, err := json.Marshal(order)
 	if err != nil {
@@ -21,13 +21,13 @@
 	return err
 }
 
-// RevertRollout ends a service's running rollout: all its requests go to the version before.
+// RevertRollout reverts a service's running rollout: all its requests go to the previous version again.
 func (c *Client) RevertRollout(ctx context.Context, service string) error {
 	_, err := c.callAny(ctx, call{method: http.MethodPost, path: "/-/rollouts/" + url.PathEscape(service) + "/revert"})
 	return err
 }
 
-// Rollouts lists the newest rollout of each service that had one.
+// Rollouts lists the newest rollout of each service for which one was ordered.
 func (c *Client) Rollouts(ctx context.Context) (rollouts []controlapi.Rollout, err error) {
 	response, err := c.callAny(ctx, call{method: http.MethodGet, path: "/-/rollouts/read"})
 	if err != nil {
