--- a/cmd/benchlink/main.go
+++ b/cmd/benchlink/main.go
@@ -1,4 +1,4 @@
-// Command benchlink runs balancers for the simulator: it reads batches of events from standard input and writes replies to
+// Command benchlink runs balancers for the simulator. It reads batches of events from standard input and writes a reply to each to
 // standard output.
 package main
 
--- a/cmd/oxbowlab/main.go
+++ b/cmd/oxbowlab/main.go
@@ -1,4 +1,4 @@
-// Command oxbowlab runs experiments on the built programs and keeps their results.
+// Command oxbowlab runs experiments on the built programs and stores their results.
 package main
 
 import (
--- a/cmd/oxbowspan-control/main.go
+++ b/cmd/oxbowspan-control/main.go
@@ -1,4 +1,4 @@
-// Command oxbowspan-control is a controller: one machine of the control plane.
+// Command oxbowspan-control runs a controller, one node of the control plane, and its operators' commands.
 package main
 
 import (
--- a/cmd/oxbowspan-gateway/main.go
+++ b/cmd/oxbowspan-gateway/main.go
@@ -1,4 +1,4 @@
-// Command oxbowspan-gateway is the data plane's program: one search gateway.
+// Command oxbowspan-gateway runs a search gateway, one node of the data plane.
 package main
 
 import (
--- a/internal/controlcli/check.go
+++ b/internal/controlcli/check.go
@@ -14,16 +14,16 @@
 	"oxbowspan/internal/settings"
 )
 
-// problemsError reports a file that was read but is not valid.
+// problemsError reports a file that was read but whose contents are not valid.
 type problemsError struct {
-	Problems []string // a sentence each
+	Problems []string // one sentence for each
 }
 
 func (e *problemsError) Error() string { return strings.Join(e.Problems, "\n") }
 
-// checkCommand checks files without a controller.
+// checkCommand returns the command with subcommands that check files without calling a controller.
 func (p program) checkCommand(path *string) *ffcli.Command {
-	file := func(name, help string, check func(file string, out io.Writer) error) *ffcli.Command {
+	fileCommand := func(name, help string, check func(file string, out io.Writer) error) *ffcli.Command {
 		return &ffcli.Command{
 			Name:       name,
 			ShortUsage: p.name + " check " + name + " FILE",
@@ -48,8 +48,8 @@
 		ShortHelp:  "check the settings file, a configuration or a tenants document",
 		Subcommands: []*ffcli.Command{
 			boot,
-			file("config", "list all problems of a configuration", checkConfiguration),
-			file("tenants", "list all problems of a tenants document", checkTenants),
+			fileCommand("config", "list all problems of a configuration", checkConfiguration),
+			fileCommand("tenants", "list all problems of a tenants document", checkTenants),
 		},
 		Exec: showUsage,
 	}
@@ -82,7 +82,7 @@
 	return reportProblems(nil, "the tenants document is valid", out)
 }
 
-// reportProblems prints the problems, a line each, and fails; without problems it prints success.
+// reportProblems prints the problems, one per line, and returns an error with their number. Without problems it prints the text success.
 func reportProblems(problems []string, success string, out io.Writer) error {
 	for _, problem := range problems {
 		fmt.Fprintln(out, problem)
@@ -94,22 +94,23 @@
 	return nil
 }
 
-// validated is a document that can be checked.
-type validated interface{ Validate() (problems []string) }
+// validator is a document whose contents can be validated.
+type validator interface{ Validate() (problems []string) }
 
-// readDocument reads a document from a file, and fails with a [problemsError] if it is not valid. The name is for errors.
-func readDocument[D validated](path, name string, parse func(body []byte) (D, error)) (document D, text []byte, err error) {
-	var none D
+// readDocument reads a document from a file. If its contents are not valid, it returns a [problemsError]. The name of the document is for error
+// texts.
+func readDocument[D validator](path, name string, parse func(body []byte) (D, error)) (document D, text []byte, err error) {
+	var zero D
 	text, err = os.ReadFile(path)
 	if err != nil {
-		return none, nil, fmt.Errorf("read %s: %w", name, err)
+		return zero, nil, fmt.Errorf("read %s: %w", name, err)
 	}
 	document, err = parse(text)
 	if err != nil {
-		return none, nil, err
+		return zero, nil, err
 	}
 	if problems := document.Validate(); len(problems) > 0 {
-		return none, nil, &problemsError{Problems: problems}
+		return zero, nil, &problemsError{Problems: problems}
 	}
 	return document, text, nil
 }
--- a/internal/controlcli/commands_test.go
+++ b/internal/controlcli/commands_test.go
@@ -14,8 +14,9 @@
 	"oxbowspan/internal/testing/simcluster"
 )
 
-// The commands run on one cluster of built programs, one group after another: a configuration, tenants and pins are set, shown, and rejected
-// where they are not valid; a controller is lost with its disk and replaced; a majority is lost and the state restored.
+// TestCommandsOnBuiltPrograms runs the commands on one cluster of built programs, one group after another. A configuration, tenants and pins are
+// set and shown, and invalid ones are rejected. Then a controller is lost with its disk and replaced, and finally a majority is lost and the
+// state is restored from an export.
 func TestCommandsOnBuiltPrograms(t *testing.T) {
 	p := buildPrograms(t)
 	p.startAll()
@@ -34,7 +35,7 @@
 	}
 	for _, group := range groups {
 		if !t.Run(group.name, func(t *testing.T) { group.run(t, p) }) {
-			return // later groups build on this one
+			return // later groups depend on the state that this one leaves
 		}
 	}
 }
@@ -48,7 +49,7 @@
 	}
 	p.expect(t, exitUsage, "USAGE", "config")
 	p.expect(t, exitUsage, "USAGE", "tenant", "set")
-	p.expectAlone(t, exitFailed, "does not respond", "config", "get", "--control", "127.0.0.1:1")
+	p.expectArgs(t, exitFailed, "does not respond", "config", "get", "--control", "127.0.0.1:1")
 }
 
 const invalidConfiguration = `{"version":9,"routes":[
@@ -59,10 +60,10 @@
 	first := p.writeFile(t, "first.json", string(simcluster.ExampleConfiguration(1, simcluster.FirstSharding)))
 	second := p.writeFile(t, "second.json", string(simcluster.ExampleConfiguration(5, simcluster.SecondSharding)))
 	p.eventually(t, exitFailed, "none yet", "config", "get")
-	p.signalSettingsChange(t) // it ends no program: all that follows needs them
-	p.expectAlone(t, exitOK, "is valid", "check", "config", first)
+	p.signalSettingsChange(t) // SIGHUP must not end any program: all later commands need them
+	p.expectArgs(t, exitOK, "is valid", "check", "config", first)
 	p.eventually(t, exitOK, "version 1 is committed", "config", "put", first)
-	p.expect(t, exitOK, "1 changes", "config", "diff", second) // the route with other shards
+	p.expect(t, exitOK, "1 changes", "config", "diff", second) // the route with the other sharding
 	p.expect(t, exitFailed, "version 1 is in place", "config", "put", "--based-on", "7", second)
 	p.expect(t, exitOK, "version 5 is committed, based on 1", "config", "put", second)
 	p.expect(t, exitFailed, "no such service", "config", "put", p.writeFile(t, "invalid.json", invalidConfiguration))
@@ -77,7 +78,7 @@
 	p.expect(t, exitFailed, "has no service", "rollout", "begin", "nowhere", "v2")
 	p.expect(t, exitFailed, "no rollout of service", "rollout", "show", "one")
 	p.expect(t, exitOK, "", "rollout", "begin", "one", "v2", "--within", "1h")
-	p.expect(t, exitOK, "", "rollout", "begin", "one", "v2", "--within", "1h") // sent again
+	p.expect(t, exitOK, "", "rollout", "begin", "one", "v2", "--within", "1h") // a repeated order succeeds
 	p.expect(t, exitFailed, "is running", "rollout", "begin", "one", "v3")
 	p.expect(t, exitOK, "running", "rollout", "show", "one")
 	p.expect(t, exitOK, "", "rollout", "revert", "one")
@@ -95,13 +96,13 @@
 func runTenantCommands(t *testing.T, p *programs) {
 	tenants := p.writeFile(t, "tenants.json", `{"tenants":[{"name":"desk","weight":3,"routes":[{"hostname":"h.example","path_prefix":"/one/"}]}]}`)
 	p.expect(t, exitOK, "no tenants document", "tenant", "list")
-	p.expectAlone(t, exitOK, "is valid", "check", "tenants", tenants)
-	p.expectAlone(t, exitFailed, "no routes", "check", "tenants", p.writeFile(t, "invalid_tenants.json", `{"tenants":[{"name":"desk"}]}`))
+	p.expectArgs(t, exitOK, "is valid", "check", "tenants", tenants)
+	p.expectArgs(t, exitFailed, "no routes", "check", "tenants", p.writeFile(t, "invalid_tenants.json", `{"tenants":[{"name":"desk"}]}`))
 	p.expect(t, exitOK, "desk", "tenant", "dry-run", tenants)
 	p.expect(t, exitOK, "version 1 of the tenants", "tenant", "set", tenants)
 	p.eventually(t, exitOK, "tenant desk", "config", "explain", "h.example/one/x")
 	if response := p.request("/one/x", "first"); response.Status != http.StatusOK {
-		t.Errorf("status %d of a request", response.Status)
+		t.Errorf("status %d for a request, want 200", response.Status)
 	}
 	p.eventually(t, exitOK, "127.", "tenant", "explain")
 	p.expect(t, exitOK, "desk", "tenant", "list")
@@ -119,7 +120,8 @@
 	p.eventually(t, exitOK, "all servers are healthy", "judgement", "list")
 }
 
-// runControllerLoss kills a controller, removes its disk and starts it without.
+// runControllerLoss kills a controller, removes its data and starts it again, no longer with first_start. The membership must include all
+// controllers again, and an event must list the decision of the current configuration.
 func runControllerLoss(t *testing.T, p *programs) {
 	const lost = 2
 	killed := time.Now()
@@ -127,8 +129,8 @@
 	p.removeData(t, lost)
 	p.eventuallyEvent(t, "loss of a controller", func(e controlapi.Event) bool {
 		recent := e.AgeSeconds < time.Since(killed).Seconds()
-		names := strings.Contains(e.Text, p.cluster.Controllers[lost].IP)
-		return e.Kind == "hive" && recent && names && strings.HasSuffix(e.Text, " timed out")
+		namesLost := strings.Contains(e.Text, p.cluster.Controllers[lost].IP)
+		return e.Kind == "hive" && recent && namesLost && strings.HasSuffix(e.Text, " timed out")
 	})
 	p.eventually(t, exitOK, "no response from", "members")
 	text, err := os.ReadFile(p.settings[lost])
@@ -156,12 +158,12 @@
 	})
 }
 
-// runMajorityLoss exports the state of a remaining controller and restores it on a cluster that starts anew.
+// runMajorityLoss kills all controllers, exports the state of one, and restores it on a cluster that starts anew.
 func runMajorityLoss(t *testing.T, p *programs) {
 	export := filepath.Join(p.cluster.Dir, "export.json")
-	p.expectAlone(t, exitFailed, "a running controller", "state", "--dir", p.dataDirectory(0), "export", export)
+	p.expectArgs(t, exitFailed, "a running controller", "state", "--dir", p.dataDirectory(0), "export", export)
 	p.killControllers()
-	p.expectAlone(t, exitOK, "version 5 and 3 documents", "state", "--dir", p.dataDirectory(0), "export", export)
+	p.expectArgs(t, exitOK, "version 5 and 3 documents", "state", "--dir", p.dataDirectory(0), "export", export)
 	for i := range p.cluster.Controllers {
 		p.removeData(t, i)
 	}
--- a/internal/controlcli/completion.go
+++ b/internal/controlcli/completion.go
@@ -10,8 +10,8 @@
 	"github.com/peterbourgon/ff/v3/ffcli"
 )
 
-// The bash completion function: it joins the commands before the cursor and selects the candidates by them. The verbs stand for the
-// program's name.
+// Templates of the bash completion function. The function joins the commands before the cursor and selects the candidates for them. The
+// formatting verb %[1]s stands for the program's name.
 const (
 	completionHead = `_%[1]s() {
   local words="${COMP_WORDS[*]:0:COMP_CWORD}" at= w
@@ -27,7 +27,7 @@
 `
 )
 
-// completionCommand prints a bash script that completes the commands and flags below root.
+// completionCommand returns the command that prints a bash script. The script completes the commands and flags below root.
 func completionCommand(root *ffcli.Command, out io.Writer) *ffcli.Command {
 	return &ffcli.Command{
 		Name:       "completion",
@@ -47,7 +47,8 @@
 	}
 }
 
-// walkCommands visits a command and all below it that have subcommands or flags, each with the commands that lead to it, a space before each.
+// walkCommands calls visit for a command and all commands below it that have subcommands or flags. The path consists of the names of the
+// commands that lead to the command, each preceded by a space.
 func walkCommands(command *ffcli.Command, path string, visit func(path string, candidates []string)) {
 	var candidates []string
 	for _, sub := range command.Subcommands {
--- a/internal/controlcli/config.go
+++ b/internal/controlcli/config.go
@@ -15,7 +15,7 @@
 	"oxbowspan/internal/controlclient"
 )
 
-// configCommand shows and replaces the configuration.
+// configCommand returns the command with subcommands that show and replace the configuration.
 func configCommand(path *string, out io.Writer) *ffcli.Command {
 	const parent = controllerName + " config"
 	e := &environment{settingsPath: path, out: out}
@@ -37,11 +37,11 @@
 				help: "print the newest configuration"}),
 			e.command(put),
 			e.command(remoteCommand{parent: parent, name: "diff", usage: "FILE", minArgs: 1, maxArgs: 1, run: e.configDiff,
-				help: "list what a file would change"}),
+				help: "list the changes that the configuration in a file would make"}),
 			e.command(remoteCommand{parent: parent, name: "history", run: e.configHistory,
 				help: "list the retained versions, the oldest first"}),
 			e.command(remoteCommand{parent: parent, name: "explain", usage: "HOST/PATH", minArgs: 1, maxArgs: 1, run: e.configExplain,
-				help: "show the route that a request takes, its services, and the gateways that have that version"}),
+				help: "show the route that a request matches, its services, and the gateways that have this version in force"}),
 		},
 		Exec: showUsage,
 	}
@@ -52,6 +52,7 @@
 	flags.Int64Var(basedOn, "based-on", newestBase, "the `version` to replace; default: the newest")
 }
 
+// configGet prints the text of the committed configuration, followed by one newline.
 func (e *environment) configGet(ctx context.Context, client *controlclient.Client, _ []string) error {
 	_, text, err := client.Configuration(ctx)
 	if err != nil {
@@ -61,6 +62,7 @@
 	return err
 }
 
+// configPut commits the configuration in a file.
 func (e *environment) configPut(ctx context.Context, client *controlclient.Client, file string, basedOn int64) error {
 	_, text, err := readConfiguration(file)
 	if err != nil {
--- a/internal/controlcli/config_diff.go
+++ b/internal/controlcli/config_diff.go
@@ -21,15 +21,16 @@
 	changeModified = "changed"
 )
 
-// configChange is a part of a configuration that another has not, or has with other contents.
+// configChange is a difference between two configurations: a part that was added, removed or changed.
 type configChange struct {
-	Kind   string `json:"what"` // route, service or limits
-	Name   string `json:"name"`
-	Change string `json:"how"`
+	Kind   string `json:"what"`           // route, service or limits
+	Name   string `json:"name"`           // of the route or service; "" for limits
+	Change string `json:"how"`            // added, removed or changed
 	From   string `json:"from,omitempty"` // JSON
 	To     string `json:"to,omitempty"`   // JSON
 }
 
+// configDiff prints the differences between the committed configuration, or an empty one if there is none, and that in a file.
 func (e *environment) configDiff(ctx context.Context, client *controlclient.Client, args []string) error {
 	next, _, err := readConfiguration(args[0])
 	if err != nil {
@@ -61,6 +62,7 @@
 	}
 }
 
+// diffConfigurations returns the differences in routes, services and limits, in this order.
 func diffConfigurations(from, to *config.Configuration) []configChange {
 	changes := []configChange{}
 	changes = appendChanges(changes, "route", routesByKey(from), routesByKey(to))
@@ -68,7 +70,8 @@
 	return appendChanges(changes, "limits", map[string]string{"": encode(from.Limits)}, map[string]string{"": encode(to.Limits)})
 }
 
-// appendChanges appends the differences between two sets of encoded parts, by name. No part is encoded as "".
+// appendChanges appends the differences between two sets of parts, ordered by name. The maps hold the JSON of each part by its name; the JSON
+// of a part is never "", which stands for a part that does not exist.
 func appendChanges(changes []configChange, kind string, from, to map[string]string) []configChange {
 	names := map[string]bool{}
 	for name := range from {
@@ -94,6 +97,7 @@
 	return changes
 }
 
+// routesByKey returns the JSON of each route by its hostname, in lower case, and path prefix.
 func routesByKey(c *config.Configuration) map[string]string {
 	routes := map[string]string{}
 	for _, route := range c.Routes {
@@ -102,6 +106,7 @@
 	return routes
 }
 
+// servicesByName returns the JSON of each service by its name.
 func servicesByName(c *config.Configuration) map[string]string {
 	services := map[string]string{}
 	for _, service := range c.Services {
@@ -110,7 +115,7 @@
 	return services
 }
 
-// encode returns the JSON of a part of a configuration, all of which can be encoded.
+// encode returns the JSON of a part of a configuration. Encoding can't fail for any part.
 func encode(part any) string {
 	text, _ := json.Marshal(part)
 	return string(text)
--- a/internal/controlcli/config_explain.go
+++ b/internal/controlcli/config_explain.go
@@ -12,26 +12,27 @@
 	"oxbowspan/internal/controlclient"
 )
 
-// serverReady is the state of a server that takes requests.
+// serverReady is the state of a server that accepts requests.
 const serverReady = "ready"
 
-var errNoRequest = errors.New("a request is named by its host and path, as in h.example/a/b")
+var errNotHostPath = errors.New("a request is named by its host and path, as in h.example/a/b")
 
-// routeExplanation is what the configuration does with a request.
+// routeExplanation describes how a request is routed.
 type routeExplanation struct {
-	Route          *config.Route `json:"route"` // null = none: the response is 404
+	Route          *config.Route `json:"route"` // null = no route matches, and the response is 404
 	Version        uint64        `json:"version"`
 	Tenant         string        `json:"tenant,omitempty"`
-	Servers        int           `json:"servers"`           // ready, in all services of the route
-	WithVersion    int           `json:"gatherers_with_it"` // gateways that have the version in force
-	WithoutVersion []string      `json:"gatherers_without,omitempty"`
+	Servers        int           `json:"servers"`                     // number of ready servers in all services of the route
+	WithVersion    int           `json:"gatherers_with_it"`           // number of gateways that have the version in force
+	WithoutVersion []string      `json:"gatherers_without,omitempty"` // addresses of the other gateways
 	Services       []string      `json:"services"`
 }
 
+// configExplain prints the route of a request that is stated as HOST/PATH.
 func (e *environment) configExplain(ctx context.Context, client *controlclient.Client, args []string) error {
 	host, path, found := strings.Cut(args[0], "/")
 	if !found || host == "" {
-		return errNoRequest
+		return errNotHostPath
 	}
 	path, _, _ = strings.Cut("/"+path, "?")
 	configuration, _, err := client.Configuration(ctx)
@@ -70,7 +71,7 @@
 	return e.printListing(explanation, servers.Unreachable, func(w io.Writer) { writeExplanation(w, explanation) })
 }
 
-// tenantOf returns the name of the tenant that a route belongs to; "" = none, or the tenants document can't be read.
+// tenantOf returns the name of the tenant that a route belongs to. It returns "" if there is none or the tenants document can't be read.
 func tenantOf(ctx context.Context, client *controlclient.Client, route *config.Route) string {
 	text, _, err := client.Read(ctx, config.TenantsDocumentName)
 	if err != nil {
--- a/internal/controlcli/export.go
+++ b/internal/controlcli/export.go
@@ -16,31 +16,33 @@
 	"oxbowspan/internal/controlclient"
 )
 
-// exportFormat is the version of the export's form.
+// exportFormat is the version of the export's format.
 const exportFormat = 1
 
-// stateExport is what one acceptor accepted last, to recover from the permanent loss of a majority.
+// stateExport holds the value that one acceptor accepted last. It serves to recover from the permanent loss of a majority.
 type stateExport struct {
 	Format        int                `json:"format"`
 	Slot          uint64             `json:"turn"`
 	Version       uint64             `json:"version"`
-	Configuration string             `json:"configuration"` // byte by byte, as its digest was agreed on
+	Configuration string             `json:"configuration"` // byte for byte, because the digest that was agreed on is of these bytes
 	Documents     []exportedDocument `json:"notes"`
 }
 
+// exportedDocument is a document beside the configuration.
 type exportedDocument struct {
 	Name string `json:"name"`
 	Body string `json:"body"`
 }
 
 var (
-	errNoExport      = errors.New("the file is not an export of a format that this program reads")
-	errAlreadyExists = errors.New("the cluster has a configuration: only one that starts anew, with empty disks and first_start, can be restored")
+	errNotExport        = errors.New("the file is not a state export in a format that this program supports")
+	errHasConfiguration = errors.New("the cluster has a configuration: only one that starts anew, with empty disks and first_start, can be restored")
 )
 
-const exportCaution = "It is what this acceptor accepted last: others may have later slots, and the slot may not have been decided. " +
+const exportWarning = "The export holds what this acceptor accepted last: others may have later slots, and the slot may not have been decided. " +
 	"Export the state of all remaining acceptors, and use the one with the highest slot."
 
+// exportState writes an export of a state file's contents to a file.
 func exportState(contents *acceptorstore.Contents, file string, out io.Writer) error {
 	if len(contents.Body) == 0 {
 		return errNoConfiguration
@@ -63,11 +65,11 @@
 		return fmt.Errorf("write export: %w", err)
 	}
 	fmt.Fprintf(out, "exported slot %d, version %d and %d documents to %s\n", export.Slot, export.Version, len(export.Documents), file)
-	fmt.Fprintln(out, exportCaution)
+	fmt.Fprintln(out, exportWarning)
 	return nil
 }
 
-// restoreCommand commits an export on a cluster that starts anew.
+// restoreCommand returns the command that commits an export on a cluster that starts anew.
 func restoreCommand(path *string, out io.Writer) *ffcli.Command {
 	e := &environment{settingsPath: path, out: out}
 	var acceptLoss bool
@@ -87,6 +89,7 @@
 	})
 }
 
+// restore commits the configuration and the documents of an export. It fails if the cluster has a configuration or acceptLoss is not set.
 func (e *environment) restore(ctx context.Context, client *controlclient.Client, file string, acceptLoss bool) error {
 	export, configuration, err := readExport(file)
 	if err != nil {
@@ -94,7 +97,7 @@
 	}
 	switch _, _, err := client.Configuration(ctx); {
 	case err == nil:
-		return errAlreadyExists
+		return errHasConfiguration
 	case !errors.Is(err, controlclient.ErrNotFound):
 		return err
 	}
@@ -116,6 +119,7 @@
 	return nil
 }
 
+// readExport reads an export from a file, and decodes the configuration in it.
 func readExport(file string) (*stateExport, *config.Configuration, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -123,7 +127,7 @@
 	}
 	export := &stateExport{}
 	if err := json.Unmarshal(text, export); err != nil || export.Format != exportFormat {
-		return nil, nil, errNoExport
+		return nil, nil, errNotExport
 	}
 	configuration, err := config.Parse([]byte(export.Configuration))
 	if err != nil {
--- a/internal/controlcli/full_disk_test.go
+++ b/internal/controlcli/full_disk_test.go
@@ -10,42 +10,42 @@
 	"oxbowspan/internal/testing/simcluster"
 )
 
-// fullDevice refuses every write with ENOSPC.
+// fullDevice fails every write with ENOSPC.
 const fullDevice = "/dev/full"
 
-// TestControllerStartsOnFullDisk starts a built controller whose disk takes no write. It stays up and answers what it knows; the
-// other two agree on the configuration without it. Once its disk takes writes it stores what was decided.
+// TestControllerStartsOnFullDisk starts a built controller whose disk fails every write. It must keep running and serve reads, while the
+// other two controllers decide a configuration without it. Once writes succeed, it must store the decided value.
 func TestControllerStartsOnFullDisk(t *testing.T) {
 	p := buildPrograms(t)
 	if err := os.MkdirAll(p.dataDirectory(0), 0o755); err != nil {
 		t.Fatal(err)
 	}
-	file := filepath.Join(p.dataDirectory(0), "hive.db")
-	if err := os.Symlink(fullDevice, file); err != nil {
+	stateFile := filepath.Join(p.dataDirectory(0), "hive.db")
+	if err := os.Symlink(fullDevice, stateFile); err != nil {
 		t.Fatal(err)
 	}
 	p.startAll()
-	full := p.cluster.Controllers[0]
-	await(t, "the others commit a configuration", func() bool {
+	fullNode := p.cluster.Controllers[0]
+	await(t, "committed a configuration on the other controllers", func() bool {
 		body := simcluster.ExampleConfiguration(1, simcluster.FirstSharding)
 		return p.cluster.ReplaceConfiguration(p.cluster.Controllers[1], 0, body) == http.StatusOK
 	})
-	await(t, "the controller on the full disk answers", func() bool {
-		return p.cluster.ReadResource(full, "/-/members/read") != nil && p.cluster.ReadConfiguration(full) != nil
+	await(t, "served reads by the controller on the full disk", func() bool {
+		return p.cluster.ReadResource(fullNode, "/-/members/read") != nil && p.cluster.ReadConfiguration(fullNode) != nil
 	})
-	if err := os.Remove(file); err != nil {
+	if err := os.Remove(stateFile); err != nil {
 		t.Fatal(err)
 	}
-	await(t, "the disk takes the decided value", func() bool {
-		info, err := os.Stat(file)
+	await(t, "stored the decided value after writes succeed again", func() bool {
+		info, err := os.Stat(stateFile)
 		return err == nil && info.Size() > int64(len(simcluster.ExampleConfiguration(1, simcluster.FirstSharding)))
 	})
 }
 
-// await waits until a condition holds, for as long as state takes to reach the programs.
+// await waits until a condition holds, and fails the test after convergenceTimeout.
 func await(t *testing.T, what string, holds func() bool) {
 	t.Helper()
-	for end := time.Now().Add(convergence); !holds(); time.Sleep(pollInterval) {
+	for end := time.Now().Add(convergenceTimeout); !holds(); time.Sleep(pollInterval) {
 		if time.Now().After(end) {
 			t.Fatalf("timeout: not %s", what)
 		}
--- a/internal/controlcli/outlier.go
+++ b/internal/controlcli/outlier.go
@@ -19,17 +19,17 @@
 	"oxbowspan/internal/controlclient"
 )
 
-// defaultPinDuration is how long a pin lasts.
+// defaultPinDuration is how long a pin lasts unless --for states otherwise.
 const defaultPinDuration = 10 * time.Minute
 
-// outlierCommand shows the gateways' verdicts on servers, and pins servers.
+// outlierCommand returns the command with subcommands that show the gateways' verdicts on servers, and pin servers.
 func outlierCommand(path *string, out io.Writer) *ffcli.Command {
 	const parent = controllerName + " judgement"
 	e := &environment{settingsPath: path, out: out}
 	var duration time.Duration
 	var reason string
 	pin := remoteCommand{parent: parent, name: "pin", usage: "INSTANCE in|avoided|out", minArgs: 2, maxArgs: 2,
-		help: "hold a server in a state for a time, whatever is observed of it",
+		help: "keep a server in a state for a time, regardless of what gateways observe",
 		setFlags: func(flags *flag.FlagSet) {
 			flags.DurationVar(&duration, "for", defaultPinDuration, "how long")
 			flags.StringVar(&reason, "why", "", "the `reason`, for other operators")
@@ -56,9 +56,9 @@
 		FlagSet:    flag.NewFlagSet("judgement", flag.ContinueOnError),
 		Subcommands: []*ffcli.Command{
 			e.command(remoteCommand{parent: parent, name: "list", run: e.outlierList,
-				help: "list the servers that are not simply healthy, with the number of gateways"}),
+				help: "list the servers that some gateways do not find healthy, with the number of gateways"}),
 			e.command(remoteCommand{parent: parent, name: "explain", usage: "INSTANCE", minArgs: 1, maxArgs: 1, run: e.outlierExplain,
-				help: "show each gateway's verdict on a server, and the observations that it rests on"}),
+				help: "show each gateway's verdict on a server, and the observations that it is based on"}),
 			e.command(pin),
 			e.command(unpin),
 		},
@@ -66,13 +66,13 @@
 	}
 }
 
-// verdictSummary is a server's verdicts at all gateways together.
+// verdictSummary summarizes the verdicts of all gateways on one server.
 type verdictSummary struct {
 	Instance     string         `json:"instance"`
 	Service      string         `json:"service"`
 	States       map[string]int `json:"stances"` // number of gateways by state
-	Reason       string         `json:"why"`     // of the verdict that has held longest
-	SinceSeconds float64        `json:"since_s"` // of that
+	Reason       string         `json:"why"`     // of the verdict that has been in force longest
+	SinceSeconds float64        `json:"since_s"` // how long that verdict has been in force
 	Pinned       bool           `json:"pinned"`
 }
 
@@ -84,6 +84,7 @@
 	{"REASON", func(v *verdictSummary) string { return v.Reason }},
 }
 
+// gateways returns the number of gateways by state as text.
 func (v *verdictSummary) gateways() string {
 	var counts []string
 	for state, count := range v.States {
@@ -111,6 +112,7 @@
 	})
 }
 
+// summarizeVerdicts returns a summary for each server with a verdict, sorted by service and instance.
 func summarizeVerdicts(gateways []controlapi.GatewayOutliers) []*verdictSummary {
 	byInstance := map[string]*verdictSummary{}
 	summaries := []*verdictSummary{}
@@ -164,8 +166,8 @@
 	}
 }
 
-// updatePin commits the pins document with one instance's pin replaced, or removed if pin is nil. Of two operators who do so at once, one is
-// rejected.
+// updatePin commits the pins document with one instance's pin replaced, or removed if pin is nil. If two operators update pins at the same
+// time, one of them is rejected.
 func (e *environment) updatePin(ctx context.Context, client *controlclient.Client, instance string, pin *config.Pin) error {
 	document, basedOn, err := readPins(ctx, client)
 	if err != nil {
@@ -193,7 +195,7 @@
 	return nil
 }
 
-// readPins returns the newest pins document and its version; an empty one before the first.
+// readPins returns the newest pins document and its version. Before the first version, the document is empty.
 func readPins(ctx context.Context, client *controlclient.Client) (document *config.PinDocument, version uint64, err error) {
 	text, version, err := client.Read(ctx, config.PinsDocumentName)
 	if errors.Is(err, controlclient.ErrNotFound) {
--- a/internal/controlcli/output_test.go
+++ b/internal/controlcli/output_test.go
@@ -17,8 +17,8 @@
 		name string
 		args []string
 		want []string
-		flag bool
-		fail bool
+		flag bool // the flag is set
+		fail bool // parsing fails
 	}{
 		{"no arguments", nil, nil, false, false},
 		{"flags first", []string{"--set", "a", "b"}, []string{"a", "b"}, true, false},
--- a/internal/controlcli/program.go
+++ b/internal/controlcli/program.go
@@ -1,4 +1,5 @@
-// Package controlcli is the command line of the controller and gateway programs: serving, checks of files, and the operators' commands.
+// Package controlcli implements the command lines of the controller and gateway programs: serving, checks of files, and the operators'
+// commands.
 package controlcli
 
 import (
@@ -29,7 +30,7 @@
 	exitUsage  = 2 // the command line is not valid
 )
 
-// Version is that of both programs.
+// Version is the version of both programs.
 const Version = "0.1.0"
 
 const (
@@ -38,15 +39,15 @@
 	environmentPrefix = "OXBOWSPAN" // of the variables that set flags
 )
 
-// program is one of the programs.
+// program describes one of the programs.
 type program struct {
 	name        string
-	gateway     bool // the settings of a gateway are checked
-	controller  bool // those of a controller are, and the operators' commands are available
+	gateway     bool // checks the settings of a gateway
+	controller  bool // checks the settings of a controller, and has the operators' commands
 	run         func(ctx context.Context, set *settings.Settings, log zerolog.Logger) error
-	memoryShare float64 // portion of the memory limit that the garbage collector targets
-	gcPercent   int     // growth of the heap between collections, in percent
-	out, errs   io.Writer
+	memoryShare float64   // fraction of the settings' memory limit that is the soft memory limit of the Go runtime
+	gcPercent   int       // growth of the heap that starts the next garbage collection, in percent
+	out, errs   io.Writer // standard output, and standard error with the log
 }
 
 // RunController runs the controller's command line and returns its exit code.
@@ -83,6 +84,7 @@
 	}.main(args)
 }
 
+// main runs the command that the arguments name and returns the exit code.
 func (p program) main(args []string) int {
 	err := p.command().ParseAndRun(context.Background(), args)
 	switch {
@@ -95,7 +97,7 @@
 	return exitFailed
 }
 
-// command returns the program's command with all subcommands.
+// command returns the program's root command with all subcommands.
 func (p program) command() *ffcli.Command {
 	flags := flag.NewFlagSet(p.name, flag.ContinueOnError)
 	flags.SetOutput(p.errs)
@@ -142,10 +144,10 @@
 	return append(commands, statusCommands(path, out)...)
 }
 
-// showUsage runs a command that only has subcommands.
+// showUsage is the Exec function of commands that only have subcommands. It returns [flag.ErrHelp], for which package ffcli prints the usage.
 func showUsage(context.Context, []string) error { return flag.ErrHelp }
 
-// readSettings reads the settings file and returns the problems of its values.
+// readSettings reads the settings file and checks its values for this program. It returns a sentence for each invalid one.
 func (p program) readSettings(path string) (set *settings.Settings, problems []string, err error) {
 	set, err = settings.Read(path)
 	if err != nil {
@@ -154,9 +156,10 @@
 	return set, set.Check(p.gateway, p.controller), nil
 }
 
+// serve runs the program until SIGTERM or SIGINT.
 func (p program) serve(path, level string) error {
-	// The settings file is read at the start only. A signal that it changed must not end the process, not even one that comes while
-	// the file is being read.
+	// The settings file is read only once, at the start. SIGHUP, the usual signal to reread settings, must not end the process, not even
+	// while the file is being read.
 	signal.Ignore(syscall.SIGHUP, syscall.SIGPIPE)
 	set, problems, err := p.readSettings(path)
 	if err != nil {
--- a/internal/controlcli/programs_test.go
+++ b/internal/controlcli/programs_test.go
@@ -20,22 +20,24 @@
 )
 
 const (
-	// convergence bounds the wait for state that reaches the programs by itself: heartbeats, reports and elections, beside other load.
-	convergence  = 20 * time.Second
-	pollInterval = 200 * time.Millisecond
+	// convergenceTimeout limits the wait for state that spreads among the programs: heartbeats, reports and elections. It is long enough for
+	// a machine under other load.
+	convergenceTimeout = 20 * time.Second
+	pollInterval       = 200 * time.Millisecond
 )
 
-// programs is a cluster of built programs on loopback.
+// programs is a cluster of built controllers and gateways, and servers in the test process, on loopback addresses.
 type programs struct {
 	t            *testing.T
-	binaries     string // directory
+	binaries     string // directory of the built programs
 	cluster      *simcluster.Cluster
-	settings     []string // files of the controllers
+	settings     []string // settings files of the controllers
 	controllers  []*exec.Cmd
 	gateways     []*exec.Cmd
-	settingsFlag string // of commands; its seeds are called
+	settingsFlag string // --boot with a controller's settings file, whose seeds commands call
 }
 
+// buildPrograms builds the programs for a cluster of three controllers and two gateways.
 func buildPrograms(t *testing.T) *programs {
 	t.Helper()
 	p := &programs{t: t, binaries: t.TempDir(), cluster: simcluster.NewLocal(t.TempDir(), 3, 2)}
@@ -72,6 +74,7 @@
 	}
 }
 
+// start starts a program that serves until the test ends.
 func (p *programs) start(program, settingsFile string) *exec.Cmd {
 	p.t.Helper()
 	command := exec.Command(filepath.Join(p.binaries, program), "--boot", settingsFile, "--log-level", "error", "serve")
@@ -88,7 +91,7 @@
 	p.controllers = append(p.controllers, p.start(controllerName, settingsFile))
 }
 
-// signalSettingsChange sends all programs the signal that their settings have changed.
+// signalSettingsChange sends SIGHUP to all programs, which usually means that settings have changed.
 func (p *programs) signalSettingsChange(t *testing.T) {
 	t.Helper()
 	for _, program := range slices.Concat(p.controllers, p.gateways) {
@@ -132,7 +135,7 @@
 	return path
 }
 
-// run runs a command of the controller program and returns what it printed and its exit code.
+// run runs a command of the controller program and returns its output, with standard error last, and its exit code.
 func (p *programs) run(t *testing.T, args ...string) (output string, code int) {
 	t.Helper()
 	command := exec.Command(filepath.Join(p.binaries, controllerName), args...)
@@ -146,8 +149,8 @@
 	return out.String() + errs.String(), command.ProcessState.ExitCode()
 }
 
-// expectAlone runs a command without the settings file, and checks its exit code and that its output contains a text.
-func (p *programs) expectAlone(t *testing.T, code int, text string, args ...string) {
+// expectArgs runs a command with exactly the given arguments, without the settings file, and checks its exit code and that its output contains a text.
+func (p *programs) expectArgs(t *testing.T, code int, text string, args ...string) {
 	t.Helper()
 	output, got := p.run(t, args...)
 	if got != code || !strings.Contains(output, text) {
@@ -155,31 +158,31 @@
 	}
 }
 
-// expect runs a command that calls the controllers.
+// expect runs a command with the settings file, whose controllers it calls, and checks the exit code and the output.
 func (p *programs) expect(t *testing.T, code int, text string, args ...string) {
 	t.Helper()
-	p.expectAlone(t, code, text, append([]string{p.settingsFlag}, args...)...)
+	p.expectArgs(t, code, text, append([]string{p.settingsFlag}, args...)...)
 }
 
-// poll runs a command that calls the controllers until its output and exit code pass. When they don't in time, the test fails with the last
-// output.
+// poll runs a command that calls the controllers repeatedly until its output and exit code pass. If they don't within convergenceTimeout, the
+// test fails with the last output.
 func (p *programs) poll(t *testing.T, want string, pass func(output string, code int) bool, args ...string) {
 	t.Helper()
 	args = append([]string{p.settingsFlag}, args...)
-	for end := time.Now().Add(convergence); ; time.Sleep(pollInterval) {
+	for end := time.Now().Add(convergenceTimeout); ; time.Sleep(pollInterval) {
 		output, code := p.run(t, args...)
 		if pass(output, code) {
 			return
 		}
 		if time.Now().After(end) {
-			t.Errorf("%s: no %s within %s; last exit code %d\n%s", strings.Join(args, " "), want, convergence, code, output)
+			t.Errorf("%s: no %s within %s; last exit code %d\n%s", strings.Join(args, " "), want, convergenceTimeout, code, output)
 			return
 		}
 	}
 }
 
-// eventually runs a command until it ends with the exit code and its output contains the text. It is for what converges: a command that makes
-// a change is run once, by expect.
+// eventually runs a command repeatedly until its exit code is as given and its output contains the text. It is for state that converges.
+// Commands that make a change run only once, with expect.
 func (p *programs) eventually(t *testing.T, code int, text string, args ...string) {
 	t.Helper()
 	p.poll(t, fmt.Sprintf("exit code %d with %q", code, text), func(output string, got int) bool {
@@ -187,7 +190,7 @@
 	}, args...)
 }
 
-// eventuallyEvent waits until a controller has recorded an event that passes.
+// eventuallyEvent waits until a controller has recorded an event for which pass returns true.
 func (p *programs) eventuallyEvent(t *testing.T, want string, pass func(controlapi.Event) bool) {
 	t.Helper()
 	p.poll(t, "event of the "+want, func(output string, code int) bool {
@@ -196,7 +199,7 @@
 	}, "events", "--json")
 }
 
-// allServers waits until a number of servers is listed, all ready and with recent heartbeats, and returns them.
+// allServers waits until exactly count servers are listed, all ready and none with an overdue heartbeat, and returns them.
 func (p *programs) allServers(t *testing.T, count int) (servers []controlapi.ServerStatus) {
 	t.Helper()
 	p.poll(t, fmt.Sprintf("list of %d ready servers", count), func(output string, code int) bool {
@@ -212,10 +215,10 @@
 	return servers
 }
 
-// request sends a request to a gateway until a server responds. Only 503 is retried, as the gateway may not know the servers yet: any other
-// status is the outcome.
+// request sends a request to a gateway and repeats it only while the status is 503, because the gateway may not have received the servers
+// yet. It returns the first response with another status, or the last one before convergenceTimeout ends.
 func (p *programs) request(path, id string) simcluster.Response {
-	for end := time.Now().Add(convergence); ; time.Sleep(pollInterval) {
+	for end := time.Now().Add(convergenceTimeout); ; time.Sleep(pollInterval) {
 		response := p.cluster.SendRequest(p.cluster.Gateways[0], http.MethodGet, "h.example", path, id, time.Second)
 		if response.Status != http.StatusServiceUnavailable || time.Now().After(end) {
 			return response
--- a/internal/controlcli/remote.go
+++ b/internal/controlcli/remote.go
@@ -16,26 +16,27 @@
 	"oxbowspan/internal/settings"
 )
 
-// environment is what commands that call controllers share.
+// environment holds the flags and the output of commands that call controllers.
 type environment struct {
-	settingsPath *string // its seeds are called if no addresses are set
+	settingsPath *string // settings file, whose seeds are called if no addresses are set
 	addresses    string  // control addresses, comma-separated
-	asJSON       bool
+	asJSON       bool    // print JSON
 	out          io.Writer
 }
 
 // remoteCommand is a command that calls controllers.
 type remoteCommand struct {
-	parent   string // the words before its name
+	parent   string // the program and command before its name
 	name     string
-	usage    string // of its arguments
+	usage    string // the arguments in the usage text
 	help     string
 	minArgs  int
 	maxArgs  int
-	setFlags func(flags *flag.FlagSet) // nil = none beside the common ones
+	setFlags func(flags *flag.FlagSet) // defines further flags; nil = only the common ones
 	run      func(ctx context.Context, client *controlclient.Client, args []string) error
 }
 
+// command returns the command. A wrong number of arguments prints its usage.
 func (e *environment) command(c remoteCommand) *ffcli.Command {
 	flags := flag.NewFlagSet(c.name, flag.ContinueOnError)
 	flags.StringVar(&e.addresses, "control", "", "comma-separated control `addresses` of controllers; default: the seeds of the settings file")
@@ -62,7 +63,7 @@
 	}
 }
 
-// parseInterspersed returns the arguments among flags: flags may follow arguments.
+// parseInterspersed parses flags and returns the arguments. Flags may also follow arguments.
 func parseInterspersed(flags *flag.FlagSet, rest []string) (args []string, err error) {
 	for len(rest) > 0 {
 		if !strings.HasPrefix(rest[0], "-") {
@@ -77,19 +78,20 @@
 	return args, nil
 }
 
+// client returns a client for the controllers that --control names, or else for the seeds of the settings file.
 func (e *environment) client() (*controlclient.Client, error) {
 	addresses := controlclient.ParseAddresses(e.addresses)
 	if len(addresses) == 0 {
 		set, err := settings.Read(settings.ResolvePath(*e.settingsPath))
 		if err != nil {
-			return nil, fmt.Errorf("no addresses by --control, and no seeds: %w", err)
+			return nil, fmt.Errorf("no addresses by --control, and the seeds can't be read from the settings file: %w", err)
 		}
 		addresses = set.SeedAddresses
 	}
 	return controlclient.New(addresses), nil
 }
 
-// print writes a value as JSON, or as lines with aligned columns.
+// print writes a value as JSON, or the output of lines with its tab-separated columns aligned.
 func (e *environment) print(value any, lines func(w io.Writer)) error {
 	if e.asJSON {
 		text, err := json.MarshalIndent(value, "", "  ")
@@ -104,7 +106,7 @@
 	return w.Flush()
 }
 
-// printListing prints what controllers know, and which of them did not respond.
+// printListing prints the merged result of several controllers. Unless it prints JSON, it names those that did not respond.
 func (e *environment) printListing(value any, unreachable []string, lines func(w io.Writer)) error {
 	if err := e.print(value, lines); err != nil {
 		return err
@@ -136,17 +138,18 @@
 	}
 }
 
-// newestBase stands for the newest version as the value of --based-on.
+// newestBase is the value of --based-on that stands for the newest version.
 const newestBase = -1
 
-// replacement is a new version of a resource.
+// replacement describes how a new version of a resource is committed.
 type replacement struct {
-	basedOn int64                                                     // newestBase = what newest returns
+	basedOn int64                                                     // newestBase = the version that newest returns
 	newest  func(ctx context.Context) (uint64, error)                 // may fail with ErrNotFound
 	commit  func(ctx context.Context, basedOn uint64) (uint64, error) // returns the new version
 	report  func(out io.Writer, version uint64, basedOn uint64)       // prints the outcome
 }
 
+// replace commits a new version and reports it.
 func (e *environment) replace(ctx context.Context, r replacement) error {
 	basedOn := uint64(r.basedOn)
 	if r.basedOn < 0 {
--- a/internal/controlcli/rollout.go
+++ b/internal/controlcli/rollout.go
@@ -15,27 +15,27 @@
 	"oxbowspan/rollout"
 )
 
-// defaultRolloutDuration is that of rollouts begun on the command line.
+// defaultRolloutDuration is the default time limit of rollouts that are begun on the command line.
 const defaultRolloutDuration = 15 * time.Minute
 
-// rolloutCommand begins, shows and reverts rollouts.
+// rolloutCommand returns the command with subcommands that begin, show and revert rollouts.
 func rolloutCommand(path *string, out io.Writer) *ffcli.Command {
 	const parent = controllerName + " rollout"
 	e := &environment{settingsPath: path, out: out}
-	var within time.Duration
+	var timeLimit time.Duration
 	begin := remoteCommand{parent: parent, name: "begin", usage: "SERVICE VERSION", minArgs: 2, maxArgs: 2,
-		help: "shift a service's traffic to servers of another version, in steps, unless they fare worse",
+		help: "shift a service's traffic to servers of another version, in steps, as long as they perform no worse",
 		setFlags: func(flags *flag.FlagSet) {
-			flags.DurationVar(&within, "within", defaultRolloutDuration, "the `time` in which it is completed or reverted")
+			flags.DurationVar(&timeLimit, "within", defaultRolloutDuration, "the `time` in which it is completed or reverted")
 		},
 		run: func(ctx context.Context, client *controlclient.Client, args []string) error {
-			return client.BeginRollout(ctx, rollout.Order{Service: args[0], TargetVersion: args[1], DurationS: within.Seconds()})
+			return client.BeginRollout(ctx, rollout.Order{Service: args[0], TargetVersion: args[1], DurationS: timeLimit.Seconds()})
 		},
 	}
 	return &ffcli.Command{
 		Name:       "rollout",
 		ShortUsage: parent + " begin|list|show|revert",
-		ShortHelp:  "bring a new version of a service into use by evidence, and back",
+		ShortHelp:  "shift a service to a new version in steps, show rollouts, or revert one",
 		FlagSet:    flag.NewFlagSet("rollout", flag.ContinueOnError),
 		Subcommands: []*ffcli.Command{
 			e.command(begin),
@@ -44,7 +44,7 @@
 			e.command(remoteCommand{parent: parent, name: "show", usage: "SERVICE", minArgs: 1, maxArgs: 1, run: e.rolloutList,
 				help: "show a service's newest rollout"}),
 			e.command(remoteCommand{parent: parent, name: "revert", usage: "SERVICE", minArgs: 1, maxArgs: 1,
-				help: "end a service's running rollout: all its requests go to the version before",
+				help: "revert a service's running rollout: all its requests go to the previous version again",
 				run: func(ctx context.Context, client *controlclient.Client, args []string) error {
 					return client.RevertRollout(ctx, args[0])
 				}}),
@@ -63,7 +63,7 @@
 	{"REASON", func(r controlapi.Rollout) string { return r.Reason }},
 }
 
-// rolloutList lists all rollouts, or that of the service that is named.
+// rolloutList prints the newest rollout of each service, or of one service if it is named.
 func (e *environment) rolloutList(ctx context.Context, client *controlclient.Client, services []string) error {
 	rollouts, err := client.Rollouts(ctx)
 	if err != nil {
--- a/internal/controlcli/state.go
+++ b/internal/controlcli/state.go
@@ -16,7 +16,7 @@
 
 var errNoConfiguration = errors.New("the state file contains no configuration")
 
-// stateCommand reads the state file of a controller that does not run.
+// stateCommand returns the command with subcommands that read the state file of a stopped controller, and restore an export.
 func stateCommand(path *string, out io.Writer) *ffcli.Command {
 	flags := flag.NewFlagSet("state", flag.ContinueOnError)
 	directory := flags.String("dir", "", "the data `directory`; default from the settings file")
@@ -63,7 +63,7 @@
 	}
 }
 
-// inspectState reads the state file in a directory, or else in the one that the settings file names.
+// inspectState reads the state file in a directory. If that is "", it is the data directory in the settings file.
 func inspectState(directory, settingsPath string) (*acceptorstore.Contents, error) {
 	if directory == "" {
 		set, err := settings.Read(settings.ResolvePath(settingsPath))
@@ -75,6 +75,7 @@
 	return acceptorstore.Inspect(directory)
 }
 
+// dumpState prints the contents of a state file as JSON.
 func dumpState(contents *acceptorstore.Contents, out io.Writer) error {
 	text, err := json.MarshalIndent(contents, "", "  ")
 	if err != nil {
@@ -84,6 +85,7 @@
 	return nil
 }
 
+// printConfiguration prints the accepted configuration byte for byte.
 func printConfiguration(contents *acceptorstore.Contents, out io.Writer) error {
 	if len(contents.Body) == 0 {
 		return errNoConfiguration
--- a/internal/controlcli/status.go
+++ b/internal/controlcli/status.go
@@ -13,7 +13,7 @@
 	"oxbowspan/internal/controlclient"
 )
 
-// statusCommands show what the controllers know of the cluster.
+// statusCommands returns the commands that show the controllers' view of the cluster.
 func statusCommands(path *string, out io.Writer) []*ffcli.Command {
 	e := &environment{settingsPath: path, out: out}
 	return []*ffcli.Command{
@@ -28,6 +28,7 @@
 	}
 }
 
+// seconds formats a duration in seconds.
 func seconds(s float64) string { return fmt.Sprintf("%.1f", s) }
 
 var gatewayColumns = []column[controlapi.GatewayStatus]{
@@ -72,6 +73,7 @@
 	{"LAST HEARTBEAT S AGO", func(s controlapi.ServerStatus) string { return seconds(s.AgeSeconds) }},
 }
 
+// serverState describes the state of a server, with an overdue heartbeat and the remaining slow start.
 func serverState(s controlapi.ServerStatus) string {
 	state := s.State
 	if s.Unresponsive {
@@ -110,6 +112,7 @@
 	})
 }
 
+// writeMembership writes one controller's view of the membership.
 func writeMembership(w io.Writer, status controlapi.MembershipStatus) {
 	state := "in contact with a majority"
 	if !status.HasQuorum {
@@ -121,11 +124,11 @@
 	fmt.Fprintf(w, "%s: slot %d, version %d, %s; tolerable disk losses: %d, zones: %d, regions: %d\n",
 		status.Controller, status.Slot, status.Version, state, status.TolerableLosses, status.TolerableZones, status.TolerableRegions)
 	for _, member := range status.Members {
-		replica := ""
+		replicaState := ""
 		if !member.Complete {
-			replica = ", not known to store the newest decided value"
+			replicaState = ", not known to store the newest decided value"
 		}
-		fmt.Fprintf(w, "  %s\t%s\tlast contact %.1f s ago%s\n", member.Identity, member.Address, member.SilentSeconds, replica)
+		fmt.Fprintf(w, "  %s\t%s\tlast contact %.1f s ago%s\n", member.Identity, member.Address, member.SilentSeconds, replicaState)
 	}
 }
 
--- a/internal/controlcli/tenant.go
+++ b/internal/controlcli/tenant.go
@@ -16,7 +16,7 @@
 	"oxbowspan/internal/controlclient"
 )
 
-// tenantCommand shows and replaces the tenants document.
+// tenantCommand returns the command with subcommands that show and replace the tenants document.
 func tenantCommand(path *string, out io.Writer) *ffcli.Command {
 	const parent = controllerName + " tenant"
 	e := &environment{settingsPath: path, out: out}
@@ -35,18 +35,18 @@
 		FlagSet:    flag.NewFlagSet("tenant", flag.ContinueOnError),
 		Subcommands: []*ffcli.Command{
 			e.command(remoteCommand{parent: parent, name: "list", run: e.tenantList,
-				help: "list the tenants and their present use"}),
+				help: "list the tenants, the connections that they use now, and their waits"}),
 			e.command(remoteCommand{parent: parent, name: "explain", usage: "[TENANT]", maxArgs: 1, run: e.tenantExplain,
 				help: "show each tenant's connections and queueing times, by gateway and server"}),
 			e.command(set),
 			e.command(remoteCommand{parent: parent, name: "dry-run", usage: "FILE", minArgs: 1, maxArgs: 1, run: e.tenantDryRun,
-				help: "show the shares that a tenants document would give, and change nothing"}),
+				help: "show the shares of connections that a tenants document would result in, without a change"}),
 		},
 		Exec: showUsage,
 	}
 }
 
-// defaultWeight is that of tenants that state none.
+// defaultWeight is the weight of a tenant without a configured one.
 const defaultWeight = 1
 
 func weightOf(tenant *config.Tenant) float64 {
@@ -56,7 +56,7 @@
 	return tenant.Weight
 }
 
-// tenantSummary is a tenant at all gateways together.
+// tenantSummary holds the figures of a tenant, added up over all gateways.
 type tenantSummary struct {
 	Name     string   `json:"name"`
 	Weight   float64  `json:"weight"`
@@ -68,7 +68,7 @@
 	Waiting  uint32   `json:"waiting"`
 	Requests uint64   `json:"requests_last_minute"`
 	Waited   uint64   `json:"waited_last_minute"`
-	P99MS    float64  `json:"most_p99_ms"` // the highest of any gateway
+	P99MS    float64  `json:"most_p99_ms"` // of the waits; the maximum over all gateways
 }
 
 var tenantColumns = []column[*tenantSummary]{
@@ -85,6 +85,7 @@
 	{"P99 MS", func(t *tenantSummary) string { return fmt.Sprintf("%.1f", t.P99MS) }},
 }
 
+// tenantList prints a summary of each tenant.
 func (e *environment) tenantList(ctx context.Context, client *controlclient.Client, _ []string) error {
 	configuration, _, err := client.Configuration(ctx)
 	if err != nil {
@@ -113,7 +114,7 @@
 	})
 }
 
-// summarizeTenants lists the document's tenants, and then a tenant for each route that belongs to none of them.
+// summarizeTenants returns the document's tenants, followed by a tenant for each route that belongs to none of them.
 func summarizeTenants(configuration *config.Configuration, document *config.TenantDocument, gateways []controlapi.GatewayTenants) []*tenantSummary {
 	var summaries []*tenantSummary
 	byName := map[string]*tenantSummary{}
@@ -141,7 +142,7 @@
 	return summaries
 }
 
-// addUsage adds a gateway's figures to the summaries. Tenants that are no longer configured are skipped.
+// addUsage adds a gateway's figures to the summaries. It skips tenants that are no longer configured.
 func addUsage(byName map[string]*tenantSummary, gateway controlapi.GatewayTenants) {
 	for _, usage := range gateway.Connections {
 		if summary := byName[usage.Tenant]; summary != nil {
@@ -149,16 +150,17 @@
 			summary.Borrowed += usage.Borrowed
 		}
 	}
-	for _, waits := range gateway.Waits {
-		if summary := byName[waits.Tenant]; summary != nil {
-			summary.Requests += waits.Requests
-			summary.Waited += waits.Waited
-			summary.Waiting += waits.Waiting
-			summary.P99MS = max(summary.P99MS, waits.P99MS)
+	for _, stats := range gateway.Waits {
+		if summary := byName[stats.Tenant]; summary != nil {
+			summary.Requests += stats.Requests
+			summary.Waited += stats.Waited
+			summary.Waiting += stats.Waiting
+			summary.P99MS = max(summary.P99MS, stats.P99MS)
 		}
 	}
 }
 
+// tenantExplain prints the figures of all tenants, or of one if it is named, by gateway and server.
 func (e *environment) tenantExplain(ctx context.Context, client *controlclient.Client, args []string) error {
 	listing, err := client.Tenants(ctx)
 	if err != nil {
@@ -178,7 +180,7 @@
 	})
 }
 
-// selectTenant drops the figures of other tenants.
+// selectTenant removes the figures of all other tenants.
 func selectTenant(gateway *controlapi.GatewayTenants, tenant string) {
 	gateway.Connections = slices.DeleteFunc(gateway.Connections, func(u controlapi.ConnectionUsage) bool { return u.Tenant != tenant })
 	gateway.Waits = slices.DeleteFunc(gateway.Waits, func(w controlapi.WaitStats) bool { return w.Tenant != tenant })
@@ -200,6 +202,7 @@
 	}
 }
 
+// tenantSet commits the tenants document in a file.
 func (e *environment) tenantSet(ctx context.Context, client *controlclient.Client, file string, basedOn int64) error {
 	_, text, err := readTenants(file)
 	if err != nil {
--- a/internal/controlcli/tenant_plan.go
+++ b/internal/controlcli/tenant_plan.go
@@ -12,21 +12,22 @@
 	"oxbowspan/rendezvous"
 )
 
-// servicePlan is what a tenants document gives at each server of a service while all tenants want all connections.
+// servicePlan holds the tenants' shares of the connections at each server of a service, while every tenant wants all connections.
 type servicePlan struct {
 	Service string       `json:"service"`
 	Limit   int          `json:"connection_limit"`
 	Tenants []tenantPlan `json:"tenants"`
 }
 
+// tenantPlan is the share of one tenant.
 type tenantPlan struct {
 	Name  string  `json:"name"`
-	Share float64 `json:"part"` // of the connections at one server, over all gateways
+	Share float64 `json:"part"` // of the connections at one server, for all gateways together
 	Floor int     `json:"floor,omitempty"`
 	Max   int     `json:"most,omitempty"`
 }
 
-// planRow is a line of the printed plan.
+// planRow is a row of the printed plan.
 type planRow struct {
 	service *servicePlan
 	tenant  *tenantPlan
@@ -39,6 +40,7 @@
 	{"SHARE WHILE ALL WANT ALL", func(r planRow) string { return fmt.Sprintf("%.1f", r.tenant.Share) }},
 }
 
+// tenantDryRun prints the shares that a tenants document in a file results in with the committed configuration.
 func (e *environment) tenantDryRun(ctx context.Context, client *controlclient.Client, args []string) error {
 	document, _, err := readTenants(args[0])
 	if err != nil {
@@ -63,7 +65,7 @@
 	})
 }
 
-// planTenants returns the plans of services that have a route.
+// planTenants returns the plans of the services that have a route.
 func planTenants(configuration *config.Configuration, document *config.TenantDocument) (plans []servicePlan) {
 	table := document.NewTenantTable()
 	for _, service := range configuration.Services {
