--- a/internal/controlcli/commands_test.go
+++ b/internal/controlcli/commands_test.go
@@ -129,8 +129,8 @@
 	p.removeData(t, lost)
 	p.eventuallyEvent(t, "loss of a controller", func(e controlapi.Event) bool {
 		recent := e.AgeSeconds < time.Since(killed).Seconds()
-		namesLost := strings.Contains(e.Text, p.cluster.Controllers[lost].IP)
-		return e.Kind == "hive" && recent && namesLost && strings.HasSuffix(e.Text, " timed out")
+		mentionsLost := strings.Contains(e.Text, p.cluster.Controllers[lost].IP)
+		return e.Kind == "hive" && recent && mentionsLost && strings.HasSuffix(e.Text, " timed out")
 	})
 	p.eventually(t, exitOK, "no response from", "members")
 	text, err := os.ReadFile(p.settings[lost])
--- a/internal/controlcli/programs_test.go
+++ b/internal/controlcli/programs_test.go
@@ -149,7 +149,8 @@
 	return out.String() + errs.String(), command.ProcessState.ExitCode()
 }
 
-// expectArgs runs a command with exactly the given arguments, without the settings file, and checks its exit code and that its output contains a text.
+// expectArgs runs a command with exactly the given arguments, without the settings file. It checks the exit code, and that the output contains
+// a text.
 func (p *programs) expectArgs(t *testing.T, code int, text string, args ...string) {
 	t.Helper()
 	output, got := p.run(t, args...)
@@ -158,7 +159,7 @@
 	}
 }
 
-// expect runs a command with the settings file, whose controllers it calls, and checks the exit code and the output.
+// expect runs a command with the settings file, whose controllers the command calls, and checks as [programs.expectArgs] does.
 func (p *programs) expect(t *testing.T, code int, text string, args ...string) {
 	t.Helper()
 	p.expectArgs(t, code, text, append([]string{p.settingsFlag}, args...)...)
--- a/internal/controlcli/remote.go
+++ b/internal/controlcli/remote.go
@@ -84,7 +84,7 @@
 	if len(addresses) == 0 {
 		set, err := settings.Read(settings.ResolvePath(*e.settingsPath))
 		if err != nil {
-			return nil, fmt.Errorf("no addresses by --control, and the seeds can't be read from the settings file: %w", err)
+			return nil, fmt.Errorf("no addresses in --control, and the settings file with the seeds can't be read: %w", err)
 		}
 		addresses = set.SeedAddresses
 	}
--- a/internal/controlcli/tenant.go
+++ b/internal/controlcli/tenant.go
@@ -40,7 +40,7 @@
 				help: "show each tenant's connections and queueing times, by gateway and server"}),
 			e.command(set),
 			e.command(remoteCommand{parent: parent, name: "dry-run", usage: "FILE", minArgs: 1, maxArgs: 1, run: e.tenantDryRun,
-				help: "show the shares of connections that a tenants document would result in, without a change"}),
+				help: "show the shares of connections that a tenants document would give, without committing it"}),
 		},
 		Exec: showUsage,
 	}
--- a/internal/controlclient/client.go
+++ b/internal/controlclient/client.go
@@ -75,8 +75,8 @@
 	return response.body, version, err
 }
 
-// Replace commits a new version of a resource and returns its number. It is rejected unless basedOn is the number of the committed version;
-// 0 = there is none.
+// Replace commits a new version of a resource in place of the committed version with the number basedOn, 0 = none, and returns the new
+// version's number.
 func (c *Client) Replace(ctx context.Context, resource string, basedOn uint64, body []byte) (version uint64, err error) {
 	response, err := c.callAny(ctx, call{method: http.MethodPost, path: "/-/" + resource + "/replace", basedOn: &basedOn, body: body})
 	if err != nil {
--- a/internal/controlclient/errors.go
+++ b/internal/controlclient/errors.go
@@ -67,7 +67,7 @@
 	return errors.Is(err, ErrNotFound) || errors.As(err, &status) && status.Rejected()
 }
 
-// isRetryable reports whether an error is a response by which the outcome is not known yet.
+// isRetryable reports whether an error is a response that says that the outcome is not known yet, so that the call is repeated.
 func isRetryable(err error) bool {
 	var status *StatusError
 	return errors.As(err, &status) && !status.Rejected()
--- a/internal/simbridge/bridge.go
+++ b/internal/simbridge/bridge.go
@@ -117,7 +117,7 @@
 	return nil
 }
 
-// handleRecord processes one record that belongs to an instance, and returns the instance.
+// handleRecord processes one record that belongs to an instance. It returns the instance, or nil if the record starts or stops it.
 func (b *bridge) handleRecord(code uint8, id uint32, r *recordReader) (*instance, error) {
 	if code == eventHello {
 		return nil, b.startInstance(id, r)
