--- a/internal/operatorconfig/doc.go
+++ b/internal/operatorconfig/doc.go
@@ -1,4 +1,4 @@
-// Package operatorconfig reads the operator's own file, in INI: which optional features are on and within which limits, beyond the
-// platform's configuration. It checks the file strictly and reports all problems at once, with their lines. Without such a file every
-// optional feature is off.
+// Package operatorconfig reads the operator's file, in INI, which supplements the platform's configuration: it enables optional features
+// and sets their limits. Validation is strict and reports all problems of the file at once, with their line numbers. Without such a file
+// every optional feature is off.
 package operatorconfig
--- a/internal/operatorconfig/file.go
+++ b/internal/operatorconfig/file.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-// File is the contents of an operator's file. A section that is absent is nil.
+// File holds the contents of an operator's file. The field of a section that the file does not have is nil.
 type File struct {
 	Path        string
-	Merging     *Merging // nil = no section allows a merge
+	Merging     *Merging // nil = no query type may merge
 	Connections *Connections
 	Memory      *Memory
 	Store       *Store
 	Levels      *Levels
 	Fleet       *Fleet
 
-	fleetLine int
+	fleetLine int // line of the section [fleet]
 }
 
-// Load reads and checks a file. The error of a file that can be read but not used is a ConfigError.
+// Load reads and validates a file. If the file can be read but is invalid, the error is a ConfigError.
 func Load(path string) (*File, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -28,16 +28,16 @@
 	return parse(path, raw)
 }
 
-// Store is the section [store], on the store that survives restarts.
+// Store holds the section [store], which configures the store that survives restarts.
 type Store struct {
 	Path           string        // directory
-	MaxMirrorBytes int64         // bytes of the files of one mirror
-	CommitDelay    time.Duration // how long a commit waits for others to share its write
-	SlowAfter      time.Duration // a write that takes longer is given up
-	Retention      time.Duration // how long the outcome of a request is kept beyond its client's timeout
-	MaxRequests    int           // requests whose outcome is kept
-	MaxAnswerBytes int64         // bytes of the kept answers
-	KeyHeader      string        // header with the client's idempotency key
+	MaxMirrorBytes int64         // limit on the files of one mirror, in bytes
+	CommitDelay    time.Duration // how long a commit waits for other commits to be written together with it
+	SlowAfter      time.Duration // a request gives up on a write that takes longer; until the write ends no request that needs one is accepted
+	Retention      time.Duration // how long the outcome of a request is stored after its client's timeout
+	MaxRequests    int           // limit on the requests whose outcome is stored
+	MaxAnswerBytes int64         // limit on the stored answers, in bytes
+	KeyHeader      string        // name of the header with the client's idempotency key
 }
 
 const day = 24 * time.Hour
@@ -73,23 +73,23 @@
 	return store
 }
 
-// Connections is the section [connections], on clients' connections.
+// Connections holds the section [connections], which configures the connections of clients.
 type Connections struct {
-	ReleaseIdle bool          // idle connections release their goroutines and buffers
+	ReleaseIdle bool          // whether idle connections release their goroutines and buffers
 	IdleTimeout time.Duration // an idle connection is closed after this time; 0 = never
-	MaxActive   int           // connections active at the same time; 0 = as memory allows
+	MaxActive   int           // limit on connections active at the same time; 0 = as many as memory allows
 
-	MinHeaderRate   int64         // least rate of a client's request header, in bytes a second; 0 = none
-	MinBodyRate     int64         // of its request body
-	MinResponseRate int64         // at which it must take the response
-	RateGrace       time.Duration // how long each may take before its rate is checked
-	KeepAlive       time.Duration // interval of three probes of a silent peer; 0 = the system's default
-	SendBuffer      int           // bytes of the system's send buffer; 0 = the system's default
-	IdleThreshold   int           // idle connections above which one is closed after its first request;
-	// 0 = a twelfth of the clients' descriptors
+	MinHeaderRate   int64         // minimum rate at which a client sends a request header, in bytes per second; 0 = none
+	MinBodyRate     int64         // minimum rate at which it sends a request body
+	MinResponseRate int64         // minimum rate at which it reads the response
+	RateGrace       time.Duration // time from the start of each transfer in which its rate is not checked
+	KeepAlive       time.Duration // interval between the three TCP keep-alive probes of a silent peer; 0 = the system's default
+	SendBuffer      int           // size of the system's send buffer in bytes; 0 = the system's default
+	IdleThreshold   int           // number of idle connections above which one is closed after its first request;
+	// 0 = a twelfth of the file descriptors for clients
 }
 
-// Unlimited is a number of connections that is never reached.
+// Unlimited is a value of IdleThreshold that is never reached, which disables that limit.
 const Unlimited = 1 << 30
 
 func (p *parser) parseConnections() *Connections {
@@ -113,7 +113,7 @@
 	return c
 }
 
-// idleThreshold reads a number of connections, or off.
+// idleThreshold reads a number of connections, or off, for which it returns Unlimited.
 func (s *section) idleThreshold() int {
 	if text, _ := s.text("crowd"); text == "off" {
 		return Unlimited
@@ -121,10 +121,10 @@
 	return int(s.count("crowd", 0, 1, Unlimited))
 }
 
-// Memory is the section [memory], on memory as a whole.
+// Memory holds the section [memory], which configures the memory budget shared by all work.
 type Memory struct {
-	Limit          int64         // bytes that all work may reserve; 0 = as the platform's memory allows
-	ReportInterval time.Duration // how often the reserved memory is logged; 0 = only when the pressure changes
+	Limit          int64         // bytes that all work together may reserve; 0 = derived from the platform's memory limit
+	ReportInterval time.Duration // how often the reserved memory is logged; 0 = only when the memory pressure changes
 }
 
 func (p *parser) parseMemory() *Memory {
--- a/internal/operatorconfig/file_test.go
+++ b/internal/operatorconfig/file_test.go
@@ -29,7 +29,7 @@
 limit = 50
 `
 
-// load loads a file with this text, beside a key file cursor.keys.
+// load loads an operator's file with this text, with a key file cursor.keys in the same directory.
 func load(t *testing.T, text string) (*File, error) {
 	t.Helper()
 	dir := t.TempDir()
@@ -73,7 +73,7 @@
 	}
 }
 
-// All problems are reported at once, in the order of their lines.
+// TestLoadReportsAllProblemsWithLines checks that all problems are reported at once, in the order of their lines.
 func TestLoadReportsAllProblemsWithLines(t *testing.T) {
 	text := `stray = 1
 [merging]
@@ -120,7 +120,7 @@
 	}
 }
 
-// expectProblem checks that a file with this text is rejected for a problem.
+// expectProblem checks that a file with this text is rejected and that the error contains want.
 func expectProblem(t *testing.T, text, want string) {
 	t.Helper()
 	if _, err := load(t, text); err == nil || !strings.Contains(err.Error(), want) {
--- a/internal/operatorconfig/levels.go
+++ b/internal/operatorconfig/levels.go
@@ -9,22 +9,22 @@
 	"oxbowspan/degradation"
 )
 
-// Levels is the sections [levels] and [level NAME], on reduced service.
+// Levels holds the sections [levels] and [level NAME], which configure the degradation levels.
 type Levels struct {
-	Config degradation.Config   // without served shares, as only the platform's configuration numbers the query types
-	Shares []map[string]float64 // served shares by rank and query type
+	Config degradation.Config   // without served shares: the indexes of query types follow from the platform's configuration
+	Shares []map[string]float64 // served shares, by rank and name of the query type
 	Socket string               // path of the admin socket; "" = none
-	lines  []int                // of the levels' sections, by rank
-	path   string
+	lines  []int                // lines of the levels' sections, by rank
+	path   string               // of the operator's file
 }
 
 // fullServiceName is the name of the level of full service, which has no section.
 const fullServiceName = "full"
 
-// defaultExitRatio is the exit threshold of a signal without one, as a share of its entry threshold.
+// defaultExitRatio is the exit threshold of a signal for which the file sets none, as a fraction of the entry threshold.
 const defaultExitRatio = 0.7
 
-// parseLevels reads the levels; their order in the file is that of their ranks.
+// parseLevels reads the levels. Ranks follow the order in the file; rank 0 is full service. It returns nil if there are none.
 func (p *parser) parseLevels() *Levels {
 	levels := &Levels{Shares: []map[string]float64{nil}, lines: []int{0}, path: p.path}
 	levels.Config.Levels = []degradation.Level{{Name: fullServiceName, Policy: degradation.Policy{MergeShare: 1}}}
@@ -32,7 +32,7 @@
 		level, shares := s.parseLevel(name)
 		levels.Config.Levels = append(levels.Config.Levels, level)
 		levels.Shares = append(levels.Shares, shares)
-		levels.lines = append(levels.lines, p.lines[sectionPosition(s.ini.Name())])
+		levels.lines = append(levels.lines, p.lines[sectionLabel(s.ini.Name())])
 	})
 	s := p.section("levels")
 	if s == nil {
@@ -41,11 +41,11 @@
 		}
 		return nil
 	}
-	s.parseLevelTimes(&levels.Config)
+	s.parseTransitionSettings(&levels.Config)
 	if socket, given := s.text("socket"); given {
 		levels.Socket = p.resolve(socket)
 	}
-	line := p.lines[sectionPosition("levels")]
+	line := p.lines[sectionLabel("levels")]
 	s.rejectUnknownKeys()
 	if len(levels.Config.Levels) == 1 {
 		p.problems.add(line, "[levels] needs a section [level NAME] at least")
@@ -57,9 +57,10 @@
 	return levels
 }
 
-func (s *section) parseLevelTimes(c *degradation.Config) {
-	milliseconds := func(key string, absent, least, most time.Duration) degradation.Time {
-		return degradation.Time(s.duration(key, absent, least, most).Milliseconds())
+// parseTransitionSettings reads the settings of the section [levels] that control when the level changes.
+func (s *section) parseTransitionSettings(c *degradation.Config) {
+	milliseconds := func(key string, defaultValue, minimum, maximum time.Duration) degradation.Time {
+		return degradation.Time(s.duration(key, defaultValue, minimum, maximum).Milliseconds())
 	}
 	c.SmoothingTime = milliseconds("smooth", time.Second, 0, time.Minute)
 	c.EnterAfter = milliseconds("enter_for", time.Second, 0, time.Minute)
@@ -71,7 +72,7 @@
 	c.MaxUpgradesPerMinute = int(s.count("ups", 4, 1, 60))
 }
 
-// parseLevel reads one level and its served shares by query type.
+// parseLevel reads a section [level NAME] and returns the level and its served shares by query type.
 func (s *section) parseLevel(name string) (level degradation.Level, shares map[string]float64) {
 	level.Name, shares = name, map[string]float64{}
 	level.Conditions = s.conditions()
@@ -95,7 +96,7 @@
 	return level, shares
 }
 
-// conditions reads the entry and exit thresholds of a level.
+// conditions reads the entry and exit thresholds of a level, by signal.
 func (s *section) conditions() (conditions []degradation.Condition) {
 	enter, exit := s.namedNumbers("enter"), s.namedNumbers("exit")
 	for _, threshold := range enter {
@@ -120,8 +121,8 @@
 	return conditions
 }
 
-// ConfigFor returns the configuration for the query types of the platform's configuration. A type that a level does not name has the
-// served share of the level before.
+// ConfigFor returns the configuration for the query types of the platform's configuration, in the order of their indexes. A query type
+// for which a level sets no served share has the share of the next lower rank, and at rank 0 a share of 1. The error is a ConfigError.
 func (l *Levels) ConfigFor(queryTypes []string) (degradation.Config, error) {
 	config := l.Config
 	config.Levels = slices.Clone(l.Config.Levels)
@@ -136,7 +137,7 @@
 			if i := slices.Index(queryTypes, name); i >= 0 {
 				served[i] = share
 			} else {
-				errs = append(errs, l.problem(rank, fmt.Sprintf("[level %s] share: %s is no query type of the settings", config.Levels[rank].Name, name)))
+				errs = append(errs, l.levelError(rank, fmt.Sprintf("[level %s] share: %s is no query type of the settings", config.Levels[rank].Name, name)))
 			}
 		}
 		config.Levels[rank].Policy.ServedShares = served
@@ -144,13 +145,13 @@
 	}
 	if len(errs) == 0 {
 		for _, problem := range config.Validate() {
-			errs = append(errs, l.problem(1, problem))
+			errs = append(errs, l.levelError(1, problem))
 		}
 	}
 	return config, JoinErrors(errs...)
 }
 
-// problem returns the error of a level's section.
-func (l *Levels) problem(rank int, text string) error {
+// levelError returns an error at the line of a level's section.
+func (l *Levels) levelError(rank int, text string) error {
 	return &ConfigError{l.path, []Problem{{l.lines[rank], text}}}
 }
--- a/internal/operatorconfig/merging.go
+++ b/internal/operatorconfig/merging.go
@@ -8,32 +8,32 @@
 	"oxbowspan/merge"
 )
 
-// Merging is the sections [merging], [schema NAME] and [merge QUERY-TYPE], on merged answers.
+// Merging holds the sections [merging], [schema NAME] and [merge QUERY-TYPE], which configure merged answers.
 type Merging struct {
-	MaxBytes       int64         // memory of all open merges
-	MaxRows        int64         // rows of all open merges
-	MaxOpen        int64         // merges open at the same time
-	Keys           *keyring.Ring // sign the cursors of paged merges; nil = none is paged
+	MaxBytes       int64         // limit on the memory of all open merges together, in bytes
+	MaxRows        int64         // limit on the rows of all open merges together
+	MaxOpen        int64         // limit on merges open at the same time
+	Keys           *keyring.Ring // sign the cursors of paged merges; nil = not configured, as no merge is paged
 	CursorLifetime time.Duration
-	MaxCursorBytes int
+	MaxCursorBytes int                      // limit on the size of one cursor
 	Types          map[string]*merge.Policy // by query type
-	Lines          map[string]int           // of the query types' sections
+	Lines          map[string]int           // line of each query type's section [merge QUERY-TYPE]
 }
 
-// parseMerging reads all sections on merging; nil = no query type may merge.
+// parseMerging reads all sections on merging. It returns nil if no query type may merge.
 func (p *parser) parseMerging() *Merging {
 	m := &Merging{Types: map[string]*merge.Policy{}, Lines: map[string]int{}}
 	p.sectionsOf("schema", func(name string, s *section) { p.schemas[name] = s.parseSchema(name) })
 	paged := false
 	p.sectionsOf("merge", func(name string, s *section) {
 		policy := s.parsePolicy()
-		m.Types[name], m.Lines[name] = policy, p.lines[sectionPosition(s.ini.Name())]
+		m.Types[name], m.Lines[name] = policy, p.lines[sectionLabel(s.ini.Name())]
 		paged = paged || slices.Contains(policy.Kinds, merge.Paged)
 	})
 	s := p.section("merging")
 	if s == nil {
 		for _, line := range m.Lines {
-			p.problems.add(line, "a [merge] section needs a section [merging] with what all merges together may hold")
+			p.problems.add(line, "a [merge] section needs a section [merging] with the limits on all merges together")
 			break
 		}
 		return nil
@@ -49,7 +49,7 @@
 	case given:
 		m.Keys = s.readKeys("cursor_keys", keys)
 	case paged:
-		s.addKeyProblem("cursor_keys", "is missing, and paged merges need it: 'oxbowspan keys new' makes a line of such a file")
+		s.addKeyProblem("cursor_keys", "is missing, and paged merges need it: 'oxbowspan keys new' prints a line for such a file")
 	}
 	if len(m.Types) == 0 {
 		return nil
@@ -57,11 +57,12 @@
 	return m
 }
 
+// parseSchema reads a section [schema NAME].
 func (s *section) parseSchema(name string) *merge.Schema {
 	schema := &merge.Schema{Name: name, Row: -1}
-	before := len(s.problems.Problems)
-	for _, word := range s.fields("columns") {
-		column, err := merge.ParseColumn(word)
+	problemsBefore := len(s.problems.Problems)
+	for _, definition := range s.fields("columns") {
+		column, err := merge.ParseColumn(definition)
 		if err != nil {
 			s.addKeyProblem("columns", "%v", err)
 			continue
@@ -77,7 +78,7 @@
 	}
 	schema.Digits = int(s.count("digits", 28, 1, merge.MaxDigits))
 	s.rejectUnknownKeys()
-	if len(s.problems.Problems) == before {
+	if len(s.problems.Problems) == problemsBefore {
 		if err := schema.Check(); err != nil {
 			s.addKeyProblem("columns", "%v", err)
 		}
@@ -85,7 +86,7 @@
 	return schema
 }
 
-// parsePolicy reads a section [merge QUERY-TYPE]: what the query type may merge.
+// parsePolicy reads a section [merge QUERY-TYPE], which defines the merges that requests of a query type may use.
 func (s *section) parsePolicy() *merge.Policy {
 	policy := &merge.Policy{
 		Kinds:            s.fields("kinds"),
@@ -115,18 +116,19 @@
 	}
 	s.checkColumns("order", policy.Orders, policy.Schema)
 	s.checkColumns("group", policy.Groups, policy.Schema)
-	for _, figure := range policy.Aggregates {
-		if err := policy.Schema.CheckAggregate(figure); err != nil {
+	for _, aggregate := range policy.Aggregates {
+		if err := policy.Schema.CheckAggregate(aggregate); err != nil {
 			s.addKeyProblem("figures", "%v", err)
 		}
 	}
-	lists := slices.Contains(policy.Kinds, merge.Ranked) || slices.Contains(policy.Kinds, merge.Paged)
-	if lists && len(policy.Orders) == 0 {
+	ordered := slices.Contains(policy.Kinds, merge.Ranked) || slices.Contains(policy.Kinds, merge.Paged)
+	if ordered && len(policy.Orders) == 0 {
 		s.addKeyProblem("order", "is missing: lists need columns to be ordered by")
 	}
 	return policy
 }
 
+// checkColumns reports the names in the value of a key that are not columns of a schema.
 func (s *section) checkColumns(key string, columns []string, schema *merge.Schema) {
 	for _, column := range columns {
 		if schema.ColumnIndex(column) < 0 {
--- a/internal/operatorconfig/parser.go
+++ b/internal/operatorconfig/parser.go
@@ -11,25 +11,25 @@
 	"oxbowspan/merge"
 )
 
-// parser parses one file.
+// parser parses one file and collects its problems.
 type parser struct {
 	path     string
 	problems *ConfigError
 	ini      *ini.File
-	lines    map[string]int // of each section and key, by sectionPosition and keyPosition
+	lines    map[string]int // line of each section and key, by sectionLabel and keyLabel
 	schemas  map[string]*merge.Schema
 }
 
-func sectionPosition(section string) string  { return "[" + section + "]" }
-func keyPosition(section, key string) string { return "[" + section + "] " + key }
+func sectionLabel(section string) string  { return "[" + section + "]" }
+func keyLabel(section, key string) string { return "[" + section + "] " + key }
 
-// Sections without a name behind the kind, and those with one.
+// Kinds of sections: [KIND] for the unnamed ones, [KIND NAME] for the named ones.
 var (
 	unnamedSections = []string{"merging", "connections", "memory", "store", "levels", "fleet"}
 	namedSections   = []string{"level", "schema", "merge"}
 )
 
-// parse parses a file's contents. Its errors are ConfigErrors.
+// parse parses the contents of a file. Every error that it returns is a ConfigError.
 func parse(path string, raw []byte) (*File, error) {
 	p := &parser{path: path, problems: &ConfigError{Path: path}, schemas: map[string]*merge.Schema{}}
 	p.indexLines(raw)
@@ -37,13 +37,13 @@
 	p.ini, err = ini.LoadSources(ini.LoadOptions{IgnoreContinuation: true, SpaceBeforeInlineComment: true,
 		KeyValueDelimiters: "=", SkipUnrecognizableLines: true}, raw)
 	if err != nil {
-		if len(p.problems.Problems) == 0 { // otherwise indexLines has found more than the library tells
+		if len(p.problems.Problems) == 0 { // otherwise the problems found by indexLines are more precise
 			p.problems.add(1, "%s", strings.TrimSpace(err.Error()))
 		}
 		return nil, p.problems
 	}
 	p.checkSections()
-	f := &File{Path: path, fleetLine: p.lines[sectionPosition("fleet")]}
+	f := &File{Path: path, fleetLine: p.lines[sectionLabel("fleet")]}
 	f.Merging = p.parseMerging()
 	f.Connections = p.parseConnections()
 	f.Levels = p.parseLevels()
@@ -57,7 +57,7 @@
 	return f, nil
 }
 
-// indexLines records the line of each section and key, and finds lines that are neither and those that are repeated.
+// indexLines records the line of each section and key. It reports lines that are neither, and repeated sections and keys.
 func (p *parser) indexLines(raw []byte) {
 	p.lines = map[string]int{}
 	section := ""
@@ -65,7 +65,7 @@
 		number := i + 1
 		line = strings.TrimSpace(line)
 		key, _, assigned := strings.Cut(line, "=")
-		position := ""
+		label := ""
 		switch {
 		case line == "" || line[0] == '#' || line[0] == ';':
 			continue
@@ -76,39 +76,39 @@
 				continue
 			}
 			section = strings.TrimSpace(line[1:end])
-			position = sectionPosition(section)
+			label = sectionLabel(section)
 		case !assigned:
 			p.problems.add(number, "%.60q is neither a section nor NAME = VALUE", line)
 			continue
 		default:
-			position = keyPosition(section, strings.TrimSpace(key))
+			label = keyLabel(section, strings.TrimSpace(key))
 		}
-		if first := p.lines[position]; first > 0 {
-			p.problems.add(number, "%s stands in line %d already", position, first)
+		if first := p.lines[label]; first > 0 {
+			p.problems.add(number, "%s stands in line %d already", label, first)
 			continue
 		}
-		p.lines[position] = number
+		p.lines[label] = number
 	}
 }
 
-// checkSections finds unknown sections, and keys before the first section.
+// checkSections reports unknown sections, and keys before the first section.
 func (p *parser) checkSections() {
 	for _, s := range p.ini.Sections() {
 		if s.Name() == ini.DefaultSection {
 			for _, k := range s.Keys() {
-				p.problems.add(p.lines[keyPosition("", k.Name())], "%q stands before any section", k.Name())
+				p.problems.add(p.lines[keyLabel("", k.Name())], "%q stands before any section", k.Name())
 			}
 			continue
 		}
 		kind, name, _ := strings.Cut(s.Name(), " ")
 		if name == "" && !slices.Contains(unnamedSections, kind) || name != "" && !slices.Contains(namedSections, kind) {
-			p.problems.add(p.lines[sectionPosition(s.Name())], "section [%s] is not known: [connections], [fleet], [levels], [level NAME], "+
+			p.problems.add(p.lines[sectionLabel(s.Name())], "section [%s] is not known: [connections], [fleet], [levels], [level NAME], "+
 				"[memory], [store], [merging], [schema NAME] and [merge QUERY-TYPE] are", s.Name())
 		}
 	}
 }
 
-// section returns a section by its name; nil = there is none.
+// section returns the section of this name, or nil if the file has none.
 func (p *parser) section(name string) *section {
 	if s, err := p.ini.GetSection(name); err == nil {
 		return &section{parser: p, ini: s}
@@ -119,13 +119,13 @@
 // sectionsOf calls do for each named section of a kind, in the order of the file.
 func (p *parser) sectionsOf(kind string, do func(name string, s *section)) {
 	for _, s := range p.ini.Sections() {
-		if name, is := strings.CutPrefix(s.Name(), kind+" "); is {
+		if name, found := strings.CutPrefix(s.Name(), kind+" "); found {
 			do(name, &section{parser: p, ini: s})
 		}
 	}
 }
 
-// resolve returns the path of a file that the operator's file names: relative paths are relative to the operator's file.
+// resolve returns the path of a file that is named in the operator's file. Relative paths are relative to the directory of that file.
 func (p *parser) resolve(path string) string {
 	if filepath.IsAbs(path) {
 		return path
--- a/internal/operatorconfig/problem.go
+++ b/internal/operatorconfig/problem.go
@@ -7,19 +7,19 @@
 	"strings"
 )
 
-// Problem is one problem of a file.
+// Problem is one validation error of a file.
 type Problem struct {
-	Line int // from 1
+	Line int // counted from 1; 0 = not known
 	Text string
 }
 
-// ConfigError is all problems of a file, by line.
+// ConfigError holds all problems of a file, in the order of their lines.
 type ConfigError struct {
 	Path     string
 	Problems []Problem
 }
 
-// Error returns a line PATH:LINE: TEXT for each problem.
+// Error returns one line PATH:LINE: TEXT for each problem.
 func (e *ConfigError) Error() string {
 	var b strings.Builder
 	for i, p := range e.Problems {
@@ -39,7 +39,8 @@
 	slices.SortStableFunc(e.Problems, func(a, b Problem) int { return a.Line - b.Line })
 }
 
-// JoinErrors merges several ConfigErrors into one, by line. If any error is none, it returns errors.Join of them all.
+// JoinErrors merges several ConfigErrors into one, ordered by line. If any of the errors is not a ConfigError, it returns errors.Join of
+// all of them.
 func JoinErrors(errs ...error) error {
 	var all *ConfigError
 	for _, err := range errs {
@@ -61,7 +62,8 @@
 	return all
 }
 
-// QueryTypeError returns the error of a query type's section [merge NAME], for problems that only the platform's configuration tells.
+// QueryTypeError returns an error at the line of a query type's section [merge NAME], for problems that can be detected only with the
+// platform's configuration.
 func (f *File) QueryTypeError(name, text string) error {
 	line := 0
 	if f.Merging != nil {
@@ -70,7 +72,8 @@
 	return &ConfigError{f.Path, []Problem{{line, fmt.Sprintf("[merge %s]: %s", name, text)}}}
 }
 
-// FleetError returns the error of the section [fleet], for problems that only the platform's configuration tells.
+// FleetError returns an error at the line of the section [fleet], for problems that can be detected only with the platform's
+// configuration.
 func (f *File) FleetError(text string) error {
 	return &ConfigError{f.Path, []Problem{{f.fleetLine, "[fleet]: " + text}}}
 }
