--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli is the command line of the gatherer: its commands with their flags and exit codes, and the format of log lines. It
-// decides nothing about requests.
+// Package cli implements the command line of the gatherer: its commands with their flags and exit codes, and the format of log lines. It
+// contains no logic for requests.
 package cli
 
 import (
@@ -12,7 +12,8 @@
 	"oxbowspan/internal/command"
 )
 
-// exitFailure is the exit code where the program could not start, or not finish its open requests.
+// exitFailure is the exit code of a command that failed, for example of a gatherer that could not start or could not finish its open
+// requests.
 const exitFailure = 1
 
 // Main runs the program and returns its exit code.
@@ -23,9 +24,9 @@
 func newRoot(stdout, stderr io.Writer) *cobra.Command {
 	root := command.NewRoot(&cobra.Command{
 		Use:   "oxbowspan",
-		Short: "A gatherer: reads many shards for one request",
-		Long: "oxbowspan takes a request, calls the shard servers that hold its data, and answers from their results.\n" +
-			"It keeps its promises while servers crash, hang or slow down, the server list is stale, or the load exceeds the capacity.",
+		Short: "Gatherer that reads many shards for one request",
+		Long: "oxbowspan accepts a request, calls the shard servers that hold its data, and answers from their results.\n" +
+			"It meets its guarantees while servers crash, hang or slow down, the server list is stale, or the load exceeds the capacity.",
 		Example: "  oxbowspan check --config config.json\n" +
 			"  oxbowspan serve --config config.json",
 		Version: version(),
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -41,16 +41,16 @@
 				t.Errorf("exit code %d, want %d: %s", code, c.code, stderr.String())
 			}
 			if !strings.Contains(stdout.String(), c.stdout) || !strings.Contains(stderr.String(), c.stderr) {
-				t.Errorf("prints %q and %q, want %q and %q in them", stdout.String(), stderr.String(), c.stdout, c.stderr)
+				t.Errorf("stdout %q and stderr %q, want %q and %q in them", stdout.String(), stderr.String(), c.stdout, c.stderr)
 			}
 			if c.code == 0 && stderr.Len() > 0 {
-				t.Errorf("prints to stderr on success: %s", stderr.String())
+				t.Errorf("output to stderr on success: %s", stderr.String())
 			}
 		})
 	}
 }
 
-// mergeSections lets query types merge pages, which only the platform's configuration can rule out.
+// mergeSections returns sections that allow paged merges for query types. Only the platform's configuration can forbid these.
 func mergeSections(queryTypes ...string) string {
 	text := "[merging]\ncursor_keys = k\n[schema s]\ncolumns = a:text\naccount = a\n"
 	for _, name := range queryTypes {
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -12,15 +12,15 @@
 	"oxbowspan/maintenance"
 )
 
-// membership is a gatherer's part in the fleet that its operator's file names. Without a fleet, node and agent are nil.
+// membership is a gatherer's membership in the fleet that its operator's file configures. Without a fleet, node and agent are nil.
 type membership struct {
 	node  *raftnode.Node // nil = this gatherer is not a voter
 	agent *raftnode.Agent
 	drain func()
 }
 
-// joinFleet makes a gatherer a member of its fleet, and a voter where the operator's file says so. drain is called when the gatherer
-// must drain.
+// joinFleet makes a gatherer a member of its fleet, and starts a voter if the operator's file lists the gatherer as one. bootstrap makes
+// the voter create its log. drain is called when the gatherer must drain.
 func joinFleet(config gatherer.Config, g *gatherer.Gatherer, bootstrap bool, drain func()) (*membership, error) {
 	m := &membership{drain: drain}
 	if config.Operator == nil || config.Operator.Fleet == nil {
@@ -64,6 +64,7 @@
 	return m, nil
 }
 
+// fleetVoters converts the voters of the operator's file to those of the fleet's log.
 func fleetVoters(f *operatorconfig.Fleet) (voters []raftnode.Voter) {
 	for _, v := range f.Voters {
 		voters = append(voters, raftnode.Voter{Name: v.Name, Addr: v.Addr})
@@ -71,7 +72,7 @@
 	return voters
 }
 
-// awaitDrain drains the gatherer when its agent says so.
+// awaitDrain drains the gatherer when its agent requests that. It returns without draining if the agent ends.
 func (m *membership) awaitDrain(name string, fleet *operatorconfig.Fleet) {
 	var permitted bool
 	select {
@@ -87,7 +88,7 @@
 	m.drain()
 }
 
-// shutDown requests a permit to drain; without a fleet it drains at once.
+// shutDown requests a permit to drain, after which awaitDrain drains the gatherer; without a fleet it drains at once.
 func (m *membership) shutDown() {
 	if m.agent == nil {
 		m.drain()
@@ -96,7 +97,7 @@
 	m.agent.RequestDrain()
 }
 
-// leave ends the membership after the gatherer has ended.
+// leave ends the membership; it is called after the gatherer has ended.
 func (m *membership) leave() {
 	if m.agent != nil {
 		m.agent.Close()
--- a/internal/cli/fleet_test.go
+++ b/internal/cli/fleet_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// All gatherers are shut down at once, and the leader is killed while they wait for each other: never more than two are out at the same
-// time, and each comes back.
+// TestShutdownStaysWithinLimit shuts down all gatherers at once and kills the leader while they wait for permits. At most two may be out at
+// the same time, and all must restart.
 func TestShutdownStaysWithinLimit(t *testing.T) {
 	f := newTestFleet(t, "most_gatherers = 2\n")
 	f.awaitMembers(fleetSize)
@@ -40,8 +40,8 @@
 	f.checkGuarantees(2)
 }
 
-// A gatherer with a permit is suspended for longer than its lease before it drains: nobody goes out in its place, and when it is resumed
-// it drains.
+// TestSuspendedGathererKeepsItsPermit suspends a gatherer that has a permit for longer than its lease, before it drains. No other gatherer
+// may get a permit meanwhile, and the suspended one must drain when it is resumed.
 func TestSuspendedGathererKeepsItsPermit(t *testing.T) {
 	f := newTestFleet(t, "most_gatherers = 1\n")
 	f.awaitMembers(fleetSize)
@@ -69,7 +69,8 @@
 	f.checkGuarantees(1)
 }
 
-// Without a quorum of the voters no permit is granted, and requests are served. A voter whose log is gone does not start.
+// TestNoPermitWithoutQuorum checks that no permit is granted without a quorum of the voters while requests are still served, and that a
+// voter does not start if its log is missing.
 func TestNoPermitWithoutQuorum(t *testing.T) {
 	f := newTestFleet(t, "most_gatherers = 2\n")
 	f.awaitMembers(fleetSize)
@@ -135,8 +136,8 @@
 	}
 }
 
-// requireExclusiveRun skips a test that needs the cores to itself: beside other packages' tests gatherers restart later than a release
-// waits for them.
+// requireExclusiveRun skips a test that needs all cores: while tests of other packages run, gatherers may restart later than the timeout
+// of a release.
 func requireExclusiveRun(t *testing.T) {
 	t.Helper()
 	if os.Getenv("OXBOWSPAN_FLEET") == "" {
@@ -144,7 +145,8 @@
 	}
 }
 
-// A release changes the gatherers two at a time while requests are served, and the leader is killed in the middle of it.
+// TestReleaseContinuesAfterLeaderLoss runs a release that changes two gatherers at a time while requests are served, and kills the leader
+// in the middle of it. The release must still change all gatherers.
 func TestReleaseContinuesAfterLeaderLoss(t *testing.T) {
 	requireExclusiveRun(t)
 	f := newTestFleet(t, "most_gatherers = 2\nhook = hook.sh\n")
@@ -173,7 +175,7 @@
 	f.checkGuarantees(2)
 }
 
-// checkVersions checks the installed version of all gatherers.
+// checkVersions checks that the installed version of all gatherers is want.
 func (f *testFleet) checkVersions(want string) {
 	f.t.Helper()
 	for _, g := range f.gatherers {
@@ -183,7 +185,8 @@
 	}
 }
 
-// A hook that installs another version than it was told halts the release; the rollback restores the old version.
+// TestReleaseHaltsOnWrongVersionAndRollsBack checks that a release halts if its hook installs another version than requested, and that the
+// rollback restores the old version.
 func TestReleaseHaltsOnWrongVersionAndRollsBack(t *testing.T) {
 	requireExclusiveRun(t)
 	f := newTestFleet(t, "most_gatherers = 1\nhook = hook.sh\n")
--- a/internal/cli/fleetcmd.go
+++ b/internal/cli/fleetcmd.go
@@ -20,10 +20,10 @@
 	"oxbowspan/maintenance"
 )
 
-// fleetCommandTimeout bounds an operator's command to the fleet.
+// fleetCommandTimeout limits the duration of an operator's command to the fleet.
 const fleetCommandTimeout = 10 * time.Second
 
-// fleetCommands are the operators' commands to the fleet.
+// fleetCommands holds the options shared by the operators' commands to the fleet.
 type fleetCommands struct {
 	stdout       io.Writer
 	operatorPath string
@@ -31,22 +31,22 @@
 
 func newFleetCommand(stdout io.Writer) *cobra.Command {
 	f := &fleetCommands{stdout: stdout}
-	c := command.NewGroup("fleet", "Look at the fleet, let members go out, and run releases")
+	c := command.NewGroup("fleet", "Show the fleet, permit members to go out of service, and run releases")
 	c.PersistentFlags().StringVar(&f.operatorPath, "operator", os.Getenv("OXBOWSPAN_OPERATOR"),
 		"the operator's own file, with [fleet] (OXBOWSPAN_OPERATOR)")
-	drain := f.newCommand("drain NAME", "Let a gatherer or server go out, where the limits allow it",
+	drain := f.newCommand("drain NAME", "Permit a gatherer or server to go out of service, if the limits allow it",
 		"may be out; a gatherer drains when it renews its lease", func(name string) maintenance.Command {
 			request := &maintenance.RequestPermit{Name: maintenance.MemberName(name), Reason: "requested by an operator"}
 			return maintenance.Command{RequestPermit: request}
 		})
-	forget := f.newCommand("forget NAME", "Say that a member will not come back", "is forgotten", func(name string) maintenance.Command {
+	forget := f.newCommand("forget NAME", "Remove a member that will not come back", "is forgotten", func(name string) maintenance.Command {
 		return maintenance.Command{Forget: &maintenance.Forget{Name: maintenance.MemberName(name)}}
 	})
 	c.AddCommand(f.newStatusCommand(), drain, forget, f.newReleaseCommand())
 	return c
 }
 
-// withClient calls do with a client of the fleet.
+// withClient calls do with a client of the fleet and a context that expires after fleetCommandTimeout.
 func (f *fleetCommands) withClient(do func(context.Context, *raftnode.Client) error) error {
 	if f.operatorPath == "" {
 		return errors.New("no operator's file: give --operator or set OXBOWSPAN_OPERATOR")
@@ -65,7 +65,7 @@
 	return do(ctx, client)
 }
 
-// newCommand returns a command line command with one argument that has a fleet command executed and then prints the argument and a
+// newCommand returns a cobra command with one argument. It executes the fleet command for the argument, then prints the argument and a
 // message.
 func (f *fleetCommands) newCommand(use, short, message string, fleetCommand func(arg string) maintenance.Command) *cobra.Command {
 	return &cobra.Command{Use: use, Short: short, Args: cobra.ExactArgs(1), RunE: func(_ *cobra.Command, args []string) error {
@@ -83,7 +83,7 @@
 	var asJSON bool
 	c := &cobra.Command{
 		Use:   "status",
-		Short: "Print members, who is out and why, and releases",
+		Short: "Print the members, which of them are out of service and why, and the releases",
 		Args:  command.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
 			return f.withClient(func(ctx context.Context, client *raftnode.Client) error {
@@ -103,9 +103,10 @@
 	return c
 }
 
+// printFleet prints a state of the fleet; an empty leader means that there is none.
 func printFleet(w io.Writer, s *maintenance.State, leader string) {
 	if leader == "" {
-		fmt.Fprintln(w, "no voter is the leader: no permits are granted; this is the last state that one of them knows")
+		fmt.Fprintln(w, "no voter is the leader: no permits are granted; this is the latest state from a voter")
 	} else {
 		fmt.Fprintf(w, "leader %s, %d commands applied\n", leader, s.Applied)
 	}
--- a/internal/cli/keys.go
+++ b/internal/cli/keys.go
@@ -16,10 +16,10 @@
 	randomIDBytes = 4
 )
 
-// newKeysCommand returns the command that makes keys for key files. It prints them and writes no file: where secrets are kept is the
-// operator's decision.
+// newKeysCommand returns the command that generates keys for key files. It prints them and writes no file, as the operator decides where
+// secrets are stored.
 func newKeysCommand(stdout io.Writer) *cobra.Command {
-	keys := command.NewGroup("keys", "Make keys for the operator's file")
+	keys := command.NewGroup("keys", "Generate keys for the operator's file")
 	var id string
 	newKey := &cobra.Command{
 		Use:   "new",
--- a/internal/cli/level.go
+++ b/internal/cli/level.go
@@ -14,7 +14,7 @@
 	"oxbowspan/internal/command"
 )
 
-// levelCommands are the commands on the level of service of a running gatherer.
+// levelCommands holds the options shared by the commands on the degradation level of a running gatherer.
 type levelCommands struct {
 	stdout     io.Writer
 	socketPath string
@@ -24,7 +24,7 @@
 	l := &levelCommands{stdout: stdout}
 	show := &cobra.Command{
 		Use:   "show",
-		Short: "Print level, signals, shares and servers",
+		Short: "Print the level, signals, shares and servers",
 		Args:  command.NoArgs,
 		RunE:  func(*cobra.Command, []string) error { return l.show() },
 	}
@@ -37,21 +37,21 @@
 	var pinDuration time.Duration
 	pin := &cobra.Command{
 		Use:     "pin LEVEL",
-		Short:   "Hold a level for some time, whatever the signals say",
+		Short:   "Pin a level for some time, regardless of the signals",
 		Args:    command.ExactArgs(1, "LEVEL"),
 		Example: "  oxbowspan level pin trimmed --for 10m --socket oxbowspan.sock",
 		RunE: func(_ *cobra.Command, args []string) error {
 			return l.printLines(admin.Request{Verb: admin.Pin, Level: args[0], Seconds: pinDuration.Seconds()})
 		},
 	}
-	pin.Flags().DurationVar(&pinDuration, "for", 10*time.Minute, "the pin ends after this time, 24h at most")
+	pin.Flags().DurationVar(&pinDuration, "for", 10*time.Minute, "duration of the pin, at most 24h")
 	unpin := &cobra.Command{
 		Use:   "unpin",
-		Short: "Let the signals decide again",
+		Short: "End the pin, so that the signals determine the level again",
 		Args:  command.NoArgs,
 		RunE:  func(*cobra.Command, []string) error { return l.printLines(admin.Request{Verb: admin.Unpin}) },
 	}
-	c := command.NewGroup("level", "Look at and pin a running gatherer's level of service")
+	c := command.NewGroup("level", "Show and pin the degradation level of a running gatherer")
 	for _, sub := range []*cobra.Command{show, explain, pin, unpin} {
 		addSocketFlag(sub, &l.socketPath)
 		c.AddCommand(sub)
@@ -66,7 +66,7 @@
 
 var errNoSocket = errors.New("no socket: give --socket or set OXBOWSPAN_SOCKET")
 
-// do sends a request to the gatherer.
+// do sends a request to the gatherer's admin socket and returns the response.
 func (l *levelCommands) do(request admin.Request) (admin.Response, error) {
 	if l.socketPath == "" {
 		return admin.Response{}, errNoSocket
@@ -118,7 +118,7 @@
 		Use:   "replay FILE",
 		Short: "Replay recorded signals through an operator's file, and print the changes of the level",
 		Long: "replay reads what 'oxbowspan watch --record' wrote and replays it through the levels of an operator's file, without any\n" +
-			"gatherer: each change with its condition, and a line of the levels over time.",
+			"gatherer. It prints each change with its condition, and a chart of the levels over time.",
 		Args: command.ExactArgs(1, "FILE"),
 		RunE: func(_ *cobra.Command, args []string) error {
 			if operatorPath == "" {
--- a/internal/cli/level_test.go
+++ b/internal/cli/level_test.go
@@ -11,7 +11,7 @@
 	"oxbowspan/internal/admin"
 )
 
-// testSocketDir returns a directory with a path short enough for a socket.
+// testSocketDir returns a temporary directory whose path is short enough for a UNIX socket.
 func testSocketDir(t *testing.T) string {
 	t.Helper()
 	dir, err := os.MkdirTemp("", "cli")
@@ -22,7 +22,7 @@
 	return dir
 }
 
-// listenAsGatherer listens like a gatherer that is at the level trimmed, and accepts pins of 120 s alone.
+// listenAsGatherer listens like a gatherer at the level trimmed. It rejects pins that do not last 120 s.
 func listenAsGatherer(t *testing.T, path string) *admin.Socket {
 	t.Helper()
 	s, err := admin.Listen(path, func(request admin.Request) bool {
@@ -33,7 +33,7 @@
 				Types:   []admin.QueryType{{Name: "report", Share: 0.5, Customers: []admin.Customer{{Name: "acme", Served: 3, Shed: 2}}}}}
 		}
 		if request.Verb == admin.Pin && request.Seconds != 120 {
-			response.Error = "for how long?"
+			response.Error = "the pin does not last 120 s"
 		}
 		if request.Reply != nil {
 			request.Reply <- response
@@ -49,7 +49,7 @@
 func TestLevelCommands(t *testing.T) {
 	t.Setenv("OXBOWSPAN_SOCKET", "")
 	socket := filepath.Join(testSocketDir(t), "s")
-	listening := listenAsGatherer(t, socket)
+	gatherer := listenAsGatherer(t, socket)
 	for _, c := range []struct {
 		args string
 		code int
@@ -59,27 +59,27 @@
 		{"level show --socket " + socket, 0, "type report share 0.50 customer acme served 3 shed 2"},
 		{"level explain --socket " + socket, 0, "explain"},
 		{"level pin closed --for 2m --socket " + socket, 0, "pin closed"},
-		{"level pin closed --socket " + socket, exitFailure, "for how long?"},
+		{"level pin closed --socket " + socket, exitFailure, "the pin does not last 120 s"},
 		{"level unpin --socket " + socket, 0, "unpin"},
 		{"level show", exitFailure, "no socket"},
 		{"watch --plain", exitFailure, "no socket"},
 	} {
 		expectRun(t, c.code, c.want, strings.Fields(c.args)...)
 	}
-	listening.Close()
+	gatherer.Close()
 	expectRun(t, exitFailure, "no such file", "level", "show", "--socket", socket)
 }
 
-// recording returns a recording with a line every half second: a quarter of the capacity is lost from 10 s to 20 s.
+// recording returns a recording of 50 s with a record every half second. A quarter of the capacity is lost from 10 s to 20 s.
 func recording() string {
 	var b strings.Builder
-	began := time.Date(2026, 1, 5, 9, 0, 0, 0, time.UTC)
+	startedAt := time.Date(2026, 1, 5, 9, 0, 0, 0, time.UTC)
 	for i := range 100 {
 		lost := 0.0
 		if i >= 20 && i < 40 {
 			lost = 0.25
 		}
-		at := began.Add(time.Duration(i) * 500 * time.Millisecond).Format(time.RFC3339Nano)
+		at := startedAt.Add(time.Duration(i) * 500 * time.Millisecond).Format(time.RFC3339Nano)
 		fmt.Fprintf(&b, `{"at":%q,"signals":{"lost":%g}}`+"\n", at, lost)
 	}
 	return b.String()
@@ -95,7 +95,7 @@
 		want   []string
 	}{
 		"quarter lost":   {recording(), 0, []string{"full > trimmed: lost 0.25 >= 0.2", "trimmed > full", "2 changes in 50 s", "▁"}},
-		"malformed line": {"nonsense\n", exitFailure, []string{"line 1 is not of a record"}},
+		"malformed line": {"nonsense\n", exitFailure, []string{"line 1 is not a record"}},
 		"unknown signal": {`{"signals":{"weather":1}}` + "\n", exitFailure, []string{`"weather" is no signal`}},
 		"empty":          {"", exitFailure, []string{"is empty"}},
 	} {
--- a/internal/cli/log.go
+++ b/internal/cli/log.go
@@ -5,15 +5,16 @@
 	"log/slog"
 )
 
-// timeFormat is UTC in RFC 3339 with microseconds.
+// timeFormat is RFC 3339 with microseconds, for times in UTC.
 const timeFormat = "2006-01-02T15:04:05.000000Z"
 
 // logTo makes the default logger write lines of key=value pairs to w: time, level, event, and the event's own keys.
 func logTo(w io.Writer) {
-	slog.SetDefault(slog.New(slog.NewTextHandler(w, &slog.HandlerOptions{ReplaceAttr: renameAttr})))
+	slog.SetDefault(slog.New(slog.NewTextHandler(w, &slog.HandlerOptions{ReplaceAttr: replaceAttr})))
 }
 
-func renameAttr(groups []string, a slog.Attr) slog.Attr {
+// replaceAttr renames the key of the message to event and formats the time in UTC.
+func replaceAttr(groups []string, a slog.Attr) slog.Attr {
 	if len(groups) > 0 {
 		return a
 	}
--- a/internal/cli/release.go
+++ b/internal/cli/release.go
@@ -16,35 +16,36 @@
 
 func (f *fleetCommands) newReleaseCommand() *cobra.Command {
 	c := command.NewGroup("release", "Change the fleet's version in steps")
-	halt := f.newCommand("halt NAME", "Stop a release where it is", "is halted", func(name string) maintenance.Command {
+	halt := f.newCommand("halt NAME", "Halt a release at its current step", "is halted", func(name string) maintenance.Command {
 		return maintenance.Command{HaltRelease: &maintenance.HaltRelease{ID: maintenance.ReleaseID(name)}}
 	})
-	resume := f.newCommand("resume NAME", "Let a halted release go on", "goes on", func(name string) maintenance.Command {
+	resume := f.newCommand("resume NAME", "Resume a halted release", "is resumed", func(name string) maintenance.Command {
 		return maintenance.Command{ResumeRelease: &maintenance.ResumeRelease{ID: maintenance.ReleaseID(name)}}
 	})
-	back := f.newCommand("back NAME", "Bring the changed ones back", "goes back", func(name string) maintenance.Command {
-		return maintenance.Command{RollBack: &maintenance.RollBack{ID: maintenance.ReleaseID(name)}}
-	})
-	c.AddCommand(f.newReleaseStartCommand(), halt, resume, back)
+	rollBack := f.newCommand("back NAME", "Roll the changed members back to the old version", "is being rolled back",
+		func(name string) maintenance.Command {
+			return maintenance.Command{RollBack: &maintenance.RollBack{ID: maintenance.ReleaseID(name)}}
+		})
+	c.AddCommand(f.newReleaseStartCommand(), halt, resume, rollBack)
 	return c
 }
 
-// releaseFlags are the flags of a release's start.
+// releaseFlags holds the flags of the command that starts a release.
 type releaseFlags struct {
-	kind, from, to string
-	steps          string
-	dwell, within  time.Duration
-	maxLoss        float64
-	minRequests    uint64
-	byZone         bool
-	dryRun         bool
+	kind, from, to       string
+	steps                string
+	dwell, changeTimeout time.Duration
+	maxLoss              float64
+	minRequests          uint64
+	byZone               bool
+	dryRun               bool
 }
 
 func (f *fleetCommands) newReleaseStartCommand() *cobra.Command {
 	var flags releaseFlags
 	c := &cobra.Command{
 		Use:     "start NAME",
-		Short:   "Begin a release; --dry-run prints its steps",
+		Short:   "Start a release; --dry-run only prints its steps",
 		Args:    cobra.ExactArgs(1),
 		Example: "  oxbowspan fleet release start r42 --from v1 --to v2 --steps 0.05,0.25,1 --dwell 5m",
 		RunE: func(_ *cobra.Command, args []string) error {
@@ -60,14 +61,14 @@
 	}
 	s := c.Flags()
 	s.StringVar(&flags.kind, "kind", string(maintenance.Gatherer), "gatherer or server")
-	s.StringVar(&flags.from, "from", "", "the version that is changed")
-	s.StringVar(&flags.to, "to", "", "the version it becomes")
-	s.StringVar(&flags.steps, "steps", "0.05,0.25,1", "rising shares, the last is 1")
+	s.StringVar(&flags.from, "from", "", "version to change from")
+	s.StringVar(&flags.to, "to", "", "version to change to")
+	s.StringVar(&flags.steps, "steps", "0.05,0.25,1", "rising shares of the members that are changed by the end of each step; the last is 1")
 	s.DurationVar(&flags.dwell, "dwell", 5*time.Minute, "how long each step is observed")
-	s.DurationVar(&flags.within, "within", 5*time.Minute, "how long one change may take")
-	s.Float64Var(&flags.maxLoss, "most-loss", 0.01, "the changed ones' share answered in time may be so much lower")
-	s.Uint64Var(&flags.minRequests, "least", 1000, "requests of the changed ones by which a step is judged")
-	s.BoolVar(&flags.byZone, "by-zone", false, "zone after zone, else spread over the zones")
+	s.DurationVar(&flags.changeTimeout, "within", 5*time.Minute, "how long the change of one member may take")
+	s.Float64Var(&flags.maxLoss, "most-loss", 0.01, "by how much the success ratio of the changed members may be lower than that of the others")
+	s.Uint64Var(&flags.minRequests, "least", 1000, "requests of the changed members that are needed to evaluate a step")
+	s.BoolVar(&flags.byZone, "by-zone", false, "change zone by zone; otherwise the members of a step are spread over the zones")
 	s.BoolVar(&flags.dryRun, "dry-run", false, "only print the steps")
 	return c
 }
@@ -81,14 +82,14 @@
 		To:            maintenance.Version(flags.to),
 		ByZone:        flags.byZone,
 		Dwell:         maintenance.Duration(flags.dwell.Milliseconds()),
-		ChangeTimeout: maintenance.Duration(flags.within.Milliseconds()),
+		ChangeTimeout: maintenance.Duration(flags.changeTimeout.Milliseconds()),
 		MaxLoss:       flags.maxLoss,
 		MinRequests:   flags.minRequests,
 	}
 	for _, text := range strings.Split(flags.steps, ",") {
 		share, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
 		if err != nil {
-			return p, fmt.Errorf("--steps: %.40q is no share", text)
+			return p, fmt.Errorf("--steps: %.40q is not a number; steps are rising shares, the last is 1", text)
 		}
 		p.Steps = append(p.Steps, share)
 	}
@@ -105,6 +106,7 @@
 	})
 }
 
+// printPlan prints the members that each step of a plan would change.
 func (f *fleetCommands) printPlan(plan maintenance.Plan) error {
 	return f.withClient(func(ctx context.Context, client *raftnode.Client) error {
 		state, _, err := client.State(ctx)
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -18,12 +18,12 @@
 	"oxbowspan/internal/command"
 )
 
-// configSource is where the configuration is and what overrides it, by flags and environment.
+// configSource holds the paths of the configuration files and the values that override them, from flags and the environment.
 type configSource struct {
 	flags *pflag.FlagSet
 
 	configPath, operatorPath string
-	name, listen, discovery  string // override the configuration's
+	name, listen, discovery  string // override those of the configuration file
 }
 
 func (s *configSource) register(flags *pflag.FlagSet) {
@@ -35,7 +35,7 @@
 	flags.StringVar(&s.discovery, "discovery", os.Getenv("PROXY_DISCOVERY"), "address of discovery (PROXY_DISCOVERY)")
 }
 
-// load reads the configuration. file is the configuration file alone, effective has the overrides and the operator's file.
+// load reads the configuration. file is the content of the configuration file, effective adds the overrides and the operator's file.
 func (s *configSource) load() (file, effective gatherer.Config, err error) {
 	if s.configPath == "" {
 		return file, effective, errors.New("no configuration: give --config or set PROXY_CONFIG")
@@ -55,14 +55,15 @@
 	return file, effective, nil
 }
 
-// reload reads the configuration again. A changed address of discovery in the file overrides the environment, though not the flag.
-func (s *configSource) reload(previous, inForce gatherer.Config) (file, effective gatherer.Config, err error) {
+// reload reads the configuration again. previousFile is the file's content at the last load, active the configuration in use. A changed
+// discovery address in the file overrides the environment, but not the flag; otherwise the active address is kept.
+func (s *configSource) reload(previousFile, active gatherer.Config) (file, effective gatherer.Config, err error) {
 	if file, effective, err = s.load(); err != nil {
 		return file, effective, err
 	}
 	effective.Discovery = file.Discovery
-	if file.Discovery == "" || file.Discovery == previous.Discovery || s.flags.Changed("discovery") {
-		effective.Discovery = inForce.Discovery
+	if file.Discovery == "" || file.Discovery == previousFile.Discovery || s.flags.Changed("discovery") {
+		effective.Discovery = active.Discovery
 	}
 	return file, effective, nil
 }
@@ -93,7 +94,7 @@
 
 func newServeCommand(stderr io.Writer) *cobra.Command {
 	var source configSource
-	var foundFleet bool
+	var bootstrap bool
 	c := &cobra.Command{
 		Use:   "serve",
 		Short: "Run a gatherer in the foreground",
@@ -102,15 +103,15 @@
 			"SIGHUP reads the configuration again.",
 		Example: "  oxbowspan serve --config config.json\n" +
 			"  PROXY_CONFIG=config.json PROXY_LISTEN=127.0.0.1:8443 oxbowspan serve",
-		RunE: func(*cobra.Command, []string) error { return serve(&source, foundFleet, stderr) },
+		RunE: func(*cobra.Command, []string) error { return serve(&source, bootstrap, stderr) },
 	}
 	source.register(c.Flags())
-	c.Flags().BoolVar(&foundFleet, "found-fleet", false, "create the fleet's log here; on each steward, once")
+	c.Flags().BoolVar(&bootstrap, "found-fleet", false, "create the fleet's replicated log; use once on each steward")
 	return c
 }
 
-func serve(source *configSource, foundFleet bool, stderr io.Writer) error {
-	// Registered first: a SIGHUP during the start is handled after it and does not end the program.
+func serve(source *configSource, bootstrap bool, stderr io.Writer) error {
+	// Registered first, so that a SIGHUP during the start does not end the program but is handled after the start.
 	reloads := make(chan os.Signal, 1)
 	signal.Notify(reloads, syscall.SIGHUP)
 	defer signal.Stop(reloads)
@@ -128,7 +129,7 @@
 	defer cancel()
 	shutdowns := make(chan os.Signal, 2)
 	signal.Notify(shutdowns, syscall.SIGTERM, syscall.SIGINT)
-	fleet, err := joinFleet(config, g, foundFleet, cancel)
+	fleet, err := joinFleet(config, g, bootstrap, cancel)
 	if err != nil {
 		return err
 	}
@@ -143,7 +144,7 @@
 	return nil
 }
 
-// handleShutdowns shuts down at the first signal and exits at the second.
+// handleShutdowns starts a graceful shutdown at the first signal and exits with exitFailure at the second.
 func handleShutdowns(signals <-chan os.Signal, fleet *membership) {
 	s := <-signals
 	slog.Info("signal", "signal", s.String())
@@ -153,10 +154,10 @@
 	os.Exit(exitFailure)
 }
 
-// handleReloads reloads the configuration at each signal; a bad one changes nothing.
-func handleReloads(signals <-chan os.Signal, source *configSource, g *gatherer.Gatherer, file, inForce gatherer.Config) {
+// handleReloads reloads the configuration at each signal. An invalid configuration is logged and changes nothing.
+func handleReloads(signals <-chan os.Signal, source *configSource, g *gatherer.Gatherer, file, active gatherer.Config) {
 	for range signals {
-		newFile, config, err := source.reload(file, inForce)
+		newFile, config, err := source.reload(file, active)
 		if err == nil {
 			err = g.Reload(config)
 		}
@@ -164,6 +165,6 @@
 			slog.Error("reload_failed", "error", err)
 			continue
 		}
-		file, inForce.Discovery = newFile, config.Discovery
+		file, active.Discovery = newFile, config.Discovery
 	}
 }
--- a/internal/cli/store.go
+++ b/internal/cli/store.go
@@ -21,24 +21,24 @@
 func newStoreCommand(stdout io.Writer) *cobra.Command {
 	c := &cobra.Command{
 		Use:   "store",
-		Short: "Look at and repair the store that a gatherer keeps across restarts",
-		Long: "store works on the directory that [store] path names, while no gatherer uses it. check, dump and stats change nothing.\n" +
-			"They exit with 1 where the store is damaged, cannot be read or is in use.",
+		Short: "Inspect and repair the store that a gatherer keeps across restarts",
+		Long: "store operates on the directory that [store] path names, while no gatherer uses it. check, dump and stats change nothing.\n" +
+			"They exit with 1 if the store is damaged, cannot be read or is in use.",
 	}
 	check := newDirCommand("check", "Report whether a store is intact", func(dir string) error { return checkStore(dir, stdout) })
 	stats := newDirCommand("stats", "Print the sizes of a store", func(dir string) error { return printStoreStats(dir, stdout) })
-	dump := newDirCommand("dump", "Print the contents of a store, a line each", func(dir string) error { return dumpStore(dir, stdout) })
-	compact := newDirCommand("compact", "Rewrite a store with its live keys alone", func(dir string) error { return compactStore(dir, stdout) })
+	dump := newDirCommand("dump", "Print the contents of a store, one line for each key", func(dir string) error { return dumpStore(dir, stdout) })
+	compact := newDirCommand("compact", "Rewrite a store so that it holds only its live keys", func(dir string) error { return compactStore(dir, stdout) })
 	var acceptLoss bool
 	repair := newDirCommand("repair", "Repair a damaged store", func(dir string) error { return repairStore(dir, acceptLoss, stdout) })
-	repair.Long = "repair rewrites both mirrors from what either holds. Where records are in neither it changes nothing,\n" +
-		"unless --accept-loss says that the store is to go on without them."
-	repair.Flags().BoolVar(&acceptLoss, "accept-loss", false, "go on without records that neither mirror holds")
+	repair.Long = "repair rewrites both mirrors from the records that either holds. If records are in neither, it changes nothing\n" +
+		"unless --accept-loss is given, which continues without them."
+	repair.Flags().BoolVar(&acceptLoss, "accept-loss", false, "continue without records that neither mirror holds")
 	c.AddCommand(check, stats, dump, compact, repair)
 	return c
 }
 
-// newDirCommand returns a command that does something with the store in a directory.
+// newDirCommand returns a command that calls do with the directory of a store.
 func newDirCommand(name, short string, do func(dir string) error) *cobra.Command {
 	return &cobra.Command{Use: name + " DIR", Short: short, Args: command.ExactArgs(1, "DIR"), RunE: func(_ *cobra.Command, args []string) error {
 		if err := do(args[0]); err != nil {
@@ -48,7 +48,7 @@
 	}}
 }
 
-// withLockedStore calls read with the files of a store, locked against writers.
+// withLockedStore calls read with the files of a store, opened read-only and locked against other processes.
 func withLockedStore(dir string, read func(store.Files) error) error {
 	disk, err := store.OpenDiskReadOnly(dir)
 	if err != nil {
@@ -62,7 +62,7 @@
 	return read(disk)
 }
 
-// openStore opens an existing store for changes. The report is set even where opening fails.
+// openStore opens an existing store for writing. The report is valid even if store.Open fails.
 func openStore(dir string, acceptLoss bool) (*store.Store, store.Report, error) {
 	if _, err := store.OpenDiskReadOnly(dir); err != nil {
 		return nil, store.Report{}, err
@@ -84,9 +84,10 @@
 	if err != nil {
 		return err
 	}
-	return printVerdict(out, report)
+	return printIntegrity(out, report)
 }
 
+// printReport prints the damaged files and the lost records of a store.
 func printReport(out io.Writer, r store.Report) {
 	for _, damage := range r.Damage {
 		fmt.Fprintln(out, "damaged:", damage)
@@ -96,8 +97,8 @@
 	}
 }
 
-// printVerdict prints that a store is intact, or returns an error that says what it is.
-func printVerdict(out io.Writer, r store.Report) error {
+// printIntegrity prints that a store is intact, or returns an error that describes the loss or damage.
+func printIntegrity(out io.Writer, r store.Report) error {
 	switch {
 	case len(r.Lost) > 0:
 		return &store.LossError{Lost: r.Lost}
@@ -120,12 +121,12 @@
 	if err = errors.Join(err, s.Close()); err != nil {
 		return err
 	}
-	fmt.Fprintf(out, "compacted: %d live keys, %d bytes a mirror, were %d\n",
+	fmt.Fprintf(out, "compacted: %d live keys, %d bytes per mirror, %d before\n",
 		after.Keys, after.MirrorBytes, max(before.MirrorBytes, after.MirrorBytes))
 	return nil
 }
 
-// repairStore repairs a store by opening it.
+// repairStore repairs a store by opening it, which rewrites damaged files.
 func repairStore(dir string, acceptLoss bool, out io.Writer) error {
 	s, report, err := openStore(dir, acceptLoss)
 	printReport(out, report)
@@ -146,7 +147,7 @@
 	return nil
 }
 
-// storeContents are the values of a store by table and key.
+// storeContents holds the values of a store by table and key.
 type storeContents map[store.Table]map[string][]byte
 
 func readContents(dir string) (contents storeContents, report store.Report, err error) {
@@ -170,7 +171,7 @@
 		}
 		fmt.Fprintf(out, "%s %d keys, %d bytes\n", tableName(table), len(contents[table]), bytes)
 	}
-	return printVerdict(out, report)
+	return printIntegrity(out, report)
 }
 
 func dumpStore(dir string, out io.Writer) error {
@@ -199,7 +200,7 @@
 	return fmt.Sprintf("table-%d", t)
 }
 
-// describeValue returns a value as text where it is one or can be described, else in hex.
+// describeValue returns the description of a request's outcome, or a value as text if it is valid UTF-8, else in hex.
 func describeValue(t store.Table, value []byte) string {
 	if t == gatherer.TableRequests {
 		if text, err := idempotency.Describe(value); err == nil {
--- a/internal/cli/store_test.go
+++ b/internal/cli/store_test.go
@@ -13,14 +13,14 @@
 	"oxbowspan/store"
 )
 
-// run runs the program and returns its exit code and all its output.
+// run runs the program and returns its exit code and its combined output.
 func run(args ...string) (code int, out string) {
 	var b bytes.Buffer
 	code = Main(args, &b, &b)
 	return code, b.String()
 }
 
-// expectRun runs the program and checks its exit code and a part of its output.
+// expectRun runs the program and checks its exit code and that its output contains want.
 func expectRun(t *testing.T, code int, want string, args ...string) {
 	t.Helper()
 	if got, out := run(args...); got != code || !strings.Contains(out, want) {
@@ -28,7 +28,7 @@
 	}
 }
 
-// openTestStore creates a store with three records of a request's intent and a server.
+// openTestStore creates a store with three records, each of which holds the same request's intent and the same server.
 func openTestStore(t *testing.T, dir string) *store.Store {
 	t.Helper()
 	disk, err := store.OpenDisk(dir)
@@ -50,7 +50,7 @@
 	return s
 }
 
-// truncateFiles cuts all files of a mirror.
+// truncateFiles truncates all files of a mirror to 10 bytes.
 func truncateFiles(t *testing.T, mirror string) {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(mirror, "*"))
@@ -95,7 +95,7 @@
 	}
 }
 
-// checkStoreRepair damages one mirror of a store of openTestStore, then both, and repairs it each time.
+// checkStoreRepair damages one mirror of a store that openTestStore created, then both, and repairs the store each time.
 func checkStoreRepair(t *testing.T, dir string) {
 	t.Helper()
 	// Damage in one mirror loses nothing.
@@ -105,7 +105,7 @@
 	expectRun(t, 0, "repaired: nothing is lost", "store", "repair", dir)
 	expectRun(t, 0, "2 live keys", "store", "check", dir)
 
-	// Damage in both is repaired only where the loss is accepted.
+	// Damage in both mirrors is repaired only if the loss is accepted.
 	truncateFiles(t, filepath.Join(dir, "a"))
 	truncateFiles(t, filepath.Join(dir, "b"))
 	expectRun(t, exitFailure, "lost: records 1 to 3", "store", "check", dir)
@@ -114,13 +114,13 @@
 	expectRun(t, 0, "intact: 3 records, 0 live keys", "store", "check", dir)
 }
 
-func TestStoreCommandsLeaveOtherDirectoriesAlone(t *testing.T) {
+func TestStoreCommandsDoNotModifyOtherDirectories(t *testing.T) {
 	dir := t.TempDir()
 	writeFile(t, filepath.Join(dir, "letters.txt"), "")
 	expectRun(t, exitFailure, "letters.txt lies in it", "store", "check", dir)
 	expectRun(t, exitFailure, "no such file", "store", "check", filepath.Join(dir, "none"))
 	expectRun(t, exitFailure, "no such file", "store", "compact", filepath.Join(dir, "none"))
-	if left, err := os.ReadDir(dir); err != nil || len(left) != 1 {
-		t.Errorf("check left %v, %v", left, err)
+	if entries, err := os.ReadDir(dir); err != nil || len(entries) != 1 {
+		t.Errorf("the directory holds %v, %v", entries, err)
 	}
 }
--- a/internal/cli/testfleet_test.go
+++ b/internal/cli/testfleet_test.go
@@ -18,44 +18,44 @@
 )
 
 const (
-	fleetSize   = 7
-	numVoters   = 3                     // the first ones are voters
-	pollDelay   = 20 * time.Millisecond // between two looks at a condition
-	probeDelay  = 5 * time.Millisecond  // between two rounds of readiness probes
-	requestRate = 3 * time.Millisecond  // between two requests
+	fleetSize       = 7
+	numVoters       = 3                     // the first gatherers are voters
+	pollInterval    = 20 * time.Millisecond // between two checks of a condition
+	probeInterval   = 5 * time.Millisecond  // between two rounds of readiness probes
+	requestInterval = 3 * time.Millisecond  // between two requests
 )
 
-// testFleet is a fleet of built gatherers as processes of their own, with a stand-in of discovery and of a shard server. It observes the
-// gatherers from outside, like a load balancer: which are ready, and how each request ends.
+// testFleet is a fleet of gatherers that run as separate processes, with stand-ins for discovery and a shard server. It observes them from
+// outside, like a load balancer: which gatherers are ready, and how each request ends.
 type testFleet struct {
 	t            *testing.T
 	program      string
 	dir          string
 	discovery    *standin.DiscoveryService
 	fleetSection string
-	gatherers    []*process
+	gatherers    []*gathererProcess
 	stopped      chan struct{}
 	tasks        sync.WaitGroup
 
 	sent       atomic.Int64
 	succeeded  atomic.Int64 // with status 200
-	unanswered atomic.Int64 // accepted by a gatherer, without a final answer
+	unanswered atomic.Int64 // accepted by a gatherer, but without a final answer
 
-	mu     sync.Mutex // guards maxOut and the processes' states
-	maxOut int        // largest number of gatherers that were not ready at the same time, without killed ones
+	mu     sync.Mutex // guards maxOut and the state of the processes
+	maxOut int        // largest number of gatherers not ready at the same time, except killed and suspended ones
 }
 
-// process is a gatherer that is started again whenever it ends, as a platform would.
-type process struct {
+// gathererProcess is a gatherer that is restarted whenever it ends, as a platform would restart it.
+type gathererProcess struct {
 	name string
 	addr string
 	args []string
 
-	running *standin.Program // nil = it is being started
-	killed  bool             // by SIGKILL or SIGSTOP
-	ready   bool             // at the last probe
-	starts  int
-	drains  []string // its log lines fleet_drain
+	running     *standin.Program // nil = it is being started
+	interrupted bool             // killed by SIGKILL or suspended by SIGSTOP, and not resumed or restarted since
+	ready       bool             // at the last probe
+	starts      int
+	drains      []string // log lines fleet_drain of the gatherer
 }
 
 const fleetSettings = `{"classes":[{"name":"lookup","effect":"free","slo":1000,"hardLimit":3000,"lateWorth":0.3}],"membershipMode":"pushed","instances":7,"tick":5,
@@ -65,7 +65,7 @@
 
 var lastPort atomic.Int64
 
-// freeAddr returns an address below the range of ephemeral ports: a gatherer that starts again must get it back.
+// freeAddr returns an address below the range of ephemeral ports, so that a restarted gatherer can listen on it again.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	lastPort.CompareAndSwap(0, 21000+int64(os.Getpid()%400)*25)
@@ -109,7 +109,7 @@
 	}
 }
 
-// startStandIns starts a shard server and discovery.
+// startStandIns starts the stand-ins for a shard server and discovery, and writes the key file.
 func (f *testFleet) startStandIns() {
 	f.t.Helper()
 	shard, err := standin.StartShardServer("s-1", nil, func(what string) { f.t.Error(what) })
@@ -124,7 +124,7 @@
 	writeFile(f.t, filepath.Join(f.dir, "keys"), "k1 "+strings.Repeat("0f", 32)+"\n")
 }
 
-// newTestFleet starts a fleet with lines for the section [fleet].
+// newTestFleet builds the gatherer and starts a fleet with additional lines for the section [fleet].
 func newTestFleet(t *testing.T, lines string) *testFleet {
 	t.Helper()
 	f := &testFleet{t: t, dir: t.TempDir(), stopped: make(chan struct{})}
@@ -144,7 +144,7 @@
 		}
 		operator := writeFile(t, filepath.Join(f.dir, name+".ini"), text)
 		addr := freeAddr(t)
-		f.gatherers = append(f.gatherers, &process{name: name, addr: addr,
+		f.gatherers = append(f.gatherers, &gathererProcess{name: name, addr: addr,
 			args: []string{"serve", "--config", f.writeConfig(name, addr, true), "--operator", operator}})
 	}
 	f.startAll()
@@ -172,8 +172,8 @@
 	}
 }
 
-// start runs a gatherer, and runs it again whenever it has ended.
-func (f *testFleet) start(g *process, extraArgs ...string) {
+// start starts a gatherer, and restarts it without extraArgs whenever it ends before the fleet is stopped.
+func (f *testFleet) start(g *gathererProcess, extraArgs ...string) {
 	cmd := exec.Command(f.program, append(g.args, extraArgs...)...)
 	cmd.Env = append(os.Environ(), "OXBOWSPAN_VERSION="+f.installedVersion(g))
 	program, err := standin.StartProgram(cmd, func(line string) {
@@ -189,7 +189,7 @@
 	}
 	writeFile(f.t, filepath.Join(f.dir, g.name+".pid"), fmt.Sprint(program.PID()))
 	f.mu.Lock()
-	g.running, g.killed = program, false
+	g.running, g.interrupted = program, false
 	g.starts++
 	f.mu.Unlock()
 	f.tasks.Go(func() {
@@ -219,7 +219,7 @@
 }
 
 // installedVersion returns the version that the hook last installed for a gatherer.
-func (f *testFleet) installedVersion(g *process) string {
+func (f *testFleet) installedVersion(g *gathererProcess) string {
 	b, err := os.ReadFile(filepath.Join(f.dir, g.name+".version"))
 	if err != nil {
 		return "v1"
--- a/internal/cli/watch.go
+++ b/internal/cli/watch.go
@@ -23,7 +23,7 @@
 	var plain bool
 	c := &cobra.Command{
 		Use:     "watch",
-		Short:   "Show a running gatherer: level, what is shed, servers",
+		Short:   "Show a running gatherer: level, shed requests, servers",
 		Args:    command.NoArgs,
 		Example: "  oxbowspan watch --socket oxbowspan.sock\n  oxbowspan watch --plain --record signals.txt",
 		RunE: func(*cobra.Command, []string) error {
@@ -37,13 +37,13 @@
 		},
 	}
 	addSocketFlag(c, &socketPath)
-	c.Flags().BoolVar(&plain, "plain", false, "a line for each state, for a pipe")
+	c.Flags().BoolVar(&plain, "plain", false, "print one line for each state, for use in a pipe")
 	c.Flags().StringVar(&recordPath, "record", "", "also append the signals to this file, for 'oxbowspan level replay'")
 	return c
 }
 
-// execDashboard replaces this process by the dashboard, a program beside this one: its libraries would otherwise lie in the memory of
-// every gatherer.
+// execDashboard replaces this process by the dashboard, a separate program in the same directory. As part of this program, its libraries
+// would use memory in every gatherer.
 func execDashboard(args ...string) error {
 	own, err := os.Executable()
 	if err != nil {
@@ -51,12 +51,12 @@
 	}
 	program := filepath.Join(filepath.Dir(own), "oxbowwatch")
 	if err := syscall.Exec(program, append([]string{program}, args...), os.Environ()); err != nil {
-		return fmt.Errorf("the screen is a program of its own, %s: %w; --plain needs none", program, err)
+		return fmt.Errorf("the dashboard is a separate program, %s: %w; --plain works without it", program, err)
 	}
 	return nil
 }
 
-// watchPlain prints a line for each state until a signal ends it.
+// watchPlain prints a line for each state until SIGINT or SIGTERM, and appends the signals to the file at recordPath, if not empty.
 func watchPlain(socketPath, recordPath string, stdout io.Writer) error {
 	client, err := admin.Dial(socketPath)
 	if err != nil {
@@ -79,7 +79,7 @@
 	defer stop()
 	go func() {
 		<-ctx.Done()
-		client.Close() // ends Next
+		client.Close() // makes Next return
 	}()
 	for {
 		state, err := source.Next()
