--- a/internal/admin/client.go
+++ b/internal/admin/client.go
@@ -10,14 +10,15 @@
 )
 
 const (
+	// requestTimeout covers the gatherer's time to answer and the time to write the response, at most writeTimeout each.
 	requestTimeout = 2 * writeTimeout
 	readBuffer     = 64 << 10 // bytes
 )
 
-// Source returns one state after another.
+// Source is a stream of states; each call of Next waits for the next one.
 type Source interface{ Next() (State, error) }
 
-// Client is an operator's connection to a gatherer. It is not safe for concurrent use.
+// Client is an operator's connection to a gatherer. Only Close is safe for concurrent use.
 type Client struct {
 	conn  net.Conn
 	lines *bufio.Reader
@@ -32,10 +33,10 @@
 	return &Client{conn, bufio.NewReaderSize(conn, readBuffer)}, nil
 }
 
-// Close closes the connection. It may be called while Next waits.
+// Close closes the connection. It may be called while Next waits, which then returns an error.
 func (c *Client) Close() { c.conn.Close() }
 
-// Do sends a request and returns the response. An error that the gatherer reports is an error here, too.
+// Do sends a request and returns the response. An error in the response is also returned as an error.
 func (c *Client) Do(request Request) (response Response, err error) {
 	c.conn.SetDeadline(time.Now().Add(requestTimeout))
 	if err := c.send(request); err != nil {
@@ -50,10 +51,10 @@
 	return response, nil
 }
 
-// Watch begins a stream of states, which Next returns.
+// Watch starts a stream of states, which are read with Next.
 func (c *Client) Watch() error { return c.send(Request{Verb: Watch}) }
 
-// Next returns the next state of a stream.
+// Next waits for the next state of the stream and returns it. It fails if none arrives within readTimeout.
 func (c *Client) Next() (state State, err error) {
 	c.conn.SetDeadline(time.Now().Add(readTimeout))
 	err = c.receive(&state)
@@ -77,7 +78,7 @@
 	return json.Unmarshal(line, value)
 }
 
-// Recorder is a Source that also writes the signals of its states to Out, a Record in JSON a line.
+// Recorder is a Source that also writes the signals of its states to Out, as one Record in JSON per line.
 type Recorder struct {
 	Source
 	Out io.Writer
--- a/internal/admin/protocol.go
+++ b/internal/admin/protocol.go
@@ -1,14 +1,14 @@
-// Package admin is the interface by which operators look at a running gatherer and pin its level of service: a UNIX socket that only
-// its owner may use, with one JSON text a line in each direction. The package owns the socket; requests are passed to the gatherer,
-// which decides.
+// Package admin implements the interface with which operators inspect a running gatherer and pin its degradation level: a UNIX socket that
+// only its owner may use, with one JSON text per line in each direction. The package serves the socket and passes requests to the
+// gatherer, which handles them.
 package admin
 
 import "time"
 
-// Verb is what a request asks for.
+// Verb is the operation of a request.
 type Verb string
 
-// The verbs. Unwatch is passed to the gatherer when a watching client has gone; clients cannot send it.
+// The verbs. Unwatch is passed to the gatherer when a watching client has disconnected; clients cannot send it.
 const (
 	Show    Verb = "show"
 	Explain Verb = "explain"
@@ -18,17 +18,17 @@
 	Unwatch Verb = "leave"
 )
 
-// MaxPinDuration is the longest time for which a level may be pinned: a forgotten pin ends by itself.
+// MaxPinDuration is the longest time for which a level may be pinned, so that a forgotten pin expires.
 const MaxPinDuration = 24 * time.Hour
 
-// Request is a request of an operator. The gatherer answers it by one Response on Reply, which has a buffer for it, or by States in
+// Request is a request of an operator. The gatherer responds with one Response on Reply, which is buffered, or, to Watch, with States in
 // JSON on Stream.
 type Request struct {
 	Verb    Verb          `json:"verb"`
-	Level   string        `json:"level,omitempty"`   // of Pin
-	Seconds float64       `json:"seconds,omitempty"` // of Pin
+	Level   string        `json:"level,omitempty"`   // to pin; only of Pin
+	Seconds float64       `json:"seconds,omitempty"` // duration of the pin; only of Pin
 	Reply   chan Response `json:"-"`
-	Stream  chan<- []byte `json:"-"` // of Watch and Unwatch
+	Stream  chan<- []byte `json:"-"` // only of Watch and Unwatch
 }
 
 // Response is the response to a request.
@@ -38,17 +38,17 @@
 	State *State   `json:"state,omitempty"`
 }
 
-// State is the state of a gatherer as operators see it.
+// State is a snapshot of a gatherer for operators.
 type State struct {
 	At             time.Time   `json:"at"`
 	Level          string      `json:"level"`
 	Rank           int         `json:"rank"`             // of the level; 0 is full service
-	LevelSeconds   float64     `json:"for"`              // since the last change of the level
-	PinSecondsLeft float64     `json:"pinned,omitempty"` // 0 = not pinned
+	LevelSeconds   float64     `json:"for"`              // seconds since the last change of the level
+	PinSecondsLeft float64     `json:"pinned,omitempty"` // seconds until the pin ends; 0 = not pinned
 	Levels         []string    `json:"levels"`           // by rank
 	OpenRequests   int         `json:"searches"`
 	Signals        []Signal    `json:"signals"`
-	Segments       []Segment   `json:"segments,omitempty"` // those with a level of their own
+	Segments       []Segment   `json:"segments,omitempty"` // only those with a level of their own
 	Types          []QueryType `json:"types"`
 	Servers        []Server    `json:"servers"`
 	Changes        []Change    `json:"changes,omitempty"`
@@ -67,10 +67,10 @@
 	Level   string `json:"level"`
 }
 
-// QueryType is how a query type is served at the current level.
+// QueryType describes how requests of a query type are served at the current level.
 type QueryType struct {
 	Name      string     `json:"name"`
-	Share     float64    `json:"share"` // of its requests that is served, from 0 to 1
+	Share     float64    `json:"share"` // share of its requests that is served, from 0 to 1
 	Customers []Customer `json:"customers,omitempty"`
 }
 
@@ -78,17 +78,17 @@
 type Customer struct {
 	Name   string `json:"name"`
 	Served int64  `json:"served"`
-	Shed   int64  `json:"shed"` // because of the level
+	Shed   int64  `json:"shed"` // rejected because of the level
 }
 
-// Server is a shard server as the gatherer sees it.
+// Server describes a shard server as observed by the gatherer.
 type Server struct {
 	Host          string  `json:"host"`
 	Zone          string  `json:"zone"`
 	Cell          int     `json:"cell"`
 	State         string  `json:"state"`   // ready, cold, out, draining
-	InFlight      int     `json:"out"`     // shard calls
-	LatencyMillis float64 `json:"millis"`  // of a shard call of size one
+	InFlight      int     `json:"out"`     // number of shard calls
+	LatencyMillis float64 `json:"millis"`  // milliseconds of a shard call of size one
 	FailureRatio  float64 `json:"failing"` // from 0 to 1
 }
 
@@ -100,8 +100,8 @@
 	Reason string    `json:"why"`
 }
 
-// Record is a line of a recording.
+// Record is one line of a recording of signals.
 type Record struct {
 	At      time.Time          `json:"at"`
-	Signals map[string]float64 `json:"signals"` // the known ones
+	Signals map[string]float64 `json:"signals"` // known signals by name
 }
--- a/internal/admin/protocol_test.go
+++ b/internal/admin/protocol_test.go
@@ -7,6 +7,7 @@
 	"time"
 )
 
+// testState returns a state in which all fields are set.
 func testState() *State {
 	at := time.Date(2026, 1, 5, 9, 0, 0, 0, time.UTC)
 	return &State{
@@ -19,8 +20,9 @@
 	}
 }
 
-// The lines are those of the first release: tools and gatherers of both versions speak to each other, and old recordings are replayed.
-func TestLinesAreUnchanged(t *testing.T) {
+// TestWireFormatIsStable checks that the lines on the socket and in recordings are those of the first release: tools and gatherers of
+// different versions communicate, and old recordings must be replayable.
+func TestWireFormatIsStable(t *testing.T) {
 	for name, c := range map[string]struct {
 		line  string
 		value any // a pointer to the line's type
--- a/internal/admin/socket.go
+++ b/internal/admin/socket.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	maxConns      = 16 // operators connected at the same time
+	maxConns      = 16 // limit on connections open at the same time
 	readTimeout   = time.Minute
 	writeTimeout  = 5 * time.Second
-	acceptBackoff = 100 * time.Millisecond
-	streamBuffer  = 4 // states
+	acceptBackoff = 100 * time.Millisecond // pause after a failed accept, as when out of file descriptors
+	streamBuffer  = 4                      // states buffered for a watching client
 )
 
-// Socket is a gatherer's listening admin socket.
+// Socket is the listening admin socket of a gatherer.
 type Socket struct {
 	listener net.Listener
 	submit   func(Request) bool
@@ -30,7 +30,8 @@
 	tasks    sync.WaitGroup
 }
 
-// Listen creates the socket at a path. submit passes a request to the gatherer; it returns false once the gatherer has ended.
+// Listen creates the socket at a path and serves it. submit must pass a request to the gatherer; it returns false once the gatherer has
+// ended.
 func Listen(path string, submit func(Request) bool) (*Socket, error) {
 	listener, err := listen(path)
 	if err != nil {
@@ -50,15 +51,15 @@
 			c.Close()
 			return nil, errors.New("another process listens there")
 		}
-		os.Remove(path) // a killed process left it
+		os.Remove(path) // left by a process that was killed
 	}
-	// The mode is set at creation, so that at no time others may connect.
+	// The mode is set by the umask at creation, so that others cannot connect at any time.
 	previous := syscall.Umask(0o177)
 	defer syscall.Umask(previous)
 	return net.Listen("unix", path)
 }
 
-// Close closes the socket and all connections.
+// Close closes the socket and all connections, and waits for their goroutines to end.
 func (s *Socket) Close() {
 	s.listener.Close()
 	s.mu.Lock()
@@ -76,7 +77,7 @@
 			return
 		}
 		if err != nil {
-			time.Sleep(acceptBackoff) // out of descriptors
+			time.Sleep(acceptBackoff) // out of file descriptors
 			continue
 		}
 		if !s.add(c) {
@@ -87,7 +88,7 @@
 	}
 }
 
-// add registers a connection; false = there are maxConns.
+// add registers a connection. It returns false if maxConns connections are open.
 func (s *Socket) add(c net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -107,6 +108,7 @@
 	s.tasks.Done()
 }
 
+// serve handles the requests of a connection until it is closed or the gatherer has ended.
 func (s *Socket) serve(c net.Conn) {
 	defer s.remove(c)
 	for lines := bufio.NewScanner(c); scan(c, lines); {
@@ -120,8 +122,8 @@
 			s.stream(c)
 			return
 		default:
-			var open bool
-			if response, open = s.handle(request); !open {
+			var running bool
+			if response, running = s.handle(request); !running {
 				return
 			}
 		}
@@ -132,19 +134,20 @@
 	}
 }
 
-// scan reads the next line within readTimeout.
+// scan reads the next line; it returns false if none arrives within readTimeout.
 func scan(c net.Conn, lines *bufio.Scanner) bool {
 	c.SetReadDeadline(time.Now().Add(readTimeout))
 	return lines.Scan()
 }
 
+// write writes a line and a newline within writeTimeout.
 func write(c net.Conn, line []byte) error {
 	c.SetWriteDeadline(time.Now().Add(writeTimeout))
 	_, err := c.Write(append(line, '\n'))
 	return err
 }
 
-// handle has a request answered; false = the gatherer has ended.
+// handle passes a request to the gatherer and returns its response. It returns false if the gatherer has ended.
 func (s *Socket) handle(request Request) (Response, bool) {
 	switch request.Verb {
 	case Show, Explain, Pin, Unpin:
@@ -163,27 +166,27 @@
 	}
 }
 
-// stream sends states until the client has gone.
+// stream sends states until the client disconnects.
 func (s *Socket) stream(c net.Conn) {
 	states := make(chan []byte, streamBuffer)
 	if !s.submit(Request{Verb: Watch, Stream: states}) {
 		return
 	}
 	defer s.submit(Request{Verb: Unwatch, Stream: states})
-	gone := make(chan struct{})
+	disconnected := make(chan struct{})
 	go func() {
-		defer close(gone)
+		defer close(disconnected)
 		c.SetReadDeadline(time.Time{})
-		c.Read(make([]byte, 1)) // a watching client sends nothing: this returns when it goes
+		c.Read(make([]byte, 1)) // a watching client sends nothing, so this returns when it disconnects
 	}()
-	defer func() { c.Close(); <-gone }()
+	defer func() { c.Close(); <-disconnected }()
 	for {
 		select {
 		case state := <-states:
 			if write(c, state) != nil {
 				return
 			}
-		case <-gone:
+		case <-disconnected:
 			return
 		}
 	}
--- a/internal/admin/socket_test.go
+++ b/internal/admin/socket_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// socketDir returns a directory with a path short enough for a socket.
+// socketDir returns a temporary directory whose path is short enough for a UNIX socket.
 func socketDir(t *testing.T) string {
 	t.Helper()
 	dir, err := os.MkdirTemp("", "admin")
@@ -20,7 +20,7 @@
 	return dir
 }
 
-// listenAndDial listens with a handler of requests and returns a client.
+// listenAndDial listens with submit as the handler of requests and returns a client that is connected to the socket.
 func listenAndDial(t *testing.T, submit func(Request) bool) *Client {
 	t.Helper()
 	path := filepath.Join(socketDir(t), "s")
@@ -45,7 +45,7 @@
 		case Pin:
 			r.Reply <- Response{Error: "there is no level " + r.Level}
 		}
-		return r.Verb != Unpin // by then the gatherer has ended
+		return r.Verb != Unpin // Unpin: the gatherer has ended
 	})
 	if res, err := c.Do(Request{Verb: Show}); err != nil || res.State == nil || res.State.Level != "trimmed" {
 		t.Errorf("show: %+v, %v", res, err)
@@ -59,7 +59,7 @@
 		}
 	}
 	if _, err := c.Do(Request{Verb: Unpin}); err == nil {
-		t.Error("a gatherer that has ended responds")
+		t.Error("got a response after the gatherer has ended")
 	}
 }
 
@@ -104,11 +104,11 @@
 	}
 	c.Close()
 	if <-unwatched != <-watched {
-		t.Error("another stream than the watched one was unwatched")
+		t.Error("Unwatch was sent for another stream than Watch")
 	}
 }
 
-func TestListenReplacesOnlyDeadSockets(t *testing.T) {
+func TestListenReplacesOnlyStaleSockets(t *testing.T) {
 	dir := socketDir(t)
 	path, file := filepath.Join(dir, "s"), filepath.Join(dir, "file")
 	s, err := Listen(path, nil)
@@ -149,7 +149,7 @@
 	}
 	defer excess.Close()
 	if _, err := excess.Do(Request{Verb: Show}); err == nil {
-		t.Errorf("connection %d is served", maxConns+1)
+		t.Errorf("connection %d is served, want it closed", maxConns+1)
 	}
 	if _, err := c.Do(Request{Verb: Show}); err != nil {
 		t.Error(err)
