--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -1,5 +1,5 @@
-// Package command is what the project's command lines share: a root command that lists what there is, errors in the command line, and
-// exit codes. It knows nothing of what the commands do.
+// Package command holds the code shared by the project's command lines: a root command that prints its help, usage errors, and exit codes.
+// It is independent of the commands themselves.
 package command
 
 import (
@@ -13,16 +13,16 @@
 // ExitUsage is the exit code for an error in the command line.
 const ExitUsage = 2
 
-// UsageError is an error in the command line, not in what was to be done.
+// UsageError is an error in the command line, as opposed to a failure of the command.
 type UsageError struct{ error }
 
-// Unwrap returns the cause.
+// Unwrap returns the wrapped error.
 func (u UsageError) Unwrap() error { return u.error }
 
-// Usagef formats a UsageError.
+// Usagef returns a UsageError with a formatted message.
 func Usagef(format string, args ...any) error { return UsageError{fmt.Errorf(format, args...)} }
 
-// NoArgs accepts no arguments beside the flags.
+// NoArgs is a cobra.PositionalArgs that rejects all positional arguments with a UsageError.
 func NoArgs(_ *cobra.Command, args []string) error {
 	if len(args) > 0 {
 		return Usagef("unexpected argument %q", args[0])
@@ -30,7 +30,7 @@
 	return nil
 }
 
-// ExactArgs accepts n arguments beside the flags; usage names them.
+// ExactArgs returns a cobra.PositionalArgs that requires n positional arguments; usage names them in the UsageError.
 func ExactArgs(n int, usage string) cobra.PositionalArgs {
 	return func(_ *cobra.Command, args []string) error {
 		if len(args) != n {
@@ -40,12 +40,13 @@
 	}
 }
 
-// NewGroup returns a command that only groups others: alone it prints its help.
+// NewGroup returns a command that only groups subcommands; without a subcommand it prints its help.
 func NewGroup(use, short string) *cobra.Command {
 	return &cobra.Command{Use: use, Short: short, Args: NoArgs, RunE: func(c *cobra.Command, _ []string) error { return c.Help() }}
 }
 
-// NewRoot makes a command the root command. Alone, and with an unknown command, it is an error.
+// NewRoot configures a command as the root command and returns it. Without a subcommand it prints its help to stderr; that, an unknown
+// subcommand and an invalid flag are UsageErrors.
 func NewRoot(root *cobra.Command, stdout, stderr io.Writer) *cobra.Command {
 	root.SilenceErrors, root.SilenceUsage = true, true
 	root.Args = func(_ *cobra.Command, args []string) error {
@@ -65,8 +66,8 @@
 	return root
 }
 
-// Run runs a root command, prints its error and returns the exit code: 0, ExitUsage for a UsageError, or that of exitCode for another
-// error.
+// Run runs a root command, prints its error to stderr and returns the exit code: 0 on success, ExitUsage for a UsageError, and the result
+// of exitCode for any other error.
 func Run(root *cobra.Command, args []string, stderr io.Writer, exitCode func(error) int) int {
 	root.SetArgs(args)
 	err := root.Execute()
@@ -75,7 +76,7 @@
 	case err == nil:
 		return 0
 	case errors.As(err, &usage):
-		fmt.Fprintf(stderr, "%s: %v; '%s help' lists what there is\n", root.Name(), err, root.Name())
+		fmt.Fprintf(stderr, "%s: %v; '%s help' lists the commands\n", root.Name(), err, root.Name())
 		return ExitUsage
 	}
 	fmt.Fprintf(stderr, "%s: %v\n", root.Name(), err)
--- a/internal/command/command_test.go
+++ b/internal/command/command_test.go
@@ -18,7 +18,7 @@
 	}{
 		"success":          {[]string{"greet", "you"}, 0, "hello you", ""},
 		"failure":          {[]string{"greet", "nobody"}, exitFailure, "", "tool: nobody is there\n"},
-		"no command":       {nil, ExitUsage, "", "tool: no command was given; 'tool help' lists what there is\n"},
+		"no command":       {nil, ExitUsage, "", "tool: no command was given; 'tool help' lists the commands\n"},
 		"unknown command":  {[]string{"gret"}, ExitUsage, "", `unknown command "gret"`},
 		"unknown flag":     {[]string{"greet", "--loud"}, ExitUsage, "", "unknown flag: --loud"},
 		"missing argument": {[]string{"greet"}, ExitUsage, "", "0 arguments were given, wanted: NAME"},
@@ -38,8 +38,8 @@
 				}})
 			root.SetOut(&stdout)
 			code := Run(root, c.args, &stderr, func(error) int { return exitFailure })
-			said := stdout.String() + stderr.String()
-			if code != c.exitCode || !strings.Contains(stdout.String()+said, c.out) || !strings.Contains(stderr.String(), c.error) {
+			output := stdout.String() + stderr.String()
+			if code != c.exitCode || !strings.Contains(stdout.String()+output, c.out) || !strings.Contains(stderr.String(), c.error) {
 				t.Errorf("exit code %d, stdout %q, stderr %q", code, stdout.String(), stderr.String())
 			}
 		})
--- a/internal/dashboard/main.go
+++ b/internal/dashboard/main.go
@@ -12,7 +12,7 @@
 	"oxbowspan/internal/command"
 )
 
-// exitFailure is the exit code of a dashboard that could not read the gatherer's states.
+// exitFailure is the exit code if the states of the gatherer could not be read or recorded.
 const exitFailure = 1
 
 // socketVariable is the environment variable that names the admin socket.
@@ -33,7 +33,7 @@
 	return command.Run(root, args, stderr, func(error) int { return exitFailure })
 }
 
-// watch shows the states of the gatherer behind an admin socket and appends its signals to a file, if one is named.
+// watch shows the states of the gatherer that serves an admin socket. If recordPath is not empty, it appends the signals to that file.
 func watch(socket, recordPath string) error {
 	if socket == "" {
 		return errors.New("no socket: give --socket or set " + socketVariable)
--- a/internal/dashboard/model.go
+++ b/internal/dashboard/model.go
@@ -1,6 +1,6 @@
-// Package dashboard shows a running gatherer on a terminal: its degradation level and the cause of it, requests served and shed
-// by query type and customer, and the shard servers by zone with their health. It reads a stream of states and shows the last
-// one; it sends nothing to the gatherer.
+// Package dashboard shows a running gatherer on a terminal: its degradation level with the signals and reasons behind it, the rates of
+// requests served and shed by query type and customer, and the shard servers by zone with their health. It reads a stream of states and
+// shows the latest one; it sends nothing to the gatherer.
 package dashboard
 
 import (
@@ -11,8 +11,8 @@
 
 // Run shows the states of a source until the operator quits or the source ends. It returns the error that ended the source.
 func Run(source admin.Source) error {
-	last, err := tea.NewProgram(New(source), tea.WithAltScreen()).Run()
-	if m, ok := last.(Model); ok && err == nil {
+	final, err := tea.NewProgram(New(source), tea.WithAltScreen()).Run()
+	if m, ok := final.(Model); ok && err == nil {
 		err = m.err
 	}
 	return err
@@ -21,7 +21,7 @@
 const (
 	// historyLimit is the number of points in a sparkline.
 	historyLimit = 40
-	// Size of the terminal, in characters, until it is known.
+	// Size of the terminal, in characters, that is assumed until the terminal reports it.
 	defaultWidth  = 100
 	defaultHeight = 40
 )
@@ -30,10 +30,10 @@
 type Model struct {
 	source          admin.Source
 	state, previous admin.State
-	received        int                  // number of states
-	history         map[string][]float64 // last values by series, oldest first; see signalSeries and serverSeries
+	received        int                  // number of states received
+	history         map[string][]float64 // latest values by series, oldest first; see signalSeries and serverSeries
 	width, height   int                  // of the terminal, in characters
-	err             error                // that ended the source
+	err             error                // error that ended the source
 }
 
 // New returns a model that has received no state yet.
@@ -41,7 +41,7 @@
 	return Model{source: source, history: map[string][]float64{}, width: defaultWidth, height: defaultHeight}
 }
 
-// Messages of the model to itself.
+// Messages that the model's commands send to Update.
 type (
 	stateMsg       admin.State
 	streamEndedMsg struct{ err error }
@@ -50,7 +50,7 @@
 // Init implements tea.Model.
 func (m Model) Init() tea.Cmd { return m.next }
 
-// next waits for the next state.
+// next waits for the next state; it is a tea.Cmd.
 func (m Model) next() tea.Msg {
 	state, err := m.source.Next()
 	if err != nil {
@@ -79,7 +79,7 @@
 	return m, nil
 }
 
-// observe makes a state the current one and adds its values to the history. Series that it lacks are dropped.
+// observe makes a state the current one and adds its values to the history. Series without a value in the state are removed.
 func (m *Model) observe(state admin.State) {
 	m.previous, m.state = m.state, state
 	m.received++
@@ -104,6 +104,7 @@
 	}
 }
 
+// signalSeries and serverSeries return the keys of series in the history.
 func signalSeries(name string) string { return "signal " + name }
 func serverSeries(host string) string { return "server " + host }
 
@@ -117,7 +118,7 @@
 	return float64(customer.Served-before.Served) / elapsed, float64(customer.Shed-before.Shed) / elapsed
 }
 
-// findCustomer returns a customer's counters for a query type, zero if there are none.
+// findCustomer returns a customer's counters for a query type; they are zero if the customer is not found.
 func findCustomer(types []admin.QueryType, queryType, name string) admin.Customer {
 	for _, t := range types {
 		if t.Name != queryType {
--- a/internal/dashboard/model_test.go
+++ b/internal/dashboard/model_test.go
@@ -14,7 +14,7 @@
 
 var errStreamEnded = errors.New("the gatherer has closed the connection")
 
-// stateSource is an admin.Source that ends after some states.
+// stateSource is an admin.Source that returns its states and then errStreamEnded.
 type stateSource struct {
 	states []admin.State
 	next   int
@@ -47,7 +47,7 @@
 		state.Servers = append(state.Servers, admin.Server{
 			Host:          fmt.Sprintf("s-%02d", i),
 			Zone:          string(rune('a' + i/20)),
-			State:         []string{"ready", "out"}[i%2], // as the gatherer sends them
+			State:         []string{"ready", "out"}[i%2], // as on the admin socket
 			LatencyMillis: float64(i),
 		})
 	}
@@ -59,7 +59,7 @@
 	source := &stateSource{states: []admin.State{testState(1), testState(2), testState(3)}}
 	var model tea.Model = New(source)
 	if !strings.Contains(model.View(), "waiting") {
-		t.Error("the view before the first state does not say that it waits")
+		t.Error("the view before the first state does not contain \"waiting\"")
 	}
 	model, _ = model.Update(tea.WindowSizeMsg{Width: 90, Height: height})
 	cmd := model.Init()
@@ -97,6 +97,6 @@
 	}
 	model.observe(admin.State{})
 	if len(model.history) > 0 {
-		t.Errorf("series that have ended are kept: %d", len(model.history))
+		t.Errorf("%d series without a value in the latest state are kept", len(model.history))
 	}
 }
--- a/internal/dashboard/view.go
+++ b/internal/dashboard/view.go
@@ -20,10 +20,10 @@
 )
 
 const (
-	minimumWidth   = 20 // lines are not cut shorter than this
-	changesShown   = 5  // of the level, the newest
-	footerLines    = 3  // kept free below the servers, beside the changes
-	nameWidth      = 20 // of query types
+	minimumWidth   = 20 // lines are not truncated to less than this, on narrower terminals
+	changesShown   = 5  // number of newest level changes that are shown
+	footerLines    = 3  // lines reserved below the servers, in addition to the changes
+	nameWidth      = 20 // column width of query types
 	customerWidth  = 18
 	hostWidth      = 16
 	clockFormat    = "15:04:05"
@@ -53,7 +53,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// writeLevel writes the degradation level and for how long it has been in force.
+// writeLevel writes the degradation level, how long it has been active, and how long it stays pinned.
 func (m Model) writeLevel(b *strings.Builder) {
 	state := m.state
 	fmt.Fprintf(b, "%s %s for %s   %d searches open   %s\n", boldStyle.Render("level"), levelStyle(state.Rank).Render(state.Level),
@@ -75,7 +75,7 @@
 	return okStyle
 }
 
-// writeSignals writes what the level depends on, and the segments that have a level of their own.
+// writeSignals writes the signals that determine the level, and the segments that have a level of their own.
 func (m Model) writeSignals(b *strings.Builder) {
 	b.WriteString("\n" + boldStyle.Render("signals") + "\n")
 	for _, signal := range m.state.Signals {
@@ -106,7 +106,7 @@
 	}
 }
 
-// writeServers writes the shard servers by zone, as many as the terminal has lines for.
+// writeServers writes the shard servers by zone, as many as fit on the terminal, and the number of those left out.
 func (m Model) writeServers(b *strings.Builder) {
 	b.WriteString("\n" + boldStyle.Render("servers") + "\n")
 	changes := min(len(m.state.Changes), changesShown)
@@ -165,7 +165,7 @@
 	return (time.Duration(seconds*10) * 100 * time.Millisecond).String()
 }
 
-// truncate cuts a text to a number of characters, the last of which is then an ellipsis.
+// truncate shortens a text to a number of characters. The last character of a shortened text is an ellipsis.
 func truncate(text string, width int) string {
 	if runes := []rune(text); len(runes) > width {
 		return string(runes[:width-1]) + "…"
--- a/internal/sparkline/sparkline.go
+++ b/internal/sparkline/sparkline.go
@@ -1,9 +1,10 @@
 // Package sparkline draws a series of numbers as one line of text.
 package sparkline
 
+// bars are the characters of a line, from the lowest to the highest.
 var bars = []rune("▁▂▃▄▅▆▇█")
 
-// Line draws one bar for each value. Bars are scaled from zero to the greatest value; negative values are drawn as zero.
+// Line returns a line with one bar for each value. Bars are scaled from zero to the largest value; negative values are drawn as zero.
 func Line(values []float64) string {
 	maximum := 0.0
 	for _, value := range values {
@@ -16,6 +17,7 @@
 	return string(line)
 }
 
+// bar returns the character for a value between zero and the maximum.
 func bar(value, maximum float64) rune {
 	if maximum <= 0 {
 		return bars[0]
