--- a/internal/testing/standin/account.go
+++ b/internal/testing/standin/account.go
@@ -28,7 +28,7 @@
 	Account  string
 	Customer *string
 	Due      *string // date, YYYY-MM-DD
-	Cents    *int64  // of debt; negative for a credit
+	Cents    *int64  // the debt in cents; negative for a credit
 	Bills    *int64
 }
 
@@ -62,7 +62,7 @@
 	return string(text)
 }
 
-// identity returns a text that identifies a row: its segment and its JSON.
+// identity returns a text that identifies a row: its segment and its JSON encoding.
 func (a Account) identity() string { return fmt.Sprintf("%d:%s", a.Segment, a.JSON()) }
 
 func identities(rows []Account) []string {
@@ -88,7 +88,7 @@
 	return x.Segment - y.Segment
 }
 
-// compareInOrder compares two values of a column in the direction that its name asks for.
+// compareInOrder compares two values of a column in its sort direction: descending if the name has the prefix "-".
 func compareInOrder(name string, x, y any) int {
 	d := compareValues(x, y)
 	if strings.HasPrefix(name, descending) && x != nil && y != nil {
@@ -120,7 +120,7 @@
 	return 0
 }
 
-// wireValue converts a value to what its JSON text is made from: amounts are decimal strings.
+// wireValue converts a value to the form that is encoded as JSON: amounts become decimal strings.
 func wireValue(column string, value any) any {
 	if cents, ok := value.(int64); ok && column == columnAmount {
 		return FormatCents(cents)
@@ -128,7 +128,7 @@
 	return value
 }
 
-// formatValue returns a value as a row has it.
+// formatValue encodes a value as in a row of a response.
 func formatValue(column string, value any) string {
 	text, err := json.Marshal(wireValue(column, value))
 	if err != nil {
@@ -137,7 +137,7 @@
 	return string(text)
 }
 
-// decodeValue parses a value as a row has it.
+// decodeValue parses a value of a row; see formatValue.
 func decodeValue(column string, raw json.RawMessage) (any, error) {
 	if string(raw) == "null" {
 		return nil, nil
--- a/internal/testing/standin/aggregate.go
+++ b/internal/testing/standin/aggregate.go
@@ -13,13 +13,13 @@
 const (
 	// meanTolerance is the rounding error allowed in a mean, in units.
 	meanTolerance = 1e-12
-	// distinctDeviations is the number of standard errors by which an estimated count may be off.
+	// distinctDeviations is the number of standard errors by which an estimated count may deviate from the exact one.
 	distinctDeviations = 6
-	// quantileTolerance is the rounding error allowed in a quantile beside the stated relative error.
+	// quantileTolerance is the rounding error allowed in a quantile in addition to the stated relative error.
 	quantileTolerance = 1e-9
 )
 
-// aggregateName is an aggregate as a request names it: "count" or "KIND(COLUMN)".
+// aggregateName is the parsed name of an aggregate in a request: "count" or "KIND(COLUMN)".
 type aggregateName struct {
 	text   string
 	kind   string
@@ -36,9 +36,9 @@
 	aggregate   aggregateName
 	got         Aggregate
 	all         Group // over all segments
-	included    Group // over the segments that are in
+	included    Group // over the included segments
 	complete    bool  // no segment is missing
-	untruncated bool  // segments have returned everything asked for
+	untruncated bool  // the segments have returned everything that was requested
 }
 
 func (c aggregateCheck) check() error {
@@ -61,8 +61,8 @@
 	return c.checkQuantile()
 }
 
-// wrong returns the error for a value that should be want.
-func (c aggregateCheck) wrong(want any) error {
+// mismatchError returns the error for a value that differs from the expected one.
+func (c aggregateCheck) mismatchError(want any) error {
 	return fmt.Errorf("%s is %s %s (%s to %s), want %v", c.aggregate.text, c.got.Precision, c.got.Value, c.got.Low, c.got.High, want)
 }
 
@@ -78,22 +78,22 @@
 		want, included = c.all.Sum(c.aggregate.column), c.included.Sum(c.aggregate.column)
 	}
 	got := c.units(c.got.Value)
-	right := false
+	correct := false
 	switch c.got.Precision {
 	case precisionExact:
-		right = got.Cmp(want) == 0
+		correct = got.Cmp(want) == 0
 	case precisionLowerBound:
-		right = got.Cmp(want) <= 0
+		correct = got.Cmp(want) <= 0
 	case precisionBetween:
-		right = c.units(c.got.Low).Cmp(want) <= 0 && c.units(c.got.High).Cmp(want) >= 0
+		correct = c.units(c.got.Low).Cmp(want) <= 0 && c.units(c.got.High).Cmp(want) >= 0
 	case precisionPartial:
-		right = true
+		correct = true
 	}
-	if !right {
-		return c.wrong(want)
+	if !correct {
+		return c.mismatchError(want)
 	}
 	if c.untruncated && got.Cmp(included) != 0 {
-		return c.wrong(included)
+		return c.mismatchError(included)
 	}
 	return nil
 }
@@ -105,13 +105,13 @@
 	got := string(c.got.Value)
 	if c.got.Precision == precisionExact {
 		if got != want {
-			return c.wrong(want)
+			return c.mismatchError(want)
 		}
 		return nil
 	}
 	if got == "null" {
 		if c.got.Precision != precisionPartial {
-			return c.wrong(want)
+			return c.mismatchError(want)
 		}
 		return nil
 	}
@@ -120,12 +120,12 @@
 		return err
 	}
 	d := compareValues(value, best)
-	right := c.got.Precision == precisionUpperBound && d >= 0
+	correct := c.got.Precision == precisionUpperBound && d >= 0
 	if c.aggregate.kind == "max" {
-		right = c.got.Precision == precisionLowerBound && d <= 0
+		correct = c.got.Precision == precisionLowerBound && d <= 0
 	}
-	if !right {
-		return c.wrong(want)
+	if !correct {
+		return c.mismatchError(want)
 	}
 	return nil
 }
@@ -138,7 +138,7 @@
 	values := c.all.Values(c.aggregate.column)
 	if len(values) == 0 {
 		if string(c.got.Value) != "null" {
-			return c.wrong("null")
+			return c.mismatchError("null")
 		}
 		return nil
 	}
@@ -148,7 +148,7 @@
 	}
 	got, ok := new(big.Rat).SetString(strings.Trim(string(c.got.Value), `"`))
 	if !ok {
-		return c.wrong(want)
+		return c.mismatchError(want)
 	}
 	difference := new(big.Rat).Sub(got, want)
 	difference.Abs(difference)
@@ -158,12 +158,12 @@
 	}
 	rounding := big.NewRat(1, int64(1/meanTolerance))
 	if difference.Cmp(allowed.Add(allowed, rounding)) > 0 {
-		return c.wrong(want.FloatString(8))
+		return c.mismatchError(want.FloatString(8))
 	}
 	return nil
 }
 
-// checkDistinct checks an estimated number of distinct values in the segments that are in.
+// checkDistinct checks an estimated number of distinct values in the included segments.
 func (c aggregateCheck) checkDistinct() error {
 	distinct := map[any]bool{}
 	for _, value := range c.included.Values(c.aggregate.column) {
@@ -172,15 +172,15 @@
 	want := float64(len(distinct))
 	got := float64(parseUnits("", string(c.got.Value)).Int64())
 	if c.got.Error == 0 {
-		return c.wrong(want)
+		return c.mismatchError(want)
 	}
 	if c.untruncated && math.Abs(got-want) > distinctDeviations*c.got.Error*want+1 {
-		return c.wrong(want)
+		return c.mismatchError(want)
 	}
 	return nil
 }
 
-// checkQuantile checks a quantile over the segments that are in, if they have returned everything.
+// checkQuantile checks a quantile over the included segments, if they have returned everything.
 func (c aggregateCheck) checkQuantile() error {
 	values := c.included.Values(c.aggregate.column)
 	if len(values) == 0 || !c.untruncated {
@@ -192,26 +192,26 @@
 	}
 	got, err := strconv.ParseFloat(string(c.got.Value), 64)
 	if err != nil {
-		return c.wrong("a number")
+		return c.mismatchError("a number")
 	}
 	var sorted []float64
 	for _, value := range values {
 		sorted = append(sorted, toFloat(c.aggregate.column, value))
 	}
 	sort.Float64s(sorted)
-	// A quantile between two values may be either of them.
+	// If the rank is between two values, either of them is accepted.
 	rank := percent / 100 * float64(len(sorted)-1)
 	lower, upper := sorted[int(rank)], sorted[int(math.Ceil(rank))]
-	near := func(want float64) bool {
+	withinTolerance := func(want float64) bool {
 		return math.Abs(got-want) <= c.got.Error*math.Abs(want)+quantileTolerance
 	}
-	if !near(lower) && !near(upper) {
-		return c.wrong([2]float64{lower, upper})
+	if !withinTolerance(lower) && !withinTolerance(upper) {
+		return c.mismatchError([2]float64{lower, upper})
 	}
 	return nil
 }
 
-// parseUnits parses a number in whole units: cents for amounts. A text that is no number yields the least int64.
+// parseUnits parses a number in whole units: cents for amounts. It returns the minimum int64 for a text that is not a number.
 func parseUnits(column, text string) *big.Int {
 	number, ok := new(big.Rat).SetString(strings.Trim(text, `"`))
 	if !ok {
--- a/internal/testing/standin/aggregated.go
+++ b/internal/testing/standin/aggregated.go
@@ -30,7 +30,7 @@
 	return check.checkUnseen()
 }
 
-// aggregatedCheck is the state of the check of one aggregated response.
+// aggregatedCheck checks one aggregated response.
 type aggregatedCheck struct {
 	response    MergedResponse
 	terms       merge.Request
@@ -39,9 +39,9 @@
 
 	by       string           // the aggregate that groups are selected by
 	groups   map[string]Group // of all segments, by formatted key
-	included map[string]Group // of the segments that are in, by formatted key
-	order    []Group          // all groups in the order of the response
-	seen     map[string]bool  // keys in the response
+	included map[string]Group // of the included segments, by formatted key
+	order    []Group          // all groups in the expected order of the response
+	seen     map[string]bool  // formatted keys of the groups in the response
 	precise  bool             // all values are exact or approximate
 }
 
@@ -64,7 +64,7 @@
 	return c
 }
 
-// sortAggregate returns the aggregate that groups are selected by: the one asked for, or the first count or sum.
+// sortAggregate returns the aggregate that groups are selected by: the requested one, or the first count or sum.
 func sortAggregate(terms merge.Request) string {
 	if terms.By != "" {
 		return terms.By
@@ -90,7 +90,7 @@
 	return group.SortValue(strings.NewReplacer("(", ":", ")", "").Replace(c.by))
 }
 
-// checkGroups checks each group of the response, its place and its values.
+// checkGroups checks the position and the values of each group in the response.
 func (c *aggregatedCheck) checkGroups() error {
 	for i, got := range c.response.Result.Groups {
 		key := formatKey(got.Key)
@@ -147,12 +147,12 @@
 	return nil
 }
 
-// checkUnseen checks the bound for groups that no segment returned. If no segment left out any, all groups were returned, and a
-// short response left out known ones: the bound does not hold for those.
+// checkUnseen checks the stated bound for groups that no segment returned. If no segment omitted any group, all groups were
+// returned, and a response with fewer groups omits returned ones, to which the bound does not apply.
 func (c *aggregatedCheck) checkUnseen() error {
 	result := c.response.Result
-	segmentLeftOut := slices.ContainsFunc(result.Complete.Segments, func(s SegmentStatus) bool { return s.More })
-	if !segmentLeftOut || result.Unseen == "" || !c.cover.complete() || len(result.Groups) >= c.terms.Limit {
+	segmentTruncated := slices.ContainsFunc(result.Complete.Segments, func(s SegmentStatus) bool { return s.More })
+	if !segmentTruncated || result.Unseen == "" || !c.cover.complete() || len(result.Groups) >= c.terms.Limit {
 		return nil
 	}
 	column := strings.TrimSuffix(strings.TrimPrefix(c.by, "sum("), ")")
@@ -165,7 +165,7 @@
 	return nil
 }
 
-// formatGroupKey formats the key of a group of the dataset like formatKey formats that of a response.
+// formatGroupKey formats the key of a group of the dataset in the form that formatKey uses for a group of a response.
 func formatGroupKey(columns []string, key []any) string {
 	var values []any
 	for i, value := range key {
--- a/internal/testing/standin/dataset.go
+++ b/internal/testing/standin/dataset.go
@@ -16,15 +16,16 @@
 var DatasetColumns = []string{columnAccount, columnCustomer, columnDue, columnAmount, columnBills}
 
 const (
-	// datasetStream is the second word of the seed that the initial accounts are drawn with.
+	// datasetStream is the second word of the random generator's seed for the initial accounts.
 	datasetStream = 7
-	// firstVersion is the version of segment 0 at the beginning; each further segment starts one higher.
+	// firstVersion is the initial version of segment 0; each further segment starts one higher.
 	firstVersion = 1000
-	// addedAccounts is the number from which accounts are counted that Advance adds.
+	// addedAccounts is the base of the numbers of accounts that Advance adds, above those of the initial accounts.
 	addedAccounts = 900_000
 )
 
-// Dataset is known data in segments, determined by its seed. Its methods may be called concurrently.
+// Dataset is a generated, versioned set of accounts in segments, determined by its seed and shape. Its methods may be called
+// concurrently.
 type Dataset struct {
 	mu       sync.RWMutex
 	seed     uint64
@@ -38,7 +39,7 @@
 	Segments        int
 	Accounts        int  // of all segments
 	SingleSegment   bool // all accounts are in segment 0, the other segments are empty
-	EqualKeys       bool // all accounts have the same values, apart from their names
+	EqualKeys       bool // all accounts have the same values except for their names
 	NegativeAmounts bool // some amounts are credits
 	// SharedAccounts puts the same account names into several segments, so that only the segment breaks ties.
 	SharedAccounts bool
@@ -67,7 +68,7 @@
 	return d
 }
 
-// newAccount draws account number n.
+// newAccount generates account number n at random.
 func newAccount(rng *rand.Rand, segment, n int, shape DatasetShape) Account {
 	account := Account{Segment: segment, Account: fmt.Sprintf("a-%06d", n)}
 	if shape.SharedAccounts {
@@ -93,16 +94,16 @@
 	return account
 }
 
-// dropValues makes some values missing.
+// dropValues removes some values at random.
 func (a *Account) dropValues(rng *rand.Rand) {
-	const oneIn = 25
-	if rng.IntN(oneIn) == 0 {
+	const missingOneIn = 25
+	if rng.IntN(missingOneIn) == 0 {
 		a.Customer = nil
 	}
-	if rng.IntN(oneIn) == 0 {
+	if rng.IntN(missingOneIn) == 0 {
 		a.Due = nil
 	}
-	if rng.IntN(oneIn) == 0 {
+	if rng.IntN(missingOneIn) == 0 {
 		a.Cents = nil
 	}
 }
--- a/internal/testing/standin/discovery.go
+++ b/internal/testing/standin/discovery.go
@@ -10,16 +10,16 @@
 )
 
 const (
-	// firstSequence is the list's version at the start.
+	// firstSequence is the initial version of the list.
 	firstSequence = 40
-	// requestLogSize is how many requests DiscoveryService.Requests holds.
+	// requestLogSize is the capacity of DiscoveryService.Requests.
 	requestLogSize = 1000
 )
 
-// DiscoveryService is the service that gatherers read the list of shard servers from and watch for changes. Its methods may be
+// DiscoveryService serves the list of shard servers to gatherers, which read it and watch it for changes. Its methods may be
 // called concurrently.
 type DiscoveryService struct {
-	// Requests receives the URL of each request. Requests that find it full are not recorded.
+	// Requests receives the URL of each request. Requests are not recorded while it is full.
 	Requests chan string
 
 	server *http.Server
@@ -80,7 +80,7 @@
 	d.notify()
 }
 
-// Set changes or adds one entry without a new version. It is meant for the time before the first watch.
+// Set changes or adds one entry without a new version or a notification. It is meant for use before the first watch.
 func (d *DiscoveryService) Set(entry discovery.Server) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -108,7 +108,7 @@
 	d.changed = make(chan struct{})
 }
 
-// snapshot returns the list as it is sent. The caller holds the lock.
+// snapshot returns the current list. The caller holds the lock.
 func (d *DiscoveryService) snapshot() discovery.ServerList {
 	list := discovery.ServerList{Version: d.sequence, Complete: true}
 	for _, entry := range d.servers {
--- a/internal/testing/standin/group.go
+++ b/internal/testing/standin/group.go
@@ -16,7 +16,7 @@
 // sumPrefix begins the name of a partial sum, before the column.
 const sumPrefix = "sum:"
 
-// Group is the accounts with the same values in some columns.
+// Group is a set of accounts with equal values in the grouping columns.
 type Group struct {
 	Key  []any
 	Rows []Account
@@ -59,7 +59,7 @@
 	return sorted
 }
 
-// mapKey returns a text that is the same for equal keys only.
+// mapKey returns a text that is equal for equal keys only.
 func mapKey(key []any) string {
 	id := fmt.Sprintf("%#v", key)
 	for _, value := range key {
@@ -118,13 +118,13 @@
 	return best
 }
 
-// partialRow returns the group's line of a shard server's value: its key and partial aggregates.
-func (g Group) partialRow(ask merge.SegmentRequest) ([]byte, error) {
+// partialRow returns the group's line in a shard server's value: its key and partial aggregates.
+func (g Group) partialRow(request merge.SegmentRequest) ([]byte, error) {
 	var values []any
 	for i, value := range g.Key {
-		values = append(values, wireValue(ask.Group[i], value))
+		values = append(values, wireValue(request.Group[i], value))
 	}
-	for _, name := range ask.Aggregates {
+	for _, name := range request.Aggregates {
 		value, err := g.partialAggregate(name)
 		if err != nil {
 			return nil, err
@@ -155,7 +155,7 @@
 	return nil, fmt.Errorf("unknown partial aggregate %q", aggregate)
 }
 
-// distinctSketch returns the values' sketch for counting distinct ones, in base64.
+// distinctSketch returns a sketch that estimates the number of distinct values, in base64.
 func distinctSketch(values []any) (string, error) {
 	sketch := merge.NewDistinct()
 	for _, value := range values {
@@ -165,7 +165,7 @@
 	return base64.StdEncoding.EncodeToString(raw), err
 }
 
-// quantileSketch returns the values' sketch for quantiles, in base64.
+// quantileSketch returns a sketch that estimates the quantiles of the values, in base64.
 func quantileSketch(column string, values []any) (any, error) {
 	sketch := merge.NewQuantiles()
 	for _, value := range values {
--- a/internal/testing/standin/merged.go
+++ b/internal/testing/standin/merged.go
@@ -30,7 +30,7 @@
 	precisionPartial     = "partial"
 )
 
-// MergedResponse is the body of a merged response, as a client reads it.
+// MergedResponse is the body of a merged response.
 type MergedResponse struct {
 	Full   bool         `json:"full"`
 	Result MergedResult `json:"merged"`
@@ -39,7 +39,7 @@
 // MergedResult is a ranked or paged list of rows, or aggregates by group.
 type MergedResult struct {
 	Kind    string `json:"kind"`
-	Certain int    `json:"certain"` // rows or groups from the beginning that no missing data can change
+	Certain int    `json:"certain"` // leading rows or groups that missing data cannot change
 	More    bool   `json:"more"`
 
 	// Ranked and paged results.
@@ -47,7 +47,7 @@
 	Rows    []json.RawMessage `json:"rows"`
 	From    []int             `json:"from"`   // each row's segment
 	Before  int               `json:"before"` // rows before the first one
-	Late    int               `json:"late"`   // rows at the beginning that belong on earlier pages
+	Late    int               `json:"late"`   // leading rows that sort into earlier pages
 	Moved   bool              `json:"moved"`  // data has changed since the first page
 	Last    bool              `json:"last"`
 	Stuck   bool              `json:"stuck"`
@@ -85,7 +85,7 @@
 	Segments  []SegmentStatus `json:"segments"`
 }
 
-// SegmentStatus is what a response states about one segment.
+// SegmentStatus is the status of one segment in a response.
 type SegmentStatus struct {
 	Segment int    `json:"tablet"`
 	State   string `json:"state"`
--- a/internal/testing/standin/oracle.go
+++ b/internal/testing/standin/oracle.go
@@ -14,17 +14,17 @@
 // of the gatherer and in the simplest way: by sorting and aggregating all rows at once.
 type Oracle struct {
 	Dataset  *Dataset
-	Segments []int // that the request was for
-	// RequireComplete says that the query type does not allow responses with missing segments.
+	Segments []int // of the request
+	// RequireComplete means that the query type does not allow responses with missing segments.
 	RequireComplete bool
 }
 
-// coverage is the verified statement of completeness of a response, and the rows to check the response against.
+// coverage is the verified completeness of a response and the rows to check the response against.
 type coverage struct {
-	included map[int]uint64 // version of each segment that is in
+	included map[int]uint64 // version of each included segment
 	missing  []int
-	rows     []Account // of the segments that are in
-	all      []Account // as well as the current ones of missing segments
+	rows     []Account // of the included segments
+	all      []Account // rows and the current rows of the missing segments
 }
 
 // complete reports whether no segment is missing.
@@ -54,10 +54,10 @@
 	return cover, nil
 }
 
-// collectSegments checks the stated segments one by one and collects their rows.
-func (o Oracle) collectSegments(stated []SegmentStatus, asked int) (cover coverage, err error) {
-	if asked != len(o.Segments) || len(stated) != len(o.Segments) {
-		return cover, fmt.Errorf("%d segments are stated as asked, want %d", asked, len(o.Segments))
+// collectSegments checks the status of each segment and collects the segments' rows.
+func (o Oracle) collectSegments(stated []SegmentStatus, requested int) (cover coverage, err error) {
+	if requested != len(o.Segments) || len(stated) != len(o.Segments) {
+		return cover, fmt.Errorf("%d segments are stated as asked, want %d", requested, len(o.Segments))
 	}
 	want := slices.Clone(o.Segments)
 	sort.Ints(want)
@@ -86,8 +86,8 @@
 	return cover, nil
 }
 
-// CheckRanked checks a ranked response. If untruncated, segments have returned all rows asked for and the response must be
-// exact for the segments that are in.
+// CheckRanked checks a ranked response. If untruncated, the segments have returned all requested rows and the response must be
+// exact for the included segments.
 func (o Oracle) CheckRanked(m MergedResponse, order []string, offset, limit int, untruncated bool) error {
 	cover, err := o.checkCompleteness(m)
 	if err != nil {
@@ -109,7 +109,8 @@
 	if untruncated {
 		return checkExactList(m, got, want, offset, len(list), cover)
 	}
-	// Segments may have returned fewer rows than they were asked for. What is certain must be right, all else at least real.
+	// Segments may have returned fewer rows than requested. Rows stated as certain must be correct; all others must at least occur
+	// in the list, in its order.
 	if len(want) < result.Certain || !slices.Equal(got[:result.Certain], want[:result.Certain]) {
 		return firstDifference("certain rows", got[:result.Certain], want)
 	}
@@ -119,7 +120,7 @@
 	return checkSubsequence(got, list)
 }
 
-// checkCertain checks that no more rows or groups are stated as certain than can be.
+// checkCertain checks that no more rows or groups are stated as certain than there are, and none if segments are missing.
 func checkCertain(certain, count int, cover coverage) error {
 	if certain > count || !cover.complete() && certain > 0 {
 		return fmt.Errorf("%d of %d are stated as certain, segments %v are missing", certain, count, cover.missing)
@@ -127,7 +128,7 @@
 	return nil
 }
 
-// checkExactList checks a ranked response whose segments have returned all rows asked for; total is the length of the list.
+// checkExactList checks a ranked response whose segments have returned all requested rows; total is the length of the list.
 func checkExactList(m MergedResponse, got, want []string, offset, total int, cover coverage) error {
 	if !slices.Equal(got, want) {
 		return firstDifference("rows", got, want)
@@ -151,7 +152,7 @@
 	return rows
 }
 
-// checkSubsequence checks that rows occur in a list, in its order and once each.
+// checkSubsequence checks that rows occur in a list, in its order and only once.
 func checkSubsequence(got []string, list []Account) error {
 	next := 0
 	for _, row := range got {
--- a/internal/testing/standin/paged.go
+++ b/internal/testing/standin/paged.go
@@ -5,21 +5,21 @@
 	"slices"
 )
 
-// PagedCheck checks the pages of one paged list in the order in which a client reads them.
+// PagedCheck checks the pages of one paged list in the order in which a client requests them.
 type PagedCheck struct {
 	Oracle Oracle
 	Order  []string
-	Limit  int // rows of a page
+	Limit  int // maximum number of rows of a page
 
 	// Pages, Late and Rows count the pages, the late rows and all rows so far.
 	Pages, Late, Rows int
 
 	seen       map[string]bool // identities of the rows so far
-	versions   map[int]uint64  // of the segments, as of the last page that they were in
+	versions   map[int]uint64  // of each segment, as of the last page that included it
 	furthest   *Account        // the last row so far in the list's order
 	moved      bool            // some segment's version has changed
 	incomplete bool            // a segment was missing from some page
-	prefix     []string        // identities of all rows, while neither of these is so
+	prefix     []string        // identities of all rows so far, while moved and incomplete are false
 }
 
 // CheckPage checks the next page. For untruncated see Oracle.CheckRanked.
@@ -59,7 +59,7 @@
 	return p.checkEnd(result, cover)
 }
 
-// checkMoved checks what the page states about changes of the data since the first page.
+// checkMoved checks the page's statements about changes of the data since the first page.
 func (p *PagedCheck) checkMoved(m MergedResponse) error {
 	for _, segment := range m.Result.Complete.Segments {
 		previous, known := p.versions[segment.Segment]
@@ -85,8 +85,8 @@
 	return nil
 }
 
-// checkRows checks that the page's rows are real, new and in order, and how many of them are late. Late rows sort before the
-// last row of earlier pages; they come first on a page.
+// checkRows checks that the page's rows exist, are new and are in order, and checks the number of late rows. Late rows sort
+// before the last row of earlier pages and come first on a page.
 func (p *PagedCheck) checkRows(m MergedResponse, cover coverage) error {
 	byIdentity := map[string]*Account{}
 	for i := range cover.rows {
@@ -138,7 +138,7 @@
 	return nil
 }
 
-// checkEnd checks whether the page is rightly the last one or not.
+// checkEnd checks that a page which is not the last one has a cursor, and that the last page completes the list.
 func (p *PagedCheck) checkEnd(result MergedResult, cover coverage) error {
 	if !result.Last {
 		if result.Next == "" && !result.Stuck {
--- a/internal/testing/standin/program.go
+++ b/internal/testing/standin/program.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// startTimeout is how long a program may take until it is ready.
+	// startTimeout is the maximum time until a program is ready.
 	startTimeout = 20 * time.Second
 	// readyInterval is the time between two requests to the ready endpoint.
 	readyInterval = 5 * time.Millisecond
 	// readyPath is the gatherer's ready endpoint.
 	readyPath = "/-/ready"
-	// logBufferSize is how many lines Program.Lines holds.
+	// logBufferSize is the capacity of Program.Lines.
 	logBufferSize = 100_000
-	// logTailLines is how many lines of the log error texts quote.
+	// logTailLines is the number of log lines that errors quote.
 	logTailLines = 5
 
 	// The log event of a program that accepts connections, and the field that holds its address.
@@ -31,16 +31,15 @@
 
 // Program is a built gatherer running as a process.
 type Program struct {
-	Addr   string        // that clients connect to
-	Lines  chan string   // the log; lines that find it full are dropped; closed at the end of the log
+	Addr   string        // address for clients
+	Lines  chan string   // the log; lines are dropped while it is full; closed at the end of the log
 	Exit   chan error    // receives the process's exit status
-	Exited chan struct{} // closed after Exit has received
+	Exited chan struct{} // closed after the exit status has been sent to Exit
 
 	cmd *exec.Cmd
 }
 
-// StartProgram starts a command that serves and waits until it is ready. Each line of its log is passed to onLine, if that is
-// not nil.
+// StartProgram starts a server command and waits until it is ready. If onLine is not nil, it is called with each line of the log.
 func StartProgram(cmd *exec.Cmd, onLine func(line string)) (*Program, error) {
 	p := &Program{
 		Lines:  make(chan string, logBufferSize),
@@ -77,7 +76,7 @@
 	return p, nil
 }
 
-// readLog reads the program's log to its end and sends the address that it first listens at.
+// readLog reads the program's log to its end and sends the first address that the program listens at.
 func (p *Program) readLog(log io.Reader, tail *logTail, listening chan<- string, onLine func(line string)) {
 	for scanner := bufio.NewScanner(log); scanner.Scan(); {
 		line := scanner.Text()
@@ -128,7 +127,7 @@
 // PID returns the process's id.
 func (p *Program) PID() int { return p.cmd.Process.Pid }
 
-// Drain asks the program for a graceful shutdown and waits for it. After the timeout it kills the process.
+// Drain starts a graceful shutdown of the program and waits for its exit. It kills the process after the timeout.
 func (p *Program) Drain(timeout time.Duration) error {
 	p.Signal(syscall.SIGTERM)
 	select {
--- a/internal/testing/standin/request.go
+++ b/internal/testing/standin/request.go
@@ -15,7 +15,7 @@
 	headerID          = "Req-Id"
 	headerQueryType   = "Req-Kind"
 	headerCustomer    = "Req-Owner"
-	headerDeadline    = "Req-Deadline-Ms" // milliseconds that the client waits
+	headerDeadline    = "Req-Deadline-Ms" // the client's timeout in milliseconds
 	headerIdempotency = "Idempotency-Key"
 	headerRetryAfter  = "Retry-After" // seconds
 )
@@ -25,16 +25,16 @@
 	ID        string
 	QueryType string
 	Customer  string
-	Timeout   time.Duration // how long the client waits
+	Timeout   time.Duration // of the client
 	Shards    []int
 	Weights   []float64 // of the shards; nil = equal
 	Statement string
 	Merge     any // encoded as JSON; nil = none
-	// IdempotencyKey identifies a request that is sent again; "" = none.
+	// IdempotencyKey identifies the attempts of one request; "" = none.
 	IdempotencyKey string
 }
 
-// requestBody is a request's body on the wire.
+// requestBody is the JSON body of a request.
 type requestBody struct {
 	Tablets   []requestTablet `json:"tablets"`
 	Statement string          `json:"statement"`
--- a/internal/testing/standin/respond.go
+++ b/internal/testing/standin/respond.go
@@ -9,39 +9,39 @@
 	"oxbowspan/merge"
 )
 
-// maxValueBytes is the size of a shard server's value at most: what gatherers accept, less its header line.
+// maxValueBytes is the maximum size of a shard server's value without its header line, within the limit of gatherers.
 const maxValueBytes = 63 << 10
 
-// Respond returns a segment's value for a shard call whose attribute m is item. At most limit rows are returned; 0 means as
-// many as the call asks for.
+// Respond returns a segment's value for a shard call whose attribute m is item, with at most limit rows; 0 means as
+// many as requested.
 func (d *Dataset) Respond(segment int, item string, limit int) (string, error) {
-	ask, err := merge.ParseSegmentRequest(item)
+	request, err := merge.ParseSegmentRequest(item)
 	if err != nil {
 		return "", err
 	}
-	if ask.Schema != DatasetSchemaName {
-		return "", fmt.Errorf("unknown schema %q", ask.Schema)
+	if request.Schema != DatasetSchemaName {
+		return "", fmt.Errorf("unknown schema %q", request.Schema)
 	}
 	if limit > 0 {
-		ask.Limit = min(ask.Limit, limit)
+		request.Limit = min(request.Limit, limit)
 	}
 	rows, version := d.Rows(segment)
-	if ask.Kind == merge.Ranked {
-		return respondRanked(rows, version, ask)
+	if request.Kind == merge.Ranked {
+		return respondRanked(rows, version, request)
 	}
-	return respondAggregated(rows, version, ask)
+	return respondAggregated(rows, version, request)
 }
 
-// respondRanked returns a segment's next rows in the order asked for.
-func respondRanked(rows []Account, version uint64, ask merge.SegmentRequest) (string, error) {
-	sort.Slice(rows, func(i, j int) bool { return Compare(ask.Order, rows[i], rows[j]) < 0 })
-	rows, err := rowsAfter(rows, ask)
+// respondRanked returns a segment's next rows in the requested order.
+func respondRanked(rows []Account, version uint64, request merge.SegmentRequest) (string, error) {
+	sort.Slice(rows, func(i, j int) bool { return Compare(request.Order, rows[i], rows[j]) < 0 })
+	rows, err := rowsAfter(rows, request)
 	if err != nil {
 		return "", err
 	}
 	var body strings.Builder
 	count := 0
-	for count < min(len(rows), ask.Limit) {
+	for count < min(len(rows), request.Limit) {
 		text := rows[count].JSON()
 		if body.Len()+len(text) > maxValueBytes {
 			break
@@ -54,31 +54,31 @@
 	return header + "\n" + body.String(), nil
 }
 
-// rowsAfter returns the sorted rows that follow the position asked for.
-func rowsAfter(rows []Account, ask merge.SegmentRequest) ([]Account, error) {
-	if ask.After == nil {
+// rowsAfter returns the sorted rows after the requested position.
+func rowsAfter(rows []Account, request merge.SegmentRequest) ([]Account, error) {
+	if request.After == nil {
 		return rows, nil
 	}
 	for start := range rows {
-		d, err := compareToCursor(ask, rows[start])
+		d, err := compareToCursor(request, rows[start])
 		if err != nil {
 			return nil, err
 		}
-		if d > 0 || d == 0 && ask.After.Edge == merge.EdgeFrom {
+		if d > 0 || d == 0 && request.After.Edge == merge.EdgeFrom {
 			return rows[start:], nil
 		}
 	}
 	return nil, nil
 }
 
-// compareToCursor compares a row to the position that a segment is to continue from. Segments are not compared.
-func compareToCursor(ask merge.SegmentRequest, row Account) (int, error) {
-	if len(ask.After.Keys) != len(ask.Order) {
-		return 0, fmt.Errorf("a position of %d keys for an order of %d columns", len(ask.After.Keys), len(ask.Order))
+// compareToCursor compares a row to the position at which a segment continues. Segment numbers are not compared.
+func compareToCursor(request merge.SegmentRequest, row Account) (int, error) {
+	if len(request.After.Keys) != len(request.Order) {
+		return 0, fmt.Errorf("a position of %d keys for an order of %d columns", len(request.After.Keys), len(request.Order))
 	}
-	for i, name := range ask.Order {
+	for i, name := range request.Order {
 		column, _ := strings.CutPrefix(name, descending)
-		key, err := decodeValue(column, ask.After.Keys[i])
+		key, err := decodeValue(column, request.After.Keys[i])
 		if err != nil {
 			return 0, err
 		}
@@ -87,26 +87,26 @@
 		}
 	}
 	var account string
-	if err := json.Unmarshal(ask.After.Account, &account); err != nil {
+	if err := json.Unmarshal(request.After.Account, &account); err != nil {
 		return 0, err
 	}
 	return strings.Compare(row.Account, account), nil
 }
 
 // respondAggregated returns a segment's partial aggregates by group.
-func respondAggregated(rows []Account, version uint64, ask merge.SegmentRequest) (string, error) {
-	groups := GroupBy(rows, ask.Group)
-	if ask.By != "" {
-		sort.SliceStable(groups, func(i, j int) bool { return groups[i].SortValue(ask.By).Cmp(groups[j].SortValue(ask.By)) > 0 })
+func respondAggregated(rows []Account, version uint64, request merge.SegmentRequest) (string, error) {
+	groups := GroupBy(rows, request.Group)
+	if request.By != "" {
+		sort.SliceStable(groups, func(i, j int) bool { return groups[i].SortValue(request.By).Cmp(groups[j].SortValue(request.By)) > 0 })
 	}
 	truncation := ""
-	if len(ask.Group) > 0 && len(groups) > ask.Limit {
-		truncation = describeTruncation(groups[ask.Limit:], ask.By)
-		groups = groups[:ask.Limit]
+	if len(request.Group) > 0 && len(groups) > request.Limit {
+		truncation = describeTruncation(groups[request.Limit:], request.By)
+		groups = groups[:request.Limit]
 	}
 	var body strings.Builder
 	for _, group := range groups {
-		line, err := group.partialRow(ask)
+		line, err := group.partialRow(request)
 		if err != nil {
 			return "", err
 		}
@@ -117,7 +117,7 @@
 	return header + "\n" + body.String(), nil
 }
 
-// describeTruncation returns the header's field about groups that were left out, which are sorted from the greatest down.
+// describeTruncation returns the header field that describes the omitted groups, which are sorted in descending order.
 func describeTruncation(omitted []Group, by string) string {
 	column := strings.TrimPrefix(by, sumPrefix)
 	greatest := FormatSum(column, omitted[0].SortValue(by))
--- a/internal/testing/standin/shardcall.go
+++ b/internal/testing/standin/shardcall.go
@@ -14,12 +14,13 @@
 type ShardCall struct {
 	ID            string
 	Shard         int
-	TimeoutMillis int64             // how long the gatherer waits
+	TimeoutMillis int64             // of the gatherer
 	Attributes    map[string]string // the line's other attributes by name
 	Query         []byte
 }
 
-// parseShardCall parses the first call of a frame, a line "ID SHARD ATTRIBUTES LENGTH" and the query, and returns what follows.
+// parseShardCall parses the first call of a frame, a line "ID SHARD ATTRIBUTES LENGTH" and the query, and returns the remaining
+// bytes.
 func parseShardCall(b []byte) (call ShardCall, rest []byte, err error) {
 	line, content, _ := bytes.Cut(b, []byte{'\n'})
 	fields := strings.Fields(string(line))
@@ -45,7 +46,7 @@
 	return call, content[length:], nil
 }
 
-// parseAttributes parses NAME=VALUE pairs with commas between them.
+// parseAttributes parses NAME=VALUE pairs separated by commas.
 func parseAttributes(text string) (map[string]string, error) {
 	attributes := map[string]string{}
 	for _, item := range strings.Split(text, ",") {
--- a/internal/testing/standin/shardserver.go
+++ b/internal/testing/standin/shardserver.go
@@ -1,9 +1,9 @@
 // Package standin provides the systems around a gatherer for tests and experiments, written from their protocols: shard
-// servers, the discovery service, clients, and a dataset with known content that the shard servers return rows of. Everything
-// listens and connects on loopback only. Faults are scripted: random decisions are drawn from seeds.
+// servers, the discovery service, clients, and a dataset with known content whose rows the shard servers return. Everything
+// listens and connects on loopback only. Faults are reproducible: random decisions are drawn from seeds.
 //
-// Of the gatherer's own code the package uses the frame codec and the types that both sides exchange. What is right is computed
-// independently, so that an error in the gatherer is not repeated here.
+// The package uses only the frame codec and the types that both sides exchange from the gatherer's code. Correct results are
+// computed independently, so that an error in the gatherer is not repeated here.
 package standin
 
 import (
@@ -17,21 +17,21 @@
 )
 
 const (
-	// loopbackAddress is what stand-ins listen at: any free port.
+	// loopbackAddress is the listen address of stand-ins: any free port.
 	loopbackAddress = "127.0.0.1:0"
-	// defaultZone is the zone of shard servers that are not given another.
+	// defaultZone is the zone of shard servers unless another is set.
 	defaultZone = "a"
-	// callLogSize is how many entries ShardServer.Received holds.
+	// callLogSize is the capacity of ShardServer.Received.
 	callLogSize = 10_000
-	// maxFrameBytes bounds the frames that a shard server reads.
+	// maxFrameBytes is the maximum size of a frame that a shard server reads.
 	maxFrameBytes = 4 << 20
-	// frameLengthBytes is the size of the length before each frame.
+	// frameLengthBytes is the size of the length field before each frame.
 	frameLengthBytes = 4
 	// cancelPrefix precedes the id of a cancelled call in ShardServer.Received.
 	cancelPrefix = "c "
 )
 
-// Outcomes of shard calls, as shard servers state them.
+// Outcomes of shard calls in responses of shard servers.
 const (
 	Served  = "served"
 	Broke   = "broke"
@@ -47,13 +47,13 @@
 	Zone          string
 	Cell          int
 	StartedMillis float64 // Unix time, as the discovery service lists it; 0 = long ago
-	// Handle handles a call. By default calls are served with "value of QUERY". It is called by the goroutine of the
-	// connection, so that a Handle which waits delays the calls behind it on that connection.
+	// Handle handles a call. If it is nil, calls are served with "value of QUERY". It is called by the goroutine of the
+	// connection: while it blocks, later calls on that connection wait.
 	Handle func(conn *ShardConn, call ShardCall)
-	// OnProtocolError, if not nil, is called for what a gatherer must not send.
+	// OnProtocolError, if not nil, is called for protocol violations of a gatherer.
 	OnProtocolError func(problem string)
-	// Received receives the ids of calls as they arrive, and "c ID" for cancelled ones. Entries that find it full are not
-	// recorded.
+	// Received receives the ids of calls as they arrive, and "c ID" for cancelled ones. Entries are not recorded while it is
+	// full.
 	Received chan string
 
 	listener   net.Listener
@@ -108,7 +108,7 @@
 // Addr returns the address that the server listens at.
 func (s *ShardServer) Addr() string { return s.listener.Addr().String() }
 
-// Stop closes the listener and all connections, like the end of the server's process.
+// Stop closes the listener and all connections, as when the server's process exits.
 func (s *ShardServer) Stop() {
 	s.listener.Close()
 	s.mu.Lock()
@@ -118,7 +118,7 @@
 	}
 }
 
-// ResetConnections resets all open connections. The server goes on listening.
+// ResetConnections resets all open connections. The server continues to listen.
 func (s *ShardServer) ResetConnections() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -218,23 +218,23 @@
 func (c *ShardConn) Respond(callID, outcome, value string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.Write(answerFrame(callID, outcome, value))
+	c.Write(newResponseFrame(callID, outcome, value))
 }
 
 // RespondTruncated sends the first bytes of a response and then resets the connection.
 func (c *ShardConn) RespondTruncated(callID, value string, bytes int) {
 	c.mu.Lock()
-	content := answerFrame(callID, Served, value)
+	content := newResponseFrame(callID, Served, value)
 	c.Write(content[:min(bytes, len(content))])
 	c.mu.Unlock()
 	c.Reset()
 }
 
-func answerFrame(callID, outcome, value string) []byte {
+func newResponseFrame(callID, outcome, value string) []byte {
 	return frame.New(frame.AnswerFrame, callID+" "+outcome+" "+loadReport+"\n"+value)
 }
 
-// Reset closes the connection with a TCP reset, like a process that dies.
+// Reset closes the connection with a TCP reset, as when the server's process crashes.
 func (c *ShardConn) Reset() {
 	if tcp, ok := c.Conn.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
--- a/internal/testing/standin/standin_test.go
+++ b/internal/testing/standin/standin_test.go
@@ -64,7 +64,7 @@
 		t.Errorf("got frame %q with %q, %v", frameType, body, err)
 	}
 	if got := <-server.Received; got != "p1" {
-		t.Errorf("call %q is recorded, want p1", got)
+		t.Errorf("received call %q, want p1", got)
 	}
 	if connections, calls := server.Counts(); connections != 1 || calls != 1 {
 		t.Errorf("%d connections and %d calls are counted, want one each", connections, calls)
@@ -98,7 +98,7 @@
 		t.Errorf("%d accounts before two advances and %d after", len(before), len(after))
 	}
 	if _, ok := first.RowsAt(1, 1); ok {
-		t.Error("there are rows of a version that never was")
+		t.Error("RowsAt returns rows of a version that did not exist")
 	}
 }
 
@@ -137,7 +137,7 @@
 		}
 	}
 	if _, err := parseCents("0.001"); err == nil {
-		t.Error("a fraction of a cent is parsed")
+		t.Error("an amount with a fraction of a cent is accepted")
 	}
 }
 
@@ -172,7 +172,7 @@
 	return response
 }
 
-// The oracle is only worth what it rejects.
+// The oracle accepts the correct response and rejects each kind of wrong response.
 func TestOracleRejectsWrongRankedResponses(t *testing.T) {
 	const limit = 10
 	dataset := NewDataset(3, DatasetShape{Segments: 2, Accounts: 40})
