--- a/internal/testing/dayreport/report.go
+++ b/internal/testing/dayreport/report.go
@@ -1,5 +1,8 @@
-// Package dayreport reads what the operators' bench reports of a day that it played, and tells where the day's worth was lost: in
-// which seconds, in which way, and what was going on. It has no I/O of its own.
+// Package dayreport parses the report that the operators' bench writes about a day of traffic that it has played, and locates the
+// losses of value: the time windows, the kinds of response and the events in progress. It does no I/O.
+//
+// The value of requests is what their responses earned, as a share of what was owed. The score of a day is the value of all its
+// requests less deductions.
 package dayreport
 
 import (
@@ -10,45 +13,45 @@
 	"strconv"
 )
 
-// Report is the part of a report that the losses are found from.
+// Report is the part of the bench's report that the losses are computed from.
 type Report struct {
-	Worth   float64   `json:"G"` // after prices, 0 to 1
-	Prices  []Price   `json:"prices"`
-	All     Tally     `json:"all"`
-	Classes []Tally   `json:"classes"`
-	Windows []Tally   `json:"windows"` // of equal length; the name is the second in which one begins
-	Events  []Event   `json:"events"`
-	Breaks  BrokenSet `json:"breaks"`
+	Score      float64     `json:"G"` // after deductions, 0 to 1
+	Deductions []Deduction `json:"prices"`
+	All        Counts      `json:"all"`
+	Classes    []Counts    `json:"classes"`
+	Windows    []Counts    `json:"windows"` // of equal length; the name is the second at which the window starts
+	Events     []Event     `json:"events"`
+	Violations Violations  `json:"breaks"`
 }
 
-// BrokenSet is how often each rule was broken, by its name.
-type BrokenSet map[string]int
+// Violations is the number of violations of each rule, by the rule's name.
+type Violations map[string]int
 
-// Tally is what became of the requests of a class or of a window.
-type Tally struct {
+// Counts holds the number of requests of a query class or time window and their results.
+type Counts struct {
 	Name    string  `json:"name"`
 	Count   int     `json:"n"`
 	Late    int     `json:"late"`
 	Refused int     `json:"refused"`
 	Failed  int     `json:"failed"`
-	Worth   float64 `json:"worth"` // earned, as a share of what was owed
+	Value   float64 `json:"worth"` // earned by the responses, as a share of what was owed
 }
 
-// Event is something that happened during the day.
+// Event is an event of the day with its start and end in seconds.
 type Event struct {
 	From float64 `json:"at_s"`
 	To   float64 `json:"to_s"`
 	Kind string  `json:"kind"`
 }
 
-// Price is one of the prices that were taken off.
-type Price struct {
+// Deduction is an amount that is subtracted from the value of all requests.
+type Deduction struct {
 	Name  string
-	Share float64 // of the worth owed
+	Share float64 // of the value owed
 }
 
-// UnmarshalJSON reads a name, an amount and a share.
-func (p *Price) UnmarshalJSON(text []byte) error {
+// UnmarshalJSON decodes an array of a name, an amount and a share.
+func (p *Deduction) UnmarshalJSON(text []byte) error {
 	var amount float64
 	fields := []any{&p.Name, &amount, &p.Share}
 	if err := json.Unmarshal(text, &fields); err != nil {
@@ -60,43 +63,43 @@
 	return nil
 }
 
-// ErrNoDay is returned by Parse for what is no report of a day.
-var ErrNoDay = errors.New("this is no report of a day: it names no windows")
+// ErrNoWindows is returned by Parse for a document without time windows or requests, which is not the report of a day.
+var ErrNoWindows = errors.New("not the report of a day: there are no windows or no requests")
 
-// Parse reads a report.
+// Parse decodes a report. It returns ErrNoWindows for a document that is not the report of a day.
 func Parse(text []byte) (*Report, error) {
 	r := &Report{}
 	if err := json.Unmarshal(text, r); err != nil {
 		return nil, fmt.Errorf("report: %w", err)
 	}
 	if len(r.Windows) == 0 || r.All.Count == 0 {
-		return nil, ErrNoDay
+		return nil, ErrNoWindows
 	}
 	return r, nil
 }
 
-// Loss is what was lost in neighbouring windows while the same events were going on.
+// Loss is the value lost in consecutive windows during which the same events were in progress.
 type Loss struct {
 	From, To float64 // seconds
-	Share    float64 // of the worth owed in the whole day
-	Lowest   float64 // worth of the worst of its windows
-	Tally    Tally   // of its requests
+	Share    float64 // of the value owed for all requests of the day
+	MinValue float64 // least value of a window
+	Counts   Counts  // of the windows' requests
 	Events   []string
 }
 
-// Partial returns how many of a loss's requests were neither late nor without an answer and still lost something, as a share of the
-// day: answers that left parts out. LateWorth is what a late answer earns.
-func (l Loss) Partial(lateWorth float64) float64 {
-	lost := float64(l.Tally.Refused+l.Tally.Failed) + (1-lateWorth)*float64(l.Tally.Late)
-	if l.Tally.Count == 0 || l.Tally.Worth >= 1 {
+// PartialShare returns the part of Share that was lost by partial responses: what remains after the losses of late, refused and
+// failed requests. The parameter lateValue is the value of a late response, 0 to 1.
+func (l Loss) PartialShare(lateValue float64) float64 {
+	attributed := float64(l.Counts.Refused+l.Counts.Failed) + (1-lateValue)*float64(l.Counts.Late)
+	if l.Counts.Count == 0 || l.Counts.Value >= 1 {
 		return 0
 	}
-	all := float64(l.Tally.Count) * (1 - l.Tally.Worth)
-	return max(1-lost/all, 0) * l.Share
+	total := float64(l.Counts.Count) * (1 - l.Counts.Value)
+	return max(1-attributed/total, 0) * l.Share
 }
 
-// Losses returns what was lost, the greatest share first, without losses below a share of the day's worth.
-func (r *Report) Losses(least float64) []Loss {
+// Losses returns the losses in descending order of their share, without those whose share is below minShare.
+func (r *Report) Losses(minShare float64) []Loss {
 	var losses []Loss
 	length := r.windowLength()
 	for _, w := range r.Windows {
@@ -104,15 +107,15 @@
 		if err != nil || w.Count == 0 {
 			continue
 		}
-		loss := Loss{From: from, To: from + length, Lowest: w.Worth, Tally: w, Events: r.eventsDuring(from, from+length)}
-		loss.Share = float64(w.Count) * (1 - w.Worth) / float64(r.All.Count)
+		loss := Loss{From: from, To: from + length, MinValue: w.Value, Counts: w, Events: r.eventsDuring(from, from+length)}
+		loss.Share = float64(w.Count) * (1 - w.Value) / float64(r.All.Count)
 		if last := len(losses) - 1; last >= 0 && losses[last].To == from && slices.Equal(losses[last].Events, loss.Events) {
-			losses[last] = losses[last].join(loss)
+			losses[last] = losses[last].merge(loss)
 			continue
 		}
 		losses = append(losses, loss)
 	}
-	losses = slices.DeleteFunc(losses, func(l Loss) bool { return l.Share < least })
+	losses = slices.DeleteFunc(losses, func(l Loss) bool { return l.Share < minShare })
 	slices.SortStableFunc(losses, func(a, b Loss) int {
 		switch {
 		case a.Share > b.Share:
@@ -125,21 +128,21 @@
 	return losses
 }
 
-// join returns a loss and the one that follows it as one.
-func (l Loss) join(next Loss) Loss {
-	joined := Loss{From: l.From, To: next.To, Share: l.Share + next.Share, Lowest: min(l.Lowest, next.Lowest), Events: l.Events}
-	count := l.Tally.Count + next.Tally.Count
-	joined.Tally = Tally{
+// merge combines a loss with the following one.
+func (l Loss) merge(next Loss) Loss {
+	merged := Loss{From: l.From, To: next.To, Share: l.Share + next.Share, MinValue: min(l.MinValue, next.MinValue), Events: l.Events}
+	count := l.Counts.Count + next.Counts.Count
+	merged.Counts = Counts{
 		Count:   count,
-		Late:    l.Tally.Late + next.Tally.Late,
-		Refused: l.Tally.Refused + next.Tally.Refused,
-		Failed:  l.Tally.Failed + next.Tally.Failed,
-		Worth:   (l.Tally.Worth*float64(l.Tally.Count) + next.Tally.Worth*float64(next.Tally.Count)) / float64(count),
+		Late:    l.Counts.Late + next.Counts.Late,
+		Refused: l.Counts.Refused + next.Counts.Refused,
+		Failed:  l.Counts.Failed + next.Counts.Failed,
+		Value:   (l.Counts.Value*float64(l.Counts.Count) + next.Counts.Value*float64(next.Counts.Count)) / float64(count),
 	}
-	return joined
+	return merged
 }
 
-// windowLength returns the seconds of a window.
+// windowLength returns the length of a window in seconds.
 func (r *Report) windowLength() float64 {
 	if len(r.Windows) < 2 {
 		return 0
@@ -149,7 +152,7 @@
 	return second - first
 }
 
-// eventsDuring returns the kinds of events that were going on, in their order.
+// eventsDuring returns the kinds of the events that overlap a period, in the order of the report.
 func (r *Report) eventsDuring(from, to float64) (kinds []string) {
 	for _, e := range r.Events {
 		if e.From < to && e.To > from && !slices.Contains(kinds, e.Kind) {
@@ -159,9 +162,9 @@
 	return kinds
 }
 
-// GreatestPrice returns the price that took most.
-func (r *Report) GreatestPrice() (greatest Price) {
-	for _, p := range r.Prices {
+// LargestDeduction returns the deduction with the greatest share.
+func (r *Report) LargestDeduction() (greatest Deduction) {
+	for _, p := range r.Deductions {
 		if p.Share > greatest.Share {
 			greatest = p
 		}
--- a/internal/testing/dayreport/report_test.go
+++ b/internal/testing/dayreport/report_test.go
@@ -26,37 +26,37 @@
 		t.Fatalf("losses %+v", losses)
 	}
 	first := losses[0]
-	if first.From != 2 || first.To != 4 || !slices.Equal(first.Events, []string{"slow"}) || math.Abs(first.Share-0.05) > 1e-9 || first.Lowest != 0.8 {
+	if first.From != 2 || first.To != 4 || !slices.Equal(first.Events, []string{"slow"}) || math.Abs(first.Share-0.05) > 1e-9 || first.MinValue != 0.8 {
 		t.Errorf("the greatest loss is %+v", first)
 	}
-	if partial := first.Partial(0.3); math.Abs(partial-0.05*(1-17.0/20)) > 1e-9 {
-		t.Errorf("of it %.4f by answers that left parts out", partial)
+	if partial := first.PartialShare(0.3); math.Abs(partial-0.05*(1-17.0/20)) > 1e-9 {
+		t.Errorf("partial responses lost a share of %.4f", partial)
 	}
-	if got := r.GreatestPrice(); got.Name != "bytes" || got.Share != 0.05 {
-		t.Errorf("the greatest price is %+v", got)
+	if got := r.LargestDeduction(); got.Name != "bytes" || got.Share != 0.05 {
+		t.Errorf("the largest deduction is %+v", got)
 	}
 }
 
-// Neighbouring windows with the same events are one loss.
-func TestNeighbouringWindowsAreJoined(t *testing.T) {
+// Consecutive windows with the same events are merged into one loss.
+func TestConsecutiveWindowsAreMerged(t *testing.T) {
 	r, err := Parse([]byte(dayText))
 	if err != nil {
 		t.Fatal(err)
 	}
 	r.Events = []Event{{From: 1, To: 20, Kind: "slow"}}
 	losses := r.Losses(0)
-	if len(losses) != 1 || losses[0].From != 0 || losses[0].To != 8 || losses[0].Tally.Refused != 20 || math.Abs(losses[0].Tally.Worth-0.9) > 1e-9 {
+	if len(losses) != 1 || losses[0].From != 0 || losses[0].To != 8 || losses[0].Counts.Refused != 20 || math.Abs(losses[0].Counts.Value-0.9) > 1e-9 {
 		t.Errorf("losses %+v", losses)
 	}
 }
 
-func TestParseRejectsOthers(t *testing.T) {
-	if _, err := Parse([]byte(`{"G":1}`)); !errors.Is(err, ErrNoDay) {
+func TestParseRejectsInvalidReports(t *testing.T) {
+	if _, err := Parse([]byte(`{"G":1}`)); !errors.Is(err, ErrNoWindows) {
 		t.Errorf("a report without windows: %v", err)
 	}
 	for _, text := range []string{"", "[]", `{"prices":[["x"]]}`, `{"prices":[[1,2,3]]}`} {
 		if _, err := Parse([]byte(text)); err == nil {
-			t.Errorf("%q is read", text)
+			t.Errorf("%q is accepted", text)
 		}
 	}
 }
--- a/internal/testing/experiment/losses.go
+++ b/internal/testing/experiment/losses.go
@@ -13,40 +13,40 @@
 )
 
 const (
-	// defaultLeastLoss is the share of a day's worth below which a loss is not shown.
-	defaultLeastLoss = 0.002
-	// lateAnswerWorth is what a late answer earns, as a share of its whole worth: the same in all deployments.
-	lateAnswerWorth = 0.3
+	// defaultMinLoss is the share of a day's value below which a loss is not shown.
+	defaultMinLoss = 0.002
+	// lateResponseValue is the value of a late response relative to one in time, the same in all deployments.
+	lateResponseValue = 0.3
 )
 
 func newLossesCommand(stdout io.Writer) *cobra.Command {
-	least := defaultLeastLoss
+	minLoss := defaultMinLoss
 	cmd := &cobra.Command{
 		Use:   "losses REPORT...",
-		Short: "Show where days that the operators' bench played lost their worth, as a Markdown table",
-		Long: "losses reads the reports of played days, which the bench writes with --report, and shows for each the seconds in which\n" +
-			"worth was lost, in which way, and what was going on. The same days played again with another version compare row by row.",
+		Short: "Show when and how value was lost on days that the operators' bench played, as a Markdown table",
+		Long: "losses reads reports of played days, which the bench writes with --report, and shows in which seconds value was lost, in which\n" +
+			"way and during which events. Reports of the same days with different versions of the programs compare row by row.",
 		Args:    cobra.MinimumNArgs(1),
 		Example: "  oxbowlab losses trouble-1.json scale-1.json",
 		RunE: func(_ *cobra.Command, args []string) error {
 			fmt.Fprint(stdout, lossesHeader)
 			for _, path := range args {
-				if err := writeLosses(stdout, path, least); err != nil {
+				if err := writeLosses(stdout, path, minLoss); err != nil {
 					return err
 				}
 			}
 			return nil
 		},
 	}
-	cmd.Flags().Float64Var(&least, "least", least, "smallest share of a day's worth that is shown")
+	cmd.Flags().Float64Var(&minLoss, "least", minLoss, "smallest loss that is shown, as a share of a day's value")
 	return cmd
 }
 
 const lossesHeader = "| day | worth | greatest price | seconds | lost | lowest | late, refused, failed | parts left out | during |\n" +
 	"| --- | --- | --- | --- | --- | --- | --- | --- | --- |\n"
 
-// writeLosses writes the rows of one report. The day is named by the file.
-func writeLosses(w io.Writer, path string, least float64) error {
+// writeLosses writes the table rows of one report. The name of the day is the file's name without its extension.
+func writeLosses(w io.Writer, path string, minLoss float64) error {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return err
@@ -56,14 +56,14 @@
 		return fmt.Errorf("%s: %w", path, err)
 	}
 	day := strings.TrimSuffix(filepath.Base(path), filepath.Ext(path))
-	price := report.GreatestPrice()
-	losses := report.Losses(least)
+	deduction := report.LargestDeduction()
+	losses := report.Losses(minLoss)
 	if len(losses) == 0 {
-		fmt.Fprintf(w, "| %s | %.3f | %s %.3f | - | below %.3f each | - | - | - | - |\n", day, report.Worth, price.Name, price.Share, least)
+		fmt.Fprintf(w, "| %s | %.3f | %s %.3f | - | below %.3f each | - | - | - | - |\n", day, report.Score, deduction.Name, deduction.Share, minLoss)
 	}
 	for _, l := range losses {
-		fmt.Fprintf(w, "| %s | %.3f | %s %.3f | %g to %g | %.4f | %.2f | %d, %d, %d of %d | %.4f | %s |\n", day, report.Worth, price.Name, price.Share,
-			l.From, l.To, l.Share, l.Lowest, l.Tally.Late, l.Tally.Refused, l.Tally.Failed, l.Tally.Count, l.Partial(lateAnswerWorth),
+		fmt.Fprintf(w, "| %s | %.3f | %s %.3f | %g to %g | %.4f | %.2f | %d, %d, %d of %d | %.4f | %s |\n", day, report.Score, deduction.Name, deduction.Share,
+			l.From, l.To, l.Share, l.MinValue, l.Counts.Late, l.Counts.Refused, l.Counts.Failed, l.Counts.Count, l.PartialShare(lateResponseValue),
 			strings.Join(l.Events, ", "))
 	}
 	return nil
