--- a/internal/testing/experiment/archive.go
+++ b/internal/testing/experiment/archive.go
@@ -16,10 +16,10 @@
 // runsBucket holds the records as JSON by id. Ids sort by time.
 var runsBucket = []byte("runs")
 
-// lockTimeout is how long to wait for another process that has the archive open.
+// lockTimeout is the maximum time to wait while another process has the archive open.
 const lockTimeout = 5 * time.Second
 
-// Archive keeps the records of runs in a file.
+// Archive stores the records of runs in a file.
 type Archive struct{ db *bbolt.DB }
 
 // OpenArchive opens an archive and creates it if it does not exist.
@@ -100,8 +100,8 @@
 	return nil, fmt.Errorf("there is no run %q; 'oxbowlab list' shows the runs", name)
 }
 
-// currentName returns the name of the experiment that has or had the given one. Records may bear former names, and names that
-// are not experiments'.
+// currentName returns the current name of the experiment with the given current or former name. Other names, such as those of
+// benchmark records, are returned unchanged.
 func currentName(name string) string {
 	if x, ok := lookUp(name); ok {
 		return x.Name
--- a/internal/testing/experiment/bench.go
+++ b/internal/testing/experiment/bench.go
@@ -9,14 +9,14 @@
 	"strings"
 )
 
-// errNoBenchmark is the error of a text without benchmark results.
+// errNoBenchmark is returned for an input without benchmark results.
 var errNoBenchmark = errors.New("there are no benchmark results")
 
-// benchmarkPrefix begins each line of results.
+// benchmarkPrefix is the prefix of each line of results.
 const benchmarkPrefix = "Benchmark"
 
-// ReadBenchmarks adds the results that 'go test -bench' has printed: a table of all, and a chart for each metric. In a name such
-// as Merge/page=50/segments=8/tree the last part with a number is the value on the x axis, the other parts name the line.
+// ReadBenchmarks adds the results in the output of 'go test -bench': one table, and a chart for each metric. In a name such as
+// Merge/page=50/segments=8/tree the last part with a number is the value on the x axis, and the other parts name the line.
 func (r *Record) ReadBenchmarks(in io.Reader) error {
 	count := 0
 	scanner := bufio.NewScanner(in)
@@ -59,7 +59,7 @@
 	return nil
 }
 
-// benchmarkName is the name of a benchmark and its place in a chart.
+// benchmarkName is the name of a benchmark, its line in a chart and its value on the x axis.
 type benchmarkName struct {
 	text   string
 	line   string
--- a/internal/testing/experiment/bench_test.go
+++ b/internal/testing/experiment/bench_test.go
@@ -34,7 +34,7 @@
 		t.Errorf("the chart is %.60q, %v", svg.String(), err)
 	}
 	if err := r.WriteChart("none", &svg); err == nil {
-		t.Error("a chart that does not exist is drawn")
+		t.Error("WriteChart accepts a chart that does not exist")
 	}
 }
 
--- a/internal/testing/experiment/chart.go
+++ b/internal/testing/experiment/chart.go
@@ -16,7 +16,7 @@
 const (
 	// latencyChart is the name of the chart of a record's latencies.
 	latencyChart = "latency"
-	// logScaleRatio is the ratio of the greatest to the least value from which an axis is logarithmic.
+	// logScaleRatio is the ratio of the greatest to the least value above which an axis is logarithmic.
 	logScaleRatio = 30
 
 	chartWidth  = 20 * vg.Centimeter
@@ -85,8 +85,8 @@
 	return lines
 }
 
-// latencyLine returns the line of a latency summary. The x axis shows one in how many requests took longer, so that rare
-// latencies have as much room as common ones.
+// latencyLine returns the line of a latency summary. A value n on the x axis means that one in n requests took longer, so that
+// high percentiles are as visible as low ones.
 func latencyLine(l LatencySummary) Series {
 	line := Series{Name: l.Name, X: "one in so many requests took longer", Y: "milliseconds"}
 	for _, point := range l.Points {
@@ -97,7 +97,7 @@
 	return line
 }
 
-// addLine adds a line and its legend to a plot. Points that a logarithmic axis cannot show are left out.
+// addLine adds a line and its legend to a plot. Points that a logarithmic axis cannot show are omitted.
 func addLine(p *plot.Plot, index int, s Series, logX, logY bool) error {
 	var points plotter.XYs
 	for _, xy := range s.Points {
@@ -105,14 +105,14 @@
 			points = append(points, plotter.XY{X: xy[0], Y: xy[1]})
 		}
 	}
-	line, marks, err := plotter.NewLinePoints(points)
+	line, markers, err := plotter.NewLinePoints(points)
 	if err != nil {
 		return err
 	}
-	line.Color, marks.Color = plotutil.Color(index), plotutil.Color(index)
-	line.Dashes, marks.Shape = plotutil.Dashes(index), plotutil.Shape(index)
-	p.Add(line, marks)
-	p.Legend.Add(s.Name, line, marks)
+	line.Color, markers.Color = plotutil.Color(index), plotutil.Color(index)
+	line.Dashes, markers.Shape = plotutil.Dashes(index), plotutil.Shape(index)
+	p.Add(line, markers)
+	p.Legend.Add(s.Name, line, markers)
 	return nil
 }
 
@@ -121,7 +121,7 @@
 	axis.Tick.Marker = plot.LogTicks{Prec: -1}
 }
 
-// needLogScale reports which axes have values so far apart that they need a logarithmic scale.
+// needLogScale reports which axes need a logarithmic scale because of the range of their values.
 func needLogScale(lines []Series) (x, y bool) {
 	least := [2]float64{math.Inf(1), math.Inf(1)} // of the positive values
 	var greatest [2]float64
--- a/internal/testing/experiment/cli.go
+++ b/internal/testing/experiment/cli.go
@@ -13,16 +13,16 @@
 	"oxbowspan/internal/command"
 )
 
-// Exit codes, beside 0 and command.ExitUsage.
+// Exit codes in addition to 0 and command.ExitUsage.
 const (
 	exitFinding = 1 // an experiment found a fault in the programs under test
-	exitFailure = 3 // the tool could not do its work
+	exitFailure = 3 // the tool itself failed
 )
 
-// defaultArchive is the path of the archive unless another is given.
+// defaultArchive is the default path of the archive.
 const defaultArchive = "found/lab.db"
 
-// findingError is a fault in the programs under test, as opposed to one of the tool.
+// findingError is a fault in the programs under test, as opposed to a failure of the tool.
 type findingError struct{ error }
 
 func (f findingError) Error() string { return "found: " + f.error.Error() }
@@ -39,7 +39,7 @@
 	})
 }
 
-// tool is what the commands share.
+// tool is the state that the commands share.
 type tool struct {
 	stdout, stderr io.Writer
 	archivePath    string
@@ -49,12 +49,12 @@
 	t := &tool{stdout: stdout, stderr: stderr}
 	root := command.NewRoot(&cobra.Command{
 		Use:   "oxbowlab",
-		Short: "Run experiments on the built programs and keep their results",
+		Short: "Run experiments on the built programs and store their results",
 		Long: "oxbowlab starts built programs and stand-ins on loopback, runs an experiment on them, checks the responses\n" +
-			"and keeps the results in an archive.",
+			"and stores the results in an archive.",
 		Example: "  oxbowlab run merge --quick\n  oxbowlab list\n  oxbowlab table merge --markdown\n  oxbowlab chart merge latency > latency.svg",
 	}, stdout, stderr)
-	root.PersistentFlags().StringVar(&t.archivePath, "archive", defaultArchive, "file that keeps the results")
+	root.PersistentFlags().StringVar(&t.archivePath, "archive", defaultArchive, "file in which the results are stored")
 	root.AddCommand(t.newRunCommand(), t.newBenchCommand(), t.newExperimentsCommand(), t.newListCommand(), t.newShowCommand(),
 		t.newTableCommand(), t.newChartCommand(), newClusterCommand(stdout, stderr), newLossesCommand(stdout),
 		newConnectionHolderCommand(stdout))
@@ -62,7 +62,7 @@
 	return root
 }
 
-// formerName returns a command under a former name of it, which the help does not list.
+// formerName renames a command to one of its former names and hides it from the help.
 func formerName(cmd *cobra.Command, name string) *cobra.Command {
 	_, arguments, _ := strings.Cut(cmd.Use, " ")
 	cmd.Use = name + " " + arguments
@@ -70,7 +70,7 @@
 	return cmd
 }
 
-// withArchive calls do with the open archive.
+// withArchive opens the archive, calls do with it and closes it.
 func (t *tool) withArchive(do func(a *Archive) error) error {
 	archive, err := OpenArchive(t.archivePath)
 	if err != nil {
@@ -94,7 +94,7 @@
 func (t *tool) newBenchCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:     "bench NAME FILE",
-		Short:   "Keep the output of 'go test -bench' as a run, with tables and charts",
+		Short:   "Store the output of 'go test -bench' as a run, with tables and charts",
 		Args:    command.ExactArgs(2, "NAME FILE"),
 		Example: "  go test -run xxx -bench Merge -benchmem ./merge > b.txt && oxbowlab bench merge-ways b.txt",
 		RunE: func(_ *cobra.Command, args []string) error {
@@ -149,7 +149,7 @@
 func (t *tool) newShowCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "show RUN",
-		Short: "Show a run, by its id or the newest of an experiment",
+		Short: "Show a run, given by its id, or the newest run of an experiment",
 		Args:  command.ExactArgs(1, "RUN"),
 		RunE: func(_ *cobra.Command, args []string) error {
 			return t.withRecord(args[0], func(r *Record) error {
--- a/internal/testing/experiment/cli_run.go
+++ b/internal/testing/experiment/cli_run.go
@@ -17,7 +17,7 @@
 	"oxbowspan/internal/command"
 )
 
-// errInterrupted is the error of a run that a signal has ended.
+// errInterrupted is returned for a run that was ended by a signal.
 var errInterrupted = errors.New("interrupted")
 
 // gathererProgram is the name of the built gatherer.
@@ -27,7 +27,7 @@
 type runOptions struct {
 	quick        bool
 	seed         uint64
-	gathererPath string // "" = beside this tool
+	gathererPath string // "" = in the directory of this tool
 	sizes        string
 }
 
@@ -36,17 +36,17 @@
 	cmd := &cobra.Command{
 		Use:   "run EXPERIMENT",
 		Short: "Run an experiment",
-		Long: "run runs an experiment and keeps its results. It exits with 1 at the first fault that it finds in the programs,\n" +
-			"with 3 if the experiment itself could not be run.",
+		Long: "run runs an experiment and stores its results. It exits with 1 at the first fault that it finds in the programs,\n" +
+			"and with 3 if the experiment itself could not be run.",
 		Example:   "  oxbowlab run merge --quick --seed 7",
 		Args:      command.ExactArgs(1, "EXPERIMENT"),
 		ValidArgs: Names(),
 		RunE:      func(_ *cobra.Command, args []string) error { return t.run(args[0], options) },
 	}
-	cmd.Flags().BoolVar(&options.quick, "quick", false, "at a scale that ends within 40 s")
+	cmd.Flags().BoolVar(&options.quick, "quick", false, "at a scale that finishes within 40 s")
 	cmd.Flags().Uint64Var(&options.seed, "seed", 1, "seed of data, requests and faults")
 	cmd.Flags().StringVar(&options.gathererPath, "program", "", "the built gatherer (default: the one beside this tool)")
-	cmd.Flags().StringVar(&options.sizes, "sizes", "", "sizes to run instead of the experiment's, for experiments that take them (hollow)")
+	cmd.Flags().StringVar(&options.sizes, "sizes", "", "sizes to run instead of the default ones, for experiments that accept them (hollow)")
 	return cmd
 }
 
@@ -93,11 +93,11 @@
 		return findingError{finding}
 	}
 	record.WriteText(t.stdout, false)
-	fmt.Fprintf(t.stdout, "\nrun %s is kept; 'oxbowlab show %s' shows it again\n", record.ID, record.ID)
+	fmt.Fprintf(t.stdout, "\nstored run %s; 'oxbowlab show %s' shows it again\n", record.ID, record.ID)
 	return nil
 }
 
-// findGatherer returns the path of the built gatherer, by default the one beside this tool, and its version.
+// findGatherer returns the path of the built gatherer, by default the one in the directory of this tool, and its version.
 func findGatherer(path string) (gathererPath, version string, err error) {
 	if path == "" {
 		own, err := os.Executable()
--- a/internal/testing/experiment/cli_test.go
+++ b/internal/testing/experiment/cli_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// Former names work and are not listed.
+// Former names of commands and experiments do not appear in the help.
 func TestFormerNamesAreHidden(t *testing.T) {
 	var out bytes.Buffer
 	for _, args := range [][]string{{"help"}, {"experiments"}} {
--- a/internal/testing/experiment/client_conn.go
+++ b/internal/testing/experiment/client_conn.go
@@ -9,23 +9,22 @@
 )
 
 const (
-	// responseTimeout is how long a clientConn waits for a response, longer than any request's timeout.
+	// responseTimeout is the maximum time that a clientConn waits for a response. It is longer than any request's timeout.
 	responseTimeout = 6 * time.Second
 	// responseBufferSize is the size of the buffer for reading a response.
 	responseBufferSize = 512
-	// noResponse is the status of a request without a response.
+	// noResponse is used as the status of a request without a response.
 	noResponse = 0
 )
 
-// clientConn is a client's connection that is kept between requests. It is opened again where a response has announced that it
-// is closed, or an error has ended it.
+// clientConn is a client's persistent connection. It is reopened after a response that closes the connection or after an error.
 type clientConn struct {
 	conn   net.Conn
 	dial   func() (net.Conn, error)
 	closed bool
 }
 
-// open makes sure that there is a connection.
+// open opens the connection if it is closed and reports whether it is open.
 func (c *clientConn) open() bool {
 	if !c.closed {
 		return true
@@ -60,7 +59,7 @@
 }
 
 // trickle sends a request at a number of bytes per second, within a time limit, and returns the response's status, or noResponse
-// if the connection was closed before.
+// if the connection failed before the request was complete.
 func (c *clientConn) trickle(request []byte, bytesPerSecond int, limit time.Duration) int {
 	if !c.open() {
 		return noResponse
@@ -79,7 +78,7 @@
 	return c.send(request[last:])
 }
 
-// readStatus reads a response and returns its status, or noResponse if none came.
+// readStatus reads a response and returns its status, or noResponse if it could not be read.
 func (c *clientConn) readStatus() int {
 	res, err := http.ReadResponse(bufio.NewReaderSize(c.conn, responseBufferSize), nil)
 	if err != nil {
--- a/internal/testing/experiment/cluster.go
+++ b/internal/testing/experiment/cluster.go
@@ -20,7 +20,7 @@
 	"oxbowspan/internal/testing/simcluster"
 )
 
-// Size and load of the cluster that the cluster command runs.
+// Size and load of the cluster of the cluster command.
 const (
 	demoControllers       = 3
 	demoGateways          = 2
@@ -36,8 +36,8 @@
 	gatewayProgram    = "oxbowspan-gateway"
 )
 
-// newClusterCommand returns the command that puts three controllers and two gateways on loopback among servers, an operator and
-// clients.
+// newClusterCommand returns the command that runs servers, an operator and clients around three controllers and two gateways on
+// loopback.
 func newClusterCommand(stdout, stderr io.Writer) *cobra.Command {
 	var programDir string
 	var duration time.Duration
@@ -54,13 +54,13 @@
 			return runCluster(ctx, args[0], programDir, stdout, stderr)
 		},
 	}
-	cmd.Flags().StringVar(&programDir, "bin", "", "directory of the built programs, which are then started too; else they are started by hand")
-	cmd.Flags().DurationVar(&duration, "for", time.Minute, "how long")
+	cmd.Flags().StringVar(&programDir, "bin", "", "directory of the built programs, which are then started; by default their commands are printed, to start them by hand")
+	cmd.Flags().DurationVar(&duration, "for", time.Minute, "duration of the run")
 	return cmd
 }
 
-// runCluster writes the settings of a cluster to dir, starts its servers and, with a programDir, its programs, and sends changes
-// and requests until the context ends.
+// runCluster writes the settings of a cluster to dir, starts its servers and, if programDir is not empty, its programs, and
+// sends changes of the configuration and requests until the context ends.
 func runCluster(ctx context.Context, dir, programDir string, stdout, stderr io.Writer) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return err
--- a/internal/testing/experiment/connection_holder.go
+++ b/internal/testing/experiment/connection_holder.go
@@ -18,9 +18,9 @@
 	holdCommand = "hold"
 	// wakeCommand N MS sends a look-up on each of N connections, spread over MS milliseconds: status counts and latencies.
 	wakeCommand = "wake"
-	// silentCommand N MS opens N more connections that never send anything and keeps them for MS milliseconds: opened, closed.
+	// silentCommand N MS opens N more connections that never send anything and holds them for MS milliseconds: opened, closed.
 	silentCommand = "silent"
-	// trickleCommand N RATE MS sends a look-up on each of N connections at RATE bytes per second, for MS milliseconds at most:
+	// trickleCommand N RATE MS sends a look-up on each of N connections at RATE bytes per second, within MS milliseconds:
 	// status counts.
 	trickleCommand = "trickle"
 	// churnCommand MS RATE opens RATE connections per second for MS milliseconds, sends a look-up on each and closes it: status
@@ -30,21 +30,22 @@
 	quitCommand = "quit"
 )
 
-// holderArguments is the number of arguments of a command at most.
+// holderArguments is the maximum number of arguments of a command.
 const holderArguments = 3
 
-// errHolderExited is the error of a holder whose process has ended.
+// errHolderExited is returned for a command to a holder whose process has exited.
 var errHolderExited = errors.New("the connection holder has exited")
 
-// connectionHolder is a process that holds many connections to a gatherer: a single process has too few descriptors.
+// connectionHolder is a process that holds many connections to a gatherer. An experiment needs several of them, as a single
+// process has too few descriptors.
 type connectionHolder struct {
 	cmd    *exec.Cmd
 	input  io.WriteCloser
 	output *bufio.Scanner
 }
 
-// startConnectionHolder starts a holder whose connections come from a loopback address. Holders of one gatherer have different
-// numbers.
+// startConnectionHolder starts a holder that connects from the loopback address source. Holders of one gatherer must have
+// different numbers.
 func (e *Env) startConnectionHolder(addr, source string, number int) (*connectionHolder, error) {
 	own, err := os.Executable()
 	if err != nil {
@@ -90,7 +91,7 @@
 	opened, closed int // connections that never sent anything
 
 	statuses      map[int]int // responses by status; 0 = none
-	p50, p99, max float64     // latency in milliseconds; of a sum the greatest
+	p50, p99, max float64     // latency in milliseconds; in a sum the greatest
 }
 
 // sent returns the number of requests sent.
@@ -128,7 +129,7 @@
 	return map[string]*float64{"p50": &r.p50, "p99": &r.p99, "max": &r.max}
 }
 
-// String formats a result as words NAME=VALUE; statuses are named by their number.
+// String formats a result as words NAME=VALUE; the name of a status is its number.
 func (r holderResult) String() string {
 	var words []string
 	for name, value := range r.counters() {
@@ -143,7 +144,7 @@
 	return strings.Join(words, " ")
 }
 
-// parseHolderResult parses what String has formatted.
+// parseHolderResult parses the format of holderResult.String.
 func parseHolderResult(text string) (holderResult, error) {
 	r := holderResult{statuses: map[int]int{}}
 	counters, latencies := r.counters(), r.latencies()
--- a/internal/testing/experiment/crash.go
+++ b/internal/testing/experiment/crash.go
@@ -23,17 +23,19 @@
 	crashPostTimeout = 600 * time.Millisecond
 	// crashRetryInterval is the time between two attempts of a post.
 	crashRetryInterval = 5 * time.Millisecond
-	// After so many attempts a client gives up a post that is always shed, and a post without a final response is a finding.
+	// crashMaxShed is the number of shed attempts after which a client gives up a post, and crashMaxAttempts the number of
+	// attempts after which a post without a final response is a finding.
 	crashMaxShed     = 200
 	crashMaxAttempts = 2000
-	// The time between a restart and the next kill, in milliseconds.
+	// The time between a restart and the next kill, in milliseconds: the minimum and the length of the random interval above
+	// it.
 	crashMinInterval = 5
 	crashIntervals   = 100
-	// One of so many restarts is preceded by the truncation of a file.
+	// crashTruncateOneIn is the number of restarts of which one, on average, follows the truncation of a file.
 	crashTruncateOneIn = 4
-	// crashMaxDelay bounds the time that a shard server takes for a post, in microseconds.
+	// crashMaxDelay is the maximum service time of a shard server for a post, in microseconds.
 	crashMaxDelay = 8000
-	// crashStream is the second word of the seed of the test's decisions.
+	// crashStream is the second word of the random generator's seed for the test's decisions.
 	crashStream = 19
 
 	crashStore = "[store]\npath = " + storePath + "\nkeep = 10m\n"
@@ -41,7 +43,7 @@
 	storeDamageEvent = "event=store_damage"
 )
 
-// Outcomes of posts and attempts, as the record names them.
+// Outcomes of posts and attempts, as named in the record.
 const (
 	outcomeAnswered       = "answered"
 	outcomeRepeatAnswered = "repeats answered alike"
@@ -50,13 +52,13 @@
 	outcomeGivenUp        = "given up after being shed"
 )
 
-// crashTest kills a gatherer again and again under posts.
+// crashTest repeatedly kills a gatherer while clients send posts.
 type crashTest struct {
 	env        *Env
 	ctx        context.Context
 	deployment *Deployment
 	executed   executionCounter
-	addr       atomic.Pointer[string] // the gatherer's, another one after each restart
+	addr       atomic.Pointer[string] // of the gatherer; changes with each restart
 	lastID     atomic.Uint64
 	posts      atomic.Int64
 
@@ -100,13 +102,13 @@
 	return t.random.IntN(n)
 }
 
-// handle handles a post at a shard server, with faults in some thousandths of them.
+// handle handles a post at a shard server and injects faults with fixed probabilities, in thousandths.
 func (t *crashTest) handle(conn *standin.ShardConn, call standin.ShardCall) {
 	text := string(call.Query)
 	switch n := t.draw(1000); {
-	case n < 20: // dies before the execution
+	case n < 20: // crashes before the execution
 		conn.Reset()
-	case n < 40: // dies between execution and response
+	case n < 40: // crashes between execution and response
 		t.executed.add(text)
 		conn.Reset()
 	case n < 50: // executes and never responds
@@ -172,7 +174,7 @@
 	return nil
 }
 
-// sendPosts sends posts one after another as one client until the context ends.
+// sendPosts sends posts sequentially as one client until the context ends.
 func (t *crashTest) sendPosts(ctx context.Context, client int) {
 	httpClient := newHTTPClient(2, crashClientTimeout)
 	for n := 0; ctx.Err() == nil; n++ {
@@ -201,10 +203,10 @@
 
 // report records the results and returns the finding, if any.
 func (t *crashTest) report(kills int) error {
-	twice := 0
+	executedTwice := 0
 	for _, n := range t.executed.executions {
 		if n > 1 {
-			twice++
+			executedTwice++
 		}
 	}
 	t.env.Record.AddLatency("restart until ready", t.restart)
@@ -212,12 +214,12 @@
 		[]string{"kills", "files truncated", "damage reports", "posts", "executed", "executed twice", outcomeAnswered, outcomeRepeatAnswered,
 			outcomeMayHaveRun, outcomeShed, "findings"},
 		fmt.Sprint(kills), fmt.Sprint(t.truncated), fmt.Sprint(t.damageReports.Load()), fmt.Sprint(t.posts.Load()),
-		fmt.Sprint(len(t.executed.executions)), fmt.Sprint(twice), fmt.Sprint(t.outcomes[outcomeAnswered]),
+		fmt.Sprint(len(t.executed.executions)), fmt.Sprint(executedTwice), fmt.Sprint(t.outcomes[outcomeAnswered]),
 		fmt.Sprint(t.outcomes[outcomeRepeatAnswered]), fmt.Sprint(t.outcomes[outcomeMayHaveRun]), fmt.Sprint(t.outcomes[outcomeShed]),
 		fmt.Sprint(len(t.findings)))
 	switch {
-	case twice > 0:
-		return fmt.Errorf("%d posts were executed twice", twice)
+	case executedTwice > 0:
+		return fmt.Errorf("%d posts were executed twice", executedTwice)
 	case len(t.findings) > 0:
 		return errors.New(t.findings[0])
 	case t.outcomes[outcomeAnswered] < kills:
@@ -236,8 +238,8 @@
 	unanswered bool // some attempt got no response
 }
 
-// run sends the post until it has a final response: again under its key while there is none, or one that says that a retry is
-// harmless.
+// run sends the post until it has a final response. It retries with the same idempotency key after an attempt without a
+// response and after a response that allows a retry.
 func (p *crashPost) run() {
 	for attempt := 0; p.test.ctx.Err() == nil; attempt++ {
 		status, body := p.send()
@@ -283,7 +285,8 @@
 	return false
 }
 
-// repeat sends an answered post again, as a client does that has not received the response. A second response must be the same.
+// repeat sends an answered post again, like a client that has not received the response. A second response must equal the
+// first.
 func (p *crashPost) repeat(body string) {
 	status, repeated := p.send()
 	switch {
@@ -313,15 +316,15 @@
 	return response.Status, string(response.Body)
 }
 
-// truncateRandomFile truncates one file of a store at a random byte. The store has two directories of files.
+// truncateRandomFile truncates a random file of a store at a random byte. The store has two directories of files.
 func truncateRandomFile(dir string, draw func(n int) int) error {
 	var files []string
-	for _, lane := range []string{"a", "b"} {
-		found, err := filepath.Glob(filepath.Join(dir, lane, "*"))
+	for _, subdirectory := range []string{"a", "b"} {
+		matches, err := filepath.Glob(filepath.Join(dir, subdirectory, "*"))
 		if err != nil {
 			return err
 		}
-		files = append(files, found...)
+		files = append(files, matches...)
 	}
 	if len(files) == 0 {
 		return fmt.Errorf("the store in %s has no files", dir)
--- a/internal/testing/experiment/deployment.go
+++ b/internal/testing/experiment/deployment.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// drainTimeout is how long a gatherer may take for a graceful shutdown.
+	// drainTimeout is the maximum duration of a gatherer's graceful shutdown.
 	drainTimeout = 10 * time.Second
-	// minimumMemoryMB and minimumDescriptors are the least limits that a gatherer is given.
+	// minimumMemoryMB and minimumDescriptors are lower bounds for the limits in a gatherer's configuration.
 	minimumMemoryMB    = 64
 	minimumDescriptors = 1024
 )
@@ -30,7 +30,7 @@
 	Name            string
 	Servers         int // shard servers; each segment is on two adjacent ones
 	Segments        int
-	Types           []QueryType
+	Types           []QueryType       // of the gatherer's configuration
 	OperatorConfig  string            // text of the operator's configuration; "" = none
 	Files           map[string]string // further files in the directory of the configuration, by name
 	MemoryMB        int               // memory limit of the gatherer, at least 64
@@ -52,8 +52,8 @@
 	Effect        string
 	LatencyTarget time.Duration
 	Timeout       time.Duration
-	MinimumShare  float64 // of the segments, below which a response has no value
-	CompleteAt    float64 // share of the segments from which a response has its full value
+	MinimumShare  float64 // share of the segments below which a response has no value
+	CompleteAt    float64 // share of the segments from which on a response has its full value
 }
 
 // lookupType is the query type of experiments with plain look-ups.
--- a/internal/testing/experiment/experiment.go
+++ b/internal/testing/experiment/experiment.go
@@ -1,9 +1,9 @@
 // Package experiment is the load and experiment tool oxbowlab. It starts built programs and stand-ins for the systems around
-// them on loopback, runs an experiment on them, checks the responses and keeps the results in an archive.
+// them on loopback, runs an experiment on them, checks the responses and stores the results in an archive.
 //
-// An experiment is a Run function in a file of its own that an init function registers; see merge.go. It is given an Env with
-// the seed, the scale and a Record for metrics, latencies, tables and charts. An error that it returns is a finding: the programs
-// under test are at fault.
+// Each experiment is a Run function in its own file, registered by an init function; see merge.go. Its Env holds the seed, the
+// scale and a Record for metrics, latencies, tables and charts. An error that it returns is a finding: a fault in the programs
+// under test.
 package experiment
 
 import (
@@ -20,19 +20,19 @@
 	"github.com/schollz/progressbar/v3"
 )
 
-// Experiment can be run by its name.
+// Experiment is an experiment that can be run by its name.
 type Experiment struct {
 	Name    string
 	Aliases []string // former names
 	Short   string   // one line
-	Long    string   // what it does, checks and records
+	Long    string   // description of its actions, checks and records
 	Run     func(ctx context.Context, e *Env) error
 }
 
 // experiments holds the registered experiments by name. Only init functions change it.
 var experiments = map[string]Experiment{}
 
-// Register adds an experiment. It panics if the name is taken.
+// Register adds an experiment. It panics if the name is already registered.
 func Register(x Experiment) {
 	if _, duplicate := lookUp(x.Name); duplicate {
 		panic("experiment " + x.Name + " is registered twice")
@@ -66,10 +66,10 @@
 // Env is the environment of one run of an experiment.
 type Env struct {
 	Seed         uint64
-	Quick        bool      // run at a scale that ends within 40 s
-	Sizes        string    // sizes given by the user, for experiments that take them; "" = the experiment's own
+	Quick        bool      // run at a scale that finishes within 40 s
+	Sizes        string    // sizes from the command line, for experiments that accept them; "" = the defaults
 	GathererPath string    // the built gatherer; the other programs are in the same directory
-	Dir          string    // for files; removed after the run
+	Dir          string    // directory for files; removed after the run
 	Record       *Record   // results
 	Out          io.Writer // progress and messages
 
@@ -121,14 +121,15 @@
 	}
 }
 
-// Command returns a command that runs the built gatherer. Of the environment it inherits only what it needs to run.
+// Command returns a command that runs the built gatherer. It inherits only PATH from the environment; its TMPDIR is the run's
+// directory.
 func (e *Env) Command(args ...string) *exec.Cmd {
 	cmd := exec.Command(e.GathererPath, args...)
 	cmd.Env = []string{"PATH=" + os.Getenv("PATH"), "TMPDIR=" + e.Dir}
 	return cmd
 }
 
-// programPath returns the path of a built program beside the gatherer.
+// programPath returns the path of a built program in the directory of the gatherer.
 func (e *Env) programPath(name string) string {
 	return filepath.Join(filepath.Dir(e.GathererPath), name)
 }
@@ -142,7 +143,7 @@
 	return path, os.WriteFile(path, []byte(text), 0o600)
 }
 
-// sleep waits for a duration or the end of the context.
+// sleep waits for a duration or until the context ends.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
--- a/internal/testing/experiment/fair_shares.go
+++ b/internal/testing/experiment/fair_shares.go
@@ -14,8 +14,8 @@
 	Register(Experiment{
 		Name:  "fair-shares",
 		Short: "Connections shared among tenants: a full batch run beside interactive requests and posts",
-		Long: `fair-shares starts three controllers and five gateways, with servers that accept a limited number of connections from all
-together and count the ids that they execute. It sends interactive requests of two tenants and posts that must not be executed
+		Long: `fair-shares starts three controllers and five gateways, with servers that limit their total number of connections and
+count the ids that they execute. It sends interactive requests of two tenants and posts that must not be executed
 twice, alone; then a full batch run (requests over all shards) alone; then both: without shares, with strict limits, and with
 shares; the last once more while a gateway is killed and restarted, another is suspended, and a controller is suspended. It
 records the latency of interactive requests and the number of batch requests. It ends with a finding if with shares p50 or p99 of
@@ -32,15 +32,15 @@
 	fairSharesConnectionLimit = 40                    // of a server
 	fairSharesServiceTime     = 80 * time.Millisecond // of any request
 	fairSharesConcurrency     = 1000                  // of a server: the connections are the bottleneck
-	// fairSharesSettleTime is how long the cluster is given to start.
+	// fairSharesSettleTime is the time for the cluster to start.
 	fairSharesSettleTime = 4 * time.Second
-	// tenantsSettleTime is how long a document of tenants is given to reach all gateways.
+	// tenantsSettleTime is the time for a document of tenants to reach all gateways.
 	tenantsSettleTime = 3 * time.Second
 	// faultyPhaseExtra is the additional duration of the phase with faults.
 	faultyPhaseExtra = 4 * time.Second
-	// latencyRatioLimit is the latency of interactive requests beside the batch run over that without it, at most.
+	// latencyRatioLimit is the maximum ratio of the latency of interactive requests during the batch run to that without it.
 	latencyRatioLimit = 1.25
-	// batchShareLimit is the share of the remaining capacity that the batch run must use.
+	// batchShareLimit is the minimum share of the remaining capacity that the batch run must use.
 	batchShareLimit = 0.9
 )
 
@@ -109,7 +109,7 @@
 	cluster  *localCluster
 	duration time.Duration // of a phase
 	version  uint64        // of the document of tenants
-	away     awayGateways
+	avoided  avoidedGateways
 	phases   []*fairSharesPhase
 }
 
@@ -132,20 +132,20 @@
 	time.Sleep(fairSharesSettleTime)
 	r := &fairSharesRun{env: e, cluster: cluster, duration: e.scaleSeconds(5, 15)}
 	e.Progress("fair shares", 6)
-	quiet, batchAlone, shared, faulty, err := r.runPhases()
+	interactiveAlone, batchAlone, shared, withFaults, err := r.runPhases()
 	if err != nil {
 		return err
 	}
-	r.record(quiet)
-	return r.check(quiet, batchAlone, shared, faulty)
+	r.record(interactiveAlone)
+	return r.check(interactiveAlone, batchAlone, shared, withFaults)
 }
 
-// runPhases runs all phases and returns those that are checked: interactive requests alone, the batch run alone, both with
-// shares, and the same with faults.
-func (r *fairSharesRun) runPhases() (quiet, batchAlone, shared, faulty *fairSharesPhase, err error) {
+// runPhases runs all phases and returns the phases that are checked: interactive requests alone, the batch run alone, both with
+// shares, and both with shares and faults.
+func (r *fairSharesRun) runPhases() (interactiveAlone, batchAlone, shared, withFaults *fairSharesPhase, err error) {
 	r.warmUp("warm-up", 2*time.Second)
 	time.Sleep(time.Second)
-	quiet = r.run("interactive alone", false, true, r.duration)
+	interactiveAlone = r.run("interactive alone", false, true, r.duration)
 	batchAlone = r.run("batch alone", true, false, r.duration)
 	r.run("both, no shares", true, true, r.duration)
 	if err := r.replaceTenants(true); err != nil {
@@ -158,11 +158,11 @@
 	r.warmUp("second warm-up", time.Second)
 	shared = r.run("both, shares", true, true, r.duration)
 	go r.injectFaults()
-	faulty = r.run("the same, kill and suspensions", true, true, r.duration+faultyPhaseExtra)
-	return quiet, batchAlone, shared, faulty, nil
+	withFaults = r.run("the same, kill and suspensions", true, true, r.duration+faultyPhaseExtra)
+	return interactiveAlone, batchAlone, shared, withFaults, nil
 }
 
-// replaceTenants commits a document of tenants and waits until it has reached the gateways.
+// replaceTenants commits a document of tenants and waits for it to reach the gateways.
 func (r *fairSharesRun) replaceTenants(strict bool) error {
 	controller := r.cluster.cluster.Controllers[1]
 	status := r.cluster.cluster.ReplaceDocument(controller, config.TenantsDocumentName, r.version, fairSharesTenants(strict))
@@ -174,26 +174,26 @@
 	return nil
 }
 
-// injectFaults kills a gateway and restarts it, then suspends another one and a controller. Clients avoid the gateways.
+// injectFaults kills a gateway and restarts it, then suspends another one and a controller. Clients avoid these gateways.
 func (r *fairSharesRun) injectFaults() {
 	const killed, suspended = 2, 3
 	time.Sleep(r.duration / 4)
-	r.away.set(killed, true)
+	r.avoided.set(killed, true)
 	r.cluster.killGateway(killed)
 	time.Sleep(300 * time.Millisecond)
 	r.cluster.restartGateway(killed)
 	time.Sleep(1500 * time.Millisecond)
-	r.away.set(killed, false)
-	r.away.set(suspended, true)
+	r.avoided.set(killed, false)
+	r.avoided.set(suspended, true)
 	suspend(r.cluster.gateways[suspended], 1500*time.Millisecond)
 	suspend(r.cluster.controllers[0], 2*time.Second)
 	time.Sleep(2 * time.Second)
-	r.away.set(suspended, false)
+	r.avoided.set(suspended, false)
 }
 
 // record records a row for each phase.
-func (r *fairSharesRun) record(quiet *fairSharesPhase) {
-	bound := latencyRatioLimit * quiet.quantile(0.99)
+func (r *fairSharesRun) record(interactiveAlone *fairSharesPhase) {
+	bound := latencyRatioLimit * interactiveAlone.quantile(0.99)
 	for i, p := range r.phases {
 		r.env.Record.AddRow("Interactive requests and the batch run",
 			[]string{"phase", "p50 ms", "p99 ms", "over 1.25 of p99 alone", "of", "failed", "batch requests per second", "ids executed twice",
@@ -206,29 +206,29 @@
 }
 
 // check returns the finding, if any.
-func (r *fairSharesRun) check(quiet, batchAlone, shared, faulty *fairSharesPhase) error {
-	// Each interactive request takes one connection for as long as a shard call of the batch run does.
+func (r *fairSharesRun) check(interactiveAlone, batchAlone, shared, withFaults *fairSharesPhase) error {
+	// Each interactive request uses one connection for as long as a shard call of the batch run does.
 	servers := float64(len(simcluster.FirstSharding) * fairSharesServers)
 	capacity := servers * batchShareLimit * fairSharesConnectionLimit
-	taken := float64(len(shared.latencies)) / r.duration.Seconds() * fairSharesServiceTime.Seconds() / capacity
-	wanted := batchShareLimit * (1 - taken) * float64(batchAlone.batch.Load())
+	interactiveShare := float64(len(shared.latencies)) / r.duration.Seconds() * fairSharesServiceTime.Seconds() / capacity
+	wantBatch := batchShareLimit * (1 - interactiveShare) * float64(batchAlone.batch.Load())
 	r.env.Record.SetMetric("batch requests beside the others, of those alone", float64(shared.batch.Load())/max(float64(batchAlone.batch.Load()), 1))
-	r.env.Record.SetMetric("connections that interactive requests take, of all", taken)
+	r.env.Record.SetMetric("connections that interactive requests take, of all", interactiveShare)
 	for _, p := range r.phases {
 		if n := p.executedTwice.Load(); n > 0 {
 			return fmt.Errorf("%d posts were executed twice", n)
 		}
 	}
-	if n := faulty.interrupted.Load() + shared.interrupted.Load(); n > 0 {
+	if n := withFaults.interrupted.Load() + shared.interrupted.Load(); n > 0 {
 		return fmt.Errorf("%d posts were interrupted at healthy gateways", n)
 	}
 	p50, p99 := shared.quantile(0.5), shared.quantile(0.99)
-	if p50 > latencyRatioLimit*quiet.quantile(0.5) || p99 > latencyRatioLimit*quiet.quantile(0.99) {
+	if p50 > latencyRatioLimit*interactiveAlone.quantile(0.5) || p99 > latencyRatioLimit*interactiveAlone.quantile(0.99) {
 		return fmt.Errorf("interactive requests take %.1f ms (p50) and %.1f ms (p99) beside the batch run, %.1f and %.1f alone",
-			p50, p99, quiet.quantile(0.5), quiet.quantile(0.99))
+			p50, p99, interactiveAlone.quantile(0.5), interactiveAlone.quantile(0.99))
 	}
-	if float64(shared.batch.Load()) < wanted {
-		return fmt.Errorf("the batch run completes %d requests, want %.0f", shared.batch.Load(), wanted)
+	if float64(shared.batch.Load()) < wantBatch {
+		return fmt.Errorf("the batch run completes %d requests, want %.0f", shared.batch.Load(), wantBatch)
 	}
 	return nil
 }
--- a/internal/testing/experiment/fair_shares_phase.go
+++ b/internal/testing/experiment/fair_shares_phase.go
@@ -18,26 +18,27 @@
 	batchTimeout       = 6 * time.Second
 	batchRetryPause    = 50 * time.Millisecond
 	interactiveTimeout = 3 * time.Second
-	// Interactive requests come at random intervals of 4 to 11 ms.
+	// Interactive requests are sent at random intervals of 4 to 11 ms.
 	interactiveMinInterval = 4
 	interactiveIntervals   = 8
 )
 
-// awayGateways marks gateways that clients avoid because they are killed or suspended. It may be used concurrently.
-type awayGateways [fairSharesGateways]atomic.Bool
+// avoidedGateways marks the gateways that clients avoid because they are killed or suspended. Its methods may be called
+// concurrently.
+type avoidedGateways [fairSharesGateways]atomic.Bool
 
-func (a *awayGateways) set(index int, away bool) { a[index].Store(away) }
+func (a *avoidedGateways) set(index int, avoided bool) { a[index].Store(avoided) }
 
-func (a *awayGateways) has(index int) bool { return a[index].Load() }
+func (a *avoidedGateways) contains(index int) bool { return a[index].Load() }
 
-// fairSharesPhase is the results of one phase.
+// fairSharesPhase holds the results of one phase.
 type fairSharesPhase struct {
 	name          string
 	duration      time.Duration
 	batch         atomic.Int64 // batch requests completed
 	failed        atomic.Int64 // interactive requests
-	interrupted   atomic.Int64 // posts without a response, at gateways that are not away
-	executedTwice atomic.Int64 // posts
+	interrupted   atomic.Int64 // posts without a response from gateways that are not avoided
+	executedTwice atomic.Int64 // posts executed more than once
 	interactive   *LatencyRecorder
 
 	mu        sync.Mutex
@@ -72,7 +73,7 @@
 	return count
 }
 
-// warmUp runs a phase that is not recorded. Its name is part of the ids, as that of any phase, and must be unique.
+// warmUp runs a phase that is not recorded. Its name must be unique, as the names of phases are part of the request ids.
 func (r *fairSharesRun) warmUp(name string, duration time.Duration) {
 	r.send(name, true, true, duration)
 }
@@ -113,7 +114,7 @@
 func (r *fairSharesRun) sendBatch(p *fairSharesPhase, client int, deadline time.Time) {
 	for n := 0; time.Now().Before(deadline); n++ {
 		gateway := (client + n) % fairSharesGateways
-		if r.away.has(gateway) {
+		if r.avoided.contains(gateway) {
 			continue
 		}
 		id := fmt.Sprint(p.name, "b", client, "-", n)
@@ -125,10 +126,10 @@
 	}
 }
 
-// sendInteractive sends interactive request number n: one in five is a post, two are of the finder.
+// sendInteractive sends interactive request number n: of five requests one is a post and two go to the finder route.
 func (r *fairSharesRun) sendInteractive(p *fairSharesPhase, n int) {
 	gateway := n % fairSharesGateways
-	for r.away.has(gateway) {
+	for r.avoided.contains(gateway) {
 		gateway = (gateway + 1) % fairSharesGateways
 	}
 	id := fmt.Sprint(p.name, "i", n)
@@ -140,7 +141,7 @@
 		if r.cluster.cluster.RequestLog.Executions(postService, id) > 1 {
 			p.executedTwice.Add(1)
 		}
-		if response.Status == noResponse && !r.away.has(gateway) {
+		if response.Status == noResponse && !r.avoided.contains(gateway) {
 			p.interrupted.Add(1)
 		}
 	case 1, 2:
@@ -149,8 +150,8 @@
 		response = r.request(gateway, http.MethodGet, interactivePath, id, interactiveTimeout)
 	}
 	elapsed := time.Since(start)
-	if r.away.has(gateway) && response.Status != http.StatusOK {
-		return // the gateway went away meanwhile: the client turns to another one
+	if r.avoided.contains(gateway) && response.Status != http.StatusOK {
+		return // the gateway was killed or suspended meanwhile: a client would retry at another one
 	}
 	if response.Status != http.StatusOK {
 		p.failed.Add(1)
--- a/internal/testing/experiment/gatherer_config.go
+++ b/internal/testing/experiment/gatherer_config.go
@@ -19,24 +19,24 @@
 }
 
 type gathererSettings struct {
-	Classes        []classConfig    `json:"classes"`
-	Tenants        []tenantConfig   `json:"tenants"`
-	MembershipMode string           `json:"membershipMode"`
-	Instances      int              `json:"instances"`
-	Tick           int              `json:"tick"`
-	Domain         domainConfig     `json:"domain"`
-	Limits         callLimits       `json:"limits"`
-	Feedback       feedbackConfig   `json:"feedback"`
-	Guarantees     guaranteesConfig `json:"guarantees"`
+	QueryTypes     []queryTypeConfig `json:"classes"`
+	Tenants        []tenantConfig    `json:"tenants"`
+	MembershipMode string            `json:"membershipMode"`
+	Instances      int               `json:"instances"`
+	Tick           int               `json:"tick"`
+	Domain         domainConfig      `json:"domain"`
+	Limits         callLimits        `json:"limits"`
+	Feedback       feedbackConfig    `json:"feedback"`
+	Guarantees     guaranteesConfig  `json:"guarantees"`
 }
 
-// classConfig is a query type.
-type classConfig struct {
+// queryTypeConfig is a query type.
+type queryTypeConfig struct {
 	Name      string  `json:"name"`
 	Effect    string  `json:"effect"`
 	SLO       int64   `json:"slo"`
 	HardLimit int64   `json:"hardLimit"`
-	LateWorth float64 `json:"lateWorth"`
+	LateValue float64 `json:"lateWorth"`
 }
 
 type tenantConfig struct {
@@ -44,21 +44,21 @@
 	QuotaPerS int    `json:"quotaPerS"`
 }
 
-// domainConfig describes the servers and segments. The last three lists have one value for each query type.
+// domainConfig describes the servers and segments. The lists have one value for each query type.
 type domainConfig struct {
-	Positions  int       `json:"positions"` // servers
-	Slices     int       `json:"slices"`    // segments
-	Reach      int       `json:"reach"`     // servers of a segment
-	PerCall    int       `json:"perCall"`
-	LeastShare []float64 `json:"leastShare"`
-	WholeAt    []float64 `json:"wholeAt"`
-	ShortWorth []float64 `json:"shortWorth"`
+	Cells             int       `json:"positions"` // servers
+	Segments          int       `json:"slices"`
+	ReplicationFactor int       `json:"reach"` // servers of a segment
+	CallsPerFrame     int       `json:"perCall"`
+	MinCoverage       []float64 `json:"leastShare"`
+	CompleteCoverage  []float64 `json:"wholeAt"`
+	PartialValue      []float64 `json:"shortWorth"`
 }
 
 type callLimits struct {
-	AttemptsCap   int  `json:"attemptsCap"`
+	MaxAttempts   int  `json:"attemptsCap"`
 	Cancel        bool `json:"cancel"`
-	SecondCopies  bool `json:"secondCopies"`
+	AllowHedging  bool `json:"secondCopies"`
 	DialTimeout   int  `json:"dialTimeout"`
 	IdleClose     int  `json:"idleClose"`
 	MaxStreams    int  `json:"maxStreams"`
@@ -72,15 +72,15 @@
 }
 
 type guaranteesConfig struct {
-	AskWithin         int `json:"askWithin"`
-	StopSendingWithin int `json:"stopSendingWithin"`
+	MaxListAge int `json:"askWithin"`
+	DrainGrace int `json:"stopSendingWithin"`
 }
 
 const (
-	// lateWorth is the value of a response after its latency target, relative to one in time.
-	lateWorth = 0.3
-	// shortWorth is the value of a response without some segments, relative to a complete one.
-	shortWorth = 0.9
+	// lateValue is the value of a response after its latency target, relative to one in time.
+	lateValue = 0.3
+	// partialValue is the value of a response without some segments, relative to a complete one.
+	partialValue = 0.9
 )
 
 // newGathererConfig returns the configuration of a deployment's gatherer.
@@ -90,11 +90,11 @@
 		MembershipMode: "on_request",
 		Instances:      1,
 		Tick:           5,
-		Domain:         domainConfig{Positions: options.Servers, Slices: options.Segments, Reach: 2, PerCall: 4},
+		Domain:         domainConfig{Cells: options.Servers, Segments: options.Segments, ReplicationFactor: 2, CallsPerFrame: 4},
 		Limits: callLimits{
-			AttemptsCap:   4,
+			MaxAttempts:   4,
 			Cancel:        true,
-			SecondCopies:  true,
+			AllowHedging:  true,
 			DialTimeout:   250,
 			IdleClose:     30_000,
 			MaxStreams:    64,
@@ -102,19 +102,19 @@
 			MaxRetryAfter: 1000,
 		},
 		Feedback:   feedbackConfig{How: "answers", Names: []string{"queue", "inflight"}},
-		Guarantees: guaranteesConfig{AskWithin: 10_000, StopSendingWithin: 500},
+		Guarantees: guaranteesConfig{MaxListAge: 10_000, DrainGrace: 500},
 	}
 	for _, t := range options.Types {
-		settings.Classes = append(settings.Classes, classConfig{
+		settings.QueryTypes = append(settings.QueryTypes, queryTypeConfig{
 			Name:      t.Name,
 			Effect:    t.Effect,
 			SLO:       t.LatencyTarget.Milliseconds(),
 			HardLimit: t.Timeout.Milliseconds(),
-			LateWorth: lateWorth,
+			LateValue: lateValue,
 		})
-		settings.Domain.LeastShare = append(settings.Domain.LeastShare, t.MinimumShare)
-		settings.Domain.WholeAt = append(settings.Domain.WholeAt, t.CompleteAt)
-		settings.Domain.ShortWorth = append(settings.Domain.ShortWorth, shortWorth)
+		settings.Domain.MinCoverage = append(settings.Domain.MinCoverage, t.MinimumShare)
+		settings.Domain.CompleteCoverage = append(settings.Domain.CompleteCoverage, t.CompleteAt)
+		settings.Domain.PartialValue = append(settings.Domain.PartialValue, partialValue)
 	}
 	return gathererConfig{
 		Name:      options.Name,
--- a/internal/testing/experiment/holder_process.go
+++ b/internal/testing/experiment/holder_process.go
@@ -22,9 +22,9 @@
 const (
 	// holderProgram is the hidden command that runs a connection holder.
 	holderProgram = "holder"
-	// holderDialTimeout is how long a holder waits for a connection.
+	// holderDialTimeout is the maximum time for opening a connection.
 	holderDialTimeout = 5 * time.Second
-	// holderIDShift sets apart the request ids of holders: each may send 2^40 requests.
+	// holderIDShift separates the ranges of request ids of the holders: each may send 2^40 requests.
 	holderIDShift = 40
 )
 
@@ -65,8 +65,8 @@
 	return p
 }
 
-// run executes the commands of the input and writes their results until the input ends. Missing arguments are 0, unknown
-// commands are ignored.
+// run executes the commands of the input and writes their results until the input ends or quitCommand. Missing arguments are 0,
+// unknown commands are ignored.
 func (p *holderProcess) run(in io.Reader, out io.Writer) {
 	for lines := bufio.NewScanner(in); lines.Scan(); {
 		fields := strings.Fields(lines.Text())
@@ -111,7 +111,7 @@
 	return p.conns[:min(count, len(p.conns))]
 }
 
-// lookup returns the next look-up as it is sent.
+// lookup encodes the next look-up request.
 func (p *holderProcess) lookup() []byte {
 	header, body := rawRequest(newLookup(p.lastID.Add(1), 0))
 	return []byte(header + body)
@@ -151,8 +151,8 @@
 	})
 }
 
-// spreadOver calls do with each of some connections, spread evenly over a time, and waits until all calls have returned. The
-// result of do is a response's status.
+// spreadOver calls do with each connection, with the calls spread evenly over duration, and waits until all calls have
+// returned. The result of do is a response's status.
 func spreadOver(conns []*clientConn, duration time.Duration, do func(*clientConn) int) holderResult {
 	latency := NewLatencyRecorder()
 	statuses := map[int]int{}
@@ -179,8 +179,8 @@
 	}
 }
 
-// openSilentConnections opens connections that never send anything, keeps them for a time and counts how many of them the
-// other side has closed by then.
+// openSilentConnections opens connections that never send anything, holds them for a duration and counts how many of them the
+// peer has closed by then.
 func openSilentConnections(dial func() (net.Conn, error), count int, duration time.Duration) holderResult {
 	var closed atomic.Int64
 	var conns []net.Conn
--- a/internal/testing/experiment/holder_test.go
+++ b/internal/testing/experiment/holder_test.go
@@ -16,7 +16,7 @@
 		t.Errorf("got %+v, %v, want %+v", got, err, want)
 	}
 	if got.sent() != 10 {
-		t.Errorf("%d requests are counted, want 10", got.sent())
+		t.Errorf("sent() = %d, want 10", got.sent())
 	}
 	got.add(holderResult{held: 1, statuses: map[int]int{200: 3}, p99: 20})
 	if got.held != 4 || got.statuses[200] != 10 || got.p99 != 20 || got.p50 != 1.5 {
@@ -24,7 +24,7 @@
 	}
 	for _, text := range []string{"held=x", "answered=1", "200=x", "p50="} {
 		if _, err := parseHolderResult(text); err == nil {
-			t.Errorf("%q is parsed", text)
+			t.Errorf("the malformed result %q is accepted", text)
 		}
 	}
 }
--- a/internal/testing/experiment/hollow.go
+++ b/internal/testing/experiment/hollow.go
@@ -15,13 +15,14 @@
 func init() {
 	Register(Experiment{
 		Name:  "hollow",
-		Short: "What the controllers cost by number of servers, gateways, controllers and routes",
-		Long: `hollow starts built controllers on loopback and surrounds them with hollow gateways and servers: many in this one process,
-which speak the real protocol (polls for updates, heartbeats) and do nothing else. For each size it records what a controller
-spends (processor, memory, bytes in and out), what control costs a gateway in bytes, how long the acknowledgement of a heartbeat
-takes, and how long a changed configuration, a drain and the loss of a server take to reach every gateway. One real gateway runs
-beside them: its memory and processor time, at rest and while servers restart. Each size runs for a bounded time. The programs are
-those beside the gatherer. Sizes given by the user have the form controllers/servers/gateways/routes, separated by commas.`,
+		Short: "Cost of the controllers by number of servers, gateways, controllers and routes",
+		Long: `hollow starts built controllers on loopback and connects many hollow gateways and servers to them. These run
+in one process, speak the real protocol (polls for updates, heartbeats) and do nothing else. For each size it records the
+resources that a controller uses (processor time, memory, bytes in and out), the control traffic of a gateway in bytes, the
+latency of heartbeat acknowledgements, and the time until a changed configuration, a drain and the loss of a server reach
+every gateway. One real gateway runs beside them: its memory and processor time are recorded at rest and while servers
+restart. Each size runs for a bounded time. The programs are those beside the gatherer. Sizes given by the user have the form
+controllers/servers/gateways/routes, separated by commas.`,
 		Run: runHollow,
 	})
 }
@@ -33,7 +34,7 @@
 	return fmt.Sprintf("%d controllers, %d servers, %d gateways, %d routes", s.controllers, s.servers, s.gateways, s.routes)
 }
 
-// The experiment's sizes: one number grows at a time.
+// The default sizes. Each group varies one number.
 var (
 	hollowQuickSizes = []hollowSize{{3, 300, 30, 50}, {3, 1000, 30, 50}, {3, 300, 100, 50}}
 	hollowFullSizes  = []hollowSize{
@@ -45,24 +46,26 @@
 )
 
 const (
-	// hollowMaxConnections bounds the connections of hollow servers: descriptors are limited.
+	// hollowMaxConnections is the maximum number of connections of hollow servers, because file descriptors are limited.
 	hollowMaxConnections = 6000
 	// hollowChanges is the number of changes of each kind.
 	hollowChanges = 4
-	// hollowPropagationTimeout is how long a change may take to reach all gateways.
+	// hollowPropagationTimeout is the maximum time for a change to reach all gateways.
 	hollowPropagationTimeout = 20 * time.Second
-	// hollowSettleIntervals is the number of heartbeat intervals until all servers are known.
+	// hollowSettleIntervals is the number of heartbeat intervals until the controllers have registered all servers.
 	hollowSettleIntervals = 3
-	// A change of the configuration is submitted so often, with pauses.
+	// hollowReplaceAttempts is the number of attempts to submit a change of the configuration, with hollowReplacePause after
+	// each.
 	hollowReplaceAttempts = 20
 	hollowReplacePause    = 100 * time.Millisecond
-	// hollowGatewayReplacement is the time until all gateways know one that has replaced another.
+	// hollowGatewayReplacement is the time to wait until all gateways have received the replacement of one of them.
 	hollowGatewayReplacement = 3 * time.Second
 	// hollowStartSpacing is the time between the starts of two gateways.
 	hollowStartSpacing = 20 * time.Millisecond
-	// hollowSizeTimeout bounds the time of one size. What is not measured by then counts as not acknowledged or not received.
+	// hollowSizeTimeout is the maximum duration of one size. Changes after it count as not acknowledged or not received.
 	hollowSizeTimeout = 100 * time.Second
-	// hollowRestarts is the number of restarts of servers, with hollowRestartSpacing between them: each is an update of its own.
+	// hollowRestarts is the number of server restarts. They are hollowRestartSpacing apart, so that each causes a separate
+	// update.
 	hollowRestarts       = 24
 	hollowRestartSpacing = 250 * time.Millisecond
 )
--- a/internal/testing/experiment/hollow_fleet.go
+++ b/internal/testing/experiment/hollow_fleet.go
@@ -20,8 +20,8 @@
 	hollowZones = 3
 )
 
-// hollowFleet is many gateways and servers in this process that only communicate with the controllers: gateways poll for updates
-// as real ones do, servers send heartbeats.
+// hollowFleet is a set of simulated gateways and servers in this process that communicate only with the controllers: gateways
+// poll for updates like real ones, and servers send heartbeats.
 type hollowFleet struct {
 	net               network.Network
 	controlAddresses  []string // of the controllers, for servers
@@ -30,11 +30,11 @@
 	gateways          []*hollowGateway
 	servers           []*hollowServer
 	connections       []*sharedConnection          // of the servers
-	awaited           atomic.Pointer[updateWaiter] // observes all updates; nil = none
+	expectedUpdate    atomic.Pointer[updateWaiter] // observes all updates; nil = none
 
 	ackLatency       *LatencyRecorder // of heartbeats
 	acknowledged     atomic.Int64     // heartbeats
-	unacknowledged   atomic.Int64     // attempts of heartbeats
+	unacknowledged   atomic.Int64     // attempts to send a heartbeat
 	pollsTimedOut    atomic.Int64
 	serverListBytes  atomic.Int64 // of the longest full list of servers received
 	serverListLength atomic.Int64 // servers in it
@@ -45,7 +45,7 @@
 	running sync.WaitGroup
 }
 
-// newHollowFleet returns a fleet without nodes that runs until the context ends or it is closed.
+// newHollowFleet returns a fleet without gateways and servers. It runs until the context ends or close is called.
 func newHollowFleet(ctx context.Context, net network.Network, controlAddresses, internalAddresses []string, heartbeatInterval time.Duration) *hollowFleet {
 	f := &hollowFleet{
 		net:               net,
@@ -58,7 +58,7 @@
 	return f
 }
 
-// close stops all nodes and waits for them.
+// close stops all gateways and servers and waits for them.
 func (f *hollowFleet) close() {
 	f.stop()
 	f.running.Wait()
@@ -77,7 +77,7 @@
 	}
 }
 
-// addGateways starts gateways, spread over a time.
+// addGateways starts gateways, spread evenly over a duration.
 func (f *hollowFleet) addGateways(count int, over time.Duration) {
 	for i := range count {
 		f.gateways = append(f.gateways, newHollowGateway(f, i))
@@ -91,7 +91,7 @@
 	}
 }
 
-// addServers starts servers whose heartbeats are spread over the interval and which share a number of connections.
+// addServers starts servers that share a number of connections and whose heartbeats are spread evenly over the interval.
 func (f *hollowFleet) addServers(count, connections int) {
 	connections = min(connections, count)
 	for i := range connections {
@@ -118,10 +118,10 @@
 
 func hollowZone(index int) string { return "zone-" + strconv.Itoa(index%hollowZones) }
 
-// expectUpdate starts waiting for an update that matches. It replaces the waiter before.
+// expectUpdate starts waiting for an update that matches. It replaces the previous waiter.
 func (f *hollowFleet) expectUpdate(matches func(*rpc.Update) bool) *updateWaiter {
 	waiter := newUpdateWaiter(len(f.gateways), matches)
-	f.awaited.Store(waiter)
+	f.expectedUpdate.Store(waiter)
 	return waiter
 }
 
@@ -134,7 +134,7 @@
 	}
 }
 
-// replaceFirstGateway replaces the first gateway by one with another incarnation and waits until all gateways know it.
+// replaceFirstGateway replaces the first gateway by another incarnation and waits for all gateways to receive the change.
 func (f *hollowFleet) replaceFirstGateway() {
 	select {
 	case f.gateways[0].replace <- struct{}{}:
@@ -143,7 +143,7 @@
 	f.sleep(hollowGatewayReplacement)
 }
 
-// gatewayBytes returns the bytes received and sent by a gateway so far, on average.
+// gatewayBytes returns the average number of bytes that a gateway has received and sent so far.
 func (f *hollowFleet) gatewayBytes() (in, out float64) {
 	for _, gateway := range f.gateways {
 		in += float64(gateway.counter.in.Load())
@@ -153,7 +153,7 @@
 	return in / count, out / count
 }
 
-// bytesDuring returns the bytes that a gateway receives during a call, on average of all but the first.
+// bytesDuring returns the average number of bytes that a gateway other than the first receives during a call.
 func (f *hollowFleet) bytesDuring(call func()) float64 {
 	if len(f.gateways) < 2 {
 		call()
@@ -173,7 +173,7 @@
 // updateWaiter waits until an update has reached every hollow gateway.
 type updateWaiter struct {
 	matches func(*rpc.Update) bool
-	done    chan struct{} // closed when it has reached all
+	done    chan struct{} // closed when the update has reached all gateways
 
 	mu         sync.Mutex
 	receivedAt []time.Time // by gateway
@@ -189,7 +189,7 @@
 	}
 }
 
-// observe takes note of an update that a gateway has received.
+// observe records the time of the first matching update that a gateway receives.
 func (w *updateWaiter) observe(gateway int, update *rpc.Update) {
 	if !w.matches(update) {
 		return
@@ -205,7 +205,8 @@
 	}
 }
 
-// since returns how long after a start the update reached each gateway, in ascending order, and how many it did not reach.
+// since returns the times from start until the update reached each gateway, in ascending order, and the number of gateways that
+// it did not reach.
 func (w *updateWaiter) since(start time.Time) (elapsed []time.Duration, missing int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/testing/experiment/hollow_gateway.go
+++ b/internal/testing/experiment/hollow_gateway.go
@@ -15,20 +15,21 @@
 	"oxbowspan/rpc"
 )
 
-// Times of a gateway's polls, as of the real program.
+// Times of a gateway's polls, equal to those of the real program.
 const (
-	// pollHoldTime is how long a controller may hold a poll.
+	// pollHoldTime is the maximum time for which a controller holds a poll.
 	pollHoldTime = 1000 * time.Millisecond
-	// pollGrace is how long the gateway waits beyond that, and in all for the first update of a controller, which is full.
+	// pollGrace is the additional time that a gateway waits for the response. It is the whole timeout of the first update of a
+	// controller, which is a full one.
 	pollGrace = 700 * time.Millisecond
-	// pollPause is the time before another controller is polled.
+	// pollPause is the delay before a gateway polls another controller.
 	pollPause = 120 * time.Millisecond
 )
 
-// errNoUpdate is the error of a response to a poll that is not an update.
+// errNoUpdate is returned for a response to a poll that is not an update.
 var errNoUpdate = errors.New("the response to a poll is not an update")
 
-// hollowGateway follows the controllers' updates and keeps nothing of them but its position.
+// hollowGateway polls the controllers for updates and stores only its position in them.
 type hollowGateway struct {
 	fleet   *hollowFleet
 	index   int
@@ -37,7 +38,7 @@
 	replace chan struct{} // a receive replaces the gateway by another incarnation
 
 	slot                  uint64
-	controllerIncarnation uint64 // of the controller that is followed; 0 = no update of it yet
+	controllerIncarnation uint64 // of the polled controller; 0 = no update from it yet
 	cursor                uint64
 	membershipEpoch       uint64
 }
@@ -46,7 +47,7 @@
 	return &hollowGateway{fleet: fleet, index: index, self: newHollowIdentity(index), replace: make(chan struct{}, 1)}
 }
 
-// newHollowIdentity draws an incarnation of the gateway at an index.
+// newHollowIdentity returns a new random incarnation of the gateway at an index.
 func newHollowIdentity(index int) *rpc.Gateway {
 	return &rpc.Gateway{
 		Incarnation: rand.Uint64() | 1, // 0 is none
@@ -55,7 +56,7 @@
 	}
 }
 
-// run follows one controller after another until the fleet ends.
+// run polls one controller after another until the fleet ends.
 func (g *hollowGateway) run() {
 	network := countedNetwork{g.fleet.net, &g.counter}
 	addresses := g.fleet.internalAddresses
@@ -68,7 +69,7 @@
 	}
 }
 
-// follow polls a controller until it does not respond.
+// follow polls a controller until a poll fails.
 func (g *hollowGateway) follow(client *rpc.Client) {
 	for g.fleet.ctx.Err() == nil {
 		select {
@@ -120,10 +121,10 @@
 	return nil
 }
 
-// receive takes note of an update.
+// receive records the sizes of an update's lists and advances the gateway's position.
 func (g *hollowGateway) receive(update *rpc.Update) {
 	f := g.fleet
-	if waiter := f.awaited.Load(); waiter != nil {
+	if waiter := f.expectedUpdate.Load(); waiter != nil {
 		waiter.observe(g.index, update)
 	}
 	if update.Full && len(update.Reports) > int(f.serverListLength.Load()) {
--- a/internal/testing/experiment/hollow_result.go
+++ b/internal/testing/experiment/hollow_result.go
@@ -8,18 +8,18 @@
 	"oxbowspan/rpc"
 )
 
-// hollowResult is the result of one size. Rates are per second and process, on average.
+// hollowResult is the result of one size. Rates are averages per second and process.
 type hollowResult struct {
 	cpu, maxCPU        float64 // cores, of a controller
 	in, out, wakeups   float64
-	memory, peakMemory int64   // bytes, of the controller that has most
-	load               float64 // average of the whole machine
+	memory, peakMemory int64   // bytes, maximum of all controllers
+	load               float64 // load average of the machine
 
 	steadyIn, steadyOut float64 // bytes of one gateway while nothing changes
 	gatewayReplacedIn   float64 // bytes that one gateway receives when another is replaced
 	drainIn             float64 // bytes that one gateway receives when a server drains
 	configIn            float64 // bytes that one gateway receives when the configuration changes
-	configBytes         int     // of the configuration's text
+	configBytes         int     // size of the encoded configuration
 	serverListBytes     int64
 	serverListLength    int64
 	gatewayListBytes    int64
@@ -31,10 +31,10 @@
 	pollsTimedOut                int64
 	realGateway                  gatewayCost
 	perRestart                   float64 // processor seconds of a controller for the restart of one server
-	timedOut                     bool    // the size took longer than allowed
+	timedOut                     bool    // the size exceeded hollowSizeTimeout
 }
 
-// gatewayCost is what a real gateway without clients costs.
+// gatewayCost is the resource usage of a real gateway without clients.
 type gatewayCost struct {
 	cpu        float64 // cores, while nothing changes
 	perRestart float64 // processor seconds for the restart of one server
@@ -42,10 +42,11 @@
 	peakMemory int64   // bytes
 }
 
-// propagation is how long updates took to reach the gateways, in milliseconds.
+// propagation is the time until updates reached the gateways, in milliseconds: half and all of them, the maximum of all
+// changes.
 type propagation struct {
 	half, all float64
-	missing   int // gateways that an update did not reach in time, of all changes
+	missing   int // gateways that an update did not reach in time, summed over all changes
 	failed    int // changes that were not acknowledged
 }
 
@@ -60,7 +61,7 @@
 	return text
 }
 
-// add adds a change that reached gateways after the given times, in ascending order, and did not reach some others.
+// add adds a change that reached gateways after the elapsed times, in ascending order, and did not reach the missing ones.
 func (p *propagation) add(elapsed []time.Duration, missing int) {
 	p.missing += missing
 	if len(elapsed) == 0 {
@@ -70,7 +71,7 @@
 	p.all = max(p.all, milliseconds(elapsed[len(elapsed)-1]))
 }
 
-// measureSteadyState measures what controllers and gateways cost while nothing changes.
+// measureSteadyState measures the resource usage of controllers and gateways while nothing changes.
 func (r *hollowResult) measureSteadyState(fleet *hollowFleet, programs hollowPrograms, duration time.Duration) error {
 	before, err := r.readControllers(programs.controllers)
 	if err != nil {
@@ -112,7 +113,7 @@
 	return nil
 }
 
-// readControllers reads the controllers' cost and their memory.
+// readControllers reads the controllers' costs and updates the maximum memory.
 func (r *hollowResult) readControllers(pids []int) ([]processCost, error) {
 	costs := make([]processCost, len(pids))
 	for i, pid := range pids {
@@ -129,7 +130,7 @@
 	return costs, nil
 }
 
-// addController adds the cost per second of one of a number of controllers.
+// addController adds the cost per second of one controller, of the given number of controllers, to the averages and maxima.
 func (r *hollowResult) addController(perSecond processCost, controllers int) {
 	mean := perSecond.times(1 / float64(controllers))
 	r.cpu += mean.cpu
@@ -139,7 +140,8 @@
 	r.out += mean.out
 }
 
-// measureRestarts measures what the restart of a server costs a controller and a real gateway, beyond what they cost at rest.
+// measureRestarts measures the processor time of a controller and a real gateway for the restart of a server, less their usage
+// at rest.
 func (r *hollowResult) measureRestarts(fleet *hollowFleet, programs hollowPrograms) error {
 	controllerBefore, gatewayBefore, err := programs.cpuSeconds()
 	if err != nil {
@@ -169,7 +171,7 @@
 	return err
 }
 
-// cpuSeconds returns the processor time of a controller, on average, and of the gateway.
+// cpuSeconds returns the average processor time of a controller and that of the gateway.
 func (p hollowPrograms) cpuSeconds() (controller, gateway float64, err error) {
 	for _, pid := range p.controllers {
 		usage, err := ReadUsage(pid)
@@ -182,8 +184,8 @@
 	return controller, usage.CPU.Seconds(), err
 }
 
-// measurePropagation measures how long each kind of change takes to reach all gateways, and its bytes. replace submits a version
-// of the configuration and reports whether it was acknowledged.
+// measurePropagation measures the time until each kind of change reaches all gateways, and its bytes. The function replace
+// submits a version of the configuration and reports whether it was acknowledged.
 func (r *hollowResult) measurePropagation(fleet *hollowFleet, replace func(version uint64) bool) {
 	for i := range hollowChanges {
 		version := uint64(i + 2) // version 1 is in force
@@ -201,7 +203,7 @@
 	}
 	r.serverListBytes, r.serverListLength = fleet.serverListBytes.Load(), fleet.serverListLength.Load()
 	r.gatewayListBytes = fleet.gatewayListBytes.Load()
-	fleet.awaited.Store(nil)
+	fleet.expectedUpdate.Store(nil)
 }
 
 func (r *hollowResult) changeConfig(fleet *hollowFleet, version uint64, replace func(version uint64) bool) {
--- a/internal/testing/experiment/hollow_server.go
+++ b/internal/testing/experiment/hollow_server.go
@@ -16,9 +16,9 @@
 )
 
 const (
-	// heartbeatTimeout is how long a server waits for an acknowledgement.
+	// heartbeatTimeout is the maximum time for connecting and for an acknowledgement.
 	heartbeatTimeout = time.Second
-	// heartbeatAttempts is how often it sends a heartbeat that is not acknowledged.
+	// heartbeatAttempts is the maximum number of attempts to send a heartbeat.
 	heartbeatAttempts = 4
 	// serverStateReady is the state of a server that accepts requests.
 	serverStateReady = "ready"
@@ -26,7 +26,7 @@
 	controlBufferSize = 512
 )
 
-// hollowServer sends heartbeats and serves nothing.
+// hollowServer sends heartbeats and serves no requests.
 type hollowServer struct {
 	fleet                  *hollowFleet
 	connection             *sharedConnection
@@ -55,7 +55,7 @@
 	}
 }
 
-// heartbeat sends a heartbeat, again to another controller if it is not acknowledged, and returns the time of the
+// heartbeat sends a heartbeat, retries with another controller if it is not acknowledged, and returns the time of the
 // acknowledgement.
 func (s *hollowServer) heartbeat() (at time.Time, ok bool) {
 	s.lock.Lock()
@@ -103,7 +103,8 @@
 	return s.heartbeat()
 }
 
-// restart signs off the server's incarnation and starts another at its address. It reports whether both were acknowledged.
+// restart deregisters the server's incarnation and starts another one at its address. It reports whether both were
+// acknowledged.
 func (s *hollowServer) restart() bool {
 	s.lock.Lock()
 	_, signedOff := s.connection.post("/-/instances/"+s.id+"/sign-off", []byte("{}"))
@@ -121,7 +122,7 @@
 	return s.acknowledgedAt
 }
 
-// sharedConnection is a connection to a controller that some hollow servers share.
+// sharedConnection is a connection to a controller that several hollow servers share.
 type sharedConnection struct {
 	net       network.Network
 	addresses []string // of the controllers
@@ -141,7 +142,7 @@
 	}
 }
 
-// post sends a request and returns whether it was acknowledged and how long that took. If it was not, the next request goes to
+// post sends a request and returns the elapsed time and whether it was acknowledged. If it was not, the next request goes to
 // another controller.
 func (c *sharedConnection) post(path string, body []byte) (elapsed time.Duration, ok bool) {
 	c.lock.Lock()
--- a/internal/testing/experiment/hollow_test.go
+++ b/internal/testing/experiment/hollow_test.go
@@ -12,10 +12,10 @@
 	"oxbowspan/rpc"
 )
 
-// simulatedInternalPort is the port that gateways reach the controllers of a simulated cluster at.
+// simulatedInternalPort is the controllers' port for gateways in a simulated cluster.
 const simulatedInternalPort = "7100"
 
-// runHollowCluster calls test with three controllers on a simulated network and hollow servers and gateways around them.
+// runHollowCluster calls test with three controllers and with hollow servers and gateways on a simulated network.
 func runHollowCluster(t *testing.T, servers, gateways int, test func(t *testing.T, c *simcluster.Cluster, fleet *hollowFleet)) {
 	t.Helper()
 	dir := t.TempDir()
@@ -46,7 +46,8 @@
 	})
 }
 
-// Hollow servers are acknowledged and hollow gateways receive all servers, each change, each drain and each loss of a server.
+// The heartbeats of hollow servers are acknowledged, and hollow gateways receive the list of all servers and each change of the
+// configuration, drain and loss of a server.
 func TestHollowNodesReceiveAllUpdates(t *testing.T) {
 	const servers, gateways = 12, 7
 	runHollowCluster(t, servers, gateways, func(t *testing.T, c *simcluster.Cluster, fleet *hollowFleet) {
@@ -73,7 +74,7 @@
 		}
 		interval := milliseconds(c.HeartbeatInterval)
 		if r.unresponsive.all < 3*interval || r.unresponsive.all > 5*interval {
-			t.Errorf("all gateways know of a loss after %v ms, want 3 to 5 intervals of %v", r.unresponsive.all, interval)
+			t.Errorf("a loss reached all gateways after %v ms, want 3 to 5 intervals of %v ms", r.unresponsive.all, interval)
 		}
 		if r.configIn < float64(len(hollowConfig(2, 5))) || r.drainIn < 30 {
 			t.Errorf("a gateway receives %v bytes for a change and %v for a drain", r.configIn, r.drainIn)
@@ -81,7 +82,7 @@
 	})
 }
 
-// The crash of a controller does not keep hollow nodes from their work.
+// Hollow gateways and servers use the remaining controllers after one has crashed.
 func TestHollowNodesFailOver(t *testing.T) {
 	runHollowCluster(t, 9, 6, func(t *testing.T, c *simcluster.Cluster, fleet *hollowFleet) {
 		c.Controllers[0].Kill(true)
@@ -111,6 +112,6 @@
 		t.Errorf("got %v, %v", got, err)
 	}
 	if _, err := parseSizes("3/300"); err == nil {
-		t.Error("an incomplete size is parsed")
+		t.Error("an incomplete size is accepted")
 	}
 }
--- a/internal/testing/experiment/idle.go
+++ b/internal/testing/experiment/idle.go
@@ -9,34 +9,34 @@
 func init() {
 	Register(Experiment{
 		Name:  "idle",
-		Short: "Many idle connections: what each costs, and look-ups while they wake",
-		Long: `idle holds N connections that have sent one request, from several processes and loopback addresses, on a gatherer that keeps a
-goroutine for each (park = no) and on one that parks them (park = yes). It records memory per connection, processor time while
-they are held, the latency of background look-ups before, while a tenth wakes and while all wake at once, while others come and
-go, send slowly and never send anything, and responses by status. In full it also holds 100,000 connections over eight gatherers.
-It ends with a finding if parking misses its limits: memory, processor time, a final response to every request, and responses to
-background look-ups.`,
+		Short: "Many idle connections: their cost, and the latency of look-ups while they become active",
+		Long: `idle holds N connections that have sent one request, from several processes and loopback addresses, on a
+gatherer that keeps a goroutine for each (park = no) and on one that parks them (park = yes). It records memory per
+connection, processor time while they are idle, responses by status, and the latency of background look-ups: before, while a
+tenth of the connections sends a request, while all send one at once, and beside connections that are short-lived, send slowly
+or never send anything. At full scale it also holds 100,000 connections over eight gatherers. It ends with a finding if
+parking exceeds its limits: memory, processor time, a final response to every request, and responses to background look-ups.`,
 		Run: runIdle,
 	})
 }
 
-// idleLimits are the limits that parking must keep.
+// idleLimits are the limits for a gatherer that parks connections.
 type idleLimits struct {
-	memoryRatio   float64 // resident memory per connection with goroutines over that with parking, at least
-	heapBytes     float64 // heap and stacks per connection, beside heapSlackBytes in all
-	holdingCPU    float64 // cores while connections are idle
-	answeredShare float64 // of background look-ups while connections wake, send slowly or send nothing
-	p99Ratio      float64 // p99 of background look-ups while a tenth wakes over that of the empty gatherer
+	memoryRatio   float64 // minimum ratio of resident memory per connection with goroutines to that with parking
+	heapBytes     float64 // maximum of heap and stacks per connection, plus heapSlackBytes in total
+	holdingCPU    float64 // maximum number of cores used while connections are idle
+	answeredShare float64 // minimum share of answered background look-ups while connections wake, send slowly or send nothing
+	p99Ratio      float64 // maximum ratio of the p99 of background look-ups while a tenth wakes to that of the empty gatherer
 }
 
 const (
-	// heapSlackBytes is the variation of the heap by the garbage that happens to be in it.
+	// heapSlackBytes allows for garbage that is in the heap when it is measured.
 	heapSlackBytes = 2 << 20
-	// manyConnections is the number of connections from which the memory ratio is manyMemoryRatio. With fewer the slack of the
-	// runtime exceeds the memory of the connections.
+	// manyConnections is the number of connections from which on the required memory ratio is manyMemoryRatio. With fewer, the
+	// runtime's slack exceeds the memory of the connections.
 	manyConnections = 10_000
 	manyMemoryRatio = 40
-	// minimumCPUPoint is the least processor time in a chart with a logarithmic axis.
+	// minimumCPUPoint is the minimum processor time in the chart, whose axis is logarithmic.
 	minimumCPUPoint = 1e-5
 	// connectionsPerHolder is the number of connections of one process.
 	connectionsPerHolder = 3200
@@ -146,7 +146,8 @@
 	return err
 }
 
-// measureHolding opens the connections and measures the gatherer while they are idle, once it has released what it lent them.
+// measureHolding opens the connections and measures the gatherer while they are idle, after it has released the resources that
+// active connections use.
 func (m *idleMeasurement) measureHolding() error {
 	s := m.scenario
 	if err := s.openConnections(m.connections, 0); err != nil {
@@ -177,7 +178,7 @@
 // idleWave is one wave of requests on idle connections.
 type idleWave struct {
 	name     string
-	mayClose bool // requests may stay without a final response
+	mayClose bool // requests may remain without a final response
 	command  string
 	args     []int // of each holder
 }
@@ -244,7 +245,8 @@
 	return nil
 }
 
-// report records the costs and checks those of parking; tenth is the background latency while a tenth of the connections wakes.
+// report records the costs and checks those of parking. The parameter tenth is the background latency while a tenth of the
+// connections wakes.
 func (m *idleMeasurement) report(tenth *LatencyRecorder) error {
 	s := m.scenario
 	after, err := ReadUsage(s.pid())
--- a/internal/testing/experiment/idle_many.go
+++ b/internal/testing/experiment/idle_many.go
@@ -8,16 +8,17 @@
 )
 
 const (
-	// holdersPerGatherer sets apart the numbers of the holders of several gatherers; manyFirstHolder is the first one.
+	// holdersPerGatherer is the number of holder numbers reserved for each gatherer; manyFirstHolder is the first holder
+	// number.
 	holdersPerGatherer = 10
 	manyFirstHolder    = 100
-	// manySettleTime is how long a gatherer is given to release what it lent to new connections.
+	// manySettleTime is the time for a gatherer to release the resources that active connections use.
 	manySettleTime = 3 * time.Second
-	// manyHoldingTime is how long processor time is measured.
+	// manyHoldingTime is the duration over which processor time is measured.
 	manyHoldingTime = 10 * time.Second
 )
 
-// idleGatherers is several gatherers that park many connections each.
+// idleGatherers is a set of gatherers that park many connections each.
 type idleGatherers struct {
 	env       *Env
 	scenarios []*idleScenario
@@ -76,7 +77,7 @@
 	return nil
 }
 
-// measureCPU returns the cores that the gatherers use together while the connections are idle.
+// measureCPU returns the number of cores that all gatherers together use while the connections are idle.
 func (g *idleGatherers) measureCPU(ctx context.Context) (float64, error) {
 	before, err := g.cpu()
 	if err != nil {
--- a/internal/testing/experiment/idle_scenario.go
+++ b/internal/testing/experiment/idle_scenario.go
@@ -12,12 +12,14 @@
 
 const (
 	idleSegments = 4
-	// backgroundClients send look-ups at backgroundRate each: a load of some 1,000 per second in all, not as many as possible.
+	// backgroundClients is the number of clients that send a look-up at each backgroundClientTick: about 1,000 per second in
+	// total, a moderate load rather than the maximum.
 	backgroundClients    = 4
 	backgroundClientTick = 4 * time.Millisecond
-	// backgroundFirstID sets the ids of background look-ups apart from those of connection holders.
+	// backgroundFirstID separates the ids of background look-ups from those of connection holders.
 	backgroundFirstID = 1 << 60
-	// sourcesPerSubnet is the number of loopback addresses used of each /24 network, and firstSource the first of them.
+	// sourcesPerSubnet is the number of loopback addresses used in each /24 network, and firstSource the last byte of the first
+	// one.
 	sourcesPerSubnet = 200
 	firstSource      = 10
 )
@@ -80,7 +82,8 @@
 
 func (l backgroundLoad) String() string { return fmt.Sprintf("%d of %d", l.answered, l.sent) }
 
-// startBackgroundLoad sends look-ups from a few clients until stop is called, which records their latency.
+// startBackgroundLoad sends look-ups from a few clients until stop is called, which records their latency and returns
+// the result.
 func (s *idleScenario) startBackgroundLoad(label string) (stop func() backgroundLoad) {
 	latency := NewLatencyRecorder()
 	done := make(chan struct{})
@@ -120,12 +123,12 @@
 	return stop()
 }
 
-// openConnections opens idle connections from holders at different addresses, all at the same time. The holders have numbers
-// from first on.
+// openConnections starts holders at different addresses, which open the idle connections concurrently. The holders are numbered
+// from first.
 func (s *idleScenario) openConnections(count, first int) error {
 	var opening sync.WaitGroup
 	errs := make(chan error, count/connectionsPerHolder+1)
-	for left, number := count, first; left > 0; left, number = left-connectionsPerHolder, number+1 {
+	for remaining, number := count, first; remaining > 0; remaining, number = remaining-connectionsPerHolder, number+1 {
 		source := fmt.Sprintf("127.0.%d.%d", number/sourcesPerSubnet, firstSource+number%sourcesPerSubnet)
 		holder, err := s.env.startConnectionHolder(s.deployment.Gatherer.Addr, source, number)
 		if err != nil {
@@ -133,7 +136,7 @@
 		}
 		s.holders = append(s.holders, holder)
 		opening.Go(func() {
-			if result, err := holder.do(holdCommand, min(left, connectionsPerHolder)); err != nil {
+			if result, err := holder.do(holdCommand, min(remaining, connectionsPerHolder)); err != nil {
 				errs <- err
 			} else if result.failed > 0 {
 				errs <- fmt.Errorf("%d of %d connections could not be opened", result.failed, count)
@@ -145,8 +148,8 @@
 	return <-errs
 }
 
-// runWave gives a command to all holders at once under background load, which goes on for a moment after the wave: its effects
-// are part of it.
+// runWave sends a command to all holders at once under background load. The load continues for a short time after the wave, to
+// include the effects of the wave.
 func (s *idleScenario) runWave(label, command string, args ...int) (holderResult, backgroundLoad, error) {
 	stop := s.startBackgroundLoad(label)
 	sum, err := commandHolders(s.holders, command, args...)
@@ -154,7 +157,7 @@
 	return sum, stop(), err
 }
 
-// commandHolders gives a command to holders at the same time and sums up their results.
+// commandHolders sends a command to holders concurrently and adds up their results.
 func commandHolders(holders []*connectionHolder, command string, args ...int) (sum holderResult, err error) {
 	var mu sync.Mutex
 	runConcurrently(len(holders), func(i int) {
--- a/internal/testing/experiment/latency.go
+++ b/internal/testing/experiment/latency.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// maxLatency is the greatest latency; greater ones are recorded as this.
+	// maxLatency is the maximum latency; longer ones are recorded as this value.
 	maxLatency = time.Minute
 	// latencyDigits is the number of significant decimal digits of a recorded latency.
 	latencyDigits = 3
@@ -53,7 +53,7 @@
 	return float64(l.histogram.ValueAtQuantile(q)) / 1000
 }
 
-// summary returns the percentiles of what was recorded.
+// summary returns the percentiles of the recorded latencies.
 func (l *LatencyRecorder) summary(name string) LatencySummary {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/testing/experiment/levels.go
+++ b/internal/testing/experiment/levels.go
@@ -18,11 +18,12 @@
 	Register(Experiment{
 		Name:  "levels",
 		Short: "Degradation: a quarter of the servers hangs under load and returns with a slow start",
-		Long: `levels sends look-ups and reports to servers that handle one call at a time, at a load that all of them can bear and three
-quarters cannot. A quarter then hangs for a while, returns, and hangs once more, and the load swings. It does so without
-degradation levels (admission control alone), with plain thresholds (no dwell time, no hysteresis), and with levels, and records
-look-ups and reports answered and shed by phase, and changes of level. It ends with a finding if with levels fewer look-ups are
-answered than promised while a quarter hangs, if there are more changes than stated, or if a request gets no final response.`,
+		Long: `levels sends look-ups and reports to servers that handle one call at a time, at a load below the capacity of all servers and
+above that of three quarters of them. A quarter then hangs for a while, recovers, and hangs once more, and the load oscillates.
+This runs without degradation levels (admission control alone), with plain thresholds (no dwell time, no hysteresis), and with
+levels. It records look-ups and reports answered and shed by phase, and changes of level. It ends with a finding if with levels
+too few look-ups are answered while a quarter hangs, if the level never changes or changes more often than the configuration
+allows, or if a request gets no final response.`,
 		Run: runLevels,
 	})
 }
@@ -32,13 +33,13 @@
 	levelsServiceTime = 8 * time.Millisecond // of a call: 125 calls per second and server, 1,000 in all
 	levelsMemoryMB    = 128
 	levelsTimeout     = 550 * time.Millisecond // of a client
-	// levelsTick is the interval at which requests are due.
+	// levelsTick is the interval at which due requests are sent.
 	levelsTick = 2 * time.Millisecond
-	// levelsMaxChanges is the number of changes of level per minute that the configuration allows.
+	// levelsMaxChanges is the maximum number of changes of level per minute in the configuration.
 	levelsMaxChanges = 2*4 + 2
 	// levelsMinAnswered is the share of look-ups that must be answered while a quarter of the servers hangs.
 	levelsMinAnswered = 0.95
-	// levelChangeEvent and levelScope mark the gatherer's log lines about changes of the level of all segments.
+	// levelChangeEvent and levelScope identify the gatherer's log lines about changes of the level of all segments.
 	levelChangeEvent = "event=level "
 	levelScope       = "scope=all"
 )
@@ -69,7 +70,7 @@
 		"[level essential]\nenter = late 0.3 load 1.1\nexit = " + exits[1] + "\nshare = report 0\nretry_after = 1s\n"
 }
 
-// runLevels runs all variants at the same time: they wait far more than they compute, and the machine is the same for all.
+// runLevels runs all variants concurrently: they wait far more than they compute, and so all have the same conditions.
 func runLevels(ctx context.Context, e *Env) error {
 	variants := []string{levelsNone, levelsPlain, levelsFull}
 	errs := make([]error, len(variants))
@@ -133,7 +134,7 @@
 	return float64(part.Load()) / float64(max(all.Load(), 1))
 }
 
-// levelsPhase is the counts of one phase by kind.
+// levelsPhase holds the counts of one phase by kind of request.
 type levelsPhase [levelsRequests]levelsCount
 
 // levelsRun is the state of one variant.
@@ -205,7 +206,7 @@
 	hung := phase("a quarter hung", span, reports)
 	r.setHung(false)
 	phase("back", span, reports)
-	phase("reports swing", 2*span, func(at time.Duration) float64 { // around what the servers can bear
+	phase("reports swing", 2*span, func(at time.Duration) float64 { // around the capacity of the servers
 		return 80 + 160*float64(int(at/(700*time.Millisecond))%2)
 	})
 	r.setHung(true)
@@ -221,7 +222,7 @@
 	}
 }
 
-// requestRate returns the requests per second at a time after the start of a phase.
+// requestRate returns the number of requests per second at a time after the start of a phase.
 type requestRate func(at time.Duration) float64
 
 func steadyRate(perSecond float64) requestRate {
@@ -253,7 +254,7 @@
 	return p
 }
 
-// sendOne sends one request, a look-up in one segment or a report over three, and counts the response.
+// sendOne sends one request, a look-up in one segment or a report over three segments, and counts the response.
 func (r *levelsRun) sendOne(count *levelsCount, kind levelsRequest) {
 	n := r.lastID.Add(1)
 	request := standin.Request{
@@ -281,7 +282,7 @@
 	}
 }
 
-// lostMetric is the name of the metric of requests without a final response.
+// lostMetric returns the name of the metric that counts requests without a final response.
 func (r *levelsRun) lostMetric() string { return r.variant + ": requests without a final response" }
 
 func (r *levelsRun) record(name string, p *levelsPhase) {
--- a/internal/testing/experiment/load.go
+++ b/internal/testing/experiment/load.go
@@ -16,10 +16,10 @@
 	customer = "acme"
 	// lookupStatement is the statement of look-ups.
 	lookupStatement = "c41e77d0"
-	// lookupTimeout is how long a client waits for a look-up, less than lookupType.Timeout.
+	// lookupTimeout is a client's timeout for a look-up. It is shorter than lookupType.Timeout.
 	lookupTimeout = 1900 * time.Millisecond
-	// concurrentClients is the number of clients of experiments that send requests as fast as they can. With eight segments
-	// each they stay below what a gatherer that has just started accepts at eight servers.
+	// concurrentClients is the number of clients in experiments that send requests without pauses. With eight segments per
+	// request they stay below the limit of a newly started gatherer for eight servers.
 	concurrentClients = 8
 )
 
@@ -38,12 +38,12 @@
 // formatID formats a request id.
 func formatID(id uint64) string { return fmt.Sprintf("%016x", id) }
 
-// newHTTPClient returns a client that keeps a number of idle connections to a gatherer.
+// newHTTPClient returns a client that keeps up to a number of idle connections to a gatherer.
 func newHTTPClient(idleConnections int, timeout time.Duration) *http.Client {
 	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: idleConnections}, Timeout: timeout}
 }
 
-// runClients calls send from a number of clients at the same time, with the numbers from 1 to times. The first error ends the
+// runClients calls send concurrently from a number of clients, once with each number from 1 to times. The first error stops the
 // clients and is returned.
 func runClients(ctx context.Context, clients, times int, send func(ctx context.Context, n int) error) error {
 	ctx, cancel := context.WithCancelCause(ctx)
@@ -68,7 +68,7 @@
 	return context.Cause(ctx)
 }
 
-// runConcurrently calls run with the numbers from 0 to count-1 at the same time and waits until all calls have returned.
+// runConcurrently calls run concurrently with each number from 0 to count-1 and waits until all calls have returned.
 func runConcurrently(count int, run func(i int)) {
 	var running sync.WaitGroup
 	for i := range count {
@@ -77,8 +77,7 @@
 	running.Wait()
 }
 
-// rawRequest returns the header and the body of a request as they are sent over a connection, for clients that send them slowly
-// or read no response.
+// rawRequest encodes the header and the body of a request, for clients that send them slowly or do not read the response.
 func rawRequest(r standin.Request) (header, body string) {
 	body = string(r.Body())
 	header = fmt.Sprintf("POST /%s HTTP/1.1\r\nHost: x\r\nReq-Id: %s\r\nReq-Kind: %s\r\nReq-Owner: %s\r\nReq-Deadline-Ms: %d\r\nContent-Length: %d\r\n\r\n",
--- a/internal/testing/experiment/local_cluster.go
+++ b/internal/testing/experiment/local_cluster.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	// firstConfigurationTimeout is how long a new cluster may take to commit its first configuration.
+	// firstConfigurationTimeout is the maximum time until a new cluster commits its first configuration.
 	firstConfigurationTimeout = 10 * time.Second
 	// firstConfigurationInterval is the time between two attempts.
 	firstConfigurationInterval = 100 * time.Millisecond
@@ -24,18 +24,18 @@
 	exampleServersPerService = 3
 )
 
-// errNoConfiguration is the error of a cluster that does not commit its first configuration.
+// errNoConfiguration is returned for a cluster that does not commit its first configuration.
 var errNoConfiguration = errors.New("no configuration was committed")
 
-// localCluster is a cluster of built programs on loopback. Controllers and gateways are processes, servers and clients run in
-// this one.
+// localCluster is a cluster of built programs on loopback. Controllers and gateways are separate processes; servers and clients
+// run in this one.
 type localCluster struct {
 	cluster     *simcluster.Cluster
 	controllers []*exec.Cmd
 	gateways    []*exec.Cmd
 
 	env           *Env
-	settingsPaths map[*exec.Cmd]string
+	settingsPaths map[*exec.Cmd]string // by process
 }
 
 // localClusterOptions describe a localCluster.
@@ -96,7 +96,7 @@
 	return c.commitFirst(options.configuration)
 }
 
-// commitFirst submits the first configuration until it is committed.
+// commitFirst submits the first configuration repeatedly until it is committed.
 func (c *localCluster) commitFirst(configuration []byte) error {
 	deadline := time.Now().Add(firstConfigurationTimeout)
 	for c.cluster.ReplaceConfiguration(c.cluster.Controllers[0], 0, configuration) != http.StatusOK {
@@ -145,7 +145,7 @@
 	return nil
 }
 
-// pids returns the process ids of some processes.
+// pids returns the ids of processes.
 func pids(processes []*exec.Cmd) []int {
 	var ids []int
 	for _, process := range processes {
@@ -154,7 +154,7 @@
 	return ids
 }
 
-// suspend stops a process and lets it continue after a duration. It returns at once.
+// suspend stops a process and resumes it after a duration, without waiting for that.
 func suspend(process *exec.Cmd, d time.Duration) {
 	process.Process.Signal(syscall.SIGSTOP)
 	time.AfterFunc(d, func() { process.Process.Signal(syscall.SIGCONT) })
--- a/internal/testing/experiment/memory.go
+++ b/internal/testing/experiment/memory.go
@@ -16,12 +16,12 @@
 func init() {
 	Register(Experiment{
 		Name:  "memory",
-		Short: "One memory budget: waves of requests that each need more than the machine has",
+		Short: "Memory budget: waves of requests that each need more memory than the gatherer may use",
 		Long: `memory sends waves of requests to a gatherer of 48 MiB, each of which needs several times that: long bodies sent slowly, long
-values from many servers at once, clients that do not read long responses, and idle connections that all wake; then all together.
-Background look-ups are sent throughout. It ends with a finding if the process ever holds more than its memory, if what is
-accounted for exceeds its limit by more than what cannot be refused, if a request gets no final response, or if too few
-background look-ups are answered. The same waves without a section [memory] are run for comparison, and only recorded.`,
+values from many servers at once, clients that do not read long responses, and idle connections that all become active at once;
+then all together. Background look-ups are sent throughout. It ends with a finding if the process ever uses more than its memory,
+if nothing is refused, if a request gets no final response, or if too few background look-ups are answered. The same waves are
+run without a section [memory] for comparison, and only recorded.`,
 		Run: runMemory,
 	})
 }
@@ -29,7 +29,7 @@
 const (
 	memoryMB              = 48
 	memoryIdleConnections = 700
-	// memoryMinAnswered is the share of background look-ups that must be answered.
+	// memoryMinAnswered is the minimum share of background look-ups that must be answered.
 	memoryMinAnswered = 0.5
 	// backgroundInterval is the time between two background look-ups.
 	backgroundInterval = 10 * time.Millisecond
@@ -51,10 +51,10 @@
 	backgroundStatement = "background"
 )
 
-// longValue is the value of a call in waves of long responses. Four of them fit into a response.
+// longValue is the value of a call in waves of long responses. A response has room for four of them.
 var longValue = strings.Repeat("v", 15<<10)
 
-// longResponseDelay is the time that shard servers take for a longValue.
+// longResponseDelay is the service time of shard servers for a longValue.
 const longResponseDelay = 50 * time.Millisecond
 
 func runMemory(ctx context.Context, e *Env) error {
@@ -135,8 +135,8 @@
 	return nil
 }
 
-// startBackground sends look-ups at a steady rate over one connection until stop is called, which returns how many of them
-// were answered.
+// startBackground sends look-ups at a steady rate over one connection until stop is called, which returns the number of
+// answered and sent ones.
 func (s *memoryScenario) startBackground() (stop func() (answered, sent int64)) {
 	done := make(chan struct{})
 	var answeredCount, sentCount atomic.Int64
--- a/internal/testing/experiment/memory_waves.go
+++ b/internal/testing/experiment/memory_waves.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	// memoryDialTimeout is how long a client waits for a connection.
+	// memoryDialTimeout is the maximum time for opening a connection.
 	memoryDialTimeout = 5 * time.Second
-	// memoryClientTimeout is how long a client waits for a response after the beginning of its request.
+	// memoryClientTimeout is a client's timeout, from the start of its request to the end of the response.
 	memoryClientTimeout = 10 * time.Second
 	// A long body is sent in pieces with pauses between them.
 	longBodyBytes  = 60 << 10
 	longBodyPieces = 10
 	longBodyPause  = 100 * time.Millisecond
-	// Clients that do not read have small receive buffers and stay for a while.
+	// Clients that do not read have small receive buffers and hold the connection for unreadDuration.
 	unreadBufferBytes = 4 << 10
 	unreadTimeout     = 4 * time.Second
 	unreadDuration    = 2500 * time.Millisecond
-	// holdRetryPause is the time before a rejected client opens another connection.
+	// holdRetryPause is the delay before a rejected client opens another connection.
 	holdRetryPause = 5 * time.Millisecond
 )
 
@@ -68,7 +68,7 @@
 
 func (s *memoryScenario) dial() (net.Conn, error) { return s.dialWithBuffer(0) }
 
-// dialWithBuffer opens a connection with a receive buffer of a number of bytes; 0 = the system's default.
+// dialWithBuffer opens a connection with a receive buffer of the given size in bytes; 0 = the system's default.
 func (s *memoryScenario) dialWithBuffer(bytes int) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: memoryDialTimeout}
 	if bytes > 0 {
@@ -79,8 +79,8 @@
 	return dialer.Dial("tcp4", s.deployment.Gatherer.Addr)
 }
 
-// send sends a request with its body in pieces and returns the response's status. It reads while it sends, as clients do: a
-// rejection comes before the body is complete.
+// send sends a request with its body in pieces and returns the response's status. Like real clients it reads while it sends,
+// because a rejection arrives before the body is complete.
 func (s *memoryScenario) send(conn net.Conn, statement string, pieces int, pause time.Duration) int {
 	conn.SetDeadline(time.Now().Add(memoryClientTimeout))
 	header, body := s.request(statement)
@@ -89,7 +89,7 @@
 	if _, err := io.WriteString(conn, header); err != nil {
 		return <-response
 	}
-	tick := time.NewTicker(pause + time.Nanosecond) // intervals must not be 0
+	tick := time.NewTicker(pause + time.Nanosecond) // NewTicker panics if the interval is 0
 	defer tick.Stop()
 	for size := max(len(body)/pieces, 1); body != ""; {
 		n := min(size, len(body))
@@ -151,7 +151,7 @@
 	s.runWave(waveLongResponses, count, func(conn net.Conn) int { return s.send(conn, longStatement, 1, 0) })
 }
 
-// runWave calls send with a new connection many times at once and counts the statuses that it returns.
+// runWave calls send count times concurrently, each time with a new connection, and counts the returned statuses.
 func (s *memoryScenario) runWave(wave string, count int, send func(conn net.Conn) int) {
 	runConcurrently(count, func(int) {
 		conn, err := s.dial()
@@ -164,7 +164,7 @@
 	})
 }
 
-// requestWithoutReading requests long responses and reads nothing of them.
+// requestWithoutReading requests long responses and does not read them.
 func (s *memoryScenario) requestWithoutReading(count int) {
 	runConcurrently(count, func(int) {
 		conn, err := s.dialWithBuffer(unreadBufferBytes)
@@ -179,8 +179,8 @@
 	})
 }
 
-// openIdleConnections opens connections that have sent a request and stay idle. Clients that are rejected because too many
-// connections are active try again.
+// openIdleConnections opens connections, sends a request on each and leaves them idle. A client that is rejected because too
+// many connections are active retries with a new connection.
 func (s *memoryScenario) openIdleConnections(count int) []net.Conn {
 	var conns []net.Conn
 	for attempt := 0; len(conns) < count && attempt < 3*count; attempt++ {
@@ -212,7 +212,7 @@
 	s.env.Step()
 }
 
-// recordWaves records the responses by wave and returns the number of requests without one.
+// recordWaves records the responses by wave and returns the number of requests without a response.
 func (s *memoryScenario) recordWaves() (unanswered int) {
 	for _, wave := range []string{waveLongBodies, waveLongResponses, waveWake} {
 		counts := s.statusCounts[wave]
--- a/internal/testing/experiment/merge.go
+++ b/internal/testing/experiment/merge.go
@@ -21,28 +21,28 @@
 		Long: `merge sends ranked, paged and aggregated requests through a built gatherer to shard servers that hold a dataset with known
 content, first without and then with faults: servers that delay or never send responses, die while they respond, corrupt rows, send
 them out of order or in another schema, send fewer or more rows than requested, respond twice, and data that changes between pages.
-Every response, every walk over pages to the end and every statement of completeness is compared with the correct result, which is
-computed independently of the program. It ends at the first difference.`,
+Every response, every paged list that is read to its end and every statement of completeness is compared with the correct result,
+which is computed independently of the program. It ends at the first difference.`,
 		Run: runMerge,
 	})
 }
 
 const (
 	mergeServers = 8
-	// mergeCursorKeys is the file of keys that cursors are signed with.
+	// mergeCursorKeys is the content of the file of keys that cursors are signed with.
 	mergeCursorKeys     = "k1 00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff\n"
 	mergeCursorKeysFile = "cursor.keys"
-	// mergeMaxLimit is the greatest limit and offset that the configuration allows.
+	// mergeMaxLimit is the maximum limit and offset in the configuration.
 	mergeMaxLimit = 300
 )
 
 // Query types of the experiment.
 const (
 	completeQueryType = "report" // does not allow missing segments
-	partialQueryType  = "loose"  // does
+	partialQueryType  = "loose"  // allows missing segments
 )
 
-// mergeAggregates are the aggregates that the configuration allows, beside count.
+// mergeAggregates are the aggregates that the configuration allows, in addition to count.
 var mergeAggregates = []string{"sum(amount)", "sum(bills)", "min(due)", "max(due)", "min(amount)", "max(amount)", "mean(amount)",
 	"distinct(customer)", "p50(amount)", "p95(amount)"}
 
@@ -66,7 +66,7 @@
 	}
 }
 
-// mergeCounts counts what was checked.
+// mergeCounts counts the checked responses, pages and paged lists.
 type mergeCounts struct {
 	verified, rejected, pages, completedWalks atomic.Int64
 }
@@ -117,7 +117,7 @@
 // mergeCheck sends a request, or several that belong together, and checks the responses.
 type mergeCheck func(ctx context.Context, rng *rand.Rand, latency *LatencyRecorder) error
 
-// mergePhase is a number of checks under some faults.
+// mergePhase is a number of checks under given faults.
 type mergePhase struct {
 	name   string
 	faults *faultRates
@@ -173,15 +173,15 @@
 	return nil
 }
 
-// checkLogLine ends the run at a panic or data race of the gatherer.
+// checkLogLine ends the run if the gatherer logs a panic or a data race.
 func (r *mergeRun) checkLogLine(line string) {
 	if strings.Contains(line, "panic") || strings.Contains(line, "DATA RACE") {
 		r.fail(fmt.Errorf("the gatherer logs %s", line))
 	}
 }
 
-// runPhase runs the checks of a phase from several clients. The random decisions of each check depend on the seed, the phase
-// and the check's number only.
+// runPhase runs the checks of a phase from several clients. The random decisions of a check depend only on the seed, the phase
+// and the check's number.
 func (r *mergeRun) runPhase(ctx context.Context, phase mergePhase) error {
 	r.activeFaults.Store(phase.faults)
 	latency := NewLatencyRecorder()
--- a/internal/testing/experiment/merge_checks.go
+++ b/internal/testing/experiment/merge_checks.go
@@ -15,9 +15,10 @@
 )
 
 const (
-	// walkMaxAttempts bounds the requests of a walk over pages.
+	// walkMaxAttempts is the maximum number of requests for reading one paged list.
 	walkMaxAttempts = 400
-	// defaultRetryDelay is the time before a retry of a rejected request that states none, maxRetryDelay the longest time.
+	// defaultRetryDelay is the delay before the retry of a rejected request without a Retry-After header, maxRetryDelay the
+	// maximum.
 	defaultRetryDelay = 100 * time.Millisecond
 	maxRetryDelay     = time.Second
 )
@@ -41,7 +42,7 @@
 	return segments
 }
 
-// encodeTerms returns the merge object of a request, without the fields that have no value.
+// encodeTerms returns the merge object of a request without its empty fields.
 func encodeTerms(t merge.Request) map[string]any {
 	object := map[string]any{"kind": t.Kind, "limit": t.Limit}
 	for name, list := range map[string][]string{"order": t.Order, "group": t.Group, "figures": t.Aggregates} {
@@ -64,14 +65,14 @@
 	return standin.Oracle{Dataset: r.dataset, Segments: r.segments(), RequireComplete: queryType == completeQueryType}
 }
 
-// mergedReply is a merged response and its text.
+// mergedReply is a merged response with its encoded body.
 type mergedReply struct {
 	standin.MergedResponse
 	body []byte
 }
 
-// send sends a request. It returns nil without an error if the request was rejected, which is right only under faults and with
-// a status that allows a retry. It waits before it returns, as clients do.
+// send sends a request. It returns nil without an error if the request was rejected with a status that allows a retry, which is
+// permitted only under faults. After a rejection it waits for the retry delay, as clients do.
 func (r *mergeRun) send(ctx context.Context, queryType string, terms merge.Request, faults faultRates, latency *LatencyRecorder) (*mergedReply, error) {
 	response, err := r.newRequest(queryType, terms).Send(ctx, r.client, r.deployment.Gatherer.Addr)
 	if err != nil {
@@ -99,7 +100,7 @@
 	return nil, fmt.Errorf("%s %+v got status %d: %.300s", queryType, terms, response.Status, response.Body)
 }
 
-// retryDelay returns how long the client of a rejected request is asked to wait.
+// retryDelay returns the delay in a rejected request's Retry-After header, or the default one.
 func retryDelay(response standin.Response) time.Duration {
 	seconds, err := strconv.ParseFloat(response.RetryAfter, 64)
 	if err != nil {
@@ -115,7 +116,7 @@
 	return partialQueryType
 }
 
-// drawOrder draws the columns that a list is sorted by.
+// drawOrder draws the sort columns of a list.
 func drawOrder(rng *rand.Rand) []string {
 	var order []string
 	for _, i := range rng.Perm(len(orderColumns))[:1+rng.IntN(3)] {
@@ -140,7 +141,7 @@
 	}
 	switch rng.IntN(4) {
 	case 0:
-		untruncated = true // a single group, which no server leaves out
+		untruncated = true // a single group, which no server omits
 	case 1:
 		terms.Group, terms.By = []string{"customer"}, "count"
 	case 2:
@@ -177,8 +178,8 @@
 	}
 }
 
-// checkPages returns the check of a paged list that is read to its end, with data that changes meanwhile or not. Rejected pages
-// are requested again with the same cursor.
+// checkPages returns the check of a paged list that is read to its end. If changing is true, the data changes between pages.
+// Rejected pages are requested again with the same cursor.
 func (r *mergeRun) checkPages(faults faultRates, changing bool) mergeCheck {
 	return func(ctx context.Context, rng *rand.Rand, latency *LatencyRecorder) error {
 		queryType := drawQueryType(rng)
@@ -217,7 +218,7 @@
 // checkInvalidRequest sends an invalid request, which must be rejected with status 400 and one sentence.
 func (r *mergeRun) checkInvalidRequest(ctx context.Context, rng *rand.Rand, latency *LatencyRecorder) error {
 	terms := merge.Request{Kind: merge.Paged, Order: []string{"-amount", "due"}, Limit: 5}
-	// Servers that the phase before has made faulty may still be ejected: a page may rightly be rejected now.
+	// Servers that were faulty in the previous phase may still be ejected, so that this page may be rejected.
 	first, err := r.send(ctx, completeQueryType, terms, mixedFaults, latency)
 	if err != nil || first == nil {
 		return err
--- a/internal/testing/experiment/merge_faults.go
+++ b/internal/testing/experiment/merge_faults.go
@@ -10,7 +10,7 @@
 	"oxbowspan/merge"
 )
 
-// faultKind is a way in which a shard server responds to a call.
+// faultKind is a kind of faulty response of a shard server.
 type faultKind int
 
 const (
@@ -27,7 +27,7 @@
 	noFault         = faultKinds
 )
 
-// faultRates is how often faults occur, in thousandths of all calls.
+// faultRates is the rate of each kind of fault in thousandths of all calls.
 type faultRates [faultKinds]int
 
 var (
@@ -38,7 +38,7 @@
 	unresponsiveFaults = faultRates{faultStalled: 25, faultReset: 15, faultDelayed: 60}
 )
 
-// kind returns the fault for a number below 1000.
+// kind maps a number below 1000 to a fault according to the rates.
 func (r faultRates) kind(perMille int) faultKind {
 	for kind, rate := range r {
 		if perMille < rate {
@@ -49,10 +49,10 @@
 	return noFault
 }
 
-// additionalRows is how many rows more than requested faultTooMany sends.
+// additionalRows is the number of rows that faultTooMany sends in excess of the requested ones.
 const additionalRows = 7
 
-// drawPerMille draws a number below 1000 by a call's id: repeated calls have the same fault.
+// drawPerMille derives a number below 1000 from a call's id, so that repeated calls have the same fault.
 func (r *mergeRun) drawPerMille(call standin.ShardCall, purpose string) int {
 	hash := fnv.New64a()
 	fmt.Fprintf(hash, "%d %s %s", r.env.Seed, call.ID, purpose)
@@ -88,8 +88,8 @@
 	}
 }
 
-// value returns a segment's value: limit rows at most (0 = as many as requested), or a number of additional rows. A call that
-// cannot be understood ends the run.
+// value returns a segment's value with at most limit rows (0 = as many as requested), or with a number of additional rows. A
+// malformed call ends the run.
 func (r *mergeRun) value(call standin.ShardCall, limit, additional int) string {
 	item := call.Attributes["m"]
 	value, err := r.segmentValue(call.Shard, item, limit, additional)
@@ -101,19 +101,19 @@
 
 func (r *mergeRun) segmentValue(segment int, item string, limit, additional int) (string, error) {
 	if additional > 0 {
-		ask, err := merge.ParseSegmentRequest(item)
+		request, err := merge.ParseSegmentRequest(item)
 		if err != nil {
 			return "", err
 		}
-		if ask.Kind == merge.Ranked {
-			ask.Limit += additional
-			item = ask.Encode()
+		if request.Kind == merge.Ranked {
+			request.Limit += additional
+			item = request.Encode()
 		}
 	}
 	return r.dataset.Respond(segment, item, limit)
 }
 
-// corrupt removes a number of bytes from the end of a value, or makes a short one unreadable.
+// corrupt removes a number of bytes from the end of a value, or adds an invalid first byte to a short value.
 func corrupt(value string, bytes int) string {
 	if len(value) > 40 {
 		return value[:len(value)-bytes]
@@ -121,7 +121,7 @@
 	return "?" + value
 }
 
-// unsort swaps the last two rows of a value, or breaks the header of a value with fewer rows.
+// unsort swaps the last two rows of a value, or misspells a field of the header of a value with fewer rows.
 func unsort(value string) string {
 	lines := strings.Split(strings.TrimSuffix(value, "\n"), "\n")
 	if len(lines) < 3 {
--- a/internal/testing/experiment/message_bench_test.go
+++ b/internal/testing/experiment/message_bench_test.go
@@ -11,8 +11,8 @@
 	"oxbowspan/rpc"
 )
 
-// BenchmarkAcceptRequest measures the size and the encoding time of an accept request that carries a configuration, by versions
-// before it and by routes, for docs/CAPACITY.md:
+// BenchmarkAcceptRequest measures the size and the encoding time of an accept request that carries a configuration, by the
+// number of earlier versions and of routes, for docs/CAPACITY.md:
 //
 //	go test -run xxx -bench AcceptRequest -benchmem ./internal/testing/experiment
 func BenchmarkAcceptRequest(b *testing.B) {
@@ -40,7 +40,8 @@
 	}
 }
 
-// BenchmarkLoadReport measures the size of one report of pending shard calls from a gateway to a subscriber, by servers that had any:
+// BenchmarkLoadReport measures the size of one report of pending shard calls from a gateway to a subscriber, by the number of
+// servers with pending calls:
 //
 //	go test -run xxx -bench LoadReport -benchmem ./internal/testing/experiment
 func BenchmarkLoadReport(b *testing.B) {
--- a/internal/testing/experiment/ordinary.go
+++ b/internal/testing/experiment/ordinary.go
@@ -13,8 +13,8 @@
 func init() {
 	Register(Experiment{
 		Name:  "ordinary",
-		Short: "What an ordinary request costs: processor time, memory, latency",
-		Long: `ordinary sends plain look-ups, whose results are not merged, through a built gatherer over fast stand-ins, and records
+		Short: "Cost of an ordinary request: processor time, memory, latency",
+		Long: `ordinary sends plain look-ups, whose results are not merged, through a built gatherer to fast stand-ins, and records
 processor time per request, memory at rest and under load, and latency. Two versions of the program are compared by running
 it twice with --program.`,
 		Run: runOrdinary,
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// measure sends a number of look-ups and records what they cost.
+// measure sends a number of look-ups and records their processor time and latency and the gatherer's memory.
 func (r *ordinaryRun) measure(ctx context.Context, name string, times int) error {
 	latency := NewLatencyRecorder()
 	r.env.Progress(name, times)
--- a/internal/testing/experiment/outlier.go
+++ b/internal/testing/experiment/outlier.go
@@ -18,13 +18,13 @@
 		Name:    "outlier-detection",
 		Aliases: []string{"judgement"},
 		Short:   "Outlier detection: a replica slowed tenfold, hung and killed, detected together and by each gateway alone",
-		Long: `outlier-detection starts three controllers and many gateways, each with little traffic: look-ups, requests over all shards and
-posts that must not be executed twice, over three shards of four servers. One server is slowed tenfold, another accepts requests
-and answers none, another is killed; each recovers. In the middle a gateway is killed and another suspended. It runs with
-gateways that exchange their observations and with gateways that use their own alone, and records how many look-ups took longer
-than a bound after each fault, how many requests reached the faulty server, and how long it took until it had its share of the
-traffic again. It ends with a finding if an id was executed twice, or if more look-ups exceed the bound with the exchange than
-without.`,
+		Long: `outlier-detection starts three controllers and many gateways, each with little traffic: look-ups, requests
+over all shards and posts that must not be executed twice, over three shards of four servers. One server is slowed tenfold,
+another accepts requests and answers none, another is killed; each recovers. During the second fault a gateway is killed and
+another suspended. It runs with gateways that exchange their observations and with gateways that use only their own. It
+records how many look-ups exceeded a latency bound during each fault, how many requests reached the faulty server, and the
+time until the server received its share of the traffic again. It ends with a finding if an id was executed twice, or if more
+look-ups exceed the bound with the exchange than without.`,
 		Run: runOutlierDetection,
 	})
 }
@@ -38,9 +38,9 @@
 	outlierTimeout           = 3 * time.Second
 	outlierSettleTime        = 5 * time.Second
 	outlierWarmUpTime        = 3 * time.Second
-	// outlierDetectionTime is how long after a fault requests to the faulty server are not counted.
+	// outlierDetectionTime is the time after the start of a fault in which requests to the faulty server are not counted.
 	outlierDetectionTime = time.Second
-	// Recovery: the server must receive half of its share of the look-ups' traffic, counted in intervals.
+	// A server has recovered when it receives outlierRecoveredShare of its share of the look-ups' traffic in one interval.
 	outlierMaxRecovery      = 12 * time.Second
 	outlierRecoveryInterval = 500 * time.Millisecond
 	outlierLookupRate       = 125 // requests per second to the look-ups' service
@@ -91,18 +91,18 @@
 	variant  string
 	gateways int
 	cluster  *localCluster
-	servers  []*simcluster.Server // of look-ups; each has a fault in turn
+	servers  []*simcluster.Server // of look-ups; the faults are injected into one after another
 
-	away          atomic.Int64 // gateway that clients avoid, -1 = none
-	fault         atomic.Pointer[outlierFault]
-	requests      atomic.Int64
-	posts         atomic.Int64
-	executedTwice atomic.Int64 // posts
-	running       sync.WaitGroup
-	done          chan struct{} // closed when clients must stop
+	avoidedGateway atomic.Int64 // index of the gateway that clients avoid, or noGateway
+	fault          atomic.Pointer[outlierFault]
+	requests       atomic.Int64
+	posts          atomic.Int64
+	executedTwice  atomic.Int64 // posts
+	running        sync.WaitGroup
+	done           chan struct{} // closed when clients must stop
 }
 
-// noGateway is the value of outlierRun.away if clients avoid no gateway.
+// noGateway is the value of outlierRun.avoidedGateway if clients avoid no gateway.
 const noGateway = -1
 
 // measureOutlierDetection runs one variant and returns how many look-ups took longer than the bound.
@@ -111,7 +111,7 @@
 	if alone {
 		r.variant = "each alone"
 	}
-	r.away.Store(noGateway)
+	r.avoidedGateway.Store(noGateway)
 	r.cluster, err = e.startCluster(localClusterOptions{
 		name:                  fmt.Sprint("outlier-", alone),
 		controllers:           outlierControllers,
@@ -151,13 +151,13 @@
 	}
 }
 
-// outlierFault is a fault of a server and what came of it.
+// outlierFault is a fault of a server and its effects.
 type outlierFault struct {
 	name          string
 	begin, end    func(server *simcluster.Server)
 	whileFaulty   func()       // nil = nothing
 	sent          atomic.Int64 // look-ups during the fault
-	overBound     atomic.Int64 // of these, or failed
+	overBound     atomic.Int64 // of these, those that failed or exceeded outlierLatencyBound
 	failed        atomic.Int64 // of these
 	reachedFaulty atomic.Int64 // requests to the server during the fault, after outlierDetectionTime
 	recoveryTime  time.Duration
@@ -165,7 +165,7 @@
 	ended         atomic.Bool
 }
 
-// faults returns the faults in the order of the servers that they befall.
+// faults returns the faults in the order of the servers that they are injected into.
 func (r *outlierRun) faults() []*outlierFault {
 	return []*outlierFault{
 		{
@@ -177,7 +177,7 @@
 			name:        "hung",
 			begin:       func(server *simcluster.Server) { server.SetHung(true) },
 			end:         func(server *simcluster.Server) { server.SetHung(false) },
-			whileFaulty: r.disturbGateways,
+			whileFaulty: r.injectGatewayFaults,
 		},
 		{
 			name:  "killed",
@@ -187,20 +187,20 @@
 	}
 }
 
-// disturbGateways kills a gateway and restarts it, then suspends another one. Clients avoid them.
-func (r *outlierRun) disturbGateways() {
+// injectGatewayFaults kills a gateway and restarts it, then suspends another one. Clients avoid these gateways meanwhile.
+func (r *outlierRun) injectGatewayFaults() {
 	const killed, suspended = 3, 5
-	r.away.Store(killed)
+	r.avoidedGateway.Store(killed)
 	r.cluster.killGateway(killed)
 	r.cluster.restartGateway(killed)
 	time.Sleep(2 * time.Second)
-	r.away.Store(suspended)
+	r.avoidedGateway.Store(suspended)
 	suspend(r.cluster.gateways[suspended], time.Second)
 	time.Sleep(1500 * time.Millisecond)
-	r.away.Store(noGateway)
+	r.avoidedGateway.Store(noGateway)
 }
 
-// inject makes a server faulty for a while and waits until it has recovered.
+// inject injects a fault into a server, ends it after a while and waits until the server has recovered.
 func (r *outlierRun) inject(index int, fault *outlierFault) {
 	server := r.servers[index]
 	var received atomic.Int64
@@ -242,7 +242,7 @@
 	r.env.Record.AddPoint("look-ups over the bound", "1 slowed, 2 hung, 3 killed", "look-ups", r.variant, float64(index+1), float64(fault.overBound.Load()))
 }
 
-// outlierRequests is one kind of requests.
+// outlierRequests describes one kind of requests.
 type outlierRequests struct {
 	method   string
 	path     string
@@ -276,15 +276,15 @@
 
 func (r *outlierRun) sendRequest(kind outlierRequests) {
 	gateway := rand.IntN(r.gateways)
-	for int64(gateway) == r.away.Load() {
+	for int64(gateway) == r.avoidedGateway.Load() {
 		gateway = rand.IntN(r.gateways)
 	}
 	id := fmt.Sprint(kind.path, r.requests.Add(1))
 	fault := r.fault.Load()
 	c := r.cluster.cluster
 	response := c.SendRequest(c.Gateways[gateway], kind.method, exampleHost, kind.path+"x", id, outlierTimeout)
-	wentAway := int64(gateway) == r.away.Load() && response.Status != http.StatusOK
-	if kind.observe != nil && !wentAway {
+	avoided := int64(gateway) == r.avoidedGateway.Load() && response.Status != http.StatusOK
+	if kind.observe != nil && !avoided {
 		kind.observe(id, fault, response)
 	}
 }
--- a/internal/testing/experiment/process.go
+++ b/internal/testing/experiment/process.go
@@ -20,10 +20,10 @@
 	statThreads    = 17
 )
 
-// Usage is the resources that a process has used so far and holds now.
+// Usage is the processor time that a process has used so far and the resources that it holds.
 type Usage struct {
 	CPU         time.Duration
-	RSS, Peak   int64 // bytes of resident memory: now and at most
+	RSS, Peak   int64 // resident memory in bytes: current and maximum
 	Descriptors int
 	Threads     int
 }
@@ -91,7 +91,7 @@
 	return nil
 }
 
-// processCost is what a process has cost the system so far.
+// processCost is the cumulative cost of a process to the system.
 type processCost struct {
 	cpu     float64 // seconds
 	wakeups float64 // voluntary context switches of all threads
@@ -141,12 +141,13 @@
 	}
 }
 
-// since returns the cost after an earlier one.
+// since returns the difference to an earlier cost of the same process.
 func (c processCost) since(earlier processCost) processCost { return c.plus(earlier.times(-1)) }
 
 func procPath(pid int, name string) string { return filepath.Join("/proc", strconv.Itoa(pid), name) }
 
-// readProcField returns a number from a file of lines "NAME: NUMBER"; 0 if the file has gone, as that of a thread that has ended.
+// readProcField returns a number from a file of lines "NAME: NUMBER". It returns 0 if the file no longer exists, as for a
+// thread that has exited.
 func readProcField(path, name string) float64 {
 	file, err := os.Open(path)
 	if err != nil {
--- a/internal/testing/experiment/record.go
+++ b/internal/testing/experiment/record.go
@@ -11,7 +11,7 @@
 // recordIDFormat is the time format of a record's id, so that ids sort by time.
 const recordIDFormat = "20060102T150405.000"
 
-// Record is what the archive keeps of a run. Its methods may be called concurrently.
+// Record is the archived description and results of a run. Its methods may be called concurrently.
 type Record struct {
 	ID         string             `json:"id"`
 	Experiment string             `json:"experiment"`
@@ -19,9 +19,9 @@
 	Seconds    float64            `json:"seconds"`
 	Seed       uint64             `json:"seed"`
 	Quick      bool               `json:"quick"`
-	Program    string             `json:"program"` // its version
+	Program    string             `json:"program"` // the program's version
 	Machine    string             `json:"machine"`
-	Finding    string             `json:"failed,omitempty"` // that ended the run
+	Finding    string             `json:"failed,omitempty"` // the fault that ended the run
 	Metrics    map[string]float64 `json:"figures"`
 	Latencies  []LatencySummary   `json:"latencies,omitempty"`
 	Tables     []Table            `json:"tables,omitempty"`
@@ -30,7 +30,7 @@
 	mu sync.Mutex
 }
 
-// LatencySummary is the percentiles of a latency record, in milliseconds.
+// LatencySummary holds the percentiles of recorded latencies in milliseconds.
 type LatencySummary struct {
 	Name   string       `json:"name"`
 	Count  int64        `json:"count"`
@@ -42,7 +42,7 @@
 	Points [][2]float64 `json:"points"` // percentile, milliseconds
 }
 
-// Table is a table of text.
+// Table is a table of text cells.
 type Table struct {
 	Name   string     `json:"name"`
 	Header []string   `json:"head"`
@@ -69,28 +69,28 @@
 	}
 }
 
-// SetMetric sets a metric.
+// SetMetric sets a metric to a value.
 func (r *Record) SetMetric(name string, value float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Metrics[name] = value
 }
 
-// AddToMetric adds to a metric, which starts at 0.
+// AddToMetric adds a value to a metric, whose initial value is 0.
 func (r *Record) AddToMetric(name string, value float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.Metrics[name] += value
 }
 
-// Metric returns a metric, 0 if it was never set.
+// Metric returns the value of a metric, 0 if it was never set.
 func (r *Record) Metric(name string) float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.Metrics[name]
 }
 
-// AddLatency adds the summary of latencies under a name.
+// AddLatency adds a summary of the recorded latencies under a name.
 func (r *Record) AddLatency(name string, l *LatencyRecorder) {
 	summary := l.summary(name)
 	r.mu.Lock()
@@ -122,7 +122,7 @@
 	r.Series[index].Points = append(r.Series[index].Points, [2]float64{x, y})
 }
 
-// formatCell formats a number for a table with a number of decimals.
+// formatCell formats a number for a table with the given number of decimals.
 func formatCell(value float64, decimals int) string { return fmt.Sprintf("%.*f", decimals, value) }
 
 // formatMiB formats a number of bytes in MiB.
--- a/internal/testing/experiment/rest.go
+++ b/internal/testing/experiment/rest.go
@@ -11,11 +11,11 @@
 func init() {
 	Register(Experiment{
 		Name:  "rest",
-		Short: "What a cluster costs at rest: processor time, wake-ups, system calls and bytes, by number of gateways",
-		Long: `rest starts built controllers and gateways on loopback, with servers that send heartbeats and a configuration in force, and
-no clients. For each number of gateways it records what a controller and a gateway spend per second: processor time, wake-ups
-(voluntary context switches of all threads), reads and writes, and bytes, including those of the disk. The programs are those
-beside the gatherer.`,
+		Short: "Cost of a cluster at rest: processor time, wake-ups, system calls and bytes, by number of gateways",
+		Long: `rest starts built controllers and gateways on loopback, with servers that send heartbeats and a configuration
+in force, and no clients. For each number of gateways it records the resource usage of a controller and a gateway per second:
+processor time, wake-ups (voluntary context switches of all threads), reads and writes, and bytes, including those of the
+disk. The programs are those beside the gatherer.`,
 		Run: runRest,
 	})
 }
@@ -23,7 +23,7 @@
 const (
 	restControllers = 3
 	restServiceTime = 10 * time.Millisecond
-	// restSettleTime is how long programs are given to learn of each other.
+	// restSettleTime is the time for the programs to discover each other.
 	restSettleTime = 4 * time.Second
 )
 
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// programCost is what a process of a program costs per second, on average.
+// programCost is the average cost per second of a program's processes.
 type programCost struct {
 	program string
 	processCost
--- a/internal/testing/experiment/rollout.go
+++ b/internal/testing/experiment/rollout.go
@@ -17,13 +17,14 @@
 func init() {
 	Register(Experiment{
 		Name:  "rollout",
-		Short: "Rollouts: good and bad versions of four services at once, beside kills and suspensions",
-		Long: `rollout starts three controllers and gateways, and servers of four services. A new version of each is rolled out at once: one is
-good, one fails three requests in ten, one is eight times slower, one fails from the fourth second on. In later rounds a gateway is killed
-and restarted, a controller suspended, a controller killed. It records how each rollout ends and when, how many requests reached
-the new version, and how many bad answers it gave by the time it was reverted. It ends with a finding if a bad version is completed or
-reaches more requests than it may, if a good one is not completed though nothing was disturbed, or if a request reaches an old
-server after its rollout was completed.`,
+		Short: "Concurrent rollouts of good and bad versions of four services, with kills and suspensions",
+		Long: `rollout starts three controllers, gateways, and servers of four services. New versions of all services are
+rolled out concurrently: one is good, one fails three requests in ten, one is eight times slower, and one fails from the
+fourth second on. In later rounds a gateway is killed and restarted, a controller is suspended, or a controller is killed. It
+records the final state of each rollout and its duration, the number of requests that reached the new version, and the number
+of bad responses up to the end of the rollout. It ends with a finding if a bad version is not reverted or receives too many
+requests, if a good version is not completed in a round without a disturbance, or if a request reaches an old server after the
+rollout was completed.`,
 		Run: runRollouts,
 	})
 }
@@ -32,32 +33,32 @@
 	rolloutControllers   = 3
 	rolloutServers       = 3 // of each version of each service
 	rolloutServiceTime   = 8 * time.Millisecond
-	rolloutDuration      = 12 * time.Second
+	rolloutDuration      = 12 * time.Second     // of each rollout
 	rolloutInterval      = 5 * time.Millisecond // between two gathered requests, and between two of the single service
-	rolloutSettle        = 3 * time.Second
+	rolloutSettleTime    = 3 * time.Second
 	rolloutVersion       = "v2"
 	rolloutSingleService = "one"
 	rolloutSinglePath    = "/one/x"
 	rolloutGatherPath    = "/all/x"
-	// The bounds of exposure: a share of the requests of the duration, and so many more.
-	rolloutExposure      = 0.1
+	// A bad version may receive this share of the service's requests, plus a constant number.
+	rolloutMaxExposure   = 0.1
 	rolloutExposureSlack = 50
 )
 
-// rolloutKind is how a new version behaves.
-type rolloutKind struct {
-	name    string
-	service string
-	bad     bool
-	slow    time.Duration                             // service time, 0 = the usual one
-	fails   func(since time.Duration) (share float64) // of its answers, by the time since its servers' start; nil = none
+// versionKind describes the behavior of a new version.
+type versionKind struct {
+	name         string
+	service      string
+	bad          bool
+	serviceTime  time.Duration                             // service time; 0 = rolloutServiceTime
+	failureShare func(since time.Duration) (share float64) // share of failing responses by the time since the servers' start; nil = none
 }
 
-var rolloutKinds = []rolloutKind{
+var versionKinds = []versionKind{
 	{name: "good", service: "a0"},
-	{name: "3 in 10 fail", service: "a1", bad: true, fails: func(time.Duration) float64 { return 0.3 }},
-	{name: "8 times slower", service: "a2", bad: true, slow: 8 * rolloutServiceTime},
-	{name: "4 in 10 fail, late", service: rolloutSingleService, bad: true, fails: func(since time.Duration) float64 {
+	{name: "3 in 10 fail", service: "a1", bad: true, failureShare: func(time.Duration) float64 { return 0.3 }},
+	{name: "8 times slower", service: "a2", bad: true, serviceTime: 8 * rolloutServiceTime},
+	{name: "4 in 10 fail, late", service: rolloutSingleService, bad: true, failureShare: func(since time.Duration) float64 {
 		if since < 3*time.Second {
 			return 0
 		}
@@ -65,7 +66,7 @@
 	}},
 }
 
-// rolloutDisturbances are what happens 2 s after the orders, one each round.
+// rolloutDisturbances are the faults that are injected 2 s after the rollouts were ordered, one in each round.
 var rolloutDisturbances = []struct {
 	name    string
 	disturb func(c *localCluster) error
@@ -100,22 +101,22 @@
 
 // rolloutRound is the state of one round.
 type rolloutRound struct {
-	env     *Env
-	number  int
-	cluster *localCluster
-	client  *controlclient.Client
-	begun   time.Time
-	done    chan struct{} // closed when clients must stop
-	pending sync.WaitGroup
+	env       *Env
+	number    int
+	cluster   *localCluster
+	client    *controlclient.Client
+	startedAt time.Time
+	done      chan struct{} // closed when clients must stop
+	running   sync.WaitGroup
 }
 
-// versionTraffic counts the requests that reach the servers of a service.
+// versionTraffic counts the requests that reach the servers of a service, and the bad responses of the new version.
 type versionTraffic struct {
-	kind        rolloutKind
-	old, target atomic.Int64
-	bad         atomic.Int64
-	completed   atomic.Bool
-	afterwards  atomic.Int64 // requests that reached an old server once the rollout was completed
+	kind                        versionKind
+	oldRequests, targetRequests atomic.Int64
+	badResponses                atomic.Int64
+	completed                   atomic.Bool
+	afterCompletion             atomic.Int64 // requests that reached an old server after the rollout was completed
 }
 
 func (e *Env) runRolloutRound(ctx context.Context, number int) (err error) {
@@ -135,24 +136,24 @@
 	defer r.cluster.stop()
 	var addresses []string
 	for _, controller := range r.cluster.cluster.Controllers {
-		addresses = append([]string{controller.ControlAddress()}, addresses...) // the first one is disturbed, and asked last
+		addresses = append([]string{controller.ControlAddress()}, addresses...) // reversed, as disturbances affect the first one
 	}
 	r.client = controlclient.New(addresses)
-	time.Sleep(rolloutSettle)
+	time.Sleep(rolloutSettleTime)
 	r.startClients()
 	defer func() {
 		close(r.done)
-		r.pending.Wait()
+		r.running.Wait()
 	}()
-	time.Sleep(rolloutSettle)
+	time.Sleep(rolloutSettleTime)
 	return r.rollOut(ctx)
 }
 
-// rollOut begins all rollouts, waits for their ends and checks them.
+// rollOut begins all rollouts, injects the round's disturbance, waits until the rollouts have ended and checks them.
 func (r *rolloutRound) rollOut(ctx context.Context) error {
-	r.begun = time.Now()
+	r.startedAt = time.Now()
 	traffic := map[string]*versionTraffic{}
-	for _, kind := range rolloutKinds {
+	for _, kind := range versionKinds {
 		order := rollout.Order{Service: kind.service, TargetVersion: rolloutVersion, DurationS: rolloutDuration.Seconds()}
 		if err := r.client.BeginRollout(ctx, order); err != nil {
 			return fmt.Errorf("begin %q: %w", kind.name, err)
@@ -167,104 +168,104 @@
 	if err := disturbance.disturb(r.cluster); err != nil {
 		return fmt.Errorf("%s: %w", disturbance.name, err)
 	}
-	ends, err := r.awaitEnds(ctx, traffic)
+	outcomes, err := r.waitForOutcomes(ctx, traffic)
 	if err != nil {
 		return err
 	}
-	time.Sleep(max(0, rolloutDuration-time.Since(r.begun)) + time.Second)
-	for _, kind := range rolloutKinds {
-		if err := r.check(traffic[kind.service], ends[kind.service], disturbance.name); err != nil {
+	time.Sleep(max(0, rolloutDuration-time.Since(r.startedAt)) + time.Second)
+	for _, kind := range versionKinds {
+		if err := r.check(traffic[kind.service], outcomes[kind.service], disturbance.name); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// startVersion starts servers of the new version, and counts what reaches those of both.
+// startVersion starts servers of the new version and counts the requests to the servers of both versions.
 func (r *rolloutRound) startVersion(t *versionTraffic) error {
 	started := time.Now()
 	for _, server := range r.cluster.cluster.Servers {
 		if server.Service == t.kind.service {
 			server.SetOnRequest(func(time.Time) {
-				t.old.Add(1)
+				t.oldRequests.Add(1)
 				if t.completed.Load() {
-					t.afterwards.Add(1)
+					t.afterCompletion.Add(1)
 				}
 			})
 		}
 	}
 	for range rolloutServers {
-		server := r.cluster.cluster.AddServer(t.kind.service, max(rolloutServiceTime, t.kind.slow))
+		server := r.cluster.cluster.AddServer(t.kind.service, max(rolloutServiceTime, t.kind.serviceTime))
 		server.Version, server.Concurrency = rolloutVersion, 8
 		if err := server.Start(); err != nil {
 			return err
 		}
-		server.SetOnRequest(func(time.Time) { t.target.Add(1) })
+		server.SetOnRequest(func(time.Time) { t.targetRequests.Add(1) })
 		server.SetFailing(func() bool {
-			fails := t.kind.fails != nil && rand.Float64() < t.kind.fails(time.Since(started))
-			if fails || t.kind.slow > 0 {
-				t.bad.Add(1)
+			failing := t.kind.failureShare != nil && rand.Float64() < t.kind.failureShare(time.Since(started))
+			if failing || t.kind.serviceTime > 0 {
+				t.badResponses.Add(1)
 			}
-			return fails
+			return failing
 		})
 	}
 	return nil
 }
 
-// rolloutEnd is how a rollout ended.
-type rolloutEnd struct {
-	state, reason string
-	took          time.Duration
-	bad, target   int64 // answers and requests of the new version by then
+// rolloutOutcome is the final state of a rollout.
+type rolloutOutcome struct {
+	state, reason                string
+	elapsed                      time.Duration
+	badResponses, targetRequests int64 // of the new version, up to the end of the rollout
 }
 
-// awaitEnds waits until all rollouts are over.
-func (r *rolloutRound) awaitEnds(ctx context.Context, traffic map[string]*versionTraffic) (map[string]rolloutEnd, error) {
-	ends := map[string]rolloutEnd{}
-	for len(ends) < len(traffic) {
-		if time.Since(r.begun) > rolloutDuration+5*time.Second {
-			return nil, fmt.Errorf("%d of %d rollouts are over after %v", len(ends), len(traffic), time.Since(r.begun))
+// waitForOutcomes waits until all rollouts have ended.
+func (r *rolloutRound) waitForOutcomes(ctx context.Context, traffic map[string]*versionTraffic) (map[string]rolloutOutcome, error) {
+	outcomes := map[string]rolloutOutcome{}
+	for len(outcomes) < len(traffic) {
+		if time.Since(r.startedAt) > rolloutDuration+5*time.Second {
+			return nil, fmt.Errorf("%d of %d rollouts are over after %v", len(outcomes), len(traffic), time.Since(r.startedAt))
 		}
 		rollouts, err := r.client.Rollouts(ctx)
 		if err != nil {
 			continue
 		}
-		for _, found := range rollouts {
-			t := traffic[found.Service]
-			if _, known := ends[found.Service]; known || found.State == string(rollout.Running) {
+		for _, status := range rollouts {
+			t := traffic[status.Service]
+			if _, known := outcomes[status.Service]; known || status.State == string(rollout.Running) {
 				continue
 			}
-			t.completed.Store(found.State == string(rollout.Completed))
-			ends[found.Service] = rolloutEnd{state: found.State, reason: found.Reason, took: time.Since(r.begun), bad: t.bad.Load(), target: t.target.Load()}
+			t.completed.Store(status.State == string(rollout.Completed))
+			outcomes[status.Service] = rolloutOutcome{state: status.State, reason: status.Reason, elapsed: time.Since(r.startedAt), badResponses: t.badResponses.Load(), targetRequests: t.targetRequests.Load()}
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	return ends, nil
+	return outcomes, nil
 }
 
-func (r *rolloutRound) check(t *versionTraffic, end rolloutEnd, disturbance string) error {
-	old, target := t.old.Load(), t.target.Load()
+func (r *rolloutRound) check(t *versionTraffic, outcome rolloutOutcome, disturbance string) error {
+	oldRequests, targetRequests := t.oldRequests.Load(), t.targetRequests.Load()
 	r.env.Record.AddRow("Rollouts", []string{"version", "disturbance", "state", "after, s", "bad answers by then", "requests to the new version", "to both"},
-		t.kind.name, disturbance, end.state, formatCell(end.took.Seconds(), 1), fmt.Sprint(end.bad), fmt.Sprint(target), fmt.Sprint(old+target))
-	r.env.Record.AddPoint("time until a rollout is over", "round", "seconds", t.kind.name, float64(r.number+1), end.took.Seconds())
-	allowed := rolloutExposure*float64(old+target) + rolloutExposureSlack
+		t.kind.name, disturbance, outcome.state, formatCell(outcome.elapsed.Seconds(), 1), fmt.Sprint(outcome.badResponses), fmt.Sprint(targetRequests), fmt.Sprint(oldRequests+targetRequests))
+	r.env.Record.AddPoint("time until a rollout is over", "round", "seconds", t.kind.name, float64(r.number+1), outcome.elapsed.Seconds())
+	allowed := rolloutMaxExposure*float64(oldRequests+targetRequests) + rolloutExposureSlack
 	switch {
-	case t.kind.bad && end.state != string(rollout.Reverted):
-		return fmt.Errorf("%q is %s", t.kind.name, end.state)
-	case t.kind.bad && float64(target) > allowed:
-		return fmt.Errorf("%q reached %d of %d requests", t.kind.name, target, old+target)
-	case !t.kind.bad && disturbance == "none" && end.state != string(rollout.Completed):
-		return fmt.Errorf("%q is %s: %s", t.kind.name, end.state, end.reason)
-	case t.afterwards.Load() > 0:
-		return fmt.Errorf("%d requests reached an old server of %q after it was completed", t.afterwards.Load(), t.kind.name)
+	case t.kind.bad && outcome.state != string(rollout.Reverted):
+		return fmt.Errorf("%q is %s", t.kind.name, outcome.state)
+	case t.kind.bad && float64(targetRequests) > allowed:
+		return fmt.Errorf("%q reached %d of %d requests", t.kind.name, targetRequests, oldRequests+targetRequests)
+	case !t.kind.bad && disturbance == "none" && outcome.state != string(rollout.Completed):
+		return fmt.Errorf("%q is %s: %s", t.kind.name, outcome.state, outcome.reason)
+	case t.afterCompletion.Load() > 0:
+		return fmt.Errorf("%d requests reached an old server of %q after it was completed", t.afterCompletion.Load(), t.kind.name)
 	}
 	return nil
 }
 
-// startClients sends gathered and single requests to the gateways in turn.
+// startClients starts sending requests over all shards and to a single service, to the gateways in turn.
 func (r *rolloutRound) startClients() {
 	for _, path := range []string{rolloutGatherPath, rolloutSinglePath} {
-		r.pending.Go(func() {
+		r.running.Go(func() {
 			c := r.cluster.cluster
 			for n := 0; ; n++ {
 				select {
@@ -272,7 +273,7 @@
 					return
 				case <-time.After(rolloutInterval):
 				}
-				r.pending.Go(func() {
+				r.running.Go(func() {
 					c.SendRequest(c.Gateways[n%len(c.Gateways)], http.MethodGet, exampleHost, path, fmt.Sprint(path, n), time.Second)
 				})
 			}
--- a/internal/testing/experiment/runtime_metrics.go
+++ b/internal/testing/experiment/runtime_metrics.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	// memoryEvent marks the log lines in which a gatherer reports metrics of its runtime and memory budget.
+	// memoryEvent identifies the log lines in which a gatherer reports metrics of its runtime and memory budget.
 	memoryEvent = "event=memory "
-	// reportPollInterval is the time between two looks for a new report.
+	// reportPollInterval is the interval at which next checks for a new report.
 	reportPollInterval = 20 * time.Millisecond
 )
 
-// runtimeReport is one report. Sizes are in bytes. Those of the memory budget are 0 where there is none.
+// runtimeReport is one report. Sizes are in bytes. Those of the memory budget are 0 if the gatherer has none.
 type runtimeReport struct {
 	heap, stacks int64
 	goroutines   int64
-	peak         int64 // of what is accounted for
-	limit        int64 // of what is accounted for
-	forced       int64 // beyond the limit, because it could not be refused
-	refused      int64 // number of requests
+	peak         int64 // maximum of the accounted memory
+	limit        int64 // of the accounted memory
+	forced       int64 // accounted beyond the limit, because it could not be refused
+	refused      int64 // number of refused requests
 }
 
 // used returns the bytes of heap and stacks.
@@ -54,7 +54,7 @@
 	reports int // so far
 }
 
-// observeLine reads a line of the log.
+// observeLine stores the report in a line of the log, if the line is one.
 func (m *runtimeMetrics) observeLine(line string) {
 	if !strings.Contains(line, memoryEvent) {
 		return
@@ -66,7 +66,7 @@
 	m.reports++
 }
 
-// next waits for the second next report, whose values are all from after the call.
+// next waits for the second report after the call and returns it: all of its values were measured after the call.
 func (m *runtimeMetrics) next(ctx context.Context) runtimeReport {
 	_, first := m.latest()
 	tick := time.NewTicker(reportPollInterval)
--- a/internal/testing/experiment/runtime_metrics_test.go
+++ b/internal/testing/experiment/runtime_metrics_test.go
@@ -9,7 +9,7 @@
 	var m runtimeMetrics
 	m.observeLine("time=1 event=listening addr=127.0.0.1:80")
 	if _, count := m.latest(); count != 0 {
-		t.Errorf("%d reports are counted without any", count)
+		t.Errorf("%d reports are counted for a line of another event", count)
 	}
 	m.observeLine("time=1 event=memory pressure=none heap=1000 stacks=200 goroutines=7 peak=50 most=80 forced=3 refused=2")
 	want := runtimeReport{heap: 1000, stacks: 200, goroutines: 7, peak: 50, limit: 80, forced: 3, refused: 2}
--- a/internal/testing/experiment/soak.go
+++ b/internal/testing/experiment/soak.go
@@ -19,26 +19,27 @@
 func init() {
 	Register(Experiment{
 		Name:  "soak",
-		Short: "Clients on kept connections beside overlapping series of signals, restarts, changes and rollouts",
-		Long: `soak starts three controllers, gateways and servers. Clients keep using their open connections until these end, also while their gateway
-is told to end. Meanwhile gateways and controllers get SIGTERM, SIGKILL, SIGHUP and SIGSTOP and are started again, servers crash and
-come back, configurations are replaced and rollouts begun and reverted: drawn by the seed, several at a time, one controller down at
-most. It ends with a finding if a request that a sound gateway had taken is cut off, if an answer is not whole or another request's, if a
-request that must not be repeated is executed twice, or if at the end what was acknowledged last can't be read from every controller or
-a gateway does not serve.`,
+		Short: "Clients on persistent connections during concurrent signals, restarts, configuration changes and rollouts",
+		Long: `soak starts three controllers, gateways and servers. Clients use their connections until these are closed,
+also while their gateway shuts down. Meanwhile gateways receive SIGTERM, SIGKILL, SIGHUP and SIGSTOP, controllers SIGTERM,
+SIGKILL and SIGSTOP, and both are restarted; servers crash and are restarted, configurations are replaced, and rollouts are
+begun and reverted. The faults are drawn from the seed; several are in progress at the same time, with at most one controller
+down. It ends with a finding if a healthy gateway drops a request that it has accepted, if a response is incomplete or belongs
+to another request, if a request that must not be repeated is executed twice, or if at the end a controller does not return
+the configuration that was acknowledged last or a gateway does not serve.`,
 		Run: func(ctx context.Context, e *Env) error { return e.runSoak(ctx) },
 	})
 }
 
 const (
-	soakControllers   = 3
-	soakServers       = 3 // of each service
-	soakServiceTime   = 10 * time.Millisecond
-	soakSettle        = 4 * time.Second
-	soakGrace         = 6500 * time.Millisecond // in which a process that was told to end must have ended
-	soakConvergence   = 12 * time.Second
-	soakMaxSuspension = 1500 * time.Millisecond
-	soakSeries        = 3 // of disturbances, at the same time
+	soakControllers        = 3
+	soakServers            = 3 // of each service
+	soakServiceTime        = 10 * time.Millisecond
+	soakSettleTime         = 4 * time.Second
+	soakExitTimeout        = 6500 * time.Millisecond // maximum time from a signal to the exit of the process
+	soakConvergenceTimeout = 12 * time.Second        // maximum time from the last fault until the final checks succeed
+	soakMaxSuspension      = 1500 * time.Millisecond
+	soakFaultSeries        = 3 // concurrent series of faults
 )
 
 // soak is the state of one run.
@@ -46,21 +47,21 @@
 	env     *Env
 	cluster *localCluster
 	client  *controlclient.Client
-	done    chan struct{} // closed when clients and disturbances must stop
+	done    chan struct{} // closed when clients must stop
 	running sync.WaitGroup
 
 	mu           sync.Mutex
 	finding      error
-	unsound      map[int][]time.Time // when a gateway was killed or suspended, until it was sound again: begin and end in turn
-	busy         map[*exec.Cmd]bool  // a disturbance of it is going on
-	version      uint64              // of the configuration that was acknowledged last
-	counts       map[string]int      // of disturbances and requests, for the record
-	controllerMu sync.Mutex          // one controller is disturbed at a time
-	changeMu     sync.Mutex          // one change of the configuration is under way at a time
+	outages      map[int][]time.Time // by gateway: alternating begin and end times of its outages by SIGKILL or suspension
+	faulty       map[*exec.Cmd]bool  // gateways with a fault in progress
+	version      uint64              // of the last acknowledged configuration
+	counts       map[string]int      // of faults and requests, by name of the metric
+	controllerMu sync.Mutex          // held during a fault of a controller or server: one at a time
+	changeMu     sync.Mutex          // held during a change of the configuration: one at a time
 }
 
 func (e *Env) runSoak(ctx context.Context) error {
-	s := &soak{env: e, done: make(chan struct{}), unsound: map[int][]time.Time{}, busy: map[*exec.Cmd]bool{}, version: 1, counts: map[string]int{}}
+	s := &soak{env: e, done: make(chan struct{}), outages: map[int][]time.Time{}, faulty: map[*exec.Cmd]bool{}, version: 1, counts: map[string]int{}}
 	var err error
 	s.cluster, err = e.startCluster(localClusterOptions{
 		name:          "soak",
@@ -80,9 +81,9 @@
 		addresses = append(addresses, controller.ControlAddress())
 	}
 	s.client = controlclient.New(addresses)
-	time.Sleep(soakSettle)
+	time.Sleep(soakSettleTime)
 	s.startClients(e.Scale(16, 48))
-	s.disturb(ctx, time.Duration(e.Scale(14, 40))*time.Second)
+	s.injectFaults(ctx, time.Duration(e.Scale(14, 40))*time.Second)
 	close(s.done)
 	s.running.Wait()
 	for what, count := range s.counts {
@@ -91,11 +92,11 @@
 	if s.finding != nil {
 		return s.finding
 	}
-	return s.checkEnd(ctx)
+	return s.checkFinalState(ctx)
 }
 
-// find keeps the first finding.
-func (s *soak) find(format string, args ...any) {
+// setFinding records a finding unless there is one already.
+func (s *soak) setFinding(format string, args ...any) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.finding == nil {
@@ -109,34 +110,34 @@
 	s.counts[what]++
 }
 
-// wasUnsound reports whether a gateway was killed or suspended at some time since.
-func (s *soak) wasUnsound(gateway int, since time.Time) bool {
+// hadOutage reports whether a gateway was killed or suspended at any time since the given one.
+func (s *soak) hadOutage(gateway int, since time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	times := s.unsound[gateway]
+	times := s.outages[gateway]
 	if len(times)%2 == 1 {
 		return true
 	}
 	return len(times) > 0 && times[len(times)-1].After(since)
 }
 
-// mark notes that a gateway becomes unsound, or sound again.
-func (s *soak) mark(gateway int) {
+// recordOutage records the time at which an outage of a gateway begins or ends.
+func (s *soak) recordOutage(gateway int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.unsound[gateway] = append(s.unsound[gateway], time.Now())
+	s.outages[gateway] = append(s.outages[gateway], time.Now())
 }
 
-// disturb runs series of disturbances beside each other for a time.
-func (s *soak) disturb(ctx context.Context, duration time.Duration) {
+// injectFaults runs concurrent series of random faults for a duration.
+func (s *soak) injectFaults(ctx context.Context, duration time.Duration) {
 	end := time.Now().Add(duration)
 	var series sync.WaitGroup
-	for number := range soakSeries {
+	for number := range soakFaultSeries {
 		series.Go(func() {
 			random := rand.New(rand.NewPCG(s.env.Seed, uint64(number)))
-			disturbances := s.disturbances(ctx)
+			faults := s.faults(ctx)
 			for time.Now().Before(end) {
-				disturbances[random.IntN(len(disturbances))](random)
+				faults[random.IntN(len(faults))](random)
 				time.Sleep(time.Duration(random.IntN(700)) * time.Millisecond)
 			}
 		})
@@ -144,55 +145,57 @@
 	series.Wait()
 }
 
-// disturbances are what may happen; each returns once it is over.
-func (s *soak) disturbances(ctx context.Context) []func(random *rand.Rand) {
+// faults returns the faults that may be drawn, some of them twice for a higher probability. Each function returns when its
+// fault is over.
+func (s *soak) faults(ctx context.Context) []func(random *rand.Rand) {
 	return []func(random *rand.Rand){
 		s.restartGateway(syscall.SIGTERM), s.restartGateway(syscall.SIGTERM), s.restartGateway(syscall.SIGKILL),
-		s.suspendGateway, s.hangUp,
+		s.suspendGateway, s.reloadSettings,
 		s.restartController(syscall.SIGTERM), s.restartController(syscall.SIGKILL), s.suspendController,
 		s.crashServer,
-		func(random *rand.Rand) { s.change(ctx, random) },
-		func(random *rand.Rand) { s.change(ctx, random) },
+		func(random *rand.Rand) { s.replaceConfiguration(ctx, random) },
+		func(random *rand.Rand) { s.replaceConfiguration(ctx, random) },
 		func(random *rand.Rand) { s.rollOut(ctx, random) },
 	}
 }
 
-// claim returns a gateway that nothing else disturbs, -1 = there is none; release ends the claim.
-func (s *soak) claim(random *rand.Rand) (gateway int, release func()) {
+// reserveGateway draws a gateway and reserves it until release is called. It returns -1 if the gateway already has a fault or
+// too many gateways have one.
+func (s *soak) reserveGateway(random *rand.Rand) (gateway int, release func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	gateway = random.IntN(len(s.cluster.gateways))
 	process := s.cluster.gateways[gateway]
-	if s.busy[process] || len(s.busy) > len(s.cluster.gateways)/2 {
+	if s.faulty[process] || len(s.faulty) > len(s.cluster.gateways)/2 {
 		return -1, nil
 	}
-	s.busy[process] = true
+	s.faulty[process] = true
 	return gateway, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		delete(s.busy, process)
+		delete(s.faulty, process)
 	}
 }
 
 func (s *soak) restartGateway(signal syscall.Signal) func(*rand.Rand) {
 	return func(random *rand.Rand) {
-		gateway, release := s.claim(random)
+		gateway, release := s.reserveGateway(random)
 		if gateway < 0 {
 			return
 		}
 		defer release()
 		s.count("gateways ended by " + signal.String())
 		if signal == syscall.SIGKILL {
-			s.mark(gateway)
-			defer s.mark(gateway)
+			s.recordOutage(gateway)
+			defer s.recordOutage(gateway)
 		}
 		if err := s.restart(s.cluster.gateways, gateway, gatewayProgram, signal); err != nil {
-			s.find("gateway %d: %w", gateway, err)
+			s.setFinding("gateway %d: %w", gateway, err)
 		}
 	}
 }
 
-// restart ends a process by a signal and starts it again.
+// restart ends a process with a signal, waits for its exit and starts it again.
 func (s *soak) restart(processes []*exec.Cmd, index int, program string, signal syscall.Signal) error {
 	process := processes[index]
 	process.Process.Signal(signal)
@@ -203,7 +206,7 @@
 		if signal == syscall.SIGTERM && err != nil {
 			return fmt.Errorf("it ends by %w after SIGTERM", err)
 		}
-	case <-time.After(soakGrace):
+	case <-time.After(soakExitTimeout):
 		return errors.New("it does not end within the grace period")
 	}
 	next, err := s.cluster.startProgram(program, s.cluster.settingsPaths[process])
@@ -216,27 +219,27 @@
 }
 
 func (s *soak) suspendGateway(random *rand.Rand) {
-	gateway, release := s.claim(random)
+	gateway, release := s.reserveGateway(random)
 	if gateway < 0 {
 		return
 	}
 	defer release()
 	s.count("gateways suspended")
-	s.mark(gateway)
-	defer s.mark(gateway)
+	s.recordOutage(gateway)
+	defer s.recordOutage(gateway)
 	suspendFor(s.cluster.gateways[gateway], time.Duration(random.Int64N(int64(soakMaxSuspension))))
 }
 
-// suspendFor stops a process and lets it continue after a time, for which it waits.
+// suspendFor stops a process, waits for a duration and resumes the process.
 func suspendFor(process *exec.Cmd, duration time.Duration) {
 	process.Process.Signal(syscall.SIGSTOP)
 	time.Sleep(duration)
 	process.Process.Signal(syscall.SIGCONT)
 }
 
-// hangUp tells a gateway that its settings file has changed.
-func (s *soak) hangUp(random *rand.Rand) {
-	if gateway, release := s.claim(random); gateway >= 0 {
+// reloadSettings sends SIGHUP to a gateway, the signal for a changed settings file.
+func (s *soak) reloadSettings(random *rand.Rand) {
+	if gateway, release := s.reserveGateway(random); gateway >= 0 {
 		s.count("hang-ups")
 		s.cluster.gateways[gateway].Process.Signal(syscall.SIGHUP)
 		release()
@@ -250,9 +253,9 @@
 		s.count("controllers ended by " + signal.String())
 		index := random.IntN(soakControllers)
 		if err := s.restart(s.cluster.controllers, index, controllerProgram, signal); err != nil {
-			s.find("controller %d: %w", index, err)
+			s.setFinding("controller %d: %w", index, err)
 		}
-		time.Sleep(soakSettle) // it catches up before another one may be lost
+		time.Sleep(soakSettleTime) // the controller must catch up before another one may fail
 	}
 }
 
@@ -261,12 +264,12 @@
 	defer s.controllerMu.Unlock()
 	s.count("controllers suspended")
 	suspendFor(s.cluster.controllers[random.IntN(soakControllers)], time.Duration(random.Int64N(int64(soakMaxSuspension))))
-	time.Sleep(soakSettle / 2)
+	time.Sleep(soakSettleTime / 2)
 }
 
-// crashServer crashes one server of a service that other servers hold too, and starts it again.
+// crashServer crashes a server, whose service has other servers, and starts it again.
 func (s *soak) crashServer(random *rand.Rand) {
-	s.controllerMu.Lock() // one at a time
+	s.controllerMu.Lock() // one fault at a time
 	defer s.controllerMu.Unlock()
 	servers := s.cluster.cluster.Servers
 	server := servers[random.IntN(len(servers))]
@@ -274,12 +277,12 @@
 	server.Crash(false)
 	time.Sleep(time.Duration(random.IntN(1000)) * time.Millisecond)
 	if err := server.Start(); err != nil {
-		s.find("start server: %w", err)
+		s.setFinding("start server: %w", err)
 	}
 }
 
-// change replaces the configuration.
-func (s *soak) change(ctx context.Context, random *rand.Rand) {
+// replaceConfiguration replaces the configuration by a random later version.
+func (s *soak) replaceConfiguration(ctx context.Context, random *rand.Rand) {
 	s.changeMu.Lock()
 	defer s.changeMu.Unlock()
 	sharding := simcluster.FirstSharding
@@ -291,17 +294,17 @@
 	s.mu.Unlock()
 	next := current + 1 + random.Uint64N(3)
 	committed, err := s.client.ReplaceConfiguration(ctx, current, simcluster.ExampleConfiguration(next, sharding))
-	for attempt := 0; err != nil && attempt < 10; attempt++ { // without a clear answer the same is sent again
-		var refused *controlclient.StatusError
-		if errors.As(err, &refused) && refused.Status/100 == 4 {
-			s.find("version %d on %d: %w", next, current, err)
+	for attempt := 0; err != nil && attempt < 10; attempt++ { // an ambiguous result: the same request is sent again
+		var statusErr *controlclient.StatusError
+		if errors.As(err, &statusErr) && statusErr.Status/100 == 4 {
+			s.setFinding("version %d on %d: %w", next, current, err)
 			return
 		}
 		time.Sleep(200 * time.Millisecond)
 		committed, err = s.client.ReplaceConfiguration(ctx, current, simcluster.ExampleConfiguration(next, sharding))
 	}
 	if err != nil {
-		s.find("version %d on %d is not acknowledged: %w", next, current, err)
+		s.setFinding("version %d on %d is not acknowledged: %w", next, current, err)
 		return
 	}
 	s.count("versions committed")
@@ -310,7 +313,7 @@
 	s.mu.Unlock()
 }
 
-// rollOut begins a rollout to a version that no server has, and may revert it.
+// rollOut begins a rollout to a version that no server has, and reverts it with a probability of one half.
 func (s *soak) rollOut(ctx context.Context, random *rand.Rand) {
 	service := simcluster.ExampleServices[random.IntN(len(simcluster.ExampleServices))]
 	order := rollout.Order{Service: service, TargetVersion: fmt.Sprint("v", random.Uint32()), DurationS: 2 + 4*random.Float64()}
@@ -322,9 +325,10 @@
 	}
 }
 
-// checkEnd checks, once all runs again, that what was acknowledged last is there, and that every gateway serves.
-func (s *soak) checkEnd(ctx context.Context) error {
-	deadline := time.Now().Add(soakConvergence)
+// checkFinalState checks, after all processes have been restarted, that every controller returns the last acknowledged
+// configuration and that every gateway serves requests.
+func (s *soak) checkFinalState(ctx context.Context) error {
+	deadline := time.Now().Add(soakConvergenceTimeout)
 	for i, controller := range s.cluster.cluster.Controllers {
 		alone := controlclient.New([]string{controller.ControlAddress()})
 		for {
@@ -346,7 +350,7 @@
 				break
 			}
 			if time.Now().After(deadline) {
-				return fmt.Errorf("gateway %d does not serve %v after the last disturbance", i, soakConvergence)
+				return fmt.Errorf("gateway %d does not serve %v after the last disturbance", i, soakConvergenceTimeout)
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
--- a/internal/testing/experiment/soak_client.go
+++ b/internal/testing/experiment/soak_client.go
@@ -16,13 +16,15 @@
 )
 
 const (
-	soakTimeout      = 900 * time.Millisecond // that a client gives a request
+	soakTimeout      = 900 * time.Millisecond // of a request
 	soakConnectPause = 50 * time.Millisecond
-	soakSendPause    = 12 * time.Millisecond  // between two requests of a client, on average
-	soakLossSlack    = 800 * time.Millisecond // within which a connection may end on a request that was not taken; long, for busy machines
+	soakSendPause    = 12 * time.Millisecond // between two requests of a client, on average
+	// soakMaxCloseDelay is the maximum time until a connection is closed on a request that was not accepted. It is long,
+	// because machines may be busy.
+	soakMaxCloseDelay = 800 * time.Millisecond
 )
 
-// soakClient sends requests one after another over a connection that it keeps for as long as the gateway does.
+// soakClient sends requests sequentially over a connection that it uses until the gateway closes it.
 type soakClient struct {
 	soak    *soak
 	number  int
@@ -76,7 +78,7 @@
 	}
 }
 
-// request sends one request and checks what comes of it.
+// request sends one request and checks its result.
 func (c *soakClient) request() {
 	c.sent++
 	id := fmt.Sprintf("c%d-%d", c.number, c.sent)
@@ -99,7 +101,7 @@
 	}
 	c.soak.count("requests")
 	if err != nil {
-		c.cutOff(id, path, sentAt, err)
+		c.checkLostResponse(id, path, sentAt, err)
 		c.disconnect()
 		return
 	}
@@ -109,9 +111,9 @@
 	}
 }
 
-// cutOff judges a connection that ended without a whole answer: it may, where its gateway was killed or suspended, or as the request
-// crossed its close and was not taken.
-func (c *soakClient) cutOff(id, path string, sentAt time.Time, err error) {
+// checkLostResponse checks a request whose connection ended before a complete response. That is allowed if the gateway was
+// killed or suspended, or if the gateway closed the connection while the request was in transit and did not accept it.
+func (c *soakClient) checkLostResponse(id, path string, sentAt time.Time, err error) {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		c.soak.count("requests without an answer in time")
 		return
@@ -121,31 +123,31 @@
 	for _, service := range simcluster.ExampleServices {
 		executed += c.soak.cluster.cluster.RequestLog.Executions(service, id)
 	}
-	if c.soak.wasUnsound(c.gateway, sentAt.Add(-soakLossSlack)) {
+	if c.soak.hadOutage(c.gateway, sentAt.Add(-soakMaxCloseDelay)) {
 		return
 	}
-	if executed > 0 || time.Since(sentAt) > soakLossSlack {
-		c.soak.find("%s on %s is cut off after %v by gateway %d, executed %d times: %w", id, path, time.Since(sentAt), c.gateway, executed, err)
+	if executed > 0 || time.Since(sentAt) > soakMaxCloseDelay {
+		c.soak.setFinding("%s on %s is cut off after %v by gateway %d, executed %d times: %w", id, path, time.Since(sentAt), c.gateway, executed, err)
 	}
 }
 
 func (c *soakClient) check(id, path string, response *http.Response, body []byte) {
 	executions := c.soak.cluster.cluster.RequestLog.Executions("once", id)
 	if executions > 1 {
-		c.soak.find("%s is executed %d times", id, executions)
+		c.soak.setFinding("%s is executed %d times", id, executions)
 	}
 	switch {
 	case response.StatusCode == http.StatusOK && path == rolloutSinglePath:
 		if !bytes.Equal(body, simcluster.ExpectedRecords(rolloutSingleService, id, simcluster.ExampleRecordCount)) {
-			c.soak.find("%s gets an answer that its server did not give", id)
+			c.soak.setFinding("%s gets an answer that its server did not give", id)
 		}
 		c.soak.count("requests served")
 	case response.StatusCode == http.StatusOK:
 		c.soak.count("requests served")
 	case response.StatusCode == http.StatusServiceUnavailable && path == "/once/x" && executions > 0:
-		c.soak.find("%s is answered that it has not run, and ran", id)
+		c.soak.setFinding("%s is answered that it has not run, and ran", id)
 	case response.StatusCode/100 == 4:
-		c.soak.find("%s on %s is answered %d", id, path, response.StatusCode)
+		c.soak.setFinding("%s on %s is answered %d", id, path, response.StatusCode)
 	default:
 		c.soak.count(fmt.Sprint("requests answered ", response.StatusCode))
 	}
--- a/internal/testing/experiment/soak_test.go
+++ b/internal/testing/experiment/soak_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// One seed of the soak, on built programs.
+// TestSoakOnBuiltPrograms runs the soak experiment on built programs with one seed.
 func TestSoakOnBuiltPrograms(t *testing.T) {
 	binaries := t.TempDir()
 	build := exec.Command("go", "build", "-o", binaries+"/", "oxbowspan/cmd/...")
--- a/internal/testing/experiment/store.go
+++ b/internal/testing/experiment/store.go
@@ -14,12 +14,12 @@
 func init() {
 	Register(Experiment{
 		Name:  "store",
-		Short: "Crash test: kills the gatherer under posts and counts what was executed",
-		Long: `store sends payment posts from clients that repeat what they got no response to, under the same key, to a gatherer with a
-store, and kills it at random moments, hundreds of times; now and then a file of its store is truncated at a random byte before the
-restart. The shard servers count the posts that they execute. It ends with a finding if a post was executed twice, if one was
-answered that was not executed, if a retry was called harmless after a post was executed, or if a request got no
-final response. Before that it measures what the store adds to posts and look-ups.`,
+		Short: "Crash test: kills the gatherer while clients send posts and counts the executions",
+		Long: `store sends payment posts to a gatherer with a store, from clients that retry requests without a response under the same
+idempotency key. It kills the gatherer at random times, hundreds of times; before some restarts a file of the store is truncated at a
+random byte. The shard servers count the posts that they execute. It ends with a finding if a post was executed twice, if one was
+answered that was not executed, if a response allowed a retry after the post was executed, or if a request got no final response.
+Before that it measures the latency of posts and look-ups with and without the store.`,
 		Run: runStore,
 	})
 }
@@ -27,7 +27,7 @@
 const (
 	storeServers  = 4
 	postQueryType = "post"
-	storePath     = "kept" // in the directory of the configuration
+	storePath     = "kept" // relative to the directory of the configuration
 	storeLinger   = "linger = 2ms\n"
 )
 
@@ -71,7 +71,7 @@
 	return e.runCrashTest(ctx)
 }
 
-// measureStoreLatency measures posts and look-ups without a store and with one.
+// measureStoreLatency measures the latency of posts and look-ups without a store and with one.
 func (e *Env) measureStoreLatency(ctx context.Context) error {
 	store := "[store]\npath = " + storePath + "\n"
 	for _, variant := range []struct{ name, operatorConfig string }{
@@ -102,7 +102,7 @@
 	return deployment.Stop()
 }
 
-// measureStoreRequests sends requests of a type and records their latency. All must be answered.
+// measureStoreRequests sends requests of a query type and records their latency. All of them must be answered.
 func (e *Env) measureStoreRequests(ctx context.Context, deployment *Deployment, variant, queryType string, clients int) error {
 	times := e.Scale(800, 8000)
 	latency := NewLatencyRecorder()
--- a/internal/testing/experiment/text.go
+++ b/internal/testing/experiment/text.go
@@ -9,7 +9,7 @@
 	"github.com/jedib0t/go-pretty/v6/table"
 )
 
-// WriteText writes a record's latencies, tables and metrics as tables for a terminal or in Markdown.
+// WriteText writes a record's latencies, tables and metrics as tables, in Markdown or for a terminal.
 func (r *Record) WriteText(w io.Writer, markdown bool) {
 	tables := []Table{r.latencyTable()}
 	tables = append(tables, r.Tables...)
