--- a/internal/testing/experiment/gatherer_config.go
+++ b/internal/testing/experiment/gatherer_config.go
@@ -2,7 +2,8 @@
 
 import "fmt"
 
-// gathererConfig is a gatherer's configuration file. Times are in milliseconds.
+// gathererConfig is the configuration file of a gatherer. Times are in milliseconds. The fields have the names of the balancer's
+// configuration where it has them.
 type gathererConfig struct {
 	Name      string           `json:"name"`
 	Listen    string           `json:"listen"`
@@ -13,35 +14,35 @@
 }
 
 type gathererLimits struct {
-	Cores    int `json:"cores"`
-	MemoryMB int `json:"memory_mb"`
-	Sockets  int `json:"sockets"`
+	Cores          int `json:"cores"`
+	MemoryMB       int `json:"memory_mb"`
+	MaxDescriptors int `json:"sockets"`
 }
 
 type gathererSettings struct {
-	QueryTypes     []queryTypeConfig `json:"classes"`
-	Tenants        []tenantConfig    `json:"tenants"`
-	MembershipMode string            `json:"membershipMode"`
-	Instances      int               `json:"instances"`
-	Tick           int               `json:"tick"`
-	Domain         domainConfig      `json:"domain"`
-	Limits         callLimits        `json:"limits"`
-	Feedback       feedbackConfig    `json:"feedback"`
-	Guarantees     guaranteesConfig  `json:"guarantees"`
+	QueryTypes      []queryTypeConfig `json:"classes"`
+	Tenants         []tenantConfig    `json:"tenants"`
+	MembershipMode  string            `json:"membershipMode"`
+	Instances       int               `json:"instances"`
+	ClockResolution int               `json:"tick"`
+	Domain          domainConfig      `json:"domain"`
+	Limits          callLimits        `json:"limits"`
+	Feedback        feedbackConfig    `json:"feedback"`
+	Guarantees      guaranteesConfig  `json:"guarantees"`
 }
 
 // queryTypeConfig is a query type.
 type queryTypeConfig struct {
-	Name      string  `json:"name"`
-	Effect    string  `json:"effect"`
-	SLO       int64   `json:"slo"`
-	HardLimit int64   `json:"hardLimit"`
-	LateValue float64 `json:"lateWorth"`
+	Name          string  `json:"name"`
+	Effect        string  `json:"effect"`
+	LatencyTarget int64   `json:"slo"`
+	ClientTimeout int64   `json:"hardLimit"`
+	LateValue     float64 `json:"lateWorth"`
 }
 
 type tenantConfig struct {
-	Name      string `json:"name"`
-	QuotaPerS int    `json:"quotaPerS"`
+	Name           string `json:"name"`
+	QuotaPerSecond int    `json:"quotaPerS"`
 }
 
 // domainConfig describes the servers and segments. The lists have one value for each query type.
@@ -60,7 +61,7 @@
 	Cancel        bool `json:"cancel"`
 	AllowHedging  bool `json:"secondCopies"`
 	DialTimeout   int  `json:"dialTimeout"`
-	IdleClose     int  `json:"idleClose"`
+	IdleTimeout   int  `json:"idleClose"`
 	MaxStreams    int  `json:"maxStreams"`
 	RetryAfter    bool `json:"retryAfter"`
 	MaxRetryAfter int  `json:"maxRetryAfter"`
@@ -86,17 +87,17 @@
 // newGathererConfig returns the configuration of a deployment's gatherer.
 func newGathererConfig(seed uint64, discoveryAddr string, options DeploymentOptions) gathererConfig {
 	settings := gathererSettings{
-		Tenants:        []tenantConfig{{Name: customer, QuotaPerS: 100_000}},
-		MembershipMode: "on_request",
-		Instances:      1,
-		Tick:           5,
-		Domain:         domainConfig{Cells: options.Servers, Segments: options.Segments, ReplicationFactor: 2, CallsPerFrame: 4},
+		Tenants:         []tenantConfig{{Name: customer, QuotaPerSecond: 100_000}},
+		MembershipMode:  "on_request",
+		Instances:       1,
+		ClockResolution: 5,
+		Domain:          domainConfig{Cells: options.Servers, Segments: options.Segments, ReplicationFactor: 2, CallsPerFrame: 4},
 		Limits: callLimits{
 			MaxAttempts:   4,
 			Cancel:        true,
 			AllowHedging:  true,
 			DialTimeout:   250,
-			IdleClose:     30_000,
+			IdleTimeout:   30_000,
 			MaxStreams:    64,
 			RetryAfter:    true,
 			MaxRetryAfter: 1000,
@@ -106,11 +107,11 @@
 	}
 	for _, t := range options.Types {
 		settings.QueryTypes = append(settings.QueryTypes, queryTypeConfig{
-			Name:      t.Name,
-			Effect:    t.Effect,
-			SLO:       t.LatencyTarget.Milliseconds(),
-			HardLimit: t.Timeout.Milliseconds(),
-			LateValue: lateValue,
+			Name:          t.Name,
+			Effect:        t.Effect,
+			LatencyTarget: t.LatencyTarget.Milliseconds(),
+			ClientTimeout: t.Timeout.Milliseconds(),
+			LateValue:     lateValue,
 		})
 		settings.Domain.MinCoverage = append(settings.Domain.MinCoverage, t.MinimumShare)
 		settings.Domain.CompleteCoverage = append(settings.Domain.CompleteCoverage, t.CompleteAt)
@@ -122,9 +123,9 @@
 		Discovery: discoveryAddr,
 		Seed:      fmt.Sprintf("%x", seed),
 		Limits: gathererLimits{
-			Cores:    4,
-			MemoryMB: max(options.MemoryMB, minimumMemoryMB),
-			Sockets:  max(options.MaxDescriptors, minimumDescriptors),
+			Cores:          4,
+			MemoryMB:       max(options.MemoryMB, minimumMemoryMB),
+			MaxDescriptors: max(options.MaxDescriptors, minimumDescriptors),
 		},
 		Settings: settings,
 	}
