--- a/controlplane/acceptor.go
+++ b/controlplane/acceptor.go
@@ -132,7 +132,7 @@
 		return next
 	}, func(_ consensus.AcceptorState, err error) {
 		if err != nil {
-			a.log.Warn().Err(err).Msg("acceptor: decided value not stored by catch-up")
+			a.log.Warn().Err(err).Msg("acceptor: caught up value not stored")
 			return
 		}
 		if accepted {
--- a/controlplane/controller.go
+++ b/controlplane/controller.go
@@ -82,7 +82,7 @@
 		log.Warn().Str("file", setAside).Msg("state: damaged file set aside, starting with a new identity")
 	}
 	if err := store.Refused(); err != nil {
-		log.Warn().Err(err).Msg("state: the state file can't be written, the acceptor doesn't vote until it can")
+		log.Warn().Err(err).Msg("state: the disk does not take the state file, voting for nothing until it does")
 	}
 	state := store.State()
 	base := consensus.Genesis(members)
--- a/dataplane/active_config.go
+++ b/dataplane/active_config.go
@@ -117,7 +117,7 @@
 	s.active.Store(next)
 	s.tenants.rebuildTenants()
 	s.endpoints.sync()
-	s.log.Info().Uint64("version", c.Version).Uint64("slot", slot).Int("routes", len(c.Routes)).Msg("config: version activated")
+	s.log.Info().Uint64("version", c.Version).Uint64("slot", slot).Int("routes", len(c.Routes)).Msg("config: active")
 }
 
 // newRoute assigns a query type to a configured route and shard indexes to its services. previous holds the query types of the previous
--- a/dataplane/client_conn.go
+++ b/dataplane/client_conn.go
@@ -56,10 +56,10 @@
 }
 
 // errClientDisconnected is returned by awaitResult when the client has closed the connection or its sending side.
-var errClientDisconnected = errors.New("client disconnected")
+var errClientDisconnected = errors.New("the client has left")
 
 // errStopped is returned by awaitResult when the gateway has stopped.
-var errStopped = errors.New("gateway stopped")
+var errStopped = errors.New("the gateway stops")
 
 // awaitResult waits for the result of the current request. It reads from the connection meanwhile, so that a disconnect
 // is detected at once; bytes of a pipelined request stay in the buffer. No second goroutine is needed, as deliver
--- a/dataplane/config_follower.go
+++ b/dataplane/config_follower.go
@@ -263,7 +263,7 @@
 	f.loop.post(func() { f.sink.applyPeerUpdate(update) })
 	if update.Slot > f.slot && update.HasConfig {
 		f.process.log.Info().Str("peer", address).Uint64("version", update.Version).
-			Msg("config: no controller with a quorum answers, configuration received from a peer")
+			Msg("config: no controller with a quorum answers, taken from a peer")
 		f.parseConfig(update)
 		f.slot = update.Slot
 	}
--- a/dataplane/conn_pool.go
+++ b/dataplane/conn_pool.go
@@ -223,7 +223,7 @@
 func (p *connPool) responseReceived(conn *serverConn, a *attempt, outcome balancer.Outcome, resp *fasthttp.Response, idleTimeout time.Duration) {
 	e := conn.endpoint
 	if other := misdirectedInstance(resp); other != "" && other != e.instance && !e.replaced {
-		p.process.log.Info().Str("instance", e.instance).Str("found", other).Msg("endpoints: another server answered at this address")
+		p.process.log.Info().Str("instance", e.instance).Str("found", other).Msg("endpoints: another server has the address")
 		e.replaced, idleTimeout = true, 0
 		p.sink.endpointReplaced(e)
 	}
--- a/dataplane/gateway.go
+++ b/dataplane/gateway.go
@@ -192,7 +192,7 @@
 	}
 	listener, err := g.process.network.Listen(address)
 	if err != nil {
-		g.process.log.Warn().Err(err).Str("address", address).Msg("metrics: cannot listen, metrics are not served")
+		g.process.log.Warn().Err(err).Str("address", address).Msg("metrics: not served")
 		return func() {}
 	}
 	server := metrics.NewServer(g.collectMetrics)
--- a/degradation/config.go
+++ b/degradation/config.go
@@ -57,7 +57,7 @@
 // Validate returns the problems of the configuration, one sentence each; none if it is valid.
 func (c Config) Validate() (problems []string) {
 	if len(c.Levels) == 0 {
-		problems = append(problems, "no level is configured")
+		problems = append(problems, "there is no level")
 	}
 	names := map[string]bool{}
 	for i, l := range c.Levels {
@@ -69,7 +69,7 @@
 	}
 	if c.ExitAfter <= 0 || c.EnterAfter < 0 || c.FlapWindow < 0 || c.SmoothingTime < 0 || c.StaleAfter <= 0 ||
 		c.MaxUpgradesPerMinute < 1 || c.MaxBackoff < 1 {
-		problems = append(problems, "a time is negative, or ExitAfter, StaleAfter, MaxUpgradesPerMinute or MaxBackoff is not positive")
+		problems = append(problems, "a time or a number is missing")
 	}
 	return problems
 }
@@ -77,14 +77,14 @@
 func (c Config) validateLevel(rank int) (problems []string) {
 	l := c.Levels[rank]
 	if rank == 0 && len(l.Conditions) > 0 {
-		problems = append(problems, fmt.Sprintf("level %s has conditions, but the first level is full service and must have none", l.Name))
+		problems = append(problems, fmt.Sprintf("level %s is full service and has conditions", l.Name))
 	}
 	if rank > 0 && len(l.Conditions) == 0 {
 		problems = append(problems, fmt.Sprintf("level %s is never entered: it has no condition", l.Name))
 	}
 	for _, condition := range l.Conditions {
 		if !(condition.Exit < condition.Enter) {
-			problems = append(problems, fmt.Sprintf("level %s: the exit threshold of %s is %g, not under the %g at which the level is entered",
+			problems = append(problems, fmt.Sprintf("level %s: %s is left at %g, not under the %g at which it is entered",
 				l.Name, condition.Signal, condition.Exit, condition.Enter))
 		}
 	}
