--- a/dataplane/abandon.go
+++ b/dataplane/abandon.go
@@ -35,8 +35,8 @@
 	d.finish(r, res)
 }
 
-// abandonAll ends all open requests. It is called when the gateway is about to stop.
-func (d *dispatcher) abandonAll() {
+// failOpenRequests ends all open requests. It is called when the gateway is about to stop.
+func (d *dispatcher) failOpenRequests() {
 	for _, id := range slices.Collect(maps.Keys(d.requests)) {
 		d.handleEvent(balancer.RequestCancelled{Request: id})
 		d.abandon(id, 0)
@@ -57,7 +57,7 @@
 		return
 	}
 	d.handleEvent(balancer.RequestCancelled{Request: r.id})
-	d.process.counters.clientsLeft.Add(1)
+	d.process.counters.clientDisconnects.Add(1)
 	d.finish(r, result{kind: resultFailed})
 	if r.route.RouteKind != config.Retryable {
 		return
--- a/dataplane/client_left_test.go
+++ b/dataplane/client_left_test.go
@@ -31,7 +31,7 @@
 	}{
 		{"single", "GET", "/one/x", func(c net.Conn) { c.Close() }, true, []string{"one"}},
 		{"gathered", "GET", "/all/x", func(c net.Conn) { c.Close() }, true, []string{"a0", "a1"}},
-		{"not retryable", "POST", oncePath + "x", func(c net.Conn) { c.Close() }, false, []string{"once"}},
+		{"not retryable", "POST", nonRetryablePath + "x", func(c net.Conn) { c.Close() }, false, []string{"once"}},
 		{"with a part of a pipelined request sent", "GET", "/one/x", func(c net.Conn) {
 			io.WriteString(c, requestText("GET", "/one/y", "next", time.Second)[:40])
 			c.Close()
@@ -46,7 +46,7 @@
 				test.disconnect(conn)
 				disconnectedAt := time.Now()
 				time.Sleep(2 * time.Second)
-				attempts := servers.seen("first")
+				attempts := servers.attemptsOf("first")
 				var reached []string
 				for _, a := range attempts {
 					reached = append(reached, a.service)
@@ -72,14 +72,14 @@
 	servers := &recordingServers{serviceTime: time.Millisecond}
 	slowDials := scenario{Dials: []time.Duration{200 * time.Millisecond}}
 	runWithRecordingServers(t, servers, slowDials, settings.Bounds{}, func(t *testing.T, b *testbed) {
-		for i, path := range []string{"/one/x", "/all/x", oncePath + "x"} {
+		for i, path := range []string{"/one/x", "/all/x", nonRetryablePath + "x"} {
 			conn := b.dialGateway(t)
 			id := fmt.Sprint("request-", i)
 			io.WriteString(conn, requestText("POST", path, id, 3*time.Second))
 			time.Sleep(50 * time.Millisecond)
 			conn.Close()
 			time.Sleep(2 * time.Second)
-			if attempts := servers.seen(id); len(attempts) > 0 {
+			if attempts := servers.attemptsOf(id); len(attempts) > 0 {
 				t.Errorf("%s was sent to %d servers although its client disconnected before", path, len(attempts))
 			}
 		}
@@ -157,12 +157,12 @@
 		{"/one/x", 3 * time.Second, 9},
 		{"/all/x", 500 * time.Millisecond, 2},
 		{"/all/x", 3 * time.Second, 9},
-		{oncePath + "x", 400 * time.Millisecond, 9},
-		{oncePath + "x", 3 * time.Second, 9},
+		{nonRetryablePath + "x", 400 * time.Millisecond, 9},
+		{nonRetryablePath + "x", 3 * time.Second, 9},
 	} {
 		name := fmt.Sprintf("%s %v, %d silent", strings.ReplaceAll(test.path, "/", " "), test.client, test.silent)
 		t.Run(name, func(t *testing.T) {
-			servers := &recordingServers{serviceTime: 5 * time.Millisecond, silent: test.silent}
+			servers := &recordingServers{serviceTime: 5 * time.Millisecond, unansweredRequests: test.silent}
 			runWithRecordingServers(t, servers, scenario{}, settings.Bounds{}, func(t *testing.T, b *testbed) {
 				conn := b.dialGateway(t)
 				defer conn.Close()
@@ -176,7 +176,7 @@
 				if took := time.Since(sent); took > limit+answerBound {
 					t.Errorf("status %d after %v, the limit is %v", resp.StatusCode, took, limit)
 				}
-				attempts := servers.seen("q")
+				attempts := servers.attemptsOf("q")
 				if len(attempts) == 0 {
 					t.Error("no server was reached")
 				}
@@ -195,7 +195,7 @@
 // receives more attempts than the route allows.
 func TestFailureComesFromOneServer(t *testing.T) {
 	for _, failures := range [][]int{{500}, {500, 502}, {500, 502, 507}, {507, 500, 502, 500, 500}} {
-		for _, path := range []string{"/one/x", oncePath + "x", "/all/x"} {
+		for _, path := range []string{"/one/x", nonRetryablePath + "x", "/all/x"} {
 			t.Run(fmt.Sprintf("%s %v", strings.ReplaceAll(path, "/", " "), failures), func(t *testing.T) {
 				servers := &recordingServers{serviceTime: 3 * time.Millisecond, failures: slices.Clone(failures)}
 				runWithRecordingServers(t, servers, scenario{}, settings.Bounds{}, func(t *testing.T, b *testbed) {
@@ -211,7 +211,7 @@
 						t.Errorf("status %d has the seal %q", resp.StatusCode, seal)
 					}
 					reached := map[string]int{}
-					for _, a := range servers.seen("q") {
+					for _, a := range servers.attemptsOf("q") {
 						reached[a.service]++
 					}
 					for service, attempts := range reached {
@@ -230,9 +230,9 @@
 // active meanwhile.
 func TestAttemptLimitAcrossResetsAndConfigurations(t *testing.T) {
 	for _, allowed := range []int{1, 3} {
-		for _, path := range []string{"/one/x", "/all/x", oncePath + "x"} {
+		for _, path := range []string{"/one/x", "/all/x", nonRetryablePath + "x"} {
 			t.Run(fmt.Sprintf("%s %d", strings.ReplaceAll(path, "/", " "), allowed), func(t *testing.T) {
-				servers := &recordingServers{serviceTime: 15 * time.Millisecond, broken: 1}
+				servers := &recordingServers{serviceTime: 15 * time.Millisecond, malformedEvery: 1}
 				runWithRecordingServers(t, servers, scenario{}, settings.Bounds{}, func(t *testing.T, b *testbed) {
 					b.activateAttempts(2, allowed)
 					time.Sleep(time.Millisecond)
@@ -245,7 +245,7 @@
 					}
 					time.Sleep(time.Second)
 					reached := map[string]int{}
-					for _, a := range servers.seen("q") {
+					for _, a := range servers.attemptsOf("q") {
 						reached[a.service]++
 					}
 					for service, count := range reached {
--- a/dataplane/conn_pool.go
+++ b/dataplane/conn_pool.go
@@ -112,7 +112,7 @@
 	conn := newServerConn(netConn, e)
 	p.process.goroutines.Go(func() { p.readResponses(conn) })
 	switch {
-	case !e.listed || e.state != registry.Ready:
+	case !e.selectable || e.state != registry.Ready:
 		// The server became unavailable during the dial: no request may be sent to it.
 		if !a.ended {
 			p.sink.attemptEnded(a, balancer.ConnectFailed, nil)
@@ -227,7 +227,7 @@
 		e.replaced, idleTimeout = true, 0
 		p.sink.endpointReplaced(e)
 	}
-	if idleTimeout > 0 && e.listed && !conn.closed && conn.reusable() {
+	if idleTimeout > 0 && e.selectable && !conn.closed && conn.reusable() {
 		conn.idleSince, conn.maxIdleTime = time.Now(), idleTimeout
 		e.idle = append(e.idle, conn)
 	} else {
--- a/dataplane/dispatcher.go
+++ b/dataplane/dispatcher.go
@@ -135,7 +135,7 @@
 		Number:     d.nextNumber(),
 		Type:       r.route.queryType,
 		Timeout:    r.deadline,
-		Candidates: d.rollouts.chooseAmong(r.route.alternatives),
+		Candidates: d.rollouts.versionCandidates(r.route.alternatives),
 	}
 	shards := r.route.shards
 	if len(shards) == 0 {
@@ -159,14 +159,14 @@
 // a gathered route.
 func (d *dispatcher) assignCandidateShards(call *shardCall, candidates []balancer.WeightedShard) {
 	if len(candidates) == 0 {
-		call.shard = d.rollouts.choose(call.shard)
+		call.shard = d.rollouts.selectShard(call.shard)
 		call.candidateShards = []balancer.ShardIndex{call.shard}
 	}
 	for _, candidate := range candidates {
 		call.candidateShards = append(call.candidateShards, candidate.Shard)
 	}
 	for _, shard := range call.candidateShards {
-		d.rollouts.opened(shard)
+		d.rollouts.callOpened(shard)
 	}
 }
 
@@ -239,7 +239,7 @@
 		sentAt:    now,
 		deadline:  now + action.Timeout,
 	}
-	if e == nil || call.request.finished || !e.listed {
+	if e == nil || call.request.finished || !e.selectable {
 		a.ended = true
 		call.attempts = append(call.attempts, nil)
 		d.pendingEvents = append(d.pendingEvents, balancer.AttemptEnded{Call: call.id, Attempt: a.number, Server: action.Server, Outcome: balancer.NotDispatched})
@@ -266,7 +266,7 @@
 func (d *dispatcher) attemptEnded(a *attempt, outcome balancer.Outcome, resp *fasthttp.Response) {
 	call, e := a.shardCall, a.endpoint
 	a.ended = true
-	d.rollouts.observe(a, outcome, d.loop.now()-a.sentAt)
+	d.rollouts.recordOutcome(a, outcome, d.loop.now()-a.sentAt)
 	call.attempts[a.number] = nil
 	call.inFlight--
 	e.load.add(d.loop.now(), -1)
@@ -348,7 +348,7 @@
 	if call.request.finished && call.inFlight == 0 && d.shardCalls[call.id] != nil {
 		delete(d.shardCalls, call.id)
 		for _, shard := range call.candidateShards {
-			d.rollouts.closed(shard)
+			d.rollouts.callClosed(shard)
 		}
 	}
 }
--- a/dataplane/endpoints.go
+++ b/dataplane/endpoints.go
@@ -26,7 +26,7 @@
 	lease           lease.Lease
 
 	replaced    bool   // a response showed that another server now has its address
-	listed      bool   // the balancer may send attempts to it
+	selectable  bool   // the balancer may send attempts to it
 	loggedState string // outlier state that was logged last
 	health      healthCheckState
 	load        endpointLoad
@@ -308,11 +308,11 @@
 	if own, limited := assigned[e.service]; !limited || own[e.instance] {
 		entry.State = e.balancerState()
 	}
-	e.listed = entry.State == balancer.Ready
-	if e.listed {
+	e.selectable = entry.State == balancer.Ready
+	if e.selectable {
 		t.usableByShard[t.shardOf(e)]++
 	}
-	if !e.listed {
+	if !e.selectable {
 		e.closeIdle()
 	}
 	e.trimIdle(entry.MaxInFlight)
--- a/dataplane/endpoints_test.go
+++ b/dataplane/endpoints_test.go
@@ -81,9 +81,9 @@
 func TestUnlistedServerIsRemoved(t *testing.T) {
 	ready := &rpc.ServerReport{Instance: "i", Service: "s", Sequence: 1}
 	for _, test := range []struct {
-		name   string
-		update *rpc.Update
-		listed bool
+		name       string
+		update     *rpc.Update
+		selectable bool
 	}{
 		{"complete list", &rpc.Update{Full: true, HasQuorum: true, Warm: true}, false},
 		{"partial list", &rpc.Update{HasQuorum: true, Warm: true}, true},
@@ -96,16 +96,16 @@
 			e := c.endpoints.byInstance["i"]
 			e.load.add(1, 1)
 			c.endpoints.applyReports(test.update)
-			if e.listed != test.listed {
-				t.Errorf("listed: %v, want %v", e.listed, test.listed)
+			if e.selectable != test.selectable {
+				t.Errorf("selectable: %v, want %v", e.selectable, test.selectable)
 			}
 			if c.endpoints.byInstance["i"] != e {
 				t.Fatal("a server is removed while an attempt is in flight there")
 			}
 			e.load.add(2, -1)
 			c.endpoints.removeIfRetired(e)
-			if known := c.endpoints.byInstance["i"] == e; known != test.listed {
-				t.Errorf("known without attempts in flight: %v, want %v", known, test.listed)
+			if known := c.endpoints.byInstance["i"] == e; known != test.selectable {
+				t.Errorf("known without attempts in flight: %v, want %v", known, test.selectable)
 			}
 		})
 	}
--- a/dataplane/gateway.go
+++ b/dataplane/gateway.go
@@ -239,7 +239,7 @@
 // The response states whether the request was not executed or may have been. It waits up to finalResponseTimeout until the responses are
 // written.
 func (g *Gateway) answerOpenRequests() {
-	g.loop.post(g.dispatcher.abandonAll)
+	g.loop.post(g.dispatcher.failOpenRequests)
 	for end := time.Now().Add(finalResponseTimeout); time.Now().Before(end) && g.front.openRequests.Load() > 0; {
 		time.Sleep(finalResponseCheckInterval)
 	}
--- a/dataplane/load_exchange.go
+++ b/dataplane/load_exchange.go
@@ -196,7 +196,7 @@
 	scale := float64(max(x.observedPeers, reporting)) / float64(reporting)
 	update := balancer.PeerUpdate{}
 	for _, e := range x.endpoints.byInstance {
-		if e.listed && x.observes(e) {
+		if e.selectable && x.observes(e) {
 			update.Loads = append(update.Loads, balancer.PeerLoad{Server: e.id, InFlight: totals[e.instance] * scale})
 		}
 	}
--- a/dataplane/metrics.go
+++ b/dataplane/metrics.go
@@ -12,7 +12,7 @@
 	attempts          [balancer.AttemptReasons]atomic.Uint64 // passed to an open connection or one being made
 	attemptsOverLimit [balancer.AttemptReasons]atomic.Uint64 // of these, beyond the maximum of the request's route: always 0
 	results           [resultKinds]atomic.Uint64             // passed to clients
-	clientsLeft       atomic.Uint64                          // requests whose client closed its connection before the result
+	clientDisconnects atomic.Uint64                          // requests whose client closed its connection before the result
 }
 
 // countAttempt counts an attempt that is being sent, and whether it exceeds the maximum of its route.
@@ -48,7 +48,7 @@
 			Help: "Results of requests passed to clients.",
 		},
 		{
-			Name: "oxbowspan_gateway_clients_left_total", Type: metrics.Counter, Samples: metrics.Single(float64(c.clientsLeft.Load())),
+			Name: "oxbowspan_gateway_clients_left_total", Type: metrics.Counter, Samples: metrics.Single(float64(c.clientDisconnects.Load())),
 			Help: "Requests whose client left before their result.",
 		},
 		{
--- a/dataplane/metrics_test.go
+++ b/dataplane/metrics_test.go
@@ -19,7 +19,7 @@
 
 // Attempts are counted by reason and results by kind. Clients that leave before their result are counted as well.
 func TestMetricsOfRequests(t *testing.T) {
-	servers := &recordingServers{serviceTime: 15 * time.Millisecond, broken: 1}
+	servers := &recordingServers{serviceTime: 15 * time.Millisecond, malformedEvery: 1}
 	runWithRecordingServers(t, servers, scenario{}, settings.Bounds{}, func(t *testing.T, b *testbed) {
 		conn := b.dialGateway(t)
 		defer conn.Close()
@@ -53,7 +53,7 @@
 func TestProbationAttemptsCountTowardsLimit(t *testing.T) {
 	for _, path := range []string{"/one/x", "/all/x"} {
 		t.Run(strings.ReplaceAll(path, "/", " "), func(t *testing.T) {
-			servers := &recordingServers{serviceTime: 15 * time.Millisecond, silent: 6}
+			servers := &recordingServers{serviceTime: 15 * time.Millisecond, unansweredRequests: 6}
 			runWithRecordingServers(t, servers, scenario{}, settings.Bounds{}, func(t *testing.T, b *testbed) {
 				b.activateAttempts(2, 1)
 				time.Sleep(12 * time.Second) // the retry budget covers probation attempts as well
@@ -104,17 +104,17 @@
 // A request that is on its way to the loop while its route is removed and another one is added keeps the limits of its own route. If the
 // new route took over the query type of the removed one, a request that must not be repeated could be retried.
 func TestRequestKeepsItsRouteAcrossConfigurations(t *testing.T) {
-	servers := &recordingServers{serviceTime: 15 * time.Millisecond, broken: 1}
+	servers := &recordingServers{serviceTime: 15 * time.Millisecond, malformedEvery: 1}
 	runWithRecordingServers(t, servers, scenario{}, settings.Bounds{}, func(t *testing.T, b *testbed) {
 		g := b.gateway
 		before := g.configs.load()
-		once := before.table.Find("h", oncePath+"x")
+		once := before.table.Find("h", nonRetryablePath+"x")
 		if once == nil {
-			t.Fatalf("no route for %s", oncePath+"x")
+			t.Fatalf("no route for %s", nonRetryablePath+"x")
 		}
 		results := make(chan result, 1)
 		r := &request{
-			route: before.routes[once], method: "POST", uri: oncePath + "x", attemptID: "q", header: []byte("Host: h\r\nX-Attempt-Id: q\r\n"),
+			route: before.routes[once], method: "POST", uri: nonRetryablePath + "x", attemptID: "q", header: []byte("Host: h\r\nX-Attempt-Id: q\r\n"),
 			deadline: ticks(800 * time.Millisecond), deliver: func(outcome result) { results <- outcome },
 		}
 		g.loop.post(func() {
@@ -132,7 +132,7 @@
 		g.dispatcher.submit(r)
 		outcome := <-results
 		outcome.release()
-		if seen := servers.seen("q"); len(seen) != 1 {
+		if seen := servers.attemptsOf("q"); len(seen) != 1 {
 			t.Errorf("a request that must not be repeated reached %d servers", len(seen))
 		}
 	})
--- a/dataplane/outlier_client.go
+++ b/dataplane/outlier_client.go
@@ -76,7 +76,7 @@
 func (o *outlierClient) syncServers() {
 	servers := map[outlier.Instance]outlier.Shard{}
 	for instance, e := range o.endpoints.byInstance {
-		if e.listed {
+		if e.selectable {
 			servers[outlier.Instance(instance)] = outlier.Shard(e.service)
 		}
 	}
--- a/dataplane/quota_client.go
+++ b/dataplane/quota_client.go
@@ -194,7 +194,7 @@
 func (q *quotaClient) countListedServers() map[string]float64 {
 	servers := map[string]float64{}
 	for _, e := range q.endpoints.byInstance {
-		if e.listed {
+		if e.selectable {
 			servers[e.service]++
 		}
 	}
@@ -206,7 +206,7 @@
 	inUse := map[string]map[string]float64{}
 	for _, usage := range q.limiter.ConnectionUsages(duration(now)) {
 		e := q.endpoints.byID[balancer.ServerID(usage.Server)]
-		if e == nil || !e.listed {
+		if e == nil || !e.selectable {
 			continue
 		}
 		if inUse[e.service] == nil {
--- a/dataplane/recordingserver_test.go
+++ b/dataplane/recordingserver_test.go
@@ -29,11 +29,11 @@
 // recordingServers record the requests that they receive, and answer each after serviceTime unless its connection ends
 // before.
 type recordingServers struct {
-	serviceTime time.Duration
-	silent      int // this many of the first requests get no answer
-	broken      int // from brokenFrom on, every n-th attempt gets a malformed answer; 0 = none
-	brokenFrom  time.Time
-	failures    []int // statuses of the first answers, each with its own seal; all later answers are successes
+	serviceTime        time.Duration
+	unansweredRequests int // this many of the first requests get no answer
+	malformedEvery     int // from malformedFrom on, every n-th attempt gets a malformed answer; 0 = none
+	malformedFrom      time.Time
+	failures           []int // statuses of the first answers, each with its own seal; all later answers are successes
 
 	mu       sync.Mutex
 	attempts []*recordedAttempt
@@ -81,8 +81,8 @@
 func (s *recordingServers) handleAttempt(conn net.Conn, reader *bufio.Reader, a *recordedAttempt) bool {
 	s.mu.Lock()
 	serviceTime := s.serviceTime
-	if s.silent > 0 {
-		s.silent--
+	if s.unansweredRequests > 0 {
+		s.unansweredRequests--
 		serviceTime = time.Hour
 	}
 	s.mu.Unlock()
@@ -125,11 +125,11 @@
 func (s *recordingServers) isBroken(a *recordedAttempt) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.broken > 0 && !a.arrived.Before(s.brokenFrom) && slices.Index(s.attempts, a)%s.broken == 0
+	return s.malformedEvery > 0 && !a.arrived.Before(s.malformedFrom) && slices.Index(s.attempts, a)%s.malformedEvery == 0
 }
 
-// seen returns the attempts of a request that were recorded so far.
-func (s *recordingServers) seen(id string) (attempts []recordedAttempt) {
+// attemptsOf returns the attempts of a request that were recorded so far.
+func (s *recordingServers) attemptsOf(id string) (attempts []recordedAttempt) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, a := range s.attempts {
--- a/dataplane/retry_budget_test.go
+++ b/dataplane/retry_budget_test.go
@@ -24,7 +24,7 @@
 	servers := &recordingServers{serviceTime: time.Millisecond}
 	runWithRecordingServers(t, servers, scenario{}, bounds, func(t *testing.T, b *testbed) {
 		start := time.Now()
-		servers.broken, servers.brokenFrom = 2, start.Add(failFrom)
+		servers.malformedEvery, servers.malformedFrom = 2, start.Add(failFrom)
 		for i := 0; time.Since(start) < duration; i++ {
 			conn := b.dialGateway(t)
 			io.WriteString(conn, requestText("GET", "/one/x", fmt.Sprint("request-", i), 300*time.Millisecond))
--- a/dataplane/rollouts.go
+++ b/dataplane/rollouts.go
@@ -156,8 +156,8 @@
 	return share
 }
 
-// choose returns the shard to which the next shard call of a service is sent, given the service's shard.
-func (t *rolloutTable) choose(shard balancer.ShardIndex) balancer.ShardIndex {
+// selectShard returns the shard to which the next shard call of a service is sent, given the service's shard.
+func (t *rolloutTable) selectShard(shard balancer.ShardIndex) balancer.ShardIndex {
 	r := t.byShard[shard]
 	if r == nil {
 		return shard
@@ -172,10 +172,10 @@
 	return r.oldShard
 }
 
-// chooseAmong replaces the shards of a route's services by the shards of their versions, weighted by the rollouts' shares. The balancer
-// chooses one of them, so that the service and the version are chosen by one element of one sequence: two sequences with the same step
-// would be correlated.
-func (t *rolloutTable) chooseAmong(alternatives []balancer.WeightedShard) []balancer.WeightedShard {
+// versionCandidates replaces the shards of a route's services by the shards of their versions, weighted by the
+// rollouts' shares. The balancer chooses one of them, so that the service and the version are chosen by one element of
+// one sequence: two sequences with the same step would be correlated.
+func (t *rolloutTable) versionCandidates(alternatives []balancer.WeightedShard) []balancer.WeightedShard {
 	if len(t.byShard) == 0 {
 		return alternatives
 	}
@@ -197,19 +197,20 @@
 	return chosen
 }
 
-// opened counts a shard call that may be sent to servers of a shard.
-func (t *rolloutTable) opened(shard balancer.ShardIndex) { t.openCalls[shard]++ }
+// callOpened counts a shard call that may be sent to servers of a shard.
+func (t *rolloutTable) callOpened(shard balancer.ShardIndex) { t.openCalls[shard]++ }
 
-// closed ends the count of a shard call that can no longer be sent to servers of the shard.
-func (t *rolloutTable) closed(shard balancer.ShardIndex) {
+// callClosed ends the count of a shard call that can no longer be sent to servers of the shard.
+func (t *rolloutTable) callClosed(shard balancer.ShardIndex) {
 	if t.openCalls[shard]--; t.openCalls[shard] <= 0 {
 		delete(t.openCalls, shard)
 	}
 }
 
-// observe records the outcome of an attempt. An attempt without a response counts only if its server has responded to other attempts since
-// it was sent: a server that responds to none, or a fault of the network, is no evidence about the version.
-func (t *rolloutTable) observe(a *attempt, outcome balancer.Outcome, elapsed balancer.Time) {
+// recordOutcome records the outcome of an attempt. An attempt without a response counts only if its server has
+// responded to other attempts since it was sent: a server that responds to none, or a fault of the network, is no
+// evidence about the version.
+func (t *rolloutTable) recordOutcome(a *attempt, outcome balancer.Outcome, elapsed balancer.Time) {
 	r := t.byService[a.endpoint.service]
 	if r == nil || r.State != rollout.Running || outcome.NeverRan() {
 		return
--- a/dataplane/rollouts_test.go
+++ b/dataplane/rollouts_test.go
@@ -54,7 +54,7 @@
 	const calls = 1000
 	target := 0
 	for range calls {
-		if table.choose(shards.shardIndex("s")) == shards.shardIndex(versionShard("s", "v2")) {
+		if table.selectShard(shards.shardIndex("s")) == shards.shardIndex(versionShard("s", "v2")) {
 			target++
 		}
 	}
@@ -107,7 +107,7 @@
 				t.Errorf("share %v of the calls goes to the target version, want %v", got, test.want)
 			}
 			total := 0.0
-			for _, candidate := range table.chooseAmong([]balancer.WeightedShard{{Shard: shards.shardIndex("s"), Weight: 3}, {Shard: 7, Weight: 1}}) {
+			for _, candidate := range table.versionCandidates([]balancer.WeightedShard{{Shard: shards.shardIndex("s"), Weight: 3}, {Shard: 7, Weight: 1}}) {
 				total += candidate.Weight
 				if candidate.Shard == shards.shardIndex(versionShard("s", "v2")) && math.Abs(candidate.Weight-3*test.want) > 0.01 {
 					t.Errorf("the target version has weight %v, want 3 times %v", candidate.Weight, test.want)
@@ -135,14 +135,14 @@
 			t.Errorf("servers of version %q belong to shard %q, want %q", version, got, want)
 		}
 	}
-	if got := table.choose(shards.shardIndex("s")); got != shards.shardIndex(versionShard("s", "v2")) {
+	if got := table.selectShard(shards.shardIndex("s")); got != shards.shardIndex(versionShard("s", "v2")) {
 		t.Errorf("a call goes to shard %d, want the shard of version v2", got)
 	}
 	shared := balancer.BudgetShared{Shard: shards.shardIndex(versionShard("s", "v3")), With: shards.shardIndex("s")}
 	if !slices.Contains(table.events.(*recordedEvents).events, balancer.Event(shared)) {
 		t.Error("the servers of the target version do not share the retry budget of the service")
 	}
-	if got := table.choose(99); got != 99 {
+	if got := table.selectShard(99); got != 99 {
 		t.Errorf("a call of another service goes to shard %d, want 99", got)
 	}
 }
@@ -157,7 +157,7 @@
 	end := func(e *endpoint, outcome balancer.Outcome, elapsed time.Duration) {
 		a := &attempt{shardCall: &shardCall{request: r}, endpoint: e, sentAt: loop.time}
 		loop.time += ticks(elapsed)
-		table.observe(a, outcome, ticks(elapsed))
+		table.recordOutcome(a, outcome, ticks(elapsed))
 	}
 	for range 20 {
 		end(old, balancer.Answered, 10*time.Millisecond)
@@ -171,9 +171,9 @@
 	unanswered := &attempt{shardCall: &shardCall{request: r}, endpoint: target, sentAt: loop.time}
 	end(target, balancer.Answered, 11*time.Millisecond)
 	// Bad: the server has responded to another attempt since.
-	table.observe(unanswered, balancer.TimedOut, ticks(time.Second))
+	table.recordOutcome(unanswered, balancer.TimedOut, ticks(time.Second))
 	// Not counted: it belongs to another service.
-	table.observe(&attempt{shardCall: &shardCall{request: r}, endpoint: &endpoint{service: "t"}}, balancer.Errored, ticks(1))
+	table.recordOutcome(&attempt{shardCall: &shardCall{request: r}, endpoint: &endpoint{service: "t"}}, balancer.Errored, ticks(1))
 	report := table.report()
 	if len(report.GetRollouts()) != 1 || len(report.Rollouts[0].Routes) != 1 {
 		t.Fatalf("report %v, want one rollout with one route", report)
@@ -190,13 +190,13 @@
 // Shard calls to servers of the old version are counted as open until they can no longer be sent there.
 func TestRolloutCountsOpenCalls(t *testing.T) {
 	table, shards, _ := newTestRollouts()
-	table.opened(shards.shardIndex("s")) // before the rollout began
+	table.callOpened(shards.shardIndex("s")) // before the rollout began
 	table.apply(rolloutDocument(1, rollout.Rollout{Number: 1, Service: "s", TargetVersion: "v2", DurationS: 15, State: rollout.Running, Step: 4}))
 	for _, want := range []uint32{1, 0} {
 		if got := table.report().Rollouts[0].OpenOld; got != want {
 			t.Errorf("%d calls are reported as open, want %d", got, want)
 		}
-		table.closed(shards.shardIndex("s"))
+		table.callClosed(shards.shardIndex("s"))
 	}
 	table.apply(rolloutDocument(2, rollout.Rollout{Number: 1, Service: "s", TargetVersion: "v2", DurationS: 15, State: rollout.Completed, Step: 4}))
 	if table.report() != nil {
--- a/dataplane/scenario_test.go
+++ b/dataplane/scenario_test.go
@@ -17,13 +17,13 @@
 	Kind             string        // of the response, one of responseKinds
 	Delay            time.Duration // before the server responds
 	Before           string        // sent before the response: "" or one of sentBefore
-	Cut              int           // percentage of the response's bytes that is sent
+	SentPercent      int           // percentage of the response's bytes that is sent
 	Pause            time.Duration // within the response
 	PauseAt          int           // percentage of the response's bytes sent before the pause
 	After            string        // sent after the response: "" or one of sentAfter
-	Keep             string        // header lines that control connection reuse
+	ReuseHeader      string        // header lines that control connection reuse
 	AnswerBeforeBody bool          // the server responds before it reads the body
-	IdleEnd          time.Duration // idle time after which the server closes the connection, 0 = never
+	IdleTimeout      time.Duration // idle time after which the server closes the connection, 0 = never
 }
 
 // clientStep is one request of a client.
@@ -31,7 +31,7 @@
 	Path       string
 	Body       int           // bytes
 	Pipelined  bool          // the request is written together with the next one
-	GiveUp     time.Duration // time after which the client closes the connection, 0 = its timeout
+	CloseAfter time.Duration // time after which the client closes the connection, 0 = its timeout
 	TruncateAt int           // percentage of the bytes written together after which the client closes the connection, 0 = never
 	Pause      time.Duration // before the request
 	Deadline   time.Duration // stated in the request
@@ -46,12 +46,12 @@
 
 // scenario is the behaviour of all servers, connections and clients. Steps are used cyclically.
 type scenario struct {
-	Servers   int // of each service
-	Script    []serverStep
-	Writes    []writeStep
-	Dials     []time.Duration // duration of each dial
-	Clients   [][]clientStep
-	KillAfter time.Duration // time after which the gateway is killed and restarted; 0 = never
+	Servers     int // of each service
+	ServerSteps []serverStep
+	Writes      []writeStep
+	Dials       []time.Duration // duration of each dial
+	Clients     [][]clientStep
+	KillAfter   time.Duration // time after which the gateway is killed and restarted; 0 = never
 }
 
 // drawMillis draws one of the given durations in milliseconds.
@@ -76,7 +76,7 @@
 )
 
 var serverStepGenerator = rapid.Custom(func(t *rapid.T) serverStep {
-	s := serverStep{Kind: "complete", Cut: 100, Delay: drawMillisRange(t, "delay", 0, 30)}
+	s := serverStep{Kind: "complete", SentPercent: 100, Delay: drawMillisRange(t, "delay", 0, 30)}
 	if !oneIn(t, "regular", 3) {
 		s.Kind = rapid.SampledFrom(responseKinds).Draw(t, "kind")
 	}
@@ -87,18 +87,18 @@
 		s.After = rapid.SampledFrom(sentAfter).Draw(t, "sent after")
 	}
 	if oneIn(t, "cut", 7) {
-		s.Cut = rapid.IntRange(0, 99).Draw(t, "cut at")
+		s.SentPercent = rapid.IntRange(0, 99).Draw(t, "cut at")
 	}
 	if oneIn(t, "pause", 5) {
 		s.Pause = drawMillis(t, "pause for", 1, 40, 700)
 		s.PauseAt = rapid.IntRange(0, 100).Draw(t, "pause at")
 	}
 	if oneIn(t, "keep", 7) {
-		s.Keep = rapid.SampledFrom([]string{"Connection: close\r\n", "Keep-Alive: timeout=1\r\n", "Keep-Alive: timeout=0\r\n"}).Draw(t, "kept")
+		s.ReuseHeader = rapid.SampledFrom([]string{"Connection: close\r\n", "Keep-Alive: timeout=1\r\n", "Keep-Alive: timeout=0\r\n"}).Draw(t, "kept")
 	}
 	s.AnswerBeforeBody = oneIn(t, "answer before body", 4)
 	if oneIn(t, "idle end", 5) {
-		s.IdleEnd = drawMillisRange(t, "idle end after", 0, 20)
+		s.IdleTimeout = drawMillisRange(t, "idle end after", 0, 20)
 	}
 	return s
 })
@@ -109,12 +109,12 @@
 		Deadline: drawMillis(t, "deadline", 50, 300, 900),
 		Pause:    drawMillis(t, "client's pause", 0, 0, 3, 20, 150),
 	}
-	if strings.HasPrefix(c.Path, oncePath) {
+	if strings.HasPrefix(c.Path, nonRetryablePath) {
 		c.Body = rapid.SampledFrom([]int{0, 10, 9000, 60000}).Draw(t, "body")
 	}
 	c.Pipelined = oneIn(t, "pipelined", 4)
 	if oneIn(t, "gives up", 10) {
-		c.GiveUp = drawMillisRange(t, "gives up after", 1, 60)
+		c.CloseAfter = drawMillisRange(t, "gives up after", 1, 60)
 	}
 	if oneIn(t, "truncated", 12) {
 		c.TruncateAt = rapid.IntRange(1, 99).Draw(t, "truncated at")
@@ -135,9 +135,9 @@
 
 var scenarioGenerator = rapid.Custom(func(t *rapid.T) scenario {
 	s := scenario{
-		Servers: rapid.SampledFrom([]int{1, 1, 2}).Draw(t, "servers"),
-		Script:  rapid.SliceOfN(serverStepGenerator, 1, 12).Draw(t, "script"),
-		Writes:  rapid.SliceOfN(writeStepGenerator, 1, 8).Draw(t, "writes"),
+		Servers:     rapid.SampledFrom([]int{1, 1, 2}).Draw(t, "servers"),
+		ServerSteps: rapid.SliceOfN(serverStepGenerator, 1, 12).Draw(t, "script"),
+		Writes:      rapid.SliceOfN(writeStepGenerator, 1, 8).Draw(t, "writes"),
 	}
 	for range rapid.IntRange(1, 3).Draw(t, "dials") {
 		s.Dials = append(s.Dials, drawMillis(t, "dial takes", 0, 0, 0, 20, 120))
@@ -161,7 +161,7 @@
 		if b.violation != "" {
 			rt.Fatal(b.violation)
 		}
-		served += b.served
+		served += b.succeeded
 	})
 	if !t.Failed() && served == 0 {
 		t.Error("no request was served in any scenario")
@@ -182,11 +182,11 @@
 		t.Run(test.name, func(t *testing.T) {
 			step := clientStep{Path: "/once/x", Deadline: 300 * time.Millisecond, Pause: 10 * time.Millisecond}
 			b := runScenario(t, scenario{
-				Servers: 1,
-				Script:  []serverStep{{Kind: "complete", Cut: 100}},
-				Writes:  []writeStep{{}, {Fails: true, At: test.bytesWritten}, {}},
-				Dials:   []time.Duration{0},
-				Clients: [][]clientStep{{step, step}},
+				Servers:     1,
+				ServerSteps: []serverStep{{Kind: "complete", SentPercent: 100}},
+				Writes:      []writeStep{{}, {Fails: true, At: test.bytesWritten}, {}},
+				Dials:       []time.Duration{0},
+				Clients:     [][]clientStep{{step, step}},
 			})
 			if b.violation != "" {
 				t.Error(b.violation)
--- a/dataplane/testbed_test.go
+++ b/dataplane/testbed_test.go
@@ -46,7 +46,7 @@
 	runs       map[string]int         // number of executions, by service and id
 	statuses   map[string]int         // of responses, by id
 	answeredAt map[string]time.Time   // by id
-	served     int                    // number of requests that succeeded
+	succeeded  int                    // number of requests that succeeded
 	violation  string                 // the first violation; "" = none
 }
 
@@ -56,8 +56,8 @@
 	body         []byte
 }
 
-// violate records a violation of a rule, unless one has been recorded already.
-func (b *testbed) violate(rule, format string, args ...any) {
+// recordViolation records a violation of a rule, unless one has been recorded already.
+func (b *testbed) recordViolation(rule, format string, args ...any) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.violation == "" {
@@ -88,10 +88,10 @@
 }
 
 const (
-	gatewayHost  = "10.0.0.1"
-	clientHost   = "10.0.9.9"
-	frontAddress = gatewayHost + ":8000"
-	oncePath     = "/once/" // path prefix of requests that must not be repeated
+	gatewayHost      = "10.0.0.1"
+	clientHost       = "10.0.9.9"
+	frontAddress     = gatewayHost + ":8000"
+	nonRetryablePath = "/once/" // path prefix of requests that must not be repeated
 )
 
 var services = []string{"once", "one", "a0", "a1"}
@@ -99,7 +99,7 @@
 // run runs the gateway, the servers and the clients of the scenario, and checks the executions at the end.
 func (b *testbed) run(t *testing.T) {
 	t.Helper()
-	listeners, reports := b.listenServers(t, b.acceptServer)
+	listeners, reports := b.listenServers(t, b.runServer)
 	stop := b.startGateway(t, reports)
 	restarted := make(chan struct{})
 	go func() {
@@ -161,7 +161,7 @@
 // testRoutes returns a route whose requests must not be repeated, one whose requests may be, and a gathered one.
 func testRoutes() []config.Route {
 	return []config.Route{
-		{Hostname: "h", PathPrefix: oncePath, RouteKind: config.NonRetryable, TimeoutMS: 900, TargetMS: 90, Service: "once", Attempts: 3},
+		{Hostname: "h", PathPrefix: nonRetryablePath, RouteKind: config.NonRetryable, TimeoutMS: 900, TargetMS: 90, Service: "once", Attempts: 3},
 		{Hostname: "h", PathPrefix: "/one/", RouteKind: config.Retryable, TimeoutMS: 900, TargetMS: 90, Service: "one", Attempts: 3},
 		{Hostname: "h", PathPrefix: "/all/", RouteKind: config.Retryable, TimeoutMS: 900, TargetMS: 90, GatheredServices: []string{"a0", "a1"},
 			Attempts: 3, TopRecords: 6, MinimumShare: 0.5},
@@ -250,7 +250,7 @@
 func (c *faultyConn) Write(text []byte) (int, error) {
 	step := c.testbed.nextWrite()
 	if c.writing.Swap(true) {
-		c.testbed.violate(unsolicited, "a request is written while another write to the connection is in progress")
+		c.testbed.recordViolation(unsolicited, "a request is written while another write to the connection is in progress")
 	}
 	defer c.writing.Store(false)
 	at := step.At
@@ -293,7 +293,7 @@
 	sent, known := b.sent[id]
 	b.mu.Unlock()
 	if !known || sent.method != req.Method || sent.path != req.RequestURI || bodyRead && string(sent.body) != string(body) {
-		b.violate(unsolicited, "%s received %s %s with id %q and a body of %d bytes, which differs from any request sent", service, req.Method, req.RequestURI, id, len(body))
+		b.recordViolation(unsolicited, "%s received %s %s with id %q and a body of %d bytes, which differs from any request sent", service, req.Method, req.RequestURI, id, len(body))
 	}
 }
 
@@ -304,22 +304,22 @@
 	answeredAt, large := b.answeredAt[id], len(b.sent[id].body) > smallRequestBytes
 	b.mu.Unlock()
 	if late := time.Since(answeredAt); !answeredAt.IsZero() && late > 5*time.Millisecond && !large {
-		b.violate(unsolicited, "%s received %s %v after it was answered", service, id, late)
+		b.recordViolation(unsolicited, "%s received %s %v after it was answered", service, id, late)
 	}
 }
 
 // checkExecutions checks, after the run, how often requests that must not be repeated were executed.
 func (b *testbed) checkExecutions() {
 	for id, sent := range b.sent {
-		if !strings.HasPrefix(sent.path, oncePath) {
+		if !strings.HasPrefix(sent.path, nonRetryablePath) {
 			continue
 		}
 		runs := b.runs["once "+id]
 		switch status := b.statuses[id]; {
 		case runs > 1:
-			b.violate(duplicated, "%s was executed %d times", id, runs)
+			b.recordViolation(duplicated, "%s was executed %d times", id, runs)
 		case runs > 0 && promisesNotExecuted(status):
-			b.violate(falseRejection, "%s was executed and answered with status %d", id, status)
+			b.recordViolation(falseRejection, "%s was executed and answered with status %d", id, status)
 		}
 	}
 }
--- a/dataplane/testclient_test.go
+++ b/dataplane/testclient_test.go
@@ -28,7 +28,7 @@
 type batch struct {
 	text       []byte
 	ids        []string
-	giveUp     time.Duration // as clientStep.GiveUp
+	closeAfter time.Duration // as clientStep.CloseAfter
 	truncateAt int           // as clientStep.TruncateAt
 	pause      time.Duration // of the last request
 	next       int           // index of the first step after the batch
@@ -41,7 +41,7 @@
 	for i := 0; i < len(steps); {
 		time.Sleep(steps[i].Pause)
 		if err := c.connect(); err != nil {
-			b.violate(unavailable, "%v", err)
+			b.recordViolation(unavailable, "%v", err)
 			return
 		}
 		sent := c.newBatch(steps, i)
@@ -86,7 +86,7 @@
 		built.text = fmt.Appendf(built.text, "%s %s HTTP/1.1\r\nHost: h\r\nX-Attempt-Id: %s\r\nX-Deadline-Remaining: %d\r\nContent-Length: %d\r\n\r\n%s",
 			request.method, request.path, id, step.Deadline/time.Millisecond, len(request.body), request.body)
 		built.ids = append(built.ids, id)
-		built.giveUp, built.truncateAt = cmp.Or(built.giveUp, step.GiveUp), cmp.Or(built.truncateAt, step.TruncateAt)
+		built.closeAfter, built.truncateAt = cmp.Or(built.closeAfter, step.CloseAfter), cmp.Or(built.truncateAt, step.TruncateAt)
 		if !step.Pipelined || i+1 == len(steps) {
 			built.pause, built.next = step.Pause, i+1
 			return built
@@ -97,7 +97,7 @@
 // request returns the request that the client sends in a step.
 func (s clientStep) request() sentRequest {
 	method := "GET"
-	if strings.HasPrefix(s.Path, oncePath) {
+	if strings.HasPrefix(s.Path, nonRetryablePath) {
 		method = "POST"
 	}
 	if strings.HasSuffix(s.Path, "/head") {
@@ -122,14 +122,14 @@
 	}
 	c.conn.Write(sent.text)
 	for _, id := range sent.ids {
-		c.conn.SetReadDeadline(time.Now().Add(cmp.Or(sent.giveUp, 3*time.Second)))
+		c.conn.SetReadDeadline(time.Now().Add(cmp.Or(sent.closeAfter, 3*time.Second)))
 		if !c.readResponse(id) {
 			c.disconnect()
 			return
 		}
 	}
 	if c.reader.Buffered() > 0 {
-		c.testbed.violate(misrouted, "%d bytes arrived while no request was pending", c.reader.Buffered())
+		c.testbed.recordViolation(misrouted, "%d bytes arrived while no request was pending", c.reader.Buffered())
 	}
 }
 
@@ -140,7 +140,7 @@
 	}
 	c.conn.SetReadDeadline(time.Now().Add(time.Second))
 	if _, err := c.reader.Peek(1); err == nil {
-		c.testbed.violate(misrouted, "data arrived while no request was pending")
+		c.testbed.recordViolation(misrouted, "data arrived while no request was pending")
 	}
 }
 
@@ -153,7 +153,7 @@
 	resp, err := http.ReadResponse(c.reader, &http.Request{Method: sent.method})
 	if err != nil {
 		if strings.Contains(err.Error(), "malformed") {
-			b.violate(misrouted, "%s received a malformed response: %v", id, err)
+			b.recordViolation(misrouted, "%s received a malformed response: %v", id, err)
 		}
 		return false
 	}
@@ -163,10 +163,10 @@
 	}
 	b.recordResponse(id, resp.StatusCode)
 	if got := resp.Header.Get("X-Attempt-Id"); got != "" && got != id {
-		b.violate(misrouted, "%s received the response to %s", id, got)
+		b.recordViolation(misrouted, "%s received the response to %s", id, got)
 	}
 	if resp.StatusCode < 200 || resp.StatusCode > 599 {
-		b.violate(misrouted, "%s received the invalid status %d", id, resp.StatusCode)
+		b.recordViolation(misrouted, "%s received the invalid status %d", id, resp.StatusCode)
 	}
 	if resp.StatusCode/100 == 2 {
 		b.checkSuccess(id, sent, resp, body)
@@ -179,7 +179,7 @@
 	defer b.mu.Unlock()
 	b.statuses[id], b.answeredAt[id] = status, time.Now()
 	if status/100 == 2 {
-		b.served++
+		b.succeeded++
 	}
 }
 
@@ -191,7 +191,7 @@
 	service := strings.Split(sent.path, "/")[1]
 	if service != "all" {
 		if resp.Header.Get("X-Server-Seal") != service+"."+id || !bytes.Equal(body, responseRecords(service, id)) {
-			b.violate(misrouted, "%s received another body or another seal than its server sent: %q", id, resp.Header.Get("X-Server-Seal"))
+			b.recordViolation(misrouted, "%s received another body or another seal than its server sent: %q", id, resp.Header.Get("X-Server-Seal"))
 		}
 		return
 	}
@@ -199,12 +199,12 @@
 	for _, seal := range strings.Split(resp.Header.Get("X-Part-Seals"), ", ") {
 		shard, of, _ := strings.Cut(seal, ".")
 		if of != id {
-			b.violate(misrouted, "%s received a shard response with the seal %q", id, seal)
+			b.recordViolation(misrouted, "%s received a shard response with the seal %q", id, seal)
 		}
 		records = slices.AppendSeq(records, slices.Chunk(responseRecords(shard, id), topk.RecordBytes))
 	}
 	slices.SortFunc(records, func(a, b []byte) int { return bytes.Compare(b, a) })
 	if !bytes.Equal(slices.Concat(records...), body) {
-		b.violate(misrouted, "%s received records that are not the greatest of its shards", id)
+		b.recordViolation(misrouted, "%s received records that are not the greatest of its shards", id)
 	}
 }
--- a/dataplane/testserver_test.go
+++ b/dataplane/testserver_test.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// acceptServer runs one server: it accepts connections and serves each by the scenario's script.
-func (b *testbed) acceptServer(l net.Listener, service string) {
+// runServer runs one server: it accepts connections and serves each by the scenario's steps.
+func (b *testbed) runServer(l net.Listener, service string) {
 	for {
 		conn, err := l.Accept()
 		if err != nil {
@@ -44,7 +44,7 @@
 		if !ok {
 			return
 		}
-		idle = step.IdleEnd
+		idle = step.IdleTimeout
 	}
 }
 
@@ -65,7 +65,7 @@
 func (s *serverSession) serveRequest() (step serverStep, ok bool) {
 	req, err := http.ReadRequest(s.reader)
 	if err != nil {
-		s.testbed.violate(unsolicited, "%s received a malformed request: %v", s.service, err)
+		s.testbed.recordViolation(unsolicited, "%s received a malformed request: %v", s.service, err)
 		return step, false
 	}
 	step = s.testbed.nextStep()
@@ -123,7 +123,7 @@
 func (s *serverSession) checkNoFurtherRequest() {
 	s.conn.SetReadDeadline(time.Now().Add(time.Microsecond))
 	if _, err := s.reader.Peek(1); err == nil {
-		s.testbed.violate(unsolicited, "%s received a request before it had answered the previous one", s.service)
+		s.testbed.recordViolation(unsolicited, "%s received a request before it had answered the previous one", s.service)
 	}
 	s.conn.SetReadDeadline(time.Time{})
 }
@@ -142,7 +142,7 @@
 // sendResponse sends the part of a response that the step specifies. It reports whether the connection stays open.
 func (s *serverSession) sendResponse(step serverStep, text []byte, complete bool) bool {
 	pauseAt := len(text) * step.PauseAt / 100
-	cut := len(text) * step.Cut / 100
+	cut := len(text) * step.SentPercent / 100
 	if !complete {
 		cut = 0
 	}
@@ -153,7 +153,7 @@
 	} else {
 		s.conn.Write(text[:cut])
 	}
-	if complete && cut == len(text) && !strings.Contains(step.Keep, "close") {
+	if complete && cut == len(text) && !strings.Contains(step.ReuseHeader, "close") {
 		return true
 	}
 	if step.Kind == "silent" || step.Pause > 100*time.Millisecond {
@@ -187,7 +187,7 @@
 func (b *testbed) nextStep() serverStep {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	step := b.scenario.Script[b.steps%len(b.scenario.Script)]
+	step := b.scenario.ServerSteps[b.steps%len(b.scenario.ServerSteps)]
 	b.steps++
 	return step
 }
@@ -252,10 +252,10 @@
 		status = "000 OK"
 	}
 	if s.Kind == "chunked" {
-		text = fmt.Appendf(nil, "HTTP/1.1 %s\r\n%s%sTransfer-Encoding: chunked\r\n\r\n", status, lines, s.Keep)
+		text = fmt.Appendf(nil, "HTTP/1.1 %s\r\n%s%sTransfer-Encoding: chunked\r\n\r\n", status, lines, s.ReuseHeader)
 		return fmt.Appendf(text, "%x;x=y\r\n%s\r\n0\r\nX-Sum: 1\r\n\r\n", len(body), body), true
 	}
-	return fmt.Appendf(nil, "HTTP/1.1 %s\r\n%s%sContent-Length: %d\r\n\r\n%s", status, lines, s.Keep, len(body), body), true
+	return fmt.Appendf(nil, "HTTP/1.1 %s\r\n%s%sContent-Length: %d\r\n\r\n%s", status, lines, s.ReuseHeader, len(body), body), true
 }
 
 // responseRecords returns the records that a service returns for a request.
