--- a/gatherer/attempts.go
+++ b/gatherer/attempts.go
@@ -9,15 +9,15 @@
 	"oxbowspan/merge"
 )
 
-// outBatch holds the attempts for one server that result from one call of Balancer.Handle.
-type outBatch struct {
+// attemptBatch holds the attempts for one server that result from one call of Balancer.Handle.
+type attemptBatch struct {
 	server   *server
 	attempts []shardconn.Attempt
 }
 
-// gatherAttempt adds an attempt to the batch of its server. An attempt whose server is gone or whose request is
-// finished ends at once as never dispatched.
-func (d *dispatcher) gatherAttempt(batches []outBatch, send balancer.Send) []outBatch {
+// addToBatch adds an attempt to the batch of its server. An attempt whose server is gone or whose request is finished
+// ends at once as never dispatched.
+func (d *dispatcher) addToBatch(batches []attemptBatch, send balancer.Send) []attemptBatch {
 	call, s := d.calls[send.Call], d.servers[send.Server]
 	if call == nil {
 		return batches
@@ -43,12 +43,12 @@
 			return batches
 		}
 	}
-	return append(batches, outBatch{s, []shardconn.Attempt{attempt}})
+	return append(batches, attemptBatch{s, []shardconn.Attempt{attempt}})
 }
 
 // dispatchBatches submits each batch to the client of its server. If that client's mailbox is full, the attempts of the
 // batch end as never dispatched.
-func (d *dispatcher) dispatchBatches(batches []outBatch) {
+func (d *dispatcher) dispatchBatches(batches []attemptBatch) {
 	for _, b := range batches {
 		if b.server.client.TrySubmit(shardconn.Dispatch{Attempts: b.attempts}) {
 			b.server.inFlight += len(b.attempts)
--- a/gatherer/calls_test.go
+++ b/gatherer/calls_test.go
@@ -14,9 +14,9 @@
 
 func TestRequestsReuseServerConnection(t *testing.T) {
 	a := startShard(t, "s-a", nil)
-	p := start(t, startList(t, a), nil)
+	p := startProgram(t, startDiscovery(t, a), nil)
 	for range 3 {
-		if status, body, _ := p.ask("lookup", 0, 1, 2); status != 200 || body != completeAnswer(0, 1, 2) {
+		if status, body, _ := p.sendRequest("lookup", 0, 1, 2); status != 200 || body != completeAnswer(0, 1, 2) {
 			t.Fatalf("got %d %s", status, body)
 		}
 	}
@@ -42,10 +42,10 @@
 func TestServerFailureDuringRequest(t *testing.T) {
 	a := startShard(t, "s-a", func(c *standin.ShardConn, _ standin.ShardCall) { c.Reset() })
 	b := startShard(t, "s-b", func(c *standin.ShardConn, _ standin.ShardCall) { c.Reset() })
-	l := startList(t, a, b)
-	p := start(t, l, nil)
+	l := startDiscovery(t, a, b)
+	p := startProgram(t, l, nil)
 	// A call that is not idempotent may have run on the broken connection, so its request is neither retried nor shed.
-	status, _, id := p.ask("post", 0)
+	status, _, id := p.sendRequest("post", 0)
 	if status != http.StatusGatewayTimeout {
 		t.Errorf("a request whose call may have run got status %d, want 504", status)
 	}
@@ -56,13 +56,13 @@
 	if got := <-first.Received; got != id+".0" || len(a.Received)+len(b.Received) > 0 {
 		t.Errorf("sent %s and %d more, want %s.0 alone", got, len(a.Received)+len(b.Received), id)
 	}
-	p.line("event=server_conn_end", "server="+first.Host, "reason=reset")
+	p.awaitLogLine("event=server_conn_end", "server="+first.Host, "reason=reset")
 	// An idempotent request is retried on the other server.
 	c := startShard(t, "s-c", nil)
 	l.Update(c.Entry())
 	await(t, l.Requests, func(string) bool { return true })
 	for range 20 {
-		if status, body, _ := p.ask("lookup", 0, 1); status == 200 && body == completeAnswer(0, 1) {
+		if status, body, _ := p.sendRequest("lookup", 0, 1); status == 200 && body == completeAnswer(0, 1) {
 			return
 		}
 	}
@@ -72,34 +72,34 @@
 func TestRefusedConnectionIsRetried(t *testing.T) {
 	a, b := startShard(t, "s-a", nil), startShard(t, "s-b", nil)
 	a.Stop()
-	p := start(t, startList(t, a, b), nil)
+	p := startProgram(t, startDiscovery(t, a, b), nil)
 	for i := range 20 {
-		if status, body, _ := p.ask("post", i%8); status != 200 || body != completeAnswer(i%8) {
+		if status, body, _ := p.sendRequest("post", i%8); status != 200 || body != completeAnswer(i%8) {
 			t.Fatalf("request %d got %d %s", i, status, body)
 		}
 	}
-	p.line("event=server_connect_failed", "server=s-a", "reason=refused")
+	p.awaitLogLine("event=server_connect_failed", "server=s-a", "reason=refused")
 }
 
 func TestRejectedAndFailedCallsAreRetried(t *testing.T) {
 	full := startShard(t, "s-full", func(c *standin.ShardConn, p standin.ShardCall) { c.Respond(p.ID, "skipped", "") })
 	b := startShard(t, "s-b", nil)
-	p := start(t, startList(t, full, b), nil)
+	p := startProgram(t, startDiscovery(t, full, b), nil)
 	for range 10 {
-		if status, body, _ := p.ask("post", 0, 1); status != 200 || body != completeAnswer(0, 1) {
+		if status, body, _ := p.sendRequest("post", 0, 1); status != 200 || body != completeAnswer(0, 1) {
 			t.Fatalf("got %d %s", status, body)
 		}
 	}
 	broken := startShard(t, "s-broken", func(c *standin.ShardConn, p standin.ShardCall) { c.Respond(p.ID, "broke", "") })
-	p = start(t, startList(t, broken), nil)
-	if status, _, _ := p.ask("post", 0); status != http.StatusGatewayTimeout {
+	p = startProgram(t, startDiscovery(t, broken), nil)
+	if status, _, _ := p.sendRequest("post", 0); status != http.StatusGatewayTimeout {
 		t.Errorf("a request whose call may have run got status %d, want 504", status)
 	}
 }
 
 func TestClientDisconnectCancelsCalls(t *testing.T) {
 	a := startShard(t, "s-a", func(*standin.ShardConn, standin.ShardCall) {})
-	p := start(t, startList(t, a), func(s *Config) { // the limit is so long that no deadline cancels the call
+	p := startProgram(t, startDiscovery(t, a), func(s *Config) { // the limit is so long that no deadline cancels the call
 		s.Settings = json.RawMessage(strings.ReplaceAll(testSettings, `"hardLimit":2000.0`, `"hardLimit":600000`))
 	})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -113,13 +113,13 @@
 		t.Error("the request of a client that disconnected got a response")
 	}
 	await(t, a.Received, func(s string) bool { return s == "c "+id+".3" })
-	p.line("event=client_conn_end", "reason=client_left")
+	p.awaitLogLine("event=client_conn_end", "reason=client_left")
 }
 
 func TestDeadlineCancelsCall(t *testing.T) {
 	a := startShard(t, "s-a", func(*standin.ShardConn, standin.ShardCall) {})
-	p := start(t, startList(t, a), nil)
-	if status, _, _ := p.ask("post", 0); status != http.StatusGatewayTimeout {
+	p := startProgram(t, startDiscovery(t, a), nil)
+	if status, _, _ := p.sendRequest("post", 0); status != http.StatusGatewayTimeout {
 		t.Errorf("got %d", status)
 	}
 	await(t, a.Received, func(s string) bool { return strings.HasPrefix(s, "c ") })
@@ -138,11 +138,11 @@
 			io.WriteString(c, text)
 			c.Close()
 		})
-		p := start(t, startList(t, bad), nil)
-		if status, _, _ := p.ask("post", 0); status != http.StatusGatewayTimeout {
+		p := startProgram(t, startDiscovery(t, bad), nil)
+		if status, _, _ := p.sendRequest("post", 0); status != http.StatusGatewayTimeout {
 			t.Errorf("%s: got %d", reason, status)
 		}
-		p.line("event=server_conn_end", "reason="+strings.TrimSpace(reason)+" ")
+		p.awaitLogLine("event=server_conn_end", "reason="+strings.TrimSpace(reason)+" ")
 	}
 }
 
@@ -152,11 +152,11 @@
 		c.Respond(p.ID, "served", "value of c41e77d0")
 		c.Respond(p.ID, "served", "again")
 	}
-	p := start(t, startList(t, a), nil)
+	p := startProgram(t, startDiscovery(t, a), nil)
 	for range 20 {
-		if status, body, _ := p.ask("lookup", 0); status != 200 || body != completeAnswer(0) {
+		if status, body, _ := p.sendRequest("lookup", 0); status != 200 || body != completeAnswer(0) {
 			t.Fatalf("got %d %s", status, body)
 		}
 	}
-	p.line("event=server_conn_end", "reason=bad_form")
+	p.awaitLogLine("event=server_conn_end", "reason=bad_form")
 }
--- a/gatherer/degradation_test.go
+++ b/gatherer/degradation_test.go
@@ -90,9 +90,9 @@
 		shard.Cell = i % cells
 		e.shards = append(e.shards, shard)
 	}
-	e.list = startList(t, e.shards...)
+	e.list = startDiscovery(t, e.shards...)
 	e.file, e.socket = writeLevelsFile(t, levels)
-	e.program = start(t, e.list, edit, "--operator", e.file)
+	e.program = startProgram(t, e.list, edit, "--operator", e.file)
 	e.admin = e.dial()
 	awaitLevel(t, e.admin, "full")
 	for end := time.Now().Add(testTimeout); len(queryState(t, e.admin).Servers) < len(e.shards); {
@@ -162,7 +162,7 @@
 	e.expectStatus("a1", "lookup", 200)
 	e.expectStatus("a2", "post", 200)
 	e.removeServer(3)
-	line := e.program.line("event=level ", "to=trimmed")
+	line := e.program.awaitLogLine("event=level ", "to=trimmed")
 	if !strings.Contains(line, "scope=all") || !strings.Contains(line, "from=full") ||
 		!strings.Contains(line, "lost 0.25") {
 		t.Errorf("log line %q", line)
@@ -236,7 +236,7 @@
 		e.t.Fatal(err)
 	}
 	e.program.cmd.Process.Signal(syscall.SIGHUP)
-	e.program.line("event=reload ", "needs_restart=none")
+	e.program.awaitLogLine("event=reload ", "needs_restart=none")
 	e.expectStatus("e1", "post", 200)
 	awaitLevel(e.t, e.admin, "trimmed")
 	if err := e.program.run.Drain(testTimeout); err != nil {
@@ -262,7 +262,7 @@
 	})
 	e.expectStatusFrom([]int{2}, "a1", "lookup", 200)
 	e.removeServer(2)
-	e.program.line("event=level ", "scope=segment-2", "to=gone")
+	e.program.awaitLogLine("event=level ", "scope=segment-2", "to=gone")
 	began := time.Now()
 	e.expectStatusFrom([]int{2}, "b1", "lookup", 503)
 	if took := time.Since(began); took > time.Second {
--- a/gatherer/descriptors_test.go
+++ b/gatherer/descriptors_test.go
@@ -187,7 +187,7 @@
 // Each request must be shed or fail by its timeout. Once descriptors are available again, requests are served.
 func TestDescriptorExhaustion(t *testing.T) {
 	a := startShard(t, "s-a", nil)
-	p := start(t, startList(t, a), nil)
+	p := startProgram(t, startDiscovery(t, a), nil)
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1}, Timeout: testTimeout}
 	ask := func(id string) (int, time.Duration) {
 		t.Helper()
@@ -228,7 +228,7 @@
 		defer c.Close()
 		idleConns = append(idleConns, c)
 	}
-	p.line("event=accept_no_descriptor")
+	p.awaitLogLine("event=accept_no_descriptor")
 	a.ResetConnections() // the gatherer now needs a new connection to the server
 	for i := range 4 {
 		status, took := ask(fmt.Sprintf("b%d", i))
--- a/gatherer/dispatcher.go
+++ b/gatherer/dispatcher.go
@@ -120,8 +120,8 @@
 		d.intentWritten(m)
 	case intentTimeout:
 		d.intentTimedOut(m.request)
-	case clientGone:
-		d.clientGone(m.request)
+	case clientDisconnected:
+		d.clientDisconnected(m.request)
 	case attemptEnded:
 		d.attemptEnded(m.event)
 	case healthCheckEnded:
@@ -158,11 +158,11 @@
 // before the next Cancel, which may refer to one of them. If the mailbox of a server's client is full a command is dropped
 // where that does no harm, and otherwise reported to the balancer as not dispatched.
 func (d *dispatcher) perform(actions []balancer.Action) {
-	var batches []outBatch
+	var batches []attemptBatch
 	for _, action := range actions {
 		switch a := action.(type) {
 		case balancer.Send:
-			batches = d.gatherAttempt(batches, a)
+			batches = d.addToBatch(batches, a)
 		case balancer.Cancel:
 			d.dispatchBatches(batches)
 			batches = batches[:0]
--- a/gatherer/intent.go
+++ b/gatherer/intent.go
@@ -15,10 +15,10 @@
 	errIntentExpired = errors.New("the intent was written, but the idempotency table no longer waits for it")
 )
 
-// checkIntent checks a request that must not run twice, before any of its calls is sent. Its intent must be durable first:
-// otherwise the knowledge that it was sent could be lost in a crash, and a retry would run it again. It reports whether the
-// request can proceed now. If not, either its result has been sent or its intent is being written.
-func (d *dispatcher) checkIntent(req *clientRequest) bool {
+// ensureIntentDurable checks a request that must not run twice, before any of its calls is sent. Its intent must be
+// durable first: otherwise the knowledge that it was sent could be lost in a crash, and a retry would run it again. It
+// reports whether the request can proceed now. If not, either its result has been sent or its intent is being written.
+func (d *dispatcher) ensureIntentDurable(req *clientRequest) bool {
 	p := d.persistence
 	if p == nil || req.key == "" || req.intentDurable {
 		return true
@@ -45,7 +45,7 @@
 	case idempotency.Replay:
 		req.result <- result{kind: resultStored, text: answer}
 	case idempotency.InProgress:
-		req.result <- result{kind: resultKeyOpen}
+		req.result <- result{kind: resultKeyInProgress}
 	case idempotency.KeyReused:
 		req.result <- result{kind: resultKeyMismatch}
 	default:
@@ -82,7 +82,7 @@
 	p, req := d.persistence, m.request
 	p.diskGuard.End()
 	req.intentTimer.Stop()
-	stillWaiting := req.intentPending && !req.clientGone
+	stillWaiting := req.intentPending && !req.clientDisconnected
 	req.intentPending = false
 	switch {
 	case m.err != nil:
@@ -110,7 +110,7 @@
 
 // intentTimedOut sheds a request whose intent is still being written after the timeout, unless its client has disconnected.
 func (d *dispatcher) intentTimedOut(req *clientRequest) {
-	if req.intentPending && !req.clientGone {
+	if req.intentPending && !req.clientDisconnected {
 		req.intentPending = false
 		d.rejectIntent(req, errDiskSlow)
 	}
@@ -122,8 +122,8 @@
 	return d.persistence != nil && req.intentDurable && !req.mayHaveRun
 }
 
-// intentUnused records that no call of a request was sent, which releases its key.
-func (d *dispatcher) intentUnused(req *clientRequest) {
+// discardIntent records that no call of a request was sent, which releases its key.
+func (d *dispatcher) discardIntent(req *clientRequest) {
 	if d.ownsIntent(req) {
 		d.persistence.write(d.persistence.table.Discard(req.key))
 	}
--- a/gatherer/limits_test.go
+++ b/gatherer/limits_test.go
@@ -24,7 +24,7 @@
 // 3 s.
 func TestSilentConnectionsAreEvicted(t *testing.T) {
 	a := startShard(t, "s-a", nil)
-	p := start(t, startList(t, a), func(s *Config) { s.Limits.Sockets = 64 })
+	p := startProgram(t, startDiscovery(t, a), func(s *Config) { s.Limits.Sockets = 64 })
 	began := time.Now()
 	var silent []net.Conn
 	for i := range 100 {
@@ -38,7 +38,7 @@
 		}
 	}
 	for range 10 {
-		if status, body, _ := p.ask("lookup", 0); status != 200 || body != completeAnswer(0) {
+		if status, body, _ := p.sendRequest("lookup", 0); status != 200 || body != completeAnswer(0) {
 			t.Errorf("a client beside silent connections got %d %s", status, body)
 		}
 	}
@@ -54,7 +54,7 @@
 }
 
 func TestConnectionLimit(t *testing.T) {
-	p := start(t, startList(t, startShard(t, "s-a", nil)), func(s *Config) {
+	p := startProgram(t, startDiscovery(t, startShard(t, "s-a", nil)), func(s *Config) {
 		s.Limits.Sockets = 64
 	})
 	clients, servers := Limits{Sockets: 64}.splitDescriptors()
@@ -97,7 +97,7 @@
 			t.Errorf("above the limit a client got %d %s, close %v", res.StatusCode, b, res.Close)
 		}
 	}
-	p.line("event=client_conn_end", "reason=over_limit")
+	p.awaitLogLine("event=client_conn_end", "reason=over_limit")
 	open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.cmd.Process.Pid))
 	if err != nil || len(open) > 64-servers {
 		t.Errorf("%d descriptors in use, of 64 with %d for servers; %v", len(open), servers, err)
@@ -119,14 +119,14 @@
 			idle = c
 		}
 	}
-	p.line("event=client_conn_end", "reason=made_room")
+	p.awaitLogLine("event=client_conn_end", "reason=made_room")
 }
 
 // Clients that send one request and keep their connection open would use up all descriptors (incident r776d5d). Above a
 // threshold of idle connections, the first response therefore closes its connection. A connection with more requests
 // stays.
 func TestIdleConnectionsPastThresholdAreClosed(t *testing.T) {
-	p := start(t, startList(t, startShard(t, "s-a", nil)), func(s *Config) { s.Limits.Sockets = 256 })
+	p := startProgram(t, startDiscovery(t, startShard(t, "s-a", nil)), func(s *Config) { s.Limits.Sockets = 256 })
 	clients, _ := Limits{Sockets: 256}.splitDescriptors()
 	ask := func(c net.Conn) bool {
 		t.Helper()
@@ -171,7 +171,7 @@
 	if ask(steady) {
 		t.Error("a connection with many requests is closed")
 	}
-	p.line("event=client_conn_end", "reason=told_close", "requests=1")
+	p.awaitLogLine("event=client_conn_end", "reason=told_close", "requests=1")
 }
 
 // newBodyBudget returns a memory budget that limits bodies only, in bytes; 0 = no limit.
@@ -192,8 +192,8 @@
 	}
 }
 
-// serversOf returns the descriptors for servers.
-func serversOf(l Limits) int {
+// serverDescriptors returns the descriptors for servers.
+func serverDescriptors(l Limits) int {
 	_, servers := l.splitDescriptors()
 	return servers
 }
@@ -224,7 +224,7 @@
 
 func TestMaxPending(t *testing.T) {
 	a := startShard(t, "s-a", func(*standin.ShardConn, standin.ShardCall) {})
-	p := start(t, startList(t, a), func(s *Config) {
+	p := startProgram(t, startDiscovery(t, a), func(s *Config) {
 		s.Settings = json.RawMessage(strings.Replace(testSettings, `"limits":{`, `"limits":{"mostHeld":5,`, 1))
 	})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -235,13 +235,13 @@
 		close(clientReturned)
 	}()
 	await(t, a.Received, func(string) bool { return true })
-	if status, _, id := p.ask("lookup", 2, 3); status != http.StatusServiceUnavailable || len(a.Received) > 1 {
+	if status, _, id := p.sendRequest("lookup", 2, 3); status != http.StatusServiceUnavailable || len(a.Received) > 1 {
 		t.Errorf("request %s above the limit got %d", id, status)
 	}
 	cancel()
 	<-clientReturned
-	p.line("event=client_conn_end", "reason=client_left")
-	p.ask("lookup", 4) // the open calls are below the limit again
+	p.awaitLogLine("event=client_conn_end", "reason=client_left")
+	p.sendRequest("lookup", 4) // the open calls are below the limit again
 	await(t, a.Received, func(part string) bool { return strings.HasSuffix(part, ".4") && !strings.HasPrefix(part, "c") })
 }
 
--- a/gatherer/mailbox.go
+++ b/gatherer/mailbox.go
@@ -17,12 +17,12 @@
 
 // Messages to the dispatcher.
 type (
-	requestArrived   struct{ request *clientRequest }
-	clientGone       struct{ request *clientRequest } // the client has disconnected
-	listReceived     struct{ list discovery.ServerList }
-	watchFailed      struct{}
-	attemptEnded     struct{ event shardconn.AttemptEnded }
-	healthCheckEnded struct{ event balancer.HealthCheckEnded }
+	requestArrived     struct{ request *clientRequest }
+	clientDisconnected struct{ request *clientRequest } // the client has disconnected
+	listReceived       struct{ list discovery.ServerList }
+	watchFailed        struct{}
+	attemptEnded       struct{ event shardconn.AttemptEnded }
+	healthCheckEnded   struct{ event balancer.HealthCheckEnded }
 	// levelsReplaced replaces the configuration of degradation.
 	levelsReplaced struct{ config degradation.Config }
 	// operatorRequest is a request on the admin socket.
@@ -36,16 +36,16 @@
 	intentTimeout struct{ request *clientRequest }
 )
 
-func (requestArrived) message()   {}
-func (clientGone) message()       {}
-func (listReceived) message()     {}
-func (watchFailed) message()      {}
-func (attemptEnded) message()     {}
-func (healthCheckEnded) message() {}
-func (levelsReplaced) message()   {}
-func (operatorRequest) message()  {}
-func (intentWritten) message()    {}
-func (intentTimeout) message()    {}
+func (requestArrived) message()     {}
+func (clientDisconnected) message() {}
+func (listReceived) message()       {}
+func (watchFailed) message()        {}
+func (attemptEnded) message()       {}
+func (healthCheckEnded) message()   {}
+func (levelsReplaced) message()     {}
+func (operatorRequest) message()    {}
+func (intentWritten) message()      {}
+func (intentTimeout) message()      {}
 
 // mailbox is the dispatcher's queue of messages from other goroutines. It implements shardconn.EventHandler and
 // discovery.Handler.
--- a/gatherer/merge_test.go
+++ b/gatherer/merge_test.go
@@ -89,7 +89,7 @@
 		}
 		c.Respond(p.ID, "served", "value of "+string(p.Query))
 	})
-	p := start(t, startList(t, a), nil)
+	p := startProgram(t, startDiscovery(t, a), nil)
 	q := standin.Request{ID: "ab01", QueryType: "lookup", Customer: "acme",
 		Timeout: time.Second, Shards: []int{0, 1}, Statement: "c41e77d0",
 		Merge: map[string]any{"kind": "ranked"}}
@@ -124,7 +124,7 @@
 			replies <- r
 		}()
 	}
-	s.line("event=merge_shed")
+	s.awaitLogLine("event=merge_shed")
 	if r := <-replies; r.Status != http.StatusServiceUnavailable || r.RetryAfter == "" || r.Elapsed > 2*time.Second {
 		t.Errorf("a request above the limit got %d after %s, Retry-After %q", r.Status, r.Elapsed, r.RetryAfter)
 	}
@@ -166,7 +166,7 @@
 		if err := <-sendErr; err == nil {
 			t.Fatal("a request was answered although its client had disconnected")
 		}
-		s.line("event=client_conn_end", "reason=client_left")
+		s.awaitLogLine("event=client_conn_end", "reason=client_left")
 	}
 	hold.Store(false)
 	m := s.sendMerge("report", merge.Request{Kind: "ranked", Order: []string{"due"}, Limit: 100})
@@ -191,7 +191,7 @@
 	reload := func(event string) {
 		t.Helper()
 		s.cmd.Process.Signal(syscall.SIGHUP)
-		s.line(event)
+		s.awaitLogLine(event)
 	}
 	_, first := page("")
 	s.writeFile("operator.ini", "[merging]\nmemory = much\n")
@@ -217,7 +217,7 @@
 	}
 	s.writeFile("operator.ini", writeMergeFile(func(f string) string { return strings.Replace(f, "[merge report]", "[merge post]", 1) }))
 	s.cmd.Process.Signal(syscall.SIGHUP)
-	s.line("event=reload_failed", "not idempotent")
+	s.awaitLogLine("event=reload_failed", "not idempotent")
 	s.writeFile("operator.ini", "[merging]\nopen = 1\n")
 	reload("event=reload ")
 	if r, _ := page(second.Result.Next); r.Status != http.StatusOK || strings.Contains(string(r.Body), "merged") {
--- a/gatherer/mergeenv_test.go
+++ b/gatherer/mergeenv_test.go
@@ -81,12 +81,12 @@
 		shard.Cell = cell
 		s.shards = append(s.shards, shard)
 	}
-	s.list = startList(t, s.shards...)
+	s.list = startDiscovery(t, s.shards...)
 	dir := t.TempDir()
 	s.file = filepath.Join(dir, "operator.ini")
 	s.writeFile("operator.ini", writeMergeFile(edit))
 	s.writeFile("cursor.keys", testKey)
-	s.program = start(t, s.list, func(c *Config) { c.Settings = json.RawMessage(mergeSettings) }, "--operator", s.file)
+	s.program = startProgram(t, s.list, func(c *Config) { c.Settings = json.RawMessage(mergeSettings) }, "--operator", s.file)
 	return s
 }
 
--- a/gatherer/mergefault_test.go
+++ b/gatherer/mergefault_test.go
@@ -56,7 +56,7 @@
 			if err := s.oracle(true).CheckRanked(m, order, 0, 60, true); err != nil || !m.Full {
 				t.Errorf("full %t: %v", m.Full, err)
 			}
-			s.line("event=part_unusable", "server=s-")
+			s.awaitLogLine("event=part_unusable", "server=s-")
 		})
 	}
 }
--- a/gatherer/parking_test.go
+++ b/gatherer/parking_test.go
@@ -231,7 +231,7 @@
 		}
 	}
 	write("[connections]\nidle = 2s\n")
-	p := start(t, startList(t, startShard(t, "s-a", nil)), nil, "--operator", file)
+	p := startProgram(t, startDiscovery(t, startShard(t, "s-a", nil)), nil, "--operator", file)
 	nc, err := net.Dial("tcp", p.addr)
 	if err != nil {
 		t.Fatal(err)
@@ -243,14 +243,14 @@
 	c.expect("ok\n")
 	for answered := time.Now(); time.Since(answered) < 2*parkDelay; { // the connection is parked meanwhile
 		p.cmd.Process.Signal(syscall.SIGHUP)
-		p.line("event=reload ", "needs_restart=none")
+		p.awaitLogLine("event=reload ", "needs_restart=none")
 	}
 	write("[connections]\npark = no\n")
 	p.cmd.Process.Signal(syscall.SIGHUP)
-	p.line("event=reload ", "needs_restart=connections")
+	p.awaitLogLine("event=reload ", "needs_restart=connections")
 	c.send(health)
 	c.expect("ok\n")
-	p.line("event=client_conn_end", "client="+nc.LocalAddr().String(), "reason=idle_limit", "requests=2")
+	p.awaitLogLine("event=client_conn_end", "client="+nc.LocalAddr().String(), "reason=idle_limit", "requests=2")
 }
 
 func TestDrainClosesIdleAndAnswersPending(t *testing.T) {
--- a/gatherer/parse_test.go
+++ b/gatherer/parse_test.go
@@ -19,7 +19,7 @@
 // served.
 func TestAmbiguousRequestLengthIsRejected(t *testing.T) {
 	a := startShard(t, "s-a", nil)
-	p := start(t, startList(t, a), nil)
+	p := startProgram(t, startDiscovery(t, a), nil)
 	text := `{"tablets":[{"tablet":0,"fraction":1}],"statement":"c41e77d0"}`
 	search := func(proto, fields, body string) string {
 		_, id := newRequest(context.Background(), p.addr, "lookup", 0)
@@ -63,7 +63,7 @@
 			c.Respond(p.ID, "served", "value of c41e77d0")
 		}()
 	})
-	p := start(t, startList(t, a), nil)
+	p := startProgram(t, startDiscovery(t, a), nil)
 	r, id := newRequest(context.Background(), p.addr, "lookup", 0)
 	first := make(chan int, 1)
 	go func() {
@@ -143,7 +143,7 @@
 
 func TestInvalidRequests(t *testing.T) {
 	a := startShard(t, "s-a", nil)
-	p := start(t, startList(t, a), nil)
+	p := startProgram(t, startDiscovery(t, a), nil)
 	for _, test := range invalidRequests {
 		t.Run(test.name, func(t *testing.T) {
 			valid, _ := newRequest(context.Background(), p.addr, "lookup", 0)
@@ -169,7 +169,7 @@
 	if len(a.Received) > 0 {
 		t.Error("an invalid request reached a server")
 	}
-	if status, _, _ := p.ask("lookup", 0); status != http.StatusOK {
+	if status, _, _ := p.sendRequest("lookup", 0); status != http.StatusOK {
 		t.Errorf("a valid request after the invalid ones got status %d, want 200", status)
 	}
 }
@@ -178,7 +178,7 @@
 // once.
 func TestIncompleteRequests(t *testing.T) {
 	a := startShard(t, "s-a", nil)
-	p := start(t, startList(t, a), nil)
+	p := startProgram(t, startDiscovery(t, a), nil)
 	for reason, text := range map[string]string{
 		"read_limit":  "POST /lookup HTTP/1.1\r\nHost: x\r\nContent-Length: 100\r\n\r\n{",
 		"bad_request": "\x00\x01\x02 nothing\r\n\r\n",
@@ -189,12 +189,12 @@
 		}
 		defer c.Close()
 		io.WriteString(c, text)
-		p.line("event=client_conn_end", "client="+c.LocalAddr().String(), "reason="+reason)
+		p.awaitLogLine("event=client_conn_end", "client="+c.LocalAddr().String(), "reason="+reason)
 	}
 	if len(a.Received) > 0 {
 		t.Error("an incomplete request reached a server")
 	}
-	if status, _, _ := p.ask("lookup", 0); status != http.StatusOK {
+	if status, _, _ := p.sendRequest("lookup", 0); status != http.StatusOK {
 		t.Errorf("a valid request after the invalid ones got status %d, want 200", status)
 	}
 }
--- a/gatherer/persistence_test.go
+++ b/gatherer/persistence_test.go
@@ -105,9 +105,9 @@
 			c.Respond(p.ID, "served", "paid "+string(p.Query))
 		}
 	})
-	l := startList(t, a)
+	l := startDiscovery(t, a)
 	file, _ := writeStoreFile(t, "")
-	p := start(t, l, nil, "--operator", file)
+	p := startProgram(t, l, nil, "--operator", file)
 	status, answered := postUntilAdmitted(t, p, "a1", "key-1", "c0ffee01")
 	if status != 200 {
 		t.Fatalf("a post: %d %s", status, answered)
@@ -129,7 +129,7 @@
 	p.run.Kill()
 	<-p.run.Exited
 
-	p = start(t, l, nil, "--operator", file)
+	p = startProgram(t, l, nil, "--operator", file)
 	if status, body, _ := postKeyed(t, p, "d1", "key-1", "c0ffee01"); status != 200 || body != answered {
 		t.Errorf("after the crash, the retry of an answered post: %d %s", status, body)
 	}
@@ -160,9 +160,9 @@
 // A post that is known not to have run may be retried with its key.
 func TestRequestThatNeverRanMayBeRetried(t *testing.T) {
 	a := startShard(t, "s-a", nil)
-	l := startList(t, a)
+	l := startDiscovery(t, a)
 	file, _ := writeStoreFile(t, "")
-	p := start(t, l, nil, "--operator", file)
+	p := startProgram(t, l, nil, "--operator", file)
 	a.Stop() // connections are refused: it never ran
 	if status, _, _ := postKeyed(t, p, "a1", "key-1", "c0ffee01"); status != http.StatusServiceUnavailable {
 		t.Fatalf("with no server: %d", status)
@@ -196,9 +196,9 @@
 		runs.add(string(p.Query))
 		c.Respond(p.ID, "served", "paid")
 	})
-	l := startList(t, a)
+	l := startDiscovery(t, a)
 	file, _ := writeStoreFile(t, "linger = 50ms\n")
-	p := start(t, l, nil, "--operator", file)
+	p := startProgram(t, l, nil, "--operator", file)
 	const n = 8 // as many as the limit admits for one server
 	results := make(chan keyedResponse, n)
 	// On a loaded machine all posts may be shed before any intent is written. The SIGTERM would then test nothing, so all are
@@ -238,7 +238,7 @@
 	case <-time.After(testTimeout):
 		t.Fatal("the program does not end")
 	}
-	p = start(t, l, nil, "--operator", file)
+	p = startProgram(t, l, nil, "--operator", file)
 	for i := range n {
 		if status, _, _ := postKeyed(t, p, fmt.Sprintf("%x", 0x500+i), fmt.Sprint("k", i), fmt.Sprintf("%04x", i)); status != 200 {
 			t.Errorf("post %d after the restart: %d", i, status)
@@ -253,9 +253,9 @@
 // sent.
 func TestFullStoreShedsWritesOnly(t *testing.T) {
 	a := startShard(t, "s-a", nil)
-	l := startList(t, a)
+	l := startDiscovery(t, a)
 	file, _ := writeStoreFile(t, "size = 1MiB\nsearches = 10\n")
-	p := start(t, l, nil, "--operator", file)
+	p := startProgram(t, l, nil, "--operator", file)
 	shed := 0
 	for i := range 14 {
 		status, _, retryAfter := postKeyed(t, p, fmt.Sprintf("%x", i+1), fmt.Sprint("k", i), "c0ffee01")
@@ -284,9 +284,9 @@
 // A directory that another gatherer uses, or that is not a store, makes the program exit with code 1 and one message.
 func TestUnusableStoreIsReported(t *testing.T) {
 	a := startShard(t, "s-a", nil)
-	l := startList(t, a)
+	l := startDiscovery(t, a)
 	file, dir := writeStoreFile(t, "")
-	first := start(t, l, nil, "--operator", file)
+	first := startProgram(t, l, nil, "--operator", file)
 	expectStartError := func(words string) {
 		t.Helper()
 		_, err := standin.StartProgram(newServeCommand(first, file), nil)
@@ -310,9 +310,9 @@
 // The last server list and the records of servers survive a restart without the discovery service.
 func TestServerListSurvivesRestart(t *testing.T) {
 	a := startShard(t, "s-a", nil)
-	l := startList(t, a)
+	l := startDiscovery(t, a)
 	file, _ := writeStoreFile(t, "")
-	p := start(t, l, nil, "--operator", file)
+	p := startProgram(t, l, nil, "--operator", file)
 	if status, _, _ := postKeyed(t, p, "a0", "key-0", "c0ffee00"); status != 200 {
 		t.Fatalf("a post: %d", status)
 	}
@@ -320,9 +320,9 @@
 		t.Fatal(err)
 	}
 	l.Stop()
-	p = start(t, l, nil, "--operator", file) // it becomes ready only if it has a server
-	p.line("event=stored_list ", "hosts=1")
-	p.line("event=learned_recalled", "servers=1")
+	p = startProgram(t, l, nil, "--operator", file) // it becomes ready only if it has a server
+	p.awaitLogLine("event=stored_list ", "hosts=1")
+	p.awaitLogLine("event=learned_recalled", "servers=1")
 	if status, _, _ := postKeyed(t, p, "a1", "key-1", "c0ffee01"); status != 200 {
 		t.Errorf("without the discovery service: %d", status)
 	}
@@ -334,14 +334,14 @@
 	runs := &runCounter{counts: map[string]int{}}
 	a := startShard(t, "s-a", func(c *standin.ShardConn, p standin.ShardCall) { c.Respond(p.ID, "skipped", "") })
 	b := startShard(t, "s-b", func(c *standin.ShardConn, p standin.ShardCall) { runs.add(string(p.Query)) })
-	l := startList(t, a, b)
+	l := startDiscovery(t, a, b)
 	file, _ := writeStoreFile(t, "")
-	p := start(t, l, nil, "--operator", file)
+	p := startProgram(t, l, nil, "--operator", file)
 	go sendKeyedPost(t.Context(), p.addr, "a1", "key-1", "c0ffee01")
 	await(t, b.Received, func(id string) bool { return strings.HasPrefix(id, "a1") })
 	p.run.Kill()
 	<-p.run.Exited
-	p = start(t, l, nil, "--operator", file)
+	p = startProgram(t, l, nil, "--operator", file)
 	for i := range 3 {
 		if status, _, retryAfter := postKeyed(t, p, fmt.Sprint("b", i), "key-1", "c0ffee01"); status != http.StatusGatewayTimeout || retryAfter != "" {
 			t.Errorf("its retry: %d, Retry-After %q", status, retryAfter)
--- a/gatherer/program_test.go
+++ b/gatherer/program_test.go
@@ -28,7 +28,7 @@
 			c.Respond(p.ID, "served", "value of c41e77d0")
 		}()
 	})
-	p := start(t, startList(t, a), nil)
+	p := startProgram(t, startDiscovery(t, a), nil)
 	var all sync.WaitGroup
 	sendOne := func() {
 		defer all.Done()
@@ -56,7 +56,7 @@
 	}
 	defer unused.Close()
 	p.terminate()
-	p.line("event=drain_begin")
+	p.awaitLogLine("event=drain_begin")
 	if status, _, err := p.get("/-/ready"); err != nil || status != http.StatusServiceUnavailable {
 		t.Errorf("ready answers %d, %v", status, err)
 	}
@@ -68,7 +68,7 @@
 	}
 	close(hold)
 	all.Wait()
-	if err := p.ends(); err != nil {
+	if err := p.waitExit(); err != nil {
 		t.Errorf("the program ended with %v", err)
 	}
 }
@@ -76,14 +76,14 @@
 // A second SIGTERM ends the program with an error although a request is open.
 func TestSecondSignalExitsImmediately(t *testing.T) {
 	a := startShard(t, "s-a", func(*standin.ShardConn, standin.ShardCall) {})
-	p := start(t, startList(t, a), nil)
+	p := startProgram(t, startDiscovery(t, a), nil)
 	r, _ := newRequest(context.Background(), p.addr, "lookup", 0)
 	go http.DefaultClient.Do(r)
 	await(t, a.Received, func(string) bool { return true })
 	p.terminate()
-	p.line("event=drain_begin")
+	p.awaitLogLine("event=drain_begin")
 	p.terminate()
-	if err := p.ends(); err == nil {
+	if err := p.waitExit(); err == nil {
 		t.Error("a second signal ended it without an error")
 	}
 }
@@ -154,7 +154,7 @@
 	silent := startShard(t, "s-silent", func(*standin.ShardConn, standin.ShardCall) {})
 	crashing := startShard(t, "s-dying", func(c *standin.ShardConn, _ standin.ShardCall) { c.Reset() })
 	a := startShard(t, "s-a", nil)
-	l := startList(t)
+	l := startDiscovery(t)
 	g, err := New(Config{Listen: "127.0.0.1:0", Discovery: l.Addr(), Settings: json.RawMessage(testSettings),
 		KnownServers: json.RawMessage(`{"seq":1,"whole":true,"hosts":[]}`)})
 	if err != nil {
@@ -192,9 +192,9 @@
 		t.Error(err)
 	}
 	d := g.dispatcher
-	if len(d.requests) > 0 || d.pending != 0 || d.descriptors.available.Load() != int64(serversOf(Limits{})) {
+	if len(d.requests) > 0 || d.pending != 0 || d.descriptors.available.Load() != int64(serverDescriptors(Limits{})) {
 		t.Errorf("%d requests, %d pending, %d descriptors available of %d",
-			len(d.requests), d.pending, d.descriptors.available.Load(), serversOf(Limits{}))
+			len(d.requests), d.pending, d.descriptors.available.Load(), serverDescriptors(Limits{}))
 	}
 	const standinGoroutines = 4 // that the stand-ins may keep running
 	for end := time.Now().Add(testTimeout); runtime.NumGoroutine() > before+standinGoroutines || g.memory.Snapshot().Total != 0; {
--- a/gatherer/request.go
+++ b/gatherer/request.go
@@ -23,14 +23,14 @@
 	query     *merge.Query // nil = the values are not merged
 
 	// The other fields belong to the dispatcher's goroutine.
-	id         balancer.RequestID
-	calls      []*shardCall
-	merge      *merge.Merge       // nil = no query; closed by the receiver of the result, or else by the dispatcher
-	finished   bool               // it has a result, or its client has disconnected
-	clientGone bool               // the client disconnected before it received the result
-	reserved   memorybudget.Bytes // bytes reserved in the account Requests
-	inUse      memorybudget.Bytes // bytes of reserved that the request and the values received use
-	admittedAt balancer.Time      // 0 = it does not count for degradation
+	id                 balancer.RequestID
+	calls              []*shardCall
+	merge              *merge.Merge       // nil = no query; closed by the receiver of the result, or else by the dispatcher
+	finished           bool               // it has a result, or its client has disconnected
+	clientDisconnected bool               // the client disconnected before it received the result
+	reserved           memorybudget.Bytes // bytes reserved in the account Requests
+	inUse              memorybudget.Bytes // bytes of reserved that the request and the values received use
+	admittedAt         balancer.Time      // 0 = it does not count for degradation
 
 	// Set for a request that must not run twice, if there is a store.
 	key           idempotency.Key // "" = it may run twice, or there is no store
@@ -80,10 +80,10 @@
 	resultMerged
 	resultShed
 	resultFailed
-	resultDuplicateID // another open request has the same Req-Id
-	resultStored      // the stored answer to an earlier request with the same idempotency key
-	resultKeyOpen     // another request with the same idempotency key is open
-	resultKeyMismatch // an earlier request with the same idempotency key had a different body
+	resultDuplicateID   // another open request has the same Req-Id
+	resultStored        // the stored answer to an earlier request with the same idempotency key
+	resultKeyInProgress // another request with the same idempotency key is open
+	resultKeyMismatch   // an earlier request with the same idempotency key had a different body
 )
 
 // shardValue is the value that a shard returned for a call.
--- a/gatherer/requests.go
+++ b/gatherer/requests.go
@@ -20,7 +20,7 @@
 	if d.degradation != nil && !req.intentDurable && !d.degradation.admit(req) {
 		return
 	}
-	if !d.checkIntent(req) {
+	if !d.ensureIntentDurable(req) {
 		return
 	}
 	calls := len(req.callSpecs)
@@ -63,7 +63,7 @@
 // rejectBeforeDispatch sends the result of a request none of whose calls was dispatched.
 func (d *dispatcher) rejectBeforeDispatch(req *clientRequest, r result) {
 	req.finished = true
-	d.intentUnused(req)
+	d.discardIntent(req)
 	req.result <- r
 }
 
@@ -95,9 +95,9 @@
 	return event
 }
 
-// clientGone cancels the request of a client that has disconnected.
-func (d *dispatcher) clientGone(req *clientRequest) {
-	if req.clientGone = true; d.requests[req.id] == req {
+// clientDisconnected cancels the request of a client that has disconnected.
+func (d *dispatcher) clientDisconnected(req *clientRequest) {
+	if req.clientDisconnected = true; d.requests[req.id] == req {
 		d.closeRequest(req)
 		d.recordAbandoned(req)
 		d.handle(balancer.RequestCancelled{Request: req.id})
--- a/gatherer/servers_test.go
+++ b/gatherer/servers_test.go
@@ -18,9 +18,9 @@
 // without a restart, after which only servers of the new list receive calls.
 func TestReloadChangesDiscoveryAddress(t *testing.T) {
 	a, b := startShard(t, "s-a", nil), startShard(t, "s-b", nil)
-	oldList, newList := startList(t, a), startList(t, b)
+	oldList, newList := startDiscovery(t, a), startDiscovery(t, b)
 	newList.SetSequence(1) // its versions are independent of the old list's
-	p := start(t, oldList, nil)
+	p := startProgram(t, oldList, nil)
 	reload := func() { p.cmd.Process.Signal(syscall.SIGHUP) }
 	// A missing, truncated or invalid file changes nothing; the next signal reads the corrected one.
 	for _, text := range []string{"", `{"listen":"127.0`, `{"listen":"127.0.0.1:0","discovery":"nowhere","settings":{}}`} {
@@ -28,13 +28,13 @@
 			os.WriteFile(p.file, []byte(text), 0o600)
 		}
 		reload()
-		p.line("event=reload_failed")
+		p.awaitLogLine("event=reload_failed")
 	}
 	p.config.Limits.Sockets = 512
 	p.configure()
 	reload()
-	p.line("event=reload ", "moved=false", "needs_restart=limits")
-	if status, body, _ := p.ask("lookup", 0); status != 200 || body != completeAnswer(0) {
+	p.awaitLogLine("event=reload ", "moved=false", "needs_restart=limits")
+	if status, body, _ := p.sendRequest("lookup", 0); status != 200 || body != completeAnswer(0) {
 		t.Errorf("got %d %s", status, body)
 	}
 	p.config.Discovery = newList.Addr()
@@ -42,25 +42,25 @@
 	for range 20 {
 		reload()
 	}
-	p.line("event=reload ", "moved=true")
-	p.line("event=discovery_conn_end", "addr="+oldList.Addr(), "reason=moved")
+	p.awaitLogLine("event=reload ", "moved=true")
+	p.awaitLogLine("event=discovery_conn_end", "addr="+oldList.Addr(), "reason=moved")
 	if q := await(t, newList.Requests, func(string) bool { return true }); q != "/api/targets" {
 		t.Errorf("the new discovery service received query %s", q)
 	}
 	for end := time.Now().Add(testTimeout); len(b.Received) == 0 && time.Now().Before(end); {
-		p.ask("lookup", 0)
+		p.sendRequest("lookup", 0)
 	}
 	before := len(a.Received)
 	oldList.Update(a.Entry()) // must have no effect, as its watch has ended
 	for range 5 {
-		p.ask("lookup", 0)
+		p.sendRequest("lookup", 0)
 	}
 	if len(a.Received) != before {
 		t.Errorf("%d more calls went to the server that only the old discovery service lists", len(a.Received)-before)
 	}
 	reload()
 	p.terminate()
-	if err := p.ends(); err != nil {
+	if err := p.waitExit(); err != nil {
 		t.Errorf("the program ended with %v", err)
 	}
 }
@@ -69,13 +69,13 @@
 // a draining server gets no further calls.
 func TestDiscoveryOutage(t *testing.T) {
 	a, b := startShard(t, "s-a", nil), startShard(t, "s-b", nil)
-	l := startList(t, a)
-	p := start(t, l, nil)
+	l := startDiscovery(t, a)
+	p := startProgram(t, l, nil)
 	await(t, l.Requests, func(string) bool { return true })
 	l.SetDown(true)
-	p.line("event=discovery_conn_end", "reason=discovery_closed")
-	p.line("event=discovery_conn_end", "reason=bad_status")
-	if status, _, _ := p.ask("lookup", 0); status != 200 {
+	p.awaitLogLine("event=discovery_conn_end", "reason=discovery_closed")
+	p.awaitLogLine("event=discovery_conn_end", "reason=bad_status")
+	if status, _, _ := p.sendRequest("lookup", 0); status != 200 {
 		t.Errorf("during the outage a request got %d", status)
 	}
 	l.SetDown(false)
@@ -84,15 +84,15 @@
 	l.Update(b.Entry())
 	l.Update(drained)
 	for len(b.Received) == 0 { // the list is requested again with backoff
-		p.ask("lookup", 0)
+		p.sendRequest("lookup", 0)
 	}
 	// The gatherer closes the connection when it learns that the server is draining. Nothing is sent there from then on.
-	p.line("event=server_conn_end", "server=s-a", "reason=draining")
+	p.awaitLogLine("event=server_conn_end", "server=s-a", "reason=draining")
 	for len(a.Received) > 0 {
 		<-a.Received
 	}
 	for range 20 {
-		if status, _, _ := p.ask("lookup", 0); status != 200 {
+		if status, _, _ := p.sendRequest("lookup", 0); status != 200 {
 			t.Errorf("got %d", status)
 		}
 	}
@@ -101,7 +101,7 @@
 	}
 	drained.Health = discovery.Removed
 	l.Update(drained)
-	if status, _, _ := p.ask("lookup", 0); status != 200 {
+	if status, _, _ := p.sendRequest("lookup", 0); status != 200 {
 		t.Errorf("got %d", status)
 	}
 }
@@ -111,18 +111,18 @@
 func TestStartFromKnownServers(t *testing.T) {
 	dead, a := startShard(t, "s-dead", nil), startShard(t, "s-a", nil)
 	dead.Stop()
-	l := startList(t, a)
+	l := startDiscovery(t, a)
 	l.Set(discovery.Server{Host: "s-odd", Address: "127.0.0.1:1", Cell: 9, Health: discovery.Up})
-	p := start(t, l, func(s *Config) {
+	p := startProgram(t, l, func(s *Config) {
 		s.KnownServers, _ = json.Marshal(discovery.ServerList{Version: 7, Complete: true, Servers: []discovery.Server{dead.Entry()}})
 	})
 	if call := await(t, l.Requests, func(string) bool { return true }); !strings.Contains(call, "after=7") ||
 		!strings.Contains(call, "watch=1") {
 		t.Errorf("the discovery service received %s", call)
 	}
-	p.line("event=list_entry_left_out", "block 9")
+	p.awaitLogLine("event=list_entry_left_out", "block 9")
 	for {
-		if status, body, _ := p.ask("lookup", 0); status == 200 && body == completeAnswer(0) {
+		if status, body, _ := p.sendRequest("lookup", 0); status == 200 && body == completeAnswer(0) {
 			return
 		}
 	}
--- a/gatherer/slowclient_test.go
+++ b/gatherer/slowclient_test.go
@@ -117,7 +117,7 @@
 	if err := os.WriteFile(file, []byte("[connections]\nbody_rate = 500\ngrace = 300ms\n"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	p := start(t, startList(t, startShard(t, "s-a", nil)), nil, "--operator", file)
+	p := startProgram(t, startDiscovery(t, startShard(t, "s-a", nil)), nil, "--operator", file)
 	client := func(pause time.Duration) *harnessClient {
 		nc, err := net.Dial("tcp", p.addr)
 		if err != nil {
@@ -143,7 +143,7 @@
 		t.Errorf("a body above the minimum rate: %d, %v", status, err)
 	}
 	slow := client(10 * time.Millisecond)
-	p.line("event=client_conn_end", "client="+slow.LocalAddr().String(), "reason="+string(endSlowBody))
+	p.awaitLogLine("event=client_conn_end", "client="+slow.LocalAddr().String(), "reason="+string(endSlowBody))
 }
 
 // awaitLine waits for a line with words about a client, and keeps the other lines for later calls.
--- a/gatherer/testenv_test.go
+++ b/gatherer/testenv_test.go
@@ -65,8 +65,8 @@
 	return s
 }
 
-// startList starts a discovery service that lists shard servers. It is stopped when the test ends.
-func startList(t *testing.T, shards ...*standin.ShardServer) *standin.DiscoveryService {
+// startDiscovery starts a discovery service that lists shard servers. It is stopped when the test ends.
+func startDiscovery(t *testing.T, shards ...*standin.ShardServer) *standin.DiscoveryService {
 	t.Helper()
 	l, err := standin.StartDiscoveryService(shards...)
 	if err != nil {
@@ -78,19 +78,19 @@
 
 // program is a running process of the built program.
 type program struct {
-	t      *testing.T
-	run    *standin.Program
-	cmd    *exec.Cmd
-	config Config // content of its configuration file
-	file   string
-	addr   string
-	lines  chan string // lines of its log
-	exit   chan error
+	t        *testing.T
+	run      *standin.Program
+	cmd      *exec.Cmd
+	config   Config // content of its configuration file
+	file     string
+	addr     string
+	logLines chan string // lines of its log
+	exit     chan error
 }
 
-// start starts the program with a discovery service and further arguments. Unless it is nil, edit changes the configuration
-// first.
-func start(t *testing.T, l *standin.DiscoveryService, edit func(*Config), args ...string) *program {
+// startProgram starts the program with a discovery service and further arguments. Unless it is nil, edit changes the
+// configuration first.
+func startProgram(t *testing.T, l *standin.DiscoveryService, edit func(*Config), args ...string) *program {
 	t.Helper()
 	s := Config{Name: "n0", Listen: "127.0.0.1:0", Discovery: l.Addr(), Seed: "8c1f30d27a5be964",
 		Limits: Limits{Cores: 1, MemoryMB: 192, Sockets: 1024}, Settings: json.RawMessage(testSettings)}
@@ -110,7 +110,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(run.Kill)
-	p.run, p.addr, p.lines, p.exit = run, run.Addr, run.Lines, run.Exit
+	p.run, p.addr, p.logLines, p.exit = run, run.Addr, run.Lines, run.Exit
 	return p
 }
 
@@ -126,14 +126,14 @@
 	}
 }
 
-// line waits for a log line that contains all the words, and returns it. It skips other lines.
-func (p *program) line(words ...string) string {
+// awaitLogLine waits for a log line that contains all the words, and returns it. It skips other lines.
+func (p *program) awaitLogLine(words ...string) string {
 	p.t.Helper()
 	timeout := time.After(testTimeout)
 next:
 	for {
 		select {
-		case line, ok := <-p.lines:
+		case line, ok := <-p.logLines:
 			if !ok {
 				p.t.Fatalf("the program ended without a line with %q", words)
 			}
@@ -163,8 +163,8 @@
 // terminate sends SIGTERM.
 func (p *program) terminate() { p.cmd.Process.Signal(syscall.SIGTERM) }
 
-// ends waits until the program ends and returns the error of its exit.
-func (p *program) ends() error {
+// waitExit waits until the program ends and returns the error of its exit.
+func (p *program) waitExit() error {
 	p.t.Helper()
 	select {
 	case err := <-p.exit:
@@ -202,8 +202,8 @@
 	return r, id
 }
 
-// ask sends a request of newRequest and returns the response and the request's id.
-func (p *program) ask(queryType string, shards ...int) (status int, body, id string) {
+// sendRequest sends a request of newRequest and returns the response and the request's id.
+func (p *program) sendRequest(queryType string, shards ...int) (status int, body, id string) {
 	p.t.Helper()
 	r, id := newRequest(context.Background(), p.addr, queryType, shards...)
 	res, err := http.DefaultClient.Do(r)
--- a/gatherer/transport.go
+++ b/gatherer/transport.go
@@ -73,7 +73,7 @@
 	case res := <-req.result:
 		return t.response(r, res), nil
 	case <-r.Context().Done():
-		t.dispatcher.send(clientGone{req})
+		t.dispatcher.send(clientDisconnected{req})
 		return nil, r.Context().Err()
 	case <-t.dispatcher.done:
 		return textResponse(r, http.StatusBadGateway, "the gatherer has stopped"), nil
@@ -89,7 +89,7 @@
 		return shed
 	case resultDuplicateID:
 		return textResponse(r, http.StatusBadRequest, "Req-Id is that of another search, which is still open")
-	case resultKeyOpen:
+	case resultKeyInProgress:
 		return textResponse(r, http.StatusConflict, "a search with the same key is still open")
 	case resultKeyMismatch:
 		return textResponse(r, http.StatusUnprocessableEntity, "the key is that of a different search")
