--- a/consensus/acceptor.go
+++ b/consensus/acceptor.go
@@ -81,8 +81,8 @@
 	return s
 }
 
-// HoldsDecision reports whether the state records that Value is decided.
-func (s AcceptorState) HoldsDecision() bool {
+// RecordsDecision reports whether the state records that Value is decided.
+func (s AcceptorState) RecordsDecision() bool {
 	return s.Value != nil && s.Decided == s.Accepted && s.Accepted != (Ballot{})
 }
 
--- a/consensus/membership_model_test.go
+++ b/consensus/membership_model_test.go
@@ -121,7 +121,7 @@
 	p.incarnation = ProposerID(m.incarnations)
 	p.number = p.disk.Promised.Number
 	p.decision = Decision{Value: p.known}
-	if p.disk.HoldsDecision() {
+	if p.disk.RecordsDecision() {
 		p.learn(p.disk.Value, p.disk.Accepted)
 	}
 }
--- a/consensus/recovery_test.go
+++ b/consensus/recovery_test.go
@@ -93,7 +93,7 @@
 
 	// 2 and 3 are lost with their disks: a majority of the prior members, and one of the new members.
 	unrecorded := r.states[1]
-	if unrecorded.HoldsDecision() {
+	if unrecorded.RecordsDecision() {
 		t.Fatal("the state records a decision before WithDecision was called")
 	}
 	p := NewProposal(Ballot{Number: 50, By: 1}, ProposalBase(unrecorded.Value, nil), unchanged)
@@ -106,7 +106,7 @@
 	}
 
 	recorded := unrecorded.WithDecision(decision)
-	if !recorded.HoldsDecision() || !recorded.DiffersFrom(unrecorded) {
+	if !recorded.RecordsDecision() || !recorded.DiffersFrom(unrecorded) {
 		t.Fatal("WithDecision does not record the decision")
 	}
 	r.number = 100
@@ -114,7 +114,7 @@
 	if !decided || !confirmed.Confirmed() || confirmed.Version != 1 {
 		t.Errorf("the new members propose %+v (decided: %t), want a confirmed value with version 1 to be decided", confirmed, decided)
 	}
-	if r.states[1].WithDecision(decision).HoldsDecision() {
+	if r.states[1].WithDecision(decision).RecordsDecision() {
 		t.Error("a later value counts as decided by the record of the previous one")
 	}
 }
--- a/controlplane/controller_loop.go
+++ b/controlplane/controller_loop.go
@@ -38,7 +38,7 @@
 		c.peers.add(address)
 	}
 	c.hints.restorePeers()
-	if c.recovered.HoldsDecision() {
+	if c.recovered.RecordsDecision() {
 		c.learner.learn(c.recovered.Value)
 		c.learner.observeBallot(c.recovered.Value.Slot, c.recovered.Accepted)
 	}
--- a/internal/acceptorstore/full_disk_test.go
+++ b/internal/acceptorstore/full_disk_test.go
@@ -132,7 +132,7 @@
 		}
 	}
 	s = reopen(t, s, dir)
-	if state := s.State(); !state.HoldsDecision() || state.Value.Slot != 3 || state.Decided != ballot {
+	if state := s.State(); !state.RecordsDecision() || state.Value.Slot != 3 || state.Decided != ballot {
 		t.Errorf("Open read %+v", state)
 	}
 	if err := update(t, s, acceptStep(10)); err != nil {
@@ -140,8 +140,8 @@
 	}
 	s = reopen(t, s, dir)
 	defer s.Close()
-	if state := s.State(); state.HoldsDecision() || state.Value.Slot != 10 {
-		t.Errorf("after a later value Open read %+v, decided %t", state, state.HoldsDecision())
+	if state := s.State(); state.RecordsDecision() || state.Value.Slot != 10 {
+		t.Errorf("after a later value Open read %+v, decided %t", state, state.RecordsDecision())
 	}
 }
 
