--- a/consensus/ballot.go
+++ b/consensus/ballot.go
@@ -14,16 +14,16 @@
 	Version uint64
 )
 
-// Ballot is the proposal number of Paxos. Ballots are ordered by Number, then by proposer (By); the zero Ballot precedes all
+// Ballot is the proposal number of Paxos. Ballots are ordered by Number, then by Proposer; the zero Ballot precedes all
 // others.
 //
 // The JSON names are part of the output of the controller command that inspects stored state.
 type Ballot struct {
-	Number uint64     `json:"Number"`
-	By     ProposerID `json:"By"`
+	Number   uint64     `json:"Number"`
+	Proposer ProposerID `json:"By"`
 }
 
 // Compare returns -1 if b precedes other, 0 if they are equal, and 1 if b follows other.
 func (b Ballot) Compare(other Ballot) int {
-	return cmp.Or(cmp.Compare(b.Number, other.Number), cmp.Compare(b.By, other.By))
+	return cmp.Or(cmp.Compare(b.Number, other.Number), cmp.Compare(b.Proposer, other.Proposer))
 }
--- a/consensus/membership_model_test.go
+++ b/consensus/membership_model_test.go
@@ -229,7 +229,7 @@
 	if m.injected == majorityOfReachable {
 		base = m.withReachableMembers(p, base)
 	}
-	a.proposal = NewProposal(Ballot{Number: p.number, By: p.incarnation}, base, a.change)
+	a.proposal = NewProposal(Ballot{Number: p.number, Proposer: p.incarnation}, base, a.change)
 	p.current = a
 	m.sendPrepares(a)
 }
--- a/consensus/membership_replicas_test.go
+++ b/consensus/membership_replicas_test.go
@@ -42,7 +42,7 @@
 			replicas[member.ID] = Replica{Slot: p.known.Slot, Ballot: p.decision.Last}
 		}
 		if r := replicas[member.ID]; m.injected == slotCountsAsReplica && r.Slot >= p.known.Slot {
-			replicas[member.ID] = Replica{Slot: r.Slot, Ballot: Ballot{Number: 1 << 60, By: 1}}
+			replicas[member.ID] = Replica{Slot: r.Slot, Ballot: Ballot{Number: 1 << 60, Proposer: 1}}
 		}
 	}
 	return replicas
--- a/consensus/membership_test.go
+++ b/consensus/membership_test.go
@@ -85,7 +85,7 @@
 	if m.injected == acceptWithoutPrepare {
 		p.number++
 		for _, member := range missing {
-			ballot := Ballot{Number: p.number, By: p.incarnation}
+			ballot := Ballot{Number: p.number, Proposer: p.incarnation}
 			m.sendAccept(&proposalAttempt{process: p}, Accept{To: member.ID, Ballot: ballot, Value: p.known})
 		}
 		return true
--- a/consensus/model_test.go
+++ b/consensus/model_test.go
@@ -175,7 +175,7 @@
 		m.recordDecided(n.known)
 	}
 	n.number++
-	p.proposal = NewProposal(Ballot{Number: n.number, By: n.incarnation}, n.known, change)
+	p.proposal = NewProposal(Ballot{Number: n.number, Proposer: n.incarnation}, n.known, change)
 	n.proposals = append(n.proposals, p)
 	m.sendPrepares(p)
 }
--- a/consensus/recovery_test.go
+++ b/consensus/recovery_test.go
@@ -17,7 +17,7 @@
 func (r *partialRegister) propose(base *Value, change ChangeFunc, prepared, accepted []AcceptorID) (v *Value, decided bool) {
 	r.t.Helper()
 	r.number++
-	p := NewProposal(Ballot{Number: r.number, By: ProposerID(r.number)}, base, change)
+	p := NewProposal(Ballot{Number: r.number, Proposer: ProposerID(r.number)}, base, change)
 	p.NextPrepares()
 	for _, id := range prepared {
 		next, reply := r.states[id].HandlePrepare(Prepare{To: id, Ballot: p.Ballot()})
@@ -96,7 +96,7 @@
 	if unrecorded.RecordsDecision() {
 		t.Fatal("the state records a decision before WithDecision was called")
 	}
-	p := NewProposal(Ballot{Number: 50, By: 1}, ProposalBase(unrecorded.Value, nil), unchanged)
+	p := NewProposal(Ballot{Number: 50, Proposer: 1}, ProposalBase(unrecorded.Value, nil), unchanged)
 	for _, id := range []AcceptorID{1, 4} {
 		_, reply := r.states[id].HandlePrepare(Prepare{To: id, Ballot: p.Ballot()})
 		p.HandlePrepareReply(reply)
--- a/controlplane/proposer.go
+++ b/controlplane/proposer.go
@@ -49,7 +49,7 @@
 // next returns the start of the next proposal, with a ballot higher than all that were seen. It runs on the event loop.
 func (p *proposer) next() proposalStart {
 	p.highestBallot++
-	return proposalStart{consensus.Ballot{Number: p.highestBallot, By: p.id}, p.base()}
+	return proposalStart{consensus.Ballot{Number: p.highestBallot, Proposer: p.id}, p.base()}
 }
 
 // base returns the value from which a proposal starts. It runs on the event loop.
--- a/internal/acceptorstore/compat_test.go
+++ b/internal/acceptorstore/compat_test.go
@@ -138,8 +138,8 @@
 }
 
 var (
-	compatAccepted = consensus.Ballot{Number: 21, By: 91}
-	compatPromised = consensus.Ballot{Number: 22, By: 92}
+	compatAccepted = consensus.Ballot{Number: 21, Proposer: 91}
+	compatPromised = consensus.Ballot{Number: 22, Proposer: 92}
 )
 
 // TestCompatEarlierFilesAreReadAndUpdated opens files of both formats that earlier releases wrote, and updates them.
@@ -161,7 +161,7 @@
 			}
 
 			next := compatValue().Confirm().WithConfiguration(40, 30, compatDigest("new"), []byte("new"))
-			accepted := consensus.Ballot{Number: 23, By: 91}
+			accepted := consensus.Ballot{Number: 23, Proposer: 91}
 			s := openCompat(t, dir)
 			updateCompat(t, s, acceptCompat(accepted, next))
 			if err := s.Close(); err != nil {
--- a/internal/acceptorstore/format.go
+++ b/internal/acceptorstore/format.go
@@ -161,7 +161,7 @@
 		return nil
 	}
 	encoded := binary.BigEndian.AppendUint64(nil, decided.Number)
-	return b.Put(decidedKey, binary.BigEndian.AppendUint64(encoded, uint64(decided.By)))
+	return b.Put(decidedKey, binary.BigEndian.AppendUint64(encoded, uint64(decided.Proposer)))
 }
 
 // decodeBallot decodes a ballot that writeDecided stored; it returns the zero Ballot if there is none.
@@ -170,8 +170,8 @@
 		return consensus.Ballot{}
 	}
 	return consensus.Ballot{
-		Number: binary.BigEndian.Uint64(encoded),
-		By:     consensus.ProposerID(binary.BigEndian.Uint64(encoded[8:])),
+		Number:   binary.BigEndian.Uint64(encoded),
+		Proposer: consensus.ProposerID(binary.BigEndian.Uint64(encoded[8:])),
 	}
 }
 
--- a/internal/acceptorstore/format_test.go
+++ b/internal/acceptorstore/format_test.go
@@ -132,7 +132,7 @@
 	return func(s consensus.AcceptorState) consensus.AcceptorState {
 		members := []consensus.Member{{ID: s.ID, Address: "a"}}
 		v := &consensus.Value{Slot: consensus.Slot(ballot), Members: members, PriorMembers: members, Version: version, BasedOn: version - 1, Digest: string(sum[:]), Body: body}
-		next, _ := s.HandleAccept(consensus.Accept{To: s.ID, Ballot: consensus.Ballot{Number: ballot, By: 1}, Value: v})
+		next, _ := s.HandleAccept(consensus.Accept{To: s.ID, Ballot: consensus.Ballot{Number: ballot, Proposer: 1}, Value: v})
 		return next
 	}
 }
@@ -140,7 +140,7 @@
 // prepareStep returns a step that promises a ballot.
 func prepareStep(ballot uint64) StepFunc {
 	return func(s consensus.AcceptorState) consensus.AcceptorState {
-		next, _ := s.HandlePrepare(consensus.Prepare{To: s.ID, Ballot: consensus.Ballot{Number: ballot, By: 1}})
+		next, _ := s.HandlePrepare(consensus.Prepare{To: s.ID, Ballot: consensus.Ballot{Number: ballot, Proposer: 1}})
 		return next
 	}
 }
--- a/internal/acceptorstore/full_disk_test.go
+++ b/internal/acceptorstore/full_disk_test.go
@@ -118,7 +118,7 @@
 		t.Fatal(err)
 	}
 	decided := &consensus.Value{Slot: 3, Members: []consensus.Member{{ID: 77}}, PriorMembers: []consensus.Member{{ID: 78}}}
-	ballot := consensus.Ballot{Number: 9, By: 4}
+	ballot := consensus.Ballot{Number: 9, Proposer: 4}
 	accept := func(state consensus.AcceptorState) consensus.AcceptorState {
 		next, _ := state.HandleAccept(consensus.Accept{To: 77, Ballot: ballot, Value: decided})
 		return next
--- a/internal/acceptorstore/store_test.go
+++ b/internal/acceptorstore/store_test.go
@@ -26,7 +26,7 @@
 
 func acceptStep(n uint64) StepFunc {
 	return func(s consensus.AcceptorState) consensus.AcceptorState {
-		next, _ := s.HandleAccept(consensus.Accept{To: s.ID, Ballot: consensus.Ballot{Number: n, By: 1}, Value: &consensus.Value{Slot: consensus.Slot(n),
+		next, _ := s.HandleAccept(consensus.Accept{To: s.ID, Ballot: consensus.Ballot{Number: n, Proposer: 1}, Value: &consensus.Value{Slot: consensus.Slot(n),
 			Members: []consensus.Member{{ID: s.ID, Address: "a"}}, PriorMembers: []consensus.Member{{ID: s.ID, Address: "a"}}, Version: consensus.Version(n),
 			Digest: "d", Body: []byte("{}"), PriorRevisions: []consensus.Revision{{Version: 1, Digest: "x"}}}})
 		return next
@@ -144,7 +144,7 @@
 	}
 	s.commit = s.db.Update
 	must(update(t, s, func(st consensus.AcceptorState) consensus.AcceptorState {
-		next, p := st.HandlePrepare(consensus.Prepare{To: st.ID, Ballot: consensus.Ballot{Number: 9, By: 2}})
+		next, p := st.HandlePrepare(consensus.Prepare{To: st.ID, Ballot: consensus.Ballot{Number: 9, Proposer: 2}})
 		if !p.OK || p.Value.Slot != 5 {
 			t.Errorf("the promise after the failed write returned the value of slot %d, want 5", p.Value.Slot)
 		}
--- a/rpc/convert.go
+++ b/rpc/convert.go
@@ -177,10 +177,10 @@
 
 // BallotToProto encodes a ballot.
 func BallotToProto(b consensus.Ballot) *Ballot {
-	return &Ballot{Number: b.Number, Proposer: uint64(b.By)}
+	return &Ballot{Number: b.Number, Proposer: uint64(b.Proposer)}
 }
 
 // BallotFromProto decodes a ballot; nil is decoded as the zero ballot.
 func BallotFromProto(m *Ballot) consensus.Ballot {
-	return consensus.Ballot{Number: m.GetNumber(), By: consensus.ProposerID(m.GetProposer())}
+	return consensus.Ballot{Number: m.GetNumber(), Proposer: consensus.ProposerID(m.GetProposer())}
 }
--- a/rpc/convert_test.go
+++ b/rpc/convert_test.go
@@ -91,7 +91,7 @@
 	b.ReportAllocs()
 	length := 0
 	for range b.N {
-		request := &Accept{Acceptor: 1, Ballot: BallotToProto(consensus.Ballot{Number: 9, By: 1}), Value: ValueToProto(v, knownDigests...)}
+		request := &Accept{Acceptor: 1, Ballot: BallotToProto(consensus.Ballot{Number: 9, Proposer: 1}), Value: ValueToProto(v, knownDigests...)}
 		encoded, err := proto.Marshal(request)
 		if err != nil {
 			b.Fatal(err)
