--- a/controlplane/contact_monitor.go
+++ b/controlplane/contact_monitor.go
@@ -41,7 +41,7 @@
 func (m *contactMonitor) since(now time.Duration) (since time.Duration, ok bool) {
 	accepted := consensus.Slot(m.acceptor.acceptedSlot.Load())
 	m.observeReply(m.self.id, quorum.Reply{Incarnation: m.self.incarnation, SentAt: now, Slot: accepted})
-	return m.tracker.Since(m.learner.value.Members, m.learner.value.Slot)
+	return m.tracker.ContactSince(m.learner.value.Members, m.learner.value.Slot)
 }
 
 // observeReply records an acceptor's reply to a request.
--- a/quorum/model_test.go
+++ b/quorum/model_test.go
@@ -200,7 +200,7 @@
 	if m.fault == useFirstMembers {
 		members = m.decided[0].members
 	}
-	since, ok := m.tracker.Since(members, known.slot)
+	since, ok := m.tracker.ContactSince(members, known.slot)
 	if !ok {
 		return ""
 	}
--- a/quorum/quorum.go
+++ b/quorum/quorum.go
@@ -71,13 +71,13 @@
 	}
 }
 
-// Since returns the latest time such that a majority of the members replied to requests sent at that time or later without
-// reporting a slot beyond the known one. It returns ok = false if there is no such time. The members must be those of the
-// value decided in the known slot, including the caller if it votes.
+// ContactSince returns the latest time such that a majority of the members replied to requests sent at that time or
+// later without reporting a slot beyond the known one. It returns ok = false if there is no such time. The members must
+// be those of the value decided in the known slot, including the caller if it votes.
 //
 // No later slot was decided before that time: a majority of these members would have had to accept a value in it first, and
 // any two majorities have a member in common, which would have reported that slot.
-func (t *ContactTracker) Since(members []consensus.Member, known consensus.Slot) (since time.Duration, ok bool) {
+func (t *ContactTracker) ContactSince(members []consensus.Member, known consensus.Slot) (since time.Duration, ok bool) {
 	var times []time.Duration
 	for _, m := range members {
 		if at, confirmed := t.lastConfirmation(m.ID, known); confirmed {
--- a/quorum/quorum_test.go
+++ b/quorum/quorum_test.go
@@ -49,7 +49,7 @@
 	tracker, members := NewContactTracker(), []consensus.Member{{ID: 1}}
 	expect := func(want time.Duration, ok bool) {
 		t.Helper()
-		if got, gotOK := tracker.Since(members, 5); got != want || gotOK != ok {
+		if got, gotOK := tracker.ContactSince(members, 5); got != want || gotOK != ok {
 			t.Errorf("contact since %v, %v; want %v, %v", got, gotOK, want, ok)
 		}
 	}
@@ -70,7 +70,7 @@
 	tracker.ObserveReply(1, Reply{1, 40, 5}, 5)
 	tracker.ObserveIncarnation(1, 2)
 	expect(0, false)
-	if _, ok := tracker.Since(nil, 5); ok {
+	if _, ok := tracker.ContactSince(nil, 5); ok {
 		t.Error("an empty set of members is in contact, want no contact")
 	}
 }
