--- a/controlplane/controller.go
+++ b/controlplane/controller.go
@@ -81,7 +81,7 @@
 	if setAside != "" {
 		log.Warn().Str("file", setAside).Msg("state: damaged file set aside, starting with a new identity")
 	}
-	if err := store.Refused(); err != nil {
+	if err := store.OpenError(); err != nil {
 		log.Warn().Err(err).Msg("state: the disk does not take the state file, voting for nothing until it does")
 	}
 	state := store.State()
--- a/internal/acceptorstore/full_disk.go
+++ b/internal/acceptorstore/full_disk.go
@@ -11,8 +11,8 @@
 // createRetryInterval is the minimum time between attempts to create a missing file.
 const createRetryInterval = 200 * time.Millisecond
 
-// ErrNoFile is wrapped by the errors of updates while the file can't be created.
-var ErrNoFile = errors.New("the disk does not take the state file")
+// ErrFileNotCreated is wrapped by the errors of updates while the file can't be created.
+var ErrFileNotCreated = errors.New("the disk does not take the state file")
 
 // isWriteRefused reports whether an error means that the disk currently accepts no writes (no space, quota exceeded,
 // read-only). Such an error is no evidence that the stored data is damaged.
@@ -33,14 +33,14 @@
 		return nil
 	}
 	if time.Since(s.lastCreateAttempt) < createRetryInterval {
-		return errors.Join(ErrNoFile, s.openErr)
+		return errors.Join(ErrFileNotCreated, s.openErr)
 	}
 	s.lastCreateAttempt = time.Now()
 	previous := s.state
 	err := s.create()
 	if err != nil {
 		s.state = previous
-		return errors.Join(ErrNoFile, err)
+		return errors.Join(ErrFileNotCreated, err)
 	}
 	return nil
 }
--- a/internal/acceptorstore/full_disk_test.go
+++ b/internal/acceptorstore/full_disk_test.go
@@ -27,11 +27,11 @@
 	if err != nil || setAsidePath != "" {
 		t.Fatalf("Open on a full disk: %v, set aside as %q", err, setAsidePath)
 	}
-	if !errors.Is(s.Refused(), syscall.ENOSPC) || s.State().ID != 77 || s.State().Value != nil {
-		t.Fatalf("Refused returned %v, state %+v", s.Refused(), s.State())
+	if !errors.Is(s.OpenError(), syscall.ENOSPC) || s.State().ID != 77 || s.State().Value != nil {
+		t.Fatalf("OpenError returned %v, state %+v", s.OpenError(), s.State())
 	}
-	if err := update(t, s, acceptStep(1)); !errors.Is(err, ErrNoFile) {
-		t.Fatalf("an update on a full disk returned %v, want ErrNoFile", err)
+	if err := update(t, s, acceptStep(1)); !errors.Is(err, ErrFileNotCreated) {
+		t.Fatalf("an update on a full disk returned %v, want ErrFileNotCreated", err)
 	}
 	if err := os.Remove(path); err != nil {
 		t.Fatal(err)
@@ -103,8 +103,8 @@
 	if err != nil || setAsidePath != "" || s.State().Value == nil || s.State().Value.Slot != 5 {
 		t.Fatalf("Open: %v, set aside as %q", err, setAsidePath)
 	}
-	if err := update(t, s, acceptStep(6)); !errors.Is(err, ErrNoFile) {
-		t.Errorf("an update before the directory was synced returned %v, want ErrNoFile", err)
+	if err := update(t, s, acceptStep(6)); !errors.Is(err, ErrFileNotCreated) {
+		t.Errorf("an update before the directory was synced returned %v, want ErrFileNotCreated", err)
 	}
 	s.Close()
 	expectStored(t, dir, 77, 5)
--- a/internal/acceptorstore/store.go
+++ b/internal/acceptorstore/store.go
@@ -74,7 +74,7 @@
 // with a random identity: the promises made under the old identity are lost, so that identity must not vote again.
 //
 // If a new file can't be created because the disk is full or read-only, or its directory entry can't be made durable for that
-// reason, the store is opened without a file (see Refused): every update fails until the file can be created. An existing
+// reason, the store is opened without a file (see OpenError): every update fails until the file can be created. An existing
 // non-empty file is never replaced because the disk rejects writes.
 func Open(dir string, genesis consensus.AcceptorID) (s *Store, setAsidePath string, err error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil && !isWriteRefused(err) {
@@ -102,9 +102,9 @@
 	return &Store{dir: dir, historyCounts: map[string]int{}, queue: make(chan func(), queueLength), closing: make(chan struct{}), done: make(chan struct{})}
 }
 
-// Refused returns why Open could not create the file or sync its directory; nil if the file was opened. Later updates retry the
-// creation.
-func (s *Store) Refused() error { return s.openErr }
+// OpenError returns why Open could not create the file or sync its directory; nil if the file was opened. Later updates
+// retry the creation.
+func (s *Store) OpenError() error { return s.openErr }
 
 // openOrReplace opens the file, or creates it if it does not exist. An unreadable file is set aside and replaced.
 func (s *Store) openOrReplace(path string, genesis consensus.AcceptorID) (setAsidePath string, err error) {
