--- a/gatherer/gatherer.go
+++ b/gatherer/gatherer.go
@@ -214,7 +214,7 @@
 	}
 	addressChanged := config.Discovery != g.config.Discovery
 	if g.config.Discovery = config.Discovery; addressChanged && g.watcher != nil {
-		g.watcher.Move(config.Discovery)
+		g.watcher.ChangeAddress(config.Discovery)
 	}
 	slog.Info("reload", "discovery", config.Discovery, "moved", addressChanged,
 		"needs_restart", cmp.Or(strings.Join(restart, ","), "none"))
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -92,8 +92,9 @@
 	return w
 }
 
-// Move changes the address of the list service. It ends the watch of the old address and begins one of the new address.
-func (w *Watcher) Move(addr string) {
+// ChangeAddress changes the address of the list service. It ends the watch of the old address and begins one of the new
+// address.
+func (w *Watcher) ChangeAddress(addr string) {
 	w.target.Store(&addr)
 	w.Subscribe()
 }
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -105,7 +105,7 @@
 		fmt.Fprintf(res, `{"seq":2,"whole":%t,"hosts":[%s]}`+"\n", req.URL.RawQuery == "", entry)
 	}))
 	t.Cleanup(moved.Close)
-	w.Move(strings.TrimPrefix(moved.URL, "http://"))
+	w.ChangeAddress(strings.TrimPrefix(moved.URL, "http://"))
 	if l := receive(t, handler.lists); l.Version != 2 || !l.Complete || len(l.Servers) != 1 {
 		t.Errorf("got %+v", l)
 	}
