--- a/controlplane/gossip.go
+++ b/controlplane/gossip.go
@@ -157,7 +157,7 @@
 		}
 	}
 	for _, index := range p.differingRanges {
-		for _, r := range g.table.Range(index) {
+		for _, r := range g.table.RecordsInRange(index) {
 			if !sent[r.Instance] {
 				m.Reports = append(m.Reports, encodeReport(r, now))
 			}
@@ -239,7 +239,7 @@
 	g.contact.observeReply(p.id, quorum.Reply{Incarnation: m.Incarnation, SentAt: sent.sentAt, Slot: consensus.Slot(max(m.VotedSlot, m.Slot))})
 	g.verifier.finish(now)
 	for _, index := range m.DifferingRanges {
-		if index < registry.RangeCount && !slices.Contains(p.differingRanges, int(index)) {
+		if index < registry.DigestRangeCount && !slices.Contains(p.differingRanges, int(index)) {
 			p.differingRanges = append(p.differingRanges, int(index))
 		}
 	}
@@ -291,7 +291,7 @@
 // compareDigests returns the ranges in which a peer's reports differ from this controller's. The next messages in both directions
 // carry all reports of these ranges.
 func (g *gossiper) compareDigests(p *peer, digests []uint64) (differing []uint32) {
-	if len(digests) != registry.RangeCount {
+	if len(digests) != registry.DigestRangeCount {
 		return nil
 	}
 	for index, digest := range g.table.Digests() {
--- a/registry/digest.go
+++ b/registry/digest.go
@@ -6,14 +6,14 @@
 	"slices"
 )
 
-// RangeCount is the number of ranges into which instance ids are hashed. Digests returns one digest for each range.
-const RangeCount = 16
+// DigestRangeCount is the number of ranges into which instance ids are hashed. Digests returns one digest for each range.
+const DigestRangeCount = 16
 
 // Digests returns a digest of each range of records, for anti-entropy between controllers. Equal tables have equal digests,
 // regardless of the order in which they were filled. A digest covers instance ids, states and addresses; fields that change
 // with each heartbeat are excluded.
-func (t *Table) Digests() [RangeCount]uint64 {
-	var digests [RangeCount]uint64
+func (t *Table) Digests() [DigestRangeCount]uint64 {
+	var digests [DigestRangeCount]uint64
 	for id, r := range t.records {
 		h := fnv.New64a()
 		h.Write([]byte(id))
@@ -25,8 +25,8 @@
 	return digests
 }
 
-// Range returns the records of one range (0 to RangeCount-1), sorted by instance id.
-func (t *Table) Range(index int) []*Record {
+// RecordsInRange returns the records of one range (0 to DigestRangeCount-1), sorted by instance id.
+func (t *Table) RecordsInRange(index int) []*Record {
 	var records []*Record
 	for id, r := range t.records {
 		if rangeOf(id) == index {
@@ -41,5 +41,5 @@
 func rangeOf(id InstanceID) int {
 	h := fnv.New32a()
 	h.Write([]byte(id))
-	return int(h.Sum32() % RangeCount)
+	return int(h.Sum32() % DigestRangeCount)
 }
--- a/registry/model_gossip_test.go
+++ b/registry/model_gossip_test.go
@@ -57,7 +57,7 @@
 	changes := from.table.ChangesAfter(peer.cursor)
 	var repairs []*Record
 	for _, number := range peer.differingRanges {
-		repairs = append(repairs, from.table.Range(number)...)
+		repairs = append(repairs, from.table.RecordsInRange(number)...)
 	}
 	peer.differingRanges = nil
 	for _, r := range append(updates, repairs...) {
@@ -87,7 +87,7 @@
 }
 
 // differingRanges returns the ranges in which a replica's digests differ from the received ones.
-func (m *model) differingRanges(to *replica, digests [RangeCount]uint64) (differing []int) {
+func (m *model) differingRanges(to *replica, digests [DigestRangeCount]uint64) (differing []int) {
 	if m.injected == cursorsSurviveRestart {
 		return nil
 	}
--- a/registry/table_bench_test.go
+++ b/registry/table_bench_test.go
@@ -73,7 +73,7 @@
 		run("all records", func() { t.ChangesAfter(0) })
 		run("expire", func() { t.Expire(now) })
 		run("digests", func() { t.Digests() })
-		run("range", func() { t.Range(3) })
+		run("range", func() { t.RecordsInRange(3) })
 		run("new server", func() { // supersedeAddress scans all records for the same address
 			r := records[0]
 			r.Instance, r.Address = InstanceID(fmt.Sprint("new-", next)), fmt.Sprint("new-", next)
