--- a/dataplane/health_check.go
+++ b/dataplane/health_check.go
@@ -95,7 +95,7 @@
 	if e == nil || !healthy || !h.holdsRole(instance, now) {
 		return
 	}
-	e.lease = e.lease.Acquire(h.process.incarnation)
+	e.lease = e.lease.ForHolder(h.process.incarnation)
 	if e.health.healthyAt == 0 || e.unresponsive {
 		h.process.log.Info().Str("instance", instance).Uint64("fencing_token", e.lease.FencingToken).
 			Msg("health check: server without heartbeats is healthy")
--- a/lease/lease.go
+++ b/lease/lease.go
@@ -35,9 +35,9 @@
 	return cmp.Or(cmp.Compare(l.FencingToken, other.FencingToken), cmp.Compare(l.Holder, other.Holder))
 }
 
-// Acquire returns the lease for the current holder of the role, where l is the newest lease that the gateway has
+// ForHolder returns the lease for the current holder of the role, where l is the newest lease that the gateway has
 // received: l itself if the gateway is its holder, otherwise a lease with the next fencing token.
-func (l Lease) Acquire(incarnation uint64) Lease {
+func (l Lease) ForHolder(incarnation uint64) Lease {
 	if l.Holder == incarnation {
 		return l
 	}
--- a/lease/model_test.go
+++ b/lease/model_test.go
@@ -203,7 +203,7 @@
 	if !g.tracker.Holds(modelKey, m.now) {
 		return false, ""
 	}
-	l := g.newestLease.Acquire(g.incarnation)
+	l := g.newestLease.ForHolder(g.incarnation)
 	if m.injected == leaseReused {
 		l = Lease{FencingToken: max(g.newestLease.FencingToken, 1), Holder: 1}
 	}
