--- a/dataplane/quota_allocator.go
+++ b/dataplane/quota_allocator.go
@@ -44,7 +44,7 @@
 		a.pools[service] = allocator
 	}
 	_, pool := quota.SplitCapacity(rendezvous.ConnectionSlots(limit), a.members.size())
-	return allocator.Request(incarnation, demands, inUse, pool, duration(now)), true
+	return allocator.RequestGrant(incarnation, demands, inUse, pool, duration(now)), true
 }
 
 // allocate allocates a grant. It reports false if no tenant document is active, or if this gateway may not allocate the pool.
--- a/dataplane/quota_client.go
+++ b/dataplane/quota_client.go
@@ -82,7 +82,7 @@
 	if !q.enabled() {
 		return 1
 	}
-	return q.limiter.InFlightFactor(q.tenantOf[queryType], duration(now))
+	return q.limiter.InFlightLimitFactor(q.tenantOf[queryType], duration(now))
 }
 
 // ExpectedWait implements balancer.CapacityLimiter.
@@ -170,10 +170,10 @@
 		if pool == 0 || servers[service] == 0 {
 			continue
 		}
-		var usages []quota.TenantUse
+		var usages []quota.TenantUsage
 		for id, tenant := range q.tenants {
 			waiting := q.limiter.Waiting(quota.Service(service), id)
-			usages = append(usages, quota.TenantUse{
+			usages = append(usages, quota.TenantUsage{
 				Tenant:  tenant.Name,
 				Weight:  tenant.Weight,
 				InUse:   inUse[service][tenant.Name],
--- a/dataplane/tenants.go
+++ b/dataplane/tenants.go
@@ -281,7 +281,7 @@
 			Borrowed:   uint32(usage.Borrowed),
 			Limit:      uint32(usage.Limit),
 			ShareMilli: uint32(1000 * min(usage.Share, maxReportedRatio)),
-			WantsMore:  usage.WantsMore,
+			WantsMore:  usage.HasUnmetDemand,
 		})
 	}
 	return usages
--- a/quota/allocator.go
+++ b/quota/allocator.go
@@ -53,10 +53,10 @@
 // expired.
 func NewAllocator() *Allocator { return &Allocator{grants: map[uint64]*grant{}} }
 
-// Request replaces a gateway's demands and returns the number of connections that it may use until [LeaseDuration] after
-// it sent the request. inUse is the number of connections that it still uses from earlier grants: they stay reserved
-// while a smaller grant is in transit.
-func (a *Allocator) Request(incarnation uint64, demands []Demand, inUse, pool int, now time.Duration) (connections int) {
+// RequestGrant replaces a gateway's demands and returns the number of connections that it may use until [LeaseDuration]
+// after it sent the request. inUse is the number of connections that it still uses from earlier grants: they stay
+// reserved while a smaller grant is in transit.
+func (a *Allocator) RequestGrant(incarnation uint64, demands []Demand, inUse, pool int, now time.Duration) (connections int) {
 	for id, g := range a.grants {
 		if now >= g.expiresAt {
 			delete(a.grants, id)
--- a/quota/allocator_model_test.go
+++ b/quota/allocator_model_test.go
@@ -156,7 +156,7 @@
 		inUse = 0
 	}
 	demands := []Demand{{Tenant: "a", Connections: gateway.demand, Weight: 1}, {Tenant: "b", Connections: gateway.demand / 2, Weight: 3}}
-	connections := m.allocator.Request(gateway.incarnation, demands, inUse, m.pool, now)
+	connections := m.allocator.RequestGrant(gateway.incarnation, demands, inUse, m.pool, now)
 	gateway.reply = &modelReply{
 		connections: connections,
 		requestedAt: now,
--- a/quota/allocator_test.go
+++ b/quota/allocator_test.go
@@ -18,7 +18,7 @@
 }
 
 func (r *requester) request(incarnation uint64, demand Demand) int {
-	connections := r.allocator.Request(incarnation, []Demand{demand}, r.inUse[incarnation], r.pool, r.now)
+	connections := r.allocator.RequestGrant(incarnation, []Demand{demand}, r.inUse[incarnation], r.pool, r.now)
 	r.inUse[incarnation] = connections
 	return connections
 }
--- a/quota/bench_test.go
+++ b/quota/bench_test.go
@@ -37,13 +37,13 @@
 				{Tenant: "c", Connections: 0.5, Weight: 1},
 			}
 			for incarnation := range gateways {
-				allocator.Request(uint64(incarnation), demands, 0, 1000, time.Second)
+				allocator.RequestGrant(uint64(incarnation), demands, 0, 1000, time.Second)
 			}
 			b.ReportAllocs()
 			incarnation := uint64(0)
 			for b.Loop() {
 				incarnation++
-				allocator.Request(incarnation%uint64(gateways), demands, 1, 1000, time.Second)
+				allocator.RequestGrant(incarnation%uint64(gateways), demands, 1, 1000, time.Second)
 			}
 		})
 	}
--- a/quota/demand.go
+++ b/quota/demand.go
@@ -8,8 +8,8 @@
 	Weight      float64
 }
 
-// TenantUse is a tenant's current use of a service at one gateway.
-type TenantUse struct {
+// TenantUsage is a tenant's current use of a service at one gateway.
+type TenantUsage struct {
 	Tenant  string
 	Weight  float64
 	InUse   float64 // connections to the server to which it has the most
@@ -30,7 +30,7 @@
 }
 
 // Demands returns the demands to request; none = the base is sufficient.
-func (e *DemandEstimator) Demands(base int, usages []TenantUse) (demands []Demand) {
+func (e *DemandEstimator) Demands(base int, usages []TenantUsage) (demands []Demand) {
 	smoothed, total := map[string]float64{}, 0.0
 	for _, use := range usages {
 		connections := use.InUse + use.Waiting
--- a/quota/estimate.go
+++ b/quota/estimate.go
@@ -9,9 +9,9 @@
 	overShareFactor  = 0.9
 )
 
-// InFlightFactor returns the portion of the gateway's in-flight limit up to which a tenant's requests are admitted. It is
-// 1 if no other tenant is active, and may be above 1.
-func (l *Limiter) InFlightFactor(tenant TenantID, now time.Duration) float64 {
+// InFlightLimitFactor returns the portion of the gateway's in-flight limit up to which a tenant's requests are
+// admitted. It is 1 if no other tenant is active, and may be above 1.
+func (l *Limiter) InFlightLimitFactor(tenant TenantID, now time.Duration) float64 {
 	inUse, own, others := 0, 0, false
 	weights := l.policies[tenant].Weight
 	for id, total := range l.totals {
@@ -57,13 +57,13 @@
 
 // ConnectionUsage is a tenant's use of the connections to one server, as reported to operators.
 type ConnectionUsage struct {
-	Server    ServerID
-	Tenant    string
-	InUse     int     // connections
-	Borrowed  int     // connections in use that were acquired beyond the tenant's share
-	Limit     int     // of this gateway's connections to the server, for all tenants; 0 = no limit
-	Share     float64 // the tenant's share of the limit
-	WantsMore bool    // the tenant was recently denied another connection and still waits
+	Server         ServerID
+	Tenant         string
+	InUse          int     // connections
+	Borrowed       int     // connections in use that were acquired beyond the tenant's share
+	Limit          int     // of this gateway's connections to the server, for all tenants; 0 = no limit
+	Share          float64 // the tenant's share of the limit
+	HasUnmetDemand bool    // the tenant was recently denied another connection and still waits
 }
 
 // ConnectionUsages returns the usages of all tenants that use connections or have unmet demand, at all servers, unordered.
@@ -75,13 +75,13 @@
 				continue
 			}
 			usages = append(usages, ConnectionUsage{
-				Server:    id,
-				Tenant:    l.policies[usage.tenant].Name,
-				InUse:     usage.inUse,
-				Borrowed:  usage.borrowed,
-				Limit:     server.limit,
-				Share:     l.share(server, usage, now),
-				WantsMore: hasUnmetDemand,
+				Server:         id,
+				Tenant:         l.policies[usage.tenant].Name,
+				InUse:          usage.inUse,
+				Borrowed:       usage.borrowed,
+				Limit:          server.limit,
+				Share:          l.share(server, usage, now),
+				HasUnmetDemand: hasUnmetDemand,
 			})
 		}
 	}
