--- a/controlplane/rollout_manager.go
+++ b/controlplane/rollout_manager.go
@@ -138,8 +138,8 @@
 			}
 			for _, route := range report.Routes {
 				analysis.Report(incarnation, route.Route, rollout.RouteCounts{
-					Old: rollout.Counts{Answers: route.OldAnswers, Bad: route.OldBad},
-					New: rollout.Counts{Answers: route.NewAnswers, Bad: route.NewBad},
+					Stable: rollout.Counts{Answers: route.OldAnswers, Bad: route.OldBad},
+					Target: rollout.Counts{Answers: route.NewAnswers, Bad: route.NewBad},
 				})
 			}
 		}
--- a/dataplane/rollouts.go
+++ b/dataplane/rollouts.go
@@ -228,9 +228,9 @@
 	if outcome == balancer.Cancelled && !slow {
 		return // the client left before the attempt was slow
 	}
-	counts := &o.New
+	counts := &o.Target
 	if a.endpoint.version != r.TargetVersion {
-		counts = &o.Old
+		counts = &o.Stable
 		o.updateBaseline(outcome, elapsed)
 	}
 	counts.Answers++
@@ -275,10 +275,10 @@
 		for route, o := range r.outcomes {
 			entry.Routes = append(entry.Routes, &rpc.RouteOutcomes{
 				Route:      route,
-				OldAnswers: o.Old.Answers,
-				OldBad:     o.Old.Bad,
-				NewAnswers: o.New.Answers,
-				NewBad:     o.New.Bad,
+				OldAnswers: o.Stable.Answers,
+				OldBad:     o.Stable.Bad,
+				NewAnswers: o.Target.Answers,
+				NewBad:     o.Target.Bad,
 			})
 		}
 		report.Rollouts = append(report.Rollouts, entry)
--- a/rollout/analysis.go
+++ b/rollout/analysis.go
@@ -37,7 +37,7 @@
 
 // RouteCounts counts the responses to the requests of one route.
 type RouteCounts struct {
-	Old, New Counts // of all other versions, and of the target version
+	Stable, Target Counts // of all other versions, and of the target version
 }
 
 // Analysis compares the responses of the target version with those of the other versions, for each route as responses are
@@ -93,7 +93,7 @@
 		a.reported[gateway] = byRoute
 	}
 	previous := byRoute[route]
-	if counts.Old.Answers < previous.Old.Answers || counts.New.Answers < previous.New.Answers {
+	if counts.Stable.Answers < previous.Stable.Answers || counts.Target.Answers < previous.Target.Answers {
 		return // an older report that arrived late
 	}
 	byRoute[route] = counts
@@ -108,9 +108,9 @@
 			a.routes[route] = r
 		}
 	}
-	added := RouteCounts{Old: counts.Old.since(previous.Old), New: counts.New.since(previous.New)}
-	a.total.Old.add(added.Old)
-	a.total.New.add(added.New)
+	added := RouteCounts{Stable: counts.Stable.since(previous.Stable), Target: counts.Target.since(previous.Target)}
+	a.total.Stable.add(added.Stable)
+	a.total.Target.add(added.Target)
 	r.add(added)
 }
 
@@ -128,14 +128,14 @@
 // add adds responses and updates the score. Those of the other versions are added first, so that a fault that affects both versions
 // is not held against the target version.
 func (r *routeAnalysis) add(added RouteCounts) {
-	r.longWindow.add(added.Old)
-	r.shortWindow.add(added.Old)
-	r.target.add(added.New)
+	r.longWindow.add(added.Stable)
+	r.shortWindow.add(added.Stable)
+	r.target.add(added.Target)
 	good, bad := r.assumedShares()
 	badLogRatio, goodLogRatio := math.Log(bad/good), math.Log((1-bad)/(1-good))
-	goodAnswers := float64(added.New.Answers - min(added.New.Bad, added.New.Answers))
+	goodAnswers := float64(added.Target.Answers - min(added.Target.Bad, added.Target.Answers))
 	// The order of the responses is unknown: a controller that has just started receives those of the whole rollout in one report.
-	r.score = max(0, r.score+goodAnswers*goodLogRatio+float64(added.New.Bad)*badLogRatio)
+	r.score = max(0, r.score+goodAnswers*goodLogRatio+float64(added.Target.Bad)*badLogRatio)
 }
 
 // assumedShares returns the shares of bad responses that a good and a bad version are assumed to have.
@@ -158,4 +158,6 @@
 }
 
 // Answers returns the number of responses that were counted, of the other versions and of the target version.
-func (a *Analysis) Answers() (other, target uint64) { return a.total.Old.Answers, a.total.New.Answers }
+func (a *Analysis) Answers() (other, target uint64) {
+	return a.total.Stable.Answers, a.total.Target.Answers
+}
--- a/rollout/analysis_test.go
+++ b/rollout/analysis_test.go
@@ -29,14 +29,14 @@
 	for now := time.Duration(0); now < duration; now += interval {
 		for pending += t.perSecond * interval.Seconds(); pending >= 1; pending-- {
 			c := &counts[random.IntN(len(counts))]
-			arm, share := &c.Old, t.oldBad(now)
+			arm, share := &c.Stable, t.oldBad(now)
 			if random.Float64() < t.share {
-				arm, share = &c.New, t.newBad(now)
+				arm, share = &c.Target, t.newBad(now)
 			}
 			arm.Answers++
 			if random.Float64() < share {
 				arm.Bad++
-				if arm == &c.New {
+				if arm == &c.Target {
 					bad++
 				}
 			}
@@ -107,12 +107,12 @@
 func TestAnalysisAcceptsLateStart(t *testing.T) {
 	a := NewAnalysis()
 	for gateway := range uint64(3) {
-		a.Report(gateway, "r", RouteCounts{Old: Counts{4000, 80}, New: Counts{400, 8}})
+		a.Report(gateway, "r", RouteCounts{Stable: Counts{4000, 80}, Target: Counts{400, 8}})
 	}
 	if reason := a.Suspect(); reason != "" {
 		t.Error(reason)
 	}
-	a.Report(0, "r", RouteCounts{Old: Counts{4010, 80}, New: Counts{412, 16}})
+	a.Report(0, "r", RouteCounts{Stable: Counts{4010, 80}, Target: Counts{412, 16}})
 	if a.Suspect() == "" {
 		t.Error("8 bad responses of 12 are not detected")
 	}
@@ -123,16 +123,16 @@
 func TestAnalysisCountsReportsOnce(t *testing.T) {
 	a := NewAnalysis()
 	for range 5 {
-		a.Report(1, "r", RouteCounts{Old: Counts{10, 1}, New: Counts{4, 2}})
+		a.Report(1, "r", RouteCounts{Stable: Counts{10, 1}, Target: Counts{4, 2}})
 	}
-	a.Report(1, "r", RouteCounts{Old: Counts{9, 1}, New: Counts{3, 2}}) // an older report that arrives late
-	a.Report(1, "r", RouteCounts{Old: Counts{12, 1}, New: Counts{4, 2}})
-	a.Report(2, "r", RouteCounts{Old: Counts{1, 0}, New: Counts{1, 0}})
+	a.Report(1, "r", RouteCounts{Stable: Counts{9, 1}, Target: Counts{3, 2}}) // an older report that arrives late
+	a.Report(1, "r", RouteCounts{Stable: Counts{12, 1}, Target: Counts{4, 2}})
+	a.Report(2, "r", RouteCounts{Stable: Counts{1, 0}, Target: Counts{1, 0}})
 	if other, target := a.Answers(); other != 13 || target != 5 {
 		t.Errorf("%d and %d responses are counted, want 13 and 5", other, target)
 	}
 	for i := range 5 * maxRoutes {
-		a.Report(3, string(rune('a'+i)), RouteCounts{New: Counts{1, 0}})
+		a.Report(3, string(rune('a'+i)), RouteCounts{Target: Counts{1, 0}})
 	}
 	if len(a.routes) > maxRoutes+1 {
 		t.Errorf("%d routes are analyzed, want at most %d", len(a.routes), maxRoutes+1)
--- a/rollout/model_test.go
+++ b/rollout/model_test.go
@@ -273,10 +273,10 @@
 			if err := m.checkTarget(g, now, current, inContact); err != nil {
 				return err
 			}
-			m.countResponse(&g.counts.New, now, share)
+			m.countResponse(&g.counts.Target, now, share)
 		} else {
 			g.oldOpenUntil = now + requestTime
-			m.countResponse(&g.counts.Old, now, -1)
+			m.countResponse(&g.counts.Stable, now, -1)
 		}
 		if now < modelDuration && inContact {
 			m.requests++
