--- a/controlplane/rollout_manager.go
+++ b/controlplane/rollout_manager.go
@@ -138,8 +138,8 @@
 			}
 			for _, route := range report.Routes {
 				analysis.Report(incarnation, route.Route, rollout.RouteCounts{
-					Stable: rollout.Counts{Answers: route.OldAnswers, Bad: route.OldBad},
-					Target: rollout.Counts{Answers: route.NewAnswers, Bad: route.NewBad},
+					Stable: rollout.Counts{Responses: route.OldAnswers, Bad: route.OldBad},
+					Target: rollout.Counts{Responses: route.NewAnswers, Bad: route.NewBad},
 				})
 			}
 		}
@@ -173,7 +173,7 @@
 		}
 	}
 	analysis := m.analyses[r.Number]
-	p.OldAnswers, p.NewAnswers = analysis.Answers()
+	p.OldAnswers, p.NewAnswers = analysis.Responses()
 	p.Suspect = analysis.Suspect()
 	return p
 }
--- a/dataplane/rollouts.go
+++ b/dataplane/rollouts.go
@@ -233,7 +233,7 @@
 		counts = &o.Stable
 		o.updateBaseline(outcome, elapsed)
 	}
-	counts.Answers++
+	counts.Responses++
 	if outcome != balancer.Answered || slow {
 		counts.Bad++
 	}
@@ -275,9 +275,9 @@
 		for route, o := range r.outcomes {
 			entry.Routes = append(entry.Routes, &rpc.RouteOutcomes{
 				Route:      route,
-				OldAnswers: o.Stable.Answers,
+				OldAnswers: o.Stable.Responses,
 				OldBad:     o.Stable.Bad,
-				NewAnswers: o.Target.Answers,
+				NewAnswers: o.Target.Responses,
 				NewBad:     o.Target.Bad,
 			})
 		}
--- a/rollout/analysis.go
+++ b/rollout/analysis.go
@@ -31,8 +31,8 @@
 
 // Counts counts the responses of the servers of one version.
 type Counts struct {
-	Answers uint64 // all responses, including failures and requests that were cancelled because they took too long
-	Bad     uint64 // failures, and responses that took several times longer than usual
+	Responses uint64 // all responses, including failures and requests that were cancelled because they took too long
+	Bad       uint64 // failures, and responses that took several times longer than usual
 }
 
 // RouteCounts counts the responses to the requests of one route.
@@ -58,25 +58,25 @@
 
 // window estimates a share of bad responses from the newest responses: the weight of older ones decays once it holds size.
 type window struct {
-	size, answers, bad float64
+	size, responses, bad float64
 }
 
 // add adds newer responses.
 func (w *window) add(c Counts) {
-	w.answers += float64(c.Answers)
+	w.responses += float64(c.Responses)
 	w.bad += float64(c.Bad)
-	if w.answers > w.size {
-		w.bad *= w.size / w.answers
-		w.answers = w.size
+	if w.responses > w.size {
+		w.bad *= w.size / w.responses
+		w.responses = w.size
 	}
 }
 
 // share returns the share of bad responses, or 0 if there are no responses.
 func (w *window) share() float64 {
-	if w.answers == 0 {
+	if w.responses == 0 {
 		return 0
 	}
-	return w.bad / w.answers
+	return w.bad / w.responses
 }
 
 // NewAnalysis returns an analysis without evidence.
@@ -93,7 +93,7 @@
 		a.reported[gateway] = byRoute
 	}
 	previous := byRoute[route]
-	if counts.Stable.Answers < previous.Stable.Answers || counts.Target.Answers < previous.Target.Answers {
+	if counts.Stable.Responses < previous.Stable.Responses || counts.Target.Responses < previous.Target.Responses {
 		return // an older report that arrived late
 	}
 	byRoute[route] = counts
@@ -116,12 +116,12 @@
 
 // since returns the responses that were counted after an earlier report.
 func (c Counts) since(previous Counts) Counts {
-	return Counts{Answers: c.Answers - previous.Answers, Bad: c.Bad - previous.Bad}
+	return Counts{Responses: c.Responses - previous.Responses, Bad: c.Bad - previous.Bad}
 }
 
 // add adds other counts.
 func (c *Counts) add(other Counts) {
-	c.Answers += other.Answers
+	c.Responses += other.Responses
 	c.Bad += other.Bad
 }
 
@@ -133,9 +133,9 @@
 	r.target.add(added.Target)
 	good, bad := r.assumedShares()
 	badLogRatio, goodLogRatio := math.Log(bad/good), math.Log((1-bad)/(1-good))
-	goodAnswers := float64(added.Target.Answers - min(added.Target.Bad, added.Target.Answers))
+	goodResponses := float64(added.Target.Responses - min(added.Target.Bad, added.Target.Responses))
 	// The order of the responses is unknown: a controller that has just started receives those of the whole rollout in one report.
-	r.score = max(0, r.score+goodAnswers*goodLogRatio+float64(added.Target.Bad)*badLogRatio)
+	r.score = max(0, r.score+goodResponses*goodLogRatio+float64(added.Target.Bad)*badLogRatio)
 }
 
 // assumedShares returns the shares of bad responses that a good and a bad version are assumed to have.
@@ -151,13 +151,13 @@
 	for route, r := range a.routes {
 		if r.score >= alarmThreshold {
 			return fmt.Sprintf("%d of %d answers on %q are failures or too slow, %.0f of the last %.0f of the other versions", r.target.Bad,
-				r.target.Answers, route, r.longWindow.bad, r.longWindow.answers)
+				r.target.Responses, route, r.longWindow.bad, r.longWindow.responses)
 		}
 	}
 	return ""
 }
 
-// Answers returns the number of responses that were counted, of the other versions and of the target version.
-func (a *Analysis) Answers() (other, target uint64) {
-	return a.total.Stable.Answers, a.total.Target.Answers
+// Responses returns the number of responses that were counted, of the other versions and of the target version.
+func (a *Analysis) Responses() (other, target uint64) {
+	return a.total.Stable.Responses, a.total.Target.Responses
 }
--- a/rollout/analysis_test.go
+++ b/rollout/analysis_test.go
@@ -33,7 +33,7 @@
 			if random.Float64() < t.share {
 				arm, share = &c.Target, t.newBad(now)
 			}
-			arm.Answers++
+			arm.Responses++
 			if random.Float64() < share {
 				arm.Bad++
 				if arm == &c.Target {
@@ -128,7 +128,7 @@
 	a.Report(1, "r", RouteCounts{Stable: Counts{9, 1}, Target: Counts{3, 2}}) // an older report that arrives late
 	a.Report(1, "r", RouteCounts{Stable: Counts{12, 1}, Target: Counts{4, 2}})
 	a.Report(2, "r", RouteCounts{Stable: Counts{1, 0}, Target: Counts{1, 0}})
-	if other, target := a.Answers(); other != 13 || target != 5 {
+	if other, target := a.Responses(); other != 13 || target != 5 {
 		t.Errorf("%d and %d responses are counted, want 13 and 5", other, target)
 	}
 	for i := range 5 * maxRoutes {
--- a/rollout/model_test.go
+++ b/rollout/model_test.go
@@ -238,7 +238,7 @@
 			c.analysis.Report(g.incarnation, "route", g.reportedCounts)
 		}
 	}
-	p.OldAnswers, p.NewAnswers = c.analysis.Answers()
+	p.OldAnswers, p.NewAnswers = c.analysis.Responses()
 	p.Suspect = c.analysis.Suspect()
 	if m.defect == reportsIgnored {
 		p.OldAnswers, p.NewAnswers = 1000, 1000
@@ -308,7 +308,7 @@
 
 // countResponse draws a response and counts it. share is that of the target version, or negative for a response of another version.
 func (m *model) countResponse(c *Counts, now time.Duration, share float64) {
-	c.Answers++
+	c.Responses++
 	bad := 0.01
 	if share >= 0 && now >= m.badFrom && share >= m.badAbove {
 		bad = m.badShare
