--- a/controlplane/rollout_manager.go
+++ b/controlplane/rollout_manager.go
@@ -174,7 +174,7 @@
 	}
 	analysis := m.analyses[r.Number]
 	p.OldAnswers, p.NewAnswers = analysis.Responses()
-	p.Suspect = analysis.Suspect()
+	p.FailureReason = analysis.FailureReason()
 	return p
 }
 
--- a/rollout/analysis.go
+++ b/rollout/analysis.go
@@ -146,8 +146,8 @@
 	return good, bad
 }
 
-// Suspect returns why the target version is classified as bad, or "" if it is not.
-func (a *Analysis) Suspect() string {
+// FailureReason returns why the target version is classified as bad, or "" if it is not.
+func (a *Analysis) FailureReason() string {
 	for route, r := range a.routes {
 		if r.score >= alarmThreshold {
 			return fmt.Sprintf("%d of %d answers on %q are failures or too slow, %.0f of the last %.0f of the other versions", r.target.Bad,
--- a/rollout/analysis_test.go
+++ b/rollout/analysis_test.go
@@ -44,7 +44,7 @@
 		for i, c := range counts {
 			a.Report(uint64(i), "route", c)
 		}
-		if a.Suspect() != "" {
+		if a.FailureReason() != "" {
 			return now, bad, true
 		}
 	}
@@ -109,11 +109,11 @@
 	for gateway := range uint64(3) {
 		a.Report(gateway, "r", RouteCounts{Stable: Counts{4000, 80}, Target: Counts{400, 8}})
 	}
-	if reason := a.Suspect(); reason != "" {
+	if reason := a.FailureReason(); reason != "" {
 		t.Error(reason)
 	}
 	a.Report(0, "r", RouteCounts{Stable: Counts{4010, 80}, Target: Counts{412, 16}})
-	if a.Suspect() == "" {
+	if a.FailureReason() == "" {
 		t.Error("8 bad responses of 12 are not detected")
 	}
 }
--- a/rollout/model_test.go
+++ b/rollout/model_test.go
@@ -239,7 +239,7 @@
 		}
 	}
 	p.OldAnswers, p.NewAnswers = c.analysis.Responses()
-	p.Suspect = c.analysis.Suspect()
+	p.FailureReason = c.analysis.FailureReason()
 	if m.defect == reportsIgnored {
 		p.OldAnswers, p.NewAnswers = 1000, 1000
 	}
--- a/rollout/plan.go
+++ b/rollout/plan.go
@@ -74,7 +74,7 @@
 	OpenOld  int // number of requests open at servers of other versions, over all gateways
 
 	OldAnswers, NewAnswers uint64 // responses of the other versions and of the target version in this rollout, including failures
-	Suspect                string // why the target version is classified as bad, "" = it is not
+	FailureReason          string // why the target version is classified as bad, "" = it is not
 }
 
 // drained reports whether all gateways have applied the step and no request is open at servers of other versions.
@@ -107,8 +107,8 @@
 	switch {
 	case r.State != Running || r.Step < waitStep || r.Step > LastStep: // not running, or a step that only a later release defines
 		return Transition{}, false
-	case p.Suspect != "":
-		return Transition{State: Reverted, Step: r.Step, Reason: p.Suspect}, true
+	case p.FailureReason != "":
+		return Transition{State: Reverted, Step: r.Step, Reason: p.FailureReason}, true
 	case p.Elapsed >= duration:
 		return Transition{State: Reverted, Step: r.Step, Reason: "not completed within its duration"}, true
 	case r.Step == waitStep:
