--- a/controlplane/rollout_manager.go
+++ b/controlplane/rollout_manager.go
@@ -168,12 +168,12 @@
 		for _, report := range g.rollouts.GetRollouts() {
 			if report.Number == r.Number && int(report.Step) == r.Step {
 				p.Applied++
-				p.OpenOld += int(report.OpenOld)
+				p.OpenStableRequests += int(report.OpenOld)
 			}
 		}
 	}
 	analysis := m.analyses[r.Number]
-	p.OldAnswers, p.NewAnswers = analysis.Responses()
+	p.StableResponses, p.TargetResponses = analysis.Responses()
 	p.FailureReason = analysis.FailureReason()
 	return p
 }
--- a/rollout/model_test.go
+++ b/rollout/model_test.go
@@ -231,20 +231,20 @@
 		if g.reported.Number == r.Number && g.reported.Step == r.Step {
 			p.Applied++
 			if g.reportedOpen {
-				p.OpenOld++
+				p.OpenStableRequests++
 			}
 		}
 		if m.defect != reportsIgnored {
 			c.analysis.Report(g.incarnation, "route", g.reportedCounts)
 		}
 	}
-	p.OldAnswers, p.NewAnswers = c.analysis.Responses()
+	p.StableResponses, p.TargetResponses = c.analysis.Responses()
 	p.FailureReason = c.analysis.FailureReason()
 	if m.defect == reportsIgnored {
-		p.OldAnswers, p.NewAnswers = 1000, 1000
+		p.StableResponses, p.TargetResponses = 1000, 1000
 	}
 	if m.defect == drainIgnored {
-		p.Applied, p.OpenOld = p.Gateways, 0
+		p.Applied, p.OpenStableRequests = p.Gateways, 0
 	}
 	return p
 }
--- a/rollout/plan.go
+++ b/rollout/plan.go
@@ -69,21 +69,23 @@
 	TargetServers int // number of ready servers of the target version
 	StableServers int // number of ready servers of all other versions
 
-	Gateways int // number of gateways in contact with any controller
-	Applied  int // number of these gateways that have applied the step
-	OpenOld  int // number of requests open at servers of other versions, over all gateways
+	Gateways           int // number of gateways in contact with any controller
+	Applied            int // number of these gateways that have applied the step
+	OpenStableRequests int // number of requests open at servers of other versions, over all gateways
 
-	OldAnswers, NewAnswers uint64 // responses of the other versions and of the target version in this rollout, including failures
-	FailureReason          string // why the target version is classified as bad, "" = it is not
+	StableResponses, TargetResponses uint64 // responses of the other versions and of the target version in this rollout, including failures
+	FailureReason                    string // why the target version is classified as bad, "" = it is not
 }
 
 // drained reports whether all gateways have applied the step and no request is open at servers of other versions.
-func (p *Progress) drained() bool { return p.Gateways > 0 && p.Applied >= p.Gateways && p.OpenOld == 0 }
+func (p *Progress) drained() bool {
+	return p.Gateways > 0 && p.Applied >= p.Gateways && p.OpenStableRequests == 0
+}
 
 // hasEnoughResponses reports whether the target version has responded to enough requests for a decision, given the traffic.
 func (p *Progress) hasEnoughResponses(share float64) bool {
-	expected := share * float64(p.OldAnswers+p.NewAnswers)
-	return float64(p.NewAnswers) >= min(minResponses, expected/2)
+	expected := share * float64(p.StableResponses+p.TargetResponses)
+	return float64(p.TargetResponses) >= min(minResponses, expected/2)
 }
 
 // Transition is a change of a running rollout to another step or state.
