--- a/dataplane/outlier_client.go
+++ b/dataplane/outlier_client.go
@@ -168,7 +168,7 @@
 // changedServers returns the servers whose verdict may have changed: those whose status the detector changed, and all that are not healthy,
 // as a change of membership may move the role of probing them.
 func (o *outlierClient) changedServers() []outlier.Instance {
-	changed := o.detector.TakeChanged()
+	changed := o.detector.DrainChanged()
 	for id := range o.reported {
 		if e := o.endpoints.byID[id]; e != nil {
 			changed = append(changed, outlier.Instance(e.instance))
--- a/outlier/detector.go
+++ b/outlier/detector.go
@@ -43,7 +43,7 @@
 	shards   map[Shard][]Instance       // servers of each shard, sorted
 	outbox   []Observation              // observations to forward, oldest first
 	active   map[Instance]*serverRecord // servers that have observations, or are not healthy with a factor of 1
-	changed  []Instance                 // servers whose status changed since TakeChanged was called
+	changed  []Instance                 // servers whose status changed since DrainChanged was called
 	peers    int                        // number of other gateways
 	impaired bool                       // this gateway itself has a fault
 }
@@ -245,8 +245,8 @@
 	return observations
 }
 
-// TakeChanged returns the servers whose status changed since the last call. A server may be listed more than once.
-func (d *Detector) TakeChanged() []Instance {
+// DrainChanged returns the servers whose status changed since the last call. A server may be listed more than once.
+func (d *Detector) DrainChanged() []Instance {
 	changed := d.changed
 	d.changed = nil
 	return changed
