--- a/balancer/actions.go
+++ b/balancer/actions.go
@@ -8,11 +8,11 @@
 
 // Reasons of attempts.
 const (
-	FirstAttempt     AttemptReason = iota
-	RetryAttempt                   // no other attempt is in flight
-	HedgeAttempt                   // sent while another attempt is overdue
-	ProbationAttempt               // sent with the first attempt, to test whether its server responds again
-	AttemptReasons                 // number of reasons
+	FirstAttempt      AttemptReason = iota
+	RetryAttempt                    // no other attempt is in flight
+	HedgeAttempt                    // sent while another attempt is overdue
+	ProbationAttempt                // sent with the first attempt, to test whether its server responds again
+	NumAttemptReasons               // number of reasons
 )
 
 // String returns the reason as a single word, which metrics use as a label.
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -183,8 +183,8 @@
 	case ClusterResized:
 		b.resize(e)
 	case BudgetShared:
-		if b.sharedBudgetBase > 0 && max(e.Shard, e.With) < ShardIndex(len(b.budgets)) {
-			b.budgets[e.Shard] = b.budgets[e.With]
+		if b.sharedBudgetBase > 0 && max(e.Shard, e.Source) < ShardIndex(len(b.budgets)) {
+			b.budgets[e.Shard] = b.budgets[e.Source]
 		}
 	case PeerUpdate:
 		b.applyPeerUpdate(e)
--- a/balancer/events.go
+++ b/balancer/events.go
@@ -135,9 +135,9 @@
 	ClusterResized struct {
 		Shards, Instances int
 	}
-	// BudgetShared makes a shard use the retry budget of another from now on, if each shard has a budget: both shards have
+	// BudgetShared makes Shard use the retry budget of Source from now on, if each shard has a budget: both shards have
 	// servers of the same service.
-	BudgetShared struct{ Shard, With ShardIndex }
+	BudgetShared struct{ Shard, Source ShardIndex }
 	// PeerUpdate supplies the calls that other instances have in flight at servers, and verdicts on servers.
 	PeerUpdate struct {
 		Loads    []PeerLoad
--- a/balancer/gateway_test.go
+++ b/balancer/gateway_test.go
@@ -263,8 +263,8 @@
 	b := gatewayHarness(3, gatewayQueryType)
 	b.clock += 20000 * Millisecond
 	for range 2 {
-		b.handle(BudgetShared{Shard: 2, With: 0})
-		b.handle(BudgetShared{Shard: 7, With: 0}) // no such shard yet
+		b.handle(BudgetShared{Shard: 2, Source: 0})
+		b.handle(BudgetShared{Shard: 7, Source: 0}) // no such shard yet
 	}
 	b.now = b.clock
 	of := func(shard ShardIndex) *shardCall {
--- a/dataplane/metrics.go
+++ b/dataplane/metrics.go
@@ -9,10 +9,10 @@
 
 // counters are the gateway's event counters since its start. The loop increments them; any goroutine may read them.
 type counters struct {
-	attempts          [balancer.AttemptReasons]atomic.Uint64 // passed to an open connection or one being made
-	attemptsOverLimit [balancer.AttemptReasons]atomic.Uint64 // of these, beyond the maximum of the request's route: always 0
-	results           [resultKinds]atomic.Uint64             // passed to clients
-	clientDisconnects atomic.Uint64                          // requests whose client closed its connection before the result
+	attempts          [balancer.NumAttemptReasons]atomic.Uint64 // passed to an open connection or one being made
+	attemptsOverLimit [balancer.NumAttemptReasons]atomic.Uint64 // of these, beyond the maximum of the request's route: always 0
+	results           [resultKinds]atomic.Uint64                // passed to clients
+	clientDisconnects atomic.Uint64                             // requests whose client closed its connection before the result
 }
 
 // countAttempt counts an attempt that is being sent, and whether it exceeds the maximum of its route.
@@ -27,7 +27,7 @@
 func (g *Gateway) collectMetrics() []metrics.Metric {
 	c := &g.process.counters
 	var attempts, overLimit, results []metrics.Sample
-	for reason := range balancer.AttemptReasons {
+	for reason := range balancer.NumAttemptReasons {
 		attempts = append(attempts, metrics.Sample{LabelValue: reason.String(), Value: float64(c.attempts[reason].Load())})
 		overLimit = append(overLimit, metrics.Sample{LabelValue: reason.String(), Value: float64(c.attemptsOverLimit[reason].Load())})
 	}
--- a/dataplane/rollouts.go
+++ b/dataplane/rollouts.go
@@ -94,8 +94,8 @@
 	t.shards.sync()                 // servers may have moved between shards
 	for _, r := range t.byService { // all versions of a service share its retry budget
 		base := t.shards.shardIndex(r.Service)
-		t.events.handleEvent(balancer.BudgetShared{Shard: r.newShard, With: base})
-		t.events.handleEvent(balancer.BudgetShared{Shard: r.oldShard, With: base})
+		t.events.handleEvent(balancer.BudgetShared{Shard: r.newShard, Source: base})
+		t.events.handleEvent(balancer.BudgetShared{Shard: r.oldShard, Source: base})
 	}
 }
 
--- a/dataplane/rollouts_test.go
+++ b/dataplane/rollouts_test.go
@@ -138,7 +138,7 @@
 	if got := table.selectShard(shards.shardIndex("s")); got != shards.shardIndex(versionShard("s", "v2")) {
 		t.Errorf("a call goes to shard %d, want the shard of version v2", got)
 	}
-	shared := balancer.BudgetShared{Shard: shards.shardIndex(versionShard("s", "v3")), With: shards.shardIndex("s")}
+	shared := balancer.BudgetShared{Shard: shards.shardIndex(versionShard("s", "v3")), Source: shards.shardIndex("s")}
 	if !slices.Contains(table.events.(*recordedEvents).events, balancer.Event(shared)) {
 		t.Error("the servers of the target version do not share the retry budget of the service")
 	}
