--- a/admission/admission.go
+++ b/admission/admission.go
@@ -42,7 +42,7 @@
 // Decisions.
 const (
 	AwaitResponse Decision = iota // dispatched: keep waiting for the response
-	Recheck                       // may still be dispatched: check again after another hold limit
+	ExtendHold                    // may still be dispatched: check again after another hold limit
 	Reject                        // no server can accept it
 )
 
@@ -52,7 +52,7 @@
 	case s.Dispatched:
 		return AwaitResponse
 	case s.Pending || s.WarmingUp:
-		return Recheck
+		return ExtendHold
 	}
 	return Reject
 }
--- a/admission/admission_test.go
+++ b/admission/admission_test.go
@@ -34,8 +34,8 @@
 		want  Decision
 	}{
 		{"no server is available", DispatchState{}, Reject},
-		{"a shard call is pending", DispatchState{Pending: true}, Recheck},
-		{"the gateway is warming up", DispatchState{WarmingUp: true}, Recheck},
+		{"a shard call is pending", DispatchState{Pending: true}, ExtendHold},
+		{"the gateway is warming up", DispatchState{WarmingUp: true}, ExtendHold},
 		{"dispatched", DispatchState{Dispatched: true}, AwaitResponse},
 		{"dispatched while other calls are pending", DispatchState{Dispatched: true, Pending: true, WarmingUp: true}, AwaitResponse},
 	} {
--- a/dataplane/dispatcher.go
+++ b/dataplane/dispatcher.go
@@ -373,7 +373,7 @@
 	state := r.dispatchState()
 	state.WarmingUp = admission.WarmingUp(duration(now), d.process.settings.HeartbeatInterval())
 	switch state.Decide() {
-	case admission.Recheck:
+	case admission.ExtendHold:
 		d.scheduleDispatchCheck(r, now)
 	case admission.Reject:
 		d.handleEvent(balancer.RequestCancelled{Request: r.id})
