--- a/degradation/gate.go
+++ b/degradation/gate.go
@@ -26,8 +26,8 @@
 	return g
 }
 
-// HandleChange records a change of the machine's level. It must be called for each change.
-func (g *Gate) HandleChange(c Change) { g.previous = g.level(c.From).Policy }
+// RecordChange records a change of the machine's level. It must be called for each change.
+func (g *Gate) RecordChange(c Change) { g.previous = g.level(c.From).Policy }
 
 // level returns the level with a rank, or the last level if a reload has reduced their number.
 func (g *Gate) level(rank Rank) Level {
--- a/degradation/gate_test.go
+++ b/degradation/gate_test.go
@@ -10,7 +10,7 @@
 		t.Error("a request was rejected at full service")
 	}
 	for _, c := range run(m, 0, 10_000, func(Time) Readings { return signalReadings(LostCapacity, 0.2) }) {
-		g.HandleChange(c)
+		g.RecordChange(c)
 	}
 	served, retryAfter := [3]int{}, map[Time]int{}
 	for i := range 3000 { // the first customer sends ten times as many requests as the second
@@ -49,7 +49,7 @@
 	// After an upgrade the share ramps up.
 	upgrades := run(m, 10_000, 30_000, func(Time) Readings { return signalReadings(LostCapacity, 0) })
 	for _, c := range upgrades {
-		g.HandleChange(c)
+		g.RecordChange(c)
 	}
 	at := upgrades[len(upgrades)-1].At
 	if first, mid, last := g.Share(at, 1), g.Share(at+config.RampUp/2, 1), g.Share(at+config.RampUp, 1); first != 0.5 || mid != 0.75 || last != 1 {
--- a/gatherer/degradation.go
+++ b/gatherer/degradation.go
@@ -142,7 +142,7 @@
 	now := s.now()
 	s.machine.Observe(now, s.measureSignals(now))
 	if change, changed := s.machine.Evaluate(now); changed {
-		s.gate.HandleChange(change)
+		s.gate.RecordChange(change)
 		s.levelChanged(scopeAll, change)
 	}
 	if s.config.UsesSignal(degradation.SegmentLostCapacity) { // skipped otherwise, as it is costly with thousands of segments
