--- a/connadmission/controller.go
+++ b/connadmission/controller.go
@@ -267,7 +267,7 @@
 }
 
 // ShouldCloseAfterResponse reports whether a connection should be closed after its response: it has sent only one request,
-// and at least MaxIdleOneShot other connections are idle. The total number of connections is limited: if clients that sent a
+// and at least OneShotCloseThreshold other connections are idle. The total number of connections is limited: if clients that sent a
 // single request hold most of them idle, few are left for other clients. A connection that has sent more requests is kept
 // open.
 //
@@ -277,11 +277,11 @@
 	if tight && c.entry(id) != nil {
 		return true
 	}
-	if c.options.MaxIdleOneShot <= 0 || requests > 1 || c.entry(id) == nil {
+	if c.options.OneShotCloseThreshold <= 0 || requests > 1 || c.entry(id) == nil {
 		return false
 	}
 	_, _, idle, _ := c.Counts()
-	return idle >= c.options.MaxIdleOneShot
+	return idle >= c.options.OneShotCloseThreshold
 }
 
 // MemoryBytes returns the size of a controller's connection table in bytes.
--- a/connadmission/controller_test.go
+++ b/connadmission/controller_test.go
@@ -219,7 +219,7 @@
 }
 
 func TestOneShotConnsCloseWhenManyAreIdle(t *testing.T) {
-	c := New(Options{MaxConns: 100, MaxIdleOneShot: 5})
+	c := New(Options{MaxConns: 100, OneShotCloseThreshold: 5})
 	openIdle := func() ID {
 		id := c.Open(1)
 		c.BeginRequest(id)
@@ -233,18 +233,18 @@
 	id := c.Open(2)
 	c.BeginRequest(id)
 	if c.ShouldCloseAfterResponse(id, 1, false) {
-		t.Error("a connection should be closed although fewer than MaxIdleOneShot are idle")
+		t.Error("a connection should be closed although fewer than OneShotCloseThreshold are idle")
 	}
 	last := openIdle()
 	if !c.ShouldCloseAfterResponse(id, 1, false) || c.ShouldCloseAfterResponse(id, 2, false) {
-		t.Error("with MaxIdleOneShot idle connections, one with a single request should be closed and one with two requests should not")
+		t.Error("with OneShotCloseThreshold idle connections, one with a single request should be closed and one with two requests should not")
 	}
 	c.Close(last)
 	if c.ShouldCloseAfterResponse(id, 1, false) || c.ShouldCloseAfterResponse(last, 1, false) {
-		t.Error("a connection should be closed although fewer than MaxIdleOneShot are idle, or although it was closed before")
+		t.Error("a connection should be closed although fewer than OneShotCloseThreshold are idle, or although it was closed before")
 	}
 	if none := New(Options{MaxConns: 100}); none.ShouldCloseAfterResponse(none.Open(1), 1, false) {
-		t.Error("a connection should be closed although MaxIdleOneShot is 0")
+		t.Error("a connection should be closed although OneShotCloseThreshold is 0")
 	}
 }
 
--- a/connadmission/options.go
+++ b/connadmission/options.go
@@ -11,9 +11,9 @@
 	HeaderTimeout Millis
 	// CustomerShares are the relative shares of connections by customer; nil = no customers are known.
 	CustomerShares []float64
-	// MaxIdleOneShot is the number of idle connections at which a connection with a single request is closed after its
+	// OneShotCloseThreshold is the number of idle connections at which a connection with a single request is closed after its
 	// response; 0 = never.
-	MaxIdleOneShot int
+	OneShotCloseThreshold int
 	// MaxActive is the number of open requests at which parked connections are no longer served; 0 = no limit.
 	MaxActive int
 	// ParkDelay is how long an idle connection keeps its goroutine before it is parked.
