--- a/gatherer/limits.go
+++ b/gatherer/limits.go
@@ -13,9 +13,9 @@
 
 // Limits are the resources of the machine that the program may use. Zero means unknown.
 type Limits struct {
-	Cores    float64 `json:"cores"`
-	MemoryMB float64 `json:"memory_mb"`
-	Sockets  float64 `json:"sockets"` // file descriptors
+	Cores       float64 `json:"cores"`
+	MemoryMB    float64 `json:"memory_mb"`
+	Descriptors float64 `json:"sockets"` // file descriptors
 }
 
 // Shares of the file descriptors. Half of those that are not reserved are for connections to servers, as each server
@@ -31,7 +31,7 @@
 
 // splitDescriptors returns the numbers of descriptors for connections of clients and for connections to servers.
 func (l Limits) splitDescriptors() (clients, servers int) {
-	all := int(l.Sockets)
+	all := int(l.Descriptors)
 	if all <= 0 {
 		all = defaultDescriptors
 	}
--- a/gatherer/limits_test.go
+++ b/gatherer/limits_test.go
@@ -24,7 +24,7 @@
 // 3 s.
 func TestSilentConnectionsAreEvicted(t *testing.T) {
 	a := startShard(t, "s-a", nil)
-	p := startProgram(t, startDiscovery(t, a), func(s *Config) { s.Limits.Sockets = 64 })
+	p := startProgram(t, startDiscovery(t, a), func(s *Config) { s.Limits.Descriptors = 64 })
 	began := time.Now()
 	var silent []net.Conn
 	for i := range 100 {
@@ -55,9 +55,9 @@
 
 func TestConnectionLimit(t *testing.T) {
 	p := startProgram(t, startDiscovery(t, startShard(t, "s-a", nil)), func(s *Config) {
-		s.Limits.Sockets = 64
+		s.Limits.Descriptors = 64
 	})
-	clients, servers := Limits{Sockets: 64}.splitDescriptors()
+	clients, servers := Limits{Descriptors: 64}.splitDescriptors()
 	var conns []net.Conn
 	dial := func() net.Conn {
 		c, err := net.Dial("tcp", p.addr)
@@ -126,8 +126,8 @@
 // threshold of idle connections, the first response therefore closes its connection. A connection with more requests
 // stays.
 func TestIdleConnectionsPastThresholdAreClosed(t *testing.T) {
-	p := startProgram(t, startDiscovery(t, startShard(t, "s-a", nil)), func(s *Config) { s.Limits.Sockets = 256 })
-	clients, _ := Limits{Sockets: 256}.splitDescriptors()
+	p := startProgram(t, startDiscovery(t, startShard(t, "s-a", nil)), func(s *Config) { s.Limits.Descriptors = 256 })
+	clients, _ := Limits{Descriptors: 256}.splitDescriptors()
 	ask := func(c net.Conn) bool {
 		t.Helper()
 		r, _ := newRequest(context.Background(), p.addr, "lookup", 0)
@@ -184,7 +184,7 @@
 // The descriptors must suffice for a third of all for clients and for a connection to each server of a cluster.
 func TestServerDescriptorShare(t *testing.T) {
 	for _, c := range []struct{ sockets, hosts int }{{512, 200}, {640, 200}, {256, 100}, {1024, 400}} {
-		clients, servers := Limits{Sockets: float64(c.sockets)}.splitDescriptors()
+		clients, servers := Limits{Descriptors: float64(c.sockets)}.splitDescriptors()
 		if servers < c.hosts || clients < c.sockets/3 || clients+servers > c.sockets-reservedDescriptors {
 			t.Errorf("of %d descriptors %d are for clients and %d for servers, want at least a third and %d",
 				c.sockets, clients, servers, c.hosts)
--- a/gatherer/program_test.go
+++ b/gatherer/program_test.go
@@ -131,7 +131,7 @@
 		t.Error(err)
 	}
 	if err := json.Unmarshal([]byte(`{"cores":1,"memory_mb":192.0,"sockets":1e3}`), &lenient.Limits); err != nil ||
-		lenient.Limits.Sockets != 1000 {
+		lenient.Limits.Descriptors != 1000 {
 		t.Errorf("got %+v, %v", lenient.Limits, err)
 	}
 	deduplicated := valid
--- a/gatherer/servers_test.go
+++ b/gatherer/servers_test.go
@@ -30,7 +30,7 @@
 		reload()
 		p.awaitLogLine("event=reload_failed")
 	}
-	p.config.Limits.Sockets = 512
+	p.config.Limits.Descriptors = 512
 	p.configure()
 	reload()
 	p.awaitLogLine("event=reload ", "moved=false", "needs_restart=limits")
--- a/gatherer/testenv_test.go
+++ b/gatherer/testenv_test.go
@@ -93,7 +93,7 @@
 func startProgram(t *testing.T, l *standin.DiscoveryService, edit func(*Config), args ...string) *program {
 	t.Helper()
 	s := Config{Name: "n0", Listen: "127.0.0.1:0", Discovery: l.Addr(), Seed: "8c1f30d27a5be964",
-		Limits: Limits{Cores: 1, MemoryMB: 192, Sockets: 1024}, Settings: json.RawMessage(testSettings)}
+		Limits: Limits{Cores: 1, MemoryMB: 192, Descriptors: 1024}, Settings: json.RawMessage(testSettings)}
 	if edit != nil {
 		edit(&s)
 	}
