--- a/connadmission/controller.go
+++ b/connadmission/controller.go
@@ -267,9 +267,9 @@
 }
 
 // ShouldCloseAfterResponse reports whether a connection should be closed after its response: it has sent only one request,
-// and at least OneShotCloseThreshold other connections are idle. The total number of connections is limited: if clients that sent a
-// single request hold most of them idle, few are left for other clients. A connection that has sent more requests is kept
-// open.
+// and at least OneShotCloseThreshold other connections are idle. The total number of connections is limited: if clients
+// that sent a single request hold most of them idle, few are left for other clients. A connection that has sent more
+// requests is kept open.
 //
 // If tight is set, every connection is closed. The caller sets it if memory is scarce and idle connections cannot be parked, so
 // that each of them would keep its goroutine.
