--- a/consensus/membership_model_test.go
+++ b/consensus/membership_model_test.go
@@ -121,7 +121,7 @@
 	p.incarnation = ProposerID(m.incarnations)
 	p.number = p.disk.Promised.Number
 	p.decision = Decision{Value: p.known}
-	if p.disk.HoldsDecision() {
+	if p.disk.RecordsDecision() {
 		p.learn(p.disk.Value, p.disk.Accepted)
 	}
 }
@@ -229,7 +229,7 @@
 	if m.injected == majorityOfReachable {
 		base = m.withReachableMembers(p, base)
 	}
-	a.proposal = NewProposal(Ballot{Number: p.number, By: p.incarnation}, base, a.change)
+	a.proposal = NewProposal(Ballot{Number: p.number, Proposer: p.incarnation}, base, a.change)
 	p.current = a
 	m.sendPrepares(a)
 }
--- a/controlplane/rollout_manager.go
+++ b/controlplane/rollout_manager.go
@@ -138,8 +138,8 @@
 			}
 			for _, route := range report.Routes {
 				analysis.Report(incarnation, route.Route, rollout.RouteCounts{
-					Old: rollout.Counts{Answers: route.OldAnswers, Bad: route.OldBad},
-					New: rollout.Counts{Answers: route.NewAnswers, Bad: route.NewBad},
+					Stable: rollout.Counts{Responses: route.OldAnswers, Bad: route.OldBad},
+					Target: rollout.Counts{Responses: route.NewAnswers, Bad: route.NewBad},
 				})
 			}
 		}
@@ -168,13 +168,13 @@
 		for _, report := range g.rollouts.GetRollouts() {
 			if report.Number == r.Number && int(report.Step) == r.Step {
 				p.Applied++
-				p.OpenOld += int(report.OpenOld)
+				p.OpenStableRequests += int(report.OpenOld)
 			}
 		}
 	}
 	analysis := m.analyses[r.Number]
-	p.OldAnswers, p.NewAnswers = analysis.Answers()
-	p.Suspect = analysis.Suspect()
+	p.StableResponses, p.TargetResponses = analysis.Responses()
+	p.FailureReason = analysis.FailureReason()
 	return p
 }
 
--- a/rollout/model_test.go
+++ b/rollout/model_test.go
@@ -231,20 +231,20 @@
 		if g.reported.Number == r.Number && g.reported.Step == r.Step {
 			p.Applied++
 			if g.reportedOpen {
-				p.OpenOld++
+				p.OpenStableRequests++
 			}
 		}
 		if m.defect != reportsIgnored {
 			c.analysis.Report(g.incarnation, "route", g.reportedCounts)
 		}
 	}
-	p.OldAnswers, p.NewAnswers = c.analysis.Answers()
-	p.Suspect = c.analysis.Suspect()
+	p.StableResponses, p.TargetResponses = c.analysis.Responses()
+	p.FailureReason = c.analysis.FailureReason()
 	if m.defect == reportsIgnored {
-		p.OldAnswers, p.NewAnswers = 1000, 1000
+		p.StableResponses, p.TargetResponses = 1000, 1000
 	}
 	if m.defect == drainIgnored {
-		p.Applied, p.OpenOld = p.Gateways, 0
+		p.Applied, p.OpenStableRequests = p.Gateways, 0
 	}
 	return p
 }
@@ -273,10 +273,10 @@
 			if err := m.checkTarget(g, now, current, inContact); err != nil {
 				return err
 			}
-			m.countResponse(&g.counts.New, now, share)
+			m.countResponse(&g.counts.Target, now, share)
 		} else {
 			g.oldOpenUntil = now + requestTime
-			m.countResponse(&g.counts.Old, now, -1)
+			m.countResponse(&g.counts.Stable, now, -1)
 		}
 		if now < modelDuration && inContact {
 			m.requests++
@@ -308,7 +308,7 @@
 
 // countResponse draws a response and counts it. share is that of the target version, or negative for a response of another version.
 func (m *model) countResponse(c *Counts, now time.Duration, share float64) {
-	c.Answers++
+	c.Responses++
 	bad := 0.01
 	if share >= 0 && now >= m.badFrom && share >= m.badAbove {
 		bad = m.badShare
