--- a/internal/controlcli/tenant_plan.go
+++ b/internal/controlcli/tenant_plan.go
@@ -74,7 +74,7 @@
 			continue
 		}
 		plan := servicePlan{Service: service.Name, Limit: service.ConnectionLimit}
-		for i, share := range quota.Shares(rendezvous.ConnectionSlots(service.ConnectionLimit), policies) {
+		for i, share := range quota.MaxMinShares(rendezvous.ConnectionSlots(service.ConnectionLimit), policies) {
 			policy := policies[i]
 			plan.Tenants = append(plan.Tenants, tenantPlan{Name: policy.Name, Share: share, Floor: int(policy.Floor), Max: int(policy.Max)})
 		}
--- a/quota/fairshare.go
+++ b/quota/fairshare.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// Shares returns each tenant's share of a number of connections while the demand of every tenant is unlimited.
-func Shares(connections int, policies []TenantPolicy) []float64 {
+// MaxMinShares returns each tenant's share of a number of connections while the demand of every tenant is unlimited.
+func MaxMinShares(connections int, policies []TenantPolicy) []float64 {
 	limiter := &Limiter{policies: policies}
 	server := &serverState{limit: connections, globalLimit: connections}
 	usages := make([]*tenantUsage, len(policies))
