--- a/gatherer/intent.go
+++ b/gatherer/intent.go
@@ -29,7 +29,7 @@
 		return false
 	}
 	timeout := idempotency.Time(req.timeout / balancer.Millisecond)
-	verdict, answer, changes := p.table.Arrive(now, req.key, req.digest, timeout)
+	verdict, answer, changes := p.table.Admit(now, req.key, req.digest, timeout)
 	switch verdict {
 	case idempotency.WriteIntent:
 		d.writeIntent(req, now, timeout, changes)
--- a/gatherer/persistence.go
+++ b/gatherer/persistence.go
@@ -57,7 +57,7 @@
 	}
 	p := &persistence{
 		store:     s,
-		diskGuard: idempotency.DiskGuard{SlowAfter: idempotency.Time(o.SlowAfter.Milliseconds())},
+		diskGuard: idempotency.DiskGuard{WriteTimeout: idempotency.Time(o.SlowAfter.Milliseconds())},
 		table: idempotency.New(idempotency.Config{Retention: idempotency.Time(o.Retention.Milliseconds()), MaxRequests: o.MaxRequests,
 			MaxAnswerBytes: int(o.MaxAnswerBytes)}),
 	}
--- a/idempotency/diskguard.go
+++ b/idempotency/diskguard.go
@@ -4,11 +4,11 @@
 // request would wait for a hanging disk until after its client's timeout, and together they would hold memory and
 // descriptors. Requests that need no intent are not affected.
 type DiskGuard struct {
-	// SlowAfter is the duration after which a pending write is late: its request stops waiting, and no new request is
+	// WriteTimeout is the duration after which a pending write is late: its request stops waiting, and no new request is
 	// accepted until the write has ended; 0 = never.
-	SlowAfter Time
-	startedAt []Time // of writes, in order; the first ones have ended
-	ended     int    // number of ended writes at the start of startedAt
+	WriteTimeout Time
+	startedAt    []Time // of writes, in order; the first ones have ended
+	ended        int    // number of ended writes at the start of startedAt
 }
 
 // compactAfter is the number of ended writes that startedAt must exceed before it is compacted.
@@ -33,10 +33,10 @@
 // Timeout returns how long a request may wait for its intent, given the time remaining until its client's timeout. It is at
 // most half of that, so that enough time is left to respond to the client.
 func (d *DiskGuard) Timeout(remaining Time) Time {
-	if d.SlowAfter <= 0 {
+	if d.WriteTimeout <= 0 {
 		return remaining / 2
 	}
-	return min(remaining/2, d.SlowAfter)
+	return min(remaining/2, d.WriteTimeout)
 }
 
 // Pending returns the number of writes that have not ended.
@@ -44,5 +44,5 @@
 
 // Available reports whether another write may begin, which is the case unless the oldest pending write is late.
 func (d *DiskGuard) Available(now Time) bool {
-	return d.Pending() == 0 || d.SlowAfter <= 0 || now-d.startedAt[d.ended] < d.SlowAfter
+	return d.Pending() == 0 || d.WriteTimeout <= 0 || now-d.startedAt[d.ended] < d.WriteTimeout
 }
--- a/idempotency/diskguard_test.go
+++ b/idempotency/diskguard_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 func TestDiskGuardRejectsWhileWritesAreLate(t *testing.T) {
-	guard := DiskGuard{SlowAfter: 100}
+	guard := DiskGuard{WriteTimeout: 100}
 	for i := range Time(500) {
 		guard.Begin(i)
 		if i%2 == 0 {
--- a/idempotency/model_test.go
+++ b/idempotency/model_test.go
@@ -95,7 +95,7 @@
 		step("request arrives", func(c *modelState) {
 			c.arrivals++
 			c.advisedToRetry = false
-			v, _, changes := c.table.Arrive(Time(c.arrivals), key, digest, 1000)
+			v, _, changes := c.table.Admit(Time(c.arrivals), key, digest, 1000)
 			c.write(changes)
 			c.trace[len(c.trace)-1] += fmt.Sprintf(" (verdict %d)", v)
 			if v == WriteIntent {
--- a/idempotency/table.go
+++ b/idempotency/table.go
@@ -120,9 +120,9 @@
 	return err
 }
 
-// Arrive decides how to handle a request that has arrived. timeout is the request's own timeout. answer is set for Replay. The
+// Admit decides how to handle a request that has arrived. timeout is the request's own timeout. answer is set for Replay. The
 // caller must write changes whatever the verdict; for WriteIntent the last one is the intent.
-func (t *Table) Arrive(now Time, key Key, digest Digest, timeout Time) (v Verdict, answer []byte, changes []Change) {
+func (t *Table) Admit(now Time, key Key, digest Digest, timeout Time) (v Verdict, answer []byte, changes []Change) {
 	now = t.advanceClock(now)
 	changes = t.expire(now)
 	if e := t.entries[key]; e != nil {
--- a/idempotency/table_test.go
+++ b/idempotency/table_test.go
@@ -9,7 +9,7 @@
 // arrive passes a request to a table, expects a verdict and returns the answer.
 func arrive(t *testing.T, table *Table, now Time, key Key, digest Digest, want Verdict) []byte {
 	t.Helper()
-	got, answer, _ := table.Arrive(now, key, digest, 1000)
+	got, answer, _ := table.Admit(now, key, digest, 1000)
 	if got != want {
 		t.Fatalf("key %s at %d ms: verdict %d, want %d", key, now, got, want)
 	}
@@ -58,13 +58,13 @@
 
 func TestBackwardClockKeepsExpiry(t *testing.T) {
 	table := New(Config{Retention: 1000})
-	_, _, changes := table.Arrive(50_000, "a", 1, 100)
+	_, _, changes := table.Admit(50_000, "a", 1, 100)
 	restored := New(Config{Retention: 1000})
 	if err := restored.Restore("a", changes[0].Value); err != nil {
 		t.Fatal(err)
 	}
 	arrive(t, restored, 10, "a", 1, OutcomeUnknown) // the clock was set back by 50 s
-	_, _, changes = restored.Arrive(20, "b", 1, 100)
+	_, _, changes = restored.Admit(20, "b", 1, 100)
 	e, err := decode("b", changes[len(changes)-1].Value)
 	if err != nil || e.arrivedAt < 50_000 {
 		t.Errorf("arrival after the clock was set back: %d, error %v, want at least 50000", e.arrivedAt, err)
--- a/internal/cli/store_test.go
+++ b/internal/cli/store_test.go
@@ -40,7 +40,7 @@
 		t.Fatal(err)
 	}
 	table := idempotency.New(idempotency.Config{Retention: 1000})
-	_, _, changes := table.Arrive(5, "the-key", 1, 10)
+	_, _, changes := table.Admit(5, "the-key", 1, 10)
 	for range 3 {
 		intent := store.Op{Table: 1, Key: string(changes[0].Key), Value: changes[0].Value}
 		if err := s.Commit(intent, store.Op{Table: 2, Key: "host", Value: []byte(`{"host":"s-1"}`)}); err != nil {
