--- a/internal/cli/fleetcmd.go
+++ b/internal/cli/fleetcmd.go
@@ -40,7 +40,7 @@
 			return maintenance.Command{RequestPermit: request}
 		})
 	forget := f.newCommand("forget NAME", "Remove a member that will not come back", "is forgotten", func(name string) maintenance.Command {
-		return maintenance.Command{Forget: &maintenance.Forget{Name: maintenance.MemberName(name)}}
+		return maintenance.Command{RemoveMember: &maintenance.RemoveMember{Name: maintenance.MemberName(name)}}
 	})
 	c.AddCommand(f.newStatusCommand(), drain, forget, f.newReleaseCommand())
 	return c
@@ -112,7 +112,7 @@
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.Members)) {
 		m := s.Members[name]
-		fmt.Fprintf(w, "%s %s zone %s version %s: %s\n", m.Kind, name, m.Zone, m.Version, cmp.Or(s.OutReason(m), "in"))
+		fmt.Fprintf(w, "%s %s zone %s version %s: %s\n", m.Kind, name, m.Zone, m.Version, cmp.Or(s.UnavailableReason(m), "in"))
 	}
 	for _, r := range s.Releases {
 		printRelease(w, r)
--- a/internal/operatorconfig/fleet.go
+++ b/internal/operatorconfig/fleet.go
@@ -115,7 +115,7 @@
 		MinReplicas:         memberCount("least_replicas"),
 		SuspicionShare:      s.share("suspected_by"),
 		LeaseDuration:       milliseconds("lease", 6*time.Second, 3*time.Second, time.Minute),
-		ForgetAfter:         milliseconds("forget", time.Hour, time.Minute, 30*day),
+		RemoveAfter:         milliseconds("forget", time.Hour, time.Minute, 30*day),
 	}
 	if l.MaxGatherers == 0 && l.MaxGathererShare == 0 {
 		s.addKeyProblem("most_gatherers", "is missing, and so is share_gatherers: without either all may be out of service at once")
--- a/maintenance/limits.go
+++ b/maintenance/limits.go
@@ -5,9 +5,9 @@
 	"fmt"
 )
 
-// OutReason returns why a member counts as out; "" = it is in service. The text becomes part of the state, see the
+// UnavailableReason returns why a member counts as out; "" = it is in service. The text becomes part of the state, see the
 // package comment.
-func (s *State) OutReason(m *Member) string {
+func (s *State) UnavailableReason(m *Member) string {
 	switch {
 	case m.Permit != nil:
 		return "agreed: " + m.Permit.Reason
@@ -81,7 +81,7 @@
 		if other == m {
 			continue
 		}
-		if s.OutReason(other) == "" {
+		if s.UnavailableReason(other) == "" {
 			for _, segment := range other.Segments {
 				o.readyReplicas[segment]++
 			}
--- a/maintenance/limits_test.go
+++ b/maintenance/limits_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestEveryOutReasonCountsTowardsLimit(t *testing.T) {
+func TestEveryUnavailableReasonCountsTowardsLimit(t *testing.T) {
 	for name, takeOut := range map[string]func(*harness){
 		"lease expired": func(h *harness) {
 			h.advance(2900)
--- a/maintenance/member.go
+++ b/maintenance/member.go
@@ -59,7 +59,7 @@
 	MinReplicas         int      `json:"least_replicas,omitempty"` // ready replicas that each segment must retain
 	SuspicionShare      float64  `json:"suspected_by,omitempty"`   // a member suspected by a larger share of the live gatherers is out. 0 = half
 	LeaseDuration       Duration `json:"lease_ms,omitempty"`
-	ForgetAfter         Duration `json:"forget_ms,omitempty"` // how long after the end of its lease a member without a permit is removed; 0 = never
+	RemoveAfter         Duration `json:"forget_ms,omitempty"` // how long after the end of its lease a member without a permit is removed; 0 = never
 }
 
 // RequestCounts counts a gatherer's requests by outcome since its start.
--- a/maintenance/rollout.go
+++ b/maintenance/rollout.go
@@ -149,7 +149,7 @@
 // of its new version.
 func (s *State) checkChanged(r *Release, t *Target, m *Member) (haltReason string) {
 	if m.Permit == nil && (!m.alive(s.Now) || s.suspected(m)) {
-		return fmt.Sprintf("%s, which runs version %s, is out: %s", t.Name, m.Version, s.OutReason(m))
+		return fmt.Sprintf("%s, which runs version %s, is out: %s", t.Name, m.Version, s.UnavailableReason(m))
 	}
 	if m.Version != r.Plan.To {
 		return fmt.Sprintf("%s runs version %s again, not %s", t.Name, m.Version, r.Plan.To)
@@ -167,7 +167,7 @@
 	case restarted:
 		return fmt.Sprintf("%s came back with version %s, though it was to be %s", t.Name, m.Version, r.Plan.To)
 	case s.Now > t.Deadline:
-		return fmt.Sprintf("%s is not back within %d ms: version %s, %s", t.Name, r.Plan.ChangeTimeout, m.Version, cmp.Or(s.OutReason(m), "in"))
+		return fmt.Sprintf("%s is not back within %d ms: version %s, %s", t.Name, r.Plan.ChangeTimeout, m.Version, cmp.Or(s.UnavailableReason(m), "in"))
 	}
 	return ""
 }
--- a/maintenance/state.go
+++ b/maintenance/state.go
@@ -20,7 +20,7 @@
 	ErrNotMember = errors.New("not a member of the fleet")
 )
 
-// State is the replicated state of a fleet. Members are removed by an operator or after Limits.ForgetAfter. Only the
+// State is the replicated state of a fleet. Members are removed by an operator or after Limits.RemoveAfter. Only the
 // last maxReleases releases are retained.
 type State struct {
 	V         int                    `json:"v"`
@@ -86,8 +86,8 @@
 		r.Permit, err = s.requestPermit(*c.RequestPermit)
 	case c.ReturnPermit != nil:
 		err = s.returnPermit(*c.ReturnPermit)
-	case c.Forget != nil:
-		err = s.forget(*c.Forget)
+	case c.RemoveMember != nil:
+		err = s.removeMember(*c.RemoveMember)
 	case c.UpdateServers != nil:
 		s.updateServers(*c.UpdateServers)
 	case c.Limits != nil:
@@ -223,7 +223,7 @@
 	return nil
 }
 
-func (s *State) forget(f Forget) error {
+func (s *State) removeMember(f RemoveMember) error {
 	m, err := s.findMember(f.Name)
 	if err != nil {
 		return err
@@ -262,13 +262,13 @@
 	}
 }
 
-// removeExpiredMembers removes the members without a permit whose lease ended more than Limits.ForgetAfter ago.
+// removeExpiredMembers removes the members without a permit whose lease ended more than Limits.RemoveAfter ago.
 func (s *State) removeExpiredMembers() {
-	if s.Limits.ForgetAfter <= 0 {
+	if s.Limits.RemoveAfter <= 0 {
 		return
 	}
 	for name, m := range s.Members {
-		if m.Permit == nil && s.Now > m.LeaseEnd && s.Now-m.LeaseEnd > Time(s.Limits.ForgetAfter) {
+		if m.Permit == nil && s.Now > m.LeaseEnd && s.Now-m.LeaseEnd > Time(s.Limits.RemoveAfter) {
 			delete(s.Members, name)
 		}
 	}
