--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -36,8 +36,8 @@
 			Listen:    fleet.Listen,
 			Voters:    voters,
 			Keys:      fleet.Keys,
-			Path:      fleet.Path,
-			Hook:      fleet.Hook,
+			LogDir:    fleet.Path,
+			HookPath:  fleet.Hook,
 			Limits:    fleet.Limits,
 			Bootstrap: bootstrap,
 		})
--- a/internal/raftnode/hook.go
+++ b/internal/raftnode/hook.go
@@ -48,7 +48,7 @@
 // startHook runs the operator's hook for an order in a goroutine of its own. The hook is killed after the change
 // timeout of the release.
 func (n *Node) startHook(order maintenance.Order) {
-	if n.options.Hook == "" {
+	if n.options.HookPath == "" {
 		n.enqueue(hookResult{order, errNoHook})
 		return
 	}
@@ -60,7 +60,7 @@
 		ctx, cancel := context.WithTimeout(n.ctx, timeout)
 		defer cancel()
 		epoch := strconv.FormatUint(uint64(order.Epoch), 10)
-		err := exec.CommandContext(ctx, n.options.Hook, string(order.Name), string(order.Version), epoch).Run()
+		err := exec.CommandContext(ctx, n.options.HookPath, string(order.Name), string(order.Version), epoch).Run()
 		if n.ctx.Err() == nil {
 			n.enqueue(hookResult{order, err})
 		}
--- a/internal/raftnode/node.go
+++ b/internal/raftnode/node.go
@@ -30,8 +30,8 @@
 	Listen    string        // HOST:PORT to listen on
 	Voters    []Voter       // all voters, in the same order on all gatherers
 	Keys      *keyring.Ring // keys that authenticate the messages of the fleet
-	Path      string        // directory in which the log is stored
-	Hook      string        // path of the program that carries out the changes of releases; "" = none
+	LogDir    string        // directory in which the log is stored
+	HookPath  string        // path of the program that carries out the changes of releases; "" = none
 	Limits    maintenance.Limits
 	Bootstrap bool // create the log of a new fleet if there is none; otherwise a missing log is an error
 }
@@ -90,7 +90,7 @@
 		startedAt: time.Now(), startedOrders: map[orderKey]bool{}}
 	n.replays = maintenance.NewReplayFilter(uint64(n.startedAt.UnixNano()), maxSenders)
 	var err error
-	if n.storage, err = openStorage(o.Path); err != nil {
+	if n.storage, err = openStorage(o.LogDir); err != nil {
 		return nil, err
 	}
 	if err := n.openLog(); err != nil {
--- a/internal/raftnode/node_test.go
+++ b/internal/raftnode/node_test.go
@@ -59,7 +59,7 @@
 		l.Close()
 	}
 	for i, voter := range v.voters {
-		n, err := Start(Options{Name: voter.Name, Listen: voter.Addr, Voters: v.voters, Keys: v.keys, Path: filepath.Join(dir, fmt.Sprint(i)),
+		n, err := Start(Options{Name: voter.Name, Listen: voter.Addr, Voters: v.voters, Keys: v.keys, LogDir: filepath.Join(dir, fmt.Sprint(i)),
 			Limits: maintenance.Limits{MaxGatherers: 1, LeaseDuration: 6000}, Bootstrap: true})
 		if err != nil {
 			t.Fatal(err)
