--- a/gatherer/merge_test.go
+++ b/gatherer/merge_test.go
@@ -33,7 +33,7 @@
 			}
 			for _, terms := range []merge.Request{
 				{Kind: "aggregated", Limit: 1, Aggregates: []string{"count", "sum(amount)", "mean(amount)", "distinct(customer)", "p50(amount)", "p95(amount)", "min(due)", "max(amount)"}},
-				{Kind: "aggregated", Limit: 100, Group: []string{"customer"}, Aggregates: []string{"count", "sum(amount)", "max(due)"}, By: "sum(amount)"},
+				{Kind: "aggregated", Limit: 100, Group: []string{"customer"}, Aggregates: []string{"count", "sum(amount)", "max(due)"}, RankBy: "sum(amount)"},
 				{Kind: "aggregated", Limit: 9, Group: []string{"due", "customer"}, Aggregates: []string{"sum(bills)", "mean(amount)"}},
 			} {
 				if err := s.oracle(true).CheckAggregated(s.sendMerge("report", terms), terms, terms.Limit != 9); err != nil {
--- a/internal/testing/experiment/merge_checks.go
+++ b/internal/testing/experiment/merge_checks.go
@@ -53,7 +53,7 @@
 	if t.Offset != 0 {
 		object["offset"] = t.Offset
 	}
-	for name, text := range map[string]string{"cursor": t.Cursor, "by": t.By} {
+	for name, text := range map[string]string{"cursor": t.Cursor, "by": t.RankBy} {
 		if text != "" {
 			object[name] = text
 		}
@@ -143,7 +143,7 @@
 	case 0:
 		untruncated = true // a single group, which no server omits
 	case 1:
-		terms.Group, terms.By = []string{"customer"}, "count"
+		terms.Group, terms.RankBy = []string{"customer"}, "count"
 	case 2:
 		terms.Group = []string{"due"}
 	case 3:
--- a/internal/testing/standin/aggregated.go
+++ b/internal/testing/standin/aggregated.go
@@ -66,8 +66,8 @@
 
 // sortAggregate returns the aggregate that groups are selected by: the requested one, or the first count or sum.
 func sortAggregate(terms merge.Request) string {
-	if terms.By != "" {
-		return terms.By
+	if terms.RankBy != "" {
+		return terms.RankBy
 	}
 	for _, aggregate := range terms.Aggregates {
 		if aggregate == "count" || strings.HasPrefix(aggregate, "sum(") {
--- a/internal/testing/standin/respond.go
+++ b/internal/testing/standin/respond.go
@@ -64,7 +64,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if d > 0 || d == 0 && request.After.Edge == merge.EdgeFrom {
+		if d > 0 || d == 0 && request.After.Ties == merge.TiesAll {
 			return rows[start:], nil
 		}
 	}
@@ -96,12 +96,14 @@
 // respondAggregated returns a segment's partial aggregates by group.
 func respondAggregated(rows []Account, version uint64, request merge.SegmentRequest) (string, error) {
 	groups := GroupBy(rows, request.Group)
-	if request.By != "" {
-		sort.SliceStable(groups, func(i, j int) bool { return groups[i].SortValue(request.By).Cmp(groups[j].SortValue(request.By)) > 0 })
+	if request.RankBy != "" {
+		sort.SliceStable(groups, func(i, j int) bool {
+			return groups[i].SortValue(request.RankBy).Cmp(groups[j].SortValue(request.RankBy)) > 0
+		})
 	}
 	truncation := ""
 	if len(request.Group) > 0 && len(groups) > request.Limit {
-		truncation = describeTruncation(groups[request.Limit:], request.By)
+		truncation = describeTruncation(groups[request.Limit:], request.RankBy)
 		groups = groups[:request.Limit]
 	}
 	var body strings.Builder
--- a/merge/merge_test.go
+++ b/merge/merge_test.go
@@ -225,7 +225,7 @@
 		}
 		if rapid.IntRange(0, 3).Draw(t, "grouped") > 0 {
 			request.Group = rapid.SampledFrom([][]string{{"customer"}, {"due"}, {"bills", "customer"}, {"amount"}}).Draw(t, "group")
-			request.By = rapid.SampledFrom([]string{"", "sum(amount)", "sum(bills)", "count"}).Draw(t, "by")
+			request.RankBy = rapid.SampledFrom([]string{"", "sum(amount)", "sum(bills)", "count"}).Draw(t, "by")
 		}
 		q, err := testPolicy().NewQuery(request, weights(n), false, merge.Paging{})
 		if err != nil {
--- a/merge/request.go
+++ b/merge/request.go
@@ -42,7 +42,7 @@
 	Cursor     string   `json:"cursor"`  // paged: from the previous page; "" = first page
 	Group      []string `json:"group"`   // aggregated: columns to group by
 	Aggregates []string `json:"figures"` // aggregated
-	By         string   `json:"by"`      // aggregated: the aggregate by which groups are ranked in descending order
+	RankBy     string   `json:"by"`      // aggregated: the aggregate by which groups are ranked in descending order
 }
 
 // ParseRequest parses a merge object. Unknown fields are rejected, because otherwise they would silently be ignored.
@@ -122,7 +122,7 @@
 	if request.Kind == Aggregated {
 		return q, q.parseAggregation(request)
 	}
-	if len(request.Group) > 0 || len(request.Aggregates) > 0 || request.By != "" {
+	if len(request.Group) > 0 || len(request.Aggregates) > 0 || request.RankBy != "" {
 		return nil, fmt.Errorf("group, figures and by are for merge kind aggregated")
 	}
 	order, err := p.Schema.parseOrder(request.Order, p.Orders)
@@ -177,7 +177,7 @@
 		}
 		q.groupColumns = append(q.groupColumns, column)
 	}
-	by := request.By
+	by := request.RankBy
 	for _, text := range request.Aggregates {
 		a, err := policy.Schema.parseAggregate(text)
 		if err != nil {
@@ -195,7 +195,7 @@
 		q.aggregates = append(q.aggregates, a)
 	}
 	if len(q.groupColumns) == 0 {
-		if request.By != "" {
+		if request.RankBy != "" {
 			return fmt.Errorf("merge by is for figures in groups")
 		}
 		return nil
--- a/merge/segment_request.go
+++ b/merge/segment_request.go
@@ -16,7 +16,7 @@
 	After      *After   `json:"after,omitempty"`
 	Group      []string `json:"group,omitempty"`
 	Aggregates []string `json:"figures,omitempty"` // names of partial aggregates
-	By         string   `json:"by,omitempty"`      // the partial aggregate by which groups are ranked
+	RankBy     string   `json:"by,omitempty"`      // the partial aggregate by which groups are ranked
 }
 
 // After is the position in a list after which a segment returns rows: the sort position of one row.
@@ -24,16 +24,16 @@
 	Keys    []json.RawMessage `json:"keys"` // values of the order's columns
 	Account json.RawMessage   `json:"account"`
 	Row     json.RawMessage   `json:"row,omitempty"`
-	// Edge states which rows with exactly these keys and account are requested: all of them (EdgeFrom), none (EdgePast), or
-	// those with a row id after Row (EdgeRow).
-	Edge string `json:"edge"`
+	// Ties states which rows with exactly these keys and account are requested: all of them (TiesAll), none (TiesNone), or
+	// those with a row id after Row (TiesAfterRow).
+	Ties string `json:"edge"`
 }
 
-// Values of After.Edge.
+// Values of After.Ties.
 const (
-	EdgeFrom = "from"
-	EdgePast = "past"
-	EdgeRow  = "row"
+	TiesAll      = "from"
+	TiesNone     = "past"
+	TiesAfterRow = "row"
 )
 
 // SegmentItem returns the list item "m" with the request to a segment.
@@ -49,21 +49,21 @@
 			request.Aggregates = append(request.Aggregates, p.name(s))
 		}
 		if q.rankBy >= 0 {
-			request.By = q.partials[q.rankBy].name(s)
+			request.RankBy = q.partials[q.rankBy].name(s)
 		}
 	}
 	if pos := q.segmentPosition(segment); pos.sortKey != "" {
-		request.After = &After{Account: json.RawMessage(pos.account.raw), Edge: EdgeFrom}
+		request.After = &After{Account: json.RawMessage(pos.account.raw), Ties: TiesAll}
 		for _, k := range pos.keys {
 			request.After.Keys = append(request.After.Keys, json.RawMessage(k.raw))
 		}
 		switch {
 		case segment < pos.segment:
-			request.After.Edge = EdgePast
+			request.After.Ties = TiesNone
 		case segment == pos.segment && s.Row >= 0:
-			request.After.Edge, request.After.Row = EdgeRow, json.RawMessage(pos.row.raw)
+			request.After.Ties, request.After.Row = TiesAfterRow, json.RawMessage(pos.row.raw)
 		case segment == pos.segment:
-			request.After.Edge = EdgePast
+			request.After.Ties = TiesNone
 		}
 	}
 	return "m=" + request.Encode()
