--- a/gatherer/servers_test.go
+++ b/gatherer/servers_test.go
@@ -19,7 +19,7 @@
 func TestReloadChangesDiscoveryAddress(t *testing.T) {
 	a, b := startShard(t, "s-a", nil), startShard(t, "s-b", nil)
 	oldList, newList := startDiscovery(t, a), startDiscovery(t, b)
-	newList.SetSequence(1) // its versions are independent of the old list's
+	newList.SetVersion(1) // its versions are independent of the old list's
 	p := startProgram(t, oldList, nil)
 	reload := func() { p.cmd.Process.Signal(syscall.SIGHUP) }
 	// A missing, truncated or invalid file changes nothing; the next signal reads the corrected one.
@@ -112,7 +112,7 @@
 	dead, a := startShard(t, "s-dead", nil), startShard(t, "s-a", nil)
 	dead.Stop()
 	l := startDiscovery(t, a)
-	l.Set(discovery.Server{Host: "s-odd", Address: "127.0.0.1:1", Cell: 9, Health: discovery.Up})
+	l.SetWithoutNotify(discovery.Server{Host: "s-odd", Address: "127.0.0.1:1", Cell: 9, Health: discovery.Up})
 	p := startProgram(t, l, func(s *Config) {
 		s.KnownServers, _ = json.Marshal(discovery.ServerList{Version: 7, Complete: true, Servers: []discovery.Server{dead.Entry()}})
 	})
--- a/internal/testing/experiment/crash.go
+++ b/internal/testing/experiment/crash.go
@@ -114,11 +114,11 @@
 	case n < 50: // executes and never responds
 		t.executed.add(text)
 	case n < 80:
-		conn.Respond(call.ID, standin.Skipped, "")
+		conn.Respond(call.ID, standin.OutcomeSkipped, "")
 	default:
 		t.executed.add(text)
 		delay := time.Duration(t.draw(crashMaxDelay)) * time.Microsecond
-		time.AfterFunc(delay, func() { conn.Respond(call.ID, standin.Served, "paid "+text) })
+		time.AfterFunc(delay, func() { conn.Respond(call.ID, standin.OutcomeServed, "paid "+text) })
 	}
 }
 
--- a/internal/testing/experiment/levels.go
+++ b/internal/testing/experiment/levels.go
@@ -97,7 +97,7 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		time.Sleep(levelsServiceTime)
-		conn.Respond(call.ID, standin.Served, "x")
+		conn.Respond(call.ID, standin.OutcomeServed, "x")
 	}()
 }
 
--- a/internal/testing/experiment/memory.go
+++ b/internal/testing/experiment/memory.go
@@ -69,10 +69,10 @@
 // handleMemoryCall handles a call at a shard server.
 func handleMemoryCall(conn *standin.ShardConn, call standin.ShardCall) {
 	if string(call.Query) == longStatement {
-		time.AfterFunc(longResponseDelay, func() { conn.Respond(call.ID, standin.Served, longValue) })
+		time.AfterFunc(longResponseDelay, func() { conn.Respond(call.ID, standin.OutcomeServed, longValue) })
 		return
 	}
-	conn.Respond(call.ID, standin.Served, "x")
+	conn.Respond(call.ID, standin.OutcomeServed, "x")
 }
 
 // measureMemory runs one variant.
--- a/internal/testing/experiment/merge_faults.go
+++ b/internal/testing/experiment/merge_faults.go
@@ -61,7 +61,7 @@
 
 // handleCall handles a call at a shard server with the active faults.
 func (r *mergeRun) handleCall(conn *standin.ShardConn, call standin.ShardCall) {
-	respond := func(value string) { conn.Respond(call.ID, standin.Served, value) }
+	respond := func(value string) { conn.Respond(call.ID, standin.OutcomeServed, value) }
 	switch r.activeFaults.Load().kind(r.drawPerMille(call, conn.Server.Host)) {
 	case faultDelayed:
 		delay := time.Duration(20+r.drawPerMille(call, "wait")%600) * time.Millisecond
--- a/internal/testing/standin/discovery.go
+++ b/internal/testing/standin/discovery.go
@@ -80,8 +80,8 @@
 	d.notify()
 }
 
-// Set changes or adds one entry without a new version or a notification. It is meant for use before the first watch.
-func (d *DiscoveryService) Set(entry discovery.Server) {
+// SetWithoutNotify changes or adds one entry without a new version or a notification. It is meant for use before the first watch.
+func (d *DiscoveryService) SetWithoutNotify(entry discovery.Server) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.servers[entry.Host] = entry
@@ -95,11 +95,11 @@
 	d.notify()
 }
 
-// SetSequence sets the list's version without notifying the watchers.
-func (d *DiscoveryService) SetSequence(sequence uint64) {
+// SetVersion sets the list's version without notifying the watchers.
+func (d *DiscoveryService) SetVersion(version uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.sequence = sequence
+	d.sequence = version
 }
 
 // notify wakes the watchers. The caller holds the lock.
--- a/internal/testing/standin/shardserver.go
+++ b/internal/testing/standin/shardserver.go
@@ -33,9 +33,9 @@
 
 // Outcomes of shard calls in responses of shard servers.
 const (
-	Served  = "served"
-	Broke   = "broke"
-	Skipped = "skipped"
+	OutcomeServed  = "served"
+	OutcomeFailed  = "broke"
+	OutcomeSkipped = "skipped"
 )
 
 // loadReport follows the outcome in each response: the service time in milliseconds and the server's load.
@@ -208,13 +208,13 @@
 		if c.Server.Handle != nil {
 			c.Server.Handle(c, call)
 		} else {
-			c.Respond(call.ID, Served, "value of "+string(call.Query))
+			c.Respond(call.ID, OutcomeServed, "value of "+string(call.Query))
 		}
 	}
 	return true
 }
 
-// Respond sends the response to a call. The outcome is Served, Broke or Skipped.
+// Respond sends the response to a call. The outcome is OutcomeServed, OutcomeFailed or OutcomeSkipped.
 func (c *ShardConn) Respond(callID, outcome, value string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -224,7 +224,7 @@
 // RespondTruncated sends the first bytes of a response and then resets the connection.
 func (c *ShardConn) RespondTruncated(callID, value string, bytes int) {
 	c.mu.Lock()
-	content := newResponseFrame(callID, Served, value)
+	content := newResponseFrame(callID, OutcomeServed, value)
 	c.Write(content[:min(bytes, len(content))])
 	c.mu.Unlock()
 	c.Reset()
