--- a/gatherer/calls_test.go
+++ b/gatherer/calls_test.go
@@ -129,7 +129,7 @@
 	malformed := map[string]string{
 		"bad_form":      "\xff\xff\xff\xffa",
 		"bad_form ":     "\x00\x00\x00\x02zz",
-		"bad_form  ":    string(frame.New(frame.AnswerFrame, "one two\nx")),
+		"bad_form  ":    string(frame.New(frame.ResponseFrame, "one two\nx")),
 		"server_fault":  string(frame.New(frame.ErrorFrame, "not understood")),
 		"server_closed": "",
 	}
--- a/internal/frame/answer.go
+++ b/internal/frame/answer.go
@@ -24,16 +24,16 @@
 	StatusRejected = "skipped"
 )
 
-// AnswerBody is the parsed content of an AnswerFrame. Its slices alias the frame.
-type AnswerBody struct {
+// ResponseBody is the parsed content of an ResponseFrame. Its slices alias the frame.
+type ResponseBody struct {
 	ID, Report, Value []byte
 	Status            Status
 }
 
-// ParseAnswer parses the content of an AnswerFrame: a line with the id, status, score and load report, followed by the value.
+// ParseResponse parses the content of an ResponseFrame: a line with the id, status, score and load report, followed by the value.
 // Errors are of type *FormatError. The ID is set even if an error is returned, provided that the line has one, because the call
 // with that id was executed.
-func ParseAnswer(content []byte) (a AnswerBody, err error) {
+func ParseResponse(content []byte) (a ResponseBody, err error) {
 	line, value, ok := bytes.Cut(content, []byte{'\n'})
 	fields := bytes.SplitN(line, []byte{' '}, 4)
 	a.ID = fields[0]
@@ -61,9 +61,9 @@
 	return a, nil
 }
 
-// ReportValue returns the value with the given name in a load report such as "inflight=7,util=0.61". The second result is false
+// LoadReportValue returns the value with the given name in a load report such as "inflight=7,util=0.61". The second result is false
 // if the report has no such value or if it is not a finite number.
-func ReportValue(report []byte, name string) (float64, bool) {
+func LoadReportValue(report []byte, name string) (float64, bool) {
 	for pair := range bytes.SplitSeq(report, []byte{','}) {
 		if key, value, ok := bytes.Cut(pair, []byte{'='}); ok && string(key) == name {
 			v, err := strconv.ParseFloat(string(value), 64)
--- a/internal/frame/frame.go
+++ b/internal/frame/frame.go
@@ -19,7 +19,7 @@
 	CancelFrame      = 'c' // the id of a call to cancel
 	HealthCheckFrame = 'p'
 	LoadCheckFrame   = 'l' // a health check that requests a load report
-	AnswerFrame      = 'a' // the response to a call
+	ResponseFrame    = 'a' // the response to a call
 	ErrorFrame       = 'e' // an error message: the server could not parse the last frame
 )
 
--- a/internal/frame/frame_test.go
+++ b/internal/frame/frame_test.go
@@ -9,7 +9,7 @@
 
 // FuzzRead checks that any input is either read or rejected with one of the documented errors, without large allocations.
 func FuzzRead(f *testing.F) {
-	f.Add(New(AnswerFrame, "9b1f03aa5c7e2d41.3 served 1840277719 inflight=7,util=0.61\n5be2a07c"))
+	f.Add(New(ResponseFrame, "9b1f03aa5c7e2d41.3 served 1840277719 inflight=7,util=0.61\n5be2a07c"))
 	f.Add(New(LoadCheckFrame, "inflight=7"))
 	f.Add([]byte{0, 0, 0, 0})
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 'a'})
@@ -26,18 +26,18 @@
 				}
 				return
 			}
-			if a, err := ParseAnswer(content); frameType == AnswerFrame && err == nil {
+			if a, err := ParseResponse(content); frameType == ResponseFrame && err == nil {
 				if !bytes.HasSuffix(content, a.Value) || len(a.ID) == 0 {
 					t.Fatalf("%q parsed as %+v", content, a)
 				}
-				ReportValue(a.Report, "queue")
+				LoadReportValue(a.Report, "queue")
 			}
 		}
 	})
 }
 
-func TestParseAnswer(t *testing.T) {
-	a, err := ParseAnswer([]byte("9b1f.3 broke 1840277719 inflight=7,util=0.61\nv\nv"))
+func TestParseResponse(t *testing.T) {
+	a, err := ParseResponse([]byte("9b1f.3 broke 1840277719 inflight=7,util=0.61\nv\nv"))
 	if err != nil || string(a.ID) != "9b1f.3" || a.Status != Failed || string(a.Value) != "v\nv" {
 		t.Errorf("got %+v, %v", a, err)
 	}
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestParseAnswerErrors(t *testing.T) {
+func TestParseResponseErrors(t *testing.T) {
 	for name, content := range map[string]string{
 		"empty":              "",
 		"no newline":         "a b c d",
@@ -59,20 +59,20 @@
 		"several errors":     "a lost c d\n\xff",
 	} {
 		t.Run(name, func(t *testing.T) {
-			if a, err := ParseAnswer([]byte(content)); !IsFormatError(err) {
+			if a, err := ParseResponse([]byte(content)); !IsFormatError(err) {
 				t.Errorf("got %+v, %v, want a FormatError", a, err)
 			}
 		})
 	}
 }
 
-func TestReportValue(t *testing.T) {
-	if v, ok := ReportValue([]byte("inflight=7,util=0.61"), "inflight"); !ok || v != 7 {
+func TestLoadReportValue(t *testing.T) {
+	if v, ok := LoadReportValue([]byte("inflight=7,util=0.61"), "inflight"); !ok || v != 7 {
 		t.Errorf("got %v, %v", v, ok)
 	}
 	for _, report := range []string{"-", "inflight", "inflight=x", "inflight=NaN", "inflight=+Inf"} {
 		t.Run(report, func(t *testing.T) {
-			if v, ok := ReportValue([]byte(report), "inflight"); ok {
+			if v, ok := LoadReportValue([]byte(report), "inflight"); ok {
 				t.Errorf("got %v, want no value", v)
 			}
 		})
--- a/internal/shardconn/client_test.go
+++ b/internal/shardconn/client_test.go
@@ -21,12 +21,12 @@
 		t.Errorf("got %q", got)
 	}
 	h.advance(50)
-	c.Write(frame.New(frame.AnswerFrame, "a.1 served 5 queue=3,util=0.5\nthe value"))
+	c.Write(frame.New(frame.ResponseFrame, "a.1 served 5 queue=3,util=0.5\nthe value"))
 	if e := h.expectOutcome(attempts[1].ID, balancer.Answered); e.Value != "the value" || e.Elapsed != 50 ||
 		*e.Report != (balancer.LoadReport{Queued: 3, InFlight: -1}) {
 		t.Errorf("got %+v, %+v", e, e.Report)
 	}
-	c.Write(frame.New(frame.AnswerFrame, "a.0 skipped 0 -\n"))
+	c.Write(frame.New(frame.ResponseFrame, "a.0 skipped 0 -\n"))
 	if e := h.expectOutcome(attempts[0].ID, balancer.Rejected); e.Report != nil {
 		t.Errorf("got report %+v", e.Report)
 	}
@@ -105,15 +105,15 @@
 	h.readFrame(d)
 	// An answer on the old connection makes it available again; the answer to the cancelled call itself is ignored.
 	h.advance(100)
-	c.Write(frame.New(frame.AnswerFrame, "a.0 served 5 -\nlate"))
-	c.Write(frame.New(frame.AnswerFrame, "a.1 served 5 -\nv"))
+	c.Write(frame.New(frame.ResponseFrame, "a.0 served 5 -\nlate"))
+	c.Write(frame.New(frame.ResponseFrame, "a.1 served 5 -\nv"))
 	h.expectOutcome(first[1].ID, balancer.Answered)
 	third := h.dispatch("c.0")
 	h.readFrame(c)
 	// One of the two connections has enough capacity now; the other would use a descriptor until its idle timeout.
-	d.Write(frame.New(frame.AnswerFrame, "b.0 served 5 -\nv"))
+	d.Write(frame.New(frame.ResponseFrame, "b.0 served 5 -\nv"))
 	h.expectOutcome(second[0].ID, balancer.Answered)
-	c.Write(frame.New(frame.AnswerFrame, "c.0 served 5 -\nv"))
+	c.Write(frame.New(frame.ResponseFrame, "c.0 served 5 -\nv"))
 	h.expectOutcome(third[0].ID, balancer.Answered)
 	h.expectClosed(d)
 	h.dispatch("d.0")
@@ -130,7 +130,7 @@
 	h.refuse.Store(true)
 	late := h.dispatch("b.0") // a dispatch that was decided before the drain: fails, as it would need a new connection
 	h.expectOutcome(late[0].ID, balancer.ConnectFailed)
-	c.Write(frame.New(frame.AnswerFrame, "a.0 served 5 -\nv"))
+	c.Write(frame.New(frame.ResponseFrame, "a.0 served 5 -\nv"))
 	h.expectOutcome(attempts[0].ID, balancer.Answered)
 	h.expectClosed(c)
 }
@@ -141,7 +141,7 @@
 	c := receive(t, h.dials)
 	h.readFrame(c)
 	h.advance(299999)
-	c.Write(frame.New(frame.AnswerFrame, "a.0 served 5 -\nv"))
+	c.Write(frame.New(frame.ResponseFrame, "a.0 served 5 -\nv"))
 	h.expectOutcome(attempts[0].ID, balancer.Answered)
 	h.advance(225000)
 	h.wakeUp()
@@ -155,7 +155,7 @@
 	h.readFrame(c)
 	// This start time is before the connection was opened, so the connection belongs to the new process.
 	h.client.TrySubmit(AddressChanged{Addr: "a:2", StartedAt: h.now() - 10})
-	c.Write(frame.New(frame.AnswerFrame, "a.0 served 5 -\nv"))
+	c.Write(frame.New(frame.ResponseFrame, "a.0 served 5 -\nv"))
 	h.expectOutcome(attempts[0].ID, balancer.Answered)
 	attempts = h.dispatch("b.0")
 	d := receive(t, h.dials)
@@ -215,7 +215,7 @@
 	c := receive(t, h.dials)
 	h.readFrame(c)
 	h.client.TrySubmit(CloseIdle{})
-	c.Write(frame.New(frame.AnswerFrame, "a.0 served 1 -\nv"))
+	c.Write(frame.New(frame.ResponseFrame, "a.0 served 1 -\nv"))
 	h.expectOutcome(attempts[0].ID, balancer.Answered)
 	h.client.TrySubmit(CloseIdle{})
 	h.dispatch("b.0")
--- a/internal/shardconn/reader.go
+++ b/internal/shardconn/reader.go
@@ -125,9 +125,9 @@
 func parseFrame(letter byte, rest []byte) (f inboundFrame, err error) {
 	f.letter = letter
 	switch letter {
-	case frame.AnswerFrame:
-		var a frame.AnswerBody
-		a, err = frame.ParseAnswer(rest)
+	case frame.ResponseFrame:
+		var a frame.ResponseBody
+		a, err = frame.ParseResponse(rest)
 		f.id, f.report, f.value, f.status = string(a.ID), string(a.Report), string(a.Value), a.Status
 	case frame.HealthCheckFrame, frame.LoadCheckFrame:
 		f.report = string(rest)
--- a/internal/shardconn/receive.go
+++ b/internal/shardconn/receive.go
@@ -71,7 +71,7 @@
 			return
 		case r.formatErr != nil && i == len(r.frames)-1:
 			cl.handleMalformed(c, f.id, r.formatErr, i == 0)
-		case f.letter == frame.AnswerFrame:
+		case f.letter == frame.ResponseFrame:
 			cl.handleAnswer(c, f, i == 0)
 		default:
 			cl.handleHealthCheckAnswer(c, f)
@@ -227,10 +227,10 @@
 		return nil
 	}
 	r := &balancer.LoadReport{Queued: -1, InFlight: -1}
-	if v, ok := frame.ReportValue([]byte(text), "queue"); ok && 0 <= v && v < maxReportedLoad {
+	if v, ok := frame.LoadReportValue([]byte(text), "queue"); ok && 0 <= v && v < maxReportedLoad {
 		r.Queued = v
 	}
-	if v, ok := frame.ReportValue([]byte(text), "inflight"); ok && 0 <= v && v < maxReportedLoad {
+	if v, ok := frame.LoadReportValue([]byte(text), "inflight"); ok && 0 <= v && v < maxReportedLoad {
 		r.InFlight = v
 	}
 	if r.Queued < 0 && r.InFlight < 0 {
--- a/internal/shardconn/receive_test.go
+++ b/internal/shardconn/receive_test.go
@@ -12,10 +12,10 @@
 // failures of the server.
 func TestMalformedAnswerFailsOnlyItsAttempt(t *testing.T) {
 	for text, failed := range map[string]int{
-		string(frame.New(frame.AnswerFrame, "b.0 served? 5 -\nv")): 1, // has the id of its call
-		string(frame.New(frame.AnswerFrame, "b.0 served")):         1,
-		string(frame.New(frame.AnswerFrame, "ff.0 served 5 -\nv")): 0, // unknown id: the oldest attempt fails
-		string(frame.New('z', "b.0 served 5 -\nv")):                0,
+		string(frame.New(frame.ResponseFrame, "b.0 served? 5 -\nv")): 1, // has the id of its call
+		string(frame.New(frame.ResponseFrame, "b.0 served")):         1,
+		string(frame.New(frame.ResponseFrame, "ff.0 served 5 -\nv")): 0, // unknown id: the oldest attempt fails
+		string(frame.New('z', "b.0 served 5 -\nv")):                  0,
 		"\xb2\xd0\x5e\x00a":          0, // 3 GB
 		"\xff\xff\xff\xfca.0 served": 0,
 	} {
@@ -39,12 +39,12 @@
 // A valid answer is used whatever bytes follow it, but nothing new is sent on its connection.
 func TestTrailingBytesEndOnlyTheConnection(t *testing.T) {
 	answer := "a.0 served 5 queue=zz,inflight=1e300\nv"
-	for _, trailing := range []string{string(frame.New(frame.AnswerFrame, answer)), "\xde\xad", "\x00\x00\x00\x05zzzzz"} {
+	for _, trailing := range []string{string(frame.New(frame.ResponseFrame, answer)), "\xde\xad", "\x00\x00\x00\x05zzzzz"} {
 		h := newHarness(t)
 		attempts := h.dispatch("a.0")
 		c := receive(t, h.dials)
 		h.readFrame(c)
-		c.Write(append(frame.New(frame.AnswerFrame, answer), trailing...))
+		c.Write(append(frame.New(frame.ResponseFrame, answer), trailing...))
 		if e := h.expectOutcome(attempts[0].ID, balancer.Answered); e.Value != "v" || e.Report != nil {
 			t.Errorf("got %+v", e)
 		}
@@ -54,7 +54,7 @@
 		next := h.dispatch("b.0")
 		d := receive(t, h.dials)
 		h.readFrame(d)
-		d.Write(frame.New(frame.AnswerFrame, "b.0 served 5 -\nv"))
+		d.Write(frame.New(frame.ResponseFrame, "b.0 served 5 -\nv"))
 		h.expectOutcome(next[0].ID, balancer.Answered)
 	}
 }
@@ -65,7 +65,7 @@
 	attempts := h.dispatch("a.0", "a.1")
 	c := receive(t, h.dials)
 	h.readFrame(c)
-	c.Write(append(frame.New(frame.AnswerFrame, "a.0 served 5 -\nv"), "\x00\x00\x10\x00aa.1 served 5 -\nv"...))
+	c.Write(append(frame.New(frame.ResponseFrame, "a.0 served 5 -\nv"), "\x00\x00\x10\x00aa.1 served 5 -\nv"...))
 	h.expectOutcome(attempts[0].ID, balancer.Answered)
 	next := h.dispatch("b.0")
 	h.readFrame(receive(t, h.dials)) // on another connection
--- a/internal/testing/standin/shardserver.go
+++ b/internal/testing/standin/shardserver.go
@@ -231,7 +231,7 @@
 }
 
 func newResponseFrame(callID, outcome, value string) []byte {
-	return frame.New(frame.AnswerFrame, callID+" "+outcome+" "+loadReport+"\n"+value)
+	return frame.New(frame.ResponseFrame, callID+" "+outcome+" "+loadReport+"\n"+value)
 }
 
 // Reset closes the connection with a TCP reset, as when the server's process crashes.
--- a/internal/testing/standin/standin_test.go
+++ b/internal/testing/standin/standin_test.go
@@ -60,7 +60,7 @@
 		t.Fatal(err)
 	}
 	frameType, body, _, err := frame.Read(conn, nil)
-	if err != nil || frameType != frame.AnswerFrame || string(body) != "p1 served 7 queue=1,inflight=2\nvalue of query" {
+	if err != nil || frameType != frame.ResponseFrame || string(body) != "p1 served 7 queue=1,inflight=2\nvalue of query" {
 		t.Errorf("got frame %q with %q, %v", frameType, body, err)
 	}
 	if got := <-server.Received; got != "p1" {
