--- a/internal/balancerconfig/config.go
+++ b/internal/balancerconfig/config.go
@@ -32,8 +32,8 @@
 	ConnectTimeout           balancer.Time
 	IdleTimeout              balancer.Time // after which servers close idle connections; 0 = never
 	MaxClientTimeout         balancer.Time // the longest of all query types
-	StreamsPerConn           int           // attempts in flight on one connection to a server
-	CallsPerFrame            int           // calls that one frame to a server may hold
+	MaxStreamsPerConn        int           // attempts in flight on one connection to a server
+	MaxCallsPerFrame         int           // calls that one frame to a server may hold
 	AllowPeers               bool          // gatherers may communicate with one another
 	MaxPending               int           // requests and calls pending at once; 0 = no limit
 }
@@ -65,8 +65,8 @@
 		LoadReportsByHealthCheck: s.values["feedback.how"] == "probe",
 		ConnectTimeout:           s.duration("limits.dialTimeout"),
 		IdleTimeout:              s.duration("limits.idleClose"),
-		StreamsPerConn:           s.count("limits.maxStreams", math.MaxUint16),
-		CallsPerFrame:            s.count("domain.perCall", math.MaxUint16),
+		MaxStreamsPerConn:        s.count("limits.maxStreams", math.MaxUint16),
+		MaxCallsPerFrame:         s.count("domain.perCall", math.MaxUint16),
 		MaxPending:               s.count("limits.mostHeld", math.MaxInt32),
 		AllowPeers:               s.flag("limits.peers"),
 		Zones:                    s.list("zones"),
--- a/internal/balancerconfig/config_test.go
+++ b/internal/balancerconfig/config_test.go
@@ -46,7 +46,7 @@
 	if !reflect.DeepEqual(a, b) {
 		t.Errorf("from JSON: %+v\nfrom pairs: %+v", a, b)
 	}
-	if len(a.QueryTypes) != 3 || a.QueryTypes[2] != "pay" || a.StreamsPerConn != 32 || a.MaxClientTimeout != 25000 ||
+	if len(a.QueryTypes) != 3 || a.QueryTypes[2] != "pay" || a.MaxStreamsPerConn != 32 || a.MaxClientTimeout != 25000 ||
 		a.Balancer.QueryTypes[1].MinCoverage != 0.5 {
 		t.Errorf("got %+v", a)
 	}
--- a/internal/shardconn/attempts.go
+++ b/internal/shardconn/attempts.go
@@ -44,7 +44,7 @@
 // dispatch groups attempts into batches, queues them and assigns them to connections.
 func (cl *Client) dispatch(attempts []Attempt) {
 	for len(attempts) > 0 {
-		n := min(len(attempts), cl.config.CallsPerFrame, cl.config.StreamsPerConn)
+		n := min(len(attempts), cl.config.MaxCallsPerFrame, cl.config.MaxStreamsPerConn)
 		b := &batch{}
 		for _, attempt := range attempts[:n] {
 			a := &pendingAttempt{Attempt: attempt, batch: b}
@@ -76,7 +76,7 @@
 	for _, b := range cl.queued {
 		waiting += len(b.attempts)
 	}
-	for waiting > cl.dialing*cl.config.StreamsPerConn {
+	for waiting > cl.dialing*cl.config.MaxStreamsPerConn {
 		if !cl.dial() {
 			if cl.dialing == 0 {
 				cl.failQueued()
@@ -92,7 +92,7 @@
 func (cl *Client) availableConn(n int) *conn {
 	for _, c := range cl.conns {
 		if !c.closed && c.drainReason == "" && !c.silent && c.partialSince == 0 &&
-			c.inFlight+n <= cl.config.StreamsPerConn {
+			c.inFlight+n <= cl.config.MaxStreamsPerConn {
 			return c
 		}
 	}
--- a/internal/shardconn/client.go
+++ b/internal/shardconn/client.go
@@ -60,8 +60,8 @@
 
 func newClient(id balancer.ServerID, host, addr string, config Config, now func() balancer.Time,
 	handler EventHandler, budget DescriptorBudget, dial dialFunc) *Client {
-	config.StreamsPerConn = max(config.StreamsPerConn, 1)
-	config.CallsPerFrame = max(config.CallsPerFrame, 1)
+	config.MaxStreamsPerConn = max(config.MaxStreamsPerConn, 1)
+	config.MaxCallsPerFrame = max(config.MaxCallsPerFrame, 1)
 	if config.Memory == nil {
 		config.Memory = noopMemory{}
 	}
--- a/internal/shardconn/client_test.go
+++ b/internal/shardconn/client_test.go
@@ -192,7 +192,7 @@
 	defer serverEnd.Close()
 	defer clientEnd.Close()
 	var at balancer.Time = 1e9
-	cl := newClient(1, "s-a", "a:1", Config{ConnectTimeout: 2500, IdleTimeout: 300000, StreamsPerConn: 4}, func() balancer.Time { return at }, nil, nil, nil)
+	cl := newClient(1, "s-a", "a:1", Config{ConnectTimeout: 2500, IdleTimeout: 300000, MaxStreamsPerConn: 4}, func() balancer.Time { return at }, nil, nil, nil)
 	cl.conns = append(cl.conns, newConn(cl, dialResult{netConn: stuckConn{clientEnd}, addr: cl.addr}))
 	if got, want := cl.untilNextTimeout(), 22500*time.Millisecond; got != want {
 		t.Errorf("a new connection times out in %v, want %v", got, want)
--- a/internal/shardconn/commands.go
+++ b/internal/shardconn/commands.go
@@ -95,11 +95,11 @@
 
 // Config configures a client.
 type Config struct {
-	ConnectTimeout   balancer.Time
-	IdleTimeout      balancer.Time // after which the server closes an idle connection; 0 means never
-	StreamsPerConn   int           // maximum number of attempts in flight on one connection
-	CallsPerFrame    int           // maximum number of attempts sent in one frame
-	LoadHealthChecks bool          // health checks request a load report
-	LoadReports      bool          // the server sends load reports
-	Memory           MemoryAccount // account of connections and received frames; nil if none is kept
+	ConnectTimeout    balancer.Time
+	IdleTimeout       balancer.Time // after which the server closes an idle connection; 0 means never
+	MaxStreamsPerConn int           // maximum number of attempts in flight on one connection
+	MaxCallsPerFrame  int           // maximum number of attempts sent in one frame
+	LoadHealthChecks  bool          // health checks request a load report
+	LoadReports       bool          // the server sends load reports
+	Memory            MemoryAccount // account of connections and received frames; nil if none is kept
 }
--- a/internal/shardconn/harness_test.go
+++ b/internal/shardconn/harness_test.go
@@ -43,7 +43,7 @@
 	h := &harness{t: t, ends: make(chan AttemptEnded, 100), checks: make(chan balancer.HealthCheckEnded, 100),
 		dials: make(chan net.Conn, 100)}
 	h.at.Store(1e9)
-	config := Config{ConnectTimeout: 2500, IdleTimeout: 300000, StreamsPerConn: 4, CallsPerFrame: 2, LoadReports: true}
+	config := Config{ConnectTimeout: 2500, IdleTimeout: 300000, MaxStreamsPerConn: 4, MaxCallsPerFrame: 2, LoadReports: true}
 	h.client = start(1, "s-a", "a:1", config, h.now, h, h, h.dial)
 	t.Cleanup(h.client.Stop)
 	return h
--- a/internal/shardconn/receive.go
+++ b/internal/shardconn/receive.go
@@ -107,7 +107,7 @@
 // connections are opened while a server is silent; if they stayed open, they would use up the descriptors for other
 // servers.
 func (cl *Client) closeSurplus(active *conn) {
-	if active.closed || active.drainReason != "" || 2*active.inFlight > cl.config.StreamsPerConn {
+	if active.closed || active.drainReason != "" || 2*active.inFlight > cl.config.MaxStreamsPerConn {
 		return
 	}
 	for _, c := range cl.conns {
