--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -133,7 +133,7 @@
 	if config.MeasuredAtClient {
 		s.networkDelay = clientNetworkDelay
 	}
-	if !config.HasRetryBudget {
+	if !config.RetryBudgetSet {
 		s.budgetBase, s.budgetRatio, s.budgetWindow = float64(s.maxAttempts), defaultRetryRatio, 10*quotaWindow
 	}
 	return s
--- a/balancer/config.go
+++ b/balancer/config.go
@@ -74,7 +74,7 @@
 	OverloadMultiple  float64 // multiple of its capacity that makes a server fail during slow start
 	OverloadWindow    Time    // time for which it must receive this load to fail
 
-	HasRetryBudget      bool    // the RetryBudget... fields are set
+	RetryBudgetSet      bool    // the RetryBudget... fields are set
 	RetryBudgetBase     float64 // retries allowed in any window
 	RetryBudgetRatio    float64 // further retries per request, or per call if RetryBudgetPerShard
 	RetryBudgetWindow   Time
--- a/balancer/gateway_test.go
+++ b/balancer/gateway_test.go
@@ -8,7 +8,7 @@
 // of which is in the local zone.
 func gatewayHarness(shards int, queryType QueryTypeConfig) *harness {
 	config := Config{Seed: 5, Instances: 1, ClockResolution: Millisecond, Cells: 1, ReplicationFactor: 1, MaxAttempts: 2,
-		AllowHedging: true, HasRetryBudget: true, RetryBudgetPerShard: true, RetryBudgetBase: 54, RetryBudgetRatio: 0.2,
+		AllowHedging: true, RetryBudgetSet: true, RetryBudgetPerShard: true, RetryBudgetBase: 54, RetryBudgetRatio: 0.2,
 		RetryBudgetWindow: 10000 * Millisecond, MaxRetryAfter: 400 * Millisecond, InferClientTimeout: true,
 		MeasuredAtClient: true, PreferLocalZone: true, OverQuotaValue: 1}
 	b := &harness{Balancer: New(config), clock: 1000000}
@@ -135,7 +135,7 @@
 }
 
 func TestRestartedInstanceHasNoBaseRetryBudget(t *testing.T) {
-	b := New(Config{Instances: 1, Cells: 1, ReplicationFactor: 1, MaxAttempts: 2, HasRetryBudget: true, RetryBudgetPerShard: true,
+	b := New(Config{Instances: 1, Cells: 1, ReplicationFactor: 1, MaxAttempts: 2, RetryBudgetSet: true, RetryBudgetPerShard: true,
 		RetryBudgetBase: 54, RetryBudgetWindow: 100000, RetryBudgetDelayed: true, OverQuotaValue: 1})
 	b.Handle(1000, ClusterResized{Shards: 1, Instances: 2})
 	call := &shardCall{req: &request{}, size: 1}
--- a/balancer/invariants_test.go
+++ b/balancer/invariants_test.go
@@ -41,12 +41,12 @@
 		ListOnRequest: rapid.Bool().Draw(t, "list on request"), MaxListAge: 100000,
 		DrainGrace:     Time(rapid.IntRange(0, 10000).Draw(t, "grace")),
 		SlowStartShare: 0.2, SlowStartDuration: 100000, OverloadMultiple: rapid.Float64Range(1, 4).Draw(t, "multiple"),
-		OverloadWindow: 10000, HasRetryBudget: rapid.Bool().Draw(t, "budget"), RetryBudgetBase: 1, RetryBudgetRatio: 0.02,
+		OverloadWindow: 10000, RetryBudgetSet: rapid.Bool().Draw(t, "budget"), RetryBudgetBase: 1, RetryBudgetRatio: 0.02,
 		RetryBudgetWindow: 50000, OverQuotaValue: 0.1, Customers: []CustomerConfig{{20}, {0}},
 	}
 	config.ReplicationFactor = rapid.IntRange(1, config.Cells).Draw(t, "replication factor")
 	if asGateway { // shards are added later, each with its own budget and servers
-		config.HasRetryBudget, config.RetryBudgetPerShard, config.AllowHedging = true, true, true
+		config.RetryBudgetSet, config.RetryBudgetPerShard, config.AllowHedging = true, true, true
 		config.RetryBudgetBase = rapid.SampledFrom([]float64{1, 8, 50}).Draw(t, "base")
 		config.Shards = rapid.IntRange(1, 2).Draw(t, "shards of a gateway") // few shards, so that each has several servers
 		config.ReplicationFactor, config.Cells = 1, config.Shards
--- a/balancer/model_test.go
+++ b/balancer/model_test.go
@@ -188,7 +188,7 @@
 	m.attempts = append(m.attempts, send)
 	call.attempts = append(call.attempts, send)
 	s.attempts = append(s.attempts, send)
-	if m.config.HasRetryBudget && len(call.attempts) > 1 {
+	if m.config.RetryBudgetSet && len(call.attempts) > 1 {
 		m.checkBudget(call.Shard)
 	}
 	m.checkSlowStart(s)
--- a/balancer/retry_test.go
+++ b/balancer/retry_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestAttemptIsOverdueAtHalfTheRemainingTime(t *testing.T) {
-	b := newHarness(3, func(c *Config) { c.HasRetryBudget, c.RetryBudgetBase, c.RetryBudgetWindow = true, 10, 50000 })
+	b := newHarness(3, func(c *Config) { c.RetryBudgetSet, c.RetryBudgetBase, c.RetryBudgetWindow = true, 10, 50000 })
 	b.arrive(1)
 	for start := b.clock; b.clock < start+20000; b.clock += 200 {
 		b.handle(TimerFired{1})
--- a/dataplane/dispatcher.go
+++ b/dataplane/dispatcher.go
@@ -106,7 +106,7 @@
 		MaxAttempts:         defaultAttempts,
 		AllowHedging:        true,
 		MaxRetryAfter:       ticks(maxRetryAfter),
-		HasRetryBudget:      bounds.HasRetryBudget,
+		RetryBudgetSet:      bounds.HasRetryBudget,
 		RetryBudgetPerShard: true,
 		RetryBudgetBase:     bounds.BudgetExtraTries,
 		RetryBudgetRatio:    bounds.RetryBudgetRatio * bounds.BudgetWindowS / retryWindow, // the setting refers to the shorter window
--- a/internal/balancerconfig/config.go
+++ b/internal/balancerconfig/config.go
@@ -106,7 +106,7 @@
 		SlowStartDuration: s.duration("guarantees.cold"),
 		OverloadMultiple:  s.number("guarantees.fallMultiple", 0),
 		OverloadWindow:    s.duration("guarantees.tipAfter"),
-		HasRetryBudget:    s.values["guarantees.resendRatio"] != "",
+		RetryBudgetSet:    s.values["guarantees.resendRatio"] != "",
 		RetryBudgetBase:   s.number("guarantees.budgetFree", 0),
 		RetryBudgetRatio:  s.number("guarantees.resendRatio", 0),
 		RetryBudgetWindow: s.duration("guarantees.budgetSpan"),
