--- a/internal/acceptorstore/inspect.go
+++ b/internal/acceptorstore/inspect.go
@@ -27,13 +27,13 @@
 	Accepted consensus.Ballot     `json:"accepted"`
 
 	// Fields of the accepted value, which may not have been decided.
-	Slot    consensus.Slot      `json:"turn"`
-	Version consensus.Version   `json:"version"` // of the configuration
-	BasedOn consensus.Version   `json:"based_on"`
-	Digest  string              `json:"digest"` // SHA-256 of the configuration, in hexadecimal
-	Members []consensus.Member  `json:"members"`
-	Prior   []consensus.Member  `json:"prior"` // members of the previous slot
-	History []consensus.Version `json:"past"`  // prior versions of the configuration, the oldest first
+	Slot          consensus.Slot      `json:"turn"`
+	Version       consensus.Version   `json:"version"` // of the configuration
+	BasedOn       consensus.Version   `json:"based_on"`
+	Digest        string              `json:"digest"` // SHA-256 of the configuration, in hexadecimal
+	Members       []consensus.Member  `json:"members"`
+	PriorMembers  []consensus.Member  `json:"prior"` // members of the previous slot
+	PriorVersions []consensus.Version `json:"past"`  // prior versions of the configuration, the oldest first
 
 	Servers int   `json:"servers"` // number of servers in the hints
 	Bytes   int64 `json:"bytes"`   // size of the file
@@ -97,8 +97,8 @@
 
 func (c *Contents) setValue(v *consensus.Value) {
 	c.Slot, c.Version, c.BasedOn, c.Digest = v.Slot, v.Version, v.BasedOn, hex.EncodeToString([]byte(v.Digest))
-	c.Members, c.Prior, c.Body, c.Documents = v.Members, v.PriorMembers, v.Body, v.Documents
+	c.Members, c.PriorMembers, c.Body, c.Documents = v.Members, v.PriorMembers, v.Body, v.Documents
 	for _, revision := range v.PriorRevisions {
-		c.History = append(c.History, revision.Version)
+		c.PriorVersions = append(c.PriorVersions, revision.Version)
 	}
 }
--- a/internal/acceptorstore/store_test.go
+++ b/internal/acceptorstore/store_test.go
@@ -48,7 +48,7 @@
 	}
 	s.Close()
 	c, err := Inspect(dir)
-	if err != nil || c.Slot != 5 || c.Identity != 77 || c.Version != 5 || len(c.History) != 1 || string(c.Body) != "{}" {
+	if err != nil || c.Slot != 5 || c.Identity != 77 || c.Version != 5 || len(c.PriorVersions) != 1 || string(c.Body) != "{}" {
 		t.Fatalf("Inspect returned %+v, %v", c, err)
 	}
 	s, _, err = Open(dir, 0)
