--- a/internal/controlcli/commands_test.go
+++ b/internal/controlcli/commands_test.go
@@ -57,8 +57,8 @@
 ]}`
 
 func runConfigCommands(t *testing.T, p *programs) {
-	first := p.writeFile(t, "first.json", string(simcluster.ExampleConfiguration(1, simcluster.FirstSharding)))
-	second := p.writeFile(t, "second.json", string(simcluster.ExampleConfiguration(5, simcluster.SecondSharding)))
+	first := p.writeFile(t, "first.json", string(simcluster.ExampleConfiguration(1, simcluster.ExampleSharding)))
+	second := p.writeFile(t, "second.json", string(simcluster.ExampleConfiguration(5, simcluster.ExampleResharding)))
 	p.eventually(t, exitFailed, "none yet", "config", "get")
 	p.signalSettingsChange(t) // SIGHUP must not end any program: all later commands need them
 	p.expectArgs(t, exitOK, "is valid", "check", "config", first)
--- a/internal/controlcli/full_disk_test.go
+++ b/internal/controlcli/full_disk_test.go
@@ -27,7 +27,7 @@
 	p.startAll()
 	fullNode := p.cluster.Controllers[0]
 	await(t, "committed a configuration on the other controllers", func() bool {
-		body := simcluster.ExampleConfiguration(1, simcluster.FirstSharding)
+		body := simcluster.ExampleConfiguration(1, simcluster.ExampleSharding)
 		return p.cluster.ReplaceConfiguration(p.cluster.Controllers[1], 0, body) == http.StatusOK
 	})
 	await(t, "served reads by the controller on the full disk", func() bool {
@@ -38,7 +38,7 @@
 	}
 	await(t, "stored the decided value after writes succeed again", func() bool {
 		info, err := os.Stat(stateFile)
-		return err == nil && info.Size() > int64(len(simcluster.ExampleConfiguration(1, simcluster.FirstSharding)))
+		return err == nil && info.Size() > int64(len(simcluster.ExampleConfiguration(1, simcluster.ExampleSharding)))
 	})
 }
 
--- a/internal/testing/experiment/cluster.go
+++ b/internal/testing/experiment/cluster.go
@@ -100,7 +100,7 @@
 // sendDemoLoad sends example requests and changes of the configuration and checks the responses. A violated guarantee is a
 // finding.
 func sendDemoLoad(ctx context.Context, cluster *simcluster.Cluster, stdout io.Writer) error {
-	shardings := [][]string{simcluster.FirstSharding, simcluster.SecondSharding}
+	shardings := [][]string{simcluster.ExampleSharding, simcluster.ExampleResharding}
 	version := uint64(0)
 	sent, served := 0, 0
 	lastReport := time.Now()
--- a/internal/testing/experiment/fair_shares.go
+++ b/internal/testing/experiment/fair_shares.go
@@ -65,7 +65,7 @@
 		c.Services[i].ConnectionLimit = fairSharesConnectionLimit
 	}
 	batch := config.Route{Name: "batch", PathPrefix: batchPath, RouteKind: config.Retryable, TimeoutMS: 6000, TargetMS: 3000,
-		GatheredServices: simcluster.FirstSharding, Attempts: 1, TopRecords: 30, MinimumShare: 1}
+		GatheredServices: simcluster.ExampleSharding, Attempts: 1, TopRecords: 30, MinimumShare: 1}
 	interactive := config.Route{Name: "interactive", PathPrefix: interactivePath, RouteKind: config.Retryable, TimeoutMS: 3000, TargetMS: 300,
 		Service: "a0", Attempts: 2}
 	finder := config.Route{Name: "finder", PathPrefix: finderPath, RouteKind: config.Retryable, TimeoutMS: 3000, TargetMS: 300,
@@ -123,7 +123,7 @@
 		controllers:   fairSharesControllers,
 		gateways:      fairSharesGateways,
 		configuration: fairSharesConfig(),
-		addServers:    addServers(simcluster.FirstSharding, fairSharesServers, addLimited),
+		addServers:    addServers(simcluster.ExampleSharding, fairSharesServers, addLimited),
 	})
 	if err != nil {
 		return err
@@ -208,7 +208,7 @@
 // check returns the finding, if any.
 func (r *fairSharesRun) check(interactiveAlone, batchAlone, shared, withFaults *fairSharesPhase) error {
 	// Each interactive request uses one connection for as long as a shard call of the batch run does.
-	servers := float64(len(simcluster.FirstSharding) * fairSharesServers)
+	servers := float64(len(simcluster.ExampleSharding) * fairSharesServers)
 	capacity := servers * batchShareLimit * fairSharesConnectionLimit
 	interactiveShare := float64(len(shared.latencies)) / r.duration.Seconds() * fairSharesServiceTime.Seconds() / capacity
 	wantBatch := batchShareLimit * (1 - interactiveShare) * float64(batchAlone.batch.Load())
--- a/internal/testing/experiment/local_cluster.go
+++ b/internal/testing/experiment/local_cluster.go
@@ -181,7 +181,7 @@
 // exampleConfiguration returns the example configuration of a version.
 func exampleConfiguration(version uint64) config.Configuration {
 	var c config.Configuration
-	if err := json.Unmarshal(simcluster.ExampleConfiguration(version, simcluster.FirstSharding), &c); err != nil {
+	if err := json.Unmarshal(simcluster.ExampleConfiguration(version, simcluster.ExampleSharding), &c); err != nil {
 		panic(err) // the example is part of the program
 	}
 	return c
--- a/internal/testing/experiment/outlier.go
+++ b/internal/testing/experiment/outlier.go
@@ -118,7 +118,7 @@
 		gateways:              r.gateways,
 		localOutlierDetection: alone,
 		configuration:         outlierConfig(),
-		addServers:            addServers(simcluster.FirstSharding, outlierServers, r.addServer),
+		addServers:            addServers(simcluster.ExampleSharding, outlierServers, r.addServer),
 	})
 	if err != nil {
 		return 0, err
--- a/internal/testing/experiment/rest.go
+++ b/internal/testing/experiment/rest.go
@@ -71,7 +71,7 @@
 		name:          fmt.Sprint("rest-", gateways),
 		controllers:   restControllers,
 		gateways:      gateways,
-		configuration: simcluster.ExampleConfiguration(1, simcluster.FirstSharding),
+		configuration: simcluster.ExampleConfiguration(1, simcluster.ExampleSharding),
 		addServers:    addExampleServers(restServiceTime),
 	})
 	if err != nil {
--- a/internal/testing/experiment/rollout.go
+++ b/internal/testing/experiment/rollout.go
@@ -201,7 +201,7 @@
 			return err
 		}
 		server.SetOnRequest(func(time.Time) { t.targetRequests.Add(1) })
-		server.SetFailing(func() bool {
+		server.SetResponseFailures(func() bool {
 			failing := t.kind.failureShare != nil && rand.Float64() < t.kind.failureShare(time.Since(started))
 			if failing || t.kind.serviceTime > 0 {
 				t.badResponses.Add(1)
--- a/internal/testing/experiment/soak.go
+++ b/internal/testing/experiment/soak.go
@@ -67,7 +67,7 @@
 		name:          "soak",
 		controllers:   soakControllers,
 		gateways:      e.Scale(4, 8),
-		configuration: simcluster.ExampleConfiguration(1, simcluster.FirstSharding),
+		configuration: simcluster.ExampleConfiguration(1, simcluster.ExampleSharding),
 		addServers: addServers(simcluster.ExampleServices, soakServers, func(c *simcluster.Cluster, service string) {
 			c.AddServer(service, soakServiceTime)
 		}),
@@ -285,9 +285,9 @@
 func (s *soak) replaceConfiguration(ctx context.Context, random *rand.Rand) {
 	s.changeMu.Lock()
 	defer s.changeMu.Unlock()
-	sharding := simcluster.FirstSharding
+	sharding := simcluster.ExampleSharding
 	if random.IntN(2) == 0 {
-		sharding = simcluster.SecondSharding
+		sharding = simcluster.ExampleResharding
 	}
 	s.mu.Lock()
 	current := s.version
--- a/internal/testing/simcluster/acknowledgement_test.go
+++ b/internal/testing/simcluster/acknowledgement_test.go
@@ -64,7 +64,7 @@
 		time.Sleep(delay)
 		for _, controller := range cluster.runningControllers() {
 			what := fmt.Sprintf("change at %s %v after the loss of %s", controller.IP, delay, lost.IP)
-			elapsed.timedReplace(t, cluster, controller, version, ExampleConfiguration(version+1, FirstSharding), what)
+			elapsed.timedReplace(t, cluster, controller, version, ExampleConfiguration(version+1, ExampleSharding), what)
 			version++
 		}
 		requireNoError(t, lost.Start())
@@ -86,7 +86,7 @@
 				var elapsed latencies
 				for step := range steps {
 					first, second := cluster.Controllers[step%3], cluster.Controllers[(step+1)%3]
-					body := ExampleConfiguration(version+1, FirstSharding)
+					body := ExampleConfiguration(version+1, ExampleSharding)
 					go cluster.ReplaceConfiguration(first, version, body)
 					time.Sleep(time.Duration(step) * stepDelay)
 					first.Kill(powerLoss)
--- a/internal/testing/simcluster/catchup_test.go
+++ b/internal/testing/simcluster/catchup_test.go
@@ -26,7 +26,7 @@
 	t.Helper()
 	running := cluster.runningControllers()[:2]
 	for version := first; version <= last; version++ {
-		body = ExampleConfiguration(version, FirstSharding)
+		body = ExampleConfiguration(version, ExampleSharding)
 		status := 0
 		for attempt := 0; attempt < 20 && status != http.StatusOK; attempt++ {
 			to := running[(int(version)+attempt)%len(running)]
@@ -96,7 +96,7 @@
 // missChanges commits changes while the controller is absent. Afterwards it runs, partitioned from the others.
 func (c *catchUpTest) missChanges(t *testing.T) {
 	t.Helper()
-	status := replaceWithRetry(c.cluster, 0, ExampleConfiguration(1, FirstSharding), initialAttempts)
+	status := replaceWithRetry(c.cluster, 0, ExampleConfiguration(1, ExampleSharding), initialAttempts)
 	requireStatus(t, status, http.StatusOK, "first configuration")
 	commitVersions(t, c.cluster, 2, 5)
 	if c.absence.runsPartitioned {
@@ -137,7 +137,7 @@
 	var operator sync.WaitGroup
 	operator.Go(func() { // sends changes based on a version that the controller had before its absence
 		for time.Since(start) < catchUpTime {
-			if c.cluster.ReplaceConfiguration(c.absent, 5, ExampleConfiguration(6, SecondSharding)) == http.StatusOK {
+			if c.cluster.ReplaceConfiguration(c.absent, 5, ExampleConfiguration(6, ExampleResharding)) == http.StatusOK {
 				t.Errorf("another change on version 5 is acknowledged after %v", time.Since(start))
 			}
 			time.Sleep(100 * time.Millisecond)
--- a/internal/testing/simcluster/change_log_test.go
+++ b/internal/testing/simcluster/change_log_test.go
@@ -56,7 +56,7 @@
 	switch document {
 	case configurationDocument:
 		request.version = version
-		request.body = editConfiguration(t, ExampleConfiguration(version, FirstSharding), func(c *config.Configuration) {
+		request.body = editConfiguration(t, ExampleConfiguration(version, ExampleSharding), func(c *config.Configuration) {
 			c.Routes[0].TargetMS = float64(100 + bodyID)
 		})
 	case config.TenantsDocumentName:
--- a/internal/testing/simcluster/change_test.go
+++ b/internal/testing/simcluster/change_test.go
@@ -345,7 +345,7 @@
 	var statuses [changes]int
 	var operators sync.WaitGroup
 	for i := range changes {
-		bodies[i] = ExampleConfiguration(basedOn+uint64(i)+1, [][]string{FirstSharding, SecondSharding}[i%2])
+		bodies[i] = ExampleConfiguration(basedOn+uint64(i)+1, [][]string{ExampleSharding, ExampleResharding}[i%2])
 		operators.Go(func() { statuses[i] = replaceFrom(cluster, i, basedOn, bodies[i]) })
 	}
 	operators.Wait()
--- a/internal/testing/simcluster/cluster_test.go
+++ b/internal/testing/simcluster/cluster_test.go
@@ -14,15 +14,15 @@
 // the sharding, and a graceful shutdown.
 func TestEndToEnd(t *testing.T) {
 	runCluster(t, 1, 3, 2, func(t *testing.T, cluster *Cluster) {
-		commitInitial(t, cluster, 3, ExampleConfiguration(3, FirstSharding))
+		commitInitial(t, cluster, 3, ExampleConfiguration(3, ExampleSharding))
 		time.Sleep(3 * time.Second)
 		for i := range 20 {
 			checkAllRoutes(t, cluster, cluster.Gateways[i%len(cluster.Gateways)], fmt.Sprintf("w%d", i))
 		}
-		status := replaceWithRetry(cluster, 3, ExampleConfiguration(4, SecondSharding), 5)
+		status := replaceWithRetry(cluster, 3, ExampleConfiguration(4, ExampleResharding), 5)
 		requireStatus(t, status, http.StatusOK, "another sharding")
 		awaitVersion(t, cluster, 4, time.Second)
-		checkGathered(t, sendGathered(cluster, cluster.Gateways[0], "z"), "z", SecondSharding)
+		checkGathered(t, sendGathered(cluster, cluster.Gateways[0], "z"), "z", ExampleResharding)
 		for _, gateway := range cluster.Gateways {
 			gateway.Shutdown()
 		}
@@ -36,7 +36,7 @@
 func checkAllRoutes(t *testing.T, cluster *Cluster, gateway *GatewayNode, requestID string) {
 	t.Helper()
 	response := cluster.SendRequest(gateway, http.MethodGet, exampleHost, "/all/x?y=1", requestID, time.Second)
-	checkGathered(t, response, requestID, FirstSharding)
+	checkGathered(t, response, requestID, ExampleSharding)
 	if missing := response.Header.Get(missingPartsHeader); missing != "0" {
 		t.Fatalf("gathered request %s: %s parts are missing", requestID, missing)
 	}
@@ -60,11 +60,11 @@
 // TestReplaceConfigurationStatus checks the status of invalid, conflicting and repeated changes at every controller.
 func TestReplaceConfigurationStatus(t *testing.T) {
 	runCluster(t, 2, 3, 1, func(t *testing.T, cluster *Cluster) {
-		first, second := ExampleConfiguration(3, FirstSharding), ExampleConfiguration(7, FirstSharding)
+		first, second := ExampleConfiguration(3, ExampleSharding), ExampleConfiguration(7, ExampleSharding)
 		requireStatus(t, replaceWithRetry(cluster, 0, first, initialAttempts), http.StatusOK, "first configuration")
 		requireStatus(t, replaceWithRetry(cluster, 3, second, 5), http.StatusOK, "second configuration")
 		edited := func(change func(*config.Configuration)) []byte {
-			return editConfiguration(t, ExampleConfiguration(9, FirstSharding), change)
+			return editConfiguration(t, ExampleConfiguration(9, ExampleSharding), change)
 		}
 		for _, test := range []struct {
 			name    string
@@ -74,9 +74,9 @@
 		}{
 			{"current one repeated", 3, second, http.StatusOK},
 			{"older one repeated", 0, first, http.StatusOK},
-			{"another configuration on the same base", 3, ExampleConfiguration(8, SecondSharding), http.StatusPreconditionFailed},
-			{"version not above the current one", 7, ExampleConfiguration(7, SecondSharding), http.StatusBadRequest},
-			{"truncated", 7, ExampleConfiguration(9, FirstSharding)[:200], http.StatusBadRequest},
+			{"another configuration on the same base", 3, ExampleConfiguration(8, ExampleResharding), http.StatusPreconditionFailed},
+			{"version not above the current one", 7, ExampleConfiguration(7, ExampleResharding), http.StatusBadRequest},
+			{"truncated", 7, ExampleConfiguration(9, ExampleSharding)[:200], http.StatusBadRequest},
 			{"unknown service", 7, edited(func(c *config.Configuration) {
 				c.Routes[1].Service = "nowhere"
 			}), http.StatusBadRequest},
@@ -127,7 +127,7 @@
 	runCluster(t, 97, 3, 3, func(t *testing.T, cluster *Cluster) {
 		commitFirstVersion(t, cluster)
 		time.Sleep(3 * time.Second)
-		more := editConfiguration(t, ExampleConfiguration(2, FirstSharding), func(c *config.Configuration) {
+		more := editConfiguration(t, ExampleConfiguration(2, ExampleSharding), func(c *config.Configuration) {
 			for i := range added {
 				route := c.Routes[i%2] // a gathered one and a single one in turn
 				route.Name, route.PathPrefix = fmt.Sprint("added-", i), fmt.Sprintf("/added-%d/", i)
--- a/internal/testing/simcluster/connection_limit_test.go
+++ b/internal/testing/simcluster/connection_limit_test.go
@@ -23,7 +23,7 @@
 	)
 	runCluster(t, 93, 3, gateways, func(t *testing.T, cluster *Cluster) {
 		limited := replaceSingleServers(t, cluster, servers, connectionLimit)
-		commitInitial(t, cluster, 1, editConfiguration(t, ExampleConfiguration(1, FirstSharding), func(c *config.Configuration) {
+		commitInitial(t, cluster, 1, editConfiguration(t, ExampleConfiguration(1, ExampleSharding), func(c *config.Configuration) {
 			setConnectionLimit(c, singleService, connectionLimit)
 		}))
 		time.Sleep(6 * time.Second)
--- a/internal/testing/simcluster/connection_test.go
+++ b/internal/testing/simcluster/connection_test.go
@@ -144,7 +144,7 @@
 		headerPause = 1800 * time.Millisecond // within a header; its time-out is 2 s
 	)
 	runCluster(t, 78, 3, 1, func(t *testing.T, cluster *Cluster) {
-		limited := editConfiguration(t, ExampleConfiguration(1, FirstSharding), func(c *config.Configuration) {
+		limited := editConfiguration(t, ExampleConfiguration(1, ExampleSharding), func(c *config.Configuration) {
 			c.Limits = config.Limits{
 				HeaderBytes: headerBytes, BodyBytes: bodyBytes, HeaderTimeoutMS: 2000, IdleTimeoutMS: milliseconds(idleTimeout),
 			}
--- a/internal/testing/simcluster/controller_test.go
+++ b/internal/testing/simcluster/controller_test.go
@@ -31,7 +31,7 @@
 				}
 				last := uint64(controllers + 1)
 				awaitVersion(t, cluster, last, configurationApplyMax)
-				checkFirstRead(t, cluster, ExampleConfiguration(last, FirstSharding))
+				checkFirstRead(t, cluster, ExampleConfiguration(last, ExampleSharding))
 			})
 		})
 	}
@@ -63,7 +63,7 @@
 			runCluster(t, 13+uint64(wiped), 3, 1, func(t *testing.T, cluster *Cluster) {
 				commitFirstVersion(t, cluster)
 				lost := cluster.Controllers[wiped]
-				status := cluster.ReplaceConfiguration(lost, 1, ExampleConfiguration(2, SecondSharding))
+				status := cluster.ReplaceConfiguration(lost, 1, ExampleConfiguration(2, ExampleResharding))
 				requireStatus(t, status, http.StatusOK, "second version")
 				killAll(true, cluster.Controllers...)
 				gateway := cluster.Gateways[0]
@@ -78,7 +78,7 @@
 				}
 				gateway.Start()
 				time.Sleep(catchUpTime)
-				checkFirstRead(t, cluster, ExampleConfiguration(2, SecondSharding))
+				checkFirstRead(t, cluster, ExampleConfiguration(2, ExampleResharding))
 				awaitVersion(t, cluster, 2, configurationApplyMax)
 			})
 		})
@@ -102,7 +102,7 @@
 				awaitVersion(t, cluster, 3, configurationApplyMax)
 				cluster.Network.Heal()
 				time.Sleep(3 * time.Second)
-				repeated := cluster.ReplaceConfiguration(isolated, 1, ExampleConfiguration(2, FirstSharding))
+				repeated := cluster.ReplaceConfiguration(isolated, 1, ExampleConfiguration(2, ExampleSharding))
 				expectStatus(t, repeated, http.StatusPreconditionFailed, "repeated change of the minority")
 				for _, gateway := range cluster.Gateways {
 					if version := gateway.Gateway.ActiveVersion(); version != 3 {
@@ -120,14 +120,14 @@
 	var operators sync.WaitGroup
 	operators.Go(func() {
 		for range 5 {
-			minority = cluster.ReplaceConfiguration(isolated, 1, ExampleConfiguration(2, FirstSharding))
+			minority = cluster.ReplaceConfiguration(isolated, 1, ExampleConfiguration(2, ExampleSharding))
 			if minority/100 != 5 {
 				return
 			}
 		}
 	})
 	operators.Go(func() {
-		majority = cluster.ReplaceConfiguration(cluster.Controllers[1], 1, ExampleConfiguration(3, SecondSharding))
+		majority = cluster.ReplaceConfiguration(cluster.Controllers[1], 1, ExampleConfiguration(3, ExampleResharding))
 	})
 	operators.Wait()
 	return minority, majority
@@ -140,7 +140,7 @@
 		commitFirstVersion(t, cluster)
 		isolate(cluster, cluster.Controllers[0])
 		time.Sleep(3 * time.Second)
-		status := cluster.ReplaceConfiguration(cluster.Controllers[1], 1, ExampleConfiguration(2, SecondSharding))
+		status := cluster.ReplaceConfiguration(cluster.Controllers[1], 1, ExampleConfiguration(2, ExampleResharding))
 		requireStatus(t, status, http.StatusOK, "change at the majority")
 		awaitVersion(t, cluster, 2, configurationApplyMax)
 		gateway := cluster.Gateways[0] // in the zone of the isolated controller
@@ -164,7 +164,7 @@
 			start := time.Now()
 			for _, to := range []*ControllerNode{cluster.Controllers[(i+1)%3], stalled} {
 				version++
-				status := cluster.ReplaceConfiguration(to, version-1, ExampleConfiguration(version, FirstSharding))
+				status := cluster.ReplaceConfiguration(to, version-1, ExampleConfiguration(version, ExampleSharding))
 				expectStatus(t, status, http.StatusOK, "version %d with one disk stalled", version)
 			}
 			if elapsed := time.Since(start); elapsed > time.Second {
@@ -180,7 +180,7 @@
 	const smallVersions = 39
 	runCluster(t, 19, 3, 2, func(t *testing.T, cluster *Cluster) {
 		commitFirstVersion(t, cluster)
-		large := editConfiguration(t, ExampleConfiguration(2, FirstSharding), func(c *config.Configuration) {
+		large := editConfiguration(t, ExampleConfiguration(2, ExampleSharding), func(c *config.Configuration) {
 			addRoutes(c, 1700-len(c.Routes))
 		})
 		if len(large) < 256<<10 {
@@ -191,7 +191,7 @@
 		response := cluster.SendRequest(cluster.Gateways[0], http.MethodGet, exampleHost, "/more-1000/x", "long", time.Second)
 		expectStatus(t, response.Status, http.StatusOK, "request on one of the last routes of the large version")
 		for version := uint64(3); version <= smallVersions; version++ {
-			status := replaceWithRetry(cluster, version-1, ExampleConfiguration(version, FirstSharding), 5)
+			status := replaceWithRetry(cluster, version-1, ExampleConfiguration(version, ExampleSharding), 5)
 			requireStatus(t, status, http.StatusOK, "version %d", version)
 		}
 		awaitVersion(t, cluster, smallVersions, configurationApplyMax)
@@ -219,9 +219,9 @@
 		for _, controller := range cluster.Controllers {
 			setPartitioned(cluster, controller.IP, gateway.IP, true)
 		}
-		status := cluster.ReplaceConfiguration(cluster.Controllers[0], 1, ExampleConfiguration(2, SecondSharding))
+		status := cluster.ReplaceConfiguration(cluster.Controllers[0], 1, ExampleConfiguration(2, ExampleResharding))
 		requireStatus(t, status, http.StatusOK, "second version")
 		awaitVersion(t, cluster, 2, 8*time.Second)
-		checkGathered(t, sendGathered(cluster, gateway, "k"), "k", SecondSharding)
+		checkGathered(t, sendGathered(cluster, gateway, "k"), "k", ExampleResharding)
 	})
 }
--- a/internal/testing/simcluster/disk_test.go
+++ b/internal/testing/simcluster/disk_test.go
@@ -64,7 +64,7 @@
 		for i, to := range cluster.Controllers { // the controller with the full disk may also propose
 			version := uint64(2 + i)
 			start := time.Now()
-			status := cluster.ReplaceConfiguration(to, version-1, ExampleConfiguration(version, FirstSharding))
+			status := cluster.ReplaceConfiguration(to, version-1, ExampleConfiguration(version, ExampleSharding))
 			requireStatus(t, status, http.StatusOK, "version %d by controller %d with one disk full", version, i)
 			if elapsed := time.Since(start); elapsed > bound {
 				t.Errorf("version %d with one disk full took %v, want at most %v", version, elapsed, bound)
@@ -73,7 +73,7 @@
 		awaitVersion(t, cluster, 4, time.Second)
 
 		restoreSecond := fillDisk(t, cluster.Controllers[1])
-		status := cluster.ReplaceConfiguration(cluster.Controllers[2], 4, ExampleConfiguration(5, SecondSharding))
+		status := cluster.ReplaceConfiguration(cluster.Controllers[2], 4, ExampleConfiguration(5, ExampleResharding))
 		if status/100 != 5 && status != 0 {
 			t.Fatalf("with two of three disks full a change is answered with %d, want 5xx or no response", status)
 		}
@@ -85,12 +85,12 @@
 
 		restoreFirst()
 		restoreSecond()
-		status = replaceWithRetry(cluster, 4, ExampleConfiguration(5, SecondSharding), 5)
+		status = replaceWithRetry(cluster, 4, ExampleConfiguration(5, ExampleResharding), 5)
 		requireStatus(t, status, http.StatusOK, "the same change with space on the disks")
 		awaitVersion(t, cluster, 5, time.Second)
 		powerCycle(t, cluster)
 		time.Sleep(3 * time.Second)
-		checkFirstRead(t, cluster, ExampleConfiguration(5, SecondSharding))
+		checkFirstRead(t, cluster, ExampleConfiguration(5, ExampleResharding))
 	})
 }
 
@@ -118,7 +118,7 @@
 func commitInterrupted(t *testing.T, cluster *Cluster, delay time.Duration) (committed bool) {
 	t.Helper()
 	commitFirstVersion(t, cluster)
-	body := ExampleConfiguration(2, SecondSharding)
+	body := ExampleConfiguration(2, ExampleResharding)
 	status := 0
 	var operator sync.WaitGroup
 	operator.Go(func() { status = cluster.ReplaceConfiguration(cluster.Controllers[0], 1, body) })
@@ -140,7 +140,7 @@
 	if found == 2 {
 		wantOther, wantRepeated = wantRepeated, wantOther
 	}
-	other := replaceWithRetry(cluster, 1, ExampleConfiguration(3, FirstSharding), 5)
+	other := replaceWithRetry(cluster, 1, ExampleConfiguration(3, ExampleSharding), 5)
 	expectStatus(t, other, wantOther, "another change on version 1 with version %d committed", found)
 	for _, controller := range cluster.Controllers {
 		repeated := cluster.ReplaceConfiguration(controller, 1, body)
--- a/internal/testing/simcluster/example.go
+++ b/internal/testing/simcluster/example.go
@@ -30,11 +30,11 @@
 // ExampleServices are the services of the example configuration.
 var ExampleServices = []string{"a0", "a1", "a2", "b0", "b1", singleService, nonRetryableService}
 
-// FirstSharding names the services of the example that hold the shards of its index.
-var FirstSharding = []string{"a0", "a1", "a2"}
+// ExampleSharding names the services of the example that hold the shards of its index.
+var ExampleSharding = []string{"a0", "a1", "a2"}
 
-// SecondSharding names the services that hold the same index, divided into other shards.
-var SecondSharding = []string{"b0", "b1"}
+// ExampleResharding names the services that hold the same index, divided into other shards.
+var ExampleResharding = []string{"b0", "b1"}
 
 // ExampleConfiguration returns a configuration with a gathered route over shards, a retryable route to a single service and
 // a non-retryable route.
@@ -80,12 +80,12 @@
 }
 
 func (c *Cluster) sendGatheredExample(gateway *GatewayNode, requestID string) (served bool, violation Violation) {
-	c.RequestLog.RecordRequest(slices.Concat(FirstSharding, SecondSharding)...) // either sharding may be applied
+	c.RequestLog.RecordRequest(slices.Concat(ExampleSharding, ExampleResharding)...) // either sharding may be applied
 	response := c.SendRequest(gateway, http.MethodGet, exampleHost, "/all/x", requestID, exampleRequestTimeout)
 	if response.Status != http.StatusOK {
 		return false, checkNotDenied(requestID, response.Status)
 	}
-	return true, exampleGathering(FirstSharding, SecondSharding).Check(response, requestID)
+	return true, exampleGathering(ExampleSharding, ExampleResharding).Check(response, requestID)
 }
 
 func (c *Cluster) sendSingleExample(gateway *GatewayNode, requestID string) (served bool, violation Violation) {
--- a/internal/testing/simcluster/halves_test.go
+++ b/internal/testing/simcluster/halves_test.go
@@ -78,7 +78,7 @@
 		if basedOn == 0 {
 			return false
 		}
-		status := replaceOnRunning(s.cluster, basedOn, ExampleConfiguration(version, FirstSharding), 1)
+		status := replaceOnRunning(s.cluster, basedOn, ExampleConfiguration(version, ExampleSharding), 1)
 		s.operators.recordOutcome(version, status)
 		return status == http.StatusOK
 	})
--- a/internal/testing/simcluster/helpers_test.go
+++ b/internal/testing/simcluster/helpers_test.go
@@ -56,7 +56,7 @@
 // commitFirstVersion commits version 1 of the example and waits until all gateways apply it.
 func commitFirstVersion(t *testing.T, cluster *Cluster) {
 	t.Helper()
-	commitInitial(t, cluster, 1, ExampleConfiguration(1, FirstSharding))
+	commitInitial(t, cluster, 1, ExampleConfiguration(1, ExampleSharding))
 }
 
 // commitInitial commits the first configuration of a cluster and waits until all gateways apply it.
@@ -69,7 +69,7 @@
 // commitVersion commits a version of the example, based on version-1, at the running controllers.
 func commitVersion(t *testing.T, cluster *Cluster, version uint64) {
 	t.Helper()
-	status := replaceOnRunning(cluster, version-1, ExampleConfiguration(version, FirstSharding), 20)
+	status := replaceOnRunning(cluster, version-1, ExampleConfiguration(version, ExampleSharding), 20)
 	requireStatus(t, status, http.StatusOK, "version %d", version)
 }
 
--- a/internal/testing/simcluster/isolation_test.go
+++ b/internal/testing/simcluster/isolation_test.go
@@ -123,7 +123,7 @@
 		readInterval = 10 * time.Millisecond
 	)
 	runControllers(t, 550, 3, func(t *testing.T, cluster *Cluster) {
-		requireStatus(t, replaceWithRetry(cluster, 0, ExampleConfiguration(1, FirstSharding), initialAttempts), http.StatusOK, "version 1")
+		requireStatus(t, replaceWithRetry(cluster, 0, ExampleConfiguration(1, ExampleSharding), initialAttempts), http.StatusOK, "version 1")
 		time.Sleep(catchUpTime)
 		slow := cluster.Controllers[0]
 		delayLinks(cluster, slow, 100*time.Millisecond)
@@ -145,7 +145,7 @@
 			})
 		}
 		for version := uint64(2); version < 2+changes; version++ {
-			status := cluster.ReplaceConfiguration(slow, version-1, ExampleConfiguration(version, FirstSharding))
+			status := cluster.ReplaceConfiguration(slow, version-1, ExampleConfiguration(version, ExampleSharding))
 			operators.recordOutcome(version, status)
 			requireStatus(t, status, http.StatusOK, "version %d with concurrent reads", version)
 		}
--- a/internal/testing/simcluster/margin_test.go
+++ b/internal/testing/simcluster/margin_test.go
@@ -129,7 +129,7 @@
 func (m *marginRun) changeConfiguration(t *testing.T) {
 	t.Helper()
 	m.version++
-	body := ExampleConfiguration(m.version, [][]string{FirstSharding, SecondSharding}[m.version%2])
+	body := ExampleConfiguration(m.version, [][]string{ExampleSharding, ExampleResharding}[m.version%2])
 	to := m.cluster.Controllers[m.random.IntN(len(m.cluster.Controllers))]
 	status := m.cluster.ReplaceConfiguration(to, m.version-1, body)
 	expectStatus(t, status, http.StatusOK, "version %d", m.version)
--- a/internal/testing/simcluster/operator_log_test.go
+++ b/internal/testing/simcluster/operator_log_test.go
@@ -72,7 +72,7 @@
 // send sends the next version to one controller, up to three times, and returns the last status.
 func (o *operatorLog) send(cluster *Cluster, to *ControllerNode, basedOn uint64) (status int) {
 	version := o.nextVersion()
-	body := ExampleConfiguration(version, [][]string{FirstSharding, SecondSharding}[version%2])
+	body := ExampleConfiguration(version, [][]string{ExampleSharding, ExampleResharding}[version%2])
 	for range 3 {
 		status = cluster.ReplaceConfiguration(to, basedOn, body)
 		if isDefinite(status) {
--- a/internal/testing/simcluster/pacing_test.go
+++ b/internal/testing/simcluster/pacing_test.go
@@ -58,7 +58,7 @@
 // commitLargeVersion commits a version of the example with a thousand additional routes.
 func commitLargeVersion(t *testing.T, cluster *Cluster, version uint64) {
 	t.Helper()
-	body := editConfiguration(t, ExampleConfiguration(version, FirstSharding), func(c *config.Configuration) { addRoutes(c, 1000) })
+	body := editConfiguration(t, ExampleConfiguration(version, ExampleSharding), func(c *config.Configuration) { addRoutes(c, 1000) })
 	requireStatus(t, replaceWithRetry(cluster, version-1, body, 5), http.StatusOK, "version %d", version)
 }
 
--- a/internal/testing/simcluster/random_faults_test.go
+++ b/internal/testing/simcluster/random_faults_test.go
@@ -115,7 +115,7 @@
 
 func (r *faultRun) runSteps(t *testing.T) {
 	const steps = 25
-	r.history.replace(r.cluster, r.cluster.Controllers[0], 0, 1, FirstSharding, 40)
+	r.history.replace(r.cluster, r.cluster.Controllers[0], 0, 1, ExampleSharding, 40)
 	if !r.history.acknowledged[1] {
 		t.Fatal("the first configuration was never acknowledged")
 	}
@@ -139,7 +139,7 @@
 	if sent, served := r.requests.sent.Load(), r.requests.served.Load(); 3*served < sent {
 		t.Fatalf("only %d of %d requests were served", served, sent)
 	}
-	body := ExampleConfiguration(r.nextVersion, FirstSharding)
+	body := ExampleConfiguration(r.nextVersion, ExampleSharding)
 	status := replaceWithRetry(r.cluster, currentVersion(t, r.cluster), body, 10)
 	requireStatus(t, status, http.StatusOK, "change after the faults")
 }
@@ -208,7 +208,7 @@
 	var operators sync.WaitGroup
 	for range 2 {
 		version, to := r.nextVersion, r.randomController()
-		shards := [][]string{FirstSharding, SecondSharding}[r.random.IntN(2)]
+		shards := [][]string{ExampleSharding, ExampleResharding}[r.random.IntN(2)]
 		r.nextVersion++
 		operators.Go(func() { r.history.replace(r.cluster, to, basedOn, version, shards, 4) })
 	}
--- a/internal/testing/simcluster/repair_test.go
+++ b/internal/testing/simcluster/repair_test.go
@@ -27,7 +27,7 @@
 						controller.Kill(true)
 					}
 				}
-				status := cluster.ReplaceConfiguration(cluster.Controllers[0], 1, ExampleConfiguration(2, SecondSharding))
+				status := cluster.ReplaceConfiguration(cluster.Controllers[0], 1, ExampleConfiguration(2, ExampleResharding))
 				requireStatus(t, status, http.StatusOK, "version 2 by a bare majority")
 				cluster.Network.Heal()
 				if killed {
@@ -41,7 +41,7 @@
 				}
 				powerCycle(t, cluster)
 				time.Sleep(3 * time.Second)
-				checkReadBack(t, cluster, ExampleConfiguration(2, SecondSharding))
+				checkReadBack(t, cluster, ExampleConfiguration(2, ExampleResharding))
 			})
 		})
 	}
@@ -78,9 +78,9 @@
 		observer.Kill(true)
 		observer.WipeDisk()
 		powerCycle(t, cluster)
-		status := replaceOnRunning(cluster, 1, ExampleConfiguration(2, SecondSharding), 10)
+		status := replaceOnRunning(cluster, 1, ExampleConfiguration(2, ExampleResharding), 10)
 		expectStatus(t, status, http.StatusOK, "change with another controller lost")
-		checkReadBack(t, cluster, ExampleConfiguration(2, SecondSharding))
+		checkReadBack(t, cluster, ExampleConfiguration(2, ExampleResharding))
 	})
 }
 
@@ -95,7 +95,7 @@
 		isolate(cluster, cluster.Controllers[0])
 		time.Sleep(catchUpTime + 2*time.Second)
 		cluster.Controllers[1].Kill(true)
-		status := replaceOnRunning(cluster, 1, ExampleConfiguration(2, SecondSharding), 10)
+		status := replaceOnRunning(cluster, 1, ExampleConfiguration(2, ExampleResharding), 10)
 		expectStatus(t, status, http.StatusOK, "change with one controller replaced by a spare and one lost")
 		time.Sleep(10 * time.Second)
 		cluster.Network.Heal()
@@ -103,7 +103,7 @@
 		awaitReplicated(t, cluster, 2, catchUpTime)
 		powerCycle(t, cluster)
 		time.Sleep(3 * time.Second)
-		checkReadBack(t, cluster, ExampleConfiguration(2, SecondSharding))
+		checkReadBack(t, cluster, ExampleConfiguration(2, ExampleResharding))
 	})
 }
 
@@ -129,7 +129,7 @@
 					test.loseTwo(t, round)
 				}
 				time.Sleep(catchUpTime)
-				checkReadBack(t, cluster, ExampleConfiguration(test.version, FirstSharding))
+				checkReadBack(t, cluster, ExampleConfiguration(test.version, ExampleSharding))
 			})
 		})
 	}
@@ -168,7 +168,7 @@
 func (l *lossTest) commit(t *testing.T) {
 	t.Helper()
 	l.version++
-	status := replaceOnRunning(l.cluster, l.version-1, ExampleConfiguration(l.version, FirstSharding), 15)
+	status := replaceOnRunning(l.cluster, l.version-1, ExampleConfiguration(l.version, ExampleSharding), 15)
 	requireStatus(t, status, http.StatusOK, "version %d", l.version)
 }
 
@@ -180,7 +180,7 @@
 		time.Sleep(2 * time.Second)
 	}
 	text := l.cluster.ReadConfiguration(l.cluster.runningControllers()[0])
-	if text != nil && !bytes.Equal(text, ExampleConfiguration(l.version, FirstSharding)) {
+	if text != nil && !bytes.Equal(text, ExampleConfiguration(l.version, ExampleSharding)) {
 		t.Errorf("committed configuration is lost: after step %d version %d is not read back", l.steps, l.version)
 	}
 	l.steps++
--- a/internal/testing/simcluster/replacement_test.go
+++ b/internal/testing/simcluster/replacement_test.go
@@ -19,7 +19,7 @@
 // other controllers lost as the system tolerates.
 func expectCommitAfterReplacement(t *testing.T, cluster *Cluster, version uint64, attempts int) {
 	t.Helper()
-	status := replaceOnRunning(cluster, version-1, ExampleConfiguration(version, FirstSharding), attempts)
+	status := replaceOnRunning(cluster, version-1, ExampleConfiguration(version, ExampleSharding), attempts)
 	expectStatus(t, status, http.StatusOK, "version %d with %d controllers lost after a replacement", version, cluster.toleratedFailures)
 }
 
@@ -36,7 +36,7 @@
 				requireNoError(t, cluster.AddController().Start())
 				time.Sleep(catchUpTime)
 				replaced := cluster.Controllers[trial%controllers]
-				status := replaceWithRetry(cluster, 1, ExampleConfiguration(2, SecondSharding), 5)
+				status := replaceWithRetry(cluster, 1, ExampleConfiguration(2, ExampleResharding), 5)
 				requireStatus(t, status, http.StatusOK, "version 2")
 				t.Logf("it shuts down after %v", timeShutdown(replaced))
 				replaced.WipeDisk()
@@ -49,7 +49,7 @@
 				}
 				expectCommitAfterReplacement(t, cluster, 3, 8)
 				time.Sleep(2 * time.Second)
-				checkReadBack(t, cluster, ExampleConfiguration(3, FirstSharding))
+				checkReadBack(t, cluster, ExampleConfiguration(3, ExampleSharding))
 			})
 		})
 	}
@@ -78,7 +78,7 @@
 				killAll(true, stalled...)
 				powerCycle(t, cluster)
 				expectCommitAfterReplacement(t, cluster, 2, 10)
-				checkReadBack(t, cluster, ExampleConfiguration(2, FirstSharding))
+				checkReadBack(t, cluster, ExampleConfiguration(2, ExampleSharding))
 			})
 		})
 	}
@@ -104,7 +104,7 @@
 				replaced.WipeDisk()
 				killAll(true, cluster.runningControllers()[:cluster.toleratedFailures]...)
 				expectCommitAfterReplacement(t, cluster, 2, 10)
-				checkReadBack(t, cluster, ExampleConfiguration(2, FirstSharding))
+				checkReadBack(t, cluster, ExampleConfiguration(2, ExampleSharding))
 			})
 		})
 	}
@@ -120,7 +120,7 @@
 				time.Sleep(catchUpTime)
 				majority, absent := cluster.Controllers[:controllers/2+1], cluster.Controllers[controllers/2+1:]
 				killAll(true, absent...)
-				status := cluster.ReplaceConfiguration(majority[0], 1, ExampleConfiguration(2, SecondSharding))
+				status := cluster.ReplaceConfiguration(majority[0], 1, ExampleConfiguration(2, ExampleResharding))
 				requireStatus(t, status, http.StatusOK, "version 2 by a bare majority")
 				startAll(t, absent...)
 				time.Sleep(50 * time.Millisecond)
@@ -166,7 +166,7 @@
 		elapsed := make(chan time.Duration, 1)
 		go func() { elapsed <- timeShutdown(member) }()
 		time.Sleep(time.Second)
-		status := cluster.ReplaceConfiguration(member, 2, ExampleConfiguration(3, FirstSharding))
+		status := cluster.ReplaceConfiguration(member, 2, ExampleConfiguration(3, ExampleSharding))
 		expectStatus(t, status, http.StatusOK, "change at a member that is shutting down and needed for the quorum")
 		if shutdownTime := <-elapsed; shutdownTime < gracePeriod/2 || shutdownTime > gracePeriod {
 			t.Errorf("the member shuts down after %v, want %v to %v", shutdownTime, gracePeriod/2, gracePeriod)
@@ -184,7 +184,7 @@
 		}
 		startAll(t, member, lost)
 		awaitReplicated(t, cluster, 3, catchUpTime)
-		checkReadBack(t, cluster, ExampleConfiguration(3, FirstSharding))
+		checkReadBack(t, cluster, ExampleConfiguration(3, ExampleSharding))
 	})
 }
 
@@ -201,7 +201,7 @@
 			var operator sync.WaitGroup
 			operator.Go(func() {
 				time.Sleep(time.Duration(i) * 5 * time.Millisecond)
-				status := replaceWithRetry(cluster, version-1, ExampleConfiguration(version, FirstSharding), 10)
+				status := replaceWithRetry(cluster, version-1, ExampleConfiguration(version, ExampleSharding), 10)
 				expectStatus(t, status, http.StatusOK, "version %d while a controller restarts", version)
 			})
 			if elapsed := timeShutdown(controller); elapsed > bound {
@@ -216,6 +216,6 @@
 		if members, _ := acceptors(cluster); len(members) != len(cluster.Controllers) {
 			t.Errorf("there are %d members after the restarts, want %d", len(members), len(cluster.Controllers))
 		}
-		checkReadBack(t, cluster, ExampleConfiguration(6, FirstSharding))
+		checkReadBack(t, cluster, ExampleConfiguration(6, ExampleSharding))
 	})
 }
--- a/internal/testing/simcluster/scale_test.go
+++ b/internal/testing/simcluster/scale_test.go
@@ -17,7 +17,7 @@
 		commitFirstVersion(t, cluster)
 		time.Sleep(4 * time.Second)
 		for version := uint64(2); version < 6; version++ {
-			status := replaceWithRetry(cluster, version-1, ExampleConfiguration(version, FirstSharding), 5)
+			status := replaceWithRetry(cluster, version-1, ExampleConfiguration(version, ExampleSharding), 5)
 			requireStatus(t, status, http.StatusOK, "version %d", version)
 			start := time.Now()
 			awaitAllApply(t, cluster, version, configurationApplyMax)
--- a/internal/testing/simcluster/server.go
+++ b/internal/testing/simcluster/server.go
@@ -120,8 +120,8 @@
 // SetHung makes the server accept requests without responding to any, or makes it respond again.
 func (s *Server) SetHung(hung bool) { s.hung.Store(hung) }
 
-// SetFailing sets a function that reports for each request whether the response has status 500; nil removes it.
-func (s *Server) SetFailing(fails func() bool) {
+// SetResponseFailures sets a function that reports for each request whether the response has status 500; nil removes it.
+func (s *Server) SetResponseFailures(fails func() bool) {
 	if fails == nil {
 		s.setFaults(nil)
 		return
--- a/internal/testing/simcluster/shutdown_test.go
+++ b/internal/testing/simcluster/shutdown_test.go
@@ -97,7 +97,7 @@
 func TestShutdownAnswersWhatIsStillOpen(t *testing.T) {
 	const serviceTime = 30 * time.Second
 	runCluster(t, 93, 3, 1, func(t *testing.T, cluster *Cluster) {
-		longTimeouts := editConfiguration(t, ExampleConfiguration(1, FirstSharding), func(c *config.Configuration) {
+		longTimeouts := editConfiguration(t, ExampleConfiguration(1, ExampleSharding), func(c *config.Configuration) {
 			for i := range c.Routes {
 				c.Routes[i].TimeoutMS = 20000
 			}
--- a/internal/testing/simcluster/start_test.go
+++ b/internal/testing/simcluster/start_test.go
@@ -13,7 +13,7 @@
 	runBubble(t, 77, 5, 3, func(t *testing.T, cluster *Cluster) {
 		var operator sync.WaitGroup
 		status := 0
-		operator.Go(func() { status = replaceWithRetry(cluster, 0, ExampleConfiguration(1, FirstSharding), 40) })
+		operator.Go(func() { status = replaceWithRetry(cluster, 0, ExampleConfiguration(1, ExampleSharding), 40) })
 		for _, gateway := range cluster.Gateways {
 			gateway.Start()
 		}
@@ -37,6 +37,6 @@
 		requireNoError(t, added.Start())
 		commitVersion(t, cluster, 2)
 		awaitVersion(t, cluster, 2, catchUpTime)
-		expectRead(t, added, cluster.ReadConfiguration(added), ExampleConfiguration(2, FirstSharding))
+		expectRead(t, added, cluster.ReadConfiguration(added), ExampleConfiguration(2, ExampleSharding))
 	})
 }
--- a/internal/testing/simcluster/tenants_test.go
+++ b/internal/testing/simcluster/tenants_test.go
@@ -29,7 +29,7 @@
 // route, all to the same servers, and the same connection limit for all services.
 func batchConfiguration(t *testing.T, version uint64, connectionLimit int) []byte {
 	t.Helper()
-	return editConfiguration(t, ExampleConfiguration(version, FirstSharding), func(c *config.Configuration) {
+	return editConfiguration(t, ExampleConfiguration(version, ExampleSharding), func(c *config.Configuration) {
 		for i := range c.Services {
 			c.Services[i].ConnectionLimit = connectionLimit
 		}
@@ -51,7 +51,7 @@
 	return config.Route{
 		Name: name, Hostname: host, PathPrefix: prefix, RouteKind: config.Retryable,
 		TimeoutMS: 4000, TargetMS: 2000, Attempts: 1,
-		GatheredServices: FirstSharding, TopRecords: exampleTopRecords, MinimumShare: 1,
+		GatheredServices: ExampleSharding, TopRecords: exampleTopRecords, MinimumShare: 1,
 	}
 }
 
@@ -71,7 +71,7 @@
 // connections are scarce.
 func limitConnections(t *testing.T, cluster *Cluster, connectionLimit int, serviceTime time.Duration) {
 	t.Helper()
-	restartServers(t, serversOf(cluster, FirstSharding...), func(server *Server) {
+	restartServers(t, serversOf(cluster, ExampleSharding...), func(server *Server) {
 		server.Concurrency = 1000
 		server.ConnectionLimit = connectionLimit
 		server.ServiceTime = serviceTime
--- a/internal/testing/simcluster/zone_loss_test.go
+++ b/internal/testing/simcluster/zone_loss_test.go
@@ -80,7 +80,7 @@
 	var operator sync.WaitGroup
 	status := 0
 	operator.Go(func() {
-		status = replaceWithRetry(cluster, 1, ExampleConfiguration(2, SecondSharding), 10)
+		status = replaceWithRetry(cluster, 1, ExampleConfiguration(2, ExampleResharding), 10)
 	})
 	time.Sleep(delay)
 	for _, controller := range cluster.Controllers {
@@ -92,7 +92,7 @@
 	operator.Wait()
 	requireStatus(t, status, http.StatusOK, "change while a zone is lost")
 	powerCycle(t, cluster)
-	status = replaceOnRunning(cluster, 2, ExampleConfiguration(3, FirstSharding), 12)
+	status = replaceOnRunning(cluster, 2, ExampleConfiguration(3, ExampleSharding), 12)
 	expectStatus(t, status, http.StatusOK, "change without the zone, after a power loss")
-	checkReadBack(t, cluster, ExampleConfiguration(3, FirstSharding))
+	checkReadBack(t, cluster, ExampleConfiguration(3, ExampleSharding))
 }
