--- a/gatherer/config.go
+++ b/gatherer/config.go
@@ -115,7 +115,7 @@
 	switch {
 	case !d.AllowPeers:
 		return c.Operator.FleetError("gatherers may not talk to each other: limits.peers of the settings is not true")
-	case isVoter && (fleet.Listen == "" || fleet.Path == ""):
+	case isVoter && (fleet.Listen == "" || fleet.LogDirectory == ""):
 		return c.Operator.FleetError(
 			"this gatherer is a steward, and needs listen, its address for the fleet, and path, where its log is kept")
 	}
--- a/gatherer/config_test.go
+++ b/gatherer/config_test.go
@@ -33,7 +33,7 @@
 
 func TestRestartNeeded(t *testing.T) {
 	operator := func(path string) *Operator {
-		return &Operator{Store: &operatorconfig.Store{Path: path}}
+		return &Operator{Store: &operatorconfig.Store{Directory: path}}
 	}
 	for name, test := range map[string]struct {
 		edit func(*Config)
--- a/gatherer/gatherer.go
+++ b/gatherer/gatherer.go
@@ -122,7 +122,7 @@
 func (g *Gatherer) setMergeLimits(share float64) {
 	if m := g.transport.merging.Load(); m != nil {
 		scale := func(n int64) int64 { return int64(float64(n) * share) }
-		g.dispatcher.merges.SetLimits(scale(m.MaxBytes), scale(m.MaxRows), scale(m.MaxOpen))
+		g.dispatcher.merges.SetLimits(scale(m.MaxBytes), scale(m.MaxRows), scale(m.MaxOpenMerges))
 	}
 }
 
--- a/gatherer/listener.go
+++ b/gatherer/listener.go
@@ -92,7 +92,7 @@
 			HeaderTimeout:         millis(headerTimeout),
 			CustomerShares:        config.quotas,
 			MaxActive:             config.maxActiveConns,
-			OneShotCloseThreshold: cmp.Or(config.connections.IdleThreshold, max(config.descriptors/idleOneShotDivisor, 1)),
+			OneShotCloseThreshold: cmp.Or(config.connections.OneShotCloseThreshold, max(config.descriptors/idleOneShotDivisor, 1)),
 			ParkDelay:             millis(parkDelay),
 			MaxIdleGoroutines:     max(config.maxActiveConns, minIdleConns),
 		}),
--- a/gatherer/persistence.go
+++ b/gatherer/persistence.go
@@ -44,21 +44,21 @@
 // openPersistence opens the store that is configured in the operator's file, restores the idempotency table from it, and
 // logs what it contains and any damage.
 func openPersistence(o *operatorconfig.Store) (*persistence, error) {
-	disk, err := store.OpenDisk(o.Path)
+	disk, err := store.OpenDisk(o.Directory)
 	if err != nil {
-		return nil, fmt.Errorf("store %s: %w", o.Path, err)
+		return nil, fmt.Errorf("store %s: %w", o.Directory, err)
 	}
 	s, report, err := store.Open(disk, store.Options{MaxBytes: o.MaxMirrorBytes, CommitDelay: o.CommitDelay})
 	for _, damage := range report.Damage {
-		slog.Warn("store_damage", "path", o.Path, "what", damage, "mended", report.Repaired)
+		slog.Warn("store_damage", "path", o.Directory, "what", damage, "mended", report.Repaired)
 	}
 	if err != nil {
-		return nil, fmt.Errorf("store %s: %w", o.Path, err)
+		return nil, fmt.Errorf("store %s: %w", o.Directory, err)
 	}
 	p := &persistence{
 		store:     s,
-		diskGuard: idempotency.DiskGuard{WriteTimeout: idempotency.Time(o.SlowAfter.Milliseconds())},
-		table: idempotency.New(idempotency.Config{Retention: idempotency.Time(o.Retention.Milliseconds()), MaxRequests: o.MaxRequests,
+		diskGuard: idempotency.DiskGuard{WriteTimeout: idempotency.Time(o.WriteTimeout.Milliseconds())},
+		table: idempotency.New(idempotency.Config{Retention: idempotency.Time(o.Retention.Milliseconds()), MaxRequests: o.MaxOutcomes,
 			MaxAnswerBytes: int(o.MaxAnswerBytes)}),
 	}
 	unreadable := 0
@@ -67,7 +67,7 @@
 			unreadable++
 		}
 	}
-	slog.Info("store_open", "path", o.Path, "records", report.LastRecord, "searches", p.table.Len(),
+	slog.Info("store_open", "path", o.Directory, "records", report.LastRecord, "searches", p.table.Len(),
 		"unreadable", unreadable, "mended", report.Repaired)
 	return p, nil
 }
--- a/internal/cli/fleet.go
+++ b/internal/cli/fleet.go
@@ -36,7 +36,7 @@
 			Listen:    fleet.Listen,
 			Voters:    voters,
 			Keys:      fleet.Keys,
-			LogDir:    fleet.Path,
+			LogDir:    fleet.LogDirectory,
 			HookPath:  fleet.Hook,
 			Limits:    fleet.Limits,
 			Bootstrap: bootstrap,
--- a/internal/operatorconfig/file_test.go
+++ b/internal/operatorconfig/file_test.go
@@ -48,7 +48,7 @@
 	}
 	m := f.Merging
 	a := m.Types["report"]
-	if m.MaxBytes != 2<<20 || m.CursorLifetime != 90*time.Second || m.MaxOpen != 1000 || m.Keys == nil || a == nil {
+	if m.MaxBytes != 2<<20 || m.CursorLifetime != 90*time.Second || m.MaxOpenMerges != 1000 || m.Keys == nil || a == nil {
 		t.Fatalf("loaded %+v", m)
 	}
 	if a.MaxRows != 50 || len(a.Orders) != 2 || a.Schema.Columns[2].Scale != 3 || !a.Schema.Columns[3].Unsigned || a.Schema.Account != 0 {
@@ -153,7 +153,7 @@
 	const rates = "[connections]\nhead_rate = 200\nbody_rate = 2000\nanswer_rate = 4KiB\ngrace = 2s\nkeep_alive = 30s\n" +
 		"send_buffer = 64KiB\ncrowd = off\n"
 	want := Connections{ReleaseIdle: true, MinHeaderRate: 200, MinBodyRate: 2000, MinResponseRate: 4096, RateGrace: 2 * time.Second,
-		KeepAlive: 30 * time.Second, SendBuffer: 64 << 10, IdleThreshold: Unlimited}
+		KeepAlive: 30 * time.Second, SendBuffer: 64 << 10, OneShotCloseThreshold: UnlimitedIdle}
 	withIdle := want
 	withIdle.IdleTimeout, withIdle.MaxActive = 10*time.Minute, 300
 	for name, c := range map[string]struct {
@@ -188,8 +188,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := Store{Path: filepath.Join(filepath.Dir(f.Path), "mirrors"), MaxMirrorBytes: 2 << 20, CommitDelay: 3 * time.Millisecond,
-		SlowAfter: 4 * time.Millisecond, Retention: 5 * time.Second, MaxRequests: 60, MaxAnswerBytes: 70 << 10, KeyHeader: "Key"}
+	want := Store{Directory: filepath.Join(filepath.Dir(f.Path), "mirrors"), MaxMirrorBytes: 2 << 20, CommitDelay: 3 * time.Millisecond,
+		WriteTimeout: 4 * time.Millisecond, Retention: 5 * time.Second, MaxOutcomes: 60, MaxAnswerBytes: 70 << 10, KeyHeader: "Key"}
 	if *f.Store != want {
 		t.Errorf("loaded %+v, want %+v", *f.Store, want)
 	}
--- a/internal/operatorconfig/fleet.go
+++ b/internal/operatorconfig/fleet.go
@@ -13,7 +13,7 @@
 type Fleet struct {
 	Zone         string        // this gatherer's failure domain
 	Listen       string        // HOST:PORT on which it serves the fleet; set only for a voter
-	Path         string        // directory of the replicated log; set only for a voter
+	LogDirectory string        // directory of the replicated log; set only for a voter
 	Voters       []Voter       // key stewards; in the same order in the files of all gatherers
 	Keys         *keyring.Ring // authenticate the fleet's messages
 	Hook         string        // program that carries out the changes of a release; "" = none
@@ -48,8 +48,8 @@
 	f.Hook, _ = s.text("hook")
 	f.Voters = s.voters()
 	f.Keys = s.fleetKeys()
-	if f.Path, _ = s.text("path"); f.Path != "" {
-		f.Path = p.resolve(f.Path)
+	if f.LogDirectory, _ = s.text("path"); f.LogDirectory != "" {
+		f.LogDirectory = p.resolve(f.LogDirectory)
 	}
 	if f.Hook != "" {
 		f.Hook = p.resolve(f.Hook)
--- a/internal/operatorconfig/levels.go
+++ b/internal/operatorconfig/levels.go
@@ -11,11 +11,11 @@
 
 // Levels holds the sections [levels] and [level NAME], which configure the degradation levels.
 type Levels struct {
-	Config degradation.Config   // without served shares: the indexes of query types follow from the platform's configuration
-	Shares []map[string]float64 // served shares, by rank and name of the query type
-	Socket string               // path of the admin socket; "" = none
-	lines  []int                // lines of the levels' sections, by rank
-	path   string               // of the operator's file
+	Config       degradation.Config   // without served shares: the indexes of query types follow from the platform's configuration
+	ServedShares []map[string]float64 // served shares, by rank and name of the query type
+	Socket       string               // path of the admin socket; "" = none
+	lines        []int                // lines of the levels' sections, by rank
+	path         string               // of the operator's file
 }
 
 // fullServiceName is the name of the level of full service, which has no section.
@@ -26,12 +26,12 @@
 
 // parseLevels reads the levels. Ranks follow the order in the file; rank 0 is full service. It returns nil if there are none.
 func (p *parser) parseLevels() *Levels {
-	levels := &Levels{Shares: []map[string]float64{nil}, lines: []int{0}, path: p.path}
+	levels := &Levels{ServedShares: []map[string]float64{nil}, lines: []int{0}, path: p.path}
 	levels.Config.Levels = []degradation.Level{{Name: fullServiceName, Policy: degradation.Policy{MergeShare: 1}}}
 	p.sectionsOf("level", func(name string, s *section) {
 		level, shares := s.parseLevel(name)
 		levels.Config.Levels = append(levels.Config.Levels, level)
-		levels.Shares = append(levels.Shares, shares)
+		levels.ServedShares = append(levels.ServedShares, shares)
 		levels.lines = append(levels.lines, p.lines[sectionLabel(s.ini.Name())])
 	})
 	s := p.section("levels")
@@ -133,7 +133,7 @@
 	}
 	for rank := range config.Levels {
 		served := slices.Clone(previous)
-		for name, share := range l.Shares[rank] {
+		for name, share := range l.ServedShares[rank] {
 			if i := slices.Index(queryTypes, name); i >= 0 {
 				served[i] = share
 			} else {
--- a/internal/operatorconfig/merging.go
+++ b/internal/operatorconfig/merging.go
@@ -12,27 +12,27 @@
 type Merging struct {
 	MaxBytes       int64         // limit on the memory of all open merges together, in bytes
 	MaxRows        int64         // limit on the rows of all open merges together
-	MaxOpen        int64         // limit on merges open at the same time
+	MaxOpenMerges  int64         // limit on merges open at the same time
 	Keys           *keyring.Ring // sign the cursors of paged merges; nil = not configured, as no merge is paged
 	CursorLifetime time.Duration
 	MaxCursorBytes int                      // limit on the size of one cursor
 	Types          map[string]*merge.Policy // by query type
-	Lines          map[string]int           // line of each query type's section [merge QUERY-TYPE]
+	SectionLines   map[string]int           // line of each query type's section [merge QUERY-TYPE]
 }
 
 // parseMerging reads all sections on merging. It returns nil if no query type may merge.
 func (p *parser) parseMerging() *Merging {
-	m := &Merging{Types: map[string]*merge.Policy{}, Lines: map[string]int{}}
+	m := &Merging{Types: map[string]*merge.Policy{}, SectionLines: map[string]int{}}
 	p.sectionsOf("schema", func(name string, s *section) { p.schemas[name] = s.parseSchema(name) })
 	paged := false
 	p.sectionsOf("merge", func(name string, s *section) {
 		policy := s.parsePolicy()
-		m.Types[name], m.Lines[name] = policy, p.lines[sectionLabel(s.ini.Name())]
+		m.Types[name], m.SectionLines[name] = policy, p.lines[sectionLabel(s.ini.Name())]
 		paged = paged || slices.Contains(policy.Kinds, merge.Paged)
 	})
 	s := p.section("merging")
 	if s == nil {
-		for _, line := range m.Lines {
+		for _, line := range m.SectionLines {
 			p.problems.add(line, "a [merge] section needs a section [merging] with the limits on all merges together")
 			break
 		}
@@ -40,7 +40,7 @@
 	}
 	m.MaxBytes = s.count("memory", 16<<20, 64<<10, 1<<40)
 	m.MaxRows = s.count("rows", 200_000, 100, 1<<40)
-	m.MaxOpen = s.count("open", 1000, 1, 1<<30)
+	m.MaxOpenMerges = s.count("open", 1000, 1, 1<<30)
 	m.CursorLifetime = s.duration("cursor_life", 15*time.Minute, time.Second, 30*day)
 	m.MaxCursorBytes = int(s.count("cursor_bytes", 8<<10, 256, 48<<10))
 	keys, given := s.text("cursor_keys")
--- a/internal/operatorconfig/problem.go
+++ b/internal/operatorconfig/problem.go
@@ -67,7 +67,7 @@
 func (f *File) QueryTypeError(name, text string) error {
 	line := 0
 	if f.Merging != nil {
-		line = f.Merging.Lines[name]
+		line = f.Merging.SectionLines[name]
 	}
 	return &ConfigError{f.Path, []Problem{{line, fmt.Sprintf("[merge %s]: %s", name, text)}}}
 }
