--- a/balancer/retry.go
+++ b/balancer/retry.go
@@ -40,7 +40,7 @@
 	}
 	noResponse := e.Outcome == TimedOut || e.Outcome == Cancelled
 	lost := e.Outcome == Reset || noResponse && b.silenceRatio(ended) > 1
-	// Errors are excluded, as they return fast. Time-outs are not, or only fast attempts would be measured.
+	// Errors are excluded, as they return fast. Timeouts are not, or only fast attempts would be measured.
 	if e.Outcome == Answered || e.Elapsed > ended.predicted && noResponse && !lost {
 		latency, work := float64(max(e.Elapsed, 1)), call.size+ended.queuedWork
 		if s.unitLatency == 0 {
--- a/balancer/serverlist.go
+++ b/balancer/serverlist.go
@@ -3,7 +3,7 @@
 import "slices"
 
 // applyServerList applies an update of the server list. If a request for the list failed, it schedules
-// another, with exponential backoff and jitter so that the instances do not overload a slow list service.
+// another, with exponential backoff and jitter so that instances do not overload a slow discovery service.
 func (b *Balancer) applyServerList(e ServerList) {
 	if e.Kind == ListFailed {
 		if b.listOnRequest && !b.listTimerSet {
--- a/internal/discovery/serverlist.go
+++ b/internal/discovery/serverlist.go
@@ -8,7 +8,7 @@
 	"net"
 )
 
-// Values of Server.Health, as published by the list service.
+// Values of Server.Health, as published by the discovery service.
 const (
 	Up       = "up"
 	Draining = "draining"
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// The list service sends a line at least every heartbeatInterval, an empty one if nothing has changed. A watch on which
+// The discovery service sends a line at least every heartbeatInterval, an empty one if nothing has changed. A watch on which
 // no line is received for watchTimeout has failed.
 const (
 	heartbeatInterval = 2 * time.Second
@@ -24,7 +24,7 @@
 	writeBufferSize = 1 << 10
 )
 
-// endReason is the reason code, in the log, for the end of a connection to the list service.
+// endReason is the reason code, in the log, for the end of a connection to the discovery service.
 type endReason string
 
 const (
@@ -40,7 +40,7 @@
 	endStopped   endReason = "stopped"          // ended here: the watcher was stopped
 )
 
-// errNoCompleteList reports that a new list service sent changes before a complete list.
+// errNoCompleteList reports that a new discovery service sent changes before a complete list.
 var errNoCompleteList = errors.New("received changes before a complete list")
 
 // Handler receives the updates of a Watcher, in order. Its methods are called from the watcher's goroutine and may block
@@ -69,7 +69,7 @@
 	needComplete bool   // the last list came from another service: a complete list is requested before a watch
 }
 
-// Start starts a watcher of the list service at an address. version is the version of the list that the caller already
+// Start starts a watcher of the discovery service at an address. version is the version of the list that the caller already
 // has. Without resubscribe the watcher requests nothing until Subscribe is called; with it, it subscribes at once and,
 // heartbeatInterval after each watch has ended, again. The accept function is passed to Parse.
 func Start(addr string, version uint64, connectTimeout time.Duration, accept func(Server) error, handler Handler,
@@ -92,7 +92,7 @@
 	return w
 }
 
-// ChangeAddress changes the address of the list service. It ends the watch of the old address and begins one of the new
+// ChangeAddress changes the address of the discovery service. It ends the watch of the old address and begins one of the new
 // address.
 func (w *Watcher) ChangeAddress(addr string) {
 	w.target.Store(&addr)
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -35,7 +35,7 @@
 	return v
 }
 
-// startWatcher starts a list service with a handler, and a watcher of it that has version 7 of its list.
+// startWatcher starts a discovery service with a handler, and a watcher of it that has version 7 of its list.
 func startWatcher(t *testing.T, resubscribe bool, h http.HandlerFunc) (*Watcher, recorder) {
 	t.Helper()
 	srv := httptest.NewServer(h)
--- a/internal/testing/simcluster/connection_test.go
+++ b/internal/testing/simcluster/connection_test.go
@@ -134,14 +134,14 @@
 }
 
 // TestRequestsWithinLimits sends requests just within the limits of the configuration, on a connection that has been idle for
-// four fifths of the idle time-out. Such a connection must never be closed during a request.
+// four fifths of the idle timeout. Such a connection must never be closed during a request.
 func TestRequestsWithinLimits(t *testing.T) {
 	const (
 		headerBytes = 8192
 		bodyBytes   = 1 << 16
 		idleTimeout = 4 * time.Second
 		idleTime    = 4 * idleTimeout / 5
-		headerPause = 1800 * time.Millisecond // within a header; its time-out is 2 s
+		headerPause = 1800 * time.Millisecond // within a header; its timeout is 2 s
 	)
 	runCluster(t, 78, 3, 1, func(t *testing.T, cluster *Cluster) {
 		limited := editConfiguration(t, ExampleConfiguration(1, ExampleSharding), func(c *config.Configuration) {
--- a/internal/testing/simcluster/tenant_isolation_test.go
+++ b/internal/testing/simcluster/tenant_isolation_test.go
@@ -213,7 +213,7 @@
 	runCluster(t, 33, 3, gateways, func(t *testing.T, cluster *Cluster) {
 		limitConnections(t, cluster, connectionLimit, 20*time.Millisecond)
 		restartServers(t, serversOf(cluster, "a2"), func(server *Server) {
-			server.ServiceTime = 6 * time.Second // above the time-out of the batch
+			server.ServiceTime = 6 * time.Second // above the timeout of the batch
 		})
 		restartServers(t, serversOf(cluster, singleService), func(server *Server) {
 			server.Concurrency, server.ConnectionLimit = 100, scarceConnectionLimit
