--- a/dataplane/client_left_test.go
+++ b/dataplane/client_left_test.go
@@ -39,7 +39,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			servers := &recordingServers{serviceTime: 700 * time.Millisecond}
-			runWithRecordingServers(t, servers, scenario{}, settings.ServiceLevels{}, func(t *testing.T, b *testbed) {
+			runWithRecordingServers(t, servers, scenario{}, settings.Bounds{}, func(t *testing.T, b *testbed) {
 				conn := b.dialGateway(t)
 				io.WriteString(conn, requestText(test.method, test.path, "first", 3*time.Second))
 				time.Sleep(disconnectAfter)
@@ -71,7 +71,7 @@
 func TestClientDisconnectBeforeDispatch(t *testing.T) {
 	servers := &recordingServers{serviceTime: time.Millisecond}
 	slowDials := scenario{Dials: []time.Duration{200 * time.Millisecond}}
-	runWithRecordingServers(t, servers, slowDials, settings.ServiceLevels{}, func(t *testing.T, b *testbed) {
+	runWithRecordingServers(t, servers, slowDials, settings.Bounds{}, func(t *testing.T, b *testbed) {
 		for i, path := range []string{"/one/x", "/all/x", nonRetryablePath + "x"} {
 			conn := b.dialGateway(t)
 			id := fmt.Sprint("request-", i)
@@ -89,7 +89,7 @@
 // Requests that arrive while another one waits for its result are answered in order, even if they exceed the read buffer.
 func TestPipelinedRequestsAnsweredInOrder(t *testing.T) {
 	servers := &recordingServers{serviceTime: 40 * time.Millisecond}
-	runWithRecordingServers(t, servers, scenario{}, settings.ServiceLevels{}, func(t *testing.T, b *testbed) {
+	runWithRecordingServers(t, servers, scenario{}, settings.Bounds{}, func(t *testing.T, b *testbed) {
 		const requests = 300
 		conn := b.dialGateway(t)
 		defer conn.Close()
@@ -119,7 +119,7 @@
 // request's wait must not fail the read of the next request.
 func TestKeepAliveConnectionServesManyRequests(t *testing.T) {
 	servers := &recordingServers{serviceTime: time.Millisecond}
-	runWithRecordingServers(t, servers, scenario{}, settings.ServiceLevels{}, func(t *testing.T, b *testbed) {
+	runWithRecordingServers(t, servers, scenario{}, settings.Bounds{}, func(t *testing.T, b *testbed) {
 		var clients sync.WaitGroup
 		for client := range 8 {
 			clients.Go(func() {
@@ -163,7 +163,7 @@
 		name := fmt.Sprintf("%s %v, %d silent", strings.ReplaceAll(test.path, "/", " "), test.client, test.silent)
 		t.Run(name, func(t *testing.T) {
 			servers := &recordingServers{serviceTime: 5 * time.Millisecond, unansweredRequests: test.silent}
-			runWithRecordingServers(t, servers, scenario{}, settings.ServiceLevels{}, func(t *testing.T, b *testbed) {
+			runWithRecordingServers(t, servers, scenario{}, settings.Bounds{}, func(t *testing.T, b *testbed) {
 				conn := b.dialGateway(t)
 				defer conn.Close()
 				sent := time.Now()
@@ -198,7 +198,7 @@
 		for _, path := range []string{"/one/x", nonRetryablePath + "x", "/all/x"} {
 			t.Run(fmt.Sprintf("%s %v", strings.ReplaceAll(path, "/", " "), failures), func(t *testing.T) {
 				servers := &recordingServers{serviceTime: 3 * time.Millisecond, failures: slices.Clone(failures)}
-				runWithRecordingServers(t, servers, scenario{}, settings.ServiceLevels{}, func(t *testing.T, b *testbed) {
+				runWithRecordingServers(t, servers, scenario{}, settings.Bounds{}, func(t *testing.T, b *testbed) {
 					conn := b.dialGateway(t)
 					defer conn.Close()
 					io.WriteString(conn, requestText("POST", path, "q", 800*time.Millisecond))
@@ -233,7 +233,7 @@
 		for _, path := range []string{"/one/x", "/all/x", nonRetryablePath + "x"} {
 			t.Run(fmt.Sprintf("%s %d", strings.ReplaceAll(path, "/", " "), allowed), func(t *testing.T) {
 				servers := &recordingServers{serviceTime: 15 * time.Millisecond, malformedEvery: 1}
-				runWithRecordingServers(t, servers, scenario{}, settings.ServiceLevels{}, func(t *testing.T, b *testbed) {
+				runWithRecordingServers(t, servers, scenario{}, settings.Bounds{}, func(t *testing.T, b *testbed) {
 					b.activateAttempts(2, allowed)
 					time.Sleep(time.Millisecond)
 					conn := b.dialGateway(t)
--- a/dataplane/metrics_test.go
+++ b/dataplane/metrics_test.go
@@ -20,7 +20,7 @@
 // Attempts are counted by reason and results by kind. Clients that leave before their result are counted as well.
 func TestMetricsOfRequests(t *testing.T) {
 	servers := &recordingServers{serviceTime: 15 * time.Millisecond, malformedEvery: 1}
-	runWithRecordingServers(t, servers, scenario{}, settings.ServiceLevels{}, func(t *testing.T, b *testbed) {
+	runWithRecordingServers(t, servers, scenario{}, settings.Bounds{}, func(t *testing.T, b *testbed) {
 		conn := b.dialGateway(t)
 		defer conn.Close()
 		io.WriteString(conn, requestText("GET", "/one/x", "q", 850*time.Millisecond))
@@ -54,7 +54,7 @@
 	for _, path := range []string{"/one/x", "/all/x"} {
 		t.Run(strings.ReplaceAll(path, "/", " "), func(t *testing.T) {
 			servers := &recordingServers{serviceTime: 15 * time.Millisecond, unansweredRequests: 6}
-			runWithRecordingServers(t, servers, scenario{}, settings.ServiceLevels{}, func(t *testing.T, b *testbed) {
+			runWithRecordingServers(t, servers, scenario{}, settings.Bounds{}, func(t *testing.T, b *testbed) {
 				b.activateAttempts(2, 1)
 				time.Sleep(12 * time.Second) // the retry budget covers probation attempts as well
 				for i := range 400 {
@@ -105,7 +105,7 @@
 // new route took over the query type of the removed one, a request that must not be repeated could be retried.
 func TestRequestKeepsItsRouteAcrossConfigurations(t *testing.T) {
 	servers := &recordingServers{serviceTime: 15 * time.Millisecond, malformedEvery: 1}
-	runWithRecordingServers(t, servers, scenario{}, settings.ServiceLevels{}, func(t *testing.T, b *testbed) {
+	runWithRecordingServers(t, servers, scenario{}, settings.Bounds{}, func(t *testing.T, b *testbed) {
 		g := b.gateway
 		before := g.configs.load()
 		once := before.table.Find("h", nonRetryablePath+"x")
--- a/dataplane/recordingserver_test.go
+++ b/dataplane/recordingserver_test.go
@@ -141,7 +141,7 @@
 }
 
 // runWithRecordingServers runs a test against a gateway with two recording servers for each service.
-func runWithRecordingServers(t *testing.T, servers *recordingServers, s scenario, bounds settings.ServiceLevels,
+func runWithRecordingServers(t *testing.T, servers *recordingServers, s scenario, bounds settings.Bounds,
 	test func(t *testing.T, b *testbed)) {
 	t.Helper()
 	s.Servers, s.Writes = 2, []writeStep{{}}
--- a/dataplane/retry_budget_test.go
+++ b/dataplane/retry_budget_test.go
@@ -20,7 +20,7 @@
 		failFrom  = 14 * time.Second
 		duration  = 36 * time.Second
 	)
-	bounds := settings.ServiceLevels{HasRetryBudget: true, RetryBudgetRatio: ratio, BudgetWindowS: window.Seconds(), BudgetExtraTries: allowance}
+	bounds := settings.Bounds{HasRetryBudget: true, RetryBudgetRatio: ratio, BudgetWindowS: window.Seconds(), BudgetExtraTries: allowance}
 	servers := &recordingServers{serviceTime: time.Millisecond}
 	runWithRecordingServers(t, servers, scenario{}, bounds, func(t *testing.T, b *testbed) {
 		start := time.Now()
--- a/dataplane/testbed_test.go
+++ b/dataplane/testbed_test.go
@@ -35,8 +35,8 @@
 type testbed struct {
 	scenario scenario
 	network  *simnet.Network
-	bounds   settings.ServiceLevels // in the gateway's settings
-	gateway  *Gateway               // the last one started
+	bounds   settings.Bounds // in the gateway's settings
+	gateway  *Gateway        // the last one started
 
 	mu         sync.Mutex
 	steps      int                    // number of server steps used
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -34,14 +34,14 @@
 	HeartbeatIntervalMS float64           `toml:"beat_interval_ms"` // interval between two heartbeats of a server; above 0
 	Zones               map[string]string `toml:"zones"`            // region of each zone
 	MetricsPort         int               `toml:"metrics_port"`     // for a gateway; 0 = DefaultMetricsPort, below 0 = metrics are not served
-	Listen              ListenAddresses   `toml:"listen_addresses"`
+	Listen              Listen            `toml:"listen_addresses"`
 	Limits              Limits            `toml:"limits"`
 	ToleratedLosses     ToleratedLosses   `toml:"tolerated_losses"`
-	Bounds              ServiceLevels     `toml:"bounds"`
+	Bounds              Bounds            `toml:"bounds"`
 }
 
-// ListenAddresses holds the addresses, as IP address and port, on which a process listens in addition to its internal ports.
-type ListenAddresses struct {
+// Listen holds the addresses, as IP address and port, on which a process listens in addition to its internal ports.
+type Listen struct {
 	Front     string `toml:"front_address"`     // for a gateway, serves clients
 	Readiness string `toml:"readiness_address"` // for a gateway, serves the platform's health checks
 	Control   string `toml:"control_address"`   // for a controller, serves servers and operators
@@ -63,8 +63,8 @@
 	Regions  int `toml:"regions"`  // same as for zones
 }
 
-// ServiceLevels are the service levels that the platform requires; 0 = not set.
-type ServiceLevels struct {
+// Bounds are the service levels that the platform requires; 0 = not set.
+type Bounds struct {
 	ContactMS        float64 `toml:"contact_ms"`         // not used
 	DrainLimitMS     float64 `toml:"drain_limit_ms"`     // not used
 	GracePeriodS     float64 `toml:"grace_period_s"`     // time between SIGTERM and SIGKILL
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -100,7 +100,7 @@
 			SeedAddresses:       []string{"10.1.0.2:8729"},
 			DataDirectory:       "/data",
 			HeartbeatIntervalMS: 1200,
-			Listen:              ListenAddresses{Front: "10.1.0.1:80", Readiness: "10.1.0.1:81", Control: "10.1.0.1:8729"},
+			Listen:              Listen{Front: "10.1.0.1:80", Readiness: "10.1.0.1:81", Control: "10.1.0.1:8729"},
 		}
 	}
 	if problems := valid().Check(true, true); len(problems) > 0 {
