--- a/internal/cli/fleetcmd.go
+++ b/internal/cli/fleetcmd.go
@@ -40,7 +40,7 @@
 			return maintenance.Command{RequestPermit: request}
 		})
 	forget := f.newCommand("forget NAME", "Remove a member that will not come back", "is forgotten", func(name string) maintenance.Command {
-		return maintenance.Command{RemoveMember: &maintenance.RemoveMember{Name: maintenance.MemberName(name)}}
+		return maintenance.Command{RemoveMember: &maintenance.Forget{Name: maintenance.MemberName(name)}}
 	})
 	c.AddCommand(f.newStatusCommand(), drain, forget, f.newReleaseCommand())
 	return c
--- a/maintenance/command.go
+++ b/maintenance/command.go
@@ -22,7 +22,7 @@
 	Leave         *Leave         `json:"leave,omitempty"`
 	RequestPermit *RequestPermit `json:"ask,omitempty"`
 	ReturnPermit  *ReturnPermit  `json:"return,omitempty"`
-	RemoveMember  *RemoveMember  `json:"forget,omitempty"`
+	RemoveMember  *Forget        `json:"forget,omitempty"`
 	UpdateServers *UpdateServers `json:"listed,omitempty"`
 	Limits        *Limits        `json:"limits,omitempty"`
 	StartRelease  *Plan          `json:"start,omitempty"`
@@ -64,8 +64,8 @@
 		Name  MemberName `json:"name"`
 		Epoch Epoch      `json:"epoch"`
 	}
-	// RemoveMember removes a member that, according to an operator, will not come back.
-	RemoveMember struct {
+	// Forget removes a member that, according to an operator, will not come back.
+	Forget struct {
 		Name MemberName `json:"name"`
 	}
 	// UpdateServers carries the current server list. Servers that are not in it count as out.
--- a/maintenance/faults_test.go
+++ b/maintenance/faults_test.go
@@ -62,7 +62,7 @@
 		f.proposeForReleases(func(id ReleaseID) Command { return Command{ResumeRelease: &ResumeRelease{ID: id}} })
 	case forgetDead:
 		if g.dead {
-			f.propose(Command{RemoveMember: &RemoveMember{Name: memberName(g.i)}}, func(_ Result, err error) {
+			f.propose(Command{RemoveMember: &Forget{Name: memberName(g.i)}}, func(_ Result, err error) {
 				g.permittedOut = g.permittedOut && err != nil // the operator has confirmed that it will not come back
 			})
 		}
--- a/maintenance/release_test.go
+++ b/maintenance/release_test.go
@@ -26,8 +26,8 @@
 		h.renew(1, 1, RequestCounts{Answered: 100})
 		h.renew(2, 1, RequestCounts{Answered: 100})
 	}
-	h.mustFail(Command{RemoveMember: &RemoveMember{Name: memberName(1)}}, "is alive")
-	h.must(Command{RemoveMember: &RemoveMember{Name: memberName(0)}})
+	h.mustFail(Command{RemoveMember: &Forget{Name: memberName(1)}}, "is alive")
+	h.must(Command{RemoveMember: &Forget{Name: memberName(0)}})
 	if rel := h.Release("r"); rel.Phase != Halted {
 		t.Fatalf("the release is %s after a target was forgotten", rel.Phase)
 	}
--- a/maintenance/state.go
+++ b/maintenance/state.go
@@ -223,7 +223,7 @@
 	return nil
 }
 
-func (s *State) removeMember(f RemoveMember) error {
+func (s *State) removeMember(f Forget) error {
 	m, err := s.findMember(f.Name)
 	if err != nil {
 		return err
--- a/maintenance/state_test.go
+++ b/maintenance/state_test.go
@@ -107,6 +107,6 @@
 	for _, c := range []Command{{HaltRelease: &HaltRelease{ID: "x"}}, {ResumeRelease: &ResumeRelease{ID: "x"}}, {RollBack: &RollBack{ID: "x"}}} {
 		h.mustFail(c, "release x: no such release")
 	}
-	h.mustFail(Command{RemoveMember: &RemoveMember{Name: "x"}}, "x: not a member")
+	h.mustFail(Command{RemoveMember: &Forget{Name: "x"}}, "x: not a member")
 	h.mustFail(Command{Renew: &Renew{Name: "x"}}, "x: not a member")
 }
