--- a/gatherer/gatherer.go
+++ b/gatherer/gatherer.go
@@ -79,13 +79,13 @@
 		balancer:    balancer.New(deployment.Balancer),
 		descriptors: newDescriptorPool(serverDescriptors),
 		connConfig: shardconn.Config{
-			ConnectTimeout:   deployment.ConnectTimeout,
-			IdleTimeout:      deployment.IdleTimeout,
-			StreamsPerConn:   deployment.StreamsPerConn,
-			CallsPerFrame:    deployment.CallsPerFrame,
-			LoadHealthChecks: deployment.LoadReportsByHealthCheck,
-			LoadReports:      len(deployment.LoadReportFields) > 0,
-			Memory:           memoryAccount{g.memory, memorybudget.ServerConns},
+			ConnectTimeout:    deployment.ConnectTimeout,
+			IdleTimeout:       deployment.IdleTimeout,
+			MaxStreamsPerConn: deployment.MaxStreamsPerConn,
+			MaxCallsPerFrame:  deployment.MaxCallsPerFrame,
+			LoadHealthChecks:  deployment.LoadReportsByHealthCheck,
+			LoadReports:       len(deployment.LoadReportFields) > 0,
+			Memory:            memoryAccount{g.memory, memorybudget.ServerConns},
 		},
 		merges:        &merge.Budget{},
 		memory:        g.memory,
@@ -122,7 +122,7 @@
 func (g *Gatherer) setMergeLimits(share float64) {
 	if m := g.transport.merging.Load(); m != nil {
 		scale := func(n int64) int64 { return int64(float64(n) * share) }
-		g.dispatcher.merges.SetLimits(scale(m.MaxBytes), scale(m.MaxRows), scale(m.MaxOpen))
+		g.dispatcher.merges.SetLimits(scale(m.MaxBytes), scale(m.MaxRows), scale(m.MaxOpenMerges))
 	}
 }
 
--- a/internal/shardconn/receive.go
+++ b/internal/shardconn/receive.go
@@ -71,7 +71,7 @@
 			return
 		case r.formatErr != nil && i == len(r.frames)-1:
 			cl.handleMalformed(c, f.id, r.formatErr, i == 0)
-		case f.letter == frame.AnswerFrame:
+		case f.letter == frame.ResponseFrame:
 			cl.handleAnswer(c, f, i == 0)
 		default:
 			cl.handleHealthCheckAnswer(c, f)
@@ -107,7 +107,7 @@
 // connections are opened while a server is silent; if they stayed open, they would use up the descriptors for other
 // servers.
 func (cl *Client) closeSurplus(active *conn) {
-	if active.closed || active.drainReason != "" || 2*active.inFlight > cl.config.StreamsPerConn {
+	if active.closed || active.drainReason != "" || 2*active.inFlight > cl.config.MaxStreamsPerConn {
 		return
 	}
 	for _, c := range cl.conns {
@@ -227,10 +227,10 @@
 		return nil
 	}
 	r := &balancer.LoadReport{Queued: -1, InFlight: -1}
-	if v, ok := frame.ReportValue([]byte(text), "queue"); ok && 0 <= v && v < maxReportedLoad {
+	if v, ok := frame.LoadReportValue([]byte(text), "queue"); ok && 0 <= v && v < maxReportedLoad {
 		r.Queued = v
 	}
-	if v, ok := frame.ReportValue([]byte(text), "inflight"); ok && 0 <= v && v < maxReportedLoad {
+	if v, ok := frame.LoadReportValue([]byte(text), "inflight"); ok && 0 <= v && v < maxReportedLoad {
 		r.InFlight = v
 	}
 	if r.Queued < 0 && r.InFlight < 0 {
--- a/maintenance/command.go
+++ b/maintenance/command.go
@@ -22,7 +22,7 @@
 	Leave         *Leave         `json:"leave,omitempty"`
 	RequestPermit *RequestPermit `json:"ask,omitempty"`
 	ReturnPermit  *ReturnPermit  `json:"return,omitempty"`
-	Forget        *Forget        `json:"forget,omitempty"`
+	RemoveMember  *Forget        `json:"forget,omitempty"`
 	UpdateServers *UpdateServers `json:"listed,omitempty"`
 	Limits        *Limits        `json:"limits,omitempty"`
 	StartRelease  *Plan          `json:"start,omitempty"`
